--- a/internal/registry/status.go
+++ b/internal/registry/status.go
@@ -8,11 +8,11 @@
 	"time"
 
 	"puffincrank/internal/event"
-	"puffincrank/internal/member"
-	"puffincrank/internal/outer"
+	"puffincrank/internal/httpapi"
+	"puffincrank/internal/membership"
 	"puffincrank/internal/proxy"
 	"puffincrank/internal/store"
-	"puffincrank/internal/wire"
+	"puffincrank/internal/transport"
 )
 
 // Status is what a registry says of itself.
@@ -34,16 +34,16 @@
 
 // Fleet is the whole mesh as one node tells it.
 type Fleet struct {
-	Version    uint64            `json:"config_version"`
-	Members    []member.Fellow   `json:"members"`
-	Duties     map[string]string `json:"duties"`
-	Stores     []store.Status    `json:"stores"`
-	Registries []Status          `json:"registries"`
-	Proxies    []proxy.Status    `json:"proxies"`
-	Mute       []string          `json:"mute"` // members that gave no answer
+	Version    uint64              `json:"config_version"`
+	Members    []membership.Fellow `json:"members"`
+	Duties     map[string]string   `json:"duties"`
+	Stores     []store.Status      `json:"stores"`
+	Registries []Status            `json:"registries"`
+	Proxies    []proxy.Status      `json:"proxies"`
+	Mute       []string            `json:"mute"` // members that gave no answer
 }
 
-func (r *Registry) onStatus(_ context.Context, _ wire.Hello, in proxy.StatusAsk) (Status, error) {
+func (r *Registry) onStatus(_ context.Context, _ transport.Hello, in proxy.StatusAsk) (Status, error) {
 	s := r.status()
 	if in.Events {
 		s.Events = r.e.Log.Since(in.Since)
@@ -109,7 +109,7 @@
 	for _, f := range out.Members {
 		ask(f.Node, func() error {
 			if f.Role == "proxy" {
-				s, err := wire.Ask[proxy.Status](ctx, r.n, f.Inner, "node.status", in)
+				s, err := transport.Ask[proxy.Status](ctx, r.n, f.Inner, "node.status", in)
 				if err == nil {
 					mu.Lock()
 					out.Proxies = append(out.Proxies, s)
@@ -117,7 +117,7 @@
 				}
 				return err
 			}
-			s, err := wire.Ask[Status](ctx, r.n, f.Inner, "registry.status", in)
+			s, err := transport.Ask[Status](ctx, r.n, f.Inner, "registry.status", in)
 			if err == nil {
 				mu.Lock()
 				out.Registries = append(out.Registries, s)
@@ -128,7 +128,7 @@
 	}
 	for _, a := range stores {
 		ask("store at "+a, func() error {
-			s, err := wire.Ask[store.Status](ctx, r.n, a, "store.status", struct{}{})
+			s, err := transport.Ask[store.Status](ctx, r.n, a, "store.status", struct{}{})
 			if err == nil {
 				mu.Lock()
 				out.Stores = append(out.Stores, s)
@@ -165,11 +165,11 @@
 		// Without a majority the status still helps, and says what it lacks.
 		f.Mute = append(f.Mute, "no majority of the stores")
 	}
-	outer.JSON(w, http.StatusOK, f)
+	httpapi.JSON(w, http.StatusOK, f)
 }
 
 func (r *Registry) getServices(w http.ResponseWriter, _ *http.Request) {
-	outer.JSON(w, http.StatusOK, map[string]any{"version": r.version(), "services": r.rep.Services(), "entries": r.rep.Map().Live(nil)})
+	httpapi.JSON(w, http.StatusOK, map[string]any{"version": r.version(), "services": r.rep.Services(), "entries": r.rep.Map().Live(nil)})
 }
 
 func (r *Registry) getEvents(w http.ResponseWriter, req *http.Request) {
@@ -190,7 +190,7 @@
 	if len(all) > 500 {
 		all = all[len(all)-500:]
 	}
-	outer.JSON(w, http.StatusOK, map[string]any{"version": r.version(), "events": all, "mute": f.Mute})
+	httpapi.JSON(w, http.StatusOK, map[string]any{"version": r.version(), "events": all, "mute": f.Mute})
 }
 
 // version is the configuration held here.
@@ -205,4 +205,4 @@
 
 // Sizes gives the bytes that this process sent to others, by kind of message;
 // receipts count with what they answer.
-func (r *Registry) Sizes() map[wire.Flow]wire.Sum { return r.n.Sizes() }
+func (r *Registry) Sizes() map[transport.Flow]transport.Sum { return r.n.Sizes() }
--- a/internal/registry/stores.go
+++ b/internal/registry/stores.go
@@ -11,13 +11,13 @@
 	"puffincrank/internal/fault"
 	"puffincrank/internal/statemachine"
 	"puffincrank/internal/store"
-	"puffincrank/internal/wire"
+	"puffincrank/internal/transport"
 )
 
 // stores is how a registry talks to the stores: it finds the leader and says
 // what is known of each change.
 type stores struct {
-	n            *wire.Node
+	n            *transport.Node
 	seeds        []string
 	storeTimeout time.Duration // how long one store may take
 	retryPause   time.Duration // pause when no store writes
@@ -27,7 +27,7 @@
 	unreachable  map[string]time.Time // store to when it last did not answer
 }
 
-func newStores(n *wire.Node, seed []string, wait, rest time.Duration) *stores {
+func newStores(n *transport.Node, seed []string, wait, rest time.Duration) *stores {
 	return &stores{n: n, seeds: seed, storeTimeout: wait, retryPause: rest, unreachable: map[string]time.Time{}}
 }
 
@@ -113,7 +113,7 @@
 			if again {
 				one, end = context.WithTimeout(ctx, long)
 			}
-			g, err := wire.Ask[store.Given](one, c.n, at, kind, in)
+			g, err := transport.Ask[store.Given](one, c.n, at, kind, in)
 			end()
 			if err == nil {
 				c.observe(at, g)
@@ -185,7 +185,7 @@
 func (c *stores) watch(ctx context.Context, q store.Query) (statemachine.Result, error) {
 	var last error
 	for _, at := range c.candidates() {
-		g, err := wire.Ask[store.Given](ctx, c.n, at, "store.watch", q)
+		g, err := transport.Ask[store.Given](ctx, c.n, at, "store.watch", q)
 		if err == nil && g.Done {
 			return g.Receipt, nil
 		}
--- a/internal/registry/trials.go
+++ b/internal/registry/trials.go
@@ -10,28 +10,28 @@
 	"github.com/go-chi/chi/v5"
 
 	"puffincrank/internal/event"
-	"puffincrank/internal/outer"
+	"puffincrank/internal/httpapi"
+	"puffincrank/internal/protocol"
 	"puffincrank/internal/proxy"
 	"puffincrank/internal/rules"
-	"puffincrank/internal/session"
-	"puffincrank/internal/settings"
+	"puffincrank/internal/schema"
 	"puffincrank/internal/statemachine"
 	"puffincrank/internal/store"
-	"puffincrank/internal/wire"
+	"puffincrank/internal/transport"
 )
 
 // TabPropose is the body of a proposal.
-var TabPropose = settings.Table{Name: "propose", Rows: []settings.Setting{
-	{Name: "path", Type: settings.Text, Must: true, Check: settings.Word, Rule: "a path in force", Help: "the path to change"},
-	{Name: "slice", Type: settings.Share, Check: settings.Within(0.1, 50), Rule: "0.1 to 50", Help: "percent of its jobs; the judge's slice when left out"},
-	{Name: "service", Type: settings.Text, Check: settings.Word, Rule: "one of services", Help: "the new service, in place of a split too"},
-	{Name: "split", Type: settings.Rows, Rule: "one weight over 0", Help: "the new split, in place of a service too"},
-	{Name: "class", Type: settings.Text, Check: settings.Word, Rule: "one of classes", Help: "the new class"},
-	{Name: "rank", Type: settings.Count, Check: settings.In(0, 1000), Rule: "0 to 1000", Help: "the new rank"},
-	{Name: "left_ms", Type: settings.Span, Check: settings.In(1, 3600_000), Rule: "1 to 3600000", Help: "the new time left"},
-	{Name: "aim_ms", Type: settings.Span, Check: settings.In(1, 3600_000), Rule: "1 to 3600000", Help: "the new aim"},
-	{Name: "repeat", Type: settings.Text, Check: settings.OneOf("never", "safe", "upload", "download"), Rule: "never, safe, upload or download", Help: "the new word on repeats"},
-	{Name: "tries", Type: settings.Count, Check: settings.In(1, 1000), Rule: "1 to 1000", Help: "the new sends at the most"},
+var TabPropose = schema.Table{Name: "propose", Rows: []schema.Setting{
+	{Name: "path", Type: schema.Text, Must: true, Check: schema.Word, Rule: "a path in force", Help: "the path to change"},
+	{Name: "slice", Type: schema.Share, Check: schema.Within(0.1, 50), Rule: "0.1 to 50", Help: "percent of its jobs; the judge's slice when left out"},
+	{Name: "service", Type: schema.Text, Check: schema.Word, Rule: "one of services", Help: "the new service, in place of a split too"},
+	{Name: "split", Type: schema.Rows, Rule: "one weight over 0", Help: "the new split, in place of a service too"},
+	{Name: "class", Type: schema.Text, Check: schema.Word, Rule: "one of classes", Help: "the new class"},
+	{Name: "rank", Type: schema.Count, Check: schema.In(0, 1000), Rule: "0 to 1000", Help: "the new rank"},
+	{Name: "left_ms", Type: schema.Span, Check: schema.In(1, 3600_000), Rule: "1 to 3600000", Help: "the new time left"},
+	{Name: "aim_ms", Type: schema.Span, Check: schema.In(1, 3600_000), Rule: "1 to 3600000", Help: "the new aim"},
+	{Name: "repeat", Type: schema.Text, Check: schema.OneOf("never", "safe", "upload", "download"), Rule: "never, safe, upload or download", Help: "the new word on repeats"},
+	{Name: "tries", Type: schema.Count, Check: schema.In(1, 1000), Rule: "1 to 1000", Help: "the new sends at the most"},
 }}
 
 // confirmed reads the configuration and the trials with a majority.
@@ -39,8 +39,8 @@
 	return r.stores.read(ctx, store.Query{What: "config"})
 }
 
-func answerWrong(w http.ResponseWriter, why string, bad []settings.Fault) {
-	outer.JSON(w, http.StatusUnprocessableEntity, outer.Wrong{Wrong: why, Faults: bad})
+func answerWrong(w http.ResponseWriter, why string, bad []schema.Fault) {
+	httpapi.JSON(w, http.StatusUnprocessableEntity, httpapi.Wrong{Wrong: why, Faults: bad})
 }
 
 // propose begins a trial of one path.
@@ -74,7 +74,7 @@
 		return
 	}
 	if now.Version != base {
-		outer.JSON(w, http.StatusConflict, outer.Wrong{Wrong: fmt.Sprintf("based on version %d, but %d stands", base, now.Version), Version: now.Version})
+		httpapi.JSON(w, http.StatusConflict, httpapi.Wrong{Wrong: fmt.Sprintf("based on version %d, but %d stands", base, now.Version), Version: now.Version})
 		return
 	}
 	path := v.Text("path")
@@ -86,7 +86,7 @@
 	}
 	standing, _, _ := rules.Compile(base, now.Doc)
 	if standing == nil || standing.Named(path) == nil {
-		answerWrong(w, "there is no such path", []settings.Fault{{Place: "path", Wrong: fmt.Sprintf("no path %q", path)}})
+		answerWrong(w, "there is no such path", []schema.Fault{{Place: "path", Wrong: fmt.Sprintf("no path %q", path)}})
 		return
 	}
 	if rules.Alike(now.Doc, path, change) {
@@ -96,7 +96,7 @@
 	for _, t := range now.Trials {
 		for _, p := range t.Paths {
 			if t.State == statemachine.Running && p == path {
-				outer.JSON(w, http.StatusConflict, outer.Wrong{Wrong: fmt.Sprintf("trial %d runs on the same path", t.ID), Version: now.Version})
+				httpapi.JSON(w, http.StatusConflict, httpapi.Wrong{Wrong: fmt.Sprintf("trial %d runs on the same path", t.ID), Version: now.Version})
 				return
 			}
 		}
@@ -160,18 +160,18 @@
 		if now.Trials == nil {
 			now.Trials = []statemachine.Trial{}
 		}
-		outer.JSON(w, http.StatusOK, map[string]any{"version": now.Version, "trials": now.Trials})
+		httpapi.JSON(w, http.StatusOK, map[string]any{"version": now.Version, "trials": now.Trials})
 		return
 	}
 	for _, t := range now.Trials {
 		if fmt.Sprint(t.ID) == raw {
 			body := r.trialBody(ctx, t, now.Doc, now.Version)
 			body["version"] = now.Version
-			outer.JSON(w, http.StatusOK, body)
+			httpapi.JSON(w, http.StatusOK, body)
 			return
 		}
 	}
-	outer.JSON(w, http.StatusNotFound, outer.Wrong{Wrong: "no such trial"})
+	httpapi.JSON(w, http.StatusNotFound, httpapi.Wrong{Wrong: "no such trial"})
 }
 
 // drain tells a node to drain its workers, or to take jobs again.
@@ -186,19 +186,19 @@
 	}
 	r.mu.Unlock()
 	if at == "" {
-		outer.JSON(w, http.StatusNotFound, outer.Wrong{Wrong: "no such node has a session"})
+		httpapi.JSON(w, http.StatusNotFound, httpapi.Wrong{Wrong: "no such node has a session"})
 		return
 	}
-	got, err := wire.Ask[proxy.Status](ctx, r.n, at, "node.drain", proxy.DrainAsk{On: req.URL.Query().Get("undo") != "true"})
+	got, err := transport.Ask[proxy.Status](ctx, r.n, at, "node.drain", proxy.DrainAsk{On: req.URL.Query().Get("undo") != "true"})
 	if err != nil {
 		r.answerFailure(w, err)
 		return
 	}
-	outer.JSON(w, http.StatusOK, map[string]any{"node": node, "workers": got.Workers})
+	httpapi.JSON(w, http.StatusOK, map[string]any{"node": node, "workers": got.Workers})
 }
 
 // liveReports tells which paths had jobs lately, by all fronts.
-func liveReports(all []session.Report) func(string) bool {
+func liveReports(all []protocol.Report) func(string) bool {
 	set := map[string]bool{}
 	for _, rep := range all {
 		for _, p := range rep.Live {
--- a/internal/registry/unreachable.go
+++ b/internal/registry/unreachable.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"puffincrank/internal/member"
+	"puffincrank/internal/membership"
 )
 
 // recordAnswer notes whether a control node answered a word that began at a time,
@@ -53,6 +53,6 @@
 }
 
 // hears takes in that a control node spoke: it is one again. mu is held.
-func (o *shared) hears(from member.Fellow) {
+func (o *shared) hears(from membership.Fellow) {
 	o.f, o.heard, o.stands, o.out = from, time.Now(), true, false
 }
--- a/internal/registry/unreachable_test.go
+++ b/internal/registry/unreachable_test.go
@@ -5,8 +5,8 @@
 	"testing/synctest"
 	"time"
 
-	"puffincrank/internal/member"
-	"puffincrank/internal/props"
+	"puffincrank/internal/membership"
+	"puffincrank/internal/settings"
 	"puffincrank/internal/task"
 )
 
@@ -16,14 +16,14 @@
 func TestLeftOut(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const beat = 200 * time.Millisecond
-		x := member.Fellow{Node: "x", Inner: "hx:1", Role: "registry"}
+		x := membership.Fellow{Node: "x", Inner: "hx:1", Role: "registry"}
 		make := func() (*Registry, *shared) {
-			r := &Registry{P: props.Props{Node: "c", Inner: "hc:1", Change: 10 * beat}, others: map[string]*shared{}, roll: member.NewRoll("c", 16)}
+			r := &Registry{P: settings.Props{Node: "c", Inner: "hc:1", Change: 10 * beat}, others: map[string]*shared{}, roll: membership.NewRoll("c", 16)}
 			o := &shared{}
 			o.hears(x)
 			r.others["x"] = o
 			r.roll.Set("x", x)
-			r.roll.Set("x", member.Fellow{Node: "p", Role: "proxy"})
+			r.roll.Set("x", membership.Fellow{Node: "p", Role: "proxy"})
 			return r, o
 		}
 		step := func(r *Registry, began time.Time, ok bool) bool {
--- a/internal/replica/full_test.go
+++ b/internal/replica/full_test.go
@@ -9,10 +9,10 @@
 	"puffincrank/internal/env"
 	"puffincrank/internal/event"
 	"puffincrank/internal/hlc"
-	"puffincrank/internal/member"
+	"puffincrank/internal/membership"
 	"puffincrank/internal/ormap"
 	"puffincrank/internal/task"
-	"puffincrank/internal/wire"
+	"puffincrank/internal/transport"
 )
 
 // TestRefillPackedOnce: refills that are asked for at the same time are packed
@@ -23,10 +23,10 @@
 		g := task.New(context.Background())
 		defer g.Stop()
 		e := env.Env{Log: event.New("a", nil), Wall: time.Now}
-		w := wire.NewNode(wire.Hello{Mesh: "m", Node: "a", Area: "x"}, e, g, 1<<20, 4, beat)
-		r := New(member.Fellow{Node: "a", Inner: "h:1"}, w, g, e.Log, hlc.New(time.Now, time.Minute), beat, 3*time.Second, time.Minute)
+		w := transport.NewNode(transport.Hello{Mesh: "m", Node: "a", Area: "x"}, e, g, 1<<20, 4, beat)
+		r := New(membership.Fellow{Node: "a", Inner: "h:1"}, w, g, e.Log, hlc.New(time.Now, time.Minute), beat, 3*time.Second, time.Minute)
 		ask := func() ormap.Delta {
-			d, err := r.onAll(t.Context(), wire.Hello{}, allAsk{Short: true})
+			d, err := r.onAll(t.Context(), transport.Hello{}, allAsk{Short: true})
 			if err != nil || len(d.Short) == 0 {
 				t.Fatal(d, err)
 			}
@@ -42,7 +42,7 @@
 		if d, err := ask().Open(); err != nil || len(d.Adds) != 2 {
 			t.Error(d, err)
 		}
-		if d, _ := r.onAll(t.Context(), wire.Hello{}, allAsk{}); len(d.Adds) != 2 {
+		if d, _ := r.onAll(t.Context(), transport.Hello{}, allAsk{}); len(d.Adds) != 2 {
 			t.Error("an earlier version gets", d)
 		}
 	})
--- a/internal/replica/mend.go
+++ b/internal/replica/mend.go
@@ -7,7 +7,7 @@
 
 	"puffincrank/internal/fault"
 	"puffincrank/internal/ormap"
-	"puffincrank/internal/wire"
+	"puffincrank/internal/transport"
 )
 
 type digestAsk struct {
@@ -38,7 +38,7 @@
 	Short bool        `msgpack:"z,omitempty"` // it takes the answer in its short form
 }
 
-func (r *Replica) onDigest(_ context.Context, _ wire.Hello, in digestAsk) (digestGot, error) {
+func (r *Replica) onDigest(_ context.Context, _ transport.Hello, in digestAsk) (digestGot, error) {
 	own := r.m.Digests()
 	// Who waits for its refill lacks all, and would be given it by each fellow.
 	if ormap.Total(own) == in.Total || r.awaits() {
@@ -67,7 +67,7 @@
 	return got, nil
 }
 
-func (r *Replica) onSwap(_ context.Context, _ wire.Hello, in swapAsk) (ormap.Delta, error) {
+func (r *Replica) onSwap(_ context.Context, _ transport.Hello, in swapAsk) (ormap.Delta, error) {
 	give, err := in.Give.Open()
 	if err != nil {
 		return ormap.Delta{}, err
@@ -112,11 +112,11 @@
 	}
 	own := r.m.Digests()
 	total := ormap.Total(own)
-	got, err := wire.Ask[digestGot](ctx, r.n, addr, "replica.digest", digestAsk{Total: total})
+	got, err := transport.Ask[digestGot](ctx, r.n, addr, "replica.digest", digestAsk{Total: total})
 	if err != nil || got.Same {
 		return err
 	}
-	got, err = wire.Ask[digestGot](ctx, r.n, addr, "replica.digest", digestAsk{Total: total, All: own, Fine: true})
+	got, err = transport.Ask[digestGot](ctx, r.n, addr, "replica.digest", digestAsk{Total: total, All: own, Fine: true})
 	if err == nil && got.Busy {
 		err = errBusy
 	}
@@ -130,7 +130,7 @@
 		// A fellow of an earlier version sends the ranges whole.
 		back := r.m.Part(got.Differ)
 		r.take(got.Part, true)
-		_, err = wire.Ask[struct{}](ctx, r.n, addr, "replica.mend", back)
+		_, err = transport.Ask[struct{}](ctx, r.n, addr, "replica.mend", back)
 		return err
 	}
 	var in swapAsk
@@ -139,7 +139,7 @@
 		return nil
 	}
 	in.Short = true
-	back, err := wire.Ask[ormap.Delta](ctx, r.n, addr, "replica.swap", in)
+	back, err := transport.Ask[ormap.Delta](ctx, r.n, addr, "replica.swap", in)
 	if err == nil {
 		back, err = back.Open()
 	}
--- a/internal/replica/refill.go
+++ b/internal/replica/refill.go
@@ -8,7 +8,7 @@
 	"puffincrank/internal/event"
 	"puffincrank/internal/fault"
 	"puffincrank/internal/ormap"
-	"puffincrank/internal/wire"
+	"puffincrank/internal/transport"
 )
 
 // allAsk asks for the whole replica, whoever else does.
@@ -51,7 +51,7 @@
 	return r.full.all
 }
 
-func (r *Replica) onAll(_ context.Context, _ wire.Hello, in allAsk) (ormap.Delta, error) {
+func (r *Replica) onAll(_ context.Context, _ transport.Hello, in allAsk) (ormap.Delta, error) {
 	if !in.Short {
 		return r.m.All(), nil
 	}
@@ -61,7 +61,7 @@
 // onFill hands out the whole replica, so many bytes in a beat. Who waits for it
 // too, or has no session that stands, has none to give: it may be older than
 // what graves are kept for.
-func (r *Replica) onFill(_ context.Context, from wire.Hello, in fillAsk) (fillGot, error) {
+func (r *Replica) onFill(_ context.Context, from transport.Hello, in fillAsk) (fillGot, error) {
 	if r.awaits() || !r.sound() {
 		return fillGot{No: true}, nil
 	}
@@ -91,11 +91,11 @@
 // Refill drops what others said long ago and pulls all from a fellow, if it is
 // this node's turn there. Own entries stay.
 func (r *Replica) Refill(ctx context.Context, addr string) (Refill, error) {
-	got, err := wire.Ask[fillGot](ctx, r.n, addr, "replica.fill", fillAsk{From: r.self.Inner})
+	got, err := transport.Ask[fillGot](ctx, r.n, addr, "replica.fill", fillAsk{From: r.self.Inner})
 	if fault.Is(err, fault.Refused) {
 		// One of an earlier version has no turns.
 		got = fillGot{}
-		got.All, err = wire.Ask[ormap.Delta](ctx, r.n, addr, "replica.all", allAsk{Short: true})
+		got.All, err = transport.Ask[ormap.Delta](ctx, r.n, addr, "replica.all", allAsk{Short: true})
 	}
 	if err != nil {
 		return Refill{}, fault.Wrap(fault.Refused, err, "refill")
--- a/internal/replica/refill_test.go
+++ b/internal/replica/refill_test.go
@@ -11,17 +11,17 @@
 	"puffincrank/internal/env"
 	"puffincrank/internal/event"
 	"puffincrank/internal/hlc"
-	"puffincrank/internal/member"
+	"puffincrank/internal/membership"
 	"puffincrank/internal/ormap"
 	"puffincrank/internal/task"
-	"puffincrank/internal/wire"
+	"puffincrank/internal/transport"
 )
 
 const tick = 200 * time.Millisecond
 
 // fleet makes replicas on a network; the first is a control node's.
 func fleet(t *testing.T, g *task.Group, n, frame int) (out []*Replica) {
-	road := &wire.Paved{Road: wire.NewRoad(func(string, string) time.Duration { return time.Millisecond })}
+	road := &transport.Paved{Road: transport.NewRoad(func(string, string) time.Duration { return time.Millisecond })}
 	for i := range n {
 		h, role, area := fmt.Sprintf("h%d", i), "proxy", "x"
 		if i == 0 {
@@ -31,8 +31,8 @@
 			area = "y"
 		}
 		e := env.Env{Net: road, Log: event.New(h, nil), Wall: time.Now}
-		w := wire.NewNode(wire.Hello{Mesh: "m", Node: h, Area: area, Role: role}, e, g, frame, 64, 5*tick)
-		r := New(member.Fellow{Node: h, Start: "s", Role: role, Area: area, Inner: h + ":1"}, w, g, e.Log, hlc.New(time.Now, time.Minute), tick, time.Hour, time.Minute)
+		w := transport.NewNode(transport.Hello{Mesh: "m", Node: h, Area: area, Role: role}, e, g, frame, 64, 5*tick)
+		r := New(membership.Fellow{Node: h, Start: "s", Role: role, Area: area, Inner: h + ":1"}, w, g, e.Log, hlc.New(time.Now, time.Minute), tick, time.Hour, time.Minute)
 		if err := w.Listen(h + ":1"); err != nil {
 			t.Fatal(err)
 		}
@@ -141,9 +141,9 @@
 	synctest.Test(t, func(t *testing.T) {
 		g := task.New(context.Background())
 		defer g.Stop()
-		road := &wire.Paved{Road: wire.NewRoad(func(string, string) time.Duration { return time.Millisecond })}
-		node := func(h string) *wire.Node {
-			w := wire.NewNode(wire.Hello{Mesh: "m", Node: h, Area: "x"}, env.Env{Net: road, Log: event.New(h, nil), Wall: time.Now}, g, 1<<20, 8, 5*tick)
+		road := &transport.Paved{Road: transport.NewRoad(func(string, string) time.Duration { return time.Millisecond })}
+		node := func(h string) *transport.Node {
+			w := transport.NewNode(transport.Hello{Mesh: "m", Node: h, Area: "x"}, env.Env{Net: road, Log: event.New(h, nil), Wall: time.Now}, g, 1<<20, 8, 5*tick)
 			if err := w.Listen(h + ":1"); err != nil {
 				t.Fatal(err)
 			}
@@ -151,10 +151,10 @@
 			return w
 		}
 		old := node("old")
-		wire.On(old, "replica.all", func(context.Context, wire.Hello, allAsk) (ormap.Delta, error) {
+		transport.On(old, "replica.all", func(context.Context, transport.Hello, allAsk) (ormap.Delta, error) {
 			return ormap.Delta{Adds: []ormap.Entry{{Dot: ormap.Dot{Node: "o#1"}, Service: "s", Worker: "w", Owner: "o"}}}, nil
 		})
-		r := New(member.Fellow{Node: "n", Inner: "n:1"}, node("n"), g, event.New("n", nil), hlc.New(time.Now, time.Minute), tick, time.Hour, time.Minute)
+		r := New(membership.Fellow{Node: "n", Inner: "n:1"}, node("n"), g, event.New("n", nil), hlc.New(time.Now, time.Minute), tick, time.Hour, time.Minute)
 		if got, err := r.Refill(t.Context(), "old:1"); err != nil || !got.Done || len(r.Lookup("s")) != 1 {
 			t.Error(got, err, r.Lookup("s"))
 		}
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -10,11 +10,11 @@
 
 	"puffincrank/internal/event"
 	"puffincrank/internal/hlc"
-	"puffincrank/internal/member"
+	"puffincrank/internal/membership"
 	"puffincrank/internal/ormap"
 	"puffincrank/internal/plumtree"
 	"puffincrank/internal/task"
-	"puffincrank/internal/wire"
+	"puffincrank/internal/transport"
 )
 
 // News is what subscribers hear: registered, unregistered or down.
@@ -26,8 +26,8 @@
 
 // Replica is one node's copy. Lock order: mu before the map's own lock.
 type Replica struct {
-	self  member.Fellow
-	n     *wire.Node
+	self  membership.Fellow
+	n     *transport.Node
 	g     *task.Group
 	log   *event.Log
 	clock *hlc.Clock
@@ -39,7 +39,7 @@
 	reg   sync.Mutex // one registration at a time; taken before mu
 	mu    sync.Mutex
 	subs  []func(News)
-	peers *member.Book
+	peers *membership.Book
 	links map[string]bool          // the fellows of the overlay, with their starts
 	index map[string][]ormap.Entry // service to its entries by dot; a slice is never changed
 	turn  int
@@ -55,20 +55,20 @@
 }
 
 // New makes an empty replica; Start opens it to the fellows.
-func New(self member.Fellow, n *wire.Node, g *task.Group, log *event.Log, clock *hlc.Clock, beat, repair, bury time.Duration) *Replica {
-	r := &Replica{self: self, n: n, g: g, log: log, clock: clock, m: ormap.New(), dot: self.Node + "#" + self.Start, beat: beat, bury: bury, index: map[string][]ormap.Entry{}, peers: &member.Book{}}
+func New(self membership.Fellow, n *transport.Node, g *task.Group, log *event.Log, clock *hlc.Clock, beat, repair, bury time.Duration) *Replica {
+	r := &Replica{self: self, n: n, g: g, log: log, clock: clock, m: ormap.New(), dot: self.Node + "#" + self.Start, beat: beat, bury: bury, index: map[string][]ormap.Entry{}, peers: &membership.Book{}}
 	r.pace = newPace(self.Role, n.Most, beat)
 	r.tree = plumtree.New(self.Inner, beat, 50*beat, r.send, r.hear, r.knows)
 	r.tree.Carry(plumtree.Bulk{Soon: r.soon, Late: r.late, Give: r.give, Take: r.got, Find: r.find})
-	wire.On(n, "gossip", func(_ context.Context, _ wire.Hello, m plumtree.Message) (struct{}, error) {
+	transport.On(n, "gossip", func(_ context.Context, _ transport.Hello, m plumtree.Message) (struct{}, error) {
 		r.tree.Take(m)
 		return struct{}{}, nil
 	})
-	wire.On(n, "replica.all", r.onAll)
-	wire.On(n, "replica.fill", r.onFill)
-	wire.On(n, "replica.digest", r.onDigest)
-	wire.On(n, "replica.swap", r.onSwap)
-	wire.On(n, "replica.mend", func(_ context.Context, _ wire.Hello, d ormap.Delta) (struct{}, error) {
+	transport.On(n, "replica.all", r.onAll)
+	transport.On(n, "replica.fill", r.onFill)
+	transport.On(n, "replica.digest", r.onDigest)
+	transport.On(n, "replica.swap", r.onSwap)
+	transport.On(n, "replica.mend", func(_ context.Context, _ transport.Hello, d ormap.Delta) (struct{}, error) {
 		r.take(d, true)
 		return struct{}{}, nil
 	})
@@ -88,7 +88,7 @@
 
 func (r *Replica) hear(body []byte) bool {
 	var d ormap.Delta
-	return wire.Unpack(body, &d) == nil && r.take(d, false)
+	return transport.Unpack(body, &d) == nil && r.take(d, false)
 }
 
 // take merges a delta, tells the subscribers, and gossips on what came by
@@ -191,7 +191,7 @@
 }
 
 // Peers sets the mesh's nodes.
-func (r *Replica) Peers(all *member.Book) {
+func (r *Replica) Peers(all *membership.Book) {
 	links := all.Links(r.self.Node)
 	r.mu.Lock()
 	// Many that come at once are still telling of themselves: what is on its
--- a/internal/replica/replica_test.go
+++ b/internal/replica/replica_test.go
@@ -11,18 +11,18 @@
 	"puffincrank/internal/env"
 	"puffincrank/internal/event"
 	"puffincrank/internal/hlc"
-	"puffincrank/internal/member"
+	"puffincrank/internal/membership"
 	"puffincrank/internal/ormap"
 	"puffincrank/internal/replica"
 	"puffincrank/internal/sim"
 	"puffincrank/internal/task"
-	"puffincrank/internal/wire"
+	"puffincrank/internal/transport"
 )
 
 const beat = 200 * time.Millisecond
 
 type node struct {
-	w    *wire.Node
+	w    *transport.Node
 	rep  *replica.Replica
 	mu   sync.Mutex
 	news []string
@@ -36,14 +36,14 @@
 
 // row brings up replicas on hosts of a network, all knowing each other.
 func row(t *testing.T, net *sim.Net, g *task.Group, hosts, areas []string) []*node {
-	var all []member.Fellow
+	var all []membership.Fellow
 	var out []*node
 	for i, h := range hosts {
 		net.Place(h, areas[i])
-		f := member.Fellow{Node: h, Start: "s", Role: "proxy", Area: areas[i], Inner: h + ":1"}
+		f := membership.Fellow{Node: h, Start: "s", Role: "proxy", Area: areas[i], Inner: h + ":1"}
 		all = append(all, f)
 		e := env.Env{Net: net.Host(h), Log: event.New(h, nil), Wall: time.Now}
-		w := wire.NewNode(wire.Hello{Mesh: "m", Node: h, Area: areas[i]}, e, g, 1<<20, 64, beat)
+		w := transport.NewNode(transport.Hello{Mesh: "m", Node: h, Area: areas[i]}, e, g, 1<<20, 64, beat)
 		n := &node{w: w, rep: replica.New(f, w, g, e.Log, hlc.New(time.Now, time.Minute), beat, 3*time.Second, time.Minute)}
 		n.rep.Subscribe(func(x replica.News) {
 			n.mu.Lock()
@@ -56,7 +56,7 @@
 		out = append(out, n)
 	}
 	for _, n := range out {
-		n.rep.Peers(member.NewBook(all))
+		n.rep.Peers(membership.NewBook(all))
 	}
 	return out
 }
@@ -79,9 +79,9 @@
 		at := time.Now()
 		seen := map[ormap.Dot]bool{}
 		for start := range 4 {
-			f := member.Fellow{Node: "a", Start: fmt.Sprint(start), Role: "proxy", Area: "x", Inner: "h:1"}
+			f := membership.Fellow{Node: "a", Start: fmt.Sprint(start), Role: "proxy", Area: "x", Inner: "h:1"}
 			e := env.Env{Net: sim.NewNet(1, 0, 0).Host("h"), Log: event.New("a", nil), Wall: time.Now}
-			w := wire.NewNode(wire.Hello{Mesh: "m", Node: "a", Area: "x"}, e, g, 1<<20, 4, beat)
+			w := transport.NewNode(transport.Hello{Mesh: "m", Node: "a", Area: "x"}, e, g, 1<<20, 4, beat)
 			r := replica.New(f, w, g, e.Log, hlc.New(func() time.Time { return at }, time.Minute), beat, 3*time.Second, time.Minute)
 			for range 3 {
 				d := r.Register("s", "w", nil).Dot
--- a/internal/replica/spread.go
+++ b/internal/replica/spread.go
@@ -9,7 +9,7 @@
 	"puffincrank/internal/ormap"
 	"puffincrank/internal/plumtree"
 	"puffincrank/internal/task"
-	"puffincrank/internal/wire"
+	"puffincrank/internal/transport"
 )
 
 // piece is one piece of news and its name.
@@ -88,7 +88,7 @@
 	var want []uint64
 	for i, id := range ids {
 		var d ormap.Delta
-		if bodies[i] != nil && wire.Unpack(bodies[i], &d) == nil {
+		if bodies[i] != nil && transport.Unpack(bodies[i], &d) == nil {
 			all.Adds, all.Dead = append(all.Adds, d.Adds...), append(all.Dead, d.Dead...)
 		} else if h, ok := number(id); ok {
 			want = append(want, h)
--- a/internal/seal/seal.go
+++ b/internal/responsedigest/seal.go
@@ -1,6 +1,6 @@
-// Package seal is what makes a worker's answer whole and its own: a SHA-256
+// Package responsedigest is what makes a worker's answer whole and its own: a SHA-256
 // over attempt, worker identity, status and body.
-package seal
+package responsedigest
 
 import (
 	"crypto/sha256"
--- a/internal/repeats/hold_test.go
+++ b/internal/retrybudget/hold_test.go
@@ -1,4 +1,4 @@
-package repeats
+package retrybudget
 
 import (
 	"testing"
--- a/internal/repeats/repeats.go
+++ b/internal/retrybudget/repeats.go
@@ -1,10 +1,10 @@
-// Package repeats keeps the bound on second sends: over any window a front's
+// Package retrybudget keeps the bound on second sends: over any window a front's
 // repeats to a service stay within a ratio to its own first sends plus its
 // part of the mesh-wide allowance. The sum over the fronts then holds for the
 // whole mesh at every moment, without a word between them. The calls that a
 // repeated run makes count too: their room is held while it runs, at the front
 // beside its worker, through which they come.
-package repeats
+package retrybudget
 
 import (
 	"math"
--- a/internal/repeats/repeats_test.go
+++ b/internal/retrybudget/repeats_test.go
@@ -1,4 +1,4 @@
-package repeats
+package retrybudget
 
 import (
 	"math/rand/v2"
--- a/internal/rules/bench_test.go
+++ b/internal/rules/bench_test.go
@@ -5,7 +5,7 @@
 	"strings"
 	"testing"
 
-	"puffincrank/internal/settings"
+	"puffincrank/internal/schema"
 )
 
 func benchDoc(n int) []byte {
@@ -22,7 +22,7 @@
 		b.Run(fmt.Sprint("parse", n), func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
-				_, _, _ = settings.Parse(doc)
+				_, _, _ = schema.Parse(doc)
 			}
 		})
 		b.Run(fmt.Sprint("whole", n), func(b *testing.B) {
--- a/internal/rules/fuzz_test.go
+++ b/internal/rules/fuzz_test.go
@@ -9,7 +9,7 @@
 	"strings"
 	"testing"
 
-	"puffincrank/internal/settings"
+	"puffincrank/internal/schema"
 )
 
 // forbidden reads a document with no table and tells what of it must not
@@ -161,7 +161,7 @@
 	if why := forbidden(doc); why != "" {
 		t.Fatalf("%s: stands, but has a wrong %s", doc, why)
 	}
-	m, _, err := settings.Parse(doc)
+	m, _, err := schema.Parse(doc)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/rules/rules_test.go
+++ b/internal/rules/rules_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"puffincrank/internal/settings"
+	"puffincrank/internal/schema"
 )
 
 const good = `{"services":[{"name":"a"},{"name":"b"}],"classes":[{"name":"x","share":60},{"name":"y","share":40}],
@@ -147,7 +147,7 @@
 
 // TestWholeDocument reads back what it was given.
 func TestWholeDocument(t *testing.T) {
-	m, dup, err := settings.Parse([]byte(good))
+	m, dup, err := schema.Parse([]byte(good))
 	if err != nil || dup != nil {
 		t.Fatal(dup, err)
 	}
--- a/internal/rules/trial.go
+++ b/internal/rules/trial.go
@@ -7,7 +7,7 @@
 	"strings"
 
 	"puffincrank/internal/fault"
-	"puffincrank/internal/settings"
+	"puffincrank/internal/schema"
 )
 
 // Fields are what an arm of a trial may differ in.
@@ -15,7 +15,7 @@
 
 // rows opens a document and its paths.
 func rows(doc []byte) (map[string]any, []map[string]any, error) {
-	m, _, err := settings.Parse(doc)
+	m, _, err := schema.Parse(doc)
 	if err != nil {
 		return nil, nil, fault.Wrap(fault.Input, err, "read document")
 	}
--- a/internal/settings/parse_test.go
+++ b/internal/schema/parse_test.go
@@ -1,4 +1,4 @@
-package settings
+package schema
 
 import (
 	"bytes"
--- a/internal/settings/settings.go
+++ b/internal/schema/settings.go
@@ -1,7 +1,7 @@
-// Package settings reads documents by tables: each row has a name, a type, a
+// Package schema reads documents by tables: each row has a name, a type, a
 // default and a check. Operators' configurations and our own props use it,
 // and the docs are made from the same rows.
-package settings
+package schema
 
 import (
 	"fmt"
--- a/internal/props/fresh_test.go
+++ b/internal/settings/fresh_test.go
@@ -1,4 +1,4 @@
-package props
+package settings
 
 import (
 	"testing"
--- a/internal/props/from.go
+++ b/internal/settings/from.go
@@ -1,15 +1,15 @@
-package props
+package settings
 
 import (
 	"encoding/json"
 
 	"puffincrank/internal/fault"
-	"puffincrank/internal/settings"
+	"puffincrank/internal/schema"
 )
 
 // From reads the props of a program from values that another source gives
 // under our names. Those that the program has no row for are left out.
-func From(program string, in map[string]any) (Props, []settings.Fault, error) {
+func From(program string, in map[string]any) (Props, []schema.Fault, error) {
 	tab := Tables[program]
 	known := map[string]any{}
 	for _, s := range tab.Rows {
@@ -22,7 +22,7 @@
 	if err != nil {
 		return Props{}, nil, fault.Wrap(fault.Input, err, "props")
 	}
-	vals, bad, err := settings.Parse(raw)
+	vals, bad, err := schema.Parse(raw)
 	if err != nil {
 		return Props{}, nil, fault.Wrap(fault.Input, err, "props")
 	}
--- a/internal/props/parts.go
+++ b/internal/settings/parts.go
@@ -1,9 +1,9 @@
-package props
+package settings
 
 import (
 	"time"
 
-	"puffincrank/internal/settings"
+	"puffincrank/internal/schema"
 )
 
 // The ratios. Each is a part of a bound, and parts checks the sums.
@@ -154,9 +154,9 @@
 	}
 }
 
-func (p Props) parts() []settings.Fault {
-	var bad []settings.Fault
-	say := func(place, wrong string) { bad = append(bad, settings.Fault{Place: place, Wrong: wrong}) }
+func (p Props) parts() []schema.Fault {
+	var bad []schema.Fault
+	say := func(place, wrong string) { bad = append(bad, schema.Fault{Place: place, Wrong: wrong}) }
 	if p.Missed() > p.Return {
 		say("beat_ms", "a beat that is late is missed after more than return_ms")
 	}
--- a/internal/props/props.go
+++ b/internal/settings/props.go
@@ -1,6 +1,6 @@
-// Package props is the settings of one process: where it stands and the
+// Package settings is the settings of one process: where it stands and the
 // bounds that it keeps. All other times are ratios to these bounds.
-package props
+package settings
 
 import (
 	"errors"
@@ -13,7 +13,7 @@
 	"github.com/alexflint/go-arg"
 
 	"puffincrank/internal/fault"
-	"puffincrank/internal/settings"
+	"puffincrank/internal/schema"
 )
 
 // Props are the checked settings of a process.
@@ -47,7 +47,7 @@
 func (p Props) Voters() int { return 2*max(p.Bear, p.BearAreas, p.BearRegions) + 1 }
 
 // Make turns checked values into props and checks that the parts add up.
-func Make(v settings.Values) (Props, []settings.Fault) {
+func Make(v schema.Values) (Props, []schema.Fault) {
 	ms := func(n string) time.Duration { return time.Duration(v.Count(n)) * time.Millisecond }
 	p := Props{Node: v.Text("node"), Mesh: v.Text("mesh"), Area: v.Text("area"), Inner: v.Text("inner"), Outer: v.Text("outer"),
 		Traffic: v.Text("traffic"), Seeds: v.Texts("seeds"), Stores: v.Texts("stores"), Data: v.Text("data"),
@@ -64,20 +64,20 @@
 }
 
 // Load reads the props of a program from a file and from flags; flags win.
-func Load(program string, args []string) (Props, []settings.Fault, error) {
+func Load(program string, args []string) (Props, []schema.Fault, error) {
 	tab := Tables[program]
 	file, over, err := flags(tab, args)
 	if err != nil {
 		return Props{}, nil, err
 	}
 	in := map[string]any{}
-	var bad []settings.Fault
+	var bad []schema.Fault
 	if file != "" {
 		data, err := os.ReadFile(file)
 		if err != nil {
 			return Props{}, nil, fault.Wrap(fault.Input, err, "read props")
 		}
-		if in, bad, err = settings.Parse(data); err != nil {
+		if in, bad, err = schema.Parse(data); err != nil {
 			return Props{}, nil, fault.Wrap(fault.Input, err, "read props")
 		}
 	}
@@ -95,7 +95,7 @@
 
 // flags makes one flag for each row of the table, so that file and flags can
 // never differ in what they know.
-func flags(tab settings.Table, args []string) (string, map[string]any, error) {
+func flags(tab schema.Table, args []string) (string, map[string]any, error) {
 	fields := []reflect.StructField{{Name: "Props", Type: reflect.TypeOf(""), Tag: `arg:"--props" help:"settings file (JSON)"`}}
 	for _, s := range tab.Rows {
 		name := strings.ReplaceAll(s.Name, "_", "-")
@@ -117,7 +117,7 @@
 	over := map[string]any{}
 	for i, s := range tab.Rows {
 		if f, _ := dest.Elem().Field(i + 1).Interface().(*string); f != nil {
-			over[s.Name] = settings.FromFlag(s.Type, *f)
+			over[s.Name] = schema.FromFlag(s.Type, *f)
 		}
 	}
 	return dest.Elem().Field(0).String(), over, nil
--- a/internal/grace/grace.go
+++ b/internal/shutdown/grace.go
@@ -1,7 +1,7 @@
-// Package grace divides the grace period of a process that was told to end. All
+// Package shutdown divides the grace period of a process that was told to end. All
 // bounds of a stop are counted backwards from the moment at which the process is
 // killed, and stand here alone.
-package grace
+package shutdown
 
 import "time"
 
--- a/internal/grace/late.go
+++ b/internal/shutdown/late.go
@@ -1,4 +1,4 @@
-package grace
+package shutdown
 
 import (
 	"context"
--- a/internal/sim/bytes_test.go
+++ b/internal/sim/bytes_test.go
@@ -6,7 +6,7 @@
 	"testing/synctest"
 	"time"
 
-	"puffincrank/internal/wire"
+	"puffincrank/internal/transport"
 )
 
 // groups puts the kinds of message under what they are for.
@@ -17,7 +17,7 @@
 // away sums the bytes sent to other areas, by what they are for.
 func (f *Fleet) away() map[string]int64 {
 	out := map[string]int64{}
-	add := func(all map[wire.Flow]wire.Sum) {
+	add := func(all map[transport.Flow]transport.Sum) {
 		for k, s := range all {
 			if !k.Away {
 				continue
--- a/internal/sim/comeback_test.go
+++ b/internal/sim/comeback_test.go
@@ -11,9 +11,9 @@
 	"testing/synctest"
 	"time"
 
-	"puffincrank/internal/outer"
+	"puffincrank/internal/dialect"
+	"puffincrank/internal/httpapi"
 	"puffincrank/internal/task"
-	"puffincrank/internal/tongue"
 )
 
 // TestComeBack: of a service that is asked for 1.7 times what its slots do,
@@ -34,14 +34,14 @@
 		count := map[string]int{}
 		try := func(host string, end time.Time) (int, time.Duration) {
 			r, _ := http.NewRequest("GET", "http://"+host+":8000/a", nil)
-			r.Header.Set(tongue.Own.Left, strconv.FormatInt(time.Until(end).Milliseconds(), 10))
+			r.Header.Set(dialect.Own.Left, strconv.FormatInt(time.Until(end).Milliseconds(), 10))
 			w, err := f.way.RoundTrip(r)
 			if err != nil {
 				return 0, 0
 			}
 			defer func() { _ = w.Body.Close() }()
 			raw, _ := io.ReadAll(w.Body)
-			var no outer.Wrong
+			var no httpapi.Wrong
 			_ = json.Unmarshal(raw, &no)
 			return w.StatusCode, time.Duration(no.Retry) * time.Millisecond
 		}
--- a/internal/sim/ctl_test.go
+++ b/internal/sim/ctl_test.go
@@ -15,7 +15,7 @@
 	"time"
 
 	"puffincrank/internal/ctl"
-	"puffincrank/internal/outer"
+	"puffincrank/internal/httpapi"
 )
 
 // ctl runs puffinctl against the fleet.
@@ -97,7 +97,7 @@
 		// the change is not sent to another.
 		took := 0
 		e := f.env("breaker", "10.0.1.99", "north", new(atomic.Int64))
-		if err := outer.Serve(f.g, e, "10.0.1.99:7003", http.HandlerFunc(func(http.ResponseWriter, *http.Request) {
+		if err := httpapi.Serve(f.g, e, "10.0.1.99:7003", http.HandlerFunc(func(http.ResponseWriter, *http.Request) {
 			took++
 			panic(http.ErrAbortHandler)
 		}), time.Second); err != nil {
--- a/internal/sim/fleet.go
+++ b/internal/sim/fleet.go
@@ -14,9 +14,9 @@
 	"puffincrank/internal/env"
 	"puffincrank/internal/event"
 	"puffincrank/internal/model"
-	"puffincrank/internal/props"
 	"puffincrank/internal/proxy"
 	"puffincrank/internal/registry"
+	"puffincrank/internal/settings"
 	"puffincrank/internal/stand"
 	"puffincrank/internal/store"
 	"puffincrank/internal/task"
@@ -121,15 +121,15 @@
 	return f.seedAt
 }
 
-func (f *Fleet) props(program, node, area, host string, inner, outer int, more map[string]any) props.Props {
+func (f *Fleet) props(program, node, area, host string, inner, outer int, more map[string]any) settings.Props {
 	in := map[string]any{"node": node, "area": area, "inner": fmt.Sprintf("%s:%d", host, inner), "outer": fmt.Sprintf("%s:%d", host, outer)}
 	for _, all := range []map[string]any{f.Told, more} {
 		for k, v := range all {
 			in[k] = v
 		}
 	}
-	v, bad := props.Tables[program].Read(in, "")
-	p, more2 := props.Make(v)
+	v, bad := settings.Tables[program].Read(in, "")
+	p, more2 := settings.Make(v)
 	if bad = append(bad, more2...); len(bad) > 0 {
 		f.T.Fatalf("props of %s: %v", node, bad)
 	}
--- a/internal/sim/held_test.go
+++ b/internal/sim/held_test.go
@@ -8,9 +8,9 @@
 	"time"
 
 	"puffincrank/internal/fault"
-	"puffincrank/internal/session"
+	"puffincrank/internal/protocol"
 	"puffincrank/internal/task"
-	"puffincrank/internal/wire"
+	"puffincrank/internal/transport"
 )
 
 // TestHeldHandOver: jobs that waited behind a cut on their way to the owner run
@@ -31,7 +31,7 @@
 		}
 		g := task.New(t.Context())
 		// Its links stand for the whole of it.
-		front := wire.NewNode(wire.Hello{Mesh: "puffin", Node: "held", Area: "north", Role: "proxy"}, f.env("held", "10.0.9.5", "north", &n.skew), g, 1<<20, 4, time.Hour)
+		front := transport.NewNode(transport.Hello{Mesh: "puffin", Node: "held", Area: "north", Role: "proxy"}, f.env("held", "10.0.9.5", "north", &n.skew), g, 1<<20, 4, time.Hour)
 		class := ""
 		for _, p := range Read(f.S.Doc)["paths"].([]any) {
 			if p := p.(map[string]any); p["service"] == line.Service {
@@ -41,9 +41,9 @@
 		hand := func(i int, left time.Duration) error {
 			ctx, end := context.WithTimeout(t.Context(), left)
 			defer end()
-			b, err := wire.Ask[session.Back](ctx, front, n.Host+":7002", "job.hand", session.Hand{Job: fmt.Sprint("held", i), Attempt: fmt.Sprint("held", i, ".1"),
+			b, err := transport.Ask[protocol.Back](ctx, front, n.Host+":7002", "job.hand", protocol.Hand{Job: fmt.Sprint("held", i), Attempt: fmt.Sprint("held", i, ".1"),
 				Version: 1, Service: line.Service, Class: class, Worker: n.Worker.ID, Method: line.Method, URI: line.URI, Left: 60_000})
-			if err == nil && b.Kind != session.Done {
+			if err == nil && b.Kind != protocol.Done {
 				t.Errorf("%+v", b)
 			}
 			return err
--- a/internal/sim/start.go
+++ b/internal/sim/start.go
@@ -9,7 +9,7 @@
 	"strings"
 	"time"
 
-	"puffincrank/internal/settings"
+	"puffincrank/internal/schema"
 )
 
 // Start brings all up and puts the first configuration in force.
@@ -136,6 +136,6 @@
 
 // Read parses a document for a test.
 func Read(doc string) map[string]any {
-	m, _, _ := settings.Parse([]byte(doc))
+	m, _, _ := schema.Parse([]byte(doc))
 	return m
 }
--- a/internal/sim/thaw_test.go
+++ b/internal/sim/thaw_test.go
@@ -8,9 +8,9 @@
 	"time"
 
 	"puffincrank/internal/event"
-	"puffincrank/internal/session"
+	"puffincrank/internal/protocol"
 	"puffincrank/internal/task"
-	"puffincrank/internal/wire"
+	"puffincrank/internal/transport"
 )
 
 // TestFrozenFront: a front is frozen while changes are acknowledged, and wakes
@@ -123,8 +123,8 @@
 		}
 		Wait(time.Second)
 		g := task.New(t.Context())
-		late := wire.NewNode(wire.Hello{Mesh: "puffin", Node: "late", Area: "north", Role: "registry"}, f.env("late", "10.0.9.5", "north", &n.skew), g, 1<<20, 4, time.Second)
-		if _, err := wire.Ask[struct{}](t.Context(), late, n.Host+":7002", "config.push", session.Push{Version: 2, Doc: []byte(f.S.Doc)}); err != nil {
+		late := transport.NewNode(transport.Hello{Mesh: "puffin", Node: "late", Area: "north", Role: "registry"}, f.env("late", "10.0.9.5", "north", &n.skew), g, 1<<20, 4, time.Second)
+		if _, err := transport.Ask[struct{}](t.Context(), late, n.Host+":7002", "config.push", protocol.Push{Version: 2, Doc: []byte(f.S.Doc)}); err != nil {
 			t.Fatal(err)
 		}
 		for range 20 {
--- a/internal/stand/coord_test.go
+++ b/internal/stand/coord_test.go
@@ -12,7 +12,7 @@
 
 	"puffincrank/internal/env"
 	"puffincrank/internal/event"
-	"puffincrank/internal/outer"
+	"puffincrank/internal/httpapi"
 	"puffincrank/internal/sim"
 	"puffincrank/internal/stand"
 	"puffincrank/internal/task"
@@ -46,7 +46,7 @@
 		net.Place("h2", "x")
 		g := task.New(context.Background())
 		e := env.Env{Net: net.Host("h1"), Log: event.New("h1", nil), Wall: time.Now}
-		if err := outer.Serve(g, e, "h1:1", &broken{}, time.Second); err != nil {
+		if err := httpapi.Serve(g, e, "h1:1", &broken{}, time.Second); err != nil {
 			t.Fatal(err)
 		}
 		o := stand.NewObserver()
--- a/internal/stand/play/client.go
+++ b/internal/stand/play/client.go
@@ -7,16 +7,16 @@
 	"sync/atomic"
 	"time"
 
+	"puffincrank/internal/dialect"
 	"puffincrank/internal/env"
 	"puffincrank/internal/stand/witness"
 	"puffincrank/internal/task"
-	"puffincrank/internal/tongue"
 )
 
 // Client is the callers on one machine: they go to the node there.
 type Client struct {
 	E       env.Env
-	Say     tongue.Tongue
+	Say     dialect.Tongue
 	Front   string // the node's traffic address
 	Machine string // its name for the witness
 	Wit     *witness.Witness
@@ -36,7 +36,7 @@
 }
 
 // NewClient makes the callers of a node.
-func NewClient(e env.Env, say tongue.Tongue, front, machine, name string, wit *witness.Witness, g *task.Group, seed uint64) *Client {
+func NewClient(e env.Env, say dialect.Tongue, front, machine, name string, wit *witness.Witness, g *task.Group, seed uint64) *Client {
 	c := &Client{E: e, Say: say, Front: front, Machine: machine, Wit: wit, G: g, Keep: 0.6, Hasty: 0.1, dice: newDice(seed), name: name}
 	c.Quits(usualQuits)
 	return c
--- a/internal/stand/play/core_test.go
+++ b/internal/stand/play/core_test.go
@@ -14,7 +14,7 @@
 
 	"puffincrank/internal/env"
 	"puffincrank/internal/event"
-	"puffincrank/internal/outer"
+	"puffincrank/internal/httpapi"
 	"puffincrank/internal/sim"
 	"puffincrank/internal/stand/play"
 	"puffincrank/internal/stand/witness"
@@ -78,9 +78,9 @@
 			if l != nil && l.fence == in.Fence {
 				l.end = time.Time{}
 			}
-			outer.JSON(w, 200, map[string]any{})
+			httpapi.JSON(w, 200, map[string]any{})
 		case r.Method == "PUT" && (l == nil || l.owner != in.Owner || l.fence != in.Fence || !time.Now().Before(l.end)), !free:
-			outer.JSON(w, 409, map[string]any{})
+			httpapi.JSON(w, 409, map[string]any{})
 		default:
 			if l == nil || l.owner != in.Owner || !time.Now().Before(l.end) {
 				c.fence++
@@ -88,13 +88,13 @@
 				c.locks[name] = l
 			}
 			l.end = time.Now().Add(ttl)
-			outer.JSON(w, 200, map[string]any{"fence": l.fence})
+			httpapi.JSON(w, 200, map[string]any{"fence": l.fence})
 		}
 	case "numbers":
 		if !c.errs("numbers") {
 			c.nums[name]++
 		}
-		outer.JSON(w, 200, map[string]any{"value": c.nums[name]})
+		httpapi.JSON(w, 200, map[string]any{"value": c.nums[name]})
 	case "keys":
 		c.cell(w, r, name, in.Value, in.If)
 	case "watch":
@@ -113,14 +113,14 @@
 		return
 	}
 	if !json.Valid([]byte(raw)) && c.err != "broken" {
-		outer.JSON(w, 422, map[string]any{})
+		httpapi.JSON(w, 422, map[string]any{})
 		return
 	}
 	if c.first == "" {
 		c.first = raw
 	}
 	c.doc = raw
-	outer.JSON(w, 200, map[string]any{})
+	httpapi.JSON(w, 200, map[string]any{})
 }
 
 func (c *core) cell(w http.ResponseWriter, r *http.Request, name, value string, at *uint64) {
@@ -133,17 +133,17 @@
 	}
 	switch {
 	case r.Method == "GET" && c.errs("reads") && last.Rev > 0:
-		outer.JSON(w, 200, last)
+		httpapi.JSON(w, 200, last)
 	case r.Method == "GET" && now.Rev == 0:
-		outer.JSON(w, 404, map[string]any{})
+		httpapi.JSON(w, 404, map[string]any{})
 	case r.Method == "GET":
-		outer.JSON(w, 200, now)
+		httpapi.JSON(w, 200, now)
 	case at != nil && *at != now.Rev && !c.errs("conditions"):
-		outer.JSON(w, 412, map[string]any{"rev": now.Rev})
+		httpapi.JSON(w, 412, map[string]any{"rev": now.Rev})
 	default:
 		c.revs[g]++
 		c.keys[g] = append(c.keys[g], cell{name, value, c.revs[g]})
-		outer.JSON(w, 200, map[string]any{"rev": c.revs[g]})
+		httpapi.JSON(w, 200, map[string]any{"rev": c.revs[g]})
 	}
 }
 
@@ -161,7 +161,7 @@
 			list = append(list, k)
 		}
 	}
-	outer.JSON(w, 200, map[string]any{"changes": list, "rev": c.revs[g]})
+	httpapi.JSON(w, 200, map[string]any{"changes": list, "rev": c.revs[g]})
 }
 
 // TestCallers: against a control node that keeps every promise nothing is
@@ -186,7 +186,7 @@
 	g, wit := task.New(context.Background()), witness.New(witness.Usual)
 	e := env.Env{Net: net.Host("h1"), Log: event.New("h1", nil), Wall: time.Now}
 	c := &core{err: err, locks: map[string]*lease{}, nums: map[string]uint64{}, revs: map[string]uint64{}, keys: map[string][]cell{}}
-	if err := outer.Serve(g, e, "h1:1", c, time.Second); err != nil {
+	if err := httpapi.Serve(g, e, "h1:1", c, time.Second); err != nil {
 		t.Fatal(err)
 	}
 	e.Net = net.Host("h2")
--- a/internal/stand/play/plain.go
+++ b/internal/stand/play/plain.go
@@ -9,12 +9,12 @@
 	"sync"
 	"time"
 
-	"puffincrank/internal/tongue"
+	"puffincrank/internal/dialect"
 )
 
 // Plain is a tongue with a deployment's manners and names of nobody's: a stamp
 // that cannot be checked, nobody is asked who is there, ids are the caller's.
-var Plain = tongue.Tongue{Name: "plain", Attempt: "Plain-Id", Left: "Plain-Left", Expect: "Plain-For", Named: "Plain-Who",
+var Plain = dialect.Tongue{Name: "plain", Attempt: "Plain-Id", Left: "Plain-Left", Expect: "Plain-For", Named: "Plain-Who",
 	Mark: "Plain-Stamp", NotRun: "Plain-Not-Run", Caller: "Plain-From", Keeps: true, Fine: true}
 
 // Line is one kind of request that clients make.
--- a/internal/stand/play/play_test.go
+++ b/internal/stand/play/play_test.go
@@ -14,7 +14,7 @@
 
 	"puffincrank/internal/env"
 	"puffincrank/internal/event"
-	"puffincrank/internal/outer"
+	"puffincrank/internal/httpapi"
 	"puffincrank/internal/sim"
 	"puffincrank/internal/stand/play"
 	"puffincrank/internal/stand/witness"
@@ -43,7 +43,7 @@
 	doc := &witness.Doc{Number: 1, Paths: []witness.Path{{Host: "h.example", Prefix: "/a/", Repeat: true, Services: map[string]int{"s": 1}}, {Host: "h.example", Prefix: "/b/", Services: map[string]int{"s": 1}}}}
 	d.wit.Offer(doc)
 	d.wit.Took(doc, "c1")
-	if err := outer.Serve(d.g, e, "10.0.0.1:8000", http.HandlerFunc(d.front), time.Second); err != nil {
+	if err := httpapi.Serve(d.g, e, "10.0.0.1:8000", http.HandlerFunc(d.front), time.Second); err != nil {
 		t.Fatal(err)
 	}
 	d.k, _ = play.Start(e, play.Plain, witness.Worker{Name: "w1", Service: "s", Machine: "10.0.0.1"}, "10.0.0.1:9000", "10.0.0.1:8000", []string{"10.0.0.1:7003"}, w, d.wit, 1)
--- a/internal/stand/worker.go
+++ b/internal/stand/worker.go
@@ -16,8 +16,8 @@
 	"time"
 
 	"puffincrank/internal/env"
-	"puffincrank/internal/outer"
-	"puffincrank/internal/seal"
+	"puffincrank/internal/httpapi"
+	"puffincrank/internal/responsedigest"
 	"puffincrank/internal/task"
 )
 
@@ -53,7 +53,7 @@
 func NewWorker(e env.Env, service, id, addr, proxy string, slots int, w Way, obs *Observer) (*Worker, error) {
 	k := &Worker{Service: service, ID: id, Addr: addr, Slots: slots, proxy: proxy, e: e, g: task.New(context.Background()), obs: obs, w: w, say: "up"}
 	k.way = &http.Transport{DisableKeepAlives: true, DialContext: func(ctx context.Context, _, a string) (net.Conn, error) { return e.Net.Dial(ctx, a) }}
-	if err := outer.Serve(k.g, e, addr, http.HandlerFunc(k.serve), time.Second); err != nil {
+	if err := httpapi.Serve(k.g, e, addr, http.HandlerFunc(k.serve), time.Second); err != nil {
 		return nil, err
 	}
 	k.g.Go("beats", func(ctx context.Context) {
@@ -146,20 +146,20 @@
 
 func (k *Worker) serve(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path == "/puffin/fitness" {
-		w.Header().Set(seal.Worker, k.ID)
+		w.Header().Set(responsedigest.Worker, k.ID)
 		return
 	}
 	from := time.Now()
 	body, _ := io.ReadAll(r.Body)
-	attempt, job := r.Header.Get(seal.Attempt), r.Header.Get(seal.Job)
+	attempt, job := r.Header.Get(responsedigest.Attempt), r.Header.Get(responsedigest.Job)
 	k.mu.Lock()
 	way, left := k.w, k.left
 	k.mu.Unlock()
 	// A job meant for another identity is refused unseen, but that it got here
 	// at all counts.
-	if r.Header.Get(seal.Worker) != k.ID {
+	if r.Header.Get(responsedigest.Worker) != k.ID {
 		if k.obs != nil {
-			k.obs.Blame(Stranger, r.Header.Get("X-Call")+" for "+r.Header.Get(seal.Worker)+" arrived at "+k.ID)
+			k.obs.Blame(Stranger, r.Header.Get("X-Call")+" for "+r.Header.Get(responsedigest.Worker)+" arrived at "+k.ID)
 		}
 		if !way.Naive {
 			k.send(w, attempt, http.StatusMisdirectedRequest, []byte("not me"))
@@ -167,7 +167,7 @@
 		}
 	}
 	if rand.Float64() < way.Busy {
-		w.Header().Set(seal.Ran, "no")
+		w.Header().Set(responsedigest.Ran, "no")
 		k.send(w, attempt, http.StatusServiceUnavailable, []byte("busy"))
 		return
 	}
@@ -197,7 +197,7 @@
 	calls := k.calls
 	k.mu.Unlock()
 	if calls != nil {
-		left, _ := strconv.ParseInt(r.Header.Get(seal.Left), 10, 64)
+		left, _ := strconv.ParseInt(r.Header.Get(responsedigest.Left), 10, 64)
 		calls(strconv.FormatInt(max(left-time.Since(from).Milliseconds(), 1), 10))
 	}
 	if rand.Float64() < way.Lose {
@@ -215,9 +215,9 @@
 		out = append(out, Whole(r.Header.Get("X-Call"), body, want)...)
 	}
 	if rand.Float64() < way.Garble {
-		w.Header().Set(seal.Attempt, attempt)
-		w.Header().Set(seal.Worker, k.ID)
-		w.Header().Set(seal.Mark, seal.Of(attempt, k.ID, status, out))
+		w.Header().Set(responsedigest.Attempt, attempt)
+		w.Header().Set(responsedigest.Worker, k.ID)
+		w.Header().Set(responsedigest.Mark, responsedigest.Of(attempt, k.ID, status, out))
 		out[rand.IntN(len(out))] ^= 0x55
 		w.WriteHeader(status)
 		_, _ = w.Write(out)
@@ -227,9 +227,9 @@
 }
 
 func (k *Worker) send(w http.ResponseWriter, attempt string, status int, body []byte) {
-	w.Header().Set(seal.Attempt, attempt)
-	w.Header().Set(seal.Worker, k.ID)
-	w.Header().Set(seal.Mark, seal.Of(attempt, k.ID, status, body))
+	w.Header().Set(responsedigest.Attempt, attempt)
+	w.Header().Set(responsedigest.Worker, k.ID)
+	w.Header().Set(responsedigest.Mark, responsedigest.Of(attempt, k.ID, status, body))
 	w.Header().Set("Content-Length", strconv.Itoa(len(body)))
 	w.WriteHeader(status)
 	_, _ = w.Write(body)
--- a/internal/store/campaign_test.go
+++ b/internal/store/campaign_test.go
@@ -13,7 +13,7 @@
 	"puffincrank/internal/disk"
 	"puffincrank/internal/env"
 	"puffincrank/internal/event"
-	"puffincrank/internal/props"
+	"puffincrank/internal/settings"
 	"puffincrank/internal/statemachine"
 )
 
@@ -46,7 +46,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			p := props.Props{Node: "n", Mesh: "m", Change: 2 * time.Second, Return: 15 * time.Second, Frame: 1 << 20, Jobs: 8, Inner: "me:1"}
+			p := settings.Props{Node: "n", Mesh: "m", Change: 2 * time.Second, Return: 15 * time.Second, Frame: 1 << 20, Jobs: 8, Inner: "me:1"}
 			out := &nobody{}
 			s, err := New(p, env.Env{Net: out, FS: dir, Wall: time.Now, Log: event.New("n", nil), Pause: func(ctx context.Context, d time.Duration) {
 				select {
--- a/internal/store/confirm.go
+++ b/internal/store/confirm.go
@@ -7,7 +7,7 @@
 	"puffincrank/internal/ballot"
 	"puffincrank/internal/fault"
 	"puffincrank/internal/trace"
-	"puffincrank/internal/wire"
+	"puffincrank/internal/transport"
 )
 
 // readRequest is a read that waits for a majority to confirm the leader.
@@ -119,7 +119,7 @@
 			}
 			return ack{Yes: ok, ID: s.acc.Identity().ID, Seen: vow}, nil
 		}
-		a, err := wire.Ask[ack](ctx, s.n, to, "store.beat", ask)
+		a, err := transport.Ask[ack](ctx, s.n, to, "store.beat", ask)
 		if err == nil && a.Yes {
 			t.recordContact(a)
 		}
--- a/internal/store/download.go
+++ b/internal/store/download.go
@@ -9,7 +9,7 @@
 	"puffincrank/internal/event"
 	"puffincrank/internal/fault"
 	"puffincrank/internal/paxos"
-	"puffincrank/internal/wire"
+	"puffincrank/internal/transport"
 )
 
 // download is a snapshot that is being fetched. What has come is kept when the
@@ -52,10 +52,10 @@
 // fetchChunk fetches the next chunk. It goes as bulk, so heartbeats and
 // proposals pass it on a thin link.
 func (s *Store) fetchChunk(ctx context.Context, from string, d *download) error {
-	ctx, end := context.WithTimeout(wire.Lane(ctx, wire.Bulk), 2*s.P.Change)
+	ctx, end := context.WithTimeout(transport.Lane(ctx, transport.Bulk), 2*s.P.Change)
 	defer end()
 	ask := chunkAsk{ID: d.head.ID, Offset: len(d.data)}
-	got, err := wire.Ask[chunkGot](ctx, s.n, from, "store.snapshot", ask)
+	got, err := transport.Ask[chunkGot](ctx, s.n, from, "store.snapshot", ask)
 	if err != nil {
 		return err
 	}
--- a/internal/store/duty.go
+++ b/internal/store/duty.go
@@ -8,7 +8,7 @@
 	"puffincrank/internal/ballot"
 	"puffincrank/internal/disk"
 	"puffincrank/internal/fault"
-	"puffincrank/internal/wire"
+	"puffincrank/internal/transport"
 )
 
 // dutyVoter gives this store's vote for a duty of the registries. The promise is
@@ -36,7 +36,7 @@
 	return v
 }
 
-func (s *Store) onDuty(_ context.Context, _ wire.Hello, in DutyAsk) (DutyVote, error) {
+func (s *Store) onDuty(_ context.Context, _ transport.Hello, in DutyAsk) (DutyVote, error) {
 	if in.Duty != "judge" && in.Duty != "steward" {
 		return DutyVote{}, fault.New(fault.Refused, "no such duty")
 	}
--- a/internal/store/electorate.go
+++ b/internal/store/electorate.go
@@ -4,7 +4,7 @@
 	"context"
 
 	"puffincrank/internal/ballot"
-	"puffincrank/internal/wire"
+	"puffincrank/internal/transport"
 )
 
 // memberAddresses lists where the members are, and how many of them decide.
@@ -45,9 +45,9 @@
 	out, best, newest := 0, "", ask.Slot
 	ballot.Poll(ctx, s.g, who, func(ctx context.Context, to string) (ballotVote, error) {
 		if to == s.P.Inner {
-			return s.onBallot(ctx, wire.Hello{}, ask)
+			return s.onBallot(ctx, transport.Hello{}, ask)
 		}
-		return wire.Ask[ballotVote](ctx, s.n, to, "store.ballot", ask)
+		return transport.Ask[ballotVote](ctx, s.n, to, "store.ballot", ask)
 	}, func(to string, v ballotVote, err error) bool {
 		if err != nil {
 			return false
--- a/internal/store/fetch.go
+++ b/internal/store/fetch.go
@@ -8,7 +8,7 @@
 	"puffincrank/internal/event"
 	"puffincrank/internal/fault"
 	"puffincrank/internal/paxos"
-	"puffincrank/internal/wire"
+	"puffincrank/internal/transport"
 )
 
 // How many entries lie between two checkpoints at the least, and how many older
@@ -89,7 +89,7 @@
 		if none {
 			ask.Prev = nil
 		}
-		got, err := wire.Ask[fetchGot](ctx, s.n, from, "store.fetch", ask)
+		got, err := transport.Ask[fetchGot](ctx, s.n, from, "store.fetch", ask)
 		if err != nil {
 			return err
 		}
@@ -142,7 +142,7 @@
 
 // onFetch hands out what is applied here: entries while they are kept, a
 // snapshot otherwise.
-func (s *Store) onFetch(_ context.Context, _ wire.Hello, in fetchAsk) (fetchGot, error) {
+func (s *Store) onFetch(_ context.Context, _ transport.Hello, in fetchAsk) (fetchGot, error) {
 	s.mu.Lock()
 	if s.state == nil {
 		s.mu.Unlock()
--- a/internal/store/founding.go
+++ b/internal/store/founding.go
@@ -11,13 +11,13 @@
 	"puffincrank/internal/paxos"
 	"puffincrank/internal/statemachine"
 	"puffincrank/internal/trace"
-	"puffincrank/internal/wire"
+	"puffincrank/internal/transport"
 )
 
 func (s *Store) empty() bool { return s.role.Is("empty") }
 
 // onFound tells a peer whether this store holds anything.
-func (s *Store) onFound(_ context.Context, _ wire.Hello, in foundAsk) (foundGot, error) {
+func (s *Store) onFound(_ context.Context, _ transport.Hello, in foundAsk) (foundGot, error) {
 	s.noteSuccessor(in.ID, in.Addr)
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -29,7 +29,7 @@
 }
 
 // onGenesis takes the founding, if this empty replica is named in it.
-func (s *Store) onGenesis(_ context.Context, _ wire.Hello, in genesis) (ack, error) {
+func (s *Store) onGenesis(_ context.Context, _ transport.Hello, in genesis) (ack, error) {
 	if !s.empty() {
 		return ack{}, fault.New(fault.Refused, "not empty")
 	}
@@ -175,7 +175,7 @@
 		if to == s.P.Inner {
 			return ack{}, nil
 		}
-		return wire.Ask[ack](ctx, s.n, to, "store.genesis", in)
+		return transport.Ask[ack](ctx, s.n, to, "store.genesis", in)
 	}, func(string, ack, error) bool { return false })
 	s.wakeLoop(true)
 }
--- a/internal/store/founding_test.go
+++ b/internal/store/founding_test.go
@@ -7,7 +7,7 @@
 
 	"puffincrank/internal/fault"
 	"puffincrank/internal/statemachine"
-	"puffincrank/internal/wire"
+	"puffincrank/internal/transport"
 )
 
 // TestBadFoundings: a founding whose members are doubled, of an even number, with
@@ -31,12 +31,12 @@
 			{"no identity", []statemachine.Member{me, b, {Addr: "c:1"}}, "without identity"},
 			{"no address", []statemachine.Member{me, b, {ID: "c"}}, "without identity"},
 		} {
-			_, err := s.onGenesis(t.Context(), wire.Hello{}, genesis{Mesh: "m/1", Members: bad.members})
+			_, err := s.onGenesis(t.Context(), transport.Hello{}, genesis{Mesh: "m/1", Members: bad.members})
 			if !fault.Is(err, fault.Refused) || !strings.Contains(err.Error(), bad.fault) || !s.empty() {
 				t.Errorf("%s: %v", bad.name, err)
 			}
 		}
-		if got, err := s.onGenesis(t.Context(), wire.Hello{}, genesis{Mesh: "m/1", Members: []statemachine.Member{b, me, c}}); err != nil || !got.Yes || s.empty() {
+		if got, err := s.onGenesis(t.Context(), transport.Hello{}, genesis{Mesh: "m/1", Members: []statemachine.Member{b, me, c}}); err != nil || !got.Yes || s.empty() {
 			t.Errorf("a whole founding: %+v, %v", got, err)
 		}
 	})
--- a/internal/store/join.go
+++ b/internal/store/join.go
@@ -10,7 +10,7 @@
 	"puffincrank/internal/paxos"
 	"puffincrank/internal/statemachine"
 	"puffincrank/internal/trace"
-	"puffincrank/internal/wire"
+	"puffincrank/internal/transport"
 )
 
 // joinStep is one try of a store without a vote: to found, to be refilled, or to
@@ -95,7 +95,7 @@
 		if to == s.P.Inner {
 			return foundGot{Empty: true, ID: s.acc.Identity().ID, Never: !s.P.Founding, Area: s.P.Area, Land: s.P.Region, Knows: statemachine.Level}, nil
 		}
-		return wire.Ask[foundGot](ctx, s.n, to, "store.found", foundAsk{s.acc.Identity().ID, s.P.Inner})
+		return transport.Ask[foundGot](ctx, s.n, to, "store.found", foundAsk{s.acc.Identity().ID, s.P.Inner})
 	}, func(to string, got foundGot, err error) bool {
 		switch {
 		case err != nil:
@@ -148,7 +148,7 @@
 		s.mu.Lock()
 		ask := joinAsk{ID: s.acc.Identity().ID, Addr: s.P.Inner, Mesh: s.state.ClusterID, Slot: s.slot, Area: s.P.Area, Land: s.P.Region, Knows: statemachine.Level}
 		s.mu.Unlock()
-		got, err := wire.Ask[joinGot](ctx, s.n, to, "store.join", ask)
+		got, err := transport.Ask[joinGot](ctx, s.n, to, "store.join", ask)
 		if err == nil && got.Slot == 0 && got.Has > ask.Slot && s.refill(ctx, to) == nil && s.votes() {
 			// It does not lead, but knows of a place that this one was given.
 			return true
--- a/internal/store/join_test.go
+++ b/internal/store/join_test.go
@@ -12,14 +12,14 @@
 	"puffincrank/internal/paxos"
 	"puffincrank/internal/statemachine"
 	"puffincrank/internal/task"
-	"puffincrank/internal/wire"
+	"puffincrank/internal/transport"
 )
 
 // peer is a node at an address that answers as the test says.
-func peer(t *testing.T, road *wire.Paved, addr string, answers func(*wire.Node)) {
+func peer(t *testing.T, road *transport.Paved, addr string, answers func(*transport.Node)) {
 	t.Helper()
 	g := task.New(context.Background())
-	n := wire.NewNode(wire.Hello{Mesh: "m", Node: addr}, env.Env{Net: road, Wall: time.Now, Log: event.New(addr, nil)}, g, 1<<20, 8, time.Second)
+	n := transport.NewNode(transport.Hello{Mesh: "m", Node: addr}, env.Env{Net: road, Wall: time.Now, Log: event.New(addr, nil)}, g, 1<<20, 8, time.Second)
 	answers(n)
 	if err := n.Listen(addr); err != nil {
 		t.Fatal(err)
@@ -31,9 +31,9 @@
 }
 
 // says answers what a store holds, after a while.
-func says(got foundGot, after time.Duration) func(*wire.Node) {
-	return func(n *wire.Node) {
-		wire.On(n, "store.found", func(ctx context.Context, _ wire.Hello, _ foundAsk) (foundGot, error) {
+func says(got foundGot, after time.Duration) func(*transport.Node) {
+	return func(n *transport.Node) {
+		transport.On(n, "store.found", func(ctx context.Context, _ transport.Hello, _ foundAsk) (foundGot, error) {
 			task.Pause(ctx, after)
 			return got, ctx.Err()
 		})
@@ -93,7 +93,7 @@
 		s, _ := bare(t)
 		defer s.Kill()
 		for _, ask := range []ballotAsk{{Addr: "old:1"}, {Addr: "new:1", Slot: 9}} {
-			vote, err := s.onBallot(t.Context(), wire.Hello{}, ask)
+			vote, err := s.onBallot(t.Context(), transport.Hello{}, ask)
 			if err != nil || vote.Yes {
 				t.Fatalf("an empty store votes: %+v, %v", vote, err)
 			}
@@ -133,9 +133,9 @@
 			t.Fatalf("%v, role %s", err, s.role.Now())
 		}
 		entry := firstEntry(t, "a", s.acc.Identity().ID)
-		peer(t, road, "b:1", func(n *wire.Node) {
-			wire.On(n, "store.join", func(context.Context, wire.Hello, joinAsk) (joinGot, error) { return joinGot{Has: 1}, nil })
-			wire.On(n, "store.fetch", func(context.Context, wire.Hello, fetchAsk) (fetchGot, error) {
+		peer(t, road, "b:1", func(n *transport.Node) {
+			transport.On(n, "store.join", func(context.Context, transport.Hello, joinAsk) (joinGot, error) { return joinGot{Has: 1}, nil })
+			transport.On(n, "store.fetch", func(context.Context, transport.Hello, fetchAsk) (fetchGot, error) {
 				return fetchGot{Top: 1, Entries: []paxos.Entry{entry}}, nil
 			})
 		})
@@ -160,11 +160,11 @@
 			if !removed {
 				entry = firstEntry(t, "c", "d")
 			}
-			peer(t, road, "b:1", func(n *wire.Node) {
-				wire.On(n, "store.ballot", func(context.Context, wire.Hello, ballotAsk) (ballotVote, error) {
+			peer(t, road, "b:1", func(n *transport.Node) {
+				transport.On(n, "store.ballot", func(context.Context, transport.Hello, ballotAsk) (ballotVote, error) {
 					return ballotVote{ID: "b", Slot: 1}, nil
 				})
-				wire.On(n, "store.fetch", func(context.Context, wire.Hello, fetchAsk) (fetchGot, error) {
+				transport.On(n, "store.fetch", func(context.Context, transport.Hello, fetchAsk) (fetchGot, error) {
 					return fetchGot{Top: 1, Entries: []paxos.Entry{entry}}, nil
 				})
 			})
@@ -189,14 +189,14 @@
 		defer s.Kill()
 		s.P.Seeds = []string{"me:1", "seed:1", "heard:1"}
 		var told beatAsk
-		peer(t, road, "seed:1", func(n *wire.Node) {
-			wire.On(n, "store.beat", func(_ context.Context, _ wire.Hello, in beatAsk) (ack, error) {
+		peer(t, road, "seed:1", func(n *transport.Node) {
+			transport.On(n, "store.beat", func(_ context.Context, _ transport.Hello, in beatAsk) (ack, error) {
 				told = in
 				return ack{}, nil
 			})
 		})
-		peer(t, road, "heard:1", func(n *wire.Node) {
-			wire.On(n, "store.beat", func(context.Context, wire.Hello, beatAsk) (ack, error) {
+		peer(t, road, "heard:1", func(n *transport.Node) {
+			transport.On(n, "store.beat", func(context.Context, transport.Hello, beatAsk) (ack, error) {
 				t.Error("a learner that is heard of was told")
 				return ack{}, nil
 			})
@@ -211,7 +211,7 @@
 		}
 		empty, _ := bare(t)
 		defer empty.Kill()
-		if _, err := empty.onBeat(t.Context(), wire.Hello{}, told); err != nil || empty.leaderAddress != "me:1" {
+		if _, err := empty.onBeat(t.Context(), transport.Hello{}, told); err != nil || empty.leaderAddress != "me:1" {
 			t.Errorf("the empty store knows of %q, %v", empty.leaderAddress, err)
 		}
 	})
--- a/internal/store/leadership.go
+++ b/internal/store/leadership.go
@@ -12,7 +12,7 @@
 	"puffincrank/internal/statemachine"
 	"puffincrank/internal/task"
 	"puffincrank/internal/trace"
-	"puffincrank/internal/wire"
+	"puffincrank/internal/transport"
 )
 
 // leadership is the time for which this store writes, under one ballot.
@@ -97,9 +97,9 @@
 		round, end := context.WithTimeout(ctx, s.P.Lease()/2)
 		ballot.Poll(round, s.g, left, func(ctx context.Context, to string) (ack, error) {
 			if to == s.P.Inner {
-				return s.onAccept(ctx, wire.Hello{}, ask)
+				return s.onAccept(ctx, transport.Hello{}, ask)
 			}
-			return wire.Ask[ack](ctx, s.n, to, "store.accept", ask)
+			return transport.Ask[ack](ctx, s.n, to, "store.accept", ask)
 		}, func(to string, a ack, err error) bool {
 			if err != nil {
 				return false
--- a/internal/store/leasegather.go
+++ b/internal/store/leasegather.go
@@ -4,7 +4,7 @@
 	"context"
 	"time"
 
-	"puffincrank/internal/wire"
+	"puffincrank/internal/transport"
 )
 
 // lockLeft is what is left of one lock's time by one store's clock.
@@ -21,7 +21,7 @@
 }
 
 // onLeft tells what is left of each lock by this store's clock.
-func (s *Store) onLeft(context.Context, wire.Hello, leftAsk) (leftGot, error) {
+func (s *Store) onLeft(context.Context, transport.Hello, leftAsk) (leftGot, error) {
 	got := leftGot{Locks: map[string]lockLeft{}}
 	now := time.Now()
 	s.mu.Lock()
@@ -45,7 +45,7 @@
 		t.g.Go("ask-clocks", func(context.Context) {
 			ctx, end := context.WithTimeout(ctx, s.P.Patience())
 			defer end()
-			if got, err := wire.Ask[leftGot](ctx, s.n, a, "store.left", leftAsk{}); err == nil {
+			if got, err := transport.Ask[leftGot](ctx, s.n, a, "store.left", leftAsk{}); err == nil {
 				s.adoptLeases(got)
 			}
 		})
--- a/internal/store/leave.go
+++ b/internal/store/leave.go
@@ -8,7 +8,7 @@
 	"puffincrank/internal/event"
 	"puffincrank/internal/statemachine"
 	"puffincrank/internal/trace"
-	"puffincrank/internal/wire"
+	"puffincrank/internal/transport"
 )
 
 // leaveGrace is the part of the grace, in percent, for which a member that leaves
@@ -58,7 +58,7 @@
 	case !member:
 		return 0, false
 	case t == nil && head != "":
-		got, err := wire.Ask[ack](ctx, s.n, head, "store.leave", leaveAsk{ID: me})
+		got, err := transport.Ask[ack](ctx, s.n, head, "store.leave", leaveAsk{ID: me})
 		return got.Slot, err == nil && got.Yes
 	case t != nil && t.givePlace(ctx, me):
 		// The term is over with the change; the others need not miss it first.
@@ -79,7 +79,7 @@
 	var after []statemachine.Member
 	for range 2 {
 		ballot.Poll(ctx, s.g, who, func(ctx context.Context, to string) (foundGot, error) {
-			return wire.Ask[foundGot](ctx, s.n, to, "store.found", foundAsk{s.acc.Identity().ID, s.P.Inner})
+			return transport.Ask[foundGot](ctx, s.n, to, "store.found", foundAsk{s.acc.Identity().ID, s.P.Inner})
 		}, func(_ string, got foundGot, err error) bool {
 			if err == nil && got.Slot >= slot {
 				has[got.ID], after = got.Slot, got.Members
@@ -129,12 +129,12 @@
 	}
 	ctx, end := context.WithTimeout(ctx, s.P.Patience())
 	defer end()
-	got, err := wire.Ask[ack](ctx, s.n, head, "store.leave", leaveAsk{ID: me, Keeps: true})
+	got, err := transport.Ask[ack](ctx, s.n, head, "store.leave", leaveAsk{ID: me, Keeps: true})
 	return err == nil && got.Held
 }
 
 // onLeave hears a member that stops.
-func (s *Store) onLeave(ctx context.Context, _ wire.Hello, in leaveAsk) (ack, error) {
+func (s *Store) onLeave(ctx context.Context, _ transport.Hello, in leaveAsk) (ack, error) {
 	s.mu.Lock()
 	t := s.leadership
 	s.mu.Unlock()
--- a/internal/store/membership.go
+++ b/internal/store/membership.go
@@ -10,7 +10,7 @@
 	"puffincrank/internal/event"
 	"puffincrank/internal/fault"
 	"puffincrank/internal/statemachine"
-	"puffincrank/internal/wire"
+	"puffincrank/internal/transport"
 )
 
 // near is how many entries a learner may lack at its word and still count as
@@ -135,7 +135,7 @@
 
 // onJoin hears a refilled learner, and lets the leader put it in a lost
 // member's place or in a free one.
-func (s *Store) onJoin(ctx context.Context, _ wire.Hello, in joinAsk) (joinGot, error) {
+func (s *Store) onJoin(ctx context.Context, _ transport.Hello, in joinAsk) (joinGot, error) {
 	s.mu.Lock()
 	t, got := s.leadership, joinGot{Head: s.leaderAddress}
 	if s.state != nil {
--- a/internal/store/puts.go
+++ b/internal/store/puts.go
@@ -6,14 +6,14 @@
 
 	"puffincrank/internal/fault"
 	"puffincrank/internal/statemachine"
-	"puffincrank/internal/wire"
+	"puffincrank/internal/transport"
 )
 
 // onPuts gives the puts of a group above a revision, and waits for some if
 // there are none. Only the leader answers, after a majority confirmed it: so
 // the answer never lags behind what was acknowledged before it was asked for,
 // and a put reaches its watchers at the moment in which it is applied.
-func (s *Store) onPuts(ctx context.Context, _ wire.Hello, in Query) (Given, error) {
+func (s *Store) onPuts(ctx context.Context, _ transport.Hello, in Query) (Given, error) {
 	t, g := s.currentLeadership()
 	if t == nil {
 		return g, nil
--- a/internal/store/ready.go
+++ b/internal/store/ready.go
@@ -8,8 +8,8 @@
 
 	"github.com/go-chi/chi/v5"
 
-	"puffincrank/internal/outer"
-	"puffincrank/internal/wire"
+	"puffincrank/internal/httpapi"
+	"puffincrank/internal/transport"
 )
 
 // status tells how this store stands.
@@ -39,7 +39,7 @@
 	return out
 }
 
-func (s *Store) onStatus(context.Context, wire.Hello, struct{}) (Status, error) {
+func (s *Store) onStatus(context.Context, transport.Hello, struct{}) (Status, error) {
 	st := s.status()
 	st.Events = s.e.Log.Since(0)
 	return st, nil
@@ -60,7 +60,7 @@
 		if at == "" {
 			continue
 		}
-		if err := outer.Serve(s.g, s.e, at, r, s.P.Change); err != nil {
+		if err := httpapi.Serve(s.g, s.e, at, r, s.P.Change); err != nil {
 			return err
 		}
 	}
@@ -69,4 +69,4 @@
 
 // Sizes gives the bytes that this process sent to others, by kind of message;
 // receipts count with what they answer.
-func (s *Store) Sizes() map[wire.Flow]wire.Sum { return s.n.Sizes() }
+func (s *Store) Sizes() map[transport.Flow]transport.Sum { return s.n.Sizes() }
--- a/internal/store/remove.go
+++ b/internal/store/remove.go
@@ -8,7 +8,7 @@
 	"puffincrank/internal/event"
 	"puffincrank/internal/fault"
 	"puffincrank/internal/statemachine"
-	"puffincrank/internal/wire"
+	"puffincrank/internal/transport"
 )
 
 // silentMember names the member that has not answered for longest, and for longer
@@ -25,7 +25,7 @@
 // onRemove takes a store out by an operator's word. It is refused when those
 // who stay could not decide at once without it: fewer than two, or one of them
 // out of touch.
-func (s *Store) onRemove(ctx context.Context, _ wire.Hello, in RemoveAsk) (Given, error) {
+func (s *Store) onRemove(ctx context.Context, _ transport.Hello, in RemoveAsk) (Given, error) {
 	t, g := s.currentLeadership()
 	if t == nil {
 		return g, nil
--- a/internal/store/seeds.go
+++ b/internal/store/seeds.go
@@ -4,7 +4,7 @@
 	"context"
 	"slices"
 
-	"puffincrank/internal/wire"
+	"puffincrank/internal/transport"
 )
 
 // beatOfNow is the leader's beat.
@@ -29,7 +29,7 @@
 			ctx, end := context.WithTimeout(ctx, s.P.Lease()/2)
 			defer end()
 			// Whoever has no state notes the sender; the answer says nothing.
-			_, _ = wire.Ask[ack](ctx, s.n, to, "store.beat", ask)
+			_, _ = transport.Ask[ack](ctx, s.n, to, "store.beat", ask)
 		})
 	}
 }
--- a/internal/store/serve.go
+++ b/internal/store/serve.go
@@ -6,7 +6,7 @@
 
 	"puffincrank/internal/fault"
 	"puffincrank/internal/statemachine"
-	"puffincrank/internal/wire"
+	"puffincrank/internal/transport"
 )
 
 // currentLeadership gives the term that stands here, or where the leader is.
@@ -21,7 +21,7 @@
 }
 
 // onOffer takes a command from a registry.
-func (s *Store) onOffer(ctx context.Context, _ wire.Hello, in Offer) (Given, error) {
+func (s *Store) onOffer(ctx context.Context, _ transport.Hello, in Offer) (Given, error) {
 	t, g := s.currentLeadership()
 	if t == nil {
 		return g, nil
@@ -51,7 +51,7 @@
 func (s *Store) justResumed() bool { return time.Since(s.pulse.Woke()) < s.P.Beat() }
 
 // onRead answers a confirmed read: a majority is asked after it arrived.
-func (s *Store) onRead(ctx context.Context, _ wire.Hello, in Query) (Given, error) {
+func (s *Store) onRead(ctx context.Context, _ transport.Hello, in Query) (Given, error) {
 	t, g := s.currentLeadership()
 	if t == nil {
 		return g, nil
@@ -94,7 +94,7 @@
 
 // onWatch gives the changes of a prefix from a revision on, and waits for
 // some if there are none. Any store may answer: it only tells what is chosen.
-func (s *Store) onWatch(ctx context.Context, _ wire.Hello, in Query) (Given, error) {
+func (s *Store) onWatch(ctx context.Context, _ transport.Hello, in Query) (Given, error) {
 	end := time.NewTimer(time.Duration(in.Wait) * time.Millisecond)
 	defer end.Stop()
 	for {
--- a/internal/store/snapshot.go
+++ b/internal/store/snapshot.go
@@ -9,7 +9,7 @@
 
 	"puffincrank/internal/fault"
 	"puffincrank/internal/paxos"
-	"puffincrank/internal/wire"
+	"puffincrank/internal/transport"
 )
 
 // snapshotChunk is how many bytes of a snapshot travel in one message. A state
@@ -115,7 +115,7 @@
 
 // onChunk gives a chunk of the image that is being sent. Another image is refused
 // by name: its receiver asks for a new announcement.
-func (s *Store) onChunk(_ context.Context, _ wire.Hello, in chunkAsk) (chunkGot, error) {
+func (s *Store) onChunk(_ context.Context, _ transport.Hello, in chunkAsk) (chunkGot, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	m := s.image
--- a/internal/store/snapshot_test.go
+++ b/internal/store/snapshot_test.go
@@ -16,21 +16,21 @@
 	"puffincrank/internal/event"
 	"puffincrank/internal/fault"
 	"puffincrank/internal/paxos"
-	"puffincrank/internal/props"
+	"puffincrank/internal/settings"
 	"puffincrank/internal/statemachine"
 	"puffincrank/internal/task"
-	"puffincrank/internal/wire"
+	"puffincrank/internal/transport"
 )
 
 // bare is an empty store on a network without connections.
-func bare(t *testing.T) (*Store, *wire.Paved) {
+func bare(t *testing.T) (*Store, *transport.Paved) {
 	t.Helper()
 	dir, err := disk.Open(t.TempDir())
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := props.Props{Node: "n", Mesh: "m", Change: 2 * time.Second, Return: 15 * time.Second, Frame: 1 << 20, Jobs: 8, Inner: "me:1", State: 1 << 20}
-	road := &wire.Paved{Road: wire.NewRoad(func(string, string) time.Duration { return time.Millisecond })}
+	p := settings.Props{Node: "n", Mesh: "m", Change: 2 * time.Second, Return: 15 * time.Second, Frame: 1 << 20, Jobs: 8, Inner: "me:1", State: 1 << 20}
+	road := &transport.Paved{Road: transport.NewRoad(func(string, string) time.Duration { return time.Millisecond })}
 	s, err := New(p, env.Env{Net: road, FS: dir, Wall: time.Now, Log: event.New("n", nil), Pause: task.Pause})
 	if err != nil {
 		t.Fatal(err)
@@ -40,7 +40,7 @@
 
 // alone is a store that is the one member of its cluster, on a network without
 // connections.
-func alone(t *testing.T) (*Store, *wire.Paved) {
+func alone(t *testing.T) (*Store, *transport.Paved) {
 	t.Helper()
 	s, road := bare(t)
 	led := statemachine.New("m", []statemachine.Member{{ID: s.acc.Identity().ID, Addr: "me:1"}})
@@ -164,8 +164,8 @@
 		asked := 0
 		g := task.New(context.Background())
 		defer g.Stop()
-		n := wire.NewNode(wire.Hello{Mesh: "m", Node: "sender"}, env.Env{Net: road, Wall: time.Now, Log: event.New("sender", nil)}, g, 1<<20, 8, time.Second)
-		wire.On(n, "store.snapshot", func(_ context.Context, _ wire.Hello, in chunkAsk) (chunkGot, error) {
+		n := transport.NewNode(transport.Hello{Mesh: "m", Node: "sender"}, env.Env{Net: road, Wall: time.Now, Log: event.New("sender", nil)}, g, 1<<20, 8, time.Second)
+		transport.On(n, "store.snapshot", func(_ context.Context, _ transport.Hello, in chunkAsk) (chunkGot, error) {
 			asked++
 			data := bytes.Clone(state[in.Offset:min(in.Offset+snapshotChunk, len(state))])
 			got := chunkGot{ID: in.ID, Offset: in.Offset, Data: data, Checksum: crc32.ChecksumIEEE(data)}
--- a/internal/store/split_test.go
+++ b/internal/store/split_test.go
@@ -10,10 +10,10 @@
 	"puffincrank/internal/disk"
 	"puffincrank/internal/env"
 	"puffincrank/internal/event"
-	"puffincrank/internal/props"
+	"puffincrank/internal/settings"
 	"puffincrank/internal/statemachine"
 	"puffincrank/internal/task"
-	"puffincrank/internal/wire"
+	"puffincrank/internal/transport"
 )
 
 // TestSplit: a candidate that got too few votes gives its number up to all at
@@ -25,8 +25,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		p := props.Props{Node: "n", Mesh: "m", Change: 2 * time.Second, Return: 15 * time.Second, Frame: 1 << 20, Jobs: 8, Inner: "me:1"}
-		road := &wire.Paved{Road: wire.NewRoad(func(string, string) time.Duration { return time.Millisecond })}
+		p := settings.Props{Node: "n", Mesh: "m", Change: 2 * time.Second, Return: 15 * time.Second, Frame: 1 << 20, Jobs: 8, Inner: "me:1"}
+		road := &transport.Paved{Road: transport.NewRoad(func(string, string) time.Duration { return time.Millisecond })}
 		s, err := New(p, env.Env{Net: road, FS: dir, Wall: time.Now, Log: event.New("n", nil), Pause: task.Pause})
 		if err != nil {
 			t.Fatal(err)
@@ -43,15 +43,15 @@
 		defer g.Stop()
 		for _, id := range []string{"b", "c", "d"} {
 			s.state.Members = append(s.state.Members, statemachine.Member{ID: id, Addr: id + ":1"})
-			n := wire.NewNode(wire.Hello{Mesh: "m", Node: id}, env.Env{Net: road, Wall: time.Now, Log: event.New(id, nil)}, g, 1<<20, 8, time.Second)
-			wire.On(n, "store.ballot", func(_ context.Context, _ wire.Hello, in ballotAsk) (ballotVote, error) {
+			n := transport.NewNode(transport.Hello{Mesh: "m", Node: id}, env.Env{Net: road, Wall: time.Now, Log: event.New(id, nil)}, g, 1<<20, 8, time.Second)
+			transport.On(n, "store.ballot", func(_ context.Context, _ transport.Hello, in ballotAsk) (ballotVote, error) {
 				if in.Real {
 					asked <- said{time.Now(), in.Num}
 				}
 				// One votes for it, the others have promised another.
 				return ballotVote{ID: id, Yes: !in.Real || id == "b", Seen: ballot.Number{Round: 8, Candidate: "z"}}, nil
 			})
-			wire.On(n, "store.vacate", func(_ context.Context, _ wire.Hello, in vacateAsk) (ack, error) {
+			transport.On(n, "store.vacate", func(_ context.Context, _ transport.Hello, in vacateAsk) (ack, error) {
 				left <- said{time.Now(), in.Num}
 				return ack{}, nil
 			})
--- a/internal/store/stepdown.go
+++ b/internal/store/stepdown.go
@@ -6,7 +6,7 @@
 
 	"puffincrank/internal/ballot"
 	"puffincrank/internal/event"
-	"puffincrank/internal/wire"
+	"puffincrank/internal/transport"
 )
 
 // stepDown ends the term that stands, if any.
@@ -61,6 +61,6 @@
 		if to == s.P.Inner {
 			return ack{}, nil
 		}
-		return wire.Ask[ack](ctx, s.n, to, "store.vacate", vacateAsk{num})
+		return transport.Ask[ack](ctx, s.n, to, "store.vacate", vacateAsk{num})
 	}, func(string, ack, error) bool { return false })
 }
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -13,32 +13,32 @@
 	"puffincrank/internal/ballot"
 	"puffincrank/internal/env"
 	"puffincrank/internal/event"
+	"puffincrank/internal/fsm"
 	"puffincrank/internal/patch"
+	"puffincrank/internal/pausedetect"
 	"puffincrank/internal/paxos"
-	"puffincrank/internal/props"
-	"puffincrank/internal/pulse"
-	"puffincrank/internal/state"
+	"puffincrank/internal/settings"
 	"puffincrank/internal/statemachine"
 	"puffincrank/internal/task"
 	"puffincrank/internal/trace"
-	"puffincrank/internal/wire"
+	"puffincrank/internal/transport"
 )
 
 // Store is one process. Lock order: learn, then imaging, then mu, then the
 // acceptor's own.
 type Store struct {
-	P     props.Props
+	P     settings.Props
 	e     env.Env
 	g     *task.Group
-	n     *wire.Node
+	n     *transport.Node
 	acc   *paxos.Acceptor
 	voter *ballot.Voter
-	role  *state.Machine
+	role  *fsm.Machine
 
 	applying      task.Lock // one at a time extends the applied state
 	checkpointing task.Lock // one checkpoint at a time
 	imaging       task.Lock // one image of the state is made at a time
-	pulse         *pulse.Pulse
+	pulse         *pausedetect.Pulse
 	born          time.Time
 
 	mu sync.Mutex // guards all fields below but loading, which learn guards
@@ -94,28 +94,28 @@
 }
 
 // New readies a store over its folder.
-func New(p props.Props, e env.Env) (*Store, error) {
+func New(p settings.Props, e env.Env) (*Store, error) {
 	acc, err := paxos.Open(e.FS)
 	if err != nil {
 		return nil, err
 	}
 	s := &Store{applying: task.NewLock(), checkpointing: task.NewLock(), imaging: task.NewLock(), writesUnderWay: map[uint64]time.Time{}, P: p, e: e, g: task.New(context.Background()).Pace(e.Pause), acc: acc, born: time.Now(), replacedAt: map[string]time.Time{}, applied: make(chan struct{}), duty: map[string]*ballot.Voter{}}
-	s.n = wire.NewNode(wire.Hello{Mesh: p.Mesh, Node: p.Node, Area: p.Area, Role: "store"}, e, s.g, p.Frame, p.Jobs, p.Patience())
+	s.n = transport.NewNode(transport.Hello{Mesh: p.Mesh, Node: p.Node, Area: p.Area, Role: "store"}, e, s.g, p.Frame, p.Jobs, p.Patience())
 	s.n.Bound = p.Links()
-	s.pulse = pulse.New(p.Beat(), p.Doze(), nil)
+	s.pulse = pausedetect.New(p.Beat(), p.Doze(), nil)
 	acc.Observe = e.Trace
 	for _, n := range acc.DamagedFiles {
 		e.Log.Emit(event.Damaged, "file", n)
 	}
-	s.role = state.New("empty", nil,
-		state.Move{From: "empty", By: "refilled", To: "spare"},
-		state.Move{From: "empty", By: "filled", To: "follow"},
-		state.Move{From: "spare", By: "filled", To: "follow"},
-		state.Move{From: "follow", By: "stand", To: "stand"},
-		state.Move{From: "stand", By: "lose", To: "follow"},
-		state.Move{From: "stand", By: "win", To: "write"},
-		state.Move{From: "write", By: "lose", To: "follow"},
-		state.Move{From: "follow", By: "outcast", To: "empty"})
+	s.role = fsm.New("empty", nil,
+		fsm.Move{From: "empty", By: "refilled", To: "spare"},
+		fsm.Move{From: "empty", By: "filled", To: "follow"},
+		fsm.Move{From: "spare", By: "filled", To: "follow"},
+		fsm.Move{From: "follow", By: "stand", To: "stand"},
+		fsm.Move{From: "stand", By: "lose", To: "follow"},
+		fsm.Move{From: "stand", By: "win", To: "write"},
+		fsm.Move{From: "write", By: "lose", To: "follow"},
+		fsm.Move{From: "follow", By: "outcast", To: "empty"})
 	if err := s.open(); err != nil {
 		return nil, err
 	}
--- a/internal/store/vote.go
+++ b/internal/store/vote.go
@@ -7,28 +7,28 @@
 	"puffincrank/internal/event"
 	"puffincrank/internal/paxos"
 	"puffincrank/internal/statemachine"
-	"puffincrank/internal/wire"
+	"puffincrank/internal/transport"
 )
 
 func (s *Store) registerHandlers() {
-	wire.On(s.n, "store.found", s.onFound)
-	wire.On(s.n, "store.genesis", s.onGenesis)
-	wire.On(s.n, "store.join", s.onJoin)
-	wire.On(s.n, "store.ballot", s.onBallot)
-	wire.On(s.n, "store.accept", s.onAccept)
-	wire.On(s.n, "store.leave", s.onLeave)
-	wire.On(s.n, "store.beat", s.onBeat)
-	wire.On(s.n, "store.vacate", s.onVacate)
-	wire.On(s.n, "store.fetch", s.onFetch)
-	wire.On(s.n, "store.snapshot", s.onChunk)
-	wire.On(s.n, "store.offer", s.onOffer)
-	wire.On(s.n, "store.read", s.onRead)
-	wire.On(s.n, "store.watch", s.onWatch)
-	wire.On(s.n, "store.puts", s.onPuts)
-	wire.On(s.n, "store.left", s.onLeft)
-	wire.On(s.n, "store.duty", s.onDuty)
-	wire.On(s.n, "store.status", s.onStatus)
-	wire.On(s.n, "store.remove", s.onRemove)
+	transport.On(s.n, "store.found", s.onFound)
+	transport.On(s.n, "store.genesis", s.onGenesis)
+	transport.On(s.n, "store.join", s.onJoin)
+	transport.On(s.n, "store.ballot", s.onBallot)
+	transport.On(s.n, "store.accept", s.onAccept)
+	transport.On(s.n, "store.leave", s.onLeave)
+	transport.On(s.n, "store.beat", s.onBeat)
+	transport.On(s.n, "store.vacate", s.onVacate)
+	transport.On(s.n, "store.fetch", s.onFetch)
+	transport.On(s.n, "store.snapshot", s.onChunk)
+	transport.On(s.n, "store.offer", s.onOffer)
+	transport.On(s.n, "store.read", s.onRead)
+	transport.On(s.n, "store.watch", s.onWatch)
+	transport.On(s.n, "store.puts", s.onPuts)
+	transport.On(s.n, "store.left", s.onLeft)
+	transport.On(s.n, "store.duty", s.onDuty)
+	transport.On(s.n, "store.status", s.onStatus)
+	transport.On(s.n, "store.remove", s.onRemove)
 }
 
 // isForeign tells that a message is of a cluster that was founded apart from ours,
@@ -48,7 +48,7 @@
 // replica may have forgotten what it accepted, and must not vote.
 func (s *Store) isMending() bool { return s.acc.DamagedUpTo() > s.slot }
 
-func (s *Store) onBallot(_ context.Context, _ wire.Hello, in ballotAsk) (ballotVote, error) {
+func (s *Store) onBallot(_ context.Context, _ transport.Hello, in ballotAsk) (ballotVote, error) {
 	s.mu.Lock()
 	v := ballotVote{ID: s.acc.Identity().ID, Slot: s.slot}
 	able := s.votes() && !s.isMending() && !s.diskHangs() && !s.isForeign(in.Mesh, in.ID)
@@ -88,7 +88,7 @@
 	return v, nil
 }
 
-func (s *Store) onAccept(ctx context.Context, _ wire.Hello, in acceptAsk) (ack, error) {
+func (s *Store) onAccept(ctx context.Context, _ transport.Hello, in acceptAsk) (ack, error) {
 	s.mu.Lock()
 	a := ack{ID: s.acc.Identity().ID, Slot: s.slot, Ill: s.diskIll || s.diskHangs(), Knows: statemachine.Level, Going: s.leaving}
 	// While a write hangs, the next would only queue up behind it.
@@ -155,7 +155,7 @@
 	s.mu.Unlock()
 }
 
-func (s *Store) onBeat(_ context.Context, _ wire.Hello, in beatAsk) (ack, error) {
+func (s *Store) onBeat(_ context.Context, _ transport.Hello, in beatAsk) (ack, error) {
 	s.mu.Lock()
 	a := ack{ID: s.acc.Identity().ID, Slot: s.slot, Ill: s.diskIll || s.diskHangs(), Knows: statemachine.Level, Going: s.leaving}
 	able := s.votes() && !s.isForeign(in.Mesh, in.Addr)
@@ -179,7 +179,7 @@
 	return a, nil
 }
 
-func (s *Store) onVacate(_ context.Context, _ wire.Hello, in vacateAsk) (ack, error) {
+func (s *Store) onVacate(_ context.Context, _ transport.Hello, in vacateAsk) (ack, error) {
 	s.voter.Vacate(in.Num)
 	if s.votes() {
 		at := time.Now().Add(s.campaignDelay(in.Num))
--- a/internal/wire/bulk_test.go
+++ b/internal/transport/bulk_test.go
@@ -1,4 +1,4 @@
-package wire_test
+package transport_test
 
 import (
 	"context"
@@ -8,13 +8,13 @@
 	"time"
 
 	"puffincrank/internal/fault"
-	"puffincrank/internal/wire"
+	"puffincrank/internal/transport"
 )
 
 func bulk(p *pair, kind string, in ping, left time.Duration) (ping, error) {
-	ctx, end := context.WithTimeout(wire.Lane(context.Background(), wire.Bulk), left)
+	ctx, end := context.WithTimeout(transport.Lane(context.Background(), transport.Bulk), left)
 	defer end()
-	return wire.Ask[ping](ctx, p.a, "h2:1", kind, in)
+	return transport.Ask[ping](ctx, p.a, "h2:1", kind, in)
 }
 
 // TestBulkOld: a fellow of the version before, which knows no pieces and gets no
@@ -53,7 +53,7 @@
 		for range cap(ends) {
 			go func() {
 				_, err := bulk(p, "swap", ping{Body: make([]byte, 20_000)}, 2*time.Second)
-				come, full := wire.Full(err)
+				come, full := transport.Full(err)
 				switch {
 				case err == nil:
 					ends <- "done"
@@ -83,8 +83,8 @@
 		p := newPair(t, "m")
 		defer p.stop()
 		ran := 0
-		wire.On(p.b, "file", func(ctx context.Context, _ wire.Hello, in ping) (ping, error) {
-			free, come, ok := wire.Book(ctx, in.N, 0)
+		transport.On(p.b, "file", func(ctx context.Context, _ transport.Hello, in ping) (ping, error) {
+			free, come, ok := transport.Book(ctx, in.N, 0)
 			if !ok {
 				return ping{}, fault.New(fault.Refused, "come after %v", come > 0)
 			}
@@ -127,11 +127,11 @@
 	synctest.Test(t, func(t *testing.T) {
 		p := newPair(t, "m")
 		defer p.stop()
-		var far []*wire.Node
+		var far []*transport.Node
 		for i := 3; i < 8; i++ {
 			h := fmt.Sprint("h", i)
 			n := p.node(h, "m")
-			wire.On(n, "swap", func(context.Context, wire.Hello, ping) (ping, error) { return ping{}, nil })
+			transport.On(n, "swap", func(context.Context, transport.Hello, ping) (ping, error) { return ping{}, nil })
 			if err := n.Listen(h + ":1"); err != nil {
 				t.Fatal(err)
 			}
@@ -139,9 +139,9 @@
 			far = append(far, n)
 		}
 		send := func(i int, back chan error) {
-			ctx, end := context.WithTimeout(wire.Lane(context.Background(), wire.Bulk), 9*time.Second)
+			ctx, end := context.WithTimeout(transport.Lane(context.Background(), transport.Bulk), 9*time.Second)
 			defer end()
-			_, err := wire.Ask[ping](ctx, p.a, fmt.Sprintf("h%d:1", i), "swap", ping{Body: make([]byte, 200_000)})
+			_, err := transport.Ask[ping](ctx, p.a, fmt.Sprintf("h%d:1", i), "swap", ping{Body: make([]byte, 200_000)})
 			back <- err
 		}
 		first := make(chan error, 9)
--- a/internal/wire/bye_test.go
+++ b/internal/transport/bye_test.go
@@ -1,4 +1,4 @@
-package wire_test
+package transport_test
 
 import (
 	"context"
@@ -7,7 +7,7 @@
 	"time"
 
 	"puffincrank/internal/fault"
-	"puffincrank/internal/wire"
+	"puffincrank/internal/transport"
 )
 
 // TestGoodbye: a node that leaves while a fellow goes on calling leaves no
@@ -16,7 +16,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		for round := range 20 {
 			p := newPair(t, "m")
-			wire.On(p.b, "slow", func(_ context.Context, _ wire.Hello, in ping) (ping, error) {
+			transport.On(p.b, "slow", func(_ context.Context, _ transport.Hello, in ping) (ping, error) {
 				<-time.After(7 * time.Millisecond)
 				return in, nil
 			})
--- a/internal/wire/call.go
+++ b/internal/transport/call.go
@@ -1,4 +1,4 @@
-package wire
+package transport
 
 import (
 	"context"
--- a/internal/wire/cost_test.go
+++ b/internal/transport/cost_test.go
@@ -1,4 +1,4 @@
-package wire_test
+package transport_test
 
 import (
 	"context"
@@ -10,7 +10,7 @@
 
 	"puffincrank/internal/env"
 	"puffincrank/internal/task"
-	"puffincrank/internal/wire"
+	"puffincrank/internal/transport"
 )
 
 // BenchmarkCall measures a round trip over the machine's own loopback.
@@ -24,11 +24,11 @@
 
 func calls(b *testing.B, size, many int) {
 	g := task.New(context.Background())
-	mk := func(name string) *wire.Node {
-		return wire.NewNode(wire.Hello{Mesh: "m", Node: name, Area: "x"}, env.Real(name), g, 16<<20, 2048, time.Second)
+	mk := func(name string) *transport.Node {
+		return transport.NewNode(transport.Hello{Mesh: "m", Node: name, Area: "x"}, env.Real(name), g, 16<<20, 2048, time.Second)
 	}
 	one, two := mk("one"), mk("two")
-	wire.On(two, "ping", func(_ context.Context, _ wire.Hello, in ping) (ping, error) { return in, nil })
+	transport.On(two, "ping", func(_ context.Context, _ transport.Hello, in ping) (ping, error) { return in, nil })
 	ear, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		b.Fatal(err)
@@ -48,7 +48,7 @@
 	ask := func() {
 		ctx, end := context.WithTimeout(context.Background(), 5*time.Second)
 		defer end()
-		if _, err := wire.Ask[ping](ctx, one, at, "ping", in); err != nil {
+		if _, err := transport.Ask[ping](ctx, one, at, "ping", in); err != nil {
 			b.Error(err)
 		}
 	}
--- a/internal/wire/fellow_test.go
+++ b/internal/transport/fellow_test.go
@@ -1,4 +1,4 @@
-package wire_test
+package transport_test
 
 import (
 	"bufio"
@@ -10,7 +10,7 @@
 
 	"github.com/vmihailenco/msgpack/v5"
 
-	"puffincrank/internal/wire"
+	"puffincrank/internal/transport"
 )
 
 // old is a frame as version 1 packs it, with the fields that came later.
@@ -43,8 +43,8 @@
 		t.Fatal(err)
 	}
 	f := &plain{c, bufio.NewReader(c), time.Now()}
-	f.say(t, wire.Hello{Mark: "puffincrank", Mesh: "m", Low: 1, High: high, Node: "plain"})
-	var got wire.Hello
+	f.say(t, transport.Hello{Mark: "puffincrank", Mesh: "m", Low: 1, High: high, Node: "plain"})
+	var got transport.Hello
 	f.get(t, &got)
 	return f
 }
--- a/internal/wire/few_test.go
+++ b/internal/transport/few_test.go
@@ -1,4 +1,4 @@
-package wire_test
+package transport_test
 
 import (
 	"context"
@@ -10,7 +10,7 @@
 	"testing/synctest"
 	"time"
 
-	"puffincrank/internal/wire"
+	"puffincrank/internal/transport"
 )
 
 // crowd is many fellows that one node may call.
@@ -19,11 +19,11 @@
 	for i := range many {
 		host := fmt.Sprintf("f%d", i)
 		n := p.node(host, "m")
-		wire.On(n, "slow", func(_ context.Context, _ wire.Hello, in ping) (ping, error) {
+		transport.On(n, "slow", func(_ context.Context, _ transport.Hello, in ping) (ping, error) {
 			<-time.After(time.Duration(in.N) * time.Millisecond)
 			return in, nil
 		})
-		wire.On(n, "told", func(context.Context, wire.Hello, ping) (struct{}, error) {
+		transport.On(n, "told", func(context.Context, transport.Hello, ping) (struct{}, error) {
 			casts.Add(1)
 			return struct{}{}, nil
 		})
@@ -49,7 +49,7 @@
 		// One after the other, as a repair meets them.
 		for round := range 2 {
 			for _, at := range all {
-				if _, err := wire.Ask[ping](t.Context(), p.a, at, "slow", ping{N: 1}); err != nil {
+				if _, err := transport.Ask[ping](t.Context(), p.a, at, "slow", ping{N: 1}); err != nil {
 					t.Fatal(round, at, err)
 				}
 				<-time.After(p.a.Patience / 4)
@@ -71,7 +71,7 @@
 					if err := p.a.Cast(t.Context(), at, "told", ping{}); err != nil {
 						t.Errorf("a cast to %s: %v", at, err)
 					}
-					if _, err := wire.Ask[ping](t.Context(), p.a, all[rnd.IntN(len(all))], "slow", ping{N: rnd.IntN(1500)}); err != nil {
+					if _, err := transport.Ask[ping](t.Context(), p.a, all[rnd.IntN(len(all))], "slow", ping{N: rnd.IntN(1500)}); err != nil {
 						t.Errorf("a call to %s: %v", at, err)
 					}
 				}
--- a/internal/wire/frame.go
+++ b/internal/transport/frame.go
@@ -1,7 +1,7 @@
-// Package wire is what the processes say to each other: TCP, length-prefixed
+// Package transport is what the processes say to each other: TCP, length-prefixed
 // msgpack frames, a hello that agrees on the version, many calls on one link,
 // in lanes and in pieces, so that a large body doesn't hold up a small one.
-package wire
+package transport
 
 import (
 	"bufio"
--- a/internal/wire/haste.go
+++ b/internal/transport/haste.go
@@ -1,4 +1,4 @@
-package wire
+package transport
 
 // haste is a cast: its sender will go soon, and what waits for it goes before
 // the rest.
--- a/internal/wire/haste_test.go
+++ b/internal/transport/haste_test.go
@@ -1,4 +1,4 @@
-package wire_test
+package transport_test
 
 import (
 	"context"
@@ -7,7 +7,7 @@
 	"testing/synctest"
 	"time"
 
-	"puffincrank/internal/wire"
+	"puffincrank/internal/transport"
 )
 
 // TestHaste: of eight fellows that wait for large answers over a thin link, the
@@ -19,22 +19,22 @@
 			p := newPair(t, "m")
 			defer p.stop()
 			const size = 200_000
-			wire.On(p.a, "file", func(context.Context, wire.Hello, ping) (ping, error) {
+			transport.On(p.a, "file", func(context.Context, transport.Hello, ping) (ping, error) {
 				return ping{Body: make([]byte, size)}, nil
 			})
 			if err := p.a.Listen("h1:1"); err != nil {
 				t.Fatal(err)
 			}
 			const many = 8
-			var far []*wire.Node
+			var far []*transport.Node
 			for i := range many {
 				far = append(far, p.node(fmt.Sprint("h", i+3), "m"))
 				defer far[i].Close()
 			}
-			fetch := func(n *wire.Node) error {
-				ctx, end := context.WithTimeout(wire.Lane(context.Background(), wire.Bulk), time.Minute)
+			fetch := func(n *transport.Node) error {
+				ctx, end := context.WithTimeout(transport.Lane(context.Background(), transport.Bulk), time.Minute)
 				defer end()
-				got, err := wire.Ask[ping](ctx, n, "h1:1", "file", ping{})
+				got, err := transport.Ask[ping](ctx, n, "h1:1", "file", ping{})
 				if err == nil && len(got.Body) != size {
 					err = fmt.Errorf("%d bytes", len(got.Body))
 				}
--- a/internal/wire/late_test.go
+++ b/internal/transport/late_test.go
@@ -1,4 +1,4 @@
-package wire_test
+package transport_test
 
 import (
 	"context"
@@ -8,13 +8,13 @@
 	"time"
 
 	"puffincrank/internal/fault"
-	"puffincrank/internal/wire"
+	"puffincrank/internal/transport"
 )
 
 // left notes how much time the taker of a call has.
 func (p *pair) left(kind string) <-chan time.Duration {
 	got := make(chan time.Duration, 9)
-	wire.On(p.b, kind, func(ctx context.Context, _ wire.Hello, in ping) (ping, error) {
+	transport.On(p.b, kind, func(ctx context.Context, _ transport.Hello, in ping) (ping, error) {
 		end, _ := ctx.Deadline()
 		got <- time.Until(end)
 		return in, nil
--- a/internal/wire/linkend_test.go
+++ b/internal/transport/linkend_test.go
@@ -1,4 +1,4 @@
-package wire_test
+package transport_test
 
 import (
 	"context"
@@ -7,7 +7,7 @@
 	"testing/synctest"
 	"time"
 
-	"puffincrank/internal/wire"
+	"puffincrank/internal/transport"
 )
 
 // TestLinkEndIsTold: when a link ends under calls, both ends tell why, how many calls
@@ -23,7 +23,7 @@
 		ctx, end := context.WithTimeout(t.Context(), time.Minute)
 		defer end()
 		for range 2 {
-			p.g.Go("asker", func(context.Context) { _, _ = wire.Ask[ping](ctx, p.a, "h2:1", "work", ping{}) })
+			p.g.Go("asker", func(context.Context) { _, _ = transport.Ask[ping](ctx, p.a, "h2:1", "work", ping{}) })
 			<-began
 		}
 		p.net.Isolate("h2", true)
--- a/internal/wire/thin_test.go
+++ b/internal/transport/thin_test.go
@@ -1,4 +1,4 @@
-package wire_test
+package transport_test
 
 import (
 	"bytes"
@@ -10,7 +10,7 @@
 	"time"
 
 	"puffincrank/internal/fault"
-	"puffincrank/internal/wire"
+	"puffincrank/internal/transport"
 )
 
 const megabit = 1_000_000 / 8
@@ -20,8 +20,8 @@
 // through meanwhile: bulk both ways about as fast as the link is, and bulk
 // against what is not, to which it gives way, somewhat later.
 func TestThin(t *testing.T) {
-	t.Run("bulk", func(t *testing.T) { thin(t, wire.Bulk, 240*time.Millisecond, 8*time.Second) })
-	t.Run("bulk and a large job", func(t *testing.T) { thin(t, wire.Bulk-1, 240*time.Millisecond, 13*time.Second) })
+	t.Run("bulk", func(t *testing.T) { thin(t, transport.Bulk, 240*time.Millisecond, 8*time.Second) })
+	t.Run("bulk and a large job", func(t *testing.T) { thin(t, transport.Bulk-1, 240*time.Millisecond, 13*time.Second) })
 }
 
 func thin(t *testing.T, other int, quick, whole time.Duration) {
@@ -34,12 +34,12 @@
 		from := time.Now()
 		done := make(chan time.Duration, 2)
 		for _, n := range []int{0, size} {
-			lane := []int{wire.Bulk, other}[n/size]
+			lane := []int{transport.Bulk, other}[n/size]
 			in := ping{N: n, Body: make([]byte, size-n)}
 			go func() {
-				ctx, end := context.WithTimeout(wire.Lane(context.Background(), lane), time.Minute)
+				ctx, end := context.WithTimeout(transport.Lane(context.Background(), lane), time.Minute)
 				defer end()
-				got, err := wire.Ask[ping](ctx, p.a, "h2:1", "swap", in)
+				got, err := transport.Ask[ping](ctx, p.a, "h2:1", "swap", in)
 				if err != nil || len(got.Body) != n {
 					t.Errorf("the large one: %d bytes, %v", len(got.Body), err)
 				}
@@ -78,21 +78,21 @@
 		ends := make(chan int, 99)
 		call := func(lane, size int) {
 			go func() {
-				ctx, end := context.WithTimeout(wire.Lane(context.Background(), lane), time.Minute)
+				ctx, end := context.WithTimeout(transport.Lane(context.Background(), lane), time.Minute)
 				defer end()
-				if _, err := wire.Ask[ping](ctx, p.a, "h2:1", "swap", ping{Body: make([]byte, size)}); err != nil {
+				if _, err := transport.Ask[ping](ctx, p.a, "h2:1", "swap", ping{Body: make([]byte, size)}); err != nil {
 					t.Error(err)
 				}
 				ends <- lane
 			}()
 			synctest.Wait()
 		}
-		call(wire.Bulk, 60_000)
-		for lane := wire.Bulk - 1; lane >= wire.Jobs; lane-- {
+		call(transport.Bulk, 60_000)
+		for lane := transport.Bulk - 1; lane >= transport.Jobs; lane-- {
 			call(lane, 100_000)
 		}
 		var order []int
-		for range wire.Bulk {
+		for range transport.Bulk {
 			order = append(order, <-ends)
 		}
 		if !slices.IsSorted(order) {
@@ -171,7 +171,7 @@
 					if n := p.seen.Load(); n != 12 {
 						t.Errorf("%d of 12 arrived", n)
 					}
-					frames := p.a.Sizes()[wire.Flow{Kind: "ping"}].Frames
+					frames := p.a.Sizes()[transport.Flow{Kind: "ping"}].Frames
 					if cut := frames > 12; cut != (one == 2 && two == 2) {
 						t.Errorf("%d frames", frames)
 					}
--- a/internal/wire/wire_test.go
+++ b/internal/transport/wire_test.go
@@ -1,4 +1,4 @@
-package wire_test
+package transport_test
 
 import (
 	"context"
@@ -16,7 +16,7 @@
 	"puffincrank/internal/fault"
 	"puffincrank/internal/sim"
 	"puffincrank/internal/task"
-	"puffincrank/internal/wire"
+	"puffincrank/internal/transport"
 )
 
 type ping struct {
@@ -33,7 +33,7 @@
 
 type pair struct {
 	net  *sim.Net
-	a, b *wire.Node
+	a, b *transport.Node
 	g    *task.Group
 	seen atomic.Int64
 	bad  atomic.Int64
@@ -41,7 +41,7 @@
 	ends []string // of links with calls under way, as the logs tell
 }
 
-func (p *pair) node(h, m string) *wire.Node {
+func (p *pair) node(h, m string) *transport.Node {
 	log := event.New(h, nil)
 	log.Tell(func(e event.Entry) {
 		if e.Num == event.BadLink.Num {
@@ -54,21 +54,21 @@
 		}
 	})
 	p.net.Place(h, "x")
-	return wire.NewNode(wire.Hello{Mesh: m, Node: h, Area: "x"}, env.Env{Net: p.net.Process(h, h), Log: log, Wall: time.Now, Pause: p.net.Pause(h)}, p.g, 1<<20, 4, 500*time.Millisecond)
+	return transport.NewNode(transport.Hello{Mesh: m, Node: h, Area: "x"}, env.Env{Net: p.net.Process(h, h), Log: log, Wall: time.Now, Pause: p.net.Pause(h)}, p.g, 1<<20, 4, 500*time.Millisecond)
 }
 
 func newPair(t *testing.T, mesh string) *pair {
 	p := &pair{net: sim.NewNet(1, time.Millisecond, time.Millisecond), g: task.New(context.Background())}
 	p.a, p.b = p.node("h1", "m"), p.node("h2", mesh)
-	wire.On(p.b, "ping", func(_ context.Context, _ wire.Hello, in ping) (ping, error) {
+	transport.On(p.b, "ping", func(_ context.Context, _ transport.Hello, in ping) (ping, error) {
 		p.seen.Add(1)
 		return ping{in.Body, in.N + 1}, nil
 	})
 	// Answers with as many bytes as it is told.
-	wire.On(p.b, "swap", func(_ context.Context, _ wire.Hello, in ping) (ping, error) {
+	transport.On(p.b, "swap", func(_ context.Context, _ transport.Hello, in ping) (ping, error) {
 		return ping{Body: make([]byte, in.N)}, nil
 	})
-	wire.On(p.b, "hang", func(ctx context.Context, _ wire.Hello, _ ping) (ping, error) {
+	transport.On(p.b, "hang", func(ctx context.Context, _ transport.Hello, _ ping) (ping, error) {
 		<-ctx.Done()
 		return ping{}, ctx.Err()
 	})
@@ -88,7 +88,7 @@
 func ask(p *pair, kind string, in any, left time.Duration) (ping, error) {
 	ctx, end := context.WithTimeout(context.Background(), left)
 	defer end()
-	return wire.Ask[ping](ctx, p.a, "h2:1", kind, in)
+	return transport.Ask[ping](ctx, p.a, "h2:1", kind, in)
 }
 
 // TestLargeFrameAfterRest: a frame past the buffer's size goes through after
@@ -111,7 +111,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		p := newPair(t, "m")
 		defer p.stop()
-		if _, err := wire.Ask[ping](t.Context(), p.a, "h2:9", "ping", ping{}); !fault.Is(err, fault.Unsent) {
+		if _, err := transport.Ask[ping](t.Context(), p.a, "h2:9", "ping", ping{}); !fault.Is(err, fault.Unsent) {
 			t.Errorf("nobody listens: %v", err)
 		}
 		if _, err := ask(p, "nonsense", ping{}, time.Second); !fault.Is(err, fault.Refused) {
@@ -159,8 +159,8 @@
 			t.Errorf("another mesh: %v", err)
 		}
 		sized := func(n uint32, b []byte) []byte { return append(binary.BigEndian.AppendUint32(nil, n), b...) }
-		hello, _ := msgpack.Marshal(wire.Hello{Mark: "puffincrank", Mesh: "other", Low: 1, High: 9})
-		later, _ := msgpack.Marshal(wire.Hello{Mark: "puffincrank", Mesh: "other", Low: 7, High: 9})
+		hello, _ := msgpack.Marshal(transport.Hello{Mark: "puffincrank", Mesh: "other", Low: 1, High: 9})
+		later, _ := msgpack.Marshal(transport.Hello{Mark: "puffincrank", Mesh: "other", Low: 7, High: 9})
 		for i, raw := range [][]byte{
 			[]byte("GET / HTTP/1.1\r\nHost: x\r\n\r\n"),
 			sized(1<<30, nil),
--- a/internal/workerconn/open.go
+++ b/internal/workerconn/open.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"puffincrank/internal/fault"
-	"puffincrank/internal/seal"
+	"puffincrank/internal/responsedigest"
 )
 
 // ErrStranger says that somebody else than the worker stands at its address.
@@ -78,7 +78,7 @@
 	if err != nil {
 		return "", false, err
 	}
-	r.Header.Set(seal.Worker, c.worker)
+	r.Header.Set(responsedigest.Worker, c.worker)
 	if err := c.write(r); err != nil {
 		return "", false, err
 	}
@@ -91,5 +91,5 @@
 	if err != nil || w.StatusCode >= 500 {
 		return "", false, fault.New(fault.Refused, "the worker says that it isn't well")
 	}
-	return w.Header.Get(seal.Worker), !w.Close && w.ProtoAtLeast(1, 1) && c.reader.Buffered() == 0, nil
+	return w.Header.Get(responsedigest.Worker), !w.Close && w.ProtoAtLeast(1, 1) && c.reader.Buffered() == 0, nil
 }
