--- a/internal/controlclient/beat.go
+++ b/internal/controlclient/beat.go
@@ -46,8 +46,8 @@
 	t.sees(from, got.Age)
 	t.mu.Lock()
 	// A receipt in time says that the way is free again.
-	t.slow = t.slow && time.Since(from) > t.x.P.Patience()
-	fill := t.since.IsZero() || time.Since(t.since) > t.x.P.Absent()
+	t.slow = t.slow && time.Since(from) > t.x.Settings.CallTimeout()
+	fill := t.since.IsZero() || time.Since(t.since) > t.x.Settings.MaxAbsence()
 	if len(got.Core) > 0 {
 		t.core = got.Core
 	}
@@ -66,7 +66,7 @@
 			return true
 		}
 	}
-	t.x.Rep.Sound(time.Now().Add(t.x.P.Session()))
+	t.x.Rep.Sound(time.Now().Add(t.x.Settings.SessionTTL()))
 	t.mu.Lock()
 	t.since = time.Now()
 	t.stir()
@@ -115,7 +115,7 @@
 	if at == "" {
 		return
 	}
-	ctx, end := context.WithTimeout(t.x.G.Context(), t.x.P.Parting())
+	ctx, end := context.WithTimeout(t.x.G.Context(), t.x.Settings.FarewellTimeout())
 	defer end()
 	_, _ = transport.Ask[protocol.Receipt](ctx, t.x.N, at, "session.beat", protocol.Beat{Fellow: t.x.Self, Bye: true})
 }
--- a/internal/controlclient/fill.go
+++ b/internal/controlclient/fill.go
@@ -74,7 +74,7 @@
 	if at == "" || at == to {
 		return false
 	}
-	ctx, end := context.WithTimeout(ctx, t.x.P.Patience()/4)
+	ctx, end := context.WithTimeout(ctx, t.x.Settings.CallTimeout()/4)
 	defer end()
 	got, err := t.x.Rep.Refill(ctx, at)
 	if err == nil && got.Done {
@@ -103,7 +103,7 @@
 	t.mu.Lock()
 	t.due, t.tips = time.Time{}, nil
 	t.mu.Unlock()
-	beat := t.x.P.Beat()
+	beat := t.x.Settings.HeartbeatInterval()
 	if at != to && !many {
 		// A fellow may know less than the control node does.
 		ctx, end := context.WithTimeout(t.x.G.Context(), t.leash())
--- a/internal/controlclient/list.go
+++ b/internal/controlclient/list.go
@@ -36,7 +36,7 @@
 		if a == "" {
 			continue
 		}
-		one, end := context.WithTimeout(ctx, t.x.P.Patience()/4)
+		one, end := context.WithTimeout(ctx, t.x.Settings.CallTimeout()/4)
 		// A list that is no newer would undo what is known here; but to one that
 		// knows next to nothing any is of use, and the rest comes with the beats.
 		next, _, ok := t.mend(one, a, b, fronts, func(hash uint64) bool { return hash == want || 2*b.Len() < fronts })
@@ -75,7 +75,7 @@
 	t.mu.Lock()
 	b, since := t.book, t.since
 	t.mu.Unlock()
-	if since.IsZero() || time.Since(since) > t.x.P.Session() || !t.x.Rep.Room() {
+	if since.IsZero() || time.Since(since) > t.x.Settings.SessionTTL() || !t.x.Rep.Room() {
 		return protocol.ListBack{Busy: true, Try: t.x.Rep.Given(from.Area, "")}, nil
 	}
 	out, err := Differ(b, in)
--- a/internal/controlclient/list_test.go
+++ b/internal/controlclient/list_test.go
@@ -26,14 +26,14 @@
 	synctest.Test(t, func(t *testing.T) {
 		g := task.New(context.Background())
 		defer g.Stop()
-		p := settings.Props{Change: 2 * time.Second, Return: 15 * time.Second, Retire: 10 * time.Second}
+		p := settings.Settings{ConfigBound: 2 * time.Second, RecoveryBound: 15 * time.Second, RetireAfter: 10 * time.Second}
 		road := &transport.Paved{Road: transport.NewRoad(func(string, string) time.Duration { return time.Millisecond })}
 		up := func(name string) *Touch {
 			e := env.Env{Net: road, Log: event.New(name, nil), Wall: time.Now}
-			w := transport.NewNode(transport.Hello{Mesh: "m", Node: name, Area: "x"}, e, g, 1<<20, 8, p.Patience())
+			w := transport.NewNode(transport.Hello{Mesh: "m", Node: name, Area: "x"}, e, g, 1<<20, 8, p.CallTimeout())
 			self := membership.Fellow{Node: name, Role: "proxy", Area: "x", Inner: name + ":1"}
-			rep := replica.New(self, w, g, e.Log, hlc.New(time.Now, time.Minute), p.Beat(), time.Hour, time.Hour)
-			x := New(Parts{P: p, Log: e.Log, G: g, N: w, Rep: rep, Self: self}, nil)
+			rep := replica.New(self, w, g, e.Log, hlc.New(time.Now, time.Minute), p.HeartbeatInterval(), time.Hour, time.Hour)
+			x := New(Parts{Settings: p, Log: e.Log, G: g, N: w, Rep: rep, Self: self}, nil)
 			x.Listen()
 			if err := w.Listen(self.Inner); err != nil {
 				t.Fatal(err)
@@ -47,7 +47,7 @@
 		}
 		newest, older := membership.NewBook(all), membership.NewBook(all[:590])
 		fellow, node := up("fellow"), up("node")
-		core := transport.NewNode(transport.Hello{Mesh: "m", Node: "core", Area: "x"}, env.Env{Net: road, Log: event.New("core", nil), Wall: time.Now}, g, 1<<20, 8, p.Patience())
+		core := transport.NewNode(transport.Hello{Mesh: "m", Node: "core", Area: "x"}, env.Env{Net: road, Log: event.New("core", nil), Wall: time.Now}, g, 1<<20, 8, p.CallTimeout())
 		transport.On(core, "session.members", func(context.Context, transport.Hello, protocol.ListAsk) (protocol.ListBack, error) {
 			return protocol.ListBack{Hash: newest.Hash(), Busy: true, Try: []string{"fellow:1"}}, nil
 		})
--- a/internal/controlclient/round.go
+++ b/internal/controlclient/round.go
@@ -19,9 +19,9 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.slow {
-		return t.x.P.Fresh()
+		return t.x.Settings.ConfirmationTTL()
 	}
-	return t.x.P.Patience()
+	return t.x.Settings.CallTimeout()
 }
 
 // once renews the session, with another control node if need be.
@@ -77,12 +77,12 @@
 	round, end := context.WithTimeout(ctx, t.leash())
 	defer end()
 	with := round
-	if t.leash() > t.x.P.Patience() {
+	if t.leash() > t.x.Settings.CallTimeout() {
 		with = ctx
 	}
 	rung := make(chan bool, 1)
 	if !t.x.G.Go("ring", func(ctx context.Context) {
-		ctx, end := context.WithTimeout(ctx, t.x.P.Patience()/2)
+		ctx, end := context.WithTimeout(ctx, t.x.Settings.CallTimeout()/2)
 		defer end()
 		rung <- t.x.N.Ring(ctx, "proxy", rings)
 	}) {
@@ -93,7 +93,7 @@
 		case err != nil:
 		case !got.In:
 			outs++
-			quick = quick || time.Since(began) < t.x.P.Patience()/2
+			quick = quick || time.Since(began) < t.x.Settings.CallTimeout()/2
 		case found == "" && t.beat(with, who):
 			found = who
 		}
@@ -116,7 +116,7 @@
 		return protocol.Unsure
 	}
 	// A full line may also be still for a while before it brings what waits.
-	if !quick && t.x.N.HeardFrom("", time.Now().Add(-t.x.P.Change)) > 0 {
+	if !quick && t.x.N.HeardFrom("", time.Now().Add(-t.x.Settings.ConfigBound)) > 0 {
 		return protocol.Unsure
 	}
 	return protocol.Lost
@@ -125,7 +125,7 @@
 // look asks a control node whether it is in touch. Its answer counts for as long
 // as it can be of use, also when the round is over.
 func (t *Touch) look(_ context.Context, to string) (protocol.Receipt, error) {
-	ctx, end := context.WithTimeout(t.x.G.Context(), t.x.P.Fresh())
+	ctx, end := context.WithTimeout(t.x.G.Context(), t.x.Settings.ConfirmationTTL())
 	defer end()
 	from := time.Now()
 	got, err := transport.Ask[protocol.Receipt](ctx, t.x.N, to, "session.beat", protocol.Beat{Fellow: t.x.Self, Version: t.host.Version(), Look: true})
@@ -150,11 +150,11 @@
 	woke := t.x.Woke()
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if time.Since(t.sure) <= t.x.P.Fresh() {
+	if time.Since(t.sure) <= t.x.Settings.ConfirmationTTL() {
 		return protocol.Sure
 	}
 	// A round that a freeze fell into says nothing: its answers may wait unread.
-	if t.lost && t.out.After(woke) && time.Since(t.out) <= t.x.P.Fresh() {
+	if t.lost && t.out.After(woke) && time.Since(t.out) <= t.x.Settings.ConfirmationTTL() {
 		return protocol.Lost
 	}
 	return protocol.Unsure
@@ -168,7 +168,7 @@
 	if w := t.Word(); w != protocol.Unsure {
 		return w
 	}
-	ctx, over := context.WithTimeout(ctx, min(2*t.x.P.Patience()+t.x.P.Beat(), time.Until(end)/2))
+	ctx, over := context.WithTimeout(ctx, min(2*t.x.Settings.CallTimeout()+t.x.Settings.HeartbeatInterval(), time.Until(end)/2))
 	defer over()
 	for {
 		t.mu.Lock()
--- a/internal/controlclient/touch.go
+++ b/internal/controlclient/touch.go
@@ -38,13 +38,13 @@
 
 // Parts is what the session is built on.
 type Parts struct {
-	P    settings.Props
-	Log  *event.Log
-	G    *task.Group
-	N    *transport.Node
-	Rep  *replica.Replica
-	Self membership.Fellow
-	Woke func() time.Time // the end of the newest freeze
+	Settings settings.Settings
+	Log      *event.Log
+	G        *task.Group
+	N        *transport.Node
+	Rep      *replica.Replica
+	Self     membership.Fellow
+	Woke     func() time.Time // the end of the newest freeze
 	// Same gives a list as other nodes of this process hold it, if any do.
 	Same func(*membership.Book) *membership.Book
 }
@@ -75,7 +75,7 @@
 // New readies a session; Run holds it.
 func New(x Parts, host Host) *Touch {
 	x.Rep.Await(true)
-	return &Touch{x: x, host: host, core: x.P.Seeds, seeds: x.P.Seeds, book: &membership.Book{}, held: patch.NewHeld(spare), turn: make(chan struct{}), kick: make(chan struct{}, 1)}
+	return &Touch{x: x, host: host, core: x.Settings.Seeds, seeds: x.Settings.Seeds, book: &membership.Book{}, held: patch.NewHeld(spare), turn: make(chan struct{}), kick: make(chan struct{}, 1)}
 }
 
 func (t *Touch) stir() {
@@ -108,9 +108,9 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.since.IsZero() {
-		return min(t.x.P.Beat()/8+time.Since(from)/4, t.x.P.Beat())
+		return min(t.x.Settings.HeartbeatInterval()/8+time.Since(from)/4, t.x.Settings.HeartbeatInterval())
 	}
-	return t.x.P.Beat()
+	return t.x.Settings.HeartbeatInterval()
 }
 
 // Kick makes the next beat come at once.
--- a/internal/controlclient/touch_test.go
+++ b/internal/controlclient/touch_test.go
@@ -64,7 +64,7 @@
 }
 
 func frozenRound(t *testing.T, late time.Duration) {
-	p := settings.Props{Change: 2 * time.Second, Return: 15 * time.Second, Retire: 10 * time.Second, Seeds: []string{"c1:1", "c2:1"}}
+	p := settings.Settings{ConfigBound: 2 * time.Second, RecoveryBound: 15 * time.Second, RetireAfter: 10 * time.Second, Seeds: []string{"c1:1", "c2:1"}}
 	air, g := sim.NewNet(1, time.Millisecond, time.Millisecond), task.New(context.Background())
 	var loop atomic.Pointer[chan struct{}]
 	cold, none := &icy{Net: air.Host("h1")}, make(chan struct{})
@@ -77,9 +77,9 @@
 		if h == "h1" {
 			e.Net = cold
 		}
-		w := transport.NewNode(transport.Hello{Mesh: "m", Node: h, Area: "x"}, e, g, 1<<20, 64, p.Patience())
+		w := transport.NewNode(transport.Hello{Mesh: "m", Node: h, Area: "x"}, e, g, 1<<20, 64, p.CallTimeout())
 		f := membership.Fellow{Node: h, Start: "s", Role: "proxy", Area: "x", Inner: h + ":1"}
-		return w, replica.New(f, w, g, e.Log, hlc.New(time.Now, time.Minute), p.Beat(), p.Repair(), p.Bury()), e.Log
+		return w, replica.New(f, w, g, e.Log, hlc.New(time.Now, time.Minute), p.HeartbeatInterval(), p.RepairInterval(), p.TombstoneTTL()), e.Log
 	}
 	var all []*transport.Node
 	for _, h := range []string{"c1", "c2"} {
@@ -96,7 +96,7 @@
 	var woke atomic.Pointer[time.Time]
 	woke.Store(&time.Time{})
 	w, rep, log := up("h1")
-	x := controlclient.New(controlclient.Parts{P: p, Log: log, G: g, N: w, Rep: rep, Self: membership.Fellow{Node: "h1", Role: "proxy", Area: "x"}, Woke: func() time.Time { return *woke.Load() }}, host{&loop})
+	x := controlclient.New(controlclient.Parts{Settings: p, Log: log, G: g, N: w, Rep: rep, Self: membership.Fellow{Node: "h1", Role: "proxy", Area: "x"}, Woke: func() time.Time { return *woke.Load() }}, host{&loop})
 	g.Go("touch", x.Run)
 	defer func() {
 		g.Cancel()
@@ -107,19 +107,19 @@
 	}()
 	wait := func(d time.Duration) { <-time.After(d); synctest.Wait() }
 	wait(time.Second)
-	if at, sure := x.At(); at == "" || x.Word() == protocol.Unsure || time.Since(sure) > p.Fresh() {
+	if at, sure := x.At(); at == "" || x.Word() == protocol.Unsure || time.Since(sure) > p.ConfirmationTTL() {
 		t.Fatalf("no session stands: %q %v", at, time.Since(sure))
 	}
 	air.Isolate("h1", true)
 	wait(3*time.Second + late)
-	if _, sure := x.At(); x.Word() == protocol.Unsure || time.Since(sure) <= p.Fresh() {
+	if _, sure := x.At(); x.Word() == protocol.Unsure || time.Since(sure) <= p.ConfirmationTTL() {
 		t.Fatalf("out of touch, it may not act: %v", time.Since(sure))
 	}
 	// Frozen at one of the instants of a round, with dials under way.
 	ice := make(chan struct{})
 	cold.thaw.Store(&ice)
 	loop.Store(&ice)
-	wait(p.Beat() + p.Gap()) // the shortest that a process notices
+	wait(p.HeartbeatInterval() + p.PauseThreshold()) // the shortest that a process notices
 	at := time.Now()
 	woke.Store(&at)
 	if x.Word() != protocol.Unsure {
@@ -137,13 +137,13 @@
 	for x.Word() == protocol.Unsure && time.Since(at) < 3*time.Second {
 		wait(10 * time.Millisecond)
 	}
-	if d := time.Since(at); d < p.Patience()/2 || d > 2*p.Patience()+2*p.Beat() {
+	if d := time.Since(at); d < p.CallTimeout()/2 || d > 2*p.CallTimeout()+2*p.HeartbeatInterval() {
 		t.Errorf("it acts again %v after the freeze", d)
 	}
 	// Back in touch it is sure of the newest, without any such round.
 	air.Isolate("h1", false)
 	wait(2 * time.Second)
-	if at, sure := x.At(); at == "" || time.Since(sure) > p.Fresh() {
+	if at, sure := x.At(); at == "" || time.Since(sure) > p.ConfirmationTTL() {
 		t.Errorf("no session came back: %q", at)
 	}
 }
--- a/internal/fleetrun/cost_test.go
+++ b/internal/fleetrun/cost_test.go
@@ -46,14 +46,14 @@
 		}
 		return out
 	}
-	mk := func(program, node, host string, inner, outer int, more map[string]any) settings.Props {
+	mk := func(program, node, host string, inner, outer int, more map[string]any) settings.Settings {
 		more["node"], more["area"] = node, "x"
 		more["inner"], more["outer"] = fmt.Sprintf("%s:%d", host, inner), fmt.Sprintf("%s:%d", host, outer)
 		v, bad := settings.Tables[program].Read(more, "")
 		if len(bad) > 0 {
 			t.Fatal(bad)
 		}
-		p, _ := settings.Make(v)
+		p, _ := settings.FromChecked(v)
 		return p
 	}
 	start := func(p interface{ Start() error }, err error) {
--- a/internal/fleetrun/soak/member.go
+++ b/internal/fleetrun/soak/member.go
@@ -20,10 +20,10 @@
 // settings file to its exit code, in the tongue of the stand-ins. False means that
 // there is no such program.
 func Member(program string) (code int, ok bool) {
-	build := map[string]func(settings.Props, env.Env) (lifecycle.Program, error){
-		"proxy":    func(p settings.Props, e env.Env) (lifecycle.Program, error) { return proxy.New(p, e), nil },
-		"registry": func(p settings.Props, e env.Env) (lifecycle.Program, error) { return registry.New(p, e), nil },
-		"store":    func(p settings.Props, e env.Env) (lifecycle.Program, error) { return store.New(p, e) },
+	build := map[string]func(settings.Settings, env.Env) (lifecycle.Program, error){
+		"proxy":    func(p settings.Settings, e env.Env) (lifecycle.Program, error) { return proxy.New(p, e), nil },
+		"registry": func(p settings.Settings, e env.Env) (lifecycle.Program, error) { return registry.New(p, e), nil },
+		"store":    func(p settings.Settings, e env.Env) (lifecycle.Program, error) { return store.New(p, e) },
 	}[program]
 	if build == nil {
 		return 0, false
--- a/internal/house/platform_test.go
+++ b/internal/house/platform_test.go
@@ -149,27 +149,27 @@
 // TestPlatformSettings: each program gets its own ports and addresses, bounds
 // come in our units, what is not known is left alone.
 func TestPlatformSettings(t *testing.T) {
-	for program, want := range map[string]func(p settings.Props) bool{
-		"proxy": func(p settings.Props) bool {
-			return p.Inner == "10.1.0.8:7620" && p.Seeds[1] == "10.2.0.10:7620" && p.Traffic == "10.1.0.8:8304" && p.Worker == "10.1.0.8:8301" &&
-				p.Service == "s1" && p.RepeatShare == 0.25 && p.Told.Milliseconds() == 1500 && p.Ready == "10.1.0.8:8302"
+	for program, want := range map[string]func(p settings.Settings) bool{
+		"proxy": func(p settings.Settings) bool {
+			return p.InternalAddr == "10.1.0.8:7620" && p.Seeds[1] == "10.2.0.10:7620" && p.TrafficAddr == "10.1.0.8:8304" && p.WorkerAddr == "10.1.0.8:8301" &&
+				p.Service == "s1" && p.RetryRatio == 0.25 && p.ConfiguredHeartbeat.Milliseconds() == 1500 && p.ReadyAddr == "10.1.0.8:8302"
 		},
-		"registry": func(p settings.Props) bool {
-			return p.Inner == "10.1.0.8:7620" && p.Outer == "10.1.0.8:8306" && slices.Equal(p.Stores, []string{"10.1.0.8:7621", "10.1.0.13:7621", "10.2.0.10:7621"}) && p.Ready == ""
+		"registry": func(p settings.Settings) bool {
+			return p.InternalAddr == "10.1.0.8:7620" && p.APIAddr == "10.1.0.8:8306" && slices.Equal(p.Stores, []string{"10.1.0.8:7621", "10.1.0.13:7621", "10.2.0.10:7621"}) && p.ReadyAddr == ""
 		},
-		"store": func(p settings.Props) bool {
-			return p.Inner == "10.1.0.8:7621" && p.Data == "/data/x" && p.Node != "n-1" && !p.Founding && p.Bear == 2 && p.BearAreas == 3 && p.BearRegions == 1 && p.Region == "r" && p.Voters() == 7
+		"store": func(p settings.Settings) bool {
+			return p.InternalAddr == "10.1.0.8:7621" && p.DataDir == "/data/x" && p.Node != "n-1" && !p.MayFound && p.ToleratedMachines == 2 && p.ToleratedZones == 3 && p.ToleratedRegions == 1 && p.Region == "r" && p.Voters() == 7
 		},
 	} {
 		in, err := platform.Read(program, []byte(boot))
 		if err != nil {
 			t.Fatal(program, err)
 		}
-		p, bad, err := settings.From(program, in)
+		p, bad, err := settings.FromValues(program, in)
 		if err != nil || len(bad) > 0 {
 			t.Fatal(program, bad, err)
 		}
-		if !want(p) || p.Memory != 184<<20 || p.CatchUp.Seconds() != 6 || p.Grace.Milliseconds() != 6500 || p.Touch.Seconds() != 3 {
+		if !want(p) || p.MemoryBytes != 184<<20 || p.CatchUpBound.Seconds() != 6 || p.GracePeriod.Milliseconds() != 6500 || p.ContactTime.Seconds() != 3 {
 			t.Errorf("%s: %+v", program, p)
 		}
 	}
@@ -180,8 +180,8 @@
 		if err != nil {
 			t.Fatal(program, err)
 		}
-		p, bad, err := settings.From(program, in)
-		if err != nil || len(bad) > 0 || p.Touch.Milliseconds() != 2999 || program == "proxy" && (p.RepeatAllowance != 62 || p.Told.Milliseconds() != 733) {
+		p, bad, err := settings.FromValues(program, in)
+		if err != nil || len(bad) > 0 || p.ContactTime.Milliseconds() != 2999 || program == "proxy" && (p.RetryAllowance != 62 || p.ConfiguredHeartbeat.Milliseconds() != 733) {
 			t.Errorf("%s, parts of a whole: %v %v %+v", program, bad, err, p)
 		}
 	}
--- a/internal/lifecycle/again.go
+++ b/internal/lifecycle/again.go
@@ -15,18 +15,20 @@
 
 // Again is a program that takes up changed settings while it runs; it names
 // those that it takes. All others hold for the life of the process.
-type Again interface{ Again(settings.Props) []string }
+type Again interface {
+	Again(settings.Settings) []string
+}
 
 // watch reads the settings again: at a signal, and when their file has changed
 // without one. It has no beat of its own; the program's beats call look.
 type watch struct {
 	name string
 	file string // "" where there is none
-	load func() (settings.Props, []schema.Fault, error)
+	load func() (settings.Settings, []schema.Problem, error)
 	log  *event.Log
 	mu   sync.Mutex
 	prog Again
-	now  settings.Props
+	now  settings.Settings
 	seen os.FileInfo // what the file looked like when it was last read
 	next time.Time   // the next look, a change after the last
 	bad  string      // what was wrong at the last reading
@@ -52,7 +54,7 @@
 	if w.file == "" || w.prog == nil || now.Before(w.next) {
 		return
 	}
-	w.next = now.Add(w.now.Change)
+	w.next = now.Add(w.now.ConfigBound)
 	i := w.stat()
 	if i == nil || w.seen != nil && os.SameFile(i, w.seen) && i.ModTime().Equal(w.seen.ModTime()) && i.Size() == w.seen.Size() {
 		return
@@ -77,7 +79,7 @@
 		if err != nil {
 			why = err.Error()
 		} else {
-			why = bad[0].Place + ": " + bad[0].Wrong
+			why = bad[0].Place + ": " + bad[0].Message
 		}
 		if why != w.bad {
 			w.log.Emit(event.SettingsBad, "faults", len(bad), "first", why)
@@ -114,13 +116,13 @@
 
 // remember sets the collector's limit. A part is kept back for what it does not
 // count: stacks, the C library and bytes that wait unread.
-func remember(p settings.Props) {
-	if p.Memory > 0 {
-		debug.SetMemoryLimit(int64(p.Memory) * 3 / 4)
+func remember(p settings.Settings) {
+	if p.MemoryBytes > 0 {
+		debug.SetMemoryLimit(int64(p.MemoryBytes) * 3 / 4)
 	}
 }
 
 // fixed is a program that takes none.
 type fixed struct{}
 
-func (fixed) Again(settings.Props) []string { return nil }
+func (fixed) Again(settings.Settings) []string { return nil }
--- a/internal/lifecycle/again_test.go
+++ b/internal/lifecycle/again_test.go
@@ -14,9 +14,9 @@
 	"puffincrank/internal/settings"
 )
 
-type taker struct{ got []settings.Props }
+type taker struct{ got []settings.Settings }
 
-func (k *taker) Again(p settings.Props) []string {
+func (k *taker) Again(p settings.Settings) []string {
 	k.got = append(k.got, p)
 	return []string{"seeds", "jobs"}
 }
@@ -39,7 +39,7 @@
 		}
 		write(`,"seeds":["127.0.0.1:4"]`)
 		reads := 0
-		load := func() (settings.Props, []schema.Fault, error) {
+		load := func() (settings.Settings, []schema.Problem, error) {
 			reads++
 			return settings.Load("proxy", []string{"--props", at})
 		}
@@ -81,7 +81,7 @@
 		}
 		write(`,"seeds":["127.0.0.1:6"],"jobs":64,"leave_ms":2500`)
 		w.read()
-		if len(k.got) != 2 || k.got[1].Jobs != 64 {
+		if len(k.got) != 2 || k.got[1].MaxRequests != 64 {
 			t.Errorf("a signal: taken %v", k.got)
 		}
 		reads = 0
--- a/internal/lifecycle/run.go
+++ b/internal/lifecycle/run.go
@@ -43,20 +43,20 @@
 
 // load reads the props: from the site with the flag --site, or from our own
 // file and flags.
-func load(name string, args []string, site Site) (settings.Props, []schema.Fault, error) {
+func load(name string, args []string, site Site) (settings.Settings, []schema.Problem, error) {
 	if len(args) == 1 && args[0] == "--site" && site.Settings != nil {
 		in, err := site.Settings(name)
 		if err != nil {
-			return settings.Props{}, nil, err
+			return settings.Settings{}, nil, err
 		}
-		return settings.From(name, in)
+		return settings.FromValues(name, in)
 	}
 	return settings.Load(name, args)
 }
 
 // Main runs a program until it is told to end; the result is the exit code:
 // 0 after a polite stop, 2 for bad props, 1 for a start that failed.
-func Main(name string, args []string, site Site, build func(settings.Props, env.Env) (Program, error)) int {
+func Main(name string, args []string, site Site, build func(settings.Settings, env.Env) (Program, error)) int {
 	if len(args) == 1 && args[0] == "--version" {
 		fmt.Println(version.Line(name))
 		return 0
@@ -67,7 +67,7 @@
 	ends, again := make(chan os.Signal, 1), make(chan os.Signal, 1)
 	signal.Notify(ends, syscall.SIGTERM, syscall.SIGINT)
 	signal.Notify(again, syscall.SIGHUP)
-	w := &watch{name: name, load: func() (settings.Props, []schema.Fault, error) { return load(name, args, site) }, file: settings.File(name, args)}
+	w := &watch{name: name, load: func() (settings.Settings, []schema.Problem, error) { return load(name, args, site) }, file: settings.File(name, args)}
 	if len(args) == 1 && args[0] == "--site" && site.File != nil {
 		w.file = site.File()
 	}
@@ -82,7 +82,7 @@
 		return 2
 	}
 	for _, f := range bad {
-		fmt.Fprintf(os.Stderr, "%s: prop %s: %s\n", name, f.Place, f.Wrong)
+		fmt.Fprintf(os.Stderr, "%s: prop %s: %s\n", name, f.Place, f.Message)
 	}
 	if len(bad) > 0 {
 		return 2
@@ -93,8 +93,8 @@
 	}
 	remember(p)
 	w.now, w.log, e.Look = p, e.Log, w.look
-	if p.Data != "" {
-		dir, err := disk.Open(p.Data)
+	if p.DataDir != "" {
+		dir, err := disk.Open(p.DataDir)
 		if err != nil {
 			fmt.Fprintf(os.Stderr, "%s: %v\n", name, err)
 			return 1
--- a/internal/lifecycle/signals_test.go
+++ b/internal/lifecycle/signals_test.go
@@ -35,7 +35,7 @@
 		return map[string]any{"node": "n", "area": "a", "inner": "127.0.0.1:1", "outer": "127.0.0.1:2", "traffic": "127.0.0.1:3", "seeds": []string{"127.0.0.1:4"}}, nil
 	}
 	site := Site{Settings: slow, File: func() string { return os.Args[0] }}
-	os.Exit(Main("proxy", []string{"--site"}, site, func(settings.Props, env.Env) (Program, error) { return idle{}, nil }))
+	os.Exit(Main("proxy", []string{"--site"}, site, func(settings.Settings, env.Env) (Program, error) { return idle{}, nil }))
 }
 
 // TestEndInSeries: an order to end is taken and obeyed in order, however soon after
--- a/internal/mutant/list.go
+++ b/internal/mutant/list.go
@@ -24,7 +24,7 @@
 	{"nobody-asked", Stranger, "internal/workerconn/open.go", "	if err == nil && named != c.worker {", "	if err == nil && named == \"\" {", "sim", "TestPassedAddress"},
 	{"any-service", Stranger, "internal/replica/index.go", "	return r.index[service]", "	var all []ormap.Entry\n	for _, l := range r.index {\n		all = append(all, l...)\n	}\n	return all", "replica", "TestIndex"},
 
-	{"gate-not-asked", Leaving, "internal/proxy/gate.go", "	if !g.word.After(woke) || time.Since(g.word) > x.P.Missed() {", "	if g.word.IsZero() && woke.IsZero() {", "sim", "TestFrozenOwner"},
+	{"gate-not-asked", Leaving, "internal/proxy/gate.go", "	if !g.word.After(woke) || time.Since(g.word) > x.Settings.WorkerTimeout() {", "	if g.word.IsZero() && woke.IsZero() {", "sim", "TestFrozenOwner"},
 	{"draining-ignored", Leaving, "internal/proxy/beat.go", "	case \"draining\":\n		x.drain(g)", "	case \"draining\":\n		x.hears(g, true)", "sim", "TestDrain"},
 
 	{"sign-off-forgotten", Leaving, "internal/proxy/workercall.go", "	if c.state != saysGone && (late || x.departed(c.worker)) {", "	if c.state != saysGone && late {", "sim", "TestLateBeatAfterSignOff"},
@@ -40,7 +40,7 @@
 	{"front-not-confirmed", Newest, "internal/controlclient/round.go", "	if w := t.Word(); w != protocol.Unsure {\n		return w\n	}\n	ctx, over", "	return protocol.Sure\n	ctx, over", "sim", "TestFrozenFront"},
 	{"step-back", Newest, "internal/proxy/start.go", "		if old != nil && old.Version >= version {", "		if old != nil && old.Version == version {", "proxy", "TestNeverBack"},
 	{"late-is-cut", Newest, "internal/controlclient/round.go", "	return \"\", t.verdict(began, outs, <-rung || quick), began", "	return \"\", max(session.Lost, session.Word(-outs)), began", "sim", "TestChokedLine"},
-	{"confirmed-too-long", Newest, "internal/settings/parts.go", "p.Pace() * 8 / 10 }", "p.Pace() * 13 / 10 }", "settings", "TestFresh"},
+	{"confirmed-too-long", Newest, "internal/settings/parts.go", "p.BaseInterval() * 8 / 10 }", "p.BaseInterval() * 13 / 10 }", "settings", "TestFresh"},
 	{"older-rules-run", Newest, "internal/proxy/owner.go", "	if v.in.Word == protocol.Lost || v.in.Word == protocol.Unsure {\n", "	if v.in.Word > protocol.Unsure {\n", "proxy", "TestOlderConfiguration"},
 	{"frozen-round", Newest, "internal/controlclient/round.go", "t.lost && t.out.After(woke) &&", "t.lost && (woke.IsZero() || !woke.IsZero()) &&", "controlclient", "TestFrozenRound"},
 
@@ -65,7 +65,7 @@
 	{"own-stop-unseen", Planned, "internal/proxy/ending.go", "	own := plan.WaitsFor() - 2*need\n", "	own := plan.WaitsFor()\n", "sim", "TestAnswersInStop"},
 	{"ends-before-last-sixth", Planned, "internal/shutdown/grace.go", "return s.AnswerUntil().Add(-s.length / answerPart) }", "return s.AnswerUntil().Add(-s.length / answerPart * 2) }", "shutdown", "TestSchedule"},
 	{"jobs-not-awaited", Planned, "internal/proxy/stop.go", "	for under() > 0 && ctx.Err() == nil {", "	for under() > 1<<40 && ctx.Err() == nil {", "sim", "TestLongStop"},
-	{"shut-at-once", Planned, "internal/proxy/stop.go", "	task.Pause(ctx, x.P.Leave*3/4)\n	x.left.Store(true)\n	x.drainWorkers()\n	task.Pause(ctx, x.P.Leave/2)\n", "	x.left.Store(true)\n	x.drainWorkers()\n", "sim", "TestRoll"},
+	{"shut-at-once", Planned, "internal/proxy/stop.go", "	task.Pause(ctx, x.Settings.LeaveBound*3/4)\n	x.left.Store(true)\n	x.drainWorkers()\n	task.Pause(ctx, x.Settings.LeaveBound/2)\n", "	x.left.Store(true)\n	x.drainWorkers()\n", "sim", "TestRoll"},
 	{"no-goodbye", Planned, "internal/transport/bye.go", "func (n *Node) Leave(long time.Duration) {\n", "func (n *Node) Leave(long time.Duration) {\n	if long > 0 {\n		return\n	}\n", "transport", "TestGoodbye"},
 
 	{"one-lane", Passing, "internal/proxy/steps.go", "x.beginAttempt(transport.Lane(ctx, x.lane(j)), j, h.Attempt)", "x.beginAttempt(transport.Lane(ctx, transport.Jobs), j, h.Attempt)", "sim", "TestThinLinks"},
--- a/internal/proxy/acknowledge.go
+++ b/internal/proxy/acknowledge.go
@@ -26,7 +26,7 @@
 // node has it too.
 func (x *Proxy) acknowledge(w http.ResponseWriter, r *http.Request, worker, state string, body any) {
 	if state != saysUp && !x.leaveKept(r.Context(), worker, state) {
-		httpapi.Busy(w, "no control node has noted the leave yet", x.P.Beat(), x.say.Fine)
+		httpapi.Busy(w, "no control node has noted the leave yet", x.Settings.HeartbeatInterval(), x.say.Fine)
 		return
 	}
 	httpapi.JSON(w, http.StatusOK, body)
@@ -58,7 +58,7 @@
 // tellControl hands a word on a worker to some control nodes at once, and tells
 // whether one has noted it.
 func (x *Proxy) tellControl(ctx context.Context, word ormap.Delta) bool {
-	ctx, end := context.WithTimeout(ctx, min(tellWithin, x.P.Patience()))
+	ctx, end := context.WithTimeout(ctx, min(tellWithin, x.Settings.CallTimeout()))
 	defer end()
 	core := x.touch.Core()
 	core = core[:min(len(core), tellAtOnce)]
--- a/internal/proxy/again.go
+++ b/internal/proxy/again.go
@@ -5,18 +5,18 @@
 // set gives the settings that may change while this process runs, as they were
 // last read. Bounds aren't among them: beats, leases and what others were told
 // follow from those, and P holds them for life.
-func (x *Proxy) set() *settings.Props {
+func (x *Proxy) set() *settings.Settings {
 	if p := x.reset.Load(); p != nil {
 		return p
 	}
-	return &x.P
+	return &x.Settings
 }
 
 // Again takes up changed settings and names those that it takes: the control
 // nodes to turn to when none of those known answers, the worker beside this
 // node, the bound on repeats and those on what is under way. Nothing that is
 // under way is touched.
-func (x *Proxy) Again(p settings.Props) []string {
+func (x *Proxy) Again(p settings.Settings) []string {
 	x.reset.Store(&p)
 	x.touch.Seeds(p.Seeds)
 	x.load.bound(&p)
@@ -29,4 +29,4 @@
 
 // callers is how many connections of callers there may be: three quarters of
 // what this process may open. The rest is for fellows, the worker and files.
-func callers(p *settings.Props) int { return p.Files * 3 / 4 }
+func callers(p *settings.Settings) int { return p.FileLimit * 3 / 4 }
--- a/internal/proxy/answer.go
+++ b/internal/proxy/answer.go
@@ -76,7 +76,7 @@
 	switch {
 	case j.back.Kind == protocol.Done:
 		c.Done++
-		if j.entry.Area == x.P.Area {
+		if j.entry.Area == x.Settings.Zone {
 			c.Near++
 		}
 	case j.lost != nil:
--- a/internal/proxy/attempts.go
+++ b/internal/proxy/attempts.go
@@ -10,6 +10,6 @@
 		return false
 	}
 	// Longer than the attempt could still be under way anywhere.
-	x.met[id] = time.Now().Add(2*left + x.P.Return)
+	x.met[id] = time.Now().Add(2*left + x.Settings.RecoveryBound)
 	return true
 }
--- a/internal/proxy/back_test.go
+++ b/internal/proxy/back_test.go
@@ -14,8 +14,8 @@
 // TestNeverBack: a configuration that comes late, past the session's own look
 // at its number, never takes the place of a newer one.
 func TestNeverBack(t *testing.T) {
-	p := settings.Props{Node: "n", Mesh: "m", Area: "a", Change: 2 * time.Second, Leave: 2 * time.Second, Window: 10 * time.Second, Return: 15 * time.Second, Retire: 10 * time.Second,
-		Frame: 1 << 20, Body: 1 << 20, Jobs: 16, Grace: time.Second, Seeds: []string{"10.0.0.1:1"}}
+	p := settings.Settings{Node: "n", ClusterID: "m", Zone: "a", ConfigBound: 2 * time.Second, LeaveBound: 2 * time.Second, RetryWindow: 10 * time.Second, RecoveryBound: 15 * time.Second, RetireAfter: 10 * time.Second,
+		MaxFrameBytes: 1 << 20, MaxBodyBytes: 1 << 20, MaxRequests: 16, GracePeriod: time.Second, Seeds: []string{"10.0.0.1:1"}}
 	x := New(p, env.Env{Wall: time.Now, Pause: task.Pause, Log: event.New("n", io.Discard)})
 	doc := []byte(`{"services":[{"name":"s"}],"classes":[{"name":"c","share":100}],"paths":[{"name":"p","prefix":"/p","service":"s","class":"c"}]}`)
 	for _, v := range []uint64{3, 2, 3, 1} {
--- a/internal/proxy/beat.go
+++ b/internal/proxy/beat.go
@@ -9,12 +9,12 @@
 )
 
 // Beats is the table of a worker's beat.
-var Beats = schema.Table{Name: "beat", Rows: []schema.Setting{
-	{Name: "service", Type: schema.Text, Must: true, Check: schema.Word, Rule: "a name", Help: "the service it serves"},
-	{Name: "worker", Type: schema.Text, Must: true, Check: schema.Word, Rule: "a name", Help: "its identity, a new one at each start"},
-	{Name: "addr", Type: schema.Addr, Must: true, Rule: "IP number and port", Help: "where it takes jobs"},
-	{Name: "slots", Type: schema.Count, Must: true, Check: schema.In(1, 1024), Rule: "1 to 1024", Help: "jobs that it runs at once"},
-	{Name: "state", Type: schema.Text, Must: true, Check: schema.OneOf("up", "draining", "gone"), Rule: "up, draining or gone", Help: "alive, leaving or signed off"},
+var Beats = schema.Table{Name: "beat", Rows: []schema.Field{
+	{Name: "service", Type: schema.Text, Required: true, Check: schema.IsName, Rule: "a name", Help: "the service it serves"},
+	{Name: "worker", Type: schema.Text, Required: true, Check: schema.IsName, Rule: "a name", Help: "its identity, a new one at each start"},
+	{Name: "addr", Type: schema.Addr, Required: true, Rule: "IP number and port", Help: "where it takes jobs"},
+	{Name: "slots", Type: schema.Count, Required: true, Check: schema.IntRange(1, 1024), Rule: "1 to 1024", Help: "jobs that it runs at once"},
+	{Name: "state", Type: schema.Text, Required: true, Check: schema.OneOf("up", "draining", "gone"), Rule: "up, draining or gone", Help: "alive, leaving or signed off"},
 }}
 
 // onBeat takes a worker's beat: the whole registration each time, so that a
@@ -37,7 +37,7 @@
 		return
 	}
 	x.takeCall(workerCall{worker: v.Text("worker"), service: v.Text("service"), addr: v.Text("addr"), slots: int(v.Count("slots")), state: v.Text("state")})
-	x.acknowledge(w, r, v.Text("worker"), v.Text("state"), map[string]any{"beat_ms": x.P.WorkerBeat().Milliseconds(), "missed_ms": x.P.Missed().Milliseconds()})
+	x.acknowledge(w, r, v.Text("worker"), v.Text("state"), map[string]any{"beat_ms": x.Settings.WorkerHeartbeat().Milliseconds(), "missed_ms": x.Settings.WorkerTimeout().Milliseconds()})
 }
 
 // beat does what a worker's call says. x.calling is held.
@@ -62,7 +62,7 @@
 		g = nil
 	}
 	if g == nil {
-		g = newGate(worker, service, addr, slots, x.P.Window)
+		g = newGate(worker, service, addr, slots, x.Settings.RetryWindow)
 		x.gates[worker] = g
 	}
 	x.mu.Unlock()
--- a/internal/proxy/ending.go
+++ b/internal/proxy/ending.go
@@ -14,9 +14,9 @@
 // was handed over before the order is bounded as well, so that it is refused
 // before this node goes, too.
 func (x *Proxy) queueWaitBound() time.Duration {
-	most := x.P.Grace * 6 / 10
+	most := x.Settings.GracePeriod * 6 / 10
 	if plan := x.stop.Load(); plan != nil {
-		most = min(most, plan.WaitsFor()-x.P.Parting())
+		most = min(most, plan.WaitsFor()-x.Settings.FarewellTimeout())
 	}
 	return max(most, time.Millisecond)
 }
@@ -95,17 +95,17 @@
 	if v.in.Last && x.mayStillEnd(v) {
 		return true
 	}
-	return v.later("a node on its way ends before it would be done", x.P.Beat())
+	return v.later("a node on its way ends before it would be done", x.Settings.HeartbeatInterval())
 }
 
 // mayStillEnd tells that an attempt has some time, if less than such requests usually take,
 // before its front or this node goes.
-func (x *Proxy) mayStillEnd(v *visit) bool { return x.leftBeforeEnd(v) > x.P.Parting() }
+func (x *Proxy) mayStillEnd(v *visit) bool { return x.leftBeforeEnd(v) > x.Settings.FarewellTimeout() }
 
 // leftBeforeEnd is how long a lost request's attempt has until its front or this node
 // goes; none at a node that ends as long as others may take it.
 func (x *Proxy) leftBeforeEnd(v *visit) time.Duration {
-	left := x.P.Grace
+	left := x.Settings.GracePeriod
 	if !v.last.IsZero() {
 		left = time.Until(v.last)
 	}
@@ -170,7 +170,7 @@
 // pauseForLost is the pause before a lost request turns to workers anew that had no room,
 // by when they said that they may have some. Room that comes sooner must not be missed.
 func (x *Proxy) pauseForLost(come time.Duration) time.Duration {
-	return min(max(come, x.P.Beat()/2), 2*x.P.Beat())
+	return min(max(come, x.Settings.HeartbeatInterval()/2), 2*x.Settings.HeartbeatInterval())
 }
 
 // persists tells that a request goes on to look for a worker, after a pause: this node
--- a/internal/proxy/front.go
+++ b/internal/proxy/front.go
@@ -56,7 +56,7 @@
 func (x *Proxy) front(w http.ResponseWriter, r *http.Request) {
 	now := x.busy.Add(1)
 	defer x.busy.Add(-1)
-	j := &job{id: fmt.Sprintf("%s.%s.%d", x.P.Node, x.boot, x.seq.Add(1)), req: r, from: time.Now(), tried: map[string]bool{}}
+	j := &job{id: fmt.Sprintf("%s.%s.%d", x.Settings.Node, x.boot, x.seq.Add(1)), req: r, from: time.Now(), tried: map[string]bool{}}
 	if x.stay.Crowded() {
 		w.Header().Set("Connection", "close")
 	} else if told := x.told.Load(); *told != "" {
@@ -87,15 +87,15 @@
 		return
 	}
 	// The load that one front takes at once is bounded like all else.
-	if now > int64(x.set().Jobs) {
-		x.busyNow(w, "this node has too many jobs under way", x.P.Beat())
+	if now > int64(x.set().MaxRequests) {
+		x.busyNow(w, "this node has too many jobs under way", x.Settings.HeartbeatInterval())
 		return
 	}
 	defer func() { x.load.free(j.took, j.from) }()
 	switch code, why := x.read(w, j); code {
 	case 0:
 	case http.StatusServiceUnavailable:
-		x.busyNow(w, why, x.load.come(x.P.Beat()))
+		x.busyNow(w, why, x.load.come(x.Settings.HeartbeatInterval()))
 		return
 	default:
 		x.wrong(w, code, why)
@@ -107,7 +107,7 @@
 	// is no path only a node that is sure may say.
 	if code, why := x.match(j); code != 0 {
 		if j.word == protocol.Unsure {
-			x.busyNow(w, "this node can't confirm its configuration", x.P.Change)
+			x.busyNow(w, "this node can't confirm its configuration", x.Settings.ConfigBound)
 			return
 		}
 		x.wrong(w, code, why)
@@ -121,7 +121,7 @@
 	if n := x.load.expects(j.path.Name); x.load.take(n) {
 		j.took += n
 	} else {
-		x.busyNow(w, noRoom, x.load.come(x.P.Beat()))
+		x.busyNow(w, noRoom, x.load.come(x.Settings.HeartbeatInterval()))
 		return
 	}
 	ctx, stop := x.jobContext(j)
@@ -136,7 +136,7 @@
 
 // read takes the body and the time left that the caller gave.
 func (x *Proxy) read(w http.ResponseWriter, j *job) (int, string) {
-	j.end = j.from.Add(x.P.Grace)
+	j.end = j.from.Add(x.Settings.GracePeriod)
 	if raw := j.req.Header.Get(x.say.Left); raw != "" {
 		ms, err := strconv.ParseInt(raw, 10, 64)
 		if err != nil || ms <= 0 || ms > 3600_000 {
--- a/internal/proxy/fuzz_test.go
+++ b/internal/proxy/fuzz_test.go
@@ -89,11 +89,11 @@
 		for _, tab := range []schema.Table{Workers, Beats} {
 			v, bad := tab.ReadKnown(in, "")
 			for _, b := range bad {
-				if b.Place == "" || b.Wrong == "" {
+				if b.Place == "" || b.Message == "" {
 					t.Errorf("a fault without its place: %+v", b)
 				}
 			}
-			if n := v.Count("slots"); len(bad) == 0 && (n < 1 || n > 1024 || schema.IsAddr(v.Text("addr")) != nil || schema.Word(v.Text("service")) != nil) {
+			if n := v.Count("slots"); len(bad) == 0 && (n < 1 || n > 1024 || schema.IsAddr(v.Text("addr")) != nil || schema.IsName(v.Text("service")) != nil) {
 				t.Errorf("read: %v", v)
 			}
 		}
--- a/internal/proxy/gate.go
+++ b/internal/proxy/gate.go
@@ -129,7 +129,7 @@
 	x.e.Looks()
 	for _, g := range x.allGates() {
 		g.mu.Lock()
-		mute := time.Since(g.heard) > x.P.Missed()
+		mute := time.Since(g.heard) > x.Settings.WorkerTimeout()
 		g.mu.Unlock()
 		if mute && x.moves(g, "miss", "no word in time") {
 			g.room.Close()
@@ -137,7 +137,7 @@
 		}
 		// One that stays mute for good leaves no door behind.
 		if mute {
-			if time.Since(g.lastHeard()) > x.P.Retire {
+			if time.Since(g.lastHeard()) > x.Settings.RetireAfter {
 				x.mu.Lock()
 				if x.gates[g.worker] == g {
 					delete(x.gates, g.worker)
@@ -197,10 +197,10 @@
 	defer g.mu.Unlock()
 	// A 'draining' may wait unread in a socket, or not get here at all: the
 	// worker may have left at any time after its newest word.
-	if !g.word.After(woke) || time.Since(g.word) > x.P.Missed() {
+	if !g.word.After(woke) || time.Since(g.word) > x.Settings.WorkerTimeout() {
 		return false
 	}
-	return g.state.Is("up") || g.state.Is("draining") && time.Since(g.leaves) < x.P.Leave/4
+	return g.state.Is("up") || g.state.Is("draining") && time.Since(g.leaves) < x.Settings.LeaveBound/4
 }
 
 // hears notes a beat. One that is read right after a freeze may be as old as
@@ -210,7 +210,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.heard = time.Now()
-	if up && time.Since(woke) > x.P.WorkerBeat()/2 {
+	if up && time.Since(woke) > x.Settings.WorkerHeartbeat()/2 {
 		g.word = g.heard
 	}
 }
@@ -229,7 +229,7 @@
 	x.e.Log.Emit(event.Draining, "worker", g.worker)
 	x.enter(g)
 	x.g.Go("shut-door", func(ctx context.Context) {
-		task.Pause(ctx, x.P.Leave/4)
+		task.Pause(ctx, x.Settings.LeaveBound/4)
 		if g.state.Is("draining") {
 			g.room.Close()
 		}
--- a/internal/proxy/hedge_test.go
+++ b/internal/proxy/hedge_test.go
@@ -41,7 +41,7 @@
 // hedgeProxy is a front that knows of three workers of a service, and a request that is
 // about to be sent to one of them.
 func hedgeProxy() (*Proxy, *job) {
-	x := &Proxy{P: settings.Props{Grace: 6 * time.Second, Change: 2 * time.Second}}
+	x := &Proxy{Settings: settings.Settings{GracePeriod: 6 * time.Second, ConfigBound: 2 * time.Second}}
 	x.attempts.by = map[string]*attempt{}
 	x.pick = balancer.New("a", time.Second, 10*time.Second, func(string, bool) {})
 	return x, &job{path: &rules.Path{Name: "p"}, arm: &rules.Arm{Safe: true, Tries: 2}, service: "s", tried: map[string]bool{"w": true}, sends: 1, known: 3, end: time.Now().Add(time.Second)}
--- a/internal/proxy/lane.go
+++ b/internal/proxy/lane.go
@@ -40,7 +40,7 @@
 // sent, and the owner is none the worse for it.
 func (x *Proxy) thin(come time.Duration) protocol.Back {
 	x.slim.Add(1)
-	return protocol.Back{Kind: protocol.Refused, Why: "the link to the owner is full", Come: max(come, x.P.Beat()).Milliseconds(), Used: -1}
+	return protocol.Back{Kind: protocol.Refused, Why: "the link to the owner is full", Come: max(come, x.Settings.HeartbeatInterval()).Milliseconds(), Used: -1}
 }
 
 // book keeps room on the link back for the answer of a bulk job, by what others
@@ -49,7 +49,7 @@
 func (x *Proxy) book(ctx context.Context, v *visit) bool {
 	left := time.Until(v.end)
 	need := v.gate.need(v.in.Path, left/4)
-	if transport.LaneOf(ctx) == transport.Bulk && left < need+x.P.Patience()/4 {
+	if transport.LaneOf(ctx) == transport.Bulk && left < need+x.Settings.CallTimeout()/4 {
 		// It took its time to come here; begun now, its receipt might come too
 		// late, and nobody would know that it ran.
 		return v.refuse("no time left to run it in")
@@ -64,7 +64,7 @@
 	free, come, ok := transport.Book(ctx, v.gate.gives(v.in.Path), need)
 	if !ok {
 		x.slim.Add(1)
-		return v.later("the link back to the front is full", max(come, x.P.Beat()))
+		return v.later("the link back to the front is full", max(come, x.Settings.HeartbeatInterval()))
 	}
 	v.free = free
 	return true
--- a/internal/proxy/limits_test.go
+++ b/internal/proxy/limits_test.go
@@ -11,7 +11,7 @@
 // TestBodyBound: the document's bound on bodies holds as soon as it is in
 // force, within what a frame can carry; without one the prop's does.
 func TestBodyBound(t *testing.T) {
-	x := &Proxy{P: settings.Props{Body: 1 << 20, Frame: 16 << 20}}
+	x := &Proxy{Settings: settings.Settings{MaxBodyBytes: 1 << 20, MaxFrameBytes: 16 << 20}}
 	for _, c := range []struct{ told, most, wide int64 }{{0, 1 << 20, 1 << 20}, {4 << 20, 4 << 20, 4 << 20}, {64 << 20, 8 << 20, 8 << 20}, {1000, 1000, 1 << 20}} {
 		doc := fmt.Sprintf(`{"version":1,"services":[{"name":"s"}],"paths":[{"name":"p","prefix":"/p/","service":"s"}],"limits":{"body_bytes":%d}}`, c.told)
 		if c.told == 0 {
@@ -33,7 +33,7 @@
 		allow int
 		want  [2]float64
 	}{{0, 0, [2]float64{0.2, 50}}, {0.1, 60, [2]float64{0.1, 60}}, {0, 60, [2]float64{0, 60}}, {0.3, 0, [2]float64{0.3, 0}}} {
-		x := &Proxy{P: settings.Props{RepeatShare: c.share, RepeatAllowance: c.allow}}
+		x := &Proxy{Settings: settings.Settings{RetryRatio: c.share, RetryAllowance: c.allow}}
 		if share, allow := x.repeats(r); share != c.want[0] || float64(allow) != c.want[1] {
 			t.Errorf("told %g and %d: %g and %d", c.share, c.allow, share, allow)
 		}
--- a/internal/proxy/load.go
+++ b/internal/proxy/load.go
@@ -32,17 +32,17 @@
 // left for the tables, the links and what the collector has not yet swept.
 // Where the memory isn't told, eight bodies of the largest kind that a frame
 // can carry have room.
-func roomOf(p *settings.Props) int64 {
-	if p.Memory > 0 {
-		return int64(p.Memory) / 8
+func roomOf(p *settings.Settings) int64 {
+	if p.MemoryBytes > 0 {
+		return int64(p.MemoryBytes) / 8
 	}
-	return 4 * int64(p.Frame)
+	return 4 * int64(p.MaxFrameBytes)
 }
 
-func newLoad(p *settings.Props) *load { return &load{most: roomOf(p), sizes: map[string]int64{}} }
+func newLoad(p *settings.Settings) *load { return &load{most: roomOf(p), sizes: map[string]int64{}} }
 
 // bound changes the bound; what is under way stays.
-func (l *load) bound(p *settings.Props) {
+func (l *load) bound(p *settings.Settings) {
 	l.mu.Lock()
 	l.most = roomOf(p)
 	l.mu.Unlock()
@@ -183,7 +183,7 @@
 	// is here already, but must not wait and run while there is no room.
 	from, n := time.Now(), int64(len(in.Body))+x.load.expects(in.Path)
 	if !x.load.take(n) {
-		return protocol.Back{Kind: protocol.Refused, Why: noRoom, Come: x.load.come(x.P.Beat()).Milliseconds(), Used: -1}, nil
+		return protocol.Back{Kind: protocol.Refused, Why: noRoom, Come: x.load.come(x.Settings.HeartbeatInterval()).Milliseconds(), Used: -1}, nil
 	}
 	ctx, over := x.late.Bind(ctx)
 	defer over()
--- a/internal/proxy/load_test.go
+++ b/internal/proxy/load_test.go
@@ -14,7 +14,7 @@
 // whatever its size, and a body without a length counts as what it is in all.
 func TestLoad(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		l := newLoad(&settings.Props{Memory: 8 << 20})
+		l := newLoad(&settings.Settings{MemoryBytes: 8 << 20})
 		from := time.Now()
 		if !l.take(3 << 20) {
 			t.Fatal("one alone found no room")
--- a/internal/proxy/newsrate_test.go
+++ b/internal/proxy/newsrate_test.go
@@ -51,7 +51,7 @@
 	for range 200 {
 		g.own.Cold(time.Hour)
 		x.doubt(g)
-		g.own = balancer.NewOwn(x.P.Window)
+		g.own = balancer.NewOwn(x.Settings.RetryWindow)
 		x.doubt(g)
 	}
 	if most := int(newsAtOnce(240)); registered > most {
--- a/internal/proxy/outer.go
+++ b/internal/proxy/outer.go
@@ -52,22 +52,22 @@
 	// An application's change that is read right after a freeze may be as old
 	// as the freeze; its sender has done other things since. A front notices
 	// only longer freezes than a control node does, so that less time is left.
-	by := time.Now().Add(x.P.Late() / 2)
+	by := time.Now().Add(x.Settings.MaxCallAge() / 2)
 	app := r.Method != http.MethodGet && strings.HasPrefix(r.URL.Path, "/puffin/app/")
-	if app && time.Since(x.pulse.Woke()) < x.P.Beat() {
-		httpapi.Busy(w, "frozen until just now; nothing was done", x.P.Beat())
+	if app && time.Since(x.pulse.Woke()) < x.Settings.HeartbeatInterval() {
+		httpapi.Busy(w, "frozen until just now; nothing was done", x.Settings.HeartbeatInterval())
 		return
 	}
-	body, code := httpapi.Body(w, r, int64(x.P.Frame)/2)
+	body, code := httpapi.Body(w, r, int64(x.Settings.MaxFrameBytes)/2)
 	if code != 0 {
 		httpapi.JSON(w, code, httpapi.Wrong{Wrong: "the body can't be read or is over the bound"})
 		return
 	}
 	// The core's own bound and a little more: a change that is held up on its
 	// way must not be done long after its caller gave up.
-	long := 2*x.P.Change + x.P.Patience()
+	long := 2*x.Settings.ConfigBound + x.Settings.CallTimeout()
 	if r.URL.Query().Get("left_ms") != "" {
-		long = x.P.Grace
+		long = x.Settings.GracePeriod
 	}
 	bound, over := x.late.Bind(r.Context())
 	defer over()
@@ -97,7 +97,7 @@
 			return
 		}
 	}
-	httpapi.Busy(w, "no control node can be reached; nothing was done", x.P.Change)
+	httpapi.Busy(w, "no control node can be reached; nothing was done", x.Settings.ConfigBound)
 }
 
 // Status is what a proxy says of itself.
@@ -149,7 +149,7 @@
 
 func (x *Proxy) status() Status {
 	at, sure := x.touch.At()
-	s := Status{Node: x.P.Node, Area: x.P.Area, State: x.life.Now(), Session: at, SureMS: time.Since(sure).Milliseconds(), Traffic: x.P.Traffic}
+	s := Status{Node: x.Settings.Node, Area: x.Settings.Zone, State: x.life.Now(), Session: at, SureMS: time.Since(sure).Milliseconds(), Traffic: x.Settings.TrafficAddr}
 	if r := x.rules.Load(); r != nil {
 		s.Version = r.Version
 	}
--- a/internal/proxy/owner.go
+++ b/internal/proxy/owner.go
@@ -197,9 +197,9 @@
 		return true
 	}
 	if s := v.gate.state.Now(); s != "up" {
-		return v.later("worker is "+s, x.P.Missed())
+		return v.later("worker is "+s, x.Settings.WorkerTimeout())
 	}
-	return v.later("no fresh word of the worker", 2*x.P.WorkerBeat())
+	return v.later("no fresh word of the worker", 2*x.Settings.WorkerHeartbeat())
 }
 
 // admit takes a slot. Waiting is bounded by a part of the time left, so that
--- a/internal/proxy/probe.go
+++ b/internal/proxy/probe.go
@@ -9,7 +9,7 @@
 // probe asks the worker's port whether it lives, on a connection of its own:
 // it must find out whether one stands.
 func (x *Proxy) probe(ctx context.Context, g *gate) {
-	ctx, end := context.WithTimeout(ctx, x.P.Missed()/2)
+	ctx, end := context.WithTimeout(ctx, x.Settings.WorkerTimeout()/2)
 	defer end()
 	c, err := x.conns.Open(ctx, g.worker, g.addr)
 	if err == nil {
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -33,7 +33,7 @@
 
 // Proxy is one process. Lock order: mu before a gate's own lock.
 type Proxy struct {
-	P           settings.Props
+	Settings    settings.Settings
 	e           env.Env
 	g           *task.Group
 	n           *transport.Node
@@ -61,9 +61,9 @@
 	stay        httpapi.Stay           // how long callers' connections may
 	told        atomic.Pointer[string] // what callers are told of that
 	rules       atomic.Pointer[rules.Rules]
-	reset       atomic.Pointer[settings.Props] // settings read again since the start
-	busy        atomic.Int64                   // jobs under way as a front
-	owned       atomic.Int64                   // attempts under way as an owner
+	reset       atomic.Pointer[settings.Settings] // settings read again since the start
+	busy        atomic.Int64                      // jobs under way as a front
+	owned       atomic.Int64                      // attempts under way as an owner
 	seq         atomic.Uint64
 	slim        atomic.Int64                      // attempts refused for want of room on a link
 	quit        atomic.Int64                      // callers that left before their answers
@@ -93,32 +93,32 @@
 type counts struct{ Jobs, Done, Refused, Unknown, Sends, Near int64 }
 
 // New readies a proxy.
-func New(p settings.Props, e env.Env) *Proxy {
+func New(p settings.Settings, e env.Env) *Proxy {
 	g := task.New(context.Background()).Pace(e.Pause)
-	x := &Proxy{P: p, e: e, g: g, well: make(chan struct{}), gates: map[string]*gate{}, met: map[string]time.Time{}, tally: map[armKey]*armTally{}, live: map[string]time.Time{}, lastCalls: map[string]lastCall{}, departures: map[string]time.Time{}, kept: map[string]string{}, boot: fresh(), born: time.Now(), say: e.Say}
+	x := &Proxy{Settings: p, e: e, g: g, well: make(chan struct{}), gates: map[string]*gate{}, met: map[string]time.Time{}, tally: map[armKey]*armTally{}, live: map[string]time.Time{}, lastCalls: map[string]lastCall{}, departures: map[string]time.Time{}, kept: map[string]string{}, boot: fresh(), born: time.Now(), say: e.Say}
 	x.late = shutdown.NewLate(g.Context())
 	x.attempts.by, x.remote.by = map[string]*attempt{}, map[string]context.Context{}
 	if x.say.Name == "" {
 		x.say = dialect.Own
 	}
-	x.self = membership.Fellow{Node: p.Node, Start: x.boot, Role: "proxy", Area: p.Area, Inner: p.Inner, Outer: p.Outer, Traffic: p.Traffic}
-	x.n = transport.NewNode(transport.Hello{Mesh: p.Mesh, Node: p.Node, Area: p.Area, Role: "proxy"}, e, g, p.Frame, p.Jobs, p.Patience())
-	x.n.Bound = p.Links()
-	x.rep = replica.New(x.self, x.n, g, e.Log, hlc.New(e.Wall, 2*p.Return), p.Beat(), p.Repair(), p.Bury())
-	x.pick = balancer.New(p.Area, p.Beat(), p.Window, x.fitness)
-	x.again = retrybudget.New(p.Window)
+	x.self = membership.Fellow{Node: p.Node, Start: x.boot, Role: "proxy", Area: p.Zone, Inner: p.InternalAddr, Outer: p.APIAddr, Traffic: p.TrafficAddr}
+	x.n = transport.NewNode(transport.Hello{Mesh: p.ClusterID, Node: p.Node, Area: p.Zone, Role: "proxy"}, e, g, p.MaxFrameBytes, p.MaxRequests, p.CallTimeout())
+	x.n.Bound = p.MaxIdleLinks()
+	x.rep = replica.New(x.self, x.n, g, e.Log, hlc.New(e.Wall, 2*p.RecoveryBound), p.HeartbeatInterval(), p.RepairInterval(), p.TombstoneTTL())
+	x.pick = balancer.New(p.Zone, p.HeartbeatInterval(), p.RetryWindow, x.fitness)
+	x.again = retrybudget.New(p.RetryWindow)
 	x.kin = newKin()
 	x.calls = newCalls()
-	x.knows = newRecall(p.Beat() / 32)
+	x.knows = newRecall(p.HeartbeatInterval() / 32)
 	x.load = newLoad(&p)
-	x.gone, x.runsEnded = event.NewLimiter(p.Beat()), event.NewLimiter(p.Beat())
-	x.unanswered = event.NewLimiter(p.Beat())
+	x.gone, x.runsEnded = event.NewLimiter(p.HeartbeatInterval()), event.NewLimiter(p.HeartbeatInterval())
+	x.unanswered = event.NewLimiter(p.HeartbeatInterval())
 	x.stay.Bound(callers(&p))
 	x.limits(nil)
 	x.fitnessNews = newNewsRate(time.Now())
-	x.pulse = pausedetect.New(p.Beat()/4, p.Gap(), func(gap time.Duration) { e.Log.Emit(event.Froze, "ms", gap.Milliseconds()) })
+	x.pulse = pausedetect.New(p.HeartbeatInterval()/4, p.PauseThreshold(), func(gap time.Duration) { e.Log.Emit(event.Froze, "ms", gap.Milliseconds()) })
 	x.touch = newTouch(x)
-	x.conns = workerconn.NewPool(e.Net, g, p.Change, int64(max(p.Body, p.Frame/2))+64<<10, x.say.Asks)
+	x.conns = workerconn.NewPool(e.Net, g, p.ConfigBound, int64(max(p.MaxBodyBytes, p.MaxFrameBytes/2))+64<<10, x.say.Asks)
 	x.life = fsm.New("starting", nil,
 		fsm.Move{From: "starting", By: "filled", To: "ready"},
 		fsm.Move{From: "starting", By: "stop", To: "leaving"},
--- a/internal/proxy/rematch.go
+++ b/internal/proxy/rematch.go
@@ -31,7 +31,7 @@
 			continue
 		}
 		x.touch.Kick()
-		task.Pause(ctx, x.P.Beat()/8)
+		task.Pause(ctx, x.Settings.HeartbeatInterval()/8)
 	}
 	// It has had the time to catch up.
 	delete(j.tried, j.entry.Worker)
@@ -40,7 +40,7 @@
 // teach gives an owner that is behind the configuration held here; most likely
 // it lacks the newest step.
 func (x *Proxy) teach(ctx context.Context, j *job) bool {
-	ctx, end := context.WithTimeout(ctx, x.P.Patience())
+	ctx, end := context.WithTimeout(ctx, x.Settings.CallTimeout())
 	defer end()
 	_, err := controlclient.Push(ctx, x.n, j.entry.Inner, x.touch.Held(), j.rules.Version-1)
 	return err == nil
@@ -48,7 +48,7 @@
 
 // learn takes the configuration that an owner holds, if it is newer.
 func (x *Proxy) learn(ctx context.Context, at string) bool {
-	ctx, end := context.WithTimeout(ctx, x.P.Patience())
+	ctx, end := context.WithTimeout(ctx, x.Settings.CallTimeout())
 	defer end()
 	return x.touch.Learn(ctx, at)
 }
--- a/internal/proxy/start.go
+++ b/internal/proxy/start.go
@@ -23,29 +23,29 @@
 	x.touch.Listen()
 	transport.On(x.n, "node.status", x.onStatus)
 	transport.On(x.n, "node.drain", x.onDrain)
-	if err := x.n.Listen(x.P.Inner); err != nil {
+	if err := x.n.Listen(x.Settings.InternalAddr); err != nil {
 		return err
 	}
-	if err := httpapi.Serve(x.g, x.e, x.P.Outer, httpapi.Called(x.e.Say, x.outerRoutes()), x.P.Change); err != nil {
+	if err := httpapi.Serve(x.g, x.e, x.Settings.APIAddr, httpapi.Called(x.e.Say, x.outerRoutes()), x.Settings.ConfigBound); err != nil {
 		return err
 	}
-	if x.P.Ready != "" {
+	if x.Settings.ReadyAddr != "" {
 		m := chi.NewRouter()
 		m.Get("/puffin/ready", x.onReady)
-		if err := httpapi.Serve(x.g, x.e, x.P.Ready, m, x.P.Change); err != nil {
+		if err := httpapi.Serve(x.g, x.e, x.Settings.ReadyAddr, m, x.Settings.ConfigBound); err != nil {
 			return err
 		}
 	}
-	srv, err := httpapi.Callers(x.g, x.e, x.P.Traffic, http.HandlerFunc(x.front), x.P.Change, x.P.Frame/16, &x.stay)
+	srv, err := httpapi.Callers(x.g, x.e, x.Settings.TrafficAddr, http.HandlerFunc(x.front), x.Settings.ConfigBound, x.Settings.MaxFrameBytes/16, &x.stay)
 	if err != nil {
 		return err
 	}
 	x.door = srv
-	x.e.Log.Emit(event.Started, "program", "proxy", "traffic", x.P.Traffic)
+	x.e.Log.Emit(event.Started, "program", "proxy", "traffic", x.Settings.TrafficAddr)
 	x.g.Go("pulse", func(ctx context.Context) { x.pulse.Run(ctx, x.e.Pause) })
 	x.g.Go("session", x.touch.Run)
-	x.g.Every("worker-watch", x.P.WorkerBeat(), x.watch)
-	x.g.Every("forget", x.P.Return, x.forget)
+	x.g.Every("worker-watch", x.Settings.WorkerHeartbeat(), x.watch)
+	x.g.Every("forget", x.Settings.RecoveryBound, x.forget)
 	return nil
 }
 
@@ -56,8 +56,8 @@
 // is the platform that holds the mesh to it; else the document's. An allowance
 // beside a share of none is one.
 func (x *Proxy) repeats(r *rules.Rules) (float64, int64) {
-	if p := x.set(); p.RepeatShare > 0 || p.RepeatAllowance > 0 {
-		return p.RepeatShare, int64(p.RepeatAllowance)
+	if p := x.set(); p.RetryRatio > 0 || p.RetryAllowance > 0 {
+		return p.RetryRatio, int64(p.RetryAllowance)
 	}
 	return r.RepShare, r.RepAllow
 }
@@ -66,14 +66,14 @@
 // for how long it may, less a part of a change, so that no caller sends into a
 // connection that is about to go.
 func (x *Proxy) limits(r *rules.Rules) {
-	head, idle := x.P.Change, 30*x.P.Change
+	head, idle := x.Settings.ConfigBound, 30*x.Settings.ConfigBound
 	told := ""
 	if r != nil && r.Head > 0 {
 		head = r.Head
 	}
 	if r != nil && r.Idle > 0 {
 		idle = r.Idle
-		if s := int64((idle - x.P.Change/4) / time.Second); s > 0 {
+		if s := int64((idle - x.Settings.ConfigBound/4) / time.Second); s > 0 {
 			told = "timeout=" + strconv.FormatInt(s, 10)
 		}
 	}
@@ -97,14 +97,14 @@
 // but never by more than half a frame, in which the body has to travel.
 func (x *Proxy) most() int64 {
 	if r := x.rules.Load(); r != nil && r.BodyBytes > 0 {
-		return int64(min(r.BodyBytes, x.P.Frame/2))
+		return int64(min(r.BodyBytes, x.Settings.MaxFrameBytes/2))
 	}
-	return int64(x.set().Body)
+	return int64(x.set().MaxBodyBytes)
 }
 
 // wide bounds a worker's answer in bytes. Documents tell what callers may send;
 // an answer may be as large as that, and as the prop says in any case.
-func (x *Proxy) wide() int64 { return max(x.most(), int64(x.set().Body)) }
+func (x *Proxy) wide() int64 { return max(x.most(), int64(x.set().MaxBodyBytes)) }
 
 // take puts a configuration in force if it is newer; it never steps back.
 func (x *Proxy) take(version uint64, doc []byte) bool {
@@ -135,7 +135,7 @@
 	if !x.life.Is("starting") {
 		return false
 	}
-	t := time.NewTimer(min(most, x.P.Patience()))
+	t := time.NewTimer(min(most, x.Settings.CallTimeout()))
 	defer t.Stop()
 	select {
 	case <-x.well:
@@ -150,14 +150,14 @@
 	if ms, err := strconv.ParseInt(r.Header.Get(x.say.Left), 10, 64); err == nil && ms > 0 && ms < 3600_000 {
 		return time.Duration(ms) * time.Millisecond / 2
 	}
-	return x.P.Patience()
+	return x.Settings.CallTimeout()
 }
 
 // opens is when a caller may come back to a node that takes no jobs: soon where
 // it has only started.
 func (x *Proxy) opens() time.Duration {
 	if x.life.Is("starting") {
-		return x.P.Beat()
+		return x.Settings.HeartbeatInterval()
 	}
-	return x.P.Leave
+	return x.Settings.LeaveBound
 }
--- a/internal/proxy/steps.go
+++ b/internal/proxy/steps.go
@@ -83,7 +83,7 @@
 		if j.sends > 0 || j.looks >= replica.Retries || !x.rep.Pause(ctx, j.looks) {
 			if j.why == "" {
 				// One that starts is known everywhere after a beat or two.
-				j.why, j.come = "no worker of "+j.service+" is up", x.P.Missed()
+				j.why, j.come = "no worker of "+j.service+" is up", x.Settings.WorkerTimeout()
 			}
 			return stop
 		}
@@ -116,7 +116,7 @@
 
 // shutHere tells that a worker is this node's own and takes nothing just now.
 func (x *Proxy) shutHere(e ormap.Entry) bool {
-	if e.Owner != x.P.Node {
+	if e.Owner != x.Settings.Node {
 		return false
 	}
 	g := x.gateOf(e.Worker)
@@ -183,7 +183,7 @@
 
 // send has an attempt run, here or at another node.
 func (x *Proxy) send(ctx context.Context, j *job, h protocol.Hand) protocol.Back {
-	if j.entry.Owner == x.P.Node {
+	if j.entry.Owner == x.Settings.Node {
 		return x.own(ctx, h)
 	}
 	return x.away(ctx, j, h)
@@ -208,12 +208,12 @@
 		// It says nothing of the owner that nobody waited for it.
 		return protocol.Back{Kind: protocol.Unknown, Why: "the caller has left", Used: -1}
 	case fault.Is(err, fault.Unsent), fault.Is(err, fault.Refused):
-		x.pick.Shun(j.entry.Owner, x.P.Change/2)
-		return protocol.Back{Kind: protocol.Refused, Why: "owner can't be reached", Come: (x.P.Change / 2).Milliseconds(), Used: -1}
+		x.pick.Shun(j.entry.Owner, x.Settings.ConfigBound/2)
+		return protocol.Back{Kind: protocol.Refused, Why: "owner can't be reached", Come: (x.Settings.ConfigBound / 2).Milliseconds(), Used: -1}
 	case shutdown.IsLate(ctx):
 		return protocol.Back{Kind: protocol.Unknown, Why: whyEnding, Used: -1}
 	default:
-		x.pick.Shun(j.entry.Owner, x.P.Change/2)
+		x.pick.Shun(j.entry.Owner, x.Settings.ConfigBound/2)
 		return protocol.Back{Kind: protocol.Unknown, Why: noReceipt, Late: ctx.Err() != nil, Used: -1}
 	}
 	// The answer is checked again here: it must be for this very attempt.
--- a/internal/proxy/stop.go
+++ b/internal/proxy/stop.go
@@ -17,7 +17,7 @@
 	if !x.life.Fire("stop") {
 		return
 	}
-	plan := shutdown.Begin(x.P.Grace, x.P.Parting())
+	plan := shutdown.Begin(x.Settings.GracePeriod, x.Settings.FarewellTimeout())
 	x.stop.Store(plan)
 	// Large answers that wait for a thin link on their way here go first now.
 	x.n.Haste()
@@ -31,10 +31,10 @@
 	// own worker runs some, since they may call others through it.
 	// The own worker serves on meanwhile, and is flagged only so early that all
 	// fronts have seen it when this node goes.
-	task.Pause(ctx, x.P.Leave*3/4)
+	task.Pause(ctx, x.Settings.LeaveBound*3/4)
 	x.left.Store(true)
 	x.drainWorkers()
-	task.Pause(ctx, x.P.Leave/2)
+	task.Pause(ctx, x.Settings.LeaveBound/2)
 	x.rest(ctx, x.owned.Load)
 	// From here on an answer ends its connection, and idle ones end now: no
 	// caller sends into a connection that is about to go.
@@ -44,7 +44,7 @@
 	x.answerRest(plan)
 	x.removeWorkers()
 	x.touch.Bye()
-	x.n.Leave(x.P.Parting())
+	x.n.Leave(x.Settings.FarewellTimeout())
 	x.life.Fire("end")
 	x.Kill()
 	x.e.Log.Emit(event.Stopped, "program", "proxy", "after_ms", plan.Since().Milliseconds())
@@ -79,5 +79,5 @@
 	if plan == nil || j.from.Before(plan.LongUntil()) || !j.end.After(plan.WaitUntil()) {
 		return 0, false
 	}
-	return max(time.Until(plan.Ends()), x.P.Beat()), true
+	return max(time.Until(plan.Ends()), x.Settings.HeartbeatInterval()), true
 }
--- a/internal/proxy/tally.go
+++ b/internal/proxy/tally.go
@@ -70,7 +70,7 @@
 	defer x.mu.Unlock()
 	var out []string
 	for n, at := range x.live {
-		if time.Since(at) > x.P.Window {
+		if time.Since(at) > x.Settings.RetryWindow {
 			delete(x.live, n)
 			continue
 		}
--- a/internal/proxy/touch.go
+++ b/internal/proxy/touch.go
@@ -15,7 +15,7 @@
 type host struct{ x *Proxy }
 
 func newTouch(x *Proxy) *controlclient.Touch {
-	return controlclient.New(controlclient.Parts{P: x.P, Log: x.e.Log, G: x.g, N: x.n, Rep: x.rep, Self: x.self, Woke: x.pulse.Woke}, host{x})
+	return controlclient.New(controlclient.Parts{Settings: x.Settings, Log: x.e.Log, G: x.g, N: x.n, Rep: x.rep, Self: x.self, Woke: x.pulse.Woke}, host{x})
 }
 
 func (h host) Version() uint64 {
@@ -30,7 +30,7 @@
 func (h host) Report(b *protocol.Beat) { b.Tallies, b.Live = h.x.tallies(), h.x.lively() }
 
 func (h host) Members(all *membership.Book) {
-	own := h.x.P.Node
+	own := h.x.Settings.Node
 	h.x.pick.Here(func(node string) bool { return node == own || all.Has(node) })
 }
 
@@ -49,7 +49,7 @@
 
 // buryOld buries what earlier starts of this node left in the registry.
 func (x *Proxy) buryOld() {
-	x.rep.Retire(x.P.Node, func(e ormap.Entry) bool { return e.Dot.Node != x.rep.Dot() })
+	x.rep.Retire(x.Settings.Node, func(e ormap.Entry) bool { return e.Dot.Node != x.rep.Dot() })
 }
 
 func (h host) Stands() {
--- a/internal/proxy/worker.go
+++ b/internal/proxy/worker.go
@@ -13,15 +13,15 @@
 
 // Workers is the table of a worker's own resource: its identity stands in the
 // path, and each call has a number that grows.
-var Workers = schema.Table{Name: "worker", Rows: []schema.Setting{
-	{Name: "service", Type: schema.Text, Must: true, Check: schema.Word, Rule: "a name", Help: "the service it serves"},
-	{Name: "addr", Type: schema.Addr, Must: true, Rule: "IP number and port", Help: "where it takes jobs"},
+var Workers = schema.Table{Name: "worker", Rows: []schema.Field{
+	{Name: "service", Type: schema.Text, Required: true, Check: schema.IsName, Rule: "a name", Help: "the service it serves"},
+	{Name: "addr", Type: schema.Addr, Required: true, Rule: "IP number and port", Help: "where it takes jobs"},
 	{Name: "area", Type: schema.Text, Rule: "a name", Help: "where it stands"},
 	{Name: "version", Type: schema.Text, Rule: "a text", Help: "of its software"},
-	{Name: "slots", Type: schema.Count, Must: true, Check: schema.In(1, 1024), Rule: "1 to 1024", Help: "jobs that it runs at once"},
-	{Name: "state", Type: schema.Text, Must: true, Check: schema.OneOf("up", "draining"), Rule: "up or draining", Help: "alive or leaving"},
-	{Name: "cold_ms", Type: schema.Share, Def: 0.0, Check: schema.Within(0, 3600_000), Rule: "0 to 3600000", Help: "how much longer it is slow from its start"},
-	{Name: "seq", Type: schema.Count, Def: int64(0), Check: schema.In(0, 1<<62), Rule: "a number", Help: "grows with each call; a late one is known by it"},
+	{Name: "slots", Type: schema.Count, Required: true, Check: schema.IntRange(1, 1024), Rule: "1 to 1024", Help: "jobs that it runs at once"},
+	{Name: "state", Type: schema.Text, Required: true, Check: schema.OneOf("up", "draining"), Rule: "up or draining", Help: "alive or leaving"},
+	{Name: "cold_ms", Type: schema.Share, Default: 0.0, Check: schema.FloatRange(0, 3600_000), Rule: "0 to 3600000", Help: "how much longer it is slow from its start"},
+	{Name: "seq", Type: schema.Count, Default: int64(0), Check: schema.IntRange(0, 1<<62), Rule: "a number", Help: "grows with each call; a late one is known by it"},
 }}
 
 // onWorker takes a worker's word on itself.
@@ -38,12 +38,12 @@
 	}
 	v, bad := Workers.ReadKnown(in, "")
 	id := chi.URLParam(r, "id")
-	if schema.Word(id) != nil {
-		bad = append(bad, schema.Fault{Place: "id", Wrong: "must be a name"})
+	if schema.IsName(id) != nil {
+		bad = append(bad, schema.Problem{Place: "id", Message: "must be a name"})
 	}
 	// Only the worker of this machine is spoken for here.
-	if at := x.set().Worker; at != "" && len(bad) == 0 && v.Text("addr") != at {
-		bad = append(bad, schema.Fault{Place: "addr", Wrong: "is not the worker beside this node"})
+	if at := x.set().WorkerAddr; at != "" && len(bad) == 0 && v.Text("addr") != at {
+		bad = append(bad, schema.Problem{Place: "addr", Message: "is not the worker beside this node"})
 	}
 	if len(bad) > 0 {
 		x.e.Log.Emit(event.BeatBad, "faults", len(bad), "first", bad[0].Place)
--- a/internal/proxy/workercall.go
+++ b/internal/proxy/workercall.go
@@ -84,7 +84,7 @@
 	x.calling.Lock()
 	defer x.calling.Unlock()
 	for worker, last := range x.lastCalls {
-		if x.gateOf(worker) == nil && time.Since(last.at) > x.P.Bury() {
+		if x.gateOf(worker) == nil && time.Since(last.at) > x.Settings.TombstoneTTL() {
 			delete(x.lastCalls, worker)
 		}
 	}
@@ -94,7 +94,7 @@
 		}
 	}
 	for worker, at := range x.departures {
-		if time.Since(at) > x.P.Bury() {
+		if time.Since(at) > x.Settings.TombstoneTTL() {
 			delete(x.departures, worker)
 		}
 	}
@@ -112,11 +112,11 @@
 		x.rep.Depart(worker, signedOff)
 	}
 	p := x.set()
-	if p.Worker == "" || x.say.Asks {
+	if p.WorkerAddr == "" || x.say.Asks {
 		return
 	}
 	old := x.rep.Map().Live(func(e ormap.Entry) bool {
-		return e.Owner == x.P.Node && e.Dot.Node != x.rep.Dot() && e.Meta["addr"] == p.Worker && e.Service == p.Service
+		return e.Owner == x.Settings.Node && e.Dot.Node != x.rep.Dot() && e.Meta["addr"] == p.WorkerAddr && e.Service == p.Service
 	})
 	if len(old) == 0 || len(x.allGates()) > 0 {
 		return
--- a/internal/proxy/workercall_test.go
+++ b/internal/proxy/workercall_test.go
@@ -16,8 +16,8 @@
 
 // lone makes a node that nobody else knows.
 func lone() *Proxy {
-	p := settings.Props{Node: "n", Mesh: "m", Area: "a", Change: 2 * time.Second, Leave: 2 * time.Second, Window: 10 * time.Second, Return: 15 * time.Second, Retire: 10 * time.Second,
-		Frame: 1 << 20, Body: 1 << 20, Jobs: 16, Grace: time.Second, Seeds: []string{"10.0.0.1:1"}}
+	p := settings.Settings{Node: "n", ClusterID: "m", Zone: "a", ConfigBound: 2 * time.Second, LeaveBound: 2 * time.Second, RetryWindow: 10 * time.Second, RecoveryBound: 15 * time.Second, RetireAfter: 10 * time.Second,
+		MaxFrameBytes: 1 << 20, MaxBodyBytes: 1 << 20, MaxRequests: 16, GracePeriod: time.Second, Seeds: []string{"10.0.0.1:1"}}
 	return New(p, env.Env{Wall: time.Now, Pause: task.Pause, Log: event.New("n", io.Discard)})
 }
 
--- a/internal/registry/app.go
+++ b/internal/registry/app.go
@@ -41,7 +41,7 @@
 // appRead reads the name and the body of a call. Fields that this program
 // doesn't know are passed over; an empty body counts as an empty object.
 func (r *Registry) appRead(w http.ResponseWriter, req *http.Request, tab schema.Table) (c appCall, ok bool) {
-	c.by = time.Now().Add(r.P.Late())
+	c.by = time.Now().Add(r.Settings.MaxCallAge())
 	if by, is := req.Context().Value(byKey{}).(time.Time); is && by.Before(c.by) {
 		c.by = by
 	}
@@ -82,8 +82,8 @@
 func (r *Registry) appChange(w http.ResponseWriter, req *http.Request, c appCall, kind string, cmd statemachine.Command, codes map[string]int, body func(statemachine.Result) map[string]any) {
 	// What is read right after a freeze may be as old as the freeze: its sender
 	// has turned elsewhere, and what it did there must not be undone.
-	if time.Since(r.pulse.Woke()) < r.P.Beat() {
-		httpapi.Busy(w, "frozen until just now; nothing was done", r.P.Beat())
+	if time.Since(r.pulse.Woke()) < r.Settings.HeartbeatInterval() {
+		httpapi.Busy(w, "frozen until just now; nothing was done", r.Settings.HeartbeatInterval())
 		return
 	}
 	ctx, end := r.withDeadline(req)
@@ -98,7 +98,7 @@
 		return
 	}
 	if got.Code == statemachine.Full {
-		httpapi.Busy(w, "nothing was done: "+got.Message, r.P.Change)
+		httpapi.Busy(w, "nothing was done: "+got.Message, r.Settings.ConfigBound)
 		return
 	}
 	code := codes[got.Code]
@@ -194,20 +194,20 @@
 		ok = ok && err == nil
 		return v
 	}
-	after, wait := num("after"), time.Duration(min(num("wait_ms"), uint64(r.P.Return.Milliseconds())))*time.Millisecond
+	after, wait := num("after"), time.Duration(min(num("wait_ms"), uint64(r.Settings.RecoveryBound.Milliseconds())))*time.Millisecond
 	if !ok {
 		answerWrong(w, "after and wait_ms must be whole numbers", nil)
 		return
 	}
-	long := wait + 2*r.P.Change
+	long := wait + 2*r.Settings.ConfigBound
 	// Over a link the time is bounded: what is left there ends the wait early.
 	if end, is := req.Context().Deadline(); is {
 		long = min(long, time.Until(end))
-		wait = max(min(wait, long-r.P.Patience()), 0)
+		wait = max(min(wait, long-r.Settings.CallTimeout()), 0)
 	}
 	ctx, end := context.WithTimeout(req.Context(), long)
 	defer end()
-	got, err := r.stores.groupPuts(ctx, store.Query{What: "puts", Name: c.name, From: after}, wait, r.P.Change)
+	got, err := r.stores.groupPuts(ctx, store.Query{What: "puts", Name: c.name, From: after}, wait, r.Settings.ConfigBound)
 	r.appAnswer(w, got, err, map[string]int{statemachine.Gone: http.StatusGone}, func(got statemachine.Result) map[string]any {
 		type line struct {
 			Name  string `json:"name"`
--- a/internal/registry/apptable.go
+++ b/internal/registry/apptable.go
@@ -8,15 +8,15 @@
 
 // The tables of the bodies of applications' calls.
 var (
-	TabTake = schema.Table{Name: "app lock, POST", Rows: []schema.Setting{appOwner, appSpan}}
-	TabHold = schema.Table{Name: "app lock, PUT", Rows: []schema.Setting{appOwner, appSpan, appFence}}
-	TabFree = schema.Table{Name: "app lock, DELETE", Rows: []schema.Setting{appOwner, appFence}}
+	TabTake = schema.Table{Name: "app lock, POST", Rows: []schema.Field{appOwner, appSpan}}
+	TabHold = schema.Table{Name: "app lock, PUT", Rows: []schema.Field{appOwner, appSpan, appFence}}
+	TabFree = schema.Table{Name: "app lock, DELETE", Rows: []schema.Field{appOwner, appFence}}
 	TabNext = schema.Table{Name: "app number, POST"}
 	TabCell = schema.Table{Name: "app key, PUT", Rows: TabKey.Rows}
 
-	appOwner = schema.Setting{Name: "owner", Type: schema.Text, Must: true, Check: appName, Rule: "a name", Help: "who holds it"}
-	appSpan  = schema.Setting{Name: "ttl_ms", Type: schema.Share, Must: true, Check: schema.Within(0.001, 86400000), Rule: "over 0, to 86400000", Help: "how long it stands without a renewal"}
-	appFence = schema.Setting{Name: "fence", Type: schema.Count, Must: true, Check: schema.In(1, 1<<62), Rule: "a number", Help: "the fence got when it was taken"}
+	appOwner = schema.Field{Name: "owner", Type: schema.Text, Required: true, Check: appName, Rule: "a name", Help: "who holds it"}
+	appSpan  = schema.Field{Name: "ttl_ms", Type: schema.Share, Required: true, Check: schema.FloatRange(0.001, 86400000), Rule: "over 0, to 86400000", Help: "how long it stands without a renewal"}
+	appFence = schema.Field{Name: "fence", Type: schema.Count, Required: true, Check: schema.IntRange(1, 1<<62), Rule: "a number", Help: "the fence got when it was taken"}
 )
 
 var appWord = regexp.MustCompile(`^[A-Za-z0-9._:-]{1,128}$`)
--- a/internal/registry/coord.go
+++ b/internal/registry/coord.go
@@ -13,14 +13,14 @@
 
 // The tables of the coordination calls' bodies.
 var (
-	TabLock = schema.Table{Name: "lock", Rows: []schema.Setting{
-		{Name: "owner", Type: schema.Text, Must: true, Check: schema.Word, Rule: "a name", Help: "who takes it"},
-		{Name: "ttl_ms", Type: schema.Span, Def: int64(10000), Check: schema.In(100, 600000), Rule: "100 to 600000", Help: "how long it stands without a renewal"},
-		{Name: "fence", Type: schema.Count, Def: int64(0), Check: schema.In(0, 1<<62), Rule: "a number", Help: "the fence got when it was taken; needed to renew"},
+	TabLock = schema.Table{Name: "lock", Rows: []schema.Field{
+		{Name: "owner", Type: schema.Text, Required: true, Check: schema.IsName, Rule: "a name", Help: "who takes it"},
+		{Name: "ttl_ms", Type: schema.Span, Default: int64(10000), Check: schema.IntRange(100, 600000), Rule: "100 to 600000", Help: "how long it stands without a renewal"},
+		{Name: "fence", Type: schema.Count, Default: int64(0), Check: schema.IntRange(0, 1<<62), Rule: "a number", Help: "the fence got when it was taken; needed to renew"},
 	}}
-	TabKey = schema.Table{Name: "key", Rows: []schema.Setting{
-		{Name: "value", Type: schema.Text, Must: true, Check: checkValueSize, Rule: "64 KiB at the most", Help: "the value"},
-		{Name: "if_rev", Type: schema.Count, Check: schema.In(0, 1<<62), Rule: "a revision; 0: must not be there", Help: "only when the key's revision is this"},
+	TabKey = schema.Table{Name: "key", Rows: []schema.Field{
+		{Name: "value", Type: schema.Text, Required: true, Check: checkValueSize, Rule: "64 KiB at the most", Help: "the value"},
+		{Name: "if_rev", Type: schema.Count, Check: schema.IntRange(0, 1<<62), Rule: "a revision; 0: must not be there", Help: "only when the key's revision is this"},
 	}}
 )
 
@@ -116,7 +116,7 @@
 
 func (r *Registry) postLock(w http.ResponseWriter, req *http.Request) {
 	name, op := chi.URLParam(req, "name"), chi.URLParam(req, "op")
-	if schema.Word(name) != nil {
+	if schema.IsName(name) != nil {
 		httpapi.JSON(w, http.StatusUnprocessableEntity, httpapi.Wrong{Wrong: "the lock's name is wrong"})
 		return
 	}
@@ -150,7 +150,7 @@
 
 func (r *Registry) nextNumber(w http.ResponseWriter, req *http.Request) {
 	name := chi.URLParam(req, "name")
-	if schema.Word(name) != nil {
+	if schema.IsName(name) != nil {
 		httpapi.JSON(w, http.StatusUnprocessableEntity, httpapi.Wrong{Wrong: "the number's name is wrong"})
 		return
 	}
--- a/internal/registry/election.go
+++ b/internal/registry/election.go
@@ -35,13 +35,13 @@
 func (d *roleElection) leads() (ballot.Number, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.num, d.held && time.Since(d.major) < d.r.P.Lease()
+	return d.num, d.held && time.Since(d.major) < d.r.Settings.Lease()
 }
 
 func (d *roleElection) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		if num, ok := d.leads(); ok {
-			d.r.e.Pause(ctx, d.r.P.Beat())
+			d.r.e.Pause(ctx, d.r.Settings.HeartbeatInterval())
 			if d.vote(ctx, "beat", num) {
 				d.work(ctx, num)
 			} else if _, still := d.leads(); !still {
@@ -50,7 +50,7 @@
 			continue
 		}
 		d.stepDown("the lease ran out")
-		d.r.e.Pause(ctx, d.r.P.Lease()/2+time.Duration(rand.Int64N(int64(d.r.P.Lease()))))
+		d.r.e.Pause(ctx, d.r.Settings.Lease()/2+time.Duration(rand.Int64N(int64(d.r.Settings.Lease()))))
 		if !d.r.Ready() {
 			continue
 		}
@@ -72,13 +72,13 @@
 // before any work, so that an earlier holder's late word is refused.
 func (d *roleElection) campaign(ctx context.Context) {
 	d.mu.Lock()
-	num := ballot.Number{Round: d.seen + 1, Candidate: d.r.P.Node}
+	num := ballot.Number{Round: d.seen + 1, Candidate: d.r.Settings.Node}
 	d.mu.Unlock()
 	from := time.Now()
 	if !d.vote(ctx, "ask", num) {
 		return
 	}
-	one, end := context.WithTimeout(ctx, d.r.P.Lease())
+	one, end := context.WithTimeout(ctx, d.r.Settings.Lease())
 	defer end()
 	got, err := d.r.stores.propose(one, "duty.fence", &statemachine.FenceRole{Role: d.name, Ballot: num})
 	if err != nil || got.Code != statemachine.OK {
@@ -93,7 +93,7 @@
 // vote asks all stores and counts a majority of yes.
 func (d *roleElection) vote(ctx context.Context, op string, num ballot.Number) bool {
 	from := time.Now()
-	ctx, end := context.WithTimeout(ctx, d.r.P.Patience())
+	ctx, end := context.WithTimeout(ctx, d.r.Settings.CallTimeout())
 	defer end()
 	d.r.stores.mu.Lock()
 	all := d.r.stores.members
@@ -154,7 +154,7 @@
 			delete(r.away, e.Owner)
 		} else if t, ok := r.away[e.Owner]; !ok {
 			r.away[e.Owner] = now
-		} else if now.Sub(t) > r.P.Retire {
+		} else if now.Sub(t) > r.Settings.RetireAfter {
 			dead[e.Owner] = true
 		}
 	}
--- a/internal/registry/fuzz_test.go
+++ b/internal/registry/fuzz_test.go
@@ -21,7 +21,7 @@
 			v, bad := tab.ReadKnown(in, "")
 			for _, b := range append(bad, twice...) {
 				// The place of a name that is empty is empty too.
-				if _, empty := in[""]; b.Place == "" && !empty || b.Wrong == "" {
+				if _, empty := in[""]; b.Place == "" && !empty || b.Message == "" {
 					t.Errorf("%s: a fault without its place: %+v", tab.Name, b)
 				}
 			}
@@ -30,7 +30,7 @@
 			}
 			for _, row := range tab.Rows {
 				got, is := v[row.Name]
-				if !is && row.Must {
+				if !is && row.Required {
 					t.Errorf("%s: %s is missing", tab.Name, row.Name)
 				}
 				if is && row.Check != nil && row.Check(got) != nil {
--- a/internal/registry/judge.go
+++ b/internal/registry/judge.go
@@ -31,13 +31,13 @@
 
 // reports gathers what all fronts counted, from all control nodes.
 func (r *Registry) reports(ctx context.Context) []protocol.Report {
-	ctx, end := context.WithTimeout(ctx, r.P.Patience())
+	ctx, end := context.WithTimeout(ctx, r.Settings.CallTimeout())
 	defer end()
 	var mu sync.Mutex
 	var wait sync.WaitGroup
 	out, _ := r.onReports(ctx, transport.Hello{}, struct{}{})
 	for _, a := range r.core() {
-		if a == r.P.Inner {
+		if a == r.Settings.InternalAddr {
 			continue
 		}
 		wait.Add(1)
@@ -104,7 +104,7 @@
 	if len(run) == 0 {
 		r.seenOf = map[reportKey]protocol.Report{}
 	}
-	due := len(run) > 0 && time.Since(r.looked) >= r.P.Change/2
+	due := len(run) > 0 && time.Since(r.looked) >= r.Settings.ConfigBound/2
 	if due {
 		r.looked = time.Now()
 	}
@@ -179,7 +179,7 @@
 	if err != nil {
 		return
 	}
-	ctx, end := context.WithTimeout(ctx, r.P.Change)
+	ctx, end := context.WithTimeout(ctx, r.Settings.ConfigBound)
 	defer end()
 	got, err := r.stores.propose(ctx, "trial.decide", &statemachine.Decide{ID: t.ID, Ballot: num, Base: rl.Version, Doc: doc, State: state, Why: why, Who: "judge", Facts: raw})
 	if err != nil || got.Code != statemachine.OK {
--- a/internal/registry/keys.go
+++ b/internal/registry/keys.go
@@ -88,7 +88,7 @@
 	}
 	ctx, end := r.withDeadline(req)
 	defer end()
-	wait = min(max(wait, 0), r.P.Change.Milliseconds())
+	wait = min(max(wait, 0), r.Settings.ConfigBound.Milliseconds())
 	got, err := r.stores.watch(ctx, store.Query{Name: q.Get("prefix"), From: from, Wait: wait})
 	if err != nil {
 		r.answerFailure(w, err)
--- a/internal/registry/near.go
+++ b/internal/registry/near.go
@@ -12,9 +12,9 @@
 // near gives the control nodes heard here, this one first, and a name for the
 // set of them; mu is held.
 func (r *Registry) near() ([]string, uint64) {
-	out := []string{r.P.Inner}
+	out := []string{r.Settings.InternalAddr}
 	for _, o := range r.others {
-		if time.Since(o.heard) <= r.P.Session() && !slices.Contains(out, o.f.Inner) {
+		if time.Since(o.heard) <= r.Settings.SessionTTL() && !slices.Contains(out, o.f.Inner) {
 			out = append(out, o.f.Inner)
 		}
 	}
@@ -26,7 +26,7 @@
 // coreLocked gives the control nodes' addresses; mu is held.
 func (r *Registry) coreLocked() []string {
 	out, _ := r.near()
-	for _, a := range r.P.Seeds {
+	for _, a := range r.Settings.Seeds {
 		if !slices.Contains(out, a) {
 			out = append(out, a)
 		}
@@ -38,7 +38,7 @@
 // name of that list. It is worked out once for a part of a beat, since hundreds
 // of sessions ask for it in each and it grows with the control nodes; mu is held.
 func (r *Registry) tell() ([]string, uint64) {
-	if r.list.at.IsZero() || time.Since(r.list.at) > r.P.Beat()/8 {
+	if r.list.at.IsZero() || time.Since(r.list.at) > r.Settings.HeartbeatInterval()/8 {
 		r.list.core = r.coreLocked()
 		r.list.name, r.list.at = membership.Names(r.list.core), time.Now()
 	}
@@ -61,7 +61,7 @@
 		to = r.coreLocked()
 	}
 	for a, t := range r.known {
-		if time.Since(t) > r.P.Session() {
+		if time.Since(t) > r.Settings.SessionTTL() {
 			delete(r.known, a)
 		} else if !slices.Contains(to, a) {
 			to = append(to, a)
@@ -76,7 +76,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, a := range near {
-		if a != r.P.Inner {
+		if a != r.Settings.InternalAddr {
 			r.known[a] = time.Now()
 		}
 	}
--- a/internal/registry/near_test.go
+++ b/internal/registry/near_test.go
@@ -16,7 +16,7 @@
 // and one that is heard since is told a part of a beat later.
 func TestTell(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := &Registry{P: settings.Props{Inner: "h0:1", Change: 2 * time.Second}, others: map[string]*shared{}}
+		r := &Registry{Settings: settings.Settings{InternalAddr: "h0:1", ConfigBound: 2 * time.Second}, others: map[string]*shared{}}
 		hear := func(i int) {
 			r.others[fmt.Sprint(i)] = &shared{f: membership.Fellow{Inner: fmt.Sprintf("h%d:1", i)}, heard: time.Now()}
 		}
@@ -30,7 +30,7 @@
 			t.Errorf("%.0f allocations for a beat", n)
 		}
 		hear(35)
-		task.Pause(t.Context(), r.P.Beat()/4)
+		task.Pause(t.Context(), r.Settings.HeartbeatInterval()/4)
 		if core, name := r.tell(); !slices.Contains(core, "h35:1") || name != membership.Names(core) {
 			t.Error(core, name)
 		}
--- a/internal/registry/number.go
+++ b/internal/registry/number.go
@@ -26,10 +26,10 @@
 	var head struct {
 		Version *json.Number `json:"version"`
 	}
-	var bad []schema.Fault
+	var bad []schema.Problem
 	// What can't be read here is named below, by the tables.
 	if json.Unmarshal(raw, &head) == nil && head.Version == nil {
-		bad = append(bad, schema.Fault{Place: "version", Wrong: "missing"})
+		bad = append(bad, schema.Problem{Place: "version", Message: "missing"})
 	}
 	c := r.checkDoc(w, raw, bad)
 	if c == nil {
--- a/internal/registry/poll.go
+++ b/internal/registry/poll.go
@@ -21,13 +21,13 @@
 			have = r.rules.Version
 		}
 		// The first word is not waited for: nothing is served before it.
-		wait := r.P.Beat()
+		wait := r.Settings.HeartbeatInterval()
 		if r.sure.IsZero() {
 			wait = 0
 		}
 		r.mu.Unlock()
 		// Time for a second store when the first is unreachable.
-		one, end := context.WithTimeout(ctx, 2*r.P.Patience())
+		one, end := context.WithTimeout(ctx, 2*r.Settings.CallTimeout())
 		from := time.Now()
 		got, err := r.stores.read(one, store.Query{What: "config", From: have, Wait: wait.Milliseconds(), Patch: !r.whole})
 		end()
@@ -42,7 +42,7 @@
 		if !r.inTouch() && r.life.Fire("lost") {
 			r.e.Log.Emit(event.OutOfTouch, "with", "stores")
 		}
-		r.e.Pause(ctx, r.P.Beat()/4)
+		r.e.Pause(ctx, r.Settings.HeartbeatInterval()/4)
 	}
 }
 
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -33,19 +33,19 @@
 
 // Registry is one process. Lock order: mu before the replica's locks.
 type Registry struct {
-	P      settings.Props
-	e      env.Env
-	g      *task.Group
-	n      *transport.Node
-	self   membership.Fellow
-	life   *fsm.Machine
-	rep    *replica.Replica
-	stores *stores
-	routes http.Handler
-	calls  atomic.Int64   // outside calls under way
-	late   *shutdown.Late // ends them when a stop can wait no longer
-	pulse  *pausedetect.Pulse
-	duties []*roleElection
+	Settings settings.Settings
+	e        env.Env
+	g        *task.Group
+	n        *transport.Node
+	self     membership.Fellow
+	life     *fsm.Machine
+	rep      *replica.Replica
+	stores   *stores
+	routes   http.Handler
+	calls    atomic.Int64   // outside calls under way
+	late     *shutdown.Late // ends them when a stop can wait no longer
+	pulse    *pausedetect.Pulse
+	duties   []*roleElection
 
 	mu     sync.Mutex
 	own    map[string]*nodeSession // node to its session here
@@ -89,22 +89,22 @@
 }
 
 // New readies a registry.
-func New(p settings.Props, e env.Env) *Registry {
+func New(p settings.Settings, e env.Env) *Registry {
 	g := task.New(context.Background()).Pace(e.Pause)
-	r := &Registry{P: p, e: e, g: g, saving: task.NewLock(), own: map[string]*nodeSession{}, others: map[string]*shared{}, known: map[string]time.Time{}, away: map[string]time.Time{}, seenOf: map[reportKey]protocol.Report{}}
+	r := &Registry{Settings: p, e: e, g: g, saving: task.NewLock(), own: map[string]*nodeSession{}, others: map[string]*shared{}, known: map[string]time.Time{}, away: map[string]time.Time{}, seenOf: map[reportKey]protocol.Report{}}
 	var b [6]byte
 	_, _ = rand.Read(b[:])
-	r.self = membership.Fellow{Node: p.Node, Start: hex.EncodeToString(b[:]), Role: "registry", Area: p.Area, Inner: p.Inner, Outer: p.Outer}
+	r.self = membership.Fellow{Node: p.Node, Start: hex.EncodeToString(b[:]), Role: "registry", Area: p.Zone, Inner: p.InternalAddr, Outer: p.APIAddr}
 	r.late = shutdown.NewLate(g.Context())
 	r.roll, r.mine = membership.NewRoll(p.Node, memberChangesKept), membership.NewRoll(p.Node, memberChangesKept)
 	r.roll.Set(p.Node, r.self)
-	r.n = transport.NewNode(transport.Hello{Mesh: p.Mesh, Node: p.Node, Area: p.Area, Role: "registry"}, e, g, p.Frame, p.Jobs, p.Patience())
-	r.n.Bound = p.Links()
-	r.rep = replica.New(r.self, r.n, g, e.Log, hlc.New(e.Wall, 2*p.Return), p.Beat(), p.Repair(), p.Bury())
+	r.n = transport.NewNode(transport.Hello{Mesh: p.ClusterID, Node: p.Node, Area: p.Zone, Role: "registry"}, e, g, p.MaxFrameBytes, p.MaxRequests, p.CallTimeout())
+	r.n.Bound = p.MaxIdleLinks()
+	r.rep = replica.New(r.self, r.n, g, e.Log, hlc.New(e.Wall, 2*p.RecoveryBound), p.HeartbeatInterval(), p.RepairInterval(), p.TombstoneTTL())
 	r.held = patch.NewHeld(memberChangesKept / 16)
 	r.rep.Await(true)
-	r.stores = newStores(r.n, p.Stores, p.Patience(), p.Beat()/4)
-	r.pulse = pausedetect.New(p.Beat(), p.Doze(), nil)
+	r.stores = newStores(r.n, p.Stores, p.CallTimeout(), p.HeartbeatInterval()/4)
+	r.pulse = pausedetect.New(p.HeartbeatInterval(), p.UnnoticedPause(), nil)
 	r.life = fsm.New("starting", nil,
 		fsm.Move{From: "starting", By: "filled", To: "ready"},
 		fsm.Move{From: "ready", By: "lost", To: "lost"},
@@ -131,16 +131,16 @@
 	transport.On(r.n, "registry.status", r.onStatus)
 	transport.On(r.n, "registry.reports", r.onReports)
 	r.routes = r.outerRoutes()
-	if err := r.n.Listen(r.P.Inner); err != nil {
+	if err := r.n.Listen(r.Settings.InternalAddr); err != nil {
 		return err
 	}
-	if err := httpapi.Serve(r.g, r.e, r.P.Outer, httpapi.Called(r.e.Say, r.routes), r.P.Change); err != nil {
+	if err := httpapi.Serve(r.g, r.e, r.Settings.APIAddr, httpapi.Called(r.e.Say, r.routes), r.Settings.ConfigBound); err != nil {
 		return err
 	}
-	r.e.Log.Emit(event.Started, "program", "registry", "outer", r.P.Outer)
+	r.e.Log.Emit(event.Started, "program", "registry", "outer", r.Settings.APIAddr)
 	r.g.Go("poll", r.poll)
-	r.g.Every("share", r.P.Beat(), r.share)
-	r.g.Every("keep", r.P.Beat(), func(context.Context) { r.saveWorkers() })
+	r.g.Every("share", r.Settings.HeartbeatInterval(), r.share)
+	r.g.Every("keep", r.Settings.HeartbeatInterval(), func(context.Context) { r.saveWorkers() })
 	r.g.Go("pulse", func(ctx context.Context) { r.pulse.Run(ctx, r.e.Pause) })
 	for _, d := range r.duties {
 		r.g.Go("duty-"+d.name, d.run)
@@ -152,7 +152,7 @@
 func (r *Registry) inTouch() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return !r.sure.IsZero() && time.Since(r.sure) <= r.P.Fresh()
+	return !r.sure.IsZero() && time.Since(r.sure) <= r.Settings.ConfirmationTTL()
 }
 
 // fill makes the node ready once its replica is filled from a peer; when no
@@ -162,16 +162,16 @@
 		return
 	}
 	r.mu.Lock()
-	stale := r.filled.IsZero() || time.Since(r.filled) > r.P.Absent()
+	stale := r.filled.IsZero() || time.Since(r.filled) > r.Settings.MaxAbsence()
 	r.mu.Unlock()
 	if stale {
-		one, end := context.WithTimeout(ctx, r.P.Patience())
+		one, end := context.WithTimeout(ctx, r.Settings.CallTimeout())
 		defer end()
 		// In any order, or many that start would all ask the same.
 		all := r.core()
 		mrand.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
 		for _, a := range all {
-			if a == r.P.Inner {
+			if a == r.Settings.InternalAddr {
 				continue
 			}
 			if got, err := r.rep.Refill(one, a); err == nil && got.Done {
@@ -181,7 +181,7 @@
 		r.loadWorkers()
 	}
 	r.rep.Await(false)
-	r.rep.Sound(time.Now().Add(r.P.Session()))
+	r.rep.Sound(time.Now().Add(r.Settings.SessionTTL()))
 	if r.life.Fire("filled") {
 		r.e.Log.Emit(event.Ready, "program", "registry")
 	}
@@ -207,18 +207,18 @@
 	// Outside callers learn from readiness, which the platform polls: they are
 	// served meanwhile, and calls under way get their answers.
 	// Whatever the bounds are, it has gone by itself before its grace is over.
-	plan := shutdown.Begin(r.P.Grace, r.P.Parting())
-	task.Pause(r.g.Context(), min(r.P.Leave, r.P.Grace/2))
+	plan := shutdown.Begin(r.Settings.GracePeriod, r.Settings.FarewellTimeout())
+	task.Pause(r.g.Context(), min(r.Settings.LeaveBound, r.Settings.GracePeriod/2))
 	r.life.Fire("shut")
 	for r.calls.Load() > 0 && plan.WaitsFor() > 0 {
-		task.Pause(r.g.Context(), r.P.Beat()/10)
+		task.Pause(r.g.Context(), r.Settings.HeartbeatInterval()/10)
 	}
 	// Each that is still under way is told that its outcome is unknown.
 	r.late.Over()
 	for r.calls.Load() > 0 && time.Now().Before(plan.AnswerUntil()) {
-		task.Pause(r.g.Context(), r.P.Beat()/10)
+		task.Pause(r.g.Context(), r.Settings.HeartbeatInterval()/10)
 	}
-	r.n.Leave(r.P.Parting())
+	r.n.Leave(r.Settings.FarewellTimeout())
 	r.Kill()
 	r.e.Log.Emit(event.Stopped, "program", "registry", "after_ms", plan.Since().Milliseconds())
 }
--- a/internal/registry/requests.go
+++ b/internal/registry/requests.go
@@ -25,7 +25,7 @@
 	if id == "" {
 		return &store.RequestKey{ID: kind + "/" + hex.EncodeToString(digest[:16]), Digest: digest}
 	}
-	if err := schema.Word(id); err != nil {
+	if err := schema.IsName(id); err != nil {
 		answerWrong(w, requestIDParameter+" "+err.Error(), nil)
 		return nil
 	}
--- a/internal/registry/routes.go
+++ b/internal/registry/routes.go
@@ -65,7 +65,7 @@
 		r.calls.Add(1)
 		defer r.calls.Add(-1)
 		if r.life.Is("shut") && req.URL.Path != "/puffin/ready" {
-			httpapi.Busy(w, "this node is leaving; nothing was done", r.P.Leave)
+			httpapi.Busy(w, "this node is leaving; nothing was done", r.Settings.LeaveBound)
 			return
 		}
 		ctx, over := r.late.Bind(req.Context())
@@ -111,9 +111,9 @@
 
 // withDeadline bounds an outside call.
 func (r *Registry) withDeadline(req *http.Request) (context.Context, context.CancelFunc) {
-	wait := 2 * r.P.Change
+	wait := 2 * r.Settings.ConfigBound
 	if ms, err := strconv.ParseInt(req.URL.Query().Get("left_ms"), 10, 64); err == nil && ms > 0 {
-		wait = min(time.Duration(ms)*time.Millisecond, r.P.Grace)
+		wait = min(time.Duration(ms)*time.Millisecond, r.Settings.GracePeriod)
 	}
 	return context.WithTimeout(req.Context(), wait)
 }
@@ -123,7 +123,7 @@
 func (r *Registry) answerFailure(w http.ResponseWriter, err error) {
 	if fault.Is(err, fault.Refused) && !fault.Is(err, fault.Unknown) {
 		// A vacant role is won again after a lease and up to half of one.
-		httpapi.Busy(w, "no majority of the stores: nothing was done", r.P.Lease()*3/2)
+		httpapi.Busy(w, "no majority of the stores: nothing was done", r.Settings.Lease()*3/2)
 		return
 	}
 	httpapi.JSON(w, http.StatusGatewayTimeout, httpapi.Wrong{Wrong: "outcome unknown: read back to find out; " + err.Error(), Ran: "unknown"})
@@ -178,7 +178,7 @@
 
 // checkDoc finds a document's faults, besides those that are known already.
 // Paths that carry a trial are the mesh's own to write.
-func (r *Registry) checkDoc(w http.ResponseWriter, raw []byte, known []schema.Fault) *rules.Rules {
+func (r *Registry) checkDoc(w http.ResponseWriter, raw []byte, known []schema.Problem) *rules.Rules {
 	c, bad, err := rules.Compile(0, raw)
 	if err != nil {
 		r.e.Log.Emit(event.ConfigBad, "why", err.Error())
@@ -188,7 +188,7 @@
 	if c != nil {
 		for i, p := range c.Paths {
 			if p.Trial != 0 {
-				bad = append(bad, schema.Fault{Place: fmt.Sprintf("paths[%d].trial", i), Wrong: "trials are begun by propose"})
+				bad = append(bad, schema.Problem{Place: fmt.Sprintf("paths[%d].trial", i), Message: "trials are begun by propose"})
 			}
 		}
 	}
--- a/internal/registry/savedworkers.go
+++ b/internal/registry/savedworkers.go
@@ -37,7 +37,7 @@
 		// A replica that was emptied must not empty the file.
 		return true
 	}
-	raw, err := msgpack.Marshal(savedWorkers{Mesh: r.P.Mesh, All: all.Pack()})
+	raw, err := msgpack.Marshal(savedWorkers{Mesh: r.Settings.ClusterID, All: all.Pack()})
 	if err != nil || disk.Save(r.e.FS, workersFile, raw) != nil {
 		return false
 	}
@@ -56,7 +56,7 @@
 	}
 	raw, err := disk.Load(r.e.FS, workersFile)
 	var was savedWorkers
-	if err != nil || transport.Unpack(raw, &was) != nil || was.Mesh != r.P.Mesh {
+	if err != nil || transport.Unpack(raw, &was) != nil || was.Mesh != r.Settings.ClusterID {
 		return
 	}
 	all, err := was.All.Open()
--- a/internal/registry/savedworkers_test.go
+++ b/internal/registry/savedworkers_test.go
@@ -22,8 +22,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := settings.Props{Node: "c", Mesh: "m", Area: "a", Inner: "10.0.0.1:1", Change: 2 * time.Second, Leave: 2 * time.Second, Window: 10 * time.Second,
-		Return: 15 * time.Second, Retire: 10 * time.Second, Frame: 1 << 20, Jobs: 16, Seeds: []string{"10.0.0.1:1"}}
+	p := settings.Settings{Node: "c", ClusterID: "m", Zone: "a", InternalAddr: "10.0.0.1:1", ConfigBound: 2 * time.Second, LeaveBound: 2 * time.Second, RetryWindow: 10 * time.Second,
+		RecoveryBound: 15 * time.Second, RetireAfter: 10 * time.Second, MaxFrameBytes: 1 << 20, MaxRequests: 16, Seeds: []string{"10.0.0.1:1"}}
 	r := New(p, env.Env{Wall: time.Now, Pause: task.Pause, Log: event.New("c", io.Discard), FS: fs})
 	t.Cleanup(r.Kill)
 	return r
--- a/internal/registry/sessions.go
+++ b/internal/registry/sessions.go
@@ -43,7 +43,7 @@
 		r.endSession(in.Fellow.Node)
 		return protocol.Receipt{}, nil
 	}
-	if r.rules == nil && r.sure.IsZero() || time.Since(r.sure) > r.P.Fresh() || r.life.Is("starting", "leaving", "shut", "lost") {
+	if r.rules == nil && r.sure.IsZero() || time.Since(r.sure) > r.Settings.ConfirmationTTL() || r.life.Is("starting", "leaving", "shut", "lost") {
 		return protocol.Receipt{}, nil
 	}
 	out := protocol.Receipt{In: true, Age: time.Since(r.sure).Milliseconds() + 1}
@@ -62,8 +62,8 @@
 		}
 		s = &nodeSession{f: in.Fellow}
 		r.own[in.Fellow.Node] = s
-		r.mine.Set(r.P.Node, s.f)
-		r.roll.Set(r.P.Node, s.f)
+		r.mine.Set(r.Settings.Node, s.f)
+		r.roll.Set(r.Settings.Node, s.f)
 	}
 	s.heard, s.version, s.tallies, s.live = time.Now(), in.Version, in.Tallies, in.Live
 	out.Hash, out.Count = r.roll.Hash(), r.roll.Fronts()
@@ -156,21 +156,21 @@
 // endSession ends a session; mu is held.
 func (r *Registry) endSession(node string) {
 	delete(r.own, node)
-	r.mine.Drop(r.P.Node, node)
-	r.roll.Drop(r.P.Node, node)
+	r.mine.Drop(r.Settings.Node, node)
+	r.roll.Drop(r.Settings.Node, node)
 }
 
 // expire ends the sessions that were not renewed, and what other control nodes
 // said that were not heard since; mu is held.
 func (r *Registry) expire() {
 	for n, o := range r.others {
-		if o.stands && time.Since(o.heard) > r.P.Session() {
+		if o.stands && time.Since(o.heard) > r.Settings.SessionTTL() {
 			o.stands, o.hash = false, 0
 			r.roll.DropAll(n)
 		}
 	}
 	for n, s := range r.own {
-		if time.Since(s.heard) > r.P.Session() {
+		if time.Since(s.heard) > r.Settings.SessionTTL() {
 			r.endSession(n)
 			r.e.Log.Emit(event.SessionDown, "node", n)
 		}
@@ -206,7 +206,7 @@
 	r.g.Go("bury-old", func(ctx context.Context) {
 		// The new start buries them itself, after it has looked at what its
 		// worker was; this is for one that does not get so far.
-		r.e.Pause(ctx, 2*r.P.Beat())
+		r.e.Pause(ctx, 2*r.Settings.HeartbeatInterval())
 		r.rep.Retire(f.Node, func(e ormap.Entry) bool { return e.Dot.Node != f.Node+"#"+f.Start })
 	})
 }
@@ -228,7 +228,7 @@
 	for _, o := range list {
 		r.g.Go("push", func(ctx context.Context) {
 			// Of use for as long as the session stands, however late it comes.
-			ctx, end := context.WithTimeout(ctx, r.P.Session())
+			ctx, end := context.WithTimeout(ctx, r.Settings.SessionTTL())
 			defer end()
 			// One that misses this gets it with its next beat.
 			have, err := controlclient.Push(ctx, r.n, o.at, r.held, o.have)
--- a/internal/registry/shares.go
+++ b/internal/registry/shares.go
@@ -33,8 +33,8 @@
 	r.mu.Lock()
 	r.expire()
 	r.dropUnreachable()
-	if !r.sure.IsZero() && time.Since(r.sure) <= r.P.Fresh() {
-		r.rep.Sound(time.Now().Add(r.P.Session()))
+	if !r.sure.IsZero() && time.Since(r.sure) <= r.Settings.ConfirmationTTL() {
+		r.rep.Sound(time.Now().Add(r.Settings.SessionTTL()))
 	}
 	r.relink()
 	// Unless something changed or somebody came or went lately, a word now and
@@ -43,7 +43,7 @@
 	if met != r.circle {
 		r.circle, r.circled = met, time.Now()
 	}
-	calm := r.mine.Hash() == r.told && !r.owe && time.Since(r.circled) > r.P.Session()
+	calm := r.mine.Hash() == r.told && !r.owe && time.Since(r.circled) > r.Settings.SessionTTL()
 	r.rounds++
 	rest := calm && r.rounds%seldom != 0
 	var to []string
@@ -65,11 +65,11 @@
 	}
 	r.mu.Unlock()
 	for _, a := range to {
-		if a == r.P.Inner {
+		if a == r.Settings.InternalAddr {
 			continue
 		}
 		r.g.Go("share-one", func(ctx context.Context) {
-			ctx, end := context.WithTimeout(ctx, r.P.Patience())
+			ctx, end := context.WithTimeout(ctx, r.Settings.CallTimeout())
 			defer end()
 			began := time.Now()
 			got, err := transport.Ask[protocol.ShareBack](ctx, r.n, a, "session.share", in)
--- a/internal/registry/status.go
+++ b/internal/registry/status.go
@@ -52,7 +52,7 @@
 }
 
 func (r *Registry) status() Status {
-	s := Status{Node: r.P.Node, Area: r.P.Area, State: r.life.Now(), Ready: r.Ready(), Duties: map[string]string{}}
+	s := Status{Node: r.Settings.Node, Area: r.Settings.Zone, State: r.life.Now(), Ready: r.Ready(), Duties: map[string]string{}}
 	for _, d := range r.duties {
 		if num, ok := d.leads(); ok {
 			s.Duties[d.name] = num.String()
@@ -88,7 +88,7 @@
 	r.stores.mu.Lock()
 	stores := append([]string(nil), r.stores.members...)
 	r.stores.mu.Unlock()
-	ctx, end := context.WithTimeout(ctx, r.P.Patience())
+	ctx, end := context.WithTimeout(ctx, r.Settings.CallTimeout())
 	defer end()
 	var mu sync.Mutex
 	var wait sync.WaitGroup
--- a/internal/registry/trials.go
+++ b/internal/registry/trials.go
@@ -21,17 +21,17 @@
 )
 
 // TabPropose is the body of a proposal.
-var TabPropose = schema.Table{Name: "propose", Rows: []schema.Setting{
-	{Name: "path", Type: schema.Text, Must: true, Check: schema.Word, Rule: "a path in force", Help: "the path to change"},
-	{Name: "slice", Type: schema.Share, Check: schema.Within(0.1, 50), Rule: "0.1 to 50", Help: "percent of its jobs; the judge's slice when left out"},
-	{Name: "service", Type: schema.Text, Check: schema.Word, Rule: "one of services", Help: "the new service, in place of a split too"},
+var TabPropose = schema.Table{Name: "propose", Rows: []schema.Field{
+	{Name: "path", Type: schema.Text, Required: true, Check: schema.IsName, Rule: "a path in force", Help: "the path to change"},
+	{Name: "slice", Type: schema.Share, Check: schema.FloatRange(0.1, 50), Rule: "0.1 to 50", Help: "percent of its jobs; the judge's slice when left out"},
+	{Name: "service", Type: schema.Text, Check: schema.IsName, Rule: "one of services", Help: "the new service, in place of a split too"},
 	{Name: "split", Type: schema.Rows, Rule: "one weight over 0", Help: "the new split, in place of a service too"},
-	{Name: "class", Type: schema.Text, Check: schema.Word, Rule: "one of classes", Help: "the new class"},
-	{Name: "rank", Type: schema.Count, Check: schema.In(0, 1000), Rule: "0 to 1000", Help: "the new rank"},
-	{Name: "left_ms", Type: schema.Span, Check: schema.In(1, 3600_000), Rule: "1 to 3600000", Help: "the new time left"},
-	{Name: "aim_ms", Type: schema.Span, Check: schema.In(1, 3600_000), Rule: "1 to 3600000", Help: "the new aim"},
+	{Name: "class", Type: schema.Text, Check: schema.IsName, Rule: "one of classes", Help: "the new class"},
+	{Name: "rank", Type: schema.Count, Check: schema.IntRange(0, 1000), Rule: "0 to 1000", Help: "the new rank"},
+	{Name: "left_ms", Type: schema.Span, Check: schema.IntRange(1, 3600_000), Rule: "1 to 3600000", Help: "the new time left"},
+	{Name: "aim_ms", Type: schema.Span, Check: schema.IntRange(1, 3600_000), Rule: "1 to 3600000", Help: "the new aim"},
 	{Name: "repeat", Type: schema.Text, Check: schema.OneOf("never", "safe", "upload", "download"), Rule: "never, safe, upload or download", Help: "the new word on repeats"},
-	{Name: "tries", Type: schema.Count, Check: schema.In(1, 1000), Rule: "1 to 1000", Help: "the new sends at the most"},
+	{Name: "tries", Type: schema.Count, Check: schema.IntRange(1, 1000), Rule: "1 to 1000", Help: "the new sends at the most"},
 }}
 
 // confirmed reads the configuration and the trials with a majority.
@@ -39,7 +39,7 @@
 	return r.stores.read(ctx, store.Query{What: "config"})
 }
 
-func answerWrong(w http.ResponseWriter, why string, bad []schema.Fault) {
+func answerWrong(w http.ResponseWriter, why string, bad []schema.Problem) {
 	httpapi.JSON(w, http.StatusUnprocessableEntity, httpapi.Wrong{Wrong: why, Faults: bad})
 }
 
@@ -86,7 +86,7 @@
 	}
 	standing, _, _ := rules.Compile(base, now.Doc)
 	if standing == nil || standing.Named(path) == nil {
-		answerWrong(w, "there is no such path", []schema.Fault{{Place: "path", Wrong: fmt.Sprintf("no path %q", path)}})
+		answerWrong(w, "there is no such path", []schema.Problem{{Place: "path", Message: fmt.Sprintf("no path %q", path)}})
 		return
 	}
 	if rules.Alike(now.Doc, path, change) {
--- a/internal/registry/unreachable.go
+++ b/internal/registry/unreachable.go
@@ -45,7 +45,7 @@
 // mu is held.
 func (r *Registry) dropUnreachable() {
 	for who, o := range r.others {
-		if o.stands && !o.mute.IsZero() && !o.out && o.heard.Before(o.mute) && time.Since(o.mute) >= r.P.Vacant() {
+		if o.stands && !o.mute.IsZero() && !o.out && o.heard.Before(o.mute) && time.Since(o.mute) >= r.Settings.LeaderTimeout() {
 			o.out = true
 			r.roll.Drop(who, who)
 		}
--- a/internal/registry/unreachable_test.go
+++ b/internal/registry/unreachable_test.go
@@ -18,7 +18,7 @@
 		const beat = 200 * time.Millisecond
 		x := membership.Fellow{Node: "x", Inner: "hx:1", Role: "registry"}
 		make := func() (*Registry, *shared) {
-			r := &Registry{P: settings.Props{Node: "c", Inner: "hc:1", Change: 10 * beat}, others: map[string]*shared{}, roll: membership.NewRoll("c", 16)}
+			r := &Registry{Settings: settings.Settings{Node: "c", InternalAddr: "hc:1", ConfigBound: 10 * beat}, others: map[string]*shared{}, roll: membership.NewRoll("c", 16)}
 			o := &shared{}
 			o.hears(x)
 			r.others["x"] = o
--- a/internal/rules/arm.go
+++ b/internal/rules/arm.go
@@ -66,7 +66,7 @@
 // every is the steps of every arm today.
 var every = []Step{Nominate, HandOver, Weigh, Receipt}
 
-func (r *Rules) arm(at, name string, v schema.Values) (Arm, []schema.Fault) {
+func (r *Rules) arm(at, name string, v schema.Values) (Arm, []schema.Problem) {
 	a := Arm{Name: name, Service: v.Text("service"), Class: v.Text("class"), Rank: int(v.Count("rank")), Tries: int(v.Count("tries")),
 		Left: time.Duration(v.Count("left_ms")) * time.Millisecond, Aim: time.Duration(v.Count("aim_ms")) * time.Millisecond, Steps: every}
 	if a.Aim == 0 {
@@ -77,16 +77,16 @@
 	if kind == "upload" || kind == "download" {
 		a.Bulk = kind
 	}
-	var bad []schema.Fault
+	var bad []schema.Problem
 	wrong := func(field, f string, args ...any) {
-		bad = append(bad, schema.Fault{Place: at + "." + field, Wrong: fmt.Sprintf(f, args...)})
+		bad = append(bad, schema.Problem{Place: at + "." + field, Message: fmt.Sprintf(f, args...)})
 	}
 	if a.Service != "" && !r.Services[a.Service] {
 		wrong("service", "no service %q", a.Service)
 	}
 	_, single := v["service"]
 	if _, split := v["split"]; split {
-		var more []schema.Fault
+		var more []schema.Problem
 		a.Split, a.sum, more = r.split(at+".split", v)
 		bad = append(bad, more...)
 		if single {
@@ -107,25 +107,25 @@
 	return a, bad
 }
 
-func (r *Rules) split(at string, v schema.Values) (out []Part, sum float64, bad []schema.Fault) {
+func (r *Rules) split(at string, v schema.Values) (out []Part, sum float64, bad []schema.Problem) {
 	list, _ := v["split"].([]any)
 	for i, e := range list {
 		at := fmt.Sprintf("%s[%d]", at, i)
 		m, ok := e.(map[string]any)
 		if !ok {
-			bad = append(bad, schema.Fault{Place: at, Wrong: "must be an object"})
+			bad = append(bad, schema.Problem{Place: at, Message: "must be an object"})
 			continue
 		}
 		row, more := r.read(TabSplit, m, at)
 		bad = append(bad, more...)
 		p := Part{row.Text("service"), row.Share("weight")}
 		if p.Service != "" && !r.Services[p.Service] {
-			bad = append(bad, schema.Fault{Place: at + ".service", Wrong: fmt.Sprintf("no service %q", p.Service)})
+			bad = append(bad, schema.Problem{Place: at + ".service", Message: fmt.Sprintf("no service %q", p.Service)})
 		}
 		out, sum = append(out, p), sum+p.Weight
 	}
 	if sum <= 0 && len(bad) == 0 {
-		bad = append(bad, schema.Fault{Place: at, Wrong: "at least one weight must be over 0"})
+		bad = append(bad, schema.Problem{Place: at, Message: "at least one weight must be over 0"})
 	}
 	return out, sum, bad
 }
--- a/internal/rules/edit_test.go
+++ b/internal/rules/edit_test.go
@@ -38,7 +38,7 @@
 }
 
 // pool are values for a setting: right ones, wrong ones and those of others.
-func pool(s schema.Setting) []any {
+func pool(s schema.Field) []any {
 	part := func(name string, w any) any { return map[string]any{"service": name, "weight": w} }
 	out := []any{nil, "", "a", "b", "x", "nobody", 0, 1, -1, 1.5, 100, 1000, 1001, 1e12, true, false, []any{}, map[string]any{}}
 	switch s.Name {
@@ -77,7 +77,7 @@
 
 // TestEdits: whole documents with a few settings put in, changed or taken out.
 func TestEdits(t *testing.T) {
-	var all []schema.Setting
+	var all []schema.Field
 	for _, tab := range All {
 		all = append(all, tab.Rows...)
 	}
--- a/internal/rules/paths.go
+++ b/internal/rules/paths.go
@@ -9,14 +9,14 @@
 	"puffincrank/internal/schema"
 )
 
-func (r *Rules) paths(top schema.Values) []schema.Fault {
+func (r *Rules) paths(top schema.Values) []schema.Problem {
 	_, numbered := top["version"]
 	r.strange = r.old != nil && (r.ranked != r.old.ranked || numbered != (r.old.Number > 0) || !r.ranked && !maps.Equal(r.Shares, r.old.Shares))
 	list, _ := top["paths"].([]any)
 	r.Paths = make([]*Path, 0, len(list))
-	return r.each(top, "paths", TabPath, func(at string, v schema.Values) (any, []schema.Fault) {
+	return r.each(top, "paths", TabPath, func(at string, v schema.Values) (any, []schema.Problem) {
 		p := &Path{Name: v.Text("name"), Host: bare(v.Text("host")), Method: v.Text("method"), Prefix: v.Text("prefix")}
-		var bad []schema.Fault
+		var bad []schema.Problem
 		p.Base, bad = r.arm(at, "old", v)
 		if t, ok := v["trial"].(map[string]any); ok {
 			tv, more := r.read(TabTrial, t, at+".trial")
@@ -77,7 +77,7 @@
 
 // Next is Compile for one who holds an earlier document compiled: rows that
 // stand there as they stood are not read again. What comes out is the same.
-func Next(old *Rules, version uint64, doc []byte) (*Rules, []schema.Fault, error) {
+func Next(old *Rules, version uint64, doc []byte) (*Rules, []schema.Problem, error) {
 	if old == nil {
 		return Compile(version, doc)
 	}
--- a/internal/rules/rules.go
+++ b/internal/rules/rules.go
@@ -58,18 +58,18 @@
 	Idle      time.Duration // time before an idle connection is closed; 0: by props
 	Judge     schema.Values
 	Longest   time.Duration
-	fill      func(schema.Table, schema.Values, map[string]any, string) []schema.Fault
+	fill      func(schema.Table, schema.Values, map[string]any, string) []schema.Problem
 	short     map[int]time.Duration // by rank, the least aim of what isn't bulk
 	lanes     map[haste]int
 	ranked    bool // classes come from the ranks
-	rows      map[string][]schema.Kept
+	rows      map[string][]schema.ParsedRow
 	raw       map[string][]string
 	old       *Rules // while this is made: those that rows are taken from
 	strange   bool   // while this is made: a row kept means something else now
 }
 
 // Compile reads a document; every fault is named with its place.
-func Compile(version uint64, doc []byte) (*Rules, []schema.Fault, error) {
+func Compile(version uint64, doc []byte) (*Rules, []schema.Problem, error) {
 	r, bad, err := compile(nil, version, doc)
 	if err != nil || len(bad) > 0 {
 		return nil, bad, err
@@ -77,8 +77,8 @@
 	return r, nil, nil
 }
 
-func compile(old *Rules, version uint64, doc []byte) (*Rules, []schema.Fault, error) {
-	var kept map[string][]schema.Kept
+func compile(old *Rules, version uint64, doc []byte) (*Rules, []schema.Problem, error) {
+	var kept map[string][]schema.ParsedRow
 	if old != nil {
 		kept = old.rows
 	}
@@ -88,7 +88,7 @@
 	}
 	r := &Rules{Version: version, Doc: doc, Services: make(map[string]bool, len(raw["services"])), Links: map[string]int{}, Probe: map[string]string{},
 		Shares: map[string]float64{}, by: map[string]place{}, names: make(map[string]*Path, len(raw["paths"])), fill: schema.Table.Fill,
-		old: old, raw: raw, rows: map[string][]schema.Kept{}}
+		old: old, raw: raw, rows: map[string][]schema.ParsedRow{}}
 	// Documents with a number of their own are written by programs that may be
 	// newer than this one: what they say besides is not for us.
 	if _, ok := in["version"]; ok {
@@ -116,14 +116,14 @@
 	r.Judge, more = r.read(TabJudge, jud, "judge")
 	bad = append(bad, more...)
 	if len(more) == 0 && r.Judge.Count("most_ms") <= r.Judge.Count("least_ms") {
-		bad = append(bad, schema.Fault{Place: "judge.most_ms", Wrong: "must be over least_ms"})
+		bad = append(bad, schema.Problem{Place: "judge.most_ms", Message: "must be over least_ms"})
 	}
 	r.old, r.raw = nil, nil
 	return r, bad, nil
 }
 
 // read checks one object by a table.
-func (r *Rules) read(tab schema.Table, in map[string]any, at string) (schema.Values, []schema.Fault) {
+func (r *Rules) read(tab schema.Table, in map[string]any, at string) (schema.Values, []schema.Problem) {
 	out := schema.Values{}
 	return out, r.fill(tab, out, in, at)
 }
@@ -131,35 +131,35 @@
 // each runs f over the objects of a list, with their places, which makes of each
 // what is entered by put. The values are good only within f. Rows that are kept
 // of an earlier document are entered as they were made then.
-func (r *Rules) each(top schema.Values, name string, tab schema.Table, f func(at string, v schema.Values) (any, []schema.Fault), put func(any) []string) []schema.Fault {
+func (r *Rules) each(top schema.Values, name string, tab schema.Table, f func(at string, v schema.Values) (any, []schema.Problem), put func(any) []string) []schema.Problem {
 	list, ok := top[name].([]any)
 	if !ok {
 		return nil
 	}
-	var bad []schema.Fault
+	var bad []schema.Problem
 	// A numbered document may empty the mesh; by hand that is a mistake.
 	if len(list) == 0 && r.Number == 0 {
-		bad = append(bad, schema.Fault{Place: name, Wrong: "must have at least one"})
+		bad = append(bad, schema.Problem{Place: name, Message: "must have at least one"})
 	}
 	v := make(schema.Values, len(tab.Rows))
-	rows := make([]schema.Kept, 0, len(list))
+	rows := make([]schema.ParsedRow, 0, len(list))
 	enter := func(i int, made any, at func() string) {
-		rows = append(rows, schema.Kept{Raw: r.raw[name][i], Value: made})
+		rows = append(rows, schema.ParsedRow{Raw: r.raw[name][i], Value: made})
 		for _, wrong := range put(made) {
 			field, what, _ := strings.Cut(wrong, " ")
-			bad = append(bad, schema.Fault{Place: at() + "." + field, Wrong: what})
+			bad = append(bad, schema.Problem{Place: at() + "." + field, Message: what})
 		}
 	}
 	defer func() { r.rows[name] = rows }()
 	for i, e := range list {
-		if k, ok := e.(*schema.Kept); ok {
+		if k, ok := e.(*schema.ParsedRow); ok {
 			enter(i, k.Value, func() string { return name + "[" + strconv.Itoa(i) + "]" })
 			continue
 		}
 		at := name + "[" + strconv.Itoa(i) + "]"
 		m, ok := e.(map[string]any)
 		if !ok {
-			bad = append(bad, schema.Fault{Place: at, Wrong: "must be an object"})
+			bad = append(bad, schema.Problem{Place: at, Message: "must be an object"})
 			continue
 		}
 		bad = append(bad, r.fill(tab, v, m, at)...)
@@ -178,8 +178,8 @@
 	links       int
 }
 
-func (r *Rules) services(top schema.Values) []schema.Fault {
-	return r.each(top, "services", TabService, func(_ string, v schema.Values) (any, []schema.Fault) {
+func (r *Rules) services(top schema.Values) []schema.Problem {
+	return r.each(top, "services", TabService, func(_ string, v schema.Values) (any, []schema.Problem) {
 		return service{v.Text("name"), v.Text("fitness"), int(v.Count("links"))}, nil
 	}, func(made any) []string {
 		s := made.(service)
@@ -199,13 +199,13 @@
 	})
 }
 
-func (r *Rules) classes(top schema.Values) []schema.Fault {
+func (r *Rules) classes(top schema.Values) []schema.Problem {
 	sum := 0.0
 	whole := true
-	bad := r.each(top, "classes", TabClass, func(at string, v schema.Values) (any, []schema.Fault) {
+	bad := r.each(top, "classes", TabClass, func(at string, v schema.Values) (any, []schema.Problem) {
 		n := v.Text("name")
 		if _, dup := r.Shares[n]; dup {
-			return nil, []schema.Fault{{Place: at + ".name", Wrong: fmt.Sprintf("class %q is there twice", n)}}
+			return nil, []schema.Problem{{Place: at + ".name", Message: fmt.Sprintf("class %q is there twice", n)}}
 		}
 		if _, ok := v["share"]; !ok || n == "" {
 			whole = false
@@ -220,7 +220,7 @@
 	delete(r.rows, "classes")
 	// The sum says nothing when a share could not be read.
 	if whole && len(r.Classes) > 0 && math.Abs(sum-100) > 1e-6 {
-		bad = append(bad, schema.Fault{Place: "classes", Wrong: fmt.Sprintf("shares add up to %g, not 100", sum)})
+		bad = append(bad, schema.Problem{Place: "classes", Message: fmt.Sprintf("shares add up to %g, not 100", sum)})
 	}
 	return bad
 }
--- a/internal/rules/rules_test.go
+++ b/internal/rules/rules_test.go
@@ -47,7 +47,7 @@
 		_, bad, err := Compile(1, []byte(doc))
 		found := false
 		for _, f := range bad {
-			found = found || (f.Place == c.place && strings.Contains(f.Wrong, c.wrong))
+			found = found || (f.Place == c.place && strings.Contains(f.Message, c.wrong))
 		}
 		if err != nil || !found {
 			t.Errorf("%s: want %s %q, got %v %v", c.to, c.place, c.wrong, bad, err)
--- a/internal/rules/trial.go
+++ b/internal/rules/trial.go
@@ -41,7 +41,7 @@
 	}
 	for _, s := range TabPath.Rows {
 		if s.Name == field {
-			return s.Def
+			return s.Default
 		}
 	}
 	return nil
@@ -203,7 +203,7 @@
 	for _, p := range was {
 		before[p["name"]] = p
 	}
-	slice := TabJudge.Rows[0].Def
+	slice := TabJudge.Rows[0].Default
 	if j, ok := m["judge"].(map[string]any); ok && j["slice"] != nil {
 		slice = j["slice"]
 	}
--- a/internal/schema/cast.go
+++ b/internal/schema/cast.go
@@ -95,8 +95,8 @@
 	return nil
 }
 
-// Word checks a name.
-func Word(v any) error {
+// IsName checks a name.
+func IsName(v any) error {
 	s, ok := v.(string)
 	ok = ok && len(s) > 0 && len(s) <= 64
 	for i := 0; ok && i < len(s); i++ {
@@ -110,8 +110,8 @@
 	return nil
 }
 
-// In checks that a whole number is within bounds.
-func In(low, high int64) func(any) error {
+// IntRange checks that a whole number is within bounds.
+func IntRange(low, high int64) func(any) error {
 	return func(v any) error {
 		if n, ok := v.(int64); !ok || n < low || n > high {
 			return fmt.Errorf("must be from %d to %d", low, high)
@@ -120,8 +120,8 @@
 	}
 }
 
-// Within checks that a number is within bounds.
-func Within(low, high float64) func(any) error {
+// FloatRange checks that a number is within bounds.
+func FloatRange(low, high float64) func(any) error {
 	return func(v any) error {
 		if n, ok := v.(float64); !ok || n < low || n > high {
 			return fmt.Errorf("must be from %g to %g", low, high)
--- a/internal/schema/kept.go
+++ b/internal/schema/kept.go
@@ -2,9 +2,9 @@
 
 import "strings"
 
-// Kept is a row of a document that was read before: its text, and what the
+// ParsedRow is a row of a document that was read before: its text, and what the
 // reader made of it.
-type Kept struct {
+type ParsedRow struct {
 	Raw   string
 	Value any
 }
@@ -13,7 +13,7 @@
 // in one of the lists of the document that stands there letter for letter as
 // one of the rows kept under that list's name becomes a pointer to that Kept, unread. Raw
 // gives the texts of all rows of all lists, by their names.
-func ParseRows(data []byte, kept map[string][]Kept) (doc map[string]any, raw map[string][]string, bad []Fault, err error) {
+func ParseRows(data []byte, kept map[string][]ParsedRow) (doc map[string]any, raw map[string][]string, bad []Problem, err error) {
 	p := &parser{text: string(data), kept: kept, raw: map[string][]string{}}
 	doc, bad, err = p.document()
 	return doc, p.raw, bad, err
@@ -25,10 +25,10 @@
 
 // rows is the walk over one list of the document beside the one before it.
 type rows struct {
-	kept  []Kept
+	kept  []ParsedRow
 	at    int // the next row there
 	lacks int // rows in a row that were not found
-	found []Kept
+	found []ParsedRow
 }
 
 // row reads an element of one of the document's lists.
@@ -43,7 +43,7 @@
 			p.at += len(k.Raw)
 			w.at, w.lacks = i+1, 0
 			// One room for all of them, since there are thousands.
-			w.found = append(w.found, Kept{p.text[from:p.at], k.Value})
+			w.found = append(w.found, ParsedRow{p.text[from:p.at], k.Value})
 			return &w.found[len(w.found)-1], nil
 		}
 	}
@@ -71,7 +71,7 @@
 		name = p.steps[0].name
 		walk = &rows{kept: p.kept[name]}
 		if n := len(walk.kept); n > 0 {
-			walk.found, out = make([]Kept, 0, n), make([]any, 0, n+spare)
+			walk.found, out = make([]ParsedRow, 0, n), make([]any, 0, n+spare)
 		}
 		p.raw[name] = make([]string, 0, cap(out))
 	}
--- a/internal/schema/parse.go
+++ b/internal/schema/parse.go
@@ -16,11 +16,11 @@
 //
 // Read by hand: every node reads every new document while jobs wait, and the
 // library's tokens cost eight times as much.
-func Parse(data []byte) (map[string]any, []Fault, error) {
+func Parse(data []byte) (map[string]any, []Problem, error) {
 	return (&parser{text: string(data)}).document()
 }
 
-func (p *parser) document() (map[string]any, []Fault, error) {
+func (p *parser) document() (map[string]any, []Problem, error) {
 	v, err := p.value(0)
 	if err != nil {
 		return nil, nil, err
@@ -40,8 +40,8 @@
 	text  string
 	at    int
 	steps []step // where the walk stands
-	twice []Fault
-	kept  map[string][]Kept
+	twice []Problem
+	kept  map[string][]ParsedRow
 	raw   map[string][]string // nil: nobody asks
 }
 
@@ -147,7 +147,7 @@
 		}
 		had := len(out)
 		if out[name] = v; len(out) == had {
-			p.twice = append(p.twice, Fault{p.place(), "given twice"})
+			p.twice = append(p.twice, Problem{p.place(), "given twice"})
 		}
 		if p.sign(',') {
 			continue
--- a/internal/schema/parse_test.go
+++ b/internal/schema/parse_test.go
@@ -12,10 +12,10 @@
 )
 
 // slow is Parse by the library's tokens: the obvious model.
-func slow(data []byte) (map[string]any, []Fault, error) {
+func slow(data []byte) (map[string]any, []Problem, error) {
 	d := json.NewDecoder(bytes.NewReader(data))
 	d.UseNumber()
-	var twice []Fault
+	var twice []Problem
 	v, err := slowly(d, "", &twice, 0)
 	if err != nil {
 		return nil, nil, err
@@ -30,7 +30,7 @@
 	return m, twice, nil
 }
 
-func slowly(d *json.Decoder, place string, twice *[]Fault, deep int) (any, error) {
+func slowly(d *json.Decoder, place string, twice *[]Problem, deep int) (any, error) {
 	// A bound on nesting keeps a hostile document from using up the stack.
 	if deep > 32 {
 		return nil, errors.New("nested too deep")
@@ -68,7 +68,7 @@
 			return nil, err
 		}
 		if _, dup := m[name]; dup {
-			*twice = append(*twice, Fault{at, "given twice"})
+			*twice = append(*twice, Problem{at, "given twice"})
 		}
 		m[name] = v
 	}
@@ -140,11 +140,11 @@
 func TestWord(t *testing.T) {
 	for s, good := range map[string]bool{"a": true, "9a": true, "A.b-c_d": true, "": false, ".a": false, "-a": false, "_a": false, "a b": false, "é": false, "a/": false,
 		strings.Repeat("x", 64): true, strings.Repeat("x", 65): false} {
-		if (Word(s) == nil) != good {
-			t.Errorf("%q: %v", s, Word(s))
+		if (IsName(s) == nil) != good {
+			t.Errorf("%q: %v", s, IsName(s))
 		}
 	}
-	if Word(7) == nil {
+	if IsName(7) == nil {
 		t.Error("a number is no name")
 	}
 }
--- a/internal/schema/settings.go
+++ b/internal/schema/settings.go
@@ -25,27 +25,27 @@
 	Row   Type = "row"   // one object
 )
 
-// Setting is one row of a table.
-type Setting struct {
-	Name  string
-	Type  Type
-	Must  bool
-	Def   any
-	Check func(v any) error
-	Rule  string // the check in words
-	Help  string
+// Field is one row of a table.
+type Field struct {
+	Name     string
+	Type     Type
+	Required bool
+	Default  any
+	Check    func(v any) error
+	Rule     string // the check in words
+	Help     string
 }
 
 // Table is the rows of one kind of object.
 type Table struct {
 	Name string
-	Rows []Setting
+	Rows []Field
 }
 
-// Fault is one thing wrong, with its place.
-type Fault struct {
-	Place string `json:"place"`
-	Wrong string `json:"wrong"`
+// Problem is one thing wrong, with its place.
+type Problem struct {
+	Place   string `json:"place"`
+	Message string `json:"wrong"`
 }
 
 // Values are the checked values of one object.
@@ -68,13 +68,13 @@
 
 // Read checks one object by the table; every fault is named, an unknown name
 // is one.
-func (t Table) Read(in map[string]any, place string) (Values, []Fault) {
+func (t Table) Read(in map[string]any, place string) (Values, []Problem) {
 	out := make(Values, len(t.Rows))
 	return out, t.Fill(out, in, place)
 }
 
 // Fill is Read into values that are used again for each row of a list.
-func (t Table) Fill(out Values, in map[string]any, place string) []Fault {
+func (t Table) Fill(out Values, in map[string]any, place string) []Problem {
 	met, bad := t.known(out, in, place)
 	// Only an object with more names than were met is searched for the odd.
 	if met == len(in) {
@@ -92,33 +92,33 @@
 	}
 	sort.Strings(odd)
 	for _, n := range odd {
-		bad = append(bad, Fault{join(place, n), "unknown setting"})
+		bad = append(bad, Problem{join(place, n), "unknown setting"})
 	}
 	return bad
 }
 
 // ReadKnown checks what the table knows of an object and passes over the rest.
-func (t Table) ReadKnown(in map[string]any, place string) (Values, []Fault) {
+func (t Table) ReadKnown(in map[string]any, place string) (Values, []Problem) {
 	out := make(Values, len(t.Rows))
 	return out, t.FillKnown(out, in, place)
 }
 
 // FillKnown is ReadKnown into values that are used again.
-func (t Table) FillKnown(out Values, in map[string]any, place string) []Fault {
+func (t Table) FillKnown(out Values, in map[string]any, place string) []Problem {
 	_, bad := t.known(out, in, place)
 	return bad
 }
 
 // known reads the table's rows and counts those that the object has.
-func (t Table) known(out Values, in map[string]any, place string) (met int, bad []Fault) {
+func (t Table) known(out Values, in map[string]any, place string) (met int, bad []Problem) {
 	clear(out)
 	for _, s := range t.Rows {
 		raw, ok := in[s.Name]
 		if !ok {
-			if s.Must {
-				bad = append(bad, Fault{join(place, s.Name), "missing"})
-			} else if s.Def != nil {
-				out[s.Name] = s.Def
+			if s.Required {
+				bad = append(bad, Problem{join(place, s.Name), "missing"})
+			} else if s.Default != nil {
+				out[s.Name] = s.Default
 			}
 			continue
 		}
@@ -128,7 +128,7 @@
 			err = s.Check(v)
 		}
 		if err != nil {
-			bad = append(bad, Fault{join(place, s.Name), err.Error()})
+			bad = append(bad, Problem{join(place, s.Name), err.Error()})
 			continue
 		}
 		out[s.Name] = v
@@ -149,10 +149,10 @@
 	b.WriteString("| setting | type | default | check | meaning |\n| --- | --- | --- | --- | --- |\n")
 	for _, s := range t.Rows {
 		def := "none"
-		if s.Must {
+		if s.Required {
 			def = "required"
-		} else if s.Def != nil {
-			def = fmt.Sprintf("%v", s.Def)
+		} else if s.Default != nil {
+			def = fmt.Sprintf("%v", s.Default)
 		}
 		if def == "" {
 			def = "empty"
--- a/internal/settings/fresh_test.go
+++ b/internal/settings/fresh_test.go
@@ -16,12 +16,12 @@
 		draw := func(name string, least, most int) time.Duration {
 			return time.Duration(rapid.IntRange(least, most).Draw(t, name)) * time.Millisecond
 		}
-		p := Props{Change: draw("change", 500, 10000), Touch: draw("touch", 500, 10000), Return: draw("return", 2000, 60000), CatchUp: draw("catch up", 1500, 30000)}
-		if gone := 2*p.Beat() + 2*p.Patience(); p.Fresh() < gone {
-			t.Errorf("a word counts for %v, the core's end is found after %v", p.Fresh(), gone)
+		p := Settings{ConfigBound: draw("change", 500, 10000), ContactTime: draw("touch", 500, 10000), RecoveryBound: draw("return", 2000, 60000), CatchUpBound: draw("catch up", 1500, 30000)}
+		if gone := 2*p.HeartbeatInterval() + 2*p.CallTimeout(); p.ConfirmationTTL() < gone {
+			t.Errorf("a word counts for %v, the core's end is found after %v", p.ConfirmationTTL(), gone)
 		}
-		if p.Fresh() > p.Change*9/10 {
-			t.Errorf("a word counts for %v, a change for %v", p.Fresh(), p.Change)
+		if p.ConfirmationTTL() > p.ConfigBound*9/10 {
+			t.Errorf("a word counts for %v, a change for %v", p.ConfirmationTTL(), p.ConfigBound)
 		}
 	})
 }
--- a/internal/settings/from.go
+++ b/internal/settings/from.go
@@ -7,9 +7,9 @@
 	"puffincrank/internal/schema"
 )
 
-// From reads the props of a program from values that another source gives
+// FromValues reads the props of a program from values that another source gives
 // under our names. Those that the program has no row for are left out.
-func From(program string, in map[string]any) (Props, []schema.Fault, error) {
+func FromValues(program string, in map[string]any) (Settings, []schema.Problem, error) {
 	tab := Tables[program]
 	known := map[string]any{}
 	for _, s := range tab.Rows {
@@ -20,16 +20,16 @@
 	}
 	raw, err := json.Marshal(known)
 	if err != nil {
-		return Props{}, nil, fault.Wrap(fault.Input, err, "props")
+		return Settings{}, nil, fault.Wrap(fault.Input, err, "props")
 	}
 	vals, bad, err := schema.Parse(raw)
 	if err != nil {
-		return Props{}, nil, fault.Wrap(fault.Input, err, "props")
+		return Settings{}, nil, fault.Wrap(fault.Input, err, "props")
 	}
 	v, more := tab.Read(vals, "")
 	if bad = append(bad, more...); len(bad) > 0 {
-		return Props{}, bad, nil
+		return Settings{}, bad, nil
 	}
-	p, bad := Make(v)
+	p, bad := FromChecked(v)
 	return p, bad, nil
 }
--- a/internal/settings/props.go
+++ b/internal/settings/props.go
@@ -16,69 +16,71 @@
 	"puffincrank/internal/schema"
 )
 
-// Props are the checked settings of a process.
-type Props struct {
-	Node, Mesh, Area       string
-	Inner, Outer, Traffic  string
-	Seeds, Stores          []string
-	Data                   string
-	Change, Leave, Window  time.Duration
-	Return, History        time.Duration
-	Retire, Replace, Grace time.Duration
-	CatchUp, Touch, Ack    time.Duration
-	Back, Free, Silence    time.Duration
-	Told                   time.Duration // how often the own worker beats; 0 for our own ratio
-	Body, Frame, Jobs      int
-	Founding               bool
-	Bear                   int    // machines with a disk that may be lost at once
-	BearAreas, BearRegions int    // areas, or regions, that may be lost at once
-	Region                 string // of the area, if told
-	Memory, Files          int    // bytes and descriptors of this process; 0 when not told
-	Disk                   int    // bytes of the disk; 0 when not told
-	State                  int    // bytes that the replicated state may have; 0 when it follows from memory and disk
-	Service, Worker        string // the service and address of the worker beside this node, if told
-	Ready                  string // a further address where readiness is told
-	RepeatShare            float64
-	RepeatAllowance        int
+// Settings are the checked settings of a process.
+type Settings struct {
+	Node, ClusterID, Zone                          string
+	InternalAddr, APIAddr, TrafficAddr             string
+	Seeds, Stores                                  []string
+	DataDir                                        string
+	ConfigBound, LeaveBound, RetryWindow           time.Duration
+	RecoveryBound, WatchHistory                    time.Duration
+	RetireAfter, ReplaceAfter, GracePeriod         time.Duration
+	CatchUpBound, ContactTime, AckBound            time.Duration
+	OldConfigBound, LockExpiryBound, ClientTimeout time.Duration
+	ConfiguredHeartbeat                            time.Duration // how often the own worker beats; 0 for our own ratio
+	MaxBodyBytes, MaxFrameBytes, MaxRequests       int
+	MayFound                                       bool
+	ToleratedMachines                              int    // machines with a disk that may be lost at once
+	ToleratedZones, ToleratedRegions               int    // areas, or regions, that may be lost at once
+	Region                                         string // of the area, if told
+	MemoryBytes, FileLimit                         int    // bytes and descriptors of this process; 0 when not told
+	DiskBytes                                      int    // bytes of the disk; 0 when not told
+	ConfiguredStateBytes                           int    // bytes that the replicated state may have; 0 when it follows from memory and disk
+	Service, WorkerAddr                            string // the service and address of the worker beside this node, if told
+	ReadyAddr                                      string // a further address where readiness is told
+	RetryRatio                                     float64
+	RetryAllowance                                 int
 }
 
 // Voters is how many stores must agree so that any Bear of them may be lost, or
 // as many areas or regions, if each holds one.
-func (p Props) Voters() int { return 2*max(p.Bear, p.BearAreas, p.BearRegions) + 1 }
+func (p Settings) Voters() int {
+	return 2*max(p.ToleratedMachines, p.ToleratedZones, p.ToleratedRegions) + 1
+}
 
-// Make turns checked values into props and checks that the parts add up.
-func Make(v schema.Values) (Props, []schema.Fault) {
+// FromChecked turns checked values into props and checks that the parts add up.
+func FromChecked(v schema.Values) (Settings, []schema.Problem) {
 	ms := func(n string) time.Duration { return time.Duration(v.Count(n)) * time.Millisecond }
-	p := Props{Node: v.Text("node"), Mesh: v.Text("mesh"), Area: v.Text("area"), Inner: v.Text("inner"), Outer: v.Text("outer"),
-		Traffic: v.Text("traffic"), Seeds: v.Texts("seeds"), Stores: v.Texts("stores"), Data: v.Text("data"),
-		Change: ms("change_ms"), Leave: ms("leave_ms"), Window: ms("window_ms"), Return: ms("return_ms"), History: ms("history_ms"),
-		Retire: ms("retire_ms"), Replace: ms("replace_ms"), Grace: ms("grace_ms"),
-		CatchUp: ms("catch_up_ms"), Touch: ms("touch_ms"), Ack: ms("ack_ms"), Back: ms("back_ms"), Free: ms("free_ms"), Silence: ms("silence_ms"), Told: ms("beat_ms"),
-		Body: int(v.Count("body_bytes")), Frame: int(v.Count("frame_bytes")), Jobs: int(v.Count("jobs")),
-		Founding: v.Flag("founding"), Bear: int(v.Count("bear")), BearAreas: int(v.Count("bear_areas")), BearRegions: int(v.Count("bear_regions")), Region: v.Text("region"), Memory: int(v.Count("memory_bytes")), Files: int(v.Count("files")),
-		Disk: int(v.Count("disk_bytes")), State: int(v.Count("state_bytes")),
-		Service: v.Text("service"), Worker: v.Text("worker_addr"), Ready: v.Text("ready"),
-		RepeatShare: v.Share("repeat_share"), RepeatAllowance: int(v.Count("repeat_allowance"))}
+	p := Settings{Node: v.Text("node"), ClusterID: v.Text("mesh"), Zone: v.Text("area"), InternalAddr: v.Text("inner"), APIAddr: v.Text("outer"),
+		TrafficAddr: v.Text("traffic"), Seeds: v.Texts("seeds"), Stores: v.Texts("stores"), DataDir: v.Text("data"),
+		ConfigBound: ms("change_ms"), LeaveBound: ms("leave_ms"), RetryWindow: ms("window_ms"), RecoveryBound: ms("return_ms"), WatchHistory: ms("history_ms"),
+		RetireAfter: ms("retire_ms"), ReplaceAfter: ms("replace_ms"), GracePeriod: ms("grace_ms"),
+		CatchUpBound: ms("catch_up_ms"), ContactTime: ms("touch_ms"), AckBound: ms("ack_ms"), OldConfigBound: ms("back_ms"), LockExpiryBound: ms("free_ms"), ClientTimeout: ms("silence_ms"), ConfiguredHeartbeat: ms("beat_ms"),
+		MaxBodyBytes: int(v.Count("body_bytes")), MaxFrameBytes: int(v.Count("frame_bytes")), MaxRequests: int(v.Count("jobs")),
+		MayFound: v.Flag("founding"), ToleratedMachines: int(v.Count("bear")), ToleratedZones: int(v.Count("bear_areas")), ToleratedRegions: int(v.Count("bear_regions")), Region: v.Text("region"), MemoryBytes: int(v.Count("memory_bytes")), FileLimit: int(v.Count("files")),
+		DiskBytes: int(v.Count("disk_bytes")), ConfiguredStateBytes: int(v.Count("state_bytes")),
+		Service: v.Text("service"), WorkerAddr: v.Text("worker_addr"), ReadyAddr: v.Text("ready"),
+		RetryRatio: v.Share("repeat_share"), RetryAllowance: int(v.Count("repeat_allowance"))}
 	p.derive()
 	return p, p.parts()
 }
 
 // Load reads the props of a program from a file and from flags; flags win.
-func Load(program string, args []string) (Props, []schema.Fault, error) {
+func Load(program string, args []string) (Settings, []schema.Problem, error) {
 	tab := Tables[program]
 	file, over, err := flags(tab, args)
 	if err != nil {
-		return Props{}, nil, err
+		return Settings{}, nil, err
 	}
 	in := map[string]any{}
-	var bad []schema.Fault
+	var bad []schema.Problem
 	if file != "" {
 		data, err := os.ReadFile(file)
 		if err != nil {
-			return Props{}, nil, fault.Wrap(fault.Input, err, "read props")
+			return Settings{}, nil, fault.Wrap(fault.Input, err, "read props")
 		}
 		if in, bad, err = schema.Parse(data); err != nil {
-			return Props{}, nil, fault.Wrap(fault.Input, err, "read props")
+			return Settings{}, nil, fault.Wrap(fault.Input, err, "read props")
 		}
 	}
 	for k, val := range over {
@@ -87,9 +89,9 @@
 	v, more := tab.Read(in, "")
 	bad = append(bad, more...)
 	if len(bad) > 0 {
-		return Props{}, bad, nil
+		return Settings{}, bad, nil
 	}
-	p, bad := Make(v)
+	p, bad := FromChecked(v)
 	return p, bad, nil
 }
 
--- a/internal/settings/props_test.go
+++ b/internal/settings/props_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-func read(t *testing.T, program string, more map[string]any) (Props, int) {
+func read(t *testing.T, program string, more map[string]any) (Settings, int) {
 	t.Helper()
 	in := map[string]any{"node": "n", "area": "a", "inner": "10.0.0.1:1", "outer": "10.0.0.1:2", "seeds": []any{"10.0.0.1:1"}}
 	switch program {
@@ -28,9 +28,9 @@
 		}
 	}
 	v, bad := Tables[program].Read(in, "")
-	p, more2 := Make(v)
+	p, more2 := FromChecked(v)
 	for _, f := range append(bad, more2...) {
-		t.Logf("%s: %s", f.Place, f.Wrong)
+		t.Logf("%s: %s", f.Place, f.Message)
 	}
 	return p, len(bad) + len(more2)
 }
@@ -38,11 +38,11 @@
 // TestDefaults: what was not given is as it ever was.
 func TestDefaults(t *testing.T) {
 	p, bad := read(t, "store", map[string]any{"outer": nil})
-	if bad > 0 || p.Outer != "" || p.Replace != 8*time.Second || p.Retire != 10*time.Second || p.CatchUp != 24*time.Second || !p.Founding || p.Voters() != 3 {
+	if bad > 0 || p.APIAddr != "" || p.ReplaceAfter != 8*time.Second || p.RetireAfter != 10*time.Second || p.CatchUpBound != 24*time.Second || !p.MayFound || p.Voters() != 3 {
 		t.Errorf("store: %+v", p)
 	}
 	p, bad = read(t, "proxy", nil)
-	if bad > 0 || p.WorkerBeat() != 250*time.Millisecond || p.Missed() != 1250*time.Millisecond {
+	if bad > 0 || p.WorkerHeartbeat() != 250*time.Millisecond || p.WorkerTimeout() != 1250*time.Millisecond {
 		t.Errorf("proxy: %+v", p)
 	}
 	if _, bad := read(t, "proxy", map[string]any{"outer": nil}); bad != 1 {
@@ -56,13 +56,13 @@
 	for _, catch := range []int{4000, 6000} {
 		b := map[string]any{"change_ms": 2000, "leave_ms": 2000, "window_ms": 10000, "return_ms": 15000, "history_ms": 20000, "grace_ms": 6000, "touch_ms": 3000, "catch_up_ms": catch, "ack_ms": 4000}
 		p, bad := read(t, "store", b)
-		if bad > 0 || p.Replace*2+p.Lease() > p.CatchUp || p.Replace <= p.Lease() || p.Retire < 2*p.Session() {
-			t.Errorf("catch up %d: %d faults, replace %v, retire %v", catch, bad, p.Replace, p.Retire)
+		if bad > 0 || p.ReplaceAfter*2+p.Lease() > p.CatchUpBound || p.ReplaceAfter <= p.Lease() || p.RetireAfter < 2*p.SessionTTL() {
+			t.Errorf("catch up %d: %d faults, replace %v, retire %v", catch, bad, p.ReplaceAfter, p.RetireAfter)
 		}
 		b["beat_ms"] = 1500
 		p, bad = read(t, "proxy", b)
-		if bad > 0 || p.WorkerBeat() != 1500*time.Millisecond || p.Missed() < 2*p.WorkerBeat()+p.Patience() {
-			t.Errorf("a worker that beats each %v is down after %v (%d faults)", p.WorkerBeat(), p.Missed(), bad)
+		if bad > 0 || p.WorkerHeartbeat() != 1500*time.Millisecond || p.WorkerTimeout() < 2*p.WorkerHeartbeat()+p.CallTimeout() {
+			t.Errorf("a worker that beats each %v is down after %v (%d faults)", p.WorkerHeartbeat(), p.WorkerTimeout(), bad)
 		}
 	}
 }
@@ -83,22 +83,22 @@
 		// The beat of a worker is told to proxies only.
 		beat := json.Number(fmt.Sprint(rapid.IntRange(200, 2400).Draw(t, "beat")))
 		v, bad := Tables["store"].Read(in, "")
-		p, more := Make(v)
+		p, more := FromChecked(v)
 		if bad = append(bad, more...); len(bad) > 0 {
 			t.Fatalf("does not start: %v", bad)
 		}
 		delete(in, "data")
 		in["traffic"], in["outer"], in["beat_ms"] = "10.0.0.1:3", "10.0.0.1:2", beat
 		v, bad = Tables["proxy"].Read(in, "")
-		x, more := Make(v)
+		x, more := FromChecked(v)
 		if bad = append(bad, more...); len(bad) > 0 {
 			t.Fatalf("a proxy does not start: %v", bad)
 		}
-		if x.Missed() > x.Return || x.Missed() < x.Told*3/2 {
-			t.Errorf("a worker that beats each %v is down after %v, return %v", x.Told, x.Missed(), x.Return)
+		if x.WorkerTimeout() > x.RecoveryBound || x.WorkerTimeout() < x.ConfiguredHeartbeat*3/2 {
+			t.Errorf("a worker that beats each %v is down after %v, return %v", x.ConfiguredHeartbeat, x.WorkerTimeout(), x.RecoveryBound)
 		}
-		if p.Pace() > p.Change || p.Vacant()+p.Beat()*2 > p.Touch*2/3 || p.Lease()*3+p.Session() > p.Return || p.Replace+p.Lease()+p.Patience()*2 > p.CatchUp {
-			t.Errorf("pace %v of %+v", p.Pace(), p)
+		if p.BaseInterval() > p.ConfigBound || p.LeaderTimeout()+p.HeartbeatInterval()*2 > p.ContactTime*2/3 || p.Lease()*3+p.SessionTTL() > p.RecoveryBound || p.ReplaceAfter+p.Lease()+p.CallTimeout()*2 > p.CatchUpBound {
+			t.Errorf("pace %v of %+v", p.BaseInterval(), p)
 		}
 	})
 }
@@ -140,12 +140,12 @@
 func TestChangedNames(t *testing.T) {
 	for program, tab := range Tables {
 		for _, s := range tab.Rows {
-			if _, ok := (Props{}).names()[s.Name]; !ok {
+			if _, ok := (Settings{}).names()[s.Name]; !ok {
 				t.Errorf("%s: a change of %s would not be named", program, s.Name)
 			}
 		}
 	}
-	was, now := Props{Change: 1, Seeds: []string{"a"}, Jobs: 3}, Props{Change: 2, Seeds: []string{"b"}, Jobs: 3}
+	was, now := Settings{ConfigBound: 1, Seeds: []string{"a"}, MaxRequests: 3}, Settings{ConfigBound: 2, Seeds: []string{"b"}, MaxRequests: 3}
 	if got := Changed("proxy", was, now); len(got) != 2 {
 		t.Errorf("changed: %v", got)
 	}
--- a/internal/sim/again_test.go
+++ b/internal/sim/again_test.go
@@ -21,9 +21,9 @@
 		for i := range 10 {
 			Wait(time.Second)
 			for _, n := range f.Nodes {
-				p := n.Proxy.P
-				p.Change, p.Leave, p.Grace = p.Change*2, p.Leave/2, p.Grace/4
-				p.Body, p.Jobs, p.RepeatShare = 32<<10, 64+i, 0.3
+				p := n.Proxy.Settings
+				p.ConfigBound, p.LeaveBound, p.GracePeriod = p.ConfigBound*2, p.LeaveBound/2, p.GracePeriod/4
+				p.MaxBodyBytes, p.MaxRequests, p.RetryRatio = 32<<10, 64+i, 0.3
 				for _, name := range n.Proxy.Again(p) {
 					if name == "change_ms" || name == "leave_ms" || name == "grace_ms" {
 						t.Errorf("%s can't be taken", name)
@@ -34,8 +34,8 @@
 		wait()
 		f.Judge()
 		n := f.Nodes[0]
-		if n.Proxy.P.Change != 2*time.Second {
-			t.Errorf("a bound that beats follow from moved to %v", n.Proxy.P.Change)
+		if n.Proxy.Settings.ConfigBound != 2*time.Second {
+			t.Errorf("a bound that beats follow from moved to %v", n.Proxy.Settings.ConfigBound)
 		}
 		for size, want := range map[int]int{16 << 10: 200, 64 << 10: 413} {
 			r, _ := http.NewRequest("POST", "http://"+n.Host+":8000/scans/1", strings.NewReader(strings.Repeat("x", size)))
--- a/internal/sim/crowd_test.go
+++ b/internal/sim/crowd_test.go
@@ -25,8 +25,8 @@
 		f.Start()
 		const memory = 32 << 20
 		for i, n := range f.Nodes {
-			p := n.Proxy.P
-			p.Memory = memory
+			p := n.Proxy.Settings
+			p.MemoryBytes = memory
 			n.Proxy.Again(p)
 			if s.Serves(i) == "scans" {
 				n.Worker.Behave(stand.Way{Took: 300 * time.Millisecond})
@@ -102,8 +102,8 @@
 		defer f.Stop()
 		f.Start()
 		n := f.Nodes[0]
-		p := n.Proxy.P
-		p.Files = 40
+		p := n.Proxy.Settings
+		p.FileLimit = 40
 		n.Proxy.Again(p)
 		var all []*byHand
 		for range 20 {
--- a/internal/sim/fleet.go
+++ b/internal/sim/fleet.go
@@ -121,7 +121,7 @@
 	return f.seedAt
 }
 
-func (f *Fleet) props(program, node, area, host string, inner, outer int, more map[string]any) settings.Props {
+func (f *Fleet) props(program, node, area, host string, inner, outer int, more map[string]any) settings.Settings {
 	in := map[string]any{"node": node, "area": area, "inner": fmt.Sprintf("%s:%d", host, inner), "outer": fmt.Sprintf("%s:%d", host, outer)}
 	for _, all := range []map[string]any{f.Told, more} {
 		for k, v := range all {
@@ -129,7 +129,7 @@
 		}
 	}
 	v, bad := settings.Tables[program].Read(in, "")
-	p, more2 := settings.Make(v)
+	p, more2 := settings.FromChecked(v)
 	if bad = append(bad, more2...); len(bad) > 0 {
 		f.T.Fatalf("props of %s: %v", node, bad)
 	}
--- a/internal/sim/kept_test.go
+++ b/internal/sim/kept_test.go
@@ -63,17 +63,17 @@
 		f := NewFleet(t, small(), 141)
 		defer f.Stop()
 		f.Start()
-		c, p := f.Cores[0], f.Nodes[0].Proxy.P
-		Wait(p.Repair() * 2)
+		c, p := f.Cores[0], f.Nodes[0].Proxy.Settings
+		Wait(p.RepairInterval() * 2)
 		f.KillCore(c, false)
 		for _, n := range f.Nodes {
 			f.KillNode(n)
 			f.StartProxy(n)
 		}
 		f.Until(15*time.Second, "all is whole without it", f.Whole)
-		Wait(p.Bury() * 3 / 2)
+		Wait(p.TombstoneTTL() * 3 / 2)
 		f.BackCore(c)
-		Wait(p.Return * 3 / 2)
+		Wait(p.RecoveryBound * 3 / 2)
 		if !f.Whole() {
 			for _, n := range f.Nodes {
 				_, own := f.Get(n.Host+":7003", "/puffin/own")
@@ -91,8 +91,8 @@
 		f := NewFleet(t, small(), 142)
 		defer f.Stop()
 		f.Start()
-		c, p := f.Cores[0], f.Nodes[0].Proxy.P
-		Wait(p.Repair() * 2)
+		c, p := f.Cores[0], f.Nodes[0].Proxy.Settings
+		Wait(p.RepairInterval() * 2)
 		was, err := c.Disk.Read("workers")
 		if err != nil {
 			t.Fatal(err)
@@ -100,7 +100,7 @@
 		if code, out, say := f.ctl(c.Host+":7003", "drain", "node-"+f.Nodes[0].Host); code != 0 {
 			t.Fatal(code, out, say)
 		}
-		Wait(p.Beat() * 4)
+		Wait(p.HeartbeatInterval() * 4)
 		if now, err := c.Disk.Read("workers"); err != nil || string(now) == string(was) {
 			t.Errorf("the file is as before the change: %v", err)
 		}
--- a/internal/sim/lostrun_test.go
+++ b/internal/sim/lostrun_test.go
@@ -96,7 +96,7 @@
 		defer r.Stop()
 		from := time.Now()
 		r.g.Go("stop-owner", func(context.Context) { r.owner.Proxy.Stop() })
-		Wait(r.owner.Proxy.P.Grace * 224 / 600)
+		Wait(r.owner.Proxy.Settings.GracePeriod * 224 / 600)
 		r.front.Proxy.Stop()
 		r.answers(t, 0, from)
 	})
@@ -112,7 +112,7 @@
 		from := time.Now()
 		r.g.Go("stop-owner", func(context.Context) { r.owner.Proxy.Stop() })
 		for _, c := range <-r.ended {
-			if took := c.To.Sub(from); c.Status != 200 || took > r.owner.Proxy.P.Grace*8/10 {
+			if took := c.To.Sub(from); c.Status != 200 || took > r.owner.Proxy.Settings.GracePeriod*8/10 {
 				t.Errorf("%d %s %v after the order", c.Status, c.Body, took)
 			}
 		}
--- a/internal/sim/ownstop_test.go
+++ b/internal/sim/ownstop_test.go
@@ -64,15 +64,15 @@
 		}
 		from := time.Now()
 		at.Proxy.Stop()
-		if took := time.Since(from); took > at.Proxy.P.Grace {
-			t.Errorf("the stop took %v of %v", took, at.Proxy.P.Grace)
+		if took := time.Since(from); took > at.Proxy.Settings.GracePeriod {
+			t.Errorf("the stop took %v of %v", took, at.Proxy.Settings.GracePeriod)
 		}
 		for _, c := range <-ended {
 			if c.Status == 0 || c.Cut {
 				t.Errorf("a caller got no answer %v after the order", c.To.Sub(from))
 			}
 			// What never ran may be told so at any time.
-			if c.Status != 503 && c.To.Sub(from) < at.Proxy.P.Grace*5/6 {
+			if c.Status != 503 && c.To.Sub(from) < at.Proxy.Settings.GracePeriod*5/6 {
 				t.Errorf("%d after %v, before the last sixth of the grace", c.Status, c.To.Sub(from))
 			}
 		}
@@ -113,7 +113,7 @@
 				Wait(100 * time.Millisecond)
 				over := make(chan struct{})
 				f.g.Go("stop", func(context.Context) { at.Proxy.Stop(); close(over) })
-				Wait(time.Duration(c.after * float64(at.Proxy.P.Grace)))
+				Wait(time.Duration(c.after * float64(at.Proxy.Settings.GracePeriod)))
 				line.Left = c.left
 				got := f.atFront(at, line, 1)[0]
 				if c.taken != (got.Status == 200) {
--- a/internal/sim/repeatsofothers_test.go
+++ b/internal/sim/repeatsofothers_test.go
@@ -47,7 +47,7 @@
 			t.Fatalf("%d requests are at the slow worker: the test shows nothing", many)
 		}
 		f.g.Go("stop-owner", func(context.Context) { owner.Proxy.Stop() })
-		Wait(owner.Proxy.P.Grace * 224 / 600)
+		Wait(owner.Proxy.Settings.GracePeriod * 224 / 600)
 		front.Proxy.Stop()
 		lost := 0
 		for _, c := range <-ended {
--- a/internal/sim/sightstop_test.go
+++ b/internal/sim/sightstop_test.go
@@ -93,11 +93,11 @@
 			t.Fatal("no worker has the request: the test shows nothing")
 		}
 		f.g.Go("stop-owner", func(context.Context) { owner.Proxy.Stop() })
-		Wait(owner.Proxy.P.Grace * 3 / 8)
+		Wait(owner.Proxy.Settings.GracePeriod * 3 / 8)
 		at.Proxy.Stop()
 		<-ended
 		told := strings.Join(lines("unanswered"), "\n")
-		found := regexp.MustCompile(`by=owner why=its node is ending worker=` + owner.Worker.ID + ` owner=` + owner.Proxy.P.Node + ` .*stop_ms=\d+ owner_stop_ms=(\d+) sends=\d+ then=`).FindStringSubmatch(told)
+		found := regexp.MustCompile(`by=owner why=its node is ending worker=` + owner.Worker.ID + ` owner=` + owner.Proxy.Settings.Node + ` .*stop_ms=\d+ owner_stop_ms=(\d+) sends=\d+ then=`).FindStringSubmatch(told)
 		if found == nil {
 			t.Fatalf("the log does not tell at which node the run was lost, and why: %q", told)
 		}
--- a/internal/store/campaign.go
+++ b/internal/store/campaign.go
@@ -17,7 +17,7 @@
 	vow, quiet := s.voter.Promised()
 	// One whose disk is only slow is better than nobody, once all the others
 	// had their turn.
-	weak := time.Now().Before(s.restsUntil) && (s.lastWriteFailed || quiet < 2*s.P.Vacant())
+	weak := time.Now().Before(s.restsUntil) && (s.lastWriteFailed || quiet < 2*s.Settings.LeaderTimeout())
 	rest := s.stopping || weak || s.diskHangs() || s.isMending()
 	again, free := s.campaignNow, time.Until(s.campaignFrom)
 	s.campaignNow = false
@@ -25,22 +25,22 @@
 	switch {
 	case rest:
 		// One that may not stand still asks whether it has lost its place.
-		if quiet > s.P.Lease() && !again {
+		if quiet > s.Settings.Lease() && !again {
 			s.askVotes(ctx, ballot.Number{}, false)
 		}
-		return s.P.Beat()
+		return s.Settings.HeartbeatInterval()
 	case again:
 	case free > 0:
 		return free
-	case quiet < s.P.Vacant():
-		return s.P.Vacant() - quiet + s.campaignDelay(vow)
+	case quiet < s.Settings.LeaderTimeout():
+		return s.Settings.LeaderTimeout() - quiet + s.campaignDelay(vow)
 	}
 	s.campaign(ctx)
 	if !s.role.Is("follow") {
 		return 0
 	}
 	// One that failed leaves the others a moment.
-	return s.P.Beat()/4 + s.campaignDelay(ballot.Number{})
+	return s.Settings.HeartbeatInterval()/4 + s.campaignDelay(ballot.Number{})
 }
 
 // campaignDelay is how long this store waits once the leadership of a holder is vacant. It
@@ -62,7 +62,7 @@
 		}
 	}
 	// The others must have missed the holder as well, so the first waits too.
-	step := s.P.Beat() / 2
+	step := s.Settings.HeartbeatInterval() / 2
 	return time.Duration(rank)*step + step/5 + time.Duration(rand.Int64N(int64(step/5)))
 }
 
@@ -81,7 +81,7 @@
 	body := s.memberSet()
 	began := time.Now()
 	votes, from, no, ok := s.askVotes(ctx, num, true)
-	if !ok && no > 0 && time.Since(began) < s.P.Beat() {
+	if !ok && no > 0 && time.Since(began) < s.Settings.HeartbeatInterval() {
 		// Another stood at the same time, and neither has a majority. Those who
 		// promised wait for their one as for a holder; this one will write nothing
 		// under its number. Without any refusal the voters are only slow, and where a
@@ -98,7 +98,7 @@
 func (s *Store) prepare(ctx context.Context, num ballot.Number, body string, votes []ballotVote, from []string) bool {
 	s.applying.Lock()
 	defer s.applying.Unlock()
-	ctx, end := context.WithTimeout(ctx, s.P.Change)
+	ctx, end := context.WithTimeout(ctx, s.Settings.ConfigBound)
 	defer end()
 	best := -1
 	for i, v := range votes {
@@ -161,7 +161,7 @@
 		s.role.Fire("lose")
 		return true
 	}
-	s.leadership, s.leaderAddress = t, s.P.Inner
+	s.leadership, s.leaderAddress = t, s.Settings.InternalAddr
 	s.mu.Unlock()
 	s.e.Log.Emit(event.Won, "duty", "writer", "ballot", num.String(), "slot", s.slot)
 	t.run()
--- a/internal/store/campaign_test.go
+++ b/internal/store/campaign_test.go
@@ -46,7 +46,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			p := settings.Props{Node: "n", Mesh: "m", Change: 2 * time.Second, Return: 15 * time.Second, Frame: 1 << 20, Jobs: 8, Inner: "me:1"}
+			p := settings.Settings{Node: "n", ClusterID: "m", ConfigBound: 2 * time.Second, RecoveryBound: 15 * time.Second, MaxFrameBytes: 1 << 20, MaxRequests: 8, InternalAddr: "me:1"}
 			out := &nobody{}
 			s, err := New(p, env.Env{Net: out, FS: dir, Wall: time.Now, Log: event.New("n", nil), Pause: func(ctx context.Context, d time.Duration) {
 				select {
@@ -69,20 +69,20 @@
 			}
 			s.state.Members = append(s.state.Members, statemachine.Member{ID: "w", Addr: "w:1"})
 			s.role.Fire("filled")
-			s.voter = ballot.NewVoter(holder, p.Vacant(), s.promise)
+			s.voter = ballot.NewVoter(holder, p.LeaderTimeout(), s.promise)
 			from := time.Now()
 			s.g.Go("life", s.run)
-			least := p.Vacant() + time.Duration(rank)*p.Beat()/2
+			least := p.LeaderTimeout() + time.Duration(rank)*p.HeartbeatInterval()/2
 			<-time.After(least)
 			synctest.Wait()
 			if n := out.count(); n > 0 {
-				t.Errorf("rank %d: a holder heard %v ago was not left alone", rank, p.Vacant())
+				t.Errorf("rank %d: a holder heard %v ago was not left alone", rank, p.LeaderTimeout())
 			}
-			for out.count() == 0 && time.Since(from) < p.Return {
-				<-time.After(p.Beat() / 10)
+			for out.count() == 0 && time.Since(from) < p.RecoveryBound {
+				<-time.After(p.HeartbeatInterval() / 10)
 				synctest.Wait()
 			}
-			if took := time.Since(from); out.count() < 4 || took > least+p.Beat() {
+			if took := time.Since(from); out.count() < 4 || took > least+p.HeartbeatInterval() {
 				t.Errorf("rank %d: %d were asked, %v after the holder was last heard", rank, out.count(), took)
 			}
 		})
--- a/internal/store/chosenlog.go
+++ b/internal/store/chosenlog.go
@@ -42,7 +42,7 @@
 	s.mu.Lock()
 	version := s.state.Config().Version
 	s.mu.Unlock()
-	if skipped, due := s.chosenLog.due(version, s.P.Beat()); due {
+	if skipped, due := s.chosenLog.due(version, s.Settings.HeartbeatInterval()); due {
 		s.e.Log.Emit(event.Chosen, "slot", e.Index, "digest", shortDigest(e.Digest()), "version", version, "ballot", e.Ballot.String(), "held_by", acceptors, "more", skipped)
 	}
 }
--- a/internal/store/confirm.go
+++ b/internal/store/confirm.go
@@ -39,7 +39,7 @@
 // confirmLoop is the loop of rounds: one for all reads that wait, and one at each
 // beat, which also keeps the lease.
 func (t *leadership) confirmLoop(ctx context.Context) {
-	beat := time.NewTicker(t.s.P.Beat())
+	beat := time.NewTicker(t.s.Settings.HeartbeatInterval())
 	defer beat.Stop()
 	for {
 		var wait []*readRequest
@@ -96,7 +96,7 @@
 func (t *leadership) isStale() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return time.Since(t.confirmedAt) > t.s.P.Lease()
+	return time.Since(t.confirmedAt) > t.s.Settings.Lease()
 }
 
 // heartbeat is one round: every member says whether our ballot still stands.
@@ -109,9 +109,9 @@
 	yes, higher := 0, 0
 	// A slow member's answer still counts as heard after the majority is in.
 	ballot.Poll(ctx, s.g, who, func(_ context.Context, to string) (ack, error) {
-		ctx, end := context.WithTimeout(s.g.Context(), s.P.Lease()/2)
+		ctx, end := context.WithTimeout(s.g.Context(), s.Settings.Lease()/2)
 		defer end()
-		if to == s.P.Inner {
+		if to == s.Settings.InternalAddr {
 			vow, _ := s.voter.Promised()
 			ok := vow == t.num
 			if ok {
--- a/internal/store/contact.go
+++ b/internal/store/contact.go
@@ -42,7 +42,7 @@
 	out := peerContact{at: now, slot: max(a.Slot, before.slot), ill: a.Ill, knows: a.Knows, going: before.going}
 	if a.Going {
 		out.going = now
-	} else if now.Sub(before.going) > t.s.P.Lease() {
+	} else if now.Sub(before.going) > t.s.Settings.Lease() {
 		// It runs again: an ack from before its word would have come by now.
 		out.going = time.Time{}
 	}
@@ -64,7 +64,7 @@
 func (s *Store) initialContact(id string, now time.Time) peerContact {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if w, ok := s.formerTerm.contacts[id]; ok && now.Sub(s.formerTerm.at) < s.P.Lease() {
+	if w, ok := s.formerTerm.contacts[id]; ok && now.Sub(s.formerTerm.at) < s.Settings.Lease() {
 		return w
 	}
 	return peerContact{at: now}
@@ -75,7 +75,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
-	if vow.Candidate != s.acc.Identity().ID && quiet < s.P.CatchUp {
+	if vow.Candidate != s.acc.Identity().ID && quiet < s.Settings.CatchUpBound {
 		s.formerTerm = formerTerm{now, map[string]peerContact{vow.Candidate: {at: now.Add(-quiet)}}}
 	}
 }
@@ -86,7 +86,7 @@
 	s := t.s
 	t.mu.Lock()
 	for id, sp := range t.learners {
-		if time.Since(sp.heard) > s.P.CatchUp {
+		if time.Since(sp.heard) > s.Settings.CatchUpBound {
 			delete(t.learners, id)
 		}
 	}
@@ -101,10 +101,10 @@
 	}
 	// A core that is just growing, or waits for a machine to come back, is no news.
 	if s.smallSince.IsZero() {
-		s.smallSince = time.Now().Add(s.P.CatchUp)
+		s.smallSince = time.Now().Add(s.Settings.CatchUpBound)
 	}
 	if time.Now().After(s.smallSince) {
-		s.smallSince = time.Now().Add(s.P.Return)
+		s.smallSince = time.Now().Add(s.Settings.RecoveryBound)
 		s.e.Log.Emit(event.CoreSmall, "voters", len(all), "wanted", want, "crowded", weak)
 	}
 }
--- a/internal/store/diskhealth.go
+++ b/internal/store/diskhealth.go
@@ -30,12 +30,12 @@
 		s.diskFailed(err)
 		return err
 	}
-	slow := took > s.P.SlowSync()
+	slow := took > s.Settings.MaxSyncTime()
 	s.mu.Lock()
 	was := s.diskIll
 	s.diskIll, s.lastWriteFailed = slow, false
 	if slow {
-		s.restsUntil = time.Now().Add(s.P.Return / 3)
+		s.restsUntil = time.Now().Add(s.Settings.RecoveryBound / 3)
 	}
 	s.mu.Unlock()
 	if slow && !was {
@@ -51,7 +51,7 @@
 // is told no at once, instead of waiting as well. mu is held.
 func (s *Store) diskHangs() bool {
 	for _, from := range s.writesUnderWay {
-		if time.Since(from) > s.P.SlowSync() {
+		if time.Since(from) > s.Settings.MaxSyncTime() {
 			return true
 		}
 	}
@@ -63,9 +63,9 @@
 	s.mu.Lock()
 	was, now := s.diskIll, time.Now()
 	s.diskIll, s.lastWriteFailed = true, true
-	s.restsUntil = now.Add(s.P.Return / 3)
+	s.restsUntil = now.Add(s.Settings.RecoveryBound / 3)
 	// Once in a while: what is full again right away is not helped by another.
-	ease := disk.IsFull(err) && now.Sub(s.easedAt) > s.P.Return/3
+	ease := disk.IsFull(err) && now.Sub(s.easedAt) > s.Settings.RecoveryBound/3
 	if ease {
 		s.easedAt = now
 	}
@@ -86,7 +86,7 @@
 	t, hung := s.leadership, s.diskHangs()
 	ill := hung || s.diskIll
 	if hung {
-		s.restsUntil = time.Now().Add(s.P.Return / 3)
+		s.restsUntil = time.Now().Add(s.Settings.RecoveryBound / 3)
 	}
 	s.mu.Unlock()
 	if t == nil || !ill || !t.hasHealthierMember() || !t.leaves.CompareAndSwap(false, true) {
@@ -102,7 +102,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, m := range all {
-		if w := t.contacts[m.ID]; m.ID != t.s.acc.Identity().ID && !w.ill && time.Since(w.at) < t.s.P.Lease() {
+		if w := t.contacts[m.ID]; m.ID != t.s.acc.Identity().ID && !w.ill && time.Since(w.at) < t.s.Settings.Lease() {
 			return true
 		}
 	}
@@ -130,7 +130,7 @@
 		return keptEntries
 	}
 	since := s.slot - last.Index
-	if s.logBytes >= s.P.StateBytes()/logPart && s.slot%spanOfLarge == 0 && since > 0 {
+	if s.logBytes >= s.Settings.StateBytes()/logPart && s.slot%spanOfLarge == 0 && since > 0 {
 		// The entries are large: few of them must not fill the disk.
 		return spanOfLarge
 	}
@@ -173,7 +173,7 @@
 func (s *Store) writeCheckpoint(who string, c paxos.Snapshot, keep uint64) {
 	if s.writeDurably(func() error { return s.acc.SaveSnapshot(who, c, keep) }) != nil {
 		s.mu.Lock()
-		s.checkpointAfter = time.Now().Add(s.P.Lease())
+		s.checkpointAfter = time.Now().Add(s.Settings.Lease())
 		s.mu.Unlock()
 		return
 	}
--- a/internal/store/download.go
+++ b/internal/store/download.go
@@ -47,12 +47,12 @@
 
 // largestSnapshot bounds what is taken from another replica: its own bound may be
 // somewhat above ours.
-func (s *Store) largestSnapshot() int { return 2 * s.P.StateBytes() }
+func (s *Store) largestSnapshot() int { return 2 * s.Settings.StateBytes() }
 
 // fetchChunk fetches the next chunk. It goes as bulk, so heartbeats and
 // proposals pass it on a thin link.
 func (s *Store) fetchChunk(ctx context.Context, from string, d *download) error {
-	ctx, end := context.WithTimeout(transport.Lane(ctx, transport.Bulk), 2*s.P.Change)
+	ctx, end := context.WithTimeout(transport.Lane(ctx, transport.Bulk), 2*s.Settings.ConfigBound)
 	defer end()
 	ask := chunkAsk{ID: d.head.ID, Offset: len(d.data)}
 	got, err := transport.Ask[chunkGot](ctx, s.n, from, "store.snapshot", ask)
--- a/internal/store/duty.go
+++ b/internal/store/duty.go
@@ -24,7 +24,7 @@
 		if raw, err := disk.Load(s.e.FS, file); err == nil {
 			_ = msgpack.Unmarshal(raw, &vow)
 		}
-		v = ballot.NewVoter(vow, s.P.Lease(), func(n ballot.Number) error {
+		v = ballot.NewVoter(vow, s.Settings.Lease(), func(n ballot.Number) error {
 			raw, err := msgpack.Marshal(n)
 			if err != nil {
 				return fault.Wrap(fault.Input, err, "pack promise")
--- a/internal/store/electorate.go
+++ b/internal/store/electorate.go
@@ -36,15 +36,15 @@
 // askVotes asks every member for its vote, this one among them; no counts those that
 // refused theirs.
 func (s *Store) askVotes(ctx context.Context, num ballot.Number, real bool) (yes []ballotVote, from []string, no int, ok bool) {
-	ctx, end := context.WithTimeout(ctx, s.P.Lease()/2)
+	ctx, end := context.WithTimeout(ctx, s.Settings.Lease()/2)
 	defer end()
 	who, need := s.memberAddresses()
 	s.mu.Lock()
-	ask := ballotAsk{Num: num, ID: s.acc.Identity().ID, Real: real, Slot: s.slot, Mesh: s.state.ClusterID, Addr: s.P.Inner}
+	ask := ballotAsk{Num: num, ID: s.acc.Identity().ID, Real: real, Slot: s.slot, Mesh: s.state.ClusterID, Addr: s.Settings.InternalAddr}
 	s.mu.Unlock()
 	out, best, newest := 0, "", ask.Slot
 	ballot.Poll(ctx, s.g, who, func(ctx context.Context, to string) (ballotVote, error) {
-		if to == s.P.Inner {
+		if to == s.Settings.InternalAddr {
 			return s.onBallot(ctx, transport.Hello{}, ask)
 		}
 		return transport.Ask[ballotVote](ctx, s.n, to, "store.ballot", ask)
@@ -84,7 +84,7 @@
 // nobody can be elected: a change of the members among it may name those who can,
 // and an own entry that was damaged is mended by it.
 func (s *Store) catchUpWithoutLeader(from string) {
-	ctx, end := context.WithTimeout(s.g.Context(), s.P.Change)
+	ctx, end := context.WithTimeout(s.g.Context(), s.Settings.ConfigBound)
 	defer end()
 	if s.refill(ctx, from) != nil {
 		return
--- a/internal/store/fetch.go
+++ b/internal/store/fetch.go
@@ -63,7 +63,7 @@
 		}
 		return
 	}
-	ctx, end := context.WithTimeout(ctx, s.P.Change)
+	ctx, end := context.WithTimeout(ctx, s.Settings.ConfigBound)
 	defer end()
 	_ = s.fetchMissing(ctx, from, slot)
 }
@@ -190,7 +190,7 @@
 	size := 0
 	for _, e := range s.acc.After(in.After, min(fetchEntries, int(s.slot-in.After))) {
 		size += len(e.Batch)
-		if e.Index > s.slot || len(out) > 0 && size > s.P.Frame/fetchFrameRate {
+		if e.Index > s.slot || len(out) > 0 && size > s.Settings.MaxFrameBytes/fetchFrameRate {
 			break
 		}
 		out = append(out, e)
--- a/internal/store/founding.go
+++ b/internal/store/founding.go
@@ -21,7 +21,7 @@
 	s.noteSuccessor(in.ID, in.Addr)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	got := foundGot{Empty: s.state == nil, ID: s.acc.Identity().ID, Head: s.leaderAddress, Never: !s.P.Founding, Area: s.P.Area, Land: s.P.Region, Knows: statemachine.Level}
+	got := foundGot{Empty: s.state == nil, ID: s.acc.Identity().ID, Head: s.leaderAddress, Never: !s.Settings.MayFound, Area: s.Settings.Zone, Land: s.Settings.Region, Knows: statemachine.Level}
 	if s.state != nil {
 		got.Mesh, got.Members, got.Slot = s.state.ClusterID, s.state.Members, s.slot
 	}
@@ -149,7 +149,7 @@
 // from each other.
 func (s *Store) found(ctx context.Context, all []foundGot, addrs []string) {
 	least := ""
-	in := genesis{Mesh: s.P.Mesh + "/" + fresh(), Want: s.P.Voters(), Level: statemachine.Level}
+	in := genesis{Mesh: s.Settings.ClusterID + "/" + fresh(), Want: s.Settings.Voters(), Level: statemachine.Level}
 	for i, got := range all {
 		if !got.Never && (least == "" || addrs[i] < least) {
 			least = addrs[i]
@@ -157,13 +157,13 @@
 		in.Level = min(in.Level, got.Knows)
 		in.Members = append(in.Members, statemachine.Member{ID: got.ID, Addr: addrs[i], Zone: got.Area, Region: got.Land})
 	}
-	if least != s.P.Inner {
+	if least != s.Settings.InternalAddr {
 		return
 	}
 	if in.Want == 3 {
 		in.Want = 0
 	}
-	in.Members = founders(in.Members, s.P.Inner)
+	in.Members = founders(in.Members, s.Settings.InternalAddr)
 	if err := checkFounders(in.Members, s.acc.Identity().ID); err != nil {
 		s.e.Log.Emit(event.Foreign, "mesh", in.Mesh, "why", err.Error())
 		return
@@ -172,7 +172,7 @@
 		return
 	}
 	ballot.Poll(ctx, s.g, memberAddresses(in.Members), func(ctx context.Context, to string) (ack, error) {
-		if to == s.P.Inner {
+		if to == s.Settings.InternalAddr {
 			return ack{}, nil
 		}
 		return transport.Ask[ack](ctx, s.n, to, "store.genesis", in)
--- a/internal/store/holders.go
+++ b/internal/store/holders.go
@@ -48,13 +48,13 @@
 			return true
 		}
 		// Nobody is kept waiting for members that have much to catch up with.
-		if !able || time.Since(from) > t.s.P.Beat() {
+		if !able || time.Since(from) > t.s.Settings.HeartbeatInterval() {
 			return false
 		}
 		// The beat tells them the newest slot; the next one's answers tell that
 		// they have applied it.
 		_ = t.heartbeat(ctx)
-		t.s.e.Pause(ctx, t.s.P.Beat()/40)
+		t.s.e.Pause(ctx, t.s.Settings.HeartbeatInterval()/40)
 	}
 	return false
 }
--- a/internal/store/holders_test.go
+++ b/internal/store/holders_test.go
@@ -34,12 +34,12 @@
 		if n := count(); n != 1 {
 			t.Errorf("%d hold it, one of whom ends soon", n)
 		}
-		<-time.After(2 * s.P.Lease())
+		<-time.After(2 * s.Settings.Lease())
 		term.recordContact(ack{ID: "b", Slot: 8, Going: true})
 		if n := count(); n != 1 {
 			t.Errorf("%d hold it, one of whom says that it ends", n)
 		}
-		<-time.After(2 * s.P.Lease())
+		<-time.After(2 * s.Settings.Lease())
 		term.recordContact(ack{ID: "b", Slot: 8})
 		if n := count(); n != 2 {
 			t.Errorf("%d hold it, with one that runs again", n)
--- a/internal/store/join.go
+++ b/internal/store/join.go
@@ -20,9 +20,9 @@
 	head, bare, shut := s.leaderAddress, s.state == nil, s.stopping
 	s.mu.Unlock()
 	if shut {
-		return s.P.Beat()
+		return s.Settings.HeartbeatInterval()
 	}
-	ctx, end := context.WithTimeout(ctx, s.P.Patience()*2)
+	ctx, end := context.WithTimeout(ctx, s.Settings.CallTimeout()*2)
 	defer end()
 	if bare || head == "" || !s.reportToLeader(ctx, head) {
 		s.discover(ctx)
@@ -30,21 +30,21 @@
 	switch {
 	case s.votes():
 		return 0
-	case time.Since(s.born) < s.P.Return:
+	case time.Since(s.born) < s.Settings.RecoveryBound:
 		// Until the cluster has been found each moment counts.
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		if s.state == nil || s.leaderAddress == "" {
-			return s.P.Beat() / 4
+			return s.Settings.HeartbeatInterval() / 4
 		}
 	}
-	return s.P.Beat()
+	return s.Settings.HeartbeatInterval()
 }
 
 // discover asks the seeds, and the members as last known, for one that holds the
 // cluster's state.
 func (s *Store) discover(ctx context.Context) {
-	who := append([]string(nil), s.P.Seeds...)
+	who := append([]string(nil), s.Settings.Seeds...)
 	known := map[string]bool{}
 	for _, a := range who {
 		known[a] = true
@@ -68,7 +68,7 @@
 	empty, at, best := s.askAround(ctx, who)
 	if best.addr != "" {
 		s.joinVia(ctx, best)
-	} else if bare && len(empty) == len(s.P.Seeds) && len(who) == len(s.P.Seeds) {
+	} else if bare && len(empty) == len(s.Settings.Seeds) && len(who) == len(s.Settings.Seeds) {
 		// Only the seeds themselves found. One that was in a cluster holds its state.
 		s.found(ctx, empty, at)
 	}
@@ -86,16 +86,16 @@
 // right before the leader was lost. It leaves half of the time for the refill, as
 // one that is cut off never answers.
 func (s *Store) askAround(ctx context.Context, who []string) (empty []foundGot, at []string, best source) {
-	ctx, end := context.WithTimeout(ctx, s.P.Patience())
+	ctx, end := context.WithTimeout(ctx, s.Settings.CallTimeout())
 	defer end()
 	s.mu.Lock()
 	misled := s.misled
 	s.mu.Unlock()
 	ballot.Poll(ctx, s.g, who, func(ctx context.Context, to string) (foundGot, error) {
-		if to == s.P.Inner {
-			return foundGot{Empty: true, ID: s.acc.Identity().ID, Never: !s.P.Founding, Area: s.P.Area, Land: s.P.Region, Knows: statemachine.Level}, nil
+		if to == s.Settings.InternalAddr {
+			return foundGot{Empty: true, ID: s.acc.Identity().ID, Never: !s.Settings.MayFound, Area: s.Settings.Zone, Land: s.Settings.Region, Knows: statemachine.Level}, nil
 		}
-		return transport.Ask[foundGot](ctx, s.n, to, "store.found", foundAsk{s.acc.Identity().ID, s.P.Inner})
+		return transport.Ask[foundGot](ctx, s.n, to, "store.found", foundAsk{s.acc.Identity().ID, s.Settings.InternalAddr})
 	}, func(to string, got foundGot, err error) bool {
 		switch {
 		case err != nil:
@@ -146,7 +146,7 @@
 func (s *Store) reportToLeader(ctx context.Context, to string) bool {
 	for range 3 {
 		s.mu.Lock()
-		ask := joinAsk{ID: s.acc.Identity().ID, Addr: s.P.Inner, Mesh: s.state.ClusterID, Slot: s.slot, Area: s.P.Area, Land: s.P.Region, Knows: statemachine.Level}
+		ask := joinAsk{ID: s.acc.Identity().ID, Addr: s.Settings.InternalAddr, Mesh: s.state.ClusterID, Slot: s.slot, Area: s.Settings.Zone, Land: s.Settings.Region, Knows: statemachine.Level}
 		s.mu.Unlock()
 		got, err := transport.Ask[joinGot](ctx, s.n, to, "store.join", ask)
 		if err == nil && got.Slot == 0 && got.Has > ask.Slot && s.refill(ctx, to) == nil && s.votes() {
--- a/internal/store/join_test.go
+++ b/internal/store/join_test.go
@@ -69,7 +69,7 @@
 				peer(t, road, "a:1", says(c.a, c.late))
 				peer(t, road, "b:1", says(c.b, 10*time.Millisecond))
 				peer(t, road, "d:1", says(c.d, 20*time.Millisecond))
-				ctx, end := context.WithTimeout(t.Context(), 2*s.P.Patience())
+				ctx, end := context.WithTimeout(t.Context(), 2*s.Settings.CallTimeout())
 				defer end()
 				empty, _, got := s.askAround(ctx, []string{"a:1", "b:1", "d:1"})
 				if got.addr != c.want {
@@ -187,7 +187,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		s, road := alone(t)
 		defer s.Kill()
-		s.P.Seeds = []string{"me:1", "seed:1", "heard:1"}
+		s.Settings.Seeds = []string{"me:1", "seed:1", "heard:1"}
 		var told beatAsk
 		peer(t, road, "seed:1", func(n *transport.Node) {
 			transport.On(n, "store.beat", func(_ context.Context, _ transport.Hello, in beatAsk) (ack, error) {
--- a/internal/store/leadership.go
+++ b/internal/store/leadership.go
@@ -49,10 +49,10 @@
 	t.g.Go("writer", t.writeLoop)
 	t.g.Go("confirmer", t.confirmLoop)
 	t.g.Go("clocks", t.gatherLeases)
-	t.g.Every("lock-clock", t.s.P.Lease(), t.expireLocks)
-	t.g.Every("command-level", t.s.P.Beat(), t.raiseLevel)
-	t.g.Every("core-watch", t.s.P.Lease(), t.watch)
-	t.g.Every("greet-seeds", t.s.P.CatchUp/4, t.greetSeeds)
+	t.g.Every("lock-clock", t.s.Settings.Lease(), t.expireLocks)
+	t.g.Every("command-level", t.s.Settings.HeartbeatInterval(), t.raiseLevel)
+	t.g.Every("core-watch", t.s.Settings.Lease(), t.watch)
+	t.g.Every("greet-seeds", t.s.Settings.CatchUpBound/4, t.greetSeeds)
 }
 
 // stop stops the term's loops; what they were doing stays unknown.
@@ -78,7 +78,7 @@
 func (t *leadership) decide(ctx context.Context, raw []byte) ([]statemachine.Result, error) {
 	s := t.s
 	e := paxos.Entry{Index: s.slot + 1, Previous: s.sum, Batch: raw, Ballot: t.num}
-	ask := acceptAsk{Entry: e, Addr: s.P.Inner, Slot: s.slot, Sum: s.sum, Mesh: s.state.ClusterID}
+	ask := acceptAsk{Entry: e, Addr: s.Settings.InternalAddr, Slot: s.slot, Sum: s.sum, Mesh: s.state.ClusterID}
 	who, need := s.memberAddresses()
 	got := map[string]bool{}
 	var acceptors []string
@@ -94,9 +94,9 @@
 		// One member's higher promise doesn't end a term that a majority
 		// still follows; a majority of them does.
 		higher := 0
-		round, end := context.WithTimeout(ctx, s.P.Lease()/2)
+		round, end := context.WithTimeout(ctx, s.Settings.Lease()/2)
 		ballot.Poll(round, s.g, left, func(ctx context.Context, to string) (ack, error) {
-			if to == s.P.Inner {
+			if to == s.Settings.InternalAddr {
 				return s.onAccept(ctx, transport.Hello{}, ask)
 			}
 			return transport.Ask[ack](ctx, s.n, to, "store.accept", ask)
@@ -123,10 +123,10 @@
 		if higher >= need {
 			return nil, fault.New(fault.Stale, "a higher ballot was promised")
 		}
-		if ctx.Err() != nil || time.Since(from) > s.P.Lease() {
+		if ctx.Err() != nil || time.Since(from) > s.Settings.Lease() {
 			return nil, fault.New(fault.Unknown, "no majority accepted in time")
 		}
-		rest := time.NewTimer(s.P.Beat() / 4)
+		rest := time.NewTimer(s.Settings.HeartbeatInterval() / 4)
 		<-rest.C
 	}
 }
--- a/internal/store/leasegather.go
+++ b/internal/store/leasegather.go
@@ -39,11 +39,11 @@
 	s := t.s
 	who, _ := s.memberAddresses()
 	for _, a := range who {
-		if a == s.P.Inner {
+		if a == s.Settings.InternalAddr {
 			continue
 		}
 		t.g.Go("ask-clocks", func(context.Context) {
-			ctx, end := context.WithTimeout(ctx, s.P.Patience())
+			ctx, end := context.WithTimeout(ctx, s.Settings.CallTimeout())
 			defer end()
 			if got, err := transport.Ask[leftGot](ctx, s.n, a, "store.left", leftAsk{}); err == nil {
 				s.adoptLeases(got)
--- a/internal/store/leases.go
+++ b/internal/store/leases.go
@@ -65,7 +65,7 @@
 
 // markPast notes from time to time which revisions stand; mu is held.
 func (s *Store) markPast(now time.Time) {
-	if now.Sub(s.revisionMarks[len(s.revisionMarks)-1].at) >= s.P.Lease() {
+	if now.Sub(s.revisionMarks[len(s.revisionMarks)-1].at) >= s.Settings.Lease() {
 		s.revisionMarks = append(s.revisionMarks, revisionMark{now, s.state.Revision, s.state.TotalPuts()})
 	}
 	s.markRequests(now)
@@ -109,7 +109,7 @@
 // since they also tell one that is sent again. mu is held.
 func (s *Store) trimCommands(now time.Time) map[string]statemachine.Command {
 	s.markPast(now)
-	keep, long := s.P.History+s.P.History/5, s.P.History+s.P.History*3/5
+	keep, long := s.Settings.WatchHistory+s.Settings.WatchHistory/5, s.Settings.WatchHistory+s.Settings.WatchHistory*3/5
 	out := map[string]statemachine.Command{}
 	n := 0
 	for n < len(s.revisionMarks)-1 && now.Sub(s.revisionMarks[n].at) > long {
--- a/internal/store/leave.go
+++ b/internal/store/leave.go
@@ -23,16 +23,16 @@
 // after.
 func (s *Store) leave() {
 	from := time.Now()
-	ctx, end := context.WithTimeout(s.g.Context(), s.P.Grace*leaveGrace/100)
+	ctx, end := context.WithTimeout(s.g.Context(), s.Settings.GracePeriod*leaveGrace/100)
 	defer end()
-	one, over := context.WithTimeout(ctx, s.P.Patience())
+	one, over := context.WithTimeout(ctx, s.Settings.CallTimeout())
 	slot, given := s.handOver(one)
 	over()
 	for given && !s.changeKnown(ctx, slot) && ctx.Err() == nil {
-		s.e.Pause(ctx, s.P.Beat()/10)
+		s.e.Pause(ctx, s.Settings.HeartbeatInterval()/10)
 	}
 	for !given && s.isVoter() && !s.othersHold(ctx) && ctx.Err() == nil {
-		s.e.Pause(ctx, s.P.Beat()/4)
+		s.e.Pause(ctx, s.Settings.HeartbeatInterval()/4)
 	}
 	if ctx.Err() == nil {
 		s.e.Trace.Tell(trace.Left{Replica: s.acc.Identity().ID})
@@ -72,14 +72,14 @@
 // changeKnown tells whether a majority of the members after a change has applied
 // it: until then those of before decide, and this one is among them.
 func (s *Store) changeKnown(ctx context.Context, slot uint64) bool {
-	ctx, end := context.WithTimeout(ctx, s.P.Patience())
+	ctx, end := context.WithTimeout(ctx, s.Settings.CallTimeout())
 	defer end()
 	who, _ := s.memberAddresses()
 	has := map[string]uint64{s.acc.Identity().ID: slot}
 	var after []statemachine.Member
 	for range 2 {
 		ballot.Poll(ctx, s.g, who, func(ctx context.Context, to string) (foundGot, error) {
-			return transport.Ask[foundGot](ctx, s.n, to, "store.found", foundAsk{s.acc.Identity().ID, s.P.Inner})
+			return transport.Ask[foundGot](ctx, s.n, to, "store.found", foundAsk{s.acc.Identity().ID, s.Settings.InternalAddr})
 		}, func(_ string, got foundGot, err error) bool {
 			if err == nil && got.Slot >= slot {
 				has[got.ID], after = got.Slot, got.Members
@@ -127,7 +127,7 @@
 	if head == "" {
 		return false
 	}
-	ctx, end := context.WithTimeout(ctx, s.P.Patience())
+	ctx, end := context.WithTimeout(ctx, s.Settings.CallTimeout())
 	defer end()
 	got, err := transport.Ask[ack](ctx, s.n, head, "store.leave", leaveAsk{ID: me, Keeps: true})
 	return err == nil && got.Held
@@ -159,8 +159,8 @@
 	for ctx.Err() == nil && !t.ended() {
 		all, _, _ := t.s.members()
 		t.mu.Lock()
-		able := t.countInTouch(all, old) == len(all)-1 && t.hasLearner(t.s.P.Replace/2)
-		pick := t.bestLearner(all, old, t.s.P.Replace/2)
+		able := t.countInTouch(all, old) == len(all)-1 && t.hasLearner(t.s.Settings.ReplaceAfter/2)
+		pick := t.bestLearner(all, old, t.s.Settings.ReplaceAfter/2)
 		t.mu.Unlock()
 		if !able {
 			return false
@@ -171,7 +171,7 @@
 				return err == nil
 			}
 		}
-		t.s.e.Pause(ctx, t.s.P.Beat()/40)
+		t.s.e.Pause(ctx, t.s.Settings.HeartbeatInterval()/40)
 	}
 	return false
 }
--- a/internal/store/loop.go
+++ b/internal/store/loop.go
@@ -17,7 +17,7 @@
 		if ctx.Err() != nil {
 			return
 		}
-		if gap := time.Since(from); gap > wait+s.P.Gap() {
+		if gap := time.Since(from); gap > wait+s.Settings.PauseThreshold() {
 			s.resumed(gap)
 		}
 		switch s.role.Now() {
@@ -27,7 +27,7 @@
 			wait = s.followStep(ctx)
 		default:
 			s.watchDisk()
-			wait = s.P.Beat()
+			wait = s.Settings.HeartbeatInterval()
 		}
 	}
 }
--- a/internal/store/membership.go
+++ b/internal/store/membership.go
@@ -35,7 +35,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	sp := t.learners[in.ID]
-	if sp == nil || now.Sub(sp.heard) > t.s.P.Lease() {
+	if sp == nil || now.Sub(sp.heard) > t.s.Settings.Lease() {
 		sp = &learner{m: statemachine.Member{ID: in.ID, Addr: in.Addr, Zone: in.Area, Region: in.Land}, since: now}
 		t.learners[in.ID] = sp
 	}
@@ -47,10 +47,10 @@
 // that lost its place a short while ago must stand for longer, or a machine that
 // comes and goes would be swapped in and out. mu is held.
 func (t *leadership) isSteady(sp *learner, steady time.Duration) bool {
-	if t.s.replacedAt[sp.m.Addr].After(time.Now().Add(-t.s.P.CatchUp)) {
-		steady = t.s.P.CatchUp / 2
+	if t.s.replacedAt[sp.m.Addr].After(time.Now().Add(-t.s.Settings.CatchUpBound)) {
+		steady = t.s.Settings.CatchUpBound / 2
 	}
-	return time.Since(sp.heard) < t.s.P.Lease() && time.Since(sp.since) >= steady
+	return time.Since(sp.heard) < t.s.Settings.Lease() && time.Since(sp.since) >= steady
 }
 
 // hasLearner tells whether any learner stays, whole or not; mu is held.
@@ -82,7 +82,7 @@
 // countInTouch counts the members that were heard lately, without one; mu is held.
 func (t *leadership) countInTouch(all []statemachine.Member, without string) (n int) {
 	for _, m := range all {
-		if m.ID != without && (m.ID == t.s.acc.Identity().ID || time.Since(t.contacts[m.ID].at) < t.s.P.Lease()) {
+		if m.ID != without && (m.ID == t.s.acc.Identity().ID || time.Since(t.contacts[m.ID].at) < t.s.Settings.Lease()) {
 			n++
 		}
 	}
@@ -108,8 +108,8 @@
 	}
 	steady := time.Duration(0)
 	if old == "" {
-		if old = t.silentMember(all, t.s.P.Replace); old != "" {
-			steady = t.s.P.Replace / 2
+		if old = t.silentMember(all, t.s.Settings.ReplaceAfter); old != "" {
+			steady = t.s.Settings.ReplaceAfter / 2
 		}
 	}
 	// A place is added only while all are in touch: one more voter must not be
@@ -118,7 +118,7 @@
 	if old == "" && len(all) >= want && t.countInTouch(all, "") == len(all) {
 		// Nobody is lost, so there is no hurry: a learner must have shown that it stays.
 		if old = t.s.memberToMove(all, statemachine.Member{ID: in.ID, Zone: in.Area, Region: in.Land}); old != "" {
-			steady = t.s.P.Replace / 2
+			steady = t.s.Settings.ReplaceAfter / 2
 		}
 	}
 	switch {
--- a/internal/store/proposals.go
+++ b/internal/store/proposals.go
@@ -95,7 +95,7 @@
 			}
 		}
 		size := len(batch[0].cmd.Body)
-		for more := batch[0].guard == nil; more && len(batch) < 256 && size < t.s.P.Frame/8; {
+		for more := batch[0].guard == nil; more && len(batch) < 256 && size < t.s.Settings.MaxFrameBytes/8; {
 			select {
 			case o := <-t.queue:
 				if o.guard != nil {
--- a/internal/store/ready.go
+++ b/internal/store/ready.go
@@ -17,14 +17,14 @@
 	_, quiet := s.voter.Promised()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	out := Status{Node: s.P.Node, Addr: s.P.Inner, Area: s.P.Area, Role: s.role.Now(), Slot: s.slot, Head: s.leaderAddress, Ballot: s.acc.Promised().String(), Ill: s.diskIll || s.diskHangs()}
+	out := Status{Node: s.Settings.Node, Addr: s.Settings.InternalAddr, Area: s.Settings.Zone, Role: s.role.Now(), Slot: s.slot, Head: s.leaderAddress, Ballot: s.acc.Promised().String(), Ill: s.diskIll || s.diskHangs()}
 	if s.state != nil {
 		out.Members, out.Config = s.state.Members, s.state.Config().Version
 	}
 	switch {
 	case s.stopping:
 		out.Why = "stopping"
-	case out.Role == "spare" && time.Since(s.lastJoined) > s.P.Lease():
+	case out.Role == "spare" && time.Since(s.lastJoined) > s.Settings.Lease():
 		out.Why = "stands by, but no writer answers"
 	case s.state == nil || out.Role == "empty":
 		out.Why = "empty: waits for the founding or a place"
@@ -32,7 +32,7 @@
 		out.Why = "the members have changed, and none of them leads yet"
 	case out.Ill:
 		out.Why = "the disk refuses or is slow"
-	case out.Role != "spare" && s.leadership == nil && (out.Role != "follow" || quiet > s.P.Lease()):
+	case out.Role != "spare" && s.leadership == nil && (out.Role != "follow" || quiet > s.Settings.Lease()):
 		out.Why = "no writer is heard"
 	}
 	out.Ready = out.Why == ""
@@ -56,11 +56,11 @@
 		}
 		_ = json.NewEncoder(w).Encode(st)
 	})
-	for _, at := range []string{s.P.Outer, s.P.Ready} {
+	for _, at := range []string{s.Settings.APIAddr, s.Settings.ReadyAddr} {
 		if at == "" {
 			continue
 		}
-		if err := httpapi.Serve(s.g, s.e, at, r, s.P.Change); err != nil {
+		if err := httpapi.Serve(s.g, s.e, at, r, s.Settings.ConfigBound); err != nil {
 			return err
 		}
 	}
--- a/internal/store/recover.go
+++ b/internal/store/recover.go
@@ -14,7 +14,7 @@
 			return err
 		}
 	}
-	s.voter = ballot.NewVoter(s.acc.Promised(), s.P.Vacant(), s.promise)
+	s.voter = ballot.NewVoter(s.acc.Promised(), s.Settings.LeaderTimeout(), s.promise)
 	s.highestRound = s.acc.Promised().Round
 	point, err := s.acc.ReadSnapshot()
 	if err != nil || point == nil {
--- a/internal/store/remove.go
+++ b/internal/store/remove.go
@@ -36,7 +36,7 @@
 	for _, m := range g.Members {
 		if m.ID == in.ID {
 			found = true
-		} else if m.ID == s.acc.Identity().ID || time.Since(t.contacts[m.ID].at) < s.P.Lease() {
+		} else if m.ID == s.acc.Identity().ID || time.Since(t.contacts[m.ID].at) < s.Settings.Lease() {
 			stay++
 		}
 	}
@@ -63,7 +63,7 @@
 // process with it: the leadership is vacant, and need not be missed for a time first.
 func (s *Store) noteSuccessor(id, addr string) {
 	vow, quiet := s.voter.Promised()
-	if id == vow.Candidate || quiet >= s.P.Vacant() || !s.votes() {
+	if id == vow.Candidate || quiet >= s.Settings.LeaderTimeout() || !s.votes() {
 		return
 	}
 	s.mu.Lock()
--- a/internal/store/requests.go
+++ b/internal/store/requests.go
@@ -51,7 +51,7 @@
 // markRequests notes the count of answered requests from time to time; mu is
 // held.
 func (s *Store) markRequests(now time.Time) {
-	if n := len(s.requestMarks); n > 0 && now.Sub(s.requestMarks[n-1].at) < s.P.Return {
+	if n := len(s.requestMarks); n > 0 && now.Sub(s.requestMarks[n-1].at) < s.Settings.RecoveryBound {
 		return
 	}
 	s.requestMarks = append(s.requestMarks, requestMark{now, s.state.TotalRequests()})
@@ -61,7 +61,7 @@
 // nil. mu is held.
 func (s *Store) trimRequests(now time.Time) statemachine.Command {
 	old := 0
-	for old < len(s.requestMarks) && now.Sub(s.requestMarks[old].at) > requestMemory*s.P.Return {
+	for old < len(s.requestMarks) && now.Sub(s.requestMarks[old].at) > requestMemory*s.Settings.RecoveryBound {
 		old++
 	}
 	if old == 0 {
--- a/internal/store/seeds.go
+++ b/internal/store/seeds.go
@@ -12,7 +12,7 @@
 	s := t.s
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return beatAsk{Num: t.num, Addr: s.P.Inner, Slot: s.slot, Sum: s.sum, Mesh: s.state.ClusterID}
+	return beatAsk{Num: t.num, Addr: s.Settings.InternalAddr, Slot: s.slot, Sum: s.sum, Mesh: s.state.ClusterID}
 }
 
 // greetSeeds tells the seeds without a place, those not heard of as learners, who
@@ -21,12 +21,12 @@
 func (t *leadership) greetSeeds(ctx context.Context) {
 	s, ask := t.s, t.beatOfNow()
 	members, _ := s.memberAddresses()
-	for _, to := range s.P.Seeds {
+	for _, to := range s.Settings.Seeds {
 		if slices.Contains(members, to) || t.knowsLearnerAt(to) {
 			continue
 		}
 		t.g.Go("greet", func(context.Context) {
-			ctx, end := context.WithTimeout(ctx, s.P.Lease()/2)
+			ctx, end := context.WithTimeout(ctx, s.Settings.Lease()/2)
 			defer end()
 			// Whoever has no state notes the sender; the answer says nothing.
 			_, _ = transport.Ask[ack](ctx, s.n, to, "store.beat", ask)
--- a/internal/store/size.go
+++ b/internal/store/size.go
@@ -42,10 +42,10 @@
 	if !grows(c) {
 		return true
 	}
-	bound := s.P.StateBytes()
+	bound := s.Settings.StateBytes()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.upperSize()+size > bound && s.logBytes > 0 && time.Since(s.weighed) > s.P.Beat() {
+	if s.upperSize()+size > bound && s.logBytes > 0 && time.Since(s.weighed) > s.Settings.HeartbeatInterval() {
 		s.weighed = time.Now()
 		_, _ = s.packState()
 	}
@@ -56,7 +56,7 @@
 // warnLarge warns of a state that nears its bound; mu is held.
 func (s *Store) warnLarge(bound int) {
 	size := s.upperSize()
-	if size*100 < bound*largeState || time.Since(s.warnedLarge) < s.P.Return {
+	if size*100 < bound*largeState || time.Since(s.warnedLarge) < s.Settings.RecoveryBound {
 		return
 	}
 	s.warnedLarge = time.Now()
--- a/internal/store/snapshot.go
+++ b/internal/store/snapshot.go
@@ -57,7 +57,7 @@
 
 // snapshotIdle is how long an image is kept after it was last asked for: longer
 // than the cut or the election that may come in the middle of a transfer.
-func (s *Store) snapshotIdle() time.Duration { return 2 * s.P.CatchUp }
+func (s *Store) snapshotIdle() time.Duration { return 2 * s.Settings.CatchUpBound }
 
 // announce gives the head of a snapshot that reaches beyond a slot, and from
 // which on this replica holds the whole log.
@@ -145,7 +145,7 @@
 	if s.image == nil || s.image.head.Slot >= slot {
 		return 0
 	}
-	if s.logBytes > snapshotLogFactor*s.P.StateBytes() {
+	if s.logBytes > snapshotLogFactor*s.Settings.StateBytes() {
 		s.image = nil
 		return 0
 	}
--- a/internal/store/snapshot_test.go
+++ b/internal/store/snapshot_test.go
@@ -29,7 +29,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := settings.Props{Node: "n", Mesh: "m", Change: 2 * time.Second, Return: 15 * time.Second, Frame: 1 << 20, Jobs: 8, Inner: "me:1", State: 1 << 20}
+	p := settings.Settings{Node: "n", ClusterID: "m", ConfigBound: 2 * time.Second, RecoveryBound: 15 * time.Second, MaxFrameBytes: 1 << 20, MaxRequests: 8, InternalAddr: "me:1", ConfiguredStateBytes: 1 << 20}
 	road := &transport.Paved{Road: transport.NewRoad(func(string, string) time.Duration { return time.Millisecond })}
 	s, err := New(p, env.Env{Net: road, FS: dir, Wall: time.Now, Log: event.New("n", nil), Pause: task.Pause})
 	if err != nil {
@@ -133,7 +133,7 @@
 			t.Errorf("%d entries are left, more %v", len(rest), more)
 		}
 		mine := ballot.Number{Round: 2, Candidate: s.acc.Identity().ID}
-		s.voter = ballot.NewVoter(mine, s.P.Vacant(), s.promise)
+		s.voter = ballot.NewVoter(mine, s.Settings.LeaderTimeout(), s.promise)
 		s.role.Fire("stand")
 		vote := ballotVote{ID: mine.Candidate, Yes: true, Entries: told[:2], More: true}
 		if s.prepare(t.Context(), mine, s.memberSet(), []ballotVote{vote}, []string{"me:1"}) {
--- a/internal/store/split_test.go
+++ b/internal/store/split_test.go
@@ -25,7 +25,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		p := settings.Props{Node: "n", Mesh: "m", Change: 2 * time.Second, Return: 15 * time.Second, Frame: 1 << 20, Jobs: 8, Inner: "me:1"}
+		p := settings.Settings{Node: "n", ClusterID: "m", ConfigBound: 2 * time.Second, RecoveryBound: 15 * time.Second, MaxFrameBytes: 1 << 20, MaxRequests: 8, InternalAddr: "me:1"}
 		road := &transport.Paved{Road: transport.NewRoad(func(string, string) time.Duration { return time.Millisecond })}
 		s, err := New(p, env.Env{Net: road, FS: dir, Wall: time.Now, Log: event.New("n", nil), Pause: task.Pause})
 		if err != nil {
@@ -61,9 +61,9 @@
 			defer n.Close()
 		}
 		s.role.Fire("filled")
-		s.voter = ballot.NewVoter(ballot.Number{Round: 7, Candidate: "w"}, p.Vacant(), s.promise)
+		s.voter = ballot.NewVoter(ballot.Number{Round: 7, Candidate: "w"}, p.LeaderTimeout(), s.promise)
 		s.g.Go("life", s.run)
-		<-time.After(3 * p.Vacant())
+		<-time.After(3 * p.LeaderTimeout())
 		synctest.Wait()
 		if len(asked) < 6 || len(left) < 3 {
 			t.Fatalf("%d votes asked for, %d told that it gave up", len(asked), len(left))
@@ -72,11 +72,11 @@
 		<-asked
 		<-asked
 		for range 3 {
-			if got := <-left; got.num != first.num || got.at.Sub(first.at) > p.Beat()/4 {
+			if got := <-left; got.num != first.num || got.at.Sub(first.at) > p.HeartbeatInterval()/4 {
 				t.Errorf("%v given up %v after %v was asked for", got.num, got.at.Sub(first.at), first.num)
 			}
 		}
-		if next := <-asked; next.at.Sub(first.at) > p.Beat() || !first.num.Less(next.num) {
+		if next := <-asked; next.at.Sub(first.at) > p.HeartbeatInterval() || !first.num.Less(next.num) {
 			t.Errorf("stood again with %v after %v, %v before", next.num, next.at.Sub(first.at), first.num)
 		}
 	})
--- a/internal/store/spread.go
+++ b/internal/store/spread.go
@@ -44,7 +44,7 @@
 // missingTolerance is how far the members are from bearing what the props name: areas and
 // regions by themselves, as the loss of one or the other is to be borne.
 func (s *Store) missingTolerance(all []statemachine.Member) int {
-	return excessVotes(all, areaOf, s.P.BearAreas) + excessVotes(all, regionOf, s.P.BearRegions)
+	return excessVotes(all, areaOf, s.Settings.ToleratedZones) + excessVotes(all, regionOf, s.Settings.ToleratedRegions)
 }
 
 // memberToMove names the member that is to give way to a learner of another area or
--- a/internal/store/stepdown.go
+++ b/internal/store/stepdown.go
@@ -19,7 +19,7 @@
 		s.formerTerm = formerTerm{time.Now(), t.contacts}
 		t.mu.Unlock()
 	}
-	if t != nil && s.leaderAddress == s.P.Inner {
+	if t != nil && s.leaderAddress == s.Settings.InternalAddr {
 		s.leaderAddress = ""
 	}
 	s.mu.Unlock()
@@ -43,8 +43,8 @@
 	// What was offered is decided first, so that no outcome stays unknown for
 	// a planned stop; new offers are refused and go to the next leader.
 	t.shut.Store(true)
-	for from := time.Now(); t.pending.Load() > 0 && !t.ended() && time.Since(from) < s.P.Lease(); {
-		w := time.NewTimer(s.P.Beat() / 20)
+	for from := time.Now(); t.pending.Load() > 0 && !t.ended() && time.Since(from) < s.Settings.Lease(); {
+		w := time.NewTimer(s.Settings.HeartbeatInterval() / 20)
 		<-w.C
 	}
 	s.stepDown(why)
@@ -53,12 +53,12 @@
 
 // announceVacancy tells the voters that the leadership is free.
 func (s *Store) announceVacancy(num ballot.Number) {
-	ctx, end := context.WithTimeout(context.Background(), s.P.Beat())
+	ctx, end := context.WithTimeout(context.Background(), s.Settings.HeartbeatInterval())
 	defer end()
 	who, _ := s.memberAddresses()
 	s.voter.Vacate(num)
 	ballot.Poll(ctx, s.g, who, func(ctx context.Context, to string) (ack, error) {
-		if to == s.P.Inner {
+		if to == s.Settings.InternalAddr {
 			return ack{}, nil
 		}
 		return transport.Ask[ack](ctx, s.n, to, "store.vacate", vacateAsk{num})
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -27,13 +27,13 @@
 // Store is one process. Lock order: learn, then imaging, then mu, then the
 // acceptor's own.
 type Store struct {
-	P     settings.Props
-	e     env.Env
-	g     *task.Group
-	n     *transport.Node
-	acc   *paxos.Acceptor
-	voter *ballot.Voter
-	role  *fsm.Machine
+	Settings settings.Settings
+	e        env.Env
+	g        *task.Group
+	n        *transport.Node
+	acc      *paxos.Acceptor
+	voter    *ballot.Voter
+	role     *fsm.Machine
 
 	applying      task.Lock // one at a time extends the applied state
 	checkpointing task.Lock // one checkpoint at a time
@@ -94,15 +94,15 @@
 }
 
 // New readies a store over its folder.
-func New(p settings.Props, e env.Env) (*Store, error) {
+func New(p settings.Settings, e env.Env) (*Store, error) {
 	acc, err := paxos.Open(e.FS)
 	if err != nil {
 		return nil, err
 	}
-	s := &Store{applying: task.NewLock(), checkpointing: task.NewLock(), imaging: task.NewLock(), writesUnderWay: map[uint64]time.Time{}, P: p, e: e, g: task.New(context.Background()).Pace(e.Pause), acc: acc, born: time.Now(), replacedAt: map[string]time.Time{}, applied: make(chan struct{}), duty: map[string]*ballot.Voter{}}
-	s.n = transport.NewNode(transport.Hello{Mesh: p.Mesh, Node: p.Node, Area: p.Area, Role: "store"}, e, s.g, p.Frame, p.Jobs, p.Patience())
-	s.n.Bound = p.Links()
-	s.pulse = pausedetect.New(p.Beat(), p.Doze(), nil)
+	s := &Store{applying: task.NewLock(), checkpointing: task.NewLock(), imaging: task.NewLock(), writesUnderWay: map[uint64]time.Time{}, Settings: p, e: e, g: task.New(context.Background()).Pace(e.Pause), acc: acc, born: time.Now(), replacedAt: map[string]time.Time{}, applied: make(chan struct{}), duty: map[string]*ballot.Voter{}}
+	s.n = transport.NewNode(transport.Hello{Mesh: p.ClusterID, Node: p.Node, Area: p.Zone, Role: "store"}, e, s.g, p.MaxFrameBytes, p.MaxRequests, p.CallTimeout())
+	s.n.Bound = p.MaxIdleLinks()
+	s.pulse = pausedetect.New(p.HeartbeatInterval(), p.UnnoticedPause(), nil)
 	acc.Observe = e.Trace
 	for _, n := range acc.DamagedFiles {
 		e.Log.Emit(event.Damaged, "file", n)
@@ -131,7 +131,7 @@
 // stands by.
 func (s *Store) updateRole() {
 	// Whoever gave the place has the leadership, or is about to.
-	free := time.Now().Add(s.P.Vacant() + s.campaignDelay(ballot.Number{}))
+	free := time.Now().Add(s.Settings.LeaderTimeout() + s.campaignDelay(ballot.Number{}))
 	s.mu.Lock()
 	member := s.isMember(s.acc.Identity().ID)
 	s.campaignFrom = free
@@ -176,13 +176,13 @@
 // Start opens the ports and begins to take part.
 func (s *Store) Start() error {
 	s.registerHandlers()
-	if err := s.n.Listen(s.P.Inner); err != nil {
+	if err := s.n.Listen(s.Settings.InternalAddr); err != nil {
 		return err
 	}
 	if err := s.listen(); err != nil {
 		return err
 	}
-	s.e.Log.Emit(event.Started, "program", "store", "inner", s.P.Inner, "replica", s.acc.Identity().ID)
+	s.e.Log.Emit(event.Started, "program", "store", "inner", s.Settings.InternalAddr, "replica", s.acc.Identity().ID)
 	s.tellOpened()
 	s.g.Go("life", s.run)
 	s.g.Go("pulse", func(ctx context.Context) { s.pulse.Run(ctx, s.e.Pause) })
@@ -204,7 +204,7 @@
 	s.mu.Unlock()
 	s.leave()
 	s.transferLeadership("stopping")
-	s.n.Leave(s.P.Parting())
+	s.n.Leave(s.Settings.FarewellTimeout())
 	s.Kill()
 	s.e.Log.Emit(event.Stopped, "program", "store")
 }
--- a/internal/store/vote.go
+++ b/internal/store/vote.go
@@ -37,7 +37,7 @@
 	if mesh == "" || s.state == nil || mesh == s.state.ClusterID {
 		return false
 	}
-	if time.Since(s.foreignWarned) > s.P.Return {
+	if time.Since(s.foreignWarned) > s.Settings.RecoveryBound {
 		s.foreignWarned = time.Now()
 		s.e.Log.Emit(event.Foreign, "mesh", mesh, "own", s.state.ClusterID, "from", who)
 	}
@@ -67,7 +67,7 @@
 	if !in.Real {
 		// Asked before a round: a node that was cut off learns here that the
 		// duty is not vacant, without raising any number.
-		v.Yes = in.ID == vow.Candidate || quiet >= s.P.Vacant()
+		v.Yes = in.ID == vow.Candidate || quiet >= s.Settings.LeaderTimeout()
 		return v, nil
 	}
 	yes, seen, err := s.voter.Vote(in.Num)
@@ -130,7 +130,7 @@
 	size := 0
 	for _, e := range s.acc.After(slot, voteEntries+1) {
 		size += len(e.Batch)
-		if len(out) == voteEntries || len(out) > 0 && size > s.P.Frame/voteFrameRate {
+		if len(out) == voteEntries || len(out) > 0 && size > s.Settings.MaxFrameBytes/voteFrameRate {
 			return out, true
 		}
 		out = append(out, e)
