--- a/internal/controlclient/beat.go
+++ b/internal/controlclient/beat.go
@@ -12,27 +12,27 @@
 
 // beat sends one beat and takes in the receipt. Beats come one after the other,
 // so the list whose hash is kept is the one that is passed on last.
-func (t *Touch) beat(ctx context.Context, to string) bool {
+func (t *Client) beat(ctx context.Context, to string) bool {
 	t.mu.Lock()
-	ask := protocol.Beat{Fellow: t.x.Self, Hash: t.hash, Diff: true, Core: membership.Names(t.core), Patch: !t.whole, Short: true}
+	ask := protocol.Heartbeat{Member: t.x.Self, MembersHash: t.hash, AcceptsDiff: true, ControlNodesHash: membership.HashNames(t.core), AcceptsPatch: !t.whole, AcceptsCompact: true}
 	t.mu.Unlock()
-	ask.Version = t.host.Version()
-	t.host.Report(&ask)
+	ask.ConfigVersion = t.host.Version()
+	t.host.FillHeartbeat(&ask)
 	one, end := context.WithTimeout(ctx, t.leash())
 	defer end()
 	from := time.Now()
-	got, err := transport.Ask[protocol.Receipt](one, t.x.N, to, "session.beat", ask)
-	if err != nil || !got.In {
+	got, err := transport.Ask[protocol.HeartbeatResponse](one, t.x.Node, to, "session.beat", ask)
+	if err != nil || !got.InTouch {
 		return false
 	}
-	if len(got.Shrunk) > 0 {
+	if len(got.CompressedDocument) > 0 {
 		// What can't be read is like steps that don't fit.
-		got.Doc, _ = compression.Grow(got.Shrunk)
+		got.Document, _ = compression.Grow(got.CompressedDocument)
 	}
-	if got.Version > t.host.Version() && !t.Take(got.Version, got.Doc, got.Steps) {
+	if got.ConfigVersion > t.host.Version() && !t.ApplyConfig(got.ConfigVersion, got.Document, got.Steps) {
 		// Steps that did not fit are asked for whole at once, a broken document
 		// is no reason to ask again.
-		if !ask.Patch || got.Doc != nil {
+		if !ask.AcceptsPatch || got.Document != nil {
 			return false
 		}
 		t.whole = true
@@ -40,22 +40,22 @@
 	}
 	t.whole = false
 	// A control node that knows less than we do is not one to follow.
-	if t.host.Version() > got.Version {
+	if t.host.Version() > got.ConfigVersion {
 		return false
 	}
-	t.sees(from, got.Age)
+	t.sees(from, got.ConfirmedAgoMS)
 	t.mu.Lock()
 	// A receipt in time says that the way is free again.
 	t.slow = t.slow && time.Since(from) > t.x.Settings.CallTimeout()
 	fill := t.since.IsZero() || time.Since(t.since) > t.x.Settings.MaxAbsence()
-	if len(got.Core) > 0 {
-		t.core = got.Core
+	if len(got.ControlNodes) > 0 {
+		t.core = got.ControlNodes
 	}
 	t.mu.Unlock()
-	if got.Hash != ask.Hash {
-		t.members(one, to, ask.Hash, &got)
+	if got.MembersHash != ask.MembersHash {
+		t.members(one, to, ask.MembersHash, &got)
 	}
-	t.host.Fronts(got.Count)
+	t.host.ProxyCountChanged(got.ProxyCount)
 	// A new replica, or one that was away for too long, is refilled before
 	// the session counts. Who is put off keeps its seat meanwhile.
 	if fill {
@@ -66,56 +66,56 @@
 			return true
 		}
 	}
-	t.x.Rep.Sound(time.Now().Add(t.x.Settings.SessionTTL()))
+	t.x.Replica.Sound(time.Now().Add(t.x.Settings.SessionTTL()))
 	t.mu.Lock()
 	t.since = time.Now()
 	t.stir()
 	t.mu.Unlock()
-	t.host.Stands()
+	t.host.SessionRenewed()
 	return true
 }
 
 // members takes in what a receipt says of the list of members. When the
 // control node knew nothing of the list held here, what differs is asked for
 // by parts; the rest of that waits for the next beat when time runs out.
-func (t *Touch) members(ctx context.Context, to string, was uint64, got *protocol.Receipt) {
+func (t *Client) members(ctx context.Context, to string, was uint64, got *protocol.HeartbeatResponse) {
 	t.mu.Lock()
 	b, now := t.book, t.hash
 	t.mu.Unlock()
-	if len(got.Short) > 0 {
+	if len(got.CompactDiff) > 0 {
 		// What can't be opened is no difference: the parts are asked for.
-		d, err := membership.OpenDiff(got.Short)
-		got.Diff, got.Come, got.Gone = got.Diff && err == nil, d.Come, d.Gone
+		d, err := membership.DecodeDiff(got.CompactDiff)
+		got.IsDiff, got.Added, got.Removed = got.IsDiff && err == nil, d.Added, d.Removed
 	}
 	switch {
 	case got.Members != nil:
-		b = membership.NewBook(got.Members)
-	case got.Diff && now == was:
-		if b = b.With(got.Come, got.Gone); b.Hash() != got.Hash {
+		b = membership.NewList(got.Members)
+	case got.IsDiff && now == was:
+		if b = b.Apply(got.Added, got.Removed); b.Hash() != got.MembersHash {
 			// Not what the control node holds: asked for by parts next time.
-			got.Hash = b.Hash()
+			got.MembersHash = b.Hash()
 		}
 	default:
-		b = t.parts(ctx, to, b, got.Hash, got.Count)
-		got.Hash = b.Hash()
+		b = t.parts(ctx, to, b, got.MembersHash, got.ProxyCount)
+		got.MembersHash = b.Hash()
 	}
-	if t.x.Same != nil {
-		b = t.x.Same(b)
+	if t.x.SharedList != nil {
+		b = t.x.SharedList(b)
 	}
 	t.mu.Lock()
-	t.book, t.hash = b, got.Hash
+	t.book, t.hash = b, got.MembersHash
 	t.mu.Unlock()
-	t.x.Rep.Peers(b)
-	t.host.Members(b)
+	t.x.Replica.Peers(b)
+	t.host.MembersChanged(b)
 }
 
-// Bye ends the session politely.
-func (t *Touch) Bye() {
-	at, _ := t.At()
+// Close ends the session politely.
+func (t *Client) Close() {
+	at, _ := t.Current()
 	if at == "" {
 		return
 	}
-	ctx, end := context.WithTimeout(t.x.G.Context(), t.x.Settings.FarewellTimeout())
+	ctx, end := context.WithTimeout(t.x.Group.Context(), t.x.Settings.FarewellTimeout())
 	defer end()
-	_, _ = transport.Ask[protocol.Receipt](ctx, t.x.N, at, "session.beat", protocol.Beat{Fellow: t.x.Self, Bye: true})
+	_, _ = transport.Ask[protocol.HeartbeatResponse](ctx, t.x.Node, at, "session.beat", protocol.Heartbeat{Member: t.x.Self, Leaving: true})
 }
--- a/internal/controlclient/document.go
+++ b/internal/controlclient/document.go
@@ -12,9 +12,9 @@
 // spare is how many steps a node keeps for fellows that lag.
 const spare = 16
 
-// Take puts a newer configuration in force, that came whole or as steps from
+// ApplyConfig puts a newer configuration in force, that came whole or as steps from
 // the one held; false means that it can't.
-func (t *Touch) Take(version uint64, doc []byte, steps []patch.Step) bool {
+func (t *Client) ApplyConfig(version uint64, doc []byte, steps []patch.Step) bool {
 	if t.host.Version() >= version {
 		return true
 	}
@@ -25,79 +25,79 @@
 		}
 		doc = made
 	}
-	kept, ok := t.host.Take(version, doc)
+	kept, ok := t.host.ApplyConfig(version, doc)
 	if ok {
 		t.held.Set(version, kept, steps)
 	}
 	return ok
 }
 
-// Held gives the document held here, with the newest steps to it.
-func (t *Touch) Held() *patch.Held { return t.held }
+// Document gives the document held here, with the newest steps to it.
+func (t *Client) Document() *patch.Document { return t.held }
 
-// Listen takes pushes of the configuration, and fellows' questions.
-func (t *Touch) Listen() {
-	push := func(_ context.Context, _ transport.Hello, in protocol.Push) (protocol.PushBack, error) {
-		t.Take(in.Version, in.Doc, in.Steps)
-		return protocol.PushBack{Have: t.host.Version()}, nil
+// RegisterHandlers takes pushes of the configuration, and fellows' questions.
+func (t *Client) RegisterHandlers() {
+	push := func(_ context.Context, _ transport.Hello, in protocol.ConfigPush) (protocol.ConfigPushResponse, error) {
+		t.ApplyConfig(in.Version, in.Document, in.Steps)
+		return protocol.ConfigPushResponse{Version: t.host.Version()}, nil
 	}
 	// Steps have a kind of their own, which earlier versions refuse by name.
-	transport.On(t.x.N, "config.push", push)
-	transport.On(t.x.N, "config.step", push)
-	transport.On(t.x.N, "config.give", t.give)
-	transport.On(t.x.N, "session.members", t.list)
+	transport.On(t.x.Node, "config.push", push)
+	transport.On(t.x.Node, "config.step", push)
+	transport.On(t.x.Node, "config.give", t.give)
+	transport.On(t.x.Node, "session.members", t.list)
 }
 
 // give hands a fellow the configuration held here, if it is newer than its own.
-func (t *Touch) give(_ context.Context, _ transport.Hello, in protocol.Push) (protocol.Push, error) {
-	version, doc := t.held.Now()
+func (t *Client) give(_ context.Context, _ transport.Hello, in protocol.ConfigPush) (protocol.ConfigPush, error) {
+	version, doc := t.held.Current()
 	if version <= in.Version {
-		return protocol.Push{}, nil
+		return protocol.ConfigPush{}, nil
 	}
-	if steps, ok := t.held.Since(in.Version); ok && in.Patch {
-		return protocol.Push{Version: version, Steps: steps}, nil
+	if steps, ok := t.held.Since(in.Version); ok && in.AcceptsPatch {
+		return protocol.ConfigPush{Version: version, Steps: steps}, nil
 	}
-	return protocol.Push{Version: version, Doc: doc}, nil
+	return protocol.ConfigPush{Version: version, Document: doc}, nil
 }
 
-// Learn takes the configuration that a fellow holds, if it is newer.
-func (t *Touch) Learn(ctx context.Context, at string) bool {
+// FetchFrom takes the configuration that a fellow holds, if it is newer.
+func (t *Client) FetchFrom(ctx context.Context, at string) bool {
 	for _, steps := range []bool{true, false} {
 		had := t.host.Version()
-		got, err := transport.Ask[protocol.Push](ctx, t.x.N, at, "config.give", protocol.Push{Version: had, Patch: steps})
+		got, err := transport.Ask[protocol.ConfigPush](ctx, t.x.Node, at, "config.give", protocol.ConfigPush{Version: had, AcceptsPatch: steps})
 		if err != nil || got.Version <= had {
 			return false
 		}
-		if t.Take(got.Version, got.Doc, got.Steps) {
+		if t.ApplyConfig(got.Version, got.Document, got.Steps) {
 			return true
 		}
 	}
 	return false
 }
 
-// Push gives a fellow that likely holds a version what is held: steps if there
+// PushConfig gives a fellow that likely holds a version what is held: steps if there
 // are some from there, the whole otherwise. It gives back what the fellow holds
 // then, 0 when it didn't say.
-func Push(ctx context.Context, n *transport.Node, to string, held *patch.Held, have uint64) (uint64, error) {
-	version, doc := held.Now()
+func PushConfig(ctx context.Context, n *transport.Node, to string, held *patch.Document, have uint64) (uint64, error) {
+	version, doc := held.Current()
 	for range 2 {
 		steps, ok := held.Since(have)
 		if !ok {
 			break
 		}
-		got, err := transport.Ask[protocol.PushBack](ctx, n, to, "config.step", protocol.Push{Version: version, Steps: steps})
+		got, err := transport.Ask[protocol.ConfigPushResponse](ctx, n, to, "config.step", protocol.ConfigPush{Version: version, Steps: steps})
 		if err != nil && !fault.Is(err, fault.Refused) {
 			return 0, err
 		}
-		if err == nil && got.Have >= version {
-			return got.Have, nil
+		if err == nil && got.Version >= version {
+			return got.Version, nil
 		}
 		// It holds another one than was thought, or knows no steps.
-		if err != nil || got.Have == have {
+		if err != nil || got.Version == have {
 			break
 		}
-		have = got.Have
+		have = got.Version
 	}
-	got, err := transport.Ask[protocol.PushBack](ctx, n, to, "config.push", protocol.Push{Version: version, Doc: doc})
-	return got.Have, err
+	got, err := transport.Ask[protocol.ConfigPushResponse](ctx, n, to, "config.push", protocol.ConfigPush{Version: version, Document: doc})
+	return got.Version, err
 }
--- a/internal/controlclient/fill.go
+++ b/internal/controlclient/fill.go
@@ -24,11 +24,11 @@
 // fill has the replica filled: by a fellow of the own area, if the control node
 // is elsewhere, since bytes between areas are dear; by the control node in its
 // turn; and while that is to come, by those who were filled meanwhile.
-func (t *Touch) fill(ctx context.Context, to string) filling {
+func (t *Client) fill(ctx context.Context, to string) filling {
 	ctx, end := context.WithTimeout(ctx, t.leash())
 	defer end()
 	t.mu.Lock()
-	due, f := !time.Now().Before(t.due), t.book.At(to)
+	due, f := !time.Now().Before(t.due), t.book.ByAddr(to)
 	var first, last []string
 	if len(t.tips) > 0 {
 		first = append(first, t.tips[rand.IntN(len(t.tips))])
@@ -36,9 +36,9 @@
 	t.mu.Unlock()
 	switch {
 	case !due:
-		last = append(last, t.x.Rep.Fellow(t.x.Self.Area), t.x.Rep.Fellow(""))
-	case f == nil || f.Area != t.x.Self.Area:
-		first = append(first, t.x.Rep.Fellow(t.x.Self.Area))
+		last = append(last, t.x.Replica.Fellow(t.x.Self.Zone), t.x.Replica.Fellow(""))
+	case f == nil || f.Zone != t.x.Self.Zone:
+		first = append(first, t.x.Replica.Fellow(t.x.Self.Zone))
 	}
 	for _, a := range first {
 		if t.pull(ctx, a, to) {
@@ -46,7 +46,7 @@
 		}
 	}
 	if due {
-		got, err := t.x.Rep.Refill(ctx, to)
+		got, err := t.x.Replica.Refill(ctx, to)
 		switch {
 		case err != nil:
 			return unfilled
@@ -65,18 +65,18 @@
 		}
 	}
 	// Until then nothing old goes to others.
-	t.x.Rep.Await(true)
+	t.x.Replica.Await(true)
 	return putOff
 }
 
 // pull asks a fellow. One that says nothing costs a part of the wait only.
-func (t *Touch) pull(ctx context.Context, at, to string) bool {
+func (t *Client) pull(ctx context.Context, at, to string) bool {
 	if at == "" || at == to {
 		return false
 	}
 	ctx, end := context.WithTimeout(ctx, t.x.Settings.CallTimeout()/4)
 	defer end()
-	got, err := t.x.Rep.Refill(ctx, at)
+	got, err := t.x.Replica.Refill(ctx, at)
 	if err == nil && got.Done {
 		t.full(at, to, got.Many)
 		return true
@@ -88,7 +88,7 @@
 }
 
 // off notes when it is this node's turn, and who may fill it before.
-func (t *Touch) off(got replica.Refill) {
+func (t *Client) off(got replica.Refill) {
 	t.mu.Lock()
 	t.due, t.tips = time.Now().Add(got.Later), got.Try
 	t.mu.Unlock()
@@ -99,24 +99,24 @@
 // soon after. A control node that has handed out what it may in a beat gives
 // nothing then: gossip brings what is missing, and bytes that a fellow would
 // send in its place are dearer.
-func (t *Touch) full(at, to string, many bool) {
+func (t *Client) full(at, to string, many bool) {
 	t.mu.Lock()
 	t.due, t.tips = time.Time{}, nil
 	t.mu.Unlock()
 	beat := t.x.Settings.HeartbeatInterval()
 	if at != to && !many {
 		// A fellow may know less than the control node does.
-		ctx, end := context.WithTimeout(t.x.G.Context(), t.leash())
-		_ = t.x.Rep.Mend(ctx, to)
+		ctx, end := context.WithTimeout(t.x.Group.Context(), t.leash())
+		_ = t.x.Replica.Mend(ctx, to)
 		end()
 	}
-	t.host.Filled()
+	t.host.ReplicaRefilled()
 	if many {
-		t.x.Rep.Tell()
+		t.x.Replica.Tell()
 	}
-	t.x.G.Go("mend-soon", func(ctx context.Context) {
+	t.x.Group.Go("mend-soon", func(ctx context.Context) {
 		for range mends {
-			_ = t.x.Rep.Mend(ctx, to)
+			_ = t.x.Replica.Mend(ctx, to)
 			task.Pause(ctx, 2*beat)
 		}
 	})
--- a/internal/controlclient/list.go
+++ b/internal/controlclient/list.go
@@ -20,17 +20,17 @@
 
 // parts mends a list part by part until it is the control node's, or that of a
 // fellow when the control node has handed out all that it may.
-func (t *Touch) parts(ctx context.Context, to string, b *membership.Book, want uint64, fronts int) *membership.Book {
+func (t *Client) parts(ctx context.Context, to string, b *membership.List, want uint64, fronts int) *membership.List {
 	b, got, _ := t.mend(ctx, to, b, fronts, func(uint64) bool { return true })
 	if !got.Busy {
 		return b
 	}
 	from := []string{""}
-	if len(got.Try) > 0 {
-		from[0] = got.Try[rand.IntN(len(got.Try))]
+	if len(got.Alternatives) > 0 {
+		from[0] = got.Alternatives[rand.IntN(len(got.Alternatives))]
 	}
-	if f := b.Draw(t.x.Self.Area, rand.IntN); f != nil && f.Role == "proxy" && f.Node != t.x.Self.Node {
-		from = append(from, f.Inner)
+	if f := b.Random(t.x.Self.Zone, rand.IntN); f != nil && f.Role == "proxy" && f.Node != t.x.Self.Node {
+		from = append(from, f.InternalAddr)
 	}
 	for _, a := range from {
 		if a == "" {
@@ -50,48 +50,48 @@
 
 // mend asks one for the parts that differ, if its list will do; the last word
 // tells whether all came.
-func (t *Touch) mend(ctx context.Context, at string, b *membership.Book, fronts int, will func(hash uint64) bool) (*membership.Book, protocol.ListBack, bool) {
-	n := max(b.Parts(), membership.Parts(fronts))
+func (t *Client) mend(ctx context.Context, at string, b *membership.List, fronts int, will func(hash uint64) bool) (*membership.List, protocol.MemberListResponse, bool) {
+	n := max(b.PartCount(), membership.PartCount(fronts))
 	for {
-		got, err := transport.Ask[protocol.ListBack](ctx, t.x.N, at, "session.members", protocol.ListAsk{Digests: b.Digests(n), Short: true})
+		got, err := transport.Ask[protocol.MemberListResponse](ctx, t.x.Node, at, "session.members", protocol.MemberListRequest{Digests: b.Digests(n), AcceptsCompact: true})
 		if err != nil || len(got.Parts) == 0 || !will(got.Hash) {
 			return b, got, false
 		}
-		if len(got.Short) > 0 {
-			d, err := membership.OpenDiff(got.Short)
+		if len(got.Compact) > 0 {
+			d, err := membership.DecodeDiff(got.Compact)
 			if err != nil {
 				return b, got, false
 			}
-			got.List = d.Come
+			got.Members = d.Added
 		}
-		if b = b.Patch(n, got.Parts, got.List); !got.More {
+		if b = b.ReplaceParts(n, got.Parts, got.Members); !got.More {
 			return b, got, true
 		}
 	}
 }
 
 // list gives fellows the parts of the list held here that differ from theirs.
-func (t *Touch) list(_ context.Context, from transport.Hello, in protocol.ListAsk) (protocol.ListBack, error) {
+func (t *Client) list(_ context.Context, from transport.Hello, in protocol.MemberListRequest) (protocol.MemberListResponse, error) {
 	t.mu.Lock()
 	b, since := t.book, t.since
 	t.mu.Unlock()
-	if since.IsZero() || time.Since(since) > t.x.Settings.SessionTTL() || !t.x.Rep.Room() {
-		return protocol.ListBack{Busy: true, Try: t.x.Rep.Given(from.Area, "")}, nil
+	if since.IsZero() || time.Since(since) > t.x.Settings.SessionTTL() || !t.x.Replica.Room() {
+		return protocol.MemberListResponse{Busy: true, Alternatives: t.x.Replica.Given(from.Area, "")}, nil
 	}
-	out, err := Differ(b, in)
-	t.x.Rep.Spend(Cost(out))
+	out, err := DiffMembers(b, in)
+	t.x.Replica.Spend(ResponseSize(out))
 	return out, err
 }
 
-// Differ answers who asks for the parts of a list that differ from its own.
-func Differ(b *membership.Book, in protocol.ListAsk) (protocol.ListBack, error) {
+// DiffMembers answers who asks for the parts of a list that differ from its own.
+func DiffMembers(b *membership.List, in protocol.MemberListRequest) (protocol.MemberListResponse, error) {
 	if len(in.Digests) == 0 || len(in.Digests) > 1<<12 {
-		return protocol.ListBack{}, fault.New(fault.Input, "%d digests", len(in.Digests))
+		return protocol.MemberListResponse{}, fault.New(fault.Input, "%d digests", len(in.Digests))
 	}
-	out := protocol.ListBack{Hash: b.Hash()}
-	out.Parts, out.List, out.More = b.Differ(in.Digests, page)
-	if in.Short && len(out.List) > few {
-		out.Short, out.List = membership.Diff{Come: out.List}.Pack(), nil
+	out := protocol.MemberListResponse{Hash: b.Hash()}
+	out.Parts, out.Members, out.More = b.DifferingParts(in.Digests, page)
+	if in.AcceptsCompact && len(out.Members) > few {
+		out.Compact, out.Members = membership.Diff{Added: out.Members}.Encode(), nil
 	}
 	return out, nil
 }
@@ -99,5 +99,7 @@
 // member names take about so many bytes each when they aren't packed.
 const whole = 125
 
-// Cost is about how many bytes an answer has.
-func Cost(out protocol.ListBack) int { return len(out.Short) + whole*len(out.List) }
+// ResponseSize is about how many bytes an answer has.
+func ResponseSize(out protocol.MemberListResponse) int {
+	return len(out.Compact) + whole*len(out.Members)
+}
--- a/internal/controlclient/list_test.go
+++ b/internal/controlclient/list_test.go
@@ -28,55 +28,55 @@
 		defer g.Stop()
 		p := settings.Settings{ConfigBound: 2 * time.Second, RecoveryBound: 15 * time.Second, RetireAfter: 10 * time.Second}
 		road := &transport.Paved{Road: transport.NewRoad(func(string, string) time.Duration { return time.Millisecond })}
-		up := func(name string) *Touch {
+		up := func(name string) *Client {
 			e := env.Env{Net: road, Log: event.New(name, nil), Wall: time.Now}
 			w := transport.NewNode(transport.Hello{Mesh: "m", Node: name, Area: "x"}, e, g, 1<<20, 8, p.CallTimeout())
-			self := membership.Fellow{Node: name, Role: "proxy", Area: "x", Inner: name + ":1"}
+			self := membership.Member{Node: name, Role: "proxy", Zone: "x", InternalAddr: name + ":1"}
 			rep := replica.New(self, w, g, e.Log, hlc.New(time.Now, time.Minute), p.HeartbeatInterval(), time.Hour, time.Hour)
-			x := New(Parts{Settings: p, Log: e.Log, G: g, N: w, Rep: rep, Self: self}, nil)
-			x.Listen()
-			if err := w.Listen(self.Inner); err != nil {
+			x := New(Dependencies{Settings: p, Log: e.Log, Group: g, Node: w, Replica: rep, Self: self}, nil)
+			x.RegisterHandlers()
+			if err := w.Listen(self.InternalAddr); err != nil {
 				t.Fatal(err)
 			}
 			t.Cleanup(w.Close)
 			return x
 		}
-		var all []membership.Fellow
+		var all []membership.Member
 		for i := range 600 {
-			all = append(all, membership.Fellow{Node: fmt.Sprint("n", i), Role: "proxy", Area: "z", Inner: fmt.Sprintf("n%d:1", i)})
+			all = append(all, membership.Member{Node: fmt.Sprint("n", i), Role: "proxy", Zone: "z", InternalAddr: fmt.Sprintf("n%d:1", i)})
 		}
-		newest, older := membership.NewBook(all), membership.NewBook(all[:590])
+		newest, older := membership.NewList(all), membership.NewList(all[:590])
 		fellow, node := up("fellow"), up("node")
 		core := transport.NewNode(transport.Hello{Mesh: "m", Node: "core", Area: "x"}, env.Env{Net: road, Log: event.New("core", nil), Wall: time.Now}, g, 1<<20, 8, p.CallTimeout())
-		transport.On(core, "session.members", func(context.Context, transport.Hello, protocol.ListAsk) (protocol.ListBack, error) {
-			return protocol.ListBack{Hash: newest.Hash(), Busy: true, Try: []string{"fellow:1"}}, nil
+		transport.On(core, "session.members", func(context.Context, transport.Hello, protocol.MemberListRequest) (protocol.MemberListResponse, error) {
+			return protocol.MemberListResponse{Hash: newest.Hash(), Busy: true, Alternatives: []string{"fellow:1"}}, nil
 		})
 		if err := core.Listen("core:1"); err != nil {
 			t.Fatal(err)
 		}
 		t.Cleanup(core.Close)
-		ask := func(b *membership.Book) *membership.Book {
-			return node.parts(t.Context(), "core:1", b, newest.Hash(), newest.Fronts())
+		ask := func(b *membership.List) *membership.List {
+			return node.parts(t.Context(), "core:1", b, newest.Hash(), newest.ProxyCount())
 		}
 		fellow.book = newest
-		if b := ask(&membership.Book{}); b.Len() != 0 {
+		if b := ask(&membership.List{}); b.Len() != 0 {
 			t.Errorf("%d members from one without a session", b.Len())
 		}
 		fellow.since = time.Now()
-		if b := ask(&membership.Book{}); b.Hash() != newest.Hash() {
+		if b := ask(&membership.List{}); b.Hash() != newest.Hash() {
 			t.Errorf("%d members of %d for one that knew none", b.Len(), newest.Len())
 		}
 		if b := ask(older); b.Hash() != newest.Hash() {
 			t.Error("the newest list was not taken")
 		}
 		fellow.book = older
-		if b := ask(membership.NewBook(all[:595])); b.Len() != 595 {
+		if b := ask(membership.NewList(all[:595])); b.Len() != 595 {
 			t.Errorf("an older list undid what was known: %d", b.Len())
 		}
-		if b := ask(membership.NewBook(all[:5])); b.Hash() != older.Hash() {
+		if b := ask(membership.NewList(all[:5])); b.Hash() != older.Hash() {
 			t.Errorf("nearly all is not taken by one that knows 5: %d", b.Len())
 		}
-		fellow.x.Rep.Spend(1 << 20)
+		fellow.x.Replica.Spend(1 << 20)
 		if b := ask(older); b.Hash() != older.Hash() {
 			t.Error("one that handed out its part hands out more")
 		}
--- a/internal/controlclient/round.go
+++ b/internal/controlclient/round.go
@@ -15,7 +15,7 @@
 
 // leash is how long an answer is waited for: where they are known to come late,
 // as long as they can still be of use.
-func (t *Touch) leash() time.Duration {
+func (t *Client) leash() time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.slow {
@@ -25,7 +25,7 @@
 }
 
 // once renews the session, with another control node if need be.
-func (t *Touch) once(ctx context.Context) {
+func (t *Client) once(ctx context.Context) {
 	t.mu.Lock()
 	at := t.at
 	t.mu.Unlock()
@@ -43,12 +43,12 @@
 	// Control nodes that were gone and came back in the middle of a round answer
 	// late by that alone, and so does everything in a round that a freeze fell
 	// into: one that begins now tells.
-	if word != protocol.Sure && (was2 && word == protocol.Unsure || t.x.Woke().After(began)) {
+	if word != protocol.Confirmed && (was2 && word == protocol.Unconfirmed || t.x.LastPauseEnd().After(began)) {
 		found, word, began = t.round(ctx, core)
 	}
 	t.mu.Lock()
 	t.at = found
-	t.lost, t.slow = word == protocol.Lost, word == protocol.Unsure || word == protocol.Sure && t.slow
+	t.lost, t.slow = word == protocol.Disconnected, word == protocol.Unconfirmed || word == protocol.Confirmed && t.slow
 	if t.lost {
 		t.out = began
 		t.core = union(t.seeds, t.core)
@@ -61,9 +61,9 @@
 		if was2 {
 			t.x.Log.Emit(event.InTouch, "with", found)
 		}
-	case word == protocol.Lost && !was2:
+	case word == protocol.Disconnected && !was2:
 		t.x.Log.Emit(event.OutOfTouch, "asked", len(core))
-	case word == protocol.Unsure && !slow:
+	case word == protocol.Unconfirmed && !slow:
 		t.x.Log.Emit(event.Unsure, "asked", len(core))
 	}
 }
@@ -72,7 +72,7 @@
 // whether any is in touch. The first that is gets the beat, so that the others
 // hold no seat, send no list and fill no replica. When none answers that it is,
 // the word is Lost only on evidence of a cut.
-func (t *Touch) round(ctx context.Context, core []string) (string, protocol.Word, time.Time) {
+func (t *Client) round(ctx context.Context, core []string) (string, protocol.Confidence, time.Time) {
 	found, outs, quick, began := "", 0, false, time.Now()
 	round, end := context.WithTimeout(ctx, t.leash())
 	defer end()
@@ -81,17 +81,17 @@
 		with = ctx
 	}
 	rung := make(chan bool, 1)
-	if !t.x.G.Go("ring", func(ctx context.Context) {
+	if !t.x.Group.Go("ring", func(ctx context.Context) {
 		ctx, end := context.WithTimeout(ctx, t.x.Settings.CallTimeout()/2)
 		defer end()
-		rung <- t.x.N.Ring(ctx, "proxy", rings)
+		rung <- t.x.Node.Ring(ctx, "proxy", rings)
 	}) {
 		rung <- false
 	}
-	ballot.Poll(round, t.x.G, core, t.look, func(who string, got protocol.Receipt, err error) bool {
+	ballot.Poll(round, t.x.Group, core, t.look, func(who string, got protocol.HeartbeatResponse, err error) bool {
 		switch {
 		case err != nil:
-		case !got.In:
+		case !got.InTouch:
 			outs++
 			quick = quick || time.Since(began) < t.x.Settings.CallTimeout()/2
 		case found == "" && t.beat(with, who):
@@ -100,7 +100,7 @@
 		return found != ""
 	})
 	if found != "" {
-		return found, protocol.Sure, began
+		return found, protocol.Confirmed, began
 	}
 	return "", t.verdict(began, outs, <-rung || quick), began
 }
@@ -110,34 +110,34 @@
 // too. What is sent to the control nodes and to fellows waits in the same line,
 // so a fellow that answers in time, or a control node that says it is out of
 // touch, shows that the silence of the others is theirs.
-func (t *Touch) verdict(began time.Time, outs int, quick bool) protocol.Word {
-	if t.x.N.HeardFrom("registry", began) > outs {
+func (t *Client) verdict(began time.Time, outs int, quick bool) protocol.Confidence {
+	if t.x.Node.HeardFrom("registry", began) > outs {
 		// One is heard that gave no answer: it isn't cut off, only late.
-		return protocol.Unsure
+		return protocol.Unconfirmed
 	}
 	// A full line may also be still for a while before it brings what waits.
-	if !quick && t.x.N.HeardFrom("", time.Now().Add(-t.x.Settings.ConfigBound)) > 0 {
-		return protocol.Unsure
+	if !quick && t.x.Node.HeardFrom("", time.Now().Add(-t.x.Settings.ConfigBound)) > 0 {
+		return protocol.Unconfirmed
 	}
-	return protocol.Lost
+	return protocol.Disconnected
 }
 
 // look asks a control node whether it is in touch. Its answer counts for as long
 // as it can be of use, also when the round is over.
-func (t *Touch) look(_ context.Context, to string) (protocol.Receipt, error) {
-	ctx, end := context.WithTimeout(t.x.G.Context(), t.x.Settings.ConfirmationTTL())
+func (t *Client) look(_ context.Context, to string) (protocol.HeartbeatResponse, error) {
+	ctx, end := context.WithTimeout(t.x.Group.Context(), t.x.Settings.ConfirmationTTL())
 	defer end()
 	from := time.Now()
-	got, err := transport.Ask[protocol.Receipt](ctx, t.x.N, to, "session.beat", protocol.Beat{Fellow: t.x.Self, Version: t.host.Version(), Look: true})
+	got, err := transport.Ask[protocol.HeartbeatResponse](ctx, t.x.Node, to, "session.beat", protocol.Heartbeat{Member: t.x.Self, ConfigVersion: t.host.Version(), Probe: true})
 	// Control nodes of before give no age with it.
-	if err == nil && got.In && got.Age > 0 && got.Version <= t.host.Version() {
-		t.sees(from, got.Age)
+	if err == nil && got.InTouch && got.ConfirmedAgoMS > 0 && got.ConfigVersion <= t.host.Version() {
+		t.sees(from, got.ConfirmedAgoMS)
 	}
 	return got, err
 }
 
 // sees notes that what is held here was the newest at a time before a call.
-func (t *Touch) sees(from time.Time, age int64) {
+func (t *Client) sees(from time.Time, age int64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if sure := from.Add(-time.Duration(age) * time.Millisecond); sure.After(t.sure) {
@@ -145,27 +145,27 @@
 	}
 }
 
-// Word tells how sure the node is of the configuration that it holds.
-func (t *Touch) Word() protocol.Word {
-	woke := t.x.Woke()
+// Confidence tells how sure the node is of the configuration that it holds.
+func (t *Client) Confidence() protocol.Confidence {
+	woke := t.x.LastPauseEnd()
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if time.Since(t.sure) <= t.x.Settings.ConfirmationTTL() {
-		return protocol.Sure
+		return protocol.Confirmed
 	}
 	// A round that a freeze fell into says nothing: its answers may wait unread.
 	if t.lost && t.out.After(woke) && time.Since(t.out) <= t.x.Settings.ConfirmationTTL() {
-		return protocol.Lost
+		return protocol.Disconnected
 	}
-	return protocol.Unsure
+	return protocol.Unconfirmed
 }
 
 // Confirm waits until the node may act by itself. A node that was frozen comes
 // here before it takes or hands over another job. The wait is bounded by a round
 // over all control nodes and by half of the time left. Where answers are known
 // to come late there is no use in waiting: others may know better.
-func (t *Touch) Confirm(ctx context.Context, end time.Time) protocol.Word {
-	if w := t.Word(); w != protocol.Unsure {
+func (t *Client) Confirm(ctx context.Context, end time.Time) protocol.Confidence {
+	if w := t.Confidence(); w != protocol.Unconfirmed {
 		return w
 	}
 	ctx, over := context.WithTimeout(ctx, min(2*t.x.Settings.CallTimeout()+t.x.Settings.HeartbeatInterval(), time.Until(end)/2))
@@ -174,17 +174,17 @@
 		t.mu.Lock()
 		turn, slow := t.turn, t.slow
 		t.mu.Unlock()
-		if w := t.Word(); w != protocol.Unsure {
+		if w := t.Confidence(); w != protocol.Unconfirmed {
 			return w
 		}
-		t.Kick()
+		t.HeartbeatNow()
 		if slow {
-			return protocol.Unsure
+			return protocol.Unconfirmed
 		}
 		select {
 		case <-turn:
 		case <-ctx.Done():
-			return t.Word()
+			return t.Confidence()
 		}
 	}
 }
--- a/internal/controlclient/touch.go
+++ b/internal/controlclient/touch.go
@@ -23,35 +23,35 @@
 	Version() uint64
 	// Take puts a newer configuration in force and gives the document as it is
 	// kept; false means that it can't.
-	Take(version uint64, doc []byte) ([]byte, bool)
+	ApplyConfig(version uint64, doc []byte) ([]byte, bool)
 	// Report adds to a beat what the node counted.
-	Report(*protocol.Beat)
+	FillHeartbeat(*protocol.Heartbeat)
 	// Members hears of each new list of members.
-	Members(all *membership.Book)
+	MembersChanged(all *membership.List)
 	// Fronts hears how many fronts the mesh has.
-	Fronts(n int)
+	ProxyCountChanged(n int)
 	// Filled is called when the replica was refilled.
-	Filled()
+	ReplicaRefilled()
 	// Stands is called at each renewal of the session.
-	Stands()
+	SessionRenewed()
 }
 
-// Parts is what the session is built on.
-type Parts struct {
-	Settings settings.Settings
-	Log      *event.Log
-	G        *task.Group
-	N        *transport.Node
-	Rep      *replica.Replica
-	Self     membership.Fellow
-	Woke     func() time.Time // the end of the newest freeze
+// Dependencies is what the session is built on.
+type Dependencies struct {
+	Settings     settings.Settings
+	Log          *event.Log
+	Group        *task.Group
+	Node         *transport.Node
+	Replica      *replica.Replica
+	Self         membership.Member
+	LastPauseEnd func() time.Time // the end of the newest freeze
 	// Same gives a list as other nodes of this process hold it, if any do.
-	Same func(*membership.Book) *membership.Book
+	SharedList func(*membership.List) *membership.List
 }
 
-// Touch is the session with one control node.
-type Touch struct {
-	x     Parts
+// Client is the session with one control node.
+type Client struct {
+	x     Dependencies
 	host  Host
 	mu    sync.Mutex
 	at    string    // the control node of the session
@@ -64,27 +64,27 @@
 	turn  chan struct{}
 	kick  chan struct{}
 	hash  uint64 // of the list of members, as the control node names it
-	book  *membership.Book
+	book  *membership.List
 	since time.Time // when the session last stood
 	due   time.Time // when the control node is to be asked for a refill again
 	tips  []string  // fellows that it filled meanwhile
-	held  *patch.Held
+	held  *patch.Document
 	whole bool // the next document must come whole: steps did not fit
 }
 
 // New readies a session; Run holds it.
-func New(x Parts, host Host) *Touch {
-	x.Rep.Await(true)
-	return &Touch{x: x, host: host, core: x.Settings.Seeds, seeds: x.Settings.Seeds, book: &membership.Book{}, held: patch.NewHeld(spare), turn: make(chan struct{}), kick: make(chan struct{}, 1)}
+func New(x Dependencies, host Host) *Client {
+	x.Replica.Await(true)
+	return &Client{x: x, host: host, core: x.Settings.Seeds, seeds: x.Settings.Seeds, book: &membership.List{}, held: patch.NewDocument(spare), turn: make(chan struct{}), kick: make(chan struct{}, 1)}
 }
 
-func (t *Touch) stir() {
+func (t *Client) stir() {
 	close(t.turn)
 	t.turn = make(chan struct{})
 }
 
 // Run is the loop of beats.
-func (t *Touch) Run(ctx context.Context) {
+func (t *Client) Run(ctx context.Context) {
 	from := time.Now()
 	for {
 		tick := time.NewTimer(t.pause(from))
@@ -104,7 +104,7 @@
 // nothing can be served, and after the loss of all the core is back within less
 // than a beat: tries come in quick succession at first, each later by a quarter
 // of the time that it has taken.
-func (t *Touch) pause(from time.Time) time.Duration {
+func (t *Client) pause(from time.Time) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.since.IsZero() {
@@ -113,16 +113,16 @@
 	return t.x.Settings.HeartbeatInterval()
 }
 
-// Kick makes the next beat come at once.
-func (t *Touch) Kick() {
+// HeartbeatNow makes the next beat come at once.
+func (t *Client) HeartbeatNow() {
 	select {
 	case t.kick <- struct{}{}:
 	default:
 	}
 }
 
-// Core gives the control nodes known, that of the session first.
-func (t *Touch) Core() []string {
+// ControlNodes gives the control nodes known, that of the session first.
+func (t *Client) ControlNodes() []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.at == "" {
@@ -131,17 +131,17 @@
 	return union([]string{t.at}, t.core)
 }
 
-// Seeds names other control nodes to turn to when none of those known answers.
-func (t *Touch) Seeds(all []string) {
+// SetSeeds names other control nodes to turn to when none of those known answers.
+func (t *Client) SetSeeds(all []string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.seeds = all
 	t.core = union(t.core, all)
 }
 
-// At gives the control node of the session, and when the configuration held
+// Current gives the control node of the session, and when the configuration held
 // here was last the newest for certain.
-func (t *Touch) At() (string, time.Time) {
+func (t *Client) Current() (string, time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.at, t.sure
--- a/internal/controlclient/touch_test.go
+++ b/internal/controlclient/touch_test.go
@@ -32,12 +32,12 @@
 	<-*h.thaw.Load()
 	return 1
 }
-func (host) Take(uint64, []byte) ([]byte, bool) { return nil, true }
-func (host) Report(*protocol.Beat)              {}
-func (host) Members(*membership.Book)           {}
-func (host) Fronts(int)                         {}
-func (host) Filled()                            {}
-func (host) Stands()                            {}
+func (host) ApplyConfig(uint64, []byte) ([]byte, bool) { return nil, true }
+func (host) FillHeartbeat(*protocol.Heartbeat)         {}
+func (host) MembersChanged(*membership.List)           {}
+func (host) ProxyCountChanged(int)                     {}
+func (host) ReplicaRefilled()                          {}
+func (host) SessionRenewed()                           {}
 
 // icy is the network of a process that may be frozen: the dials of before end
 // only after it.
@@ -78,15 +78,15 @@
 			e.Net = cold
 		}
 		w := transport.NewNode(transport.Hello{Mesh: "m", Node: h, Area: "x"}, e, g, 1<<20, 64, p.CallTimeout())
-		f := membership.Fellow{Node: h, Start: "s", Role: "proxy", Area: "x", Inner: h + ":1"}
+		f := membership.Member{Node: h, Incarnation: "s", Role: "proxy", Zone: "x", InternalAddr: h + ":1"}
 		return w, replica.New(f, w, g, e.Log, hlc.New(time.Now, time.Minute), p.HeartbeatInterval(), p.RepairInterval(), p.TombstoneTTL()), e.Log
 	}
 	var all []*transport.Node
 	for _, h := range []string{"c1", "c2"} {
 		w, rep, _ := up(h)
-		rep.Peers(&membership.Book{})
-		transport.On(w, "session.beat", func(context.Context, transport.Hello, protocol.Beat) (protocol.Receipt, error) {
-			return protocol.Receipt{In: true, Version: 1}, nil
+		rep.Peers(&membership.List{})
+		transport.On(w, "session.beat", func(context.Context, transport.Hello, protocol.Heartbeat) (protocol.HeartbeatResponse, error) {
+			return protocol.HeartbeatResponse{InTouch: true, ConfigVersion: 1}, nil
 		})
 		if err := w.Listen(h + ":1"); err != nil {
 			t.Fatal(err)
@@ -96,7 +96,7 @@
 	var woke atomic.Pointer[time.Time]
 	woke.Store(&time.Time{})
 	w, rep, log := up("h1")
-	x := controlclient.New(controlclient.Parts{Settings: p, Log: log, G: g, N: w, Rep: rep, Self: membership.Fellow{Node: "h1", Role: "proxy", Area: "x"}, Woke: func() time.Time { return *woke.Load() }}, host{&loop})
+	x := controlclient.New(controlclient.Dependencies{Settings: p, Log: log, Group: g, Node: w, Replica: rep, Self: membership.Member{Node: "h1", Role: "proxy", Zone: "x"}, LastPauseEnd: func() time.Time { return *woke.Load() }}, host{&loop})
 	g.Go("touch", x.Run)
 	defer func() {
 		g.Cancel()
@@ -107,12 +107,12 @@
 	}()
 	wait := func(d time.Duration) { <-time.After(d); synctest.Wait() }
 	wait(time.Second)
-	if at, sure := x.At(); at == "" || x.Word() == protocol.Unsure || time.Since(sure) > p.ConfirmationTTL() {
+	if at, sure := x.Current(); at == "" || x.Confidence() == protocol.Unconfirmed || time.Since(sure) > p.ConfirmationTTL() {
 		t.Fatalf("no session stands: %q %v", at, time.Since(sure))
 	}
 	air.Isolate("h1", true)
 	wait(3*time.Second + late)
-	if _, sure := x.At(); x.Word() == protocol.Unsure || time.Since(sure) <= p.ConfirmationTTL() {
+	if _, sure := x.Current(); x.Confidence() == protocol.Unconfirmed || time.Since(sure) <= p.ConfirmationTTL() {
 		t.Fatalf("out of touch, it may not act: %v", time.Since(sure))
 	}
 	// Frozen at one of the instants of a round, with dials under way.
@@ -122,19 +122,19 @@
 	wait(p.HeartbeatInterval() + p.PauseThreshold()) // the shortest that a process notices
 	at := time.Now()
 	woke.Store(&at)
-	if x.Word() != protocol.Unsure {
+	if x.Confidence() != protocol.Unconfirmed {
 		t.Error("it acts by a round of before the freeze's end")
 	}
 	// The loop goes on at once, its dials hear later.
 	loop.Store(&none)
 	wait(time.Millisecond)
-	x.Kick()
+	x.HeartbeatNow()
 	synctest.Wait()
-	if x.Word() != protocol.Unsure {
+	if x.Confidence() != protocol.Unconfirmed {
 		t.Error("it acts by what its dials of before the freeze say")
 	}
 	close(ice)
-	for x.Word() == protocol.Unsure && time.Since(at) < 3*time.Second {
+	for x.Confidence() == protocol.Unconfirmed && time.Since(at) < 3*time.Second {
 		wait(10 * time.Millisecond)
 	}
 	if d := time.Since(at); d < p.CallTimeout()/2 || d > 2*p.CallTimeout()+2*p.HeartbeatInterval() {
@@ -143,7 +143,7 @@
 	// Back in touch it is sure of the newest, without any such round.
 	air.Isolate("h1", false)
 	wait(2 * time.Second)
-	if at, sure := x.At(); at == "" || time.Since(sure) > p.ConfirmationTTL() {
+	if at, sure := x.Current(); at == "" || time.Since(sure) > p.ConfirmationTTL() {
 		t.Errorf("no session came back: %q", at)
 	}
 }
--- a/internal/fsm/state.go
+++ b/internal/fsm/state.go
@@ -45,7 +45,7 @@
 
 // Is tells whether a state stands.
 func (s *Machine) Is(names ...string) bool {
-	now := s.Now()
+	now := s.Current()
 	for _, n := range names {
 		if now == n {
 			return true
@@ -54,8 +54,8 @@
 	return false
 }
 
-// Now gives the state that stands.
-func (s *Machine) Now() string {
+// Current gives the state that stands.
+func (s *Machine) Current() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.m.MustState().(string)
--- a/internal/house/wire_test.go
+++ b/internal/house/wire_test.go
@@ -76,18 +76,18 @@
 // another package or name.
 var currentTypes = map[string]string{
 	"class.Use":         "admission.Use",
-	"member.Fellow":     "membership.Fellow",
-	"session.Back":      "protocol.Back",
-	"session.Beat":      "protocol.Beat",
-	"session.Hand":      "protocol.Hand",
-	"session.Outer":     "protocol.Outer",
-	"session.OuterBack": "protocol.OuterBack",
-	"session.Push":      "protocol.Push",
-	"session.Receipt":   "protocol.Receipt",
-	"session.Report":    "protocol.Report",
-	"session.Share":     "protocol.Share",
-	"session.ShareBack": "protocol.ShareBack",
-	"session.Tally":     "protocol.Tally",
+	"member.Fellow":     "membership.Member",
+	"session.Back":      "protocol.AttemptResult",
+	"session.Beat":      "protocol.Heartbeat",
+	"session.Hand":      "protocol.AttemptRequest",
+	"session.Outer":     "protocol.ForwardedCall",
+	"session.OuterBack": "protocol.ForwardedResponse",
+	"session.Push":      "protocol.ConfigPush",
+	"session.Receipt":   "protocol.HeartbeatResponse",
+	"session.Report":    "protocol.TrialReport",
+	"session.Share":     "protocol.SessionReport",
+	"session.ShareBack": "protocol.SessionReportResponse",
+	"session.Tally":     "protocol.ArmCounts",
 	"wire.Hello":        "transport.Hello",
 }
 
@@ -117,8 +117,8 @@
 // ways. New fields are passed over by the old.
 func TestFields(t *testing.T) {
 	now := map[string]bool{}
-	all := append(store.Messages(), transport.Hello{}, protocol.Beat{}, protocol.Receipt{}, protocol.Push{}, protocol.PushBack{}, protocol.ListAsk{}, protocol.ListBack{}, protocol.Share{}, protocol.ShareBack{}, protocol.Outer{},
-		protocol.OuterBack{}, protocol.Report{}, protocol.Hand{}, protocol.Back{}, ormap.Delta{}, plumtree.Message{}, paxos.Entry{}, paxos.Identity{}, paxos.Snapshot{},
+	all := append(store.Messages(), transport.Hello{}, protocol.Heartbeat{}, protocol.HeartbeatResponse{}, protocol.ConfigPush{}, protocol.ConfigPushResponse{}, protocol.MemberListRequest{}, protocol.MemberListResponse{}, protocol.SessionReport{}, protocol.SessionReportResponse{}, protocol.ForwardedCall{},
+		protocol.ForwardedResponse{}, protocol.TrialReport{}, protocol.AttemptRequest{}, protocol.AttemptResult{}, ormap.Delta{}, plumtree.Message{}, paxos.Entry{}, paxos.Identity{}, paxos.Snapshot{},
 		statemachine.State{}, statemachine.Packed{}, proxy.Status{}, proxy.StatusAsk{}, proxy.DrainAsk{}, registry.Status{})
 	for name, c := range statemachine.Kinds() {
 		now["command "+name+" "+reflect.TypeOf(c).Elem().Name()] = true
--- a/internal/judge/judge.go
+++ b/internal/judge/judge.go
@@ -34,13 +34,13 @@
 
 // Add takes a front's tally in. A refusal is a failure here: a change that
 // sends jobs where nobody takes them must not pass.
-func (a *Arm) Add(t protocol.Tally) {
+func (a *Arm) Add(t protocol.ArmCounts) {
 	a.Done += t.Done
 	a.Failed += t.Failed + t.Unknown + t.Refused
-	for len(a.Times) < len(t.Times) {
+	for len(a.Times) < len(t.LatencyBins) {
 		a.Times = append(a.Times, 0)
 	}
-	for i, n := range t.Times {
+	for i, n := range t.LatencyBins {
 		a.Times[i] += n
 	}
 }
--- a/internal/membership/book.go
+++ b/internal/membership/book.go
@@ -5,25 +5,25 @@
 	"sync"
 )
 
-// Book is one state of the list of members. It never changes; With makes the
+// List is one state of the list of members. It never changes; With makes the
 // next one, which shares the fellows that stay.
-type Book struct {
-	all    []*Fellow // by name
+type List struct {
+	all    []*Member // by name
 	hash   uint64
 	fronts int
 	once   sync.Once
 	rings  map[string]*ring
 }
 
-// NewBook makes a book of a list.
-func NewBook(all []Fellow) *Book { return (&Book{}).With(all, nil) }
+// NewList makes a book of a list.
+func NewList(all []Member) *List { return (&List{}).Apply(all, nil) }
 
-// With gives the book after some fellows came, in place of what they were
+// Apply gives the book after some fellows came, in place of what they were
 // before, and others went.
-func (b *Book) With(come []Fellow, gone []string) *Book {
-	out := map[string]*Fellow{}
+func (b *List) Apply(come []Member, gone []string) *List {
+	out := map[string]*Member{}
 	var names []string
-	note := func(n string, f *Fellow) {
+	note := func(n string, f *Member) {
 		if _, ok := out[n]; !ok {
 			names = append(names, n)
 		}
@@ -37,7 +37,7 @@
 		note(f.Node, &f)
 	}
 	sort.Strings(names)
-	next := &Book{all: make([]*Fellow, 0, len(b.all)+len(come)), hash: b.hash, fronts: b.fronts}
+	next := &List{all: make([]*Member, 0, len(b.all)+len(come)), hash: b.hash, fronts: b.fronts}
 	at := 0
 	for _, n := range names {
 		to := at + sort.Search(len(b.all)-at, func(i int) bool { return b.all[at+i].Node >= n })
@@ -56,7 +56,7 @@
 	return next
 }
 
-func (b *Book) count(f *Fellow, by int) {
+func (b *List) count(f *Member, by int) {
 	b.hash ^= sign(f)
 	if f.Role == "proxy" {
 		b.fronts += by
@@ -64,16 +64,16 @@
 }
 
 // Hash names the list: equal lists have equal hashes, whatever way led there.
-func (b *Book) Hash() uint64 { return b.hash }
+func (b *List) Hash() uint64 { return b.hash }
 
 // Len counts the members.
-func (b *Book) Len() int { return len(b.all) }
+func (b *List) Len() int { return len(b.all) }
 
-// Fronts counts the members that take callers' requests.
-func (b *Book) Fronts() int { return b.fronts }
+// ProxyCount counts the members that take callers' requests.
+func (b *List) ProxyCount() int { return b.fronts }
 
 // Get finds a member by name, nil when it isn't one.
-func (b *Book) Get(node string) *Fellow {
+func (b *List) Get(node string) *Member {
 	i := sort.Search(len(b.all), func(i int) bool { return b.all[i].Node >= node })
 	if i < len(b.all) && b.all[i].Node == node {
 		return b.all[i]
@@ -81,10 +81,10 @@
 	return nil
 }
 
-// At finds a member by its inner address, nil when nobody has it.
-func (b *Book) At(inner string) *Fellow {
+// ByAddr finds a member by its inner address, nil when nobody has it.
+func (b *List) ByAddr(inner string) *Member {
 	for _, f := range b.all {
-		if f.Inner == inner {
+		if f.InternalAddr == inner {
 			return f
 		}
 	}
@@ -92,19 +92,19 @@
 }
 
 // Has tells whether a node is a member.
-func (b *Book) Has(node string) bool { return b.Get(node) != nil }
+func (b *List) Has(node string) bool { return b.Get(node) != nil }
 
-// List copies the members out, by name.
-func (b *Book) List() []Fellow {
-	out := make([]Fellow, len(b.all))
+// Members copies the members out, by name.
+func (b *List) Members() []Member {
+	out := make([]Member, len(b.all))
 	for i, f := range b.all {
 		out[i] = *f
 	}
 	return out
 }
 
-// Draw gives the member that a random number picks, of one area or of all.
-func (b *Book) Draw(area string, intn func(int) int) *Fellow {
+// Random gives the member that a random number picks, of one area or of all.
+func (b *List) Random(area string, intn func(int) int) *Member {
 	if area == "" {
 		if len(b.all) == 0 {
 			return nil
@@ -120,12 +120,12 @@
 // bucket is the part of n that a node's entry is in.
 func bucket(node string, n int) int { return int(mix(node) >> 32 % uint64(n)) }
 
-// Parts is into how many parts a book is best cut to find what differs: the
+// PartCount is into how many parts a book is best cut to find what differs: the
 // list of digests is then about as long as one part.
-func (b *Book) Parts() int { return Parts(len(b.all)) }
+func (b *List) PartCount() int { return PartCount(len(b.all)) }
 
-// Parts is the same for a list of some length.
-func Parts(long int) int {
+// PartCount is the same for a list of some length.
+func PartCount(long int) int {
 	n := 16
 	for n*n < long {
 		n *= 2
@@ -134,7 +134,7 @@
 }
 
 // Digests sums up each of n parts.
-func (b *Book) Digests(n int) []uint64 {
+func (b *List) Digests(n int) []uint64 {
 	out := make([]uint64, n)
 	for _, f := range b.all {
 		out[bucket(f.Node, n)] ^= sign(f)
@@ -142,12 +142,12 @@
 	return out
 }
 
-// Differ gives the parts that differ from the digests, and their fellows here:
+// DifferingParts gives the parts that differ from the digests, and their fellows here:
 // as many parts as have at most most fellows together, one at the least. More
 // tells that others differ too.
-func (b *Book) Differ(theirs []uint64, most int) (parts []int, list []Fellow, more bool) {
+func (b *List) DifferingParts(theirs []uint64, most int) (parts []int, list []Member, more bool) {
 	n := len(theirs)
-	in := make([][]*Fellow, n)
+	in := make([][]*Member, n)
 	for _, f := range b.all {
 		k := bucket(f.Node, n)
 		in[k] = append(in[k], f)
@@ -168,8 +168,8 @@
 	return parts, list, more
 }
 
-// Patch takes the fellows of some of n parts in the place of what was there.
-func (b *Book) Patch(n int, parts []int, list []Fellow) *Book {
+// ReplaceParts takes the fellows of some of n parts in the place of what was there.
+func (b *List) ReplaceParts(n int, parts []int, list []Member) *List {
 	in := map[int]bool{}
 	for _, p := range parts {
 		in[p] = true
@@ -180,5 +180,5 @@
 			gone = append(gone, f.Node)
 		}
 	}
-	return b.With(list, gone)
+	return b.Apply(list, gone)
 }
--- a/internal/membership/log.go
+++ b/internal/membership/log.go
@@ -2,29 +2,29 @@
 
 // Diff is what changed between two states of a list.
 type Diff struct {
-	Come []Fellow
-	Gone []string
+	Added   []Member
+	Removed []string
 }
 
 // step is one change of a list.
 type step struct {
 	from uint64
 	node string
-	now  *Fellow // nil: gone
+	now  *Member // nil: gone
 }
 
-// Log keeps the newest changes of a list, to tell what differs since a hash.
-type Log struct {
+// History keeps the newest changes of a list, to tell what differs since a hash.
+type History struct {
 	most int
 	base uint64 // the number of the first step kept
 	all  []step
 	at   map[uint64]uint64 // hash to the newest step that began there
 }
 
-// NewLog makes a log of at most most changes.
-func NewLog(most int) *Log { return &Log{most: most, at: map[uint64]uint64{}} }
+// NewHistory makes a log of at most most changes.
+func NewHistory(most int) *History { return &History{most: most, at: map[uint64]uint64{}} }
 
-func (l *Log) note(from uint64, node string, now *Fellow) {
+func (l *History) note(from uint64, node string, now *Member) {
 	l.at[from] = l.base + uint64(len(l.all))
 	l.all = append(l.all, step{from, node, now})
 	// Cut in halves, so that the copy is rare.
@@ -41,12 +41,12 @@
 
 // Since gives what differs between the list with a hash and the newest; false
 // when that hash isn't in the log.
-func (l *Log) Since(hash uint64) (Diff, bool) {
+func (l *History) Since(hash uint64) (Diff, bool) {
 	at, ok := l.at[hash]
 	if !ok {
 		return Diff{}, false
 	}
-	last := map[string]*Fellow{}
+	last := map[string]*Member{}
 	var order []string
 	for _, s := range l.all[at-l.base:] {
 		if _, ok := last[s.node]; !ok {
@@ -57,9 +57,9 @@
 	var d Diff
 	for _, n := range order {
 		if f := last[n]; f != nil {
-			d.Come = append(d.Come, *f)
+			d.Added = append(d.Added, *f)
 		} else {
-			d.Gone = append(d.Gone, n)
+			d.Removed = append(d.Removed, n)
 		}
 	}
 	return d, true
--- a/internal/membership/member.go
+++ b/internal/membership/member.go
@@ -7,19 +7,19 @@
 	"sort"
 )
 
-// Fellow is one node of the mesh.
-type Fellow struct {
-	Node    string `msgpack:"n" json:"node"`
-	Start   string `msgpack:"s" json:"incarnation"`
-	Role    string `msgpack:"r" json:"role"`
-	Area    string `msgpack:"z" json:"area"`
-	Inner   string `msgpack:"i" json:"inner"`
-	Outer   string `msgpack:"o" json:"outer"`
-	Traffic string `msgpack:"t" json:"traffic,omitempty"`
+// Member is one node of the mesh.
+type Member struct {
+	Node         string `msgpack:"n" json:"node"`
+	Incarnation  string `msgpack:"s" json:"incarnation"`
+	Role         string `msgpack:"r" json:"role"`
+	Zone         string `msgpack:"z" json:"area"`
+	InternalAddr string `msgpack:"i" json:"inner"`
+	APIAddr      string `msgpack:"o" json:"outer"`
+	TrafficAddr  string `msgpack:"t" json:"traffic,omitempty"`
 }
 
 // Sort orders a list by name.
-func Sort(all []Fellow) []Fellow {
+func Sort(all []Member) []Member {
 	sort.Slice(all, func(i, j int) bool { return all[i].Node < all[j].Node })
 	return all
 }
@@ -39,12 +39,12 @@
 
 // sign names one fellow as it is; the hash of a list is the signs of all over
 // each other, so that a change of one is reckoned from that one alone.
-func sign(f *Fellow) uint64 {
-	return mix(f.Node, f.Start, f.Role, f.Area, f.Inner, f.Outer, f.Traffic)
+func sign(f *Member) uint64 {
+	return mix(f.Node, f.Incarnation, f.Role, f.Zone, f.InternalAddr, f.APIAddr, f.TrafficAddr)
 }
 
-// Names is the hash of a set of names, in whatever order.
-func Names(all []string) uint64 {
+// HashNames is the hash of a set of names, in whatever order.
+func HashNames(all []string) uint64 {
 	var h uint64
 	for _, n := range all {
 		h ^= mix(n)
--- a/internal/membership/member_test.go
+++ b/internal/membership/member_test.go
@@ -8,14 +8,14 @@
 	"pgregory.net/rapid"
 )
 
-func fellow(t *rapid.T) Fellow {
+func fellow(t *rapid.T) Member {
 	n := rapid.IntRange(0, 40).Draw(t, "node")
-	return Fellow{Node: fmt.Sprintf("n%02d", n), Start: fmt.Sprint(rapid.IntRange(0, 2).Draw(t, "start")),
-		Role: rapid.SampledFrom([]string{"proxy", "registry"}).Draw(t, "role"), Area: fmt.Sprint("a", n%3), Inner: fmt.Sprintf("h%d:1", n)}
+	return Member{Node: fmt.Sprintf("n%02d", n), Incarnation: fmt.Sprint(rapid.IntRange(0, 2).Draw(t, "start")),
+		Role: rapid.SampledFrom([]string{"proxy", "registry"}).Draw(t, "role"), Zone: fmt.Sprint("a", n%3), InternalAddr: fmt.Sprintf("h%d:1", n)}
 }
 
-func sorted(m map[string]Fellow) []Fellow {
-	out := []Fellow{}
+func sorted(m map[string]Member) []Member {
+	out := []Member{}
 	for _, f := range m {
 		out = append(out, f)
 	}
@@ -28,13 +28,13 @@
 func TestRoll(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const most = 30
-		r := NewRoll("own", most)
+		r := NewTracker("own", most)
 		type word struct {
-			f   Fellow
+			f   Member
 			seq int
 		}
 		model := map[string]map[string]word{"own": {}, "b": {}, "c": {}}
-		old := map[uint64]*Book{}
+		old := map[uint64]*List{}
 		var hashes []uint64
 		seq := 0
 		for range rapid.IntRange(1, 100).Draw(t, "steps") {
@@ -43,20 +43,20 @@
 			seq++
 			switch rapid.IntRange(0, 9).Draw(t, "op") {
 			case 0:
-				r.DropAll(from)
+				r.RemoveSource(from)
 				model[from] = map[string]word{}
 			case 1:
-				list := []Fellow{f, {Node: "x", Role: "proxy"}}
+				list := []Member{f, {Node: "x", Role: "proxy"}}
 				r.Replace(from, list)
 				model[from] = map[string]word{f.Node: {f, seq}, "x": {list[1], seq}}
 			case 2, 3, 4:
-				r.Drop(from, f.Node)
+				r.Remove(from, f.Node)
 				delete(model[from], f.Node)
 			default:
 				r.Set(from, f)
 				model[from][f.Node] = word{f, seq}
 			}
-			want, newest, fronts := map[string]Fellow{}, map[string]int{}, 0
+			want, newest, fronts := map[string]Member{}, map[string]int{}, 0
 			for _, s := range []string{"b", "c", "own"} {
 				for n, w := range model[s] {
 					if s == "own" || w.seq > newest[n] {
@@ -69,11 +69,11 @@
 					fronts++
 				}
 			}
-			b := r.Book()
-			if got := b.List(); !reflect.DeepEqual(got, sorted(want)) {
+			b := r.List()
+			if got := b.Members(); !reflect.DeepEqual(got, sorted(want)) {
 				t.Fatalf("the list is %v, the model %v", got, sorted(want))
 			}
-			if NewBook(sorted(want)).Hash() != r.Hash() || b.Hash() != r.Hash() || r.Fronts() != fronts || b.Fronts() != fronts {
+			if NewList(sorted(want)).Hash() != r.Hash() || b.Hash() != r.Hash() || r.ProxyCount() != fronts || b.ProxyCount() != fronts {
 				t.Fatalf("hash or count of %v is wrong", want)
 			}
 			old[r.Hash()] = b
@@ -87,7 +87,7 @@
 			}
 			if ok {
 				known++
-				if got := old[h].With(d.Come, d.Gone); !reflect.DeepEqual(got.List(), r.Book().List()) || got.Hash() != r.Hash() {
+				if got := old[h].Apply(d.Added, d.Removed); !reflect.DeepEqual(got.Members(), r.List().Members()) || got.Hash() != r.Hash() {
 					t.Fatalf("what differs since %x leads to another list", h)
 				}
 			} else if len(hashes)-i < most/2 {
@@ -107,12 +107,12 @@
 // time, makes one the other, and equal lists have none that differ.
 func TestParts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		draw := func(name string) *Book {
-			m := map[string]Fellow{}
+		draw := func(name string) *List {
+			m := map[string]Member{}
 			for _, f := range rapid.SliceOfN(rapid.Custom(fellow), 0, 40).Draw(t, name) {
 				m[f.Node] = f
 			}
-			return NewBook(sorted(m))
+			return NewList(sorted(m))
 		}
 		a, b := draw("a"), draw("b")
 		n := rapid.SampledFrom([]int{1, 4, 16}).Draw(t, "n")
@@ -121,14 +121,14 @@
 				t.Fatal("it doesn't end")
 			}
 			var parts []int
-			var list []Fellow
-			parts, list, more = b.Differ(a.Digests(n), 5)
-			a = a.Patch(n, parts, list)
+			var list []Member
+			parts, list, more = b.DifferingParts(a.Digests(n), 5)
+			a = a.ReplaceParts(n, parts, list)
 		}
-		if !reflect.DeepEqual(a.List(), b.List()) || a.Hash() != b.Hash() {
-			t.Fatalf("%v is not %v", a.List(), b.List())
+		if !reflect.DeepEqual(a.Members(), b.Members()) || a.Hash() != b.Hash() {
+			t.Fatalf("%v is not %v", a.Members(), b.Members())
 		}
-		if parts, _, _ := a.Differ(b.Digests(n), 5); len(parts) > 0 {
+		if parts, _, _ := a.DifferingParts(b.Digests(n), 5); len(parts) > 0 {
 			t.Fatal("equal lists differ")
 		}
 	})
@@ -136,18 +136,18 @@
 
 // TestBook: finding, counting and drawing.
 func TestBook(t *testing.T) {
-	b := NewBook([]Fellow{{Node: "a", Area: "x", Role: "proxy"}, {Node: "b", Area: "y", Role: "proxy"}, {Node: "c", Area: "y"}})
-	if !b.Has("b") || b.Has("bb") || b.Len() != 3 || b.Fronts() != 2 {
-		t.Error(b.List())
+	b := NewList([]Member{{Node: "a", Zone: "x", Role: "proxy"}, {Node: "b", Zone: "y", Role: "proxy"}, {Node: "c", Zone: "y"}})
+	if !b.Has("b") || b.Has("bb") || b.Len() != 3 || b.ProxyCount() != 2 {
+		t.Error(b.Members())
 	}
 	seen := map[string]bool{}
 	for i := range 3 {
-		seen[b.Draw("", func(n int) int { return i % n }).Node] = true
-		if f := b.Draw("y", func(n int) int { return i % n }); f.Area != "y" {
+		seen[b.Random("", func(n int) int { return i % n }).Node] = true
+		if f := b.Random("y", func(n int) int { return i % n }); f.Zone != "y" {
 			t.Error(f)
 		}
 	}
-	if len(seen) != 3 || b.Draw("z", func(int) int { return 0 }) != nil {
+	if len(seen) != 3 || b.Random("z", func(int) int { return 0 }) != nil {
 		t.Error(seen)
 	}
 }
--- a/internal/membership/overlay.go
+++ b/internal/membership/overlay.go
@@ -8,7 +8,7 @@
 // point is a member at its place on the ring of its area.
 type point struct {
 	at uint64
-	f  *Fellow
+	f  *Member
 }
 
 // ring is the members of one area, by place. A place comes from the name, so a
@@ -16,14 +16,14 @@
 type ring struct{ all []point }
 
 // ringsOf sorts the members into areas, once for each book.
-func (b *Book) ringsOf() map[string]*ring {
+func (b *List) ringsOf() map[string]*ring {
 	b.once.Do(func() {
 		b.rings = map[string]*ring{}
 		for _, f := range b.all {
-			r := b.rings[f.Area]
+			r := b.rings[f.Zone]
 			if r == nil {
 				r = &ring{}
-				b.rings[f.Area] = r
+				b.rings[f.Zone] = r
 			}
 			r.all = append(r.all, point{mix("place", f.Node), f})
 		}
@@ -51,7 +51,7 @@
 // whole when one node falls out, and chords to the points a quarter, a
 // sixteenth and so on of the ring away, in both directions: the hops grow as
 // the logarithm of the nodes, and so do the links.
-func (r *ring) near(self int, pick func(*Fellow)) {
+func (r *ring) near(self int, pick func(*Member)) {
 	n := len(r.all)
 	for _, step := range []int{1, 2, n - 1, n - 2} {
 		if step > 0 {
@@ -73,33 +73,33 @@
 	}
 }
 
-// Links gives the overlay neighbours of a node: chords in the ring of its own
+// Neighbors gives the overlay neighbours of a node: chords in the ring of its own
 // area, and between each two areas a few links, since bytes between areas are
 // dear. All nodes with the same list work out the same overlay.
-func (b *Book) Links(self string) []Fellow {
+func (b *List) Neighbors(self string) []Member {
 	me := b.Get(self)
 	if me == nil {
 		return nil
 	}
 	areas := b.ringsOf()
-	own := areas[me.Area]
-	pick := map[string]*Fellow{}
-	own.near(own.find(self), func(f *Fellow) { pick[f.Node] = f })
+	own := areas[me.Zone]
+	pick := map[string]*Member{}
+	own.near(own.find(self), func(f *Member) { pick[f.Node] = f })
 	delete(pick, self)
 	for area, far := range areas {
-		if area == me.Area {
+		if area == me.Zone {
 			continue
 		}
 		// The k-th bridge of the one meets the k-th of the other; two such pairs
 		// keep the areas joined when one node dies.
 		for k := range across {
 			if own.bridge(area, k).Node == self {
-				n := far.bridge(me.Area, k)
+				n := far.bridge(me.Zone, k)
 				pick[n.Node] = n
 			}
 		}
 	}
-	var out []Fellow
+	var out []Member
 	for _, f := range pick {
 		out = append(out, *f)
 	}
@@ -109,6 +109,6 @@
 const across = 2
 
 // bridge picks the k-th bridge towards another area.
-func (r *ring) bridge(area string, k int) *Fellow {
+func (r *ring) bridge(area string, k int) *Member {
 	return r.all[(r.next(mix("bridge", area))+k)%len(r.all)].f
 }
--- a/internal/membership/overlay_bench_test.go
+++ b/internal/membership/overlay_bench_test.go
@@ -11,15 +11,15 @@
 func BenchmarkOverlay(b *testing.B) {
 	for _, n := range []int{1000, 3000, 10000, 24000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			var all []Fellow
+			var all []Member
 			for i := range n {
-				all = append(all, Fellow{Node: fmt.Sprintf("node-%05d", i), Role: "proxy", Area: fmt.Sprintf("r%dz%d", i%25%8, i%25/8)})
+				all = append(all, Member{Node: fmt.Sprintf("node-%05d", i), Role: "proxy", Zone: fmt.Sprintf("r%dz%d", i%25%8, i%25/8)})
 			}
-			book := NewBook(all)
+			book := NewList(all)
 			links := map[string][]string{}
 			sum, most := 0, 0
 			for _, f := range all {
-				for _, to := range book.Links(f.Node) {
+				for _, to := range book.Neighbors(f.Node) {
 					links[f.Node] = append(links[f.Node], to.Node)
 				}
 				sum, most = sum+len(links[f.Node]), max(most, len(links[f.Node]))
@@ -31,7 +31,7 @@
 			i := 0
 			for b.Loop() {
 				i++
-				book.Links(all[i%n].Node)
+				book.Neighbors(all[i%n].Node)
 			}
 			b.ReportMetric(float64(hops), "hops")
 			b.ReportMetric(float64(sum)/float64(n), "links")
--- a/internal/membership/overlay_test.go
+++ b/internal/membership/overlay_test.go
@@ -8,21 +8,21 @@
 )
 
 // town makes a book of n nodes in some areas.
-func town(n, areas int) *Book {
-	var all []Fellow
+func town(n, areas int) *List {
+	var all []Member
 	for i := range n {
-		all = append(all, Fellow{Node: fmt.Sprintf("node-%05d", i), Role: "proxy", Area: fmt.Sprint("a", i%areas)})
+		all = append(all, Member{Node: fmt.Sprintf("node-%05d", i), Role: "proxy", Zone: fmt.Sprint("a", i%areas)})
 	}
-	return NewBook(all)
+	return NewList(all)
 }
 
 // wires gives the links of all nodes, and checks that they go both ways.
-func wires(t *testing.T, b *Book) map[string][]string {
+func wires(t *testing.T, b *List) map[string][]string {
 	t.Helper()
 	out := map[string][]string{}
 	in := map[[2]string]bool{}
 	for _, f := range b.all {
-		for _, o := range b.Links(f.Node) {
+		for _, o := range b.Neighbors(f.Node) {
 			out[f.Node] = append(out[f.Node], o.Node)
 			in[[2]string{f.Node, o.Node}] = true
 		}
@@ -112,7 +112,7 @@
 	most, sum := 0, 0
 	for i := range 40 {
 		out := fmt.Sprintf("node-%05d", i*24)
-		now := wires(t, b.With(nil, []string{out}))
+		now := wires(t, b.Apply(nil, []string{out}))
 		n := 0
 		for a, l := range now {
 			had := map[string]bool{}
--- a/internal/membership/pack.go
+++ b/internal/membership/pack.go
@@ -14,32 +14,32 @@
 // host stands for an address's host where that is the inner address's.
 const host = "\x01"
 
-// Pack gives what came and went in a short form.
-func (d Diff) Pack() []byte {
+// Encode gives what came and went in a short form.
+func (d Diff) Encode() []byte {
 	cols := make([][]string, wide)
 	put := func(row ...string) {
 		for i, s := range row {
 			cols[i] = append(cols[i], s)
 		}
 	}
-	for _, f := range d.Come {
-		in, _, _ := strings.Cut(f.Inner, ":")
+	for _, f := range d.Added {
+		in, _, _ := strings.Cut(f.InternalAddr, ":")
 		near := func(addr string) string {
 			if in != "" && strings.HasPrefix(addr, in+":") {
 				return host + addr[len(in):]
 			}
 			return addr
 		}
-		put("+", f.Node, f.Start, f.Role, f.Area, f.Inner, near(f.Outer), near(f.Traffic))
+		put("+", f.Node, f.Incarnation, f.Role, f.Zone, f.InternalAddr, near(f.APIAddr), near(f.TrafficAddr))
 	}
-	for _, n := range d.Gone {
+	for _, n := range d.Removed {
 		put("-", n, "", "", "", "", "", "")
 	}
 	return compression.Pack(cols)
 }
 
-// OpenDiff reads the short form; the error is of the kind fault.Input.
-func OpenDiff(b []byte) (Diff, error) {
+// DecodeDiff reads the short form; the error is of the kind fault.Input.
+func DecodeDiff(b []byte) (Diff, error) {
 	cols, err := compression.Open(b, wide)
 	if err != nil {
 		return Diff{}, err
@@ -55,9 +55,9 @@
 		}
 		switch sign {
 		case "+":
-			d.Come = append(d.Come, Fellow{Node: cols[1][i], Start: cols[2][i], Role: cols[3][i], Area: cols[4][i], Inner: cols[5][i], Outer: full(cols[6][i]), Traffic: full(cols[7][i])})
+			d.Added = append(d.Added, Member{Node: cols[1][i], Incarnation: cols[2][i], Role: cols[3][i], Zone: cols[4][i], InternalAddr: cols[5][i], APIAddr: full(cols[6][i]), TrafficAddr: full(cols[7][i])})
 		case "-":
-			d.Gone = append(d.Gone, cols[1][i])
+			d.Removed = append(d.Removed, cols[1][i])
 		default:
 			return Diff{}, fault.New(fault.Input, "a packed member marked %q", sign)
 		}
--- a/internal/membership/pack_test.go
+++ b/internal/membership/pack_test.go
@@ -15,18 +15,18 @@
 	rapid.Check(t, func(t *rapid.T) {
 		var d Diff
 		for range rapid.IntRange(0, 6).Draw(t, "come") {
-			d.Come = append(d.Come, Fellow{Node: rapid.String().Draw(t, "n"), Start: rapid.String().Draw(t, "s"), Role: "proxy", Area: rapid.String().Draw(t, "z"),
-				Inner: addr.Draw(t, "i"), Outer: addr.Draw(t, "o"), Traffic: addr.Draw(t, "t")})
+			d.Added = append(d.Added, Member{Node: rapid.String().Draw(t, "n"), Incarnation: rapid.String().Draw(t, "s"), Role: "proxy", Zone: rapid.String().Draw(t, "z"),
+				InternalAddr: addr.Draw(t, "i"), APIAddr: addr.Draw(t, "o"), TrafficAddr: addr.Draw(t, "t")})
 		}
 		for range rapid.IntRange(0, 6).Draw(t, "gone") {
-			d.Gone = append(d.Gone, rapid.String().Draw(t, "g"))
+			d.Removed = append(d.Removed, rapid.String().Draw(t, "g"))
 		}
-		got, err := OpenDiff(d.Pack())
+		got, err := DecodeDiff(d.Encode())
 		if err != nil || !reflect.DeepEqual(d, got) {
 			t.Fatalf("%v came back as %v, %v", d, got, err)
 		}
 	})
-	if _, err := OpenDiff([]byte("no")); err == nil {
+	if _, err := DecodeDiff([]byte("no")); err == nil {
 		t.Error("what is no short form was opened")
 	}
 }
@@ -37,13 +37,13 @@
 		var d Diff
 		for i := range n {
 			at := fmt.Sprintf("10.1.%d.%d", i/200, i%200+1)
-			d.Come = append(d.Come, Fellow{Node: fmt.Sprintf("node-%05d", i), Start: fmt.Sprintf("%012x", rand.Uint64()>>16), Role: "proxy",
-				Area: fmt.Sprintf("r%dz%d", i%25%8, i%25/8), Inner: at + ":7002", Outer: at + ":7003", Traffic: at + ":8000"})
+			d.Added = append(d.Added, Member{Node: fmt.Sprintf("node-%05d", i), Incarnation: fmt.Sprintf("%012x", rand.Uint64()>>16), Role: "proxy",
+				Zone: fmt.Sprintf("r%dz%d", i%25%8, i%25/8), InternalAddr: at + ":7002", APIAddr: at + ":7003", TrafficAddr: at + ":8000"})
 		}
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			long := 0
 			for b.Loop() {
-				long = len(d.Pack())
+				long = len(d.Encode())
 			}
 			b.ReportMetric(float64(long)/float64(n), "B/member")
 		})
--- a/internal/membership/roll.go
+++ b/internal/membership/roll.go
@@ -3,31 +3,31 @@
 // claim is one source's word on a node.
 type claim struct {
 	from string
-	f    *Fellow
+	f    *Member
 	seq  uint64
 }
 
-// Roll is the list that a control node makes of its own sessions and of what
+// Tracker is the list that a control node makes of its own sessions and of what
 // the others say of theirs. Each change costs what it is, not what the list is.
-type Roll struct {
+type Tracker struct {
 	own   string // the source that goes before the others
 	by    map[string][]claim
 	of    map[string]map[string]bool // source to the nodes that it has
 	seq   uint64
 	hash  uint64
 	count int // fronts
-	log   *Log
-	book  *Book
+	log   *History
+	book  *List
 	stale map[string]bool // nodes that changed since the book was made
 }
 
-// NewRoll makes an empty list whose log keeps most changes.
-func NewRoll(own string, most int) *Roll {
-	return &Roll{own: own, by: map[string][]claim{}, of: map[string]map[string]bool{}, log: NewLog(most), book: &Book{}, stale: map[string]bool{}}
+// NewTracker makes an empty list whose log keeps most changes.
+func NewTracker(own string, most int) *Tracker {
+	return &Tracker{own: own, by: map[string][]claim{}, of: map[string]map[string]bool{}, log: NewHistory(most), book: &List{}, stale: map[string]bool{}}
 }
 
 // now gives what counts of a node: the own session, else the newest word.
-func (r *Roll) now(node string) *Fellow {
+func (r *Tracker) now(node string) *Member {
 	var best *claim
 	for i := range r.by[node] {
 		c := &r.by[node][i]
@@ -44,7 +44,7 @@
 	return best.f
 }
 
-func (r *Roll) set(from, node string, f *Fellow) {
+func (r *Tracker) set(from, node string, f *Member) {
 	was := r.now(node)
 	list := r.by[node]
 	at := -1
@@ -85,24 +85,24 @@
 	r.stale[node] = true
 }
 
-func (r *Roll) weigh(f *Fellow, by int) {
+func (r *Tracker) weigh(f *Member, by int) {
 	r.hash ^= sign(f)
 	if f.Role == "proxy" {
 		r.count += by
 	}
 }
 
-// Fronts counts the members that take callers' jobs.
-func (r *Roll) Fronts() int { return r.count }
+// ProxyCount counts the members that take callers' jobs.
+func (r *Tracker) ProxyCount() int { return r.count }
 
 // Set takes a source's word that a node is there.
-func (r *Roll) Set(from string, f Fellow) { r.set(from, f.Node, &f) }
+func (r *Tracker) Set(from string, f Member) { r.set(from, f.Node, &f) }
 
-// Drop takes its word that a node is gone.
-func (r *Roll) Drop(from, node string) { r.set(from, node, nil) }
+// Remove takes its word that a node is gone.
+func (r *Tracker) Remove(from, node string) { r.set(from, node, nil) }
 
-// DropAll forgets a source.
-func (r *Roll) DropAll(from string) {
+// RemoveSource forgets a source.
+func (r *Tracker) RemoveSource(from string) {
 	for n := range r.of[from] {
 		r.set(from, n, nil)
 	}
@@ -110,7 +110,7 @@
 }
 
 // Replace takes a source's whole list.
-func (r *Roll) Replace(from string, list []Fellow) {
+func (r *Tracker) Replace(from string, list []Member) {
 	here := map[string]bool{}
 	for _, f := range list {
 		here[f.Node] = true
@@ -124,17 +124,17 @@
 }
 
 // Hash names the list of now.
-func (r *Roll) Hash() uint64 { return r.hash }
+func (r *Tracker) Hash() uint64 { return r.hash }
 
 // Since gives what differs from the list with a hash.
-func (r *Roll) Since(hash uint64) (Diff, bool) { return r.log.Since(hash) }
+func (r *Tracker) Since(hash uint64) (Diff, bool) { return r.log.Since(hash) }
 
-// Book gives the list of now; it is made anew only when something changed.
-func (r *Roll) Book() *Book {
+// List gives the list of now; it is made anew only when something changed.
+func (r *Tracker) List() *List {
 	if len(r.stale) == 0 {
 		return r.book
 	}
-	var come []Fellow
+	var come []Member
 	var gone []string
 	for n := range r.stale {
 		if f := r.now(n); f != nil {
@@ -144,6 +144,6 @@
 		}
 	}
 	clear(r.stale)
-	r.book = r.book.With(come, gone)
+	r.book = r.book.Apply(come, gone)
 	return r.book
 }
--- a/internal/patch/held.go
+++ b/internal/patch/held.go
@@ -2,8 +2,8 @@
 
 import "sync"
 
-// Held is the document that a process holds, with the newest steps to it.
-type Held struct {
+// Document is the document that a process holds, with the newest steps to it.
+type Document struct {
 	mu      sync.Mutex
 	most    int // steps kept, for those that lag
 	version uint64
@@ -12,12 +12,12 @@
 	size    int
 }
 
-// NewHeld holds nothing yet, and later at the most so many steps.
-func NewHeld(most int) *Held { return &Held{most: most} }
+// NewDocument holds nothing yet, and later at the most so many steps.
+func NewDocument(most int) *Document { return &Document{most: most} }
 
 // Set takes a newer document, and the steps that lead to it from the one held
 // if they are known.
-func (h *Held) Set(version uint64, doc []byte, steps []Step) {
+func (h *Document) Set(version uint64, doc []byte, steps []Step) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if version <= h.version {
@@ -42,8 +42,8 @@
 	}
 }
 
-// Now gives what is held.
-func (h *Held) Now() (uint64, []byte) {
+// Current gives what is held.
+func (h *Document) Current() (uint64, []byte) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.version, h.doc
@@ -51,7 +51,7 @@
 
 // Since gives the steps that lead from a version to the one held; false when
 // they are not known, or not worth it.
-func (h *Held) Since(version uint64) ([]Step, bool) {
+func (h *Document) Since(version uint64) ([]Step, bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for i, s := range h.steps {
@@ -64,8 +64,8 @@
 
 // Build makes the document that steps lead to from the one held; steps that
 // went by already are passed over. False means that they do not fit.
-func (h *Held) Build(steps []Step) ([]byte, bool) {
-	version, doc := h.Now()
+func (h *Document) Build(steps []Step) ([]byte, bool) {
+	version, doc := h.Current()
 	for _, s := range steps {
 		if s.To <= version {
 			continue
--- a/internal/patch/patch.go
+++ b/internal/patch/patch.go
@@ -19,11 +19,11 @@
 
 // Step leads from one version to a later one.
 type Step struct {
-	From uint64 `msgpack:"f"`
-	To   uint64 `msgpack:"t"`
-	Base []byte `msgpack:"b"` // the digest of the old document
-	Sum  []byte `msgpack:"s"` // the digest of the new one
-	Ops  []Op   `msgpack:"o"`
+	From   uint64 `msgpack:"f"`
+	To     uint64 `msgpack:"t"`
+	Base   []byte `msgpack:"b"` // the digest of the old document
+	Digest []byte `msgpack:"s"` // the digest of the new one
+	Ops    []Op   `msgpack:"o"`
 }
 
 // digest names a document. Half of a SHA-256 is more than chance or a mistake
@@ -60,7 +60,7 @@
 
 // Make works out the step between two documents.
 func Make(from, to uint64, old, now []byte) Step {
-	s := Step{From: from, To: to, Base: digest(old), Sum: digest(now)}
+	s := Step{From: from, To: to, Base: digest(old), Digest: digest(now)}
 	// What is equal at both ends is most of it, and needs no search.
 	head := 0
 	for head < len(old) && head < len(now) && old[head] == now[head] {
@@ -138,7 +138,7 @@
 			out = append(out, old[o.At:o.At+o.Len]...)
 		}
 	}
-	if !bytes.Equal(digest(out), s.Sum) {
+	if !bytes.Equal(digest(out), s.Digest) {
 		return nil, fault.New(fault.Stale, "a step to %d ends at another document", s.To)
 	}
 	return out, nil
--- a/internal/patch/patch_test.go
+++ b/internal/patch/patch_test.go
@@ -79,7 +79,7 @@
 // too far, or by more than half of the document, gets none.
 func TestHeld(t *testing.T) {
 	const kept = 256
-	a := NewHeld(kept)
+	a := NewDocument(kept)
 	docs := map[uint64][]byte{}
 	for v := uint64(1); v <= 400; v++ {
 		docs[v] = long(600, int(v))
@@ -95,30 +95,30 @@
 		if !ok || len(steps) != int(back) {
 			t.Fatalf("%d back: %d steps, %v", back, len(steps), ok)
 		}
-		b := NewHeld(8)
+		b := NewDocument(8)
 		b.Set(v, docs[v], nil)
 		got, ok := b.Build(steps)
 		if !ok || !bytes.Equal(got, docs[400]) {
 			t.Fatalf("%d back: not the document", back)
 		}
 		b.Set(400, got, steps)
-		if v2, doc := b.Now(); v2 != 400 || !bytes.Equal(doc, docs[400]) {
+		if v2, doc := b.Current(); v2 != 400 || !bytes.Equal(doc, docs[400]) {
 			t.Fatal("not held")
 		}
 		// A chain that begins earlier is as good; one that begins later isn't.
 		if more, ok := a.Since(v - 3); ok {
-			c := NewHeld(8)
+			c := NewDocument(8)
 			c.Set(v, docs[v], nil)
 			if got, ok := c.Build(more); !ok || !bytes.Equal(got, docs[400]) {
 				t.Fatal("steps that went by were not passed over")
 			}
 		}
-		c := NewHeld(8)
+		c := NewDocument(8)
 		c.Set(v-1, docs[v-1], nil)
 		if _, ok := c.Build(steps); ok {
 			t.Fatal("steps that begin later fit")
 		}
-		c = NewHeld(8)
+		c = NewDocument(8)
 		c.Set(v, []byte("another"), nil)
 		if _, ok := c.Build(steps); ok {
 			t.Fatal("steps fit another document of the same version")
@@ -133,7 +133,7 @@
 		t.Error("steps lead over a gap")
 	}
 	a.Set(401, docs[2], nil)
-	if v, _ := a.Now(); v != 402 {
+	if v, _ := a.Current(); v != 402 {
 		t.Error("a step back was taken")
 	}
 }
--- a/internal/pausedetect/pulse.go
+++ b/internal/pausedetect/pulse.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// Pulse is one process's watch over its own ticks.
-type Pulse struct {
+// Detector is one process's watch over its own ticks.
+type Detector struct {
 	mu   sync.Mutex
 	beat time.Duration
 	gap  time.Duration
@@ -21,23 +21,23 @@
 
 // New makes a pulse that ticks at each beat; a pause longer than the beat and
 // the gap counts as a freeze, and tell hears of it once.
-func New(beat, gap time.Duration, tell func(time.Duration)) *Pulse {
-	return &Pulse{beat: beat, gap: gap, last: time.Now(), tell: tell}
+func New(beat, gap time.Duration, tell func(time.Duration)) *Detector {
+	return &Detector{beat: beat, gap: gap, last: time.Now(), tell: tell}
 }
 
 // Run is the loop of ticks.
-func (p *Pulse) Run(ctx context.Context, pause func(context.Context, time.Duration)) {
+func (p *Detector) Run(ctx context.Context, pause func(context.Context, time.Duration)) {
 	for ctx.Err() == nil {
 		pause(ctx, p.beat)
 		p.look(true)
 	}
 }
 
-// Woke gives the end of the newest freeze, zero when there was none. The
+// LastPauseEnd gives the end of the newest freeze, zero when there was none. The
 // first to look after a freeze finds it, be it the tick or a job.
-func (p *Pulse) Woke() time.Time { return p.look(false) }
+func (p *Detector) LastPauseEnd() time.Time { return p.look(false) }
 
-func (p *Pulse) look(tick bool) time.Time {
+func (p *Detector) look(tick bool) time.Time {
 	p.mu.Lock()
 	now := time.Now()
 	gap := now.Sub(p.last)
--- a/internal/proxy/acknowledge.go
+++ b/internal/proxy/acknowledge.go
@@ -60,7 +60,7 @@
 func (x *Proxy) tellControl(ctx context.Context, word ormap.Delta) bool {
 	ctx, end := context.WithTimeout(ctx, min(tellWithin, x.Settings.CallTimeout()))
 	defer end()
-	core := x.touch.Core()
+	core := x.touch.ControlNodes()
 	core = core[:min(len(core), tellAtOnce)]
 	noted := make(chan bool, len(core))
 	for _, at := range core {
@@ -78,7 +78,7 @@
 
 // tellOne hands it to one control node.
 func (x *Proxy) tellOne(ctx context.Context, at string, word ormap.Delta) bool {
-	_, err := transport.Ask[struct{}](ctx, x.n, at, protocol.WorkerLeaves, word)
+	_, err := transport.Ask[struct{}](ctx, x.n, at, protocol.WorkerLeavingKind, word)
 	if fault.Is(err, fault.Refused) {
 		// One of an earlier version notes it, though not on its disk.
 		_, err = transport.Ask[struct{}](ctx, x.n, at, "replica.mend", word)
--- a/internal/proxy/again.go
+++ b/internal/proxy/again.go
@@ -18,7 +18,7 @@
 // under way is touched.
 func (x *Proxy) Again(p settings.Settings) []string {
 	x.reset.Store(&p)
-	x.touch.Seeds(p.Seeds)
+	x.touch.SetSeeds(p.Seeds)
 	x.load.bound(&p)
 	x.stay.Bound(callers(&p))
 	if r := x.rules.Load(); r != nil {
--- a/internal/proxy/answer.go
+++ b/internal/proxy/answer.go
@@ -33,19 +33,19 @@
 
 // receipt answers the caller.
 func (x *Proxy) receipt(w http.ResponseWriter, j *job) {
-	if j.back.Kind != protocol.Done && j.spare != nil {
+	if j.back.Outcome != protocol.Done && j.spare != nil {
 		j.back = *j.spare
 	}
 	x.score(j)
-	if !j.due.IsZero() && (j.back.Kind != protocol.Done || j.back.Status >= http.StatusInternalServerError) {
+	if !j.due.IsZero() && (j.back.Outcome != protocol.Done || j.back.Status >= http.StatusInternalServerError) {
 		x.knows.note(j.path.Name, j.first, j.due)
 	}
 	if v := j.rules; v != nil {
 		x.mark(w, responsedigest.Version, strconv.FormatUint(v.Version, 10))
 	}
 	switch {
-	case j.back.Kind == protocol.Done:
-		for k, v := range x.passed(j.back.Head) {
+	case j.back.Outcome == protocol.Done:
+		for k, v := range x.passed(j.back.Header) {
 			w.Header()[k] = v
 		}
 		x.mark(w, responsedigest.Worker, j.back.Worker)
@@ -56,11 +56,11 @@
 		}
 	case j.lost != nil:
 		code := http.StatusBadGateway
-		if j.lost.Late {
+		if j.lost.TimedOut {
 			code = http.StatusGatewayTimeout
 		}
 		x.mark(w, responsedigest.Ran, "unknown")
-		httpapi.JSON(w, code, httpapi.Wrong{Wrong: "outcome unknown: " + j.lost.Why, Ran: "unknown"})
+		httpapi.JSON(w, code, httpapi.Wrong{Wrong: "outcome unknown: " + j.lost.Reason, Ran: "unknown"})
 	default:
 		x.busyNow(w, j.why, x.comeback(j))
 	}
@@ -74,7 +74,7 @@
 	c.Jobs++
 	c.Sends += int64(j.sends)
 	switch {
-	case j.back.Kind == protocol.Done:
+	case j.back.Outcome == protocol.Done:
 		c.Done++
 		if j.entry.Area == x.Settings.Zone {
 			c.Near++
--- a/internal/proxy/callerleft.go
+++ b/internal/proxy/callerleft.go
@@ -45,7 +45,7 @@
 			return
 		}
 		x.step(v, stepCancelled, "")
-		if !ending && !v.in.Safe {
+		if !ending && !v.in.Repeatable {
 			x.step(v, stepKept, "")
 			return
 		}
@@ -55,7 +55,7 @@
 		}
 		_ = c.Close()
 		x.step(v, stepEnded, v.cut)
-		x.runsEnded.Emit(x.e.Log, event.RunEnded, "worker", v.in.Worker, "attempt", v.in.Attempt, "why", v.cut)
+		x.runsEnded.Emit(x.e.Log, event.RunEnded, "worker", v.in.Worker, "attempt", v.in.AttemptID, "why", v.cut)
 	})
 	return func() bool {
 		stop()
--- a/internal/proxy/callerleft_test.go
+++ b/internal/proxy/callerleft_test.go
@@ -38,11 +38,11 @@
 			return ctx
 		}, true},
 	} {
-		v := &visit{in: protocol.Hand{Said: "r"}, end: time.Now().Add(time.Minute)}
+		v := &visit{in: protocol.AttemptRequest{WorkerAttemptID: "r"}, end: time.Now().Add(time.Minute)}
 		if got := x.timely(c.end(t.Context()), v); got != c.runs {
 			t.Errorf("%s: begun %v", c.name, got)
 		}
-		if !c.runs && v.back.Kind != protocol.Refused {
+		if !c.runs && v.back.Outcome != protocol.Refused {
 			t.Errorf("%s: answered %+v", c.name, v.back)
 		}
 	}
--- a/internal/proxy/calls.go
+++ b/internal/proxy/calls.go
@@ -149,27 +149,27 @@
 // begun notes a run at the own worker. A repeat runs only if the calls that it
 // will make have room among the repeats of the services they go to.
 func (x *Proxy) begun(v *visit) (lacks string, ok bool) {
-	if v.part = v.in.Part; v.in.Again {
+	if v.part = v.in.NestedRetryShare; v.in.Retry {
 		v.part = 1
 	}
-	if v.in.Unpaid && !x.again.Again(v.in.Service) {
+	if v.in.NeedsRetryBudget && !x.again.Again(v.in.Service) {
 		return v.in.Service, false
 	}
-	calls := x.calls.expects(v.in.Path, v.part)
+	calls := x.calls.expects(v.in.Route, v.part)
 	// One that is only called by a repeat isn't refused, or the work of that one
 	// would be lost; its room is held all the same, before that of others.
-	if lacks, ok = x.again.Hold(calls, !v.in.Again); !ok {
+	if lacks, ok = x.again.Hold(calls, !v.in.Retry); !ok {
 		return lacks, false
 	}
 	v.runs, v.calls = true, calls
-	x.calls.begin(v.in.Path, v.part)
+	x.calls.begin(v.in.Route, v.part)
 	return "", true
 }
 
 // ended gives back what a run held.
 func (x *Proxy) ended(v *visit) {
 	if v.runs {
-		x.calls.end(v.in.Path, v.part, v.back.Kind != protocol.Refused)
+		x.calls.end(v.in.Route, v.part, v.back.Outcome != protocol.Refused)
 		x.again.Free(v.calls)
 	}
 }
--- a/internal/proxy/deliver.go
+++ b/internal/proxy/deliver.go
@@ -79,7 +79,7 @@
 	// From here on the worker may have had the job, whatever an error says.
 	x.step(v, stepSent, "")
 	defer x.noteRemote(ctx, &v.in)()
-	v.back.Came = true
+	v.back.ReachedWorker = true
 	release := x.endsWith(ctx, v, c)
 	w, body, err := x.conns.RoundTrip(c, r, v.end, x.surplus(v), release)
 	if err != nil && v.cut != "" {
@@ -96,7 +96,7 @@
 		// It ended with its connection: nothing says that it is whole.
 		return v.unknown("the answer has no end of its own")
 	}
-	v.back = protocol.Back{Status: w.StatusCode, Head: w.Header, Body: body, Came: true}
+	v.back = protocol.AttemptResult{Status: w.StatusCode, Header: w.Header, Body: body, ReachedWorker: true}
 	return true
 }
 
@@ -118,18 +118,18 @@
 		r.Body = io.NopCloser(bytes.NewReader(v.in.Body))
 		r.ContentLength = int64(len(v.in.Body))
 	}
-	r.Header = x.passed(v.in.Head)
+	r.Header = x.passed(v.in.Header)
 	if r.Header["User-Agent"] == nil {
 		r.Header["User-Agent"] = []string{""}
 	}
 	if x.say.Job != "" {
-		r.Header.Set(x.say.Job, v.in.Job)
+		r.Header.Set(x.say.Job, v.in.RequestID)
 	}
 	r.Header.Set(x.say.Attempt, v.id())
 	r.Header.Set(x.say.Expect, v.in.Worker)
-	if x.say.Caller != "" && v.in.Caller != "" {
+	if x.say.Caller != "" && v.in.CallerService != "" {
 		// Whatever the caller wrote there: the front knows where the job began.
-		r.Header.Set(x.say.Caller, v.in.Caller)
+		r.Header.Set(x.say.Caller, v.in.CallerService)
 	}
 	// A little less than there is: what the worker calls in turn gives up
 	// while the worker can still answer.
@@ -139,10 +139,10 @@
 
 // id is what the worker is told as the attempt's id.
 func (v *visit) id() string {
-	if v.in.Said != "" {
-		return v.in.Said
+	if v.in.WorkerAttemptID != "" {
+		return v.in.WorkerAttemptID
 	}
-	return v.in.Attempt
+	return v.in.AttemptID
 }
 
 // surplus tells of an answer that it belongs to an earlier send: a worker may
--- a/internal/proxy/ending.go
+++ b/internal/proxy/ending.go
@@ -32,13 +32,13 @@
 // is left each time, one that is given up would be held for seven eighths of its
 // time. What has waited that long takes a slot that is free, or none; but not one that
 // has lost a run, and can't be told that it did not run.
-func (j *job) boundRequeue(h *protocol.Hand) {
-	if j.waited == 0 || h.Last {
+func (j *job) boundRequeue(h *protocol.AttemptRequest) {
+	if j.waited == 0 || h.AllowUnfinishedRun {
 		return
 	}
-	h.Stay = (j.end.Sub(j.from)/2 - j.waited).Milliseconds()
-	if h.Stay <= 0 {
-		h.Stay, h.Rush = 0, true
+	h.QueueBudgetMS = (j.end.Sub(j.from)/2 - j.waited).Milliseconds()
+	if h.QueueBudgetMS <= 0 {
+		h.QueueBudgetMS, h.NoQueue = 0, true
 	}
 }
 
@@ -55,8 +55,8 @@
 // needs is the time to allow for an attempt: by what such requests take at this worker,
 // else by what its front says that they take; 0 when neither is known.
 func (v *visit) needs() time.Duration {
-	told := time.Duration(v.in.Usual) * time.Millisecond
-	return v.gate.need(v.in.Path, told*3/2)
+	told := time.Duration(v.in.UsualRunMS) * time.Millisecond
+	return v.gate.need(v.in.Route, told*3/2)
 }
 
 // slackBeforeEnd is how long an attempt may wait that its front, which was told to end, or
@@ -92,7 +92,7 @@
 	if !ends || wait > 0 {
 		return true
 	}
-	if v.in.Last && x.mayStillEnd(v) {
+	if v.in.AllowUnfinishedRun && x.mayStillEnd(v) {
 		return true
 	}
 	return v.later("a node on its way ends before it would be done", x.Settings.HeartbeatInterval())
@@ -110,7 +110,7 @@
 		left = time.Until(v.last)
 	}
 	if plan := x.stop.Load(); plan != nil {
-		if !v.in.Any {
+		if !v.in.AllowEndingNode {
 			return 0
 		}
 		left = min(left, plan.WaitsFor())
@@ -129,13 +129,13 @@
 // not be.
 func (x *Proxy) queueWait(v *visit) time.Duration {
 	wait := v.usualQueueWait()
-	for _, ms := range []int64{v.in.Wait, v.in.Stay} {
+	for _, ms := range []int64{v.in.MaxQueueMS, v.in.QueueBudgetMS} {
 		if ms > 0 {
 			wait = min(wait, time.Duration(ms)*time.Millisecond)
 		}
 	}
 	if most, ends := x.slackBeforeEnd(v); ends {
-		if v.in.Last {
+		if v.in.AllowUnfinishedRun {
 			most = max(most, x.leftBeforeEnd(v)/lostWaitPart)
 		}
 		wait = min(wait, max(most, 0))
@@ -147,11 +147,11 @@
 // be served. A slot serves one job either way.
 func (v *visit) rank() int {
 	switch left := time.Until(v.end); {
-	case v.in.Last:
+	case v.in.AllowUnfinishedRun:
 		return -1 // a run of it is lost
-	case time.Duration(v.in.Aim)*time.Millisecond <= v.gate.need(v.in.Path, left/4)*2/3:
+	case time.Duration(v.in.TargetMS)*time.Millisecond <= v.gate.need(v.in.Route, left/4)*2/3:
 		return 2 // it would be late, by what jobs of its path take here
-	case v.in.Seen:
+	case v.in.SentAgainByCaller:
 		return 1 // a part of its aim is lost
 	}
 	return 0
@@ -160,8 +160,8 @@
 // usualQueueWait is the same without the front's own bounds.
 func (v *visit) usualQueueWait() time.Duration {
 	left := time.Until(v.end)
-	need := v.gate.need(v.in.Path, left/4)
-	if slack := time.Duration(v.in.Aim)*time.Millisecond - need; slack > 0 {
+	need := v.gate.need(v.in.Route, left/4)
+	if slack := time.Duration(v.in.TargetMS)*time.Millisecond - need; slack > 0 {
 		return min(left/2, slack)
 	}
 	return max(min(left/4, left-need), 0)
@@ -177,10 +177,10 @@
 // was told to end, and the request has lost the run that it had. Its caller can't come
 // back here, and workers whose slots are taken now may have one before this node goes.
 func (x *Proxy) persists(ctx context.Context, j *job) bool {
-	if j.lost == nil || j.hedged || !j.arm.Safe || j.back.Kind == protocol.Done || j.came >= j.arm.Tries || x.stop.Load() == nil || x.isEnding() {
+	if j.lost == nil || j.hedged || !j.arm.Safe || j.back.Outcome == protocol.Done || j.came >= j.arm.Tries || x.stop.Load() == nil || x.isEnding() {
 		return false
 	}
-	if j.back.Rules {
+	if j.back.ConfigMismatch {
 		x.rematch(ctx, j)
 	}
 	task.Pause(ctx, x.pauseForLost(j.come))
--- a/internal/proxy/fit.go
+++ b/internal/proxy/fit.go
@@ -16,7 +16,7 @@
 // measure takes in what an attempt that held a slot showed of the worker. All
 // of a worker's jobs pass here, however many fronts there are.
 func (x *Proxy) measure(v *visit) {
-	b, own, path := &v.back, v.gate.own, v.in.Path
+	b, own, path := &v.back, v.gate.own, v.in.Route
 	ms := own.Stop(v.run)
 	usual := x.pick.Usual(path)
 	switch {
@@ -28,14 +28,14 @@
 		return
 	case v.mute:
 		own.Failed(dead)
-	case b.Kind == protocol.Done && b.Status < 500:
+	case b.Outcome == protocol.Done && b.Status < 500:
 		own.Ran(path, ms, usual)
-	case b.Kind == protocol.Unknown && b.Late, b.Kind == protocol.Done && b.Status == http.StatusGatewayTimeout:
+	case b.Outcome == protocol.Unknown && b.TimedOut, b.Outcome == protocol.Done && b.Status == http.StatusGatewayTimeout:
 		// One that came with too little time says nothing of the worker.
 		if usual > 0 && ms > 2*usual {
 			own.Failed(1)
 		}
-	case b.Came:
+	case b.ReachedWorker:
 		// Its own failures; and no more jobs are here than it has slots, so
 		// one that it turned away counts too.
 		own.Failed(1)
@@ -78,7 +78,7 @@
 
 // register does so; g.tell is held.
 func (x *Proxy) register(g *gate) {
-	say := g.state.Now()
+	say := g.state.Current()
 	if say != "up" && say != "draining" {
 		return
 	}
--- a/internal/proxy/front.go
+++ b/internal/proxy/front.go
@@ -16,8 +16,8 @@
 // matched by.
 type job struct {
 	id      string
-	said    string        // the id by which the caller and the worker know it
-	word    protocol.Word // how sure this node was of its rules, after the job was read
+	said    string              // the id by which the caller and the worker know it
+	word    protocol.Confidence // how sure this node was of its rules, after the job was read
 	rules   *rules.Rules
 	path    *rules.Path
 	arm     *rules.Arm
@@ -41,13 +41,13 @@
 	took    int64         // bytes that it holds here
 	part    float64       // how far it is the call of a repeated run
 	entry   ormap.Entry
-	back    protocol.Back
-	lost    *lostAttempt   // the first attempt that may have run and has no answer
-	hedged  bool           // a copy, sent beside an attempt that goes on
-	any     bool           // no worker took its repeat: one whose node ends may have it
-	borrows bool           // a stop makes its repeat necessary: an owner may pay for it
-	unpaid  bool           // this front had no repeat left for the attempt under way
-	spare   *protocol.Back // a worker's own failure, given if nothing better comes
+	back    protocol.AttemptResult
+	lost    *lostAttempt            // the first attempt that may have run and has no answer
+	hedged  bool                    // a copy, sent beside an attempt that goes on
+	any     bool                    // no worker took its repeat: one whose node ends may have it
+	borrows bool                    // a stop makes its repeat necessary: an owner may pay for it
+	unpaid  bool                    // this front had no repeat left for the attempt under way
+	spare   *protocol.AttemptResult // a worker's own failure, given if nothing better comes
 	why     string
 	come    time.Duration // when the caller may come back, as the last refusal had it
 }
@@ -83,7 +83,7 @@
 		w.Header().Set(x.say.Job, j.id)
 	}
 	if !x.Open() && !x.begins(r.Context(), x.half(r)) {
-		x.busyNow(w, "this node is not taking jobs: "+x.life.Now(), x.opens())
+		x.busyNow(w, "this node is not taking jobs: "+x.life.Current(), x.opens())
 		return
 	}
 	// The load that one front takes at once is bounded like all else.
@@ -106,7 +106,7 @@
 	// owner has to be sure of what it holds, and says when it differs. That there
 	// is no path only a node that is sure may say.
 	if code, why := x.match(j); code != 0 {
-		if j.word == protocol.Unsure {
+		if j.word == protocol.Unconfirmed {
 			x.busyNow(w, "this node can't confirm its configuration", x.Settings.ConfigBound)
 			return
 		}
--- a/internal/proxy/fuzz_test.go
+++ b/internal/proxy/fuzz_test.go
@@ -67,7 +67,7 @@
 		}
 		for _, say := range []dialect.Tongue{dialect.Own, play.Plain} {
 			x := &Proxy{say: say}
-			v := &visit{in: protocol.Hand{Attempt: "a.1", Worker: "w"}, back: protocol.Back{Status: w.StatusCode, Head: w.Header, Body: body}}
+			v := &visit{in: protocol.AttemptRequest{AttemptID: "a.1", Worker: "w"}, back: protocol.AttemptResult{Status: w.StatusCode, Header: w.Header, Body: body}}
 			good := x.broken(v, x.notRun(&v.back)) == ""
 			if good && w.StatusCode < 300 && (!strings.Contains(text, "a.1") || w.Header.Get(say.Mark) == "") {
 				t.Errorf("%s: a success that shows nothing was taken: %q", say.Name, text)
--- a/internal/proxy/gate.go
+++ b/internal/proxy/gate.go
@@ -157,7 +157,7 @@
 // moves changes the state of a gate and tells by which of the worker's calls;
 // false means that nothing changed.
 func (x *Proxy) moves(g *gate, by, why string) bool {
-	was := g.state.Now()
+	was := g.state.Current()
 	if !g.state.Fire(by) {
 		return false
 	}
@@ -165,7 +165,7 @@
 	g.began = x.trail.next()
 	step, call := g.began, g.seq
 	g.mu.Unlock()
-	x.e.Log.Emit(event.WorkerState, "worker", g.worker, "from", was, "to", g.state.Now(), "call", call, "step", step, "why", why)
+	x.e.Log.Emit(event.WorkerState, "worker", g.worker, "from", was, "to", g.state.Current(), "call", call, "step", step, "why", why)
 	return true
 }
 
@@ -192,7 +192,7 @@
 // that have not seen the flag yet would otherwise spend repeats, or their
 // callers get errors, for a planned leave.
 func (x *Proxy) takes(g *gate) bool {
-	woke := x.pulse.Woke()
+	woke := x.pulse.LastPauseEnd()
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	// A 'draining' may wait unread in a socket, or not get here at all: the
@@ -206,7 +206,7 @@
 // hears notes a beat. One that is read right after a freeze may be as old as
 // the freeze, so it is no word that the worker is up now.
 func (x *Proxy) hears(g *gate, up bool) {
-	woke := x.pulse.Woke()
+	woke := x.pulse.LastPauseEnd()
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.heard = time.Now()
--- a/internal/proxy/hedge.go
+++ b/internal/proxy/hedge.go
@@ -149,7 +149,7 @@
 	j.fresh = false
 	j.tried = maps.Clone(j.tried)
 	j.passed = nil
-	j.back, j.lost, j.spare = protocol.Back{}, nil, nil
+	j.back, j.lost, j.spare = protocol.AttemptResult{}, nil, nil
 	j.why, j.come, j.took, j.looks = "", 0, 0, 0
 	return &j
 }
@@ -212,7 +212,7 @@
 }
 
 // answered tells that a worker has answered, and not with a failure of its own.
-func (j *job) answered() bool { return j.back.Kind == protocol.Done && j.back.Status < 500 }
+func (j *job) answered() bool { return j.back.Outcome == protocol.Done && j.back.Status < 500 }
 
 // merge takes in what became of a second attempt: its answer, if it has a better one,
 // and that it may have run without one.
@@ -222,7 +222,7 @@
 	if j.lost == nil {
 		j.lost = s.lost
 	}
-	if s.back.Kind == protocol.Done && (j.back.Kind != protocol.Done || s.back.Status < j.back.Status) {
+	if s.back.Outcome == protocol.Done && (j.back.Outcome != protocol.Done || s.back.Status < j.back.Status) {
 		j.back, j.entry = s.back, s.entry
 		j.rules, j.path, j.arm, j.service = s.rules, s.path, s.arm, s.service
 	}
--- a/internal/proxy/hedge_test.go
+++ b/internal/proxy/hedge_test.go
@@ -138,13 +138,15 @@
 // TestMerge: of a first and a second attempt the better answer is given, and whatever
 // may have run is never told to be unrun.
 func TestMerge(t *testing.T) {
-	done := func(status int) protocol.Back { return protocol.Back{Kind: protocol.Done, Status: status} }
-	refused, unknown := protocol.Back{Kind: protocol.Refused}, protocol.Back{Kind: protocol.Unknown}
+	done := func(status int) protocol.AttemptResult {
+		return protocol.AttemptResult{Outcome: protocol.Done, Status: status}
+	}
+	refused, unknown := protocol.AttemptResult{Outcome: protocol.Refused}, protocol.AttemptResult{Outcome: protocol.Unknown}
 	for _, c := range []struct {
 		name          string
-		first, second protocol.Back
+		first, second protocol.AttemptResult
 		lost          bool // the second may have run without an answer
-		want          protocol.Back
+		want          protocol.AttemptResult
 	}{
 		{"the second has an answer", unknown, done(200), false, done(200)},
 		{"the second has a better answer", done(500), done(200), false, done(200)},
@@ -154,10 +156,10 @@
 	} {
 		first, second := &job{tried: map[string]bool{"v": true}, came: 1, sends: 1, back: c.first}, &job{tried: map[string]bool{"w": true}, came: 2, sends: 3, back: c.second}
 		if c.lost {
-			second.lost = &lostAttempt{Back: c.second}
+			second.lost = &lostAttempt{AttemptResult: c.second}
 		}
 		first.merge(second)
-		if first.back.Kind != c.want.Kind || first.back.Status != c.want.Status || (first.lost != nil) != c.lost {
+		if first.back.Outcome != c.want.Outcome || first.back.Status != c.want.Status || (first.lost != nil) != c.lost {
 			t.Errorf("%s: %+v, lost %v", c.name, first.back, first.lost)
 		}
 		if first.came != 2 || first.sends != 3 || len(first.tried) != 2 {
--- a/internal/proxy/lane.go
+++ b/internal/proxy/lane.go
@@ -38,9 +38,9 @@
 
 // thin is the outcome of an attempt for which the link had no room: nothing was
 // sent, and the owner is none the worse for it.
-func (x *Proxy) thin(come time.Duration) protocol.Back {
+func (x *Proxy) thin(come time.Duration) protocol.AttemptResult {
 	x.slim.Add(1)
-	return protocol.Back{Kind: protocol.Refused, Why: "the link to the owner is full", Come: max(come, x.Settings.HeartbeatInterval()).Milliseconds(), Used: -1}
+	return protocol.AttemptResult{Outcome: protocol.Refused, Reason: "the link to the owner is full", RetryAfterMS: max(come, x.Settings.HeartbeatInterval()).Milliseconds(), UsedSlots: -1}
 }
 
 // book keeps room on the link back for the answer of a bulk job, by what others
@@ -48,7 +48,7 @@
 // before it runs.
 func (x *Proxy) book(ctx context.Context, v *visit) bool {
 	left := time.Until(v.end)
-	need := v.gate.need(v.in.Path, left/4)
+	need := v.gate.need(v.in.Route, left/4)
 	if transport.LaneOf(ctx) == transport.Bulk && left < need+x.Settings.CallTimeout()/4 {
 		// It took its time to come here; begun now, its receipt might come too
 		// late, and nobody would know that it ran.
@@ -56,12 +56,12 @@
 	}
 	// The answer must be there before its front goes, should that be told to end
 	// in this moment; else it would be cut off on its way.
-	if most := time.Duration(v.in.Wait) * time.Millisecond; most > 0 && most < left {
+	if most := time.Duration(v.in.MaxQueueMS) * time.Millisecond; most > 0 && most < left {
 		short, end := context.WithTimeout(ctx, most)
 		defer end()
 		ctx = short
 	}
-	free, come, ok := transport.Book(ctx, v.gate.gives(v.in.Path), need)
+	free, come, ok := transport.Book(ctx, v.gate.gives(v.in.Route), need)
 	if !ok {
 		x.slim.Add(1)
 		return v.later("the link back to the front is full", max(come, x.Settings.HeartbeatInterval()))
--- a/internal/proxy/load.go
+++ b/internal/proxy/load.go
@@ -178,12 +178,12 @@
 }
 
 // onHand takes an attempt that comes over a link.
-func (x *Proxy) onHand(ctx context.Context, _ transport.Hello, in protocol.Hand) (protocol.Back, error) {
+func (x *Proxy) onHand(ctx context.Context, _ transport.Hello, in protocol.AttemptRequest) (protocol.AttemptResult, error) {
 	// What an own job holds is counted by the front. One that came over a link
 	// is here already, but must not wait and run while there is no room.
-	from, n := time.Now(), int64(len(in.Body))+x.load.expects(in.Path)
+	from, n := time.Now(), int64(len(in.Body))+x.load.expects(in.Route)
 	if !x.load.take(n) {
-		return protocol.Back{Kind: protocol.Refused, Why: noRoom, Come: x.load.come(x.Settings.HeartbeatInterval()).Milliseconds(), Used: -1}, nil
+		return protocol.AttemptResult{Outcome: protocol.Refused, Reason: noRoom, RetryAfterMS: x.load.come(x.Settings.HeartbeatInterval()).Milliseconds(), UsedSlots: -1}, nil
 	}
 	ctx, over := x.late.Bind(ctx)
 	defer over()
@@ -192,8 +192,8 @@
 		x.load.force(more)
 		n += more
 	}
-	if b.Kind == protocol.Done {
-		x.load.answered(in.Path, len(b.Body))
+	if b.Outcome == protocol.Done {
+		x.load.answered(in.Route, len(b.Body))
 	}
 	x.load.free(n, from)
 	return b, nil
--- a/internal/proxy/outer.go
+++ b/internal/proxy/outer.go
@@ -41,7 +41,7 @@
 	if r := x.rules.Load(); r != nil {
 		version = r.Version
 	}
-	httpapi.JSON(w, code, map[string]any{"ready": x.Ready(), "state": x.life.Now(), "config_version": version})
+	httpapi.JSON(w, code, map[string]any{"ready": x.Ready(), "state": x.life.Current(), "config_version": version})
 }
 
 // handOut hands an outside call over to the control node of the session, and
@@ -54,7 +54,7 @@
 	// only longer freezes than a control node does, so that less time is left.
 	by := time.Now().Add(x.Settings.MaxCallAge() / 2)
 	app := r.Method != http.MethodGet && strings.HasPrefix(r.URL.Path, "/puffin/app/")
-	if app && time.Since(x.pulse.Woke()) < x.Settings.HeartbeatInterval() {
+	if app && time.Since(x.pulse.LastPauseEnd()) < x.Settings.HeartbeatInterval() {
 		httpapi.Busy(w, "frozen until just now; nothing was done", x.Settings.HeartbeatInterval())
 		return
 	}
@@ -73,19 +73,19 @@
 	defer over()
 	ctx, end := context.WithTimeout(bound, long)
 	defer end()
-	in := protocol.Outer{Method: r.Method, URI: r.URL.RequestURI(), Body: body}
+	in := protocol.ForwardedCall{Method: r.Method, URI: r.URL.RequestURI(), Body: body}
 	if end, ok := ctx.Deadline(); ok && app {
-		in.Rest = end.Sub(by).Milliseconds() + 1
+		in.ProposalMarginMS = end.Sub(by).Milliseconds() + 1
 	}
-	for _, to := range x.touch.Core() {
+	for _, to := range x.touch.ControlNodes() {
 		if app && !time.Now().Before(by) {
 			break
 		}
-		got, err := transport.Ask[protocol.OuterBack](ctx, x.n, to, "outer.call", in)
+		got, err := transport.Ask[protocol.ForwardedResponse](ctx, x.n, to, "outer.call", in)
 		if err == nil {
 			w.Header().Set("Content-Type", "application/json")
-			if got.Come != "" {
-				w.Header().Set("Retry-After", got.Come)
+			if got.RetryAfter != "" {
+				w.Header().Set("Retry-After", got.RetryAfter)
 			}
 			w.WriteHeader(got.Status)
 			_, _ = w.Write(got.Body)
@@ -148,8 +148,8 @@
 }
 
 func (x *Proxy) status() Status {
-	at, sure := x.touch.At()
-	s := Status{Node: x.Settings.Node, Area: x.Settings.Zone, State: x.life.Now(), Session: at, SureMS: time.Since(sure).Milliseconds(), Traffic: x.Settings.TrafficAddr}
+	at, sure := x.touch.Current()
+	s := Status{Node: x.Settings.Node, Area: x.Settings.Zone, State: x.life.Current(), Session: at, SureMS: time.Since(sure).Milliseconds(), Traffic: x.Settings.TrafficAddr}
 	if r := x.rules.Load(); r != nil {
 		s.Version = r.Version
 	}
@@ -174,7 +174,7 @@
 	}
 	for _, g := range x.allGates() {
 		used, _, slots := g.room.Load()
-		s.Workers = append(s.Workers, WorkerStatus{g.worker, g.service, g.addr, g.state.Now(), slots, used})
+		s.Workers = append(s.Workers, WorkerStatus{g.worker, g.service, g.addr, g.state.Current(), slots, used})
 	}
 	return s
 }
--- a/internal/proxy/owner.go
+++ b/internal/proxy/owner.go
@@ -14,11 +14,11 @@
 
 // visit is one attempt on its way through the owner.
 type visit struct {
-	in    protocol.Hand
+	in    protocol.AttemptRequest
 	end   time.Time
 	last  time.Time // when its front waits for answers no more; zero if it wasn't told to end
 	gate  *gate
-	back  protocol.Back
+	back  protocol.AttemptResult
 	from  time.Time
 	held  bool               // a slot is taken
 	runs  bool               // it was begun at the worker
@@ -41,20 +41,20 @@
 
 // own runs one attempt as the owner. All doubts about whether the job may run
 // are settled here, where the worker is, so that no two nodes can disagree.
-func (x *Proxy) own(ctx context.Context, in protocol.Hand) protocol.Back {
-	v := &visit{in: in, end: time.Now().Add(time.Duration(in.Left) * time.Millisecond)}
+func (x *Proxy) own(ctx context.Context, in protocol.AttemptRequest) protocol.AttemptResult {
+	v := &visit{in: in, end: time.Now().Add(time.Duration(in.TimeoutMS) * time.Millisecond)}
 	// What came over a link has its time as a bound already, less what it spent
 	// on the way; of an own job a part may be kept for a repeat.
 	if d, ok := ctx.Deadline(); ok && d.Before(v.end) {
 		v.end = d
-	} else if !ok || d.Sub(v.end) > time.Duration(in.Left)*time.Millisecond/8 {
+	} else if !ok || d.Sub(v.end) > time.Duration(in.TimeoutMS)*time.Millisecond/8 {
 		var stop context.CancelFunc
 		ctx, stop = context.WithDeadline(ctx, v.end)
 		defer stop()
 	}
 	// Counted from when it was handed over, as its time left is.
-	if in.Rest > 0 {
-		v.last = v.end.Add(time.Duration(in.Rest-in.Left) * time.Millisecond)
+	if in.FrontWaitMS > 0 {
+		v.last = v.end.Add(time.Duration(in.FrontWaitMS-in.TimeoutMS) * time.Millisecond)
 	}
 	x.owned.Add(1)
 	defer x.owned.Add(-1)
@@ -63,32 +63,32 @@
 			break
 		}
 	}
-	if v.back.Kind == protocol.Refused && !v.back.Came {
-		x.step(v, stepRefused, v.back.Why)
+	if v.back.Outcome == protocol.Refused && !v.back.ReachedWorker {
+		x.step(v, stepRefused, v.back.Reason)
 	}
-	if v.back.Kind == protocol.Unknown {
-		x.step(v, stepUnknown, v.back.Why)
+	if v.back.Outcome == protocol.Unknown {
+		x.step(v, stepUnknown, v.back.Reason)
 	}
-	if plan := x.stop.Load(); plan != nil && v.back.Kind != protocol.Done {
-		v.back.Stopped = max(plan.Since().Milliseconds(), 1)
+	if plan := x.stop.Load(); plan != nil && v.back.Outcome != protocol.Done {
+		v.back.StoppingForMS = max(plan.Since().Milliseconds(), 1)
 	}
-	v.back.Used, v.back.Inner = -1, v.ask.Inner
+	v.back.UsedSlots, v.back.CalledByRequests = -1, v.ask.Inner
 	if v.gate != nil {
 		x.ended(v)
 		x.unbook(v)
 		if v.held {
-			if v.back.Kind == protocol.Done {
+			if v.back.Outcome == protocol.Done {
 				took := time.Since(v.from)
-				v.gate.ran(in.Path, took, len(v.back.Body))
-				v.back.Ran = took.Microseconds()
+				v.gate.ran(in.Route, took, len(v.back.Body))
+				v.back.RunMicros = took.Microseconds()
 			}
 			v.gate.room.Leave(v.ask, time.Since(v.from))
 			x.measure(v)
 		}
 		used, wait, _ := v.gate.room.Load()
-		v.back.Used = used + wait
+		v.back.UsedSlots = used + wait
 		w := v.gate.own.Word()
-		v.back.Pace, v.back.Fail = w.Pace, w.Fail
+		v.back.PaceEighths, v.back.FailedPer64 = w.Pace, w.Fail
 	}
 	return v.back
 }
@@ -97,26 +97,26 @@
 
 // later refuses with a word on when there may be room.
 func (v *visit) later(why string, come time.Duration) bool {
-	v.back = protocol.Back{Kind: protocol.Refused, Why: why, Come: come.Milliseconds()}
+	v.back = protocol.AttemptResult{Outcome: protocol.Refused, Reason: why, RetryAfterMS: come.Milliseconds()}
 	return false
 }
 
 // differ refuses a job whose front holds another configuration.
 func (v *visit) differ(why string) bool {
-	v.back = protocol.Back{Kind: protocol.Refused, Why: why, Rules: true, Version: v.holds}
+	v.back = protocol.AttemptResult{Outcome: protocol.Refused, Reason: why, ConfigMismatch: true, ConfigVersion: v.holds}
 	return false
 }
 
 func (v *visit) unknown(why string) bool {
-	v.back = protocol.Back{Kind: protocol.Unknown, Why: why, Late: !time.Now().Before(v.end), Came: v.back.Came}
+	v.back = protocol.AttemptResult{Outcome: protocol.Unknown, Reason: why, TimedOut: !time.Now().Before(v.end), ReachedWorker: v.back.ReachedWorker}
 	return false
 }
 
 // checkNode holds the attempt until this node is sure of its configuration
 // and refuses a second arrival.
 func (x *Proxy) checkNode(ctx context.Context, v *visit) bool {
-	if !x.meet(v.in.Attempt, time.Duration(v.in.Left)*time.Millisecond) {
-		x.e.Log.Emit(event.Twice, "attempt", v.in.Attempt)
+	if !x.meet(v.in.AttemptID, time.Duration(v.in.TimeoutMS)*time.Millisecond) {
+		x.e.Log.Emit(event.Twice, "attempt", v.in.AttemptID)
 		// The first arrival may have run, so this is not a refusal.
 		return v.unknown("second arrival of one attempt")
 	}
@@ -130,10 +130,10 @@
 // may run by that version whenever it does. A front that was not needs an owner
 // that is; when both are out of touch, both act by what they have.
 func (x *Proxy) sure(ctx context.Context, v *visit) bool {
-	if v.in.Word == protocol.Sure {
+	if v.in.Confidence == protocol.Confirmed {
 		return true
 	}
-	if w := x.confirm(ctx, v.end); w == protocol.Sure || w == protocol.Lost && v.in.Word != protocol.Unsure {
+	if w := x.confirm(ctx, v.end); w == protocol.Confirmed || w == protocol.Disconnected && v.in.Confidence != protocol.Unconfirmed {
 		return true
 	}
 	return v.refuse("owner can't confirm its configuration")
@@ -148,15 +148,15 @@
 	if r == nil {
 		return v.refuse("owner has no configuration")
 	}
-	if r.Version == v.in.Version {
+	if r.Version == v.in.ConfigVersion {
 		return true
 	}
 	v.holds = r.Version
-	if r.Version < v.in.Version {
-		x.touch.Kick()
+	if r.Version < v.in.ConfigVersion {
+		x.touch.HeartbeatNow()
 		return v.differ("owner's configuration is older than the job's")
 	}
-	if v.in.Word == protocol.Lost || v.in.Word == protocol.Unsure {
+	if v.in.Confidence == protocol.Disconnected || v.in.Confidence == protocol.Unconfirmed {
 		return v.differ("a newer configuration is known than the job's front was sure of")
 	}
 	p := r.Match(v.in.Host, v.in.Method, urlPath(v.in.URI))
@@ -170,7 +170,7 @@
 }
 
 func (x *Proxy) checkGate(_ context.Context, v *visit) bool {
-	x.kin.meet(v.in.Path, v.in.Caller)
+	x.kin.meet(v.in.Route, v.in.CallerService)
 	v.gate = x.gateOf(v.in.Worker)
 	if v.gate == nil || v.gate.service != v.in.Service {
 		v.gate = nil
@@ -196,7 +196,7 @@
 	if x.takes(v.gate) {
 		return true
 	}
-	if s := v.gate.state.Now(); s != "up" {
+	if s := v.gate.state.Current(); s != "up" {
 		return v.later("worker is "+s, x.Settings.WorkerTimeout())
 	}
 	return v.later("no fresh word of the worker", 2*x.Settings.WorkerHeartbeat())
@@ -210,17 +210,17 @@
 	if !x.endsInTime(v) {
 		return false
 	}
-	v.ask = admission.Ask{Class: v.in.Class, Wait: x.queueWait(v), Inner: x.kin.inner(v.in.Path), Rank: v.rank()}
-	if v.in.Rush {
+	v.ask = admission.Ask{Class: v.in.Class, Wait: x.queueWait(v), Inner: x.kin.inner(v.in.Route), Rank: v.rank()}
+	if v.in.NoQueue {
 		v.ask.Wait = 0
 	}
 	if why := v.gate.room.Enter(ctx, v.ask); why != admission.In {
 		v.later(why, v.gate.room.Drain(v.in.Class))
-		v.back.Pass = v.in.Rush && (why == admission.Full || why == admission.Late)
+		v.back.NoFreeSlot = v.in.NoQueue && (why == admission.Full || why == admission.Late)
 		return false
 	}
 	v.held, v.from, v.lane = true, time.Now(), x.begin(ctx)
-	v.run = v.gate.own.Start(x.pick.Usual(v.in.Path))
+	v.run = v.gate.own.Start(x.pick.Usual(v.in.Route))
 	// The wait may have been long: all that could have changed is looked at
 	// once more right before the job goes out.
 	if !x.timely(ctx, v) || !x.endsInTime(v) {
--- a/internal/proxy/owner_test.go
+++ b/internal/proxy/owner_test.go
@@ -19,25 +19,25 @@
 	}
 	x := &Proxy{}
 	x.rules.Store(newer)
-	hand := protocol.Hand{Host: "h", Method: "GET", URI: "/p/1", Service: "s", Class: newer.Match("h", "GET", "/p/1").Base.Class}
+	hand := protocol.AttemptRequest{Host: "h", Method: "GET", URI: "/p/1", Service: "s", Class: newer.Match("h", "GET", "/p/1").Base.Class}
 	for _, c := range []struct {
 		version uint64
-		word    protocol.Word
+		word    protocol.Confidence
 		runs    bool
 	}{
-		{4, protocol.Sure, true},
-		{4, protocol.Unsaid, true},
-		{4, protocol.Lost, false},
-		{4, protocol.Unsure, false},
-		{5, protocol.Unsure, true},
-		{5, protocol.Lost, true},
+		{4, protocol.Confirmed, true},
+		{4, protocol.Unspecified, true},
+		{4, protocol.Disconnected, false},
+		{4, protocol.Unconfirmed, false},
+		{5, protocol.Unconfirmed, true},
+		{5, protocol.Disconnected, true},
 	} {
 		v := &visit{in: hand}
-		v.in.Version, v.in.Word = c.version, c.word
+		v.in.ConfigVersion, v.in.Confidence = c.version, c.word
 		if x.checkRules(context.Background(), v) != c.runs {
 			t.Errorf("version %d, word %d: runs %v", c.version, c.word, !c.runs)
 		}
-		if !c.runs && (!v.back.Rules || v.back.Version != 5 || v.back.Kind != protocol.Refused) {
+		if !c.runs && (!v.back.ConfigMismatch || v.back.ConfigVersion != 5 || v.back.Outcome != protocol.Refused) {
 			t.Errorf("version %d, word %d: answered %+v", c.version, c.word, v.back)
 		}
 	}
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -37,10 +37,10 @@
 	e           env.Env
 	g           *task.Group
 	n           *transport.Node
-	self        membership.Fellow
+	self        membership.Member
 	life        *fsm.Machine
 	well        chan struct{} // closed when it became ready
-	touch       *controlclient.Touch
+	touch       *controlclient.Client
 	rep         *replica.Replica
 	pick        *balancer.Nominator
 	again       *retrybudget.Budget
@@ -55,7 +55,7 @@
 	stopLines   stopLines        // of those, since this node was told to end
 	fitnessNews *newsRate        // of what the mesh is told of its workers' fitness
 	conns       *workerconn.Pool // to the own workers
-	pulse       *pausedetect.Pulse
+	pulse       *pausedetect.Detector
 	say         dialect.Tongue
 	door        *http.Server           // where callers come in
 	stay        httpapi.Stay           // how long callers' connections may
@@ -101,7 +101,7 @@
 	if x.say.Name == "" {
 		x.say = dialect.Own
 	}
-	x.self = membership.Fellow{Node: p.Node, Start: x.boot, Role: "proxy", Area: p.Zone, Inner: p.InternalAddr, Outer: p.APIAddr, Traffic: p.TrafficAddr}
+	x.self = membership.Member{Node: p.Node, Incarnation: x.boot, Role: "proxy", Zone: p.Zone, InternalAddr: p.InternalAddr, APIAddr: p.APIAddr, TrafficAddr: p.TrafficAddr}
 	x.n = transport.NewNode(transport.Hello{Mesh: p.ClusterID, Node: p.Node, Area: p.Zone, Role: "proxy"}, e, g, p.MaxFrameBytes, p.MaxRequests, p.CallTimeout())
 	x.n.Bound = p.MaxIdleLinks()
 	x.rep = replica.New(x.self, x.n, g, e.Log, hlc.New(e.Wall, 2*p.RecoveryBound), p.HeartbeatInterval(), p.RepairInterval(), p.TombstoneTTL())
--- a/internal/proxy/rematch.go
+++ b/internal/proxy/rematch.go
@@ -12,7 +12,7 @@
 // nor must a node that only its control nodes can't reach. What a node holds is
 // agreed, so whoever holds the newer one may give it to the other.
 func (x *Proxy) rematch(ctx context.Context, j *job) {
-	if j.back.Version < j.rules.Version {
+	if j.back.ConfigVersion < j.rules.Version {
 		if x.teach(ctx, j) {
 			delete(j.tried, j.entry.Worker)
 		}
@@ -30,7 +30,7 @@
 		if x.learn(ctx, j.entry.Inner) {
 			continue
 		}
-		x.touch.Kick()
+		x.touch.HeartbeatNow()
 		task.Pause(ctx, x.Settings.HeartbeatInterval()/8)
 	}
 	// It has had the time to catch up.
@@ -42,7 +42,7 @@
 func (x *Proxy) teach(ctx context.Context, j *job) bool {
 	ctx, end := context.WithTimeout(ctx, x.Settings.CallTimeout())
 	defer end()
-	_, err := controlclient.Push(ctx, x.n, j.entry.Inner, x.touch.Held(), j.rules.Version-1)
+	_, err := controlclient.PushConfig(ctx, x.n, j.entry.Inner, x.touch.Document(), j.rules.Version-1)
 	return err == nil
 }
 
@@ -50,5 +50,5 @@
 func (x *Proxy) learn(ctx context.Context, at string) bool {
 	ctx, end := context.WithTimeout(ctx, x.Settings.CallTimeout())
 	defer end()
-	return x.touch.Learn(ctx, at)
+	return x.touch.FetchFrom(ctx, at)
 }
--- a/internal/proxy/runends.go
+++ b/internal/proxy/runends.go
@@ -19,19 +19,19 @@
 }
 
 // noteRemote notes an attempt of another front until the result is called.
-func (x *Proxy) noteRemote(ctx context.Context, in *protocol.Hand) (over func()) {
-	if !in.Safe {
+func (x *Proxy) noteRemote(ctx context.Context, in *protocol.AttemptRequest) (over func()) {
+	if !in.Repeatable {
 		return func() {}
 	}
 	x.remote.mu.Lock()
-	x.remote.by[in.Attempt] = ctx
+	x.remote.by[in.AttemptID] = ctx
 	x.remote.mu.Unlock()
 	if plan := x.stop.Load(); plan != nil {
-		notifyEnd(ctx, in.Attempt, plan)
+		notifyEnd(ctx, in.AttemptID, plan)
 	}
 	return func() {
 		x.remote.mu.Lock()
-		delete(x.remote.by, in.Attempt)
+		delete(x.remote.by, in.AttemptID)
 		x.remote.mu.Unlock()
 	}
 }
@@ -47,16 +47,16 @@
 
 // notifyEnd tells one front. A loss is no fault: it hears of the end when it comes.
 func notifyEnd(ctx context.Context, attempt string, plan *shutdown.Schedule) {
-	_ = transport.Notify(ctx, protocol.RunEndsKind, protocol.RunEnds{Attempt: attempt, Left: max(plan.WaitsFor().Milliseconds(), 0)})
+	_ = transport.Notify(ctx, protocol.RunEndNoticeKind, protocol.RunEndNotice{AttemptID: attempt, RemainingMS: max(plan.WaitsFor().Milliseconds(), 0)})
 }
 
 // onRunEnds takes in that the node beside a worker ends the run of an attempt.
-func (x *Proxy) onRunEnds(_ context.Context, _ transport.Hello, in protocol.RunEnds) (struct{}, error) {
+func (x *Proxy) onRunEnds(_ context.Context, _ transport.Hello, in protocol.RunEndNotice) (struct{}, error) {
 	x.attempts.mu.Lock()
-	a := x.attempts.by[in.Attempt]
+	a := x.attempts.by[in.AttemptID]
 	x.attempts.mu.Unlock()
 	if a != nil {
-		a.endsAt(time.Now().Add(time.Duration(in.Left) * time.Millisecond))
+		a.endsAt(time.Now().Add(time.Duration(in.RemainingMS) * time.Millisecond))
 	}
 	return struct{}{}, nil
 }
--- a/internal/proxy/rush.go
+++ b/internal/proxy/rush.go
@@ -46,8 +46,8 @@
 // lacked, and when it has room. The longest of several such words, each spread at
 // random, would call a crowd back together, and late.
 func (j *job) refused() {
-	j.why = j.back.Why
-	if j.back.Come > 0 {
-		j.come = time.Duration(j.back.Come) * time.Millisecond
+	j.why = j.back.Reason
+	if j.back.RetryAfterMS > 0 {
+		j.come = time.Duration(j.back.RetryAfterMS) * time.Millisecond
 	}
 }
--- a/internal/proxy/rush_test.go
+++ b/internal/proxy/rush_test.go
@@ -15,7 +15,7 @@
 	x := &Proxy{}
 	j := &job{arm: &rules.Arm{Tries: 1}, end: time.Now().Add(time.Hour)}
 	for _, c := range []struct{ says, told int64 }{{4000, 4000}, {2500, 2500}, {0, 2500}, {3000, 3000}} {
-		j.back = protocol.Back{Kind: protocol.Refused, Why: "queue full", Come: c.says}
+		j.back = protocol.AttemptResult{Outcome: protocol.Refused, Reason: "queue full", RetryAfterMS: c.says}
 		x.weigh(context.Background(), j)
 		if got := j.come.Milliseconds(); got != c.told {
 			t.Errorf("after a refusal for %d ms the caller is told %d", c.says, got)
@@ -33,14 +33,14 @@
 		rush   bool
 	}{{0, 0, false}, {time.Second, 3500, false}, {4 * time.Second, 500, false}, {4500 * time.Millisecond, 0, true}, {6 * time.Second, 0, true}} {
 		j := &job{from: now, end: now.Add(9 * time.Second), waited: c.waited}
-		var h protocol.Hand
+		var h protocol.AttemptRequest
 		j.boundRequeue(&h)
-		if h.Stay != c.stay || h.Rush != c.rush {
-			t.Errorf("waited %v: %d ms, rush %v", c.waited, h.Stay, h.Rush)
+		if h.QueueBudgetMS != c.stay || h.NoQueue != c.rush {
+			t.Errorf("waited %v: %d ms, rush %v", c.waited, h.QueueBudgetMS, h.NoQueue)
 		}
 		// The owner keeps to it.
 		x := &Proxy{}
-		v := &visit{in: protocol.Hand{Path: "p", Aim: 9000, Stay: h.Stay}, end: now.Add(9 * time.Second), gate: newGate("w", "s", "", 1, time.Second)}
+		v := &visit{in: protocol.AttemptRequest{Route: "p", TargetMS: 9000, QueueBudgetMS: h.QueueBudgetMS}, end: now.Add(9 * time.Second), gate: newGate("w", "s", "", 1, time.Second)}
 		if most := time.Duration(c.stay) * time.Millisecond; most > 0 && x.queueWait(v) > most {
 			t.Errorf("it may wait %v, and waits %v", most, x.queueWait(v))
 		}
--- a/internal/proxy/start.go
+++ b/internal/proxy/start.go
@@ -19,8 +19,8 @@
 func (x *Proxy) Start() error {
 	transport.On(x.n, "job.hand", x.onHand)
 	transport.Abandonable(x.n, "job.hand")
-	transport.On(x.n, protocol.RunEndsKind, x.onRunEnds)
-	x.touch.Listen()
+	transport.On(x.n, protocol.RunEndNoticeKind, x.onRunEnds)
+	x.touch.RegisterHandlers()
 	transport.On(x.n, "node.status", x.onStatus)
 	transport.On(x.n, "node.drain", x.onDrain)
 	if err := x.n.Listen(x.Settings.InternalAddr); err != nil {
--- a/internal/proxy/steps.go
+++ b/internal/proxy/steps.go
@@ -128,61 +128,61 @@
 	j.sends++
 	j.tried[j.entry.Worker] = true
 	left := time.Until(j.end)
-	h := protocol.Hand{Job: j.id, Attempt: fmt.Sprintf("%s.%d", j.id, j.sends), Path: j.path.Name, Arm: j.arm.Name,
-		Version: j.rules.Version, Service: j.service, Class: j.arm.Class, Worker: j.entry.Worker,
-		Host: j.req.Host, Method: j.req.Method, URI: j.req.URL.RequestURI(), Head: x.passed(j.req.Header), Body: j.body, Left: left.Milliseconds(),
-		Said: j.said, Caller: x.set().Service, Again: j.came > 0, Part: j.part, Word: j.word, Wait: x.queueWaitBound().Milliseconds(), Rest: x.waitLeft(), Safe: j.arm.Safe, Usual: x.usual(j.path.Name).Milliseconds(), Last: j.hedged || j.lost != nil, Any: j.any, Unpaid: j.unpaid,
-		Aim: time.Until(j.first.Add(j.arm.Aim)).Milliseconds(), Seen: j.first.Before(j.from)}
+	h := protocol.AttemptRequest{RequestID: j.id, AttemptID: fmt.Sprintf("%s.%d", j.id, j.sends), Route: j.path.Name, Arm: j.arm.Name,
+		ConfigVersion: j.rules.Version, Service: j.service, Class: j.arm.Class, Worker: j.entry.Worker,
+		Host: j.req.Host, Method: j.req.Method, URI: j.req.URL.RequestURI(), Header: x.passed(j.req.Header), Body: j.body, TimeoutMS: left.Milliseconds(),
+		WorkerAttemptID: j.said, CallerService: x.set().Service, Retry: j.came > 0, NestedRetryShare: j.part, Confidence: j.word, MaxQueueMS: x.queueWaitBound().Milliseconds(), FrontWaitMS: x.waitLeft(), Repeatable: j.arm.Safe, UsualRunMS: x.usual(j.path.Name).Milliseconds(), AllowUnfinishedRun: j.hedged || j.lost != nil, AllowEndingNode: j.any, NeedsRetryBudget: j.unpaid,
+		TargetMS: time.Until(j.first.Add(j.arm.Aim)).Milliseconds(), SentAgainByCaller: j.first.Before(j.from)}
 	if x.say.Keeps {
 		h.URI = origin(j.req)
 	}
-	if h.Left <= 0 {
-		j.back = protocol.Back{Kind: protocol.Refused, Why: "no time left", Used: -1}
+	if h.TimeoutMS <= 0 {
+		j.back = protocol.AttemptResult{Outcome: protocol.Refused, Reason: "no time left", UsedSlots: -1}
 		x.pick.Done(balancer.End{Worker: j.entry.Worker, Used: -1})
 		return next
 	}
-	h.Rush = x.rushes(j)
+	h.NoQueue = x.rushes(j)
 	j.boundRequeue(&h)
 	from := time.Now()
-	a, ctx := x.beginAttempt(transport.Lane(ctx, x.lane(j)), j, h.Attempt)
+	a, ctx := x.beginAttempt(transport.Lane(ctx, x.lane(j)), j, h.AttemptID)
 	back := x.send(ctx, j, h)
 	if a != nil {
 		// From here on the request is changed by nobody else.
-		a.close(h.Attempt)
+		a.close(h.AttemptID)
 		defer a.end()
 		defer a.settle()
 	}
 	j.back = back
-	if j.back.Kind == protocol.Done {
-		x.kin.told(j.path.Name, j.back.Inner)
+	if j.back.Outcome == protocol.Done {
+		x.kin.told(j.path.Name, j.back.CalledByRequests)
 	}
-	if j.back.Came || j.back.Kind == protocol.Unknown {
+	if j.back.ReachedWorker || j.back.Outcome == protocol.Unknown {
 		j.came++
 	} else {
 		j.waited += time.Since(from)
 	}
 	// An answer larger than was expected is there all the same.
-	if n := len(j.back.Body); j.back.Kind == protocol.Done {
+	if n := len(j.back.Body); j.back.Outcome == protocol.Done {
 		if more := int64(n) - x.load.expects(j.path.Name); more > 0 {
 			x.load.force(more)
 			j.took += more
 		}
 		x.load.answered(j.path.Name, n)
 	}
-	if j.back.Inner {
+	if j.back.CalledByRequests {
 		x.calls.marks(j.path.Name)
 	}
 	// Only what the worker itself did speaks of its fitness.
-	counts := j.back.Kind != protocol.Refused && !transport.Abandoned(ctx)
-	ok := j.back.Kind == protocol.Done && j.back.Status < 500
-	x.pick.Done(balancer.End{Worker: j.entry.Worker, Service: j.service, Path: j.path.Name, Used: j.back.Used,
-		Word: balancer.Word{Pace: j.back.Pace, Fail: j.back.Fail}, Took: time.Since(from),
-		Ran: time.Duration(j.back.Ran) * time.Microsecond, Late: time.Since(j.from) > j.arm.Aim, OK: ok, Counts: counts})
+	counts := j.back.Outcome != protocol.Refused && !transport.Abandoned(ctx)
+	ok := j.back.Outcome == protocol.Done && j.back.Status < 500
+	x.pick.Done(balancer.End{Worker: j.entry.Worker, Service: j.service, Path: j.path.Name, Used: j.back.UsedSlots,
+		Word: balancer.Word{Pace: j.back.PaceEighths, Fail: j.back.FailedPer64}, Took: time.Since(from),
+		Ran: time.Duration(j.back.RunMicros) * time.Microsecond, Late: time.Since(j.from) > j.arm.Aim, OK: ok, Counts: counts})
 	return next
 }
 
 // send has an attempt run, here or at another node.
-func (x *Proxy) send(ctx context.Context, j *job, h protocol.Hand) protocol.Back {
+func (x *Proxy) send(ctx context.Context, j *job, h protocol.AttemptRequest) protocol.AttemptResult {
 	if j.entry.Owner == x.Settings.Node {
 		return x.own(ctx, h)
 	}
@@ -193,12 +193,12 @@
 const noReceipt = "no receipt from the owner"
 
 // away hands the attempt over to another node and checks what comes back.
-func (x *Proxy) away(ctx context.Context, j *job, h protocol.Hand) protocol.Back {
+func (x *Proxy) away(ctx context.Context, j *job, h protocol.AttemptRequest) protocol.AttemptResult {
 	// A large body waits for the link no longer than for a slot.
 	if j.arm.Bulk != "" {
 		ctx = transport.Due(ctx, time.Now().Add(x.queueWaitBound()))
 	}
-	b, err := transport.Ask[protocol.Back](ctx, x.n, j.entry.Inner, "job.hand", h)
+	b, err := transport.Ask[protocol.AttemptResult](ctx, x.n, j.entry.Inner, "job.hand", h)
 	come, full := transport.Full(err)
 	switch {
 	case err == nil:
@@ -206,20 +206,20 @@
 		return x.thin(come)
 	case transport.Abandoned(ctx):
 		// It says nothing of the owner that nobody waited for it.
-		return protocol.Back{Kind: protocol.Unknown, Why: "the caller has left", Used: -1}
+		return protocol.AttemptResult{Outcome: protocol.Unknown, Reason: "the caller has left", UsedSlots: -1}
 	case fault.Is(err, fault.Unsent), fault.Is(err, fault.Refused):
 		x.pick.Shun(j.entry.Owner, x.Settings.ConfigBound/2)
-		return protocol.Back{Kind: protocol.Refused, Why: "owner can't be reached", Come: (x.Settings.ConfigBound / 2).Milliseconds(), Used: -1}
+		return protocol.AttemptResult{Outcome: protocol.Refused, Reason: "owner can't be reached", RetryAfterMS: (x.Settings.ConfigBound / 2).Milliseconds(), UsedSlots: -1}
 	case shutdown.IsLate(ctx):
-		return protocol.Back{Kind: protocol.Unknown, Why: whyEnding, Used: -1}
+		return protocol.AttemptResult{Outcome: protocol.Unknown, Reason: whyEnding, UsedSlots: -1}
 	default:
 		x.pick.Shun(j.entry.Owner, x.Settings.ConfigBound/2)
-		return protocol.Back{Kind: protocol.Unknown, Why: noReceipt, Late: ctx.Err() != nil, Used: -1}
+		return protocol.AttemptResult{Outcome: protocol.Unknown, Reason: noReceipt, TimedOut: ctx.Err() != nil, UsedSlots: -1}
 	}
 	// The answer is checked again here: it must be for this very attempt.
-	if b.Kind == protocol.Done && (b.Worker != h.Worker || x.say.Digest && b.Seal != responsedigest.Of(h.Attempt, h.Worker, b.Status, b.Body)) {
-		x.e.Log.Emit(event.Garbled, "worker", h.Worker, "attempt", h.Attempt, "owner", j.entry.Owner)
-		return protocol.Back{Kind: protocol.Unknown, Why: "the answer's seal is broken", Used: b.Used}
+	if b.Outcome == protocol.Done && (b.Worker != h.Worker || x.say.Digest && b.Digest != responsedigest.Of(h.AttemptID, h.Worker, b.Status, b.Body)) {
+		x.e.Log.Emit(event.Garbled, "worker", h.Worker, "attempt", h.AttemptID, "owner", j.entry.Owner)
+		return protocol.AttemptResult{Outcome: protocol.Unknown, Reason: "the answer's seal is broken", UsedSlots: b.UsedSlots}
 	}
 	return b
 }
--- a/internal/proxy/stop.go
+++ b/internal/proxy/stop.go
@@ -43,7 +43,7 @@
 	x.rest(ctx, func() int64 { return x.busy.Load() + x.owned.Load() + x.n.Queued() })
 	x.answerRest(plan)
 	x.removeWorkers()
-	x.touch.Bye()
+	x.touch.Close()
 	x.n.Leave(x.Settings.FarewellTimeout())
 	x.life.Fire("end")
 	x.Kill()
--- a/internal/proxy/tally.go
+++ b/internal/proxy/tally.go
@@ -15,7 +15,7 @@
 }
 
 type armTally struct {
-	t    protocol.Tally
+	t    protocol.ArmCounts
 	from time.Time
 }
 
@@ -48,10 +48,10 @@
 		x.tally[k] = a
 	}
 	switch {
-	case j.back.Kind == protocol.Done && j.back.Status < 500:
+	case j.back.Outcome == protocol.Done && j.back.Status < 500:
 		a.t.Done++
-		a.t.Times[Bin(time.Since(j.from))]++
-	case j.back.Kind == protocol.Done:
+		a.t.LatencyBins[Bin(time.Since(j.from))]++
+	case j.back.Outcome == protocol.Done:
 		a.t.Failed++
 	case j.lost != nil:
 		a.t.Unknown++
@@ -61,7 +61,7 @@
 }
 
 func newTally(k armKey) *armTally {
-	return &armTally{t: protocol.Tally{Trial: k.trial, Path: k.path, Arm: k.arm, Times: make([]uint64, Bins)}, from: time.Now()}
+	return &armTally{t: protocol.ArmCounts{Trial: k.trial, Route: k.path, Arm: k.arm, LatencyBins: make([]uint64, Bins)}, from: time.Now()}
 }
 
 // lively lists the paths that had jobs within the window.
@@ -82,7 +82,7 @@
 
 // tallies gives the counts of the trials that still run; those of ended ones
 // are dropped.
-func (x *Proxy) tallies() []protocol.Tally {
+func (x *Proxy) tallies() []protocol.ArmCounts {
 	r := x.rules.Load()
 	live := map[uint64]bool{}
 	x.mu.Lock()
@@ -100,14 +100,14 @@
 			}
 		}
 	}
-	var out []protocol.Tally
+	var out []protocol.ArmCounts
 	for k, a := range x.tally {
 		if !live[k.trial] {
 			delete(x.tally, k)
 			continue
 		}
 		t := a.t
-		t.Times = append([]uint64(nil), t.Times...)
+		t.LatencyBins = append([]uint64(nil), t.LatencyBins...)
 		t.AgeMS = time.Since(a.from).Milliseconds()
 		out = append(out, t)
 	}
--- a/internal/proxy/touch.go
+++ b/internal/proxy/touch.go
@@ -14,8 +14,8 @@
 // host is the proxy as its session sees it.
 type host struct{ x *Proxy }
 
-func newTouch(x *Proxy) *controlclient.Touch {
-	return controlclient.New(controlclient.Parts{Settings: x.Settings, Log: x.e.Log, G: x.g, N: x.n, Rep: x.rep, Self: x.self, Woke: x.pulse.Woke}, host{x})
+func newTouch(x *Proxy) *controlclient.Client {
+	return controlclient.New(controlclient.Dependencies{Settings: x.Settings, Log: x.e.Log, Group: x.g, Node: x.n, Replica: x.rep, Self: x.self, LastPauseEnd: x.pulse.LastPauseEnd}, host{x})
 }
 
 func (h host) Version() uint64 {
@@ -25,24 +25,28 @@
 	return 0
 }
 
-func (h host) Take(version uint64, doc []byte) ([]byte, bool) { return doc, h.x.take(version, doc) }
+func (h host) ApplyConfig(version uint64, doc []byte) ([]byte, bool) {
+	return doc, h.x.take(version, doc)
+}
 
-func (h host) Report(b *protocol.Beat) { b.Tallies, b.Live = h.x.tallies(), h.x.lively() }
+func (h host) FillHeartbeat(b *protocol.Heartbeat) {
+	b.TrialCounts, b.ActiveRoutes = h.x.tallies(), h.x.lively()
+}
 
-func (h host) Members(all *membership.Book) {
+func (h host) MembersChanged(all *membership.List) {
 	own := h.x.Settings.Node
 	h.x.pick.Here(func(node string) bool { return node == own || all.Has(node) })
 }
 
-// Fronts tells all that is shared among the nodes how many they are.
-func (h host) Fronts(n int) {
+// ProxyCountChanged tells all that is shared among the nodes how many they are.
+func (h host) ProxyCountChanged(n int) {
 	h.x.again.Nodes(n)
 	h.x.fitnessNews.Nodes(n)
 }
 
-// Filled takes up the worker that an earlier start of this node had registered,
+// ReplicaRefilled takes up the worker that an earlier start of this node had registered,
 // and buries what that start left in the registry.
-func (h host) Filled() {
+func (h host) ReplicaRefilled() {
 	h.x.adopt()
 	h.x.buryOld()
 }
@@ -52,7 +56,7 @@
 	x.rep.Retire(x.Settings.Node, func(e ormap.Entry) bool { return e.Dot.Node != x.rep.Dot() })
 }
 
-func (h host) Stands() {
+func (h host) SessionRenewed() {
 	if r := h.x.rules.Load(); r != nil && h.x.life.Fire("filled") {
 		close(h.x.well)
 		h.x.e.Log.Emit(event.Ready, "version", r.Version)
@@ -62,6 +66,6 @@
 
 // confirm waits until the node may act on what it holds, and tells how sure it
 // is of that.
-func (x *Proxy) confirm(ctx context.Context, end time.Time) protocol.Word {
+func (x *Proxy) confirm(ctx context.Context, end time.Time) protocol.Confidence {
 	return x.touch.Confirm(ctx, end)
 }
--- a/internal/proxy/trail.go
+++ b/internal/proxy/trail.go
@@ -88,9 +88,9 @@
 
 // step adds what is known of the worker and keeps it.
 func (x *Proxy) step(v *visit, what, why string) {
-	s := Step{Request: v.in.Said, Attempt: v.in.Attempt, Step: what, Worker: v.in.Worker, Why: why}
+	s := Step{Request: v.in.WorkerAttemptID, Attempt: v.in.AttemptID, Step: what, Worker: v.in.Worker, Why: why}
 	if s.Request == "" {
-		s.Request = v.in.Job
+		s.Request = v.in.RequestID
 	}
 	if g := v.gate; g != nil {
 		g.mu.Lock()
@@ -99,7 +99,7 @@
 			s.WordMS = time.Since(g.word).Milliseconds()
 		}
 		g.mu.Unlock()
-		s.State = g.state.Now()
+		s.State = g.state.Current()
 	}
 	x.trail.add(s)
 }
--- a/internal/proxy/unanswered.go
+++ b/internal/proxy/unanswered.go
@@ -27,7 +27,7 @@
 // lostAttempt is an attempt that may have run and has no answer, with the entry of
 // the worker that it was sent to.
 type lostAttempt struct {
-	protocol.Back
+	protocol.AttemptResult
 	entry ormap.Entry
 }
 
@@ -47,17 +47,17 @@
 // count of the others; after the order to end each one, up to a bound. The trail has
 // all of them.
 func (x *Proxy) noteUnanswered(ctx context.Context, j *job) {
-	if j.back.Kind == protocol.Done || j.lost == nil {
+	if j.back.Outcome == protocol.Done || j.lost == nil {
 		return
 	}
 	by := x.endedBy(ctx, j)
 	stop := x.sinceStop()
-	x.trail.add(Step{Request: j.name(), Attempt: j.id, Step: stepUnanswered, Worker: j.lost.entry.Worker, Why: by + ": " + j.lost.Why})
+	x.trail.add(Step{Request: j.name(), Attempt: j.id, Step: stepUnanswered, Worker: j.lost.entry.Worker, Why: by + ": " + j.lost.Reason})
 	ownerStop := int64(-1)
-	if j.lost.Stopped > 0 {
-		ownerStop = j.lost.Stopped
+	if j.lost.StoppingForMS > 0 {
+		ownerStop = j.lost.StoppingForMS
 	}
-	pairs := []any{"request", j.name(), "path", j.path.Name, "by", by, "why", j.lost.Why, "worker", j.lost.entry.Worker, "owner", j.lost.entry.Owner,
+	pairs := []any{"request", j.name(), "path", j.path.Name, "by", by, "why", j.lost.Reason, "worker", j.lost.entry.Worker, "owner", j.lost.entry.Owner,
 		"held_ms", time.Since(j.from).Milliseconds(), "stop_ms", stop.Milliseconds(), "owner_stop_ms", ownerStop, "sends", j.sends, "then", j.why}
 	if stop < 0 {
 		x.unanswered.Emit(x.e.Log, event.Unanswered, pairs...)
@@ -78,11 +78,11 @@
 			return endedByRouteTime
 		}
 		return endedByDeadline
-	case j.lost.Late:
+	case j.lost.TimedOut:
 		return endedByAttempt
-	case j.lost.Why == noReceipt:
+	case j.lost.Reason == noReceipt:
 		return endedByLink
-	case j.lost.Why == whyEnding:
+	case j.lost.Reason == whyEnding:
 		return endedByOwner
 	}
 	return endedByWorker
--- a/internal/proxy/unseal.go
+++ b/internal/proxy/unseal.go
@@ -9,15 +9,15 @@
 	"puffincrank/internal/responsedigest"
 )
 
-func headOf(b *protocol.Back, name string) string {
-	if l := b.Head[http.CanonicalHeaderKey(name)]; len(l) > 0 {
+func headOf(b *protocol.AttemptResult, name string) string {
+	if l := b.Header[http.CanonicalHeaderKey(name)]; len(l) > 0 {
 		return l[0]
 	}
 	return ""
 }
 
 // notRun tells whether the worker says that it left the job unrun.
-func (x *Proxy) notRun(b *protocol.Back) bool {
+func (x *Proxy) notRun(b *protocol.AttemptResult) bool {
 	said := headOf(b, x.say.NotRun)
 	if said == "" || x.say.NotRunIs != "" && said != x.say.NotRunIs {
 		// With a seal that can be checked, the status alone says it.
@@ -35,7 +35,7 @@
 func (x *Proxy) broken(v *visit, notRun bool) string {
 	b := &v.back
 	if x.say.Digest {
-		if headOf(b, x.say.Attempt) != v.in.Attempt || headOf(b, x.say.Named) != v.in.Worker || headOf(b, x.say.Mark) != responsedigest.Of(v.in.Attempt, v.in.Worker, b.Status, b.Body) {
+		if headOf(b, x.say.Attempt) != v.in.AttemptID || headOf(b, x.say.Named) != v.in.Worker || headOf(b, x.say.Mark) != responsedigest.Of(v.in.AttemptID, v.in.Worker, b.Status, b.Body) {
 			return "the answer's seal is broken"
 		}
 		return ""
@@ -58,14 +58,14 @@
 func (x *Proxy) unseal(_ context.Context, v *visit) bool {
 	b := &v.back
 	head := func(n string) string {
-		if l := b.Head[n]; len(l) > 0 {
+		if l := b.Header[n]; len(l) > 0 {
 			return l[0]
 		}
 		return ""
 	}
 	notRun := x.notRun(b)
 	if why := x.broken(v, notRun); why != "" {
-		x.e.Log.Emit(event.Garbled, "worker", v.in.Worker, "attempt", v.in.Attempt, "status", b.Status, "why", why)
+		x.e.Log.Emit(event.Garbled, "worker", v.in.Worker, "attempt", v.in.AttemptID, "status", b.Status, "why", why)
 		return v.unknown(why)
 	}
 	switch {
@@ -76,12 +76,12 @@
 			x.stranger(v.gate)
 		}
 		v.later("the worker refused: "+head(responsedigest.Why), v.gate.room.Drain(v.in.Class))
-		v.back.Came = true
+		v.back.ReachedWorker = true
 		return false
 	case b.Status == 503 || b.Status == 429:
 		// The worker's own busy doesn't promise that the job never ran.
 		return v.unknown("the worker answered busy without a word on whether the job ran")
 	}
-	b.Kind, b.Seal, b.Worker = protocol.Done, head(x.say.Mark), v.in.Worker
+	b.Outcome, b.Digest, b.Worker = protocol.Done, head(x.say.Mark), v.in.Worker
 	return false
 }
--- a/internal/registry/app.go
+++ b/internal/registry/app.go
@@ -82,7 +82,7 @@
 func (r *Registry) appChange(w http.ResponseWriter, req *http.Request, c appCall, kind string, cmd statemachine.Command, codes map[string]int, body func(statemachine.Result) map[string]any) {
 	// What is read right after a freeze may be as old as the freeze: its sender
 	// has turned elsewhere, and what it did there must not be undone.
-	if time.Since(r.pulse.Woke()) < r.Settings.HeartbeatInterval() {
+	if time.Since(r.pulse.LastPauseEnd()) < r.Settings.HeartbeatInterval() {
 		httpapi.Busy(w, "frozen until just now; nothing was done", r.Settings.HeartbeatInterval())
 		return
 	}
--- a/internal/registry/election.go
+++ b/internal/registry/election.go
@@ -144,7 +144,7 @@
 	}
 	live := r.rep.Map().Live(nil)
 	r.mu.Lock()
-	here := r.roll.Book()
+	here := r.roll.List()
 	now := time.Now()
 	dead := map[string]bool{}
 	seen := map[string]bool{}
--- a/internal/registry/judge.go
+++ b/internal/registry/judge.go
@@ -19,18 +19,18 @@
 // reportKey names one start of one front: its counters begin anew with each.
 type reportKey struct{ node, start string }
 
-func (r *Registry) onReports(context.Context, transport.Hello, struct{}) ([]protocol.Report, error) {
+func (r *Registry) onReports(context.Context, transport.Hello, struct{}) ([]protocol.TrialReport, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	var out []protocol.Report
+	var out []protocol.TrialReport
 	for _, s := range r.own {
-		out = append(out, protocol.Report{Node: s.f.Node, Start: s.f.Start, Tallies: s.tallies, Live: s.live})
+		out = append(out, protocol.TrialReport{Node: s.f.Node, Start: s.f.Incarnation, Counts: s.tallies, ActiveRoutes: s.live})
 	}
 	return out, nil
 }
 
 // reports gathers what all fronts counted, from all control nodes.
-func (r *Registry) reports(ctx context.Context) []protocol.Report {
+func (r *Registry) reports(ctx context.Context) []protocol.TrialReport {
 	ctx, end := context.WithTimeout(ctx, r.Settings.CallTimeout())
 	defer end()
 	var mu sync.Mutex
@@ -43,7 +43,7 @@
 		wait.Add(1)
 		if !r.g.Go("ask-reports", func(context.Context) {
 			defer wait.Done()
-			got, err := transport.Ask[[]protocol.Report](ctx, r.n, a, "registry.reports", struct{}{})
+			got, err := transport.Ask[[]protocol.TrialReport](ctx, r.n, a, "registry.reports", struct{}{})
 			if err == nil {
 				mu.Lock()
 				out = append(out, got...)
@@ -65,14 +65,14 @@
 }
 
 // weigh sums the reports up for one trial and judges each of its paths.
-func (r *Registry) weigh(t statemachine.Trial, all []protocol.Report, b judge.Bounds) []judge.Facts {
+func (r *Registry) weigh(t statemachine.Trial, all []protocol.TrialReport, b judge.Bounds) []judge.Facts {
 	var out []judge.Facts
 	for _, path := range t.Paths {
 		var old, now judge.Arm
 		age := time.Duration(0)
 		for _, rep := range all {
-			for _, y := range rep.Tallies {
-				if y.Trial != t.ID || y.Path != path {
+			for _, y := range rep.Counts {
+				if y.Trial != t.ID || y.Route != path {
 					continue
 				}
 				if y.Arm == "new" {
@@ -102,7 +102,7 @@
 	}
 	// Without a trial nothing needs to be remembered of fronts that are gone.
 	if len(run) == 0 {
-		r.seenOf = map[reportKey]protocol.Report{}
+		r.seenOf = map[reportKey]protocol.TrialReport{}
 	}
 	due := len(run) > 0 && time.Since(r.looked) >= r.Settings.ConfigBound/2
 	if due {
@@ -112,7 +112,7 @@
 	if !due || rl == nil {
 		return
 	}
-	now := map[reportKey]protocol.Report{}
+	now := map[reportKey]protocol.TrialReport{}
 	r.mu.Lock()
 	// A front that died keeps what it counted: its start never counts again.
 	for _, rep := range r.seenOf {
@@ -127,7 +127,7 @@
 			now[k] = rep
 		}
 	}
-	var all []protocol.Report
+	var all []protocol.TrialReport
 	for _, rep := range now {
 		all = append(all, rep)
 	}
@@ -139,9 +139,9 @@
 	}
 }
 
-func requestsOf(r protocol.Report) uint64 {
+func requestsOf(r protocol.TrialReport) uint64 {
 	n := uint64(0)
-	for _, t := range r.Tallies {
+	for _, t := range r.Counts {
 		n += t.Done + t.Failed + t.Unknown + t.Refused + 1
 	}
 	return n
--- a/internal/registry/near.go
+++ b/internal/registry/near.go
@@ -14,8 +14,8 @@
 func (r *Registry) near() ([]string, uint64) {
 	out := []string{r.Settings.InternalAddr}
 	for _, o := range r.others {
-		if time.Since(o.heard) <= r.Settings.SessionTTL() && !slices.Contains(out, o.f.Inner) {
-			out = append(out, o.f.Inner)
+		if time.Since(o.heard) <= r.Settings.SessionTTL() && !slices.Contains(out, o.f.InternalAddr) {
+			out = append(out, o.f.InternalAddr)
 		}
 	}
 	h := fnv.New64a()
@@ -40,7 +40,7 @@
 func (r *Registry) tell() ([]string, uint64) {
 	if r.list.at.IsZero() || time.Since(r.list.at) > r.Settings.HeartbeatInterval()/8 {
 		r.list.core = r.coreLocked()
-		r.list.name, r.list.at = membership.Names(r.list.core), time.Now()
+		r.list.name, r.list.at = membership.HashNames(r.list.core), time.Now()
 	}
 	return r.list.core, r.list.name
 }
--- a/internal/registry/near_test.go
+++ b/internal/registry/near_test.go
@@ -18,12 +18,12 @@
 	synctest.Test(t, func(t *testing.T) {
 		r := &Registry{Settings: settings.Settings{InternalAddr: "h0:1", ConfigBound: 2 * time.Second}, others: map[string]*shared{}}
 		hear := func(i int) {
-			r.others[fmt.Sprint(i)] = &shared{f: membership.Fellow{Inner: fmt.Sprintf("h%d:1", i)}, heard: time.Now()}
+			r.others[fmt.Sprint(i)] = &shared{f: membership.Member{InternalAddr: fmt.Sprintf("h%d:1", i)}, heard: time.Now()}
 		}
 		for i := 1; i < 35; i++ {
 			hear(i)
 		}
-		if core, name := r.tell(); len(core) != 35 || name != membership.Names(core) {
+		if core, name := r.tell(); len(core) != 35 || name != membership.HashNames(core) {
 			t.Fatal(core, name)
 		}
 		if n := testing.AllocsPerRun(10, func() { r.tell() }); n != 0 {
@@ -31,7 +31,7 @@
 		}
 		hear(35)
 		task.Pause(t.Context(), r.Settings.HeartbeatInterval()/4)
-		if core, name := r.tell(); !slices.Contains(core, "h35:1") || name != membership.Names(core) {
+		if core, name := r.tell(); !slices.Contains(core, "h35:1") || name != membership.HashNames(core) {
 			t.Error(core, name)
 		}
 	})
--- a/internal/registry/poll.go
+++ b/internal/registry/poll.go
@@ -67,7 +67,7 @@
 			return false
 		}
 		got.Doc = doc
-	} else if _, old := r.held.Now(); have > 0 {
+	} else if _, old := r.held.Current(); have > 0 {
 		steps = []patch.Step{patch.Make(have, got.Version, old, got.Doc)}
 		r.whole = false
 	}
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -37,14 +37,14 @@
 	e        env.Env
 	g        *task.Group
 	n        *transport.Node
-	self     membership.Fellow
+	self     membership.Member
 	life     *fsm.Machine
 	rep      *replica.Replica
 	stores   *stores
 	routes   http.Handler
 	calls    atomic.Int64   // outside calls under way
 	late     *shutdown.Late // ends them when a stop can wait no longer
-	pulse    *pausedetect.Pulse
+	pulse    *pausedetect.Detector
 	duties   []*roleElection
 
 	mu     sync.Mutex
@@ -65,14 +65,14 @@
 		from map[uint64][]byte // differences to the list of now, packed
 	}
 	known   map[string]time.Time // control node, by its inner address, to when a peer named it
-	roll    *membership.Roll     // the members, by all sessions
-	mine    *membership.Roll     // those of the sessions here
+	roll    *membership.Tracker  // the members, by all sessions
+	mine    *membership.Tracker  // those of the sessions here
 	told    uint64               // the hash of mine that the other control nodes were told last
 	linked  uint64               // the hash of roll that the replica's links follow
 	linking bool                 // they are about to
 	sure    time.Time            // when a majority last confirmed what is held here
 	rules   *rules.Rules
-	held    *patch.Held // the document, with the steps to it
+	held    *patch.Document // the document, with the steps to it
 	shrunk  struct {
 		version uint64
 		doc     []byte // the document of that version, compressed
@@ -80,9 +80,9 @@
 	whole  bool // the next document must come whole: the poll\'s own
 	trials []statemachine.Trial
 	tries  uint64
-	looked time.Time                     // judge: the last look
-	seenOf map[reportKey]protocol.Report // judge: the newest report of each front's start
-	away   map[string]time.Time          // steward: since when a node has no session
+	looked time.Time                          // judge: the last look
+	seenOf map[reportKey]protocol.TrialReport // judge: the newest report of each front's start
+	away   map[string]time.Time               // steward: since when a node has no session
 	filled time.Time
 	saving task.Lock // one save of the workers at a time
 	keptAs uint64    // the replica's digest when it was last kept on the disk
@@ -91,17 +91,17 @@
 // New readies a registry.
 func New(p settings.Settings, e env.Env) *Registry {
 	g := task.New(context.Background()).Pace(e.Pause)
-	r := &Registry{Settings: p, e: e, g: g, saving: task.NewLock(), own: map[string]*nodeSession{}, others: map[string]*shared{}, known: map[string]time.Time{}, away: map[string]time.Time{}, seenOf: map[reportKey]protocol.Report{}}
+	r := &Registry{Settings: p, e: e, g: g, saving: task.NewLock(), own: map[string]*nodeSession{}, others: map[string]*shared{}, known: map[string]time.Time{}, away: map[string]time.Time{}, seenOf: map[reportKey]protocol.TrialReport{}}
 	var b [6]byte
 	_, _ = rand.Read(b[:])
-	r.self = membership.Fellow{Node: p.Node, Start: hex.EncodeToString(b[:]), Role: "registry", Area: p.Zone, Inner: p.InternalAddr, Outer: p.APIAddr}
+	r.self = membership.Member{Node: p.Node, Incarnation: hex.EncodeToString(b[:]), Role: "registry", Zone: p.Zone, InternalAddr: p.InternalAddr, APIAddr: p.APIAddr}
 	r.late = shutdown.NewLate(g.Context())
-	r.roll, r.mine = membership.NewRoll(p.Node, memberChangesKept), membership.NewRoll(p.Node, memberChangesKept)
+	r.roll, r.mine = membership.NewTracker(p.Node, memberChangesKept), membership.NewTracker(p.Node, memberChangesKept)
 	r.roll.Set(p.Node, r.self)
 	r.n = transport.NewNode(transport.Hello{Mesh: p.ClusterID, Node: p.Node, Area: p.Zone, Role: "registry"}, e, g, p.MaxFrameBytes, p.MaxRequests, p.CallTimeout())
 	r.n.Bound = p.MaxIdleLinks()
 	r.rep = replica.New(r.self, r.n, g, e.Log, hlc.New(e.Wall, 2*p.RecoveryBound), p.HeartbeatInterval(), p.RepairInterval(), p.TombstoneTTL())
-	r.held = patch.NewHeld(memberChangesKept / 16)
+	r.held = patch.NewDocument(memberChangesKept / 16)
 	r.rep.Await(true)
 	r.stores = newStores(r.n, p.Stores, p.CallTimeout(), p.HeartbeatInterval()/4)
 	r.pulse = pausedetect.New(p.HeartbeatInterval(), p.UnnoticedPause(), nil)
@@ -127,7 +127,7 @@
 	transport.On(r.n, "session.share", r.onShare)
 	transport.On(r.n, "session.members", r.onMembers)
 	transport.On(r.n, "outer.call", r.onOuter)
-	transport.On(r.n, protocol.WorkerLeaves, r.onWorkerLeaves)
+	transport.On(r.n, protocol.WorkerLeavingKind, r.onWorkerLeaves)
 	transport.On(r.n, "registry.status", r.onStatus)
 	transport.On(r.n, "registry.reports", r.onReports)
 	r.routes = r.outerRoutes()
--- a/internal/registry/routes.go
+++ b/internal/registry/routes.go
@@ -93,20 +93,20 @@
 }
 
 // onOuter answers an outside call that a proxy handed over.
-func (r *Registry) onOuter(ctx context.Context, _ transport.Hello, in protocol.Outer) (protocol.OuterBack, error) {
+func (r *Registry) onOuter(ctx context.Context, _ transport.Hello, in protocol.ForwardedCall) (protocol.ForwardedResponse, error) {
 	if r.life.Is("leaving", "shut") {
-		return protocol.OuterBack{}, fault.New(fault.Refused, "leaving")
+		return protocol.ForwardedResponse{}, fault.New(fault.Refused, "leaving")
 	}
-	if end, ok := ctx.Deadline(); ok && in.Rest > 0 {
-		ctx = context.WithValue(ctx, byKey{}, end.Add(-time.Duration(in.Rest)*time.Millisecond))
+	if end, ok := ctx.Deadline(); ok && in.ProposalMarginMS > 0 {
+		ctx = context.WithValue(ctx, byKey{}, end.Add(-time.Duration(in.ProposalMarginMS)*time.Millisecond))
 	}
 	req, err := http.NewRequestWithContext(ctx, in.Method, in.URI, bytes.NewReader(in.Body))
 	if err != nil {
-		return protocol.OuterBack{}, fault.Wrap(fault.Refused, err, "outside call")
+		return protocol.ForwardedResponse{}, fault.Wrap(fault.Refused, err, "outside call")
 	}
 	t := &recordedAnswer{head: http.Header{}}
 	r.routes.ServeHTTP(t, req)
-	return protocol.OuterBack{Status: t.code, Body: t.buf.Bytes(), Come: t.head.Get("Retry-After")}, nil
+	return protocol.ForwardedResponse{Status: t.code, Body: t.buf.Bytes(), RetryAfter: t.head.Get("Retry-After")}, nil
 }
 
 // withDeadline bounds an outside call.
@@ -135,7 +135,7 @@
 	if !ready {
 		code = http.StatusServiceUnavailable
 	}
-	httpapi.JSON(w, code, map[string]any{"ready": ready, "state": r.life.Now(), "in_touch": r.inTouch()})
+	httpapi.JSON(w, code, map[string]any{"ready": ready, "state": r.life.Current(), "in_touch": r.inTouch()})
 }
 
 func (r *Registry) getConfig(w http.ResponseWriter, req *http.Request) {
--- a/internal/registry/sessions.go
+++ b/internal/registry/sessions.go
@@ -26,57 +26,57 @@
 
 // nodeSession is one proxy's session here.
 type nodeSession struct {
-	f       membership.Fellow
+	f       membership.Member
 	heard   time.Time
 	version uint64
-	tallies []protocol.Tally
+	tallies []protocol.ArmCounts
 	live    []string
 }
 
 // onBeat renews a session. A control node that is out of touch with the
 // stores, or leaving, says so, and the proxy tries another.
-func (r *Registry) onBeat(_ context.Context, _ transport.Hello, in protocol.Beat) (protocol.Receipt, error) {
+func (r *Registry) onBeat(_ context.Context, _ transport.Hello, in protocol.Heartbeat) (protocol.HeartbeatResponse, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	defer r.relink()
-	if in.Bye {
-		r.endSession(in.Fellow.Node)
-		return protocol.Receipt{}, nil
+	if in.Leaving {
+		r.endSession(in.Member.Node)
+		return protocol.HeartbeatResponse{}, nil
 	}
 	if r.rules == nil && r.sure.IsZero() || time.Since(r.sure) > r.Settings.ConfirmationTTL() || r.life.Is("starting", "leaving", "shut", "lost") {
-		return protocol.Receipt{}, nil
+		return protocol.HeartbeatResponse{}, nil
 	}
-	out := protocol.Receipt{In: true, Age: time.Since(r.sure).Milliseconds() + 1}
+	out := protocol.HeartbeatResponse{InTouch: true, ConfirmedAgoMS: time.Since(r.sure).Milliseconds() + 1}
 	// Who only looks for a control node in touch takes no session.
-	if in.Look {
+	if in.Probe {
 		if r.rules != nil {
-			out.Version = r.rules.Version
+			out.ConfigVersion = r.rules.Version
 		}
 		return out, nil
 	}
-	s := r.own[in.Fellow.Node]
-	if s == nil || s.f != in.Fellow {
-		if s == nil || s.f.Start != in.Fellow.Start {
-			r.e.Log.Emit(event.SessionUp, "node", in.Fellow.Node)
-			r.buryOld(in.Fellow)
+	s := r.own[in.Member.Node]
+	if s == nil || s.f != in.Member {
+		if s == nil || s.f.Incarnation != in.Member.Incarnation {
+			r.e.Log.Emit(event.SessionUp, "node", in.Member.Node)
+			r.buryOld(in.Member)
 		}
-		s = &nodeSession{f: in.Fellow}
-		r.own[in.Fellow.Node] = s
+		s = &nodeSession{f: in.Member}
+		r.own[in.Member.Node] = s
 		r.mine.Set(r.Settings.Node, s.f)
 		r.roll.Set(r.Settings.Node, s.f)
 	}
-	s.heard, s.version, s.tallies, s.live = time.Now(), in.Version, in.Tallies, in.Live
-	out.Hash, out.Count = r.roll.Hash(), r.roll.Fronts()
-	if core, name := r.tell(); in.Core != name {
-		out.Core = core
+	s.heard, s.version, s.tallies, s.live = time.Now(), in.ConfigVersion, in.TrialCounts, in.ActiveRoutes
+	out.MembersHash, out.ProxyCount = r.roll.Hash(), r.roll.ProxyCount()
+	if core, name := r.tell(); in.ControlNodesHash != name {
+		out.ControlNodes = core
 	}
 	if r.rules != nil {
-		out.Version = r.rules.Version
-		if in.Version < out.Version {
+		out.ConfigVersion = r.rules.Version
+		if in.ConfigVersion < out.ConfigVersion {
 			r.addMissing(&out, in)
 		}
 	}
-	if in.Hash != out.Hash {
+	if in.MembersHash != out.MembersHash {
 		r.addMembersDiff(&out, in)
 	}
 	return out, nil
@@ -84,39 +84,39 @@
 
 // addMissing gives a beat the steps to the newest configuration from the one that its
 // node holds, or else the whole.
-func (r *Registry) addMissing(out *protocol.Receipt, in protocol.Beat) {
-	version, doc := r.held.Now()
-	out.Version = version
-	if steps, ok := r.held.Since(in.Version); ok && in.Patch {
+func (r *Registry) addMissing(out *protocol.HeartbeatResponse, in protocol.Heartbeat) {
+	version, doc := r.held.Current()
+	out.ConfigVersion = version
+	if steps, ok := r.held.Since(in.ConfigVersion); ok && in.AcceptsPatch {
 		out.Steps = steps
-	} else if in.Short {
+	} else if in.AcceptsCompact {
 		// Shrunk once for all that ask for it.
 		if r.shrunk.version != version {
 			r.shrunk.version, r.shrunk.doc = version, compression.Shrink(doc)
 		}
-		out.Shrunk = r.shrunk.doc
+		out.CompressedDocument = r.shrunk.doc
 	} else {
-		out.Doc = doc
+		out.Document = doc
 	}
 }
 
 // addMembersDiff tells a beat what differs from the list that its node holds. Nothing
 // at all means that this hash isn't known here: the node then asks by parts.
-func (r *Registry) addMembersDiff(out *protocol.Receipt, in protocol.Beat) {
-	if !in.Diff {
-		out.Members = r.roll.Book().List()
+func (r *Registry) addMembersDiff(out *protocol.HeartbeatResponse, in protocol.Heartbeat) {
+	if !in.AcceptsDiff {
+		out.Members = r.roll.List().Members()
 		return
 	}
-	if d, ok := r.roll.Since(in.Hash); ok && len(d.Come)+len(d.Gone) <= membersPerPage {
-		out.Diff = true
-		if in.Short && len(d.Come)+len(d.Gone) > plainDiff {
+	if d, ok := r.roll.Since(in.MembersHash); ok && len(d.Added)+len(d.Removed) <= membersPerPage {
+		out.IsDiff = true
+		if in.AcceptsCompact && len(d.Added)+len(d.Removed) > plainDiff {
 			// With nothing said it asks by parts, and is told whom to ask.
-			if out.Diff = r.rep.Room(); out.Diff {
-				out.Short = r.packed(in.Hash, d)
-				r.rep.Spend(len(out.Short))
+			if out.IsDiff = r.rep.Room(); out.IsDiff {
+				out.CompactDiff = r.packed(in.MembersHash, d)
+				r.rep.Spend(len(out.CompactDiff))
 			}
 		} else {
-			out.Come, out.Gone = d.Come, d.Gone
+			out.Added, out.Removed = d.Added, d.Removed
 		}
 	}
 }
@@ -128,25 +128,25 @@
 		r.packs.to, r.packs.from = r.roll.Hash(), map[uint64][]byte{}
 	}
 	if r.packs.from[from] == nil {
-		r.packs.from[from] = d.Pack()
+		r.packs.from[from] = d.Encode()
 	}
 	return r.packs.from[from]
 }
 
 // onMembers gives the parts of the list that differ, some at a time. Beyond what
 // it hands out in a beat it names those who have them.
-func (r *Registry) onMembers(_ context.Context, from transport.Hello, in protocol.ListAsk) (protocol.ListBack, error) {
+func (r *Registry) onMembers(_ context.Context, from transport.Hello, in protocol.MemberListRequest) (protocol.MemberListResponse, error) {
 	r.mu.Lock()
-	b, at := r.roll.Book(), ""
+	b, at := r.roll.List(), ""
 	if s := r.own[from.Node]; s != nil {
-		at = s.f.Inner
+		at = s.f.InternalAddr
 	}
 	r.mu.Unlock()
 	if !r.rep.Room() {
-		return protocol.ListBack{Hash: b.Hash(), Busy: true, Try: r.rep.Given(from.Area, at)}, nil
+		return protocol.MemberListResponse{Hash: b.Hash(), Busy: true, Alternatives: r.rep.Given(from.Area, at)}, nil
 	}
-	out, err := controlclient.Differ(b, in)
-	r.rep.Spend(controlclient.Cost(out))
+	out, err := controlclient.DiffMembers(b, in)
+	r.rep.Spend(controlclient.ResponseSize(out))
 	if err == nil && !out.More {
 		r.rep.Gave(at, from.Area)
 	}
@@ -156,8 +156,8 @@
 // endSession ends a session; mu is held.
 func (r *Registry) endSession(node string) {
 	delete(r.own, node)
-	r.mine.Drop(r.Settings.Node, node)
-	r.roll.Drop(r.Settings.Node, node)
+	r.mine.Remove(r.Settings.Node, node)
+	r.roll.Remove(r.Settings.Node, node)
 }
 
 // expire ends the sessions that were not renewed, and what other control nodes
@@ -166,7 +166,7 @@
 	for n, o := range r.others {
 		if o.stands && time.Since(o.heard) > r.Settings.SessionTTL() {
 			o.stands, o.hash = false, 0
-			r.roll.DropAll(n)
+			r.roll.RemoveSource(n)
 		}
 	}
 	for n, s := range r.own {
@@ -188,7 +188,7 @@
 	r.linking = r.g.Go("peers", func(context.Context) {
 		for {
 			r.mu.Lock()
-			b := r.roll.Book()
+			b := r.roll.List()
 			if b.Hash() == r.linked {
 				r.linking = false
 				r.mu.Unlock()
@@ -202,12 +202,12 @@
 }
 
 // buryOld removes what earlier starts of a node left: one name, one process.
-func (r *Registry) buryOld(f membership.Fellow) {
+func (r *Registry) buryOld(f membership.Member) {
 	r.g.Go("bury-old", func(ctx context.Context) {
 		// The new start buries them itself, after it has looked at what its
 		// worker was; this is for one that does not get so far.
 		r.e.Pause(ctx, 2*r.Settings.HeartbeatInterval())
-		r.rep.Retire(f.Node, func(e ormap.Entry) bool { return e.Dot.Node != f.Node+"#"+f.Start })
+		r.rep.Retire(f.Node, func(e ormap.Entry) bool { return e.Dot.Node != f.Node+"#"+f.Incarnation })
 	})
 }
 
@@ -222,7 +222,7 @@
 	r.mu.Lock()
 	var list []one
 	for _, s := range r.own {
-		list = append(list, one{s, s.f.Inner, s.version})
+		list = append(list, one{s, s.f.InternalAddr, s.version})
 	}
 	r.mu.Unlock()
 	for _, o := range list {
@@ -231,7 +231,7 @@
 			ctx, end := context.WithTimeout(ctx, r.Settings.SessionTTL())
 			defer end()
 			// One that misses this gets it with its next beat.
-			have, err := controlclient.Push(ctx, r.n, o.at, r.held, o.have)
+			have, err := controlclient.PushConfig(ctx, r.n, o.at, r.held, o.have)
 			if err != nil {
 				return
 			}
--- a/internal/registry/shares.go
+++ b/internal/registry/shares.go
@@ -15,7 +15,7 @@
 
 // shared is another control node's word on its sessions.
 type shared struct {
-	f     membership.Fellow
+	f     membership.Member
 	hash  uint64 // of the list as last heard, 0 for none
 	heard time.Time
 	// What it said counts; it does not after a session's time without a word.
@@ -54,12 +54,12 @@
 		}
 	}
 	r.owe = false
-	in := protocol.Share{From: r.self, Hash: r.mine.Hash()}
-	if d, ok := r.mine.Since(r.told); ok && r.told != in.Hash && len(d.Come)+len(d.Gone) <= membersPerPage {
-		in.Diff, in.Base, in.Come, in.Gone = true, r.told, d.Come, d.Gone
+	in := protocol.SessionReport{Sender: r.self, Hash: r.mine.Hash()}
+	if d, ok := r.mine.Since(r.told); ok && r.told != in.Hash && len(d.Added)+len(d.Removed) <= membersPerPage {
+		in.IsDiff, in.BaseHash, in.Added, in.Removed = true, r.told, d.Added, d.Removed
 	}
 	r.told = in.Hash
-	in.Met = met
+	in.ReachableHash = met
 	if !rest {
 		to = r.peers()
 	}
@@ -72,13 +72,13 @@
 			ctx, end := context.WithTimeout(ctx, r.Settings.CallTimeout())
 			defer end()
 			began := time.Now()
-			got, err := transport.Ask[protocol.ShareBack](ctx, r.n, a, "session.share", in)
+			got, err := transport.Ask[protocol.SessionReportResponse](ctx, r.n, a, "session.share", in)
 			r.recordAnswer(a, began, err == nil)
 			if err == nil {
-				r.meet(got.Near)
+				r.meet(got.Reachable)
 			}
-			if err == nil && got.Need {
-				_, _ = transport.Ask[protocol.ShareBack](ctx, r.n, a, "session.share", r.more(got))
+			if err == nil && got.NeedMore {
+				_, _ = transport.Ask[protocol.SessionReportResponse](ctx, r.n, a, "session.share", r.more(got))
 			}
 		})
 	}
@@ -86,64 +86,64 @@
 
 // more gives a control node what it lacks: what differs from the list that it
 // holds, if that is known here, or else the whole.
-func (r *Registry) more(got protocol.ShareBack) protocol.Share {
+func (r *Registry) more(got protocol.SessionReportResponse) protocol.SessionReport {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	out := protocol.Share{From: r.self, Hash: r.mine.Hash()}
-	if d, ok := r.mine.Since(got.Have); ok && got.Diff && got.Have != 0 {
-		out.Diff, out.Base, out.Come, out.Gone = true, got.Have, d.Come, d.Gone
+	out := protocol.SessionReport{Sender: r.self, Hash: r.mine.Hash()}
+	if d, ok := r.mine.Since(got.Hash); ok && got.AcceptsDiff && got.Hash != 0 {
+		out.IsDiff, out.BaseHash, out.Added, out.Removed = true, got.Hash, d.Added, d.Removed
 	} else {
-		out.Full, out.List = true, r.mine.Book().List()
+		out.Complete, out.Members = true, r.mine.List().Members()
 	}
-	if got.Pack && len(out.List)+len(out.Come)+len(out.Gone) > plainDiff {
-		out.Pack = membership.Diff{Come: append(out.Come, out.List...), Gone: out.Gone}.Pack()
-		out.List, out.Come, out.Gone = nil, nil, nil
+	if got.AcceptsCompact && len(out.Members)+len(out.Added)+len(out.Removed) > plainDiff {
+		out.Compact = membership.Diff{Added: append(out.Added, out.Members...), Removed: out.Removed}.Encode()
+		out.Members, out.Added, out.Removed = nil, nil, nil
 	}
 	return out
 }
 
-func (r *Registry) onShare(_ context.Context, _ transport.Hello, in protocol.Share) (protocol.ShareBack, error) {
-	if len(in.Pack) > 0 {
-		d, err := membership.OpenDiff(in.Pack)
+func (r *Registry) onShare(_ context.Context, _ transport.Hello, in protocol.SessionReport) (protocol.SessionReportResponse, error) {
+	if len(in.Compact) > 0 {
+		d, err := membership.DecodeDiff(in.Compact)
 		if err != nil {
-			return protocol.ShareBack{}, err
+			return protocol.SessionReportResponse{}, err
 		}
-		if in.Full {
-			in.List = d.Come
+		if in.Complete {
+			in.Members = d.Added
 		} else {
-			in.Come, in.Gone = d.Come, d.Gone
+			in.Added, in.Removed = d.Added, d.Removed
 		}
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	who := in.From.Node
+	who := in.Sender.Node
 	o := r.others[who]
 	if o == nil {
 		o = &shared{}
 		r.others[who] = o
 	}
 	// Who begins anew or was away lacks what is said here.
-	r.owe = r.owe || !o.stands || o.f.Start != in.From.Start
-	o.hears(in.From)
-	r.roll.Set(who, in.From)
+	r.owe = r.owe || !o.stands || o.f.Incarnation != in.Sender.Incarnation
+	o.hears(in.Sender)
+	r.roll.Set(who, in.Sender)
 	switch {
-	case in.Full:
-		r.roll.Replace(who, append(in.List, in.From))
+	case in.Complete:
+		r.roll.Replace(who, append(in.Members, in.Sender))
 		o.hash = in.Hash
-	case in.Diff && in.Base == o.hash && o.hash != in.Hash:
-		for _, f := range in.Come {
+	case in.IsDiff && in.BaseHash == o.hash && o.hash != in.Hash:
+		for _, f := range in.Added {
 			r.roll.Set(who, f)
 		}
-		for _, n := range in.Gone {
-			r.roll.Drop(who, n)
+		for _, n := range in.Removed {
+			r.roll.Remove(who, n)
 		}
 		o.hash = in.Hash
 	}
 	r.relink()
 	// What is known is kept until more comes.
-	back := protocol.ShareBack{Need: in.Hash != o.hash, Me: r.self, Diff: true, Have: o.hash, Pack: true}
-	if near, met := r.near(); met != in.Met {
-		back.Near = near
+	back := protocol.SessionReportResponse{NeedMore: in.Hash != o.hash, Responder: r.self, AcceptsDiff: true, Hash: o.hash, AcceptsCompact: true}
+	if near, met := r.near(); met != in.ReachableHash {
+		back.Reachable = near
 	}
 	return back, nil
 }
--- a/internal/registry/status.go
+++ b/internal/registry/status.go
@@ -35,7 +35,7 @@
 // Fleet is the whole mesh as one node tells it.
 type Fleet struct {
 	Version    uint64              `json:"config_version"`
-	Members    []membership.Fellow `json:"members"`
+	Members    []membership.Member `json:"members"`
 	Duties     map[string]string   `json:"duties"`
 	Stores     []store.Status      `json:"stores"`
 	Registries []Status            `json:"registries"`
@@ -52,7 +52,7 @@
 }
 
 func (r *Registry) status() Status {
-	s := Status{Node: r.Settings.Node, Area: r.Settings.Zone, State: r.life.Now(), Ready: r.Ready(), Duties: map[string]string{}}
+	s := Status{Node: r.Settings.Node, Area: r.Settings.Zone, State: r.life.Current(), Ready: r.Ready(), Duties: map[string]string{}}
 	for _, d := range r.duties {
 		if num, ok := d.leads(); ok {
 			s.Duties[d.name] = num.String()
@@ -83,7 +83,7 @@
 // gather asks every member for its status at once.
 func (r *Registry) gather(ctx context.Context, events bool, since uint64) Fleet {
 	r.mu.Lock()
-	out := Fleet{Members: r.roll.Book().List(), Duties: map[string]string{}, Mute: []string{}}
+	out := Fleet{Members: r.roll.List().Members(), Duties: map[string]string{}, Mute: []string{}}
 	r.mu.Unlock()
 	r.stores.mu.Lock()
 	stores := append([]string(nil), r.stores.members...)
@@ -109,7 +109,7 @@
 	for _, f := range out.Members {
 		ask(f.Node, func() error {
 			if f.Role == "proxy" {
-				s, err := transport.Ask[proxy.Status](ctx, r.n, f.Inner, "node.status", in)
+				s, err := transport.Ask[proxy.Status](ctx, r.n, f.InternalAddr, "node.status", in)
 				if err == nil {
 					mu.Lock()
 					out.Proxies = append(out.Proxies, s)
@@ -117,7 +117,7 @@
 				}
 				return err
 			}
-			s, err := transport.Ask[Status](ctx, r.n, f.Inner, "registry.status", in)
+			s, err := transport.Ask[Status](ctx, r.n, f.InternalAddr, "registry.status", in)
 			if err == nil {
 				mu.Lock()
 				out.Registries = append(out.Registries, s)
--- a/internal/registry/trials.go
+++ b/internal/registry/trials.go
@@ -181,8 +181,8 @@
 	defer end()
 	r.mu.Lock()
 	at := ""
-	if f := r.roll.Book().Get(node); f != nil && f.Role == "proxy" {
-		at = f.Inner
+	if f := r.roll.List().Get(node); f != nil && f.Role == "proxy" {
+		at = f.InternalAddr
 	}
 	r.mu.Unlock()
 	if at == "" {
@@ -198,10 +198,10 @@
 }
 
 // liveReports tells which paths had jobs lately, by all fronts.
-func liveReports(all []protocol.Report) func(string) bool {
+func liveReports(all []protocol.TrialReport) func(string) bool {
 	set := map[string]bool{}
 	for _, rep := range all {
-		for _, p := range rep.Live {
+		for _, p := range rep.ActiveRoutes {
 			set[p] = true
 		}
 	}
--- a/internal/registry/unreachable.go
+++ b/internal/registry/unreachable.go
@@ -13,7 +13,7 @@
 	defer r.mu.Unlock()
 	for _, o := range r.others {
 		switch {
-		case o.f.Inner != at:
+		case o.f.InternalAddr != at:
 		case ok:
 			o.mute = time.Time{}
 			if began.After(o.well) {
@@ -33,7 +33,7 @@
 	var out []string
 	for _, o := range r.others {
 		if o.stands && !o.mute.IsZero() && !o.out {
-			out = append(out, o.f.Inner)
+			out = append(out, o.f.InternalAddr)
 		}
 	}
 	return out
@@ -47,12 +47,12 @@
 	for who, o := range r.others {
 		if o.stands && !o.mute.IsZero() && !o.out && o.heard.Before(o.mute) && time.Since(o.mute) >= r.Settings.LeaderTimeout() {
 			o.out = true
-			r.roll.Drop(who, who)
+			r.roll.Remove(who, who)
 		}
 	}
 }
 
 // hears takes in that a control node spoke: it is one again. mu is held.
-func (o *shared) hears(from membership.Fellow) {
+func (o *shared) hears(from membership.Member) {
 	o.f, o.heard, o.stands, o.out = from, time.Now(), true, false
 }
--- a/internal/registry/unreachable_test.go
+++ b/internal/registry/unreachable_test.go
@@ -16,20 +16,20 @@
 func TestLeftOut(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const beat = 200 * time.Millisecond
-		x := membership.Fellow{Node: "x", Inner: "hx:1", Role: "registry"}
+		x := membership.Member{Node: "x", InternalAddr: "hx:1", Role: "registry"}
 		make := func() (*Registry, *shared) {
-			r := &Registry{Settings: settings.Settings{Node: "c", InternalAddr: "hc:1", ConfigBound: 10 * beat}, others: map[string]*shared{}, roll: membership.NewRoll("c", 16)}
+			r := &Registry{Settings: settings.Settings{Node: "c", InternalAddr: "hc:1", ConfigBound: 10 * beat}, others: map[string]*shared{}, roll: membership.NewTracker("c", 16)}
 			o := &shared{}
 			o.hears(x)
 			r.others["x"] = o
 			r.roll.Set("x", x)
-			r.roll.Set("x", membership.Fellow{Node: "p", Role: "proxy"})
+			r.roll.Set("x", membership.Member{Node: "p", Role: "proxy"})
 			return r, o
 		}
 		step := func(r *Registry, began time.Time, ok bool) bool {
 			r.recordAnswer("hx:1", began, ok)
 			r.dropUnreachable()
-			return r.roll.Book().Has("x")
+			return r.roll.List().Has("x")
 		}
 		// pass lets a time go by before a word begins.
 		pass := func(d time.Duration) time.Time {
@@ -45,7 +45,7 @@
 				t.Errorf("%d asked at each beat after %d beats", n, i)
 			}
 		}
-		if !r.roll.Book().Has("p") {
+		if !r.roll.List().Has("p") {
 			t.Error("its sessions went with it")
 		}
 		o.hears(x)
--- a/internal/replica/full_test.go
+++ b/internal/replica/full_test.go
@@ -24,7 +24,7 @@
 		defer g.Stop()
 		e := env.Env{Log: event.New("a", nil), Wall: time.Now}
 		w := transport.NewNode(transport.Hello{Mesh: "m", Node: "a", Area: "x"}, e, g, 1<<20, 4, beat)
-		r := New(membership.Fellow{Node: "a", Inner: "h:1"}, w, g, e.Log, hlc.New(time.Now, time.Minute), beat, 3*time.Second, time.Minute)
+		r := New(membership.Member{Node: "a", InternalAddr: "h:1"}, w, g, e.Log, hlc.New(time.Now, time.Minute), beat, 3*time.Second, time.Minute)
 		ask := func() ormap.Delta {
 			d, err := r.onAll(t.Context(), transport.Hello{}, allAsk{Short: true})
 			if err != nil || len(d.Short) == 0 {
--- a/internal/replica/lookup.go
+++ b/internal/replica/lookup.go
@@ -35,7 +35,7 @@
 			n := 1
 			if e.Owner == r.self.Node {
 				n = 3
-			} else if e.Area == r.self.Area {
+			} else if e.Area == r.self.Zone {
 				n = 2
 			}
 			if n > rank {
--- a/internal/replica/mend.go
+++ b/internal/replica/mend.go
@@ -87,17 +87,17 @@
 	r.Collect()
 	r.mu.Lock()
 	r.turn++
-	area, peers := r.self.Area, r.peers
+	area, peers := r.self.Zone, r.peers
 	if r.turn%3 == 0 {
 		area = ""
 	}
 	r.mu.Unlock()
 	// One that draws itself in a small area draws again.
 	for range 4 {
-		if f := peers.Draw(area, rand.IntN); f != nil && f.Node != r.self.Node {
+		if f := peers.Random(area, rand.IntN); f != nil && f.Node != r.self.Node {
 			ctx, end := context.WithTimeout(ctx, 5*r.beat)
 			defer end()
-			_ = r.Mend(ctx, f.Inner)
+			_ = r.Mend(ctx, f.InternalAddr)
 			return
 		}
 	}
--- a/internal/replica/refill.go
+++ b/internal/replica/refill.go
@@ -91,7 +91,7 @@
 // Refill drops what others said long ago and pulls all from a fellow, if it is
 // this node's turn there. Own entries stay.
 func (r *Replica) Refill(ctx context.Context, addr string) (Refill, error) {
-	got, err := transport.Ask[fillGot](ctx, r.n, addr, "replica.fill", fillAsk{From: r.self.Inner})
+	got, err := transport.Ask[fillGot](ctx, r.n, addr, "replica.fill", fillAsk{From: r.self.InternalAddr})
 	if fault.Is(err, fault.Refused) {
 		// One of an earlier version has no turns.
 		got = fillGot{}
@@ -134,8 +134,8 @@
 	peers := r.peers
 	r.mu.Unlock()
 	for range 4 {
-		if f := peers.Draw(area, rand.IntN); f != nil && f.Node != r.self.Node && f.Role == "proxy" {
-			return f.Inner
+		if f := peers.Random(area, rand.IntN); f != nil && f.Node != r.self.Node && f.Role == "proxy" {
+			return f.InternalAddr
 		}
 	}
 	return ""
--- a/internal/replica/refill_test.go
+++ b/internal/replica/refill_test.go
@@ -32,7 +32,7 @@
 		}
 		e := env.Env{Net: road, Log: event.New(h, nil), Wall: time.Now}
 		w := transport.NewNode(transport.Hello{Mesh: "m", Node: h, Area: area, Role: role}, e, g, frame, 64, 5*tick)
-		r := New(membership.Fellow{Node: h, Start: "s", Role: role, Area: area, Inner: h + ":1"}, w, g, e.Log, hlc.New(time.Now, time.Minute), tick, time.Hour, time.Minute)
+		r := New(membership.Member{Node: h, Incarnation: "s", Role: role, Zone: area, InternalAddr: h + ":1"}, w, g, e.Log, hlc.New(time.Now, time.Minute), tick, time.Hour, time.Minute)
 		if err := w.Listen(h + ":1"); err != nil {
 			t.Fatal(err)
 		}
@@ -81,7 +81,7 @@
 		for i := 1; i < n; i++ {
 			got := ask(i, "h0:1")
 			if got.Done {
-				done = append(done, all[i].self.Inner)
+				done = append(done, all[i].self.InternalAddr)
 				sound(all[i])
 				continue
 			}
@@ -91,8 +91,8 @@
 			}
 			last = got.Later
 			for k, at := range got.Try {
-				if !slices.Contains(done, at) || k > 0 && all[at[1]-'0'].self.Area == all[i].self.Area && all[got.Try[k-1][1]-'0'].self.Area != all[i].self.Area {
-					t.Errorf("%d of %s is told to try %v, filled were %v", i, all[i].self.Area, got.Try, done)
+				if !slices.Contains(done, at) || k > 0 && all[at[1]-'0'].self.Zone == all[i].self.Zone && all[got.Try[k-1][1]-'0'].self.Zone != all[i].self.Zone {
+					t.Errorf("%d of %s is told to try %v, filled were %v", i, all[i].self.Zone, got.Try, done)
 				}
 			}
 			if len(got.Try) == 0 {
@@ -154,7 +154,7 @@
 		transport.On(old, "replica.all", func(context.Context, transport.Hello, allAsk) (ormap.Delta, error) {
 			return ormap.Delta{Adds: []ormap.Entry{{Dot: ormap.Dot{Node: "o#1"}, Service: "s", Worker: "w", Owner: "o"}}}, nil
 		})
-		r := New(membership.Fellow{Node: "n", Inner: "n:1"}, node("n"), g, event.New("n", nil), hlc.New(time.Now, time.Minute), tick, time.Hour, time.Minute)
+		r := New(membership.Member{Node: "n", InternalAddr: "n:1"}, node("n"), g, event.New("n", nil), hlc.New(time.Now, time.Minute), tick, time.Hour, time.Minute)
 		if got, err := r.Refill(t.Context(), "old:1"); err != nil || !got.Done || len(r.Lookup("s")) != 1 {
 			t.Error(got, err, r.Lookup("s"))
 		}
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -26,7 +26,7 @@
 
 // Replica is one node's copy. Lock order: mu before the map's own lock.
 type Replica struct {
-	self  membership.Fellow
+	self  membership.Member
 	n     *transport.Node
 	g     *task.Group
 	log   *event.Log
@@ -39,7 +39,7 @@
 	reg   sync.Mutex // one registration at a time; taken before mu
 	mu    sync.Mutex
 	subs  []func(News)
-	peers *membership.Book
+	peers *membership.List
 	links map[string]bool          // the fellows of the overlay, with their starts
 	index map[string][]ormap.Entry // service to its entries by dot; a slice is never changed
 	turn  int
@@ -55,10 +55,10 @@
 }
 
 // New makes an empty replica; Start opens it to the fellows.
-func New(self membership.Fellow, n *transport.Node, g *task.Group, log *event.Log, clock *hlc.Clock, beat, repair, bury time.Duration) *Replica {
-	r := &Replica{self: self, n: n, g: g, log: log, clock: clock, m: ormap.New(), dot: self.Node + "#" + self.Start, beat: beat, bury: bury, index: map[string][]ormap.Entry{}, peers: &membership.Book{}}
+func New(self membership.Member, n *transport.Node, g *task.Group, log *event.Log, clock *hlc.Clock, beat, repair, bury time.Duration) *Replica {
+	r := &Replica{self: self, n: n, g: g, log: log, clock: clock, m: ormap.New(), dot: self.Node + "#" + self.Incarnation, beat: beat, bury: bury, index: map[string][]ormap.Entry{}, peers: &membership.List{}}
 	r.pace = newPace(self.Role, n.Most, beat)
-	r.tree = plumtree.New(self.Inner, beat, 50*beat, r.send, r.hear, r.knows)
+	r.tree = plumtree.New(self.InternalAddr, beat, 50*beat, r.send, r.hear, r.knows)
 	r.tree.Carry(plumtree.Bulk{Soon: r.soon, Late: r.late, Give: r.give, Take: r.got, Find: r.find})
 	transport.On(n, "gossip", func(_ context.Context, _ transport.Hello, m plumtree.Message) (struct{}, error) {
 		r.tree.Take(m)
@@ -152,7 +152,7 @@
 	r.reg.Lock()
 	defer r.reg.Unlock()
 	e := ormap.Entry{Dot: ormap.Dot{Node: r.dot, At: r.clock.Now()}, Service: service, Worker: worker,
-		Owner: r.self.Node, Inner: r.self.Inner, Area: r.self.Area, Meta: meta}
+		Owner: r.self.Node, Inner: r.self.InternalAddr, Area: r.self.Zone, Meta: meta}
 	d := r.m.Bury("again", func(o ormap.Entry) bool { return o.Worker == worker && o.Owner == r.self.Node })
 	d.Adds = []ormap.Entry{e}
 	r.take(d, true)
@@ -191,8 +191,8 @@
 }
 
 // Peers sets the mesh's nodes.
-func (r *Replica) Peers(all *membership.Book) {
-	links := all.Links(r.self.Node)
+func (r *Replica) Peers(all *membership.List) {
+	links := all.Neighbors(r.self.Node)
 	r.mu.Lock()
 	// Many that come at once are still telling of themselves: what is on its
 	// way would be found to differ over each link.
@@ -202,12 +202,12 @@
 	r.links = map[string]bool{}
 	var to, fresh []string
 	for _, f := range links {
-		to = append(to, f.Inner)
-		mark := f.Node + "#" + f.Start
+		to = append(to, f.InternalAddr)
+		mark := f.Node + "#" + f.Incarnation
 		r.links[mark] = true
 		// One of the two is enough.
 		if !was[mark] && r.self.Node < f.Node {
-			fresh = append(fresh, f.Inner)
+			fresh = append(fresh, f.InternalAddr)
 		}
 	}
 	r.mu.Unlock()
--- a/internal/replica/replica_test.go
+++ b/internal/replica/replica_test.go
@@ -36,11 +36,11 @@
 
 // row brings up replicas on hosts of a network, all knowing each other.
 func row(t *testing.T, net *sim.Net, g *task.Group, hosts, areas []string) []*node {
-	var all []membership.Fellow
+	var all []membership.Member
 	var out []*node
 	for i, h := range hosts {
 		net.Place(h, areas[i])
-		f := membership.Fellow{Node: h, Start: "s", Role: "proxy", Area: areas[i], Inner: h + ":1"}
+		f := membership.Member{Node: h, Incarnation: "s", Role: "proxy", Zone: areas[i], InternalAddr: h + ":1"}
 		all = append(all, f)
 		e := env.Env{Net: net.Host(h), Log: event.New(h, nil), Wall: time.Now}
 		w := transport.NewNode(transport.Hello{Mesh: "m", Node: h, Area: areas[i]}, e, g, 1<<20, 64, beat)
@@ -50,13 +50,13 @@
 			n.news = append(n.news, x.Kind+" "+x.Entry.Worker)
 			n.mu.Unlock()
 		})
-		if err := w.Listen(f.Inner); err != nil {
+		if err := w.Listen(f.InternalAddr); err != nil {
 			t.Fatal(err)
 		}
 		out = append(out, n)
 	}
 	for _, n := range out {
-		n.rep.Peers(membership.NewBook(all))
+		n.rep.Peers(membership.NewList(all))
 	}
 	return out
 }
@@ -79,7 +79,7 @@
 		at := time.Now()
 		seen := map[ormap.Dot]bool{}
 		for start := range 4 {
-			f := membership.Fellow{Node: "a", Start: fmt.Sprint(start), Role: "proxy", Area: "x", Inner: "h:1"}
+			f := membership.Member{Node: "a", Incarnation: fmt.Sprint(start), Role: "proxy", Zone: "x", InternalAddr: "h:1"}
 			e := env.Env{Net: sim.NewNet(1, 0, 0).Host("h"), Log: event.New("a", nil), Wall: time.Now}
 			w := transport.NewNode(transport.Hello{Mesh: "m", Node: "a", Area: "x"}, e, g, 1<<20, 4, beat)
 			r := replica.New(f, w, g, e.Log, hlc.New(func() time.Time { return at }, time.Minute), beat, 3*time.Second, time.Minute)
--- a/internal/sim/held_test.go
+++ b/internal/sim/held_test.go
@@ -41,9 +41,9 @@
 		hand := func(i int, left time.Duration) error {
 			ctx, end := context.WithTimeout(t.Context(), left)
 			defer end()
-			b, err := transport.Ask[protocol.Back](ctx, front, n.Host+":7002", "job.hand", protocol.Hand{Job: fmt.Sprint("held", i), Attempt: fmt.Sprint("held", i, ".1"),
-				Version: 1, Service: line.Service, Class: class, Worker: n.Worker.ID, Method: line.Method, URI: line.URI, Left: 60_000})
-			if err == nil && b.Kind != protocol.Done {
+			b, err := transport.Ask[protocol.AttemptResult](ctx, front, n.Host+":7002", "job.hand", protocol.AttemptRequest{RequestID: fmt.Sprint("held", i), AttemptID: fmt.Sprint("held", i, ".1"),
+				ConfigVersion: 1, Service: line.Service, Class: class, Worker: n.Worker.ID, Method: line.Method, URI: line.URI, TimeoutMS: 60_000})
+			if err == nil && b.Outcome != protocol.Done {
 				t.Errorf("%+v", b)
 			}
 			return err
--- a/internal/sim/thaw_test.go
+++ b/internal/sim/thaw_test.go
@@ -124,7 +124,7 @@
 		Wait(time.Second)
 		g := task.New(t.Context())
 		late := transport.NewNode(transport.Hello{Mesh: "puffin", Node: "late", Area: "north", Role: "registry"}, f.env("late", "10.0.9.5", "north", &n.skew), g, 1<<20, 4, time.Second)
-		if _, err := transport.Ask[struct{}](t.Context(), late, n.Host+":7002", "config.push", protocol.Push{Version: 2, Doc: []byte(f.S.Doc)}); err != nil {
+		if _, err := transport.Ask[struct{}](t.Context(), late, n.Host+":7002", "config.push", protocol.ConfigPush{Version: 2, Document: []byte(f.S.Doc)}); err != nil {
 			t.Fatal(err)
 		}
 		for range 20 {
--- a/internal/statemachine/step_test.go
+++ b/internal/statemachine/step_test.go
@@ -64,7 +64,7 @@
 		t.Errorf("another document: %+v", r)
 	}
 	step = Shorten(&NumberConfig{Number: 9, Doc: doc(2)}, s.Config())
-	step.Step.Sum[0]++
+	step.Step.Digest[0]++
 	if r := step.Apply(s); r.Code != Conflict {
 		t.Errorf("ends elsewhere: %+v", r)
 	}
--- a/internal/store/join_test.go
+++ b/internal/store/join_test.go
@@ -130,7 +130,7 @@
 			t.Fatal(err)
 		}
 		if err := s.install(paxos.Snapshot{Digest: []byte("zero"), State: raw}, event.Refilled); err != nil || s.votes() {
-			t.Fatalf("%v, role %s", err, s.role.Now())
+			t.Fatalf("%v, role %s", err, s.role.Current())
 		}
 		entry := firstEntry(t, "a", s.acc.Identity().ID)
 		peer(t, road, "b:1", func(n *transport.Node) {
@@ -140,7 +140,7 @@
 			})
 		})
 		if !s.reportToLeader(t.Context(), "b:1") || !s.votes() {
-			t.Errorf("role %s after slot %d", s.role.Now(), s.slot)
+			t.Errorf("role %s after slot %d", s.role.Current(), s.slot)
 		}
 	})
 }
@@ -175,7 +175,7 @@
 				t.Errorf("it has applied %d", s.slot)
 			}
 			if now := s.acc.Identity().ID; (now != me) != removed || s.votes() == removed {
-				t.Errorf("removed %v: identity %s, was %s, role %s", removed, now, me, s.role.Now())
+				t.Errorf("removed %v: identity %s, was %s, role %s", removed, now, me, s.role.Current())
 			}
 		})
 	}
--- a/internal/store/loop.go
+++ b/internal/store/loop.go
@@ -20,7 +20,7 @@
 		if gap := time.Since(from); gap > wait+s.Settings.PauseThreshold() {
 			s.resumed(gap)
 		}
-		switch s.role.Now() {
+		switch s.role.Current() {
 		case "empty", "spare":
 			wait = s.joinStep(ctx)
 		case "follow":
--- a/internal/store/ready.go
+++ b/internal/store/ready.go
@@ -17,7 +17,7 @@
 	_, quiet := s.voter.Promised()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	out := Status{Node: s.Settings.Node, Addr: s.Settings.InternalAddr, Area: s.Settings.Zone, Role: s.role.Now(), Slot: s.slot, Head: s.leaderAddress, Ballot: s.acc.Promised().String(), Ill: s.diskIll || s.diskHangs()}
+	out := Status{Node: s.Settings.Node, Addr: s.Settings.InternalAddr, Area: s.Settings.Zone, Role: s.role.Current(), Slot: s.slot, Head: s.leaderAddress, Ballot: s.acc.Promised().String(), Ill: s.diskIll || s.diskHangs()}
 	if s.state != nil {
 		out.Members, out.Config = s.state.Members, s.state.Config().Version
 	}
--- a/internal/store/serve.go
+++ b/internal/store/serve.go
@@ -49,7 +49,7 @@
 
 // justResumed tells that this process was frozen until just now.
 func (s *Store) justResumed() bool {
-	return time.Since(s.pulse.Woke()) < s.Settings.HeartbeatInterval()
+	return time.Since(s.pulse.LastPauseEnd()) < s.Settings.HeartbeatInterval()
 }
 
 // onRead answers a confirmed read: a majority is asked after it arrived.
--- a/internal/store/steps_test.go
+++ b/internal/store/steps_test.go
@@ -25,7 +25,7 @@
 	for i, d := range docs {
 		(&statemachine.SetConfig{Base: uint64(i), Doc: d}).Apply(s.state)
 	}
-	held := patch.NewHeld(4)
+	held := patch.NewDocument(4)
 	for i, c := range []struct {
 		q    Query
 		at   int // how many entries are there
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -38,7 +38,7 @@
 	applying      task.Lock // one at a time extends the applied state
 	checkpointing task.Lock // one checkpoint at a time
 	imaging       task.Lock // one image of the state is made at a time
-	pulse         *pausedetect.Pulse
+	pulse         *pausedetect.Detector
 	born          time.Time
 
 	mu sync.Mutex // guards all fields below but loading, which learn guards
