--- a/internal/ctl/show.go
+++ b/internal/ctl/show.go
@@ -52,7 +52,7 @@
 	}
 	var rows [][]string
 	for _, s := range f.Stores {
-		rows = append(rows, []string{s.Node, s.Area, s.Role, fmt.Sprint(s.Slot), fmt.Sprint(s.Config), yes(s.Ready), s.Why})
+		rows = append(rows, []string{s.Node, s.Zone, s.Role, fmt.Sprint(s.Index), fmt.Sprint(s.Config), yes(s.Ready), s.Reason})
 	}
 	m.table("STORE AREA ROLE SLOT CONFIG READY WHY", rows)
 }
@@ -77,7 +77,7 @@
 		rows = append(rows, []string{s.Node, "registry", s.Area, s.State, fmt.Sprint(s.Version), fmt.Sprintf("%d sessions", len(s.Sessions)), fmt.Sprint(s.Entries)})
 	}
 	for _, s := range f.Stores {
-		rows = append(rows, []string{s.Node, "store", s.Area, s.Role, fmt.Sprint(s.Config), "-", "-"})
+		rows = append(rows, []string{s.Node, "store", s.Zone, s.Role, fmt.Sprint(s.Config), "-", "-"})
 	}
 	for _, p := range f.Proxies {
 		rows = append(rows, []string{p.Node, "proxy", p.Area, p.State, fmt.Sprint(p.Version), p.Session, fmt.Sprint(p.Entries)})
--- a/internal/ctl/trials.go
+++ b/internal/ctl/trials.go
@@ -90,7 +90,7 @@
 				if t.End > 0 {
 					end = fmt.Sprint(t.End)
 				}
-				rows = append(rows, []string{fmt.Sprint(t.ID), t.State, fmt.Sprint(t.Paths), fmt.Sprint(t.Slice), fmt.Sprint(t.Begin), end, t.Who, t.Why})
+				rows = append(rows, []string{fmt.Sprint(t.ID), t.State, fmt.Sprint(t.Routes), fmt.Sprint(t.Slice), fmt.Sprint(t.Begin), end, t.Who, t.Why})
 			}
 			m.table("TRIAL STATE PATHS SLICE BEGAN ENDED WHO WHY", rows)
 			return nil
@@ -131,7 +131,7 @@
 }
 
 func (m *command) showTrial(t oneTrial) {
-	fmt.Fprintf(m.out, "trial %d %s: paths %v, slice %v %%, proposed by %s, begun with version %d\n", t.Trial.ID, t.Trial.State, t.Trial.Paths, t.Trial.Slice, t.Trial.Who, t.Trial.Begin)
+	fmt.Fprintf(m.out, "trial %d %s: paths %v, slice %v %%, proposed by %s, begun with version %d\n", t.Trial.ID, t.Trial.State, t.Trial.Routes, t.Trial.Slice, t.Trial.Who, t.Trial.Begin)
 	if t.Trial.Why != "" {
 		fmt.Fprintf(m.out, "ended with version %d: %s\n", t.Trial.End, t.Trial.Why)
 	}
--- a/internal/house/wire_test.go
+++ b/internal/house/wire_test.go
@@ -88,6 +88,12 @@
 	"session.Share":     "protocol.SessionReport",
 	"session.ShareBack": "protocol.SessionReportResponse",
 	"session.Tally":     "protocol.ArmCounts",
+	"store.DutyAsk":     "store.RoleBallot",
+	"store.DutyVote":    "store.RoleVote",
+	"store.Given":       "store.LeaderResponse",
+	"store.Offer":       "store.ProposeRequest",
+	"store.Query":       "store.ReadRequest",
+	"store.RemoveAsk":   "store.RemoveRequest",
 	"wire.Hello":        "transport.Hello",
 }
 
--- a/internal/model/monitor.go
+++ b/internal/model/monitor.go
@@ -103,7 +103,7 @@
 	m.Steps[strings.TrimPrefix(fmt.Sprintf("%T", s), "trace.")]++
 	switch s := s.(type) {
 	case trace.Opened:
-		m.hold(s.Replica, s.Slot, s.Sum, s.Members)
+		m.hold(s.Replica, s.Index, s.Digest, s.Members)
 	case trace.Promised:
 		m.promised(s)
 	case trace.Accepted:
@@ -117,7 +117,7 @@
 	case trace.Applied:
 		m.applied(s)
 	case trace.Installed:
-		m.hold(s.Replica, s.Slot, s.Sum, s.Members)
+		m.hold(s.Replica, s.Index, s.Digest, s.Members)
 	case trace.RoundBegan:
 		m.rounds[round{s.Replica, s.Round}] = m.newest
 	case trace.RoundConfirmed:
--- a/internal/model/monitor_test.go
+++ b/internal/model/monitor_test.go
@@ -26,12 +26,12 @@
 
 // decided are the steps by which a slot is chosen by two and applied by the leader.
 func decided(slot uint64, sum string, acceptors []string, after []string) []trace.Step {
-	out := []trace.Step{trace.Proposed{Replica: "a", Ballot: one, Slot: slot, Sum: sum}}
+	out := []trace.Step{trace.Proposed{Replica: "a", Ballot: one, Index: slot, Digest: sum}}
 	for _, id := range acceptors {
-		out = append(out, trace.Accepted{Replica: id, Ballot: one, Slot: slot, Sum: sum})
+		out = append(out, trace.Accepted{Replica: id, Ballot: one, Index: slot, Digest: sum})
 	}
-	return append(out, trace.Chosen{Replica: "a", Ballot: one, Slot: slot, Sum: sum, Acceptors: acceptors},
-		trace.Applied{Replica: "a", Slot: slot, Sum: sum, Members: after})
+	return append(out, trace.Chosen{Replica: "a", Ballot: one, Index: slot, Digest: sum, Acceptors: acceptors},
+		trace.Applied{Replica: "a", Index: slot, Digest: sum, Members: after})
 }
 
 func row(parts ...[]trace.Step) (out []trace.Step) {
@@ -57,17 +57,17 @@
 		{"what was accepted is passed over", row(founded(), decided(1, "x", ab, abc), []trace.Step{
 			trace.Promised{Replica: "b", Ballot: two}, trace.Promised{Replica: "c", Ballot: two},
 			trace.Elected{Replica: "b", Ballot: two, Voters: []string{"b", "c"}, Members: abc},
-			trace.Proposed{Replica: "b", Ballot: two, Slot: 1, Sum: "z"}}), "another entry for slot 1"},
-		{"a slot is applied unchosen", row(founded(), []trace.Step{trace.Applied{Replica: "c", Slot: 1, Sum: "x", Members: abc}}), "was not chosen"},
-		{"a slot is left out", row(founded(), decided(1, "x", ab, abc), decided(2, "y", ab, abc), []trace.Step{trace.Applied{Replica: "b", Slot: 2, Sum: "y", Members: abc}}), "after 0"},
+			trace.Proposed{Replica: "b", Ballot: two, Index: 1, Digest: "z"}}), "another entry for slot 1"},
+		{"a slot is applied unchosen", row(founded(), []trace.Step{trace.Applied{Replica: "c", Index: 1, Digest: "x", Members: abc}}), "was not chosen"},
+		{"a slot is left out", row(founded(), decided(1, "x", ab, abc), decided(2, "y", ab, abc), []trace.Step{trace.Applied{Replica: "b", Index: 2, Digest: "y", Members: abc}}), "after 0"},
 		{"members change before they hold all", row(founded(), decided(1, "x", ab, abc), decided(2, "y", ab, abd)), "of whom only [a] hold"},
 		{"members change when they hold all", row(founded(), decided(1, "x", ab, abc),
-			[]trace.Step{trace.Applied{Replica: "b", Slot: 1, Sum: "x", Members: abc}}, decided(2, "y", ab, abd)), ""},
+			[]trace.Step{trace.Applied{Replica: "b", Index: 1, Digest: "x", Members: abc}}, decided(2, "y", ab, abd)), ""},
 		{"an old read", row(founded(), decided(1, "x", ab, abc), []trace.Step{
-			trace.RoundBegan{Replica: "c", Round: 1}, trace.RoundConfirmed{Replica: "c", Round: 1, Slot: 0}}), "though 1 was chosen"},
+			trace.RoundBegan{Replica: "c", Round: 1}, trace.RoundConfirmed{Replica: "c", Round: 1, Index: 0}}), "though 1 was chosen"},
 		{"a member leaves with the only other copy", row(founded(), decided(1, "x", ab, abc), []trace.Step{trace.Left{Replica: "b"}}), "left while only [a]"},
 		{"a snapshot of something else", row(founded(), decided(1, "x", ab, abc), []trace.Step{
-			trace.Installed{Replica: "d", Slot: 1, Sum: "q", Members: abc}}), "another entry in slot 1"},
+			trace.Installed{Replica: "d", Index: 1, Digest: "q", Members: abc}}), "another entry in slot 1"},
 	} {
 		m := NewMonitor()
 		for _, s := range c.steps {
--- a/internal/model/rules.go
+++ b/internal/model/rules.go
@@ -25,13 +25,13 @@
 func (m *Monitor) accepted(s trace.Accepted) {
 	r := m.of(s.Replica)
 	if s.Ballot.Less(r.promised) {
-		m.fault("%s accepted slot %d under %v after it promised %v", s.Replica, s.Slot, s.Ballot, r.promised)
+		m.fault("%s accepted slot %d under %v after it promised %v", s.Replica, s.Index, s.Ballot, r.promised)
 	}
-	if sum, ok := m.proposed[proposal{s.Ballot, s.Slot}]; !ok || sum != s.Sum {
-		m.fault("%s accepted an entry in slot %d that nobody proposed under %v", s.Replica, s.Slot, s.Ballot)
+	if sum, ok := m.proposed[proposal{s.Ballot, s.Index}]; !ok || sum != s.Digest {
+		m.fault("%s accepted an entry in slot %d that nobody proposed under %v", s.Replica, s.Index, s.Ballot)
 	}
 	r.promised = s.Ballot
-	r.accepted[s.Slot] = entry{s.Ballot, s.Sum}
+	r.accepted[s.Index] = entry{s.Ballot, s.Digest}
 }
 
 // elected checks that the votes are promises of a majority of the members, who
@@ -40,7 +40,7 @@
 	if s.Ballot.Candidate != s.Replica {
 		m.fault("%s counts the votes for %v", s.Replica, s.Ballot)
 	}
-	m.checkMembers(s.Replica, s.Slot, s.Members)
+	m.checkMembers(s.Replica, s.Index, s.Members)
 	if !majority(s.Voters, s.Members) {
 		m.fault("%s leads under %v with the votes of %v among %v", s.Replica, s.Ballot, s.Voters, s.Members)
 	}
@@ -50,7 +50,7 @@
 		}
 	}
 	m.adopting = false
-	m.terms[s.Ballot] = term{s.Replica, s.Slot, slices.Clone(s.Voters)}
+	m.terms[s.Ballot] = term{s.Replica, s.Index, slices.Clone(s.Voters)}
 }
 
 // proposes checks that a leader proposes one entry for a slot, after all that is
@@ -58,40 +58,40 @@
 func (m *Monitor) proposes(s trace.Proposed) {
 	t, won := m.terms[s.Ballot]
 	if !won || t.leader != s.Replica {
-		m.fault("%s proposed slot %d under %v, which it did not win", s.Replica, s.Slot, s.Ballot)
+		m.fault("%s proposed slot %d under %v, which it did not win", s.Replica, s.Index, s.Ballot)
 	}
-	if sum, ok := m.proposed[proposal{s.Ballot, s.Slot}]; ok && sum != s.Sum {
-		m.fault("%s proposed two entries for slot %d under %v", s.Replica, s.Slot, s.Ballot)
+	if sum, ok := m.proposed[proposal{s.Ballot, s.Index}]; ok && sum != s.Digest {
+		m.fault("%s proposed two entries for slot %d under %v", s.Replica, s.Index, s.Ballot)
 	}
-	m.proposed[proposal{s.Ballot, s.Slot}] = s.Sum
+	m.proposed[proposal{s.Ballot, s.Index}] = s.Digest
 	var highest entry
 	for _, v := range t.voters {
 		had := m.votes[s.Ballot][v]
-		if e, ok := had.accepted[s.Slot]; ok && highest.ballot.Less(e.ballot) {
+		if e, ok := had.accepted[s.Index]; ok && highest.ballot.Less(e.ballot) {
 			highest = e
 		}
-		if had.applied >= s.Slot {
-			m.fault("%s proposed slot %d under %v, which its voter %s had applied", s.Replica, s.Slot, s.Ballot, v)
+		if had.applied >= s.Index {
+			m.fault("%s proposed slot %d under %v, which its voter %s had applied", s.Replica, s.Index, s.Ballot, v)
 		}
 	}
-	if highest.sum != "" && highest.sum != s.Sum {
-		m.fault("%s proposed another entry for slot %d under %v than the one accepted under %v", s.Replica, s.Slot, s.Ballot, highest.ballot)
+	if highest.sum != "" && highest.sum != s.Digest {
+		m.fault("%s proposed another entry for slot %d under %v than the one accepted under %v", s.Replica, s.Index, s.Ballot, highest.ballot)
 	}
 }
 
 // choose checks that a majority of the members of that slot accepted the entry.
 func (m *Monitor) choose(s trace.Chosen) {
-	members := m.members[s.Slot-1]
+	members := m.members[s.Index-1]
 	if !majority(s.Acceptors, members) {
-		m.fault("slot %d was chosen by %v among %v", s.Slot, s.Acceptors, members)
+		m.fault("slot %d was chosen by %v among %v", s.Index, s.Acceptors, members)
 	}
 	for _, a := range s.Acceptors {
 		// One that applied it by a later leader's word holds it as well.
-		if e := m.of(a).accepted[s.Slot]; e.sum != s.Sum && m.of(a).applied < s.Slot {
-			m.fault("slot %d was chosen by %s, which did not accept it", s.Slot, a)
+		if e := m.of(a).accepted[s.Index]; e.sum != s.Digest && m.of(a).applied < s.Index {
+			m.fault("slot %d was chosen by %s, which did not accept it", s.Index, a)
 		}
 	}
-	m.choice(s.Slot, s.Sum)
+	m.choice(s.Index, s.Digest)
 }
 
 // choice notes the entry of a slot; there is one.
@@ -105,18 +105,18 @@
 
 func (m *Monitor) applied(s trace.Applied) {
 	r := m.of(s.Replica)
-	if s.Slot != r.applied+1 {
-		m.fault("%s applied slot %d after %d", s.Replica, s.Slot, r.applied)
+	if s.Index != r.applied+1 {
+		m.fault("%s applied slot %d after %d", s.Replica, s.Index, r.applied)
 	}
 	if m.adopting {
-		m.choice(s.Slot, s.Sum)
+		m.choice(s.Index, s.Digest)
 	}
-	if sum, ok := m.chosen[s.Slot]; !ok || sum != s.Sum {
-		m.fault("%s applied an entry in slot %d that was not chosen", s.Replica, s.Slot)
+	if sum, ok := m.chosen[s.Index]; !ok || sum != s.Digest {
+		m.fault("%s applied an entry in slot %d that was not chosen", s.Replica, s.Index)
 	}
-	r.applied = s.Slot
-	m.checkChange(s.Slot, s.Members)
-	m.checkMembers(s.Replica, s.Slot, s.Members)
+	r.applied = s.Index
+	m.checkChange(s.Index, s.Members)
+	m.checkMembers(s.Replica, s.Index, s.Members)
 }
 
 // checkChange checks, at the first word of a slot that changes the members, that a
@@ -171,8 +171,8 @@
 // began.
 func (m *Monitor) confirmed(s trace.RoundConfirmed) {
 	at := round{s.Replica, s.Round}
-	if before := m.rounds[at]; s.Slot < before {
-		m.fault("%s may read at slot %d, though %d was chosen before it asked a majority", s.Replica, s.Slot, before)
+	if before := m.rounds[at]; s.Index < before {
+		m.fault("%s may read at slot %d, though %d was chosen before it asked a majority", s.Replica, s.Index, before)
 	}
 	delete(m.rounds, at)
 }
--- a/internal/paxos/log.go
+++ b/internal/paxos/log.go
@@ -41,7 +41,7 @@
 	a.promised = n
 	me := a.identity.ID
 	a.mu.Unlock()
-	a.Observe.Tell(trace.Promised{Replica: me, Ballot: n})
+	a.Observe.Notify(trace.Promised{Replica: me, Ballot: n})
 	if old.Round != n.Round {
 		_ = a.fs.Remove(promiseName(old.Round))
 	}
@@ -66,7 +66,7 @@
 	if err := a.writeEntry(e); err != nil {
 		return err
 	}
-	a.Observe.Tell(trace.Accepted{Replica: a.Identity().ID, Ballot: e.Ballot, Slot: e.Index, Sum: string(e.Digest())})
+	a.Observe.Notify(trace.Accepted{Replica: a.Identity().ID, Ballot: e.Ballot, Index: e.Index, Digest: string(e.Digest())})
 	return nil
 }
 
--- a/internal/registry/abort.go
+++ b/internal/registry/abort.go
@@ -44,7 +44,7 @@
 		answerWrong(w, err.Error(), nil)
 		return
 	}
-	got, err := r.stores.proposeOnce(ctx, "trial.decide", &statemachine.Decide{ID: id, Base: now.Version, Doc: doc, State: statemachine.Held, Why: "aborted by " + operatorOf(req), Who: operatorOf(req)}, key)
+	got, err := r.stores.proposeOnce(ctx, "trial.decide", &statemachine.Decide{ID: id, Base: now.Version, Doc: doc, State: statemachine.HeldBack, Why: "aborted by " + operatorOf(req), Who: operatorOf(req)}, key)
 	if err != nil {
 		r.answerFailure(w, err)
 		return
--- a/internal/registry/app.go
+++ b/internal/registry/app.go
@@ -135,7 +135,7 @@
 func (r *Registry) appHold(w http.ResponseWriter, req *http.Request) {
 	if c, ok := r.appRead(w, req, TabHold); ok {
 		cmd := &statemachine.AcquireLock{Name: c.name, Owner: c.v.Text("owner"), TTL: appTime(c.v), Renew: true, Fence: uint64(c.v.Count("fence"))}
-		r.appChange(w, req, c, "lock.take", cmd, map[string]int{statemachine.Conflict: http.StatusConflict, statemachine.Absent: http.StatusConflict}, fenceBody)
+		r.appChange(w, req, c, "lock.take", cmd, map[string]int{statemachine.Conflict: http.StatusConflict, statemachine.NotFound: http.StatusConflict}, fenceBody)
 	}
 }
 
@@ -170,8 +170,8 @@
 	}
 	ctx, end := r.withDeadline(req)
 	defer end()
-	got, err := r.stores.read(ctx, store.Query{What: "cell", Name: c.name})
-	r.appAnswer(w, got, err, map[string]int{statemachine.Absent: http.StatusNotFound}, func(got statemachine.Result) map[string]any {
+	got, err := r.stores.read(ctx, store.ReadRequest{Kind: "cell", Name: c.name})
+	r.appAnswer(w, got, err, map[string]int{statemachine.NotFound: http.StatusNotFound}, func(got statemachine.Result) map[string]any {
 		if got.Key == nil {
 			return map[string]any{}
 		}
@@ -207,8 +207,8 @@
 	}
 	ctx, end := context.WithTimeout(req.Context(), long)
 	defer end()
-	got, err := r.stores.groupPuts(ctx, store.Query{What: "puts", Name: c.name, From: after}, wait, r.Settings.ConfigBound)
-	r.appAnswer(w, got, err, map[string]int{statemachine.Gone: http.StatusGone}, func(got statemachine.Result) map[string]any {
+	got, err := r.stores.groupPuts(ctx, store.ReadRequest{Kind: "puts", Name: c.name, From: after}, wait, r.Settings.ConfigBound)
+	r.appAnswer(w, got, err, map[string]int{statemachine.Compacted: http.StatusGone}, func(got statemachine.Result) map[string]any {
 		type line struct {
 			Name  string `json:"name"`
 			Value string `json:"value"`
--- a/internal/registry/config.go
+++ b/internal/registry/config.go
@@ -88,7 +88,7 @@
 		answerWrong(w, "a path with traffic is rehearsed first, and its old arm needs what the document drops; keep that until the trial ends, or apply as an emergency", bad)
 		return true
 	}
-	r.begin(ctx, w, req, key, &statemachine.Propose{ID: old.Number + 1, Base: old.Version, Doc: doc, Paths: paths, Slice: c.Judge.Share("slice"), Who: operatorOf(req)})
+	r.begin(ctx, w, req, key, &statemachine.Propose{ID: old.Number + 1, Base: old.Version, Doc: doc, Routes: paths, Slice: c.Judge.Share("slice"), Who: operatorOf(req)})
 	return true
 }
 
@@ -103,7 +103,7 @@
 	ctx, end := r.withDeadline(req)
 	defer end()
 	from, _ := strconv.ParseUint(req.URL.Query().Get("version"), 10, 64)
-	got, err := r.stores.read(ctx, store.Query{What: "history", From: from})
+	got, err := r.stores.read(ctx, store.ReadRequest{Kind: "history", From: from})
 	if err != nil {
 		r.answerFailure(w, err)
 		return
--- a/internal/registry/coord.go
+++ b/internal/registry/coord.go
@@ -57,7 +57,7 @@
 
 // answer turns a receipt into a status and a body.
 func answer(w http.ResponseWriter, got statemachine.Result, body map[string]any) {
-	code := map[string]int{statemachine.OK: http.StatusOK, statemachine.Conflict: http.StatusConflict, statemachine.Reused: http.StatusConflict, statemachine.Absent: http.StatusNotFound, statemachine.Gone: http.StatusGone, statemachine.Full: http.StatusServiceUnavailable}[got.Code]
+	code := map[string]int{statemachine.OK: http.StatusOK, statemachine.Conflict: http.StatusConflict, statemachine.Reused: http.StatusConflict, statemachine.NotFound: http.StatusNotFound, statemachine.Compacted: http.StatusGone, statemachine.Full: http.StatusServiceUnavailable}[got.Code]
 	if code == 0 {
 		code = http.StatusInternalServerError
 	}
@@ -79,7 +79,7 @@
 	answer(w, got, body(got))
 }
 
-func (r *Registry) query(w http.ResponseWriter, req *http.Request, q store.Query, body func(statemachine.Result) map[string]any) {
+func (r *Registry) query(w http.ResponseWriter, req *http.Request, q store.ReadRequest, body func(statemachine.Result) map[string]any) {
 	ctx, end := r.withDeadline(req)
 	defer end()
 	got, err := r.stores.read(ctx, q)
@@ -102,11 +102,11 @@
 
 func (r *Registry) getLock(w http.ResponseWriter, req *http.Request) {
 	name := chi.URLParam(req, "name")
-	r.query(w, req, store.Query{What: "lock", Name: name}, lockBody(name))
+	r.query(w, req, store.ReadRequest{Kind: "lock", Name: name}, lockBody(name))
 }
 
 func (r *Registry) getLocks(w http.ResponseWriter, req *http.Request) {
-	r.query(w, req, store.Query{What: "locks"}, func(got statemachine.Result) map[string]any {
+	r.query(w, req, store.ReadRequest{Kind: "locks"}, func(got statemachine.Result) map[string]any {
 		if got.Locks == nil {
 			got.Locks = map[string]statemachine.Lock{}
 		}
@@ -145,7 +145,7 @@
 
 func (r *Registry) getNumber(w http.ResponseWriter, req *http.Request) {
 	name := chi.URLParam(req, "name")
-	r.query(w, req, store.Query{What: "number", Name: name}, numberBody(name))
+	r.query(w, req, store.ReadRequest{Kind: "number", Name: name}, numberBody(name))
 }
 
 func (r *Registry) nextNumber(w http.ResponseWriter, req *http.Request) {
--- a/internal/registry/election.go
+++ b/internal/registry/election.go
@@ -102,14 +102,14 @@
 		return false
 	}
 	yes := 0
-	ballot.Poll(ctx, d.r.g, all, func(ctx context.Context, to string) (store.DutyVote, error) {
-		return transport.Ask[store.DutyVote](ctx, d.r.n, to, "store.duty", store.DutyAsk{Duty: d.name, Num: num, Op: op})
-	}, func(_ string, v store.DutyVote, err error) bool {
-		if err == nil && v.Yes {
+	ballot.Poll(ctx, d.r.g, all, func(ctx context.Context, to string) (store.RoleVote, error) {
+		return transport.Ask[store.RoleVote](ctx, d.r.n, to, "store.duty", store.RoleBallot{Role: d.name, Ballot: num, Op: op})
+	}, func(_ string, v store.RoleVote, err error) bool {
+		if err == nil && v.Granted {
 			yes++
 		}
 		d.mu.Lock()
-		d.seen = max(d.seen, v.Seen.Round)
+		d.seen = max(d.seen, v.Promised.Round)
 		d.mu.Unlock()
 		return yes > len(all)/2
 	})
--- a/internal/registry/judge.go
+++ b/internal/registry/judge.go
@@ -67,7 +67,7 @@
 // weigh sums the reports up for one trial and judges each of its paths.
 func (r *Registry) weigh(t statemachine.Trial, all []protocol.TrialReport, b judge.Bounds) []judge.Facts {
 	var out []judge.Facts
-	for _, path := range t.Paths {
+	for _, path := range t.Routes {
 		var old, now judge.Arm
 		age := time.Duration(0)
 		for _, rep := range all {
@@ -169,7 +169,7 @@
 	}
 	state := statemachine.Promoted
 	if word == judge.Bad {
-		state = statemachine.Held
+		state = statemachine.HeldBack
 	}
 	doc, err := rules.Settle(rl.Doc, t.ID, state == statemachine.Promoted)
 	if err != nil {
@@ -187,7 +187,7 @@
 		return
 	}
 	kind := event.Promoted
-	if state == statemachine.Held {
+	if state == statemachine.HeldBack {
 		kind = event.HeldBack
 	}
 	r.e.Log.Emit(kind, "trial", t.ID, "version", got.Version, "why", why)
--- a/internal/registry/keys.go
+++ b/internal/registry/keys.go
@@ -33,7 +33,7 @@
 }
 
 func (r *Registry) listKeys(w http.ResponseWriter, req *http.Request) {
-	r.query(w, req, store.Query{What: "keys", Name: req.URL.Query().Get("prefix")}, func(got statemachine.Result) map[string]any {
+	r.query(w, req, store.ReadRequest{Kind: "keys", Name: req.URL.Query().Get("prefix")}, func(got statemachine.Result) map[string]any {
 		if got.Names == nil {
 			got.Names = []string{}
 		}
@@ -43,7 +43,7 @@
 
 func (r *Registry) getKey(w http.ResponseWriter, req *http.Request) {
 	if name, ok := keyName(w, req); ok {
-		r.query(w, req, store.Query{What: "key", Name: name}, keyBody(name))
+		r.query(w, req, store.ReadRequest{Kind: "key", Name: name}, keyBody(name))
 	}
 }
 
@@ -89,12 +89,12 @@
 	ctx, end := r.withDeadline(req)
 	defer end()
 	wait = min(max(wait, 0), r.Settings.ConfigBound.Milliseconds())
-	got, err := r.stores.watch(ctx, store.Query{Name: q.Get("prefix"), From: from, Wait: wait})
+	got, err := r.stores.watch(ctx, store.ReadRequest{Name: q.Get("prefix"), From: from, WaitMS: wait})
 	if err != nil {
 		r.answerFailure(w, err)
 		return
 	}
-	if got.Code == statemachine.Gone {
+	if got.Code == statemachine.Compacted {
 		httpapi.JSON(w, http.StatusGone, map[string]any{"wrong": "the history does not reach back so far", "oldest": got.Revision})
 		return
 	}
--- a/internal/registry/number.go
+++ b/internal/registry/number.go
@@ -40,7 +40,7 @@
 	defer end()
 	got, known, err := r.knownNumber(ctx, key)
 	if err == nil && !known {
-		got, err = r.stores.proposeOnce(ctx, "config.number", &statemachine.NumberConfig{Number: c.Number, Doc: raw, Who: operatorOf(req), Why: "applied whole by its number"}, key)
+		got, err = r.stores.proposeOnce(ctx, "config.number", &statemachine.SetNumberedConfig{Number: c.Number, Doc: raw, Who: operatorOf(req), Why: "applied whole by its number"}, key)
 	}
 	if err != nil {
 		r.answerFailure(w, err)
@@ -65,7 +65,7 @@
 func (r *Registry) sentConfig(w http.ResponseWriter, req *http.Request) {
 	ctx, end := r.withDeadline(req)
 	defer end()
-	got, err := r.stores.read(ctx, store.Query{What: "sent"})
+	got, err := r.stores.read(ctx, store.ReadRequest{Kind: "sent"})
 	if err != nil {
 		r.answerFailure(w, err)
 		return
--- a/internal/registry/poll.go
+++ b/internal/registry/poll.go
@@ -29,7 +29,7 @@
 		// Time for a second store when the first is unreachable.
 		one, end := context.WithTimeout(ctx, 2*r.Settings.CallTimeout())
 		from := time.Now()
-		got, err := r.stores.read(one, store.Query{What: "config", From: have, Wait: wait.Milliseconds(), Patch: !r.whole})
+		got, err := r.stores.read(one, store.ReadRequest{Kind: "config", From: have, WaitMS: wait.Milliseconds(), AcceptsPatch: !r.whole})
 		end()
 		if err == nil && r.takeConfig(got) {
 			r.mu.Lock()
--- a/internal/registry/requests.go
+++ b/internal/registry/requests.go
@@ -52,7 +52,7 @@
 // earlierAnswer gives the first answer of a request that was taken already. A
 // majority confirms that it is known, or that it is not.
 func (r *Registry) earlierAnswer(ctx context.Context, key *store.RequestKey) (got statemachine.Result, known bool, err error) {
-	got, err = r.stores.read(ctx, store.Query{What: "request", Name: key.ID})
+	got, err = r.stores.read(ctx, store.ReadRequest{Kind: "request", Name: key.ID})
 	if err != nil || got.Code != statemachine.OK || got.Earlier == nil {
 		return statemachine.Result{}, false, err
 	}
@@ -99,7 +99,7 @@
 func pathsOf(trials []statemachine.Trial, id uint64) []string {
 	for _, t := range trials {
 		if t.ID == id {
-			return t.Paths
+			return t.Routes
 		}
 	}
 	return []string{}
--- a/internal/registry/routes.go
+++ b/internal/registry/routes.go
@@ -145,7 +145,7 @@
 	}
 	ctx, end := r.withDeadline(req)
 	defer end()
-	got, err := r.stores.read(ctx, store.Query{What: "config"})
+	got, err := r.stores.read(ctx, store.ReadRequest{Kind: "config"})
 	if err != nil {
 		r.answerFailure(w, err)
 		return
--- a/internal/registry/status.go
+++ b/internal/registry/status.go
@@ -158,7 +158,7 @@
 func (r *Registry) getStatus(w http.ResponseWriter, req *http.Request) {
 	ctx, end := r.withDeadline(req)
 	defer end()
-	got, err := r.stores.read(ctx, store.Query{What: "config", From: 1 << 62})
+	got, err := r.stores.read(ctx, store.ReadRequest{Kind: "config", From: 1 << 62})
 	f := r.gather(ctx, false, 0)
 	f.Version = got.Version
 	if err != nil {
--- a/internal/registry/stores.go
+++ b/internal/registry/stores.go
@@ -58,14 +58,14 @@
 func (c *stores) isUnreachable(a string) bool { return time.Since(c.unreachable[a]) < 2*c.storeTimeout }
 
 // observe takes in what a store says of the leader and the members.
-func (c *stores) observe(from string, g store.Given) {
+func (c *stores) observe(from string, g store.LeaderResponse) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	delete(c.unreachable, from)
 	if g.Done {
 		c.leader = from
-	} else if g.Head != "" && g.Head != from && !c.isUnreachable(g.Head) {
-		c.leader = g.Head
+	} else if g.LeaderAddr != "" && g.LeaderAddr != from && !c.isUnreachable(g.LeaderAddr) {
+		c.leader = g.LeaderAddr
 	} else if c.leader == from {
 		c.leader = ""
 	}
@@ -113,12 +113,12 @@
 			if again {
 				one, end = context.WithTimeout(ctx, long)
 			}
-			g, err := transport.Ask[store.Given](one, c.n, at, kind, in)
+			g, err := transport.Ask[store.LeaderResponse](one, c.n, at, kind, in)
 			end()
 			if err == nil {
 				c.observe(at, g)
 				if g.Done {
-					return g.Receipt, nil
+					return g.Result, nil
 				}
 				continue
 			}
@@ -160,7 +160,7 @@
 	if err != nil {
 		return statemachine.Result{}, err
 	}
-	return c.request(ctx, "store.offer", store.Offer{Cmd: p, Once: key}, false)
+	return c.request(ctx, "store.offer", store.ProposeRequest{Command: p, Request: key}, false)
 }
 
 // proposeBefore proposes a command that must not be done when it comes later than by.
@@ -169,25 +169,25 @@
 	if err != nil {
 		return statemachine.Result{}, err
 	}
-	in := store.Offer{Cmd: p}
+	in := store.ProposeRequest{Command: p}
 	if end, ok := ctx.Deadline(); ok && by.Before(end) && !by.IsZero() {
-		in.Rest = (end.Sub(by) + time.Millisecond - 1).Milliseconds()
+		in.ProposalMarginMS = (end.Sub(by) + time.Millisecond - 1).Milliseconds()
 	}
 	return c.requestWithin(ctx, "store.offer", in, false, c.storeTimeout, by)
 }
 
 // read asks for a confirmed read.
-func (c *stores) read(ctx context.Context, q store.Query) (statemachine.Result, error) {
+func (c *stores) read(ctx context.Context, q store.ReadRequest) (statemachine.Result, error) {
 	return c.request(ctx, "store.read", q, true)
 }
 
 // watch asks any store for changes; the own machine's is the first seed.
-func (c *stores) watch(ctx context.Context, q store.Query) (statemachine.Result, error) {
+func (c *stores) watch(ctx context.Context, q store.ReadRequest) (statemachine.Result, error) {
 	var last error
 	for _, at := range c.candidates() {
-		g, err := transport.Ask[store.Given](ctx, c.n, at, "store.watch", q)
+		g, err := transport.Ask[store.LeaderResponse](ctx, c.n, at, "store.watch", q)
 		if err == nil && g.Done {
-			return g.Receipt, nil
+			return g.Result, nil
 		}
 		last = err
 		if ctx.Err() != nil {
@@ -199,11 +199,11 @@
 
 // groupPuts asks the leader for the puts of a group. A long wait is made of parts,
 // so that a store that went dark in the middle of it is left soon.
-func (c *stores) groupPuts(ctx context.Context, q store.Query, wait, part time.Duration) (statemachine.Result, error) {
+func (c *stores) groupPuts(ctx context.Context, q store.ReadRequest, wait, part time.Duration) (statemachine.Result, error) {
 	end := time.Now().Add(wait)
 	for {
 		one := max(min(time.Until(end), part), 0)
-		q.Wait = one.Milliseconds()
+		q.WaitMS = one.Milliseconds()
 		got, err := c.requestWithin(ctx, "store.puts", q, true, one+c.storeTimeout, time.Time{})
 		if err != nil || got.Code != statemachine.OK || len(got.Changes) > 0 || q.From == 0 || time.Until(end) < time.Millisecond {
 			return got, err
@@ -223,7 +223,7 @@
 	}
 	got, known, err := r.earlierAnswer(ctx, key)
 	if err == nil && !known {
-		got, err = r.stores.request(ctx, "store.remove", store.RemoveAsk{ID: id, Once: key}, false)
+		got, err = r.stores.request(ctx, "store.remove", store.RemoveRequest{ID: id, Request: key}, false)
 	}
 	if err != nil {
 		r.answerFailure(w, err)
--- a/internal/registry/trials.go
+++ b/internal/registry/trials.go
@@ -36,7 +36,7 @@
 
 // confirmed reads the configuration and the trials with a majority.
 func (r *Registry) confirmed(ctx context.Context) (statemachine.Result, error) {
-	return r.stores.read(ctx, store.Query{What: "config"})
+	return r.stores.read(ctx, store.ReadRequest{Kind: "config"})
 }
 
 func answerWrong(w http.ResponseWriter, why string, bad []schema.Problem) {
@@ -94,7 +94,7 @@
 		return
 	}
 	for _, t := range now.Trials {
-		for _, p := range t.Paths {
+		for _, p := range t.Routes {
 			if t.State == statemachine.Running && p == path {
 				httpapi.JSON(w, http.StatusConflict, httpapi.Wrong{Wrong: fmt.Sprintf("trial %d runs on the same path", t.ID), Version: now.Version})
 				return
@@ -115,7 +115,7 @@
 		answerWrong(w, "the proposal can't stand", bad)
 		return
 	}
-	r.begin(ctx, w, req, key, &statemachine.Propose{ID: id, Base: base, Doc: doc, Paths: []string{path}, Slice: slice, Who: operatorOf(req)})
+	r.begin(ctx, w, req, key, &statemachine.Propose{ID: id, Base: base, Doc: doc, Routes: []string{path}, Slice: slice, Who: operatorOf(req)})
 }
 
 // begin offers a trial and answers.
@@ -126,9 +126,9 @@
 		return
 	}
 	if got.Code == statemachine.OK {
-		r.e.Log.Emit(event.Proposed, "trial", got.Number, "version", got.Version, "who", operatorOf(req), "paths", fmt.Sprint(c.Paths))
+		r.e.Log.Emit(event.Proposed, "trial", got.Number, "version", got.Version, "who", operatorOf(req), "paths", fmt.Sprint(c.Routes))
 	}
-	answerOrder(w, got, c.Paths)
+	answerOrder(w, got, c.Routes)
 }
 
 // trialBody shows a trial with the figures that decided, or those so far.
--- a/internal/sim/bytes_test.go
+++ b/internal/sim/bytes_test.go
@@ -33,7 +33,7 @@
 		add(n.Proxy.Sizes())
 	}
 	for _, c := range f.Cores {
-		add(c.Store.Sizes())
+		add(c.Store.BytesSent())
 		add(c.Registry.Sizes())
 	}
 	return out
--- a/internal/sim/logsteps_test.go
+++ b/internal/sim/logsteps_test.go
@@ -30,7 +30,7 @@
 		if c.Store == nil {
 			continue
 		}
-		for f, sum := range c.Store.Sizes() {
+		for f, sum := range c.Store.BytesSent() {
 			if f.Kind == "store.accept" || f.Kind == "store.ballot" {
 				n += sum.Bytes
 			}
--- a/internal/statemachine/command.go
+++ b/internal/statemachine/command.go
@@ -25,19 +25,19 @@
 	Steps    []patch.Step `msgpack:"p,omitempty"` // in the place of Doc, from the version that the asker has
 	Trials   []Trial      `msgpack:"t,omitempty"`
 	Locks    map[string]Lock
-	Earlier  *Answered `msgpack:"q,omitempty"` // an answered request
+	Earlier  *AnsweredRequest `msgpack:"q,omitempty"` // an answered request
 }
 
 // The codes of a result.
 const (
-	OK       = "ok"
-	Conflict = "conflict" // the base, revision or owner is not what stands
-	Absent   = "absent"
-	Fenced   = "fenced" // the leader's ballot is below one already seen
-	Gone     = "gone"   // the history does not reach back so far
-	Wrong    = "wrong"
-	Full     = "full"   // nothing was done for want of room
-	Reused   = "reused" // another content was taken under the request's id or number
+	OK        = "ok"
+	Conflict  = "conflict" // the base, revision or owner is not what stands
+	NotFound  = "absent"
+	Fenced    = "fenced" // the leader's ballot is below one already seen
+	Compacted = "gone"   // the history does not reach back so far
+	Invalid   = "wrong"
+	Full      = "full"   // nothing was done for want of room
+	Reused    = "reused" // another content was taken under the request's id or number
 )
 
 // Command changes the state.
@@ -53,8 +53,8 @@
 	"request.trim":  func() Command { return &CompactRequests{} },
 	"noop":          func() Command { return &Noop{} },
 	"config.set":    func() Command { return &SetConfig{} },
-	"config.step":   func() Command { return &StepConfig{} },
-	"config.number": func() Command { return &NumberConfig{} },
+	"config.step":   func() Command { return &PatchConfig{} },
+	"config.number": func() Command { return &SetNumberedConfig{} },
 	"cell.put":      func() Command { return &PutGroupKey{} },
 	"cell.trim":     func() Command { return &CompactPuts{} },
 	"key.put":       func() Command { return &PutKey{} },
--- a/internal/statemachine/config.go
+++ b/internal/statemachine/config.go
@@ -43,9 +43,9 @@
 	return Result{Code: OK, Version: c.Version}
 }
 
-// NumberConfig puts a whole configuration in force under the operator's own
+// SetNumberedConfig puts a whole configuration in force under the operator's own
 // number, if that is above the version that stands.
-type NumberConfig struct {
+type SetNumberedConfig struct {
 	Number uint64 `msgpack:"n"`
 	Doc    []byte `msgpack:"d"`
 	Who    string `msgpack:"w"`
@@ -54,7 +54,7 @@
 
 // Apply sets the configuration if its number is the highest. One that is not
 // is acknowledged all the same: it is overtaken, or was sent again.
-func (c *NumberConfig) Apply(s *State) Result {
+func (c *SetNumberedConfig) Apply(s *State) Result {
 	if now := s.Config().Version; c.Number <= now {
 		return Result{Code: OK, Version: now, Message: "not above the version that stands"}
 	}
@@ -65,35 +65,35 @@
 const (
 	Running  = "running"
 	Promoted = "promoted"
-	Held     = "held-back"
+	HeldBack = "held-back"
 	Dropped  = "dropped"
 )
 
 // Trial is a change of paths that is tried on a slice of the traffic. Its
 // paths stand beside the old ones in the configuration in force.
 type Trial struct {
-	ID    uint64   `msgpack:"i" json:"id"`
-	State string   `msgpack:"s" json:"state"`
-	Paths []string `msgpack:"p" json:"paths"`
-	Slice float64  `msgpack:"l" json:"slice"`
-	Begin uint64   `msgpack:"b" json:"begin_version"`
-	End   uint64   `msgpack:"e" json:"end_version,omitempty"`
-	Who   string   `msgpack:"w" json:"who"`
-	Why   string   `msgpack:"y" json:"why,omitempty"`
-	Facts []byte   `msgpack:"f" json:"-"`
-	Next  []byte   `msgpack:"n" json:"-"` // the document if it is promoted
+	ID     uint64   `msgpack:"i" json:"id"`
+	State  string   `msgpack:"s" json:"state"`
+	Routes []string `msgpack:"p" json:"paths"`
+	Slice  float64  `msgpack:"l" json:"slice"`
+	Begin  uint64   `msgpack:"b" json:"begin_version"`
+	End    uint64   `msgpack:"e" json:"end_version,omitempty"`
+	Who    string   `msgpack:"w" json:"who"`
+	Why    string   `msgpack:"y" json:"why,omitempty"`
+	Facts  []byte   `msgpack:"f" json:"-"`
+	Next   []byte   `msgpack:"n" json:"-"` // the document if it is promoted
 }
 
 // Propose begins a trial: Doc is the configuration with both arms in it, and
 // names the trial by ID.
 type Propose struct {
-	ID    uint64   `msgpack:"i"`
-	Base  uint64   `msgpack:"b"`
-	Doc   []byte   `msgpack:"d"`
-	Paths []string `msgpack:"p"`
-	Slice float64  `msgpack:"l"`
-	Who   string   `msgpack:"w"`
-	Next  []byte   `msgpack:"n"`
+	ID     uint64   `msgpack:"i"`
+	Base   uint64   `msgpack:"b"`
+	Doc    []byte   `msgpack:"d"`
+	Routes []string `msgpack:"p"`
+	Slice  float64  `msgpack:"l"`
+	Who    string   `msgpack:"w"`
+	Next   []byte   `msgpack:"n"`
 }
 
 // Apply begins the trial as a new version.
@@ -103,7 +103,7 @@
 		return Result{Code: Conflict, Version: now.Version, Message: fmt.Sprintf("based on version %d, but %d stands", c.Base, now.Version)}
 	}
 	for _, t := range s.Trials {
-		if t.State == Running && overlap(t.Paths, c.Paths) {
+		if t.State == Running && overlap(t.Routes, c.Routes) {
 			return Result{Code: Conflict, Version: now.Version, Message: fmt.Sprintf("trial %d runs on the same path", t.ID)}
 		}
 	}
@@ -113,7 +113,7 @@
 	}
 	s.TrialsBegun++
 	got := s.setConfig(c.Doc, c.Who, fmt.Sprintf("trial %d proposed", s.TrialsBegun))
-	s.Trials = append(s.Trials, Trial{ID: s.TrialsBegun, State: Running, Paths: c.Paths, Slice: c.Slice,
+	s.Trials = append(s.Trials, Trial{ID: s.TrialsBegun, State: Running, Routes: c.Routes, Slice: c.Slice,
 		Begin: got.Version, Who: c.Who, Next: c.Next})
 	if len(s.Trials) > maxConfigs {
 		s.Trials = append([]Trial(nil), s.Trials[len(s.Trials)-maxConfigs:]...)
@@ -168,5 +168,5 @@
 		t.State, t.Why, t.Facts, t.End = c.State, c.Why, c.Facts, got.Version
 		return Result{Code: OK, Version: got.Version}
 	}
-	return Result{Code: Absent, Message: "no such trial"}
+	return Result{Code: NotFound, Message: "no such trial"}
 }
--- a/internal/statemachine/fence_test.go
+++ b/internal/statemachine/fence_test.go
@@ -12,8 +12,8 @@
 func TestDutyFenced(t *testing.T) {
 	s := statemachine.New("m", nil)
 	old, now := ballot.Number{Round: 3, Candidate: "a"}, ballot.Number{Round: 4, Candidate: "b"}
-	take(t, s, "config.number", &statemachine.NumberConfig{Number: 1, Doc: []byte("{}")})
-	take(t, s, "trial.propose", &statemachine.Propose{ID: 1, Base: 1, Doc: []byte("{}"), Paths: []string{"p"}})
+	take(t, s, "config.number", &statemachine.SetNumberedConfig{Number: 1, Doc: []byte("{}")})
+	take(t, s, "trial.propose", &statemachine.Propose{ID: 1, Base: 1, Doc: []byte("{}"), Routes: []string{"p"}})
 	for i, c := range []struct {
 		num  ballot.Number
 		code string
@@ -24,7 +24,7 @@
 		s = reload(t, s)
 	}
 	decide := func(num ballot.Number) statemachine.Result {
-		return take(t, s, "trial.decide", &statemachine.Decide{ID: 1, Ballot: num, Base: s.Config().Version, Doc: []byte("{}"), State: statemachine.Held})
+		return take(t, s, "trial.decide", &statemachine.Decide{ID: 1, Ballot: num, Base: s.Config().Version, Doc: []byte("{}"), State: statemachine.HeldBack})
 	}
 	if got := decide(old); got.Code != statemachine.Fenced {
 		t.Errorf("a former judge decided: %+v", got)
--- a/internal/statemachine/groupkeys_test.go
+++ b/internal/statemachine/groupkeys_test.go
@@ -140,7 +140,7 @@
 		for i := range rapid.IntRange(1, 15).Draw(t, "steps") {
 			n := rapid.Uint64Range(1, 200).Draw(t, "number")
 			d := fmt.Sprint("d", i, string(make([]byte, rapid.SampledFrom([]int{0, 1000, maxConfigBytes / 3, 2 * maxConfigBytes}).Draw(t, "size"))))
-			got := (&NumberConfig{Number: n, Doc: []byte(d)}).Apply(s)
+			got := (&SetNumberedConfig{Number: n, Doc: []byte(d)}).Apply(s)
 			if n > top {
 				top, doc = n, d
 			}
@@ -164,14 +164,14 @@
 // TestNumberEndsTrials: a document by number ends what runs.
 func TestNumberEndsTrials(t *testing.T) {
 	s := New("m", nil)
-	(&NumberConfig{Number: 10, Doc: []byte("a")}).Apply(s)
-	if r := (&Propose{ID: 1, Base: 10, Doc: []byte("b"), Paths: []string{"p"}}).Apply(s); r.Version != 11 {
+	(&SetNumberedConfig{Number: 10, Doc: []byte("a")}).Apply(s)
+	if r := (&Propose{ID: 1, Base: 10, Doc: []byte("b"), Routes: []string{"p"}}).Apply(s); r.Version != 11 {
 		t.Fatal(r)
 	}
 	if c, _ := s.NewestSent(); string(c.Doc) != "a" {
 		t.Errorf("sent is %q while a trial runs", c.Doc)
 	}
-	if r := (&NumberConfig{Number: 20, Doc: []byte("c")}).Apply(s); r.Version != 20 || s.Trials[0].State != Dropped || s.Trials[0].End != 20 {
+	if r := (&SetNumberedConfig{Number: 20, Doc: []byte("c")}).Apply(s); r.Version != 20 || s.Trials[0].State != Dropped || s.Trials[0].End != 20 {
 		t.Errorf("%v, %v", r, s.Trials)
 	}
 }
--- a/internal/statemachine/keys.go
+++ b/internal/statemachine/keys.go
@@ -32,7 +32,7 @@
 func (c *DeleteKey) Apply(s *State) Result {
 	k, ok := s.Keys[c.Name]
 	if !ok {
-		return Result{Code: Absent, Revision: s.Revision, Message: "no such key"}
+		return Result{Code: NotFound, Revision: s.Revision, Message: "no such key"}
 	}
 	if c.If && k.Revision != c.Revision {
 		return Result{Code: Conflict, Revision: k.Revision, Message: "the key's revision is another"}
@@ -86,7 +86,7 @@
 	}
 	// A renewal never takes a lock anew: the owner must learn that it lost it.
 	if c.Renew && (!held || l.Fence != c.Fence) {
-		return Result{Code: Absent, Message: "the lock is not held under that fence"}
+		return Result{Code: NotFound, Message: "the lock is not held under that fence"}
 	}
 	if !held {
 		s.Fence++
@@ -111,7 +111,7 @@
 func (c *ReleaseLock) Apply(s *State) Result {
 	l, held := s.Locks[c.Name]
 	if !held {
-		return Result{Code: Absent, Message: "not held"}
+		return Result{Code: NotFound, Message: "not held"}
 	}
 	if l.Owner != c.Owner || (c.Fence != 0 && l.Fence != c.Fence) {
 		return Result{Code: Conflict, Lock: &l, Message: "held by another"}
--- a/internal/statemachine/members.go
+++ b/internal/statemachine/members.go
@@ -27,7 +27,7 @@
 			return Result{Code: OK}
 		}
 	}
-	return Result{Code: Absent, Message: "no such member"}
+	return Result{Code: NotFound, Message: "no such member"}
 }
 
 // RemoveMember takes a member out.
@@ -44,7 +44,7 @@
 		}
 	}
 	if len(stay) == len(s.Members) {
-		return Result{Code: Absent, Message: "no such member"}
+		return Result{Code: NotFound, Message: "no such member"}
 	}
 	if len(stay) < 2 {
 		return Result{Code: Conflict, Message: "the stores that stay would be without a majority"}
@@ -81,7 +81,7 @@
 // taken out one by one.
 func (c *SetVoterCount) Apply(s *State) Result {
 	if c.Count < 1 || c.Count > 9 || c.Count%2 == 0 {
-		return Result{Code: Wrong, Message: "an odd number from 1 to 9 may vote"}
+		return Result{Code: Invalid, Message: "an odd number from 1 to 9 may vote"}
 	}
 	s.WantedMembers = c.Count
 	return Result{Code: OK}
--- a/internal/statemachine/read.go
+++ b/internal/statemachine/read.go
@@ -8,19 +8,19 @@
 	case "key":
 		k, ok := s.Keys[name]
 		if !ok {
-			return Result{Code: Absent, Revision: s.Revision, Message: "no such key"}
+			return Result{Code: NotFound, Revision: s.Revision, Message: "no such key"}
 		}
 		return Result{Code: OK, Revision: s.Revision, Key: &k}
 	case "cell":
 		c, ok := s.GroupKeys[name]
 		if !ok {
-			return Result{Code: Absent, Message: "no such key"}
+			return Result{Code: NotFound, Message: "no such key"}
 		}
 		return Result{Code: OK, Revision: c.Revision, Key: &Key{Value: c.Value, Revision: c.Revision}}
 	case "sent":
 		c, ok := s.NewestSent()
 		if !ok {
-			return Result{Code: Absent, Message: "none was sent yet"}
+			return Result{Code: NotFound, Message: "none was sent yet"}
 		}
 		return Result{Code: OK, Version: c.Version, Doc: c.Doc}
 	case "keys":
@@ -28,7 +28,7 @@
 	case "lock":
 		l, ok := s.Locks[name]
 		if !ok {
-			return Result{Code: Absent, Message: "not held"}
+			return Result{Code: NotFound, Message: "not held"}
 		}
 		return Result{Code: OK, Lock: &l}
 	case "locks":
@@ -46,7 +46,7 @@
 	case "request":
 		a, ok := s.Answered(name)
 		if !ok {
-			return Result{Code: Absent, Version: s.Config().Version, Message: "no such request is known"}
+			return Result{Code: NotFound, Version: s.Config().Version, Message: "no such request is known"}
 		}
 		return Result{Code: OK, Version: s.Config().Version, Earlier: &a}
 	case "history":
@@ -61,5 +61,5 @@
 		}
 		return Result{Code: OK, Version: s.Config().Version, Configs: out}
 	}
-	return Result{Code: Wrong, Message: "unknown read " + what}
+	return Result{Code: Invalid, Message: "unknown read " + what}
 }
--- a/internal/statemachine/request.go
+++ b/internal/statemachine/request.go
@@ -13,11 +13,11 @@
 // forgotten first. Each is part of every snapshot, with 100 bytes or so.
 const MaxRequests = 2048
 
-// Answered is an operator's request that was taken, with its first answer.
-type Answered struct {
-	ID      string `msgpack:"i"`
-	Digest  []byte `msgpack:"d"` // of the content that was sent under the id
-	Receipt Result `msgpack:"r"`
+// AnsweredRequest is an operator's request that was taken, with its first answer.
+type AnsweredRequest struct {
+	ID     string `msgpack:"i"`
+	Digest []byte `msgpack:"d"` // of the content that was sent under the id
+	Result Result `msgpack:"r"`
 }
 
 // Request is a command that its sender may send again after a lost answer: the
@@ -58,17 +58,17 @@
 	}
 	got := c.inner.Apply(s)
 	if got.Code == OK {
-		s.remember(Answered{ID: c.ID, Digest: c.Digest, Receipt: got})
+		s.remember(AnsweredRequest{ID: c.ID, Digest: c.Digest, Result: got})
 	}
 	return got
 }
 
 // Repeat gives the first answer again to whoever sends the same content.
-func (a Answered) Repeat(digest []byte) Result {
+func (a AnsweredRequest) Repeat(digest []byte) Result {
 	if bytes.Equal(a.Digest, digest) {
-		return a.Receipt
+		return a.Result
 	}
-	return Result{Code: Reused, Version: a.Receipt.Version, Message: "another content was taken under this request id or number"}
+	return Result{Code: Reused, Version: a.Result.Version, Message: "another content was taken under this request id or number"}
 }
 
 // otherUnder tells whether the configuration that stands has this very number
@@ -80,16 +80,16 @@
 }
 
 // Answered gives the answered request of an id.
-func (s *State) Answered(id string) (Answered, bool) {
+func (s *State) Answered(id string) (AnsweredRequest, bool) {
 	at, ok := s.answers[id]
 	if !ok {
-		return Answered{}, false
+		return AnsweredRequest{}, false
 	}
 	return s.Requests[at-s.Forgotten], true
 }
 
 // remember adds an answered request, and forgets the oldest beyond the bound.
-func (s *State) remember(a Answered) {
+func (s *State) remember(a AnsweredRequest) {
 	s.answers[a.ID] = s.Forgotten + uint64(len(s.Requests))
 	s.Requests = append(s.Requests, a)
 	if len(s.Requests) > MaxRequests {
@@ -104,7 +104,7 @@
 		delete(s.answers, s.Requests[n].ID)
 		s.Forgotten++
 	}
-	s.Requests = append([]Answered(nil), s.Requests[n:]...)
+	s.Requests = append([]AnsweredRequest(nil), s.Requests[n:]...)
 }
 
 // TotalRequests counts the requests that were ever answered.
--- a/internal/statemachine/request_test.go
+++ b/internal/statemachine/request_test.go
@@ -29,7 +29,7 @@
 // numbered is the request of a configuration under the operator's own number.
 func numbered(t *testing.T, number uint64, doc string) *statemachine.Request {
 	t.Helper()
-	p, err := statemachine.Pack("config.number", &statemachine.NumberConfig{Number: number, Doc: []byte(doc)})
+	p, err := statemachine.Pack("config.number", &statemachine.SetNumberedConfig{Number: number, Doc: []byte(doc)})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -86,7 +86,7 @@
 // request of it is remembered.
 func TestOtherUnderHeldNumber(t *testing.T) {
 	s := statemachine.New("m", nil)
-	take(t, s, "config.number", &statemachine.NumberConfig{Number: 4, Doc: []byte(`{"a":1}`)})
+	take(t, s, "config.number", &statemachine.SetNumberedConfig{Number: 4, Doc: []byte(`{"a":1}`)})
 	if got := take(t, s, statemachine.KindRequest, numbered(t, 4, `{"a":2}`)); got.Code != statemachine.Reused {
 		t.Errorf("another content: %+v", got)
 	}
--- a/internal/statemachine/state.go
+++ b/internal/statemachine/state.go
@@ -73,9 +73,9 @@
 	Puts           []Put                    `msgpack:"puts"`
 	CompactedPuts  uint64                   `msgpack:"trimmed"` // puts that are no longer kept
 
-	Requests  []Answered `msgpack:"requests,omitempty"`  // operators' requests that were taken, the oldest first
-	Forgotten uint64     `msgpack:"forgotten,omitempty"` // answered requests that are no longer kept
-	Level     int        `msgpack:"level,omitempty"`     // of commands, that every member has known once
+	Requests  []AnsweredRequest `msgpack:"requests,omitempty"`  // operators' requests that were taken, the oldest first
+	Forgotten uint64            `msgpack:"forgotten,omitempty"` // answered requests that are no longer kept
+	Level     int               `msgpack:"level,omitempty"`     // of commands, that every member has known once
 
 	answers        map[string]uint64 // request id to its place in the row of all answered ones
 	size           int               // bytes of the puts that are kept
--- a/internal/statemachine/step.go
+++ b/internal/statemachine/step.go
@@ -9,11 +9,11 @@
 // LevelSteps is the level from which on a program knows StepConfig.
 const LevelSteps = 1
 
-// StepConfig puts in force what a step makes of the document that stands: the
+// PatchConfig puts in force what a step makes of the document that stands: the
 // same as a SetConfig or, with a number, a NumberConfig with the whole of it.
 // Versions are applied in order from a snapshot, which holds the whole, so
 // none is needed between them.
-type StepConfig struct {
+type PatchConfig struct {
 	Step   patch.Step `msgpack:"s"`
 	Base   uint64     `msgpack:"b,omitempty"`
 	Number uint64     `msgpack:"n,omitempty"` // the operator's own; 0: the next one
@@ -22,17 +22,17 @@
 	Why    string     `msgpack:"y"`
 }
 
-// Shorten gives the command that does the same as c from the configuration that
+// AsPatch gives the command that does the same as c from the configuration that
 // stands, if that is much shorter; nil when it isn't, or c sets no document.
-func Shorten(c Command, now Config) *StepConfig {
-	var out StepConfig
+func AsPatch(c Command, now Config) *PatchConfig {
+	var out PatchConfig
 	var doc []byte
 	to := now.Version + 1
 	switch c := c.(type) {
 	case *SetConfig:
-		doc, out = c.Doc, StepConfig{Base: c.Base, Now: c.Now, Who: c.Who, Why: c.Why}
-	case *NumberConfig:
-		doc, out = c.Doc, StepConfig{Number: c.Number, Who: c.Who, Why: c.Why}
+		doc, out = c.Doc, PatchConfig{Base: c.Base, Now: c.Now, Who: c.Who, Why: c.Why}
+	case *SetNumberedConfig:
+		doc, out = c.Doc, PatchConfig{Number: c.Number, Who: c.Who, Why: c.Why}
 		to = c.Number
 	default:
 		return nil
@@ -49,7 +49,7 @@
 // Apply sets the configuration. A step that does not begin at the document that
 // stands, or does not end where it says, changes nothing: at every replica, as
 // all hold the same.
-func (c *StepConfig) Apply(s *State) Result {
+func (c *PatchConfig) Apply(s *State) Result {
 	now := s.Config()
 	doc, err := c.Step.Apply(now.Doc)
 	// What would be turned away or passed over as a whole is so as a step.
@@ -58,7 +58,7 @@
 		return Result{Code: Conflict, Version: now.Version, Message: fmt.Sprintf("a step does not fit version %d: %v", now.Version, err)}
 	}
 	if c.Number > 0 {
-		return (&NumberConfig{Number: c.Number, Doc: doc, Who: c.Who, Why: c.Why}).Apply(s)
+		return (&SetNumberedConfig{Number: c.Number, Doc: doc, Who: c.Who, Why: c.Why}).Apply(s)
 	}
 	return (&SetConfig{Base: c.Base, Now: c.Now, Doc: doc, Who: c.Who, Why: c.Why}).Apply(s)
 }
--- a/internal/statemachine/step_test.go
+++ b/internal/statemachine/step_test.go
@@ -21,12 +21,12 @@
 			for i, r := range rows {
 				fmt.Fprintf(&doc, `{"name":"path-%d","left_ms":%d}`, i, r)
 			}
-			var c Command = &NumberConfig{Number: whole.Config().Version + rapid.Uint64Range(0, 3).Draw(t, "up"), Doc: doc.Bytes(), Who: "w", Why: "y"}
+			var c Command = &SetNumberedConfig{Number: whole.Config().Version + rapid.Uint64Range(0, 3).Draw(t, "up"), Doc: doc.Bytes(), Who: "w", Why: "y"}
 			if rapid.Bool().Draw(t, "by base") {
 				c = &SetConfig{Base: whole.Config().Version - min(whole.Config().Version, rapid.Uint64Range(0, 1).Draw(t, "behind")), Doc: doc.Bytes(), Who: "w", Why: "y"}
 			}
 			same := c
-			if s := Shorten(c, steps.Config()); s != nil {
+			if s := AsPatch(c, steps.Config()); s != nil {
 				p, err := Pack("config.step", s)
 				if err != nil || len(p.Body) > doc.Len()/2 {
 					t.Fatalf("%d bytes for %d: %v", len(p.Body), doc.Len(), err)
@@ -54,16 +54,16 @@
 	doc := func(n int) []byte { return append(bytes.Repeat([]byte(`{"a":1}`), 60), fmt.Sprint(n)...) }
 	s := New("m", nil)
 	(&SetConfig{Doc: doc(1)}).Apply(s)
-	step := Shorten(&NumberConfig{Number: 9, Doc: doc(2)}, s.Config())
+	step := AsPatch(&SetNumberedConfig{Number: 9, Doc: doc(2)}, s.Config())
 	if step == nil {
 		t.Fatal("not shortened")
 	}
-	(&NumberConfig{Number: 5, Doc: doc(3)}).Apply(s)
+	(&SetNumberedConfig{Number: 5, Doc: doc(3)}).Apply(s)
 	before, _ := s.Pack()
 	if r := step.Apply(s); r.Code != Conflict || r.Version != 5 {
 		t.Errorf("another document: %+v", r)
 	}
-	step = Shorten(&NumberConfig{Number: 9, Doc: doc(2)}, s.Config())
+	step = AsPatch(&SetNumberedConfig{Number: 9, Doc: doc(2)}, s.Config())
 	step.Step.Digest[0]++
 	if r := step.Apply(s); r.Code != Conflict {
 		t.Errorf("ends elsewhere: %+v", r)
@@ -71,7 +71,7 @@
 	if after, _ := s.Pack(); !bytes.Equal(before, after) {
 		t.Error("a refused step changed the state")
 	}
-	if Shorten(&NumberConfig{Number: 9, Doc: []byte("short")}, s.Config()) != nil || Shorten(&Noop{}, s.Config()) != nil {
+	if AsPatch(&SetNumberedConfig{Number: 9, Doc: []byte("short")}, s.Config()) != nil || AsPatch(&Noop{}, s.Config()) != nil {
 		t.Error("shortened for nothing")
 	}
 }
--- a/internal/store/confirm.go
+++ b/internal/store/confirm.go
@@ -103,7 +103,7 @@
 func (t *leadership) heartbeat(ctx context.Context) error {
 	s := t.s
 	from, round := time.Now(), t.rounds.Add(1)
-	s.e.Trace.Tell(trace.RoundBegan{Replica: s.acc.Identity().ID, Round: round})
+	s.e.Trace.Notify(trace.RoundBegan{Replica: s.acc.Identity().ID, Round: round})
 	ask := t.beatOfNow()
 	who, need := s.memberAddresses()
 	yes, higher := 0, 0
@@ -145,7 +145,7 @@
 		t.confirmedAt = from
 		t.mu.Unlock()
 		s.mu.Lock()
-		s.e.Trace.Tell(trace.RoundConfirmed{Replica: s.acc.Identity().ID, Round: round, Slot: s.slot})
+		s.e.Trace.Notify(trace.RoundConfirmed{Replica: s.acc.Identity().ID, Round: round, Index: s.slot})
 		s.mu.Unlock()
 		return nil
 	}
--- a/internal/store/duty.go
+++ b/internal/store/duty.go
@@ -36,29 +36,29 @@
 	return v
 }
 
-func (s *Store) onDuty(_ context.Context, _ transport.Hello, in DutyAsk) (DutyVote, error) {
-	if in.Duty != "judge" && in.Duty != "steward" {
-		return DutyVote{}, fault.New(fault.Refused, "no such duty")
+func (s *Store) onDuty(_ context.Context, _ transport.Hello, in RoleBallot) (RoleVote, error) {
+	if in.Role != "judge" && in.Role != "steward" {
+		return RoleVote{}, fault.New(fault.Refused, "no such duty")
 	}
 	s.mu.Lock()
 	able := s.state != nil && s.isMember(s.acc.Identity().ID)
 	stuck := s.diskHangs() && in.Op == "ask"
 	s.mu.Unlock()
 	if !able {
-		return DutyVote{}, fault.New(fault.Refused, "not a member")
+		return RoleVote{}, fault.New(fault.Refused, "not a member")
 	}
 	if stuck {
-		return DutyVote{}, fault.New(fault.Refused, "the disk hangs")
+		return RoleVote{}, fault.New(fault.Refused, "the disk hangs")
 	}
-	v := s.dutyVoter(in.Duty)
+	v := s.dutyVoter(in.Role)
 	switch in.Op {
 	case "beat":
-		yes, seen, err := v.Heartbeat(in.Num)
-		return DutyVote{yes, seen}, err
+		yes, seen, err := v.Heartbeat(in.Ballot)
+		return RoleVote{yes, seen}, err
 	case "vacate":
-		v.Vacate(in.Num)
-		return DutyVote{Yes: true}, nil
+		v.Vacate(in.Ballot)
+		return RoleVote{Granted: true}, nil
 	}
-	yes, seen, err := v.Vote(in.Num)
-	return DutyVote{yes, seen}, err
+	yes, seen, err := v.Vote(in.Ballot)
+	return RoleVote{yes, seen}, err
 }
--- a/internal/store/founding.go
+++ b/internal/store/founding.go
@@ -135,7 +135,7 @@
 		return err
 	}
 	s.mu.Lock()
-	s.e.Trace.Tell(trace.Installed{Replica: s.acc.Identity().ID, Slot: s.slot, Sum: string(s.sum), Members: s.memberIDs()})
+	s.e.Trace.Notify(trace.Installed{Replica: s.acc.Identity().ID, Index: s.slot, Digest: string(s.sum), Members: s.memberIDs()})
 	s.mu.Unlock()
 	s.e.Log.Emit(say, "mesh", led.ClusterID, "slot", c.Index)
 	// A joiner stays out of the voting until it is a member.
--- a/internal/store/join.go
+++ b/internal/store/join.go
@@ -189,7 +189,7 @@
 	if err := s.writeDurably(func() error { return s.acc.Rename(now, chosen) }); err != nil {
 		return err
 	}
-	s.e.Trace.Tell(trace.Renamed{Replica: now.ID, Former: former})
+	s.e.Trace.Notify(trace.Renamed{Replica: now.ID, Former: former})
 	s.voter.Reset()
 	s.mu.Lock()
 	s.leaderAddress = ""
--- a/internal/store/leadership.go
+++ b/internal/store/leadership.go
@@ -82,7 +82,7 @@
 	who, need := s.memberAddresses()
 	got := map[string]bool{}
 	var acceptors []string
-	s.e.Trace.Tell(trace.Proposed{Replica: s.acc.Identity().ID, Ballot: t.num, Slot: e.Index, Sum: string(e.Digest())})
+	s.e.Trace.Notify(trace.Proposed{Replica: s.acc.Identity().ID, Ballot: t.num, Index: e.Index, Digest: string(e.Digest())})
 	from := time.Now()
 	for {
 		var left []string
@@ -115,7 +115,7 @@
 		})
 		end()
 		if len(got) >= need {
-			s.e.Trace.Tell(trace.Chosen{Replica: s.acc.Identity().ID, Ballot: t.num, Slot: e.Index, Sum: string(e.Digest()), Acceptors: acceptors})
+			s.e.Trace.Notify(trace.Chosen{Replica: s.acc.Identity().ID, Ballot: t.num, Index: e.Index, Digest: string(e.Digest()), Acceptors: acceptors})
 			out, err := s.apply(&e)
 			s.tellChosen(&e, acceptors)
 			return out, err
--- a/internal/store/leave.go
+++ b/internal/store/leave.go
@@ -35,7 +35,7 @@
 		s.e.Pause(ctx, s.Settings.HeartbeatInterval()/4)
 	}
 	if ctx.Err() == nil {
-		s.e.Trace.Tell(trace.Left{Replica: s.acc.Identity().ID})
+		s.e.Trace.Notify(trace.Left{Replica: s.acc.Identity().ID})
 	}
 	s.e.Log.Emit(event.Left, "place_given", given, "after_ms", time.Since(from).Milliseconds(), "in_time", ctx.Err() == nil)
 }
--- a/internal/store/messages.go
+++ b/internal/store/messages.go
@@ -121,24 +121,24 @@
 	Keeps bool `msgpack:"k,omitempty"`
 }
 
-// RemoveAsk is an operator's word to take a store out.
-type RemoveAsk struct {
-	ID   string      `msgpack:"i"`
-	Once *RequestKey `msgpack:"o,omitempty"`
+// RemoveRequest is an operator's word to take a store out.
+type RemoveRequest struct {
+	ID      string      `msgpack:"i"`
+	Request *RequestKey `msgpack:"o,omitempty"`
 }
 
 type vacateAsk struct {
 	Num ballot.Number `msgpack:"n"`
 }
 
-// Offer asks the leader for a command.
-type Offer struct {
-	Cmd statemachine.Packed `msgpack:"c"`
+// ProposeRequest asks the leader for a command.
+type ProposeRequest struct {
+	Command statemachine.Packed `msgpack:"c"`
 	// Rest is how long before the call's own end the command may last be
 	// proposed, in ms; 0: until the end.
-	Rest int64 `msgpack:"r,omitempty"`
+	ProposalMarginMS int64 `msgpack:"r,omitempty"`
 	// Once names the request of an operator that the command is for.
-	Once *RequestKey `msgpack:"o,omitempty"`
+	Request *RequestKey `msgpack:"o,omitempty"`
 }
 
 // RequestKey identifies a request that its sender may send again.
@@ -148,57 +148,57 @@
 	Number uint64 `msgpack:"n,omitempty"` // the operator's own number of a configuration
 }
 
-// Given is the leader's word on an offer or a read; Head is set when another
+// LeaderResponse is the leader's word on an offer or a read; Head is set when another
 // store writes and nothing was done here.
-type Given struct {
-	Head    string                `msgpack:"h"`
-	Done    bool                  `msgpack:"d"`
-	Receipt statemachine.Result   `msgpack:"r"`
-	Members []statemachine.Member `msgpack:"m"`
+type LeaderResponse struct {
+	LeaderAddr string                `msgpack:"h"`
+	Done       bool                  `msgpack:"d"`
+	Result     statemachine.Result   `msgpack:"r"`
+	Members    []statemachine.Member `msgpack:"m"`
 }
 
-// Query asks the leader for a confirmed read.
-type Query struct {
-	What  string `msgpack:"w"`
-	Name  string `msgpack:"n"`
-	From  uint64 `msgpack:"f"`
-	Wait  int64  `msgpack:"t"`           // ms to wait for a version above From
-	Patch bool   `msgpack:"p,omitempty"` // a document is taken as the steps from From
+// ReadRequest asks the leader for a confirmed read.
+type ReadRequest struct {
+	Kind         string `msgpack:"w"`
+	Name         string `msgpack:"n"`
+	From         uint64 `msgpack:"f"`
+	WaitMS       int64  `msgpack:"t"`           // ms to wait for a version above From
+	AcceptsPatch bool   `msgpack:"p,omitempty"` // a document is taken as the steps from From
 }
 
-// DutyAsk is a ballot for a role of the registries.
-type DutyAsk struct {
-	Duty string        `msgpack:"d"`
-	Num  ballot.Number `msgpack:"n"`
-	Op   string        `msgpack:"o"` // ask, beat or vacate
+// RoleBallot is a ballot for a role of the registries.
+type RoleBallot struct {
+	Role   string        `msgpack:"d"`
+	Ballot ballot.Number `msgpack:"n"`
+	Op     string        `msgpack:"o"` // ask, beat or vacate
 }
 
-// DutyVote is a store's vote on it.
-type DutyVote struct {
-	Yes  bool          `msgpack:"y"`
-	Seen ballot.Number `msgpack:"s"`
+// RoleVote is a store's vote on it.
+type RoleVote struct {
+	Granted  bool          `msgpack:"y"`
+	Promised ballot.Number `msgpack:"s"`
 }
 
 // Status is what a store says of itself.
 type Status struct {
-	Node    string                `msgpack:"node" json:"node"`
-	Addr    string                `msgpack:"addr" json:"addr"`
-	Area    string                `msgpack:"area" json:"area"`
-	Role    string                `msgpack:"role" json:"role"`
-	Slot    uint64                `msgpack:"slot" json:"version_slot"`
-	Head    string                `msgpack:"head" json:"writer"`
-	Ballot  string                `msgpack:"ballot" json:"ballot"`
-	Config  uint64                `msgpack:"config" json:"config_version"`
-	Ill     bool                  `msgpack:"ill" json:"disk_ill"`
-	Ready   bool                  `msgpack:"ready" json:"ready"`
-	Why     string                `msgpack:"why" json:"why,omitempty"`
-	Members []statemachine.Member `msgpack:"members" json:"members"`
-	Events  []event.Entry         `msgpack:"events" json:"-"`
+	Node        string                `msgpack:"node" json:"node"`
+	Addr        string                `msgpack:"addr" json:"addr"`
+	Zone        string                `msgpack:"area" json:"area"`
+	Role        string                `msgpack:"role" json:"role"`
+	Index       uint64                `msgpack:"slot" json:"version_slot"`
+	Leader      string                `msgpack:"head" json:"writer"`
+	Ballot      string                `msgpack:"ballot" json:"ballot"`
+	Config      uint64                `msgpack:"config" json:"config_version"`
+	DiskFailing bool                  `msgpack:"ill" json:"disk_ill"`
+	Ready       bool                  `msgpack:"ready" json:"ready"`
+	Reason      string                `msgpack:"why" json:"why,omitempty"`
+	Members     []statemachine.Member `msgpack:"members" json:"members"`
+	Events      []event.Entry         `msgpack:"events" json:"-"`
 }
 
 // Messages lists every message of this package, for the check that a later
 // entry still speaks all that the last one did.
 func Messages() []any {
 	return []any{ballotAsk{}, ballotVote{}, acceptAsk{}, beatAsk{}, ack{}, fetchAsk{}, fetchGot{}, chunkAsk{}, chunkGot{}, foundAsk{}, foundGot{},
-		genesis{}, RemoveAsk{}, joinAsk{}, joinGot{}, vacateAsk{}, leaveAsk{}, Offer{}, Given{}, Query{}, leftAsk{}, leftGot{}, DutyAsk{}, DutyVote{}, Status{}}
+		genesis{}, RemoveRequest{}, joinAsk{}, joinGot{}, vacateAsk{}, leaveAsk{}, ProposeRequest{}, LeaderResponse{}, ReadRequest{}, leftAsk{}, leftGot{}, RoleBallot{}, RoleVote{}, Status{}}
 }
--- a/internal/store/puts.go
+++ b/internal/store/puts.go
@@ -13,7 +13,7 @@
 // there are none. Only the leader answers, after a majority confirmed it: so
 // the answer never lags behind what was acknowledged before it was asked for,
 // and a put reaches its watchers at the moment in which it is applied.
-func (s *Store) onPuts(ctx context.Context, _ transport.Hello, in Query) (Given, error) {
+func (s *Store) onPuts(ctx context.Context, _ transport.Hello, in ReadRequest) (LeaderResponse, error) {
 	t, g := s.currentLeadership()
 	if t == nil {
 		return g, nil
@@ -21,7 +21,7 @@
 	if err := t.confirmLeadership(ctx); err != nil {
 		return g, err
 	}
-	end := time.NewTimer(time.Duration(in.Wait) * time.Millisecond)
+	end := time.NewTimer(time.Duration(in.WaitMS) * time.Millisecond)
 	defer end.Stop()
 	for last := false; ; {
 		s.mu.Lock()
@@ -32,13 +32,13 @@
 		switch {
 		case in.From == 0:
 			// Only the present revision is asked for.
-			g.Receipt = statemachine.Result{Code: statemachine.OK, Revision: rev}
+			g.Result = statemachine.Result{Code: statemachine.OK, Revision: rev}
 			return g, nil
 		case !ok:
-			g.Receipt = statemachine.Result{Code: statemachine.Gone, Revision: rev, Message: "the history does not reach back so far"}
+			g.Result = statemachine.Result{Code: statemachine.Compacted, Revision: rev, Message: "the history does not reach back so far"}
 			return g, nil
 		case len(got) > 0 || last:
-			g.Receipt = statemachine.Result{Code: statemachine.OK, Changes: got, Revision: max(rev, in.From)}
+			g.Result = statemachine.Result{Code: statemachine.OK, Changes: got, Revision: max(rev, in.From)}
 			return g, nil
 		}
 		select {
@@ -46,9 +46,9 @@
 		case <-end.C:
 			last = true
 		case <-ctx.Done():
-			return Given{}, fault.New(fault.Refused, "no time left")
+			return LeaderResponse{}, fault.New(fault.Refused, "no time left")
 		case <-t.g.Context().Done():
-			return Given{}, fault.New(fault.Refused, "no longer the writer")
+			return LeaderResponse{}, fault.New(fault.Refused, "no longer the writer")
 		}
 	}
 }
--- a/internal/store/ready.go
+++ b/internal/store/ready.go
@@ -17,25 +17,25 @@
 	_, quiet := s.voter.Promised()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	out := Status{Node: s.Settings.Node, Addr: s.Settings.InternalAddr, Area: s.Settings.Zone, Role: s.role.Current(), Slot: s.slot, Head: s.leaderAddress, Ballot: s.acc.Promised().String(), Ill: s.diskIll || s.diskHangs()}
+	out := Status{Node: s.Settings.Node, Addr: s.Settings.InternalAddr, Zone: s.Settings.Zone, Role: s.role.Current(), Index: s.slot, Leader: s.leaderAddress, Ballot: s.acc.Promised().String(), DiskFailing: s.diskIll || s.diskHangs()}
 	if s.state != nil {
 		out.Members, out.Config = s.state.Members, s.state.Config().Version
 	}
 	switch {
 	case s.stopping:
-		out.Why = "stopping"
+		out.Reason = "stopping"
 	case out.Role == "spare" && time.Since(s.lastJoined) > s.Settings.Lease():
-		out.Why = "stands by, but no writer answers"
+		out.Reason = "stands by, but no writer answers"
 	case s.state == nil || out.Role == "empty":
-		out.Why = "empty: waits for the founding or a place"
+		out.Reason = "empty: waits for the founding or a place"
 	case s.leadership != nil && s.memberNames() != s.leadership.memberSet:
-		out.Why = "the members have changed, and none of them leads yet"
-	case out.Ill:
-		out.Why = "the disk refuses or is slow"
+		out.Reason = "the members have changed, and none of them leads yet"
+	case out.DiskFailing:
+		out.Reason = "the disk refuses or is slow"
 	case out.Role != "spare" && s.leadership == nil && (out.Role != "follow" || quiet > s.Settings.Lease()):
-		out.Why = "no writer is heard"
+		out.Reason = "no writer is heard"
 	}
-	out.Ready = out.Why == ""
+	out.Ready = out.Reason == ""
 	return out
 }
 
@@ -67,6 +67,6 @@
 	return nil
 }
 
-// Sizes gives the bytes that this process sent to others, by kind of message;
+// BytesSent gives the bytes that this process sent to others, by kind of message;
 // receipts count with what they answer.
-func (s *Store) Sizes() map[transport.Flow]transport.Sum { return s.n.Sizes() }
+func (s *Store) BytesSent() map[transport.Flow]transport.Sum { return s.n.Sizes() }
--- a/internal/store/recover.go
+++ b/internal/store/recover.go
@@ -24,7 +24,7 @@
 		return err
 	}
 	s.mu.Lock()
-	s.e.Trace.Tell(trace.Opened{Replica: s.acc.Identity().ID, Slot: s.slot, Sum: string(s.sum), Members: s.memberIDs()})
+	s.e.Trace.Notify(trace.Opened{Replica: s.acc.Identity().ID, Index: s.slot, Digest: string(s.sum), Members: s.memberIDs()})
 	s.mu.Unlock()
 	// What the files alone prove to be chosen is applied at once.
 	for _, e := range s.acc.ProvenChosen(s.slot, s.sum) {
--- a/internal/store/remove.go
+++ b/internal/store/remove.go
@@ -25,7 +25,7 @@
 // onRemove takes a store out by an operator's word. It is refused when those
 // who stay could not decide at once without it: fewer than two, or one of them
 // out of touch.
-func (s *Store) onRemove(ctx context.Context, _ transport.Hello, in RemoveAsk) (Given, error) {
+func (s *Store) onRemove(ctx context.Context, _ transport.Hello, in RemoveRequest) (LeaderResponse, error) {
 	t, g := s.currentLeadership()
 	if t == nil {
 		return g, nil
@@ -42,19 +42,19 @@
 	}
 	t.mu.Unlock()
 	if !found {
-		g.Receipt = statemachine.Result{Code: statemachine.Absent, Message: "no such member"}
+		g.Result = statemachine.Result{Code: statemachine.NotFound, Message: "no such member"}
 		return g, nil
 	}
 	if left := len(g.Members) - 1; left < 2 || stay < left {
 		s.e.Log.Emit(event.Unsafe, "member", in.ID, "left", left, "in_touch", stay)
-		g.Receipt = statemachine.Result{Code: statemachine.Conflict, Message: "the stores that stay would be without a majority"}
+		g.Result = statemachine.Result{Code: statemachine.Conflict, Message: "the stores that stay would be without a majority"}
 		return g, nil
 	}
 	p, err := statemachine.Pack("store.remove", &statemachine.RemoveMember{ID: in.ID})
 	if err != nil {
 		return g, fault.Wrap(fault.Refused, err, "remove")
 	}
-	g.Receipt, err = t.proposeGuarded(ctx, p, in.Once, t.heldByMajority(without(g.Members, in.ID)))
+	g.Result, err = t.proposeGuarded(ctx, p, in.Request, t.heldByMajority(without(g.Members, in.ID)))
 	return g, err
 }
 
--- a/internal/store/shorten.go
+++ b/internal/store/shorten.go
@@ -30,14 +30,14 @@
 		switch o.in.(type) {
 		case *statemachine.Propose, *statemachine.Decide:
 			return
-		case *statemachine.SetConfig, *statemachine.NumberConfig:
+		case *statemachine.SetConfig, *statemachine.SetNumberedConfig:
 			if !t.versed(statemachine.LevelSteps) {
 				return
 			}
 			t.s.mu.Lock()
 			now := t.s.state.Config()
 			t.s.mu.Unlock()
-			if c := statemachine.Shorten(o.in, now); c != nil {
+			if c := statemachine.AsPatch(o.in, now); c != nil {
 				if p, err := statemachine.Pack("config.step", c); err == nil {
 					o.cmd = p
 				}
--- a/internal/store/shorten_test.go
+++ b/internal/store/shorten_test.go
@@ -32,7 +32,7 @@
 	kinds := func(t2 *leadership) string {
 		var batch []*proposal
 		for i := range 2 {
-			c := &statemachine.NumberConfig{Number: uint64(7 + i), Doc: doc(2 + i)}
+			c := &statemachine.SetNumberedConfig{Number: uint64(7 + i), Doc: doc(2 + i)}
 			p, err := statemachine.Pack("config.number", c)
 			if err != nil {
 				t.Fatal(err)
--- a/internal/store/size.go
+++ b/internal/store/size.go
@@ -27,7 +27,7 @@
 // or keeps the core itself going, is taken however full it is.
 func grows(c statemachine.Command) bool {
 	switch c := c.(type) {
-	case *statemachine.SetConfig, *statemachine.NumberConfig, *statemachine.Propose, *statemachine.PutKey, *statemachine.PutGroupKey, *statemachine.NextNumber:
+	case *statemachine.SetConfig, *statemachine.SetNumberedConfig, *statemachine.Propose, *statemachine.PutKey, *statemachine.PutGroupKey, *statemachine.NextNumber:
 		return true
 	case *statemachine.AcquireLock:
 		return !c.Renew
--- a/internal/store/steps.go
+++ b/internal/store/steps.go
@@ -8,8 +8,8 @@
 // stepped gives a poll the step from the document that the asker has in the
 // place of the whole, if both are kept and it is worth it. All registries ask
 // for the same one, so the last is kept. mu is held.
-func (s *Store) stepped(in Query, r statemachine.Result) statemachine.Result {
-	if !in.Patch || in.What != "config" || r.Doc == nil || in.From == 0 {
+func (s *Store) stepped(in ReadRequest, r statemachine.Result) statemachine.Result {
+	if !in.AcceptsPatch || in.Kind != "config" || r.Doc == nil || in.From == 0 {
 		return r
 	}
 	if s.step.From != in.From || s.step.To != r.Version {
--- a/internal/store/steps_test.go
+++ b/internal/store/steps_test.go
@@ -27,16 +27,16 @@
 	}
 	held := patch.NewDocument(4)
 	for i, c := range []struct {
-		q    Query
+		q    ReadRequest
 		at   int // how many entries are there
 		step bool
 	}{
-		{Query{What: "config", From: 1, Patch: true}, 2, true},
-		{Query{What: "config", From: 1}, 2, false},
-		{Query{What: "config", Patch: true}, 2, false},
-		{Query{What: "config", From: 9, Patch: true}, 2, false},
-		{Query{What: "config", From: 2, Patch: true}, 3, false}, // most rows differ
-		{Query{What: "config", From: 1, Patch: true}, 2, true},
+		{ReadRequest{Kind: "config", From: 1, AcceptsPatch: true}, 2, true},
+		{ReadRequest{Kind: "config", From: 1}, 2, false},
+		{ReadRequest{Kind: "config", AcceptsPatch: true}, 2, false},
+		{ReadRequest{Kind: "config", From: 9, AcceptsPatch: true}, 2, false},
+		{ReadRequest{Kind: "config", From: 2, AcceptsPatch: true}, 3, false}, // most rows differ
+		{ReadRequest{Kind: "config", From: 1, AcceptsPatch: true}, 2, true},
 	} {
 		led := *s.state
 		led.Configs = s.state.Configs[:c.at]
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -168,7 +168,7 @@
 	s.recordLeases(cmds, out)
 	s.slot, s.sum = e.Index, e.Digest()
 	s.grown(len(e.Batch))
-	s.e.Trace.Tell(trace.Applied{Replica: s.acc.Identity().ID, Slot: s.slot, Sum: string(s.sum), Members: s.memberIDs()})
+	s.e.Trace.Notify(trace.Applied{Replica: s.acc.Identity().ID, Index: s.slot, Digest: string(s.sum), Members: s.memberIDs()})
 	s.announceApplied()
 	return out, nil
 }
--- a/internal/store/tally.go
+++ b/internal/store/tally.go
@@ -44,7 +44,7 @@
 		step.Voters = append(step.Voters, v.ID)
 	}
 	s.mu.Lock()
-	step.Slot, step.Members = s.slot, s.memberIDs()
+	step.Index, step.Members = s.slot, s.memberIDs()
 	s.mu.Unlock()
-	s.e.Trace.Tell(step)
+	s.e.Trace.Notify(step)
 }
--- a/internal/trace/trace.go
+++ b/internal/trace/trace.go
@@ -12,8 +12,8 @@
 // Observer is told of steps; nil for none.
 type Observer func(Step)
 
-// Tell tells a step, if anybody listens.
-func (o Observer) Tell(s Step) {
+// Notify tells a step, if anybody listens.
+func (o Observer) Notify(s Step) {
 	if o != nil {
 		o(s)
 	}
@@ -23,8 +23,8 @@
 // empty one.
 type Opened struct {
 	Replica string
-	Slot    uint64
-	Sum     string
+	Index   uint64
+	Digest  string
 	Members []string
 }
 
@@ -38,15 +38,15 @@
 type Accepted struct {
 	Replica string
 	Ballot  ballot.Number
-	Slot    uint64
-	Sum     string
+	Index   uint64
+	Digest  string
 }
 
 // Elected is a replica that counts the votes of a majority.
 type Elected struct {
 	Replica string
 	Ballot  ballot.Number
-	Slot    uint64 // what it has applied, after catching up with its voters
+	Index   uint64 // what it has applied, after catching up with its voters
 	Voters  []string
 	Members []string
 }
@@ -55,32 +55,32 @@
 type Proposed struct {
 	Replica string
 	Ballot  ballot.Number
-	Slot    uint64
-	Sum     string
+	Index   uint64
+	Digest  string
 }
 
 // Chosen is an entry that a leader saw accepted by a majority.
 type Chosen struct {
 	Replica   string
 	Ballot    ballot.Number
-	Slot      uint64
-	Sum       string
+	Index     uint64
+	Digest    string
 	Acceptors []string
 }
 
 // Applied is an entry that a replica applied, and the members after it.
 type Applied struct {
 	Replica string
-	Slot    uint64
-	Sum     string
+	Index   uint64
+	Digest  string
 	Members []string
 }
 
 // Installed is a snapshot that took the place of a replica's state.
 type Installed struct {
 	Replica string
-	Slot    uint64
-	Sum     string
+	Index   uint64
+	Digest  string
 	Members []string
 }
 
@@ -95,7 +95,7 @@
 type RoundConfirmed struct {
 	Replica string
 	Round   uint64
-	Slot    uint64
+	Index   uint64
 }
 
 // Renamed is a replica that lost its place and takes up a new identity.
