--- a/internal/admission/crowd_test.go
+++ b/internal/admission/crowd_test.go
@@ -86,7 +86,7 @@
 func byRoom(t *testing.T, all []comer) (g good) {
 	synctest.Test(t, func(t *testing.T) {
 		r := New()
-		r.Shape(crowdSlots, crowdShare, crowdSlots)
+		r.Configure(crowdSlots, crowdShare, crowdSlots)
 		start := time.Now()
 		var mu sync.Mutex
 		var over sync.WaitGroup
@@ -97,12 +97,12 @@
 			group.Go("job", func(ctx context.Context) {
 				defer over.Done()
 				aim := crowdAim[c.kind]
-				a := Ask{Class: crowdClass[c.kind], Wait: min(2*aim, aim-crowdMid), Aim: aim}
-				if r.Enter(ctx, a) != In {
+				a := Request{Class: crowdClass[c.kind], MaxWait: min(2*aim, aim-crowdMid), Target: aim}
+				if r.Acquire(ctx, a) != Admitted {
 					return
 				}
 				task.Pause(ctx, c.took)
-				r.Leave(a, c.took)
+				r.Release(a, c.took)
 				mu.Lock()
 				g.add(c, time.Since(start))
 				mu.Unlock()
--- a/internal/admission/pace.go
+++ b/internal/admission/pace.go
@@ -42,7 +42,7 @@
 
 // hope guesses how long it takes until a class's waiter with so many ahead of
 // it has a slot: the turns that must come, by the pace at which they come.
-func (r *Room) hope(l *lot, ahead int) time.Duration {
+func (r *Controller) hope(l *lot, ahead int) time.Duration {
 	now := r.now()
 	each := l.each(now)
 	if each == 0 && l.pace.seen == 0 {
@@ -92,12 +92,12 @@
 // fear is a hope with a margin. In a full room each one let in is the last that
 // just fits, so by the mean alone every second one could be too late; the
 // fewer turns there are, the further off is the mean of them.
-func (r *Room) fear(l *lot, ahead int) time.Duration {
+func (r *Controller) fear(l *lot, ahead int) time.Duration {
 	return time.Duration(float64(r.hope(l, ahead)) * (1 + 0.25/math.Sqrt(float64(ahead+1))))
 }
 
 // mean is the pace of the whole room, for a class that has none yet.
-func (r *Room) mean(now int64) float64 {
+func (r *Controller) mean(now int64) float64 {
 	sum, n := 0.0, 0.0
 	for _, l := range r.lots {
 		w := max(l.pace.seen, float64(l.used))
@@ -109,9 +109,9 @@
 	return sum / n
 }
 
-// Hope guesses how long a new job of a class would wait now; 0 with a slot
+// EstimateWait guesses how long a new job of a class would wait now; 0 with a slot
 // free or nothing known.
-func (r *Room) Hope(class string) time.Duration {
+func (r *Controller) EstimateWait(class string) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	l := r.lots[class]
@@ -121,10 +121,10 @@
 	return r.hope(l, l.waits())
 }
 
-// Drain guesses when a class's queue will have let in all who wait now and one
+// EstimateDrain guesses when a class's queue will have let in all who wait now and one
 // more, spread by a quarter to either side at random: a crowd that was turned away
 // together must not come back as one.
-func (r *Room) Drain(class string) time.Duration {
+func (r *Controller) EstimateDrain(class string) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	l := r.lots[class]
--- a/internal/admission/pace_test.go
+++ b/internal/admission/pace_test.go
@@ -27,7 +27,7 @@
 }
 
 // play lets crowds press on a room for a time.
-func play(t *testing.T, r *Room, long time.Duration, all []crowd) map[string]*tally {
+func play(t *testing.T, r *Controller, long time.Duration, all []crowd) map[string]*tally {
 	out := map[string]*tally{}
 	var mu sync.Mutex
 	var wg sync.WaitGroup
@@ -41,28 +41,28 @@
 				task.Pause(t.Context(), time.Duration(g.ExpFloat64()/c.rate*float64(time.Second)))
 				took := c.took(g)
 				wg.Go(func() {
-					a := Ask{Class: c.class, Wait: c.wait}
-					guess, from := r.Hope(c.class), time.Now()
-					why := r.Enter(t.Context(), a)
+					a := Request{Class: c.class, MaxWait: c.wait}
+					guess, from := r.EstimateWait(c.class), time.Now()
+					why := r.Acquire(t.Context(), a)
 					real := time.Since(from)
 					mu.Lock()
 					o := out[c.class]
 					switch why {
-					case In:
+					case Admitted:
 						o.in++
 						o.busy += took
 						if real > 0 {
 							o.guess, o.real, o.waited = o.guess+guess, o.real+real, o.waited+1
 						}
-					case Full:
+					case QueueFull:
 						o.full++
 					default:
 						o.late++
 					}
 					mu.Unlock()
-					if why == In {
+					if why == Admitted {
 						task.Pause(t.Context(), took)
-						r.Leave(a, took)
+						r.Release(a, took)
 					}
 				})
 			}
@@ -105,7 +105,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				r := New()
-				r.Shape(c.slots, map[string]float64{"a": 200.0 / 3, "b": 100.0 / 3}, 2*c.slots)
+				r.Configure(c.slots, map[string]float64{"a": 200.0 / 3, "b": 100.0 / 3}, 2*c.slots)
 				got := play(t, r, time.Minute, c.all)
 				busy, late, full := time.Duration(0), 0, 0
 				for _, k := range c.all {
@@ -133,36 +133,36 @@
 func TestStandstill(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := New()
-		r.Shape(4, map[string]float64{"a": 100}, 100)
-		a := Ask{Class: "a", Wait: time.Second}
+		r.Configure(4, map[string]float64{"a": 100}, 100)
+		a := Request{Class: "a", MaxWait: time.Second}
 		for range 200 {
-			r.Enter(t.Context(), a)
+			r.Acquire(t.Context(), a)
 			task.Pause(t.Context(), 10*time.Millisecond)
-			r.Leave(a, 10*time.Millisecond)
+			r.Release(a, 10*time.Millisecond)
 		}
 		for range 4 {
-			r.Enter(t.Context(), a)
+			r.Acquire(t.Context(), a)
 		}
-		if h := r.Hope("a"); h > 10*time.Millisecond {
+		if h := r.EstimateWait("a"); h > 10*time.Millisecond {
 			t.Fatalf("usual pace, yet a wait of %v is guessed", h)
 		}
 		task.Pause(t.Context(), 20*time.Second)
-		h := r.Hope("a")
+		h := r.EstimateWait("a")
 		if h < 400*time.Millisecond {
 			t.Fatalf("nothing ended for 20 s, yet a wait of %v is guessed", h)
 		}
 		for range 4 {
-			r.Leave(a, 20*time.Second)
+			r.Release(a, 20*time.Second)
 		}
 		for range 200 {
-			r.Enter(t.Context(), a)
+			r.Acquire(t.Context(), a)
 			task.Pause(t.Context(), 10*time.Millisecond)
-			r.Leave(a, 10*time.Millisecond)
+			r.Release(a, 10*time.Millisecond)
 		}
 		for range 4 {
-			r.Enter(t.Context(), a)
+			r.Acquire(t.Context(), a)
 		}
-		if h := r.Hope("a"); h > 50*time.Millisecond {
+		if h := r.EstimateWait("a"); h > 50*time.Millisecond {
 			t.Errorf("the pace is back, yet a wait of %v is guessed", h)
 		}
 	})
@@ -173,15 +173,15 @@
 func TestDrainSpreads(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := New()
-		r.Shape(1, map[string]float64{"a": 100}, 100)
-		a := Ask{Class: "a", Wait: time.Second}
-		r.Enter(t.Context(), a)
+		r.Configure(1, map[string]float64{"a": 100}, 100)
+		a := Request{Class: "a", MaxWait: time.Second}
+		r.Acquire(t.Context(), a)
 		task.Pause(t.Context(), time.Second)
-		r.Leave(a, time.Second)
-		r.Enter(t.Context(), a)
+		r.Release(a, time.Second)
+		r.Acquire(t.Context(), a)
 		low, high, sum := time.Hour, time.Duration(0), time.Duration(0)
 		for range 500 {
-			d := r.Drain("a")
+			d := r.EstimateDrain("a")
 			low, high, sum = min(low, d), max(high, d), sum+d
 		}
 		const ms = time.Millisecond
--- a/internal/admission/room.go
+++ b/internal/admission/room.go
@@ -11,8 +11,8 @@
 	"time"
 )
 
-// Room is the slots of one worker.
-type Room struct {
+// Controller is the slots of one worker.
+type Controller struct {
 	mu     sync.Mutex
 	born   time.Time
 	slots  int
@@ -27,16 +27,16 @@
 }
 
 // New makes a room; Shape sets its size.
-func New() *Room {
-	return &Room{born: time.Now(), lots: map[string]*lot{}, closed: make(chan struct{}), dice: rand.Float64}
+func New() *Controller {
+	return &Controller{born: time.Now(), lots: map[string]*lot{}, closed: make(chan struct{}), dice: rand.Float64}
 }
 
 // now is the time since the room's birth in us: sums of it over all slots stay
 // far below the greatest whole number.
-func (r *Room) now() int64 { return time.Since(r.born).Microseconds() }
+func (r *Controller) now() int64 { return time.Since(r.born).Microseconds() }
 
 // lot finds a class's lot or makes it.
-func (r *Room) lot(class string) *lot {
+func (r *Controller) lot(class string) *lot {
 	l := r.lots[class]
 	if l == nil {
 		l = &lot{}
@@ -45,9 +45,9 @@
 	return l
 }
 
-// Shape sets the slots, the shares and the bound on each queue. Jobs that run
+// Configure sets the slots, the shares and the bound on each queue. Jobs that run
 // stay; what waits is looked at anew.
-func (r *Room) Shape(slots int, shares map[string]float64, queue int) {
+func (r *Controller) Configure(slots int, shares map[string]float64, queue int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.slots, r.queue = slots, queue
@@ -71,82 +71,82 @@
 
 // The outcomes of Enter.
 const (
-	In      = ""
-	Full    = "queue full"
-	Late    = "no time left in the queue"
-	Shut    = "draining"
-	Unknown = "no such class"
+	Admitted     = ""
+	QueueFull    = "queue full"
+	NoTimeLeft   = "no time left in the queue"
+	Draining     = "draining"
+	UnknownClass = "no such class"
 )
 
-// Ask is what a job asks a room for.
-type Ask struct {
-	Class string
-	Wait  time.Duration // the longest that it may wait
-	Aim   time.Duration // until its aim is missed; it waits a quarter of that at the most. 0 or less: no aim
-	Inner bool          // the caller is a job that holds a slot elsewhere
-	Rank  int           // those of a lower one go first in its line
+// Request is what a job asks a room for.
+type Request struct {
+	Class    string
+	MaxWait  time.Duration // the longest that it may wait
+	Target   time.Duration // until its aim is missed; it waits a quarter of that at the most. 0 or less: no aim
+	Nested   bool          // the caller is a job that holds a slot elsewhere
+	Priority int           // those of a lower one go first in its line
 }
 
 // bound is how long a job may wait. One that is turned away later than a
 // quarter of its aim has too little left to be served in time elsewhere.
-func (a Ask) bound() time.Duration {
-	if a.Aim > 0 {
-		return min(a.Wait, a.Aim/4)
+func (a Request) bound() time.Duration {
+	if a.Target > 0 {
+		return min(a.MaxWait, a.Target/4)
 	}
-	return a.Wait
+	return a.MaxWait
 }
 
-// Enter takes a slot, waiting for one within the ask's bounds. Any other
+// Acquire takes a slot, waiting for one within the ask's bounds. Any other
 // outcome than In means that the job got none. Leave wants the same ask.
-func (r *Room) Enter(ctx context.Context, a Ask) string {
+func (r *Controller) Acquire(ctx context.Context, a Request) string {
 	r.mu.Lock()
 	if r.shut {
 		r.mu.Unlock()
-		return Shut
+		return Draining
 	}
 	l := r.lots[a.Class]
 	if l == nil || !l.known {
 		r.mu.Unlock()
-		return Unknown
+		return UnknownClass
 	}
-	r.meet(a.Inner)
+	r.meet(a.Nested)
 	// Fewer slots kept back may be a turn for one who waits.
 	if r.total < r.slots {
 		r.next()
 	}
 	q, ahead, most := &l.outer, l.waits(), r.queue
-	if a.Inner {
+	if a.Nested {
 		// A slot stands still elsewhere as long as an inner job waits, so its
 		// queue is a little longer.
 		q, ahead, most = &l.inner, l.inner.long, r.queue+max(r.queue/4, 1)
 	}
-	if ahead == 0 && r.free(l, a.Inner) {
-		r.give(l, a.Inner)
+	if ahead == 0 && r.free(l, a.Nested) {
+		r.give(l, a.Nested)
 		r.mu.Unlock()
-		return In
+		return Admitted
 	}
 	// A job that can't hope for a slot in its time is told so at once. Only those
 	// that go before it are in its way; the queue as a whole is bounded besides.
 	wait := a.bound()
 	due := time.Now().Add(wait)
-	first := ahead - q.long + q.before(a.Rank, due)
+	first := ahead - q.long + q.before(a.Priority, due)
 	if first >= most || ahead >= 4*most || r.fear(l, first) > wait {
 		l.no++
 		r.mu.Unlock()
-		return Full
+		return QueueFull
 	}
-	w := &waiter{inner: a.Inner, rank: a.Rank, due: due, go_: make(chan struct{})}
+	w := &waiter{inner: a.Nested, rank: a.Priority, due: due, go_: make(chan struct{})}
 	q.add(w)
 	closed := r.closed
 	r.mu.Unlock()
 	t := time.NewTimer(wait)
 	defer t.Stop()
-	why := Late
+	why := NoTimeLeft
 	select {
 	case <-w.go_:
-		return In
+		return Admitted
 	case <-closed:
-		why = Shut
+		why = Draining
 	case <-t.C:
 	case <-ctx.Done():
 	}
@@ -154,7 +154,7 @@
 	defer r.mu.Unlock()
 	// The slot may have come just now; then it is taken after all.
 	if w.in {
-		return In
+		return Admitted
 	}
 	w.line.drop(w)
 	l.no++
@@ -162,7 +162,7 @@
 }
 
 // meet notes what part of the jobs are inner ones.
-func (r *Room) meet(inner bool) {
+func (r *Controller) meet(inner bool) {
 	hit := 0.0
 	if inner {
 		hit = 1
@@ -172,13 +172,13 @@
 
 // kept is how many free slots are kept back for inner jobs: as many as come
 // usually and are not inside, an eighth of the slots at the most.
-func (r *Room) kept() int {
+func (r *Controller) kept() int {
 	return max(min(int(math.Round(r.guests*float64(r.slots))), r.slots/8)-r.inside, 0)
 }
 
 // free tells whether a class's job may have a slot now. What is kept back is
 // kept from those who would borrow it, never from a class below its share.
-func (r *Room) free(l *lot, inner bool) bool {
+func (r *Controller) free(l *lot, inner bool) bool {
 	left := r.slots - r.total
 	if !inner && l.used >= l.floor {
 		left -= r.kept()
@@ -186,7 +186,7 @@
 	return left > 0
 }
 
-func (r *Room) give(l *lot, inner bool) {
+func (r *Controller) give(l *lot, inner bool) {
 	l.used++
 	r.total++
 	l.starts += r.now()
@@ -195,14 +195,14 @@
 	}
 }
 
-// Leave gives a slot back after a job that took some time.
-func (r *Room) Leave(a Ask, took time.Duration) {
+// Release gives a slot back after a job that took some time.
+func (r *Controller) Release(a Request, took time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	l := r.lot(a.Class)
 	l.used--
 	r.total--
-	if a.Inner {
+	if a.Nested {
 		r.inside--
 	}
 	l.did++
@@ -216,7 +216,7 @@
 
 // next hands free slots to waiters: first to the class that is furthest below
 // its share, then to the one that has borrowed least.
-func (r *Room) next() {
+func (r *Controller) next() {
 	for r.total < r.slots {
 		var best *lot
 		name, rank := "", math.Inf(1)
--- a/internal/admission/room_test.go
+++ b/internal/admission/room_test.go
@@ -57,7 +57,7 @@
 			slots := rapid.IntRange(3, 18).Draw(rt, "slots")
 			floor := Floors(slots, shares)
 			r := New()
-			r.Shape(slots, shares, 1000)
+			r.Configure(slots, shares, 1000)
 			used, wait, total := map[string]int{}, map[string]int{}, 0
 			ctx, stop := context.WithCancel(t.Context())
 			defer synctest.Wait()
@@ -67,7 +67,7 @@
 				c := rapid.SampledFrom([]string{"a", "b", "c"}).Draw(rt, "class")
 				if rapid.Bool().Draw(rt, "enter") {
 					go func() {
-						if r.Enter(ctx, Ask{Class: c, Wait: time.Hour}) == In {
+						if r.Acquire(ctx, Request{Class: c, MaxWait: time.Hour}) == Admitted {
 							ins <- c
 						}
 					}()
@@ -78,7 +78,7 @@
 						wait[c]++
 					}
 				} else if used[c] > 0 {
-					r.Leave(Ask{Class: c}, 0)
+					r.Release(Request{Class: c}, 0)
 					used[c]--
 					total--
 					best := ""
@@ -94,7 +94,7 @@
 					}
 				}
 				synctest.Wait()
-				for k, u := range r.Uses() {
+				for k, u := range r.Usage() {
 					if u.Used != used[k] || u.Waiting != wait[k] {
 						rt.Fatalf("class %s has %d used and %d waiting, the model %d and %d", k, u.Used, u.Waiting, used[k], wait[k])
 					}
@@ -109,28 +109,28 @@
 func TestBorrowed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := New()
-		r.Shape(12, map[string]float64{"reading": 50, "desk": 30, "upload": 20}, 100)
+		r.Configure(12, map[string]float64{"reading": 50, "desk": 30, "upload": 20}, 100)
 		for range 12 {
-			if why := r.Enter(t.Context(), Ask{Class: "reading", Wait: time.Second}); why != In {
+			if why := r.Acquire(t.Context(), Request{Class: "reading", MaxWait: time.Second}); why != Admitted {
 				t.Fatalf("an idle share was not lent: %s", why)
 			}
 		}
-		need := r.Uses()["desk"].Share
+		need := r.Usage()["desk"].Share
 		var in int
 		done := make(chan string, 100)
 		for range need {
-			go func() { done <- r.Enter(t.Context(), Ask{Class: "desk", Wait: time.Minute}) }()
+			go func() { done <- r.Acquire(t.Context(), Request{Class: "desk", MaxWait: time.Minute}) }()
 		}
 		for range 20 {
-			go func() { done <- r.Enter(t.Context(), Ask{Class: "reading", Wait: time.Minute}) }()
+			go func() { done <- r.Acquire(t.Context(), Request{Class: "reading", MaxWait: time.Minute}) }()
 		}
 		synctest.Wait()
 		freed := 0
 		for in < need {
-			r.Leave(Ask{Class: "reading"}, time.Millisecond)
+			r.Release(Request{Class: "reading"}, time.Millisecond)
 			freed++
 			synctest.Wait()
-			in = r.Uses()["desk"].Used
+			in = r.Usage()["desk"].Used
 		}
 		if freed != need {
 			t.Errorf("%d slots were freed until the pressed class had its %d", freed, need)
@@ -146,18 +146,18 @@
 func TestFullIsToldAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := New()
-		r.Shape(1, map[string]float64{"a": 100}, 1)
-		r.Enter(t.Context(), Ask{Class: "a", Wait: time.Second})
-		go r.Enter(t.Context(), Ask{Class: "a", Wait: time.Minute})
+		r.Configure(1, map[string]float64{"a": 100}, 1)
+		r.Acquire(t.Context(), Request{Class: "a", MaxWait: time.Second})
+		go r.Acquire(t.Context(), Request{Class: "a", MaxWait: time.Minute})
 		synctest.Wait()
 		from := time.Now()
-		if why := r.Enter(t.Context(), Ask{Class: "a", Wait: time.Minute}); why != Full || time.Since(from) != 0 {
+		if why := r.Acquire(t.Context(), Request{Class: "a", MaxWait: time.Minute}); why != QueueFull || time.Since(from) != 0 {
 			t.Errorf("got %q after %v", why, time.Since(from))
 		}
-		if why := r.Enter(t.Context(), Ask{Class: "nobody", Wait: time.Minute}); why != Unknown {
+		if why := r.Acquire(t.Context(), Request{Class: "nobody", MaxWait: time.Minute}); why != UnknownClass {
 			t.Errorf("unknown class got %q", why)
 		}
-		r.Leave(Ask{Class: "a"}, 0)
+		r.Release(Request{Class: "a"}, 0)
 		synctest.Wait()
 	})
 }
--- a/internal/admission/turn_test.go
+++ b/internal/admission/turn_test.go
@@ -13,7 +13,7 @@
 
 // guest is one job of a played room.
 type guest struct {
-	ask  Ask
+	ask  Request
 	stop context.CancelFunc
 	why  chan string
 	num  int
@@ -23,15 +23,15 @@
 // goes tells whether a guest of the same right goes before another: its rank is
 // lower, or its wait ends earlier, or it came earlier and waits as long.
 func (g *guest) goes(o *guest) bool {
-	if g.ask.Rank != o.ask.Rank {
-		return g.ask.Rank < o.ask.Rank
+	if g.ask.Priority != o.ask.Priority {
+		return g.ask.Priority < o.ask.Priority
 	}
 	return g.due.Before(o.due) || g.due.Equal(o.due) && g.num < o.num
 }
 
 // scene is a room and who is in it, as seen from outside.
 type scene struct {
-	r       *Room
+	r       *Controller
 	slots   int
 	floor   map[string]int
 	inside  []*guest
@@ -55,7 +55,7 @@
 	for _, g := range s.waiting {
 		select {
 		case why := <-g.why:
-			if why == In {
+			if why == Admitted {
 				in = append(in, g)
 			}
 		default:
@@ -67,8 +67,8 @@
 		// Whoever is of a lower rank, or has less time, or as much and came earlier, with the same
 		// right, was not passed over, and inner jobs go first within a class.
 		for _, w := range s.waiting {
-			if w.ask.Class == g.ask.Class && (w.ask.Inner == g.ask.Inner && w.goes(g) || w.ask.Inner && !g.ask.Inner) {
-				t.Fatalf("job %d (inner %v) of %s passed job %d (inner %v)", g.num, g.ask.Inner, g.ask.Class, w.num, w.ask.Inner)
+			if w.ask.Class == g.ask.Class && (w.ask.Nested == g.ask.Nested && w.goes(g) || w.ask.Nested && !g.ask.Nested) {
+				t.Fatalf("job %d (inner %v) of %s passed job %d (inner %v)", g.num, g.ask.Nested, g.ask.Class, w.num, w.ask.Nested)
 			}
 		}
 	}
@@ -84,11 +84,11 @@
 	free := s.slots - len(s.inside)
 	for _, w := range s.waiting {
 		c := w.ask.Class
-		if free > 0 && (w.ask.Inner || s.used(c) < s.floor[c] || free > s.slots/8) {
-			t.Fatalf("%d slots are free, yet a job of %s waits (inner %v, %d of %d used)", free, c, w.ask.Inner, s.used(c), s.floor[c])
+		if free > 0 && (w.ask.Nested || s.used(c) < s.floor[c] || free > s.slots/8) {
+			t.Fatalf("%d slots are free, yet a job of %s waits (inner %v, %d of %d used)", free, c, w.ask.Nested, s.used(c), s.floor[c])
 		}
 	}
-	uses := s.r.Uses()
+	uses := s.r.Usage()
 	waits := map[string]int{}
 	for _, w := range s.waiting {
 		waits[w.ask.Class]++
@@ -112,7 +112,7 @@
 				s.slots = rapid.IntRange(1, 24).Draw(rt, "slots")
 				shares := rapid.SampledFrom(shapes).Draw(rt, "shares")
 				s.floor = Floors(s.slots, shares)
-				s.r.Shape(s.slots, shares, 50)
+				s.r.Configure(s.slots, shares, 50)
 			}
 			shape()
 			defer func() {
@@ -121,7 +121,7 @@
 						g.stop()
 					}
 					if len(s.inside) > 0 {
-						s.r.Leave(s.inside[0].ask, 0)
+						s.r.Release(s.inside[0].ask, 0)
 						s.inside = s.inside[1:]
 					}
 					s.settle(rt)
@@ -134,11 +134,11 @@
 				case "enter":
 					ctx, stop := context.WithCancel(t.Context())
 					s.seq++
-					g := &guest{stop: stop, why: make(chan string, 1), num: s.seq, ask: Ask{Class: rapid.SampledFrom([]string{"a", "b", "c"}).Draw(rt, "class"),
-						Wait: time.Duration(rapid.SampledFrom([]int{1, 5, 1000}).Draw(rt, "wait")) * time.Second, Inner: rapid.IntRange(0, 3).Draw(rt, "inner") == 0, Rank: rapid.IntRange(0, 2).Draw(rt, "rank")}}
-					g.due = time.Now().Add(g.ask.Wait)
+					g := &guest{stop: stop, why: make(chan string, 1), num: s.seq, ask: Request{Class: rapid.SampledFrom([]string{"a", "b", "c"}).Draw(rt, "class"),
+						MaxWait: time.Duration(rapid.SampledFrom([]int{1, 5, 1000}).Draw(rt, "wait")) * time.Second, Nested: rapid.IntRange(0, 3).Draw(rt, "inner") == 0, Priority: rapid.IntRange(0, 2).Draw(rt, "rank")}}
+					g.due = time.Now().Add(g.ask.MaxWait)
 					s.waiting = append(s.waiting, g)
-					go func() { g.why <- s.r.Enter(ctx, g.ask) }()
+					go func() { g.why <- s.r.Acquire(ctx, g.ask) }()
 				case "leave":
 					if len(s.inside) == 0 {
 						continue
@@ -151,7 +151,7 @@
 						poor[w.ask.Class] = s.used(w.ask.Class) < s.floor[w.ask.Class]
 					}
 					full := len(s.inside) == s.slots-1
-					s.r.Leave(g.ask, time.Millisecond)
+					s.r.Release(g.ask, time.Millisecond)
 					for _, in := range s.settle(rt) {
 						for c, lacks := range poor {
 							if full && lacks && !poor[in.ask.Class] {
@@ -181,17 +181,17 @@
 func TestReserve(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := New()
-		r.Shape(16, map[string]float64{"a": 50, "b": 50}, 100)
+		r.Configure(16, map[string]float64{"a": 50, "b": 50}, 100)
 		fill := func() (in int) {
 			ctx, stop := context.WithCancel(t.Context())
 			done := make(chan string, 16)
 			for range 16 {
-				go func() { done <- r.Enter(ctx, Ask{Class: "a", Wait: time.Hour}) }()
+				go func() { done <- r.Acquire(ctx, Request{Class: "a", MaxWait: time.Hour}) }()
 			}
 			synctest.Wait()
 			stop()
 			for range 16 {
-				if <-done == In {
+				if <-done == Admitted {
 					in++
 				}
 			}
@@ -199,7 +199,7 @@
 		}
 		empty := func(n int) {
 			for range n {
-				r.Leave(Ask{Class: "a"}, time.Millisecond)
+				r.Release(Request{Class: "a"}, time.Millisecond)
 			}
 		}
 		n := fill()
@@ -207,19 +207,19 @@
 			t.Fatalf("without inner jobs %d of 16 slots were lent", n)
 		}
 		empty(n)
-		inner := Ask{Class: "a", Wait: time.Second, Inner: true}
+		inner := Request{Class: "a", MaxWait: time.Second, Nested: true}
 		for range 100 {
-			r.Enter(t.Context(), inner)
-			r.Leave(inner, time.Millisecond)
+			r.Acquire(t.Context(), inner)
+			r.Release(inner, time.Millisecond)
 		}
 		n = fill()
 		if n != 14 {
 			t.Fatalf("with inner jobs %d of 16 slots were lent", n)
 		}
-		if why := r.Enter(t.Context(), inner); why != In {
+		if why := r.Acquire(t.Context(), inner); why != Admitted {
 			t.Errorf("an inner job got no kept slot: %s", why)
 		}
-		if why := r.Enter(t.Context(), Ask{Class: "b", Wait: time.Second}); why != In {
+		if why := r.Acquire(t.Context(), Request{Class: "b", MaxWait: time.Second}); why != Admitted {
 			t.Errorf("a class below its share got no kept slot: %s", why)
 		}
 	})
@@ -230,20 +230,20 @@
 func TestAim(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := New()
-		r.Shape(1, map[string]float64{"a": 100}, 10)
-		a := Ask{Class: "a", Wait: time.Minute, Aim: 400 * time.Millisecond}
-		r.Enter(t.Context(), a)
+		r.Configure(1, map[string]float64{"a": 100}, 10)
+		a := Request{Class: "a", MaxWait: time.Minute, Target: 400 * time.Millisecond}
+		r.Acquire(t.Context(), a)
 		from := time.Now()
-		if why := r.Enter(t.Context(), a); why != Late || time.Since(from) != 100*time.Millisecond {
+		if why := r.Acquire(t.Context(), a); why != NoTimeLeft || time.Since(from) != 100*time.Millisecond {
 			t.Errorf("got %q after %v", why, time.Since(from))
 		}
 		task.Pause(t.Context(), 900*time.Millisecond)
-		r.Leave(a, time.Second)
-		r.Enter(t.Context(), a)
+		r.Release(a, time.Second)
+		r.Acquire(t.Context(), a)
 		from = time.Now()
-		if why := r.Enter(t.Context(), a); why != Full || time.Since(from) != 0 {
+		if why := r.Acquire(t.Context(), a); why != QueueFull || time.Since(from) != 0 {
 			t.Errorf("without hope: %q after %v", why, time.Since(from))
 		}
-		r.Leave(a, time.Millisecond)
+		r.Release(a, time.Millisecond)
 	})
 }
--- a/internal/admission/use.go
+++ b/internal/admission/use.go
@@ -1,7 +1,7 @@
 package admission
 
-// Use is what one class has of a worker.
-type Use struct {
+// ClassUsage is what one class has of a worker.
+type ClassUsage struct {
 	Share    int   `json:"share" msgpack:"s"`
 	Used     int   `json:"used" msgpack:"u"`
 	Borrowed int   `json:"borrowed" msgpack:"b"`
@@ -13,7 +13,7 @@
 
 // Close shuts the room at once: nobody enters any more, those who wait are
 // turned away, those inside go on.
-func (r *Room) Close() {
+func (r *Controller) Close() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if !r.shut {
@@ -23,7 +23,7 @@
 }
 
 // Open lets jobs in again.
-func (r *Room) Open() {
+func (r *Controller) Open() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.shut {
@@ -33,7 +33,7 @@
 }
 
 // Load gives the slots taken, the jobs waiting and the size.
-func (r *Room) Load() (used, waiting, slots int) {
+func (r *Controller) Load() (used, waiting, slots int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, l := range r.lots {
@@ -42,16 +42,16 @@
 	return r.total, waiting, r.slots
 }
 
-// Uses tells what each class has.
-func (r *Room) Uses() map[string]Use {
+// Usage tells what each class has.
+func (r *Controller) Usage() map[string]ClassUsage {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	out := map[string]Use{}
+	out := map[string]ClassUsage{}
 	for c, l := range r.lots {
 		if !l.known {
 			continue
 		}
-		u := Use{Share: l.floor, Used: l.used, Waiting: l.waits(), Refused: l.no, Served: l.did}
+		u := ClassUsage{Share: l.floor, Used: l.used, Waiting: l.waits(), Refused: l.no, Served: l.did}
 		u.Borrowed = max(u.Used-l.floor, 0)
 		out[c] = u
 	}
--- a/internal/balancer/back_test.go
+++ b/internal/balancer/back_test.go
@@ -24,9 +24,9 @@
 			}
 			list[0].Meta["doubts"], list[0].Meta["cold"] = c.doubts, c.cold
 			for range 16000 {
-				e, _ := n.Pick(list, Want{Path: "p", Safe: c.safe})
+				e, _ := n.Pick(list, PickRequest{Route: "p", Repeatable: c.safe})
 				all = append(all, e.Worker)
-				n.Done(End{Worker: e.Worker, Service: "s", Path: "p", Used: -1, Took: 100 * time.Millisecond, Ran: 100 * time.Millisecond, OK: true, Counts: true})
+				n.RecordOutcome(Outcome{Worker: e.Worker, Service: "s", Route: "p", UsedSlots: -1, RoundTrip: 100 * time.Millisecond, RunTime: 100 * time.Millisecond, OK: true, AboutWorker: true})
 			}
 			got := 0
 			for _, w := range all {
--- a/internal/balancer/field_test.go
+++ b/internal/balancer/field_test.go
@@ -15,7 +15,7 @@
 // tells all fronts of its doubts.
 type field struct {
 	dice    *rand.Rand
-	fronts  []*Nominator
+	fronts  []*Balancer
 	all     []ormap.Entry
 	hands   []*hand
 	todo    events
@@ -40,7 +40,7 @@
 	wait        []*job
 	speed       float64
 	ill         func(now time.Duration) (how string, x float64)
-	own         *Own
+	own         *WorkerStats
 	told        int
 	got, failed map[int]int // by second
 }
@@ -50,7 +50,7 @@
 	hand  *hand
 	from  time.Time
 	safe  bool
-	run   *Run
+	run   *ActiveRun
 	tried map[string]bool
 	rush  int
 	shed  bool // turned away by the worker
@@ -69,7 +69,7 @@
 	}
 	speeds := []float64{1, 1, 1.5, 0.5, 1}
 	for i := range workers {
-		f.hands = append(f.hands, &hand{at: i, slots: 12, speed: speeds[i/areas%len(speeds)], own: NewOwn(window), got: map[int]int{}, failed: map[int]int{}})
+		f.hands = append(f.hands, &hand{at: i, slots: 12, speed: speeds[i/areas%len(speeds)], own: NewWorkerStats(window), got: map[int]int{}, failed: map[int]int{}})
 		f.all = append(f.all, entry(fmt.Sprint("w", i), strconv.Itoa(i%areas)))
 		f.all[i].Meta["slots"] = "12"
 	}
@@ -80,7 +80,7 @@
 
 // doubt tells all fronts what the owner thinks, as a new entry.
 func (h *hand) doubt(f *field) {
-	d := h.own.Doubts(f.fronts[h.at].Failing("s"))
+	d := h.own.Suspicion(f.fronts[h.at].FailureRate("s"))
 	if d == h.told {
 		return
 	}
@@ -119,7 +119,7 @@
 	if f.blind {
 		e = f.all[f.dice.IntN(len(f.all))]
 	} else {
-		e, ok = f.fronts[k.front].Pick(f.all, Want{Path: "p", Aim: f.aim - time.Since(k.from), Safe: k.safe, Tried: k.tried})
+		e, ok = f.fronts[k.front].Pick(f.all, PickRequest{Route: "p", Target: f.aim - time.Since(k.from), Repeatable: k.safe, Tried: k.tried})
 	}
 	if !ok {
 		f.counts["nobody"]++
@@ -127,8 +127,8 @@
 	}
 	at, _ := strconv.Atoi(e.Worker[1:])
 	h := f.hands[at]
-	if !f.blind && k.rush < f.rushes && h.now >= h.slots && f.fronts[k.front].Roomy("s") {
-		f.fronts[k.front].Done(End{Worker: e.Worker, Service: "s", Used: h.now + len(h.wait)})
+	if !f.blind && k.rush < f.rushes && h.now >= h.slots && f.fronts[k.front].HasFreeSlots("s") {
+		f.fronts[k.front].RecordOutcome(Outcome{Worker: e.Worker, Service: "s", UsedSlots: h.now + len(h.wait)})
 		k.tried[e.Worker] = true
 		f.rushed++
 		if k.rush++; k.rush == f.rushes || len(k.tried) == len(f.all) {
@@ -157,7 +157,7 @@
 		k := h.wait[0]
 		h.wait = h.wait[1:]
 		h.now++
-		k.run = h.own.Start(f.fronts[h.at].Usual("p"))
+		k.run = h.own.RunStarted(f.fronts[h.at].UsualRunMS("p"))
 		took := time.Duration(float64(f.work) * h.speed * (0.5 + f.dice.Float64()))
 		ok := true
 		how, x := "", 0.0
@@ -183,18 +183,18 @@
 func (h *hand) done(f *field, k *job, ok bool) {
 	h.now--
 	delete(f.open, k)
-	ms := h.own.Stop(k.run)
+	ms := h.own.RunEnded(k.run)
 	if ok {
-		h.own.Ran("p", ms, f.fronts[h.at].Usual("p"))
+		h.own.RecordRun("p", ms, f.fronts[h.at].UsualRunMS("p"))
 	} else {
-		h.own.Failed(1)
+		h.own.RecordFailures(1)
 		h.failed[f.second()]++
 	}
 	h.doubt(f)
 	late := time.Since(k.from) > f.aim
 	if !f.blind {
-		f.fronts[k.front].Done(End{Worker: f.all[h.at].Worker, Service: "s", Path: "p", Used: h.now + len(h.wait), Took: time.Since(k.from),
-			Ran: time.Duration(ms * float64(time.Millisecond)), Late: late, OK: ok, Counts: !k.shed, Word: h.own.Word()})
+		f.fronts[k.front].RecordOutcome(Outcome{Worker: f.all[h.at].Worker, Service: "s", Route: "p", UsedSlots: h.now + len(h.wait), RoundTrip: time.Since(k.from),
+			RunTime: time.Duration(ms * float64(time.Millisecond)), MissedTarget: late, OK: ok, AboutWorker: !k.shed, Report: h.own.Report()})
 	}
 	f.count(k, !ok || late)
 	h.next(f)
--- a/internal/balancer/ill_test.go
+++ b/internal/balancer/ill_test.go
@@ -115,22 +115,22 @@
 	synctest.Test(t, func(t *testing.T) {
 		n := New("a", time.Second, window, nil)
 		all := append(trio(), entry("four", "a"))
-		fails := func(word Word) float64 {
+		fails := func(word WorkerReport) float64 {
 			for range 8 {
-				n.Done(End{Worker: "one", Service: "s", Path: "p", Used: -1, Counts: true, Word: word})
+				n.RecordOutcome(Outcome{Worker: "one", Service: "s", Route: "p", UsedSlots: -1, AboutWorker: true, Report: word})
 			}
-			return n.Fits()["one"]
+			return n.Weights()["one"]
 		}
-		n.Pick(all, Want{Path: "p"})
-		if w := fails(Word{}); w > 0.1 {
+		n.Pick(all, PickRequest{Route: "p"})
+		if w := fails(WorkerReport{}); w > 0.1 {
 			t.Errorf("8 failures in a row leave %.2f", w)
 		}
-		if w := fails(Word{Pace: 8, Fail: 1}); w < 0.9 {
+		if w := fails(WorkerReport{Pace: 8, Fail: 1}); w < 0.9 {
 			t.Errorf("its owner says that one in 64 fails: %.2f", w)
 		}
-		fails(Word{})
+		fails(WorkerReport{})
 		<-time.After(window * 2)
-		if w := n.Fits()["one"]; w < 0.7 {
+		if w := n.Weights()["one"]; w < 0.7 {
 			t.Errorf("after two windows without a word there is %.2f", w)
 		}
 	})
@@ -140,13 +140,13 @@
 // no longer.
 func TestCold(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		o := NewOwn(window)
-		o.Cold(3 * time.Second)
-		if d := o.Doubts(0); d != 1 {
+		o := NewWorkerStats(window)
+		o.SetWarmup(3 * time.Second)
+		if d := o.Suspicion(0); d != 1 {
 			t.Errorf("doubts of %d while cold", d)
 		}
 		<-time.After(4 * time.Second)
-		if d := o.Doubts(0); d != 0 {
+		if d := o.Suspicion(0); d != 0 {
 			t.Errorf("doubts of %d when warm", d)
 		}
 	})
@@ -156,20 +156,20 @@
 // each time, and one that nobody asks is let back with time alone.
 func TestBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		o := NewOwn(window)
+		o := NewWorkerStats(window)
 		var longs []time.Duration
 		for range 4 {
 			for range 40 {
-				o.Ran("p", 100, 100)
+				o.RecordRun("p", 100, 100)
 			}
-			o.Failed(40)
-			if o.Doubts(0) != Worst {
+			o.RecordFailures(40)
+			if o.Suspicion(0) != MaxSuspicion {
 				t.Fatal("40 failures and no doubt")
 			}
 			from := time.Now()
-			for o.Doubts(0) > 0 {
+			for o.Suspicion(0) > 0 {
 				<-time.After(100 * time.Millisecond)
-				o.Ran("p", 100, 100)
+				o.RecordRun("p", 100, 100)
 			}
 			longs = append(longs, time.Since(from))
 		}
@@ -181,15 +181,15 @@
 		if longs[0] > window/2 || longs[3] < 2*longs[0] {
 			t.Errorf("let back after %v", longs)
 		}
-		lone := NewOwn(window)
+		lone := NewWorkerStats(window)
 		// However often it fell, it is asked again within a window.
 		for range 4 {
-			lone.Failed(40)
-			if lone.Doubts(0) != Worst {
+			lone.RecordFailures(40)
+			if lone.Suspicion(0) != MaxSuspicion {
 				t.Fatal("no doubt")
 			}
 			from := time.Now()
-			for lone.Doubts(0) > 0 && time.Since(from) < 9*window {
+			for lone.Suspicion(0) > 0 && time.Since(from) < 9*window {
 				<-time.After(window / 100)
 			}
 			if long := time.Since(from); long > window+window/20 {
--- a/internal/balancer/letback_test.go
+++ b/internal/balancer/letback_test.go
@@ -13,9 +13,9 @@
 	synctest.Test(t, func(t *testing.T) {
 		n := New("a", time.Second, window, nil)
 		all := trio()
-		n.Pick(all, Want{Path: "p"})
+		n.Pick(all, PickRequest{Route: "p"})
 		end := func(worker string, ok bool) {
-			n.Done(End{Worker: worker, Service: "s", Path: "p", Used: 1, Took: 100 * time.Millisecond, Ran: 100 * time.Millisecond, Late: !ok, OK: ok, Counts: true})
+			n.RecordOutcome(Outcome{Worker: worker, Service: "s", Route: "p", UsedSlots: 1, RoundTrip: 100 * time.Millisecond, RunTime: 100 * time.Millisecond, MissedTarget: !ok, OK: ok, AboutWorker: true})
 		}
 		for range 4 {
 			for range 40 {
@@ -23,7 +23,7 @@
 				end("two", true)
 				end("three", true)
 			}
-			if w := n.Fits()["one"]; w > 0.1 {
+			if w := n.Weights()["one"]; w > 0.1 {
 				t.Fatalf("fitness of %.2f after 40 failures", w)
 			}
 			for range 40 {
@@ -37,7 +37,7 @@
 		back := time.Duration(0)
 		for back == 0 && time.Since(fell) < 6*window {
 			<-time.After(window / 50)
-			e, _ := n.Pick(all, Want{Path: "p", Aim: 300 * time.Millisecond})
+			e, _ := n.Pick(all, PickRequest{Route: "p", Target: 300 * time.Millisecond})
 			if e.Worker == "one" {
 				back = time.Since(fell)
 				continue
--- a/internal/balancer/nominate.go
+++ b/internal/balancer/nominate.go
@@ -48,8 +48,8 @@
 	a.ms += (ms - a.ms) / float64(a.count)
 }
 
-// Nominator is one front's choice of workers.
-type Nominator struct {
+// Balancer is one front's choice of workers.
+type Balancer struct {
 	mu     sync.Mutex
 	area   string
 	fresh  time.Duration // how long a receipt's word on load counts
@@ -65,12 +65,12 @@
 
 // New makes a nominator for a front in an area; fresh is how long a receipt's
 // word on load counts, window the time in whose ratio doubts fade.
-func New(area string, fresh, window time.Duration, tell func(string, bool)) *Nominator {
-	return &Nominator{area: area, fresh: fresh, window: window, mates: map[string]*mate{}, paths: map[string]mean{}, fails: map[string]float64{},
+func New(area string, fresh, window time.Duration, tell func(string, bool)) *Balancer {
+	return &Balancer{area: area, fresh: fresh, window: window, mates: map[string]*mate{}, paths: map[string]mean{}, fails: map[string]float64{},
 		lists: map[string]*roster{}, shun: map[string]time.Time{}, tell: tell}
 }
 
-func (n *Nominator) mate(worker string) *mate {
+func (n *Balancer) mate(worker string) *mate {
 	m := n.mates[worker]
 	if m == nil {
 		m = &mate{}
@@ -92,7 +92,7 @@
 // a receipt said turns by and by into what is usual for the service: with many
 // fronts each gets one in a while, and what made a worker crowded (it is slow,
 // or has many callers near) lasts for longer than that.
-func (n *Nominator) load(r *roster, s *seat, now time.Time) float64 {
+func (n *Balancer) load(r *roster, s *seat, now time.Time) float64 {
 	l := r.load
 	if !s.m.when.IsZero() {
 		age := float64(now.Sub(s.m.when)) / float64(n.window)
@@ -107,7 +107,7 @@
 // for a while. Who fell often of late is doubted for longer, though for a window
 // and a half at the most: from then on others should have shown that it is ill.
 // Without that end a doubt that halves by and by keeps jobs away for three windows.
-func (n *Nominator) faint(m *mate, now time.Time) float64 {
+func (n *Balancer) faint(m *mate, now time.Time) float64 {
 	if m.seen.IsZero() || n.window <= 0 {
 		return 1
 	}
@@ -117,7 +117,7 @@
 
 // weight is a worker's fitness from 0.01 to 1, against its peers. A job that
 // may not be sent again shies away twice as much.
-func (n *Nominator) weight(m *mate, mid, faint float64, once bool) float64 {
+func (n *Balancer) weight(m *mate, mid, faint float64, once bool) float64 {
 	if m.count < least {
 		return 1
 	}
@@ -134,15 +134,15 @@
 	return max(w, low)
 }
 
-// Here tells how to find out whether a node has a session with a control node.
-func (n *Nominator) Here(has func(node string) bool) {
+// SetSessionCheck tells how to find out whether a node has a session with a control node.
+func (n *Balancer) SetSessionCheck(has func(node string) bool) {
 	n.mu.Lock()
 	n.here = has
 	n.mu.Unlock()
 }
 
-// Shun leaves an owner out for a while: it could not be reached.
-func (n *Nominator) Shun(owner string, long time.Duration) {
+// Exclude leaves an owner out for a while: it could not be reached.
+func (n *Balancer) Exclude(owner string, long time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	now := time.Now()
@@ -155,14 +155,14 @@
 }
 
 // Forget drops a worker that is gone.
-func (n *Nominator) Forget(worker string) {
+func (n *Balancer) Forget(worker string) {
 	n.mu.Lock()
 	delete(n.mates, worker)
 	n.mu.Unlock()
 }
 
-// Fits gives the weight of every known worker of a service that was asked for.
-func (n *Nominator) Fits() map[string]float64 {
+// Weights gives the weight of every known worker of a service that was asked for.
+func (n *Balancer) Weights() map[string]float64 {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	out, now := map[string]float64{}, time.Now()
@@ -177,25 +177,25 @@
 	return out
 }
 
-// Roomy tells whether there are free slots somewhere in a service, by what its
+// HasFreeSlots tells whether there are free slots somewhere in a service, by what its
 // owners' receipts said.
-func (n *Nominator) Roomy(service string) bool {
+func (n *Balancer) HasFreeSlots(service string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	r := n.lists[service]
 	return r != nil && r.load < 1
 }
 
-// Usual is how long a job of a path runs at a worker, in ms over all workers
+// UsualRunMS is how long a job of a path runs at a worker, in ms over all workers
 // that this front sends to; 0 when not known.
-func (n *Nominator) Usual(path string) float64 {
+func (n *Balancer) UsualRunMS(path string) float64 {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.paths[path].ms
 }
 
-// Failing is the part of a service's jobs that fails at any worker.
-func (n *Nominator) Failing(service string) float64 {
+// FailureRate is the part of a service's jobs that fails at any worker.
+func (n *Balancer) FailureRate(service string) float64 {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.fails[service]
--- a/internal/balancer/own.go
+++ b/internal/balancer/own.go
@@ -9,27 +9,27 @@
 	"puffincrank/internal/ormap"
 )
 
-// Worst is the greatest of an owner's doubts about its worker; 0 is none.
-const Worst = 2
+// MaxSuspicion is the greatest of an owner's doubts about its worker; 0 is none.
+const MaxSuspicion = 2
 
-// Doubts reads an owner's doubts about its worker from its entry.
-func Doubts(e ormap.Entry) int {
+// SuspicionLevel reads an owner's doubts about its worker from its entry.
+func SuspicionLevel(e ormap.Entry) int {
 	d, err := strconv.Atoi(e.Meta["doubts"])
 	if err != nil {
 		return 0
 	}
-	return min(max(d, 0), Worst)
+	return min(max(d, 0), MaxSuspicion)
 }
 
-// Word is what an owner's receipt says of its worker, coarsely, to cost few
+// WorkerReport is what an owner's receipt says of its worker, coarsely, to cost few
 // bytes: Pace in eighths, 0 when nothing is said; Fail in 64ths of its jobs.
-type Word struct{ Pace, Fail uint8 }
+type WorkerReport struct{ Pace, Fail uint8 }
 
-func (w Word) pace() float64    { return float64(w.Pace) / 8 }
-func (w Word) failing() float64 { return float64(w.Fail) / 64 }
+func (w WorkerReport) pace() float64    { return float64(w.Pace) / 8 }
+func (w WorkerReport) failing() float64 { return float64(w.Fail) / 64 }
 
-// Own is an owner's measure of its worker, which sees all of its jobs.
-type Own struct {
+// WorkerStats is an owner's measure of its worker, which sees all of its jobs.
+type WorkerStats struct {
 	mu     sync.Mutex
 	window time.Duration
 	fail   float64         // part of the last jobs that failed, smoothed
@@ -43,47 +43,47 @@
 	fell   time.Time // when the doubts last came up
 	falls  int       // how often they did of late
 	cold   time.Time // until when the worker said that it is slow
-	runs   map[*Run]bool
+	runs   map[*ActiveRun]bool
 }
 
-// NewOwn makes the measure of a worker; window is the time in whose ratio a
+// NewWorkerStats makes the measure of a worker; window is the time in whose ratio a
 // worker is let back.
-func NewOwn(window time.Duration) *Own {
-	return &Own{window: window, pace: 1, slack: 1, past: map[string]mean{}, runs: map[*Run]bool{}}
+func NewWorkerStats(window time.Duration) *WorkerStats {
+	return &WorkerStats{window: window, pace: 1, slack: 1, past: map[string]mean{}, runs: map[*ActiveRun]bool{}}
 }
 
-// Cold notes how much longer the worker says to be slow from its start.
-func (o *Own) Cold(long time.Duration) {
+// SetWarmup notes how much longer the worker says to be slow from its start.
+func (o *WorkerStats) SetWarmup(long time.Duration) {
 	o.mu.Lock()
 	o.cold = time.Now().Add(long)
 	o.mu.Unlock()
 }
 
-// Chilly tells whether the worker says that it is still slow from its start.
-func (o *Own) Chilly() bool {
+// WarmingUp tells whether the worker says that it is still slow from its start.
+func (o *WorkerStats) WarmingUp() bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return time.Now().Before(o.cold)
 }
 
-// Run is a job under way at the worker.
-type Run struct {
+// ActiveRun is a job under way at the worker.
+type ActiveRun struct {
 	from  time.Time
 	usual float64
 }
 
-// Start notes that a job goes to the worker; usual is what its like takes at
+// RunStarted notes that a job goes to the worker; usual is what its like takes at
 // all workers, in ms, 0 when that isn't known.
-func (o *Own) Start(usual float64) *Run {
-	r := &Run{time.Now(), usual}
+func (o *WorkerStats) RunStarted(usual float64) *ActiveRun {
+	r := &ActiveRun{time.Now(), usual}
 	o.mu.Lock()
 	o.runs[r] = true
 	o.mu.Unlock()
 	return r
 }
 
-// Stop notes that a job is no longer under way, and gives how long it was, in ms.
-func (o *Own) Stop(r *Run) float64 {
+// RunEnded notes that a job is no longer under way, and gives how long it was, in ms.
+func (o *WorkerStats) RunEnded(r *ActiveRun) float64 {
 	o.mu.Lock()
 	delete(o.runs, r)
 	o.mu.Unlock()
@@ -92,7 +92,7 @@
 
 // hangs tells that half of the jobs under way, and more than one, run for so
 // long that they may never end. mu is held.
-func (o *Own) hangs(now time.Time) bool {
+func (o *WorkerStats) hangs(now time.Time) bool {
 	n := 0
 	for r := range o.runs {
 		if r.usual > 0 && float64(now.Sub(r.from))/float64(time.Millisecond) > 4*r.usual {
@@ -104,10 +104,10 @@
 
 // step is how much one job counts: the more the fewer there are, since a
 // doubted worker gets but a few. mu is held.
-func (o *Own) step() float64 { return 1 / float64(int(16)>>o.doubts) }
+func (o *WorkerStats) step() float64 { return 1 / float64(int(16)>>o.doubts) }
 
-// Failed takes in failures, as many as the event is worth.
-func (o *Own) Failed(jobs int) {
+// RecordFailures takes in failures, as many as the event is worth.
+func (o *WorkerStats) RecordFailures(jobs int) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.count += jobs
@@ -115,9 +115,9 @@
 	o.seen = time.Now()
 }
 
-// Ran takes in a job that ended well, or that did not end in ms; usual is what
+// RecordRun takes in a job that ended well, or that did not end in ms; usual is what
 // jobs of its path take at all workers, in ms, 0 when that isn't known.
-func (o *Own) Ran(path string, ms, usual float64) {
+func (o *WorkerStats) RecordRun(path string, ms, usual float64) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.count++
@@ -141,20 +141,20 @@
 	o.slack += (min(ms/max(usual, was), 4) - o.slack) * k
 }
 
-// Word is what the next receipt says.
-func (o *Own) Word() Word {
+// Report is what the next receipt says.
+func (o *WorkerStats) Report() WorkerReport {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.count < least {
-		return Word{}
+		return WorkerReport{}
 	}
-	return Word{Pace: uint8(min(max(math.Round(o.pace*8), 1), 64)), Fail: uint8(math.Round(o.fail * 64))}
+	return WorkerReport{Pace: uint8(min(max(math.Round(o.pace*8), 1), 64)), Fail: uint8(math.Round(o.fail * 64))}
 }
 
-// Doubts is what all fronts should know of the worker: large changes only. The
+// Suspicion is what all fronts should know of the worker: large changes only. The
 // part of failures counts beyond what fails at its peers too, which common is.
 // Doubts come by what enough jobs showed, and go by that or with time.
-func (o *Own) Doubts(common float64) int {
+func (o *WorkerStats) Suspicion(common float64) int {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	now := time.Now()
@@ -166,7 +166,7 @@
 	}
 	// Those that hang tell nothing until their time is over.
 	if o.hangs(now) {
-		at, keep, o.seen = Worst, Worst, now
+		at, keep, o.seen = MaxSuspicion, MaxSuspicion, now
 	}
 	if now.Before(o.cold) {
 		at, keep = max(at, 1), max(keep, 1)
@@ -198,7 +198,7 @@
 func rank(fail, slack, some, many, slow, slower float64) int {
 	switch {
 	case fail >= many || slack >= slower:
-		return Worst
+		return MaxSuspicion
 	case fail >= some || slack >= slow:
 		return 1
 	}
--- a/internal/balancer/pick.go
+++ b/internal/balancer/pick.go
@@ -8,15 +8,15 @@
 	"puffincrank/internal/ormap"
 )
 
-// Want is a job that needs a worker.
-type Want struct {
-	Path  string
-	Aim   time.Duration   // what is left of its aim
-	Bulk  bool            // its bodies are large
-	Safe  bool            // it may be sent again
-	Tried map[string]bool // workers to leave out
+// PickRequest is a job that needs a worker.
+type PickRequest struct {
+	Route      string
+	Target     time.Duration   // what is left of its aim
+	Bulk       bool            // its bodies are large
+	Repeatable bool            // it may be sent again
+	Tried      map[string]bool // workers to leave out
 
-	Wait func(ormap.Entry) time.Duration // of bulk: until it would be there, as measured; nil: at once
+	Delay func(ormap.Entry) time.Duration // of bulk: until it would be there, as measured; nil: at once
 }
 
 // The advance of the own area: how much more of a chance to miss the aim is put
@@ -39,7 +39,7 @@
 // Pick nominates one of the entries, leaving out those tried and those that
 // drain. It takes a place in the count, which Done gives back. The list must
 // be one that is replaced when entries change, not changed itself.
-func (n *Nominator) Pick(all []ormap.Entry, w Want) (ormap.Entry, bool) {
+func (n *Balancer) Pick(all []ormap.Entry, w PickRequest) (ormap.Entry, bool) {
 	if len(all) == 0 {
 		return ormap.Entry{}, false
 	}
@@ -73,15 +73,15 @@
 		c, doubt := n.cost(r, s, &w, mid, now)
 		// What can be sent again is a probe by which the doubtful can regain
 		// their weight; of those far away only where there are none near.
-		if doubt && w.Safe && !w.Bulk && (i < nigh || nigh == 0) && rand.IntN(probes*few) < looks*s.keen {
+		if doubt && w.Repeatable && !w.Bulk && (i < nigh || nigh == 0) && rand.IntN(probes*few) < looks*s.keen {
 			return s.give(), true
 		}
 		if i >= nigh {
 			c += gain
 		}
 		// What waits on the way misses the aim as what waits there does.
-		if w.Wait != nil && w.Aim > 0 {
-			c += min(float64(w.Wait(s.e))/float64(w.Aim), 4)
+		if w.Delay != nil && w.Target > 0 {
+			c += min(float64(w.Delay(s.e))/float64(w.Target), 4)
 		}
 		if c < low {
 			best, low = s, c
@@ -99,7 +99,7 @@
 // expected to take, the part of its jobs that missed theirs, and its load, most
 // of all when its last slots are being taken, over its fitness. It also tells
 // whether the worker is in doubt, or hardly known.
-func (n *Nominator) cost(r *roster, s *seat, w *Want, mid float64, now time.Time) (float64, bool) {
+func (n *Balancer) cost(r *roster, s *seat, w *PickRequest, mid float64, now time.Time) (float64, bool) {
 	m := s.m
 	load := n.load(r, s, now) + 1/s.slots
 	faint := n.faint(m, now)
@@ -107,15 +107,15 @@
 	if m.pace != 0 {
 		pace += (m.pace - 1) * faint
 	}
-	took := n.paths[w.Path].ms * pace
+	took := n.paths[w.Route].ms * pace
 	// Beyond its slots each job waits for its turn.
 	took *= 1 + max(load-1, 0)
 	part := 1.0
-	if w.Aim > 0 {
-		part = min(took/float64(w.Aim.Milliseconds()+1), 2)
+	if w.Target > 0 {
+		part = min(took/float64(w.Target.Milliseconds()+1), 2)
 	}
 	late := m.late * faint
-	fit, share := n.weight(m, mid, faint, !w.Safe), r.share(s, !w.Safe)
+	fit, share := n.weight(m, mid, faint, !w.Repeatable), r.share(s, !w.Repeatable)
 	c := (part/4 + late + load/16 + max(load-0.75, 0)) / (fit * share)
 	return c, share < 1 || fit < unfit || late > 0.25 || m.count < least
 }
@@ -126,50 +126,50 @@
 	fit   = 0.7
 )
 
-// End is how a send ended.
-type End struct {
+// Outcome is how a send ended.
+type Outcome struct {
 	Worker, Service string
-	Path            string
-	Used            int           // slots in use there, -1 when not known
-	Took            time.Duration // from here and back
-	Ran             time.Duration // at the worker alone; 0 when not known
-	Late            bool          // the job's aim was missed
+	Route           string
+	UsedSlots       int           // slots in use there, -1 when not known
+	RoundTrip       time.Duration // from here and back
+	RunTime         time.Duration // at the worker alone; 0 when not known
+	MissedTarget    bool          // the job's aim was missed
 	OK              bool
-	Counts          bool // it says something of the worker: a refusal doesn't
-	Word            Word // its owner's, if any came
+	AboutWorker     bool         // it says something of the worker: a refusal doesn't
+	Report          WorkerReport // its owner's, if any came
 }
 
-// Done takes in how a send ended.
-func (n *Nominator) Done(d End) {
+// RecordOutcome takes in how a send ended.
+func (n *Balancer) RecordOutcome(d Outcome) {
 	n.mu.Lock()
 	m := n.mate(d.Worker)
 	m.out = max(m.out-1, 0)
 	now := time.Now()
-	if d.Used >= 0 {
-		m.used, m.when = d.Used, now
+	if d.UsedSlots >= 0 {
+		m.used, m.when = d.UsedSlots, now
 		if r := n.lists[d.Service]; r != nil && m.slots > 0 {
-			r.load += (float64(d.Used)/m.slots - r.load) / 32
+			r.load += (float64(d.UsedSlots)/m.slots - r.load) / 32
 		}
 	}
-	if d.Counts || d.Word.Pace > 0 {
+	if d.AboutWorker || d.Report.Pace > 0 {
 		n.settle(m, now)
 	}
 	bad := 0.0
 	if !d.OK {
 		bad = 1
 	}
-	if d.Counts {
+	if d.AboutWorker {
 		// The first answers weigh more, so that the average starts near truth.
 		k := max(1/float64(m.count+1), 0.1)
 		m.count++
 		m.fail += (bad - m.fail) * k
-		m.slow += (float64(d.Took)/float64(time.Millisecond) - m.slow) * k
+		m.slow += (float64(d.RoundTrip)/float64(time.Millisecond) - m.slow) * k
 		late := 0.0
-		if d.Late {
+		if d.MissedTarget {
 			late = 1
 		}
 		m.late += (late - m.late) * max(1/float64(m.count+16), 0.02)
-		if d.OK && d.Ran > 0 {
+		if d.OK && d.RunTime > 0 {
 			n.ran(m, d)
 		}
 		if len(n.fails) >= 4096 {
@@ -177,13 +177,13 @@
 		}
 		n.fails[d.Service] += (bad - n.fails[d.Service]) / 32
 	}
-	if d.Word.Pace > 0 {
+	if d.Report.Pace > 0 {
 		// It saw all jobs there, this front some: its word goes first.
-		m.fail = d.Word.failing()
-		m.pace = d.Word.pace()
+		m.fail = d.Report.failing()
+		m.pace = d.Report.pace()
 		m.count = max(m.count, least)
 		if m.slow == 0 {
-			m.slow = float64(d.Took) / float64(time.Millisecond)
+			m.slow = float64(d.RoundTrip) / float64(time.Millisecond)
 		}
 	}
 	was := m.unfit
@@ -206,7 +206,7 @@
 }
 
 // settle lets older marks fade before new ones are made.
-func (n *Nominator) settle(m *mate, now time.Time) {
+func (n *Balancer) settle(m *mate, now time.Time) {
 	f := n.faint(m, now)
 	m.fail *= f
 	m.late *= f
@@ -217,16 +217,16 @@
 }
 
 // ran takes in how long a job ran at the worker.
-func (n *Nominator) ran(m *mate, d End) {
-	ms := float64(d.Ran) / float64(time.Millisecond)
-	p, ok := n.paths[d.Path]
+func (n *Balancer) ran(m *mate, d Outcome) {
+	ms := float64(d.RunTime) / float64(time.Millisecond)
+	p, ok := n.paths[d.Route]
 	// Paths of older configurations must not pile up.
 	if !ok && len(n.paths) >= 4096 {
 		clear(n.paths)
 	}
 	was := p.ms
 	p.add(ms, 4, 32)
-	n.paths[d.Path] = p
+	n.paths[d.Route] = p
 	if was <= 0 {
 		return
 	}
--- a/internal/balancer/pick_test.go
+++ b/internal/balancer/pick_test.go
@@ -14,16 +14,16 @@
 
 // play sends jobs one after the other and counts who got them; each worker
 // takes its own time and the job's aim is 100 ms.
-func play(n *Nominator, all []ormap.Entry, jobs int, bulk bool, took map[string]time.Duration) map[string]int {
+func play(n *Balancer, all []ormap.Entry, jobs int, bulk bool, took map[string]time.Duration) map[string]int {
 	got := map[string]int{}
 	for range jobs {
-		e, ok := n.Pick(all, Want{Path: "p", Aim: 100 * time.Millisecond, Bulk: bulk, Safe: true})
+		e, ok := n.Pick(all, PickRequest{Route: "p", Target: 100 * time.Millisecond, Bulk: bulk, Repeatable: true})
 		if !ok {
 			break
 		}
 		got[e.Worker]++
 		t := took[e.Worker]
-		n.Done(End{Worker: e.Worker, Service: "s", Path: "p", Used: -1, Took: t, Ran: t, Late: t > 100*time.Millisecond, OK: t < time.Second, Counts: true})
+		n.RecordOutcome(Outcome{Worker: e.Worker, Service: "s", Route: "p", UsedSlots: -1, RoundTrip: t, RunTime: t, MissedTarget: t > 100*time.Millisecond, OK: t < time.Second, AboutWorker: true})
 	}
 	return got
 }
@@ -66,7 +66,7 @@
 	n := New("a", time.Second, 10*time.Second, nil)
 	got := map[string]int{}
 	for range 16 {
-		e, _ := n.Pick(all, Want{Path: "p", Aim: time.Second})
+		e, _ := n.Pick(all, PickRequest{Route: "p", Target: time.Second})
 		got[e.Worker]++
 	}
 	if got["near"] < 8 || got["far"] < 4 {
@@ -80,16 +80,16 @@
 	all := []ormap.Entry{entry("one", "a"), entry("two", "a")}
 	all[0].Meta["state"] = "draining"
 	n := New("a", time.Second, 10*time.Second, nil)
-	if _, ok := n.Pick(all, Want{Tried: map[string]bool{"two": true}}); ok {
+	if _, ok := n.Pick(all, PickRequest{Tried: map[string]bool{"two": true}}); ok {
 		t.Error("nobody is left")
 	}
-	n.Shun("n-two", time.Hour)
-	if e, ok := n.Pick(all, Want{}); !ok || e.Worker != "two" {
+	n.Exclude("n-two", time.Hour)
+	if e, ok := n.Pick(all, PickRequest{}); !ok || e.Worker != "two" {
 		t.Errorf("%v %v: better one out of touch than none", e.Worker, ok)
 	}
 	all = append(all, entry("three", "b"))
 	for range 200 {
-		if e, _ := n.Pick(all, Want{}); e.Worker != "three" {
+		if e, _ := n.Pick(all, PickRequest{}); e.Worker != "three" {
 			t.Fatalf("%s was picked", e.Worker)
 		}
 	}
@@ -107,10 +107,10 @@
 		all = append(all, entry(fmt.Sprint(i), string(rune('a'+i%3))))
 	}
 	n := New("a", time.Second, 10*time.Second, nil)
-	n.Here(func(node string) bool { return node != "n-3" })
+	n.SetSessionCheck(func(node string) bool { return node != "n-3" })
 	got := map[string]int{}
 	for range 6000 {
-		e, _ := n.Pick(all, Want{Path: "p", Aim: time.Second, Tried: map[string]bool{"6": true}})
+		e, _ := n.Pick(all, PickRequest{Route: "p", Target: time.Second, Tried: map[string]bool{"6": true}})
 		got[e.Worker]++
 	}
 	if got["3"]+got["6"] > 0 {
@@ -119,9 +119,9 @@
 	if len(got) < 98 {
 		t.Errorf("only %d of 300 were drawn", len(got))
 	}
-	n.Here(func(node string) bool { return node == "n-299" })
+	n.SetSessionCheck(func(node string) bool { return node == "n-299" })
 	for range 50 {
-		if e, ok := n.Pick(all, Want{}); !ok || e.Worker != "299" {
+		if e, ok := n.Pick(all, PickRequest{}); !ok || e.Worker != "299" {
 			t.Fatalf("%v %v", e.Worker, ok)
 		}
 	}
@@ -137,8 +137,8 @@
 		n := New("a", time.Second, 10*time.Second, nil)
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
 			for range b.N {
-				e, _ := n.Pick(all, Want{Path: "p", Aim: time.Second})
-				n.Done(End{Worker: e.Worker, Used: -1})
+				e, _ := n.Pick(all, PickRequest{Route: "p", Target: time.Second})
+				n.RecordOutcome(Outcome{Worker: e.Worker, UsedSlots: -1})
 			}
 		})
 	}
--- a/internal/balancer/roster.go
+++ b/internal/balancer/roster.go
@@ -30,7 +30,7 @@
 }
 
 // roster finds the lists of a service, and makes them if its entries changed.
-func (n *Nominator) roster(all []ormap.Entry) *roster {
+func (n *Balancer) roster(all []ormap.Entry) *roster {
 	r := n.lists[all[0].Service]
 	if r != nil && r.first == &all[0] && r.size == len(all) {
 		return r
@@ -52,7 +52,7 @@
 		if e.Meta["state"] == "draining" {
 			continue
 		}
-		s := seat{e: e, m: n.mate(e.Worker), slots: float64(Slots(e)), doubts: Doubts(e), keen: 1}
+		s := seat{e: e, m: n.mate(e.Worker), slots: float64(Slots(e)), doubts: SuspicionLevel(e), keen: 1}
 		s.m.slots = s.slots
 		// One that is cold will be well in its time, whatever probes show.
 		if s.doubts == 1 && e.Meta["cold"] == "" {
@@ -87,7 +87,7 @@
 		return 1
 	}
 	w := 0.5
-	if s.doubts >= Worst {
+	if s.doubts >= MaxSuspicion {
 		w = 0.1
 	}
 	if once {
@@ -101,7 +101,7 @@
 
 // middle is the median latency of a service's workers, worked out anew a few
 // times in a beat, over so many of them as say enough.
-func (n *Nominator) middle(r *roster, now time.Time) float64 {
+func (n *Balancer) middle(r *roster, now time.Time) float64 {
 	if r.till.After(now) {
 		return r.mid
 	}
@@ -129,7 +129,7 @@
 
 // draw takes a few of a list by place, those that can be asked; in a list with
 // many that can't, fewer or none.
-func (n *Nominator) draw(got []*seat, list []seat, w *Want, now time.Time) []*seat {
+func (n *Balancer) draw(got []*seat, list []seat, w *PickRequest, now time.Time) []*seat {
 	size, want := len(list), len(got)+looks
 	if size == 0 {
 		return got
@@ -160,7 +160,7 @@
 // asked tells whether a worker may be asked: not tried yet, and its owner within
 // reach. Of others the entries stay until they are retired, and each try would
 // cost a repeat.
-func (n *Nominator) asked(s *seat, w *Want, now time.Time) bool {
+func (n *Balancer) asked(s *seat, w *PickRequest, now time.Time) bool {
 	if w.Tried[s.e.Worker] {
 		return false
 	}
@@ -172,7 +172,7 @@
 
 // last looks through all, for when a draw found nobody: one that can be asked,
 // else one that is out of reach.
-func (n *Nominator) last(r *roster, w *Want, now time.Time) *seat {
+func (n *Balancer) last(r *roster, w *PickRequest, now time.Time) *seat {
 	var lost *seat
 	for _, list := range [][]seat{r.near, r.far} {
 		if len(list) == 0 {
--- a/internal/ctl/show.go
+++ b/internal/ctl/show.go
@@ -31,9 +31,9 @@
 	jobs, done, busy, unknown, slim := int64(0), int64(0), int64(0), int64(0), int64(0)
 	digests := map[uint64]bool{}
 	for _, p := range f.Proxies {
-		jobs, done, busy, unknown = jobs+p.Count.Jobs, done+p.Count.Done, busy+p.Count.Refused, unknown+p.Count.Unknown
+		jobs, done, busy, unknown = jobs+p.Requests.Jobs, done+p.Requests.Done, busy+p.Requests.Refused, unknown+p.Requests.Unknown
 		digests[p.Digest] = true
-		slim += p.Slim
+		slim += p.ThinLinkRefusals
 	}
 	for _, r := range f.Registries {
 		digests[r.Digest] = true
@@ -80,7 +80,7 @@
 		rows = append(rows, []string{s.Node, "store", s.Zone, s.Role, fmt.Sprint(s.Config), "-", "-"})
 	}
 	for _, p := range f.Proxies {
-		rows = append(rows, []string{p.Node, "proxy", p.Area, p.State, fmt.Sprint(p.Version), p.Session, fmt.Sprint(p.Entries)})
+		rows = append(rows, []string{p.Node, "proxy", p.Zone, p.State, fmt.Sprint(p.Version), p.Session, fmt.Sprint(p.Entries)})
 	}
 	m.table("NODE ROLE AREA STATE CONFIG SESSION ENTRIES", rows)
 }
@@ -92,7 +92,7 @@
 			// The mesh's view of fitness is the middle of what the fronts hold.
 			var fit []float64
 			for _, o := range f.Proxies {
-				if v, ok := o.Fitness[w.Worker]; ok {
+				if v, ok := o.Health[w.Worker]; ok {
 					fit = append(fit, v)
 				}
 			}
@@ -101,7 +101,7 @@
 			if len(fit) > 0 {
 				mid = fmt.Sprintf("%.2f", fit[len(fit)/2])
 			}
-			rows = append(rows, []string{w.Worker, w.Service, p.Node, p.Area, w.State, fmt.Sprintf("%d/%d", w.Used, w.Slots), mid})
+			rows = append(rows, []string{w.Worker, w.Service, p.Node, p.Zone, w.State, fmt.Sprintf("%d/%d", w.Used, w.Slots), mid})
 		}
 	}
 	m.table("WORKER SERVICE NODE AREA STATE USED FITNESS", rows)
--- a/internal/house/wire_test.go
+++ b/internal/house/wire_test.go
@@ -75,8 +75,10 @@
 // currentTypes gives the present qualified names of types that were recorded under
 // another package or name.
 var currentTypes = map[string]string{
-	"class.Use":         "admission.Use",
+	"class.Use":         "admission.ClassUsage",
 	"member.Fellow":     "membership.Member",
+	"proxy.DrainAsk":    "proxy.DrainRequest",
+	"proxy.StatusAsk":   "proxy.StatusRequest",
 	"session.Back":      "protocol.AttemptResult",
 	"session.Beat":      "protocol.Heartbeat",
 	"session.Hand":      "protocol.AttemptRequest",
@@ -125,7 +127,7 @@
 	now := map[string]bool{}
 	all := append(store.Messages(), transport.Hello{}, protocol.Heartbeat{}, protocol.HeartbeatResponse{}, protocol.ConfigPush{}, protocol.ConfigPushResponse{}, protocol.MemberListRequest{}, protocol.MemberListResponse{}, protocol.SessionReport{}, protocol.SessionReportResponse{}, protocol.ForwardedCall{},
 		protocol.ForwardedResponse{}, protocol.TrialReport{}, protocol.AttemptRequest{}, protocol.AttemptResult{}, ormap.Delta{}, plumtree.Message{}, paxos.Entry{}, paxos.Identity{}, paxos.Snapshot{},
-		statemachine.State{}, statemachine.Packed{}, proxy.Status{}, proxy.StatusAsk{}, proxy.DrainAsk{}, registry.Status{})
+		statemachine.State{}, statemachine.Packed{}, proxy.Status{}, proxy.StatusRequest{}, proxy.DrainRequest{}, registry.Status{})
 	for name, c := range statemachine.Kinds() {
 		now["command "+name+" "+reflect.TypeOf(c).Elem().Name()] = true
 		all = append(all, c)
--- a/internal/lifecycle/again.go
+++ b/internal/lifecycle/again.go
@@ -13,10 +13,10 @@
 	"puffincrank/internal/settings"
 )
 
-// Again is a program that takes up changed settings while it runs; it names
+// Reloader is a program that takes up changed settings while it runs; it names
 // those that it takes. All others hold for the life of the process.
-type Again interface {
-	Again(settings.Settings) []string
+type Reloader interface {
+	Reload(settings.Settings) []string
 }
 
 // watch reads the settings again: at a signal, and when their file has changed
@@ -27,7 +27,7 @@
 	load func() (settings.Settings, []schema.Problem, error)
 	log  *event.Log
 	mu   sync.Mutex
-	prog Again
+	prog Reloader
 	now  settings.Settings
 	seen os.FileInfo // what the file looked like when it was last read
 	next time.Time   // the next look, a change after the last
@@ -95,7 +95,7 @@
 	taken := []string{"memory_bytes"}
 	remember(p)
 	if w.prog != nil {
-		taken = append(taken, w.prog.Again(p)...)
+		taken = append(taken, w.prog.Reload(p)...)
 	}
 	var now, later []string
 	for _, n := range all {
@@ -125,4 +125,4 @@
 // fixed is a program that takes none.
 type fixed struct{}
 
-func (fixed) Again(settings.Settings) []string { return nil }
+func (fixed) Reload(settings.Settings) []string { return nil }
--- a/internal/lifecycle/again_test.go
+++ b/internal/lifecycle/again_test.go
@@ -16,7 +16,7 @@
 
 type taker struct{ got []settings.Settings }
 
-func (k *taker) Again(p settings.Settings) []string {
+func (k *taker) Reload(p settings.Settings) []string {
 	k.got = append(k.got, p)
 	return []string{"seeds", "jobs"}
 }
--- a/internal/lifecycle/run.go
+++ b/internal/lifecycle/run.go
@@ -110,7 +110,7 @@
 		return 1
 	}
 	w.mu.Lock()
-	if w.prog, _ = prog.(Again); w.prog == nil {
+	if w.prog, _ = prog.(Reloader); w.prog == nil {
 		w.prog = fixed{}
 	}
 	w.mu.Unlock()
--- a/internal/proxy/again.go
+++ b/internal/proxy/again.go
@@ -12,11 +12,11 @@
 	return &x.Settings
 }
 
-// Again takes up changed settings and names those that it takes: the control
+// Reload takes up changed settings and names those that it takes: the control
 // nodes to turn to when none of those known answers, the worker beside this
 // node, the bound on repeats and those on what is under way. Nothing that is
 // under way is touched.
-func (x *Proxy) Again(p settings.Settings) []string {
+func (x *Proxy) Reload(p settings.Settings) []string {
 	x.reset.Store(&p)
 	x.touch.SetSeeds(p.Seeds)
 	x.load.bound(&p)
--- a/internal/proxy/beat.go
+++ b/internal/proxy/beat.go
@@ -8,8 +8,8 @@
 	"puffincrank/internal/schema"
 )
 
-// Beats is the table of a worker's beat.
-var Beats = schema.Table{Name: "beat", Rows: []schema.Field{
+// HeartbeatTable is the table of a worker's beat.
+var HeartbeatTable = schema.Table{Name: "beat", Rows: []schema.Field{
 	{Name: "service", Type: schema.Text, Required: true, Check: schema.IsName, Rule: "a name", Help: "the service it serves"},
 	{Name: "worker", Type: schema.Text, Required: true, Check: schema.IsName, Rule: "a name", Help: "its identity, a new one at each start"},
 	{Name: "addr", Type: schema.Addr, Required: true, Rule: "IP number and port", Help: "where it takes jobs"},
@@ -30,7 +30,7 @@
 		httpapi.JSON(w, http.StatusBadRequest, httpapi.Wrong{Wrong: "not JSON: " + err.Error()})
 		return
 	}
-	v, more := Beats.Read(in, "")
+	v, more := HeartbeatTable.Read(in, "")
 	if bad = append(bad, more...); len(bad) > 0 {
 		x.e.Log.Emit(event.BeatBad, "faults", len(bad), "first", bad[0].Place)
 		httpapi.JSON(w, http.StatusUnprocessableEntity, httpapi.Wrong{Wrong: "the beat is wrong", Faults: bad})
@@ -76,7 +76,7 @@
 	}
 	x.hears(g, say == "up")
 	if c.cold > 0 {
-		g.own.Cold(c.cold)
+		g.own.SetWarmup(c.cold)
 	}
 	g.mu.Lock()
 	resized := g.slots != slots
--- a/internal/proxy/callerleft.go
+++ b/internal/proxy/callerleft.go
@@ -24,7 +24,7 @@
 	request := j.name()
 	return context.AfterFunc(j.req.Context(), func() {
 		x.quit.Add(1)
-		x.trail.add(Step{Request: request, Step: stepLeft})
+		x.trail.add(Decision{Request: request, Step: stepLeft})
 		x.gone.Emit(x.e.Log, event.CallerLeft, "request", request)
 	})
 }
@@ -40,7 +40,7 @@
 	stop := context.AfterFunc(ctx, func() {
 		mu.Lock()
 		defer mu.Unlock()
-		ending := shutdown.IsLate(ctx)
+		ending := shutdown.IsCutoff(ctx)
 		if over || !ending && !transport.Abandoned(ctx) {
 			return
 		}
--- a/internal/proxy/callerleft_test.go
+++ b/internal/proxy/callerleft_test.go
@@ -29,7 +29,7 @@
 		}, false},
 		{"a node on its way ends", func(ctx context.Context) context.Context {
 			ctx, stop := context.WithCancelCause(ctx)
-			stop(shutdown.ErrLate)
+			stop(shutdown.ErrCutoff)
 			return ctx
 		}, false},
 		{"ended with another cause", func(ctx context.Context) context.Context {
--- a/internal/proxy/calls.go
+++ b/internal/proxy/calls.go
@@ -152,13 +152,13 @@
 	if v.part = v.in.NestedRetryShare; v.in.Retry {
 		v.part = 1
 	}
-	if v.in.NeedsRetryBudget && !x.again.Again(v.in.Service) {
+	if v.in.NeedsRetryBudget && !x.again.Allow(v.in.Service) {
 		return v.in.Service, false
 	}
 	calls := x.calls.expects(v.in.Route, v.part)
 	// One that is only called by a repeat isn't refused, or the work of that one
 	// would be lost; its room is held all the same, before that of others.
-	if lacks, ok = x.again.Hold(calls, !v.in.Retry); !ok {
+	if lacks, ok = x.again.ReserveNested(calls, !v.in.Retry); !ok {
 		return lacks, false
 	}
 	v.runs, v.calls = true, calls
@@ -170,6 +170,6 @@
 func (x *Proxy) ended(v *visit) {
 	if v.runs {
 		x.calls.end(v.in.Route, v.part, v.back.Outcome != protocol.Refused)
-		x.again.Free(v.calls)
+		x.again.ReleaseNested(v.calls)
 	}
 }
--- a/internal/proxy/deliver.go
+++ b/internal/proxy/deliver.go
@@ -74,7 +74,7 @@
 	}
 	if lacks, ok := x.begun(v); !ok {
 		x.conns.Release(c)
-		return v.later("no repeats are left for "+lacks, x.again.When(lacks))
+		return v.later("no repeats are left for "+lacks, x.again.EstimateWait(lacks))
 	}
 	// From here on the worker may have had the job, whatever an error says.
 	x.step(v, stepSent, "")
--- a/internal/proxy/ending.go
+++ b/internal/proxy/ending.go
@@ -16,7 +16,7 @@
 func (x *Proxy) queueWaitBound() time.Duration {
 	most := x.Settings.GracePeriod * 6 / 10
 	if plan := x.stop.Load(); plan != nil {
-		most = min(most, plan.WaitsFor()-x.Settings.FarewellTimeout())
+		most = min(most, plan.RemainingWait()-x.Settings.FarewellTimeout())
 	}
 	return max(most, time.Millisecond)
 }
@@ -24,7 +24,7 @@
 // isEnding tells that this node goes so soon that nothing more is begun for a job.
 func (x *Proxy) isEnding() bool {
 	plan := x.stop.Load()
-	return plan != nil && plan.WaitsFor() <= 0
+	return plan != nil && plan.RemainingWait() <= 0
 }
 
 // boundRequeue bounds how long a job that waited elsewhere already may wait at its next
@@ -49,7 +49,7 @@
 	if plan == nil {
 		return 0
 	}
-	return max(plan.WaitsFor().Milliseconds(), 1)
+	return max(plan.RemainingWait().Milliseconds(), 1)
 }
 
 // needs is the time to allow for an attempt: by what such requests take at this worker,
@@ -73,7 +73,7 @@
 		return wait, ends
 	}
 	// Other nodes can have it still, so here it must be all but certain.
-	own := plan.WaitsFor() - 2*need
+	own := plan.RemainingWait() - 2*need
 	if need == 0 {
 		own = 0
 	}
@@ -113,7 +113,7 @@
 		if !v.in.AllowEndingNode {
 			return 0
 		}
-		left = min(left, plan.WaitsFor())
+		left = min(left, plan.RemainingWait())
 	}
 	return left
 }
--- a/internal/proxy/fit.go
+++ b/internal/proxy/fit.go
@@ -17,8 +17,8 @@
 // of a worker's jobs pass here, however many fronts there are.
 func (x *Proxy) measure(v *visit) {
 	b, own, path := &v.back, v.gate.own, v.in.Route
-	ms := own.Stop(v.run)
-	usual := x.pick.Usual(path)
+	ms := own.RunEnded(v.run)
+	usual := x.pick.UsualRunMS(path)
 	switch {
 	case v.cut != "":
 		// It was ended from here.
@@ -27,18 +27,18 @@
 		// It forgot a connection that idled: a matter of how long they are kept.
 		return
 	case v.mute:
-		own.Failed(dead)
+		own.RecordFailures(dead)
 	case b.Outcome == protocol.Done && b.Status < 500:
-		own.Ran(path, ms, usual)
+		own.RecordRun(path, ms, usual)
 	case b.Outcome == protocol.Unknown && b.TimedOut, b.Outcome == protocol.Done && b.Status == http.StatusGatewayTimeout:
 		// One that came with too little time says nothing of the worker.
 		if usual > 0 && ms > 2*usual {
-			own.Failed(1)
+			own.RecordFailures(1)
 		}
 	case b.ReachedWorker:
 		// Its own failures; and no more jobs are here than it has slots, so
 		// one that it turned away counts too.
-		own.Failed(1)
+		own.RecordFailures(1)
 	default:
 		return
 	}
@@ -62,7 +62,7 @@
 
 // changed tells whether the registry has other doubts about a worker than its owner.
 func (x *Proxy) changed(g *gate) bool {
-	now := g.own.Doubts(x.pick.Failing(g.service))
+	now := g.own.Suspicion(x.pick.FailureRate(g.service))
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.told != now
@@ -87,10 +87,10 @@
 		// A later start of this node knows by it which calls are older.
 		meta["call"] = strconv.FormatInt(g.seq, 10)
 	}
-	doubts := g.own.Doubts(x.pick.Failing(g.service))
+	doubts := g.own.Suspicion(x.pick.FailureRate(g.service))
 	if doubts > 0 {
 		meta["doubts"] = strconv.Itoa(doubts)
-		if g.own.Chilly() {
+		if g.own.WarmingUp() {
 			meta["cold"] = "1"
 		}
 	}
@@ -116,10 +116,10 @@
 }
 
 // uses gives the classes' use of each worker for the status.
-func (x *Proxy) uses() map[string]map[string]admission.Use {
-	out := map[string]map[string]admission.Use{}
+func (x *Proxy) uses() map[string]map[string]admission.ClassUsage {
+	out := map[string]map[string]admission.ClassUsage{}
 	for _, g := range x.allGates() {
-		out[g.worker] = g.room.Uses()
+		out[g.worker] = g.room.Usage()
 	}
 	return out
 }
--- a/internal/proxy/front.go
+++ b/internal/proxy/front.go
@@ -82,7 +82,7 @@
 	} else {
 		w.Header().Set(x.say.Job, j.id)
 	}
-	if !x.Open() && !x.begins(r.Context(), x.half(r)) {
+	if !x.AcceptsRequests() && !x.begins(r.Context(), x.half(r)) {
 		x.busyNow(w, "this node is not taking jobs: "+x.life.Current(), x.opens())
 		return
 	}
--- a/internal/proxy/fuzz_test.go
+++ b/internal/proxy/fuzz_test.go
@@ -86,7 +86,7 @@
 		if err != nil {
 			return
 		}
-		for _, tab := range []schema.Table{Workers, Beats} {
+		for _, tab := range []schema.Table{WorkerTable, HeartbeatTable} {
 			v, bad := tab.ReadKnown(in, "")
 			for _, b := range bad {
 				if b.Place == "" || b.Message == "" {
--- a/internal/proxy/gate.go
+++ b/internal/proxy/gate.go
@@ -20,7 +20,7 @@
 	service string
 	addr    string
 	slots   int
-	room    *admission.Room
+	room    *admission.Controller
 	state   *fsm.Machine // up, draining, down, gone
 	mu      sync.Mutex
 	heard   time.Time
@@ -32,13 +32,13 @@
 	bytes   map[string]int           // by path, how long its answers are, smoothed
 	leaves  time.Time                // when it said that it is leaving
 	began   uint64                   // the step of the trail at which its state began
-	own     *balancer.Own
+	own     *balancer.WorkerStats
 	tell    sync.Mutex // one word to the registry at a time; taken before mu
 	told    int        // the doubts that the registry has
 }
 
 func newGate(worker, service, addr string, slots int, window time.Duration) *gate {
-	g := &gate{worker: worker, service: service, addr: addr, slots: slots, room: admission.New(), takes: map[string]time.Duration{}, bytes: map[string]int{}, own: balancer.NewOwn(window)}
+	g := &gate{worker: worker, service: service, addr: addr, slots: slots, room: admission.New(), takes: map[string]time.Duration{}, bytes: map[string]int{}, own: balancer.NewWorkerStats(window)}
 	g.state = fsm.New("new", nil,
 		fsm.Move{From: "new", By: "up", To: "up"},
 		fsm.Move{From: "new", By: "drain", To: "draining"},
@@ -121,7 +121,7 @@
 	g.mu.Lock()
 	slots := g.slots
 	g.mu.Unlock()
-	g.room.Shape(slots, r.Shares, max(int(float64(slots)*r.Queue), 1))
+	g.room.Configure(slots, r.Shares, max(int(float64(slots)*r.Queue), 1))
 }
 
 // watch finds dead workers: by missed beats, and by probes of their port.
--- a/internal/proxy/hedge.go
+++ b/internal/proxy/hedge.go
@@ -59,7 +59,7 @@
 	x.attempts.by[id] = a
 	x.attempts.mu.Unlock()
 	if plan := x.stop.Load(); plan != nil {
-		a.waitsUntil(plan.WaitUntil())
+		a.waitsUntil(plan.WaitDeadline())
 	}
 	if at, ok := x.hedgeOverdueAt(j); ok {
 		a.hedgeAt(at)
@@ -78,7 +78,7 @@
 // usual is how long a request of a path runs at a worker, as far as this front knows;
 // 0 when it does not.
 func (x *Proxy) usual(path string) time.Duration {
-	return time.Duration(x.pick.Usual(path) * float64(time.Millisecond))
+	return time.Duration(x.pick.UsualRunMS(path) * float64(time.Millisecond))
 }
 
 // endsAt takes in that the node beside its worker ends the attempt's run at a time.
@@ -136,7 +136,7 @@
 	}
 	a.second = s
 	a.x.hedges.Add(1)
-	a.x.trail.add(Step{Request: a.request.name(), Attempt: a.request.id, Step: stepHedged, Worker: a.request.entry.Worker})
+	a.x.trail.add(Decision{Request: a.request.name(), Attempt: a.request.id, Step: stepHedged, Worker: a.request.entry.Worker})
 }
 
 // copyOfRequest is the request as the second attempt goes on with it. The first one is
--- a/internal/proxy/hedge_test.go
+++ b/internal/proxy/hedge_test.go
@@ -49,7 +49,7 @@
 
 // ran has a worker run a job of the path in a time, as a front sees it.
 func ran(x *Proxy, took time.Duration) {
-	x.pick.Done(balancer.End{Worker: "w", Service: "s", Path: "p", Took: took, Ran: took, OK: true, Counts: true})
+	x.pick.RecordOutcome(balancer.Outcome{Worker: "w", Service: "s", Route: "p", RoundTrip: took, RunTime: took, OK: true, AboutWorker: true})
 }
 
 // TestHedgeable: a second attempt may follow a first one only for what may be repeated,
--- a/internal/proxy/newsrate_test.go
+++ b/internal/proxy/newsrate_test.go
@@ -49,15 +49,15 @@
 		}
 	})
 	for range 200 {
-		g.own.Cold(time.Hour)
+		g.own.SetWarmup(time.Hour)
 		x.doubt(g)
-		g.own = balancer.NewOwn(x.Settings.RetryWindow)
+		g.own = balancer.NewWorkerStats(x.Settings.RetryWindow)
 		x.doubt(g)
 	}
 	if most := int(newsAtOnce(240)); registered > most {
 		t.Errorf("%d changes were told, %d may be at once", registered, most)
 	}
-	g.own.Cold(time.Hour)
+	g.own.SetWarmup(time.Hour)
 	x.fitnessNews.Nodes(1)
 	x.fitnessNews.filled = x.fitnessNews.filled.Add(-time.Second)
 	x.doubt(g)
--- a/internal/proxy/outer.go
+++ b/internal/proxy/outer.go
@@ -102,33 +102,33 @@
 
 // Status is what a proxy says of itself.
 type Status struct {
-	Node     string                              `msgpack:"node" json:"node"`
-	Area     string                              `msgpack:"area" json:"area"`
-	State    string                              `msgpack:"state" json:"state"`
-	Version  uint64                              `msgpack:"version" json:"config_version"`
-	Session  string                              `msgpack:"session" json:"session"`
-	SureMS   int64                               `msgpack:"sure" json:"confirmed_ms_ago"`
-	Entries  int                                 `msgpack:"entries" json:"entries"`
-	Dead     int                                 `msgpack:"dead" json:"tombstones"`
-	Digest   uint64                              `msgpack:"digest" json:"digest"`
-	Count    counts                              `msgpack:"count" json:"jobs"`
-	Repeats  int64                               `msgpack:"repeats" json:"repeats"`
-	Classes  map[string]map[string]admission.Use `msgpack:"classes" json:"classes"`
-	Fitness  map[string]float64                  `msgpack:"fitness" json:"fitness"`
-	Workers  []WorkerStatus                      `msgpack:"workers" json:"workers"`
-	Events   []event.Entry                       `msgpack:"events" json:"-"`
-	Traffic  string                              `msgpack:"traffic" json:"traffic"`
-	Eager    int                                 `msgpack:"eager" json:"eager_links"`
-	Lazy     int                                 `msgpack:"lazy" json:"lazy_links"`
-	SentAway int64                               `msgpack:"away" json:"bytes_sent_to_other_areas"`
-	Callers  int64                               `msgpack:"callers,omitempty" json:"connections_of_callers"`
-	Bytes    int64                               `msgpack:"bytes,omitempty" json:"bytes_under_way"`
-	Peak     int64                               `msgpack:"peak,omitempty" json:"bytes_under_way_peak"`
-	Room     int64                               `msgpack:"room,omitempty" json:"bytes_under_way_bound"`
-	Slim     int64                               `msgpack:"slim,omitempty" json:"refused_for_thin_links"`
-	Quit     int64                               `msgpack:"quit,omitempty" json:"callers_left"`
-	Hedges   int64                               `msgpack:"hedges,omitempty" json:"hedged"`
-	Routines int                                 `msgpack:"routines,omitempty" json:"goroutines"`
+	Node               string                                     `msgpack:"node" json:"node"`
+	Zone               string                                     `msgpack:"area" json:"area"`
+	State              string                                     `msgpack:"state" json:"state"`
+	Version            uint64                                     `msgpack:"version" json:"config_version"`
+	Session            string                                     `msgpack:"session" json:"session"`
+	ConfirmedAgoMS     int64                                      `msgpack:"sure" json:"confirmed_ms_ago"`
+	Entries            int                                        `msgpack:"entries" json:"entries"`
+	Tombstones         int                                        `msgpack:"dead" json:"tombstones"`
+	Digest             uint64                                     `msgpack:"digest" json:"digest"`
+	Requests           counts                                     `msgpack:"count" json:"jobs"`
+	Retries            int64                                      `msgpack:"repeats" json:"repeats"`
+	Classes            map[string]map[string]admission.ClassUsage `msgpack:"classes" json:"classes"`
+	Health             map[string]float64                         `msgpack:"fitness" json:"fitness"`
+	Workers            []WorkerStatus                             `msgpack:"workers" json:"workers"`
+	Events             []event.Entry                              `msgpack:"events" json:"-"`
+	TrafficAddr        string                                     `msgpack:"traffic" json:"traffic"`
+	EagerLinks         int                                        `msgpack:"eager" json:"eager_links"`
+	LazyLinks          int                                        `msgpack:"lazy" json:"lazy_links"`
+	BytesToOtherZones  int64                                      `msgpack:"away" json:"bytes_sent_to_other_areas"`
+	CallerConnections  int64                                      `msgpack:"callers,omitempty" json:"connections_of_callers"`
+	BytesInFlight      int64                                      `msgpack:"bytes,omitempty" json:"bytes_under_way"`
+	BytesInFlightPeak  int64                                      `msgpack:"peak,omitempty" json:"bytes_under_way_peak"`
+	BytesInFlightLimit int64                                      `msgpack:"room,omitempty" json:"bytes_under_way_bound"`
+	ThinLinkRefusals   int64                                      `msgpack:"slim,omitempty" json:"refused_for_thin_links"`
+	CallersLeft        int64                                      `msgpack:"quit,omitempty" json:"callers_left"`
+	Hedges             int64                                      `msgpack:"hedges,omitempty" json:"hedged"`
+	Goroutines         int                                        `msgpack:"routines,omitempty" json:"goroutines"`
 }
 
 // WorkerStatus is one worker as its owner sees it.
@@ -141,35 +141,35 @@
 	Used    int    `msgpack:"u" json:"used"`
 }
 
-// StatusAsk asks a node for its status, with its events above a number.
-type StatusAsk struct {
+// StatusRequest asks a node for its status, with its events above a number.
+type StatusRequest struct {
 	Events bool   `msgpack:"e"`
 	Since  uint64 `msgpack:"s"`
 }
 
 func (x *Proxy) status() Status {
 	at, sure := x.touch.Current()
-	s := Status{Node: x.Settings.Node, Area: x.Settings.Zone, State: x.life.Current(), Session: at, SureMS: time.Since(sure).Milliseconds(), Traffic: x.Settings.TrafficAddr}
+	s := Status{Node: x.Settings.Node, Zone: x.Settings.Zone, State: x.life.Current(), Session: at, ConfirmedAgoMS: time.Since(sure).Milliseconds(), TrafficAddr: x.Settings.TrafficAddr}
 	if r := x.rules.Load(); r != nil {
 		s.Version = r.Version
 	}
-	s.Entries, s.Dead = x.rep.Map().Size()
+	s.Entries, s.Tombstones = x.rep.Map().Size()
 	for _, d := range x.rep.Map().Digests() {
 		s.Digest ^= d
 	}
 	x.mu.Lock()
-	s.Count = x.count
+	s.Requests = x.count
 	x.mu.Unlock()
-	s.Repeats, s.Slim = x.again.Given(), x.slim.Load()
+	s.Retries, s.ThinLinkRefusals = x.again.AllowedCount(), x.slim.Load()
 	s.Hedges = x.hedges.Load()
-	s.Routines = runtime.NumGoroutine()
-	s.Callers, s.Quit = x.stay.Open(), x.quit.Load()
-	s.Bytes, s.Peak, s.Room = x.load.at()
-	s.Classes, s.Fitness = x.uses(), x.pick.Fits()
-	s.Eager, s.Lazy = x.rep.Tree().Shape()
+	s.Goroutines = runtime.NumGoroutine()
+	s.CallerConnections, s.CallersLeft = x.stay.Open(), x.quit.Load()
+	s.BytesInFlight, s.BytesInFlightPeak, s.BytesInFlightLimit = x.load.at()
+	s.Classes, s.Health = x.uses(), x.pick.Weights()
+	s.EagerLinks, s.LazyLinks = x.rep.Tree().Shape()
 	for k, v := range x.n.Sizes() {
 		if k.Away {
-			s.SentAway += v.Bytes
+			s.BytesToOtherZones += v.Bytes
 		}
 	}
 	for _, g := range x.allGates() {
@@ -179,7 +179,7 @@
 	return s
 }
 
-func (x *Proxy) onStatus(_ context.Context, _ transport.Hello, in StatusAsk) (Status, error) {
+func (x *Proxy) onStatus(_ context.Context, _ transport.Hello, in StatusRequest) (Status, error) {
 	s := x.status()
 	if in.Events {
 		s.Events = x.e.Log.Since(in.Since)
@@ -187,8 +187,8 @@
 	return s, nil
 }
 
-// DrainAsk is an operator's word to drain a node's workers, or to undo it.
-type DrainAsk struct {
+// DrainRequest is an operator's word to drain a node's workers, or to undo it.
+type DrainRequest struct {
 	On bool `msgpack:"o"`
 }
 
@@ -200,7 +200,7 @@
 
 // onDrain drains the workers of this node until it is undone; the next beat
 // of a worker brings it back.
-func (x *Proxy) onDrain(_ context.Context, _ transport.Hello, in DrainAsk) (Status, error) {
+func (x *Proxy) onDrain(_ context.Context, _ transport.Hello, in DrainRequest) (Status, error) {
 	x.mu.Lock()
 	x.hold = in.On
 	x.mu.Unlock()
@@ -210,18 +210,18 @@
 	return x.status(), nil
 }
 
-// Busy counts the jobs under way at this front.
-func (x *Proxy) Busy() int64 { return x.busy.Load() }
+// ActiveRequests counts the jobs under way at this front.
+func (x *Proxy) ActiveRequests() int64 { return x.busy.Load() }
 
-// Owned counts the attempts under way at this node's worker.
-func (x *Proxy) Owned() int64 { return x.owned.Load() }
+// ActiveAttempts counts the attempts under way at this node's worker.
+func (x *Proxy) ActiveAttempts() int64 { return x.owned.Load() }
 
-// Hedges counts the second attempts that were begun beside first ones.
-func (x *Proxy) Hedges() int64 { return x.hedges.Load() }
+// HedgeCount counts the second attempts that were begun beside first ones.
+func (x *Proxy) HedgeCount() int64 { return x.hedges.Load() }
 
-// Asked counts the repeats that this front's jobs asked for.
-func (x *Proxy) Asked() int64 { return x.again.Asked() }
+// RetriesRequested counts the repeats that this front's jobs asked for.
+func (x *Proxy) RetriesRequested() int64 { return x.again.RequestedCount() }
 
-// Sizes gives the bytes that this process sent to others, by kind of message;
+// BytesSent gives the bytes that this process sent to others, by kind of message;
 // receipts count with what they answer.
-func (x *Proxy) Sizes() map[transport.Flow]transport.Sum { return x.n.Sizes() }
+func (x *Proxy) BytesSent() map[transport.Flow]transport.Sum { return x.n.Sizes() }
--- a/internal/proxy/owner.go
+++ b/internal/proxy/owner.go
@@ -24,13 +24,13 @@
 	runs  bool               // it was begun at the worker
 	part  float64            // how far the run is a repeat
 	calls map[string]float64 // held for the calls of a repeat
-	run   *balancer.Run
+	run   *balancer.ActiveRun
 	mute  bool   // the worker took no connection
 	stale bool   // it had forgotten a kept connection
 	cut   string // why its run was ended from here; "" if it was not
 	lane  int    // that it came by
 	free  func() // gives back what was booked for its answer
-	ask   admission.Ask
+	ask   admission.Request
 	holds uint64 // the version held here, where it isn't the job's
 }
 
@@ -70,9 +70,9 @@
 		x.step(v, stepUnknown, v.back.Reason)
 	}
 	if plan := x.stop.Load(); plan != nil && v.back.Outcome != protocol.Done {
-		v.back.StoppingForMS = max(plan.Since().Milliseconds(), 1)
+		v.back.StoppingForMS = max(plan.Elapsed().Milliseconds(), 1)
 	}
-	v.back.UsedSlots, v.back.CalledByRequests = -1, v.ask.Inner
+	v.back.UsedSlots, v.back.CalledByRequests = -1, v.ask.Nested
 	if v.gate != nil {
 		x.ended(v)
 		x.unbook(v)
@@ -82,12 +82,12 @@
 				v.gate.ran(in.Route, took, len(v.back.Body))
 				v.back.RunMicros = took.Microseconds()
 			}
-			v.gate.room.Leave(v.ask, time.Since(v.from))
+			v.gate.room.Release(v.ask, time.Since(v.from))
 			x.measure(v)
 		}
 		used, wait, _ := v.gate.room.Load()
 		v.back.UsedSlots = used + wait
-		w := v.gate.own.Word()
+		w := v.gate.own.Report()
 		v.back.PaceEighths, v.back.FailedPer64 = w.Pace, w.Fail
 	}
 	return v.back
@@ -185,7 +185,7 @@
 	if transport.Abandoned(ctx) {
 		return v.refuse(whyLeft)
 	}
-	if shutdown.IsLate(ctx) {
+	if shutdown.IsCutoff(ctx) {
 		return v.refuse(whyEnding)
 	}
 	return time.Now().Before(v.end) || v.refuse("no time left before delivery")
@@ -210,17 +210,17 @@
 	if !x.endsInTime(v) {
 		return false
 	}
-	v.ask = admission.Ask{Class: v.in.Class, Wait: x.queueWait(v), Inner: x.kin.inner(v.in.Route), Rank: v.rank()}
+	v.ask = admission.Request{Class: v.in.Class, MaxWait: x.queueWait(v), Nested: x.kin.inner(v.in.Route), Priority: v.rank()}
 	if v.in.NoQueue {
-		v.ask.Wait = 0
+		v.ask.MaxWait = 0
 	}
-	if why := v.gate.room.Enter(ctx, v.ask); why != admission.In {
-		v.later(why, v.gate.room.Drain(v.in.Class))
-		v.back.NoFreeSlot = v.in.NoQueue && (why == admission.Full || why == admission.Late)
+	if why := v.gate.room.Acquire(ctx, v.ask); why != admission.Admitted {
+		v.later(why, v.gate.room.EstimateDrain(v.in.Class))
+		v.back.NoFreeSlot = v.in.NoQueue && (why == admission.QueueFull || why == admission.NoTimeLeft)
 		return false
 	}
 	v.held, v.from, v.lane = true, time.Now(), x.begin(ctx)
-	v.run = v.gate.own.Start(x.pick.Usual(v.in.Route))
+	v.run = v.gate.own.RunStarted(x.pick.UsualRunMS(v.in.Route))
 	// The wait may have been long: all that could have changed is looked at
 	// once more right before the job goes out.
 	if !x.timely(ctx, v) || !x.endsInTime(v) {
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -42,7 +42,7 @@
 	well        chan struct{} // closed when it became ready
 	touch       *controlclient.Client
 	rep         *replica.Replica
-	pick        *balancer.Nominator
+	pick        *balancer.Balancer
 	again       *retrybudget.Budget
 	kin         *kin
 	calls       *calls
@@ -72,7 +72,7 @@
 	stop        atomic.Pointer[shutdown.Schedule] // of the stop, once it was told to end
 	boot        string
 	born        time.Time
-	late        *shutdown.Late
+	late        *shutdown.Cutoff
 	attempts    attempts   // of this front, that may be hedged
 	remote      remoteRuns // at the own worker, of other fronts
 
@@ -96,7 +96,7 @@
 func New(p settings.Settings, e env.Env) *Proxy {
 	g := task.New(context.Background()).Pace(e.Pause)
 	x := &Proxy{Settings: p, e: e, g: g, well: make(chan struct{}), gates: map[string]*gate{}, met: map[string]time.Time{}, tally: map[armKey]*armTally{}, live: map[string]time.Time{}, lastCalls: map[string]lastCall{}, departures: map[string]time.Time{}, kept: map[string]string{}, boot: fresh(), born: time.Now(), say: e.Say}
-	x.late = shutdown.NewLate(g.Context())
+	x.late = shutdown.NewCutoff(g.Context())
 	x.attempts.by, x.remote.by = map[string]*attempt{}, map[string]context.Context{}
 	if x.say.Name == "" {
 		x.say = dialect.Own
@@ -162,8 +162,8 @@
 	x.pick.Forget(n.Entry.Worker)
 }
 
-// Open tells whether jobs are taken: a leaving node takes them for a while.
-func (x *Proxy) Open() bool { return x.life.Is("ready", "leaving") }
+// AcceptsRequests tells whether jobs are taken: a leaving node takes them for a while.
+func (x *Proxy) AcceptsRequests() bool { return x.life.Is("ready", "leaving") }
 
 // Ready tells the platform whether to send callers here.
 func (x *Proxy) Ready() bool { return x.life.Is("ready") }
@@ -194,5 +194,5 @@
 	}
 }
 
-// Links counts the links to fellows that stand, whoever dialed them.
-func (x *Proxy) Links() int { return x.n.Links() }
+// LinkCount counts the links to fellows that stand, whoever dialed them.
+func (x *Proxy) LinkCount() int { return x.n.Links() }
--- a/internal/proxy/recall.go
+++ b/internal/proxy/recall.go
@@ -60,7 +60,7 @@
 // then.
 func (x *Proxy) comeback(j *job) time.Duration {
 	now := time.Now()
-	run := time.Duration(x.pick.Usual(j.path.Name) * float64(time.Millisecond))
+	run := time.Duration(x.pick.UsualRunMS(j.path.Name) * float64(time.Millisecond))
 	if now.Add(j.come + run).After(j.first.Add(j.arm.Aim)) {
 		return max(j.come, j.end.Sub(now)/3)
 	}
--- a/internal/proxy/runends.go
+++ b/internal/proxy/runends.go
@@ -47,7 +47,7 @@
 
 // notifyEnd tells one front. A loss is no fault: it hears of the end when it comes.
 func notifyEnd(ctx context.Context, attempt string, plan *shutdown.Schedule) {
-	_ = transport.Notify(ctx, protocol.RunEndNoticeKind, protocol.RunEndNotice{AttemptID: attempt, RemainingMS: max(plan.WaitsFor().Milliseconds(), 0)})
+	_ = transport.Notify(ctx, protocol.RunEndNoticeKind, protocol.RunEndNotice{AttemptID: attempt, RemainingMS: max(plan.RemainingWait().Milliseconds(), 0)})
 }
 
 // onRunEnds takes in that the node beside a worker ends the run of an attempt.
--- a/internal/proxy/rush.go
+++ b/internal/proxy/rush.go
@@ -14,7 +14,7 @@
 // rushes decides whether a job's next send would rather go on than wait: as long
 // as slots are free somewhere, and its body is small.
 func (x *Proxy) rushes(j *job) bool {
-	j.rushing = j.rushes < rushMost && j.arm.Bulk == "" && len(j.body) <= x.Settings.MaxFrameBytes/rushBody && x.pick.Roomy(j.service)
+	j.rushing = j.rushes < rushMost && j.arm.Bulk == "" && len(j.body) <= x.Settings.MaxFrameBytes/rushBody && x.pick.HasFreeSlots(j.service)
 	return j.rushing
 }
 
--- a/internal/proxy/start.go
+++ b/internal/proxy/start.go
@@ -50,7 +50,7 @@
 }
 
 // bound sets the bound on repeats.
-func (x *Proxy) bound(r *rules.Rules) { x.again.Bound(x.repeats(r)) }
+func (x *Proxy) bound(r *rules.Rules) { x.again.SetLimits(x.repeats(r)) }
 
 // repeats is the bound on repeats: the platform's, where it tells one, since it
 // is the platform that holds the mesh to it; else the document's. An allowance
@@ -142,7 +142,7 @@
 	case <-t.C:
 	case <-ctx.Done():
 	}
-	return x.Open()
+	return x.AcceptsRequests()
 }
 
 // half is half of the time that a caller says it has left.
--- a/internal/proxy/steps.go
+++ b/internal/proxy/steps.go
@@ -66,10 +66,10 @@
 			return stop
 		}
 		all := x.rep.Lookup(j.service)
-		e, ok := x.pick.Pick(all, balancer.Want{Path: j.path.Name, Aim: time.Until(j.first.Add(j.arm.Aim)), Bulk: j.arm.Bulk != "", Safe: j.arm.Safe, Wait: x.wait(j), Tried: j.tried})
+		e, ok := x.pick.Pick(all, balancer.PickRequest{Route: j.path.Name, Target: time.Until(j.first.Add(j.arm.Aim)), Bulk: j.arm.Bulk != "", Repeatable: j.arm.Safe, Delay: x.wait(j), Tried: j.tried})
 		// The own worker's door is seen from here: shut, it costs no send.
 		if ok && x.shutHere(e) {
-			x.pick.Done(balancer.End{Worker: e.Worker, Used: -1})
+			x.pick.RecordOutcome(balancer.Outcome{Worker: e.Worker, UsedSlots: -1})
 			j.tried[e.Worker] = true
 			continue
 		}
@@ -96,18 +96,18 @@
 	}
 	// As long as none is known to have come, each send may be the first there.
 	if j.fresh = j.came == 0; j.fresh {
-		x.again.Call(j.service, j.part)
+		x.again.RecordNestedCall(j.service, j.part)
 	}
 	// Only what comes to a worker after the first is a repeat there; what an
 	// owner refused by itself cost no worker anything.
-	paid := j.came == 0 || x.again.Again(j.service)
+	paid := j.came == 0 || x.again.Allow(j.service)
 	if j.unpaid = !paid && j.borrows; !paid && !j.unpaid {
-		x.pick.Done(balancer.End{Worker: j.entry.Worker, Used: -1})
+		x.pick.RecordOutcome(balancer.Outcome{Worker: j.entry.Worker, UsedSlots: -1})
 		j.why += "; no repeats are left"
 		// Whoever comes back needs what the last refusal lacked; when that one
 		// named no time, what lacks is a repeat.
 		if j.come == 0 {
-			j.come = x.again.When(j.service)
+			j.come = x.again.EstimateWait(j.service)
 		}
 		return stop
 	}
@@ -138,7 +138,7 @@
 	}
 	if h.TimeoutMS <= 0 {
 		j.back = protocol.AttemptResult{Outcome: protocol.Refused, Reason: "no time left", UsedSlots: -1}
-		x.pick.Done(balancer.End{Worker: j.entry.Worker, Used: -1})
+		x.pick.RecordOutcome(balancer.Outcome{Worker: j.entry.Worker, UsedSlots: -1})
 		return next
 	}
 	h.NoQueue = x.rushes(j)
@@ -175,9 +175,9 @@
 	// Only what the worker itself did speaks of its fitness.
 	counts := j.back.Outcome != protocol.Refused && !transport.Abandoned(ctx)
 	ok := j.back.Outcome == protocol.Done && j.back.Status < 500
-	x.pick.Done(balancer.End{Worker: j.entry.Worker, Service: j.service, Path: j.path.Name, Used: j.back.UsedSlots,
-		Word: balancer.Word{Pace: j.back.PaceEighths, Fail: j.back.FailedPer64}, Took: time.Since(from),
-		Ran: time.Duration(j.back.RunMicros) * time.Microsecond, Late: time.Since(j.from) > j.arm.Aim, OK: ok, Counts: counts})
+	x.pick.RecordOutcome(balancer.Outcome{Worker: j.entry.Worker, Service: j.service, Route: j.path.Name, UsedSlots: j.back.UsedSlots,
+		Report: balancer.WorkerReport{Pace: j.back.PaceEighths, Fail: j.back.FailedPer64}, RoundTrip: time.Since(from),
+		RunTime: time.Duration(j.back.RunMicros) * time.Microsecond, MissedTarget: time.Since(j.from) > j.arm.Aim, OK: ok, AboutWorker: counts})
 	return next
 }
 
@@ -208,12 +208,12 @@
 		// It says nothing of the owner that nobody waited for it.
 		return protocol.AttemptResult{Outcome: protocol.Unknown, Reason: "the caller has left", UsedSlots: -1}
 	case fault.Is(err, fault.Unsent), fault.Is(err, fault.Refused):
-		x.pick.Shun(j.entry.Owner, x.Settings.ConfigBound/2)
+		x.pick.Exclude(j.entry.Owner, x.Settings.ConfigBound/2)
 		return protocol.AttemptResult{Outcome: protocol.Refused, Reason: "owner can't be reached", RetryAfterMS: (x.Settings.ConfigBound / 2).Milliseconds(), UsedSlots: -1}
-	case shutdown.IsLate(ctx):
+	case shutdown.IsCutoff(ctx):
 		return protocol.AttemptResult{Outcome: protocol.Unknown, Reason: whyEnding, UsedSlots: -1}
 	default:
-		x.pick.Shun(j.entry.Owner, x.Settings.ConfigBound/2)
+		x.pick.Exclude(j.entry.Owner, x.Settings.ConfigBound/2)
 		return protocol.AttemptResult{Outcome: protocol.Unknown, Reason: noReceipt, TimedOut: ctx.Err() != nil, UsedSlots: -1}
 	}
 	// The answer is checked again here: it must be for this very attempt.
--- a/internal/proxy/stop.go
+++ b/internal/proxy/stop.go
@@ -23,8 +23,8 @@
 	x.n.Haste()
 	// What is under way and won't end in time may have its answer from elsewhere.
 	x.notifyEnds(plan)
-	x.attemptsWaitUntil(plan.WaitUntil())
-	ctx, end := context.WithDeadline(x.g.Context(), plan.WaitUntil())
+	x.attemptsWaitUntil(plan.WaitDeadline())
+	ctx, end := context.WithDeadline(x.g.Context(), plan.WaitDeadline())
 	defer end()
 	// Callers learn from readiness, which the platform polls; until they had
 	// the time to, this front goes on taking their jobs, and for as long as the
@@ -47,7 +47,7 @@
 	x.n.Leave(x.Settings.FarewellTimeout())
 	x.life.Fire("end")
 	x.Kill()
-	x.e.Log.Emit(event.Stopped, "program", "proxy", "after_ms", plan.Since().Milliseconds())
+	x.e.Log.Emit(event.Stopped, "program", "proxy", "after_ms", plan.Elapsed().Milliseconds())
 }
 
 // answerRest ends what can't be waited for any longer: each caller is told that the
@@ -55,8 +55,8 @@
 // ends, and so is each front whose attempt is at the own worker. Answers count as
 // given once they are written.
 func (x *Proxy) answerRest(plan *shutdown.Schedule) {
-	x.late.Over()
-	ctx, end := context.WithDeadline(x.g.Context(), plan.AnswerUntil())
+	x.late.Trigger()
+	ctx, end := context.WithDeadline(x.g.Context(), plan.AnswerDeadline())
 	defer end()
 	x.rest(ctx, func() int64 { return x.busy.Load() + x.owned.Load() + x.stay.Active() })
 }
@@ -76,8 +76,8 @@
 // Its caller may come back when the node has started again.
 func (x *Proxy) outlastsStop(j *job) (come time.Duration, soon bool) {
 	plan := x.stop.Load()
-	if plan == nil || j.from.Before(plan.LongUntil()) || !j.end.After(plan.WaitUntil()) {
+	if plan == nil || j.from.Before(plan.LongWorkDeadline()) || !j.end.After(plan.WaitDeadline()) {
 		return 0, false
 	}
-	return max(time.Until(plan.Ends()), x.Settings.HeartbeatInterval()), true
+	return max(time.Until(plan.End()), x.Settings.HeartbeatInterval()), true
 }
--- a/internal/proxy/tally.go
+++ b/internal/proxy/tally.go
@@ -19,17 +19,17 @@
 	from time.Time
 }
 
-// Bins is the size of the latency histogram: bin i holds latencies up to
+// LatencyBins is the size of the latency histogram: bin i holds latencies up to
 // 2^(i/4) ms, so a quantile read from it is at most a fifth too high.
-const Bins = 72
+const LatencyBins = 72
 
-// Bin finds the bin of a latency.
-func Bin(d time.Duration) int {
+// LatencyBin finds the bin of a latency.
+func LatencyBin(d time.Duration) int {
 	ms := float64(d) / float64(time.Millisecond)
 	if ms <= 1 {
 		return 0
 	}
-	return min(int(math.Ceil(4*math.Log2(ms))), Bins-1)
+	return min(int(math.Ceil(4*math.Log2(ms))), LatencyBins-1)
 }
 
 // tallyLocked counts a job of a path on trial; x.mu is held.
@@ -50,7 +50,7 @@
 	switch {
 	case j.back.Outcome == protocol.Done && j.back.Status < 500:
 		a.t.Done++
-		a.t.LatencyBins[Bin(time.Since(j.from))]++
+		a.t.LatencyBins[LatencyBin(time.Since(j.from))]++
 	case j.back.Outcome == protocol.Done:
 		a.t.Failed++
 	case j.lost != nil:
@@ -61,7 +61,7 @@
 }
 
 func newTally(k armKey) *armTally {
-	return &armTally{t: protocol.ArmCounts{Trial: k.trial, Route: k.path, Arm: k.arm, LatencyBins: make([]uint64, Bins)}, from: time.Now()}
+	return &armTally{t: protocol.ArmCounts{Trial: k.trial, Route: k.path, Arm: k.arm, LatencyBins: make([]uint64, LatencyBins)}, from: time.Now()}
 }
 
 // lively lists the paths that had jobs within the window.
--- a/internal/proxy/touch.go
+++ b/internal/proxy/touch.go
@@ -35,12 +35,12 @@
 
 func (h host) MembersChanged(all *membership.List) {
 	own := h.x.Settings.Node
-	h.x.pick.Here(func(node string) bool { return node == own || all.Has(node) })
+	h.x.pick.SetSessionCheck(func(node string) bool { return node == own || all.Has(node) })
 }
 
 // ProxyCountChanged tells all that is shared among the nodes how many they are.
 func (h host) ProxyCountChanged(n int) {
-	h.x.again.Nodes(n)
+	h.x.again.SetProxyCount(n)
 	h.x.fitnessNews.Nodes(n)
 }
 
--- a/internal/proxy/trail.go
+++ b/internal/proxy/trail.go
@@ -22,20 +22,20 @@
 	stepUnanswered = "unanswered"
 )
 
-// Step is one decision about a request, with what this node knew of the worker
+// Decision is one decision about a request, with what this node knew of the worker
 // when it was made.
-type Step struct {
-	Seq     uint64    `json:"seq"` // orders the steps and the worker's states of this process
-	At      time.Time `json:"at"`  // by the wall clock, to find it beside other logs; orders nothing
-	Request string    `json:"request"`
-	Attempt string    `json:"attempt,omitempty"`
-	Step    string    `json:"step"`
-	Worker  string    `json:"worker,omitempty"`
-	State   string    `json:"state,omitempty"`   // of the worker
-	Since   uint64    `json:"since,omitempty"`   // the step number at which that state began
-	Call    int64     `json:"call,omitempty"`    // the newest call of the worker that was taken
-	WordMS  int64     `json:"word_ms,omitempty"` // how old the worker's newest word was
-	Why     string    `json:"why,omitempty"`
+type Decision struct {
+	Seq            uint64    `json:"seq"` // orders the steps and the worker's states of this process
+	Time           time.Time `json:"at"`  // by the wall clock, to find it beside other logs; orders nothing
+	Request        string    `json:"request"`
+	Attempt        string    `json:"attempt,omitempty"`
+	Step           string    `json:"step"`
+	Worker         string    `json:"worker,omitempty"`
+	State          string    `json:"state,omitempty"`   // of the worker
+	Since          uint64    `json:"since,omitempty"`   // the step number at which that state began
+	HeartbeatSeq   int64     `json:"call,omitempty"`    // the newest call of the worker that was taken
+	HeartbeatAgeMS int64     `json:"word_ms,omitempty"` // how old the worker's newest word was
+	Reason         string    `json:"why,omitempty"`
 }
 
 // trailLength bounds the trail of one process; with some 200 bytes a step it
@@ -46,8 +46,8 @@
 type trail struct {
 	mu     sync.Mutex
 	seq    uint64
-	oldest int    // in the ring, once that is full
-	ring   []Step // grows to its length, then the oldest is overwritten
+	oldest int        // in the ring, once that is full
+	ring   []Decision // grows to its length, then the oldest is overwritten
 }
 
 // next counts a change of a worker's state in the order of the steps.
@@ -59,11 +59,11 @@
 }
 
 // add keeps a step, in the place of the oldest.
-func (t *trail) add(s Step) {
+func (t *trail) add(s Decision) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.seq++
-	s.Seq, s.At = t.seq, time.Now()
+	s.Seq, s.Time = t.seq, time.Now()
 	if len(t.ring) < trailLength {
 		t.ring = append(t.ring, s)
 		return
@@ -73,10 +73,10 @@
 }
 
 // of gives the kept steps of a request or a worker, all for "", oldest first.
-func (t *trail) of(name string) []Step {
+func (t *trail) of(name string) []Decision {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	out := []Step{}
+	out := []Decision{}
 	for i := range t.ring {
 		s := t.ring[(t.oldest+i)%len(t.ring)]
 		if name == "" || s.Request == name || s.Worker == name {
@@ -88,15 +88,15 @@
 
 // step adds what is known of the worker and keeps it.
 func (x *Proxy) step(v *visit, what, why string) {
-	s := Step{Request: v.in.WorkerAttemptID, Attempt: v.in.AttemptID, Step: what, Worker: v.in.Worker, Why: why}
+	s := Decision{Request: v.in.WorkerAttemptID, Attempt: v.in.AttemptID, Step: what, Worker: v.in.Worker, Reason: why}
 	if s.Request == "" {
 		s.Request = v.in.RequestID
 	}
 	if g := v.gate; g != nil {
 		g.mu.Lock()
-		s.Since, s.Call = g.began, g.seq
+		s.Since, s.HeartbeatSeq = g.began, g.seq
 		if !g.word.IsZero() {
-			s.WordMS = time.Since(g.word).Milliseconds()
+			s.HeartbeatAgeMS = time.Since(g.word).Milliseconds()
 		}
 		g.mu.Unlock()
 		s.State = g.state.Current()
@@ -107,5 +107,5 @@
 // onTrail tells the newest decisions about requests, of one request or worker
 // where the query names it ("of").
 func (x *Proxy) onTrail(w http.ResponseWriter, r *http.Request) {
-	httpapi.JSON(w, http.StatusOK, map[string][]Step{"steps": x.trail.of(r.URL.Query().Get("of"))})
+	httpapi.JSON(w, http.StatusOK, map[string][]Decision{"steps": x.trail.of(r.URL.Query().Get("of"))})
 }
--- a/internal/proxy/trail_test.go
+++ b/internal/proxy/trail_test.go
@@ -12,7 +12,7 @@
 	const all = trailLength + 100
 	for i := range all {
 		trail.next() // a change of a worker's state in between
-		trail.add(Step{Request: fmt.Sprint("r", i), Worker: fmt.Sprint("w", i%2), Step: stepSent})
+		trail.add(Decision{Request: fmt.Sprint("r", i), Worker: fmt.Sprint("w", i%2), Step: stepSent})
 	}
 	got := trail.of("")
 	if len(got) != trailLength || got[0].Request != "r100" || got[trailLength-1].Request != fmt.Sprint("r", all-1) {
--- a/internal/proxy/unanswered.go
+++ b/internal/proxy/unanswered.go
@@ -52,7 +52,7 @@
 	}
 	by := x.endedBy(ctx, j)
 	stop := x.sinceStop()
-	x.trail.add(Step{Request: j.name(), Attempt: j.id, Step: stepUnanswered, Worker: j.lost.entry.Worker, Why: by + ": " + j.lost.Reason})
+	x.trail.add(Decision{Request: j.name(), Attempt: j.id, Step: stepUnanswered, Worker: j.lost.entry.Worker, Reason: by + ": " + j.lost.Reason})
 	ownerStop := int64(-1)
 	if j.lost.StoppingForMS > 0 {
 		ownerStop = j.lost.StoppingForMS
@@ -71,7 +71,7 @@
 	switch {
 	case transport.Abandoned(ctx):
 		return endedByCaller
-	case shutdown.IsLate(ctx):
+	case shutdown.IsCutoff(ctx):
 		return endedByStop
 	case !time.Now().Before(j.end):
 		if j.due.IsZero() || j.end.Before(j.due) {
@@ -94,5 +94,5 @@
 	if plan == nil {
 		return -time.Millisecond
 	}
-	return plan.Since()
+	return plan.Elapsed()
 }
--- a/internal/proxy/unseal.go
+++ b/internal/proxy/unseal.go
@@ -75,7 +75,7 @@
 		if b.Status == http.StatusMisdirectedRequest && !x.say.Asks {
 			x.stranger(v.gate)
 		}
-		v.later("the worker refused: "+head(responsedigest.Why), v.gate.room.Drain(v.in.Class))
+		v.later("the worker refused: "+head(responsedigest.Why), v.gate.room.EstimateDrain(v.in.Class))
 		v.back.ReachedWorker = true
 		return false
 	case b.Status == 503 || b.Status == 429:
--- a/internal/proxy/weigh.go
+++ b/internal/proxy/weigh.go
@@ -14,7 +14,7 @@
 func (x *Proxy) weigh(ctx context.Context, j *job) verb {
 	// What came to no worker is no traffic there, and allows no repeats.
 	if j.fresh && !j.back.ReachedWorker && j.back.Outcome != protocol.Done {
-		x.again.Missed(j.service, j.part)
+		x.again.RecordUndelivered(j.service, j.part)
 	}
 	// The path's tries are workers; an owner that had no room may be passed
 	// over besides, but not for ever.
@@ -23,7 +23,7 @@
 	case protocol.Done:
 		// A worker that failed by itself may be alone in that; its own word is
 		// kept for the case that no other does better.
-		if j.back.Status >= 500 && j.arm.Safe && more && x.again.Ample(j.service) {
+		if j.back.Status >= 500 && j.arm.Safe && more && x.again.MostlyUnused(j.service) {
 			b := j.back
 			j.spare = &b
 			return back
--- a/internal/proxy/worker.go
+++ b/internal/proxy/worker.go
@@ -11,9 +11,9 @@
 	"puffincrank/internal/schema"
 )
 
-// Workers is the table of a worker's own resource: its identity stands in the
+// WorkerTable is the table of a worker's own resource: its identity stands in the
 // path, and each call has a number that grows.
-var Workers = schema.Table{Name: "worker", Rows: []schema.Field{
+var WorkerTable = schema.Table{Name: "worker", Rows: []schema.Field{
 	{Name: "service", Type: schema.Text, Required: true, Check: schema.IsName, Rule: "a name", Help: "the service it serves"},
 	{Name: "addr", Type: schema.Addr, Required: true, Rule: "IP number and port", Help: "where it takes jobs"},
 	{Name: "area", Type: schema.Text, Rule: "a name", Help: "where it stands"},
@@ -36,7 +36,7 @@
 		httpapi.JSON(w, http.StatusBadRequest, httpapi.Wrong{Wrong: "not JSON: " + err.Error()})
 		return
 	}
-	v, bad := Workers.ReadKnown(in, "")
+	v, bad := WorkerTable.ReadKnown(in, "")
 	id := chi.URLParam(r, "id")
 	if schema.IsName(id) != nil {
 		bad = append(bad, schema.Problem{Place: "id", Message: "must be a name"})
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -42,8 +42,8 @@
 	rep      *replica.Replica
 	stores   *stores
 	routes   http.Handler
-	calls    atomic.Int64   // outside calls under way
-	late     *shutdown.Late // ends them when a stop can wait no longer
+	calls    atomic.Int64     // outside calls under way
+	late     *shutdown.Cutoff // ends them when a stop can wait no longer
 	pulse    *pausedetect.Detector
 	duties   []*roleElection
 
@@ -95,7 +95,7 @@
 	var b [6]byte
 	_, _ = rand.Read(b[:])
 	r.self = membership.Member{Node: p.Node, Incarnation: hex.EncodeToString(b[:]), Role: "registry", Zone: p.Zone, InternalAddr: p.InternalAddr, APIAddr: p.APIAddr}
-	r.late = shutdown.NewLate(g.Context())
+	r.late = shutdown.NewCutoff(g.Context())
 	r.roll, r.mine = membership.NewTracker(p.Node, memberChangesKept), membership.NewTracker(p.Node, memberChangesKept)
 	r.roll.Set(p.Node, r.self)
 	r.n = transport.NewNode(transport.Hello{Mesh: p.ClusterID, Node: p.Node, Area: p.Zone, Role: "registry"}, e, g, p.MaxFrameBytes, p.MaxRequests, p.CallTimeout())
@@ -210,17 +210,17 @@
 	plan := shutdown.Begin(r.Settings.GracePeriod, r.Settings.FarewellTimeout())
 	task.Pause(r.g.Context(), min(r.Settings.LeaveBound, r.Settings.GracePeriod/2))
 	r.life.Fire("shut")
-	for r.calls.Load() > 0 && plan.WaitsFor() > 0 {
+	for r.calls.Load() > 0 && plan.RemainingWait() > 0 {
 		task.Pause(r.g.Context(), r.Settings.HeartbeatInterval()/10)
 	}
 	// Each that is still under way is told that its outcome is unknown.
-	r.late.Over()
-	for r.calls.Load() > 0 && time.Now().Before(plan.AnswerUntil()) {
+	r.late.Trigger()
+	for r.calls.Load() > 0 && time.Now().Before(plan.AnswerDeadline()) {
 		task.Pause(r.g.Context(), r.Settings.HeartbeatInterval()/10)
 	}
 	r.n.Leave(r.Settings.FarewellTimeout())
 	r.Kill()
-	r.e.Log.Emit(event.Stopped, "program", "registry", "after_ms", plan.Since().Milliseconds())
+	r.e.Log.Emit(event.Stopped, "program", "registry", "after_ms", plan.Elapsed().Milliseconds())
 }
 
 // Ready tells whether outside calls and sessions are taken.
--- a/internal/registry/status.go
+++ b/internal/registry/status.go
@@ -43,7 +43,7 @@
 	Mute       []string            `json:"mute"` // members that gave no answer
 }
 
-func (r *Registry) onStatus(_ context.Context, _ transport.Hello, in proxy.StatusAsk) (Status, error) {
+func (r *Registry) onStatus(_ context.Context, _ transport.Hello, in proxy.StatusRequest) (Status, error) {
 	s := r.status()
 	if in.Events {
 		s.Events = r.e.Log.Since(in.Since)
@@ -105,7 +105,7 @@
 			wait.Done()
 		}
 	}
-	in := proxy.StatusAsk{Events: events, Since: since}
+	in := proxy.StatusRequest{Events: events, Since: since}
 	for _, f := range out.Members {
 		ask(f.Node, func() error {
 			if f.Role == "proxy" {
--- a/internal/registry/trials.go
+++ b/internal/registry/trials.go
@@ -189,7 +189,7 @@
 		httpapi.JSON(w, http.StatusNotFound, httpapi.Wrong{Wrong: "no such node has a session"})
 		return
 	}
-	got, err := transport.Ask[proxy.Status](ctx, r.n, at, "node.drain", proxy.DrainAsk{On: req.URL.Query().Get("undo") != "true"})
+	got, err := transport.Ask[proxy.Status](ctx, r.n, at, "node.drain", proxy.DrainRequest{On: req.URL.Query().Get("undo") != "true"})
 	if err != nil {
 		r.answerFailure(w, err)
 		return
--- a/internal/retrybudget/hold_test.go
+++ b/internal/retrybudget/hold_test.go
@@ -11,17 +11,17 @@
 func TestHold(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := New(10 * time.Second)
-		b.Bound(0.2, 0)
-		b.Nodes(1)
+		b.SetLimits(0.2, 0)
+		b.SetProxyCount(1)
 		<-time.After(10 * time.Second)
 		for range 100 {
-			b.First("s")
+			b.RecordFirst("s")
 		}
 		// 18 have room; two deviations are kept back once any is held.
 		want := map[string]float64{"s": 1}
 		held := 0
 		for {
-			if _, ok := b.Hold(want, false); !ok {
+			if _, ok := b.ReserveNested(want, false); !ok {
 				break
 			}
 			held++
@@ -29,30 +29,30 @@
 		if held < 8 || held > 18 {
 			t.Fatalf("%d were held", held)
 		}
-		if b.Again("s") {
+		if b.Allow("s") {
 			t.Fatal("a repeat had room that is held")
 		}
-		if lacks, ok := b.Hold(map[string]float64{"other": 1, "s": 1}, false); ok || lacks == "" {
+		if lacks, ok := b.ReserveNested(map[string]float64{"other": 1, "s": 1}, false); ok || lacks == "" {
 			t.Fatal("held without room")
 		}
 		// One that must run holds its room before others.
-		if _, ok := b.Hold(want, true); !ok {
+		if _, ok := b.ReserveNested(want, true); !ok {
 			t.Fatal("one that must be held was not")
 		}
-		b.Free(want)
+		b.ReleaseNested(want)
 		for range held {
-			b.Free(want)
+			b.ReleaseNested(want)
 		}
-		if !b.Again("s") {
+		if !b.Allow("s") {
 			t.Fatal("what was held is not given back")
 		}
 		for range 40 {
-			b.Call("s", 0.5)
+			b.RecordNestedCall("s", 0.5)
 		}
 		if one, two := b.Counts("s"); one != 120 || two != 21 {
 			t.Fatalf("%d first and %d second sends", one, two)
 		}
-		if b.Again("s") {
+		if b.Allow("s") {
 			t.Fatal("calls of repeated runs took no room")
 		}
 		<-time.After(11 * time.Second)
--- a/internal/retrybudget/missed_test.go
+++ b/internal/retrybudget/missed_test.go
@@ -11,39 +11,39 @@
 func TestMissed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := New(10 * time.Second)
-		b.Bound(0.2, 0)
-		b.Nodes(1)
+		b.SetLimits(0.2, 0)
+		b.SetProxyCount(1)
 		<-time.After(10 * time.Second)
 		for range 100 {
-			b.First("s")
+			b.RecordFirst("s")
 		}
-		if !b.Could("s") {
+		if !b.WouldAllow("s") {
 			t.Fatal("traffic allows no repeat")
 		}
 		<-time.After(3 * time.Second)
 		for range 99 {
-			b.Missed("s", 0)
+			b.RecordUndelivered("s", 0)
 		}
-		if one, _ := b.Counts("s"); one != 1 || b.Could("s") {
-			t.Fatalf("%d first sends count, a repeat is allowed: %v", one, b.Could("s"))
+		if one, _ := b.Counts("s"); one != 1 || b.WouldAllow("s") {
+			t.Fatalf("%d first sends count, a repeat is allowed: %v", one, b.WouldAllow("s"))
 		}
 		// The sends are out of the window, the missing ones not yet.
 		<-time.After(8 * time.Second)
 		for range 50 {
-			b.First("s")
+			b.RecordFirst("s")
 		}
-		if b.Could("s") {
+		if b.WouldAllow("s") {
 			t.Fatal("what was missed is forgotten with the sends")
 		}
 		<-time.After(3 * time.Second)
 		for range 20 {
-			b.First("s")
+			b.RecordFirst("s")
 		}
-		if !b.Could("s") {
+		if !b.WouldAllow("s") {
 			t.Fatal("what was missed counts beyond its window")
 		}
-		b.Call("s", 0.5)
-		b.Missed("s", 0.5)
+		b.RecordNestedCall("s", 0.5)
+		b.RecordUndelivered("s", 0.5)
 		if one, two := b.Counts("s"); one != 70 || two != 1 {
 			t.Fatalf("%d first and %d second sends", one, two)
 		}
--- a/internal/retrybudget/repeats.go
+++ b/internal/retrybudget/repeats.go
@@ -20,15 +20,15 @@
 
 // Budget is one front's count for each service.
 type Budget struct {
-	mu     sync.Mutex
-	window time.Duration
-	share  float64
-	allow  float64
-	nodes  int
-	born   time.Time
-	rows   map[string]*row
-	No     int64 // repeats that were not allowed
-	Yes    int64
+	mu      sync.Mutex
+	window  time.Duration
+	share   float64
+	allow   float64
+	nodes   int
+	born    time.Time
+	rows    map[string]*row
+	Denied  int64 // repeats that were not allowed
+	Allowed int64
 }
 
 // New makes a budget over a window.
@@ -36,17 +36,17 @@
 	return &Budget{window: window, born: time.Now(), rows: map[string]*row{}}
 }
 
-// Bound sets the ratio and the mesh-wide allowance.
-func (b *Budget) Bound(share float64, allow int64) {
+// SetLimits sets the ratio and the mesh-wide allowance.
+func (b *Budget) SetLimits(share float64, allow int64) {
 	b.mu.Lock()
 	b.share, b.allow = share, float64(allow)
 	b.mu.Unlock()
 }
 
-// Nodes tells how many fronts share the allowance. The part never grows: a
+// SetProxyCount tells how many fronts share the allowance. The part never grows: a
 // front that loses sight of others must not take theirs. Until the first word
 // it has no part at all.
-func (b *Budget) Nodes(n int) {
+func (b *Budget) SetProxyCount(n int) {
 	b.mu.Lock()
 	b.nodes = max(b.nodes, n)
 	b.mu.Unlock()
@@ -65,13 +65,13 @@
 	return r
 }
 
-// First counts a first send.
-func (b *Budget) First(service string) { b.Call(service, 0) }
+// RecordFirst counts a first send.
+func (b *Budget) RecordFirst(service string) { b.RecordNestedCall(service, 0) }
 
-// Call counts a first send that is, for a part between 0 and 1, the call of a
+// RecordNestedCall counts a first send that is, for a part between 0 and 1, the call of a
 // repeated run: that part counts as a repeat. It is not refused here, since the
 // run that needs it is under way; its room was held.
-func (b *Budget) Call(service string, part float64) {
+func (b *Budget) RecordNestedCall(service string, part float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := time.Now()
@@ -83,26 +83,26 @@
 	}
 }
 
-// Missed takes back a first send that is not known to have come to a worker. It
+// RecordUndelivered takes back a first send that is not known to have come to a worker. It
 // is missing for a whole window from now on, so that the bound errs to the safe
 // side, and what was counted as a repeat stays so.
-func (b *Budget) Missed(service string, part float64) {
+func (b *Budget) RecordUndelivered(service string, part float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := time.Now()
 	b.at(service, now).first.add(now, part-1)
 }
 
-// Hold asks for room for the calls that a repeated run is expected to make, by
+// ReserveNested asks for room for the calls that a repeated run is expected to make, by
 // service, and keeps it until Free. Without room for all it keeps none, and
 // names the service that has none, unless the run must be.
-func (b *Budget) Hold(calls map[string]float64, must bool) (lacks string, ok bool) {
+func (b *Budget) ReserveNested(calls map[string]float64, must bool) (lacks string, ok bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := time.Now()
 	for s, n := range calls {
 		if r := b.at(s, now); !must && !b.may(r, now, n) {
-			b.No++
+			b.Denied++
 			return s, false
 		}
 	}
@@ -112,8 +112,8 @@
 	return "", true
 }
 
-// Free gives back what a run held that has ended; what it called was counted.
-func (b *Budget) Free(calls map[string]float64) {
+// ReleaseNested gives back what a run held that has ended; what it called was counted.
+func (b *Budget) ReleaseNested(calls map[string]float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for s, n := range calls {
@@ -123,32 +123,32 @@
 	}
 }
 
-// Again asks for a repeat and counts it if it is allowed.
-func (b *Budget) Again(service string) bool {
+// Allow asks for a repeat and counts it if it is allowed.
+func (b *Budget) Allow(service string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := time.Now()
 	r := b.at(service, now)
 	if !b.may(r, now, 1) {
-		b.No++
+		b.Denied++
 		return false
 	}
 	r.second.add(now, 1)
-	b.Yes++
+	b.Allowed++
 	return true
 }
 
-// Ample tells whether no more than a quarter of what is allowed was taken: for
+// MostlyUnused tells whether no more than a quarter of what is allowed was taken: for
 // repeats that would be good to have, but not at the cost of those that must be.
-func (b *Budget) Ample(service string) bool {
+func (b *Budget) MostlyUnused(service string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	r := b.at(service, time.Now())
 	return 4*(r.second.all()+r.held+1) <= b.share*r.first.all()
 }
 
-// Could tells whether a repeat would be allowed just now.
-func (b *Budget) Could(service string) bool {
+// WouldAllow tells whether a repeat would be allowed just now.
+func (b *Budget) WouldAllow(service string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := time.Now()
@@ -177,9 +177,9 @@
 		r.second.since(short)+more <= 1.5*b.share*r.first.since(short)+max(part, 1)
 }
 
-// When guesses how long until a repeat may be allowed: until the oldest one
+// EstimateWait guesses how long until a repeat may be allowed: until the oldest one
 // that counts leaves its window.
-func (b *Budget) When(service string) time.Duration {
+func (b *Budget) EstimateWait(service string) time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := time.Now()
@@ -206,16 +206,16 @@
 	return int(r.first.all() + 0.5), int(r.second.all() + 0.5)
 }
 
-// Asked counts the repeats that were asked for, allowed or not.
-func (b *Budget) Asked() int64 {
+// RequestedCount counts the repeats that were asked for, allowed or not.
+func (b *Budget) RequestedCount() int64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.Yes + b.No
+	return b.Allowed + b.Denied
 }
 
-// Given counts the repeats that were allowed.
-func (b *Budget) Given() int64 {
+// AllowedCount counts the repeats that were allowed.
+func (b *Budget) AllowedCount() int64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.Yes
+	return b.Allowed
 }
--- a/internal/retrybudget/repeats_test.go
+++ b/internal/retrybudget/repeats_test.go
@@ -21,22 +21,22 @@
 		var all []*Budget
 		for range fronts {
 			b := New(10 * time.Second)
-			b.Bound(0.2, allow)
-			b.Nodes(fronts)
+			b.SetLimits(0.2, allow)
+			b.SetProxyCount(fronts)
 			all = append(all, b)
 		}
-		all[3].Nodes(1) // a cut: it sees nobody else
+		all[3].SetProxyCount(1) // a cut: it sees nobody else
 		rnd := rand.New(rand.NewPCG(3, 4))
 		var one, two []time.Time
 		given, asked := 0, 0
 		for range rounds {
 			<-time.After(time.Duration(rnd.IntN(gap)) * time.Millisecond)
 			b := all[rnd.IntN(fronts)]
-			b.First("s")
+			b.RecordFirst("s")
 			one = append(one, time.Now())
 			if rnd.IntN(2) == 0 {
 				asked++
-				if b.Again("s") {
+				if b.Allow("s") {
 					given++
 					now := time.Now()
 					two = append(two, now)
@@ -65,17 +65,17 @@
 func TestNoPartBeforeTheFirstWord(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := New(10 * time.Second)
-		b.Bound(0.2, 10)
-		b.First("s")
-		if b.Again("s") {
+		b.SetLimits(0.2, 10)
+		b.RecordFirst("s")
+		if b.Allow("s") {
 			t.Fatal("a repeat was given without knowing the others")
 		}
-		b.Nodes(10)
-		if b.Again("s") {
+		b.SetProxyCount(10)
+		if b.Allow("s") {
 			t.Fatal("the part was given again within the window of a restart")
 		}
 		<-time.After(10 * time.Second)
-		if !b.Again("s") {
+		if !b.Allow("s") {
 			t.Fatal("the part of the allowance was not given")
 		}
 	})
--- a/internal/shutdown/grace.go
+++ b/internal/shutdown/grace.go
@@ -13,10 +13,10 @@
 	longFraction = 5
 )
 
-// LongAtMost bounds the time after the order to end in which work is begun that may
+// MaxLongWork bounds the time after the order to end in which work is begun that may
 // last until the end, whatever the grace period is: from 3 s on callers can't be told
 // that it did not end, and the order takes time to be read on a busy processor.
-const LongAtMost = 2500 * time.Millisecond
+const MaxLongWork = 2500 * time.Millisecond
 
 // Schedule is the plan of one stop.
 type Schedule struct {
@@ -31,24 +31,24 @@
 	return &Schedule{began: time.Now(), length: length, parting: parting}
 }
 
-// Since is how long ago the stop began.
-func (s *Schedule) Since() time.Duration { return time.Since(s.began) }
+// Elapsed is how long ago the stop began.
+func (s *Schedule) Elapsed() time.Duration { return time.Since(s.began) }
 
-// LongUntil is until when work is begun that may be under way when answers are
+// LongWorkDeadline is until when work is begun that may be under way when answers are
 // waited for no more. Later only what is certain to end before that is begun.
-func (s *Schedule) LongUntil() time.Time {
-	return s.began.Add(min(s.length*longFraction/longPart, LongAtMost))
+func (s *Schedule) LongWorkDeadline() time.Time {
+	return s.began.Add(min(s.length*longFraction/longPart, MaxLongWork))
 }
 
-// WaitUntil is until when answers to what is under way are waited for: thirteen
+// WaitDeadline is until when answers to what is under way are waited for: thirteen
 // fifteenths of the grace period, with a parting of a thirtieth.
-func (s *Schedule) WaitUntil() time.Time { return s.AnswerUntil().Add(-s.length / answerPart) }
+func (s *Schedule) WaitDeadline() time.Time { return s.AnswerDeadline().Add(-s.length / answerPart) }
 
-// AnswerUntil is until when whoever was waited for in vain is told so.
-func (s *Schedule) AnswerUntil() time.Time { return s.Ends().Add(-s.parting) }
+// AnswerDeadline is until when whoever was waited for in vain is told so.
+func (s *Schedule) AnswerDeadline() time.Time { return s.End().Add(-s.parting) }
 
-// Ends is when the process is to have ended by itself.
-func (s *Schedule) Ends() time.Time { return s.began.Add(s.length - s.length/exitPart) }
+// End is when the process is to have ended by itself.
+func (s *Schedule) End() time.Time { return s.began.Add(s.length - s.length/exitPart) }
 
-// WaitsFor is how long answers are still waited for, negative when they are not.
-func (s *Schedule) WaitsFor() time.Duration { return time.Until(s.WaitUntil()) }
+// RemainingWait is how long answers are still waited for, negative when they are not.
+func (s *Schedule) RemainingWait() time.Duration { return time.Until(s.WaitDeadline()) }
--- a/internal/sim/again_test.go
+++ b/internal/sim/again_test.go
@@ -24,7 +24,7 @@
 				p := n.Proxy.Settings
 				p.ConfigBound, p.LeaveBound, p.GracePeriod = p.ConfigBound*2, p.LeaveBound/2, p.GracePeriod/4
 				p.MaxBodyBytes, p.MaxRequests, p.RetryRatio = 32<<10, 64+i, 0.3
-				for _, name := range n.Proxy.Again(p) {
+				for _, name := range n.Proxy.Reload(p) {
 					if name == "change_ms" || name == "leave_ms" || name == "grace_ms" {
 						t.Errorf("%s can't be taken", name)
 					}
--- a/internal/sim/bytes_test.go
+++ b/internal/sim/bytes_test.go
@@ -30,7 +30,7 @@
 		}
 	}
 	for _, n := range f.Nodes {
-		add(n.Proxy.Sizes())
+		add(n.Proxy.BytesSent())
 	}
 	for _, c := range f.Cores {
 		add(c.Store.BytesSent())
--- a/internal/sim/calls_test.go
+++ b/internal/sim/calls_test.go
@@ -32,7 +32,7 @@
 			for _, m := range s.all() {
 				m.w.Fall(play.Ills{})
 				if m.service == d.services[0] {
-					given += int(m.Proxy.Asked())
+					given += int(m.Proxy.RetriesRequested())
 				}
 			}
 		})
--- a/internal/sim/crowd_test.go
+++ b/internal/sim/crowd_test.go
@@ -27,7 +27,7 @@
 		for i, n := range f.Nodes {
 			p := n.Proxy.Settings
 			p.MemoryBytes = memory
-			n.Proxy.Again(p)
+			n.Proxy.Reload(p)
 			if s.Serves(i) == "scans" {
 				n.Worker.Behave(stand.Way{Took: 300 * time.Millisecond})
 			}
@@ -104,7 +104,7 @@
 		n := f.Nodes[0]
 		p := n.Proxy.Settings
 		p.FileLimit = 40
-		n.Proxy.Again(p)
+		n.Proxy.Reload(p)
 		var all []*byHand
 		for range 20 {
 			h := f.hand(t, n)
--- a/internal/sim/fewlinks_test.go
+++ b/internal/sim/fewlinks_test.go
@@ -25,7 +25,7 @@
 			for range 150 {
 				Wait(200 * time.Millisecond)
 				for _, n := range f.Nodes {
-					mean[files] += float64(n.Proxy.Links()) / 150 / float64(len(f.Nodes))
+					mean[files] += float64(n.Proxy.LinkCount()) / 150 / float64(len(f.Nodes))
 				}
 			}
 			wait()
--- a/internal/sim/hedge_test.go
+++ b/internal/sim/hedge_test.go
@@ -84,7 +84,7 @@
 				t.Errorf("%d %s after %v", c.Status, c.Body, c.To.Sub(c.From))
 			}
 		}
-		if front.Proxy.Hedges() == 0 {
+		if front.Proxy.HedgeCount() == 0 {
 			t.Error("no second attempt was begun: the test shows nothing")
 		}
 	})
--- a/internal/sim/longstop_test.go
+++ b/internal/sim/longstop_test.go
@@ -93,7 +93,7 @@
 		if a.IntN(3) == 0 {
 			a.wit.Hup(m.name)
 			x, _ := a.now(m.Node)
-			x.Again(x.Settings)
+			x.Reload(x.Settings)
 			Wait(a.ms(1, 800))
 		}
 		a.stopNode(m)
--- a/internal/sim/lostrun_test.go
+++ b/internal/sim/lostrun_test.go
@@ -161,7 +161,7 @@
 		Wait(3 * time.Second)
 		owner := f.ofService("pages")
 		for _, n := range f.Nodes {
-			if n.Worker.Service == "pages" && n.Proxy.Owned() > owner.Proxy.Owned() {
+			if n.Worker.Service == "pages" && n.Proxy.ActiveAttempts() > owner.Proxy.ActiveAttempts() {
 				owner = n
 			}
 		}
--- a/internal/sim/plan_test.go
+++ b/internal/sim/plan_test.go
@@ -47,7 +47,7 @@
 		if n := d.f.Nodes[d.IntN(len(d.f.Nodes))]; !d.busy[n] {
 			d.busy[n] = true
 			if x, w := d.f.now(n); x != nil && w != nil {
-				*d.at += w.Under() + int(x.Busy())
+				*d.at += w.Under() + int(x.ActiveRequests())
 			}
 			return n
 		}
--- a/internal/sim/risk_test.go
+++ b/internal/sim/risk_test.go
@@ -42,7 +42,7 @@
 			s.jobs += w.Under()
 		}
 		if x != nil {
-			s.repeats += float64(x.Asked())
+			s.repeats += float64(x.RetriesRequested())
 		}
 	}
 	return s
