--- a/cmd/store/main.go
+++ b/cmd/store/main.go
@@ -13,7 +13,7 @@
 )
 
 func main() {
-	os.Exit(lifecycle.Main("store", os.Args[1:], lifecycle.Site{Settings: platform.Settings, File: platform.File, Tongue: platform.Tongue}, func(p0 settings.Settings, e env.Env) (lifecycle.Program, error) {
+	os.Exit(lifecycle.Main("store", os.Args[1:], lifecycle.Site{Settings: platform.Settings, File: platform.File, Dialect: platform.Dialect}, func(p0 settings.Settings, e env.Env) (lifecycle.Program, error) {
 		p, err := store.New(p0, e)
 		if err != nil {
 			return nil, err
--- a/internal/admission/crowd_test.go
+++ b/internal/admission/crowd_test.go
@@ -92,7 +92,7 @@
 		var over sync.WaitGroup
 		group := task.New(context.Background())
 		for _, c := range all {
-			task.Pause(t.Context(), c.at-time.Since(start))
+			task.Sleep(t.Context(), c.at-time.Since(start))
 			over.Add(1)
 			group.Go("job", func(ctx context.Context) {
 				defer over.Done()
@@ -101,7 +101,7 @@
 				if r.Acquire(ctx, a) != Admitted {
 					return
 				}
-				task.Pause(ctx, c.took)
+				task.Sleep(ctx, c.took)
 				r.Release(a, c.took)
 				mu.Lock()
 				g.add(c, time.Since(start))
--- a/internal/admission/pace_test.go
+++ b/internal/admission/pace_test.go
@@ -38,7 +38,7 @@
 		wg.Go(func() {
 			g := rand.New(rand.NewPCG(uint64(i), 7))
 			for end := time.Now().Add(long); time.Now().Before(end); {
-				task.Pause(t.Context(), time.Duration(g.ExpFloat64()/c.rate*float64(time.Second)))
+				task.Sleep(t.Context(), time.Duration(g.ExpFloat64()/c.rate*float64(time.Second)))
 				took := c.took(g)
 				wg.Go(func() {
 					a := Request{Class: c.class, MaxWait: c.wait}
@@ -61,7 +61,7 @@
 					}
 					mu.Unlock()
 					if why == Admitted {
-						task.Pause(t.Context(), took)
+						task.Sleep(t.Context(), took)
 						r.Release(a, took)
 					}
 				})
@@ -137,7 +137,7 @@
 		a := Request{Class: "a", MaxWait: time.Second}
 		for range 200 {
 			r.Acquire(t.Context(), a)
-			task.Pause(t.Context(), 10*time.Millisecond)
+			task.Sleep(t.Context(), 10*time.Millisecond)
 			r.Release(a, 10*time.Millisecond)
 		}
 		for range 4 {
@@ -146,7 +146,7 @@
 		if h := r.EstimateWait("a"); h > 10*time.Millisecond {
 			t.Fatalf("usual pace, yet a wait of %v is guessed", h)
 		}
-		task.Pause(t.Context(), 20*time.Second)
+		task.Sleep(t.Context(), 20*time.Second)
 		h := r.EstimateWait("a")
 		if h < 400*time.Millisecond {
 			t.Fatalf("nothing ended for 20 s, yet a wait of %v is guessed", h)
@@ -156,7 +156,7 @@
 		}
 		for range 200 {
 			r.Acquire(t.Context(), a)
-			task.Pause(t.Context(), 10*time.Millisecond)
+			task.Sleep(t.Context(), 10*time.Millisecond)
 			r.Release(a, 10*time.Millisecond)
 		}
 		for range 4 {
@@ -176,7 +176,7 @@
 		r.Configure(1, map[string]float64{"a": 100}, 100)
 		a := Request{Class: "a", MaxWait: time.Second}
 		r.Acquire(t.Context(), a)
-		task.Pause(t.Context(), time.Second)
+		task.Sleep(t.Context(), time.Second)
 		r.Release(a, time.Second)
 		r.Acquire(t.Context(), a)
 		low, high, sum := time.Hour, time.Duration(0), time.Duration(0)
--- a/internal/admission/turn_test.go
+++ b/internal/admission/turn_test.go
@@ -164,7 +164,7 @@
 						s.waiting[rapid.IntRange(0, len(s.waiting)-1).Draw(rt, "who")].stop()
 					}
 				case "sleep":
-					task.Pause(t.Context(), time.Duration(rapid.IntRange(1, 3).Draw(rt, "s"))*time.Second)
+					task.Sleep(t.Context(), time.Duration(rapid.IntRange(1, 3).Draw(rt, "s"))*time.Second)
 				case "shape":
 					shape()
 				}
@@ -237,7 +237,7 @@
 		if why := r.Acquire(t.Context(), a); why != NoTimeLeft || time.Since(from) != 100*time.Millisecond {
 			t.Errorf("got %q after %v", why, time.Since(from))
 		}
-		task.Pause(t.Context(), 900*time.Millisecond)
+		task.Sleep(t.Context(), 900*time.Millisecond)
 		r.Release(a, time.Second)
 		r.Acquire(t.Context(), a)
 		from = time.Now()
--- a/internal/compression/squeeze.go
+++ b/internal/compression/squeeze.go
@@ -13,9 +13,9 @@
 	"puffincrank/internal/fault"
 )
 
-// Most is how long a table may be when it is opened, in bytes: what claims more
+// MaxTableBytes is how long a table may be when it is opened, in bytes: what claims more
 // is refused before room is made for it.
-const Most = 64 << 20
+const MaxTableBytes = 64 << 20
 
 // The room of a packer and an opener is large against a message, so they are
 // used again.
@@ -30,18 +30,18 @@
 	openers = sync.Pool{New: func() any { return flate.NewReader(nil) }}
 )
 
-// Pack writes columns.
-func Pack(cols [][]string) []byte {
+// EncodeColumns writes columns.
+func EncodeColumns(cols [][]string) []byte {
 	plain, err := msgpack.Marshal(cols)
 	if err != nil {
 		// Texts can't fail to be written to memory.
 		panic(err)
 	}
-	return Shrink(plain)
+	return Compress(plain)
 }
 
-// Shrink compresses bytes.
-func Shrink(plain []byte) []byte {
+// Compress compresses bytes.
+func Compress(plain []byte) []byte {
 	var b bytes.Buffer
 	w := packers.Get().(*flate.Writer)
 	defer packers.Put(w)
@@ -51,10 +51,10 @@
 	return b.Bytes()
 }
 
-// Open reads columns; there must be wide of them, all of one length. The error
+// DecodeColumns reads columns; there must be wide of them, all of one length. The error
 // is of the kind fault.Input.
-func Open(b []byte, wide int) ([][]string, error) {
-	plain, err := Grow(b)
+func DecodeColumns(b []byte, wide int) ([][]string, error) {
+	plain, err := Decompress(b)
 	if err != nil {
 		return nil, err
 	}
@@ -73,14 +73,14 @@
 	return cols, nil
 }
 
-// Grow gives the bytes that were shrunk; the error is of the kind fault.Input.
-func Grow(b []byte) ([]byte, error) {
+// Decompress gives the bytes that were shrunk; the error is of the kind fault.Input.
+func Decompress(b []byte) ([]byte, error) {
 	r := openers.Get().(io.ReadCloser)
 	defer openers.Put(r)
 	_ = r.(flate.Resetter).Reset(bytes.NewReader(b), nil)
-	plain, err := io.ReadAll(io.LimitReader(r, Most+1))
-	if err == nil && len(plain) > Most {
-		err = fault.New(fault.Input, "over %d bytes", Most)
+	plain, err := io.ReadAll(io.LimitReader(r, MaxTableBytes+1))
+	if err == nil && len(plain) > MaxTableBytes {
+		err = fault.New(fault.Input, "over %d bytes", MaxTableBytes)
 	}
 	if err != nil {
 		return nil, fault.Wrap(fault.Input, err, "packed bytes")
--- a/internal/controlclient/beat.go
+++ b/internal/controlclient/beat.go
@@ -21,13 +21,13 @@
 	one, end := context.WithTimeout(ctx, t.leash())
 	defer end()
 	from := time.Now()
-	got, err := transport.Ask[protocol.HeartbeatResponse](one, t.x.Node, to, "session.beat", ask)
+	got, err := transport.Call[protocol.HeartbeatResponse](one, t.x.Node, to, "session.beat", ask)
 	if err != nil || !got.InTouch {
 		return false
 	}
 	if len(got.CompressedDocument) > 0 {
 		// What can't be read is like steps that don't fit.
-		got.Document, _ = compression.Grow(got.CompressedDocument)
+		got.Document, _ = compression.Decompress(got.CompressedDocument)
 	}
 	if got.ConfigVersion > t.host.Version() && !t.ApplyConfig(got.ConfigVersion, got.Document, got.Steps) {
 		// Steps that did not fit are asked for whole at once, a broken document
@@ -117,5 +117,5 @@
 	}
 	ctx, end := context.WithTimeout(t.x.Group.Context(), t.x.Settings.FarewellTimeout())
 	defer end()
-	_, _ = transport.Ask[protocol.HeartbeatResponse](ctx, t.x.Node, at, "session.beat", protocol.Heartbeat{Member: t.x.Self, Leaving: true})
+	_, _ = transport.Call[protocol.HeartbeatResponse](ctx, t.x.Node, at, "session.beat", protocol.Heartbeat{Member: t.x.Self, Leaving: true})
 }
--- a/internal/controlclient/document.go
+++ b/internal/controlclient/document.go
@@ -42,10 +42,10 @@
 		return protocol.ConfigPushResponse{Version: t.host.Version()}, nil
 	}
 	// Steps have a kind of their own, which earlier versions refuse by name.
-	transport.On(t.x.Node, "config.push", push)
-	transport.On(t.x.Node, "config.step", push)
-	transport.On(t.x.Node, "config.give", t.give)
-	transport.On(t.x.Node, "session.members", t.list)
+	transport.Handle(t.x.Node, "config.push", push)
+	transport.Handle(t.x.Node, "config.step", push)
+	transport.Handle(t.x.Node, "config.give", t.give)
+	transport.Handle(t.x.Node, "session.members", t.list)
 }
 
 // give hands a fellow the configuration held here, if it is newer than its own.
@@ -64,7 +64,7 @@
 func (t *Client) FetchFrom(ctx context.Context, at string) bool {
 	for _, steps := range []bool{true, false} {
 		had := t.host.Version()
-		got, err := transport.Ask[protocol.ConfigPush](ctx, t.x.Node, at, "config.give", protocol.ConfigPush{Version: had, AcceptsPatch: steps})
+		got, err := transport.Call[protocol.ConfigPush](ctx, t.x.Node, at, "config.give", protocol.ConfigPush{Version: had, AcceptsPatch: steps})
 		if err != nil || got.Version <= had {
 			return false
 		}
@@ -85,7 +85,7 @@
 		if !ok {
 			break
 		}
-		got, err := transport.Ask[protocol.ConfigPushResponse](ctx, n, to, "config.step", protocol.ConfigPush{Version: version, Steps: steps})
+		got, err := transport.Call[protocol.ConfigPushResponse](ctx, n, to, "config.step", protocol.ConfigPush{Version: version, Steps: steps})
 		if err != nil && !fault.Is(err, fault.Refused) {
 			return 0, err
 		}
@@ -98,6 +98,6 @@
 		}
 		have = got.Version
 	}
-	got, err := transport.Ask[protocol.ConfigPushResponse](ctx, n, to, "config.push", protocol.ConfigPush{Version: version, Document: doc})
+	got, err := transport.Call[protocol.ConfigPushResponse](ctx, n, to, "config.push", protocol.ConfigPush{Version: version, Document: doc})
 	return got.Version, err
 }
--- a/internal/controlclient/fill.go
+++ b/internal/controlclient/fill.go
@@ -117,7 +117,7 @@
 	t.x.Group.Go("mend-soon", func(ctx context.Context) {
 		for range mends {
 			_ = t.x.Replica.Mend(ctx, to)
-			task.Pause(ctx, 2*beat)
+			task.Sleep(ctx, 2*beat)
 		}
 	})
 }
--- a/internal/controlclient/list.go
+++ b/internal/controlclient/list.go
@@ -53,7 +53,7 @@
 func (t *Client) mend(ctx context.Context, at string, b *membership.List, fronts int, will func(hash uint64) bool) (*membership.List, protocol.MemberListResponse, bool) {
 	n := max(b.PartCount(), membership.PartCount(fronts))
 	for {
-		got, err := transport.Ask[protocol.MemberListResponse](ctx, t.x.Node, at, "session.members", protocol.MemberListRequest{Digests: b.Digests(n), AcceptsCompact: true})
+		got, err := transport.Call[protocol.MemberListResponse](ctx, t.x.Node, at, "session.members", protocol.MemberListRequest{Digests: b.Digests(n), AcceptsCompact: true})
 		if err != nil || len(got.Parts) == 0 || !will(got.Hash) {
 			return b, got, false
 		}
@@ -76,7 +76,7 @@
 	b, since := t.book, t.since
 	t.mu.Unlock()
 	if since.IsZero() || time.Since(since) > t.x.Settings.SessionTTL() || !t.x.Replica.Room() {
-		return protocol.MemberListResponse{Busy: true, Alternatives: t.x.Replica.Given(from.Area, "")}, nil
+		return protocol.MemberListResponse{Busy: true, Alternatives: t.x.Replica.Given(from.Zone, "")}, nil
 	}
 	out, err := DiffMembers(b, in)
 	t.x.Replica.Spend(ResponseSize(out))
--- a/internal/controlclient/list_test.go
+++ b/internal/controlclient/list_test.go
@@ -27,10 +27,10 @@
 		g := task.New(context.Background())
 		defer g.Stop()
 		p := settings.Settings{ConfigBound: 2 * time.Second, RecoveryBound: 15 * time.Second, RetireAfter: 10 * time.Second}
-		road := &transport.Paved{Road: transport.NewRoad(func(string, string) time.Duration { return time.Millisecond })}
+		road := &transport.LocalNet{Network: transport.NewLocalNetwork(func(string, string) time.Duration { return time.Millisecond })}
 		up := func(name string) *Client {
 			e := env.Env{Net: road, Log: event.New(name, nil), Wall: time.Now}
-			w := transport.NewNode(transport.Hello{Mesh: "m", Node: name, Area: "x"}, e, g, 1<<20, 8, p.CallTimeout())
+			w := transport.NewNode(transport.Hello{ClusterID: "m", Node: name, Zone: "x"}, e, g, 1<<20, 8, p.CallTimeout())
 			self := membership.Member{Node: name, Role: "proxy", Zone: "x", InternalAddr: name + ":1"}
 			rep := replica.New(self, w, g, e.Log, hlc.New(time.Now, time.Minute), p.HeartbeatInterval(), time.Hour, time.Hour)
 			x := New(Dependencies{Settings: p, Log: e.Log, Group: g, Node: w, Replica: rep, Self: self}, nil)
@@ -47,8 +47,8 @@
 		}
 		newest, older := membership.NewList(all), membership.NewList(all[:590])
 		fellow, node := up("fellow"), up("node")
-		core := transport.NewNode(transport.Hello{Mesh: "m", Node: "core", Area: "x"}, env.Env{Net: road, Log: event.New("core", nil), Wall: time.Now}, g, 1<<20, 8, p.CallTimeout())
-		transport.On(core, "session.members", func(context.Context, transport.Hello, protocol.MemberListRequest) (protocol.MemberListResponse, error) {
+		core := transport.NewNode(transport.Hello{ClusterID: "m", Node: "core", Zone: "x"}, env.Env{Net: road, Log: event.New("core", nil), Wall: time.Now}, g, 1<<20, 8, p.CallTimeout())
+		transport.Handle(core, "session.members", func(context.Context, transport.Hello, protocol.MemberListRequest) (protocol.MemberListResponse, error) {
 			return protocol.MemberListResponse{Hash: newest.Hash(), Busy: true, Alternatives: []string{"fellow:1"}}, nil
 		})
 		if err := core.Listen("core:1"); err != nil {
--- a/internal/controlclient/round.go
+++ b/internal/controlclient/round.go
@@ -84,7 +84,7 @@
 	if !t.x.Group.Go("ring", func(ctx context.Context) {
 		ctx, end := context.WithTimeout(ctx, t.x.Settings.CallTimeout()/2)
 		defer end()
-		rung <- t.x.Node.Ring(ctx, "proxy", rings)
+		rung <- t.x.Node.PingRole(ctx, "proxy", rings)
 	}) {
 		rung <- false
 	}
@@ -111,12 +111,12 @@
 // so a fellow that answers in time, or a control node that says it is out of
 // touch, shows that the silence of the others is theirs.
 func (t *Client) verdict(began time.Time, outs int, quick bool) protocol.Confidence {
-	if t.x.Node.HeardFrom("registry", began) > outs {
+	if t.x.Node.CountActivePeers("registry", began) > outs {
 		// One is heard that gave no answer: it isn't cut off, only late.
 		return protocol.Unconfirmed
 	}
 	// A full line may also be still for a while before it brings what waits.
-	if !quick && t.x.Node.HeardFrom("", time.Now().Add(-t.x.Settings.ConfigBound)) > 0 {
+	if !quick && t.x.Node.CountActivePeers("", time.Now().Add(-t.x.Settings.ConfigBound)) > 0 {
 		return protocol.Unconfirmed
 	}
 	return protocol.Disconnected
@@ -128,7 +128,7 @@
 	ctx, end := context.WithTimeout(t.x.Group.Context(), t.x.Settings.ConfirmationTTL())
 	defer end()
 	from := time.Now()
-	got, err := transport.Ask[protocol.HeartbeatResponse](ctx, t.x.Node, to, "session.beat", protocol.Heartbeat{Member: t.x.Self, ConfigVersion: t.host.Version(), Probe: true})
+	got, err := transport.Call[protocol.HeartbeatResponse](ctx, t.x.Node, to, "session.beat", protocol.Heartbeat{Member: t.x.Self, ConfigVersion: t.host.Version(), Probe: true})
 	// Control nodes of before give no age with it.
 	if err == nil && got.InTouch && got.ConfirmedAgoMS > 0 && got.ConfigVersion <= t.host.Version() {
 		t.sees(from, got.ConfirmedAgoMS)
--- a/internal/controlclient/touch_test.go
+++ b/internal/controlclient/touch_test.go
@@ -77,7 +77,7 @@
 		if h == "h1" {
 			e.Net = cold
 		}
-		w := transport.NewNode(transport.Hello{Mesh: "m", Node: h, Area: "x"}, e, g, 1<<20, 64, p.CallTimeout())
+		w := transport.NewNode(transport.Hello{ClusterID: "m", Node: h, Zone: "x"}, e, g, 1<<20, 64, p.CallTimeout())
 		f := membership.Member{Node: h, Incarnation: "s", Role: "proxy", Zone: "x", InternalAddr: h + ":1"}
 		return w, replica.New(f, w, g, e.Log, hlc.New(time.Now, time.Minute), p.HeartbeatInterval(), p.RepairInterval(), p.TombstoneTTL()), e.Log
 	}
@@ -85,7 +85,7 @@
 	for _, h := range []string{"c1", "c2"} {
 		w, rep, _ := up(h)
 		rep.Peers(&membership.List{})
-		transport.On(w, "session.beat", func(context.Context, transport.Hello, protocol.Heartbeat) (protocol.HeartbeatResponse, error) {
+		transport.Handle(w, "session.beat", func(context.Context, transport.Hello, protocol.Heartbeat) (protocol.HeartbeatResponse, error) {
 			return protocol.HeartbeatResponse{InTouch: true, ConfigVersion: 1}, nil
 		})
 		if err := w.Listen(h + ":1"); err != nil {
--- a/internal/dialect/tongue.go
+++ b/internal/dialect/tongue.go
@@ -5,33 +5,33 @@
 
 import "strings"
 
-// Tongue is a table of header names and manners. An empty name means that the
+// Dialect is a table of header names and manners. An empty name means that the
 // tongue has no such header.
-type Tongue struct {
-	Name    string
-	Job     string // a job's id, on answers and towards the worker
-	Attempt string // the id of one send; the worker gives it back
-	Left    string // time left in milliseconds
-	Expect  string // towards the worker: whom the send is meant for
-	Named   string // from the worker: who it is
-	Mark    string // from the worker: the stamp of a whole answer
-	NotRun  string // from the worker: it did not run the job
-	Caller  string // towards the worker: the service at which the job began
+type Dialect struct {
+	Name           string
+	RequestID      string // a job's id, on answers and towards the worker
+	AttemptID      string // the id of one send; the worker gives it back
+	Timeout        string // time left in milliseconds
+	ExpectedWorker string // towards the worker: whom the send is meant for
+	WorkerID       string // from the worker: who it is
+	ResponseDigest string // from the worker: the stamp of a whole answer
+	NotExecuted    string // from the worker: it did not run the job
+	CallerService  string // towards the worker: the service at which the job began
 
-	NotRunIs string // the value that NotRun must have; empty: any
-	Digest   bool   // the stamp is a digest that can be checked; otherwise it is opaque
-	Asks     bool   // a new connection is asked who is there before it carries a job
-	Keeps    bool   // a job's attempts carry the id that its caller gave
-	Fine     bool   // Retry-After may have fractions of a second
-	Marks    bool   // the mesh's own headers stand on answers
+	NotExecutedValue     string // the value that NotRun must have; empty: any
+	VerifiesDigest       bool   // the stamp is a digest that can be checked; otherwise it is opaque
+	IdentifiesConns      bool   // a new connection is asked who is there before it carries a job
+	KeepsAttemptID       bool   // a job's attempts carry the id that its caller gave
+	FractionalRetryAfter bool   // Retry-After may have fractions of a second
+	WritesOwnHeaders     bool   // the mesh's own headers stand on answers
 
 	// Calls gives, for the beginning of a call's path, the one of our own call.
-	Calls map[string]string
+	APIPaths map[string]string
 }
 
-// Call gives the path of our own call for one of the tongue's.
-func (t Tongue) Call(path string) string {
-	for from, to := range t.Calls {
+// APIPath gives the path of our own call for one of the tongue's.
+func (t Dialect) APIPath(path string) string {
+	for from, to := range t.APIPaths {
 		if rest, ok := strings.CutPrefix(path, from); ok {
 			return to + rest
 		}
@@ -39,7 +39,7 @@
 	return path
 }
 
-// Own is the product's own tongue.
-var Own = Tongue{Name: "own", Job: "Puffin-Job", Attempt: "Puffin-Attempt", Left: "Puffin-Left", Expect: "Puffin-Worker",
-	Named: "Puffin-Worker", Mark: "Puffin-Seal", NotRun: "Puffin-Ran", NotRunIs: "no", Caller: "Puffin-Caller",
-	Digest: true, Asks: true, Marks: true}
+// Default is the product's own tongue.
+var Default = Dialect{Name: "own", RequestID: "Puffin-Job", AttemptID: "Puffin-Attempt", Timeout: "Puffin-Left", ExpectedWorker: "Puffin-Worker",
+	WorkerID: "Puffin-Worker", ResponseDigest: "Puffin-Seal", NotExecuted: "Puffin-Ran", NotExecutedValue: "no", CallerService: "Puffin-Caller",
+	VerifiesDigest: true, IdentifiesConns: true, WritesOwnHeaders: true}
--- a/internal/disk/disk.go
+++ b/internal/disk/disk.go
@@ -42,18 +42,18 @@
 // folder: a name whose folder isn't may be lost with power, whatever was synced of
 // the file.
 func Save(fs FS, name string, data []byte) error {
-	return SaveAll(fs, []Named{{name, data}})
+	return SaveAll(fs, []NamedFile{{name, data}})
 }
 
-// Named is the content of a file and its name.
-type Named struct {
+// NamedFile is the content of a file and its name.
+type NamedFile struct {
 	Name string
 	Data []byte
 }
 
 // SaveAll keeps several files with one sync of their folder. When it returns nil all
 // are kept; else any of them may be, and none is to be counted on.
-func SaveAll(fs FS, files []Named) error {
+func SaveAll(fs FS, files []NamedFile) error {
 	for _, f := range files {
 		if err := write(fs, f.Name, f.Data); err != nil {
 			return fault.Wrap(fault.Disk, err, "keep "+f.Name)
--- a/internal/env/env.go
+++ b/internal/env/env.go
@@ -28,21 +28,21 @@
 	Wall func() time.Time
 	// Pause waits for a time, or until the context ends; whoever was frozen
 	// wakes late from it.
-	Pause func(ctx context.Context, d time.Duration)
+	Sleep func(ctx context.Context, d time.Duration)
 	Log   *event.Log
 	// Say is the tongue towards callers and workers; unset, the product's own.
-	Say dialect.Tongue
+	Dialect dialect.Dialect
 	// Look looks whether the settings have changed; it is cheap, and called by
 	// beats that there are anyhow. Unset, nothing is looked at.
-	Look func()
+	CheckSettings func()
 	// Trace is told of the steps of the agreement. Unset but in the simulator.
 	Trace trace.Observer
 }
 
-// Looks calls Look where it is set.
-func (e Env) Looks() {
-	if e.Look != nil {
-		e.Look()
+// PollSettings calls Look where it is set.
+func (e Env) PollSettings() {
+	if e.CheckSettings != nil {
+		e.CheckSettings()
 	}
 }
 
@@ -55,5 +55,5 @@
 
 // Real is the machine's own network and clock; the folder is set by who has one.
 func Real(node string) Env {
-	return Env{Net: &real{}, Wall: time.Now, Pause: task.Pause, Log: event.New(node, os.Stderr)}
+	return Env{Net: &real{}, Wall: time.Now, Sleep: task.Sleep, Log: event.New(node, os.Stderr)}
 }
--- a/internal/env/steer.go
+++ b/internal/env/steer.go
@@ -10,13 +10,13 @@
 	"puffincrank/internal/fault"
 )
 
-// Steer makes the kernel give up on a connection whose bytes nobody confirmed
+// TuneConn makes the kernel give up on a connection whose bytes nobody confirmed
 // for a time. Without it a machine that lost its power, or stands behind a
 // cut, holds what is written to it for a quarter of an hour. A connection
 // that isn't the kernel's own is left as it is.
 // The kernel also takes no more than some bytes before they can go out: what is
 // in its buffer passes all that comes later, however urgent.
-func Steer(c net.Conn, long time.Duration, unsent int) error {
+func TuneConn(c net.Conn, long time.Duration, unsent int) error {
 	s, ok := c.(syscall.Conn)
 	if !ok {
 		return nil
--- a/internal/env/steer_test.go
+++ b/internal/env/steer_test.go
@@ -27,7 +27,7 @@
 		t.Fatal(err)
 	}
 	for _, c := range []net.Conn{one, two} {
-		if err := Steer(c, 1500*time.Millisecond, 9000); err != nil {
+		if err := TuneConn(c, 1500*time.Millisecond, 9000); err != nil {
 			t.Fatal(err)
 		}
 		raw, err := c.(*net.TCPConn).SyscallConn()
@@ -44,11 +44,11 @@
 		})
 		_ = c.Close()
 	}
-	if Steer(one, time.Second, 1) == nil {
+	if TuneConn(one, time.Second, 1) == nil {
 		t.Error("a closed connection was steered")
 	}
 	a, _ := net.Pipe()
-	if err := Steer(a, time.Second, 1); err != nil {
+	if err := TuneConn(a, time.Second, 1); err != nil {
 		t.Error(err)
 	}
 }
--- a/internal/env/still.go
+++ b/internal/env/still.go
@@ -8,10 +8,10 @@
 // looker is a connection that can be looked at without the system's help.
 type looker interface{ Still() (still, known bool) }
 
-// Still tells whether a connection that nothing is due on is open and has no
+// IsQuiet tells whether a connection that nothing is due on is open and has no
 // byte waiting. known is false where the connection can't be looked at without
 // reading from it.
-func Still(c net.Conn) (still, known bool) {
+func IsQuiet(c net.Conn) (still, known bool) {
 	if l, ok := c.(looker); ok {
 		return l.Still()
 	}
--- a/internal/env/still_test.go
+++ b/internal/env/still_test.go
@@ -23,28 +23,28 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if still, known := Still(c); !still || !known {
+	if still, known := IsQuiet(c); !still || !known {
 		t.Error("a quiet connection is not still")
 	}
 	if _, err := far.Write([]byte("x")); err != nil {
 		t.Fatal(err)
 	}
-	for still := true; still; still, _ = Still(c) {
+	for still := true; still; still, _ = IsQuiet(c) {
 	}
 	b := make([]byte, 1)
 	if _, err := io.ReadFull(c, b); err != nil || b[0] != 'x' {
 		t.Errorf("%v %q", err, b)
 	}
-	if still, _ := Still(c); !still {
+	if still, _ := IsQuiet(c); !still {
 		t.Error("read empty, it is not still")
 	}
 	_ = far.Close()
-	for still := true; still; still, _ = Still(c) {
+	for still := true; still; still, _ = IsQuiet(c) {
 	}
 	a, z := net.Pipe()
 	defer a.Close()
 	defer z.Close()
-	if _, known := Still(a); known {
+	if _, known := IsQuiet(a); known {
 		t.Error("a pipe can't be looked at")
 	}
 }
--- a/internal/env/try.go
+++ b/internal/env/try.go
@@ -5,10 +5,10 @@
 	"syscall"
 )
 
-// Try gives a way to write what a connection takes at once, without waiting
+// NonblockingWriter gives a way to write what a connection takes at once, without waiting
 // for the far end. It must not be used by two at the same time. A connection
 // that knows no such way takes nothing.
-func Try(c net.Conn) func([]byte) (int, error) {
+func NonblockingWriter(c net.Conn) func([]byte) (int, error) {
 	if t, ok := c.(interface{ Try([]byte) (int, error) }); ok {
 		return t.Try
 	}
--- a/internal/fleetrun/cost_test.go
+++ b/internal/fleetrun/cost_test.go
@@ -193,7 +193,7 @@
 		ends := map[int]int{}
 		job := func() (code int) {
 			q, _ := http.NewRequest("GET", url, nil)
-			q.Header.Set(responsedigest.Worker, worker.ID)
+			q.Header.Set(responsedigest.WorkerHeader, worker.ID)
 			if w, err := way.RoundTrip(q); err == nil {
 				_, _ = io.Copy(io.Discard, w.Body)
 				_ = w.Body.Close()
--- a/internal/fleetrun/process/bind.go
+++ b/internal/fleetrun/process/bind.go
@@ -20,7 +20,7 @@
 // just ended another listener. It tries again while the address is in use, for a
 // second at most; the last error is given.
 func Bind(start func() error) error {
-	for from := time.Now(); ; task.Pause(context.Background(), bindAgain) {
+	for from := time.Now(); ; task.Sleep(context.Background(), bindAgain) {
 		err := start()
 		if !errors.Is(err, syscall.EADDRINUSE) || time.Since(from) > bindWithin {
 			return err
--- a/internal/fleetrun/soak/fleet.go
+++ b/internal/fleetrun/soak/fleet.go
@@ -174,7 +174,7 @@
 	return true
 }
 
-func pause(d time.Duration) { task.Pause(context.Background(), d) }
+func pause(d time.Duration) { task.Sleep(context.Background(), d) }
 
 // span draws a time.
 func span(r *rand.Rand, least, more time.Duration) time.Duration {
--- a/internal/fleetrun/soak/member.go
+++ b/internal/fleetrun/soak/member.go
@@ -28,7 +28,7 @@
 	if build == nil {
 		return 0, false
 	}
-	site := lifecycle.Site{Settings: readSettings, File: func() string { return os.Getenv(settingsVariable) }, Tongue: play.Plain}
+	site := lifecycle.Site{Settings: readSettings, File: func() string { return os.Getenv(settingsVariable) }, Dialect: play.Plain}
 	return lifecycle.Main(program, []string{"--site"}, site, build), true
 }
 
--- a/internal/hlc/hlc.go
+++ b/internal/hlc/hlc.go
@@ -49,8 +49,8 @@
 	return c.last
 }
 
-// See follows a stamp that came from another node.
-func (c *Clock) See(s Stamp) {
+// Observe follows a stamp that came from another node.
+func (c *Clock) Observe(s Stamp) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if s.Wall-c.wall().UnixMilli() > c.far.Milliseconds() {
--- a/internal/hlc/hlc_test.go
+++ b/internal/hlc/hlc_test.go
@@ -18,7 +18,7 @@
 			now = now.Add(time.Duration(rapid.Int64Range(-7200_000, 7200_000).Draw(t, "jump")) * time.Millisecond)
 			ahead := rapid.Int64Range(-100_000, 100_000).Draw(t, "seen")
 			seen := Stamp{Wall: now.UnixMilli() + ahead}
-			c.See(seen)
+			c.Observe(seen)
 			got := c.Now()
 			if !last.Less(got) {
 				t.Fatalf("%v after %v", got, last)
@@ -34,7 +34,7 @@
 func TestFarStampIsNotFollowed(t *testing.T) {
 	now := time.UnixMilli(1_000_000)
 	c := New(func() time.Time { return now }, time.Minute)
-	c.See(Stamp{Wall: now.UnixMilli() + 3600_000})
+	c.Observe(Stamp{Wall: now.UnixMilli() + 3600_000})
 	if got := c.Now(); got.Wall != now.UnixMilli() {
 		t.Fatalf("clock was dragged to %v", got)
 	}
--- a/internal/httpapi/door.go
+++ b/internal/httpapi/door.go
@@ -11,46 +11,46 @@
 	"puffincrank/internal/task"
 )
 
-// Stay is how long callers' connections may take over a header and may idle.
+// ConnLimits is how long callers' connections may take over a header and may idle.
 // It can be changed while connections stand; one that idles keeps the time that
 // it had when it began to, since its caller may have been told of that.
-type Stay struct {
+type ConnLimits struct {
 	head, idle atomic.Int64
 	most, open atomic.Int64 // connections: the bound, 0 for none, and how many there are
 	active     atomic.Int64 // of them, those whose request has begun to come and isn't answered
 }
 
-// Bound sets how many connections there may be at once; 0 sets no bound.
-func (s *Stay) Bound(most int) { s.most.Store(int64(most)) }
+// SetMaxConns sets how many connections there may be at once; 0 sets no bound.
+func (s *ConnLimits) SetMaxConns(most int) { s.most.Store(int64(most)) }
 
-// Open tells how many there are.
-func (s *Stay) Open() int64 { return s.open.Load() }
+// OpenConns tells how many there are.
+func (s *ConnLimits) OpenConns() int64 { return s.open.Load() }
 
-// Active tells on how many connections a request has begun to come whose answer is
+// ActiveConns tells on how many connections a request has begun to come whose answer is
 // not written to its end.
-func (s *Stay) Active() int64 { return s.active.Load() }
+func (s *ConnLimits) ActiveConns() int64 { return s.active.Load() }
 
-// Crowded tells that three quarters of the bound are reached: answers should
+// NearLimit tells that three quarters of the bound are reached: answers should
 // end their connections then, before new ones have to be turned away.
-func (s *Stay) Crowded() bool {
+func (s *ConnLimits) NearLimit() bool {
 	most := s.most.Load()
 	return most > 0 && 4*s.open.Load() > 3*most
 }
 
 // Set changes both.
-func (s *Stay) Set(head, idle time.Duration) {
+func (s *ConnLimits) Set(head, idle time.Duration) {
 	s.head.Store(int64(head))
 	s.idle.Store(int64(idle))
 }
 
-// Idle is how long a connection may idle from now on.
-func (s *Stay) Idle() time.Duration { return time.Duration(s.idle.Load()) }
+// IdleTimeout is how long a connection may idle from now on.
+func (s *ConnLimits) IdleTimeout() time.Duration { return time.Duration(s.idle.Load()) }
 
-// Callers opens a port whose connections go by limits that may change. The
+// ServeCallers opens a port whose connections go by limits that may change. The
 // server reads its own limits without a lock, so they stay as they are, and the
 // deadlines that it sets on a connection are moved on their way. most bounds a
 // header in bytes, whatever is told later.
-func Callers(g *task.Group, e env.Env, addr string, h http.Handler, head time.Duration, most int, stay *Stay) (*http.Server, error) {
+func ServeCallers(g *task.Group, e env.Env, addr string, h http.Handler, head time.Duration, most int, stay *ConnLimits) (*http.Server, error) {
 	return open(g, e, addr, h, head, func(srv *http.Server, ear net.Listener) net.Listener {
 		srv.MaxHeaderBytes = most
 		srv.ConnState = func(c net.Conn, now http.ConnState) {
@@ -66,7 +66,7 @@
 // hall gives out callers' connections.
 type hall struct {
 	net.Listener
-	stay *Stay
+	stay *ConnLimits
 	head time.Duration // the server's own
 }
 
@@ -180,7 +180,7 @@
 			// A longer time for the header doesn't shorten that of the body.
 			t, k.next = t.Add(max(k.more, 0)), forNone
 		case forRest:
-			t, k.next = now.Add(k.l.stay.Idle()), forHead
+			t, k.next = now.Add(k.l.stay.IdleTimeout()), forHead
 		}
 		k.mu.Unlock()
 	}
--- a/internal/httpapi/frame.go
+++ b/internal/httpapi/frame.go
@@ -14,10 +14,10 @@
 
 // What a head was seen to be.
 const (
-	Unseen   Framing = iota // it came together with an earlier request
-	Plain                   // framed in one way
-	Twofold                 // a length and chunks
-	BareFeed                // a line that ends without its return
+	FramingUnknown   Framing = iota // it came together with an earlier request
+	FramingPlain                    // framed in one way
+	FramingAmbiguous                // a length and chunks
+	FramingBareLF                   // a line that ends without its return
 )
 
 type frameKey struct{}
@@ -26,7 +26,7 @@
 func FramingOf(ctx context.Context) Framing {
 	k, ok := ctx.Value(frameKey{}).(*caller)
 	if !ok {
-		return Plain
+		return FramingPlain
 	}
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -51,13 +51,13 @@
 func (h *headLook) verdict() Framing {
 	switch {
 	case !h.seen:
-		return Unseen
+		return FramingUnknown
 	case h.bare:
-		return BareFeed
+		return FramingBareLF
 	case h.size && h.parts:
-		return Twofold
+		return FramingAmbiguous
 	}
-	return Plain
+	return FramingPlain
 }
 
 // start begins with a new head.
--- a/internal/httpapi/frame_test.go
+++ b/internal/httpapi/frame_test.go
@@ -19,20 +19,20 @@
 // bytes come, and what stands in a body or in a value is no header.
 func TestFraming(t *testing.T) {
 	for text, want := range map[string]Framing{
-		"GET / HTTP/1.1\r\nHost: a\r\n\r\n":                                                               Plain,
-		"POST / HTTP/1.1\r\nContent-Length: 3\r\n\r\na\nb":                                                Plain,
-		"POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n3\r\na\nb\r\n0\r\n\r\n":                     Plain,
-		"POST / HTTP/1.1\r\nContent-Length: 30\r\n\r\nX\r\nTransfer-Encoding: chunked\r\n\r\n":            Plain,
-		"POST / HTTP/1.1\r\nX: Transfer-Encoding: chunked\r\nContent-Length: 3\r\n\r\n":                   Plain,
-		"POST / HTTP/1.1\r\nContent-Lengthy: 3\r\nTransfer-Encoding: chunked\r\n\r\n":                     Plain,
-		"POST / HTTP/1.1\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n":                      Twofold,
-		"POST / HTTP/1.1\r\nTRANSFER-encoding:chunked\r\nX: y\r\ncontent-length:3\r\n\r\n":                Twofold,
-		"GET / HTTP/1.1\nHost: a\r\n\r\n":                                                                 BareFeed,
-		"GET / HTTP/1.1\r\nHost: a\nX: b\r\n\r\n":                                                         BareFeed,
-		"GET / HTTP/1.1\r\nHost: a\r\n\n":                                                                 BareFeed,
-		"GET / HTTP/1.1\r\nX: " + strings.Repeat("x", 300) + "\nY: b\r\n\r\n":                             BareFeed,
-		"GET / HTTP/1.1\r\nX: " + strings.Repeat("x", 300) + "\r\nContent-Length: 1\r\n\r\n":              Plain,
-		"GET /" + strings.Repeat("x", 58) + "\r\nTransfer-Encoding: chunked\r\nContent-Length: 1\r\n\r\n": Twofold,
+		"GET / HTTP/1.1\r\nHost: a\r\n\r\n":                                                               FramingPlain,
+		"POST / HTTP/1.1\r\nContent-Length: 3\r\n\r\na\nb":                                                FramingPlain,
+		"POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n3\r\na\nb\r\n0\r\n\r\n":                     FramingPlain,
+		"POST / HTTP/1.1\r\nContent-Length: 30\r\n\r\nX\r\nTransfer-Encoding: chunked\r\n\r\n":            FramingPlain,
+		"POST / HTTP/1.1\r\nX: Transfer-Encoding: chunked\r\nContent-Length: 3\r\n\r\n":                   FramingPlain,
+		"POST / HTTP/1.1\r\nContent-Lengthy: 3\r\nTransfer-Encoding: chunked\r\n\r\n":                     FramingPlain,
+		"POST / HTTP/1.1\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n":                      FramingAmbiguous,
+		"POST / HTTP/1.1\r\nTRANSFER-encoding:chunked\r\nX: y\r\ncontent-length:3\r\n\r\n":                FramingAmbiguous,
+		"GET / HTTP/1.1\nHost: a\r\n\r\n":                                                                 FramingBareLF,
+		"GET / HTTP/1.1\r\nHost: a\nX: b\r\n\r\n":                                                         FramingBareLF,
+		"GET / HTTP/1.1\r\nHost: a\r\n\n":                                                                 FramingBareLF,
+		"GET / HTTP/1.1\r\nX: " + strings.Repeat("x", 300) + "\nY: b\r\n\r\n":                             FramingBareLF,
+		"GET / HTTP/1.1\r\nX: " + strings.Repeat("x", 300) + "\r\nContent-Length: 1\r\n\r\n":              FramingPlain,
+		"GET /" + strings.Repeat("x", 58) + "\r\nTransfer-Encoding: chunked\r\nContent-Length: 1\r\n\r\n": FramingAmbiguous,
 	} {
 		for size := 1; size <= len(text); size++ {
 			if got := seen(text, size); got != want {
@@ -41,7 +41,7 @@
 		}
 	}
 	var h headLook
-	if h.heed([]byte("GET / HTTP/1.1\r\n\r\n")); h.verdict() != Unseen {
+	if h.heed([]byte("GET / HTTP/1.1\r\n\r\n")); h.verdict() != FramingUnknown {
 		t.Error("one that was not followed is known")
 	}
 }
--- a/internal/httpapi/outer.go
+++ b/internal/httpapi/outer.go
@@ -41,49 +41,49 @@
 	return srv, nil
 }
 
-// Called gives a handler the tongue's calls as our own. Never for jobs, whose
+// TranslateCalls gives a handler the tongue's calls as our own. Never for jobs, whose
 // paths are not ours to read.
-func Called(say dialect.Tongue, h http.Handler) http.Handler {
-	if len(say.Calls) == 0 {
+func TranslateCalls(say dialect.Dialect, h http.Handler) http.Handler {
+	if len(say.APIPaths) == 0 {
 		return h
 	}
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		r.URL.Path, r.URL.RawPath = say.Call(r.URL.Path), ""
+		r.URL.Path, r.URL.RawPath = say.APIPath(r.URL.Path), ""
 		h.ServeHTTP(w, r)
 	})
 }
 
-// JSON writes a value with a status.
-func JSON(w http.ResponseWriter, code int, v any) {
+// WriteJSON writes a value with a status.
+func WriteJSON(w http.ResponseWriter, code int, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(code)
 	_ = json.NewEncoder(w).Encode(v)
 }
 
-// Wrong is the body of every answer that isn't a success.
-type Wrong struct {
-	Wrong   string `json:"wrong"`
+// ErrorBody is the body of every answer that isn't a success.
+type ErrorBody struct {
+	Message string `json:"wrong"`
 	Version uint64 `json:"version,omitempty"`
 	Ran     string `json:"ran,omitempty"`
-	Retry   int64  `json:"retry_ms,omitempty"`
+	RetryMS int64  `json:"retry_ms,omitempty"`
 	Faults  any    `json:"faults,omitempty"`
 }
 
-// Busy answers that nothing was done and never will be, and tells when to come
+// WriteBusy answers that nothing was done and never will be, and tells when to come
 // back: after the time that what was lacking needs.
 // Retry-After is in whole seconds, or in fractions where the tongue has them.
-func Busy(w http.ResponseWriter, why string, come time.Duration, fine ...bool) {
+func WriteBusy(w http.ResponseWriter, why string, come time.Duration, fine ...bool) {
 	ms := max(come.Milliseconds(), 1)
 	after := strconv.FormatInt((ms+999)/1000, 10)
 	if len(fine) > 0 && fine[0] {
 		after = strconv.FormatFloat(float64(ms)/1000, 'f', 3, 64)
 	}
 	w.Header().Set("Retry-After", after)
-	JSON(w, http.StatusServiceUnavailable, Wrong{Wrong: why, Ran: "no", Retry: ms})
+	WriteJSON(w, http.StatusServiceUnavailable, ErrorBody{Message: why, Ran: "no", RetryMS: ms})
 }
 
-// Body reads a bounded body; the status tells what is wrong with it.
-func Body(w http.ResponseWriter, r *http.Request, most int64) ([]byte, int) {
+// ReadBody reads a bounded body; the status tells what is wrong with it.
+func ReadBody(w http.ResponseWriter, r *http.Request, most int64) ([]byte, int) {
 	// One of a known length is read into room of its size: growing by steps
 	// would take several times as much.
 	if n := r.ContentLength; n >= 0 && n <= most {
--- a/internal/lifecycle/run.go
+++ b/internal/lifecycle/run.go
@@ -38,7 +38,7 @@
 type Site struct {
 	Settings func(program string) (map[string]any, error)
 	File     func() string // where they stand
-	Tongue   dialect.Tongue
+	Dialect  dialect.Dialect
 }
 
 // load reads the props: from the site with the flag --site, or from our own
@@ -89,10 +89,10 @@
 	}
 	e := env.Real(p.Node)
 	if len(args) == 1 && args[0] == "--site" {
-		e.Say = site.Tongue
+		e.Dialect = site.Dialect
 	}
 	remember(p)
-	w.now, w.log, e.Look = p, e.Log, w.look
+	w.now, w.log, e.CheckSettings = p, e.Log, w.look
 	if p.DataDir != "" {
 		dir, err := disk.Open(p.DataDir)
 		if err != nil {
--- a/internal/membership/pack.go
+++ b/internal/membership/pack.go
@@ -35,12 +35,12 @@
 	for _, n := range d.Removed {
 		put("-", n, "", "", "", "", "", "")
 	}
-	return compression.Pack(cols)
+	return compression.EncodeColumns(cols)
 }
 
 // DecodeDiff reads the short form; the error is of the kind fault.Input.
 func DecodeDiff(b []byte) (Diff, error) {
-	cols, err := compression.Open(b, wide)
+	cols, err := compression.DecodeColumns(b, wide)
 	if err != nil {
 		return Diff{}, err
 	}
--- a/internal/mutant/list.go
+++ b/internal/mutant/list.go
@@ -17,7 +17,7 @@
 	{"fitness-always-told", Return, "internal/proxy/fit.go", " && x.fitnessNews.Take(time.Now()) {", " && !time.Now().IsZero() {", "proxy", "TestFlappingFitness"},
 
 	{"seal-not-compared", Whole, "internal/proxy/unseal.go",
-		" || headOf(b, x.say.Mark) != responsedigest.Of(v.in.AttemptID, v.in.Worker, b.Status, b.Body) {", " || responsedigest.Of(\"\", \"\", 0, nil) == \"\" {", "sim", "TestBadWorkers"},
+		" || headOf(b, x.say.ResponseDigest) != responsedigest.Of(v.in.AttemptID, v.in.Worker, b.Status, b.Body) {", " || responsedigest.Of(\"\", \"\", 0, nil) == \"\" {", "sim", "TestBadWorkers"},
 	{"seal-without-body", Whole, "internal/responsedigest/seal.go", "	h.Write(body)\n", "	_ = body\n", "sim", "TestBadWorkers"},
 	{"answers-swapped", Whole, "internal/workerconn/conn.go", "	good = !w.Close && w.ProtoAtLeast(1, 1) && c.reader.Buffered() == 0", "	good = !w.Close && w.ProtoAtLeast(1, 1)\n	if len(body) > 40 {\n		body = body[:len(body)-1]\n	}", "sim", "TestWholePath"},
 
@@ -34,7 +34,7 @@
 
 	{"run-goes-on", Left, "internal/proxy/callerleft.go", "		if !ending && !v.in.Repeatable {", "		if !ending {", "sim", "TestCallersLeave"},
 	{"leaving-not-passed-on", Left, "internal/transport/call.go", "	if waits && !certain {\n		l.abandons", "	if waits && certain {\n		l.abandons", "sim", "TestCallersLeave"},
-	{"begun-for-nobody", Left, "internal/proxy/owner.go", "	if transport.Abandoned(ctx) {\n		return v.refuse", "	if transport.Abandoned(ctx) && v.held && !v.held {\n		return v.refuse", "proxy", "TestBegunForNobody"},
+	{"begun-for-nobody", Left, "internal/proxy/owner.go", "	if transport.CanceledByCaller(ctx) {\n		return v.refuse", "	if transport.CanceledByCaller(ctx) && v.held && !v.held {\n		return v.refuse", "proxy", "TestBegunForNobody"},
 	{"lost-front-awaited", Left, "internal/transport/link.go", "		l.abandonAll()\n", "", "transport", "TestAbandonedWithLink"},
 
 	{"front-not-confirmed", Newest, "internal/controlclient/round.go", "	if w := t.Confidence(); w != protocol.Unconfirmed {\n		return w\n	}\n	ctx, over", "	return protocol.Confirmed\n	ctx, over", "sim", "TestFrozenFront"},
@@ -53,7 +53,7 @@
 	{"calls-not-held", Repeats, "internal/retrybudget/repeats.go", "		b.rows[s].held += n\n", "		b.rows[s].held += 0 * n\n", "retrybudget", "TestHold"},
 
 	{"folder-not-synced", Kept, "internal/disk/disk.go", "	return fault.Wrap(fault.Disk, fs.SyncDir(), \"keep names in folder\")", "	return nil", "paxos", "TestNamesByThemselves"},
-	{"own-runs-not-ended", Planned, "internal/proxy/callerleft.go", "		if over || !ending && !transport.Abandoned(ctx) {", "		if over || !transport.Abandoned(ctx) {", "sim", "TestAnswersInStop"},
+	{"own-runs-not-ended", Planned, "internal/proxy/callerleft.go", "		if over || !ending && !transport.CanceledByCaller(ctx) {", "		if over || !transport.CanceledByCaller(ctx) {", "sim", "TestAnswersInStop"},
 	{"late-work-begun", Planned, "internal/proxy/stop.go", "	if plan == nil || j.from.Before(plan.LongWorkDeadline()) ||", "	if plan == nil || j.from.Before(plan.End()) ||", "sim", "TestAnswersInStop"},
 	{"end-not-told", Planned, "internal/proxy/stop.go", "	x.notifyEnds(plan)\n", "", "sim", "TestRunsOutlastTheirNode"},
 	{"own-runs-not-hedged", Planned, "internal/proxy/stop.go", "	x.attemptsWaitUntil(plan.WaitDeadline())\n", "", "sim", "TestRunsOutlastTheirNode"},
@@ -65,10 +65,10 @@
 	{"own-stop-unseen", Planned, "internal/proxy/ending.go", "	own := plan.RemainingWait() - 2*need\n", "	own := plan.RemainingWait()\n", "sim", "TestAnswersInStop"},
 	{"ends-before-last-sixth", Planned, "internal/shutdown/grace.go", "return s.AnswerDeadline().Add(-s.length / answerPart) }", "return s.AnswerDeadline().Add(-s.length / answerPart * 2) }", "shutdown", "TestSchedule"},
 	{"jobs-not-awaited", Planned, "internal/proxy/stop.go", "	for under() > 0 && ctx.Err() == nil {", "	for under() > 1<<40 && ctx.Err() == nil {", "sim", "TestLongStop"},
-	{"shut-at-once", Planned, "internal/proxy/stop.go", "	task.Pause(ctx, x.Settings.LeaveBound*3/4)\n	x.left.Store(true)\n	x.drainWorkers()\n	task.Pause(ctx, x.Settings.LeaveBound/2)\n", "	x.left.Store(true)\n	x.drainWorkers()\n", "sim", "TestRoll"},
-	{"no-goodbye", Planned, "internal/transport/bye.go", "func (n *Node) Leave(long time.Duration) {\n", "func (n *Node) Leave(long time.Duration) {\n	if long > 0 {\n		return\n	}\n", "transport", "TestGoodbye"},
+	{"shut-at-once", Planned, "internal/proxy/stop.go", "	task.Sleep(ctx, x.Settings.LeaveBound*3/4)\n	x.left.Store(true)\n	x.drainWorkers()\n	task.Sleep(ctx, x.Settings.LeaveBound/2)\n", "	x.left.Store(true)\n	x.drainWorkers()\n", "sim", "TestRoll"},
+	{"no-goodbye", Planned, "internal/transport/bye.go", "func (n *Node) CloseGracefully(long time.Duration) {\n", "func (n *Node) CloseGracefully(long time.Duration) {\n	if long > 0 {\n		return\n	}\n", "transport", "TestGoodbye"},
 
-	{"one-lane", Passing, "internal/proxy/steps.go", "x.beginAttempt(transport.Lane(ctx, x.lane(j)), j, h.AttemptID)", "x.beginAttempt(transport.Lane(ctx, transport.Jobs), j, h.AttemptID)", "sim", "TestThinLinks"},
+	{"one-lane", Passing, "internal/proxy/steps.go", "x.beginAttempt(transport.WithLane(ctx, x.lane(j)), j, h.AttemptID)", "x.beginAttempt(transport.WithLane(ctx, transport.LaneRequests), j, h.AttemptID)", "sim", "TestThinLinks"},
 	{"window-open", Passing, "internal/transport/flow.go", "return !w.on || w.let && !w.rest && w.out < w.win", "return true", "sim", "TestThinLinks"},
 	{"answers-not-booked", Passing, "internal/transport/book.go", "	if !ok {\n		return free, l.come(), false\n	}\n", "", "transport", "TestBook"},
 	{"doubles-after-rest", Passing, "internal/transport/flow.go", "now-w.met >= lull*patience", "now-w.met >= patience", "transport", "TestRested"},
--- a/internal/ormap/pack.go
+++ b/internal/ormap/pack.go
@@ -48,7 +48,7 @@
 	for _, g := range dead {
 		put("-"+g.Dot.Node, stamp(g.Dot.At), "", g.Why, g.Worker, "", "", "")
 	}
-	return Delta{Short: compression.Pack(cols)}
+	return Delta{Short: compression.EncodeColumns(cols)}
 }
 
 // Open gives the long form of a delta. The error is of the kind fault.Input.
@@ -56,7 +56,7 @@
 	if len(d.Short) == 0 {
 		return d, nil
 	}
-	cols, err := compression.Open(d.Short, wide)
+	cols, err := compression.DecodeColumns(d.Short, wide)
 	if err != nil {
 		return Delta{}, err
 	}
--- a/internal/paxos/log.go
+++ b/internal/paxos/log.go
@@ -76,7 +76,7 @@
 // may lose the name of a synced file.
 func (a *Acceptor) writeEntries(all []Entry) error {
 	var fresh []Entry
-	var files []disk.Named
+	var files []disk.NamedFile
 	for _, e := range all {
 		e.Format = Format
 		if a.keeps(&e) {
@@ -87,7 +87,7 @@
 			return fault.Wrap(fault.Input, err, "pack "+entryName(e.Index))
 		}
 		fresh = append(fresh, e)
-		files = append(files, disk.Named{Name: entryName(e.Index), Data: data})
+		files = append(files, disk.NamedFile{Name: entryName(e.Index), Data: data})
 	}
 	if len(files) == 0 {
 		return nil
--- a/internal/plumtree/bulk_test.go
+++ b/internal/plumtree/bulk_test.go
@@ -76,7 +76,7 @@
 				m.trees[name].Flush()
 			}
 		}
-		task.Pause(t.Context(), time.Second)
+		task.Sleep(t.Context(), time.Second)
 		for _, tree := range m.trees {
 			tree.Tick()
 		}
--- a/internal/proxy/acknowledge.go
+++ b/internal/proxy/acknowledge.go
@@ -26,10 +26,10 @@
 // node has it too.
 func (x *Proxy) acknowledge(w http.ResponseWriter, r *http.Request, worker, state string, body any) {
 	if state != saysUp && !x.leaveKept(r.Context(), worker, state) {
-		httpapi.Busy(w, "no control node has noted the leave yet", x.Settings.HeartbeatInterval(), x.say.Fine)
+		httpapi.WriteBusy(w, "no control node has noted the leave yet", x.Settings.HeartbeatInterval(), x.say.FractionalRetryAfter)
 		return
 	}
-	httpapi.JSON(w, http.StatusOK, body)
+	httpapi.WriteJSON(w, http.StatusOK, body)
 }
 
 // leaveKept tells whether a control node has noted what a worker said of its leave,
@@ -78,10 +78,10 @@
 
 // tellOne hands it to one control node.
 func (x *Proxy) tellOne(ctx context.Context, at string, word ormap.Delta) bool {
-	_, err := transport.Ask[struct{}](ctx, x.n, at, protocol.WorkerLeavingKind, word)
+	_, err := transport.Call[struct{}](ctx, x.n, at, protocol.WorkerLeavingKind, word)
 	if fault.Is(err, fault.Refused) {
 		// One of an earlier version notes it, though not on its disk.
-		_, err = transport.Ask[struct{}](ctx, x.n, at, "replica.mend", word)
+		_, err = transport.Call[struct{}](ctx, x.n, at, "replica.mend", word)
 	}
 	return err == nil
 }
--- a/internal/proxy/again.go
+++ b/internal/proxy/again.go
@@ -20,7 +20,7 @@
 	x.reset.Store(&p)
 	x.touch.SetSeeds(p.Seeds)
 	x.load.bound(&p)
-	x.stay.Bound(callers(&p))
+	x.stay.SetMaxConns(callers(&p))
 	if r := x.rules.Load(); r != nil {
 		x.bound(r)
 	}
--- a/internal/proxy/answer.go
+++ b/internal/proxy/answer.go
@@ -12,23 +12,23 @@
 
 // wrong answers for a job that can't be taken as it came: it was not run.
 func (x *Proxy) wrong(w http.ResponseWriter, code int, why string) {
-	x.mark(w, responsedigest.Ran, "no")
-	httpapi.JSON(w, code, httpapi.Wrong{Wrong: why, Ran: "no"})
+	x.mark(w, responsedigest.RanHeader, "no")
+	httpapi.WriteJSON(w, code, httpapi.ErrorBody{Message: why, Ran: "no"})
 }
 
 // mark sets one of the mesh's own headers, where the tongue has them.
 func (x *Proxy) mark(w http.ResponseWriter, name, value string) {
-	if x.say.Marks {
+	if x.say.WritesOwnHeaders {
 		w.Header().Set(name, value)
 	}
 }
 
 // busyNow gives the busy answer: the job was not run and never will be.
 func (x *Proxy) busyNow(w http.ResponseWriter, why string, come time.Duration) {
-	x.mark(w, responsedigest.Ran, "no")
-	x.mark(w, responsedigest.Why, why)
+	x.mark(w, responsedigest.RanHeader, "no")
+	x.mark(w, responsedigest.ReasonHeader, why)
 	// The caller is told when to come back rather than held here.
-	httpapi.Busy(w, "busy, try later: "+why, come, x.say.Fine)
+	httpapi.WriteBusy(w, "busy, try later: "+why, come, x.say.FractionalRetryAfter)
 }
 
 // receipt answers the caller.
@@ -41,14 +41,14 @@
 		x.knows.note(j.path.Name, j.first, j.due)
 	}
 	if v := j.rules; v != nil {
-		x.mark(w, responsedigest.Version, strconv.FormatUint(v.Version, 10))
+		x.mark(w, responsedigest.ConfigVersionHeader, strconv.FormatUint(v.Version, 10))
 	}
 	switch {
 	case j.back.Outcome == protocol.Done:
 		for k, v := range x.passed(j.back.Header) {
 			w.Header()[k] = v
 		}
-		x.mark(w, responsedigest.Worker, j.back.Worker)
+		x.mark(w, responsedigest.WorkerHeader, j.back.Worker)
 		w.Header().Set("Content-Length", strconv.Itoa(len(j.back.Body)))
 		w.WriteHeader(j.back.Status)
 		if j.req.Method != http.MethodHead {
@@ -59,8 +59,8 @@
 		if j.lost.TimedOut {
 			code = http.StatusGatewayTimeout
 		}
-		x.mark(w, responsedigest.Ran, "unknown")
-		httpapi.JSON(w, code, httpapi.Wrong{Wrong: "outcome unknown: " + j.lost.Reason, Ran: "unknown"})
+		x.mark(w, responsedigest.RanHeader, "unknown")
+		httpapi.WriteJSON(w, code, httpapi.ErrorBody{Message: "outcome unknown: " + j.lost.Reason, Ran: "unknown"})
 	default:
 		x.busyNow(w, j.why, x.comeback(j))
 	}
--- a/internal/proxy/beat.go
+++ b/internal/proxy/beat.go
@@ -20,20 +20,20 @@
 // onBeat takes a worker's beat: the whole registration each time, so that a
 // restarted proxy is filled by the next one.
 func (x *Proxy) onBeat(w http.ResponseWriter, r *http.Request) {
-	raw, code := httpapi.Body(w, r, 4096)
+	raw, code := httpapi.ReadBody(w, r, 4096)
 	if code != 0 {
-		httpapi.JSON(w, code, httpapi.Wrong{Wrong: "the beat can't be read"})
+		httpapi.WriteJSON(w, code, httpapi.ErrorBody{Message: "the beat can't be read"})
 		return
 	}
 	in, bad, err := schema.Parse(raw)
 	if err != nil {
-		httpapi.JSON(w, http.StatusBadRequest, httpapi.Wrong{Wrong: "not JSON: " + err.Error()})
+		httpapi.WriteJSON(w, http.StatusBadRequest, httpapi.ErrorBody{Message: "not JSON: " + err.Error()})
 		return
 	}
 	v, more := HeartbeatTable.Read(in, "")
 	if bad = append(bad, more...); len(bad) > 0 {
 		x.e.Log.Emit(event.BeatBad, "faults", len(bad), "first", bad[0].Place)
-		httpapi.JSON(w, http.StatusUnprocessableEntity, httpapi.Wrong{Wrong: "the beat is wrong", Faults: bad})
+		httpapi.WriteJSON(w, http.StatusUnprocessableEntity, httpapi.ErrorBody{Message: "the beat is wrong", Faults: bad})
 		return
 	}
 	x.takeCall(workerCall{worker: v.Text("worker"), service: v.Text("service"), addr: v.Text("addr"), slots: int(v.Count("slots")), state: v.Text("state")})
--- a/internal/proxy/callerleft.go
+++ b/internal/proxy/callerleft.go
@@ -41,7 +41,7 @@
 		mu.Lock()
 		defer mu.Unlock()
 		ending := shutdown.IsCutoff(ctx)
-		if over || !ending && !transport.Abandoned(ctx) {
+		if over || !ending && !transport.CanceledByCaller(ctx) {
 			return
 		}
 		x.step(v, stepCancelled, "")
--- a/internal/proxy/deliver.go
+++ b/internal/proxy/deliver.go
@@ -59,7 +59,7 @@
 		return v.refuse("the job can't be sent on")
 	}
 	c, err := x.conns.Acquire(ctx, v.gate.worker, v.gate.addr)
-	if errors.Is(err, workerconn.ErrStranger) {
+	if errors.Is(err, workerconn.ErrWrongWorker) {
 		x.stranger(v.gate)
 		return v.refuse("another stands at the worker's address")
 	}
@@ -86,13 +86,13 @@
 		return v.unknown(v.cut)
 	}
 	if err != nil {
-		v.stale = errors.Is(err, workerconn.ErrForgotten)
+		v.stale = errors.Is(err, workerconn.ErrConnectionForgotten)
 		return v.unknown("no whole answer from the worker: " + plain(err))
 	}
 	if int64(len(body)) > x.wide() {
 		return v.unknown("the answer is over the bound")
 	}
-	if !x.say.Digest && v.in.Method != http.MethodHead && w.ContentLength < 0 && len(w.TransferEncoding) == 0 {
+	if !x.say.VerifiesDigest && v.in.Method != http.MethodHead && w.ContentLength < 0 && len(w.TransferEncoding) == 0 {
 		// It ended with its connection: nothing says that it is whole.
 		return v.unknown("the answer has no end of its own")
 	}
@@ -106,7 +106,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if x.say.Keeps && !strings.HasPrefix(v.in.URI, "//") {
+	if x.say.KeepsAttemptID && !strings.HasPrefix(v.in.URI, "//") {
 		u = &url.URL{Scheme: "http", Opaque: v.in.URI}
 	}
 	u.Scheme, u.Host = "http", v.gate.addr
@@ -122,18 +122,18 @@
 	if r.Header["User-Agent"] == nil {
 		r.Header["User-Agent"] = []string{""}
 	}
-	if x.say.Job != "" {
-		r.Header.Set(x.say.Job, v.in.RequestID)
+	if x.say.RequestID != "" {
+		r.Header.Set(x.say.RequestID, v.in.RequestID)
 	}
-	r.Header.Set(x.say.Attempt, v.id())
-	r.Header.Set(x.say.Expect, v.in.Worker)
-	if x.say.Caller != "" && v.in.CallerService != "" {
+	r.Header.Set(x.say.AttemptID, v.id())
+	r.Header.Set(x.say.ExpectedWorker, v.in.Worker)
+	if x.say.CallerService != "" && v.in.CallerService != "" {
 		// Whatever the caller wrote there: the front knows where the job began.
-		r.Header.Set(x.say.Caller, v.in.CallerService)
+		r.Header.Set(x.say.CallerService, v.in.CallerService)
 	}
 	// A little less than there is: what the worker calls in turn gives up
 	// while the worker can still answer.
-	r.Header.Set(x.say.Left, strconv.FormatInt((time.Until(v.end)*19/20).Milliseconds(), 10))
+	r.Header.Set(x.say.Timeout, strconv.FormatInt((time.Until(v.end)*19/20).Milliseconds(), 10))
 	return r, nil
 }
 
@@ -148,11 +148,11 @@
 // surplus tells of an answer that it belongs to an earlier send: a worker may
 // answer twice, and the second then stands where ours is due.
 func (x *Proxy) surplus(v *visit) func(*http.Response) bool {
-	if !x.say.Keeps {
+	if !x.say.KeepsAttemptID {
 		return nil
 	}
 	return func(w *http.Response) bool {
-		id := w.Header.Get(x.say.Attempt)
+		id := w.Header.Get(x.say.AttemptID)
 		return id != "" && id != v.id()
 	}
 }
--- a/internal/proxy/ending.go
+++ b/internal/proxy/ending.go
@@ -183,7 +183,7 @@
 	if j.back.ConfigMismatch {
 		x.rematch(ctx, j)
 	}
-	task.Pause(ctx, x.pauseForLost(j.come))
+	task.Sleep(ctx, x.pauseForLost(j.come))
 	if ctx.Err() != nil || x.isEnding() || !time.Now().Before(j.end) {
 		return false
 	}
--- a/internal/proxy/front.go
+++ b/internal/proxy/front.go
@@ -57,30 +57,30 @@
 	now := x.busy.Add(1)
 	defer x.busy.Add(-1)
 	j := &job{id: fmt.Sprintf("%s.%s.%d", x.Settings.Node, x.boot, x.seq.Add(1)), req: r, from: time.Now(), tried: map[string]bool{}}
-	if x.stay.Crowded() {
+	if x.stay.NearLimit() {
 		w.Header().Set("Connection", "close")
 	} else if told := x.told.Load(); *told != "" {
 		w.Header().Set("Keep-Alive", *told)
 	}
 	// What others may take for two requests is none here.
 	switch httpapi.FramingOf(r.Context()) {
-	case httpapi.Twofold, httpapi.BareFeed:
+	case httpapi.FramingAmbiguous, httpapi.FramingBareLF:
 		w.Header().Set("Connection", "close")
 		x.wrong(w, http.StatusBadRequest, "the header frames the request in two ways")
 		return
-	case httpapi.Unseen:
+	case httpapi.FramingUnknown:
 		if len(r.TransferEncoding) > 0 {
 			w.Header().Set("Connection", "close")
 		}
 	}
-	if x.say.Keeps {
+	if x.say.KeepsAttemptID {
 		// The caller's own id, and none of ours, goes all the way.
-		if j.said = r.Header.Get(x.say.Attempt); j.said == "" {
-			x.wrong(w, http.StatusBadRequest, x.say.Attempt+" is missing")
+		if j.said = r.Header.Get(x.say.AttemptID); j.said == "" {
+			x.wrong(w, http.StatusBadRequest, x.say.AttemptID+" is missing")
 			return
 		}
 	} else {
-		w.Header().Set(x.say.Job, j.id)
+		w.Header().Set(x.say.RequestID, j.id)
 	}
 	if !x.AcceptsRequests() && !x.begins(r.Context(), x.half(r)) {
 		x.busyNow(w, "this node is not taking jobs: "+x.life.Current(), x.opens())
@@ -137,10 +137,10 @@
 // read takes the body and the time left that the caller gave.
 func (x *Proxy) read(w http.ResponseWriter, j *job) (int, string) {
 	j.end = j.from.Add(x.Settings.GracePeriod)
-	if raw := j.req.Header.Get(x.say.Left); raw != "" {
+	if raw := j.req.Header.Get(x.say.Timeout); raw != "" {
 		ms, err := strconv.ParseInt(raw, 10, 64)
 		if err != nil || ms <= 0 || ms > 3600_000 {
-			return http.StatusBadRequest, x.say.Left + " is expired or malformed"
+			return http.StatusBadRequest, x.say.Timeout + " is expired or malformed"
 		}
 		j.end = j.from.Add(time.Duration(ms) * time.Millisecond)
 		j.due = j.end
@@ -169,7 +169,7 @@
 	}
 	j.arm = j.path.Arm(j.id)
 	j.service = j.arm.To(j.id)
-	if end := j.from.Add(j.arm.Left); end.Before(j.end) || j.req.Header.Get(x.say.Left) == "" {
+	if end := j.from.Add(j.arm.Left); end.Before(j.end) || j.req.Header.Get(x.say.Timeout) == "" {
 		j.end = end
 	}
 	j.first = j.from
--- a/internal/proxy/fuzz_test.go
+++ b/internal/proxy/fuzz_test.go
@@ -65,11 +65,11 @@
 		if len(body) > 4096 || w.StatusCode < 200 || w.ContentLength >= 0 && int64(len(body)) != w.ContentLength && len(body) > 0 {
 			t.Errorf("%d, %d bytes of %d", w.StatusCode, len(body), w.ContentLength)
 		}
-		for _, say := range []dialect.Tongue{dialect.Own, play.Plain} {
+		for _, say := range []dialect.Dialect{dialect.Default, play.Plain} {
 			x := &Proxy{say: say}
 			v := &visit{in: protocol.AttemptRequest{AttemptID: "a.1", Worker: "w"}, back: protocol.AttemptResult{Status: w.StatusCode, Header: w.Header, Body: body}}
 			good := x.broken(v, x.notRun(&v.back)) == ""
-			if good && w.StatusCode < 300 && (!strings.Contains(text, "a.1") || w.Header.Get(say.Mark) == "") {
+			if good && w.StatusCode < 300 && (!strings.Contains(text, "a.1") || w.Header.Get(say.ResponseDigest) == "") {
 				t.Errorf("%s: a success that shows nothing was taken: %q", say.Name, text)
 			}
 		}
--- a/internal/proxy/gate.go
+++ b/internal/proxy/gate.go
@@ -126,7 +126,7 @@
 
 // watch finds dead workers: by missed beats, and by probes of their port.
 func (x *Proxy) watch(ctx context.Context) {
-	x.e.Looks()
+	x.e.PollSettings()
 	for _, g := range x.allGates() {
 		g.mu.Lock()
 		mute := time.Since(g.heard) > x.Settings.WorkerTimeout()
@@ -148,7 +148,7 @@
 		}
 		// Where none is asked who it is, none is probed either: beats and the
 		// ends of jobs tell, and a probe costs the worker a connection.
-		if x.say.Asks {
+		if x.say.IdentifiesConns {
 			x.g.Go("probe", func(ctx context.Context) { x.probe(ctx, g) })
 		}
 	}
@@ -229,7 +229,7 @@
 	x.e.Log.Emit(event.Draining, "worker", g.worker)
 	x.enter(g)
 	x.g.Go("shut-door", func(ctx context.Context) {
-		task.Pause(ctx, x.Settings.LeaveBound/4)
+		task.Sleep(ctx, x.Settings.LeaveBound/4)
 		if g.state.Is("draining") {
 			g.room.Close()
 		}
--- a/internal/proxy/kin.go
+++ b/internal/proxy/kin.go
@@ -17,8 +17,8 @@
 	all   map[string]float64 // callers of anything, smoothed
 	sum   float64
 
-	within map[string]bool         // paths that owners say are called from within
-	under  [transport.Bulk + 1]int // jobs at the own worker, by the lane that they came by
+	within map[string]bool             // paths that owners say are called from within
+	under  [transport.LaneBulk + 1]int // jobs at the own worker, by the lane that they came by
 }
 
 // blood counts one path's callers by their service, smoothed.
--- a/internal/proxy/lane.go
+++ b/internal/proxy/lane.go
@@ -11,18 +11,18 @@
 )
 
 // The rules have as many lanes as the links have for jobs.
-var _ = [1]struct{}{}[transport.Bulk-transport.Jobs+1-rules.Lanes]
+var _ = [1]struct{}{}[transport.LaneBulk-transport.LaneRequests+1-rules.Lanes]
 
 // lane is the lane that a job goes by on links: its arm's, or the most urgent of
 // the jobs that it may be a call of. A small call of a bulk job goes after all
 // that is urgent and before the bulk itself: as long as it waits, a slot does.
 func (x *Proxy) lane(j *job) int {
-	own := transport.Jobs + j.rules.Lane(j.arm)
+	own := transport.LaneRequests + j.rules.Lane(j.arm)
 	if j.arm.Bulk != "" {
 		return own
 	}
 	if l, ok := x.kin.serves(j.path.Name); ok {
-		return min(l, transport.Bulk-1)
+		return min(l, transport.LaneBulk-1)
 	}
 	return own
 }
@@ -33,7 +33,7 @@
 	if j.arm.Bulk == "" {
 		return nil
 	}
-	return func(e ormap.Entry) time.Duration { return x.n.Wait(e.Inner, len(j.body)) }
+	return func(e ormap.Entry) time.Duration { return x.n.BulkDelay(e.Inner, len(j.body)) }
 }
 
 // thin is the outcome of an attempt for which the link had no room: nothing was
@@ -49,7 +49,7 @@
 func (x *Proxy) book(ctx context.Context, v *visit) bool {
 	left := time.Until(v.end)
 	need := v.gate.need(v.in.Route, left/4)
-	if transport.LaneOf(ctx) == transport.Bulk && left < need+x.Settings.CallTimeout()/4 {
+	if transport.LaneOf(ctx) == transport.LaneBulk && left < need+x.Settings.CallTimeout()/4 {
 		// It took its time to come here; begun now, its receipt might come too
 		// late, and nobody would know that it ran.
 		return v.refuse("no time left to run it in")
@@ -61,7 +61,7 @@
 		defer end()
 		ctx = short
 	}
-	free, come, ok := transport.Book(ctx, v.gate.gives(v.in.Route), need)
+	free, come, ok := transport.ReserveResponse(ctx, v.gate.gives(v.in.Route), need)
 	if !ok {
 		x.slim.Add(1)
 		return v.later("the link back to the front is full", max(come, x.Settings.HeartbeatInterval()))
--- a/internal/proxy/load.go
+++ b/internal/proxy/load.go
@@ -165,12 +165,12 @@
 		if !x.load.take(n) {
 			return nil, 0, http.StatusServiceUnavailable
 		}
-		b, code = httpapi.Body(w, r, most)
+		b, code = httpapi.ReadBody(w, r, most)
 		return b, n, code
 	}
 	p := &part{ReadCloser: r.Body, l: x.load}
 	r.Body = p
-	b, code = httpapi.Body(w, r, most)
+	b, code = httpapi.ReadBody(w, r, most)
 	if p.full {
 		code = http.StatusServiceUnavailable
 	}
--- a/internal/proxy/outer.go
+++ b/internal/proxy/outer.go
@@ -24,7 +24,7 @@
 	r.Post("/puffin/beat", x.onBeat)
 	r.Put("/puffin/workers/{id}", x.onWorker)
 	r.Delete("/puffin/workers/{id}", x.onLeave)
-	r.Get("/puffin/own", func(w http.ResponseWriter, _ *http.Request) { httpapi.JSON(w, http.StatusOK, x.status()) })
+	r.Get("/puffin/own", func(w http.ResponseWriter, _ *http.Request) { httpapi.WriteJSON(w, http.StatusOK, x.status()) })
 	r.Get("/puffin/own/trail", x.onTrail)
 	// All else is the core's to answer, so that every node gives the same.
 	r.NotFound(x.handOut)
@@ -41,7 +41,7 @@
 	if r := x.rules.Load(); r != nil {
 		version = r.Version
 	}
-	httpapi.JSON(w, code, map[string]any{"ready": x.Ready(), "state": x.life.Current(), "config_version": version})
+	httpapi.WriteJSON(w, code, map[string]any{"ready": x.Ready(), "state": x.life.Current(), "config_version": version})
 }
 
 // handOut hands an outside call over to the control node of the session, and
@@ -55,12 +55,12 @@
 	by := time.Now().Add(x.Settings.MaxCallAge() / 2)
 	app := r.Method != http.MethodGet && strings.HasPrefix(r.URL.Path, "/puffin/app/")
 	if app && time.Since(x.pulse.LastPauseEnd()) < x.Settings.HeartbeatInterval() {
-		httpapi.Busy(w, "frozen until just now; nothing was done", x.Settings.HeartbeatInterval())
+		httpapi.WriteBusy(w, "frozen until just now; nothing was done", x.Settings.HeartbeatInterval())
 		return
 	}
-	body, code := httpapi.Body(w, r, int64(x.Settings.MaxFrameBytes)/2)
+	body, code := httpapi.ReadBody(w, r, int64(x.Settings.MaxFrameBytes)/2)
 	if code != 0 {
-		httpapi.JSON(w, code, httpapi.Wrong{Wrong: "the body can't be read or is over the bound"})
+		httpapi.WriteJSON(w, code, httpapi.ErrorBody{Message: "the body can't be read or is over the bound"})
 		return
 	}
 	// The core's own bound and a little more: a change that is held up on its
@@ -81,7 +81,7 @@
 		if app && !time.Now().Before(by) {
 			break
 		}
-		got, err := transport.Ask[protocol.ForwardedResponse](ctx, x.n, to, "outer.call", in)
+		got, err := transport.Call[protocol.ForwardedResponse](ctx, x.n, to, "outer.call", in)
 		if err == nil {
 			w.Header().Set("Content-Type", "application/json")
 			if got.RetryAfter != "" {
@@ -93,11 +93,11 @@
 		}
 		// A read may be asked again; a change that may have been done may not.
 		if !fault.Is(err, fault.Unsent) && !fault.Is(err, fault.Refused) && r.Method != http.MethodGet {
-			httpapi.JSON(w, http.StatusGatewayTimeout, httpapi.Wrong{Wrong: "outcome unknown: the control node gave no receipt", Ran: "unknown"})
+			httpapi.WriteJSON(w, http.StatusGatewayTimeout, httpapi.ErrorBody{Message: "outcome unknown: the control node gave no receipt", Ran: "unknown"})
 			return
 		}
 	}
-	httpapi.Busy(w, "no control node can be reached; nothing was done", x.Settings.ConfigBound)
+	httpapi.WriteBusy(w, "no control node can be reached; nothing was done", x.Settings.ConfigBound)
 }
 
 // Status is what a proxy says of itself.
@@ -163,12 +163,12 @@
 	s.Retries, s.ThinLinkRefusals = x.again.AllowedCount(), x.slim.Load()
 	s.Hedges = x.hedges.Load()
 	s.Goroutines = runtime.NumGoroutine()
-	s.CallerConnections, s.CallersLeft = x.stay.Open(), x.quit.Load()
+	s.CallerConnections, s.CallersLeft = x.stay.OpenConns(), x.quit.Load()
 	s.BytesInFlight, s.BytesInFlightPeak, s.BytesInFlightLimit = x.load.at()
 	s.Classes, s.Health = x.uses(), x.pick.Weights()
 	s.EagerLinks, s.LazyLinks = x.rep.Tree().Shape()
-	for k, v := range x.n.Sizes() {
-		if k.Away {
+	for k, v := range x.n.BytesSent() {
+		if k.OtherZone {
 			s.BytesToOtherZones += v.Bytes
 		}
 	}
@@ -224,4 +224,4 @@
 
 // BytesSent gives the bytes that this process sent to others, by kind of message;
 // receipts count with what they answer.
-func (x *Proxy) BytesSent() map[transport.Flow]transport.Sum { return x.n.Sizes() }
+func (x *Proxy) BytesSent() map[transport.Flow]transport.Traffic { return x.n.BytesSent() }
--- a/internal/proxy/owner.go
+++ b/internal/proxy/owner.go
@@ -182,7 +182,7 @@
 // timely looks whether somebody still waits for the attempt, and whether it has
 // time left to be delivered in.
 func (x *Proxy) timely(ctx context.Context, v *visit) bool {
-	if transport.Abandoned(ctx) {
+	if transport.CanceledByCaller(ctx) {
 		return v.refuse(whyLeft)
 	}
 	if shutdown.IsCutoff(ctx) {
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -56,9 +56,9 @@
 	fitnessNews *newsRate        // of what the mesh is told of its workers' fitness
 	conns       *workerconn.Pool // to the own workers
 	pulse       *pausedetect.Detector
-	say         dialect.Tongue
+	say         dialect.Dialect
 	door        *http.Server           // where callers come in
-	stay        httpapi.Stay           // how long callers' connections may
+	stay        httpapi.ConnLimits     // how long callers' connections may
 	told        atomic.Pointer[string] // what callers are told of that
 	rules       atomic.Pointer[rules.Rules]
 	reset       atomic.Pointer[settings.Settings] // settings read again since the start
@@ -94,16 +94,16 @@
 
 // New readies a proxy.
 func New(p settings.Settings, e env.Env) *Proxy {
-	g := task.New(context.Background()).Pace(e.Pause)
-	x := &Proxy{Settings: p, e: e, g: g, well: make(chan struct{}), gates: map[string]*gate{}, met: map[string]time.Time{}, tally: map[armKey]*armTally{}, live: map[string]time.Time{}, lastCalls: map[string]lastCall{}, departures: map[string]time.Time{}, kept: map[string]string{}, boot: fresh(), born: time.Now(), say: e.Say}
+	g := task.New(context.Background()).SetSleep(e.Sleep)
+	x := &Proxy{Settings: p, e: e, g: g, well: make(chan struct{}), gates: map[string]*gate{}, met: map[string]time.Time{}, tally: map[armKey]*armTally{}, live: map[string]time.Time{}, lastCalls: map[string]lastCall{}, departures: map[string]time.Time{}, kept: map[string]string{}, boot: fresh(), born: time.Now(), say: e.Dialect}
 	x.late = shutdown.NewCutoff(g.Context())
 	x.attempts.by, x.remote.by = map[string]*attempt{}, map[string]context.Context{}
 	if x.say.Name == "" {
-		x.say = dialect.Own
+		x.say = dialect.Default
 	}
 	x.self = membership.Member{Node: p.Node, Incarnation: x.boot, Role: "proxy", Zone: p.Zone, InternalAddr: p.InternalAddr, APIAddr: p.APIAddr, TrafficAddr: p.TrafficAddr}
-	x.n = transport.NewNode(transport.Hello{Mesh: p.ClusterID, Node: p.Node, Area: p.Zone, Role: "proxy"}, e, g, p.MaxFrameBytes, p.MaxRequests, p.CallTimeout())
-	x.n.Bound = p.MaxIdleLinks()
+	x.n = transport.NewNode(transport.Hello{ClusterID: p.ClusterID, Node: p.Node, Zone: p.Zone, Role: "proxy"}, e, g, p.MaxFrameBytes, p.MaxRequests, p.CallTimeout())
+	x.n.MaxIdleLinks = p.MaxIdleLinks()
 	x.rep = replica.New(x.self, x.n, g, e.Log, hlc.New(e.Wall, 2*p.RecoveryBound), p.HeartbeatInterval(), p.RepairInterval(), p.TombstoneTTL())
 	x.pick = balancer.New(p.Zone, p.HeartbeatInterval(), p.RetryWindow, x.fitness)
 	x.again = retrybudget.New(p.RetryWindow)
@@ -113,12 +113,12 @@
 	x.load = newLoad(&p)
 	x.gone, x.runsEnded = event.NewLimiter(p.HeartbeatInterval()), event.NewLimiter(p.HeartbeatInterval())
 	x.unanswered = event.NewLimiter(p.HeartbeatInterval())
-	x.stay.Bound(callers(&p))
+	x.stay.SetMaxConns(callers(&p))
 	x.limits(nil)
 	x.fitnessNews = newNewsRate(time.Now())
 	x.pulse = pausedetect.New(p.HeartbeatInterval()/4, p.PauseThreshold(), func(gap time.Duration) { e.Log.Emit(event.Froze, "ms", gap.Milliseconds()) })
 	x.touch = newTouch(x)
-	x.conns = workerconn.NewPool(e.Net, g, p.ConfigBound, int64(max(p.MaxBodyBytes, p.MaxFrameBytes/2))+64<<10, x.say.Asks)
+	x.conns = workerconn.NewPool(e.Net, g, p.ConfigBound, int64(max(p.MaxBodyBytes, p.MaxFrameBytes/2))+64<<10, x.say.IdentifiesConns)
 	x.life = fsm.New("starting", nil,
 		fsm.Move{From: "starting", By: "filled", To: "ready"},
 		fsm.Move{From: "starting", By: "stop", To: "leaving"},
@@ -195,4 +195,4 @@
 }
 
 // LinkCount counts the links to fellows that stand, whoever dialed them.
-func (x *Proxy) LinkCount() int { return x.n.Links() }
+func (x *Proxy) LinkCount() int { return x.n.LinkCount() }
--- a/internal/proxy/recall_test.go
+++ b/internal/proxy/recall_test.go
@@ -25,7 +25,7 @@
 		}
 		r.note("p", from, end)
 		for i, off := range []time.Duration{-near, 0, 2 * time.Millisecond, near} {
-			task.Pause(t.Context(), 200*time.Millisecond)
+			task.Sleep(t.Context(), 200*time.Millisecond)
 			now := time.Now()
 			got := r.first("p", now, end.Add(off))
 			if !got.Equal(from) {
--- a/internal/proxy/rematch.go
+++ b/internal/proxy/rematch.go
@@ -31,7 +31,7 @@
 			continue
 		}
 		x.touch.HeartbeatNow()
-		task.Pause(ctx, x.Settings.HeartbeatInterval()/8)
+		task.Sleep(ctx, x.Settings.HeartbeatInterval()/8)
 	}
 	// It has had the time to catch up.
 	delete(j.tried, j.entry.Worker)
--- a/internal/proxy/start.go
+++ b/internal/proxy/start.go
@@ -17,16 +17,16 @@
 
 // Start opens the ports and the session.
 func (x *Proxy) Start() error {
-	transport.On(x.n, "job.hand", x.onHand)
-	transport.Abandonable(x.n, "job.hand")
-	transport.On(x.n, protocol.RunEndNoticeKind, x.onRunEnds)
+	transport.Handle(x.n, "job.hand", x.onHand)
+	transport.PropagateCancellation(x.n, "job.hand")
+	transport.Handle(x.n, protocol.RunEndNoticeKind, x.onRunEnds)
 	x.touch.RegisterHandlers()
-	transport.On(x.n, "node.status", x.onStatus)
-	transport.On(x.n, "node.drain", x.onDrain)
+	transport.Handle(x.n, "node.status", x.onStatus)
+	transport.Handle(x.n, "node.drain", x.onDrain)
 	if err := x.n.Listen(x.Settings.InternalAddr); err != nil {
 		return err
 	}
-	if err := httpapi.Serve(x.g, x.e, x.Settings.APIAddr, httpapi.Called(x.e.Say, x.outerRoutes()), x.Settings.ConfigBound); err != nil {
+	if err := httpapi.Serve(x.g, x.e, x.Settings.APIAddr, httpapi.TranslateCalls(x.e.Dialect, x.outerRoutes()), x.Settings.ConfigBound); err != nil {
 		return err
 	}
 	if x.Settings.ReadyAddr != "" {
@@ -36,13 +36,13 @@
 			return err
 		}
 	}
-	srv, err := httpapi.Callers(x.g, x.e, x.Settings.TrafficAddr, http.HandlerFunc(x.front), x.Settings.ConfigBound, x.Settings.MaxFrameBytes/16, &x.stay)
+	srv, err := httpapi.ServeCallers(x.g, x.e, x.Settings.TrafficAddr, http.HandlerFunc(x.front), x.Settings.ConfigBound, x.Settings.MaxFrameBytes/16, &x.stay)
 	if err != nil {
 		return err
 	}
 	x.door = srv
 	x.e.Log.Emit(event.Started, "program", "proxy", "traffic", x.Settings.TrafficAddr)
-	x.g.Go("pulse", func(ctx context.Context) { x.pulse.Run(ctx, x.e.Pause) })
+	x.g.Go("pulse", func(ctx context.Context) { x.pulse.Run(ctx, x.e.Sleep) })
 	x.g.Go("session", x.touch.Run)
 	x.g.Every("worker-watch", x.Settings.WorkerHeartbeat(), x.watch)
 	x.g.Every("forget", x.Settings.RecoveryBound, x.forget)
@@ -147,7 +147,7 @@
 
 // half is half of the time that a caller says it has left.
 func (x *Proxy) half(r *http.Request) time.Duration {
-	if ms, err := strconv.ParseInt(r.Header.Get(x.say.Left), 10, 64); err == nil && ms > 0 && ms < 3600_000 {
+	if ms, err := strconv.ParseInt(r.Header.Get(x.say.Timeout), 10, 64); err == nil && ms > 0 && ms < 3600_000 {
 		return time.Duration(ms) * time.Millisecond / 2
 	}
 	return x.Settings.CallTimeout()
--- a/internal/proxy/steps.go
+++ b/internal/proxy/steps.go
@@ -133,7 +133,7 @@
 		Host: j.req.Host, Method: j.req.Method, URI: j.req.URL.RequestURI(), Header: x.passed(j.req.Header), Body: j.body, TimeoutMS: left.Milliseconds(),
 		WorkerAttemptID: j.said, CallerService: x.set().Service, Retry: j.came > 0, NestedRetryShare: j.part, Confidence: j.word, MaxQueueMS: x.queueWaitBound().Milliseconds(), FrontWaitMS: x.waitLeft(), Repeatable: j.arm.Safe, UsualRunMS: x.usual(j.path.Name).Milliseconds(), AllowUnfinishedRun: j.hedged || j.lost != nil, AllowEndingNode: j.any, NeedsRetryBudget: j.unpaid,
 		TargetMS: time.Until(j.first.Add(j.arm.Aim)).Milliseconds(), SentAgainByCaller: j.first.Before(j.from)}
-	if x.say.Keeps {
+	if x.say.KeepsAttemptID {
 		h.URI = origin(j.req)
 	}
 	if h.TimeoutMS <= 0 {
@@ -144,7 +144,7 @@
 	h.NoQueue = x.rushes(j)
 	j.boundRequeue(&h)
 	from := time.Now()
-	a, ctx := x.beginAttempt(transport.Lane(ctx, x.lane(j)), j, h.AttemptID)
+	a, ctx := x.beginAttempt(transport.WithLane(ctx, x.lane(j)), j, h.AttemptID)
 	back := x.send(ctx, j, h)
 	if a != nil {
 		// From here on the request is changed by nobody else.
@@ -173,7 +173,7 @@
 		x.calls.marks(j.path.Name)
 	}
 	// Only what the worker itself did speaks of its fitness.
-	counts := j.back.Outcome != protocol.Refused && !transport.Abandoned(ctx)
+	counts := j.back.Outcome != protocol.Refused && !transport.CanceledByCaller(ctx)
 	ok := j.back.Outcome == protocol.Done && j.back.Status < 500
 	x.pick.RecordOutcome(balancer.Outcome{Worker: j.entry.Worker, Service: j.service, Route: j.path.Name, UsedSlots: j.back.UsedSlots,
 		Report: balancer.WorkerReport{Pace: j.back.PaceEighths, Fail: j.back.FailedPer64}, RoundTrip: time.Since(from),
@@ -196,15 +196,15 @@
 func (x *Proxy) away(ctx context.Context, j *job, h protocol.AttemptRequest) protocol.AttemptResult {
 	// A large body waits for the link no longer than for a slot.
 	if j.arm.Bulk != "" {
-		ctx = transport.Due(ctx, time.Now().Add(x.queueWaitBound()))
+		ctx = transport.WithSendDeadline(ctx, time.Now().Add(x.queueWaitBound()))
 	}
-	b, err := transport.Ask[protocol.AttemptResult](ctx, x.n, j.entry.Inner, "job.hand", h)
-	come, full := transport.Full(err)
+	b, err := transport.Call[protocol.AttemptResult](ctx, x.n, j.entry.Inner, "job.hand", h)
+	come, full := transport.IsLinkFull(err)
 	switch {
 	case err == nil:
 	case full:
 		return x.thin(come)
-	case transport.Abandoned(ctx):
+	case transport.CanceledByCaller(ctx):
 		// It says nothing of the owner that nobody waited for it.
 		return protocol.AttemptResult{Outcome: protocol.Unknown, Reason: "the caller has left", UsedSlots: -1}
 	case fault.Is(err, fault.Unsent), fault.Is(err, fault.Refused):
@@ -217,7 +217,7 @@
 		return protocol.AttemptResult{Outcome: protocol.Unknown, Reason: noReceipt, TimedOut: ctx.Err() != nil, UsedSlots: -1}
 	}
 	// The answer is checked again here: it must be for this very attempt.
-	if b.Outcome == protocol.Done && (b.Worker != h.Worker || x.say.Digest && b.Digest != responsedigest.Of(h.AttemptID, h.Worker, b.Status, b.Body)) {
+	if b.Outcome == protocol.Done && (b.Worker != h.Worker || x.say.VerifiesDigest && b.Digest != responsedigest.Of(h.AttemptID, h.Worker, b.Status, b.Body)) {
 		x.e.Log.Emit(event.Garbled, "worker", h.Worker, "attempt", h.AttemptID, "owner", j.entry.Owner)
 		return protocol.AttemptResult{Outcome: protocol.Unknown, Reason: "the answer's seal is broken", UsedSlots: b.UsedSlots}
 	}
--- a/internal/proxy/stop.go
+++ b/internal/proxy/stop.go
@@ -20,7 +20,7 @@
 	plan := shutdown.Begin(x.Settings.GracePeriod, x.Settings.FarewellTimeout())
 	x.stop.Store(plan)
 	// Large answers that wait for a thin link on their way here go first now.
-	x.n.Haste()
+	x.n.PrioritizeBulk()
 	// What is under way and won't end in time may have its answer from elsewhere.
 	x.notifyEnds(plan)
 	x.attemptsWaitUntil(plan.WaitDeadline())
@@ -31,20 +31,20 @@
 	// own worker runs some, since they may call others through it.
 	// The own worker serves on meanwhile, and is flagged only so early that all
 	// fronts have seen it when this node goes.
-	task.Pause(ctx, x.Settings.LeaveBound*3/4)
+	task.Sleep(ctx, x.Settings.LeaveBound*3/4)
 	x.left.Store(true)
 	x.drainWorkers()
-	task.Pause(ctx, x.Settings.LeaveBound/2)
+	task.Sleep(ctx, x.Settings.LeaveBound/2)
 	x.rest(ctx, x.owned.Load)
 	// From here on an answer ends its connection, and idle ones end now: no
 	// caller sends into a connection that is about to go.
 	x.door.SetKeepAlivesEnabled(false)
 	x.life.Fire("shut")
-	x.rest(ctx, func() int64 { return x.busy.Load() + x.owned.Load() + x.n.Queued() })
+	x.rest(ctx, func() int64 { return x.busy.Load() + x.owned.Load() + x.n.QueuedBulkLinks() })
 	x.answerRest(plan)
 	x.removeWorkers()
 	x.touch.Close()
-	x.n.Leave(x.Settings.FarewellTimeout())
+	x.n.CloseGracefully(x.Settings.FarewellTimeout())
 	x.life.Fire("end")
 	x.Kill()
 	x.e.Log.Emit(event.Stopped, "program", "proxy", "after_ms", plan.Elapsed().Milliseconds())
@@ -58,7 +58,7 @@
 	x.late.Trigger()
 	ctx, end := context.WithDeadline(x.g.Context(), plan.AnswerDeadline())
 	defer end()
-	x.rest(ctx, func() int64 { return x.busy.Load() + x.owned.Load() + x.stay.Active() })
+	x.rest(ctx, func() int64 { return x.busy.Load() + x.owned.Load() + x.stay.ActiveConns() })
 }
 
 // restStep is how often it is looked whether something is still under way.
@@ -67,7 +67,7 @@
 // rest waits until none of something is under way.
 func (x *Proxy) rest(ctx context.Context, under func() int64) {
 	for under() > 0 && ctx.Err() == nil {
-		task.Pause(ctx, restStep)
+		task.Sleep(ctx, restStep)
 	}
 }
 
--- a/internal/proxy/trail.go
+++ b/internal/proxy/trail.go
@@ -107,5 +107,5 @@
 // onTrail tells the newest decisions about requests, of one request or worker
 // where the query names it ("of").
 func (x *Proxy) onTrail(w http.ResponseWriter, r *http.Request) {
-	httpapi.JSON(w, http.StatusOK, map[string][]Decision{"steps": x.trail.of(r.URL.Query().Get("of"))})
+	httpapi.WriteJSON(w, http.StatusOK, map[string][]Decision{"steps": x.trail.of(r.URL.Query().Get("of"))})
 }
--- a/internal/proxy/unanswered.go
+++ b/internal/proxy/unanswered.go
@@ -69,7 +69,7 @@
 // endedBy tells what ended the last attempt of a request.
 func (x *Proxy) endedBy(ctx context.Context, j *job) string {
 	switch {
-	case transport.Abandoned(ctx):
+	case transport.CanceledByCaller(ctx):
 		return endedByCaller
 	case shutdown.IsCutoff(ctx):
 		return endedByStop
--- a/internal/proxy/unseal.go
+++ b/internal/proxy/unseal.go
@@ -18,12 +18,12 @@
 
 // notRun tells whether the worker says that it left the job unrun.
 func (x *Proxy) notRun(b *protocol.AttemptResult) bool {
-	said := headOf(b, x.say.NotRun)
-	if said == "" || x.say.NotRunIs != "" && said != x.say.NotRunIs {
+	said := headOf(b, x.say.NotExecuted)
+	if said == "" || x.say.NotExecutedValue != "" && said != x.say.NotExecutedValue {
 		// With a seal that can be checked, the status alone says it.
-		return x.say.Digest && b.Status == http.StatusMisdirectedRequest
+		return x.say.VerifiesDigest && b.Status == http.StatusMisdirectedRequest
 	}
-	if x.say.Digest {
+	if x.say.VerifiesDigest {
 		return b.Status == http.StatusMisdirectedRequest || b.Status == http.StatusServiceUnavailable || b.Status == http.StatusTooManyRequests
 	}
 	return b.Status >= 400
@@ -34,19 +34,19 @@
 // was read.
 func (x *Proxy) broken(v *visit, notRun bool) string {
 	b := &v.back
-	if x.say.Digest {
-		if headOf(b, x.say.Attempt) != v.in.AttemptID || headOf(b, x.say.Named) != v.in.Worker || headOf(b, x.say.Mark) != responsedigest.Of(v.in.AttemptID, v.in.Worker, b.Status, b.Body) {
+	if x.say.VerifiesDigest {
+		if headOf(b, x.say.AttemptID) != v.in.AttemptID || headOf(b, x.say.WorkerID) != v.in.Worker || headOf(b, x.say.ResponseDigest) != responsedigest.Of(v.in.AttemptID, v.in.Worker, b.Status, b.Body) {
 			return "the answer's seal is broken"
 		}
 		return ""
 	}
 	switch {
-	case notRun && headOf(b, x.say.Attempt) == "":
+	case notRun && headOf(b, x.say.AttemptID) == "":
 		// A refusal by one who did not read so far.
 		return ""
-	case headOf(b, x.say.Attempt) != v.id():
+	case headOf(b, x.say.AttemptID) != v.id():
 		return "the answer is another attempt's"
-	case headOf(b, x.say.Mark) == "" && b.Status < 300:
+	case headOf(b, x.say.ResponseDigest) == "" && b.Status < 300:
 		return "the answer has no seal"
 	case headOf(b, "Content-Encoding") != "":
 		return "the answer's body is encoded"
@@ -72,16 +72,16 @@
 	case notRun:
 		// Another worker at the address, or a full one: certain that it did
 		// not run, though it came that far.
-		if b.Status == http.StatusMisdirectedRequest && !x.say.Asks {
+		if b.Status == http.StatusMisdirectedRequest && !x.say.IdentifiesConns {
 			x.stranger(v.gate)
 		}
-		v.later("the worker refused: "+head(responsedigest.Why), v.gate.room.EstimateDrain(v.in.Class))
+		v.later("the worker refused: "+head(responsedigest.ReasonHeader), v.gate.room.EstimateDrain(v.in.Class))
 		v.back.ReachedWorker = true
 		return false
 	case b.Status == 503 || b.Status == 429:
 		// The worker's own busy doesn't promise that the job never ran.
 		return v.unknown("the worker answered busy without a word on whether the job ran")
 	}
-	b.Outcome, b.Digest, b.Worker = protocol.Done, head(x.say.Mark), v.in.Worker
+	b.Outcome, b.Digest, b.Worker = protocol.Done, head(x.say.ResponseDigest), v.in.Worker
 	return false
 }
--- a/internal/proxy/worker.go
+++ b/internal/proxy/worker.go
@@ -26,14 +26,14 @@
 
 // onWorker takes a worker's word on itself.
 func (x *Proxy) onWorker(w http.ResponseWriter, r *http.Request) {
-	raw, code := httpapi.Body(w, r, 4096)
+	raw, code := httpapi.ReadBody(w, r, 4096)
 	if code != 0 {
-		httpapi.JSON(w, code, httpapi.Wrong{Wrong: "the beat can't be read"})
+		httpapi.WriteJSON(w, code, httpapi.ErrorBody{Message: "the beat can't be read"})
 		return
 	}
 	in, _, err := schema.Parse(raw)
 	if err != nil {
-		httpapi.JSON(w, http.StatusBadRequest, httpapi.Wrong{Wrong: "not JSON: " + err.Error()})
+		httpapi.WriteJSON(w, http.StatusBadRequest, httpapi.ErrorBody{Message: "not JSON: " + err.Error()})
 		return
 	}
 	v, bad := WorkerTable.ReadKnown(in, "")
@@ -47,7 +47,7 @@
 	}
 	if len(bad) > 0 {
 		x.e.Log.Emit(event.BeatBad, "faults", len(bad), "first", bad[0].Place)
-		httpapi.JSON(w, http.StatusUnprocessableEntity, httpapi.Wrong{Wrong: "the beat is wrong", Faults: bad})
+		httpapi.WriteJSON(w, http.StatusUnprocessableEntity, httpapi.ErrorBody{Message: "the beat is wrong", Faults: bad})
 		return
 	}
 	x.takeCall(workerCall{worker: id, service: v.Text("service"), addr: v.Text("addr"), slots: int(v.Count("slots")), state: v.Text("state"),
--- a/internal/proxy/workercall.go
+++ b/internal/proxy/workercall.go
@@ -112,7 +112,7 @@
 		x.rep.Depart(worker, signedOff)
 	}
 	p := x.set()
-	if p.WorkerAddr == "" || x.say.Asks {
+	if p.WorkerAddr == "" || x.say.IdentifiesConns {
 		return
 	}
 	old := x.rep.Map().Live(func(e ormap.Entry) bool {
--- a/internal/registry/abort.go
+++ b/internal/registry/abort.go
@@ -16,7 +16,7 @@
 func (r *Registry) abort(w http.ResponseWriter, req *http.Request) {
 	id, err := strconv.ParseUint(chi.URLParam(req, "id"), 10, 64)
 	if err != nil {
-		httpapi.JSON(w, http.StatusNotFound, httpapi.Wrong{Wrong: "no such trial"})
+		httpapi.WriteJSON(w, http.StatusNotFound, httpapi.ErrorBody{Message: "no such trial"})
 		return
 	}
 	key := requestKey(w, req, "abort", []byte(operatorOf(req)), []byte(chi.URLParam(req, "id")))
--- a/internal/registry/app.go
+++ b/internal/registry/app.go
@@ -55,9 +55,9 @@
 		// Whatever body it has says nothing.
 		return c, true
 	}
-	raw, code := httpapi.Body(w, req, 256<<10)
+	raw, code := httpapi.ReadBody(w, req, 256<<10)
 	if code != 0 {
-		httpapi.JSON(w, code, httpapi.Wrong{Wrong: "the body is over the bound or can't be read"})
+		httpapi.WriteJSON(w, code, httpapi.ErrorBody{Message: "the body is over the bound or can't be read"})
 		return c, false
 	}
 	if len(raw) == 0 {
@@ -65,7 +65,7 @@
 	}
 	in, bad, err := schema.Parse(raw)
 	if err != nil {
-		httpapi.JSON(w, http.StatusBadRequest, httpapi.Wrong{Wrong: "not JSON: " + err.Error()})
+		httpapi.WriteJSON(w, http.StatusBadRequest, httpapi.ErrorBody{Message: "not JSON: " + err.Error()})
 		return c, false
 	}
 	v, more := tab.ReadKnown(in, "")
@@ -83,7 +83,7 @@
 	// What is read right after a freeze may be as old as the freeze: its sender
 	// has turned elsewhere, and what it did there must not be undone.
 	if time.Since(r.pulse.LastPauseEnd()) < r.Settings.HeartbeatInterval() {
-		httpapi.Busy(w, "frozen until just now; nothing was done", r.Settings.HeartbeatInterval())
+		httpapi.WriteBusy(w, "frozen until just now; nothing was done", r.Settings.HeartbeatInterval())
 		return
 	}
 	ctx, end := r.withDeadline(req)
@@ -98,7 +98,7 @@
 		return
 	}
 	if got.Code == statemachine.Full {
-		httpapi.Busy(w, "nothing was done: "+got.Message, r.Settings.ConfigBound)
+		httpapi.WriteBusy(w, "nothing was done: "+got.Message, r.Settings.ConfigBound)
 		return
 	}
 	code := codes[got.Code]
@@ -109,7 +109,7 @@
 	if code != http.StatusOK && got.Message != "" {
 		out["wrong"] = got.Message
 	}
-	httpapi.JSON(w, code, out)
+	httpapi.WriteJSON(w, code, out)
 }
 
 // appTime is a time to live; a part of a millisecond counts as a whole one.
--- a/internal/registry/config.go
+++ b/internal/registry/config.go
@@ -75,7 +75,7 @@
 func (r *Registry) checkChange(ctx context.Context, w http.ResponseWriter, req *http.Request, key *store.RequestKey, old statemachine.Result, raw []byte) bool {
 	for _, t := range old.Trials {
 		if t.State == statemachine.Running {
-			httpapi.JSON(w, http.StatusConflict, httpapi.Wrong{Wrong: fmt.Sprintf("trial %d runs: wait, abort it, or apply as an emergency", t.ID), Version: old.Version})
+			httpapi.WriteJSON(w, http.StatusConflict, httpapi.ErrorBody{Message: fmt.Sprintf("trial %d runs: wait, abort it, or apply as an emergency", t.ID), Version: old.Version})
 			return true
 		}
 	}
@@ -120,5 +120,5 @@
 		}
 		rows = append(rows, line)
 	}
-	httpapi.JSON(w, http.StatusOK, map[string]any{"version": got.Version, "history": rows})
+	httpapi.WriteJSON(w, http.StatusOK, map[string]any{"version": got.Version, "history": rows})
 }
--- a/internal/registry/coord.go
+++ b/internal/registry/coord.go
@@ -37,19 +37,19 @@
 
 // readFields reads a small JSON body by a table.
 func readFields(w http.ResponseWriter, req *http.Request, tab schema.Table) (schema.Values, bool) {
-	raw, code := httpapi.Body(w, req, 256<<10)
+	raw, code := httpapi.ReadBody(w, req, 256<<10)
 	if code != 0 {
-		httpapi.JSON(w, code, httpapi.Wrong{Wrong: "the body is over the bound or can't be read"})
+		httpapi.WriteJSON(w, code, httpapi.ErrorBody{Message: "the body is over the bound or can't be read"})
 		return nil, false
 	}
 	in, bad, err := schema.Parse(raw)
 	if err != nil {
-		httpapi.JSON(w, http.StatusBadRequest, httpapi.Wrong{Wrong: "not JSON: " + err.Error()})
+		httpapi.WriteJSON(w, http.StatusBadRequest, httpapi.ErrorBody{Message: "not JSON: " + err.Error()})
 		return nil, false
 	}
 	v, more := tab.Read(in, "")
 	if bad = append(bad, more...); len(bad) > 0 {
-		httpapi.JSON(w, http.StatusUnprocessableEntity, httpapi.Wrong{Wrong: "the body is wrong", Faults: bad})
+		httpapi.WriteJSON(w, http.StatusUnprocessableEntity, httpapi.ErrorBody{Message: "the body is wrong", Faults: bad})
 		return nil, false
 	}
 	return v, true
@@ -64,7 +64,7 @@
 	if got.Message != "" {
 		body["wrong"] = got.Message
 	}
-	httpapi.JSON(w, code, body)
+	httpapi.WriteJSON(w, code, body)
 }
 
 // change offers a command and answers with what body makes of the receipt.
@@ -117,7 +117,7 @@
 func (r *Registry) postLock(w http.ResponseWriter, req *http.Request) {
 	name, op := chi.URLParam(req, "name"), chi.URLParam(req, "op")
 	if schema.IsName(name) != nil {
-		httpapi.JSON(w, http.StatusUnprocessableEntity, httpapi.Wrong{Wrong: "the lock's name is wrong"})
+		httpapi.WriteJSON(w, http.StatusUnprocessableEntity, httpapi.ErrorBody{Message: "the lock's name is wrong"})
 		return
 	}
 	v, ok := readFields(w, req, TabLock)
@@ -133,7 +133,7 @@
 	case "release":
 		r.change(w, req, "lock.free", &statemachine.ReleaseLock{Name: name, Owner: owner, Fence: fence}, lockBody(name))
 	default:
-		httpapi.JSON(w, http.StatusNotFound, httpapi.Wrong{Wrong: "a lock knows acquire, renew and release"})
+		httpapi.WriteJSON(w, http.StatusNotFound, httpapi.ErrorBody{Message: "a lock knows acquire, renew and release"})
 	}
 }
 
@@ -151,7 +151,7 @@
 func (r *Registry) nextNumber(w http.ResponseWriter, req *http.Request) {
 	name := chi.URLParam(req, "name")
 	if schema.IsName(name) != nil {
-		httpapi.JSON(w, http.StatusUnprocessableEntity, httpapi.Wrong{Wrong: "the number's name is wrong"})
+		httpapi.WriteJSON(w, http.StatusUnprocessableEntity, httpapi.ErrorBody{Message: "the number's name is wrong"})
 		return
 	}
 	r.change(w, req, "number.next", &statemachine.NextNumber{Name: name}, numberBody(name))
--- a/internal/registry/election.go
+++ b/internal/registry/election.go
@@ -41,7 +41,7 @@
 func (d *roleElection) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		if num, ok := d.leads(); ok {
-			d.r.e.Pause(ctx, d.r.Settings.HeartbeatInterval())
+			d.r.e.Sleep(ctx, d.r.Settings.HeartbeatInterval())
 			if d.vote(ctx, "beat", num) {
 				d.work(ctx, num)
 			} else if _, still := d.leads(); !still {
@@ -50,7 +50,7 @@
 			continue
 		}
 		d.stepDown("the lease ran out")
-		d.r.e.Pause(ctx, d.r.Settings.Lease()/2+time.Duration(rand.Int64N(int64(d.r.Settings.Lease()))))
+		d.r.e.Sleep(ctx, d.r.Settings.Lease()/2+time.Duration(rand.Int64N(int64(d.r.Settings.Lease()))))
 		if !d.r.Ready() {
 			continue
 		}
@@ -103,7 +103,7 @@
 	}
 	yes := 0
 	ballot.Poll(ctx, d.r.g, all, func(ctx context.Context, to string) (store.RoleVote, error) {
-		return transport.Ask[store.RoleVote](ctx, d.r.n, to, "store.duty", store.RoleBallot{Role: d.name, Ballot: num, Op: op})
+		return transport.Call[store.RoleVote](ctx, d.r.n, to, "store.duty", store.RoleBallot{Role: d.name, Ballot: num, Op: op})
 	}, func(_ string, v store.RoleVote, err error) bool {
 		if err == nil && v.Granted {
 			yes++
--- a/internal/registry/judge.go
+++ b/internal/registry/judge.go
@@ -43,7 +43,7 @@
 		wait.Add(1)
 		if !r.g.Go("ask-reports", func(context.Context) {
 			defer wait.Done()
-			got, err := transport.Ask[[]protocol.TrialReport](ctx, r.n, a, "registry.reports", struct{}{})
+			got, err := transport.Call[[]protocol.TrialReport](ctx, r.n, a, "registry.reports", struct{}{})
 			if err == nil {
 				mu.Lock()
 				out = append(out, got...)
--- a/internal/registry/keys.go
+++ b/internal/registry/keys.go
@@ -26,7 +26,7 @@
 func keyName(w http.ResponseWriter, req *http.Request) (string, bool) {
 	name, err := url.PathUnescape(chi.URLParam(req, "*"))
 	if err != nil || name == "" || len(name) > 256 {
-		httpapi.JSON(w, http.StatusUnprocessableEntity, httpapi.Wrong{Wrong: "a key's name has 1 to 256 bytes"})
+		httpapi.WriteJSON(w, http.StatusUnprocessableEntity, httpapi.ErrorBody{Message: "a key's name has 1 to 256 bytes"})
 		return "", false
 	}
 	return name, true
@@ -69,7 +69,7 @@
 	if raw := req.URL.Query().Get("if_rev"); raw != "" {
 		rev, err := strconv.ParseUint(raw, 10, 64)
 		if err != nil {
-			httpapi.JSON(w, http.StatusUnprocessableEntity, httpapi.Wrong{Wrong: "if_rev must be a revision"})
+			httpapi.WriteJSON(w, http.StatusUnprocessableEntity, httpapi.ErrorBody{Message: "if_rev must be a revision"})
 			return
 		}
 		cmd.If, cmd.Revision = true, rev
@@ -83,7 +83,7 @@
 	from, err := strconv.ParseUint(q.Get("from"), 10, 64)
 	wait, err2 := strconv.ParseInt(q.Get("wait_ms"), 10, 64)
 	if err != nil || from == 0 || (q.Get("wait_ms") != "" && err2 != nil) {
-		httpapi.JSON(w, http.StatusUnprocessableEntity, httpapi.Wrong{Wrong: "from must be a revision from 1 on, wait_ms a number"})
+		httpapi.WriteJSON(w, http.StatusUnprocessableEntity, httpapi.ErrorBody{Message: "from must be a revision from 1 on, wait_ms a number"})
 		return
 	}
 	ctx, end := r.withDeadline(req)
@@ -95,7 +95,7 @@
 		return
 	}
 	if got.Code == statemachine.Compacted {
-		httpapi.JSON(w, http.StatusGone, map[string]any{"wrong": "the history does not reach back so far", "oldest": got.Revision})
+		httpapi.WriteJSON(w, http.StatusGone, map[string]any{"wrong": "the history does not reach back so far", "oldest": got.Revision})
 		return
 	}
 	type line struct {
@@ -110,5 +110,5 @@
 	if len(got.Changes) == 256 {
 		next = got.Changes[255].Revision + 1
 	}
-	httpapi.JSON(w, http.StatusOK, map[string]any{"changes": lines, "next": next})
+	httpapi.WriteJSON(w, http.StatusOK, map[string]any{"changes": lines, "next": next})
 }
--- a/internal/registry/near_test.go
+++ b/internal/registry/near_test.go
@@ -30,7 +30,7 @@
 			t.Errorf("%.0f allocations for a beat", n)
 		}
 		hear(35)
-		task.Pause(t.Context(), r.Settings.HeartbeatInterval()/4)
+		task.Sleep(t.Context(), r.Settings.HeartbeatInterval()/4)
 		if core, name := r.tell(); !slices.Contains(core, "h35:1") || name != membership.HashNames(core) {
 			t.Error(core, name)
 		}
--- a/internal/registry/number.go
+++ b/internal/registry/number.go
@@ -71,7 +71,7 @@
 		return
 	}
 	if got.Code != statemachine.OK {
-		httpapi.JSON(w, http.StatusNotFound, httpapi.Wrong{Wrong: got.Message})
+		httpapi.WriteJSON(w, http.StatusNotFound, httpapi.ErrorBody{Message: got.Message})
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
--- a/internal/registry/poll.go
+++ b/internal/registry/poll.go
@@ -42,7 +42,7 @@
 		if !r.inTouch() && r.life.Fire("lost") {
 			r.e.Log.Emit(event.OutOfTouch, "with", "stores")
 		}
-		r.e.Pause(ctx, r.Settings.HeartbeatInterval()/4)
+		r.e.Sleep(ctx, r.Settings.HeartbeatInterval()/4)
 	}
 }
 
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -90,7 +90,7 @@
 
 // New readies a registry.
 func New(p settings.Settings, e env.Env) *Registry {
-	g := task.New(context.Background()).Pace(e.Pause)
+	g := task.New(context.Background()).SetSleep(e.Sleep)
 	r := &Registry{Settings: p, e: e, g: g, saving: task.NewLock(), own: map[string]*nodeSession{}, others: map[string]*shared{}, known: map[string]time.Time{}, away: map[string]time.Time{}, seenOf: map[reportKey]protocol.TrialReport{}}
 	var b [6]byte
 	_, _ = rand.Read(b[:])
@@ -98,8 +98,8 @@
 	r.late = shutdown.NewCutoff(g.Context())
 	r.roll, r.mine = membership.NewTracker(p.Node, memberChangesKept), membership.NewTracker(p.Node, memberChangesKept)
 	r.roll.Set(p.Node, r.self)
-	r.n = transport.NewNode(transport.Hello{Mesh: p.ClusterID, Node: p.Node, Area: p.Zone, Role: "registry"}, e, g, p.MaxFrameBytes, p.MaxRequests, p.CallTimeout())
-	r.n.Bound = p.MaxIdleLinks()
+	r.n = transport.NewNode(transport.Hello{ClusterID: p.ClusterID, Node: p.Node, Zone: p.Zone, Role: "registry"}, e, g, p.MaxFrameBytes, p.MaxRequests, p.CallTimeout())
+	r.n.MaxIdleLinks = p.MaxIdleLinks()
 	r.rep = replica.New(r.self, r.n, g, e.Log, hlc.New(e.Wall, 2*p.RecoveryBound), p.HeartbeatInterval(), p.RepairInterval(), p.TombstoneTTL())
 	r.held = patch.NewDocument(memberChangesKept / 16)
 	r.rep.Await(true)
@@ -123,25 +123,25 @@
 
 // Start opens the ports and begins the rounds.
 func (r *Registry) Start() error {
-	transport.On(r.n, "session.beat", r.onBeat)
-	transport.On(r.n, "session.share", r.onShare)
-	transport.On(r.n, "session.members", r.onMembers)
-	transport.On(r.n, "outer.call", r.onOuter)
-	transport.On(r.n, protocol.WorkerLeavingKind, r.onWorkerLeaves)
-	transport.On(r.n, "registry.status", r.onStatus)
-	transport.On(r.n, "registry.reports", r.onReports)
+	transport.Handle(r.n, "session.beat", r.onBeat)
+	transport.Handle(r.n, "session.share", r.onShare)
+	transport.Handle(r.n, "session.members", r.onMembers)
+	transport.Handle(r.n, "outer.call", r.onOuter)
+	transport.Handle(r.n, protocol.WorkerLeavingKind, r.onWorkerLeaves)
+	transport.Handle(r.n, "registry.status", r.onStatus)
+	transport.Handle(r.n, "registry.reports", r.onReports)
 	r.routes = r.outerRoutes()
 	if err := r.n.Listen(r.Settings.InternalAddr); err != nil {
 		return err
 	}
-	if err := httpapi.Serve(r.g, r.e, r.Settings.APIAddr, httpapi.Called(r.e.Say, r.routes), r.Settings.ConfigBound); err != nil {
+	if err := httpapi.Serve(r.g, r.e, r.Settings.APIAddr, httpapi.TranslateCalls(r.e.Dialect, r.routes), r.Settings.ConfigBound); err != nil {
 		return err
 	}
 	r.e.Log.Emit(event.Started, "program", "registry", "outer", r.Settings.APIAddr)
 	r.g.Go("poll", r.poll)
 	r.g.Every("share", r.Settings.HeartbeatInterval(), r.share)
 	r.g.Every("keep", r.Settings.HeartbeatInterval(), func(context.Context) { r.saveWorkers() })
-	r.g.Go("pulse", func(ctx context.Context) { r.pulse.Run(ctx, r.e.Pause) })
+	r.g.Go("pulse", func(ctx context.Context) { r.pulse.Run(ctx, r.e.Sleep) })
 	for _, d := range r.duties {
 		r.g.Go("duty-"+d.name, d.run)
 	}
@@ -208,17 +208,17 @@
 	// served meanwhile, and calls under way get their answers.
 	// Whatever the bounds are, it has gone by itself before its grace is over.
 	plan := shutdown.Begin(r.Settings.GracePeriod, r.Settings.FarewellTimeout())
-	task.Pause(r.g.Context(), min(r.Settings.LeaveBound, r.Settings.GracePeriod/2))
+	task.Sleep(r.g.Context(), min(r.Settings.LeaveBound, r.Settings.GracePeriod/2))
 	r.life.Fire("shut")
 	for r.calls.Load() > 0 && plan.RemainingWait() > 0 {
-		task.Pause(r.g.Context(), r.Settings.HeartbeatInterval()/10)
+		task.Sleep(r.g.Context(), r.Settings.HeartbeatInterval()/10)
 	}
 	// Each that is still under way is told that its outcome is unknown.
 	r.late.Trigger()
 	for r.calls.Load() > 0 && time.Now().Before(plan.AnswerDeadline()) {
-		task.Pause(r.g.Context(), r.Settings.HeartbeatInterval()/10)
+		task.Sleep(r.g.Context(), r.Settings.HeartbeatInterval()/10)
 	}
-	r.n.Leave(r.Settings.FarewellTimeout())
+	r.n.CloseGracefully(r.Settings.FarewellTimeout())
 	r.Kill()
 	r.e.Log.Emit(event.Stopped, "program", "registry", "after_ms", plan.Elapsed().Milliseconds())
 }
--- a/internal/registry/requests.go
+++ b/internal/registry/requests.go
@@ -63,11 +63,11 @@
 func answerOrder(w http.ResponseWriter, got statemachine.Result, paths []string) {
 	switch {
 	case got.Code != statemachine.OK:
-		httpapi.JSON(w, http.StatusConflict, httpapi.Wrong{Wrong: got.Message, Version: got.Version})
+		httpapi.WriteJSON(w, http.StatusConflict, httpapi.ErrorBody{Message: got.Message, Version: got.Version})
 	case got.Number > 0:
-		httpapi.JSON(w, http.StatusOK, map[string]any{"version": got.Version, "trial": got.Number, "paths": paths})
+		httpapi.WriteJSON(w, http.StatusOK, map[string]any{"version": got.Version, "trial": got.Number, "paths": paths})
 	default:
-		httpapi.JSON(w, http.StatusOK, map[string]any{"version": got.Version})
+		httpapi.WriteJSON(w, http.StatusOK, map[string]any{"version": got.Version})
 	}
 }
 
--- a/internal/registry/routes.go
+++ b/internal/registry/routes.go
@@ -50,10 +50,10 @@
 	m.Get("/puffin/watch", r.watch)
 	r.appRoutes(m)
 	m.NotFound(func(w http.ResponseWriter, _ *http.Request) {
-		httpapi.JSON(w, http.StatusNotFound, httpapi.Wrong{Wrong: "no such call"})
+		httpapi.WriteJSON(w, http.StatusNotFound, httpapi.ErrorBody{Message: "no such call"})
 	})
 	m.MethodNotAllowed(func(w http.ResponseWriter, _ *http.Request) {
-		httpapi.JSON(w, http.StatusMethodNotAllowed, httpapi.Wrong{Wrong: "the call has another method"})
+		httpapi.WriteJSON(w, http.StatusMethodNotAllowed, httpapi.ErrorBody{Message: "the call has another method"})
 	})
 	return m
 }
@@ -65,7 +65,7 @@
 		r.calls.Add(1)
 		defer r.calls.Add(-1)
 		if r.life.Is("shut") && req.URL.Path != "/puffin/ready" {
-			httpapi.Busy(w, "this node is leaving; nothing was done", r.Settings.LeaveBound)
+			httpapi.WriteBusy(w, "this node is leaving; nothing was done", r.Settings.LeaveBound)
 			return
 		}
 		ctx, over := r.late.Bind(req.Context())
@@ -123,10 +123,10 @@
 func (r *Registry) answerFailure(w http.ResponseWriter, err error) {
 	if fault.Is(err, fault.Refused) && !fault.Is(err, fault.Unknown) {
 		// A vacant role is won again after a lease and up to half of one.
-		httpapi.Busy(w, "no majority of the stores: nothing was done", r.Settings.Lease()*3/2)
+		httpapi.WriteBusy(w, "no majority of the stores: nothing was done", r.Settings.Lease()*3/2)
 		return
 	}
-	httpapi.JSON(w, http.StatusGatewayTimeout, httpapi.Wrong{Wrong: "outcome unknown: read back to find out; " + err.Error(), Ran: "unknown"})
+	httpapi.WriteJSON(w, http.StatusGatewayTimeout, httpapi.ErrorBody{Message: "outcome unknown: read back to find out; " + err.Error(), Ran: "unknown"})
 }
 
 func (r *Registry) getReady(w http.ResponseWriter, _ *http.Request) {
@@ -135,7 +135,7 @@
 	if !ready {
 		code = http.StatusServiceUnavailable
 	}
-	httpapi.JSON(w, code, map[string]any{"ready": ready, "state": r.life.Current(), "in_touch": r.inTouch()})
+	httpapi.WriteJSON(w, code, map[string]any{"ready": ready, "state": r.life.Current(), "in_touch": r.inTouch()})
 }
 
 func (r *Registry) getConfig(w http.ResponseWriter, req *http.Request) {
@@ -156,7 +156,7 @@
 			out["document"] = doc
 		}
 	}
-	httpapi.JSON(w, http.StatusOK, out)
+	httpapi.WriteJSON(w, http.StatusOK, out)
 }
 
 // readDoc reads a document from a body and finds its faults.
@@ -169,9 +169,9 @@
 }
 
 func (r *Registry) docBody(w http.ResponseWriter, req *http.Request) ([]byte, bool) {
-	raw, code := httpapi.Body(w, req, rules.Most)
+	raw, code := httpapi.ReadBody(w, req, rules.Most)
 	if code != 0 {
-		httpapi.JSON(w, code, httpapi.Wrong{Wrong: fmt.Sprintf("the document is over %d bytes or can't be read", rules.Most)})
+		httpapi.WriteJSON(w, code, httpapi.ErrorBody{Message: fmt.Sprintf("the document is over %d bytes or can't be read", rules.Most)})
 	}
 	return raw, code == 0
 }
@@ -182,7 +182,7 @@
 	c, bad, err := rules.Compile(0, raw)
 	if err != nil {
 		r.e.Log.Emit(event.ConfigBad, "why", err.Error())
-		httpapi.JSON(w, http.StatusBadRequest, httpapi.Wrong{Wrong: "not a JSON document: " + err.Error()})
+		httpapi.WriteJSON(w, http.StatusBadRequest, httpapi.ErrorBody{Message: "not a JSON document: " + err.Error()})
 		return nil
 	}
 	if c != nil {
@@ -194,7 +194,7 @@
 	}
 	if bad = append(known, bad...); len(bad) > 0 {
 		r.e.Log.Emit(event.ConfigBad, "faults", len(bad), "first", bad[0].Place)
-		httpapi.JSON(w, http.StatusUnprocessableEntity, httpapi.Wrong{Wrong: fmt.Sprintf("the document has %d faults", len(bad)), Faults: bad})
+		httpapi.WriteJSON(w, http.StatusUnprocessableEntity, httpapi.ErrorBody{Message: fmt.Sprintf("the document has %d faults", len(bad)), Faults: bad})
 		return nil
 	}
 	return c
@@ -202,6 +202,6 @@
 
 func (r *Registry) checkConfig(w http.ResponseWriter, req *http.Request) {
 	if _, c := r.readDoc(w, req); c != nil {
-		httpapi.JSON(w, http.StatusOK, map[string]any{"good": true, "paths": len(c.Paths)})
+		httpapi.WriteJSON(w, http.StatusOK, map[string]any{"good": true, "paths": len(c.Paths)})
 	}
 }
--- a/internal/registry/savedworkers.go
+++ b/internal/registry/savedworkers.go
@@ -56,7 +56,7 @@
 	}
 	raw, err := disk.Load(r.e.FS, workersFile)
 	var was savedWorkers
-	if err != nil || transport.Unpack(raw, &was) != nil || was.Mesh != r.Settings.ClusterID {
+	if err != nil || transport.Decode(raw, &was) != nil || was.Mesh != r.Settings.ClusterID {
 		return
 	}
 	all, err := was.All.Open()
--- a/internal/registry/sessions.go
+++ b/internal/registry/sessions.go
@@ -92,7 +92,7 @@
 	} else if in.AcceptsCompact {
 		// Shrunk once for all that ask for it.
 		if r.shrunk.version != version {
-			r.shrunk.version, r.shrunk.doc = version, compression.Shrink(doc)
+			r.shrunk.version, r.shrunk.doc = version, compression.Compress(doc)
 		}
 		out.CompressedDocument = r.shrunk.doc
 	} else {
@@ -143,12 +143,12 @@
 	}
 	r.mu.Unlock()
 	if !r.rep.Room() {
-		return protocol.MemberListResponse{Hash: b.Hash(), Busy: true, Alternatives: r.rep.Given(from.Area, at)}, nil
+		return protocol.MemberListResponse{Hash: b.Hash(), Busy: true, Alternatives: r.rep.Given(from.Zone, at)}, nil
 	}
 	out, err := controlclient.DiffMembers(b, in)
 	r.rep.Spend(controlclient.ResponseSize(out))
 	if err == nil && !out.More {
-		r.rep.Gave(at, from.Area)
+		r.rep.Gave(at, from.Zone)
 	}
 	return out, err
 }
@@ -206,7 +206,7 @@
 	r.g.Go("bury-old", func(ctx context.Context) {
 		// The new start buries them itself, after it has looked at what its
 		// worker was; this is for one that does not get so far.
-		r.e.Pause(ctx, 2*r.Settings.HeartbeatInterval())
+		r.e.Sleep(ctx, 2*r.Settings.HeartbeatInterval())
 		r.rep.Retire(f.Node, func(e ormap.Entry) bool { return e.Dot.Node != f.Node+"#"+f.Incarnation })
 	})
 }
--- a/internal/registry/shares.go
+++ b/internal/registry/shares.go
@@ -29,7 +29,7 @@
 // share tells the other control nodes of the sessions here: what changed since
 // the last round, and to those who lack more what they lack.
 func (r *Registry) share(context.Context) {
-	r.e.Looks()
+	r.e.PollSettings()
 	r.mu.Lock()
 	r.expire()
 	r.dropUnreachable()
@@ -72,13 +72,13 @@
 			ctx, end := context.WithTimeout(ctx, r.Settings.CallTimeout())
 			defer end()
 			began := time.Now()
-			got, err := transport.Ask[protocol.SessionReportResponse](ctx, r.n, a, "session.share", in)
+			got, err := transport.Call[protocol.SessionReportResponse](ctx, r.n, a, "session.share", in)
 			r.recordAnswer(a, began, err == nil)
 			if err == nil {
 				r.meet(got.Reachable)
 			}
 			if err == nil && got.NeedMore {
-				_, _ = transport.Ask[protocol.SessionReportResponse](ctx, r.n, a, "session.share", r.more(got))
+				_, _ = transport.Call[protocol.SessionReportResponse](ctx, r.n, a, "session.share", r.more(got))
 			}
 		})
 	}
--- a/internal/registry/status.go
+++ b/internal/registry/status.go
@@ -62,8 +62,8 @@
 	for _, d := range r.rep.Map().Digests() {
 		s.Digest ^= d
 	}
-	for k, v := range r.n.Sizes() {
-		if k.Away {
+	for k, v := range r.n.BytesSent() {
+		if k.OtherZone {
 			s.SentAway += v.Bytes
 		}
 	}
@@ -109,7 +109,7 @@
 	for _, f := range out.Members {
 		ask(f.Node, func() error {
 			if f.Role == "proxy" {
-				s, err := transport.Ask[proxy.Status](ctx, r.n, f.InternalAddr, "node.status", in)
+				s, err := transport.Call[proxy.Status](ctx, r.n, f.InternalAddr, "node.status", in)
 				if err == nil {
 					mu.Lock()
 					out.Proxies = append(out.Proxies, s)
@@ -117,7 +117,7 @@
 				}
 				return err
 			}
-			s, err := transport.Ask[Status](ctx, r.n, f.InternalAddr, "registry.status", in)
+			s, err := transport.Call[Status](ctx, r.n, f.InternalAddr, "registry.status", in)
 			if err == nil {
 				mu.Lock()
 				out.Registries = append(out.Registries, s)
@@ -128,7 +128,7 @@
 	}
 	for _, a := range stores {
 		ask("store at "+a, func() error {
-			s, err := transport.Ask[store.Status](ctx, r.n, a, "store.status", struct{}{})
+			s, err := transport.Call[store.Status](ctx, r.n, a, "store.status", struct{}{})
 			if err == nil {
 				mu.Lock()
 				out.Stores = append(out.Stores, s)
@@ -165,11 +165,11 @@
 		// Without a majority the status still helps, and says what it lacks.
 		f.Mute = append(f.Mute, "no majority of the stores")
 	}
-	httpapi.JSON(w, http.StatusOK, f)
+	httpapi.WriteJSON(w, http.StatusOK, f)
 }
 
 func (r *Registry) getServices(w http.ResponseWriter, _ *http.Request) {
-	httpapi.JSON(w, http.StatusOK, map[string]any{"version": r.version(), "services": r.rep.Services(), "entries": r.rep.Map().Live(nil)})
+	httpapi.WriteJSON(w, http.StatusOK, map[string]any{"version": r.version(), "services": r.rep.Services(), "entries": r.rep.Map().Live(nil)})
 }
 
 func (r *Registry) getEvents(w http.ResponseWriter, req *http.Request) {
@@ -190,7 +190,7 @@
 	if len(all) > 500 {
 		all = all[len(all)-500:]
 	}
-	httpapi.JSON(w, http.StatusOK, map[string]any{"version": r.version(), "events": all, "mute": f.Mute})
+	httpapi.WriteJSON(w, http.StatusOK, map[string]any{"version": r.version(), "events": all, "mute": f.Mute})
 }
 
 // version is the configuration held here.
@@ -205,4 +205,4 @@
 
 // Sizes gives the bytes that this process sent to others, by kind of message;
 // receipts count with what they answer.
-func (r *Registry) Sizes() map[transport.Flow]transport.Sum { return r.n.Sizes() }
+func (r *Registry) Sizes() map[transport.Flow]transport.Traffic { return r.n.BytesSent() }
--- a/internal/registry/stores.go
+++ b/internal/registry/stores.go
@@ -113,7 +113,7 @@
 			if again {
 				one, end = context.WithTimeout(ctx, long)
 			}
-			g, err := transport.Ask[store.LeaderResponse](one, c.n, at, kind, in)
+			g, err := transport.Call[store.LeaderResponse](one, c.n, at, kind, in)
 			end()
 			if err == nil {
 				c.observe(at, g)
@@ -185,7 +185,7 @@
 func (c *stores) watch(ctx context.Context, q store.ReadRequest) (statemachine.Result, error) {
 	var last error
 	for _, at := range c.candidates() {
-		g, err := transport.Ask[store.LeaderResponse](ctx, c.n, at, "store.watch", q)
+		g, err := transport.Call[store.LeaderResponse](ctx, c.n, at, "store.watch", q)
 		if err == nil && g.Done {
 			return g.Result, nil
 		}
--- a/internal/registry/trials.go
+++ b/internal/registry/trials.go
@@ -40,7 +40,7 @@
 }
 
 func answerWrong(w http.ResponseWriter, why string, bad []schema.Problem) {
-	httpapi.JSON(w, http.StatusUnprocessableEntity, httpapi.Wrong{Wrong: why, Faults: bad})
+	httpapi.WriteJSON(w, http.StatusUnprocessableEntity, httpapi.ErrorBody{Message: why, Faults: bad})
 }
 
 // propose begins a trial of one path.
@@ -74,7 +74,7 @@
 		return
 	}
 	if now.Version != base {
-		httpapi.JSON(w, http.StatusConflict, httpapi.Wrong{Wrong: fmt.Sprintf("based on version %d, but %d stands", base, now.Version), Version: now.Version})
+		httpapi.WriteJSON(w, http.StatusConflict, httpapi.ErrorBody{Message: fmt.Sprintf("based on version %d, but %d stands", base, now.Version), Version: now.Version})
 		return
 	}
 	path := v.Text("path")
@@ -96,7 +96,7 @@
 	for _, t := range now.Trials {
 		for _, p := range t.Routes {
 			if t.State == statemachine.Running && p == path {
-				httpapi.JSON(w, http.StatusConflict, httpapi.Wrong{Wrong: fmt.Sprintf("trial %d runs on the same path", t.ID), Version: now.Version})
+				httpapi.WriteJSON(w, http.StatusConflict, httpapi.ErrorBody{Message: fmt.Sprintf("trial %d runs on the same path", t.ID), Version: now.Version})
 				return
 			}
 		}
@@ -160,18 +160,18 @@
 		if now.Trials == nil {
 			now.Trials = []statemachine.Trial{}
 		}
-		httpapi.JSON(w, http.StatusOK, map[string]any{"version": now.Version, "trials": now.Trials})
+		httpapi.WriteJSON(w, http.StatusOK, map[string]any{"version": now.Version, "trials": now.Trials})
 		return
 	}
 	for _, t := range now.Trials {
 		if fmt.Sprint(t.ID) == raw {
 			body := r.trialBody(ctx, t, now.Doc, now.Version)
 			body["version"] = now.Version
-			httpapi.JSON(w, http.StatusOK, body)
+			httpapi.WriteJSON(w, http.StatusOK, body)
 			return
 		}
 	}
-	httpapi.JSON(w, http.StatusNotFound, httpapi.Wrong{Wrong: "no such trial"})
+	httpapi.WriteJSON(w, http.StatusNotFound, httpapi.ErrorBody{Message: "no such trial"})
 }
 
 // drain tells a node to drain its workers, or to take jobs again.
@@ -186,15 +186,15 @@
 	}
 	r.mu.Unlock()
 	if at == "" {
-		httpapi.JSON(w, http.StatusNotFound, httpapi.Wrong{Wrong: "no such node has a session"})
+		httpapi.WriteJSON(w, http.StatusNotFound, httpapi.ErrorBody{Message: "no such node has a session"})
 		return
 	}
-	got, err := transport.Ask[proxy.Status](ctx, r.n, at, "node.drain", proxy.DrainRequest{On: req.URL.Query().Get("undo") != "true"})
+	got, err := transport.Call[proxy.Status](ctx, r.n, at, "node.drain", proxy.DrainRequest{On: req.URL.Query().Get("undo") != "true"})
 	if err != nil {
 		r.answerFailure(w, err)
 		return
 	}
-	httpapi.JSON(w, http.StatusOK, map[string]any{"node": node, "workers": got.Workers})
+	httpapi.WriteJSON(w, http.StatusOK, map[string]any{"node": node, "workers": got.Workers})
 }
 
 // liveReports tells which paths had jobs lately, by all fronts.
--- a/internal/registry/unreachable_test.go
+++ b/internal/registry/unreachable_test.go
@@ -33,7 +33,7 @@
 		}
 		// pass lets a time go by before a word begins.
 		pass := func(d time.Duration) time.Time {
-			task.Pause(t.Context(), d)
+			task.Sleep(t.Context(), d)
 			return time.Now()
 		}
 		r, o := make()
--- a/internal/replica/full_test.go
+++ b/internal/replica/full_test.go
@@ -23,7 +23,7 @@
 		g := task.New(context.Background())
 		defer g.Stop()
 		e := env.Env{Log: event.New("a", nil), Wall: time.Now}
-		w := transport.NewNode(transport.Hello{Mesh: "m", Node: "a", Area: "x"}, e, g, 1<<20, 4, beat)
+		w := transport.NewNode(transport.Hello{ClusterID: "m", Node: "a", Zone: "x"}, e, g, 1<<20, 4, beat)
 		r := New(membership.Member{Node: "a", InternalAddr: "h:1"}, w, g, e.Log, hlc.New(time.Now, time.Minute), beat, 3*time.Second, time.Minute)
 		ask := func() ormap.Delta {
 			d, err := r.onAll(t.Context(), transport.Hello{}, allAsk{Short: true})
@@ -38,7 +38,7 @@
 		if two := ask(); &one.Short[0] != &two.Short[0] {
 			t.Error("packed again at the same time")
 		}
-		task.Pause(t.Context(), beat/2)
+		task.Sleep(t.Context(), beat/2)
 		if d, err := ask().Open(); err != nil || len(d.Adds) != 2 {
 			t.Error(d, err)
 		}
--- a/internal/replica/mend.go
+++ b/internal/replica/mend.go
@@ -112,11 +112,11 @@
 	}
 	own := r.m.Digests()
 	total := ormap.Total(own)
-	got, err := transport.Ask[digestGot](ctx, r.n, addr, "replica.digest", digestAsk{Total: total})
+	got, err := transport.Call[digestGot](ctx, r.n, addr, "replica.digest", digestAsk{Total: total})
 	if err != nil || got.Same {
 		return err
 	}
-	got, err = transport.Ask[digestGot](ctx, r.n, addr, "replica.digest", digestAsk{Total: total, All: own, Fine: true})
+	got, err = transport.Call[digestGot](ctx, r.n, addr, "replica.digest", digestAsk{Total: total, All: own, Fine: true})
 	if err == nil && got.Busy {
 		err = errBusy
 	}
@@ -130,7 +130,7 @@
 		// A fellow of an earlier version sends the ranges whole.
 		back := r.m.Part(got.Differ)
 		r.take(got.Part, true)
-		_, err = transport.Ask[struct{}](ctx, r.n, addr, "replica.mend", back)
+		_, err = transport.Call[struct{}](ctx, r.n, addr, "replica.mend", back)
 		return err
 	}
 	var in swapAsk
@@ -139,7 +139,7 @@
 		return nil
 	}
 	in.Short = true
-	back, err := transport.Ask[ormap.Delta](ctx, r.n, addr, "replica.swap", in)
+	back, err := transport.Call[ormap.Delta](ctx, r.n, addr, "replica.swap", in)
 	if err == nil {
 		back, err = back.Open()
 	}
--- a/internal/replica/refill.go
+++ b/internal/replica/refill.go
@@ -68,9 +68,9 @@
 	all := r.packed()
 	ok, again, many := r.pace.ask(len(all.Short), time.Now())
 	if !ok {
-		return fillGot{No: true, Later: again.Milliseconds() + 1, Try: r.pace.name(from.Area, in.From), Many: many}, nil
+		return fillGot{No: true, Later: again.Milliseconds() + 1, Try: r.pace.name(from.Zone, in.From), Many: many}, nil
 	}
-	r.pace.gave(in.From, from.Area)
+	r.pace.gave(in.From, from.Zone)
 	return fillGot{All: all, Many: many}, nil
 }
 
@@ -91,11 +91,11 @@
 // Refill drops what others said long ago and pulls all from a fellow, if it is
 // this node's turn there. Own entries stay.
 func (r *Replica) Refill(ctx context.Context, addr string) (Refill, error) {
-	got, err := transport.Ask[fillGot](ctx, r.n, addr, "replica.fill", fillAsk{From: r.self.InternalAddr})
+	got, err := transport.Call[fillGot](ctx, r.n, addr, "replica.fill", fillAsk{From: r.self.InternalAddr})
 	if fault.Is(err, fault.Refused) {
 		// One of an earlier version has no turns.
 		got = fillGot{}
-		got.All, err = transport.Ask[ormap.Delta](ctx, r.n, addr, "replica.all", allAsk{Short: true})
+		got.All, err = transport.Call[ormap.Delta](ctx, r.n, addr, "replica.all", allAsk{Short: true})
 	}
 	if err != nil {
 		return Refill{}, fault.Wrap(fault.Refused, err, "refill")
--- a/internal/replica/refill_test.go
+++ b/internal/replica/refill_test.go
@@ -21,7 +21,7 @@
 
 // fleet makes replicas on a network; the first is a control node's.
 func fleet(t *testing.T, g *task.Group, n, frame int) (out []*Replica) {
-	road := &transport.Paved{Road: transport.NewRoad(func(string, string) time.Duration { return time.Millisecond })}
+	road := &transport.LocalNet{Network: transport.NewLocalNetwork(func(string, string) time.Duration { return time.Millisecond })}
 	for i := range n {
 		h, role, area := fmt.Sprintf("h%d", i), "proxy", "x"
 		if i == 0 {
@@ -31,7 +31,7 @@
 			area = "y"
 		}
 		e := env.Env{Net: road, Log: event.New(h, nil), Wall: time.Now}
-		w := transport.NewNode(transport.Hello{Mesh: "m", Node: h, Area: area, Role: role}, e, g, frame, 64, 5*tick)
+		w := transport.NewNode(transport.Hello{ClusterID: "m", Node: h, Zone: area, Role: role}, e, g, frame, 64, 5*tick)
 		r := New(membership.Member{Node: h, Incarnation: "s", Role: role, Zone: area, InternalAddr: h + ":1"}, w, g, e.Log, hlc.New(time.Now, time.Minute), tick, time.Hour, time.Minute)
 		if err := w.Listen(h + ":1"); err != nil {
 			t.Fatal(err)
@@ -56,7 +56,7 @@
 		for i := range 200 {
 			core.Register(fmt.Sprint("service-", i), fmt.Sprint("w", i*7919), map[string]string{"slots": "8"})
 		}
-		task.Pause(t.Context(), tick)
+		task.Sleep(t.Context(), tick)
 		ask := func(i int, at string) Refill {
 			got, err := all[i].Refill(t.Context(), at)
 			if err != nil {
@@ -111,7 +111,7 @@
 				if try > n {
 					t.Fatalf("%d is put off for ever", i)
 				}
-				task.Pause(t.Context(), tick)
+				task.Sleep(t.Context(), tick)
 			}
 		}
 	})
@@ -129,7 +129,7 @@
 		if err := all[1].Mend(t.Context(), "h0:1"); err != errBusy {
 			t.Error(err)
 		}
-		task.Pause(t.Context(), tick)
+		task.Sleep(t.Context(), tick)
 		if err := all[1].Mend(t.Context(), "h0:1"); err != nil || len(all[1].Lookup("s")) != 1 {
 			t.Error(err, all[1].Lookup("s"))
 		}
@@ -141,9 +141,9 @@
 	synctest.Test(t, func(t *testing.T) {
 		g := task.New(context.Background())
 		defer g.Stop()
-		road := &transport.Paved{Road: transport.NewRoad(func(string, string) time.Duration { return time.Millisecond })}
+		road := &transport.LocalNet{Network: transport.NewLocalNetwork(func(string, string) time.Duration { return time.Millisecond })}
 		node := func(h string) *transport.Node {
-			w := transport.NewNode(transport.Hello{Mesh: "m", Node: h, Area: "x"}, env.Env{Net: road, Log: event.New(h, nil), Wall: time.Now}, g, 1<<20, 8, 5*tick)
+			w := transport.NewNode(transport.Hello{ClusterID: "m", Node: h, Zone: "x"}, env.Env{Net: road, Log: event.New(h, nil), Wall: time.Now}, g, 1<<20, 8, 5*tick)
 			if err := w.Listen(h + ":1"); err != nil {
 				t.Fatal(err)
 			}
@@ -151,7 +151,7 @@
 			return w
 		}
 		old := node("old")
-		transport.On(old, "replica.all", func(context.Context, transport.Hello, allAsk) (ormap.Delta, error) {
+		transport.Handle(old, "replica.all", func(context.Context, transport.Hello, allAsk) (ormap.Delta, error) {
 			return ormap.Delta{Adds: []ormap.Entry{{Dot: ormap.Dot{Node: "o#1"}, Service: "s", Worker: "w", Owner: "o"}}}, nil
 		})
 		r := New(membership.Member{Node: "n", InternalAddr: "n:1"}, node("n"), g, event.New("n", nil), hlc.New(time.Now, time.Minute), tick, time.Hour, time.Minute)
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -57,18 +57,18 @@
 // New makes an empty replica; Start opens it to the fellows.
 func New(self membership.Member, n *transport.Node, g *task.Group, log *event.Log, clock *hlc.Clock, beat, repair, bury time.Duration) *Replica {
 	r := &Replica{self: self, n: n, g: g, log: log, clock: clock, m: ormap.New(), dot: self.Node + "#" + self.Incarnation, beat: beat, bury: bury, index: map[string][]ormap.Entry{}, peers: &membership.List{}}
-	r.pace = newPace(self.Role, n.Most, beat)
+	r.pace = newPace(self.Role, n.MaxFrameBytes, beat)
 	r.tree = plumtree.New(self.InternalAddr, beat, 50*beat, r.send, r.hear, r.knows)
 	r.tree.Carry(plumtree.Bulk{Soon: r.soon, Late: r.late, Give: r.give, Take: r.got, Find: r.find})
-	transport.On(n, "gossip", func(_ context.Context, _ transport.Hello, m plumtree.Message) (struct{}, error) {
+	transport.Handle(n, "gossip", func(_ context.Context, _ transport.Hello, m plumtree.Message) (struct{}, error) {
 		r.tree.Take(m)
 		return struct{}{}, nil
 	})
-	transport.On(n, "replica.all", r.onAll)
-	transport.On(n, "replica.fill", r.onFill)
-	transport.On(n, "replica.digest", r.onDigest)
-	transport.On(n, "replica.swap", r.onSwap)
-	transport.On(n, "replica.mend", func(_ context.Context, _ transport.Hello, d ormap.Delta) (struct{}, error) {
+	transport.Handle(n, "replica.all", r.onAll)
+	transport.Handle(n, "replica.fill", r.onFill)
+	transport.Handle(n, "replica.digest", r.onDigest)
+	transport.Handle(n, "replica.swap", r.onSwap)
+	transport.Handle(n, "replica.mend", func(_ context.Context, _ transport.Hello, d ormap.Delta) (struct{}, error) {
 		r.take(d, true)
 		return struct{}{}, nil
 	})
@@ -82,13 +82,13 @@
 	r.g.Go("gossip-send", func(ctx context.Context) {
 		ctx, end := context.WithTimeout(ctx, 5*r.beat)
 		defer end()
-		_ = r.n.Cast(ctx, to, "gossip", m)
+		_ = r.n.Send(ctx, to, "gossip", m)
 	})
 }
 
 func (r *Replica) hear(body []byte) bool {
 	var d ormap.Delta
-	return transport.Unpack(body, &d) == nil && r.take(d, false)
+	return transport.Decode(body, &d) == nil && r.take(d, false)
 }
 
 // take merges a delta, tells the subscribers, and gossips on what came by
@@ -107,10 +107,10 @@
 	why := map[ormap.Dot]string{}
 	for _, g := range d.Dead {
 		why[g.Dot] = g.Why
-		r.clock.See(g.Dot.At)
+		r.clock.Observe(g.Dot.At)
 	}
 	for _, e := range d.Adds {
-		r.clock.See(e.Dot.At)
+		r.clock.Observe(e.Dot.At)
 	}
 	// Both at once: the index must not see two merges in another order than
 	// the map did.
@@ -216,7 +216,7 @@
 	for _, a := range fresh {
 		r.g.Go("mend-link", func(ctx context.Context) {
 			if crowd {
-				task.Pause(ctx, 3*r.beat)
+				task.Sleep(ctx, 3*r.beat)
 			}
 			ctx, end := context.WithTimeout(ctx, 5*r.beat)
 			defer end()
--- a/internal/replica/replica_test.go
+++ b/internal/replica/replica_test.go
@@ -43,7 +43,7 @@
 		f := membership.Member{Node: h, Incarnation: "s", Role: "proxy", Zone: areas[i], InternalAddr: h + ":1"}
 		all = append(all, f)
 		e := env.Env{Net: net.Host(h), Log: event.New(h, nil), Wall: time.Now}
-		w := transport.NewNode(transport.Hello{Mesh: "m", Node: h, Area: areas[i]}, e, g, 1<<20, 64, beat)
+		w := transport.NewNode(transport.Hello{ClusterID: "m", Node: h, Zone: areas[i]}, e, g, 1<<20, 64, beat)
 		n := &node{w: w, rep: replica.New(f, w, g, e.Log, hlc.New(time.Now, time.Minute), beat, 3*time.Second, time.Minute)}
 		n.rep.Subscribe(func(x replica.News) {
 			n.mu.Lock()
@@ -81,7 +81,7 @@
 		for start := range 4 {
 			f := membership.Member{Node: "a", Incarnation: fmt.Sprint(start), Role: "proxy", Zone: "x", InternalAddr: "h:1"}
 			e := env.Env{Net: sim.NewNet(1, 0, 0).Host("h"), Log: event.New("a", nil), Wall: time.Now}
-			w := transport.NewNode(transport.Hello{Mesh: "m", Node: "a", Area: "x"}, e, g, 1<<20, 4, beat)
+			w := transport.NewNode(transport.Hello{ClusterID: "m", Node: "a", Zone: "x"}, e, g, 1<<20, 4, beat)
 			r := replica.New(f, w, g, e.Log, hlc.New(func() time.Time { return at }, time.Minute), beat, 3*time.Second, time.Minute)
 			for range 3 {
 				d := r.Register("s", "w", nil).Dot
--- a/internal/replica/spread.go
+++ b/internal/replica/spread.go
@@ -69,7 +69,7 @@
 // with those that come meanwhile.
 func (r *Replica) soon() {
 	r.g.Go("gossip-soon", func(ctx context.Context) {
-		task.Pause(ctx, r.beat/8)
+		task.Sleep(ctx, r.beat/8)
 		r.tree.Flush()
 	})
 }
@@ -77,7 +77,7 @@
 // late has the tree ask for what is missing before its next tick.
 func (r *Replica) late() {
 	r.g.Go("gossip-late", func(ctx context.Context) {
-		task.Pause(ctx, r.beat/2)
+		task.Sleep(ctx, r.beat/2)
 		r.tree.Graft()
 	})
 }
@@ -88,7 +88,7 @@
 	var want []uint64
 	for i, id := range ids {
 		var d ormap.Delta
-		if bodies[i] != nil && transport.Unpack(bodies[i], &d) == nil {
+		if bodies[i] != nil && transport.Decode(bodies[i], &d) == nil {
 			all.Adds, all.Dead = append(all.Adds, d.Adds...), append(all.Dead, d.Dead...)
 		} else if h, ok := number(id); ok {
 			want = append(want, h)
--- a/internal/responsedigest/seal.go
+++ b/internal/responsedigest/seal.go
@@ -10,14 +10,14 @@
 
 // The headers between the mesh and its workers and callers.
 const (
-	Job     = "Puffin-Job"     // a job's id
-	Attempt = "Puffin-Attempt" // the id of one send
-	Worker  = "Puffin-Worker"  // the worker's identity
-	Left    = "Puffin-Left"    // time left in milliseconds
-	Mark    = "Puffin-Seal"    // the seal
-	Ran     = "Puffin-Ran"     // no, or unknown
-	Why     = "Puffin-Why"     // the reason in words
-	Version = "Puffin-Version" // the configuration that matched the job
+	RequestIDHeader     = "Puffin-Job"     // a job's id
+	AttemptIDHeader     = "Puffin-Attempt" // the id of one send
+	WorkerHeader        = "Puffin-Worker"  // the worker's identity
+	TimeoutHeader       = "Puffin-Left"    // time left in milliseconds
+	DigestHeader        = "Puffin-Seal"    // the seal
+	RanHeader           = "Puffin-Ran"     // no, or unknown
+	ReasonHeader        = "Puffin-Why"     // the reason in words
+	ConfigVersionHeader = "Puffin-Version" // the configuration that matched the job
 )
 
 // Of works out the seal. The parts are counted, so that none can run over
--- a/internal/sim/bytes_test.go
+++ b/internal/sim/bytes_test.go
@@ -17,9 +17,9 @@
 // away sums the bytes sent to other areas, by what they are for.
 func (f *Fleet) away() map[string]int64 {
 	out := map[string]int64{}
-	add := func(all map[transport.Flow]transport.Sum) {
+	add := func(all map[transport.Flow]transport.Traffic) {
 		for k, s := range all {
-			if !k.Away {
+			if !k.OtherZone {
 				continue
 			}
 			g := groups[k.Kind]
--- a/internal/sim/comeback_test.go
+++ b/internal/sim/comeback_test.go
@@ -34,16 +34,16 @@
 		count := map[string]int{}
 		try := func(host string, end time.Time) (int, time.Duration) {
 			r, _ := http.NewRequest("GET", "http://"+host+":8000/a", nil)
-			r.Header.Set(dialect.Own.Left, strconv.FormatInt(time.Until(end).Milliseconds(), 10))
+			r.Header.Set(dialect.Default.Timeout, strconv.FormatInt(time.Until(end).Milliseconds(), 10))
 			w, err := f.way.RoundTrip(r)
 			if err != nil {
 				return 0, 0
 			}
 			defer func() { _ = w.Body.Close() }()
 			raw, _ := io.ReadAll(w.Body)
-			var no httpapi.Wrong
+			var no httpapi.ErrorBody
 			_ = json.Unmarshal(raw, &no)
-			return w.StatusCode, time.Duration(no.Retry) * time.Millisecond
+			return w.StatusCode, time.Duration(no.RetryMS) * time.Millisecond
 		}
 		job := func(ctx context.Context, host string, counts bool) {
 			from := time.Now()
@@ -56,7 +56,7 @@
 					}
 					break
 				}
-				task.Pause(ctx, min(come, time.Until(end)/3))
+				task.Sleep(ctx, min(come, time.Until(end)/3))
 			}
 			if counts {
 				mu.Lock()
--- a/internal/sim/cut_test.go
+++ b/internal/sim/cut_test.go
@@ -49,9 +49,9 @@
 		}
 		// Asked at once, while its lease would still stand by any clock: it can't
 		// reach a majority any more, so it may not say what it holds.
-		n := transport.NewNode(transport.Hello{Mesh: "puffin", Node: "asker", Area: "north", Role: "registry"}, f.env("asker", "10.0.9.5", "north", &old.skew), f.g, 1<<20, 4, time.Second)
+		n := transport.NewNode(transport.Hello{ClusterID: "puffin", Node: "asker", Zone: "north", Role: "registry"}, f.env("asker", "10.0.9.5", "north", &old.skew), f.g, 1<<20, 4, time.Second)
 		one, end := context.WithTimeout(t.Context(), 400*time.Millisecond)
-		if got, err := transport.Ask[store.LeaderResponse](one, n, old.Host+":7001", "store.read", store.ReadRequest{Kind: "key", Name: "k"}); err == nil && got.Done {
+		if got, err := transport.Call[store.LeaderResponse](one, n, old.Host+":7001", "store.read", store.ReadRequest{Kind: "key", Name: "k"}); err == nil && got.Done {
 			t.Errorf("a read was answered without a majority: %+v", got.Result)
 		}
 		end()
--- a/internal/sim/held_test.go
+++ b/internal/sim/held_test.go
@@ -31,7 +31,7 @@
 		}
 		g := task.New(t.Context())
 		// Its links stand for the whole of it.
-		front := transport.NewNode(transport.Hello{Mesh: "puffin", Node: "held", Area: "north", Role: "proxy"}, f.env("held", "10.0.9.5", "north", &n.skew), g, 1<<20, 4, time.Hour)
+		front := transport.NewNode(transport.Hello{ClusterID: "puffin", Node: "held", Zone: "north", Role: "proxy"}, f.env("held", "10.0.9.5", "north", &n.skew), g, 1<<20, 4, time.Hour)
 		class := ""
 		for _, p := range Read(f.S.Doc)["paths"].([]any) {
 			if p := p.(map[string]any); p["service"] == line.Service {
@@ -41,7 +41,7 @@
 		hand := func(i int, left time.Duration) error {
 			ctx, end := context.WithTimeout(t.Context(), left)
 			defer end()
-			b, err := transport.Ask[protocol.AttemptResult](ctx, front, n.Host+":7002", "job.hand", protocol.AttemptRequest{RequestID: fmt.Sprint("held", i), AttemptID: fmt.Sprint("held", i, ".1"),
+			b, err := transport.Call[protocol.AttemptResult](ctx, front, n.Host+":7002", "job.hand", protocol.AttemptRequest{RequestID: fmt.Sprint("held", i), AttemptID: fmt.Sprint("held", i, ".1"),
 				ConfigVersion: 1, Service: line.Service, Class: class, Worker: n.Worker.ID, Method: line.Method, URI: line.URI, TimeoutMS: 60_000})
 			if err == nil && b.Outcome != protocol.Done {
 				t.Errorf("%+v", b)
--- a/internal/sim/ice.go
+++ b/internal/sim/ice.go
@@ -65,9 +65,9 @@
 // pause is a process's wait: a frozen one wakes late, and after its sockets,
 // which is the worse order.
 func (i *ice) pause(ctx context.Context, d time.Duration) {
-	task.Pause(ctx, d)
+	task.Sleep(ctx, d)
 	if i.hold() {
-		task.Pause(ctx, 3*time.Millisecond)
+		task.Sleep(ctx, 3*time.Millisecond)
 	}
 }
 
--- a/internal/sim/rawbytes_test.go
+++ b/internal/sim/rawbytes_test.go
@@ -26,7 +26,7 @@
 	f.g.Go("write", func(ctx context.Context) {
 		for _, part := range strings.Split(text, "W") {
 			_, _ = c.Write([]byte(part))
-			task.Pause(ctx, 300*time.Millisecond)
+			task.Sleep(ctx, 300*time.Millisecond)
 		}
 	})
 	in := bufio.NewReader(c)
--- a/internal/sim/site_test.go
+++ b/internal/sim/site_test.go
@@ -184,7 +184,7 @@
 		more[k] = v
 	}
 	e := s.env("node-"+m.Host, m.Host, m.Area, &m.skew)
-	e.Say = play.Plain
+	e.Dialect = play.Plain
 	x := proxy.New(s.props("proxy", "node-"+m.Host, m.Area, m.Host, 7002, 7003, more), e)
 	if err := x.Start(); err != nil {
 		s.T.Errorf("node at %s: %v", m.Host, err)
--- a/internal/sim/sitecore_test.go
+++ b/internal/sim/sitecore_test.go
@@ -33,7 +33,7 @@
 		return
 	}
 	e = s.env("core-"+c.Host, c.Host, c.Area, &c.skew)
-	e.Say, e.FS = play.Plain, c.Disk
+	e.Dialect, e.FS = play.Plain, c.Disk
 	r := registry.New(s.props("registry", "core-"+c.Host, c.Area, c.Host, 7002, 7003, reg), e)
 	if err := r.Start(); err != nil {
 		s.T.Errorf("registry at %s: %v", c.Host, err)
--- a/internal/sim/thaw_test.go
+++ b/internal/sim/thaw_test.go
@@ -123,8 +123,8 @@
 		}
 		Wait(time.Second)
 		g := task.New(t.Context())
-		late := transport.NewNode(transport.Hello{Mesh: "puffin", Node: "late", Area: "north", Role: "registry"}, f.env("late", "10.0.9.5", "north", &n.skew), g, 1<<20, 4, time.Second)
-		if _, err := transport.Ask[struct{}](t.Context(), late, n.Host+":7002", "config.push", protocol.ConfigPush{Version: 2, Document: []byte(f.S.Doc)}); err != nil {
+		late := transport.NewNode(transport.Hello{ClusterID: "puffin", Node: "late", Zone: "north", Role: "registry"}, f.env("late", "10.0.9.5", "north", &n.skew), g, 1<<20, 4, time.Second)
+		if _, err := transport.Call[struct{}](t.Context(), late, n.Host+":7002", "config.push", protocol.ConfigPush{Version: 2, Document: []byte(f.S.Doc)}); err != nil {
 			t.Fatal(err)
 		}
 		for range 20 {
--- a/internal/stand/caller.go
+++ b/internal/stand/caller.go
@@ -106,7 +106,7 @@
 		r.ContentLength = int64(l.Size)
 	}
 	if l.Left != "" {
-		r.Header.Set(responsedigest.Left, l.Left)
+		r.Header.Set(responsedigest.TimeoutHeader, l.Left)
 	}
 	if l.Want > 0 {
 		r.Header.Set("X-Want", strconv.Itoa(l.Want))
@@ -115,8 +115,8 @@
 	r.Header.Set("X-Service", l.Service)
 	w, err := c.way.RoundTrip(r)
 	if err == nil {
-		out.Status, out.Ran = w.StatusCode, w.Header.Get(responsedigest.Ran)
-		out.Version, _ = strconv.ParseUint(w.Header.Get(responsedigest.Version), 10, 64)
+		out.Status, out.Ran = w.StatusCode, w.Header.Get(responsedigest.RanHeader)
+		out.Version, _ = strconv.ParseUint(w.Header.Get(responsedigest.ConfigVersionHeader), 10, 64)
 		out.Retry = w.Header.Get("Retry-After")
 		body, err := io.ReadAll(w.Body)
 		_ = w.Body.Close()
--- a/internal/stand/play/answer.go
+++ b/internal/stand/play/answer.go
@@ -18,7 +18,7 @@
 	var b strings.Builder
 	fmt.Fprintf(&b, "HTTP/1.1 %d %s\r\n", code, http.StatusText(code))
 	if s.id != "" {
-		fmt.Fprintf(&b, "%s: %s\r\n", k.say.Attempt, s.id)
+		fmt.Fprintf(&b, "%s: %s\r\n", k.say.AttemptID, s.id)
 	}
 	for i := 0; i+1 < len(more); i += 2 {
 		fmt.Fprintf(&b, "%s: %s\r\n", more[i], more[i+1])
@@ -34,7 +34,7 @@
 // decline turns the request away unrun.
 func (s *send) decline(code int) bool {
 	s.k.wit.Change(func() { s.v.Declined, s.v.Status = code, code })
-	h, on := s.head(code, s.k.say.NotRun, "1", "Content-Length", "0")
+	h, on := s.head(code, s.k.say.NotExecuted, "1", "Content-Length", "0")
 	_, err := s.c.Write([]byte(h + "\r\n"))
 	return on && err == nil
 }
@@ -52,7 +52,7 @@
 			code = http.StatusOK
 		}
 	}
-	h, on := s.head(code, k.say.Named, k.Name, "Content-Length", "0")
+	h, on := s.head(code, k.say.WorkerID, k.Name, "Content-Length", "0")
 	_, err := s.c.Write([]byte(h + "\r\n"))
 	return on && err == nil
 }
@@ -88,7 +88,7 @@
 	if chunks {
 		frame = []string{"Transfer-Encoding", "chunked"}
 	}
-	h, on := s.head(code, append([]string{k.say.Mark, mark, "X-From", k.Service}, frame...)...)
+	h, on := s.head(code, append([]string{k.say.ResponseDigest, mark, "X-From", k.Service}, frame...)...)
 	if how == noAnswer {
 		h, on = fmt.Sprintf("%x", k.dice.word()), false
 	}
--- a/internal/stand/play/app.go
+++ b/internal/stand/play/app.go
@@ -83,7 +83,7 @@
 		if clear(code) || time.Since(from) > long || ctx.Err() != nil {
 			return &one
 		}
-		task.Pause(ctx, a.dice.about(60*time.Millisecond))
+		task.Sleep(ctx, a.dice.about(60*time.Millisecond))
 	}
 }
 
@@ -124,7 +124,7 @@
 	for i := range a.Callers {
 		start("app", func() {
 			for ctx.Err() == nil {
-				task.Pause(ctx, a.dice.gap(a.Rate/float64(a.Callers)))
+				task.Sleep(ctx, a.dice.gap(a.Rate/float64(a.Callers)))
 				if ctx.Err() == nil {
 					a.one(ctx, i)
 				}
--- a/internal/stand/play/beat.go
+++ b/internal/stand/play/beat.go
@@ -18,7 +18,7 @@
 func (k *Worker) beats(ctx context.Context) {
 	for ctx.Err() == nil {
 		k.tell(ctx, http.MethodPut)
-		task.Pause(ctx, beatEvery)
+		task.Sleep(ctx, beatEvery)
 	}
 }
 
@@ -74,7 +74,7 @@
 func (k *Worker) hold(long time.Duration) {
 	at, _, body := k.word()
 	k.g.Go("late-beat", func(ctx context.Context) {
-		task.Pause(ctx, long)
+		task.Sleep(ctx, long)
 		if ctx.Err() == nil {
 			k.ask(ctx, http.MethodPut, at, body)
 		}
--- a/internal/stand/play/client.go
+++ b/internal/stand/play/client.go
@@ -16,7 +16,7 @@
 // Client is the callers on one machine: they go to the node there.
 type Client struct {
 	E       env.Env
-	Say     dialect.Tongue
+	Say     dialect.Dialect
 	Front   string // the node's traffic address
 	Machine string // its name for the witness
 	Wit     *witness.Witness
@@ -36,7 +36,7 @@
 }
 
 // NewClient makes the callers of a node.
-func NewClient(e env.Env, say dialect.Tongue, front, machine, name string, wit *witness.Witness, g *task.Group, seed uint64) *Client {
+func NewClient(e env.Env, say dialect.Dialect, front, machine, name string, wit *witness.Witness, g *task.Group, seed uint64) *Client {
 	c := &Client{E: e, Say: say, Front: front, Machine: machine, Wit: wit, G: g, Keep: 0.6, Hasty: 0.1, dice: newDice(seed), name: name}
 	c.Quits(usualQuits)
 	return c
@@ -54,10 +54,10 @@
 	for ctx.Err() == nil {
 		r := rate()
 		if r <= 0 {
-			task.Pause(ctx, 100*time.Millisecond)
+			task.Sleep(ctx, 100*time.Millisecond)
 			continue
 		}
-		task.Pause(ctx, c.dice.gap(r))
+		task.Sleep(ctx, c.dice.gap(r))
 		if ctx.Err() != nil || c.Out.Load() || c.under.Load() > 2000 {
 			continue
 		}
@@ -120,7 +120,7 @@
 		} else if a.HasCome {
 			wait = min(a.Come, time.Until(end)/3)
 		}
-		task.Pause(ctx, wait)
+		task.Sleep(ctx, wait)
 	}
 	return false
 }
@@ -226,7 +226,7 @@
 	out := make([]byte, max(l.Size/2+c.dice.below(l.Size+1), 1))
 	text := fmt.Sprintf("%x ", c.dice.word())
 	if c.dice.below(8) == 0 {
-		text = fmt.Sprintf("\r\n\r\n%s %s HTTP/1.1\r\nHost: %s\r\n%s: inside-%s\r\n\r\n", t.Method, t.URI, t.Host, c.Say.Attempt, t.ID)
+		text = fmt.Sprintf("\r\n\r\n%s %s HTTP/1.1\r\nHost: %s\r\n%s: inside-%s\r\n\r\n", t.Method, t.URI, t.Host, c.Say.AttemptID, t.ID)
 	}
 	fill(out, text)
 	return out
--- a/internal/stand/play/core_test.go
+++ b/internal/stand/play/core_test.go
@@ -78,9 +78,9 @@
 			if l != nil && l.fence == in.Fence {
 				l.end = time.Time{}
 			}
-			httpapi.JSON(w, 200, map[string]any{})
+			httpapi.WriteJSON(w, 200, map[string]any{})
 		case r.Method == "PUT" && (l == nil || l.owner != in.Owner || l.fence != in.Fence || !time.Now().Before(l.end)), !free:
-			httpapi.JSON(w, 409, map[string]any{})
+			httpapi.WriteJSON(w, 409, map[string]any{})
 		default:
 			if l == nil || l.owner != in.Owner || !time.Now().Before(l.end) {
 				c.fence++
@@ -88,13 +88,13 @@
 				c.locks[name] = l
 			}
 			l.end = time.Now().Add(ttl)
-			httpapi.JSON(w, 200, map[string]any{"fence": l.fence})
+			httpapi.WriteJSON(w, 200, map[string]any{"fence": l.fence})
 		}
 	case "numbers":
 		if !c.errs("numbers") {
 			c.nums[name]++
 		}
-		httpapi.JSON(w, 200, map[string]any{"value": c.nums[name]})
+		httpapi.WriteJSON(w, 200, map[string]any{"value": c.nums[name]})
 	case "keys":
 		c.cell(w, r, name, in.Value, in.If)
 	case "watch":
@@ -113,14 +113,14 @@
 		return
 	}
 	if !json.Valid([]byte(raw)) && c.err != "broken" {
-		httpapi.JSON(w, 422, map[string]any{})
+		httpapi.WriteJSON(w, 422, map[string]any{})
 		return
 	}
 	if c.first == "" {
 		c.first = raw
 	}
 	c.doc = raw
-	httpapi.JSON(w, 200, map[string]any{})
+	httpapi.WriteJSON(w, 200, map[string]any{})
 }
 
 func (c *core) cell(w http.ResponseWriter, r *http.Request, name, value string, at *uint64) {
@@ -133,17 +133,17 @@
 	}
 	switch {
 	case r.Method == "GET" && c.errs("reads") && last.Rev > 0:
-		httpapi.JSON(w, 200, last)
+		httpapi.WriteJSON(w, 200, last)
 	case r.Method == "GET" && now.Rev == 0:
-		httpapi.JSON(w, 404, map[string]any{})
+		httpapi.WriteJSON(w, 404, map[string]any{})
 	case r.Method == "GET":
-		httpapi.JSON(w, 200, now)
+		httpapi.WriteJSON(w, 200, now)
 	case at != nil && *at != now.Rev && !c.errs("conditions"):
-		httpapi.JSON(w, 412, map[string]any{"rev": now.Rev})
+		httpapi.WriteJSON(w, 412, map[string]any{"rev": now.Rev})
 	default:
 		c.revs[g]++
 		c.keys[g] = append(c.keys[g], cell{name, value, c.revs[g]})
-		httpapi.JSON(w, 200, map[string]any{"rev": c.revs[g]})
+		httpapi.WriteJSON(w, 200, map[string]any{"rev": c.revs[g]})
 	}
 }
 
@@ -152,7 +152,7 @@
 	_, _ = fmt.Sscanf(r.URL.RawQuery, "after=%d&wait_ms=%d", &after, &wait)
 	for end := time.Now().Add(time.Duration(wait) * time.Millisecond); after > 0 && c.revs[g] <= uint64(after) && time.Now().Before(end); {
 		c.mu.Unlock()
-		task.Pause(context.Background(), 20*time.Millisecond)
+		task.Sleep(context.Background(), 20*time.Millisecond)
 		c.mu.Lock()
 	}
 	list := []cell{}
@@ -161,7 +161,7 @@
 			list = append(list, k)
 		}
 	}
-	httpapi.JSON(w, 200, map[string]any{"changes": list, "rev": c.revs[g]})
+	httpapi.WriteJSON(w, 200, map[string]any{"changes": list, "rev": c.revs[g]})
 }
 
 // TestCallers: against a control node that keeps every promise nothing is
--- a/internal/stand/play/hold.go
+++ b/internal/stand/play/hold.go
@@ -33,26 +33,26 @@
 	a.Wit.Holds(h)
 	switch a.dice.below(holderKinds) {
 	case givesBack:
-		task.Pause(ctx, a.dice.about(60*time.Millisecond))
+		task.Sleep(ctx, a.dice.about(60*time.Millisecond))
 	case holdsOn:
 		for range 1 + a.dice.below(4) {
-			task.Pause(ctx, ttl/3)
+			task.Sleep(ctx, ttl/3)
 			if !a.renew(ctx, h, ttl) {
 				return
 			}
 		}
 	case dies:
-		task.Pause(ctx, a.dice.about(100*time.Millisecond))
+		task.Sleep(ctx, a.dice.about(100*time.Millisecond))
 		a.Wit.Change(func() { h.Until = earlier(h.Until, time.Now()) })
 		return
 	case oversleeps:
-		task.Pause(ctx, ttl+a.dice.about(time.Second))
+		task.Sleep(ctx, ttl+a.dice.about(time.Second))
 		a.renew(ctx, h, ttl)
 		if time.Now().After(h.Until) {
 			return
 		}
 	case takesAgain:
-		task.Pause(ctx, ttl/4)
+		task.Sleep(ctx, ttl/4)
 		again := a.take(ctx, owner, name, ttl)
 		if again.Code == 200 && again.To.Before(h.Until) && again.Num == h.Fence {
 			a.Wit.Change(func() { h.Until = later(h.Until, again.From.Add(ttl)) })
@@ -109,12 +109,12 @@
 			a.saved[group] = at
 			a.mu.Unlock()
 			if at == 0 {
-				task.Pause(ctx, 500*time.Millisecond)
+				task.Sleep(ctx, 500*time.Millisecond)
 			}
 		case got.Code == 410 && known:
 			at = 0
 		default:
-			task.Pause(ctx, 100*time.Millisecond)
+			task.Sleep(ctx, 100*time.Millisecond)
 		}
 	}
 }
--- a/internal/stand/play/operator.go
+++ b/internal/stand/play/operator.go
@@ -88,7 +88,7 @@
 				return false
 			}
 		}
-		task.Pause(ctx, o.dice.about(rest))
+		task.Sleep(ctx, o.dice.about(rest))
 		rest = min(rest*3/2, 2*time.Second)
 	}
 	return false
@@ -117,7 +117,7 @@
 			o.Wit.ReadBack(witness.Read{From: asked, At: time.Now(), Final: final})
 			return
 		}
-		task.Pause(ctx, 200*time.Millisecond)
+		task.Sleep(ctx, 200*time.Millisecond)
 	}
 }
 
--- a/internal/stand/play/plain.go
+++ b/internal/stand/play/plain.go
@@ -14,8 +14,8 @@
 
 // Plain is a tongue with a deployment's manners and names of nobody's: a stamp
 // that cannot be checked, nobody is asked who is there, ids are the caller's.
-var Plain = dialect.Tongue{Name: "plain", Attempt: "Plain-Id", Left: "Plain-Left", Expect: "Plain-For", Named: "Plain-Who",
-	Mark: "Plain-Stamp", NotRun: "Plain-Not-Run", Caller: "Plain-From", Keeps: true, Fine: true}
+var Plain = dialect.Dialect{Name: "plain", AttemptID: "Plain-Id", Timeout: "Plain-Left", ExpectedWorker: "Plain-For", WorkerID: "Plain-Who",
+	ResponseDigest: "Plain-Stamp", NotExecuted: "Plain-Not-Run", CallerService: "Plain-From", KeepsAttemptID: true, FractionalRetryAfter: true}
 
 // Line is one kind of request that clients make.
 type Line struct {
--- a/internal/stand/play/play_test.go
+++ b/internal/stand/play/play_test.go
@@ -62,8 +62,8 @@
 		out, _ := http.NewRequestWithContext(r.Context(), r.Method, "http://10.0.0.1:9000"+r.RequestURI, bytes.NewReader(body))
 		out.Header = r.Header.Clone()
 		out.Header.Del("Connection")
-		out.Header.Set(play.Plain.Caller, "s")
-		out.Header.Set(play.Plain.Expect, "w1")
+		out.Header.Set(play.Plain.CallerService, "s")
+		out.Header.Set(play.Plain.ExpectedWorker, "w1")
 		way := &http.Transport{DisableKeepAlives: true, DialContext: func(ctx context.Context, _, a string) (net.Conn, error) { return d.net.Host("10.0.0.1").Dial(ctx, a) }}
 		got, err := way.RoundTrip(out)
 		if err != nil {
@@ -86,7 +86,7 @@
 		w.WriteHeader(http.StatusBadGateway)
 		return
 	}
-	for _, n := range []string{play.Plain.Attempt, play.Plain.Mark, play.Plain.NotRun} {
+	for _, n := range []string{play.Plain.AttemptID, play.Plain.ResponseDigest, play.Plain.NotExecuted} {
 		if v := got.Header.Get(n); v != "" {
 			w.Header().Set(n, v)
 		}
--- a/internal/stand/play/wire.go
+++ b/internal/stand/play/wire.go
@@ -129,10 +129,10 @@
 	var b bytes.Buffer
 	ms := max(time.Until(t.From.Add(t.Left)).Milliseconds(), 1)
 	t.Told = time.Since(t.From) + time.Duration(ms)*time.Millisecond
-	fmt.Fprintf(&b, "%s %s HTTP/1.1\r\nHost: %s\r\n%s: %s\r\n%s: %d\r\nX-Other: %s\r\n", t.Method, t.URI, t.Host, c.Say.Attempt, t.ID, c.Say.Left, ms, t.Kind)
+	fmt.Fprintf(&b, "%s %s HTTP/1.1\r\nHost: %s\r\n%s: %s\r\n%s: %d\r\nX-Other: %s\r\n", t.Method, t.URI, t.Host, c.Say.AttemptID, t.ID, c.Say.Timeout, ms, t.Kind)
 	// Whatever stands there is not to be believed.
 	if c.dice.below(3) == 0 {
-		fmt.Fprintf(&b, "%s: somebody\r\n", c.Say.Caller)
+		fmt.Fprintf(&b, "%s: somebody\r\n", c.Say.CallerService)
 	}
 	if last {
 		b.WriteString("Connection: close\r\n")
@@ -214,7 +214,7 @@
 	}
 	body, err := io.ReadAll(got.Body)
 	_ = got.Body.Close()
-	a = witness.Answer{Status: got.StatusCode, ID: got.Header.Get(c.Say.Attempt), Stamp: got.Header.Get(c.Say.Mark), Body: witness.BodyOf(body), Whole: err == nil, Taken: true}
+	a = witness.Answer{Status: got.StatusCode, ID: got.Header.Get(c.Say.AttemptID), Stamp: got.Header.Get(c.Say.ResponseDigest), Body: witness.BodyOf(body), Whole: err == nil, Taken: true}
 	if got.Header.Get("Content-Encoding") != "" {
 		a.Body.Sum++
 	}
--- a/internal/stand/play/work.go
+++ b/internal/stand/play/work.go
@@ -61,17 +61,17 @@
 // one handles the request and tells whether the connection goes on.
 func (s *send) one(ctx context.Context) bool {
 	k, h := s.k, s.req.Header
-	s.id = h.Get(k.say.Attempt)
+	s.id = h.Get(k.say.AttemptID)
 	s.end = time.Now().Add(time.Minute)
 	var given time.Duration
-	if ms, err := strconv.ParseFloat(h.Get(k.say.Left), 64); err == nil {
+	if ms, err := strconv.ParseFloat(h.Get(k.say.Timeout), 64); err == nil {
 		given = time.Duration(ms * float64(time.Millisecond))
 		s.end = time.Now().Add(given)
 	}
 	if s.req.Method == http.MethodGet && s.req.URL.Path == k.W.Fitness && s.id == "" {
 		return s.fitness()
 	}
-	s.v = &witness.Visit{Worker: k.Worker, Method: s.req.Method, URI: s.req.RequestURI, From: h.Get(k.say.Caller), To: h.Get(k.say.Expect), Body: witness.BodyOf(s.body), Given: given}
+	s.v = &witness.Visit{Worker: k.Worker, Method: s.req.Method, URI: s.req.RequestURI, From: h.Get(k.say.CallerService), To: h.Get(k.say.ExpectedWorker), Body: witness.BodyOf(s.body), Given: given}
 	k.wit.Arrive(s.v, s.id)
 	switch {
 	case s.id == "":
@@ -229,6 +229,6 @@
 }
 
 func pause(ctx context.Context, d time.Duration) bool {
-	task.Pause(ctx, d)
+	task.Sleep(ctx, d)
 	return ctx.Err() == nil
 }
--- a/internal/stand/play/worker.go
+++ b/internal/stand/play/worker.go
@@ -55,7 +55,7 @@
 	Front string // where its own calls go: the node beside it
 	Beats []string
 	W     Ways
-	say   dialect.Tongue
+	say   dialect.Dialect
 	e     env.Env
 	g     *task.Group
 	wit   *witness.Witness
@@ -75,7 +75,7 @@
 
 // Start starts a worker; beats go to the first of the given addresses, and to
 // the next after a second without an answer.
-func Start(e env.Env, say dialect.Tongue, id witness.Worker, addr, front string, beats []string, w Ways, wit *witness.Witness, seed uint64) (*Worker, error) {
+func Start(e env.Env, say dialect.Dialect, id witness.Worker, addr, front string, beats []string, w Ways, wit *witness.Witness, seed uint64) (*Worker, error) {
 	k := &Worker{Worker: &id, Addr: addr, Front: front, Beats: beats, W: w, say: say, e: e, g: task.New(context.Background()), wit: wit, dice: newDice(seed),
 		room: &room{slots: w.Slots, queue: w.Queue}, born: time.Now(), state: "up", conns: map[net.Conn]bool{}, Over: make(chan struct{})}
 	k.calls = &Client{E: e, Say: say, Front: front, Machine: id.Machine, Wit: wit, G: k.g, Keep: 0.7, dice: k.dice, name: "n-" + id.Name + "-"}
@@ -172,7 +172,7 @@
 	}()
 	if k.W.Hello > 0 {
 		k.room.press()
-		task.Pause(ctx, k.W.Hello)
+		task.Sleep(ctx, k.W.Hello)
 		k.room.leave()
 	}
 	r := bufio.NewReader(c)
--- a/internal/stand/worker.go
+++ b/internal/stand/worker.go
@@ -146,20 +146,20 @@
 
 func (k *Worker) serve(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path == "/puffin/fitness" {
-		w.Header().Set(responsedigest.Worker, k.ID)
+		w.Header().Set(responsedigest.WorkerHeader, k.ID)
 		return
 	}
 	from := time.Now()
 	body, _ := io.ReadAll(r.Body)
-	attempt, job := r.Header.Get(responsedigest.Attempt), r.Header.Get(responsedigest.Job)
+	attempt, job := r.Header.Get(responsedigest.AttemptIDHeader), r.Header.Get(responsedigest.RequestIDHeader)
 	k.mu.Lock()
 	way, left := k.w, k.left
 	k.mu.Unlock()
 	// A job meant for another identity is refused unseen, but that it got here
 	// at all counts.
-	if r.Header.Get(responsedigest.Worker) != k.ID {
+	if r.Header.Get(responsedigest.WorkerHeader) != k.ID {
 		if k.obs != nil {
-			k.obs.Blame(Stranger, r.Header.Get("X-Call")+" for "+r.Header.Get(responsedigest.Worker)+" arrived at "+k.ID)
+			k.obs.Blame(Stranger, r.Header.Get("X-Call")+" for "+r.Header.Get(responsedigest.WorkerHeader)+" arrived at "+k.ID)
 		}
 		if !way.Naive {
 			k.send(w, attempt, http.StatusMisdirectedRequest, []byte("not me"))
@@ -167,7 +167,7 @@
 		}
 	}
 	if rand.Float64() < way.Busy {
-		w.Header().Set(responsedigest.Ran, "no")
+		w.Header().Set(responsedigest.RanHeader, "no")
 		k.send(w, attempt, http.StatusServiceUnavailable, []byte("busy"))
 		return
 	}
@@ -197,7 +197,7 @@
 	calls := k.calls
 	k.mu.Unlock()
 	if calls != nil {
-		left, _ := strconv.ParseInt(r.Header.Get(responsedigest.Left), 10, 64)
+		left, _ := strconv.ParseInt(r.Header.Get(responsedigest.TimeoutHeader), 10, 64)
 		calls(strconv.FormatInt(max(left-time.Since(from).Milliseconds(), 1), 10))
 	}
 	if rand.Float64() < way.Lose {
@@ -215,9 +215,9 @@
 		out = append(out, Whole(r.Header.Get("X-Call"), body, want)...)
 	}
 	if rand.Float64() < way.Garble {
-		w.Header().Set(responsedigest.Attempt, attempt)
-		w.Header().Set(responsedigest.Worker, k.ID)
-		w.Header().Set(responsedigest.Mark, responsedigest.Of(attempt, k.ID, status, out))
+		w.Header().Set(responsedigest.AttemptIDHeader, attempt)
+		w.Header().Set(responsedigest.WorkerHeader, k.ID)
+		w.Header().Set(responsedigest.DigestHeader, responsedigest.Of(attempt, k.ID, status, out))
 		out[rand.IntN(len(out))] ^= 0x55
 		w.WriteHeader(status)
 		_, _ = w.Write(out)
@@ -227,9 +227,9 @@
 }
 
 func (k *Worker) send(w http.ResponseWriter, attempt string, status int, body []byte) {
-	w.Header().Set(responsedigest.Attempt, attempt)
-	w.Header().Set(responsedigest.Worker, k.ID)
-	w.Header().Set(responsedigest.Mark, responsedigest.Of(attempt, k.ID, status, body))
+	w.Header().Set(responsedigest.AttemptIDHeader, attempt)
+	w.Header().Set(responsedigest.WorkerHeader, k.ID)
+	w.Header().Set(responsedigest.DigestHeader, responsedigest.Of(attempt, k.ID, status, body))
 	w.Header().Set("Content-Length", strconv.Itoa(len(body)))
 	w.WriteHeader(status)
 	_, _ = w.Write(body)
--- a/internal/store/confirm.go
+++ b/internal/store/confirm.go
@@ -119,7 +119,7 @@
 			}
 			return ack{Yes: ok, ID: s.acc.Identity().ID, Seen: vow}, nil
 		}
-		a, err := transport.Ask[ack](ctx, s.n, to, "store.beat", ask)
+		a, err := transport.Call[ack](ctx, s.n, to, "store.beat", ask)
 		if err == nil && a.Yes {
 			t.recordContact(a)
 		}
--- a/internal/store/download.go
+++ b/internal/store/download.go
@@ -52,10 +52,10 @@
 // fetchChunk fetches the next chunk. It goes as bulk, so heartbeats and
 // proposals pass it on a thin link.
 func (s *Store) fetchChunk(ctx context.Context, from string, d *download) error {
-	ctx, end := context.WithTimeout(transport.Lane(ctx, transport.Bulk), 2*s.Settings.ConfigBound)
+	ctx, end := context.WithTimeout(transport.WithLane(ctx, transport.LaneBulk), 2*s.Settings.ConfigBound)
 	defer end()
 	ask := chunkAsk{ID: d.head.ID, Offset: len(d.data)}
-	got, err := transport.Ask[chunkGot](ctx, s.n, from, "store.snapshot", ask)
+	got, err := transport.Call[chunkGot](ctx, s.n, from, "store.snapshot", ask)
 	if err != nil {
 		return err
 	}
--- a/internal/store/electorate.go
+++ b/internal/store/electorate.go
@@ -47,7 +47,7 @@
 		if to == s.Settings.InternalAddr {
 			return s.onBallot(ctx, transport.Hello{}, ask)
 		}
-		return transport.Ask[ballotVote](ctx, s.n, to, "store.ballot", ask)
+		return transport.Call[ballotVote](ctx, s.n, to, "store.ballot", ask)
 	}, func(to string, v ballotVote, err error) bool {
 		if err != nil {
 			return false
--- a/internal/store/fetch.go
+++ b/internal/store/fetch.go
@@ -89,7 +89,7 @@
 		if none {
 			ask.Prev = nil
 		}
-		got, err := transport.Ask[fetchGot](ctx, s.n, from, "store.fetch", ask)
+		got, err := transport.Call[fetchGot](ctx, s.n, from, "store.fetch", ask)
 		if err != nil {
 			return err
 		}
--- a/internal/store/founding.go
+++ b/internal/store/founding.go
@@ -175,7 +175,7 @@
 		if to == s.Settings.InternalAddr {
 			return ack{}, nil
 		}
-		return transport.Ask[ack](ctx, s.n, to, "store.genesis", in)
+		return transport.Call[ack](ctx, s.n, to, "store.genesis", in)
 	}, func(string, ack, error) bool { return false })
 	s.wakeLoop(true)
 }
--- a/internal/store/holders.go
+++ b/internal/store/holders.go
@@ -54,7 +54,7 @@
 		// The beat tells them the newest slot; the next one's answers tell that
 		// they have applied it.
 		_ = t.heartbeat(ctx)
-		t.s.e.Pause(ctx, t.s.Settings.HeartbeatInterval()/40)
+		t.s.e.Sleep(ctx, t.s.Settings.HeartbeatInterval()/40)
 	}
 	return false
 }
--- a/internal/store/join.go
+++ b/internal/store/join.go
@@ -95,7 +95,7 @@
 		if to == s.Settings.InternalAddr {
 			return foundGot{Empty: true, ID: s.acc.Identity().ID, Never: !s.Settings.MayFound, Area: s.Settings.Zone, Land: s.Settings.Region, Knows: statemachine.Level}, nil
 		}
-		return transport.Ask[foundGot](ctx, s.n, to, "store.found", foundAsk{s.acc.Identity().ID, s.Settings.InternalAddr})
+		return transport.Call[foundGot](ctx, s.n, to, "store.found", foundAsk{s.acc.Identity().ID, s.Settings.InternalAddr})
 	}, func(to string, got foundGot, err error) bool {
 		switch {
 		case err != nil:
@@ -148,7 +148,7 @@
 		s.mu.Lock()
 		ask := joinAsk{ID: s.acc.Identity().ID, Addr: s.Settings.InternalAddr, Mesh: s.state.ClusterID, Slot: s.slot, Area: s.Settings.Zone, Land: s.Settings.Region, Knows: statemachine.Level}
 		s.mu.Unlock()
-		got, err := transport.Ask[joinGot](ctx, s.n, to, "store.join", ask)
+		got, err := transport.Call[joinGot](ctx, s.n, to, "store.join", ask)
 		if err == nil && got.Slot == 0 && got.Has > ask.Slot && s.refill(ctx, to) == nil && s.votes() {
 			// It does not lead, but knows of a place that this one was given.
 			return true
--- a/internal/store/join_test.go
+++ b/internal/store/join_test.go
@@ -16,10 +16,10 @@
 )
 
 // peer is a node at an address that answers as the test says.
-func peer(t *testing.T, road *transport.Paved, addr string, answers func(*transport.Node)) {
+func peer(t *testing.T, road *transport.LocalNet, addr string, answers func(*transport.Node)) {
 	t.Helper()
 	g := task.New(context.Background())
-	n := transport.NewNode(transport.Hello{Mesh: "m", Node: addr}, env.Env{Net: road, Wall: time.Now, Log: event.New(addr, nil)}, g, 1<<20, 8, time.Second)
+	n := transport.NewNode(transport.Hello{ClusterID: "m", Node: addr}, env.Env{Net: road, Wall: time.Now, Log: event.New(addr, nil)}, g, 1<<20, 8, time.Second)
 	answers(n)
 	if err := n.Listen(addr); err != nil {
 		t.Fatal(err)
@@ -33,8 +33,8 @@
 // says answers what a store holds, after a while.
 func says(got foundGot, after time.Duration) func(*transport.Node) {
 	return func(n *transport.Node) {
-		transport.On(n, "store.found", func(ctx context.Context, _ transport.Hello, _ foundAsk) (foundGot, error) {
-			task.Pause(ctx, after)
+		transport.Handle(n, "store.found", func(ctx context.Context, _ transport.Hello, _ foundAsk) (foundGot, error) {
+			task.Sleep(ctx, after)
 			return got, ctx.Err()
 		})
 	}
@@ -134,8 +134,8 @@
 		}
 		entry := firstEntry(t, "a", s.acc.Identity().ID)
 		peer(t, road, "b:1", func(n *transport.Node) {
-			transport.On(n, "store.join", func(context.Context, transport.Hello, joinAsk) (joinGot, error) { return joinGot{Has: 1}, nil })
-			transport.On(n, "store.fetch", func(context.Context, transport.Hello, fetchAsk) (fetchGot, error) {
+			transport.Handle(n, "store.join", func(context.Context, transport.Hello, joinAsk) (joinGot, error) { return joinGot{Has: 1}, nil })
+			transport.Handle(n, "store.fetch", func(context.Context, transport.Hello, fetchAsk) (fetchGot, error) {
 				return fetchGot{Top: 1, Entries: []paxos.Entry{entry}}, nil
 			})
 		})
@@ -161,10 +161,10 @@
 				entry = firstEntry(t, "c", "d")
 			}
 			peer(t, road, "b:1", func(n *transport.Node) {
-				transport.On(n, "store.ballot", func(context.Context, transport.Hello, ballotAsk) (ballotVote, error) {
+				transport.Handle(n, "store.ballot", func(context.Context, transport.Hello, ballotAsk) (ballotVote, error) {
 					return ballotVote{ID: "b", Slot: 1}, nil
 				})
-				transport.On(n, "store.fetch", func(context.Context, transport.Hello, fetchAsk) (fetchGot, error) {
+				transport.Handle(n, "store.fetch", func(context.Context, transport.Hello, fetchAsk) (fetchGot, error) {
 					return fetchGot{Top: 1, Entries: []paxos.Entry{entry}}, nil
 				})
 			})
@@ -190,13 +190,13 @@
 		s.Settings.Seeds = []string{"me:1", "seed:1", "heard:1"}
 		var told beatAsk
 		peer(t, road, "seed:1", func(n *transport.Node) {
-			transport.On(n, "store.beat", func(_ context.Context, _ transport.Hello, in beatAsk) (ack, error) {
+			transport.Handle(n, "store.beat", func(_ context.Context, _ transport.Hello, in beatAsk) (ack, error) {
 				told = in
 				return ack{}, nil
 			})
 		})
 		peer(t, road, "heard:1", func(n *transport.Node) {
-			transport.On(n, "store.beat", func(context.Context, transport.Hello, beatAsk) (ack, error) {
+			transport.Handle(n, "store.beat", func(context.Context, transport.Hello, beatAsk) (ack, error) {
 				t.Error("a learner that is heard of was told")
 				return ack{}, nil
 			})
--- a/internal/store/leadership.go
+++ b/internal/store/leadership.go
@@ -37,7 +37,7 @@
 
 func (s *Store) newLeadership(num ballot.Number) *leadership {
 	now := time.Now()
-	t := &leadership{s: s, num: num, memberSet: s.memberSet(), g: task.New(s.g.Context()).Pace(s.e.Pause), queue: make(chan *proposal, 1024), reads: make(chan *readRequest, 1024),
+	t := &leadership{s: s, num: num, memberSet: s.memberSet(), g: task.New(s.g.Context()).SetSleep(s.e.Sleep), queue: make(chan *proposal, 1024), reads: make(chan *readRequest, 1024),
 		confirmedAt: now, contacts: map[string]peerContact{}, learners: map[string]*learner{}}
 	for _, m := range s.state.Members {
 		t.contacts[m.ID] = s.initialContact(m.ID, now)
@@ -99,7 +99,7 @@
 			if to == s.Settings.InternalAddr {
 				return s.onAccept(ctx, transport.Hello{}, ask)
 			}
-			return transport.Ask[ack](ctx, s.n, to, "store.accept", ask)
+			return transport.Call[ack](ctx, s.n, to, "store.accept", ask)
 		}, func(to string, a ack, err error) bool {
 			if err != nil {
 				return false
--- a/internal/store/leasegather.go
+++ b/internal/store/leasegather.go
@@ -45,7 +45,7 @@
 		t.g.Go("ask-clocks", func(context.Context) {
 			ctx, end := context.WithTimeout(ctx, s.Settings.CallTimeout())
 			defer end()
-			if got, err := transport.Ask[leftGot](ctx, s.n, a, "store.left", leftAsk{}); err == nil {
+			if got, err := transport.Call[leftGot](ctx, s.n, a, "store.left", leftAsk{}); err == nil {
 				s.adoptLeases(got)
 			}
 		})
--- a/internal/store/leave.go
+++ b/internal/store/leave.go
@@ -29,10 +29,10 @@
 	slot, given := s.handOver(one)
 	over()
 	for given && !s.changeKnown(ctx, slot) && ctx.Err() == nil {
-		s.e.Pause(ctx, s.Settings.HeartbeatInterval()/10)
+		s.e.Sleep(ctx, s.Settings.HeartbeatInterval()/10)
 	}
 	for !given && s.isVoter() && !s.othersHold(ctx) && ctx.Err() == nil {
-		s.e.Pause(ctx, s.Settings.HeartbeatInterval()/4)
+		s.e.Sleep(ctx, s.Settings.HeartbeatInterval()/4)
 	}
 	if ctx.Err() == nil {
 		s.e.Trace.Notify(trace.Left{Replica: s.acc.Identity().ID})
@@ -58,7 +58,7 @@
 	case !member:
 		return 0, false
 	case t == nil && head != "":
-		got, err := transport.Ask[ack](ctx, s.n, head, "store.leave", leaveAsk{ID: me})
+		got, err := transport.Call[ack](ctx, s.n, head, "store.leave", leaveAsk{ID: me})
 		return got.Slot, err == nil && got.Yes
 	case t != nil && t.givePlace(ctx, me):
 		// The term is over with the change; the others need not miss it first.
@@ -79,7 +79,7 @@
 	var after []statemachine.Member
 	for range 2 {
 		ballot.Poll(ctx, s.g, who, func(ctx context.Context, to string) (foundGot, error) {
-			return transport.Ask[foundGot](ctx, s.n, to, "store.found", foundAsk{s.acc.Identity().ID, s.Settings.InternalAddr})
+			return transport.Call[foundGot](ctx, s.n, to, "store.found", foundAsk{s.acc.Identity().ID, s.Settings.InternalAddr})
 		}, func(_ string, got foundGot, err error) bool {
 			if err == nil && got.Slot >= slot {
 				has[got.ID], after = got.Slot, got.Members
@@ -129,7 +129,7 @@
 	}
 	ctx, end := context.WithTimeout(ctx, s.Settings.CallTimeout())
 	defer end()
-	got, err := transport.Ask[ack](ctx, s.n, head, "store.leave", leaveAsk{ID: me, Keeps: true})
+	got, err := transport.Call[ack](ctx, s.n, head, "store.leave", leaveAsk{ID: me, Keeps: true})
 	return err == nil && got.Held
 }
 
@@ -171,7 +171,7 @@
 				return err == nil
 			}
 		}
-		t.s.e.Pause(ctx, t.s.Settings.HeartbeatInterval()/40)
+		t.s.e.Sleep(ctx, t.s.Settings.HeartbeatInterval()/40)
 	}
 	return false
 }
--- a/internal/store/loop.go
+++ b/internal/store/loop.go
@@ -11,7 +11,7 @@
 func (s *Store) run(ctx context.Context) {
 	wait := time.Duration(0)
 	for {
-		s.e.Looks()
+		s.e.PollSettings()
 		from := time.Now()
 		s.wait(ctx, wait)
 		if ctx.Err() != nil {
@@ -41,7 +41,7 @@
 	at := s.campaignNow && s.role.Is("follow")
 	s.mu.Unlock()
 	if wait > 0 && !at {
-		s.e.Pause(ctx, wait)
+		s.e.Sleep(ctx, wait)
 	}
 }
 
--- a/internal/store/ready.go
+++ b/internal/store/ready.go
@@ -69,4 +69,4 @@
 
 // BytesSent gives the bytes that this process sent to others, by kind of message;
 // receipts count with what they answer.
-func (s *Store) BytesSent() map[transport.Flow]transport.Sum { return s.n.Sizes() }
+func (s *Store) BytesSent() map[transport.Flow]transport.Traffic { return s.n.BytesSent() }
--- a/internal/store/seeds.go
+++ b/internal/store/seeds.go
@@ -29,7 +29,7 @@
 			ctx, end := context.WithTimeout(ctx, s.Settings.Lease()/2)
 			defer end()
 			// Whoever has no state notes the sender; the answer says nothing.
-			_, _ = transport.Ask[ack](ctx, s.n, to, "store.beat", ask)
+			_, _ = transport.Call[ack](ctx, s.n, to, "store.beat", ask)
 		})
 	}
 }
--- a/internal/store/snapshot_test.go
+++ b/internal/store/snapshot_test.go
@@ -23,15 +23,15 @@
 )
 
 // bare is an empty store on a network without connections.
-func bare(t *testing.T) (*Store, *transport.Paved) {
+func bare(t *testing.T) (*Store, *transport.LocalNet) {
 	t.Helper()
 	dir, err := disk.Open(t.TempDir())
 	if err != nil {
 		t.Fatal(err)
 	}
 	p := settings.Settings{Node: "n", ClusterID: "m", ConfigBound: 2 * time.Second, RecoveryBound: 15 * time.Second, MaxFrameBytes: 1 << 20, MaxRequests: 8, InternalAddr: "me:1", ConfiguredStateBytes: 1 << 20}
-	road := &transport.Paved{Road: transport.NewRoad(func(string, string) time.Duration { return time.Millisecond })}
-	s, err := New(p, env.Env{Net: road, FS: dir, Wall: time.Now, Log: event.New("n", nil), Pause: task.Pause})
+	road := &transport.LocalNet{Network: transport.NewLocalNetwork(func(string, string) time.Duration { return time.Millisecond })}
+	s, err := New(p, env.Env{Net: road, FS: dir, Wall: time.Now, Log: event.New("n", nil), Sleep: task.Sleep})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -40,7 +40,7 @@
 
 // alone is a store that is the one member of its cluster, on a network without
 // connections.
-func alone(t *testing.T) (*Store, *transport.Paved) {
+func alone(t *testing.T) (*Store, *transport.LocalNet) {
 	t.Helper()
 	s, road := bare(t)
 	led := statemachine.New("m", []statemachine.Member{{ID: s.acc.Identity().ID, Addr: "me:1"}})
@@ -164,8 +164,8 @@
 		asked := 0
 		g := task.New(context.Background())
 		defer g.Stop()
-		n := transport.NewNode(transport.Hello{Mesh: "m", Node: "sender"}, env.Env{Net: road, Wall: time.Now, Log: event.New("sender", nil)}, g, 1<<20, 8, time.Second)
-		transport.On(n, "store.snapshot", func(_ context.Context, _ transport.Hello, in chunkAsk) (chunkGot, error) {
+		n := transport.NewNode(transport.Hello{ClusterID: "m", Node: "sender"}, env.Env{Net: road, Wall: time.Now, Log: event.New("sender", nil)}, g, 1<<20, 8, time.Second)
+		transport.Handle(n, "store.snapshot", func(_ context.Context, _ transport.Hello, in chunkAsk) (chunkGot, error) {
 			asked++
 			data := bytes.Clone(state[in.Offset:min(in.Offset+snapshotChunk, len(state))])
 			got := chunkGot{ID: in.ID, Offset: in.Offset, Data: data, Checksum: crc32.ChecksumIEEE(data)}
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -99,9 +99,9 @@
 	if err != nil {
 		return nil, err
 	}
-	s := &Store{applying: task.NewLock(), checkpointing: task.NewLock(), imaging: task.NewLock(), writesUnderWay: map[uint64]time.Time{}, Settings: p, e: e, g: task.New(context.Background()).Pace(e.Pause), acc: acc, born: time.Now(), replacedAt: map[string]time.Time{}, applied: make(chan struct{}), duty: map[string]*ballot.Voter{}}
-	s.n = transport.NewNode(transport.Hello{Mesh: p.ClusterID, Node: p.Node, Area: p.Zone, Role: "store"}, e, s.g, p.MaxFrameBytes, p.MaxRequests, p.CallTimeout())
-	s.n.Bound = p.MaxIdleLinks()
+	s := &Store{applying: task.NewLock(), checkpointing: task.NewLock(), imaging: task.NewLock(), writesUnderWay: map[uint64]time.Time{}, Settings: p, e: e, g: task.New(context.Background()).SetSleep(e.Sleep), acc: acc, born: time.Now(), replacedAt: map[string]time.Time{}, applied: make(chan struct{}), duty: map[string]*ballot.Voter{}}
+	s.n = transport.NewNode(transport.Hello{ClusterID: p.ClusterID, Node: p.Node, Zone: p.Zone, Role: "store"}, e, s.g, p.MaxFrameBytes, p.MaxRequests, p.CallTimeout())
+	s.n.MaxIdleLinks = p.MaxIdleLinks()
 	s.pulse = pausedetect.New(p.HeartbeatInterval(), p.UnnoticedPause(), nil)
 	acc.Observe = e.Trace
 	for _, n := range acc.DamagedFiles {
@@ -185,7 +185,7 @@
 	s.e.Log.Emit(event.Started, "program", "store", "inner", s.Settings.InternalAddr, "replica", s.acc.Identity().ID)
 	s.tellOpened()
 	s.g.Go("life", s.run)
-	s.g.Go("pulse", func(ctx context.Context) { s.pulse.Run(ctx, s.e.Pause) })
+	s.g.Go("pulse", func(ctx context.Context) { s.pulse.Run(ctx, s.e.Sleep) })
 	return nil
 }
 
@@ -204,7 +204,7 @@
 	s.mu.Unlock()
 	s.leave()
 	s.transferLeadership("stopping")
-	s.n.Leave(s.Settings.FarewellTimeout())
+	s.n.CloseGracefully(s.Settings.FarewellTimeout())
 	s.Kill()
 	s.e.Log.Emit(event.Stopped, "program", "store")
 }
--- a/internal/task/task.go
+++ b/internal/task/task.go
@@ -23,11 +23,11 @@
 // New makes a Group whose goroutines end with root.
 func New(root context.Context) *Group {
 	ctx, stop := context.WithCancel(root)
-	return &Group{ctx: ctx, stop: stop, live: map[string]int{}, pause: Pause}
+	return &Group{ctx: ctx, stop: stop, live: map[string]int{}, pause: Sleep}
 }
 
-// Pace sets how Every waits between two beats.
-func (g *Group) Pace(pause func(context.Context, time.Duration)) *Group {
+// SetSleep sets how Every waits between two beats.
+func (g *Group) SetSleep(pause func(context.Context, time.Duration)) *Group {
 	if pause != nil {
 		g.pause = pause
 	}
@@ -103,8 +103,8 @@
 	g.wg.Wait()
 }
 
-// Pause waits for a time, or until the context ends.
-func Pause(ctx context.Context, d time.Duration) {
+// Sleep waits for a time, or until the context ends.
+func Sleep(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
--- a/internal/transport/book.go
+++ b/internal/transport/book.go
@@ -15,9 +15,9 @@
 
 func (f *full) Unwrap() error { return f.error }
 
-// Full tells whether a call was not sent for want of room on its link alone,
+// IsLinkFull tells whether a call was not sent for want of room on its link alone,
 // and when there may be some, 0 if that is not known.
-func Full(err error) (time.Duration, bool) {
+func IsLinkFull(err error) (time.Duration, bool) {
 	f, ok := err.(*full)
 	if !ok {
 		return 0, false
@@ -40,7 +40,7 @@
 // late tells that a bulk call would not be through in time. The link's lock is
 // held.
 func (l *link) late(i *item) bool {
-	if i.lane != Bulk || i.left <= 0 {
+	if i.lane != LaneBulk || i.left <= 0 {
 		return false
 	}
 	most := patient(time.Duration(i.left) * time.Millisecond)
@@ -80,8 +80,8 @@
 	if f.at > 0 {
 		there = time.Duration(f.at-1)*time.Millisecond + l.conn.said
 	}
-	l.track.note(l.n.now(), l.n.now()-w.marks[0].at, l.n.Patience, w.marks[0].size)
-	gap := w.acked(l.n.now(), there, l.n.Patience, l.q.lane[Bulk].first != nil)
+	l.track.note(l.n.now(), l.n.now()-w.marks[0].at, l.n.SilenceTimeout, w.marks[0].size)
+	gap := w.acked(l.n.now(), there, l.n.SilenceTimeout, l.q.lane[LaneBulk].first != nil)
 	l.pace()
 	w.rest = w.rest || gap > 0 && l.n.g.Go("bulk-pause", func(ctx context.Context) {
 		l.n.rest(ctx, gap)
@@ -100,14 +100,14 @@
 // they would only hold up the others. The link's lock is held.
 func (l *link) prune() {
 	for {
-		i := l.q.lane[Bulk].first
+		i := l.q.lane[LaneBulk].first
 		if i == nil || i.end == 0 || l.n.now() < i.end {
 			return
 		}
 		l.q.drop(i)
 		i.body.free()
 		if i.off > 0 {
-			l.q.push(&item{head: head{lane: Control, part: i.part, rest: -1}, of: i.of})
+			l.q.push(&item{head: head{lane: LaneControl, part: i.part, rest: -1}, of: i.of})
 		}
 		l.tell()
 		l.spent()
@@ -141,15 +141,15 @@
 	return laneOf(ctx)
 }
 
-// Book keeps room for the receipt of the bulk call that is being handled, by
+// ReserveResponse keeps room for the receipt of the bulk call that is being handled, by
 // its expected bytes and the time until it is there. False means that it could
 // not be through in time; then come is when there may be room. The room is
 // held until free is called, right before the receipt goes out.
-func Book(ctx context.Context, size int, run time.Duration) (free func(), come time.Duration, ok bool) {
+func ReserveResponse(ctx context.Context, size int, run time.Duration) (free func(), come time.Duration, ok bool) {
 	free = func() {}
 	c, is := ctx.Value(cameKey{}).(*came)
 	// A small one passes the bulk that waits.
-	if !is || c.lane != Bulk || size <= start || !c.l.q.flow.on {
+	if !is || c.lane != LaneBulk || size <= start || !c.l.q.flow.on {
 		return free, 0, true
 	}
 	l := c.l
@@ -157,7 +157,7 @@
 	defer l.mu.Unlock()
 	waits := l.q.waits()
 	// Answers that wait are bounded in bytes like calls that do.
-	ok = waits == 0 || waits+size <= l.n.Most/4
+	ok = waits == 0 || waits+size <= l.n.MaxFrameBytes/4
 	if end, set := ctx.Deadline(); set {
 		ok = ok && l.timely(size, patient(time.Until(end))-run)
 	}
@@ -174,9 +174,9 @@
 	}, 0, true
 }
 
-// Wait is how long bulk of a size would take to a fellow now, by the speed
+// BulkDelay is how long bulk of a size would take to a fellow now, by the speed
 // measured on the link to it; 0 when nothing waits there or nothing is known.
-func (n *Node) Wait(addr string, size int) time.Duration {
+func (n *Node) BulkDelay(addr string, size int) time.Duration {
 	n.mu.Lock()
 	d := n.links[addr]
 	var l *link
--- a/internal/transport/bulk_test.go
+++ b/internal/transport/bulk_test.go
@@ -12,9 +12,9 @@
 )
 
 func bulk(p *pair, kind string, in ping, left time.Duration) (ping, error) {
-	ctx, end := context.WithTimeout(transport.Lane(context.Background(), transport.Bulk), left)
+	ctx, end := context.WithTimeout(transport.WithLane(context.Background(), transport.LaneBulk), left)
 	defer end()
-	return transport.Ask[ping](ctx, p.a, "h2:1", kind, in)
+	return transport.Call[ping](ctx, p.a, "h2:1", kind, in)
 }
 
 // TestBulkOld: a fellow of the version before, which knows no pieces and gets no
@@ -24,8 +24,8 @@
 		synctest.Test(t, func(t *testing.T) {
 			p := newPair(t, "m")
 			defer p.stop()
-			if p.a.Self.High = 1; old == "b" {
-				p.a.Self.High, p.b.Self.High = 2, 1
+			if p.a.Self.MaxVersion = 1; old == "b" {
+				p.a.Self.MaxVersion, p.b.Self.MaxVersion = 2, 1
 			}
 			p.net.Thin("h1", megabit)
 			p.net.Thin("h2", megabit)
@@ -53,7 +53,7 @@
 		for range cap(ends) {
 			go func() {
 				_, err := bulk(p, "swap", ping{Body: make([]byte, 20_000)}, 2*time.Second)
-				come, full := transport.Full(err)
+				come, full := transport.IsLinkFull(err)
 				switch {
 				case err == nil:
 					ends <- "done"
@@ -83,8 +83,8 @@
 		p := newPair(t, "m")
 		defer p.stop()
 		ran := 0
-		transport.On(p.b, "file", func(ctx context.Context, _ transport.Hello, in ping) (ping, error) {
-			free, come, ok := transport.Book(ctx, in.N, 0)
+		transport.Handle(p.b, "file", func(ctx context.Context, _ transport.Hello, in ping) (ping, error) {
+			free, come, ok := transport.ReserveResponse(ctx, in.N, 0)
 			if !ok {
 				return ping{}, fault.New(fault.Refused, "come after %v", come > 0)
 			}
@@ -131,7 +131,7 @@
 		for i := 3; i < 8; i++ {
 			h := fmt.Sprint("h", i)
 			n := p.node(h, "m")
-			transport.On(n, "swap", func(context.Context, transport.Hello, ping) (ping, error) { return ping{}, nil })
+			transport.Handle(n, "swap", func(context.Context, transport.Hello, ping) (ping, error) { return ping{}, nil })
 			if err := n.Listen(h + ":1"); err != nil {
 				t.Fatal(err)
 			}
@@ -139,9 +139,9 @@
 			far = append(far, n)
 		}
 		send := func(i int, back chan error) {
-			ctx, end := context.WithTimeout(transport.Lane(context.Background(), transport.Bulk), 9*time.Second)
+			ctx, end := context.WithTimeout(transport.WithLane(context.Background(), transport.LaneBulk), 9*time.Second)
 			defer end()
-			_, err := transport.Ask[ping](ctx, p.a, fmt.Sprintf("h%d:1", i), "swap", ping{Body: make([]byte, 200_000)})
+			_, err := transport.Call[ping](ctx, p.a, fmt.Sprintf("h%d:1", i), "swap", ping{Body: make([]byte, 200_000)})
 			back <- err
 		}
 		first := make(chan error, 9)
--- a/internal/transport/bye.go
+++ b/internal/transport/bye.go
@@ -9,10 +9,10 @@
 
 const goodbye = "link.bye"
 
-// Leave ends the node's links politely. Fellows are told that this one goes:
+// CloseGracefully ends the node's links politely. Fellows are told that this one goes:
 // they send no more calls, what they sent before is answered, and only then
 // may the links be closed. So a planned end leaves no call without an outcome.
-func (n *Node) Leave(long time.Duration) {
+func (n *Node) CloseGracefully(long time.Duration) {
 	ctx, end := context.WithTimeout(n.g.Context(), long)
 	defer end()
 	if n.ear != nil {
@@ -35,7 +35,7 @@
 		<-told
 	}
 	for ctx.Err() == nil && n.owes(all) {
-		task.Pause(ctx, n.Patience/100)
+		task.Sleep(ctx, n.SilenceTimeout/100)
 	}
 }
 
--- a/internal/transport/bye_test.go
+++ b/internal/transport/bye_test.go
@@ -16,7 +16,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		for round := range 20 {
 			p := newPair(t, "m")
-			transport.On(p.b, "slow", func(_ context.Context, _ transport.Hello, in ping) (ping, error) {
+			transport.Handle(p.b, "slow", func(_ context.Context, _ transport.Hello, in ping) (ping, error) {
 				<-time.After(7 * time.Millisecond)
 				return in, nil
 			})
@@ -37,7 +37,7 @@
 			}
 			<-time.After(50 * time.Millisecond)
 			from := time.Now()
-			p.b.Leave(200 * time.Millisecond)
+			p.b.CloseGracefully(200 * time.Millisecond)
 			took := time.Since(from)
 			p.b.Close()
 			<-time.After(10 * time.Millisecond)
--- a/internal/transport/call.go
+++ b/internal/transport/call.go
@@ -7,10 +7,10 @@
 	"puffincrank/internal/fault"
 )
 
-// Ask calls a fellow and unpacks its receipt. The kinds of error tell what is
+// Call calls a fellow and unpacks its receipt. The kinds of error tell what is
 // known: Unsent and Refused mean that nothing was done, Unknown that it may
 // have been. The call goes by the context's lane.
-func Ask[O any](ctx context.Context, n *Node, addr, kind string, in any) (O, error) {
+func Call[O any](ctx context.Context, n *Node, addr, kind string, in any) (O, error) {
 	var out O
 	body, err := pack(in)
 	if err != nil {
@@ -20,7 +20,7 @@
 	if err != nil {
 		return out, err
 	}
-	err = Unpack(got.body, &out)
+	err = Decode(got.body, &out)
 	got.free()
 	return out, fault.Wrap(fault.Unknown, err, kind)
 }
@@ -39,8 +39,8 @@
 	return l.call(ctx, kind, body)
 }
 
-// Cast sends without a receipt; a loss is left to repair.
-func (n *Node) Cast(ctx context.Context, addr, kind string, in any) error {
+// Send sends without a receipt; a loss is left to repair.
+func (n *Node) Send(ctx context.Context, addr, kind string, in any) error {
 	body, err := pack(in)
 	if err != nil {
 		return err
@@ -63,7 +63,7 @@
 
 // over tells that a frame is over the bound on frames.
 func (n *Node) over(i *item) bool {
-	return i.body.size()+most+len(i.kind)+len(i.say) > n.Most
+	return i.body.size()+most+len(i.kind)+len(i.say) > n.MaxFrameBytes
 }
 
 // call sends one call and waits for its receipt.
@@ -83,9 +83,9 @@
 		body.free()
 		return nil, fault.New(fault.Unsent, "%s: frame over the bound", kind)
 	}
-	if i.lane == Bulk && body.size() <= start {
+	if i.lane == LaneBulk && body.size() <= start {
 		// What is large is its receipt, on the way back.
-		i.lane, i.back = Bulk-1, Bulk
+		i.lane, i.back = LaneBulk-1, LaneBulk
 	}
 	t := l.n.turn()
 	t.out, t.item, i.turn = false, i, t
@@ -136,7 +136,7 @@
 		// The receipt came in this very moment.
 		return (<-t.back).done(kind)
 	}
-	if certain && laneOf(ctx) == Bulk && ctx.Err() != nil {
+	if certain && laneOf(ctx) == LaneBulk && ctx.Err() != nil {
 		// Nothing is wrong with the fellow: it had to wait for too long.
 		l.mu.Lock()
 		defer l.mu.Unlock()
--- a/internal/transport/cancel.go
+++ b/internal/transport/cancel.go
@@ -10,19 +10,19 @@
 // what they were asked to.
 const abandon = "call.abandon"
 
-// Abandonable makes calls of a kind end when their askers no longer wait, and lets
+// PropagateCancellation makes calls of a kind end when their askers no longer wait, and lets
 // their takers notify the askers: the
 // context of the taker is cancelled when the asker's was, or when the link over
 // which the receipt would go has ended. Both sides say so, before Listen. A
 // context that ended by its deadline, or was cancelled with a cause of its own
 // (context.WithCancelCause), abandons nothing.
-func Abandonable(n *Node, kind string) {
+func PropagateCancellation(n *Node, kind string) {
 	n.takers[kind].ends = true
 }
 
-// Abandoned tells that a context was cancelled by whom the work was for, and not
+// CanceledByCaller tells that a context was cancelled by whom the work was for, and not
 // by time, nor with a cause of its own.
-func Abandoned(ctx context.Context) bool {
+func CanceledByCaller(ctx context.Context) bool {
 	return errors.Is(ctx.Err(), context.Canceled) && context.Cause(ctx) == context.Canceled
 }
 
@@ -30,7 +30,7 @@
 // difference there. It is a word of a few bytes on the most urgent lane, and is
 // never turned away for want of room.
 func (l *link) abandons(ctx context.Context, kind string, id uint64) {
-	if t := l.n.takers[kind]; t == nil || !t.ends || !Abandoned(ctx) {
+	if t := l.n.takers[kind]; t == nil || !t.ends || !CanceledByCaller(ctx) {
 		return
 	}
 	l.mu.Lock()
@@ -97,7 +97,7 @@
 	}
 	ctx = context.WithValue(ctx, askerKey{}, &asker{road: n.road, from: from, here: n})
 	ignore := context.AfterFunc(waits, func() {
-		if Abandoned(waits) {
+		if CanceledByCaller(waits) {
 			stop()
 		}
 	})
--- a/internal/transport/cancel_test.go
+++ b/internal/transport/cancel_test.go
@@ -16,13 +16,13 @@
 	p = newPair(t, "m")
 	began, ended = make(chan struct{}, 8), make(chan error, 8)
 	for _, n := range []*transport.Node{p.a, p.b} {
-		transport.On(n, "work", func(ctx context.Context, _ transport.Hello, in ping) (ping, error) {
+		transport.Handle(n, "work", func(ctx context.Context, _ transport.Hello, in ping) (ping, error) {
 			began <- struct{}{}
 			<-ctx.Done()
 			ended <- ctx.Err()
 			return in, nil
 		})
-		transport.Abandonable(n, "work")
+		transport.PropagateCancellation(n, "work")
 	}
 	return p, began, ended
 }
@@ -36,10 +36,10 @@
 			defer p.stop()
 			other, end := context.WithTimeout(t.Context(), 10*time.Second)
 			defer end()
-			p.g.Go("other", func(context.Context) { _, _ = transport.Ask[ping](other, p.a, "h2:1", "work", ping{}) })
+			p.g.Go("other", func(context.Context) { _, _ = transport.Call[ping](other, p.a, "h2:1", "work", ping{}) })
 			<-began
 			ctx, stop := context.WithCancelCause(t.Context())
-			p.g.Go("asker", func(context.Context) { _, _ = transport.Ask[ping](ctx, p.a, "h2:1", "work", ping{}) })
+			p.g.Go("asker", func(context.Context) { _, _ = transport.Call[ping](ctx, p.a, "h2:1", "work", ping{}) })
 			<-began
 			stop(cause)
 			<-time.After(100 * time.Millisecond)
@@ -57,7 +57,7 @@
 		defer p.stop()
 		ctx, end := context.WithTimeout(t.Context(), time.Minute)
 		defer end()
-		p.g.Go("asker", func(context.Context) { _, _ = transport.Ask[ping](ctx, p.a, "h2:1", "work", ping{}) })
+		p.g.Go("asker", func(context.Context) { _, _ = transport.Call[ping](ctx, p.a, "h2:1", "work", ping{}) })
 		<-began
 		p.a.Close()
 		<-time.After(100 * time.Millisecond)
--- a/internal/transport/code_test.go
+++ b/internal/transport/code_test.go
@@ -26,7 +26,7 @@
 		count := rapid.Int64Range(0, 1<<62)
 		body, _ := msgpack.Marshal(map[string]any{"x": rapid.SliceOfN(rapid.Byte(), 0, 300).Draw(t, "body"), "n": rapid.Int64().Draw(t, "n")})
 		h := head{kind: text.Draw(t, "kind"), id: rapid.Uint64().Draw(t, "id"), left: count.Draw(t, "left"), at: count.Draw(t, "at"), bad: text.Draw(t, "bad"),
-			say: text.Draw(t, "say"), lane: rapid.IntRange(0, Bulk).Draw(t, "lane"), part: uint64(count.Draw(t, "part")), rest: rapid.Int64Range(-1, 1<<40).Draw(t, "rest")}
+			say: text.Draw(t, "say"), lane: rapid.IntRange(0, LaneBulk).Draw(t, "lane"), part: uint64(count.Draw(t, "part")), rest: rapid.Int64Range(-1, 1<<40).Draw(t, "rest")}
 		cut := rapid.Bool().Draw(t, "cut")
 		raw := h.write(nil, body, cut)
 		if most := most + len(h.kind) + len(h.bad) + len(h.say) + len(body); len(raw) > most {
@@ -69,7 +69,7 @@
 			t.Fatalf("%+v %v", f.head, err)
 		}
 		var in map[string]int
-		if err := Unpack(f.body, &in); err != nil || in["q"] != 1 {
+		if err := Decode(f.body, &in); err != nil || in["q"] != 1 {
 			t.Fatalf("%v %v", in, err)
 		}
 		raw, _ = msgpack.Marshal(map[string]any{"b": map[string]int{"q": 1}, "later": []any{1, "x", nil, 1.5}, "i": uint64(7), "l": int8(-3)})
--- a/internal/transport/cost_test.go
+++ b/internal/transport/cost_test.go
@@ -25,10 +25,10 @@
 func calls(b *testing.B, size, many int) {
 	g := task.New(context.Background())
 	mk := func(name string) *transport.Node {
-		return transport.NewNode(transport.Hello{Mesh: "m", Node: name, Area: "x"}, env.Real(name), g, 16<<20, 2048, time.Second)
+		return transport.NewNode(transport.Hello{ClusterID: "m", Node: name, Zone: "x"}, env.Real(name), g, 16<<20, 2048, time.Second)
 	}
 	one, two := mk("one"), mk("two")
-	transport.On(two, "ping", func(_ context.Context, _ transport.Hello, in ping) (ping, error) { return in, nil })
+	transport.Handle(two, "ping", func(_ context.Context, _ transport.Hello, in ping) (ping, error) { return in, nil })
 	ear, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		b.Fatal(err)
@@ -48,7 +48,7 @@
 	ask := func() {
 		ctx, end := context.WithTimeout(context.Background(), 5*time.Second)
 		defer end()
-		if _, err := transport.Ask[ping](ctx, one, at, "ping", in); err != nil {
+		if _, err := transport.Call[ping](ctx, one, at, "ping", in); err != nil {
 			b.Error(err)
 		}
 	}
--- a/internal/transport/dark_test.go
+++ b/internal/transport/dark_test.go
@@ -83,14 +83,14 @@
 	synctest.Test(t, func(t *testing.T) {
 		p := newPair(t, "m")
 		defer p.stop()
-		transport.On(p.b, "long", func(context.Context, transport.Hello, ping) (ping, error) {
+		transport.Handle(p.b, "long", func(context.Context, transport.Hello, ping) (ping, error) {
 			<-time.After(20 * patience)
 			return ping{N: 7}, nil
 		})
 		if got, err := ask(p, "long", ping{}, time.Minute); err != nil || got.N != 7 {
 			t.Errorf("a slow taker: %v %v", got, err)
 		}
-		pings := p.a.Sizes()[transport.Flow{Kind: "link.alive"}].Frames
+		pings := p.a.BytesSent()[transport.Flow{Kind: "link.alive"}].Frames
 		if pings < 20 || pings > 41 {
 			t.Errorf("%d pings in 20 times the patience", pings)
 		}
@@ -108,7 +108,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		p := newPair(t, "m")
 		defer p.stop()
-		transport.On(p.b, "later", func(context.Context, transport.Hello, ping) (ping, error) {
+		transport.Handle(p.b, "later", func(context.Context, transport.Hello, ping) (ping, error) {
 			<-time.After(patience)
 			return ping{N: 7}, nil
 		})
--- a/internal/transport/dial.go
+++ b/internal/transport/dial.go
@@ -31,7 +31,7 @@
 		return d.l, d.err
 	default:
 	}
-	late := time.NewTimer(d.from + n.Patience/2 - n.now())
+	late := time.NewTimer(d.from + n.SilenceTimeout/2 - n.now())
 	defer late.Stop()
 	select {
 	case <-d.done:
@@ -48,12 +48,12 @@
 	case <-d.done:
 		return false
 	default:
-		return n.now()-d.from > n.Patience
+		return n.now()-d.from > n.SilenceTimeout
 	}
 }
 
 func (n *Node) open(ctx context.Context, addr string, d *dial) {
-	by := time.Now().Add(n.Patience)
+	by := time.Now().Add(n.SilenceTimeout)
 	ctx, end := context.WithDeadline(ctx, by)
 	defer end()
 	defer close(d.done)
--- a/internal/transport/due.go
+++ b/internal/transport/due.go
@@ -7,10 +7,10 @@
 
 type dueKey struct{}
 
-// Due makes calls be taken back that have not gone out whole by a time: they
+// WithSendDeadline makes calls be taken back that have not gone out whole by a time: they
 // certainly were not done then. What has gone out by then goes on to the
 // context's own end.
-func Due(ctx context.Context, by time.Time) context.Context {
+func WithSendDeadline(ctx context.Context, by time.Time) context.Context {
 	return context.WithValue(ctx, dueKey{}, by)
 }
 
--- a/internal/transport/due_test.go
+++ b/internal/transport/due_test.go
@@ -19,17 +19,17 @@
 		p := newPair(t, "m")
 		defer p.stop()
 		var came atomic.Int64
-		transport.On(p.b, "keep", func(_ context.Context, _ transport.Hello, in ping) (ping, error) {
+		transport.Handle(p.b, "keep", func(_ context.Context, _ transport.Hello, in ping) (ping, error) {
 			came.Add(1)
 			<-time.After(3 * time.Second)
 			return ping{N: in.N}, nil
 		})
 		p.net.Thin("h1", megabit)
 		send := func(size int, by time.Duration) (time.Duration, error) {
-			ctx, end := context.WithTimeout(transport.Lane(context.Background(), transport.Bulk), time.Minute)
+			ctx, end := context.WithTimeout(transport.WithLane(context.Background(), transport.LaneBulk), time.Minute)
 			defer end()
 			from := time.Now()
-			_, err := transport.Ask[ping](transport.Due(ctx, from.Add(by)), p.a, "h2:1", "keep", ping{Body: make([]byte, size)})
+			_, err := transport.Call[ping](transport.WithSendDeadline(ctx, from.Add(by)), p.a, "h2:1", "keep", ping{Body: make([]byte, size)})
 			return time.Since(from), err
 		}
 		if took, err := send(100, 500*time.Millisecond); err != nil || took < 3*time.Second {
@@ -43,7 +43,7 @@
 		<-time.After(100 * time.Millisecond)
 		for range 3 {
 			took, err := send(100_000, time.Second)
-			if come, full := transport.Full(err); !full || come <= 0 || !fault.Is(err, fault.Unsent) || took > 1100*time.Millisecond {
+			if come, full := transport.IsLinkFull(err); !full || come <= 0 || !fault.Is(err, fault.Unsent) || took > 1100*time.Millisecond {
 				t.Errorf("what waited ended after %v, to come after %v: %v", took, come, err)
 			}
 		}
--- a/internal/transport/fellow_test.go
+++ b/internal/transport/fellow_test.go
@@ -43,7 +43,7 @@
 		t.Fatal(err)
 	}
 	f := &plain{c, bufio.NewReader(c), time.Now()}
-	f.say(t, transport.Hello{Mark: "puffincrank", Mesh: "m", Low: 1, High: high, Node: "plain"})
+	f.say(t, transport.Hello{Magic: "puffincrank", ClusterID: "m", MinVersion: 1, MaxVersion: high, Node: "plain"})
 	var got transport.Hello
 	f.get(t, &got)
 	return f
--- a/internal/transport/few.go
+++ b/internal/transport/few.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// Links counts the links that stand, whoever dialed them.
-func (n *Node) Links() int {
+// LinkCount counts the links that stand, whoever dialed them.
+func (n *Node) LinkCount() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return len(n.all)
@@ -31,11 +31,11 @@
 			all = append(all, old{a, d.l, d.l.used.Load()})
 		}
 	}
-	many := len(all) - n.Bound*7/8
+	many := len(all) - n.MaxIdleLinks*7/8
 	slices.SortFunc(all, func(a, b old) int { return cmp.Compare(a.used, b.used) })
 	var out []*link
 	for _, o := range all[:max(many, 0)] {
-		if n.now()-time.Duration(o.used) < n.Patience {
+		if n.now()-time.Duration(o.used) < n.SilenceTimeout {
 			break
 		}
 		delete(n.links, o.addr)
@@ -59,7 +59,7 @@
 	left := n.spare()
 	for len(left) > 0 && ctx.Err() == nil {
 		// A call that found the link on the list a moment ago is on it by then.
-		n.rest(ctx, n.Patience/4)
+		n.rest(ctx, n.SilenceTimeout/4)
 		left = slices.DeleteFunc(left, func(l *link) bool {
 			if !l.rests() {
 				return false
@@ -75,7 +75,7 @@
 // under way.
 func (n *Node) bounded() {
 	n.mu.Lock()
-	over := n.Bound > 0 && len(n.links) > n.Bound
+	over := n.MaxIdleLinks > 0 && len(n.links) > n.MaxIdleLinks
 	n.mu.Unlock()
 	if over && !n.trims.Swap(true) && !n.g.Go("link-trim", n.trim) {
 		n.trims.Store(false)
--- a/internal/transport/few_test.go
+++ b/internal/transport/few_test.go
@@ -19,11 +19,11 @@
 	for i := range many {
 		host := fmt.Sprintf("f%d", i)
 		n := p.node(host, "m")
-		transport.On(n, "slow", func(_ context.Context, _ transport.Hello, in ping) (ping, error) {
+		transport.Handle(n, "slow", func(_ context.Context, _ transport.Hello, in ping) (ping, error) {
 			<-time.After(time.Duration(in.N) * time.Millisecond)
 			return in, nil
 		})
-		transport.On(n, "told", func(context.Context, transport.Hello, ping) (struct{}, error) {
+		transport.Handle(n, "told", func(context.Context, transport.Hello, ping) (struct{}, error) {
 			casts.Add(1)
 			return struct{}{}, nil
 		})
@@ -44,16 +44,16 @@
 		const bound = 16
 		p := newPair(t, "m")
 		defer p.stop()
-		p.a.Bound = bound
+		p.a.MaxIdleLinks = bound
 		casts, all := p.crowd(t, 5*bound)
 		// One after the other, as a repair meets them.
 		for round := range 2 {
 			for _, at := range all {
-				if _, err := transport.Ask[ping](t.Context(), p.a, at, "slow", ping{N: 1}); err != nil {
+				if _, err := transport.Call[ping](t.Context(), p.a, at, "slow", ping{N: 1}); err != nil {
 					t.Fatal(round, at, err)
 				}
-				<-time.After(p.a.Patience / 4)
-				if n := p.a.Links(); n > bound*3/2 {
+				<-time.After(p.a.SilenceTimeout / 4)
+				if n := p.a.LinkCount(); n > bound*3/2 {
 					t.Fatalf("%d links stand", n)
 				}
 			}
@@ -68,10 +68,10 @@
 				defer wait.Done()
 				for range 300 {
 					at := all[rnd.IntN(len(all))]
-					if err := p.a.Cast(t.Context(), at, "told", ping{}); err != nil {
+					if err := p.a.Send(t.Context(), at, "told", ping{}); err != nil {
 						t.Errorf("a cast to %s: %v", at, err)
 					}
-					if _, err := transport.Ask[ping](t.Context(), p.a, all[rnd.IntN(len(all))], "slow", ping{N: rnd.IntN(1500)}); err != nil {
+					if _, err := transport.Call[ping](t.Context(), p.a, all[rnd.IntN(len(all))], "slow", ping{N: rnd.IntN(1500)}); err != nil {
 						t.Errorf("a call to %s: %v", at, err)
 					}
 				}
@@ -87,8 +87,8 @@
 			select {
 			case <-over:
 				end = true
-			case <-time.After(p.a.Patience / 4):
-				most = max(most, p.a.Links())
+			case <-time.After(p.a.SilenceTimeout / 4):
+				most = max(most, p.a.LinkCount())
 			}
 		}
 		t.Logf("%d links at the most, of %d fellows", most, len(all))
--- a/internal/transport/flow.go
+++ b/internal/transport/flow.go
@@ -164,8 +164,8 @@
 
 // waits is how many bytes of bulk wait, with answers that will.
 func (q *queue) waits() int {
-	n := q.lane[Bulk].size + q.flow.booked
-	if i := q.lane[Bulk].first; i != nil {
+	n := q.lane[LaneBulk].size + q.flow.booked
+	if i := q.lane[LaneBulk].first; i != nil {
 		n -= i.off
 	}
 	return n
--- a/internal/transport/frame.go
+++ b/internal/transport/frame.go
@@ -15,21 +15,21 @@
 // Low and High are the wire versions that this program speaks. From 2 on
 // large bodies travel in pieces.
 const (
-	Low    = 1
-	High   = 2
-	pieces = 2
-	mark   = "puffincrank"
+	MinVersion = 1
+	MaxVersion = 2
+	pieces     = 2
+	mark       = "puffincrank"
 )
 
 // Hello is the first frame each way.
 type Hello struct {
-	Mark string `msgpack:"mark"`
-	Mesh string `msgpack:"mesh"`
-	Low  int    `msgpack:"low"`
-	High int    `msgpack:"high"`
-	Node string `msgpack:"node"`
-	Area string `msgpack:"area"`
-	Role string `msgpack:"role"`
+	Magic      string `msgpack:"mark"`
+	ClusterID  string `msgpack:"mesh"`
+	MinVersion int    `msgpack:"low"`
+	MaxVersion int    `msgpack:"high"`
+	Node       string `msgpack:"node"`
+	Zone       string `msgpack:"area"`
+	Role       string `msgpack:"role"`
 }
 
 // head is what a frame says besides its body. A call has a kind and an id, a
@@ -84,7 +84,7 @@
 		return err
 	}
 	defer got.free()
-	return Unpack(got.b, h)
+	return Decode(got.b, h)
 }
 
 // get reads the bytes of one frame.
@@ -114,14 +114,14 @@
 
 // agree picks the version of a link, or says why there is none.
 func agree(own, got Hello) (int, error) {
-	if got.Mark != mark {
+	if got.Magic != mark {
 		return 0, fault.New(fault.Input, "not a puffincrank hello")
 	}
-	if got.Mesh != own.Mesh {
-		return 0, fault.New(fault.Input, "fellow is of mesh %q, not %q", got.Mesh, own.Mesh)
+	if got.ClusterID != own.ClusterID {
+		return 0, fault.New(fault.Input, "fellow is of mesh %q, not %q", got.ClusterID, own.ClusterID)
 	}
-	top := min(own.High, got.High)
-	if top < own.Low || top < got.Low {
+	top := min(own.MaxVersion, got.MaxVersion)
+	if top < own.MinVersion || top < got.MinVersion {
 		return 0, fault.New(fault.Input, "no wire version in common")
 	}
 	return top, nil
--- a/internal/transport/fuzz_test.go
+++ b/internal/transport/fuzz_test.go
@@ -44,7 +44,7 @@
 	add(sized(append([]byte{0x81, 0xa1, 'b', 0x81, 0xa1, 'a'}, bytes.Repeat([]byte{0x91}, 3000)...)...))
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		const bound = 1 << 20
-		n := &Node{Most: bound, takers: map[string]*taker{"x": {kind: "x"}}}
+		n := &Node{MaxFrameBytes: bound, takers: map[string]*taker{"x": {kind: "x"}}}
 		l := &link{n: n, conn: &tap{n: n}, open: map[uint64]*frame{}}
 		r := bufio.NewReader(bytes.NewReader(raw))
 		var before, after runtime.MemStats
@@ -54,7 +54,7 @@
 			var got *frame
 			if got, err = l.hear(r); got != nil {
 				var in deep
-				if err := Unpack(got.body, &in); err != nil && !fault.Is(err, fault.Input) {
+				if err := Decode(got.body, &in); err != nil && !fault.Is(err, fault.Input) {
 					t.Errorf("unpack: %v", err)
 				}
 				got.free()
--- a/internal/transport/haste.go
+++ b/internal/transport/haste.go
@@ -4,10 +4,10 @@
 // the rest.
 const haste = "link.haste"
 
-// Haste tells all fellows that this node goes soon: the bulk that they have for
+// PrioritizeBulk tells all fellows that this node goes soon: the bulk that they have for
 // it takes the next turns on their thin links, since it would be lost
 // otherwise. Fellows that don't know the word pass over it.
-func (n *Node) Haste() {
+func (n *Node) PrioritizeBulk() {
 	if n.road != nil || n.hasty.Swap(true) {
 		return
 	}
