--- a/internal/transport/haste_test.go
+++ b/internal/transport/haste_test.go
@@ -19,7 +19,7 @@
 			p := newPair(t, "m")
 			defer p.stop()
 			const size = 200_000
-			transport.On(p.a, "file", func(context.Context, transport.Hello, ping) (ping, error) {
+			transport.Handle(p.a, "file", func(context.Context, transport.Hello, ping) (ping, error) {
 				return ping{Body: make([]byte, size)}, nil
 			})
 			if err := p.a.Listen("h1:1"); err != nil {
@@ -32,9 +32,9 @@
 				defer far[i].Close()
 			}
 			fetch := func(n *transport.Node) error {
-				ctx, end := context.WithTimeout(transport.Lane(context.Background(), transport.Bulk), time.Minute)
+				ctx, end := context.WithTimeout(transport.WithLane(context.Background(), transport.LaneBulk), time.Minute)
 				defer end()
-				got, err := transport.Ask[ping](ctx, n, "h1:1", "file", ping{})
+				got, err := transport.Call[ping](ctx, n, "h1:1", "file", ping{})
 				if err == nil && len(got.Body) != size {
 					err = fmt.Errorf("%d bytes", len(got.Body))
 				}
@@ -42,7 +42,7 @@
 			}
 			last := far[many-1]
 			if goes == 2 {
-				last.Haste()
+				last.PrioritizeBulk()
 			}
 			for i := range many {
 				if goes != 2 || i < many-1 {
@@ -64,7 +64,7 @@
 				<-time.After(50 * time.Millisecond)
 			}
 			if goes == 1 {
-				last.Haste()
+				last.PrioritizeBulk()
 			}
 			place := 0
 			for k := range many {
--- a/internal/transport/join.go
+++ b/internal/transport/join.go
@@ -15,7 +15,7 @@
 		return nil, nil
 	}
 	if o == nil {
-		if f.rest > int64(l.n.Most) {
+		if f.rest > int64(l.n.MaxFrameBytes) {
 			return nil, fault.New(fault.Input, "a body is over the bound")
 		}
 		o = &frame{head: f.head, end: f.end}
@@ -24,7 +24,7 @@
 	} else if f.rest != o.rest-int64(len(f.body)) {
 		return nil, fault.New(fault.Input, "a piece of a body is out of its place")
 	}
-	if l.held += toll; l.held > 3*l.n.Most {
+	if l.held += toll; l.held > 3*l.n.MaxFrameBytes {
 		return nil, fault.New(fault.Input, "bodies under way are over the bound")
 	}
 	o.rest = f.rest
--- a/internal/transport/lanes.go
+++ b/internal/transport/lanes.go
@@ -8,10 +8,10 @@
 // The lanes of a link, urgent first: what holds the mesh together, jobs by
 // rank, and what may take as long as it takes.
 const (
-	Control = 0
-	Jobs    = 1 // the most urgent of the jobs
-	Bulk    = 7
-	lanes   = Bulk + 1
+	LaneControl  = 0
+	LaneRequests = 1 // the most urgent of the jobs
+	LaneBulk     = 7
+	lanes        = LaneBulk + 1
 )
 
 const (
@@ -23,9 +23,9 @@
 
 type laneKey struct{}
 
-// Lane makes calls and casts go by a lane; receipts come back on the same.
-func Lane(ctx context.Context, lane int) context.Context {
-	return context.WithValue(ctx, laneKey{}, max(Control, min(lane, Bulk)))
+// WithLane makes calls and casts go by a lane; receipts come back on the same.
+func WithLane(ctx context.Context, lane int) context.Context {
+	return context.WithValue(ctx, laneKey{}, max(LaneControl, min(lane, LaneBulk)))
 }
 
 func laneOf(ctx context.Context) int {
@@ -65,7 +65,7 @@
 
 // ready tells whether something of a lane may go out now.
 func (q *queue) ready(lane int) bool {
-	return q.lane[lane].first != nil && (lane != Bulk || q.flow.open())
+	return q.lane[lane].first != nil && (lane != LaneBulk || q.flow.open())
 }
 
 // fits tells whether an item may wait. What is less urgent doesn't count
@@ -169,7 +169,7 @@
 	n := i.body.size() - i.off
 	if cut > 0 {
 		n = min(n, cut)
-		if pick == Bulk {
+		if pick == LaneBulk {
 			n = q.flow.cut(n)
 		}
 	}
@@ -179,7 +179,7 @@
 	switch i.off += n; {
 	case i.off >= i.body.size():
 		q.drop(i)
-	case pick != Bulk:
+	case pick != LaneBulk:
 		q.unlink(i)
 		q.append(i)
 	}
--- a/internal/transport/lanes_test.go
+++ b/internal/transport/lanes_test.go
@@ -23,7 +23,7 @@
 		for n := range rapid.IntRange(1, 200).Draw(t, "steps") {
 			if rapid.Bool().Draw(t, "push") {
 				b := bytes.Repeat([]byte{byte(n)}, rapid.IntRange(0, 4*piece).Draw(t, "size"))
-				i := &item{head: head{lane: rapid.IntRange(0, Bulk).Draw(t, "lane")}, body: &room{b}}
+				i := &item{head: head{lane: rapid.IntRange(0, LaneBulk).Draw(t, "lane")}, body: &room{b}}
 				q.push(i)
 				size += i.cost()
 				want[i] = b
@@ -79,17 +79,17 @@
 func TestShare(t *testing.T) {
 	for _, cut := range []int{short, piece / 4, piece} {
 		var q queue
-		q.push(&item{head: head{lane: Bulk}, body: &room{make([]byte, 20*piece)}})
+		q.push(&item{head: head{lane: LaneBulk}, body: &room{make([]byte, 20*piece)}})
 		bulk, all := 0, 0
-		for q.lane[Bulk].first != nil && all < 400*piece {
-			q.push(&item{head: head{lane: Jobs}, body: &room{make([]byte, 1000)}})
+		for q.lane[LaneBulk].first != nil && all < 400*piece {
+			q.push(&item{head: head{lane: LaneRequests}, body: &room{make([]byte, 1000)}})
 			i, n := q.take(cut)
 			all += n
-			if i.lane == Bulk {
+			if i.lane == LaneBulk {
 				bulk += n
 			}
 		}
-		if part := float64(bulk) / float64(all); q.lane[Bulk].first != nil || part < 0.08 || part > 0.2 {
+		if part := float64(bulk) / float64(all); q.lane[LaneBulk].first != nil || part < 0.08 || part > 0.2 {
 			t.Errorf("bulk in pieces of %d had %.3f of the link", cut, part)
 		}
 	}
@@ -111,7 +111,7 @@
 		return n
 	}
 	var q queue
-	for lane := Bulk; lane >= 0; lane-- {
+	for lane := LaneBulk; lane >= 0; lane-- {
 		if n := fill(lane, 0, &q); n != 100 {
 			t.Errorf("%d in lane %d", n, lane)
 		}
@@ -120,15 +120,15 @@
 		t.Errorf("%d wait, with a frame of %d", q.size, frame)
 	}
 	q = queue{}
-	fill(Control, 0, &q)
-	if n := fill(Bulk, 0, &q); n != 1 {
+	fill(LaneControl, 0, &q)
+	if n := fill(LaneBulk, 0, &q); n != 1 {
 		t.Errorf("%d of bulk behind a full lane", n)
 	}
 	q = queue{}
-	for lane := Bulk; lane >= Jobs; lane-- {
+	for lane := LaneBulk; lane >= LaneRequests; lane-- {
 		fill(lane, frame-toll, &q)
 	}
-	if n := fill(Control, 0, &q); q.size > 2*frame || n < 50 {
+	if n := fill(LaneControl, 0, &q); q.size > 2*frame || n < 50 {
 		t.Errorf("%d wait, with a frame of %d; %d urgent ones fitted", q.size, frame, n)
 	}
 }
--- a/internal/transport/large_test.go
+++ b/internal/transport/large_test.go
@@ -23,11 +23,11 @@
 			done <- err
 		}()
 		<-time.After(time.Second)
-		for lane, bound := range map[int]time.Duration{transport.Control: 300 * time.Millisecond, transport.Jobs: 450 * time.Millisecond} {
+		for lane, bound := range map[int]time.Duration{transport.LaneControl: 300 * time.Millisecond, transport.LaneRequests: 450 * time.Millisecond} {
 			for range 3 {
 				at := time.Now()
-				ctx, end := context.WithTimeout(transport.Lane(context.Background(), lane), 5*time.Second)
-				_, err := transport.Ask[ping](ctx, p.a, "h2:1", "swap", ping{N: 1})
+				ctx, end := context.WithTimeout(transport.WithLane(context.Background(), lane), 5*time.Second)
+				_, err := transport.Call[ping](ctx, p.a, "h2:1", "swap", ping{N: 1})
 				end()
 				if took := time.Since(at); err != nil || took > bound {
 					t.Errorf("by lane %d: %v after %v", lane, err, took)
--- a/internal/transport/late_test.go
+++ b/internal/transport/late_test.go
@@ -14,7 +14,7 @@
 // left notes how much time the taker of a call has.
 func (p *pair) left(kind string) <-chan time.Duration {
 	got := make(chan time.Duration, 9)
-	transport.On(p.b, kind, func(ctx context.Context, _ transport.Hello, in ping) (ping, error) {
+	transport.Handle(p.b, kind, func(ctx context.Context, _ transport.Hello, in ping) (ping, error) {
 		end, _ := ctx.Deadline()
 		got <- time.Until(end)
 		return in, nil
@@ -34,7 +34,7 @@
 			p := newPair(t, "m")
 			defer p.stop()
 			// Links are to stand for the whole of it.
-			p.a.Patience, p.b.Patience = time.Hour, time.Hour
+			p.a.SilenceTimeout, p.b.SilenceTimeout = time.Hour, time.Hour
 			got := p.left("left")
 			if _, err := ask(p, "left", ping{}, 3*time.Second); err != nil {
 				t.Fatal(err)
--- a/internal/transport/link.go
+++ b/internal/transport/link.go
@@ -39,7 +39,7 @@
 	haste atomic.Bool  // the fellow goes soon
 	used  atomic.Int64 // when something was posted last, in the node's monotonic time
 	tails []tail       // of the batch that is being written
-	sums  map[string]*Sum
+	sums  map[string]*Traffic
 
 	open map[uint64]*frame // bodies that come in in pieces; the reader's own
 	held int               // their bytes
@@ -57,7 +57,7 @@
 	age   age           // the reader's own
 }
 
-func (n *Node) tap(c net.Conn) *tap { return &tap{Conn: c, n: n, try: env.Try(c)} }
+func (n *Node) tap(c net.Conn) *tap { return &tap{Conn: c, n: n, try: env.NonblockingWriter(c)} }
 
 func (t *tap) Read(b []byte) (int, error) {
 	got, err := t.Conn.Read(b)
@@ -86,8 +86,8 @@
 
 func (n *Node) newLink(conn *tap, hail Hello, far int) *link {
 	l := &link{n: n, conn: conn, hail: hail, far: far, done: make(chan struct{}),
-		wait: map[uint64]*turn{}, sums: map[string]*Sum{}, open: map[uint64]*frame{}}
-	l.slack.L, l.track = &l.mu, n.track(hail.Area)
+		wait: map[uint64]*turn{}, sums: map[string]*Traffic{}, open: map[uint64]*frame{}}
+	l.slack.L, l.track = &l.mu, n.track(hail.Zone)
 	l.used.Store(int64(n.now()))
 	// Fellows of the first version have no pieces to bound.
 	l.q.flow.on, l.q.flow.win = far >= pieces, start
@@ -173,7 +173,7 @@
 
 // hear reads one frame; nil means that its body isn't whole yet.
 func (l *link) hear(r *bufio.Reader) (*frame, error) {
-	m, err := get(r, l.n.Most)
+	m, err := get(r, l.n.MaxFrameBytes)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/transport/linkend_test.go
+++ b/internal/transport/linkend_test.go
@@ -23,7 +23,7 @@
 		ctx, end := context.WithTimeout(t.Context(), time.Minute)
 		defer end()
 		for range 2 {
-			p.g.Go("asker", func(context.Context) { _, _ = transport.Ask[ping](ctx, p.a, "h2:1", "work", ping{}) })
+			p.g.Go("asker", func(context.Context) { _, _ = transport.Call[ping](ctx, p.a, "h2:1", "work", ping{}) })
 			<-began
 		}
 		p.net.Isolate("h2", true)
--- a/internal/transport/node.go
+++ b/internal/transport/node.go
@@ -17,40 +17,40 @@
 // Node is one process on the inner network: a listener, links to fellows,
 // and the kinds of message that it takes. Lock order: Node.mu before link.mu.
 type Node struct {
-	Self     Hello
-	Most     int           // bound on a frame
-	Patience time.Duration // how long a link may stay mute under a call
-	Bound    int           // how many links of ours are kept, 0: any number; more while they are in use
-	env      env.Env
-	g        *task.Group
-	pool     *task.Pool
-	born     time.Time
-	takers   map[string]*taker
-	mu       sync.Mutex
-	links    map[string]*dial
-	all      map[*link]bool
-	ear      net.Listener
-	tracks   map[string]*track // by area
-	sizes    map[Flow]Sum      // of links that are no more
-	under    atomic.Int64      // calls being handled
-	stir     chan struct{}     // wakes the watch
-	awake    atomic.Bool       // the watch is at work
-	hasty    atomic.Bool       // this node goes soon
-	linkEnds *event.Limiter    // of links that ended with calls under way
-	trims    atomic.Bool       // links are being closed for the bound
-	watching sync.Once
-	turns    sync.Pool
+	Self           Hello
+	MaxFrameBytes  int           // bound on a frame
+	SilenceTimeout time.Duration // how long a link may stay mute under a call
+	MaxIdleLinks   int           // how many links of ours are kept, 0: any number; more while they are in use
+	env            env.Env
+	g              *task.Group
+	pool           *task.Pool
+	born           time.Time
+	takers         map[string]*taker
+	mu             sync.Mutex
+	links          map[string]*dial
+	all            map[*link]bool
+	ear            net.Listener
+	tracks         map[string]*track // by area
+	sizes          map[Flow]Traffic  // of links that are no more
+	under          atomic.Int64      // calls being handled
+	stir           chan struct{}     // wakes the watch
+	awake          atomic.Bool       // the watch is at work
+	hasty          atomic.Bool       // this node goes soon
+	linkEnds       *event.Limiter    // of links that ended with calls under way
+	trims          atomic.Bool       // links are being closed for the bound
+	watching       sync.Once
+	turns          sync.Pool
 	side
 }
 
 // Flow names a stream of bytes: the kind of message and whether it left the area.
 type Flow struct {
-	Kind string
-	Away bool
+	Kind      string
+	OtherZone bool
 }
 
-// Sum counts frames and bytes.
-type Sum struct{ Frames, Bytes int64 }
+// Traffic counts frames and bytes.
+type Traffic struct{ Frames, Bytes int64 }
 
 type dial struct {
 	from time.Duration // when it began, in the node's monotonic time
@@ -61,11 +61,11 @@
 
 // NewNode makes a node; takers are added before Listen.
 func NewNode(self Hello, e env.Env, g *task.Group, most, busy int, patience time.Duration) *Node {
-	self.Mark, self.Low, self.High = mark, Low, High
-	n := &Node{Self: self, Most: most, Patience: patience, env: e, g: g, pool: task.NewPool(g, "inner-call", busy),
-		born: time.Now(), takers: map[string]*taker{}, links: map[string]*dial{}, all: map[*link]bool{}, sizes: map[Flow]Sum{}, tracks: map[string]*track{}, stir: make(chan struct{}, 1), linkEnds: event.NewLimiter(patience / linkEndsPart)}
-	if l, ok := e.Net.(*Paved); ok {
-		n.road = l.Road
+	self.Magic, self.MinVersion, self.MaxVersion = mark, MinVersion, MaxVersion
+	n := &Node{Self: self, MaxFrameBytes: most, SilenceTimeout: patience, env: e, g: g, pool: task.NewPool(g, "inner-call", busy),
+		born: time.Now(), takers: map[string]*taker{}, links: map[string]*dial{}, all: map[*link]bool{}, sizes: map[Flow]Traffic{}, tracks: map[string]*track{}, stir: make(chan struct{}, 1), linkEnds: event.NewLimiter(patience / linkEndsPart)}
+	if l, ok := e.Net.(*LocalNet); ok {
+		n.road = l.Network
 	}
 	return n
 }
@@ -129,7 +129,7 @@
 	conn := n.tap(c)
 	// The kernel is the slower of the two that give up on a mute link, since
 	// it sees bytes only. Where it can't be told, the node's own watch stands.
-	_ = env.Steer(c, 2*n.Patience, piece)
+	_ = env.TuneConn(c, 2*n.SilenceTimeout, piece)
 	_ = conn.SetDeadline(end)
 	r := bufio.NewReader(conn)
 	var far Hello
@@ -160,7 +160,7 @@
 }
 
 func (n *Node) welcome(c net.Conn) {
-	l, r, err := n.hello(c, false, time.Now().Add(n.Patience))
+	l, r, err := n.hello(c, false, time.Now().Add(n.SilenceTimeout))
 	if err != nil {
 		_ = c.Close()
 		if fault.Is(err, fault.Input) {
--- a/internal/transport/notify.go
+++ b/internal/transport/notify.go
@@ -10,7 +10,7 @@
 // node itself.
 type asker struct {
 	link *link
-	road *Road
+	road *LocalNetwork
 	from *Node // of a call over the road
 	here *Node
 }
--- a/internal/transport/parse.go
+++ b/internal/transport/parse.go
@@ -64,7 +64,7 @@
 	case keyAt:
 		f.at = n
 	case keyLane:
-		f.lane = int(max(0, min(n, Bulk)))
+		f.lane = int(max(0, min(n, LaneBulk)))
 	case keyPart:
 		f.part = uint64(n)
 	case keyRest:
--- a/internal/transport/ring.go
+++ b/internal/transport/ring.go
@@ -8,9 +8,9 @@
 	"puffincrank/internal/fault"
 )
 
-// HeardFrom counts the fellows of a role, of any for none, from whom bytes came
+// CountActivePeers counts the fellows of a role, of any for none, from whom bytes came
 // in since a moment.
-func (n *Node) HeardFrom(role string, since time.Time) int {
+func (n *Node) CountActivePeers(role string, since time.Time) int {
 	from, who := since.Sub(n.born), map[string]bool{}
 	for _, l := range n.standing() {
 		if (role == "" || l.hail.Role == role) && time.Duration(l.conn.seen.Load()) > from {
@@ -20,9 +20,9 @@
 	return len(who)
 }
 
-// Ring pings the fellows of a role that were heard last, so many at most, and
+// PingRole pings the fellows of a role that were heard last, so many at most, and
 // tells whether one of them answers before the context ends. No link is dialed.
-func (n *Node) Ring(ctx context.Context, role string, most int) bool {
+func (n *Node) PingRole(ctx context.Context, role string, most int) bool {
 	all := n.latest(role)
 	all = all[:min(most, len(all))]
 	back := make(chan bool, len(all))
--- a/internal/transport/road.go
+++ b/internal/transport/road.go
@@ -10,11 +10,11 @@
 	"puffincrank/internal/fault"
 )
 
-// Road carries calls and casts between nodes of one process without
+// LocalNetwork carries calls and casts between nodes of one process without
 // connections: thousands of nodes in one process can't each have the buffers
 // and goroutines of their links. What travels is packed, measured and unpacked
 // as on a link; only the link itself is not there.
-type Road struct {
+type LocalNetwork struct {
 	mu    sync.RWMutex
 	at    map[string]*Node
 	delay func(from, to string) time.Duration // between two areas, one way
@@ -25,43 +25,43 @@
 
 // side is what a node on a road has in place of links.
 type side struct {
-	road  *Road // nil: over links
+	road  *LocalNetwork // nil: over links
 	calls atomic.Uint64
 	addr  string
 	met   map[string]bool
 	heard atomic.Int64
 }
 
-// NewRoad makes a road with its delays.
-func NewRoad(delay func(from, to string) time.Duration) *Road {
-	return &Road{at: map[string]*Node{}, dark: map[string]bool{}, delay: delay}
+// NewLocalNetwork makes a road with its delays.
+func NewLocalNetwork(delay func(from, to string) time.Duration) *LocalNetwork {
+	return &LocalNetwork{at: map[string]*Node{}, dark: map[string]bool{}, delay: delay}
 }
 
-// Cut sets which areas can't reach each other; nil: all can.
-func (r *Road) Cut(cut func(from, to string) bool) {
+// SetPartition sets which areas can't reach each other; nil: all can.
+func (r *LocalNetwork) SetPartition(cut func(from, to string) bool) {
 	r.mu.Lock()
 	r.cut = cut
 	r.mu.Unlock()
 }
 
-// Dark sets whether the machine at an address says nothing, not even that nobody
+// SetUnresponsive sets whether the machine at an address says nothing, not even that nobody
 // stands there.
-func (r *Road) Dark(addr string, on bool) {
+func (r *LocalNetwork) SetUnresponsive(addr string, on bool) {
 	r.mu.Lock()
 	r.dark[addr] = on
 	r.mu.Unlock()
 }
 
-// Watch sets who runs the takers, to measure them; set before any node joins.
-func (r *Road) Watch(watch func(role, kind string, run func())) { r.watch = watch }
+// SetObserver sets who runs the takers, to measure them; set before any node joins.
+func (r *LocalNetwork) SetObserver(watch func(role, kind string, run func())) { r.watch = watch }
 
-// Paved is the road as one process's network; other ports go over Net.
-type Paved struct {
+// LocalNet is the road as one process's network; other ports go over Net.
+type LocalNet struct {
 	env.Net
-	Road *Road
+	Network *LocalNetwork
 }
 
-func (r *Road) join(addr string, n *Node) error {
+func (r *LocalNetwork) join(addr string, n *Node) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.at[addr] != nil {
@@ -73,7 +73,7 @@
 }
 
 // Nodes lists who stands on the road.
-func (r *Road) Nodes() []*Node {
+func (r *LocalNetwork) Nodes() []*Node {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
 	var out []*Node
@@ -83,14 +83,14 @@
 	return out
 }
 
-// At gives who stands at an address, nil for nobody.
-func (r *Road) At(addr string) *Node {
+// NodeAt gives who stands at an address, nil for nobody.
+func (r *LocalNetwork) NodeAt(addr string) *Node {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
 	return r.at[addr]
 }
 
-func (r *Road) leave(n *Node) {
+func (r *LocalNetwork) leave(n *Node) {
 	r.mu.Lock()
 	if r.at[n.addr] == n {
 		delete(r.at, n.addr)
@@ -99,24 +99,24 @@
 }
 
 // way waits for as long as a message takes to addr and gives who stands there.
-func (r *Road) way(ctx context.Context, n *Node, addr string) (*Node, error) {
+func (r *LocalNetwork) way(ctx context.Context, n *Node, addr string) (*Node, error) {
 	r.mu.RLock()
 	far, cut, dark := r.at[addr], r.cut, r.dark[addr]
 	r.mu.RUnlock()
 	if dark {
-		rest(ctx, n.Patience)
+		rest(ctx, n.SilenceTimeout)
 		return nil, fault.New(fault.Unsent, "no link to %s in time", addr)
 	}
 	if far == nil {
 		return nil, fault.New(fault.Unsent, "connection refused: %s", addr)
 	}
-	if cut != nil && cut(n.Self.Area, far.Self.Area) {
-		rest(ctx, n.Patience)
+	if cut != nil && cut(n.Self.Zone, far.Self.Zone) {
+		rest(ctx, n.SilenceTimeout)
 		return nil, fault.New(fault.Unsent, "no link to %s in time", addr)
 	}
 	n.meets(addr)
 	far.meets(n.addr)
-	if !rest(ctx, r.delay(n.Self.Area, far.Self.Area)) {
+	if !rest(ctx, r.delay(n.Self.Zone, far.Self.Zone)) {
 		return nil, fault.New(fault.Unknown, "no receipt from %s in time", addr)
 	}
 	return far, nil
@@ -148,7 +148,7 @@
 		i.body.free()
 		return fault.New(fault.Unsent, "%s: frame over the bound", i.kind+i.of)
 	}
-	sum, r := Sum{}, rooms.Get().(*room)
+	sum, r := Traffic{}, rooms.Get().(*room)
 	defer r.free()
 	for size := i.body.size(); ; {
 		cut := min(size-i.off, piece)
@@ -166,16 +166,16 @@
 			break
 		}
 	}
-	k := Flow{Kind: i.kind + i.of, Away: far.Self.Area != n.Self.Area}
+	k := Flow{Kind: i.kind + i.of, OtherZone: far.Self.Zone != n.Self.Zone}
 	n.mu.Lock()
-	n.sizes[k] = Sum{n.sizes[k].Frames + sum.Frames, n.sizes[k].Bytes + sum.Bytes}
+	n.sizes[k] = Traffic{n.sizes[k].Frames + sum.Frames, n.sizes[k].Bytes + sum.Bytes}
 	n.mu.Unlock()
 	far.heard.Add(sum.Bytes)
 	return nil
 }
 
 // drive sends one message over the road; id 0 is a cast.
-func (r *Road) drive(ctx context.Context, n *Node, addr, kind string, body *room, id uint64) (*frame, error) {
+func (r *LocalNetwork) drive(ctx context.Context, n *Node, addr, kind string, body *room, id uint64) (*frame, error) {
 	i := &item{head: head{kind: kind, id: id, lane: laneOf(ctx)}, body: body}
 	if end, ok := ctx.Deadline(); ok && id > 0 {
 		i.left = time.Until(end).Milliseconds()
@@ -225,7 +225,7 @@
 		return nil, err
 	}
 	// A process that ended meanwhile answers no more.
-	if far.g.Context().Err() != nil || !rest(ctx, r.delay(far.Self.Area, n.Self.Area)) {
+	if far.g.Context().Err() != nil || !rest(ctx, r.delay(far.Self.Zone, n.Self.Zone)) {
 		back.body.free()
 		return nil, fault.New(fault.Unknown, "no receipt of %s in time", kind)
 	}
@@ -234,12 +234,12 @@
 	return f.done(kind)
 }
 
-// Met counts the fellows that there was a message to or from on the road.
-func (n *Node) Met() int {
+// PeerCount counts the fellows that there was a message to or from on the road.
+func (n *Node) PeerCount() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return len(n.met)
 }
 
-// Heard gives the bytes that came in over the road.
-func (n *Node) Heard() int64 { return n.heard.Load() }
+// BytesReceived gives the bytes that came in over the road.
+func (n *Node) BytesReceived() int64 { return n.heard.Load() }
--- a/internal/transport/room.go
+++ b/internal/transport/room.go
@@ -86,10 +86,10 @@
 	return k
 }}
 
-// Unpack reads a message body; unknown fields are passed over. Nothing of the
+// Decode reads a message body; unknown fields are passed over. Nothing of the
 // bytes is kept. They are walked first, since the decoder takes the room that
 // a length promises, and goes as deep as they say.
-func Unpack(b []byte, v any) (err error) {
+func Decode(b []byte, v any) (err error) {
 	if _, err := walk(b, deepest); err != nil {
 		return err
 	}
--- a/internal/transport/take.go
+++ b/internal/transport/take.go
@@ -17,15 +17,15 @@
 	run  func(ctx context.Context, from Hello, f *frame) (*room, error)
 }
 
-// On adds a taker with typed messages. It panics when the kind has one already,
+// Handle adds a taker with typed messages. It panics when the kind has one already,
 // as http.ServeMux does: which of the two would answer is a fault of the program.
-func On[I, O any](n *Node, kind string, f func(ctx context.Context, from Hello, in I) (O, error)) {
+func Handle[I, O any](n *Node, kind string, f func(ctx context.Context, from Hello, in I) (O, error)) {
 	if n.takers[kind] != nil {
 		panic(fmt.Sprintf("wire: kind %q is registered twice", kind))
 	}
 	n.takers[kind] = &taker{kind: kind, run: func(ctx context.Context, from Hello, got *frame) (*room, error) {
 		var in I
-		err := Unpack(got.body, &in)
+		err := Decode(got.body, &in)
 		got.free()
 		if err != nil {
 			// Nothing was done, so this is a refusal.
@@ -79,7 +79,7 @@
 			l.receipt(h, t.kind, nil, fault.New(fault.Refused, "late"), 0)
 			return
 		}
-		if h.lane > Control {
+		if h.lane > LaneControl {
 			ctx = context.WithValue(ctx, cameKey{}, &came{l, h.lane})
 		}
 		if t.ends {
@@ -115,8 +115,8 @@
 	if err == nil && n.over(i) {
 		err = fault.New(fault.Unknown, "receipt over the bound")
 	}
-	if i.lane == Bulk && (err != nil || body.size() <= start) {
-		i.lane = Bulk - 1
+	if i.lane == LaneBulk && (err != nil || body.size() <= start) {
+		i.lane = LaneBulk - 1
 	}
 	if err != nil {
 		body.free()
@@ -139,7 +139,7 @@
 func (l *link) count(kind string, size int) {
 	s := l.sums[kind]
 	if s == nil {
-		s = &Sum{}
+		s = &Traffic{}
 		l.sums[kind] = s
 	}
 	s.Frames++
@@ -147,21 +147,21 @@
 }
 
 // gather adds up what a link sent. The node's lock is held.
-func (l *link) gather(into map[Flow]Sum) {
+func (l *link) gather(into map[Flow]Traffic) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for kind, s := range l.sums {
-		k := Flow{Kind: kind, Away: l.hail.Area != l.n.Self.Area}
+		k := Flow{Kind: kind, OtherZone: l.hail.Zone != l.n.Self.Zone}
 		sum := into[k]
-		into[k] = Sum{sum.Frames + s.Frames, sum.Bytes + s.Bytes}
+		into[k] = Traffic{sum.Frames + s.Frames, sum.Bytes + s.Bytes}
 	}
 }
 
-// Sizes gives the bytes sent so far by flow.
-func (n *Node) Sizes() map[Flow]Sum {
+// BytesSent gives the bytes sent so far by flow.
+func (n *Node) BytesSent() map[Flow]Traffic {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	out := map[Flow]Sum{}
+	out := map[Flow]Traffic{}
 	for k, s := range n.sizes {
 		out[k] = s
 	}
--- a/internal/transport/thin_test.go
+++ b/internal/transport/thin_test.go
@@ -20,8 +20,8 @@
 // through meanwhile: bulk both ways about as fast as the link is, and bulk
 // against what is not, to which it gives way, somewhat later.
 func TestThin(t *testing.T) {
-	t.Run("bulk", func(t *testing.T) { thin(t, transport.Bulk, 240*time.Millisecond, 8*time.Second) })
-	t.Run("bulk and a large job", func(t *testing.T) { thin(t, transport.Bulk-1, 240*time.Millisecond, 13*time.Second) })
+	t.Run("bulk", func(t *testing.T) { thin(t, transport.LaneBulk, 240*time.Millisecond, 8*time.Second) })
+	t.Run("bulk and a large job", func(t *testing.T) { thin(t, transport.LaneBulk-1, 240*time.Millisecond, 13*time.Second) })
 }
 
 func thin(t *testing.T, other int, quick, whole time.Duration) {
@@ -34,12 +34,12 @@
 		from := time.Now()
 		done := make(chan time.Duration, 2)
 		for _, n := range []int{0, size} {
-			lane := []int{transport.Bulk, other}[n/size]
+			lane := []int{transport.LaneBulk, other}[n/size]
 			in := ping{N: n, Body: make([]byte, size-n)}
 			go func() {
-				ctx, end := context.WithTimeout(transport.Lane(context.Background(), lane), time.Minute)
+				ctx, end := context.WithTimeout(transport.WithLane(context.Background(), lane), time.Minute)
 				defer end()
-				got, err := transport.Ask[ping](ctx, p.a, "h2:1", "swap", in)
+				got, err := transport.Call[ping](ctx, p.a, "h2:1", "swap", in)
 				if err != nil || len(got.Body) != n {
 					t.Errorf("the large one: %d bytes, %v", len(got.Body), err)
 				}
@@ -78,21 +78,21 @@
 		ends := make(chan int, 99)
 		call := func(lane, size int) {
 			go func() {
-				ctx, end := context.WithTimeout(transport.Lane(context.Background(), lane), time.Minute)
+				ctx, end := context.WithTimeout(transport.WithLane(context.Background(), lane), time.Minute)
 				defer end()
-				if _, err := transport.Ask[ping](ctx, p.a, "h2:1", "swap", ping{Body: make([]byte, size)}); err != nil {
+				if _, err := transport.Call[ping](ctx, p.a, "h2:1", "swap", ping{Body: make([]byte, size)}); err != nil {
 					t.Error(err)
 				}
 				ends <- lane
 			}()
 			synctest.Wait()
 		}
-		call(transport.Bulk, 60_000)
-		for lane := transport.Bulk - 1; lane >= transport.Jobs; lane-- {
+		call(transport.LaneBulk, 60_000)
+		for lane := transport.LaneBulk - 1; lane >= transport.LaneRequests; lane-- {
 			call(lane, 100_000)
 		}
 		var order []int
-		for range transport.Bulk {
+		for range transport.LaneBulk {
 			order = append(order, <-ends)
 		}
 		if !slices.IsSorted(order) {
@@ -154,14 +154,14 @@
 				synctest.Test(t, func(t *testing.T) {
 					p := newPair(t, "m")
 					defer p.stop()
-					p.a.Self.High, p.b.Self.High = one, two
+					p.a.Self.MaxVersion, p.b.Self.MaxVersion = one, two
 					for _, size := range []int{0, 100, 16 << 10, 16<<10 + 1, 300_000, 900_000} {
 						in := ping{N: size, Body: bytes.Repeat([]byte{7}, size)}
 						got, err := ask(p, "ping", in, time.Second)
 						if err != nil || got.N != size+1 || !bytes.Equal(got.Body, in.Body) {
 							t.Errorf("%d bytes: %d bytes, %v", size, len(got.Body), err)
 						}
-						if err := p.a.Cast(t.Context(), "h2:1", "ping", in); err != nil {
+						if err := p.a.Send(t.Context(), "h2:1", "ping", in); err != nil {
 							t.Errorf("%d bytes: %v", size, err)
 						}
 						// A large one fills the lane for a moment.
@@ -171,7 +171,7 @@
 					if n := p.seen.Load(); n != 12 {
 						t.Errorf("%d of 12 arrived", n)
 					}
-					frames := p.a.Sizes()[transport.Flow{Kind: "ping"}].Frames
+					frames := p.a.BytesSent()[transport.Flow{Kind: "ping"}].Frames
 					if cut := frames > 12; cut != (one == 2 && two == 2) {
 						t.Errorf("%d frames", frames)
 					}
--- a/internal/transport/track.go
+++ b/internal/transport/track.go
@@ -100,7 +100,7 @@
 	l.track.waits.Add(int64(waits - l.told[0]))
 	l.track.ready.Add(int64(ready - l.told[1]))
 	l.told = [2]int{waits, ready}
-	if i := l.q.lane[Bulk].first; i != nil && i.off == 0 {
+	if i := l.q.lane[LaneBulk].first; i != nil && i.off == 0 {
 		l.since.Store(int64(i.born))
 	}
 }
@@ -108,6 +108,6 @@
 // hope is when a body of bulk would be through if it came now, 0 if that is not
 // known. The link's lock is held.
 func (l *link) hope(size int) time.Duration {
-	now, patience := l.n.now(), l.n.Patience
+	now, patience := l.n.now(), l.n.SilenceTimeout
 	return max(l.q.flow.gauge.takes(l.q.waits()+size, now, patience), l.track.takes(size, now, patience))
 }
--- a/internal/transport/turns.go
+++ b/internal/transport/turns.go
@@ -21,7 +21,7 @@
 // claim asks for a turn if bulk waits. The link's lock is held.
 func (l *link) claim() {
 	w, t := &l.q.flow, l.track
-	if !w.on || w.let || w.asks || l.over || l.q.lane[Bulk].first == nil {
+	if !w.on || w.let || w.asks || l.over || l.q.lane[LaneBulk].first == nil {
 		return
 	}
 	t.mu.Lock()
@@ -40,7 +40,7 @@
 // the rest.
 func (l *link) stand(ctx context.Context) {
 	for ctx.Err() == nil {
-		l.n.rest(ctx, l.n.Patience)
+		l.n.rest(ctx, l.n.SilenceTimeout)
 		l.mu.Lock()
 		asks := l.q.flow.asks
 		l.mu.Unlock()
@@ -50,14 +50,14 @@
 		var slow []*link
 		l.track.mu.Lock()
 		for _, s := range l.track.have {
-			if l.n.now()-s.from >= 2*l.n.Patience {
+			if l.n.now()-s.from >= 2*l.n.SilenceTimeout {
 				slow = append(slow, s.l)
 			}
 		}
 		l.track.mu.Unlock()
 		for _, s := range slow {
 			s.mu.Lock()
-			if now := s.n.now(); now-s.q.flow.gauge.seen >= 2*s.n.Patience {
+			if now := s.n.now(); now-s.q.flow.gauge.seen >= 2*s.n.SilenceTimeout {
 				s.since.Store(int64(now))
 				s.pass()
 			}
@@ -74,7 +74,7 @@
 		return
 	}
 	t.mu.Lock()
-	idle := l.over || l.q.lane[Bulk].first == nil
+	idle := l.over || l.q.lane[LaneBulk].first == nil
 	if len(t.line) == 0 && !idle {
 		t.mu.Unlock()
 		return
@@ -107,12 +107,12 @@
 	}
 }
 
-// Queued counts the links on which bulk waits: an answer under it has been
+// QueuedBulkLinks counts the links on which bulk waits: an answer under it has been
 // worked out and must not be lost to a stop.
-func (n *Node) Queued() (many int64) {
+func (n *Node) QueuedBulkLinks() (many int64) {
 	for _, l := range n.standing() {
 		l.mu.Lock()
-		if !l.over && l.q.lane[Bulk].first != nil {
+		if !l.over && l.q.lane[LaneBulk].first != nil {
 			many++
 		}
 		l.mu.Unlock()
@@ -122,7 +122,7 @@
 
 // spent gives back a turn when nothing is left to send. The link's lock is held.
 func (l *link) spent() {
-	if l.over || l.q.lane[Bulk].first == nil {
+	if l.over || l.q.lane[LaneBulk].first == nil {
 		l.pass()
 	}
 }
--- a/internal/transport/watch.go
+++ b/internal/transport/watch.go
@@ -99,7 +99,7 @@
 			n.awake.Store(true)
 		}
 		n.rest(ctx, due-n.now())
-		if now := n.now(); now-due > n.Patience/4 {
+		if now := n.now(); now-due > n.SilenceTimeout/4 {
 			thaw = now
 		}
 	}
@@ -107,11 +107,11 @@
 
 // rest waits for a time.
 func (n *Node) rest(ctx context.Context, d time.Duration) {
-	if n.env.Pause == nil {
-		task.Pause(ctx, d)
+	if n.env.Sleep == nil {
+		task.Sleep(ctx, d)
 		return
 	}
-	n.env.Pause(ctx, d)
+	n.env.Sleep(ctx, d)
 }
 
 // look takes the steps that are due and tells when the next is; 0 means that
@@ -128,7 +128,7 @@
 
 func (l *link) look(thaw time.Duration) time.Duration {
 	l.mu.Lock()
-	s, due := l.hush.next(l.n.now(), time.Duration(l.conn.seen.Load()), thaw, l.n.Patience, len(l.wait) > 0 || len(l.q.flow.marks) > 0)
+	s, due := l.hush.next(l.n.now(), time.Duration(l.conn.seen.Load()), thaw, l.n.SilenceTimeout, len(l.wait) > 0 || len(l.q.flow.marks) > 0)
 	spent := s == idle && l.hush.doubt
 	l.mu.Unlock()
 	switch s {
--- a/internal/transport/wire_test.go
+++ b/internal/transport/wire_test.go
@@ -54,21 +54,21 @@
 		}
 	})
 	p.net.Place(h, "x")
-	return transport.NewNode(transport.Hello{Mesh: m, Node: h, Area: "x"}, env.Env{Net: p.net.Process(h, h), Log: log, Wall: time.Now, Pause: p.net.Pause(h)}, p.g, 1<<20, 4, 500*time.Millisecond)
+	return transport.NewNode(transport.Hello{ClusterID: m, Node: h, Zone: "x"}, env.Env{Net: p.net.Process(h, h), Log: log, Wall: time.Now, Sleep: p.net.Pause(h)}, p.g, 1<<20, 4, 500*time.Millisecond)
 }
 
 func newPair(t *testing.T, mesh string) *pair {
 	p := &pair{net: sim.NewNet(1, time.Millisecond, time.Millisecond), g: task.New(context.Background())}
 	p.a, p.b = p.node("h1", "m"), p.node("h2", mesh)
-	transport.On(p.b, "ping", func(_ context.Context, _ transport.Hello, in ping) (ping, error) {
+	transport.Handle(p.b, "ping", func(_ context.Context, _ transport.Hello, in ping) (ping, error) {
 		p.seen.Add(1)
 		return ping{in.Body, in.N + 1}, nil
 	})
 	// Answers with as many bytes as it is told.
-	transport.On(p.b, "swap", func(_ context.Context, _ transport.Hello, in ping) (ping, error) {
+	transport.Handle(p.b, "swap", func(_ context.Context, _ transport.Hello, in ping) (ping, error) {
 		return ping{Body: make([]byte, in.N)}, nil
 	})
-	transport.On(p.b, "hang", func(ctx context.Context, _ transport.Hello, _ ping) (ping, error) {
+	transport.Handle(p.b, "hang", func(ctx context.Context, _ transport.Hello, _ ping) (ping, error) {
 		<-ctx.Done()
 		return ping{}, ctx.Err()
 	})
@@ -88,7 +88,7 @@
 func ask(p *pair, kind string, in any, left time.Duration) (ping, error) {
 	ctx, end := context.WithTimeout(context.Background(), left)
 	defer end()
-	return transport.Ask[ping](ctx, p.a, "h2:1", kind, in)
+	return transport.Call[ping](ctx, p.a, "h2:1", kind, in)
 }
 
 // TestLargeFrameAfterRest: a frame past the buffer's size goes through after
@@ -111,7 +111,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		p := newPair(t, "m")
 		defer p.stop()
-		if _, err := transport.Ask[ping](t.Context(), p.a, "h2:9", "ping", ping{}); !fault.Is(err, fault.Unsent) {
+		if _, err := transport.Call[ping](t.Context(), p.a, "h2:9", "ping", ping{}); !fault.Is(err, fault.Unsent) {
 			t.Errorf("nobody listens: %v", err)
 		}
 		if _, err := ask(p, "nonsense", ping{}, time.Second); !fault.Is(err, fault.Refused) {
@@ -159,8 +159,8 @@
 			t.Errorf("another mesh: %v", err)
 		}
 		sized := func(n uint32, b []byte) []byte { return append(binary.BigEndian.AppendUint32(nil, n), b...) }
-		hello, _ := msgpack.Marshal(transport.Hello{Mark: "puffincrank", Mesh: "other", Low: 1, High: 9})
-		later, _ := msgpack.Marshal(transport.Hello{Mark: "puffincrank", Mesh: "other", Low: 7, High: 9})
+		hello, _ := msgpack.Marshal(transport.Hello{Magic: "puffincrank", ClusterID: "other", MinVersion: 1, MaxVersion: 9})
+		later, _ := msgpack.Marshal(transport.Hello{Magic: "puffincrank", ClusterID: "other", MinVersion: 7, MaxVersion: 9})
 		for i, raw := range [][]byte{
 			[]byte("GET / HTTP/1.1\r\nHost: x\r\n\r\n"),
 			sized(1<<30, nil),
--- a/internal/transport/write.go
+++ b/internal/transport/write.go
@@ -11,25 +11,25 @@
 // means that it certainly never went out. A receipt waits for room while the
 // link stands, since it must not be lost to a full queue.
 func (l *link) post(i *item, waits bool) bool {
-	if i.lane == Control && i.body.size() > piece {
+	if i.lane == LaneControl && i.body.size() > piece {
 		// Documents and lists of all entries take turns with the jobs: they
 		// pass bulk, and must not hold up what is urgent.
-		i.lane, i.vast = Jobs, true
+		i.lane, i.vast = LaneRequests, true
 	}
 	l.used.Store(int64(l.n.now()))
 	l.mu.Lock()
-	for waits && !l.over && !l.q.fits(i, l.n.Most) {
+	for waits && !l.over && !l.q.fits(i, l.n.MaxFrameBytes) {
 		l.slack.Wait()
 	}
 	// A fellow that said goodbye gets no more calls and casts of ours.
-	if l.over || l.gone && !waits && i.kind != alive || !l.q.fits(i, l.n.Most) || !waits && l.late(i) {
+	if l.over || l.gone && !waits && i.kind != alive || !l.q.fits(i, l.n.MaxFrameBytes) || !waits && l.late(i) {
 		l.mu.Unlock()
 		i.body.free()
 		return false
 	}
-	if i.lane == Bulk {
+	if i.lane == LaneBulk {
 		i.born = l.n.now()
-		l.q.flow.wake(i.born, l.n.Patience)
+		l.q.flow.wake(i.born, l.n.SilenceTimeout)
 	}
 	l.q.push(i)
 	l.tell()
@@ -88,19 +88,19 @@
 	for b != nil {
 		n, err := l.conn.try(b.b[off:])
 		off += n
-		s.took(n, l.n.now(), l.n.Patience)
-		next := s.piece(l.n.Patience / ease)
+		s.took(n, l.n.now(), l.n.SilenceTimeout)
+		next := s.piece(l.n.SilenceTimeout / ease)
 		if n >= piece {
 			next = batch
 		}
 		for err == nil && off < len(b.b) {
 			s.fills(l.n.now())
-			_ = l.conn.SetWriteDeadline(time.Now().Add(l.n.Patience))
+			_ = l.conn.SetWriteDeadline(time.Now().Add(l.n.SilenceTimeout))
 			n, err = l.conn.Write(b.b[off:min(off+piece, len(b.b))])
 			_ = l.conn.SetWriteDeadline(time.Time{})
 			off += n
-			s.took(n, l.n.now(), l.n.Patience)
-			next = s.piece(l.n.Patience / ease)
+			s.took(n, l.n.now(), l.n.SilenceTimeout)
+			next = s.piece(l.n.SilenceTimeout / ease)
 			if n > 0 {
 				// The socket had been full: that it takes more, if only some of
 				// a piece in all that time, is a sign of life.
@@ -172,7 +172,7 @@
 		b.b = h.write(b.b, body, true)
 	}
 	l.count(i.kind+i.of, len(b.b)-from)
-	if i.lane == Bulk {
+	if i.lane == LaneBulk {
 		l.q.flow.went(len(b.b) - from)
 		l.tell()
 		l.pace()
@@ -180,7 +180,7 @@
 	if i.off < size {
 		return true
 	}
-	if i.lane == Bulk {
+	if i.lane == LaneBulk {
 		l.pass()
 	}
 	if i.turn != nil {
--- a/internal/version/version.go
+++ b/internal/version/version.go
@@ -15,5 +15,5 @@
 // can be mixed in a roll when their wire versions overlap, and one can read a
 // folder whose format is not above its own.
 func Line(program string) string {
-	return fmt.Sprintf("%s %s, wire %d to %d, files %d", program, Number, transport.Low, transport.High, paxos.Format)
+	return fmt.Sprintf("%s %s, wire %d to %d, files %d", program, Number, transport.MinVersion, transport.MaxVersion, paxos.Format)
 }
--- a/internal/workerconn/conn.go
+++ b/internal/workerconn/conn.go
@@ -43,7 +43,7 @@
 // usable tells whether the worker kept still while the connection idled: one that
 // closed it, or said something that nobody asked for, gets no request on it.
 func (c *Conn) usable() bool {
-	if still, known := env.Still(c.conn); known {
+	if still, known := env.IsQuiet(c.conn); known {
 		return still
 	}
 	// The watch is told to end, and says.
--- a/internal/workerconn/open.go
+++ b/internal/workerconn/open.go
@@ -10,8 +10,8 @@
 	"puffincrank/internal/responsedigest"
 )
 
-// ErrStranger says that somebody else than the worker stands at its address.
-var ErrStranger = fault.New(fault.Refused, "another stands at the address")
+// ErrWrongWorker says that somebody else than the worker stands at its address.
+var ErrWrongWorker = fault.New(fault.Refused, "another stands at the address")
 
 // identityBytes bounds the answer of a worker that is asked for its name.
 const identityBytes = 64 << 10
@@ -64,7 +64,7 @@
 	}
 	named, kept, err := c.identity(end)
 	if err == nil && named != c.worker {
-		err = ErrStranger
+		err = ErrWrongWorker
 	}
 	return kept, err
 }
@@ -78,7 +78,7 @@
 	if err != nil {
 		return "", false, err
 	}
-	r.Header.Set(responsedigest.Worker, c.worker)
+	r.Header.Set(responsedigest.WorkerHeader, c.worker)
 	if err := c.write(r); err != nil {
 		return "", false, err
 	}
@@ -91,5 +91,5 @@
 	if err != nil || w.StatusCode >= 500 {
 		return "", false, fault.New(fault.Refused, "the worker says that it isn't well")
 	}
-	return w.Header.Get(responsedigest.Worker), !w.Close && w.ProtoAtLeast(1, 1) && c.reader.Buffered() == 0, nil
+	return w.Header.Get(responsedigest.WorkerHeader), !w.Close && w.ProtoAtLeast(1, 1) && c.reader.Buffered() == 0, nil
 }
--- a/internal/workerconn/pool.go
+++ b/internal/workerconn/pool.go
@@ -72,7 +72,7 @@
 	c.since = time.Now()
 	c.limited.N = 1
 	_ = c.conn.SetDeadline(time.Time{})
-	if _, known := env.Still(c.conn); !known && !p.group.Go("idle-watch", func(context.Context) { p.watch(c) }) {
+	if _, known := env.IsQuiet(c.conn); !known && !p.group.Go("idle-watch", func(context.Context) { p.watch(c) }) {
 		p.Discard(c)
 		return
 	}
