--- a/internal/balancer/field_test.go
+++ b/internal/balancer/field_test.go
@@ -140,7 +140,7 @@
 	}
 	k.hand = h
 	f.open[k] = true
-	if e.Area != f.fronts[k.front].area {
+	if e.Zone != f.fronts[k.front].area {
 		f.far++
 	}
 	k.tried[e.Worker] = true
--- a/internal/balancer/pick_test.go
+++ b/internal/balancer/pick_test.go
@@ -9,7 +9,7 @@
 )
 
 func entry(worker, area string) ormap.Entry {
-	return ormap.Entry{Service: "s", Worker: worker, Owner: "n-" + worker, Area: area, Meta: map[string]string{"slots": "8", "state": "up"}}
+	return ormap.Entry{Service: "s", Worker: worker, Owner: "n-" + worker, Zone: area, Meta: map[string]string{"slots": "8", "state": "up"}}
 }
 
 // play sends jobs one after the other and counts who got them; each worker
--- a/internal/balancer/roster.go
+++ b/internal/balancer/roster.go
@@ -65,7 +65,7 @@
 			// it here would only be taken back one probe at a time.
 			s.m.fail, s.m.late, s.m.pace, s.m.slow, s.m.count = 0, 0, 0, 0, 0
 		}
-		if e.Area == n.area {
+		if e.Zone == n.area {
 			r.near = append(r.near, s)
 		} else {
 			r.far = append(r.far, s)
--- a/internal/controlclient/beat.go
+++ b/internal/controlclient/beat.go
@@ -66,7 +66,7 @@
 			return true
 		}
 	}
-	t.x.Replica.Sound(time.Now().Add(t.x.Settings.SessionTTL()))
+	t.x.Replica.SetCompleteUntil(time.Now().Add(t.x.Settings.SessionTTL()))
 	t.mu.Lock()
 	t.since = time.Now()
 	t.stir()
@@ -105,7 +105,7 @@
 	t.mu.Lock()
 	t.book, t.hash = b, got.MembersHash
 	t.mu.Unlock()
-	t.x.Replica.Peers(b)
+	t.x.Replica.SetMembers(b)
 	t.host.MembersChanged(b)
 }
 
--- a/internal/controlclient/fill.go
+++ b/internal/controlclient/fill.go
@@ -36,9 +36,9 @@
 	t.mu.Unlock()
 	switch {
 	case !due:
-		last = append(last, t.x.Replica.Fellow(t.x.Self.Zone), t.x.Replica.Fellow(""))
+		last = append(last, t.x.Replica.RandomProxy(t.x.Self.Zone), t.x.Replica.RandomProxy(""))
 	case f == nil || f.Zone != t.x.Self.Zone:
-		first = append(first, t.x.Replica.Fellow(t.x.Self.Zone))
+		first = append(first, t.x.Replica.RandomProxy(t.x.Self.Zone))
 	}
 	for _, a := range first {
 		if t.pull(ctx, a, to) {
@@ -51,12 +51,12 @@
 		case err != nil:
 			return unfilled
 		case got.Done:
-			t.full(to, to, got.Many)
+			t.full(to, to, got.Limited)
 			return filled
 		}
 		t.off(got)
-		if len(got.Try) > 0 {
-			last = append(last, got.Try[rand.IntN(len(got.Try))])
+		if len(got.Alternatives) > 0 {
+			last = append(last, got.Alternatives[rand.IntN(len(got.Alternatives))])
 		}
 	}
 	for _, a := range last {
@@ -65,7 +65,7 @@
 		}
 	}
 	// Until then nothing old goes to others.
-	t.x.Replica.Await(true)
+	t.x.Replica.SetRefillPending(true)
 	return putOff
 }
 
@@ -78,11 +78,11 @@
 	defer end()
 	got, err := t.x.Replica.Refill(ctx, at)
 	if err == nil && got.Done {
-		t.full(at, to, got.Many)
+		t.full(at, to, got.Limited)
 		return true
 	}
 	t.mu.Lock()
-	t.tips = got.Try
+	t.tips = got.Alternatives
 	t.mu.Unlock()
 	return false
 }
@@ -90,7 +90,7 @@
 // off notes when it is this node's turn, and who may fill it before.
 func (t *Client) off(got replica.Refill) {
 	t.mu.Lock()
-	t.due, t.tips = time.Now().Add(got.Later), got.Try
+	t.due, t.tips = time.Now().Add(got.RetryAfter), got.Alternatives
 	t.mu.Unlock()
 }
 
@@ -107,16 +107,16 @@
 	if at != to && !many {
 		// A fellow may know less than the control node does.
 		ctx, end := context.WithTimeout(t.x.Group.Context(), t.leash())
-		_ = t.x.Replica.Mend(ctx, to)
+		_ = t.x.Replica.Repair(ctx, to)
 		end()
 	}
 	t.host.ReplicaRefilled()
 	if many {
-		t.x.Replica.Tell()
+		t.x.Replica.AnnounceOwn()
 	}
 	t.x.Group.Go("mend-soon", func(ctx context.Context) {
 		for range mends {
-			_ = t.x.Replica.Mend(ctx, to)
+			_ = t.x.Replica.Repair(ctx, to)
 			task.Sleep(ctx, 2*beat)
 		}
 	})
--- a/internal/controlclient/list.go
+++ b/internal/controlclient/list.go
@@ -75,11 +75,11 @@
 	t.mu.Lock()
 	b, since := t.book, t.since
 	t.mu.Unlock()
-	if since.IsZero() || time.Since(since) > t.x.Settings.SessionTTL() || !t.x.Replica.Room() {
-		return protocol.MemberListResponse{Busy: true, Alternatives: t.x.Replica.Given(from.Zone, "")}, nil
+	if since.IsZero() || time.Since(since) > t.x.Settings.SessionTTL() || !t.x.Replica.HasRefillCapacity() {
+		return protocol.MemberListResponse{Busy: true, Alternatives: t.x.Replica.RefilledNodes(from.Zone, "")}, nil
 	}
 	out, err := DiffMembers(b, in)
-	t.x.Replica.Spend(ResponseSize(out))
+	t.x.Replica.RecordRefillBytes(ResponseSize(out))
 	return out, err
 }
 
--- a/internal/controlclient/list_test.go
+++ b/internal/controlclient/list_test.go
@@ -76,7 +76,7 @@
 		if b := ask(membership.NewList(all[:5])); b.Hash() != older.Hash() {
 			t.Errorf("nearly all is not taken by one that knows 5: %d", b.Len())
 		}
-		fellow.x.Replica.Spend(1 << 20)
+		fellow.x.Replica.RecordRefillBytes(1 << 20)
 		if b := ask(older); b.Hash() != older.Hash() {
 			t.Error("one that handed out its part hands out more")
 		}
--- a/internal/controlclient/touch.go
+++ b/internal/controlclient/touch.go
@@ -74,7 +74,7 @@
 
 // New readies a session; Run holds it.
 func New(x Dependencies, host Host) *Client {
-	x.Replica.Await(true)
+	x.Replica.SetRefillPending(true)
 	return &Client{x: x, host: host, core: x.Settings.Seeds, seeds: x.Settings.Seeds, book: &membership.List{}, held: patch.NewDocument(spare), turn: make(chan struct{}), kick: make(chan struct{}, 1)}
 }
 
--- a/internal/controlclient/touch_test.go
+++ b/internal/controlclient/touch_test.go
@@ -84,7 +84,7 @@
 	var all []*transport.Node
 	for _, h := range []string{"c1", "c2"} {
 		w, rep, _ := up(h)
-		rep.Peers(&membership.List{})
+		rep.SetMembers(&membership.List{})
 		transport.Handle(w, "session.beat", func(context.Context, transport.Hello, protocol.Heartbeat) (protocol.HeartbeatResponse, error) {
 			return protocol.HeartbeatResponse{InTouch: true, ConfigVersion: 1}, nil
 		})
--- a/internal/ctl/show.go
+++ b/internal/ctl/show.go
@@ -12,22 +12,22 @@
 )
 
 // fleet asks for the whole fleet and shows one side of it.
-func (m *command) fleet(f func(registry.Fleet)) int {
+func (m *command) fleet(f func(registry.ClusterStatus)) int {
 	return m.show(http.MethodGet, "/puffin/status", nil, func(raw []byte) error {
-		var got registry.Fleet
+		var got registry.ClusterStatus
 		if err := json.Unmarshal(raw, &got); err != nil {
 			return err
 		}
 		fmt.Fprintf(m.say, "version %d\n", got.Version)
 		f(got)
-		for _, n := range got.Mute {
+		for _, n := range got.Unreachable {
 			fmt.Fprintf(m.say, "no answer: %s\n", n)
 		}
 		return nil
 	})
 }
 
-func (m *command) showStatus(f registry.Fleet) {
+func (m *command) showStatus(f registry.ClusterStatus) {
 	jobs, done, busy, unknown, slim := int64(0), int64(0), int64(0), int64(0), int64(0)
 	digests := map[uint64]bool{}
 	for _, p := range f.Proxies {
@@ -40,7 +40,7 @@
 	}
 	fmt.Fprintf(m.out, "configuration version %d\n", f.Version)
 	fmt.Fprintf(m.out, "members %d: %d proxies, %d registries; stores %d\n", len(f.Members), len(f.Proxies), len(f.Registries), len(f.Stores))
-	fmt.Fprintf(m.out, "writer %s, judge %s, steward %s\n", or(f.Duties["writer"]), or(f.Duties["judge"]), or(f.Duties["steward"]))
+	fmt.Fprintf(m.out, "writer %s, judge %s, steward %s\n", or(f.Roles["writer"]), or(f.Roles["judge"]), or(f.Roles["steward"]))
 	if slim > 0 {
 		fmt.Fprintf(m.out, "sends refused for thin links %d\n", slim)
 	}
@@ -71,10 +71,10 @@
 	return "no"
 }
 
-func (m *command) showNodes(f registry.Fleet) {
+func (m *command) showNodes(f registry.ClusterStatus) {
 	var rows [][]string
 	for _, s := range f.Registries {
-		rows = append(rows, []string{s.Node, "registry", s.Area, s.State, fmt.Sprint(s.Version), fmt.Sprintf("%d sessions", len(s.Sessions)), fmt.Sprint(s.Entries)})
+		rows = append(rows, []string{s.Node, "registry", s.Zone, s.State, fmt.Sprint(s.Version), fmt.Sprintf("%d sessions", len(s.Sessions)), fmt.Sprint(s.Entries)})
 	}
 	for _, s := range f.Stores {
 		rows = append(rows, []string{s.Node, "store", s.Zone, s.Role, fmt.Sprint(s.Config), "-", "-"})
@@ -85,7 +85,7 @@
 	m.table("NODE ROLE AREA STATE CONFIG SESSION ENTRIES", rows)
 }
 
-func (m *command) showWorkers(f registry.Fleet) {
+func (m *command) showWorkers(f registry.ClusterStatus) {
 	var rows [][]string
 	for _, p := range f.Proxies {
 		for _, w := range p.Workers {
@@ -107,15 +107,15 @@
 	m.table("WORKER SERVICE NODE AREA STATE USED FITNESS", rows)
 }
 
-func (m *command) showDuties(f registry.Fleet) {
+func (m *command) showDuties(f registry.ClusterStatus) {
 	var rows [][]string
 	for _, d := range []string{"writer", "judge", "steward"} {
-		rows = append(rows, []string{d, or(f.Duties[d])})
+		rows = append(rows, []string{d, or(f.Roles[d])})
 	}
 	m.table("DUTY HOLDER", rows)
 }
 
-func (m *command) showClasses(f registry.Fleet) {
+func (m *command) showClasses(f registry.ClusterStatus) {
 	var rows [][]string
 	for _, p := range f.Proxies {
 		for w, all := range p.Classes {
@@ -143,7 +143,7 @@
 	})
 	var rows [][]string
 	for _, e := range got.Entries {
-		rows = append(rows, []string{e.Service, e.Worker, e.Owner, e.Area, e.Meta["state"], e.Meta["slots"]})
+		rows = append(rows, []string{e.Service, e.Worker, e.Owner, e.Zone, e.Meta["state"], e.Meta["slots"]})
 	}
 	m.table("SERVICE WORKER OWNER AREA STATE SLOTS", rows)
 	return nil
--- a/internal/house/house_test.go
+++ b/internal/house/house_test.go
@@ -186,7 +186,7 @@
 	}
 	b.WriteString(sayPaths)
 	b.WriteString("# Bodies of other calls\n\n")
-	for _, tab := range []schema.Table{proxy.HeartbeatTable, registry.TabLock, registry.TabKey, registry.TabPropose, registry.TabTake, registry.TabHold, registry.TabFree, registry.TabCell} {
+	for _, tab := range []schema.Table{proxy.HeartbeatTable, registry.LockTable, registry.KeyTable, registry.ProposalTable, registry.AcquireLockTable, registry.RenewLockTable, registry.ReleaseLockTable, registry.PutGroupKeyTable} {
 		fmt.Fprintf(&b, "## %s\n\n%s\n", tab.Name, tab.Doc())
 	}
 	page(t, "configuration.md", b.String())
--- a/internal/house/wire_test.go
+++ b/internal/house/wire_test.go
@@ -77,6 +77,7 @@
 var currentTypes = map[string]string{
 	"class.Use":         "admission.ClassUsage",
 	"member.Fellow":     "membership.Member",
+	"ormap.Grave":       "ormap.Tombstone",
 	"proxy.DrainAsk":    "proxy.DrainRequest",
 	"proxy.StatusAsk":   "proxy.StatusRequest",
 	"session.Back":      "protocol.AttemptResult",
--- a/internal/mutant/core.go
+++ b/internal/mutant/core.go
@@ -43,7 +43,7 @@
 	{"duty-left-vacant", Return, "internal/store/campaign.go", "	case quiet < s.Settings.LeaderTimeout():\n		return s.Settings.LeaderTimeout() - quiet + ", "	case quiet < 40*s.Settings.LeaderTimeout():\n		return 40*s.Settings.LeaderTimeout() - quiet + ", "store", "TestVacant"},
 	{"session-kept", Return, "internal/controlclient/round.go", "	ballot.Poll(round, t.x.Group, core, t.look", "	ballot.Poll(round, t.x.Group, core[:1], t.look", "sim", "TestPower"},
 	{"stand-by-not-awaited", Return, "internal/store/leave.go", "		t.s.e.Sleep(ctx, t.s.Settings.HeartbeatInterval()/40)\n", "		return false\n", "sim", "TestLeftBusy"},
-	{"not-afresh", Return, "internal/proxy/beat.go", "g.state.Is(\"up\", \"draining\") && x.rep.OwnDead(dot)", "g.state.Is(\"draining\") && x.rep.OwnDead(dot)", "sim", "TestNodeFaults"},
+	{"not-afresh", Return, "internal/proxy/beat.go", "g.state.Is(\"up\", \"draining\") && x.rep.OwnRemoved(dot)", "g.state.Is(\"draining\") && x.rep.OwnRemoved(dot)", "sim", "TestNodeFaults"},
 	{"dot-without-start", Return, "internal/replica/replica.go", "dot: self.Node + \"#\" + self.Incarnation,", "dot: self.Node,", "replica", "TestDotOfAStart"},
 	{"place-not-learned", Return, "internal/store/join.go", "		if err == nil && got.Slot == 0 && got.Has > ask.Slot &&", "		if err == nil && got.Slot == 0 && got.Has > 1<<60 &&", "store", "TestPlaceLearned"},
 	{"nearest-source", Return, "internal/store/join.go", " && got.Slot > best.Slot:\n", " && got.Slot > 1<<60:\n", "store", "TestNewestSource"},
--- a/internal/mutant/list.go
+++ b/internal/mutant/list.go
@@ -28,7 +28,7 @@
 	{"draining-ignored", Leaving, "internal/proxy/beat.go", "	case \"draining\":\n		x.drain(g)", "	case \"draining\":\n		x.hears(g, true)", "sim", "TestDrain"},
 
 	{"sign-off-forgotten", Leaving, "internal/proxy/workercall.go", "	if c.state != saysGone && (late || x.departed(c.worker)) {", "	if c.state != saysGone && late {", "sim", "TestLateBeatAfterSignOff"},
-	{"departure-untold", Leaving, "internal/replica/replica.go", "	d := r.m.Depart(worker, why, func(e ormap.Entry) bool { return e.Owner == r.self.Node })", "	d := r.m.Bury(why, func(e ormap.Entry) bool { return e.Worker == worker && e.Owner == r.self.Node })", "sim", "TestLeaveOutlivesNode"},
+	{"departure-untold", Leaving, "internal/replica/replica.go", "	d := r.m.DepartureDelta(worker, why, func(e ormap.Entry) bool { return e.Owner == r.self.Node })", "	d := r.m.RemovalDelta(why, func(e ormap.Entry) bool { return e.Worker == worker && e.Owner == r.self.Node })", "sim", "TestLeaveOutlivesNode"},
 	{"leave-not-kept", Leaving, "internal/proxy/acknowledge.go", "	if state != saysUp && !x.leaveKept(r.Context(), worker, state) {", "	if !x.leaveKept(r.Context(), worker, state) && state == saysUp {", "sim", "TestLeaveUnheard"},
 	{"older-call-taken", Leaving, "internal/proxy/workercall.go", "	late := c.number != 0 && c.number <= newest.number", "	late := c.number != 0 && c.number == newest.number", "proxy", "TestOlderCall"},
 
--- a/internal/ormap/departed.go
+++ b/internal/ormap/departed.go
@@ -3,9 +3,9 @@
 import "slices"
 
 // grave gives the tombstone of a dead dot. mu is held.
-func (m *Map) grave(d Dot) Grave {
+func (m *Map) grave(d Dot) Tombstone {
 	g := m.dead[d]
-	return Grave{Dot: d, Why: g.why, Worker: g.worker}
+	return Tombstone{Dot: d, Reason: g.why, Worker: g.worker}
 }
 
 // forget drops one dot that told that a worker is gone for good. mu is held.
@@ -31,10 +31,10 @@
 
 // Departures gives the tombstones that tell of workers that are gone for good, of
 // one worker or of all for "".
-func (m *Map) Departures(worker string) []Grave {
+func (m *Map) Departures(worker string) []Tombstone {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
-	var out []Grave
+	var out []Tombstone
 	for name, dots := range m.gone {
 		if worker != "" && name != worker {
 			continue
@@ -43,16 +43,16 @@
 			out = append(out, m.grave(d))
 		}
 	}
-	slices.SortFunc(out, func(a, b Grave) int { return a.Dot.Compare(b.Dot) })
+	slices.SortFunc(out, func(a, b Tombstone) int { return a.Dot.Compare(b.Dot) })
 	return out
 }
 
-// Depart makes the delta that removes the observed entries of a worker that pick
+// DepartureDelta makes the delta that removes the observed entries of a worker that pick
 // selects, and tells that the worker is gone for good.
-func (m *Map) Depart(worker, why string, pick func(Entry) bool) Delta {
-	d := m.Bury(why, func(e Entry) bool { return e.Worker == worker && pick(e) })
-	for i := range d.Dead {
-		d.Dead[i].Worker = worker
+func (m *Map) DepartureDelta(worker, why string, pick func(Entry) bool) Delta {
+	d := m.RemovalDelta(why, func(e Entry) bool { return e.Worker == worker && pick(e) })
+	for i := range d.Tombstones {
+		d.Tombstones[i].Worker = worker
 	}
 	return d
 }
--- a/internal/ormap/mend.go
+++ b/internal/ormap/mend.go
@@ -9,8 +9,8 @@
 	return append([]uint64(nil), m.sum[:]...)
 }
 
-// Total folds digests into one.
-func Total(all []uint64) uint64 {
+// CombineDigests folds digests into one.
+func CombineDigests(all []uint64) uint64 {
 	var t uint64
 	for i, d := range all {
 		t ^= d * uint64(2*i+1)
@@ -18,8 +18,8 @@
 	return t
 }
 
-// Part gives the given ranges whole, tombstones too.
-func (m *Map) Part(ranges []int) Delta {
+// RangeDelta gives the given ranges whole, tombstones too.
+func (m *Map) RangeDelta(ranges []int) Delta {
 	want := map[int]bool{}
 	for _, r := range ranges {
 		want[r] = true
@@ -34,7 +34,7 @@
 	}
 	for dot := range m.dead {
 		if want[bucket(hash(dot))] {
-			d.Dead = append(d.Dead, m.grave(dot))
+			d.Tombstones = append(d.Tombstones, m.grave(dot))
 		}
 	}
 	return d
@@ -46,7 +46,7 @@
 	for i := range all {
 		all[i] = i
 	}
-	return m.Part(all)
+	return m.RangeDelta(all)
 }
 
 // Hashes names the live dots of the given ranges.
@@ -80,7 +80,7 @@
 			continue
 		}
 		if d, ok := m.tomb[h]; ok {
-			give.Dead = append(give.Dead, m.grave(d))
+			give.Tombstones = append(give.Tombstones, m.grave(d))
 		} else {
 			want = append(want, h)
 		}
@@ -120,12 +120,12 @@
 		}
 		// It may have died since its hash was named.
 		if d, ok := m.tomb[h]; ok {
-			out.Dead = append(out.Dead, m.grave(d))
+			out.Tombstones = append(out.Tombstones, m.grave(d))
 		}
 	}
 	for _, e := range given {
 		if _, ok := m.dead[e.Dot]; ok {
-			out.Dead = append(out.Dead, m.grave(e.Dot))
+			out.Tombstones = append(out.Tombstones, m.grave(e.Dot))
 		}
 	}
 	return out
--- a/internal/ormap/ormap.go
+++ b/internal/ormap/ormap.go
@@ -18,25 +18,25 @@
 // random incarnation of its start, so that a clock set back can't give a dot
 // a second time.
 type Dot struct {
-	Node string    `msgpack:"n" json:"node"`
-	At   hlc.Stamp `msgpack:"a" json:"at"`
+	Node  string    `msgpack:"n" json:"node"`
+	Stamp hlc.Stamp `msgpack:"a" json:"at"`
 }
 
 // Entry is one registration.
 type Entry struct {
-	Dot     Dot               `msgpack:"d" json:"dot"`
-	Service string            `msgpack:"s" json:"service"`
-	Worker  string            `msgpack:"w" json:"worker"`
-	Owner   string            `msgpack:"o" json:"owner"`
-	Inner   string            `msgpack:"i" json:"inner"`
-	Area    string            `msgpack:"z" json:"area"`
-	Meta    map[string]string `msgpack:"m" json:"meta"`
-}
-
-// Grave is a tombstone and why.
-type Grave struct {
-	Dot Dot    `msgpack:"d"`
-	Why string `msgpack:"w"`
+	Dot          Dot               `msgpack:"d" json:"dot"`
+	Service      string            `msgpack:"s" json:"service"`
+	Worker       string            `msgpack:"w" json:"worker"`
+	Owner        string            `msgpack:"o" json:"owner"`
+	InternalAddr string            `msgpack:"i" json:"inner"`
+	Zone         string            `msgpack:"z" json:"area"`
+	Meta         map[string]string `msgpack:"m" json:"meta"`
+}
+
+// Tombstone is a tombstone and why.
+type Tombstone struct {
+	Dot    Dot    `msgpack:"d"`
+	Reason string `msgpack:"w"`
 	// Worker is set where the worker itself is gone for good, and not just this
 	// registration: no entry may name that identity again.
 	Worker string `msgpack:"k,omitempty"`
@@ -44,14 +44,14 @@
 
 // Delta is what changed, or a part of a replica.
 type Delta struct {
-	Adds []Entry `msgpack:"a"`
-	Dead []Grave `msgpack:"g"`
+	Adds       []Entry     `msgpack:"a"`
+	Tombstones []Tombstone `msgpack:"g"`
 	// The short form of a delta, in the place of the two.
-	Short []byte `msgpack:"z,omitempty"`
+	Compact []byte `msgpack:"z,omitempty"`
 }
 
 // Empty tells that a delta says nothing.
-func (d Delta) Empty() bool { return len(d.Adds) == 0 && len(d.Dead) == 0 && len(d.Short) == 0 }
+func (d Delta) Empty() bool { return len(d.Adds) == 0 && len(d.Tombstones) == 0 && len(d.Compact) == 0 }
 
 // Ranges is into how many parts a replica is cut for digests.
 const Ranges = 64
@@ -107,16 +107,16 @@
 	defer m.mu.Unlock()
 	now := time.Now()
 	// Removes go first: an entry that comes with its own remove never shows.
-	for _, g := range d.Dead {
+	for _, g := range d.Tombstones {
 		if _, ok := m.dead[g.Dot]; ok {
 			continue
 		}
-		m.dead[g.Dot] = grave{g.Why, g.Worker, now}
+		m.dead[g.Dot] = grave{g.Reason, g.Worker, now}
 		if g.Worker != "" {
 			m.gone[g.Worker] = append(m.gone[g.Worker], g.Dot)
 		}
 		m.tomb[hash(g.Dot)] = g.Dot
-		news.Dead = append(news.Dead, g)
+		news.Tombstones = append(news.Tombstones, g)
 		if e, ok := m.live[g.Dot]; ok {
 			m.drop(g.Dot)
 			removed = append(removed, *e)
@@ -136,17 +136,17 @@
 	return news, added, removed
 }
 
-// Bury makes the delta that removes the observed entries that pick selects.
-func (m *Map) Bury(why string, pick func(Entry) bool) Delta {
+// RemovalDelta makes the delta that removes the observed entries that pick selects.
+func (m *Map) RemovalDelta(why string, pick func(Entry) bool) Delta {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
 	var d Delta
 	for dot, e := range m.live {
 		if pick(*e) {
-			d.Dead = append(d.Dead, Grave{Dot: dot, Why: why})
+			d.Tombstones = append(d.Tombstones, Tombstone{Dot: dot, Reason: why})
 		}
 	}
-	sort.Slice(d.Dead, func(i, j int) bool { return less(d.Dead[i].Dot, d.Dead[j].Dot) })
+	sort.Slice(d.Tombstones, func(i, j int) bool { return less(d.Tombstones[i].Dot, d.Tombstones[j].Dot) })
 	return d
 }
 
@@ -157,9 +157,9 @@
 	switch {
 	case d.Node != o.Node:
 		return strings.Compare(d.Node, o.Node)
-	case d.At.Less(o.At):
+	case d.Stamp.Less(o.Stamp):
 		return -1
-	case o.At.Less(d.At):
+	case o.Stamp.Less(d.Stamp):
 		return 1
 	}
 	return 0
@@ -179,8 +179,8 @@
 	return out
 }
 
-// Dead tells whether a dot is tombstoned.
-func (m *Map) Dead(d Dot) bool {
+// IsTombstoned tells whether a dot is tombstoned.
+func (m *Map) IsTombstoned(d Dot) bool {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
 	_, ok := m.dead[d]
@@ -229,9 +229,9 @@
 func hash(d Dot) uint64 {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(d.Node))
-	_, _ = h.Write([]byte(strconv.FormatInt(d.At.Wall, 36)))
+	_, _ = h.Write([]byte(strconv.FormatInt(d.Stamp.Wall, 36)))
 	_, _ = h.Write([]byte{'.'})
-	_, _ = h.Write([]byte(strconv.FormatUint(uint64(d.At.Count), 36)))
+	_, _ = h.Write([]byte(strconv.FormatUint(uint64(d.Stamp.Count), 36)))
 	// fnv's high bits move little on short inputs, so they are mixed.
 	x := h.Sum64()
 	x ^= x >> 31
--- a/internal/ormap/ormap_test.go
+++ b/internal/ormap/ormap_test.go
@@ -33,16 +33,16 @@
 
 func (h *history) add(at int, service string) {
 	h.count++
-	d := Delta{Adds: []Entry{{Dot: Dot{Node: fmt.Sprint("n", at), At: hlc.Stamp{Wall: h.count}}, Service: service}}}
+	d := Delta{Adds: []Entry{{Dot: Dot{Node: fmt.Sprint("n", at), Stamp: hlc.Stamp{Wall: h.count}}, Service: service}}}
 	h.maps[at].Merge(d)
 	h.model[at][d.Adds[0].Dot] = true
 	h.logs[at] = append(h.logs[at], d)
 }
 
 func (h *history) remove(at int, service string) {
-	d := h.maps[at].Bury("x", func(e Entry) bool { return e.Service == service })
+	d := h.maps[at].RemovalDelta("x", func(e Entry) bool { return e.Service == service })
 	h.maps[at].Merge(d)
-	for _, g := range d.Dead {
+	for _, g := range d.Tombstones {
 		h.gone[at][g.Dot] = true
 	}
 	h.logs[at] = append(h.logs[at], d)
@@ -54,7 +54,7 @@
 	for _, e := range d.Adds {
 		h.model[to][e.Dot] = true
 	}
-	for _, g := range d.Dead {
+	for _, g := range d.Tombstones {
 		h.gone[to][g.Dot] = true
 	}
 }
@@ -126,9 +126,9 @@
 	delta := rapid.Custom(func(t *rapid.T) Delta {
 		var d Delta
 		for range rapid.IntRange(0, 6).Draw(t, "n") {
-			dot := Dot{Node: rapid.SampledFrom([]string{"x", "y"}).Draw(t, "node"), At: hlc.Stamp{Wall: rapid.Int64Range(1, 5).Draw(t, "wall")}}
+			dot := Dot{Node: rapid.SampledFrom([]string{"x", "y"}).Draw(t, "node"), Stamp: hlc.Stamp{Wall: rapid.Int64Range(1, 5).Draw(t, "wall")}}
 			if rapid.Bool().Draw(t, "dead") {
-				d.Dead = append(d.Dead, Grave{Dot: dot})
+				d.Tombstones = append(d.Tombstones, Tombstone{Dot: dot})
 			} else {
 				d.Adds = append(d.Adds, Entry{Dot: dot, Service: "s"})
 			}
@@ -190,7 +190,7 @@
 		c, d := New(), New()
 		c.Merge(a.All())
 		d.Merge(b.All())
-		pa, pb := a.Part(differ), b.Part(differ)
+		pa, pb := a.RangeDelta(differ), b.RangeDelta(differ)
 		a.Merge(pb)
 		b.Merge(pa)
 		if !reflect.DeepEqual(dots(a), dots(b)) {
--- a/internal/ormap/pack.go
+++ b/internal/ormap/pack.go
@@ -15,10 +15,10 @@
 // for good, and no owner.
 const wide = 8
 
-// Pack gives the delta in its short form, which travels in the place of the
+// Encode gives the delta in its short form, which travels in the place of the
 // long one to those who take it.
-func (d Delta) Pack() Delta {
-	if d.Empty() || len(d.Short) > 0 {
+func (d Delta) Encode() Delta {
+	if d.Empty() || len(d.Compact) > 0 {
 		return d
 	}
 	cols := make([][]string, wide)
@@ -41,26 +41,26 @@
 	adds := append([]Entry(nil), d.Adds...)
 	sort.SliceStable(adds, func(i, j int) bool { return less(adds[i].Dot, adds[j].Dot) })
 	for _, e := range adds {
-		put("+"+after(e.Dot.Node, e.Owner), stamp(e.Dot.At), e.Owner, e.Service, after(e.Worker, e.Owner), e.Inner, e.Area, meta(e.Meta, e.Inner))
+		put("+"+after(e.Dot.Node, e.Owner), stamp(e.Dot.Stamp), e.Owner, e.Service, after(e.Worker, e.Owner), e.InternalAddr, e.Zone, meta(e.Meta, e.InternalAddr))
 	}
-	dead := append([]Grave(nil), d.Dead...)
+	dead := append([]Tombstone(nil), d.Tombstones...)
 	sort.SliceStable(dead, func(i, j int) bool { return less(dead[i].Dot, dead[j].Dot) })
 	for _, g := range dead {
-		put("-"+g.Dot.Node, stamp(g.Dot.At), "", g.Why, g.Worker, "", "", "")
+		put("-"+g.Dot.Node, stamp(g.Dot.Stamp), "", g.Reason, g.Worker, "", "", "")
 	}
-	return Delta{Short: compression.EncodeColumns(cols)}
+	return Delta{Compact: compression.EncodeColumns(cols)}
 }
 
-// Open gives the long form of a delta. The error is of the kind fault.Input.
-func (d Delta) Open() (Delta, error) {
-	if len(d.Short) == 0 {
+// Decode gives the long form of a delta. The error is of the kind fault.Input.
+func (d Delta) Decode() (Delta, error) {
+	if len(d.Compact) == 0 {
 		return d, nil
 	}
-	cols, err := compression.DecodeColumns(d.Short, wide)
+	cols, err := compression.DecodeColumns(d.Compact, wide)
 	if err != nil {
 		return Delta{}, err
 	}
-	out := Delta{Adds: d.Adds, Dead: d.Dead}
+	out := Delta{Adds: d.Adds, Tombstones: d.Tombstones}
 	last := int64(0)
 	for i, node := range cols[0] {
 		by, count, _ := strings.Cut(cols[1][i], ".")
@@ -77,10 +77,10 @@
 		case err != nil || node == "":
 			return Delta{}, fault.New(fault.Input, "a packed dot %q %q", node, cols[1][i])
 		case node[0] == '-':
-			out.Dead = append(out.Dead, Grave{Dot: Dot{node[1:], at}, Why: cols[3][i], Worker: cols[4][i]})
+			out.Tombstones = append(out.Tombstones, Tombstone{Dot: Dot{node[1:], at}, Reason: cols[3][i], Worker: cols[4][i]})
 		default:
 			out.Adds = append(out.Adds, Entry{Dot: Dot{before(node[1:], owner), at}, Owner: owner, Service: cols[3][i],
-				Worker: before(cols[4][i], owner), Inner: cols[5][i], Area: cols[6][i], Meta: unmeta(cols[7][i], cols[5][i])})
+				Worker: before(cols[4][i], owner), InternalAddr: cols[5][i], Zone: cols[6][i], Meta: unmeta(cols[7][i], cols[5][i])})
 		}
 	}
 	return out, nil
--- a/internal/ormap/pool.go
+++ b/internal/ormap/pool.go
@@ -18,11 +18,11 @@
 // NewPool makes an empty pool.
 func NewPool() *Pool { return &Pool{all: map[Dot]*Entry{}, lists: map[string][]Entry{}} }
 
-// Share sets the pool of a replica that is still empty.
-func (m *Map) Share(p *Pool) { m.pool = p }
+// SetPool sets the pool of a replica that is still empty.
+func (m *Map) SetPool(p *Pool) { m.pool = p }
 
 func alike(a, b *Entry) bool {
-	return a.Dot == b.Dot && a.Service == b.Service && a.Worker == b.Worker && a.Owner == b.Owner && a.Inner == b.Inner && a.Area == b.Area && maps.Equal(a.Meta, b.Meta)
+	return a.Dot == b.Dot && a.Service == b.Service && a.Worker == b.Worker && a.Owner == b.Owner && a.InternalAddr == b.InternalAddr && a.Zone == b.Zone && maps.Equal(a.Meta, b.Meta)
 }
 
 // one gives the entry as it is held.
--- a/internal/plumtree/bulk.go
+++ b/internal/plumtree/bulk.go
@@ -7,41 +7,41 @@
 	"time"
 )
 
-// Burst is how many pieces go over the eager links whole between two ticks.
+// MaxEagerBurst is how many pieces go over the eager links whole between two ticks.
 // When more come at once, as when all nodes start or a zone returns, links are
 // not yet pruned, or each is the best for another source, and each piece would
 // go over nearly all of them: the others go by name and are fetched many at a
 // time, once for each node.
-const Burst = 8
+const MaxEagerBurst = 8
 
-// Bulk is how the host carries many pieces at once. Without it all go alone.
-type Bulk struct {
+// Batching is how the host carries many pieces at once. Without it all go alone.
+type Batching struct {
 	// Soon is asked to call Flush before the next tick.
-	Soon func()
+	RequestFlush func()
 	// Late is asked to call Graft half a wait later.
-	Late func()
+	RequestGraft func()
 	// Give bundles pieces, of each the name and, if it is at hand, the body.
-	Give func(ids []string, bodies [][]byte) []byte
+	Encode func(ids []string, bodies [][]byte) []byte
 	// Take takes in a bundle, and gives what of it was news.
-	Take func(bundle []byte) []Piece
+	Decode func(bundle []byte) []Item
 	// Find makes the body of a piece anew, nil when it can't.
-	Find func(id string) []byte
+	Rebuild func(id string) []byte
 }
 
-// Piece is one piece of news. Body is nil when the host can make it anew.
-type Piece struct {
+// Item is one piece of news. Body is nil when the host can make it anew.
+type Item struct {
 	ID   string
 	Body []byte
 }
 
-// Carry sets how many pieces are carried at once; before the first message.
-func (t *Tree) Carry(b Bulk) { t.bulk = b }
+// SetBatching sets how many pieces are carried at once; before the first message.
+func (t *Tree) SetBatching(b Batching) { t.bulk = b }
 
 // crowd tells whether one more piece is over what goes whole before the next
 // tick; mu is held.
 func (t *Tree) crowd() bool {
 	t.fresh++
-	return t.bulk.Soon != nil && t.fresh > Burst
+	return t.bulk.RequestFlush != nil && t.fresh > MaxEagerBurst
 }
 
 // later has a piece wait for the next flush as a name; mu is held, and
@@ -54,9 +54,9 @@
 
 // hurry has the names that wait sent before the next tick; mu is held.
 func (t *Tree) hurry() {
-	if t.bulk.Soon != nil && !t.due {
+	if t.bulk.RequestFlush != nil && !t.due {
 		t.due = true
-		t.bulk.Soon()
+		t.bulk.RequestFlush()
 	}
 }
 
@@ -73,7 +73,7 @@
 func (t *Tree) called() []out {
 	var all []out
 	for a, ids := range t.names {
-		m := Message{Kind: "ihave", From: t.self, Now: t.busy}
+		m := Message{Kind: "ihave", From: t.self, NothingComesWhole: t.busy}
 		for id := range ids {
 			if t.busy {
 				id = short(id)
@@ -101,18 +101,18 @@
 		ids, bodies = append(ids, id), append(bodies, t.had[id].body)
 	}
 	t.mu.Unlock()
-	if t.bulk.Give == nil || len(ids) == 0 {
+	if t.bulk.Encode == nil || len(ids) == 0 {
 		return nil
 	}
-	return []out{{m.From, Message{Kind: "many", From: t.self, Body: t.bulk.Give(ids, bodies)}}}
+	return []out{{m.From, Message{Kind: "many", From: t.self, Body: t.bulk.Encode(ids, bodies)}}}
 }
 
 // many takes in a bundle and names its news to the neighbours.
 func (t *Tree) many(m Message) {
-	if t.bulk.Take == nil {
+	if t.bulk.Decode == nil {
 		return
 	}
-	news := t.bulk.Take(m.Body)
+	news := t.bulk.Decode(m.Body)
 	now := time.Now()
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/plumtree/bulk_test.go
+++ b/internal/plumtree/bulk_test.go
@@ -28,18 +28,18 @@
 			continue
 		}
 		has := m.got[name]
-		tree.Carry(Bulk{
-			Soon: func() { m.soon[name] = true },
-			Give: func(ids []string, _ [][]byte) []byte { return []byte(strings.Join(ids, " ")) },
-			Take: func(b []byte) (news []Piece) {
+		tree.SetBatching(Batching{
+			RequestFlush: func() { m.soon[name] = true },
+			Encode:       func(ids []string, _ [][]byte) []byte { return []byte(strings.Join(ids, " ")) },
+			Decode: func(b []byte) (news []Item) {
 				for _, id := range strings.Fields(string(b)) {
 					if has[id]++; has[id] == 1 {
-						news = append(news, Piece{ID: id})
+						news = append(news, Item{ID: id})
 					}
 				}
 				return news
 			},
-			Find: func(id string) []byte { return []byte(id) },
+			Rebuild: func(id string) []byte { return []byte(id) },
 		})
 		tree.got = func(b []byte) bool { has[string(b)]++; return has[string(b)] == 1 }
 		tree.knows = func(id string) bool { return has[id] > 0 }
@@ -65,7 +65,7 @@
 		id := "a" + fmt.Sprintf("%x", 1000+i)
 		ids = append(ids, id)
 		m.got[name][id] = 1
-		m.trees[name].Cast(id, []byte(id))
+		m.trees[name].Broadcast(id, []byte(id))
 	}
 	for range 40 {
 		for len(m.q)+len(m.soon) > 0 {
@@ -99,7 +99,7 @@
 		}
 		// The tree is whole again: what is new later needs no tick to reach all.
 		for k := range 2 {
-			m.trees["5"].Cast(fmt.Sprint("b", k), []byte(fmt.Sprint("b", k)))
+			m.trees["5"].Broadcast(fmt.Sprint("b", k), []byte(fmt.Sprint("b", k)))
 			m.settle()
 			for name, got := range m.got {
 				if name != "5" && got[fmt.Sprint("b", k)] == 0 {
@@ -109,7 +109,7 @@
 		}
 		t.Logf("%.2f bodies and %.2f names for each node and piece", float64(m.whole)/n/n, float64(m.calls)/n/n)
 		// A few go over each of four links before there are too many.
-		if most := n*n + 5*4*Burst*n; m.whole > most {
+		if most := n*n + 5*4*MaxEagerBurst*n; m.whole > most {
 			t.Errorf("%d bodies, of at most %d", m.whole, most)
 		}
 	})
@@ -150,10 +150,10 @@
 func TestNamesSoon(t *testing.T) {
 	m := newMany(6, 2, func(string) bool { return false })
 	for a := range m.trees["0"].eager {
-		m.trees["0"].Take(Message{Kind: "prune", From: a})
+		m.trees["0"].Receive(Message{Kind: "prune", From: a})
 	}
 	m.got["0"]["a1"] = 1
-	m.trees["0"].Cast("a1", []byte("a1"))
+	m.trees["0"].Broadcast("a1", []byte("a1"))
 	if !m.soon["0"] {
 		t.Fatal("its names wait for the tick")
 	}
--- a/internal/plumtree/graft.go
+++ b/internal/plumtree/graft.go
@@ -6,9 +6,9 @@
 // missing then; mu is held. A tick may be a whole wait away, and each gap of the
 // tree on the way of a piece would cost that once more.
 func (t *Tree) lag() {
-	if t.bulk.Late != nil && !t.late {
+	if t.bulk.RequestGraft != nil && !t.late {
 		t.late = true
-		t.bulk.Late()
+		t.bulk.RequestGraft()
 	}
 }
 
--- a/internal/plumtree/graft_test.go
+++ b/internal/plumtree/graft_test.go
@@ -22,11 +22,11 @@
 		m := newMesh(24, 2)
 		i := 0
 		for _, x := range m.trees {
-			b := Bulk{Soon: func() { in(wait/8, x.Flush) }}
+			b := Batching{RequestFlush: func() { in(wait/8, x.Flush) }}
 			if late {
-				b.Late = func() { in(wait/2, x.Graft) }
+				b.RequestGraft = func() { in(wait/2, x.Graft) }
 			}
-			x.Carry(b)
+			x.SetBatching(b)
 			// Nodes tick each at a time of its own.
 			var tick func()
 			tick = func() { x.Tick(); in(wait, tick) }
@@ -50,7 +50,7 @@
 		}
 		never := func() bool { return false }
 		for k := range 40 {
-			m.trees[fmt.Sprint(k%24)].Cast(fmt.Sprint("x", k), []byte(fmt.Sprint("x", k)))
+			m.trees[fmt.Sprint(k%24)].Broadcast(fmt.Sprint("x", k), []byte(fmt.Sprint("x", k)))
 			m.settle()
 			play(never, wait/4)
 		}
@@ -65,7 +65,7 @@
 			// Who has eager links alone hears no name, and is left to repair.
 			return m.last.Kind == "gossip" && at%4 == 1 && !asked[to] && len(m.trees[to].lazy) > 1
 		}
-		m.trees["0"].Cast("z", []byte("z"))
+		m.trees["0"].Broadcast("z", []byte("z"))
 		m.settle()
 		all := func() bool {
 			n := 0
--- a/internal/plumtree/links.go
+++ b/internal/plumtree/links.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// Links sets the overlay neighbours. A new one starts eager.
-func (t *Tree) Links(all []string) {
+// SetNeighbors sets the overlay neighbours. A new one starts eager.
+func (t *Tree) SetNeighbors(all []string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := map[string]bool{}
@@ -30,15 +30,15 @@
 	}
 }
 
-// Shape counts the links by kind.
-func (t *Tree) Shape() (eager, lazy int) {
+// LinkCounts counts the links by kind.
+func (t *Tree) LinkCounts() (eager, lazy int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return len(t.eager), len(t.lazy)
 }
 
-// Deep gives the most hops that news took to get here, and begins anew.
-func (t *Tree) Deep() int {
+// MaxHops gives the most hops that news took to get here, and begins anew.
+func (t *Tree) MaxHops() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	d := t.deep
@@ -57,8 +57,8 @@
 	}
 }
 
-// Name lets the neighbours know of a piece that was cast before there were any.
-func (t *Tree) Name(id string) {
+// Announce lets the neighbours know of a piece that was cast before there were any.
+func (t *Tree) Announce(id string) {
 	t.mu.Lock()
 	t.name(id)
 	t.hurry()
--- a/internal/plumtree/name_test.go
+++ b/internal/plumtree/name_test.go
@@ -15,18 +15,18 @@
 		}
 		sent = append(sent, m)
 	}, func([]byte) bool { return true }, func(string) bool { return false })
-	x.Cast("x", []byte("body"))
-	x.Links([]string{"b"})
-	x.Cast("x", []byte("body"))
+	x.Broadcast("x", []byte("body"))
+	x.SetNeighbors([]string{"b"})
+	x.Broadcast("x", []byte("body"))
 	if len(sent) != 0 {
 		t.Fatal(sent)
 	}
-	x.Name("x")
+	x.Announce("x")
 	x.Flush()
 	if len(sent) != 1 || sent[0].Kind != "ihave" || len(sent[0].IDs) != 1 || sent[0].IDs[0] != "x" {
 		t.Fatal(sent)
 	}
-	x.Take(Message{Kind: "graft", From: "b", IDs: []string{"x"}})
+	x.Receive(Message{Kind: "graft", From: "b", IDs: []string{"x"}})
 	if len(sent) != 2 || sent[1].Kind != "gossip" || string(sent[1].Body) != "body" {
 		t.Error(sent)
 	}
--- a/internal/plumtree/plumtree.go
+++ b/internal/plumtree/plumtree.go
@@ -10,13 +10,13 @@
 
 // Message is what travels on the tree.
 type Message struct {
-	Kind  string   `msgpack:"k"` // gossip, ihave, graft, prune, pull, many
-	From  string   `msgpack:"f"` // inner address of the sender
-	ID    string   `msgpack:"i,omitempty"`
-	Round int      `msgpack:"r,omitempty"` // hops from the source; of names: that they'd have with one more, at the most, 0 when not known
-	IDs   []string `msgpack:"l,omitempty"`
-	Body  []byte   `msgpack:"b,omitempty"`
-	Now   bool     `msgpack:"n,omitempty"` // of names: nothing comes whole, so what is missing is asked for at once
+	Kind              string   `msgpack:"k"` // gossip, ihave, graft, prune, pull, many
+	From              string   `msgpack:"f"` // inner address of the sender
+	ID                string   `msgpack:"i,omitempty"`
+	Round             int      `msgpack:"r,omitempty"` // hops from the source; of names: that they'd have with one more, at the most, 0 when not known
+	IDs               []string `msgpack:"l,omitempty"`
+	Body              []byte   `msgpack:"b,omitempty"`
+	NothingComesWhole bool     `msgpack:"n,omitempty"` // of names: nothing comes whole, so what is missing is asked for at once
 }
 
 type kept struct {
@@ -53,7 +53,7 @@
 	knows func(id string) bool
 	Count struct{ Eager, Double, Graft, Prune, Short int64 }
 	deep  int // the most hops that news took to get here
-	bulk  Bulk
+	bulk  Batching
 	most  int  // pieces held at once
 	fresh int  // pieces since the last tick
 	busy  bool // there were too many of them to go whole
@@ -82,9 +82,9 @@
 	}
 }
 
-// Cast sends news out under a name. What went by under that name lately is not
+// Broadcast sends news out under a name. What went by under that name lately is not
 // sent again.
-func (t *Tree) Cast(id string, body []byte) {
+func (t *Tree) Broadcast(id string, body []byte) {
 	t.mu.Lock()
 	if _, ok := t.had[id]; ok {
 		t.mu.Unlock()
@@ -127,8 +127,8 @@
 	t.names[a][id] = true
 }
 
-// Take handles one message.
-func (t *Tree) Take(m Message) {
+// Receive handles one message.
+func (t *Tree) Receive(m Message) {
 	var all []out
 	var have []string // those known to have what came
 	news := false
@@ -181,7 +181,7 @@
 			if g == nil {
 				g = &missing{since: time.Now()}
 				t.gap[id] = g
-				if m.Now && t.bulk.Take != nil {
+				if m.NothingComesWhole && t.bulk.Decode != nil {
 					pull.IDs, g.asked = append(pull.IDs, short(id)), true
 				}
 			}
@@ -201,8 +201,8 @@
 		for _, id := range m.IDs {
 			id = long(id)
 			k := t.had[id]
-			if k.body == nil && t.bulk.Find != nil {
-				k.body = t.bulk.Find(id)
+			if k.body == nil && t.bulk.Rebuild != nil {
+				k.body = t.bulk.Rebuild(id)
 			}
 			if k.body != nil {
 				all = append(all, out{m.From, Message{Kind: "gossip", From: t.self, ID: id, Round: k.round + 1, Body: k.body}})
--- a/internal/plumtree/plumtree_test.go
+++ b/internal/plumtree/plumtree_test.go
@@ -30,7 +30,7 @@
 		for _, d := range []int{1, step, n - 1, n - step} {
 			links = append(links, fmt.Sprint((i+d)%n))
 		}
-		m.trees[name].Links(links)
+		m.trees[name].SetNeighbors(links)
 	}
 	return m
 }
@@ -41,7 +41,7 @@
 		m.q = m.q[1:]
 		m.last = o.m
 		if m.lose == nil || !m.lose(o.m.From, o.to) {
-			m.trees[o.to].Take(o.m)
+			m.trees[o.to].Receive(o.m)
 		}
 	}
 }
@@ -51,7 +51,7 @@
 func TestTree(t *testing.T) {
 	m := newMesh(15, 4)
 	for k := range 30 {
-		m.trees[fmt.Sprint(k%15)].Cast(fmt.Sprint("x", k), []byte(fmt.Sprint("x", k)))
+		m.trees[fmt.Sprint(k%15)].Broadcast(fmt.Sprint("x", k), []byte(fmt.Sprint("x", k)))
 		m.settle()
 	}
 	var before, after int64
@@ -59,7 +59,7 @@
 		before += x.Count.Eager
 	}
 	for k := range 10 {
-		m.trees["3"].Cast(fmt.Sprint("y", k), []byte(fmt.Sprint("y", k)))
+		m.trees["3"].Broadcast(fmt.Sprint("y", k), []byte(fmt.Sprint("y", k)))
 		m.settle()
 	}
 	for _, x := range m.trees {
@@ -86,7 +86,7 @@
 func TestSameNews(t *testing.T) {
 	m := newMesh(15, 4)
 	for k := range 30 {
-		m.trees[fmt.Sprint(k%15)].Cast(fmt.Sprint("x", k), []byte(fmt.Sprint("x", k)))
+		m.trees[fmt.Sprint(k%15)].Broadcast(fmt.Sprint("x", k), []byte(fmt.Sprint("x", k)))
 		m.settle()
 	}
 	sends := func() (n int64) {
@@ -97,11 +97,11 @@
 	}
 	before := sends()
 	for n := range m.trees {
-		m.trees[n].Cast("same", []byte("same"))
+		m.trees[n].Broadcast("same", []byte("same"))
 	}
 	m.settle()
 	for n := range m.trees {
-		m.trees[n].Cast("same", []byte("same"))
+		m.trees[n].Broadcast("same", []byte("same"))
 	}
 	m.settle()
 	// Each of the 15 may have sent to all of its few eager links before it heard.
@@ -121,7 +121,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		m := newMesh(40, 7)
 		m.old["o"] = true
-		m.trees["0"].Cast("o", []byte("o"))
+		m.trees["0"].Broadcast("o", []byte("o"))
 		m.settle()
 		for range 10 {
 			<-time.After(1100 * time.Millisecond)
@@ -146,13 +146,13 @@
 	synctest.Test(t, func(t *testing.T) {
 		m := newMesh(12, 3)
 		for k := range 24 {
-			m.trees[fmt.Sprint(k%12)].Cast(fmt.Sprint("x", k), []byte(fmt.Sprint("x", k)))
+			m.trees[fmt.Sprint(k%12)].Broadcast(fmt.Sprint("x", k), []byte(fmt.Sprint("x", k)))
 			m.settle()
 		}
 		rnd := rand.New(rand.NewPCG(1, 2))
 		m.lose = func(string, string) bool { return rnd.IntN(3) == 0 }
 		for k := range 20 {
-			m.trees["0"].Cast(fmt.Sprint("z", k), []byte(fmt.Sprint("z", k)))
+			m.trees["0"].Broadcast(fmt.Sprint("z", k), []byte(fmt.Sprint("z", k)))
 			m.settle()
 		}
 		lost := 0
--- a/internal/plumtree/short_test.go
+++ b/internal/plumtree/short_test.go
@@ -20,8 +20,8 @@
 			for _, d := range []int{1, 5, 25} {
 				links = append(links, fmt.Sprint((i+d)%n), fmt.Sprint((i+n-d)%n))
 			}
-			m.trees[fmt.Sprint(i)].Links(links)
-			m.trees[fmt.Sprint(i)].Carry(Bulk{})
+			m.trees[fmt.Sprint(i)].SetNeighbors(links)
+			m.trees[fmt.Sprint(i)].SetBatching(Batching{})
 		}
 		dice := rand.New(rand.NewPCG(5, 8))
 		// What was sent last comes first, as where some links are much longer than others.
@@ -33,19 +33,19 @@
 				if old && o.m.Kind == "ihave" {
 					o.m.Round = 0
 				}
-				m.trees[o.to].Take(o.m)
+				m.trees[o.to].Receive(o.m)
 			}
 		}
 		var before int64
 		for k := range 180 {
 			if k == 150 {
 				for _, x := range m.trees {
-					x.Deep()
+					x.MaxHops()
 					before += x.Count.Eager
 				}
 			}
 			id := fmt.Sprint("x", k)
-			m.trees[fmt.Sprint(dice.IntN(n))].Cast(id, []byte(id))
+			m.trees[fmt.Sprint(dice.IntN(n))].Broadcast(id, []byte(id))
 			settle()
 			late-- // its source
 			for _, got := range m.got {
@@ -60,7 +60,7 @@
 			settle()
 		}
 		for at, x := range m.trees {
-			most = max(most, x.Deep())
+			most = max(most, x.MaxHops())
 			sends += float64(x.Count.Eager)
 			for k := range 180 {
 				if m.got[at][fmt.Sprint("x", k)] > 1 {
@@ -90,8 +90,8 @@
 	var sent []out
 	x := New("me", time.Second, time.Minute, func(to string, m Message) { sent = append(sent, out{to, m}) },
 		func([]byte) bool { return true }, func(string) bool { return false })
-	x.Links([]string{"far", "near", "child"})
-	x.Take(Message{Kind: "prune", From: "near"})
+	x.SetNeighbors([]string{"far", "near", "child"})
+	x.Receive(Message{Kind: "prune", From: "near"})
 	for _, c := range []struct {
 		id           string
 		named, round int
@@ -102,8 +102,8 @@
 		{"c", 4, 7, "graft to near, prune to far, gossip to child"},
 	} {
 		sent = nil
-		x.Take(Message{Kind: "ihave", From: "near", IDs: []string{c.id}, Round: c.named})
-		x.Take(Message{Kind: "gossip", From: "far", ID: c.id, Round: c.round, Body: []byte(c.id)})
+		x.Receive(Message{Kind: "ihave", From: "near", IDs: []string{c.id}, Round: c.named})
+		x.Receive(Message{Kind: "gossip", From: "far", ID: c.id, Round: c.round, Body: []byte(c.id)})
 		got := ""
 		for i, o := range sent {
 			if i > 0 {
@@ -117,8 +117,8 @@
 	}
 	// One link only is exchanged between two ticks.
 	sent = nil
-	x.Take(Message{Kind: "ihave", From: "far", IDs: []string{"d"}, Round: 1})
-	x.Take(Message{Kind: "gossip", From: "near", ID: "d", Round: 9, Body: []byte("d")})
+	x.Receive(Message{Kind: "ihave", From: "far", IDs: []string{"d"}, Round: 1})
+	x.Receive(Message{Kind: "gossip", From: "near", ID: "d", Round: 9, Body: []byte("d")})
 	if len(sent) != 1 || sent[0].to != "child" {
 		t.Errorf("%v", sent)
 	}
--- a/internal/plumtree/tick.go
+++ b/internal/plumtree/tick.go
@@ -13,7 +13,7 @@
 	// It is over when no more came than go whole. Pieces of many sources at once
 	// prune each other's links, up to the last: the tree grows anew.
 	was := t.busy
-	if t.busy, t.fresh = t.fresh > Burst, 0; was && !t.busy {
+	if t.busy, t.fresh = t.fresh > MaxEagerBurst, 0; was && !t.busy {
 		for a := range t.lazy {
 			t.warm(a)
 		}
@@ -25,7 +25,7 @@
 		}
 	}
 	// A table keeps the room of the most that it held.
-	if t.most = max(t.most, len(t.had), len(t.gap)); len(t.had)+len(t.gap) == 0 && t.most > 16*Burst {
+	if t.most = max(t.most, len(t.had), len(t.gap)); len(t.had)+len(t.gap) == 0 && t.most > 16*MaxEagerBurst {
 		t.had, t.gap, t.most = map[string]kept{}, map[string]*missing{}, 0
 	}
 	t.mu.Unlock()
--- a/internal/proxy/acknowledge.go
+++ b/internal/proxy/acknowledge.go
@@ -41,7 +41,7 @@
 	if kept {
 		return true
 	}
-	word := x.rep.WordOf(worker)
+	word := x.rep.EntriesOf(worker)
 	if word.Empty() {
 		// Nobody else knows of the worker, unless this node has not been told yet.
 		return !x.life.Is("starting")
--- a/internal/proxy/answer.go
+++ b/internal/proxy/answer.go
@@ -76,7 +76,7 @@
 	switch {
 	case j.back.Outcome == protocol.Done:
 		c.Done++
-		if j.entry.Area == x.Settings.Zone {
+		if j.entry.Zone == x.Settings.Zone {
 			c.Near++
 		}
 	case j.lost != nil:
--- a/internal/proxy/beat.go
+++ b/internal/proxy/beat.go
@@ -140,7 +140,7 @@
 		g.mu.Lock()
 		dot := g.dot
 		g.mu.Unlock()
-		if g.state.Is("up", "draining") && x.rep.OwnDead(dot) {
+		if g.state.Is("up", "draining") && x.rep.OwnRemoved(dot) {
 			x.e.Log.Emit(event.Afresh, "worker", g.worker)
 			x.enter(g)
 		}
--- a/internal/proxy/lane.go
+++ b/internal/proxy/lane.go
@@ -33,7 +33,7 @@
 	if j.arm.Bulk == "" {
 		return nil
 	}
-	return func(e ormap.Entry) time.Duration { return x.n.BulkDelay(e.Inner, len(j.body)) }
+	return func(e ormap.Entry) time.Duration { return x.n.BulkDelay(e.InternalAddr, len(j.body)) }
 }
 
 // thin is the outcome of an attempt for which the link had no room: nothing was
--- a/internal/proxy/newsrate_test.go
+++ b/internal/proxy/newsrate_test.go
@@ -43,7 +43,7 @@
 	g := x.gateOf("w")
 	x.fitnessNews.Nodes(240)
 	registered := 0
-	x.rep.Subscribe(func(n replica.News) {
+	x.rep.Subscribe(func(n replica.Event) {
 		if n.Kind == "registered" {
 			registered++
 		}
--- a/internal/proxy/outer.go
+++ b/internal/proxy/outer.go
@@ -166,7 +166,7 @@
 	s.CallerConnections, s.CallersLeft = x.stay.OpenConns(), x.quit.Load()
 	s.BytesInFlight, s.BytesInFlightPeak, s.BytesInFlightLimit = x.load.at()
 	s.Classes, s.Health = x.uses(), x.pick.Weights()
-	s.EagerLinks, s.LazyLinks = x.rep.Tree().Shape()
+	s.EagerLinks, s.LazyLinks = x.rep.Tree().LinkCounts()
 	for k, v := range x.n.BytesSent() {
 		if k.OtherZone {
 			s.BytesToOtherZones += v.Bytes
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -144,7 +144,7 @@
 }
 
 // news logs the registry's events and forgets workers that are gone for good.
-func (x *Proxy) news(n replica.News) {
+func (x *Proxy) news(n replica.Event) {
 	if n.Kind == "registered" {
 		x.e.Log.Emit(event.Registered, "service", n.Entry.Service, "worker", n.Entry.Worker, "owner", n.Entry.Owner)
 		return
@@ -153,7 +153,7 @@
 	if n.Kind == "down" {
 		k = event.Down
 	}
-	x.e.Log.Emit(k, "service", n.Entry.Service, "worker", n.Entry.Worker, "owner", n.Entry.Owner, "why", n.Why)
+	x.e.Log.Emit(k, "service", n.Entry.Service, "worker", n.Entry.Worker, "owner", n.Entry.Owner, "why", n.Reason)
 	for _, e := range x.rep.Lookup(n.Entry.Service) {
 		if e.Worker == n.Entry.Worker {
 			return
--- a/internal/proxy/rematch.go
+++ b/internal/proxy/rematch.go
@@ -27,7 +27,7 @@
 			}
 			return
 		}
-		if x.learn(ctx, j.entry.Inner) {
+		if x.learn(ctx, j.entry.InternalAddr) {
 			continue
 		}
 		x.touch.HeartbeatNow()
@@ -42,7 +42,7 @@
 func (x *Proxy) teach(ctx context.Context, j *job) bool {
 	ctx, end := context.WithTimeout(ctx, x.Settings.CallTimeout())
 	defer end()
-	_, err := controlclient.PushConfig(ctx, x.n, j.entry.Inner, x.touch.Document(), j.rules.Version-1)
+	_, err := controlclient.PushConfig(ctx, x.n, j.entry.InternalAddr, x.touch.Document(), j.rules.Version-1)
 	return err == nil
 }
 
--- a/internal/proxy/steps.go
+++ b/internal/proxy/steps.go
@@ -80,7 +80,7 @@
 		if j.calm() {
 			continue
 		}
-		if j.sends > 0 || j.looks >= replica.Retries || !x.rep.Pause(ctx, j.looks) {
+		if j.sends > 0 || j.looks >= replica.DefaultRetries || !x.rep.Backoff(ctx, j.looks) {
 			if j.why == "" {
 				// One that starts is known everywhere after a beat or two.
 				j.why, j.come = "no worker of "+j.service+" is up", x.Settings.WorkerTimeout()
@@ -198,7 +198,7 @@
 	if j.arm.Bulk != "" {
 		ctx = transport.WithSendDeadline(ctx, time.Now().Add(x.queueWaitBound()))
 	}
-	b, err := transport.Call[protocol.AttemptResult](ctx, x.n, j.entry.Inner, "job.hand", h)
+	b, err := transport.Call[protocol.AttemptResult](ctx, x.n, j.entry.InternalAddr, "job.hand", h)
 	come, full := transport.IsLinkFull(err)
 	switch {
 	case err == nil:
--- a/internal/proxy/workercall.go
+++ b/internal/proxy/workercall.go
@@ -75,7 +75,7 @@
 // is held.
 func (x *Proxy) depart(worker, why string) {
 	x.departures[worker] = time.Now()
-	x.rep.Depart(worker, why)
+	x.rep.SignOffWorker(worker, why)
 }
 
 // forgetCalls drops what is remembered of workers that have not called for longer
@@ -109,7 +109,7 @@
 	defer x.calling.Unlock()
 	// Who signed off before this node knew what its earlier start had registered.
 	for worker := range x.departures {
-		x.rep.Depart(worker, signedOff)
+		x.rep.SignOffWorker(worker, signedOff)
 	}
 	p := x.set()
 	if p.WorkerAddr == "" || x.say.IdentifiesConns {
--- a/internal/proxy/workercall_test.go
+++ b/internal/proxy/workercall_test.go
@@ -96,11 +96,11 @@
 	defer second.Kill()
 	first.takeCall(call("w", saysUp, 1))
 	first.takeCall(call("w", saysGone, 0))
-	all, err := first.rep.Map().All().Pack().Open()
+	all, err := first.rep.Map().All().Encode().Decode()
 	if err != nil {
 		t.Fatal(err)
 	}
-	second.rep.Fill(all)
+	second.rep.ReplaceRemote(all)
 	second.takeCall(call("w", saysUp, 2))
 	if second.up("w") {
 		t.Error("a beat of before the sign-off brought the worker back at the next start")
--- a/internal/registry/app.go
+++ b/internal/registry/app.go
@@ -126,14 +126,14 @@
 
 // appTake takes a lock; its holder keeps the fence and gets more time.
 func (r *Registry) appTake(w http.ResponseWriter, req *http.Request) {
-	if c, ok := r.appRead(w, req, TabTake); ok {
+	if c, ok := r.appRead(w, req, AcquireLockTable); ok {
 		cmd := &statemachine.AcquireLock{Name: c.name, Owner: c.v.Text("owner"), TTL: appTime(c.v), Same: true}
 		r.appChange(w, req, c, "lock.take", cmd, map[string]int{statemachine.Conflict: http.StatusConflict}, fenceBody)
 	}
 }
 
 func (r *Registry) appHold(w http.ResponseWriter, req *http.Request) {
-	if c, ok := r.appRead(w, req, TabHold); ok {
+	if c, ok := r.appRead(w, req, RenewLockTable); ok {
 		cmd := &statemachine.AcquireLock{Name: c.name, Owner: c.v.Text("owner"), TTL: appTime(c.v), Renew: true, Fence: uint64(c.v.Count("fence"))}
 		r.appChange(w, req, c, "lock.take", cmd, map[string]int{statemachine.Conflict: http.StatusConflict, statemachine.NotFound: http.StatusConflict}, fenceBody)
 	}
@@ -141,14 +141,14 @@
 
 // appFree gives a lock back. That it is not held any more is no fault.
 func (r *Registry) appFree(w http.ResponseWriter, req *http.Request) {
-	if c, ok := r.appRead(w, req, TabFree); ok {
+	if c, ok := r.appRead(w, req, ReleaseLockTable); ok {
 		cmd := &statemachine.ReleaseLock{Name: c.name, Owner: c.v.Text("owner"), Fence: uint64(c.v.Count("fence"))}
 		r.appChange(w, req, c, "lock.free", cmd, nil, fenceBody)
 	}
 }
 
 func (r *Registry) appNext(w http.ResponseWriter, req *http.Request) {
-	if c, ok := r.appRead(w, req, TabNext); ok {
+	if c, ok := r.appRead(w, req, NextNumberTable); ok {
 		r.appChange(w, req, c, "number.next", &statemachine.NextNumber{Name: c.name}, nil, func(got statemachine.Result) map[string]any {
 			return map[string]any{"value": got.Number}
 		})
@@ -156,7 +156,7 @@
 }
 
 func (r *Registry) appPut(w http.ResponseWriter, req *http.Request) {
-	if c, ok := r.appRead(w, req, TabCell); ok {
+	if c, ok := r.appRead(w, req, PutGroupKeyTable); ok {
 		rev, cond := c.v["if_rev"].(int64)
 		cmd := &statemachine.PutGroupKey{Name: c.name, Value: []byte(c.v.Text("value")), If: cond, Revision: uint64(rev)}
 		r.appChange(w, req, c, "cell.put", cmd, map[string]int{statemachine.Conflict: http.StatusPreconditionFailed}, revBody)
@@ -164,7 +164,7 @@
 }
 
 func (r *Registry) appGet(w http.ResponseWriter, req *http.Request) {
-	c, ok := r.appRead(w, req, TabNext)
+	c, ok := r.appRead(w, req, NextNumberTable)
 	if !ok {
 		return
 	}
@@ -181,7 +181,7 @@
 
 // appWatch is a long poll for the puts of a group above a revision.
 func (r *Registry) appWatch(w http.ResponseWriter, req *http.Request) {
-	c, ok := r.appRead(w, req, TabNext)
+	c, ok := r.appRead(w, req, NextNumberTable)
 	if !ok {
 		return
 	}
--- a/internal/registry/apptable.go
+++ b/internal/registry/apptable.go
@@ -8,11 +8,11 @@
 
 // The tables of the bodies of applications' calls.
 var (
-	TabTake = schema.Table{Name: "app lock, POST", Rows: []schema.Field{appOwner, appSpan}}
-	TabHold = schema.Table{Name: "app lock, PUT", Rows: []schema.Field{appOwner, appSpan, appFence}}
-	TabFree = schema.Table{Name: "app lock, DELETE", Rows: []schema.Field{appOwner, appFence}}
-	TabNext = schema.Table{Name: "app number, POST"}
-	TabCell = schema.Table{Name: "app key, PUT", Rows: TabKey.Rows}
+	AcquireLockTable = schema.Table{Name: "app lock, POST", Rows: []schema.Field{appOwner, appSpan}}
+	RenewLockTable   = schema.Table{Name: "app lock, PUT", Rows: []schema.Field{appOwner, appSpan, appFence}}
+	ReleaseLockTable = schema.Table{Name: "app lock, DELETE", Rows: []schema.Field{appOwner, appFence}}
+	NextNumberTable  = schema.Table{Name: "app number, POST"}
+	PutGroupKeyTable = schema.Table{Name: "app key, PUT", Rows: KeyTable.Rows}
 
 	appOwner = schema.Field{Name: "owner", Type: schema.Text, Required: true, Check: appName, Rule: "a name", Help: "who holds it"}
 	appSpan  = schema.Field{Name: "ttl_ms", Type: schema.Share, Required: true, Check: schema.FloatRange(0.001, 86400000), Rule: "over 0, to 86400000", Help: "how long it stands without a renewal"}
--- a/internal/registry/election.go
+++ b/internal/registry/election.go
@@ -165,7 +165,7 @@
 	}
 	r.mu.Unlock()
 	for n := range dead {
-		count := r.rep.Retire(n, func(ormap.Entry) bool { return true })
+		count := r.rep.RetireNode(n, func(ormap.Entry) bool { return true })
 		r.e.Log.Emit(event.Retired, "node", n, "entries", count, "ballot", num.String())
 	}
 }
--- a/internal/registry/fuzz_test.go
+++ b/internal/registry/fuzz_test.go
@@ -17,7 +17,7 @@
 		if err != nil {
 			return
 		}
-		for _, tab := range []schema.Table{TabTake, TabHold, TabFree, TabNext, TabCell} {
+		for _, tab := range []schema.Table{AcquireLockTable, RenewLockTable, ReleaseLockTable, NextNumberTable, PutGroupKeyTable} {
 			v, bad := tab.ReadKnown(in, "")
 			for _, b := range append(bad, twice...) {
 				// The place of a name that is empty is empty too.
@@ -37,7 +37,7 @@
 					t.Errorf("%s: %s is %v", tab.Name, row.Name, got)
 				}
 			}
-			if ms := appTime(v); tab.Name != TabCell.Name && v["ttl_ms"] != nil && (ms < 1 || ms > 86400000) {
+			if ms := appTime(v); tab.Name != PutGroupKeyTable.Name && v["ttl_ms"] != nil && (ms < 1 || ms > 86400000) {
 				t.Errorf("a time of %d ms", ms)
 			}
 			if _, is := v["fence"]; is && uint64(v.Count("fence")) == 0 {
--- a/internal/registry/keys.go
+++ b/internal/registry/keys.go
@@ -52,7 +52,7 @@
 	if !ok {
 		return
 	}
-	v, ok := readFields(w, req, TabKey)
+	v, ok := readFields(w, req, KeyTable)
 	if !ok {
 		return
 	}
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -102,7 +102,7 @@
 	r.n.MaxIdleLinks = p.MaxIdleLinks()
 	r.rep = replica.New(r.self, r.n, g, e.Log, hlc.New(e.Wall, 2*p.RecoveryBound), p.HeartbeatInterval(), p.RepairInterval(), p.TombstoneTTL())
 	r.held = patch.NewDocument(memberChangesKept / 16)
-	r.rep.Await(true)
+	r.rep.SetRefillPending(true)
 	r.stores = newStores(r.n, p.Stores, p.CallTimeout(), p.HeartbeatInterval()/4)
 	r.pulse = pausedetect.New(p.HeartbeatInterval(), p.UnnoticedPause(), nil)
 	r.life = fsm.New("starting", nil,
@@ -114,9 +114,9 @@
 		fsm.Move{From: "ready", By: "stop", To: "leaving"},
 		fsm.Move{From: "leaving", By: "shut", To: "shut"})
 	r.duties = []*roleElection{newRoleElection(r, "steward", r.retireNodes), newRoleElection(r, "judge", r.judge)}
-	r.rep.Subscribe(func(n replica.News) {
+	r.rep.Subscribe(func(n replica.Event) {
 		k := map[string]event.Kind{"registered": event.Registered, "unregistered": event.Unregistered, "down": event.Down}[n.Kind]
-		e.Log.Emit(k, "service", n.Entry.Service, "worker", n.Entry.Worker, "owner", n.Entry.Owner, "why", n.Why)
+		e.Log.Emit(k, "service", n.Entry.Service, "worker", n.Entry.Worker, "owner", n.Entry.Owner, "why", n.Reason)
 	})
 	return r
 }
@@ -180,8 +180,8 @@
 		}
 		r.loadWorkers()
 	}
-	r.rep.Await(false)
-	r.rep.Sound(time.Now().Add(r.Settings.SessionTTL()))
+	r.rep.SetRefillPending(false)
+	r.rep.SetCompleteUntil(time.Now().Add(r.Settings.SessionTTL()))
 	if r.life.Fire("filled") {
 		r.e.Log.Emit(event.Ready, "program", "registry")
 	}
--- a/internal/registry/savedworkers.go
+++ b/internal/registry/savedworkers.go
@@ -25,19 +25,19 @@
 func (r *Registry) saveWorkers() bool {
 	r.saving.Lock()
 	defer r.saving.Unlock()
-	now := ormap.Total(r.rep.Map().Digests())
+	now := ormap.CombineDigests(r.rep.Map().Digests())
 	if r.e.FS == nil || now == r.keptAs {
 		return true
 	}
 	if !r.life.Is("ready") {
 		return false
 	}
-	all := ormap.Delta{Adds: r.rep.Map().Live(nil), Dead: r.rep.Map().Departures("")}
+	all := ormap.Delta{Adds: r.rep.Map().Live(nil), Tombstones: r.rep.Map().Departures("")}
 	if all.Empty() {
 		// A replica that was emptied must not empty the file.
 		return true
 	}
-	raw, err := msgpack.Marshal(savedWorkers{Mesh: r.Settings.ClusterID, All: all.Pack()})
+	raw, err := msgpack.Marshal(savedWorkers{Mesh: r.Settings.ClusterID, All: all.Encode()})
 	if err != nil || disk.Save(r.e.FS, workersFile, raw) != nil {
 		return false
 	}
@@ -59,11 +59,11 @@
 	if err != nil || transport.Decode(raw, &was) != nil || was.Mesh != r.Settings.ClusterID {
 		return
 	}
-	all, err := was.All.Open()
+	all, err := was.All.Decode()
 	if err != nil {
 		return
 	}
-	r.rep.Accept(ormap.Delta{Dead: all.Dead})
+	r.rep.Accept(ormap.Delta{Tombstones: all.Tombstones})
 	for _, e := range all.Adds {
 		if live, dead := r.rep.Map().Knows(e.Dot.Hash()); live || dead {
 			return
@@ -72,5 +72,5 @@
 	if 2*len(r.rep.Map().Live(nil)) >= len(all.Adds) {
 		return
 	}
-	r.rep.Recall(ormap.Delta{Adds: all.Adds})
+	r.rep.Restore(ormap.Delta{Adds: all.Adds})
 }
--- a/internal/registry/savedworkers_test.go
+++ b/internal/registry/savedworkers_test.go
@@ -36,13 +36,13 @@
 	folder := t.TempDir()
 	r := onDisk(t, folder)
 	r.life.Fire("filled")
-	dot := ormap.Dot{Node: "n#1", At: hlc.New(time.Now, time.Second).Now()}
-	entry := ormap.Entry{Dot: dot, Service: "s", Worker: "w", Owner: "n", Inner: "10.0.0.2:1", Area: "a", Meta: map[string]string{"state": "up"}}
+	dot := ormap.Dot{Node: "n#1", Stamp: hlc.New(time.Now, time.Second).Now()}
+	entry := ormap.Entry{Dot: dot, Service: "s", Worker: "w", Owner: "n", InternalAddr: "10.0.0.2:1", Zone: "a", Meta: map[string]string{"state": "up"}}
 	r.rep.Accept(ormap.Delta{Adds: []ormap.Entry{entry}})
 	if !r.saveWorkers() {
 		t.Fatal("the worker is not kept")
 	}
-	leave := ormap.Delta{Dead: []ormap.Grave{{Dot: dot, Why: "signed off", Worker: "w"}}}
+	leave := ormap.Delta{Tombstones: []ormap.Tombstone{{Dot: dot, Reason: "signed off", Worker: "w"}}}
 	if _, err := r.onWorkerLeaves(t.Context(), transport.Hello{}, leave); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/registry/sessions.go
+++ b/internal/registry/sessions.go
@@ -111,9 +111,9 @@
 		out.IsDiff = true
 		if in.AcceptsCompact && len(d.Added)+len(d.Removed) > plainDiff {
 			// With nothing said it asks by parts, and is told whom to ask.
-			if out.IsDiff = r.rep.Room(); out.IsDiff {
+			if out.IsDiff = r.rep.HasRefillCapacity(); out.IsDiff {
 				out.CompactDiff = r.packed(in.MembersHash, d)
-				r.rep.Spend(len(out.CompactDiff))
+				r.rep.RecordRefillBytes(len(out.CompactDiff))
 			}
 		} else {
 			out.Added, out.Removed = d.Added, d.Removed
@@ -142,13 +142,13 @@
 		at = s.f.InternalAddr
 	}
 	r.mu.Unlock()
-	if !r.rep.Room() {
-		return protocol.MemberListResponse{Hash: b.Hash(), Busy: true, Alternatives: r.rep.Given(from.Zone, at)}, nil
+	if !r.rep.HasRefillCapacity() {
+		return protocol.MemberListResponse{Hash: b.Hash(), Busy: true, Alternatives: r.rep.RefilledNodes(from.Zone, at)}, nil
 	}
 	out, err := controlclient.DiffMembers(b, in)
-	r.rep.Spend(controlclient.ResponseSize(out))
+	r.rep.RecordRefillBytes(controlclient.ResponseSize(out))
 	if err == nil && !out.More {
-		r.rep.Gave(at, from.Zone)
+		r.rep.RecordRefill(at, from.Zone)
 	}
 	return out, err
 }
@@ -196,7 +196,7 @@
 			}
 			r.linked = b.Hash()
 			r.mu.Unlock()
-			r.rep.Peers(b)
+			r.rep.SetMembers(b)
 		}
 	})
 }
@@ -207,7 +207,7 @@
 		// The new start buries them itself, after it has looked at what its
 		// worker was; this is for one that does not get so far.
 		r.e.Sleep(ctx, 2*r.Settings.HeartbeatInterval())
-		r.rep.Retire(f.Node, func(e ormap.Entry) bool { return e.Dot.Node != f.Node+"#"+f.Incarnation })
+		r.rep.RetireNode(f.Node, func(e ormap.Entry) bool { return e.Dot.Node != f.Node+"#"+f.Incarnation })
 	})
 }
 
--- a/internal/registry/shares.go
+++ b/internal/registry/shares.go
@@ -34,7 +34,7 @@
 	r.expire()
 	r.dropUnreachable()
 	if !r.sure.IsZero() && time.Since(r.sure) <= r.Settings.ConfirmationTTL() {
-		r.rep.Sound(time.Now().Add(r.Settings.SessionTTL()))
+		r.rep.SetCompleteUntil(time.Now().Add(r.Settings.SessionTTL()))
 	}
 	r.relink()
 	// Unless something changed or somebody came or went lately, a word now and
--- a/internal/registry/status.go
+++ b/internal/registry/status.go
@@ -17,30 +17,30 @@
 
 // Status is what a registry says of itself.
 type Status struct {
-	Node     string            `msgpack:"node" json:"node"`
-	Area     string            `msgpack:"area" json:"area"`
-	State    string            `msgpack:"state" json:"state"`
-	Ready    bool              `msgpack:"ready" json:"ready"`
-	SureMS   int64             `msgpack:"sure" json:"confirmed_ms_ago"`
-	Version  uint64            `msgpack:"version" json:"config_version"`
-	Sessions []string          `msgpack:"sessions" json:"sessions"`
-	Duties   map[string]string `msgpack:"duties" json:"duties"`
-	Entries  int               `msgpack:"entries" json:"entries"`
-	Dead     int               `msgpack:"dead" json:"tombstones"`
-	Digest   uint64            `msgpack:"digest" json:"digest"`
-	SentAway int64             `msgpack:"away" json:"bytes_sent_to_other_areas"`
-	Events   []event.Entry     `msgpack:"events" json:"-"`
+	Node              string            `msgpack:"node" json:"node"`
+	Zone              string            `msgpack:"area" json:"area"`
+	State             string            `msgpack:"state" json:"state"`
+	Ready             bool              `msgpack:"ready" json:"ready"`
+	ConfirmedAgoMS    int64             `msgpack:"sure" json:"confirmed_ms_ago"`
+	Version           uint64            `msgpack:"version" json:"config_version"`
+	Sessions          []string          `msgpack:"sessions" json:"sessions"`
+	Roles             map[string]string `msgpack:"duties" json:"duties"`
+	Entries           int               `msgpack:"entries" json:"entries"`
+	Tombstones        int               `msgpack:"dead" json:"tombstones"`
+	Digest            uint64            `msgpack:"digest" json:"digest"`
+	BytesToOtherZones int64             `msgpack:"away" json:"bytes_sent_to_other_areas"`
+	Events            []event.Entry     `msgpack:"events" json:"-"`
 }
 
-// Fleet is the whole mesh as one node tells it.
-type Fleet struct {
-	Version    uint64              `json:"config_version"`
-	Members    []membership.Member `json:"members"`
-	Duties     map[string]string   `json:"duties"`
-	Stores     []store.Status      `json:"stores"`
-	Registries []Status            `json:"registries"`
-	Proxies    []proxy.Status      `json:"proxies"`
-	Mute       []string            `json:"mute"` // members that gave no answer
+// ClusterStatus is the whole mesh as one node tells it.
+type ClusterStatus struct {
+	Version     uint64              `json:"config_version"`
+	Members     []membership.Member `json:"members"`
+	Roles       map[string]string   `json:"duties"`
+	Stores      []store.Status      `json:"stores"`
+	Registries  []Status            `json:"registries"`
+	Proxies     []proxy.Status      `json:"proxies"`
+	Unreachable []string            `json:"mute"` // members that gave no answer
 }
 
 func (r *Registry) onStatus(_ context.Context, _ transport.Hello, in proxy.StatusRequest) (Status, error) {
@@ -52,24 +52,24 @@
 }
 
 func (r *Registry) status() Status {
-	s := Status{Node: r.Settings.Node, Area: r.Settings.Zone, State: r.life.Current(), Ready: r.Ready(), Duties: map[string]string{}}
+	s := Status{Node: r.Settings.Node, Zone: r.Settings.Zone, State: r.life.Current(), Ready: r.Ready(), Roles: map[string]string{}}
 	for _, d := range r.duties {
 		if num, ok := d.leads(); ok {
-			s.Duties[d.name] = num.String()
+			s.Roles[d.name] = num.String()
 		}
 	}
-	s.Entries, s.Dead = r.rep.Map().Size()
+	s.Entries, s.Tombstones = r.rep.Map().Size()
 	for _, d := range r.rep.Map().Digests() {
 		s.Digest ^= d
 	}
 	for k, v := range r.n.BytesSent() {
 		if k.OtherZone {
-			s.SentAway += v.Bytes
+			s.BytesToOtherZones += v.Bytes
 		}
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	s.SureMS = time.Since(r.sure).Milliseconds()
+	s.ConfirmedAgoMS = time.Since(r.sure).Milliseconds()
 	if r.rules != nil {
 		s.Version = r.rules.Version
 	}
@@ -81,9 +81,9 @@
 }
 
 // gather asks every member for its status at once.
-func (r *Registry) gather(ctx context.Context, events bool, since uint64) Fleet {
+func (r *Registry) gather(ctx context.Context, events bool, since uint64) ClusterStatus {
 	r.mu.Lock()
-	out := Fleet{Members: r.roll.List().Members(), Duties: map[string]string{}, Mute: []string{}}
+	out := ClusterStatus{Members: r.roll.List().Members(), Roles: map[string]string{}, Unreachable: []string{}}
 	r.mu.Unlock()
 	r.stores.mu.Lock()
 	stores := append([]string(nil), r.stores.members...)
@@ -98,7 +98,7 @@
 			defer wait.Done()
 			if f() != nil {
 				mu.Lock()
-				out.Mute = append(out.Mute, name)
+				out.Unreachable = append(out.Unreachable, name)
 				mu.Unlock()
 			}
 		}) {
@@ -138,18 +138,18 @@
 		})
 	}
 	wait.Wait()
-	sort.Strings(out.Mute)
+	sort.Strings(out.Unreachable)
 	sort.Slice(out.Proxies, func(i, j int) bool { return out.Proxies[i].Node < out.Proxies[j].Node })
 	sort.Slice(out.Registries, func(i, j int) bool { return out.Registries[i].Node < out.Registries[j].Node })
 	sort.Slice(out.Stores, func(i, j int) bool { return out.Stores[i].Node < out.Stores[j].Node })
 	for _, s := range out.Registries {
-		for d := range s.Duties {
-			out.Duties[d] = s.Node
+		for d := range s.Roles {
+			out.Roles[d] = s.Node
 		}
 	}
 	for _, s := range out.Stores {
 		if s.Role == "write" {
-			out.Duties["writer"] = s.Node
+			out.Roles["writer"] = s.Node
 		}
 	}
 	return out
@@ -163,7 +163,7 @@
 	f.Version = got.Version
 	if err != nil {
 		// Without a majority the status still helps, and says what it lacks.
-		f.Mute = append(f.Mute, "no majority of the stores")
+		f.Unreachable = append(f.Unreachable, "no majority of the stores")
 	}
 	httpapi.WriteJSON(w, http.StatusOK, f)
 }
@@ -190,7 +190,7 @@
 	if len(all) > 500 {
 		all = all[len(all)-500:]
 	}
-	httpapi.WriteJSON(w, http.StatusOK, map[string]any{"version": r.version(), "events": all, "mute": f.Mute})
+	httpapi.WriteJSON(w, http.StatusOK, map[string]any{"version": r.version(), "events": all, "mute": f.Unreachable})
 }
 
 // version is the configuration held here.
@@ -203,6 +203,6 @@
 	return r.rules.Version
 }
 
-// Sizes gives the bytes that this process sent to others, by kind of message;
+// BytesSent gives the bytes that this process sent to others, by kind of message;
 // receipts count with what they answer.
-func (r *Registry) Sizes() map[transport.Flow]transport.Traffic { return r.n.BytesSent() }
+func (r *Registry) BytesSent() map[transport.Flow]transport.Traffic { return r.n.BytesSent() }
--- a/internal/registry/trials.go
+++ b/internal/registry/trials.go
@@ -20,8 +20,8 @@
 	"puffincrank/internal/transport"
 )
 
-// TabPropose is the body of a proposal.
-var TabPropose = schema.Table{Name: "propose", Rows: []schema.Field{
+// ProposalTable is the body of a proposal.
+var ProposalTable = schema.Table{Name: "propose", Rows: []schema.Field{
 	{Name: "path", Type: schema.Text, Required: true, Check: schema.IsName, Rule: "a path in force", Help: "the path to change"},
 	{Name: "slice", Type: schema.Share, Check: schema.FloatRange(0.1, 50), Rule: "0.1 to 50", Help: "percent of its jobs; the judge's slice when left out"},
 	{Name: "service", Type: schema.Text, Check: schema.IsName, Rule: "one of services", Help: "the new service, in place of a split too"},
@@ -50,7 +50,7 @@
 		answerWrong(w, "based_on must name the version that the proposal is based on", nil)
 		return
 	}
-	v, ok := readFields(w, req, TabPropose)
+	v, ok := readFields(w, req, ProposalTable)
 	if !ok {
 		return
 	}
--- a/internal/replica/full_test.go
+++ b/internal/replica/full_test.go
@@ -27,7 +27,7 @@
 		r := New(membership.Member{Node: "a", InternalAddr: "h:1"}, w, g, e.Log, hlc.New(time.Now, time.Minute), beat, 3*time.Second, time.Minute)
 		ask := func() ormap.Delta {
 			d, err := r.onAll(t.Context(), transport.Hello{}, allAsk{Short: true})
-			if err != nil || len(d.Short) == 0 {
+			if err != nil || len(d.Compact) == 0 {
 				t.Fatal(d, err)
 			}
 			return d
@@ -35,11 +35,11 @@
 		r.Register("s", "w", nil)
 		one := ask()
 		r.Register("s", "v", nil)
-		if two := ask(); &one.Short[0] != &two.Short[0] {
+		if two := ask(); &one.Compact[0] != &two.Compact[0] {
 			t.Error("packed again at the same time")
 		}
 		task.Sleep(t.Context(), beat/2)
-		if d, err := ask().Open(); err != nil || len(d.Adds) != 2 {
+		if d, err := ask().Decode(); err != nil || len(d.Adds) != 2 {
 			t.Error(d, err)
 		}
 		if d, _ := r.onAll(t.Context(), transport.Hello{}, allAsk{}); len(d.Adds) != 2 {
--- a/internal/replica/index_test.go
+++ b/internal/replica/index_test.go
@@ -40,7 +40,7 @@
 			}
 			<-time.After(beat)
 			if step%100 == 0 {
-				n[0].rep.Sound(time.Now().Add(beat))
+				n[0].rep.SetCompleteUntil(time.Now().Add(beat))
 				if got, err := n[1].rep.Refill(t.Context(), "h1:1"); err != nil || !got.Done {
 					t.Fatal(got, err)
 				}
--- a/internal/replica/lookup.go
+++ b/internal/replica/lookup.go
@@ -7,8 +7,8 @@
 	"puffincrank/internal/ormap"
 )
 
-// Retries is how often a lookup that found nothing is tried again at first.
-const Retries = 3
+// DefaultRetries is how often a lookup that found nothing is tried again at first.
+const DefaultRetries = 3
 
 // Local gives the entries of a service that this node owns.
 func (r *Replica) Local(service string) []ormap.Entry {
@@ -24,10 +24,10 @@
 // Lookup gives every entry of a service that this replica knows.
 func (r *Replica) Lookup(service string) []ormap.Entry { return r.list(service) }
 
-// Whereis gives the single best match: an own one, then one of the own area,
+// Find gives the single best match: an own one, then one of the own area,
 // then any. It tries again with a short backoff, which covers the time that a
 // fresh registration takes to get here.
-func (r *Replica) Whereis(ctx context.Context, service string, retries int) (ormap.Entry, bool) {
+func (r *Replica) Find(ctx context.Context, service string, retries int) (ormap.Entry, bool) {
 	for try := 0; ; try++ {
 		all := r.list(service)
 		best, rank := ormap.Entry{}, 0
@@ -35,22 +35,22 @@
 			n := 1
 			if e.Owner == r.self.Node {
 				n = 3
-			} else if e.Area == r.self.Zone {
+			} else if e.Zone == r.self.Zone {
 				n = 2
 			}
 			if n > rank {
 				best, rank = e, n
 			}
 		}
-		if rank > 0 || try >= retries || !r.Pause(ctx, try) {
+		if rank > 0 || try >= retries || !r.Backoff(ctx, try) {
 			return best, rank > 0
 		}
 	}
 }
 
-// Pause is the backoff before the lookup is tried again; false means that the
+// Backoff is the backoff before the lookup is tried again; false means that the
 // time left is over.
-func (r *Replica) Pause(ctx context.Context, try int) bool {
+func (r *Replica) Backoff(ctx context.Context, try int) bool {
 	t := time.NewTimer(r.beat / 8 << min(try, 4))
 	defer t.Stop()
 	select {
@@ -61,8 +61,8 @@
 	}
 }
 
-// Fill puts what a refill brought in the place of all that others said.
-func (r *Replica) Fill(all ormap.Delta) {
+// ReplaceRemote puts what a refill brought in the place of all that others said.
+func (r *Replica) ReplaceRemote(all ormap.Delta) {
 	r.mu.Lock()
 	r.m.Clear(func(e ormap.Entry) bool { return e.Dot.Node == r.dot })
 	clear(r.index)
@@ -71,9 +71,9 @@
 	r.take(all, false)
 }
 
-// Recall adds what was known in an earlier life, and tells nobody: all whose
+// Restore adds what was known in an earlier life, and tells nobody: all whose
 // replicas are empty are refilled from here.
-func (r *Replica) Recall(all ormap.Delta) {
+func (r *Replica) Restore(all ormap.Delta) {
 	r.take(all, false)
 	// Whoever asks from now on is given it, not what was packed just before.
 	r.full.Lock()
@@ -81,15 +81,15 @@
 	r.full.Unlock()
 }
 
-// OwnDead tells whether an own entry was found removed by somebody else.
-func (r *Replica) OwnDead(d ormap.Dot) bool { return r.m.Dead(d) }
+// OwnRemoved tells whether an own entry was found removed by somebody else.
+func (r *Replica) OwnRemoved(d ormap.Dot) bool { return r.m.IsTombstoned(d) }
 
 // Dot is the node part of this node's dots.
 func (r *Replica) Dot() string { return r.dot }
 
-// Await tells whether a refill is to come: until then the replica is not
+// SetRefillPending tells whether a refill is to come: until then the replica is not
 // compared with any.
-func (r *Replica) Await(on bool) {
+func (r *Replica) SetRefillPending(on bool) {
 	r.mu.Lock()
 	r.await = on
 	r.mu.Unlock()
--- a/internal/replica/mend.go
+++ b/internal/replica/mend.go
@@ -41,7 +41,7 @@
 func (r *Replica) onDigest(_ context.Context, _ transport.Hello, in digestAsk) (digestGot, error) {
 	own := r.m.Digests()
 	// Who waits for its refill lacks all, and would be given it by each fellow.
-	if ormap.Total(own) == in.Total || r.awaits() {
+	if ormap.CombineDigests(own) == in.Total || r.awaits() {
 		return digestGot{Same: true}, nil
 	}
 	// Without the ranges the asker only wanted to know whether all is equal.
@@ -62,21 +62,21 @@
 		got.Fine, got.Dots = true, r.m.Hashes(got.Differ)
 		r.pace.spend(word * len(got.Dots))
 	} else {
-		got.Part = r.m.Part(got.Differ)
+		got.Part = r.m.RangeDelta(got.Differ)
 	}
 	return got, nil
 }
 
 func (r *Replica) onSwap(_ context.Context, _ transport.Hello, in swapAsk) (ormap.Delta, error) {
-	give, err := in.Give.Open()
+	give, err := in.Give.Decode()
 	if err != nil {
 		return ormap.Delta{}, err
 	}
 	back := r.m.Answer(in.Want, give.Adds)
 	r.take(give, true)
 	if in.Short {
-		back = back.Pack()
-		r.pace.spend(len(back.Short))
+		back = back.Encode()
+		r.pace.spend(len(back.Compact))
 	}
 	return back, nil
 }
@@ -97,21 +97,21 @@
 		if f := peers.Random(area, rand.IntN); f != nil && f.Node != r.self.Node {
 			ctx, end := context.WithTimeout(ctx, 5*r.beat)
 			defer end()
-			_ = r.Mend(ctx, f.InternalAddr)
+			_ = r.Repair(ctx, f.InternalAddr)
 			return
 		}
 	}
 }
 
-// Mend compares with one fellow and merges what differs, both ways: digests of
+// Repair compares with one fellow and merges what differs, both ways: digests of
 // all, then of the ranges, then the names of what is in those that differ, and
 // only what one of the two lacks travels whole.
-func (r *Replica) Mend(ctx context.Context, addr string) error {
+func (r *Replica) Repair(ctx context.Context, addr string) error {
 	if r.awaits() {
 		return nil
 	}
 	own := r.m.Digests()
-	total := ormap.Total(own)
+	total := ormap.CombineDigests(own)
 	got, err := transport.Call[digestGot](ctx, r.n, addr, "replica.digest", digestAsk{Total: total})
 	if err != nil || got.Same {
 		return err
@@ -124,11 +124,11 @@
 		return err
 	}
 	r.mu.Lock()
-	r.Mends++
+	r.RepairCount++
 	r.mu.Unlock()
 	if !got.Fine {
 		// A fellow of an earlier version sends the ranges whole.
-		back := r.m.Part(got.Differ)
+		back := r.m.RangeDelta(got.Differ)
 		r.take(got.Part, true)
 		_, err = transport.Call[struct{}](ctx, r.n, addr, "replica.mend", back)
 		return err
@@ -141,7 +141,7 @@
 	in.Short = true
 	back, err := transport.Call[ormap.Delta](ctx, r.n, addr, "replica.swap", in)
 	if err == nil {
-		back, err = back.Open()
+		back, err = back.Decode()
 	}
 	if err == nil {
 		r.take(back, true)
--- a/internal/replica/refill.go
+++ b/internal/replica/refill.go
@@ -32,10 +32,10 @@
 
 // Refill is what came of one.
 type Refill struct {
-	Done  bool
-	Later time.Duration // when to ask there again, if it wasn't
-	Try   []string      // fellows that were filled there
-	Many  bool          // no more is handed out there in this beat
+	Done         bool
+	RetryAfter   time.Duration // when to ask there again, if it wasn't
+	Alternatives []string      // fellows that were filled there
+	Limited      bool          // no more is handed out there in this beat
 }
 
 // packed gives the whole in its short form. It is packed once for all that come
@@ -46,7 +46,7 @@
 	defer r.full.Unlock()
 	if r.full.at.IsZero() || time.Since(r.full.at) > r.beat/4 {
 		r.full.at = time.Now()
-		r.full.all = r.m.All().Pack()
+		r.full.all = r.m.All().Encode()
 	}
 	return r.full.all
 }
@@ -66,7 +66,7 @@
 		return fillGot{No: true}, nil
 	}
 	all := r.packed()
-	ok, again, many := r.pace.ask(len(all.Short), time.Now())
+	ok, again, many := r.pace.ask(len(all.Compact), time.Now())
 	if !ok {
 		return fillGot{No: true, Later: again.Milliseconds() + 1, Try: r.pace.name(from.Zone, in.From), Many: many}, nil
 	}
@@ -74,9 +74,9 @@
 	return fillGot{All: all, Many: many}, nil
 }
 
-// Sound says that until a time this replica is in touch with the mesh, and may
+// SetCompleteUntil says that until a time this replica is in touch with the mesh, and may
 // fill others.
-func (r *Replica) Sound(until time.Time) {
+func (r *Replica) SetCompleteUntil(until time.Time) {
 	r.mu.Lock()
 	r.good = until
 	r.mu.Unlock()
@@ -100,36 +100,36 @@
 	if err != nil {
 		return Refill{}, fault.Wrap(fault.Refused, err, "refill")
 	}
-	out := Refill{Later: time.Duration(got.Later) * time.Millisecond, Try: got.Try, Many: got.Many}
+	out := Refill{RetryAfter: time.Duration(got.Later) * time.Millisecond, Alternatives: got.Try, Limited: got.Many}
 	if got.No {
 		return out, nil
 	}
-	all, err := got.All.Open()
+	all, err := got.All.Decode()
 	if err != nil {
 		return Refill{}, fault.Wrap(fault.Refused, err, "refill")
 	}
-	r.Fill(all)
-	r.Await(false)
+	r.ReplaceRemote(all)
+	r.SetRefillPending(false)
 	r.log.Emit(event.Refilled, "from", addr, "entries", len(all.Adds))
 	out.Done = true
 	return out, nil
 }
 
-// Room tells whether this node may hand out more in this beat.
-func (r *Replica) Room() bool { return r.pace.room(time.Now()) }
+// HasRefillCapacity tells whether this node may hand out more in this beat.
+func (r *Replica) HasRefillCapacity() bool { return r.pace.room(time.Now()) }
 
-// Spend notes how many bytes it handed out.
-func (r *Replica) Spend(size int) { r.pace.spend(size) }
+// RecordRefillBytes notes how many bytes it handed out.
+func (r *Replica) RecordRefillBytes(size int) { r.pace.spend(size) }
 
-// Gave notes whom it handed a refill, and in which area.
-func (r *Replica) Gave(at, area string) { r.pace.gave(at, area) }
+// RecordRefill notes whom it handed a refill, and in which area.
+func (r *Replica) RecordRefill(at, area string) { r.pace.gave(at, area) }
 
-// Given names who was given what others still wait for, those of an area first.
-func (r *Replica) Given(area, but string) []string { return r.pace.name(area, but) }
+// RefilledNodes names who was given what others still wait for, those of an area first.
+func (r *Replica) RefilledNodes(area, but string) []string { return r.pace.name(area, but) }
 
-// Fellow draws a proxy of an area, of any without one; empty when the draws
+// RandomProxy draws a proxy of an area, of any without one; empty when the draws
 // found none.
-func (r *Replica) Fellow(area string) string {
+func (r *Replica) RandomProxy(area string) string {
 	r.mu.Lock()
 	peers := r.peers
 	r.mu.Unlock()
--- a/internal/replica/refill_test.go
+++ b/internal/replica/refill_test.go
@@ -67,14 +67,14 @@
 		if got := ask(1, "h0:1"); got.Done {
 			t.Error("filled by one that isn't in touch")
 		}
-		sound := func(r *Replica) { r.Sound(time.Now().Add(time.Minute)) }
+		sound := func(r *Replica) { r.SetCompleteUntil(time.Now().Add(time.Minute)) }
 		sound(core)
-		core.Await(true)
+		core.SetRefillPending(true)
 		if got := ask(1, "h0:1"); got.Done {
 			t.Error("filled by one that waits for its refill")
 		}
-		core.Await(false)
-		one := len(core.packed().Short)
+		core.SetRefillPending(false)
+		one := len(core.packed().Compact)
 		var done []string
 		var off []int
 		var last time.Duration
@@ -86,16 +86,16 @@
 				continue
 			}
 			off = append(off, i)
-			if got.Later < tick || got.Later > longest*tick+time.Millisecond || got.Later < last {
-				t.Errorf("%d comes again after %v, the one before after %v", i, got.Later, last)
+			if got.RetryAfter < tick || got.RetryAfter > longest*tick+time.Millisecond || got.RetryAfter < last {
+				t.Errorf("%d comes again after %v, the one before after %v", i, got.RetryAfter, last)
 			}
-			last = got.Later
-			for k, at := range got.Try {
-				if !slices.Contains(done, at) || k > 0 && all[at[1]-'0'].self.Zone == all[i].self.Zone && all[got.Try[k-1][1]-'0'].self.Zone != all[i].self.Zone {
-					t.Errorf("%d of %s is told to try %v, filled were %v", i, all[i].self.Zone, got.Try, done)
+			last = got.RetryAfter
+			for k, at := range got.Alternatives {
+				if !slices.Contains(done, at) || k > 0 && all[at[1]-'0'].self.Zone == all[i].self.Zone && all[got.Alternatives[k-1][1]-'0'].self.Zone != all[i].self.Zone {
+					t.Errorf("%d of %s is told to try %v, filled were %v", i, all[i].self.Zone, got.Alternatives, done)
 				}
 			}
-			if len(got.Try) == 0 {
+			if len(got.Alternatives) == 0 {
 				t.Error("told of nobody")
 			}
 		}
@@ -125,12 +125,12 @@
 		defer g.Stop()
 		all := fleet(t, g, 2, 64<<10)
 		all[0].Register("s", "w", nil)
-		all[0].Spend(64 << 10 / coreShare)
-		if err := all[1].Mend(t.Context(), "h0:1"); err != errBusy {
+		all[0].RecordRefillBytes(64 << 10 / coreShare)
+		if err := all[1].Repair(t.Context(), "h0:1"); err != errBusy {
 			t.Error(err)
 		}
 		task.Sleep(t.Context(), tick)
-		if err := all[1].Mend(t.Context(), "h0:1"); err != nil || len(all[1].Lookup("s")) != 1 {
+		if err := all[1].Repair(t.Context(), "h0:1"); err != nil || len(all[1].Lookup("s")) != 1 {
 			t.Error(err, all[1].Lookup("s"))
 		}
 	})
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -17,11 +17,11 @@
 	"puffincrank/internal/transport"
 )
 
-// News is what subscribers hear: registered, unregistered or down.
-type News struct {
-	Kind  string
-	Entry ormap.Entry
-	Why   string
+// Event is what subscribers hear: registered, unregistered or down.
+type Event struct {
+	Kind   string
+	Entry  ormap.Entry
+	Reason string
 }
 
 // Replica is one node's copy. Lock order: mu before the map's own lock.
@@ -38,7 +38,7 @@
 	bury  time.Duration
 	reg   sync.Mutex // one registration at a time; taken before mu
 	mu    sync.Mutex
-	subs  []func(News)
+	subs  []func(Event)
 	peers *membership.List
 	links map[string]bool          // the fellows of the overlay, with their starts
 	index map[string][]ormap.Entry // service to its entries by dot; a slice is never changed
@@ -48,10 +48,10 @@
 		at  time.Time
 		all ormap.Delta // all of the map then, packed
 	}
-	await bool      // the refill has not come yet
-	good  time.Time // until when it is in touch with the mesh, for certain
-	pace  *pace
-	Mends int64
+	await       bool      // the refill has not come yet
+	good        time.Time // until when it is in touch with the mesh, for certain
+	pace        *pace
+	RepairCount int64
 }
 
 // New makes an empty replica; Start opens it to the fellows.
@@ -59,9 +59,9 @@
 	r := &Replica{self: self, n: n, g: g, log: log, clock: clock, m: ormap.New(), dot: self.Node + "#" + self.Incarnation, beat: beat, bury: bury, index: map[string][]ormap.Entry{}, peers: &membership.List{}}
 	r.pace = newPace(self.Role, n.MaxFrameBytes, beat)
 	r.tree = plumtree.New(self.InternalAddr, beat, 50*beat, r.send, r.hear, r.knows)
-	r.tree.Carry(plumtree.Bulk{Soon: r.soon, Late: r.late, Give: r.give, Take: r.got, Find: r.find})
+	r.tree.SetBatching(plumtree.Batching{RequestFlush: r.soon, RequestGraft: r.late, Encode: r.give, Decode: r.got, Rebuild: r.find})
 	transport.Handle(n, "gossip", func(_ context.Context, _ transport.Hello, m plumtree.Message) (struct{}, error) {
-		r.tree.Take(m)
+		r.tree.Receive(m)
 		return struct{}{}, nil
 	})
 	transport.Handle(n, "replica.all", r.onAll)
@@ -105,12 +105,12 @@
 // and the entries that are removed by it.
 func (r *Replica) merge(d ormap.Delta) (ormap.Delta, []ormap.Entry) {
 	why := map[ormap.Dot]string{}
-	for _, g := range d.Dead {
-		why[g.Dot] = g.Why
-		r.clock.Observe(g.Dot.At)
+	for _, g := range d.Tombstones {
+		why[g.Dot] = g.Reason
+		r.clock.Observe(g.Dot.Stamp)
 	}
 	for _, e := range d.Adds {
-		r.clock.Observe(e.Dot.At)
+		r.clock.Observe(e.Dot.Stamp)
 	}
 	// Both at once: the index must not see two merges in another order than
 	// the map did.
@@ -120,26 +120,26 @@
 	subs := r.subs
 	r.mu.Unlock()
 	for _, e := range added {
-		r.tell(subs, News{"registered", e, ""})
+		r.tell(subs, Event{"registered", e, ""})
 	}
 	for _, e := range removed {
 		kind := "unregistered"
 		if why[e.Dot] == "down" || why[e.Dot] == "retired" {
 			kind = "down"
 		}
-		r.tell(subs, News{kind, e, why[e.Dot]})
+		r.tell(subs, Event{kind, e, why[e.Dot]})
 	}
 	return news, removed
 }
 
-func (r *Replica) tell(subs []func(News), n News) {
+func (r *Replica) tell(subs []func(Event), n Event) {
 	for _, f := range subs {
 		f(n)
 	}
 }
 
 // Subscribe adds a listener of events.
-func (r *Replica) Subscribe(f func(News)) {
+func (r *Replica) Subscribe(f func(Event)) {
 	r.mu.Lock()
 	r.subs = append(r.subs, f)
 	r.mu.Unlock()
@@ -151,9 +151,9 @@
 func (r *Replica) Register(service, worker string, meta map[string]string) ormap.Entry {
 	r.reg.Lock()
 	defer r.reg.Unlock()
-	e := ormap.Entry{Dot: ormap.Dot{Node: r.dot, At: r.clock.Now()}, Service: service, Worker: worker,
-		Owner: r.self.Node, Inner: r.self.InternalAddr, Area: r.self.Zone, Meta: meta}
-	d := r.m.Bury("again", func(o ormap.Entry) bool { return o.Worker == worker && o.Owner == r.self.Node })
+	e := ormap.Entry{Dot: ormap.Dot{Node: r.dot, Stamp: r.clock.Now()}, Service: service, Worker: worker,
+		Owner: r.self.Node, InternalAddr: r.self.InternalAddr, Zone: r.self.Zone, Meta: meta}
+	d := r.m.RemovalDelta("again", func(o ormap.Entry) bool { return o.Worker == worker && o.Owner == r.self.Node })
 	d.Adds = []ormap.Entry{e}
 	r.take(d, true)
 	return e
@@ -161,42 +161,42 @@
 
 // Remove buries the observed entries of a worker of this node.
 func (r *Replica) Remove(worker, why string) {
-	r.take(r.m.Bury(why, func(e ormap.Entry) bool { return e.Worker == worker && e.Owner == r.self.Node }), true)
+	r.take(r.m.RemovalDelta(why, func(e ormap.Entry) bool { return e.Worker == worker && e.Owner == r.self.Node }), true)
 }
 
-// Depart removes a worker's registrations of this node and tells all that the
+// SignOffWorker removes a worker's registrations of this node and tells all that the
 // worker is gone for good. Where none is known there is nothing to tell by; false
 // means that.
-func (r *Replica) Depart(worker, why string) bool {
-	d := r.m.Depart(worker, why, func(e ormap.Entry) bool { return e.Owner == r.self.Node })
+func (r *Replica) SignOffWorker(worker, why string) bool {
+	d := r.m.DepartureDelta(worker, why, func(e ormap.Entry) bool { return e.Owner == r.self.Node })
 	r.take(d, true)
-	return len(d.Dead) > 0
+	return len(d.Tombstones) > 0
 }
 
-// WordOf gives what is known of a worker of this node: its registrations, and
+// EntriesOf gives what is known of a worker of this node: its registrations, and
 // that it is gone for good.
-func (r *Replica) WordOf(worker string) ormap.Delta {
+func (r *Replica) EntriesOf(worker string) ormap.Delta {
 	live := r.m.Live(func(e ormap.Entry) bool { return e.Worker == worker && e.Owner == r.self.Node })
-	return ormap.Delta{Adds: live, Dead: r.m.Departures(worker)}
+	return ormap.Delta{Adds: live, Tombstones: r.m.Departures(worker)}
 }
 
 // Accept takes in what a node says of its worker, and spreads what was news.
 func (r *Replica) Accept(d ormap.Delta) { r.take(d, true) }
 
-// Retire buries the observed entries of a dead node; the count is given back.
-func (r *Replica) Retire(node string, pick func(ormap.Entry) bool) int {
-	d := r.m.Bury("retired", func(e ormap.Entry) bool { return e.Owner == node && pick(e) })
+// RetireNode buries the observed entries of a dead node; the count is given back.
+func (r *Replica) RetireNode(node string, pick func(ormap.Entry) bool) int {
+	d := r.m.RemovalDelta("retired", func(e ormap.Entry) bool { return e.Owner == node && pick(e) })
 	r.take(d, true)
-	return len(d.Dead)
+	return len(d.Tombstones)
 }
 
-// Peers sets the mesh's nodes.
-func (r *Replica) Peers(all *membership.List) {
+// SetMembers sets the mesh's nodes.
+func (r *Replica) SetMembers(all *membership.List) {
 	links := all.Neighbors(r.self.Node)
 	r.mu.Lock()
 	// Many that come at once are still telling of themselves: what is on its
 	// way would be found to differ over each link.
-	crowd := all.Len()-r.peers.Len() > plumtree.Burst
+	crowd := all.Len()-r.peers.Len() > plumtree.MaxEagerBurst
 	r.peers = all
 	was := r.links
 	r.links = map[string]bool{}
@@ -211,7 +211,7 @@
 		}
 	}
 	r.mu.Unlock()
-	r.tree.Links(to)
+	r.tree.SetNeighbors(to)
 	// What was told before a link stood did not go over it.
 	for _, a := range fresh {
 		r.g.Go("mend-link", func(ctx context.Context) {
@@ -220,7 +220,7 @@
 			}
 			ctx, end := context.WithTimeout(ctx, 5*r.beat)
 			defer end()
-			_ = r.Mend(ctx, a)
+			_ = r.Repair(ctx, a)
 		})
 	}
 }
--- a/internal/replica/replica_test.go
+++ b/internal/replica/replica_test.go
@@ -45,7 +45,7 @@
 		e := env.Env{Net: net.Host(h), Log: event.New(h, nil), Wall: time.Now}
 		w := transport.NewNode(transport.Hello{ClusterID: "m", Node: h, Zone: areas[i]}, e, g, 1<<20, 64, beat)
 		n := &node{w: w, rep: replica.New(f, w, g, e.Log, hlc.New(time.Now, time.Minute), beat, 3*time.Second, time.Minute)}
-		n.rep.Subscribe(func(x replica.News) {
+		n.rep.Subscribe(func(x replica.Event) {
 			n.mu.Lock()
 			n.news = append(n.news, x.Kind+" "+x.Entry.Worker)
 			n.mu.Unlock()
@@ -56,7 +56,7 @@
 		out = append(out, n)
 	}
 	for _, n := range out {
-		n.rep.Peers(membership.NewList(all))
+		n.rep.SetMembers(membership.NewList(all))
 	}
 	return out
 }
@@ -103,28 +103,28 @@
 		g := task.New(context.Background())
 		n := row(t, net, g, []string{"h1", "h2", "h3"}, []string{"x", "x", "y"})
 		defer stop(g, n)
-		if _, ok := n[0].rep.Whereis(t.Context(), "s", 0); ok {
+		if _, ok := n[0].rep.Find(t.Context(), "s", 0); ok {
 			t.Error("found a service that nobody serves")
 		}
 		from := time.Now()
-		if _, ok := n[0].rep.Whereis(t.Context(), "s", replica.Retries); ok || time.Since(from) > beat {
+		if _, ok := n[0].rep.Find(t.Context(), "s", replica.DefaultRetries); ok || time.Since(from) > beat {
 			t.Errorf("gave up after %v", time.Since(from))
 		}
 		// Registered far away a moment ago: without retries it is not there yet.
 		n[2].rep.Register("s", "far", map[string]string{"slots": "1"})
-		if _, ok := n[0].rep.Whereis(t.Context(), "s", 0); ok {
+		if _, ok := n[0].rep.Find(t.Context(), "s", 0); ok {
 			t.Error("the delta was faster than the network")
 		}
-		if e, ok := n[0].rep.Whereis(t.Context(), "s", replica.Retries); !ok || e.Worker != "far" {
+		if e, ok := n[0].rep.Find(t.Context(), "s", replica.DefaultRetries); !ok || e.Worker != "far" {
 			t.Errorf("retries did not find it: %v %v", e, ok)
 		}
 		n[1].rep.Register("s", "near", nil)
 		<-time.After(beat)
-		if e, _ := n[0].rep.Whereis(t.Context(), "s", 0); e.Worker != "near" {
+		if e, _ := n[0].rep.Find(t.Context(), "s", 0); e.Worker != "near" {
 			t.Errorf("the own area is not preferred: %v", e)
 		}
 		n[0].rep.Register("s", "own", nil)
-		if e, _ := n[0].rep.Whereis(t.Context(), "s", 0); e.Worker != "own" {
+		if e, _ := n[0].rep.Find(t.Context(), "s", 0); e.Worker != "own" {
 			t.Errorf("the own node is not preferred: %v", e)
 		}
 		if l := n[0].rep.Local("s"); len(l) != 1 || l[0].Worker != "own" {
@@ -164,7 +164,7 @@
 		<-time.After(beat)
 		net.Isolate("h3", true)
 		two := n[0].rep.Register("s", "w", map[string]string{"state": "draining"})
-		if one.Dot == two.Dot || !one.Dot.At.Less(two.Dot.At) {
+		if one.Dot == two.Dot || !one.Dot.Stamp.Less(two.Dot.Stamp) {
 			t.Errorf("the dot is not fresh: %v %v", one.Dot, two.Dot)
 		}
 		n[2].rep.Register("s", "lone", nil)
--- a/internal/replica/spread.go
+++ b/internal/replica/spread.go
@@ -27,11 +27,11 @@
 // worker is never out of the list between the two. A grave of what was not
 // known here stays here: it stands in for an add that may still come.
 func pieces(news ormap.Delta, removed []ormap.Entry) []piece {
-	graves := map[ormap.Dot]ormap.Grave{}
-	for _, g := range news.Dead {
+	graves := map[ormap.Dot]ormap.Tombstone{}
+	for _, g := range news.Tombstones {
 		graves[g.Dot] = g
 	}
-	of := map[string][]ormap.Grave{}
+	of := map[string][]ormap.Tombstone{}
 	for _, e := range removed {
 		if g, ok := graves[e.Dot]; ok {
 			of[e.Worker] = append(of[e.Worker], g)
@@ -39,12 +39,12 @@
 	}
 	var out []piece
 	for _, e := range news.Adds {
-		out = append(out, piece{named("a", e.Dot), ormap.Delta{Adds: []ormap.Entry{e}, Dead: of[e.Worker]}})
+		out = append(out, piece{named("a", e.Dot), ormap.Delta{Adds: []ormap.Entry{e}, Tombstones: of[e.Worker]}})
 		delete(of, e.Worker)
 	}
 	for _, list := range of {
 		for _, g := range list {
-			out = append(out, piece{named("d", g.Dot), ormap.Delta{Dead: []ormap.Grave{g}}})
+			out = append(out, piece{named("d", g.Dot), ormap.Delta{Tombstones: []ormap.Tombstone{g}}})
 		}
 	}
 	return out
@@ -53,15 +53,15 @@
 func (r *Replica) spread(news ormap.Delta, removed []ormap.Entry) {
 	for _, p := range pieces(news, removed) {
 		if body, err := msgpack.Marshal(p.what); err == nil {
-			r.tree.Cast(p.id, body)
+			r.tree.Broadcast(p.id, body)
 		}
 	}
 }
 
-// Tell names the own entries to the neighbours.
-func (r *Replica) Tell() {
+// AnnounceOwn names the own entries to the neighbours.
+func (r *Replica) AnnounceOwn() {
 	for _, e := range r.m.Live(func(e ormap.Entry) bool { return e.Dot.Node == r.dot }) {
-		r.tree.Name(named("a", e.Dot))
+		r.tree.Announce(named("a", e.Dot))
 	}
 }
 
@@ -89,30 +89,30 @@
 	for i, id := range ids {
 		var d ormap.Delta
 		if bodies[i] != nil && transport.Decode(bodies[i], &d) == nil {
-			all.Adds, all.Dead = append(all.Adds, d.Adds...), append(all.Dead, d.Dead...)
+			all.Adds, all.Tombstones = append(all.Adds, d.Adds...), append(all.Tombstones, d.Tombstones...)
 		} else if h, ok := number(id); ok {
 			want = append(want, h)
 		}
 	}
 	d := r.m.Answer(want, nil)
-	all.Adds, all.Dead = append(all.Adds, d.Adds...), append(all.Dead, d.Dead...)
-	return all.Pack().Short
+	all.Adds, all.Tombstones = append(all.Adds, d.Adds...), append(all.Tombstones, d.Tombstones...)
+	return all.Encode().Compact
 }
 
 // got takes in a bundle. Only what replaces another entry is kept as it came;
 // anything else is made anew from the map when a fellow asks for it.
-func (r *Replica) got(bundle []byte) []plumtree.Piece {
-	d, err := ormap.Delta{Short: bundle}.Open()
+func (r *Replica) got(bundle []byte) []plumtree.Item {
+	d, err := ormap.Delta{Compact: bundle}.Decode()
 	if err != nil {
 		return nil
 	}
-	var out []plumtree.Piece
+	var out []plumtree.Item
 	for _, p := range pieces(r.merge(d)) {
 		var body []byte
-		if len(p.what.Adds) > 0 && len(p.what.Dead) > 0 {
+		if len(p.what.Adds) > 0 && len(p.what.Tombstones) > 0 {
 			body, _ = msgpack.Marshal(p.what)
 		}
-		out = append(out, plumtree.Piece{ID: p.id, Body: body})
+		out = append(out, plumtree.Item{ID: p.id, Body: body})
 	}
 	return out
 }
--- a/internal/sim/bytes_test.go
+++ b/internal/sim/bytes_test.go
@@ -34,7 +34,7 @@
 	}
 	for _, c := range f.Cores {
 		add(c.Store.BytesSent())
-		add(c.Registry.Sizes())
+		add(c.Registry.BytesSent())
 	}
 	return out
 }
