--- a/internal/controlclient/round.go
+++ b/internal/controlclient/round.go
@@ -59,12 +59,12 @@
 	case found != "":
 		t.x.Log.Emit(event.SessionUp, "with", found)
 		if was2 {
-			t.x.Log.Emit(event.InTouch, "with", found)
+			t.x.Log.Emit(event.ControlRegained, "with", found)
 		}
 	case word == protocol.Disconnected && !was2:
-		t.x.Log.Emit(event.OutOfTouch, "asked", len(core))
+		t.x.Log.Emit(event.ControlLost, "asked", len(core))
 	case word == protocol.Unconfirmed && !slow:
-		t.x.Log.Emit(event.Unsure, "asked", len(core))
+		t.x.Log.Emit(event.ConfigUnconfirmed, "asked", len(core))
 	}
 }
 
--- a/internal/ctl/args.go
+++ b/internal/ctl/args.go
@@ -132,18 +132,18 @@
 	// 'config get' has a flag of the same name, which wants a number.
 	if slices.Contains(argv, "--version") && !slices.Contains(argv, "get") {
 		fmt.Fprintln(out, version.Line("puffinctl"))
-		return Fine
+		return ExitOK
 	}
 	var a args
 	p, err := arg.NewParser(arg.Config{Program: "puffinctl", Out: out}, &a)
 	if err != nil {
 		fmt.Fprintln(say, err)
-		return Usage
+		return ExitUsage
 	}
 	err = p.Parse(argv)
 	if errors.Is(err, arg.ErrHelp) {
 		_ = p.WriteHelpForSubcommand(out, p.SubcommandNames()...)
-		return Fine
+		return ExitOK
 	}
 	if err == nil && p.Subcommand() == nil {
 		err = errors.New("a command is needed")
@@ -154,7 +154,7 @@
 	}
 	if err != nil {
 		fmt.Fprintf(say, "puffinctl: %v; see --help\n", err)
-		return Usage
+		return ExitUsage
 	}
 	var at []string
 	for _, s := range strings.Split(a.At, ",") {
--- a/internal/ctl/client.go
+++ b/internal/ctl/client.go
@@ -16,12 +16,12 @@
 
 // The exit codes.
 const (
-	Fine    = 0
-	Denied  = 1 // the mesh refused: the reasons are printed
-	Usage   = 2
-	Mute    = 3 // no node could be reached
-	Unknown = 4 // the change may have been done
-	Busy    = 5 // no majority of the stores: nothing was done
+	ExitOK          = 0
+	ExitRefused     = 1 // the mesh refused: the reasons are printed
+	ExitUsage       = 2
+	ExitUnreachable = 3 // no node could be reached
+	ExitUnknown     = 4 // the change may have been done
+	ExitUnavailable = 5 // no majority of the stores: nothing was done
 )
 
 // client tries the given nodes in order.
@@ -66,7 +66,7 @@
 		case got.code == http.StatusServiceUnavailable && !last:
 			// 503 promises that nothing was done, so another node may be asked.
 			fmt.Fprintf(c.say, "%s: no majority in touch, trying %s\n", at, c.at[i+1])
-		case exit(got.code) == Unknown && repeatable && !last:
+		case exit(got.code) == ExitUnknown && repeatable && !last:
 			maybe = maybe || method != http.MethodGet
 			fmt.Fprintf(c.say, "%s: outcome unknown, sent again to %s under the same request id\n", at, c.at[i+1])
 		case got.code == http.StatusServiceUnavailable && maybe:
@@ -79,13 +79,13 @@
 	if maybe {
 		return c.unknown()
 	}
-	return reply{}, Mute
+	return reply{}, ExitUnreachable
 }
 
 // unknown ends a call that may have been done.
 func (c *client) unknown() (reply, int) {
 	fmt.Fprintf(c.say, "outcome unknown: the change may have been done; see 'puffinctl history' or read it back\n")
-	return reply{}, Unknown
+	return reply{}, ExitUnknown
 }
 
 func (c *client) one(method, at, uri string, body []byte) (reply, bool, error) {
@@ -121,13 +121,13 @@
 func exit(code int) int {
 	switch {
 	case code < 300:
-		return Fine
+		return ExitOK
 	case code == http.StatusServiceUnavailable:
-		return Busy
+		return ExitUnavailable
 	case code == http.StatusGatewayTimeout || code == http.StatusBadGateway:
-		return Unknown
+		return ExitUnknown
 	}
-	return Denied
+	return ExitRefused
 }
 
 // wrong prints why a node refused, every fault with its place.
--- a/internal/ctl/coord.go
+++ b/internal/ctl/coord.go
@@ -30,7 +30,7 @@
 		return m.show(http.MethodPost, at+"/"+l.Op, pack(in), nil)
 	}
 	fmt.Fprintln(m.say, "lock knows list, get, acquire, renew and release")
-	return Usage
+	return ExitUsage
 }
 
 func (m *command) number() int {
@@ -42,7 +42,7 @@
 		return m.show(http.MethodPost, at+"/next", []byte("{}"), nil)
 	}
 	fmt.Fprintln(m.say, "number knows get and next")
-	return Usage
+	return ExitUsage
 }
 
 // slashed escapes a key but keeps its slashes.
@@ -75,7 +75,7 @@
 		return m.show(http.MethodDelete, at, nil, nil)
 	}
 	fmt.Fprintln(m.say, "key knows list, get, put and delete")
-	return Usage
+	return ExitUsage
 }
 
 // watch prints changes as they come, a line each.
@@ -91,7 +91,7 @@
 			from = got.Rev + 1
 			return err
 		})
-		if code != Fine {
+		if code != ExitOK {
 			return code
 		}
 	}
@@ -110,7 +110,7 @@
 		}
 		if err := json.Unmarshal(got.raw, &in); err != nil {
 			fmt.Fprintln(m.say, err)
-			return Mute
+			return ExitUnreachable
 		}
 		for _, c := range in.Changes {
 			_, _ = fmt.Fprintln(m.out, string(c))
@@ -118,5 +118,5 @@
 		}
 		from = in.Next
 	}
-	return Fine
+	return ExitOK
 }
--- a/internal/ctl/path.go
+++ b/internal/ctl/path.go
@@ -27,13 +27,13 @@
 func pathRow(p map[string]any) []string {
 	var row []string
 	for _, n := range []string{"name", "host", "method", "prefix", "service", "class", "left_ms", "aim_ms", "repeat", "tries"} {
-		v := rules.Full(p, n)
+		v := rules.EffectiveValue(p, n)
 		say := tell(v)
 		switch {
 		case n == "service" && v == nil:
 			say = parts(p["split"])
 		case n == "class" && v == nil:
-			say = "rank-" + tell(rules.Full(p, "rank"))
+			say = "rank-" + tell(rules.EffectiveValue(p, "rank"))
 		case v == nil:
 			say = "-"
 		}
--- a/internal/ctl/run.go
+++ b/internal/ctl/run.go
@@ -67,7 +67,7 @@
 	case a.Watch != nil:
 		return m.watch()
 	}
-	return Usage
+	return ExitUsage
 }
 
 // show makes a call and prints its answer: as JSON, or by f.
@@ -101,13 +101,13 @@
 	}
 	if m.a.JSON || f == nil {
 		_, _ = m.out.Write(append([]byte(strings.TrimSpace(string(got.raw))), '\n'))
-		return Fine
+		return ExitOK
 	}
 	if err := f(got.raw); err != nil {
 		fmt.Fprintf(m.say, "the answer of %s can't be read: %v\n", got.at, err)
-		return Mute
+		return ExitUnreachable
 	}
-	return Fine
+	return ExitOK
 }
 
 // table prints rows in columns.
@@ -174,7 +174,7 @@
 		})
 	}
 	fmt.Fprintln(m.say, "config knows get, check, apply and diff")
-	return Usage
+	return ExitUsage
 }
 
 func (m *command) file(name string, f func([]byte) int) int {
@@ -187,7 +187,7 @@
 	}
 	if err != nil {
 		fmt.Fprintln(m.say, err)
-		return Usage
+		return ExitUsage
 	}
 	return f(doc)
 }
--- a/internal/ctl/show.go
+++ b/internal/ctl/show.go
@@ -206,10 +206,10 @@
 	a := m.a.Events
 	var rows [][]string
 	for _, e := range got.Events {
-		if (a.Node != "" && e.Node != a.Node) || (a.Name != "" && e.Name != a.Name && fmt.Sprint(e.Num) != a.Name) {
+		if (a.Node != "" && e.Node != a.Node) || (a.Name != "" && e.Name != a.Name && fmt.Sprint(e.Number) != a.Name) {
 			continue
 		}
-		rows = append(rows, []string{e.Wall.Format("15:04:05.000"), e.Node, fmt.Sprint(e.Num), e.Name, e.Say})
+		rows = append(rows, []string{e.Time.Format("15:04:05.000"), e.Node, fmt.Sprint(e.Number), e.Name, e.Text})
 	}
 	if len(rows) > a.Last {
 		rows = rows[len(rows)-a.Last:]
--- a/internal/ctl/trials.go
+++ b/internal/ctl/trials.go
@@ -24,7 +24,7 @@
 		parts, err := splits(*p.Split)
 		if err != nil {
 			fmt.Fprintf(m.say, "puffinctl: %v; see --help\n", err)
-			return Usage
+			return ExitUsage
 		}
 		in["split"] = parts
 	}
@@ -71,7 +71,7 @@
 	at := fmt.Sprintf("/puffin/trials/%d", t.ID)
 	if t.ID == 0 && (t.Op == "show" || t.Op == "watch" || t.Op == "abort") {
 		fmt.Fprintf(m.say, "trials %s needs a trial's number; 'puffinctl trials' lists them\n", t.Op)
-		return Usage
+		return ExitUsage
 	}
 	switch t.Op {
 	case "list":
@@ -110,7 +110,7 @@
 				m.showTrial(got)
 				return err
 			})
-			if code != Fine || got.Trial.State != statemachine.Running || m.a.JSON {
+			if code != ExitOK || got.Trial.State != statemachine.Running || m.a.JSON {
 				return code
 			}
 			t := time.NewTimer(2 * time.Second)
@@ -127,7 +127,7 @@
 		})
 	}
 	fmt.Fprintln(m.say, "trials knows list, show, watch and abort")
-	return Usage
+	return ExitUsage
 }
 
 func (m *command) showTrial(t oneTrial) {
@@ -137,8 +137,8 @@
 	}
 	var rows [][]string
 	for _, f := range t.Figures {
-		rows = append(rows, []string{f.Path, f.Word, fmt.Sprint(f.Old.Jobs()), fmt.Sprint(f.New.Jobs()), fmt.Sprintf("%.2f%%", 100*f.FailOld), fmt.Sprintf("%.2f%%", 100*f.FailNew),
-			fmt.Sprintf("%.0f", f.SlowOld), fmt.Sprintf("%.0f", f.SlowNew), f.Why})
+		rows = append(rows, []string{f.Route, f.Verdict, fmt.Sprint(f.Old.Jobs()), fmt.Sprint(f.New.Jobs()), fmt.Sprintf("%.2f%%", 100*f.FailOld), fmt.Sprintf("%.2f%%", 100*f.FailNew),
+			fmt.Sprintf("%.0f", f.SlowOld), fmt.Sprintf("%.0f", f.SlowNew), f.Reason})
 	}
 	m.table("PATH WORD JOBS_OLD JOBS_NEW FAIL_OLD FAIL_NEW MS_OLD MS_NEW WHY", rows)
 }
--- a/internal/event/event.go
+++ b/internal/event/event.go
@@ -13,20 +13,20 @@
 
 // Kind is one row of the catalogue.
 type Kind struct {
-	Num  int
-	Name string
-	Text string
-	Warn bool
+	Number    int
+	Name      string
+	Text      string
+	IsWarning bool
 }
 
 // Entry is one event as the operators see it.
 type Entry struct {
-	Seq  uint64    `json:"seq" msgpack:"s"`
-	Num  int       `json:"num" msgpack:"n"`
-	Name string    `json:"name" msgpack:"k"`
-	Node string    `json:"node" msgpack:"o"`
-	Wall time.Time `json:"wall" msgpack:"w"`
-	Say  string    `json:"say" msgpack:"t"`
+	Seq    uint64    `json:"seq" msgpack:"s"`
+	Number int       `json:"num" msgpack:"n"`
+	Name   string    `json:"name" msgpack:"k"`
+	Node   string    `json:"node" msgpack:"o"`
+	Time   time.Time `json:"wall" msgpack:"w"`
+	Text   string    `json:"say" msgpack:"t"`
 }
 
 // Log writes events and keeps the newest ones in a ring.
@@ -50,8 +50,8 @@
 	return &Log{h: h, node: node}
 }
 
-// Tell sets a listener; tests use it to see what was logged.
-func (l *Log) Tell(f func(Entry)) {
+// SetListener sets a listener; tests use it to see what was logged.
+func (l *Log) SetListener(f func(Entry)) {
 	l.mu.Lock()
 	l.tell = f
 	l.mu.Unlock()
@@ -68,7 +68,7 @@
 	}
 	l.mu.Lock()
 	l.seq++
-	e := Entry{Seq: l.seq, Num: k.Num, Name: k.Name, Node: l.node, Wall: time.Now(), Say: say}
+	e := Entry{Seq: l.seq, Number: k.Number, Name: k.Name, Node: l.node, Time: time.Now(), Text: say}
 	l.ring = append(l.ring, e)
 	// The ring is cut in halves, so that the copy is rare.
 	if len(l.ring) > 2*keep {
@@ -76,8 +76,8 @@
 	}
 	tell := l.tell
 	l.mu.Unlock()
-	args := append([]any{"event", k.Num, "name", k.Name}, pairs...)
-	if k.Warn {
+	args := append([]any{"event", k.Number, "name", k.Name}, pairs...)
+	if k.IsWarning {
 		l.h.Warn(k.Text, args...)
 	} else {
 		l.h.Info(k.Text, args...)
--- a/internal/event/limiter_test.go
+++ b/internal/event/limiter_test.go
@@ -18,7 +18,7 @@
 		<-time.After(time.Second)
 		limit.Emit(log, CallerLeft, "id", "b")
 		got := log.Since(0)
-		if len(got) != 2 || !strings.Contains(got[0].Say, "id=a more=0") || !strings.Contains(got[1].Say, "id=b more=4") {
+		if len(got) != 2 || !strings.Contains(got[0].Text, "id=a more=0") || !strings.Contains(got[1].Text, "id=b more=4") {
 			t.Errorf("%+v", got)
 		}
 	})
--- a/internal/house/house_test.go
+++ b/internal/house/house_test.go
@@ -147,15 +147,15 @@
 	b.WriteString("| number | name | | meaning |\n| --- | --- | --- | --- |\n")
 	seen := map[int]bool{}
 	for _, k := range event.Catalogue {
-		if seen[k.Num] {
-			t.Errorf("event %d stands twice", k.Num)
+		if seen[k.Number] {
+			t.Errorf("event %d stands twice", k.Number)
 		}
-		seen[k.Num] = true
+		seen[k.Number] = true
 		mark := ""
-		if k.Warn {
+		if k.IsWarning {
 			mark = "!"
 		}
-		fmt.Fprintf(&b, "| %d | %s | %s | %s |\n", k.Num, k.Name, mark, k.Text)
+		fmt.Fprintf(&b, "| %d | %s | %s | %s |\n", k.Number, k.Name, mark, k.Text)
 	}
 	page(t, "events.md", b.String())
 	src, err := os.ReadFile(filepath.Join(root, "internal/event/catalogue.go"))
@@ -181,7 +181,7 @@
 func TestConfiguration(t *testing.T) {
 	var b strings.Builder
 	b.WriteString("# The configuration document\n\nMade from the tables in the code. One JSON object, at most 4 MiB; doubled names are faults, and\nso are unknown ones unless the document has a `version`.\n\n")
-	for _, tab := range rules.All {
+	for _, tab := range rules.Tables {
 		fmt.Fprintf(&b, "## %s\n\n%s\n", tab.Name, tab.Doc())
 	}
 	b.WriteString(sayPaths)
--- a/internal/judge/judge.go
+++ b/internal/judge/judge.go
@@ -27,9 +27,9 @@
 
 // Arm is one arm's counts over all fronts.
 type Arm struct {
-	Done   uint64   `json:"done"`
-	Failed uint64   `json:"failed"` // failed, unknown and refused together
-	Times  []uint64 `json:"-"`
+	Done        uint64   `json:"done"`
+	Failed      uint64   `json:"failed"` // failed, unknown and refused together
+	LatencyBins []uint64 `json:"-"`
 }
 
 // Add takes a front's tally in. A refusal is a failure here: a change that
@@ -37,11 +37,11 @@
 func (a *Arm) Add(t protocol.ArmCounts) {
 	a.Done += t.Done
 	a.Failed += t.Failed + t.Unknown + t.Refused
-	for len(a.Times) < len(t.LatencyBins) {
-		a.Times = append(a.Times, 0)
+	for len(a.LatencyBins) < len(t.LatencyBins) {
+		a.LatencyBins = append(a.LatencyBins, 0)
 	}
 	for i, n := range t.LatencyBins {
-		a.Times[i] += n
+		a.LatencyBins[i] += n
 	}
 }
 
@@ -57,9 +57,9 @@
 
 // Facts are the figures that decided.
 type Facts struct {
-	Path     string  `json:"path"`
-	Word     string  `json:"word"`
-	Why      string  `json:"why"`
+	Route    string  `json:"path"`
+	Verdict  string  `json:"word"`
+	Reason   string  `json:"why"`
 	Old      Arm     `json:"old"`
 	New      Arm     `json:"new"`
 	FailOld  float64 `json:"fail_rate_old"`
@@ -72,38 +72,38 @@
 	AgeMS    int64   `json:"age_ms"`
 }
 
-// Weigh judges one path of a trial.
-func Weigh(path string, old, now Arm, age time.Duration, b Bounds) Facts {
-	f := Facts{Path: path, Word: Wait, Old: old, New: now, AgeMS: age.Milliseconds()}
+// Evaluate judges one path of a trial.
+func Evaluate(path string, old, now Arm, age time.Duration, b Bounds) Facts {
+	f := Facts{Route: path, Verdict: Wait, Old: old, New: now, AgeMS: age.Milliseconds()}
 	if old.Jobs() > 0 && now.Jobs() > 0 {
 		f.FailOld, f.FailNew = rate(old), rate(now)
 		f.DiffLow, f.DiffHigh = interval(old, now, b.Risk/looks)
-		f.SlowOld, f.SlowNew = quantile(old.Times, b.Quantile), quantile(now.Times, b.Quantile)
+		f.SlowOld, f.SlowNew = quantile(old.LatencyBins, b.Quantile), quantile(now.LatencyBins, b.Quantile)
 		if f.SlowOld > 0 {
 			f.Ratio = f.SlowNew / f.SlowOld
 		}
 	}
 	if age < b.Least || now.Jobs() < b.Jobs || old.Jobs() < b.Jobs {
-		f.Why = fmt.Sprintf("%d and %d jobs in %v are too few yet", old.Jobs(), now.Jobs(), age.Round(time.Second))
+		f.Reason = fmt.Sprintf("%d and %d jobs in %v are too few yet", old.Jobs(), now.Jobs(), age.Round(time.Second))
 		if age >= b.Most {
-			f.Word, f.Why = Bad, fmt.Sprintf("too little traffic: %d and %d jobs in %v", old.Jobs(), now.Jobs(), age.Round(time.Second))
+			f.Verdict, f.Reason = Bad, fmt.Sprintf("too little traffic: %d and %d jobs in %v", old.Jobs(), now.Jobs(), age.Round(time.Second))
 		}
 		return f
 	}
 	z := normal(b.Risk / looks)
-	lowNew, highNew := bounds(now.Times, b.Quantile, z)
-	lowOld, highOld := bounds(old.Times, b.Quantile, z)
+	lowNew, highNew := bounds(now.LatencyBins, b.Quantile, z)
+	lowOld, highOld := bounds(old.LatencyBins, b.Quantile, z)
 	switch {
 	case f.DiffLow > 0 && f.FailNew-f.FailOld > b.Margin:
-		f.Word, f.Why = Bad, fmt.Sprintf("fails more: %.2f %% against %.2f %%", 100*f.FailNew, 100*f.FailOld)
+		f.Verdict, f.Reason = Bad, fmt.Sprintf("fails more: %.2f %% against %.2f %%", 100*f.FailNew, 100*f.FailOld)
 	case now.Done > 0 && lowNew > b.Slow*highOld:
-		f.Word, f.Why = Bad, fmt.Sprintf("slower: quantile %.0f ms against %.0f ms", f.SlowNew, f.SlowOld)
+		f.Verdict, f.Reason = Bad, fmt.Sprintf("slower: quantile %.0f ms against %.0f ms", f.SlowNew, f.SlowOld)
 	case f.DiffHigh < b.Margin && now.Done > 0 && highNew <= b.Slow*max(lowOld, 1):
-		f.Word, f.Why = Good, fmt.Sprintf("failure rate %.2f %% against %.2f %%, latency ratio %.2f", 100*f.FailNew, 100*f.FailOld, f.Ratio)
+		f.Verdict, f.Reason = Good, fmt.Sprintf("failure rate %.2f %% against %.2f %%, latency ratio %.2f", 100*f.FailNew, 100*f.FailOld, f.Ratio)
 	case age >= b.Most:
-		f.Word, f.Why = Bad, "undecided by the end of the trial"
+		f.Verdict, f.Reason = Bad, "undecided by the end of the trial"
 	default:
-		f.Why = "the figures don't decide yet"
+		f.Reason = "the figures don't decide yet"
 	}
 	return f
 }
--- a/internal/judge/judge_test.go
+++ b/internal/judge/judge_test.go
@@ -18,7 +18,7 @@
 // play runs one trial with looks each second until a word falls.
 func play(rnd *rand.Rand, old, now arm, rate float64, b Bounds) Facts {
 	var one, two Arm
-	one.Times, two.Times = make([]uint64, 72), make([]uint64, 72)
+	one.LatencyBins, two.LatencyBins = make([]uint64, 72), make([]uint64, 72)
 	send := func(a *Arm, w arm, n int) {
 		for range n {
 			if rnd.Float64() < w.fail {
@@ -31,13 +31,13 @@
 			if rnd.IntN(20) == 0 {
 				ms *= 3
 			}
-			a.Times[min(int(math.Ceil(4*math.Log2(ms))), 71)]++
+			a.LatencyBins[min(int(math.Ceil(4*math.Log2(ms))), 71)]++
 		}
 	}
 	for age := time.Second; ; age += time.Second {
 		send(&one, old, int(rate*9))
 		send(&two, now, int(rate))
-		if f := Weigh("p", one, two, age, b); f.Word != Wait {
+		if f := Evaluate("p", one, two, age, b); f.Verdict != Wait {
 			return f
 		}
 	}
@@ -70,7 +70,7 @@
 		wrong, took := 0, int64(0)
 		for range trials {
 			f := play(rnd, c.old, c.now, c.rate, usual)
-			if (f.Word == Good) != c.good {
+			if (f.Verdict == Good) != c.good {
 				wrong++
 			}
 			took += f.AgeMS
@@ -84,10 +84,10 @@
 
 // TestRefusing: a change whose jobs nobody takes is held back.
 func TestRefusing(t *testing.T) {
-	old := Arm{Done: 900, Times: make([]uint64, 72)}
-	old.Times[20] = 900
-	now := Arm{Failed: 100, Times: make([]uint64, 72)}
-	if f := Weigh("p", old, now, 6*time.Second, usual); f.Word != Bad {
+	old := Arm{Done: 900, LatencyBins: make([]uint64, 72)}
+	old.LatencyBins[20] = 900
+	now := Arm{Failed: 100, LatencyBins: make([]uint64, 72)}
+	if f := Evaluate("p", old, now, 6*time.Second, usual); f.Verdict != Bad {
 		t.Errorf("got %+v", f)
 	}
 }
--- a/internal/lifecycle/again.go
+++ b/internal/lifecycle/again.go
@@ -82,7 +82,7 @@
 			why = bad[0].Place + ": " + bad[0].Message
 		}
 		if why != w.bad {
-			w.log.Emit(event.SettingsBad, "faults", len(bad), "first", why)
+			w.log.Emit(event.SettingsInvalid, "faults", len(bad), "first", why)
 		}
 		w.bad = why
 		return
@@ -106,10 +106,10 @@
 		}
 	}
 	if len(now) > 0 {
-		w.log.Emit(event.SettingsTaken, "settings", strings.Join(now, " "))
+		w.log.Emit(event.SettingsApplied, "settings", strings.Join(now, " "))
 	}
 	if len(later) > 0 {
-		w.log.Emit(event.SettingsLater, "settings", strings.Join(later, " "))
+		w.log.Emit(event.SettingsNeedRestart, "settings", strings.Join(later, " "))
 	}
 	w.now = p
 }
--- a/internal/lifecycle/again_test.go
+++ b/internal/lifecycle/again_test.go
@@ -45,7 +45,7 @@
 		}
 		var said []string
 		log := event.New("n", nil)
-		log.Tell(func(e event.Entry) { said = append(said, fmt.Sprint(e.Name, " ", e.Say)) })
+		log.SetListener(func(e event.Entry) { said = append(said, fmt.Sprint(e.Name, " ", e.Text)) })
 		k := &taker{}
 		w := &watch{name: "proxy", file: settings.File("proxy", []string{"--props", at}), load: load, log: log, prog: k}
 		w.seen = w.stat()
--- a/internal/lifecycle/run.go
+++ b/internal/lifecycle/run.go
@@ -139,9 +139,9 @@
 		case <-stopped:
 			return
 		case s := <-ends:
-			log.Emit(event.ToldAgain, "signal", s, "after_ms", time.Since(from).Milliseconds())
+			log.Emit(event.SecondStopSignal, "signal", s, "after_ms", time.Since(from).Milliseconds())
 		case s := <-again:
-			log.Emit(event.ToldAgain, "signal", s, "after_ms", time.Since(from).Milliseconds())
+			log.Emit(event.SecondStopSignal, "signal", s, "after_ms", time.Since(from).Milliseconds())
 		}
 	}
 }
--- a/internal/lifecycle/signals_test.go
+++ b/internal/lifecycle/signals_test.go
@@ -81,7 +81,7 @@
 	var said []string
 	log := event.New("n", nil)
 	told := make(chan struct{}, 2)
-	log.Tell(func(e event.Entry) { said = append(said, e.Name+" "+e.Say); told <- struct{}{} })
+	log.SetListener(func(e event.Entry) { said = append(said, e.Name+" "+e.Text); told <- struct{}{} })
 	p := slowStop{make(chan struct{})}
 	over := make(chan struct{})
 	g := task.New(t.Context())
--- a/internal/mutant/list.go
+++ b/internal/mutant/list.go
@@ -4,7 +4,7 @@
 var All = append(jobs, core...)
 
 var jobs = []Mutant{
-	{"repeat-unknown", Twice, "internal/proxy/weigh.go", "	if j.arm.Safe && more {", "	if more {", "sim", "TestBadWorkers"},
+	{"repeat-unknown", Twice, "internal/proxy/weigh.go", "	if j.arm.Repeatable && more {", "	if more {", "sim", "TestBadWorkers"},
 	{"send-again", Twice, "internal/proxy/deliver.go",
 		`		return v.unknown("no whole answer from the worker: " + plain(err))`, `		return v.refuse("no whole answer from the worker: " + plain(err))`, "sim", "TestWorkerKilled"},
 	{"lost-owner-refused", Twice, "internal/proxy/steps.go",
--- a/internal/proxy/beat.go
+++ b/internal/proxy/beat.go
@@ -32,7 +32,7 @@
 	}
 	v, more := HeartbeatTable.Read(in, "")
 	if bad = append(bad, more...); len(bad) > 0 {
-		x.e.Log.Emit(event.BeatBad, "faults", len(bad), "first", bad[0].Place)
+		x.e.Log.Emit(event.HeartbeatRejected, "faults", len(bad), "first", bad[0].Place)
 		httpapi.WriteJSON(w, http.StatusUnprocessableEntity, httpapi.ErrorBody{Message: "the beat is wrong", Faults: bad})
 		return
 	}
@@ -141,7 +141,7 @@
 		dot := g.dot
 		g.mu.Unlock()
 		if g.state.Is("up", "draining") && x.rep.OwnRemoved(dot) {
-			x.e.Log.Emit(event.Afresh, "worker", g.worker)
+			x.e.Log.Emit(event.Reregistered, "worker", g.worker)
 			x.enter(g)
 		}
 	}
--- a/internal/proxy/ending.go
+++ b/internal/proxy/ending.go
@@ -177,7 +177,7 @@
 // was told to end, and the request has lost the run that it had. Its caller can't come
 // back here, and workers whose slots are taken now may have one before this node goes.
 func (x *Proxy) persists(ctx context.Context, j *job) bool {
-	if j.lost == nil || j.hedged || !j.arm.Safe || j.back.Outcome == protocol.Done || j.came >= j.arm.Tries || x.stop.Load() == nil || x.isEnding() {
+	if j.lost == nil || j.hedged || !j.arm.Repeatable || j.back.Outcome == protocol.Done || j.came >= j.arm.Tries || x.stop.Load() == nil || x.isEnding() {
 		return false
 	}
 	if j.back.ConfigMismatch {
--- a/internal/proxy/fit.go
+++ b/internal/proxy/fit.go
@@ -101,9 +101,9 @@
 	g.mu.Unlock()
 	switch {
 	case doubts > was:
-		x.e.Log.Emit(event.Unfit, "worker", g.worker, "doubts", doubts)
+		x.e.Log.Emit(event.WorkerUnhealthy, "worker", g.worker, "doubts", doubts)
 	case doubts == 0 && was > 0:
-		x.e.Log.Emit(event.Fit, "worker", g.worker)
+		x.e.Log.Emit(event.WorkerHealthy, "worker", g.worker)
 	}
 }
 
--- a/internal/proxy/front.go
+++ b/internal/proxy/front.go
@@ -19,7 +19,7 @@
 	said    string              // the id by which the caller and the worker know it
 	word    protocol.Confidence // how sure this node was of its rules, after the job was read
 	rules   *rules.Rules
-	path    *rules.Path
+	path    *rules.Route
 	arm     *rules.Arm
 	service string // of the arm, for this job
 	req     *http.Request
@@ -168,8 +168,8 @@
 		return http.StatusNotFound, "no path of the configuration matches"
 	}
 	j.arm = j.path.Arm(j.id)
-	j.service = j.arm.To(j.id)
-	if end := j.from.Add(j.arm.Left); end.Before(j.end) || j.req.Header.Get(x.say.Timeout) == "" {
+	j.service = j.arm.ServiceFor(j.id)
+	if end := j.from.Add(j.arm.Timeout); end.Before(j.end) || j.req.Header.Get(x.say.Timeout) == "" {
 		j.end = end
 	}
 	j.first = j.from
--- a/internal/proxy/gate.go
+++ b/internal/proxy/gate.go
@@ -121,7 +121,7 @@
 	g.mu.Lock()
 	slots := g.slots
 	g.mu.Unlock()
-	g.room.Configure(slots, r.Shares, max(int(float64(slots)*r.Queue), 1))
+	g.room.Configure(slots, r.Shares, max(int(float64(slots)*r.QueueRatio), 1))
 }
 
 // watch finds dead workers: by missed beats, and by probes of their port.
--- a/internal/proxy/hedge_test.go
+++ b/internal/proxy/hedge_test.go
@@ -44,7 +44,7 @@
 	x := &Proxy{Settings: settings.Settings{GracePeriod: 6 * time.Second, ConfigBound: 2 * time.Second}}
 	x.attempts.by = map[string]*attempt{}
 	x.pick = balancer.New("a", time.Second, 10*time.Second, func(string, bool) {})
-	return x, &job{path: &rules.Path{Name: "p"}, arm: &rules.Arm{Safe: true, Tries: 2}, service: "s", tried: map[string]bool{"w": true}, sends: 1, known: 3, end: time.Now().Add(time.Second)}
+	return x, &job{path: &rules.Route{Name: "p"}, arm: &rules.Arm{Repeatable: true, Tries: 2}, service: "s", tried: map[string]bool{"w": true}, sends: 1, known: 3, end: time.Now().Add(time.Second)}
 }
 
 // ran has a worker run a job of the path in a time, as a front sees it.
@@ -67,7 +67,7 @@
 		{"the only worker", func(_ *Proxy, j *job) { j.known = 1 }, never},
 		{"all others were tried", func(_ *Proxy, j *job) { j.tried["v"], j.tried["u"] = true, true }, never},
 		{"no try is left", func(_ *Proxy, j *job) { j.came = 1 }, never},
-		{"it may run once", func(_ *Proxy, j *job) { j.arm.Safe = false }, never},
+		{"it may run once", func(_ *Proxy, j *job) { j.arm.Repeatable = false }, never},
 		{"large bodies", func(_ *Proxy, j *job) { j.arm.Bulk = "download" }, never},
 		{"its like take up to the rest", func(x *Proxy, _ *job) { ran(x, 400*time.Millisecond) }, 600 * time.Millisecond},
 		{"its like take longer", func(x *Proxy, _ *job) { ran(x, 410*time.Millisecond) }, never},
--- a/internal/proxy/lane.go
+++ b/internal/proxy/lane.go
@@ -11,7 +11,7 @@
 )
 
 // The rules have as many lanes as the links have for jobs.
-var _ = [1]struct{}{}[transport.LaneBulk-transport.LaneRequests+1-rules.Lanes]
+var _ = [1]struct{}{}[transport.LaneBulk-transport.LaneRequests+1-rules.RequestLanes]
 
 // lane is the lane that a job goes by on links: its arm's, or the most urgent of
 // the jobs that it may be a call of. A small call of a bulk job goes after all
--- a/internal/proxy/lane_test.go
+++ b/internal/proxy/lane_test.go
@@ -18,7 +18,7 @@
 	if err != nil || len(bad) > 0 {
 		t.Fatal(err, bad)
 	}
-	j := &job{rules: r, path: r.Named("check"), arm: &r.Named("check").Base}
+	j := &job{rules: r, path: r.RouteByName("check"), arm: &r.RouteByName("check").Base}
 	is := func(want int) {
 		t.Helper()
 		if got := x.lane(j); got != want {
@@ -34,10 +34,10 @@
 	is(transport.LaneRequests)
 	x.kin.end(transport.LaneRequests)
 	is(transport.LaneBulk - 1)
-	j.arm = &r.Named("up").Base
+	j.arm = &r.RouteByName("up").Base
 	x.kin.begin(transport.LaneRequests)
 	is(transport.LaneBulk)
-	j.arm = &r.Named("check").Base
+	j.arm = &r.RouteByName("check").Base
 	is(transport.LaneRequests)
 	x.kin.end(transport.LaneRequests)
 	x.kin.end(transport.LaneBulk)
--- a/internal/proxy/limits_test.go
+++ b/internal/proxy/limits_test.go
@@ -27,7 +27,7 @@
 // TestRepeatBound: the platform's bound on repeats goes before the document's,
 // also where it has no share or no allowance.
 func TestRepeatBound(t *testing.T) {
-	r := &rules.Rules{RepShare: 0.2, RepAllow: 50}
+	r := &rules.Rules{RetryRatio: 0.2, RetryAllowance: 50}
 	for _, c := range []struct {
 		share float64
 		allow int
--- a/internal/proxy/owner.go
+++ b/internal/proxy/owner.go
@@ -116,7 +116,7 @@
 // and refuses a second arrival.
 func (x *Proxy) checkNode(ctx context.Context, v *visit) bool {
 	if !x.meet(v.in.AttemptID, time.Duration(v.in.TimeoutMS)*time.Millisecond) {
-		x.e.Log.Emit(event.Twice, "attempt", v.in.AttemptID)
+		x.e.Log.Emit(event.DuplicateAttempt, "attempt", v.in.AttemptID)
 		// The first arrival may have run, so this is not a refusal.
 		return v.unknown("second arrival of one attempt")
 	}
@@ -160,7 +160,7 @@
 		return v.differ("a newer configuration is known than the job's front was sure of")
 	}
 	p := r.Match(v.in.Host, v.in.Method, urlPath(v.in.URI))
-	if p == nil || (!p.Base.Sends(v.in.Service) && (p.Trial == 0 || !p.New.Sends(v.in.Service))) {
+	if p == nil || (!p.Base.RoutesTo(v.in.Service) && (p.Trial == 0 || !p.New.RoutesTo(v.in.Service))) {
 		return v.differ("a newer configuration doesn't send this job here")
 	}
 	if _, ok := r.Shares[v.in.Class]; !ok {
--- a/internal/proxy/probe.go
+++ b/internal/proxy/probe.go
@@ -31,7 +31,7 @@
 // stranger is called when another identity was met at a worker's address: as
 // good as dead for ours, until its own beat says otherwise.
 func (x *Proxy) stranger(g *gate) {
-	x.e.Log.Emit(event.Stranger, "worker", g.worker, "addr", g.addr)
+	x.e.Log.Emit(event.WrongWorker, "worker", g.worker, "addr", g.addr)
 	x.evictStranger(g)
 }
 
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -116,7 +116,7 @@
 	x.stay.SetMaxConns(callers(&p))
 	x.limits(nil)
 	x.fitnessNews = newNewsRate(time.Now())
-	x.pulse = pausedetect.New(p.HeartbeatInterval()/4, p.PauseThreshold(), func(gap time.Duration) { e.Log.Emit(event.Froze, "ms", gap.Milliseconds()) })
+	x.pulse = pausedetect.New(p.HeartbeatInterval()/4, p.PauseThreshold(), func(gap time.Duration) { e.Log.Emit(event.Paused, "ms", gap.Milliseconds()) })
 	x.touch = newTouch(x)
 	x.conns = workerconn.NewPool(e.Net, g, p.ConfigBound, int64(max(p.MaxBodyBytes, p.MaxFrameBytes/2))+64<<10, x.say.IdentifiesConns)
 	x.life = fsm.New("starting", nil,
@@ -137,9 +137,9 @@
 
 func (x *Proxy) fitness(worker string, fit bool) {
 	if fit {
-		x.e.Log.Emit(event.Fit, "worker", worker)
+		x.e.Log.Emit(event.WorkerHealthy, "worker", worker)
 	} else {
-		x.e.Log.Emit(event.Unfit, "worker", worker)
+		x.e.Log.Emit(event.WorkerUnhealthy, "worker", worker)
 	}
 }
 
@@ -151,7 +151,7 @@
 	}
 	k := event.Unregistered
 	if n.Kind == "down" {
-		k = event.Down
+		k = event.WorkerDown
 	}
 	x.e.Log.Emit(k, "service", n.Entry.Service, "worker", n.Entry.Worker, "owner", n.Entry.Owner, "why", n.Reason)
 	for _, e := range x.rep.Lookup(n.Entry.Service) {
--- a/internal/proxy/recall.go
+++ b/internal/proxy/recall.go
@@ -61,7 +61,7 @@
 func (x *Proxy) comeback(j *job) time.Duration {
 	now := time.Now()
 	run := time.Duration(x.pick.UsualRunMS(j.path.Name) * float64(time.Millisecond))
-	if now.Add(j.come + run).After(j.first.Add(j.arm.Aim)) {
+	if now.Add(j.come + run).After(j.first.Add(j.arm.Target)) {
 		return max(j.come, j.end.Sub(now)/3)
 	}
 	return j.come
--- a/internal/proxy/recall_test.go
+++ b/internal/proxy/recall_test.go
@@ -71,7 +71,7 @@
 			{300 * ms, 200 * ms, 200 * ms}, {300 * ms, 201 * ms, 900 * ms}, {1500 * ms, 50 * ms, 500 * ms},
 		} {
 			first := now.Add(-c.spent)
-			j := &job{path: &rules.Path{Name: "p"}, arm: &rules.Arm{Aim: aim}, first: first, end: first.Add(left), come: c.come}
+			j := &job{path: &rules.Route{Name: "p"}, arm: &rules.Arm{Target: aim}, first: first, end: first.Add(left), come: c.come}
 			if got := x.comeback(j); got != c.want {
 				t.Errorf("after %v, %v until there is room: comes back after %v, want %v", c.spent, c.come, got, c.want)
 			}
--- a/internal/proxy/rematch.go
+++ b/internal/proxy/rematch.go
@@ -22,7 +22,7 @@
 		if r := x.rules.Load(); r.Version != j.rules.Version {
 			if p := r.Match(j.req.Host, j.req.Method, j.req.URL.EscapedPath()); p != nil {
 				j.rules, j.path, j.arm = r, p, p.Arm(j.id)
-				j.service = j.arm.To(j.id)
+				j.service = j.arm.ServiceFor(j.id)
 				j.tried = map[string]bool{}
 			}
 			return
--- a/internal/proxy/start.go
+++ b/internal/proxy/start.go
@@ -59,7 +59,7 @@
 	if p := x.set(); p.RetryRatio > 0 || p.RetryAllowance > 0 {
 		return p.RetryRatio, int64(p.RetryAllowance)
 	}
-	return r.RepShare, r.RepAllow
+	return r.RetryRatio, r.RetryAllowance
 }
 
 // limits steers callers' connections by the document. One that idles is told
@@ -68,11 +68,11 @@
 func (x *Proxy) limits(r *rules.Rules) {
 	head, idle := x.Settings.ConfigBound, 30*x.Settings.ConfigBound
 	told := ""
-	if r != nil && r.Head > 0 {
-		head = r.Head
+	if r != nil && r.HeaderTimeout > 0 {
+		head = r.HeaderTimeout
 	}
-	if r != nil && r.Idle > 0 {
-		idle = r.Idle
+	if r != nil && r.IdleTimeout > 0 {
+		idle = r.IdleTimeout
 		if s := int64((idle - x.Settings.ConfigBound/4) / time.Second); s > 0 {
 			told = "timeout=" + strconv.FormatInt(s, 10)
 		}
@@ -90,14 +90,14 @@
 			n += len(k) + len(v) + len(": \r\n")
 		}
 	}
-	return r.HeadBytes > 0 && n > r.HeadBytes
+	return r.MaxHeaderBytes > 0 && n > r.MaxHeaderBytes
 }
 
 // most bounds a caller's body in bytes: by the document where it tells a bound,
 // but never by more than half a frame, in which the body has to travel.
 func (x *Proxy) most() int64 {
-	if r := x.rules.Load(); r != nil && r.BodyBytes > 0 {
-		return int64(min(r.BodyBytes, x.Settings.MaxFrameBytes/2))
+	if r := x.rules.Load(); r != nil && r.MaxBodyBytes > 0 {
+		return int64(min(r.MaxBodyBytes, x.Settings.MaxFrameBytes/2))
 	}
 	return int64(x.set().MaxBodyBytes)
 }
@@ -115,14 +115,14 @@
 		}
 		r, bad, err := rules.Next(old, version, doc)
 		if err != nil || len(bad) > 0 {
-			x.e.Log.Emit(event.ConfigBad, "version", version, "faults", len(bad))
+			x.e.Log.Emit(event.ConfigRefused, "version", version, "faults", len(bad))
 			return false
 		}
 		if x.rules.CompareAndSwap(old, r) {
 			x.bound(r)
 			x.shape(r)
 			x.limits(x.rules.Load())
-			x.e.Log.Emit(event.ConfigTaken, "version", version)
+			x.e.Log.Emit(event.ConfigApplied, "version", version)
 			return true
 		}
 	}
--- a/internal/proxy/steps.go
+++ b/internal/proxy/steps.go
@@ -30,11 +30,11 @@
 // frontStep does one step of the rules.
 func (x *Proxy) frontStep(ctx context.Context, j *job, step rules.Step) verb {
 	switch step {
-	case rules.Nominate:
+	case rules.StepPick:
 		return x.nominate(ctx, j)
-	case rules.HandOver:
+	case rules.StepDeliver:
 		return x.handOver(ctx, j)
-	case rules.Weigh:
+	case rules.StepEvaluate:
 		return x.weigh(ctx, j)
 	}
 	return stop
@@ -66,7 +66,7 @@
 			return stop
 		}
 		all := x.rep.Lookup(j.service)
-		e, ok := x.pick.Pick(all, balancer.PickRequest{Route: j.path.Name, Target: time.Until(j.first.Add(j.arm.Aim)), Bulk: j.arm.Bulk != "", Repeatable: j.arm.Safe, Delay: x.wait(j), Tried: j.tried})
+		e, ok := x.pick.Pick(all, balancer.PickRequest{Route: j.path.Name, Target: time.Until(j.first.Add(j.arm.Target)), Bulk: j.arm.Bulk != "", Repeatable: j.arm.Repeatable, Delay: x.wait(j), Tried: j.tried})
 		// The own worker's door is seen from here: shut, it costs no send.
 		if ok && x.shutHere(e) {
 			x.pick.RecordOutcome(balancer.Outcome{Worker: e.Worker, UsedSlots: -1})
@@ -131,8 +131,8 @@
 	h := protocol.AttemptRequest{RequestID: j.id, AttemptID: fmt.Sprintf("%s.%d", j.id, j.sends), Route: j.path.Name, Arm: j.arm.Name,
 		ConfigVersion: j.rules.Version, Service: j.service, Class: j.arm.Class, Worker: j.entry.Worker,
 		Host: j.req.Host, Method: j.req.Method, URI: j.req.URL.RequestURI(), Header: x.passed(j.req.Header), Body: j.body, TimeoutMS: left.Milliseconds(),
-		WorkerAttemptID: j.said, CallerService: x.set().Service, Retry: j.came > 0, NestedRetryShare: j.part, Confidence: j.word, MaxQueueMS: x.queueWaitBound().Milliseconds(), FrontWaitMS: x.waitLeft(), Repeatable: j.arm.Safe, UsualRunMS: x.usual(j.path.Name).Milliseconds(), AllowUnfinishedRun: j.hedged || j.lost != nil, AllowEndingNode: j.any, NeedsRetryBudget: j.unpaid,
-		TargetMS: time.Until(j.first.Add(j.arm.Aim)).Milliseconds(), SentAgainByCaller: j.first.Before(j.from)}
+		WorkerAttemptID: j.said, CallerService: x.set().Service, Retry: j.came > 0, NestedRetryShare: j.part, Confidence: j.word, MaxQueueMS: x.queueWaitBound().Milliseconds(), FrontWaitMS: x.waitLeft(), Repeatable: j.arm.Repeatable, UsualRunMS: x.usual(j.path.Name).Milliseconds(), AllowUnfinishedRun: j.hedged || j.lost != nil, AllowEndingNode: j.any, NeedsRetryBudget: j.unpaid,
+		TargetMS: time.Until(j.first.Add(j.arm.Target)).Milliseconds(), SentAgainByCaller: j.first.Before(j.from)}
 	if x.say.KeepsAttemptID {
 		h.URI = origin(j.req)
 	}
@@ -177,7 +177,7 @@
 	ok := j.back.Outcome == protocol.Done && j.back.Status < 500
 	x.pick.RecordOutcome(balancer.Outcome{Worker: j.entry.Worker, Service: j.service, Route: j.path.Name, UsedSlots: j.back.UsedSlots,
 		Report: balancer.WorkerReport{Pace: j.back.PaceEighths, Fail: j.back.FailedPer64}, RoundTrip: time.Since(from),
-		RunTime: time.Duration(j.back.RunMicros) * time.Microsecond, MissedTarget: time.Since(j.from) > j.arm.Aim, OK: ok, AboutWorker: counts})
+		RunTime: time.Duration(j.back.RunMicros) * time.Microsecond, MissedTarget: time.Since(j.from) > j.arm.Target, OK: ok, AboutWorker: counts})
 	return next
 }
 
@@ -218,7 +218,7 @@
 	}
 	// The answer is checked again here: it must be for this very attempt.
 	if b.Outcome == protocol.Done && (b.Worker != h.Worker || x.say.VerifiesDigest && b.Digest != responsedigest.Of(h.AttemptID, h.Worker, b.Status, b.Body)) {
-		x.e.Log.Emit(event.Garbled, "worker", h.Worker, "attempt", h.AttemptID, "owner", j.entry.Owner)
+		x.e.Log.Emit(event.CorruptAnswer, "worker", h.Worker, "attempt", h.AttemptID, "owner", j.entry.Owner)
 		return protocol.AttemptResult{Outcome: protocol.Unknown, Reason: "the answer's seal is broken", UsedSlots: b.UsedSlots}
 	}
 	return b
--- a/internal/proxy/tally.go
+++ b/internal/proxy/tally.go
@@ -88,7 +88,7 @@
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	if r != nil {
-		for _, p := range r.Paths {
+		for _, p := range r.Routes {
 			if p.Trial == 0 {
 				continue
 			}
--- a/internal/proxy/unseal.go
+++ b/internal/proxy/unseal.go
@@ -65,7 +65,7 @@
 	}
 	notRun := x.notRun(b)
 	if why := x.broken(v, notRun); why != "" {
-		x.e.Log.Emit(event.Garbled, "worker", v.in.Worker, "attempt", v.in.AttemptID, "status", b.Status, "why", why)
+		x.e.Log.Emit(event.CorruptAnswer, "worker", v.in.Worker, "attempt", v.in.AttemptID, "status", b.Status, "why", why)
 		return v.unknown(why)
 	}
 	switch {
--- a/internal/proxy/weigh.go
+++ b/internal/proxy/weigh.go
@@ -23,7 +23,7 @@
 	case protocol.Done:
 		// A worker that failed by itself may be alone in that; its own word is
 		// kept for the case that no other does better.
-		if j.back.Status >= 500 && j.arm.Safe && more && x.again.MostlyUnused(j.service) {
+		if j.back.Status >= 500 && j.arm.Repeatable && more && x.again.MostlyUnused(j.service) {
 			b := j.back
 			j.spare = &b
 			return back
@@ -48,7 +48,7 @@
 		j.borrows = j.borrows || j.back.StoppingForMS > 0 || x.stop.Load() != nil
 	}
 	// It may have run, so only a path declared safe is tried again.
-	if j.arm.Safe && more {
+	if j.arm.Repeatable && more {
 		return back
 	}
 	return stop
--- a/internal/proxy/worker.go
+++ b/internal/proxy/worker.go
@@ -46,7 +46,7 @@
 		bad = append(bad, schema.Problem{Place: "addr", Message: "is not the worker beside this node"})
 	}
 	if len(bad) > 0 {
-		x.e.Log.Emit(event.BeatBad, "faults", len(bad), "first", bad[0].Place)
+		x.e.Log.Emit(event.HeartbeatRejected, "faults", len(bad), "first", bad[0].Place)
 		httpapi.WriteJSON(w, http.StatusUnprocessableEntity, httpapi.ErrorBody{Message: "the beat is wrong", Faults: bad})
 		return
 	}
--- a/internal/proxy/workercall.go
+++ b/internal/proxy/workercall.go
@@ -53,7 +53,7 @@
 	newest := x.lastCalls[c.worker]
 	late := c.number != 0 && c.number <= newest.number
 	if c.state != saysGone && (late || x.departed(c.worker)) {
-		x.e.Log.Emit(event.CallLate, "worker", c.worker, "call", c.number, "says", c.state, "newest", newest.number, "signed_off", x.departed(c.worker))
+		x.e.Log.Emit(event.HeartbeatOutdated, "worker", c.worker, "call", c.number, "says", c.state, "newest", newest.number, "signed_off", x.departed(c.worker))
 		return
 	}
 	x.lastCalls[c.worker] = lastCall{max(c.number, newest.number), time.Now()}
--- a/internal/registry/abort.go
+++ b/internal/registry/abort.go
@@ -39,7 +39,7 @@
 		r.answerFailure(w, err)
 		return
 	}
-	doc, err := rules.Settle(now.Doc, id, false)
+	doc, err := rules.FinishTrial(now.Doc, id, false)
 	if err != nil {
 		answerWrong(w, err.Error(), nil)
 		return
@@ -50,7 +50,7 @@
 		return
 	}
 	if got.Code == statemachine.OK {
-		r.e.Log.Emit(event.HeldBack, "trial", id, "version", got.Version, "why", "aborted by "+operatorOf(req))
+		r.e.Log.Emit(event.TrialHeldBack, "trial", id, "version", got.Version, "why", "aborted by "+operatorOf(req))
 	}
 	answer(w, got, map[string]any{"version": got.Version, "trial": id})
 }
--- a/internal/registry/config.go
+++ b/internal/registry/config.go
@@ -62,10 +62,10 @@
 		return
 	}
 	if got.Code == statemachine.OK && now {
-		r.e.Log.Emit(event.Emergency, "version", got.Version, "who", operatorOf(req))
+		r.e.Log.Emit(event.EmergencyChange, "version", got.Version, "who", operatorOf(req))
 	}
 	if got.Code == statemachine.OK {
-		r.e.Log.Emit(event.ConfigSet, "version", got.Version, "who", operatorOf(req))
+		r.e.Log.Emit(event.ConfigAcknowledged, "version", got.Version, "who", operatorOf(req))
 	}
 	answerOrder(w, got, nil)
 }
@@ -79,7 +79,7 @@
 			return true
 		}
 	}
-	doc, paths, err := rules.Rehearse(old.Doc, raw, old.Number+1, liveReports(r.reports(ctx)))
+	doc, paths, err := rules.PlanTrials(old.Doc, raw, old.Number+1, liveReports(r.reports(ctx)))
 	if err != nil || len(paths) == 0 {
 		return false
 	}
--- a/internal/registry/election.go
+++ b/internal/registry/election.go
@@ -64,7 +64,7 @@
 	d.held = false
 	d.mu.Unlock()
 	if was {
-		d.r.e.Log.Emit(event.Lost, "duty", d.name, "why", why)
+		d.r.e.Log.Emit(event.RoleLost, "duty", d.name, "why", why)
 	}
 }
 
@@ -87,7 +87,7 @@
 	d.mu.Lock()
 	d.num, d.held, d.major = num, true, from
 	d.mu.Unlock()
-	d.r.e.Log.Emit(event.Won, "duty", d.name, "ballot", num.String())
+	d.r.e.Log.Emit(event.RoleWon, "duty", d.name, "ballot", num.String())
 }
 
 // vote asks all stores and counts a majority of yes.
--- a/internal/registry/judge.go
+++ b/internal/registry/judge.go
@@ -83,7 +83,7 @@
 				age = max(age, time.Duration(y.AgeMS)*time.Millisecond)
 			}
 		}
-		out = append(out, judge.Weigh(path, old, now, age, b))
+		out = append(out, judge.Evaluate(path, old, now, age, b))
 	}
 	return out
 }
@@ -153,11 +153,11 @@
 func (r *Registry) decide(ctx context.Context, t statemachine.Trial, facts []judge.Facts, num ballot.Number, rl *rules.Rules) {
 	word, why := judge.Good, "every path of the change is good"
 	for _, f := range facts {
-		if f.Word == judge.Bad {
-			word, why = judge.Bad, f.Path+": "+f.Why
+		if f.Verdict == judge.Bad {
+			word, why = judge.Bad, f.Route+": "+f.Reason
 			break
 		}
-		if f.Word == judge.Wait {
+		if f.Verdict == judge.Wait {
 			word = judge.Wait
 		}
 	}
@@ -165,13 +165,13 @@
 		return
 	}
 	if word == judge.Good && len(facts) == 1 {
-		why = facts[0].Why
+		why = facts[0].Reason
 	}
 	state := statemachine.Promoted
 	if word == judge.Bad {
 		state = statemachine.HeldBack
 	}
-	doc, err := rules.Settle(rl.Doc, t.ID, state == statemachine.Promoted)
+	doc, err := rules.FinishTrial(rl.Doc, t.ID, state == statemachine.Promoted)
 	if err != nil {
 		return
 	}
@@ -186,9 +186,9 @@
 		// Looked at again at the next beat, on what then stands.
 		return
 	}
-	kind := event.Promoted
+	kind := event.TrialPromoted
 	if state == statemachine.HeldBack {
-		kind = event.HeldBack
+		kind = event.TrialHeldBack
 	}
 	r.e.Log.Emit(kind, "trial", t.ID, "version", got.Version, "why", why)
 }
--- a/internal/registry/number.go
+++ b/internal/registry/number.go
@@ -47,7 +47,7 @@
 		return
 	}
 	if got.Code == statemachine.OK && got.Version == c.Number && !known && got.Message == "" {
-		r.e.Log.Emit(event.ConfigSet, "version", got.Version, "who", operatorOf(req))
+		r.e.Log.Emit(event.ConfigAcknowledged, "version", got.Version, "who", operatorOf(req))
 	}
 	answerOrder(w, got, nil)
 }
--- a/internal/registry/poll.go
+++ b/internal/registry/poll.go
@@ -40,7 +40,7 @@
 			continue
 		}
 		if !r.inTouch() && r.life.Fire("lost") {
-			r.e.Log.Emit(event.OutOfTouch, "with", "stores")
+			r.e.Log.Emit(event.ControlLost, "with", "stores")
 		}
 		r.e.Sleep(ctx, r.Settings.HeartbeatInterval()/4)
 	}
@@ -73,14 +73,14 @@
 	}
 	c, bad, err := rules.Next(old, got.Version, got.Doc)
 	if err != nil || len(bad) > 0 {
-		r.e.Log.Emit(event.ConfigBad, "version", got.Version, "faults", len(bad))
+		r.e.Log.Emit(event.ConfigRefused, "version", got.Version, "faults", len(bad))
 		return false
 	}
 	r.mu.Lock()
 	r.held.Set(c.Version, c.Doc, steps)
 	r.rules = c
 	r.mu.Unlock()
-	r.e.Log.Emit(event.ConfigTaken, "version", c.Version)
+	r.e.Log.Emit(event.ConfigApplied, "version", c.Version)
 	r.push()
 	return true
 }
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -115,7 +115,7 @@
 		fsm.Move{From: "leaving", By: "shut", To: "shut"})
 	r.duties = []*roleElection{newRoleElection(r, "steward", r.retireNodes), newRoleElection(r, "judge", r.judge)}
 	r.rep.Subscribe(func(n replica.Event) {
-		k := map[string]event.Kind{"registered": event.Registered, "unregistered": event.Unregistered, "down": event.Down}[n.Kind]
+		k := map[string]event.Kind{"registered": event.Registered, "unregistered": event.Unregistered, "down": event.WorkerDown}[n.Kind]
 		e.Log.Emit(k, "service", n.Entry.Service, "worker", n.Entry.Worker, "owner", n.Entry.Owner, "why", n.Reason)
 	})
 	return r
--- a/internal/registry/routes.go
+++ b/internal/registry/routes.go
@@ -169,9 +169,9 @@
 }
 
 func (r *Registry) docBody(w http.ResponseWriter, req *http.Request) ([]byte, bool) {
-	raw, code := httpapi.ReadBody(w, req, rules.Most)
+	raw, code := httpapi.ReadBody(w, req, rules.MaxDocumentBytes)
 	if code != 0 {
-		httpapi.WriteJSON(w, code, httpapi.ErrorBody{Message: fmt.Sprintf("the document is over %d bytes or can't be read", rules.Most)})
+		httpapi.WriteJSON(w, code, httpapi.ErrorBody{Message: fmt.Sprintf("the document is over %d bytes or can't be read", rules.MaxDocumentBytes)})
 	}
 	return raw, code == 0
 }
@@ -181,19 +181,19 @@
 func (r *Registry) checkDoc(w http.ResponseWriter, raw []byte, known []schema.Problem) *rules.Rules {
 	c, bad, err := rules.Compile(0, raw)
 	if err != nil {
-		r.e.Log.Emit(event.ConfigBad, "why", err.Error())
+		r.e.Log.Emit(event.ConfigRefused, "why", err.Error())
 		httpapi.WriteJSON(w, http.StatusBadRequest, httpapi.ErrorBody{Message: "not a JSON document: " + err.Error()})
 		return nil
 	}
 	if c != nil {
-		for i, p := range c.Paths {
+		for i, p := range c.Routes {
 			if p.Trial != 0 {
 				bad = append(bad, schema.Problem{Place: fmt.Sprintf("paths[%d].trial", i), Message: "trials are begun by propose"})
 			}
 		}
 	}
 	if bad = append(known, bad...); len(bad) > 0 {
-		r.e.Log.Emit(event.ConfigBad, "faults", len(bad), "first", bad[0].Place)
+		r.e.Log.Emit(event.ConfigRefused, "faults", len(bad), "first", bad[0].Place)
 		httpapi.WriteJSON(w, http.StatusUnprocessableEntity, httpapi.ErrorBody{Message: fmt.Sprintf("the document has %d faults", len(bad)), Faults: bad})
 		return nil
 	}
@@ -202,6 +202,6 @@
 
 func (r *Registry) checkConfig(w http.ResponseWriter, req *http.Request) {
 	if _, c := r.readDoc(w, req); c != nil {
-		httpapi.WriteJSON(w, http.StatusOK, map[string]any{"good": true, "paths": len(c.Paths)})
+		httpapi.WriteJSON(w, http.StatusOK, map[string]any{"good": true, "paths": len(c.Routes)})
 	}
 }
--- a/internal/registry/status.go
+++ b/internal/registry/status.go
@@ -186,7 +186,7 @@
 	for _, s := range f.Stores {
 		all = append(all, s.Events...)
 	}
-	sort.SliceStable(all, func(i, j int) bool { return all[i].Wall.Before(all[j].Wall) })
+	sort.SliceStable(all, func(i, j int) bool { return all[i].Time.Before(all[j].Time) })
 	if len(all) > 500 {
 		all = all[len(all)-500:]
 	}
--- a/internal/registry/trials.go
+++ b/internal/registry/trials.go
@@ -79,17 +79,17 @@
 	}
 	path := v.Text("path")
 	change := map[string]any{}
-	for _, f := range rules.Fields {
+	for _, f := range rules.ArmFields {
 		if x, ok := v[f]; ok {
 			change[f] = x
 		}
 	}
 	standing, _, _ := rules.Compile(base, now.Doc)
-	if standing == nil || standing.Named(path) == nil {
+	if standing == nil || standing.RouteByName(path) == nil {
 		answerWrong(w, "there is no such path", []schema.Problem{{Place: "path", Message: fmt.Sprintf("no path %q", path)}})
 		return
 	}
-	if rules.Alike(now.Doc, path, change) {
+	if rules.IsNoop(now.Doc, path, change) {
 		answerWrong(w, "the proposal is what stands already", nil)
 		return
 	}
@@ -106,7 +106,7 @@
 		slice = x.(float64)
 	}
 	id := now.Number + 1
-	doc, err := rules.Try(now.Doc, id, path, change, slice)
+	doc, err := rules.StartTrial(now.Doc, id, path, change, slice)
 	if err != nil {
 		answerWrong(w, err.Error(), nil)
 		return
@@ -126,7 +126,7 @@
 		return
 	}
 	if got.Code == statemachine.OK {
-		r.e.Log.Emit(event.Proposed, "trial", got.Number, "version", got.Version, "who", operatorOf(req), "paths", fmt.Sprint(c.Routes))
+		r.e.Log.Emit(event.TrialBegan, "trial", got.Number, "version", got.Version, "who", operatorOf(req), "paths", fmt.Sprint(c.Routes))
 	}
 	answerOrder(w, got, c.Routes)
 }
--- a/internal/rules/arm.go
+++ b/internal/rules/arm.go
@@ -9,29 +9,29 @@
 
 // Arm is where the jobs of a path go and by which terms.
 type Arm struct {
-	Service string // empty with a split
-	Split   []Part
-	sum     float64 // of the weights
-	Class   string
-	Rank    int           // 0 matters most
-	Left    time.Duration // time that a job starts with
-	Aim     time.Duration // time in which an answer is of full use
-	Safe    bool
-	Bulk    string // "upload", "download" or neither
-	Tries   int
-	Name    string // "old" or "new"
-	Steps   []Step
+	Service    string // empty with a split
+	Split      []WeightedService
+	sum        float64 // of the weights
+	Class      string
+	Rank       int           // 0 matters most
+	Timeout    time.Duration // time that a job starts with
+	Target     time.Duration // time in which an answer is of full use
+	Repeatable bool
+	Bulk       string // "upload", "download" or neither
+	Tries      int
+	Name       string // "old" or "new"
+	Steps      []Step
 }
 
-// Part is one service's part of a path's jobs.
-type Part struct {
+// WeightedService is one service's part of a path's jobs.
+type WeightedService struct {
 	Service string
 	Weight  float64
 }
 
-// To is the service of a job. By a hash of its id, so that one job has one
+// ServiceFor is the service of a job. By a hash of its id, so that one job has one
 // service at every front and at every look.
-func (a *Arm) To(job string) string {
+func (a *Arm) ServiceFor(job string) string {
 	if len(a.Split) == 0 {
 		return a.Service
 	}
@@ -50,8 +50,8 @@
 	return last
 }
 
-// Sends tells whether jobs of the arm could go to a service.
-func (a *Arm) Sends(service string) bool {
+// RoutesTo tells whether jobs of the arm could go to a service.
+func (a *Arm) RoutesTo(service string) bool {
 	if len(a.Split) == 0 {
 		return a.Service == service
 	}
@@ -64,16 +64,16 @@
 }
 
 // every is the steps of every arm today.
-var every = []Step{Nominate, HandOver, Weigh, Receipt}
+var every = []Step{StepPick, StepDeliver, StepEvaluate, StepRespond}
 
 func (r *Rules) arm(at, name string, v schema.Values) (Arm, []schema.Problem) {
 	a := Arm{Name: name, Service: v.Text("service"), Class: v.Text("class"), Rank: int(v.Count("rank")), Tries: int(v.Count("tries")),
-		Left: time.Duration(v.Count("left_ms")) * time.Millisecond, Aim: time.Duration(v.Count("aim_ms")) * time.Millisecond, Steps: every}
-	if a.Aim == 0 {
-		a.Aim = a.Left / 4
+		Timeout: time.Duration(v.Count("left_ms")) * time.Millisecond, Target: time.Duration(v.Count("aim_ms")) * time.Millisecond, Steps: every}
+	if a.Target == 0 {
+		a.Target = a.Timeout / 4
 	}
 	kind := v.Text("repeat")
-	a.Safe = kind == "safe" || kind == "download"
+	a.Repeatable = kind == "safe" || kind == "download"
 	if kind == "upload" || kind == "download" {
 		a.Bulk = kind
 	}
@@ -107,7 +107,7 @@
 	return a, bad
 }
 
-func (r *Rules) split(at string, v schema.Values) (out []Part, sum float64, bad []schema.Problem) {
+func (r *Rules) split(at string, v schema.Values) (out []WeightedService, sum float64, bad []schema.Problem) {
 	list, _ := v["split"].([]any)
 	for i, e := range list {
 		at := fmt.Sprintf("%s[%d]", at, i)
@@ -116,9 +116,9 @@
 			bad = append(bad, schema.Problem{Place: at, Message: "must be an object"})
 			continue
 		}
-		row, more := r.read(TabSplit, m, at)
+		row, more := r.read(SplitTable, m, at)
 		bad = append(bad, more...)
-		p := Part{row.Text("service"), row.Share("weight")}
+		p := WeightedService{row.Text("service"), row.Share("weight")}
 		if p.Service != "" && !r.Services[p.Service] {
 			bad = append(bad, schema.Problem{Place: at + ".service", Message: fmt.Sprintf("no service %q", p.Service)})
 		}
--- a/internal/rules/edit_test.go
+++ b/internal/rules/edit_test.go
@@ -23,7 +23,7 @@
 	case map[string]any:
 		out = append(out, object{v, tab})
 		for _, n := range slices.Sorted(maps.Keys(v)) {
-			for _, t := range All {
+			for _, t := range Tables {
 				if t.Name == n {
 					out = append(out, objects(v[n], t)...)
 				}
@@ -78,7 +78,7 @@
 // TestEdits: whole documents with a few settings put in, changed or taken out.
 func TestEdits(t *testing.T) {
 	var all []schema.Field
-	for _, tab := range All {
+	for _, tab := range Tables {
 		all = append(all, tab.Rows...)
 	}
 	stood := 0
@@ -89,7 +89,7 @@
 			rt.Fatal(err)
 		}
 		for range rapid.IntRange(1, 3).Draw(rt, "edits") {
-			o := rapid.SampledFrom(objects(m, TabDoc)).Draw(rt, "object")
+			o := rapid.SampledFrom(objects(m, DocumentTable)).Draw(rt, "object")
 			at, s := o.at, rapid.SampledFrom(o.tab.Rows).Draw(rt, "setting")
 			// Now and then one that belongs elsewhere.
 			if rapid.IntRange(0, 9).Draw(rt, "odd") == 0 {
--- a/internal/rules/fields_test.go
+++ b/internal/rules/fields_test.go
@@ -26,24 +26,24 @@
 // TestFields: what a document says is what the rules hold.
 func TestFields(t *testing.T) {
 	r := must(t, wide)
-	if r.Number != 7 || r.HeadBytes != 16384 || r.BodyBytes != 67108864 || r.Head != 3*time.Second || r.Idle != 15*time.Second {
-		t.Errorf("number and limits: %d %d %d %v %v", r.Number, r.HeadBytes, r.BodyBytes, r.Head, r.Idle)
+	if r.Number != 7 || r.MaxHeaderBytes != 16384 || r.MaxBodyBytes != 67108864 || r.HeaderTimeout != 3*time.Second || r.IdleTimeout != 15*time.Second {
+		t.Errorf("number and limits: %d %d %d %v %v", r.Number, r.MaxHeaderBytes, r.MaxBodyBytes, r.HeaderTimeout, r.IdleTimeout)
 	}
-	if len(r.Links) != 1 || r.Links["a"] != 130 || len(r.Probe) != 1 || r.Probe["a"] != "/well" {
-		t.Errorf("services: %v %v", r.Links, r.Probe)
+	if len(r.MaxConns) != 1 || r.MaxConns["a"] != 130 || len(r.HealthPaths) != 1 || r.HealthPaths["a"] != "/well" {
+		t.Errorf("services: %v %v", r.MaxConns, r.HealthPaths)
 	}
-	p, q, d := r.Named("p").Base, r.Named("q").Base, r.Named("r").Base
-	if p.Service != "" || len(p.Split) != 2 || p.Left != 3*time.Second || p.Aim != 500*time.Millisecond || p.Rank != 2 || !p.Safe || p.Bulk != "download" || p.Class != "rank-2" {
+	p, q, d := r.RouteByName("p").Base, r.RouteByName("q").Base, r.RouteByName("r").Base
+	if p.Service != "" || len(p.Split) != 2 || p.Timeout != 3*time.Second || p.Target != 500*time.Millisecond || p.Rank != 2 || !p.Repeatable || p.Bulk != "download" || p.Class != "rank-2" {
 		t.Errorf("p: %+v", p)
 	}
-	if q.Service != "b" || q.Safe || q.Bulk != "upload" || q.Tries != 1000 || q.Aim != 250*time.Millisecond || q.Class != "rank-0" {
+	if q.Service != "b" || q.Repeatable || q.Bulk != "upload" || q.Tries != 1000 || q.Target != 250*time.Millisecond || q.Class != "rank-0" {
 		t.Errorf("q: %+v", q)
 	}
-	if d.Left != time.Hour || r.Longest != time.Hour {
-		t.Errorf("r: %v, longest %v", d.Left, r.Longest)
+	if d.Timeout != time.Hour || r.LongestTimeout != time.Hour {
+		t.Errorf("r: %v, longest %v", d.Timeout, r.LongestTimeout)
 	}
 	old := must(t, good)
-	if old.Number != 0 || old.HeadBytes != 65536 || old.BodyBytes != 0 || old.Head != 0 || old.Idle != 0 || len(old.Links)+len(old.Probe) != 0 {
+	if old.Number != 0 || old.MaxHeaderBytes != 65536 || old.MaxBodyBytes != 0 || old.HeaderTimeout != 0 || old.IdleTimeout != 0 || len(old.MaxConns)+len(old.HealthPaths) != 0 {
 		t.Errorf("defaults: %+v", old)
 	}
 }
@@ -73,34 +73,34 @@
 
 // TestSplit: each part has its size, and one job has one service.
 func TestSplit(t *testing.T) {
-	a := must(t, strings.Replace(wide, `{"service":"b","weight":10}`, `{"service":"b","weight":0},{"service":"b","weight":10}`, 1)).Named("p").Base
+	a := must(t, strings.Replace(wide, `{"service":"b","weight":10}`, `{"service":"b","weight":0},{"service":"b","weight":10}`, 1)).RouteByName("p").Base
 	n := 0
 	for i := range 20000 {
 		id := fmt.Sprintf("node1.abc.%d", i)
-		if a.To(id) == "b" {
+		if a.ServiceFor(id) == "b" {
 			n++
 		}
-		if first, second := a.To(id), a.To(id); first != second {
+		if first, second := a.ServiceFor(id), a.ServiceFor(id); first != second {
 			t.Fatal("one job has two services")
 		}
 	}
 	if math.Abs(float64(n)/20000-0.1) > 0.01 {
 		t.Errorf("%d of 20000 jobs go to a part of 10 %%", n)
 	}
-	if !a.Sends("a") || !a.Sends("b") || a.Sends("c") || a.Sends("") {
+	if !a.RoutesTo("a") || !a.RoutesTo("b") || a.RoutesTo("c") || a.RoutesTo("") {
 		t.Error("Sends names other services than the split's")
 	}
-	none := must(t, strings.Replace(wide, `"weight":10`, `"weight":0`, 1)).Named("p").Base
-	if none.Sends("b") {
+	none := must(t, strings.Replace(wide, `"weight":10`, `"weight":0`, 1)).RouteByName("p").Base
+	if none.RoutesTo("b") {
 		t.Error("a part of no weight could get jobs")
 	}
 	for i := range 1000 {
-		if got := none.To(fmt.Sprint(i)); got != "a" {
+		if got := none.ServiceFor(fmt.Sprint(i)); got != "a" {
 			t.Fatalf("a part of no weight got a job: %q", got)
 		}
 	}
-	one := must(t, good).Named("p").Base
-	if one.To("x") != "a" || !one.Sends("a") || one.Sends("b") || one.Sends("") {
+	one := must(t, good).RouteByName("p").Base
+	if one.ServiceFor("x") != "a" || !one.RoutesTo("a") || one.RoutesTo("b") || one.RoutesTo("") {
 		t.Error("a single service is not the only one")
 	}
 }
@@ -187,8 +187,8 @@
 	more := strings.NewReplacer(`"services":[`, `"new":[{}],"services":[`, `"name":"b"}`, `"name":"b","new":1}`, `"weight":10`, `"weight":10,"new":{}`,
 		`"rank":2,"repeat"`, `"new":null,"rank":2,"repeat"`, `"head_ms"`, `"new":true,"head_ms"`).Replace(wide)
 	r := must(t, more)
-	if r.Named("p") == nil || len(r.Paths) != 3 {
-		t.Errorf("paths: %v", r.Paths)
+	if r.RouteByName("p") == nil || len(r.Routes) != 3 {
+		t.Errorf("paths: %v", r.Routes)
 	}
 	_, bad, err := Compile(1, []byte(strings.Replace(more, `"version":7,`, "", 1)))
 	if err != nil || len(bad) != 5 {
--- a/internal/rules/fuzz_test.go
+++ b/internal/rules/fuzz_test.go
@@ -174,7 +174,7 @@
 		if again == nil {
 			t.Fatalf("%s: compiled once, then %v %v", own, bad, err)
 		}
-		if !reflect.DeepEqual(again.Paths, r.Paths) || !reflect.DeepEqual(again.Shares, r.Shares) || again.Number != r.Number || !reflect.DeepEqual(again.Judge, r.Judge) {
+		if !reflect.DeepEqual(again.Routes, r.Routes) || !reflect.DeepEqual(again.Shares, r.Shares) || again.Number != r.Number || !reflect.DeepEqual(again.Judge, r.Judge) {
 			t.Fatalf("%s: compiled again it means something else", own)
 		}
 	}
@@ -185,16 +185,16 @@
 	if len(r.Shares) > 0 && math.Abs(sum-100) > 1e-5 {
 		t.Fatalf("%s: shares %v", doc, r.Shares)
 	}
-	for _, p := range r.Paths {
+	for _, p := range r.Routes {
 		for _, a := range []*Arm{&p.Base, &p.New} {
 			if a == &p.New && p.Trial == 0 {
 				continue
 			}
-			if _, ok := r.Shares[a.Class]; !ok || a.Left <= 0 || a.Aim <= 0 || a.Tries < 1 {
+			if _, ok := r.Shares[a.Class]; !ok || a.Timeout <= 0 || a.Target <= 0 || a.Tries < 1 {
 				t.Fatalf("%s: arm %+v", doc, a)
 			}
 			for i := range 8 {
-				if to := a.To(fmt.Sprint(i)); !r.Services[to] || !a.Sends(to) {
+				if to := a.ServiceFor(fmt.Sprint(i)); !r.Services[to] || !a.RoutesTo(to) {
 					t.Fatalf("%s: a job goes to %q", doc, to)
 				}
 			}
--- a/internal/rules/lanes.go
+++ b/internal/rules/lanes.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// Lanes is how many ways there are by which jobs pass each other on a link;
+// RequestLanes is how many ways there are by which jobs pass each other on a link;
 // the last one is bulk's.
-const Lanes = 7
+const RequestLanes = 7
 
 // haste is what decides how urgent jobs are on a link: the rank, and within it
 // the aim, of which only twice as much makes a difference.
@@ -24,11 +24,11 @@
 			return
 		}
 		arms = append(arms, a)
-		if s, ok := r.short[a.Rank]; !ok || a.Aim < s {
-			r.short[a.Rank] = a.Aim
+		if s, ok := r.short[a.Rank]; !ok || a.Target < s {
+			r.short[a.Rank] = a.Target
 		}
 	}
-	for _, p := range r.Paths {
+	for _, p := range r.Routes {
 		add(&p.Base)
 		if p.Trial != 0 {
 			add(&p.New)
@@ -50,12 +50,12 @@
 	})
 	for i, h := range all {
 		// More of them than lanes share the lanes evenly.
-		r.lanes[h] = i * (Lanes - 1) / max(len(all), Lanes-1)
+		r.lanes[h] = i * (RequestLanes - 1) / max(len(all), RequestLanes-1)
 	}
 }
 
 func (r *Rules) haste(a *Arm) haste {
-	return haste{a.Rank, bits.Len64(uint64(a.Aim / max(r.short[a.Rank], 1)))}
+	return haste{a.Rank, bits.Len64(uint64(a.Target / max(r.short[a.Rank], 1)))}
 }
 
 // Lane is the lane of an arm's jobs, 0 goes first. Bulk is last whatever its
@@ -64,7 +64,7 @@
 // isn't kept in the arm, which later documents may share.
 func (r *Rules) Lane(a *Arm) int {
 	if a.Bulk != "" {
-		return Lanes - 1
+		return RequestLanes - 1
 	}
 	return r.lanes[r.haste(a)]
 }
--- a/internal/rules/lanes_test.go
+++ b/internal/rules/lanes_test.go
@@ -29,14 +29,14 @@
 			t.Fatal(err, bad)
 		}
 		for i, p := range all {
-			a := &r.Paths[i].Base
-			if bulk := p.repeat == "upload" || p.repeat == "download"; bulk != (r.Lane(a) == Lanes-1) {
+			a := &r.Routes[i].Base
+			if bulk := p.repeat == "upload" || p.repeat == "download"; bulk != (r.Lane(a) == RequestLanes-1) {
 				t.Fatalf("%+v goes by lane %d", p, r.Lane(a))
 			} else if bulk {
 				continue
 			}
 			for k, q := range all {
-				b := &r.Paths[k].Base
+				b := &r.Routes[k].Base
 				if b.Bulk == "" && (p.rank < q.rank || p.rank == q.rank && p.aim <= q.aim) && r.Lane(a) > r.Lane(b) {
 					t.Fatalf("%+v goes by lane %d, %+v by %d", p, r.Lane(a), q, r.Lane(b))
 				}
@@ -58,7 +58,7 @@
 		t.Fatal(err, bad)
 	}
 	got := ""
-	for _, p := range r.Paths {
+	for _, p := range r.Routes {
 		got += fmt.Sprint(r.Lane(&p.Base))
 	}
 	if got != "112306" {
--- a/internal/rules/match.go
+++ b/internal/rules/match.go
@@ -8,7 +8,7 @@
 // Match finds the path of a job: one with the job's host before one without,
 // then the longest prefix, then the method by name before any. Its cost grows
 // with the segments of the URL, not with the paths.
-func (r *Rules) Match(host, method, url string) *Path {
+func (r *Rules) Match(host, method, url string) *Route {
 	if len(r.by) > 1 || r.by[""] == nil {
 		if name := bare(host); name != "" {
 			if p := r.by[name].match(method, url); p != nil {
@@ -29,9 +29,9 @@
 }
 
 // place is the paths of one host: method to prefix to path.
-type place map[string]map[string]*Path
+type place map[string]map[string]*Route
 
-func (m place) match(method, url string) *Path {
+func (m place) match(method, url string) *Route {
 	if m == nil {
 		return nil
 	}
@@ -54,11 +54,11 @@
 	}
 }
 
-// Named finds a path by its name.
-func (r *Rules) Named(name string) *Path { return r.names[name] }
+// RouteByName finds a path by its name.
+func (r *Rules) RouteByName(name string) *Route { return r.names[name] }
 
 // Arm picks the arm of a job by the hash of its id: every front picks alike.
-func (p *Path) Arm(job string) *Arm {
+func (p *Route) Arm(job string) *Arm {
 	if p.Trial == 0 {
 		return &p.Base
 	}
--- a/internal/rules/model_test.go
+++ b/internal/rules/model_test.go
@@ -12,14 +12,14 @@
 var port = regexp.MustCompile(`:[^:\]]*$`)
 
 // plainMatch looks at every path: the obvious model of Match.
-func plainMatch(r *Rules, host, method, url string) *Path {
+func plainMatch(r *Rules, host, method, url string) *Route {
 	host = strings.ToLower(port.ReplaceAllString(host, ""))
 	url = strings.TrimRight(url, "/")
 	if url == "" {
 		url = "/"
 	}
-	var best *Path
-	for _, p := range r.Paths {
+	var best *Route
+	for _, p := range r.Routes {
 		fits := url == p.Prefix || strings.HasPrefix(url, strings.TrimRight(p.Prefix, "/")+"/")
 		if !fits || p.Host != "" && p.Host != host || p.Method != "any" && p.Method != method {
 			continue
--- a/internal/rules/next_test.go
+++ b/internal/rules/next_test.go
@@ -118,7 +118,7 @@
 		t.Errorf("%.0f allocations for one row, %.0f for all", one, whole)
 	}
 	now, _, _ := Next(old, 2, []byte(next))
-	if now.Paths[0] == old.Paths[0] || now.Paths[1999] != old.Paths[1999] {
+	if now.Routes[0] == old.Routes[0] || now.Routes[1999] != old.Routes[1999] {
 		t.Error("not the changed row alone was read")
 	}
 }
--- a/internal/rules/paths.go
+++ b/internal/rules/paths.go
@@ -13,13 +13,13 @@
 	_, numbered := top["version"]
 	r.strange = r.old != nil && (r.ranked != r.old.ranked || numbered != (r.old.Number > 0) || !r.ranked && !maps.Equal(r.Shares, r.old.Shares))
 	list, _ := top["paths"].([]any)
-	r.Paths = make([]*Path, 0, len(list))
-	return r.each(top, "paths", TabPath, func(at string, v schema.Values) (any, []schema.Problem) {
-		p := &Path{Name: v.Text("name"), Host: bare(v.Text("host")), Method: v.Text("method"), Prefix: v.Text("prefix")}
+	r.Routes = make([]*Route, 0, len(list))
+	return r.each(top, "paths", RouteTable, func(at string, v schema.Values) (any, []schema.Problem) {
+		p := &Route{Name: v.Text("name"), Host: bare(v.Text("host")), Method: v.Text("method"), Prefix: v.Text("prefix")}
 		var bad []schema.Problem
 		p.Base, bad = r.arm(at, "old", v)
 		if t, ok := v["trial"].(map[string]any); ok {
-			tv, more := r.read(TabTrial, t, at+".trial")
+			tv, more := r.read(TrialTable, t, at+".trial")
 			bad = append(bad, more...)
 			p.Trial, p.Slice = uint64(tv.Count("id")), tv.Share("slice")
 			p.New, more = r.arm(at+".trial", "new", tv)
@@ -30,13 +30,13 @@
 		}
 		return p, bad
 	}, func(made any) (wrong []string) {
-		p := made.(*Path)
+		p := made.(*Route)
 		r.strange = r.strange || r.old != nil && !r.serves(p)
 		twice := p.Name != "" && r.names[p.Name] != nil
 		r.names[p.Name] = p
 		old := r.put(p)
-		r.Paths = append(r.Paths, p)
-		r.Longest = max(r.Longest, p.Base.Left, p.New.Left)
+		r.Routes = append(r.Routes, p)
+		r.LongestTimeout = max(r.LongestTimeout, p.Base.Timeout, p.New.Timeout)
 		if twice {
 			wrong = append(wrong, fmt.Sprintf("name path %q is there twice", p.Name))
 		}
@@ -48,9 +48,9 @@
 }
 
 // serves tells whether the services that a path names are all there.
-func (r *Rules) serves(p *Path) bool {
+func (r *Rules) serves(p *Route) bool {
 	for _, a := range []*Arm{&p.Base, &p.New} {
-		if a.Service != "" && !r.Services[a.Service] || slices.ContainsFunc(a.Split, func(s Part) bool { return !r.Services[s.Service] }) {
+		if a.Service != "" && !r.Services[a.Service] || slices.ContainsFunc(a.Split, func(s WeightedService) bool { return !r.Services[s.Service] }) {
 			return false
 		}
 	}
@@ -58,7 +58,7 @@
 }
 
 // put enters a path at its place and gives what stood there.
-func (r *Rules) put(p *Path) *Path {
+func (r *Rules) put(p *Route) *Route {
 	if r.by[p.Host] == nil {
 		r.by[p.Host] = place{}
 	}
@@ -68,7 +68,7 @@
 		if r.old != nil {
 			room = len(r.old.by[p.Host][p.Method])
 		}
-		at[p.Method] = make(map[string]*Path, room)
+		at[p.Method] = make(map[string]*Route, room)
 	}
 	old := at[p.Method][p.Prefix]
 	at[p.Method][p.Prefix] = p
--- a/internal/rules/ranks.go
+++ b/internal/rules/ranks.go
@@ -13,7 +13,7 @@
 // more, not what doesn't matter.
 func (r *Rules) ranks() {
 	seen := map[int]bool{}
-	for _, p := range r.Paths {
+	for _, p := range r.Routes {
 		seen[p.Base.Rank] = true
 		if p.Trial != 0 {
 			seen[p.New.Rank] = true
--- a/internal/rules/rules.go
+++ b/internal/rules/rules.go
@@ -10,11 +10,11 @@
 	"puffincrank/internal/schema"
 )
 
-// Most bounds a document's size.
-const Most = 4 << 20
+// MaxDocumentBytes bounds a document's size.
+const MaxDocumentBytes = 4 << 20
 
-// Path is one compiled path.
-type Path struct {
+// Route is one compiled path.
+type Route struct {
 	Name   string
 	Host   string // without port and in small letters; empty for any
 	Method string
@@ -30,42 +30,42 @@
 
 // The steps of a job, in the order in which a path runs them.
 const (
-	Nominate Step = iota
-	HandOver
-	Weigh
-	Receipt
+	StepPick Step = iota
+	StepDeliver
+	StepEvaluate
+	StepRespond
 )
 
 // Rules is one compiled version.
 type Rules struct {
-	Version   uint64
-	Number    uint64 // the operator's own; 0 when the document has none
-	Doc       []byte
-	Services  map[string]bool
-	Links     map[string]int    // bound on a worker's connections by service, where one is told
-	Probe     map[string]string // the URL path of a service's health, where one is told
-	Shares    map[string]float64
-	Classes   []string
-	Paths     []*Path
-	by        map[string]place // by host; "" is any
-	names     map[string]*Path
-	RepShare  float64
-	RepAllow  int64
-	Queue     float64
-	HeadBytes int           // bound on a caller's header
-	BodyBytes int           // bound on a caller's body; 0: the prop's
-	Head      time.Duration // time to read a header; 0: by props
-	Idle      time.Duration // time before an idle connection is closed; 0: by props
-	Judge     schema.Values
-	Longest   time.Duration
-	fill      func(schema.Table, schema.Values, map[string]any, string) []schema.Problem
-	short     map[int]time.Duration // by rank, the least aim of what isn't bulk
-	lanes     map[haste]int
-	ranked    bool // classes come from the ranks
-	rows      map[string][]schema.ParsedRow
-	raw       map[string][]string
-	old       *Rules // while this is made: those that rows are taken from
-	strange   bool   // while this is made: a row kept means something else now
+	Version        uint64
+	Number         uint64 // the operator's own; 0 when the document has none
+	Doc            []byte
+	Services       map[string]bool
+	MaxConns       map[string]int    // bound on a worker's connections by service, where one is told
+	HealthPaths    map[string]string // the URL path of a service's health, where one is told
+	Shares         map[string]float64
+	Classes        []string
+	Routes         []*Route
+	by             map[string]place // by host; "" is any
+	names          map[string]*Route
+	RetryRatio     float64
+	RetryAllowance int64
+	QueueRatio     float64
+	MaxHeaderBytes int           // bound on a caller's header
+	MaxBodyBytes   int           // bound on a caller's body; 0: the prop's
+	HeaderTimeout  time.Duration // time to read a header; 0: by props
+	IdleTimeout    time.Duration // time before an idle connection is closed; 0: by props
+	Judge          schema.Values
+	LongestTimeout time.Duration
+	fill           func(schema.Table, schema.Values, map[string]any, string) []schema.Problem
+	short          map[int]time.Duration // by rank, the least aim of what isn't bulk
+	lanes          map[haste]int
+	ranked         bool // classes come from the ranks
+	rows           map[string][]schema.ParsedRow
+	raw            map[string][]string
+	old            *Rules // while this is made: those that rows are taken from
+	strange        bool   // while this is made: a row kept means something else now
 }
 
 // Compile reads a document; every fault is named with its place.
@@ -86,8 +86,8 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	r := &Rules{Version: version, Doc: doc, Services: make(map[string]bool, len(raw["services"])), Links: map[string]int{}, Probe: map[string]string{},
-		Shares: map[string]float64{}, by: map[string]place{}, names: make(map[string]*Path, len(raw["paths"])), fill: schema.Table.Fill,
+	r := &Rules{Version: version, Doc: doc, Services: make(map[string]bool, len(raw["services"])), MaxConns: map[string]int{}, HealthPaths: map[string]string{},
+		Shares: map[string]float64{}, by: map[string]place{}, names: make(map[string]*Route, len(raw["paths"])), fill: schema.Table.Fill,
 		old: old, raw: raw, rows: map[string][]schema.ParsedRow{}}
 	// Documents with a number of their own are written by programs that may be
 	// newer than this one: what they say besides is not for us.
@@ -96,7 +96,7 @@
 	}
 	_, classes := in["classes"]
 	r.ranked = !classes
-	top, more := r.read(TabDoc, in, "")
+	top, more := r.read(DocumentTable, in, "")
 	bad = append(bad, more...)
 	r.Number = uint64(top.Count("version"))
 	bad = append(bad, r.services(top)...)
@@ -107,13 +107,13 @@
 	}
 	r.hurry()
 	lim, _ := top["limits"].(map[string]any)
-	v, more := r.read(TabLimits, lim, "limits")
+	v, more := r.read(LimitsTable, lim, "limits")
 	bad = append(bad, more...)
-	r.RepShare, r.RepAllow, r.Queue = v.Share("repeat_share"), v.Count("repeat_allowance"), v.Share("queue_share")
-	r.HeadBytes, r.BodyBytes = int(v.Count("head_bytes")), int(v.Count("body_bytes"))
-	r.Head, r.Idle = time.Duration(v.Count("head_ms"))*time.Millisecond, time.Duration(v.Count("idle_ms"))*time.Millisecond
+	r.RetryRatio, r.RetryAllowance, r.QueueRatio = v.Share("repeat_share"), v.Count("repeat_allowance"), v.Share("queue_share")
+	r.MaxHeaderBytes, r.MaxBodyBytes = int(v.Count("head_bytes")), int(v.Count("body_bytes"))
+	r.HeaderTimeout, r.IdleTimeout = time.Duration(v.Count("head_ms"))*time.Millisecond, time.Duration(v.Count("idle_ms"))*time.Millisecond
 	jud, _ := top["judge"].(map[string]any)
-	r.Judge, more = r.read(TabJudge, jud, "judge")
+	r.Judge, more = r.read(JudgeTable, jud, "judge")
 	bad = append(bad, more...)
 	if len(more) == 0 && r.Judge.Count("most_ms") <= r.Judge.Count("least_ms") {
 		bad = append(bad, schema.Problem{Place: "judge.most_ms", Message: "must be over least_ms"})
@@ -179,7 +179,7 @@
 }
 
 func (r *Rules) services(top schema.Values) []schema.Problem {
-	return r.each(top, "services", TabService, func(_ string, v schema.Values) (any, []schema.Problem) {
+	return r.each(top, "services", ServiceTable, func(_ string, v schema.Values) (any, []schema.Problem) {
 		return service{v.Text("name"), v.Text("fitness"), int(v.Count("links"))}, nil
 	}, func(made any) []string {
 		s := made.(service)
@@ -190,10 +190,10 @@
 			r.Services[s.name] = true
 		}
 		if s.links > 0 {
-			r.Links[s.name] = s.links
+			r.MaxConns[s.name] = s.links
 		}
 		if s.probe != "" {
-			r.Probe[s.name] = s.probe
+			r.HealthPaths[s.name] = s.probe
 		}
 		return nil
 	})
@@ -202,7 +202,7 @@
 func (r *Rules) classes(top schema.Values) []schema.Problem {
 	sum := 0.0
 	whole := true
-	bad := r.each(top, "classes", TabClass, func(at string, v schema.Values) (any, []schema.Problem) {
+	bad := r.each(top, "classes", ClassTable, func(at string, v schema.Values) (any, []schema.Problem) {
 		n := v.Text("name")
 		if _, dup := r.Shares[n]; dup {
 			return nil, []schema.Problem{{Place: at + ".name", Message: fmt.Sprintf("class %q is there twice", n)}}
--- a/internal/rules/rules_test.go
+++ b/internal/rules/rules_test.go
@@ -83,7 +83,7 @@
 			t.Errorf("%s %s matched %q, want %q", c.method, c.url, got, c.want)
 		}
 	}
-	if a := r.Named("p").Base; a.Left != time.Second || a.Safe || a.Tries != 3 {
+	if a := r.RouteByName("p").Base; a.Timeout != time.Second || a.Repeatable || a.Tries != 3 {
 		t.Errorf("defaults: %+v", a)
 	}
 }
@@ -95,7 +95,7 @@
 	if err != nil || bad != nil {
 		t.Fatal(bad, err)
 	}
-	p, n := r.Named("p"), 0
+	p, n := r.RouteByName("p"), 0
 	for i := range 20000 {
 		id := fmt.Sprintf("node1.abc.%d", i)
 		if p.Arm(id).Name == "new" {
--- a/internal/rules/table.go
+++ b/internal/rules/table.go
@@ -48,7 +48,7 @@
 
 // Tables of the document, in the order of the docs.
 var (
-	TabDoc = schema.Table{Name: "document", Rows: []schema.Field{
+	DocumentTable = schema.Table{Name: "document", Rows: []schema.Field{
 		{Name: "version", Type: schema.Count, Check: schema.IntRange(1, 1<<60), Rule: "1 or more", Help: "the operator's own number of the document; with it, names that this program doesn't know are passed over"},
 		{Name: "services", Type: schema.Rows, Required: true, Rule: "at least one, unless numbered", Help: "the services, see below"},
 		{Name: "classes", Type: schema.Rows, Rule: "shares add up to 100", Help: "the classes of service, see below; worked out from the ranks when left out"},
@@ -56,18 +56,18 @@
 		{Name: "limits", Type: schema.Row, Rule: "see below", Help: "bounds on repeats and queues"},
 		{Name: "judge", Type: schema.Row, Rule: "see below", Help: "bounds by which trials are judged"},
 	}}
-	TabService = schema.Table{Name: "services", Rows: []schema.Field{
+	ServiceTable = schema.Table{Name: "services", Rows: []schema.Field{
 		{Name: "name", Type: schema.Text, Required: true, Check: schema.IsName, Rule: "a name, its own", Help: "what workers register under"},
 		{Name: "fitness", Type: schema.Text, Check: ask, Rule: "begins with /", Help: "the URL path where its workers are asked for their health; the mesh's own when left out"},
 		{Name: "links", Type: schema.Count, Default: int64(0), Check: schema.IntRange(0, 1<<30), Rule: "0 or more", Help: "connections that one worker takes from all callers; 0: no bound is told"},
 		{Name: "proto", Type: schema.Text, Default: "h1", Check: schema.OneOf("h1"), Rule: "h1", Help: "what its workers speak: HTTP/1.1"},
 		{Name: "tls", Type: schema.Flag, Default: false, Check: plain, Rule: "false", Help: "TLS to workers is not spoken"},
 	}}
-	TabClass = schema.Table{Name: "classes", Rows: []schema.Field{
+	ClassTable = schema.Table{Name: "classes", Rows: []schema.Field{
 		{Name: "name", Type: schema.Text, Required: true, Check: schema.IsName, Rule: "a name, its own", Help: "the class"},
 		{Name: "share", Type: schema.Share, Required: true, Check: schema.FloatRange(0, 100), Rule: "0 to 100", Help: "percent of each worker's slots"},
 	}}
-	TabPath = schema.Table{Name: "paths", Rows: []schema.Field{
+	RouteTable = schema.Table{Name: "paths", Rows: []schema.Field{
 		{Name: "name", Type: schema.Text, Required: true, Check: schema.IsName, Rule: "a name, its own", Help: "the path"},
 		{Name: "method", Type: schema.Text, Default: "any", Check: schema.OneOf("any", "GET", "HEAD", "POST", "PUT", "PATCH", "DELETE"), Rule: "any, GET, HEAD, POST, PUT, PATCH or DELETE", Help: "the method matched"},
 		{Name: "host", Type: schema.Text, Check: host, Rule: "a host name", Help: "the host matched, whatever its case and port; any when left out"},
@@ -82,7 +82,7 @@
 		{Name: "tries", Type: schema.Count, Default: int64(3), Check: schema.IntRange(1, 1000), Rule: "1 to 1000", Help: "sends at the most, the first included"},
 		{Name: "trial", Type: schema.Row, Rule: "set by the mesh", Help: "the other arm of a running trial; not for operators"},
 	}}
-	TabTrial = schema.Table{Name: "trial", Rows: []schema.Field{
+	TrialTable = schema.Table{Name: "trial", Rows: []schema.Field{
 		{Name: "id", Type: schema.Count, Required: true, Check: schema.IntRange(1, 1<<60), Rule: "a number", Help: "the trial"},
 		{Name: "slice", Type: schema.Share, Required: true, Check: schema.FloatRange(0.1, 50), Rule: "0.1 to 50", Help: "percent of the path's jobs"},
 		{Name: "service", Type: schema.Text, Check: schema.IsName, Rule: "one of services", Help: "as in paths"},
@@ -94,11 +94,11 @@
 		{Name: "repeat", Type: schema.Text, Required: true, Check: schema.OneOf("never", "safe", "upload", "download"), Rule: "never, safe, upload or download", Help: "as in paths"},
 		{Name: "tries", Type: schema.Count, Required: true, Check: schema.IntRange(1, 1000), Rule: "1 to 1000", Help: "as in paths"},
 	}}
-	TabSplit = schema.Table{Name: "split", Rows: []schema.Field{
+	SplitTable = schema.Table{Name: "split", Rows: []schema.Field{
 		{Name: "service", Type: schema.Text, Required: true, Check: schema.IsName, Rule: "one of services", Help: "whose workers serve a part of the jobs"},
 		{Name: "weight", Type: schema.Share, Required: true, Check: schema.FloatRange(0, 1e9), Rule: "0 to 1e9", Help: "its part, as a ratio to the sum of the weights"},
 	}}
-	TabLimits = schema.Table{Name: "limits", Rows: []schema.Field{
+	LimitsTable = schema.Table{Name: "limits", Rows: []schema.Field{
 		{Name: "repeat_share", Type: schema.Share, Default: 0.2, Check: schema.FloatRange(0, 1), Rule: "0 to 1", Help: "repeats to a service as a part of its first sends, over the window"},
 		{Name: "repeat_allowance", Type: schema.Count, Default: int64(10), Check: schema.IntRange(0, 1000), Rule: "0 to 1000", Help: "repeats besides, mesh-wide, over the window"},
 		{Name: "queue_share", Type: schema.Share, Default: 1.0, Check: schema.FloatRange(0, 10), Rule: "0 to 10", Help: "jobs that may wait for a class at a worker, as a ratio to its slots"},
@@ -107,7 +107,7 @@
 		{Name: "head_ms", Type: schema.Span, Default: int64(0), Check: schema.IntRange(0, 86400_000), Rule: "0 to 86400000", Help: "time in which a header must be read; 0: worked out from the props"},
 		{Name: "idle_ms", Type: schema.Span, Default: int64(0), Check: schema.IntRange(0, 86400_000), Rule: "0 to 86400000", Help: "time after which a caller's idle connection is closed; 0: worked out from the props"},
 	}}
-	TabJudge = schema.Table{Name: "judge", Rows: []schema.Field{
+	JudgeTable = schema.Table{Name: "judge", Rows: []schema.Field{
 		{Name: "slice", Type: schema.Share, Default: 10.0, Check: schema.FloatRange(0.1, 50), Rule: "0.1 to 50", Help: "percent of a path's jobs that try a change"},
 		{Name: "least_jobs", Type: schema.Count, Default: int64(100), Check: schema.IntRange(10, 1000000), Rule: "10 to 1000000", Help: "jobs of the new arm before it is judged"},
 		{Name: "least_ms", Type: schema.Span, Default: int64(5000), Check: schema.IntRange(100, 3600000), Rule: "100 to 3600000", Help: "time before it is judged"},
@@ -119,5 +119,5 @@
 	}}
 )
 
-// All lists the tables for the docs.
-var All = []schema.Table{TabDoc, TabService, TabClass, TabPath, TabSplit, TabTrial, TabLimits, TabJudge}
+// Tables lists the tables for the docs.
+var Tables = []schema.Table{DocumentTable, ServiceTable, ClassTable, RouteTable, SplitTable, TrialTable, LimitsTable, JudgeTable}
--- a/internal/rules/trial.go
+++ b/internal/rules/trial.go
@@ -10,8 +10,8 @@
 	"puffincrank/internal/schema"
 )
 
-// Fields are what an arm of a trial may differ in.
-var Fields = []string{"service", "split", "class", "rank", "left_ms", "aim_ms", "repeat", "tries"}
+// ArmFields are what an arm of a trial may differ in.
+var ArmFields = []string{"service", "split", "class", "rank", "left_ms", "aim_ms", "repeat", "tries"}
 
 // rows opens a document and its paths.
 func rows(doc []byte) (map[string]any, []map[string]any, error) {
@@ -29,17 +29,17 @@
 	return m, out, nil
 }
 
-// Full gives a field of a path's arm, defaults included; nil when it has none.
-func Full(p map[string]any, field string) any {
+// EffectiveValue gives a field of a path's arm, defaults included; nil when it has none.
+func EffectiveValue(p map[string]any, field string) any {
 	if v, ok := p[field]; ok {
 		return v
 	}
 	if field == "aim_ms" {
-		if left, ok := plainly(Full(p, "left_ms")).(float64); ok {
+		if left, ok := plainly(EffectiveValue(p, "left_ms")).(float64); ok {
 			return left / 4
 		}
 	}
-	for _, s := range TabPath.Rows {
+	for _, s := range RouteTable.Rows {
 		if s.Name == field {
 			return s.Default
 		}
@@ -80,7 +80,7 @@
 
 // spotOf is where a path stands: two with the same one can't both be there.
 func spotOf(p map[string]any) [3]string {
-	text := func(n string) string { s, _ := Full(p, n).(string); return s }
+	text := func(n string) string { s, _ := EffectiveValue(p, n).(string); return s }
 	at := text("prefix")
 	if at != "/" {
 		at = strings.TrimRight(at, "/")
@@ -93,7 +93,7 @@
 func take(to, from map[string]any, field string) {
 	if v, ok := from[field]; ok {
 		to[field] = v
-	} else if v := Full(from, field); v != nil && field != "aim_ms" {
+	} else if v := EffectiveValue(from, field); v != nil && field != "aim_ms" {
 		to[field] = v
 	} else {
 		delete(to, field)
@@ -104,7 +104,7 @@
 // the other way round.
 func changed(p, change map[string]any) map[string]any {
 	out := map[string]any{}
-	for _, f := range Fields {
+	for _, f := range ArmFields {
 		take(out, p, f)
 	}
 	if _, ok := change["service"]; ok {
@@ -113,7 +113,7 @@
 	if _, ok := change["split"]; ok {
 		delete(out, "service")
 	}
-	for _, f := range Fields {
+	for _, f := range ArmFields {
 		if v, ok := change[f]; ok {
 			out[f] = v
 		}
@@ -122,16 +122,16 @@
 }
 
 func alike(a, b map[string]any) bool {
-	for _, f := range Fields {
-		if !same(Full(a, f), Full(b, f)) {
+	for _, f := range ArmFields {
+		if !same(EffectiveValue(a, f), EffectiveValue(b, f)) {
 			return false
 		}
 	}
 	return true
 }
 
-// Try gives a document in which a path's other arm is tried on a slice.
-func Try(doc []byte, id uint64, path string, change map[string]any, slice float64) ([]byte, error) {
+// StartTrial gives a document in which a path's other arm is tried on a slice.
+func StartTrial(doc []byte, id uint64, path string, change map[string]any, slice float64) ([]byte, error) {
 	m, paths, err := rows(doc)
 	if err != nil {
 		return nil, err
@@ -149,8 +149,8 @@
 	return nil, fault.New(fault.Input, "no path %q", path)
 }
 
-// Alike tells whether a change would leave a path as it is.
-func Alike(doc []byte, path string, change map[string]any) bool {
+// IsNoop tells whether a change would leave a path as it is.
+func IsNoop(doc []byte, path string, change map[string]any) bool {
 	_, paths, err := rows(doc)
 	if err != nil {
 		return false
@@ -163,9 +163,9 @@
 	return false
 }
 
-// Settle ends a trial in a document: its arm takes the place of the old one,
+// FinishTrial ends a trial in a document: its arm takes the place of the old one,
 // or goes away.
-func Settle(doc []byte, id uint64, good bool) ([]byte, error) {
+func FinishTrial(doc []byte, id uint64, good bool) ([]byte, error) {
 	m, paths, err := rows(doc)
 	if err != nil {
 		return nil, err
@@ -176,7 +176,7 @@
 			continue
 		}
 		if good {
-			for _, f := range Fields {
+			for _, f := range ArmFields {
 				take(p, t, f)
 			}
 		}
@@ -186,11 +186,11 @@
 	return out, fault.Wrap(fault.Input, err, "write document")
 }
 
-// Rehearse compares a whole new document with the one in force: paths that
+// PlanTrials compares a whole new document with the one in force: paths that
 // carry traffic and go elsewhere keep their old arm, with the new one on
 // trial. It names those paths; none means that the new document may stand as
 // it is.
-func Rehearse(old, now []byte, id uint64, live func(string) bool) (doc []byte, paths []string, err error) {
+func PlanTrials(old, now []byte, id uint64, live func(string) bool) (doc []byte, paths []string, err error) {
 	_, was, err := rows(old)
 	if err != nil {
 		return nil, nil, err
@@ -203,7 +203,7 @@
 	for _, p := range was {
 		before[p["name"]] = p
 	}
-	slice := TabJudge.Rows[0].Default
+	slice := JudgeTable.Rows[0].Default
 	if j, ok := m["judge"].(map[string]any); ok && j["slice"] != nil {
 		slice = j["slice"]
 	}
@@ -215,7 +215,7 @@
 			continue
 		}
 		t := map[string]any{"id": id, "slice": slice}
-		for _, f := range Fields {
+		for _, f := range ArmFields {
 			take(t, p, f)
 			take(p, o, f)
 		}
--- a/internal/rules/trial_test.go
+++ b/internal/rules/trial_test.go
@@ -59,7 +59,7 @@
 	return raw
 }
 
-func compiled(t *rapid.T, doc []byte, err error) *Path {
+func compiled(t *rapid.T, doc []byte, err error) *Route {
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -67,7 +67,7 @@
 	if err != nil || bad != nil {
 		t.Fatalf("%s: %v %v", doc, bad, err)
 	}
-	return r.Named("p")
+	return r.RouteByName("p")
 }
 
 // TestTrialArms: in a trial, begun by a proposal or by a whole document, one
@@ -87,14 +87,14 @@
 				t.Fatalf("%s:\n%+v\n%+v, want\n%+v\n%+v", doc, p.Base, p.New, want, to)
 			}
 			for good, want := range map[bool]Arm{true: to, false: want} {
-				end, err := Settle(doc, id, good)
+				end, err := FinishTrial(doc, id, good)
 				got := compiled(t, end, err)
 				if got.Trial != 0 || !reflect.DeepEqual(bareArm(got.Base), bareArm(want)) {
 					t.Fatalf("settled %v: %s:\n%+v, want\n%+v", good, end, got.Base, want)
 				}
 			}
 		}
-		doc, paths, err := Rehearse(before, after, 3, always)
+		doc, paths, err := PlanTrials(before, after, 3, always)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -117,10 +117,10 @@
 			merged[n] = v
 		}
 		aim := compiled(t, docOf(t, ranked, was, merged), nil).Base
-		if Alike(before, "p", now) != reflect.DeepEqual(bareArm(want), bareArm(aim)) {
-			t.Fatalf("%s with %v: alike is %v", before, now, Alike(before, "p", now))
+		if IsNoop(before, "p", now) != reflect.DeepEqual(bareArm(want), bareArm(aim)) {
+			t.Fatalf("%s with %v: alike is %v", before, now, IsNoop(before, "p", now))
 		}
-		doc, err = Try(before, 4, "p", now, 10)
+		doc, err = StartTrial(before, 4, "p", now, 10)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -133,10 +133,10 @@
 func TestNewPlace(t *testing.T) {
 	old := []byte(wide)
 	moved := strings.Replace(wide, `"prefix":"/deep/","service":"b"`, `"prefix":"/deep/","service":"a"`, 1)
-	if _, paths, err := Rehearse(old, []byte(moved), 2, always); err != nil || len(paths) != 1 || paths[0] != "q" {
+	if _, paths, err := PlanTrials(old, []byte(moved), 2, always); err != nil || len(paths) != 1 || paths[0] != "q" {
 		t.Fatalf("rehearsed %v %v", paths, err)
 	}
-	if _, paths, _ := Rehearse(old, []byte(moved), 2, func(n string) bool { return n != "q" }); len(paths) != 0 {
+	if _, paths, _ := PlanTrials(old, []byte(moved), 2, func(n string) bool { return n != "q" }); len(paths) != 0 {
 		t.Errorf("a path without traffic is rehearsed: %v", paths)
 	}
 	for _, c := range [][2]string{{`"host":"two.example"`, `"host":"three.example"`}, {`"host":"two.example",`, ``}, {`"/deep/","service":"a"`, `"/deep/est/","service":"a"`}, {`"host":"two.example"`, `"method":"GET","host":"two.example"`}} {
@@ -144,7 +144,7 @@
 		if doc == moved {
 			t.Fatalf("case %q changes nothing", c)
 		}
-		if _, paths, err := Rehearse(old, []byte(doc), 2, always); err != nil || len(paths) != 0 {
+		if _, paths, err := PlanTrials(old, []byte(doc), 2, always); err != nil || len(paths) != 0 {
 			t.Errorf("%s: rehearsed %v %v", c[1], paths, err)
 		}
 	}
--- a/internal/sim/bad_test.go
+++ b/internal/sim/bad_test.go
@@ -73,7 +73,7 @@
 			if code, got := f.Ask("PUT", at+":7003", "/puffin/config?based_on=0&who=another", s.Doc); code != 409 || got["version"] != float64(1) {
 				t.Errorf("a stale base: %d %v", code, got)
 			}
-			if code, _ := f.Ask("PUT", at+":7003", "/puffin/config?based_on=1", s.Doc+strings.Repeat(" ", rules.Most)); code != 413 {
+			if code, _ := f.Ask("PUT", at+":7003", "/puffin/config?based_on=1", s.Doc+strings.Repeat(" ", rules.MaxDocumentBytes)); code != 413 {
 				t.Errorf("a document over the bound: %d", code)
 			}
 			if code, _ := f.Ask("PUT", at+":7003", "/puffin/config", s.Doc); code != 422 {
--- a/internal/sim/core_test.go
+++ b/internal/sim/core_test.go
@@ -210,7 +210,7 @@
 		defer f.Stop()
 		var replaced atomic.Int64
 		f.Log = func(e event.Entry) {
-			if e.Num == event.Replaced.Num {
+			if e.Number == event.Replaced.Number {
 				replaced.Add(1)
 			}
 		}
--- a/internal/sim/corearea_test.go
+++ b/internal/sim/corearea_test.go
@@ -142,6 +142,6 @@
 		defer l.Stop()
 		l.up()
 		l.Until(8*time.Second, "three vote", func() bool { return len(l.places()) == 3 })
-		l.Until(20*time.Second, "it is warned of", func() bool { return l.count(event.CoreSmall) > 0 })
+		l.Until(20*time.Second, "it is warned of", func() bool { return l.count(event.TooFewStores) > 0 })
 	})
 }
--- a/internal/sim/corelab_test.go
+++ b/internal/sim/corelab_test.go
@@ -62,8 +62,8 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, e := range l.seen {
-		if time.Since(e.Wall) < back {
-			t.Log(e.Wall.Sub(l.from).Round(time.Millisecond), e.Name, e.Node, e.Say)
+		if time.Since(e.Time) < back {
+			t.Log(e.Time.Sub(l.from).Round(time.Millisecond), e.Name, e.Node, e.Text)
 		}
 	}
 }
@@ -73,7 +73,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, e := range l.seen {
-		if e.Num == k.Num {
+		if e.Number == k.Number {
 			n++
 		}
 	}
--- a/internal/sim/ctl_test.go
+++ b/internal/sim/ctl_test.go
@@ -87,10 +87,10 @@
 			}
 		}
 		// One that can't be reached is named, and the next is tried.
-		if code, _, say := f.ctl("10.0.1.77:7003,"+b, "status"); code != ctl.Fine || !strings.Contains(say, "10.0.1.77:7003 can't be reached") {
+		if code, _, say := f.ctl("10.0.1.77:7003,"+b, "status"); code != ctl.ExitOK || !strings.Contains(say, "10.0.1.77:7003 can't be reached") {
 			t.Errorf("an unreachable node: %d %s", code, say)
 		}
-		if code, _, _ := f.ctl("10.0.1.77:7003", "status"); code != ctl.Mute {
+		if code, _, _ := f.ctl("10.0.1.77:7003", "status"); code != ctl.ExitUnreachable {
 			t.Errorf("no node at all: %d", code)
 		}
 		// A node that takes a change and breaks off: the outcome is unknown, and
@@ -103,7 +103,7 @@
 		}), time.Second); err != nil {
 			t.Fatal(err)
 		}
-		if code, _, say := f.ctl("10.0.1.99:7003,"+a, "number", "next", "n"); code != ctl.Unknown || took != 1 || !strings.Contains(say, "outcome unknown") {
+		if code, _, say := f.ctl("10.0.1.99:7003,"+a, "number", "next", "n"); code != ctl.ExitUnknown || took != 1 || !strings.Contains(say, "outcome unknown") {
 			t.Errorf("broken off: %d %s after %d", code, say, took)
 		}
 		if _, out, _ := f.ctl(a, "number", "get", "n"); !strings.Contains(out, `"number":1`) {
@@ -113,7 +113,7 @@
 		f.KillCore(f.Cores[0], true)
 		f.KillCore(f.Cores[1], true)
 		Wait(3 * time.Second)
-		if code, out, say := f.ctl(a, "number", "next", "n"); code != ctl.Busy || !strings.Contains(say, "come back in") {
+		if code, out, say := f.ctl(a, "number", "next", "n"); code != ctl.ExitUnavailable || !strings.Contains(say, "come back in") {
 			t.Errorf("without a majority: %d %s %s", code, out, say)
 		}
 		f.BackCore(f.Cores[0])
--- a/internal/sim/days_test.go
+++ b/internal/sim/days_test.go
@@ -96,7 +96,7 @@
 	if *dayLog != "" {
 		s.Log = func(e event.Entry) {
 			if strings.Contains(e.Node, *dayLog) {
-				s.say("%s: %s %s", e.Node, e.Name, e.Say)
+				s.say("%s: %s %s", e.Node, e.Name, e.Text)
 			}
 		}
 	}
--- a/internal/sim/doubt_test.go
+++ b/internal/sim/doubt_test.go
@@ -23,9 +23,9 @@
 		defer f.Stop()
 		told := make(chan string, 64)
 		f.Log = func(e event.Entry) {
-			if strings.Contains(e.Say, "doubts") || e.Num == event.Fit.Num {
+			if strings.Contains(e.Text, "doubts") || e.Number == event.WorkerHealthy.Number {
 				select {
-				case told <- e.Node + " " + e.Name + " " + e.Say:
+				case told <- e.Node + " " + e.Name + " " + e.Text:
 				default:
 				}
 			}
--- a/internal/sim/fleet.go
+++ b/internal/sim/fleet.go
@@ -140,7 +140,7 @@
 	f.Net.Place(host, area)
 	log := event.New(node, nil)
 	if f.Log != nil {
-		log.Tell(f.Log)
+		log.SetListener(f.Log)
 	}
 	// A fresh start is never frozen, whatever became of the one before.
 	f.Net.Freeze(node, false)
--- a/internal/sim/fleet_test.go
+++ b/internal/sim/fleet_test.go
@@ -15,7 +15,7 @@
 		f := NewFleet(t, Fumettoteca(0.2), 1)
 		f.Log = func(e event.Entry) {
 			if testing.Verbose() {
-				t.Logf("%v %s %s %s", e.Wall.Format("05.000"), e.Node, e.Name, e.Say)
+				t.Logf("%v %s %s %s", e.Time.Format("05.000"), e.Node, e.Name, e.Text)
 			}
 		}
 		defer f.Stop()
--- a/internal/sim/foreign_test.go
+++ b/internal/sim/foreign_test.go
@@ -22,7 +22,7 @@
 		defer f.Stop()
 		var named atomic.Int64
 		f.Log = func(e event.Entry) {
-			if e.Num == event.Foreign.Num {
+			if e.Number == event.ForeignData.Number {
 				named.Add(1)
 			}
 		}
@@ -58,7 +58,7 @@
 		defer f.Stop()
 		var named atomic.Int64
 		f.Log = func(e event.Entry) {
-			if e.Num == event.Unsafe.Num {
+			if e.Number == event.UnsafeRemoval.Number {
 				named.Add(1)
 			}
 		}
--- a/internal/sim/growcore_test.go
+++ b/internal/sim/growcore_test.go
@@ -28,7 +28,7 @@
 				if n := len(l.places()); n != c.voters || !l.coreReady() {
 					t.Errorf("%d voters, all stores ready: %v", n, l.coreReady())
 				}
-				if warned := l.count(event.CoreSmall) > 0; warned != (c.voters != 2*c.bear+1) {
+				if warned := l.count(event.TooFewStores) > 0; warned != (c.voters != 2*c.bear+1) {
 					t.Errorf("warned of a small core: %v", warned)
 				}
 			})
--- a/internal/sim/node_test.go
+++ b/internal/sim/node_test.go
@@ -117,8 +117,8 @@
 		s.Nodes = 6
 		f := NewFleet(t, s, 42)
 		f.Log = func(e event.Entry) {
-			if testing.Verbose() && (e.Num/100 == 4 || e.Num/100 == 1) && !strings.HasPrefix(e.Node, "node") {
-				t.Log(e.Wall.Format("05.000"), e.Node, e.Name, e.Say)
+			if testing.Verbose() && (e.Number/100 == 4 || e.Number/100 == 1) && !strings.HasPrefix(e.Node, "node") {
+				t.Log(e.Time.Format("05.000"), e.Node, e.Name, e.Text)
 			}
 		}
 		defer f.Stop()
--- a/internal/sim/same_test.go
+++ b/internal/sim/same_test.go
@@ -29,7 +29,7 @@
 				for _, c := range []string{"lock acquire l --owner x --ttl-ms 600000", "key put k v", "number next n",
 					"propose " + pathOf(s) + " --based-on 1 --service " + s.Services[0] + "2",
 					"trials abort 1"} {
-					if code, out, say := f.ctl(at, strings.Fields(c)...); code != ctl.Fine {
+					if code, out, say := f.ctl(at, strings.Fields(c)...); code != ctl.ExitOK {
 						t.Fatalf("%s: %d %s%s", c, code, out, say)
 					}
 				}
@@ -45,7 +45,7 @@
 						answered := 0
 						for _, at := range all {
 							code, out, say := f.ctl(at, strings.Fields("--wait 3s "+cmd)...)
-							if code == ctl.Mute || code == ctl.Busy {
+							if code == ctl.ExitUnreachable || code == ctl.ExitUnavailable {
 								refused++
 								continue
 							}
@@ -53,7 +53,7 @@
 							if first == "" {
 								first, who = out, at
 							}
-							if code != ctl.Fine || out != first {
+							if code != ctl.ExitOK || out != first {
 								t.Errorf("%s: %s at %s (%d) differs from %s:\n%s%s\n%s", when, cmd, at, code, who, out, say, first)
 							}
 						}
--- a/internal/sim/sight_test.go
+++ b/internal/sim/sight_test.go
@@ -21,7 +21,7 @@
 		log := map[string][]string{}
 		s.Log = func(e event.Entry) {
 			s.smu.Lock()
-			log[e.Name] = append(log[e.Name], e.Node+" "+e.Say)
+			log[e.Name] = append(log[e.Name], e.Node+" "+e.Text)
 			s.smu.Unlock()
 		}
 		var steps []any
--- a/internal/sim/sightstop_test.go
+++ b/internal/sim/sightstop_test.go
@@ -18,7 +18,7 @@
 	log := map[string][]string{}
 	f.Log = func(e event.Entry) {
 		f.mu.Lock()
-		log[e.Name] = append(log[e.Name], e.Node+" "+e.Say)
+		log[e.Name] = append(log[e.Name], e.Node+" "+e.Text)
 		f.mu.Unlock()
 	}
 	return func(name string) []string {
--- a/internal/sim/thaw_test.go
+++ b/internal/sim/thaw_test.go
@@ -106,11 +106,11 @@
 			mu.Lock()
 			defer mu.Unlock()
 			// One digit each, so that texts compare as numbers.
-			if e.Num == event.ConfigTaken.Num {
-				if e.Say < high[e.Node] {
-					t.Errorf("%s took %s after %s", e.Node, e.Say, high[e.Node])
+			if e.Number == event.ConfigApplied.Number {
+				if e.Text < high[e.Node] {
+					t.Errorf("%s took %s after %s", e.Node, e.Text, high[e.Node])
 				}
-				high[e.Node] = e.Say
+				high[e.Node] = e.Text
 			}
 		}
 		defer f.Stop()
--- a/internal/sim/withdraw_test.go
+++ b/internal/sim/withdraw_test.go
@@ -149,7 +149,7 @@
 	a := act{s, rand.New(rand.NewPCG(1, 2)), &[]*Core{}}
 	var drains atomic.Bool
 	s.Log = func(e event.Entry) {
-		if e.Name == "worker-state" && strings.Contains(e.Say, "to=draining") {
+		if e.Name == "worker-state" && strings.Contains(e.Text, "to=draining") {
 			drains.Store(true)
 		}
 	}
--- a/internal/store/campaign.go
+++ b/internal/store/campaign.go
@@ -163,7 +163,7 @@
 	}
 	s.leadership, s.leaderAddress = t, s.Settings.InternalAddr
 	s.mu.Unlock()
-	s.e.Log.Emit(event.Won, "duty", "writer", "ballot", num.String(), "slot", s.slot)
+	s.e.Log.Emit(event.RoleWon, "duty", "writer", "ballot", num.String(), "slot", s.slot)
 	t.run()
 	s.wakeLoop(false)
 	return true
--- a/internal/store/contact.go
+++ b/internal/store/contact.go
@@ -105,6 +105,6 @@
 	}
 	if time.Now().After(s.smallSince) {
 		s.smallSince = time.Now().Add(s.Settings.RecoveryBound)
-		s.e.Log.Emit(event.CoreSmall, "voters", len(all), "wanted", want, "crowded", weak)
+		s.e.Log.Emit(event.TooFewStores, "voters", len(all), "wanted", want, "crowded", weak)
 	}
 }
--- a/internal/store/diskhealth.go
+++ b/internal/store/diskhealth.go
@@ -39,10 +39,10 @@
 	}
 	s.mu.Unlock()
 	if slow && !was {
-		s.e.Log.Emit(event.DiskBad, "sync_ms", took.Milliseconds())
+		s.e.Log.Emit(event.DiskFailing, "sync_ms", took.Milliseconds())
 	}
 	if was && !slow {
-		s.e.Log.Emit(event.DiskWell, "sync_ms", took.Milliseconds())
+		s.e.Log.Emit(event.DiskRecovered, "sync_ms", took.Milliseconds())
 	}
 	return nil
 }
@@ -71,7 +71,7 @@
 	}
 	s.mu.Unlock()
 	if !was {
-		s.e.Log.Emit(event.DiskBad, "why", err.Error())
+		s.e.Log.Emit(event.DiskFailing, "why", err.Error())
 	}
 	// A checkpoint has its room kept free, and frees what it makes needless.
 	if ease {
@@ -177,6 +177,6 @@
 		s.mu.Unlock()
 		return
 	}
-	s.e.Log.Emit(event.Checkpointed, "slot", c.Index, "bytes", len(c.State))
+	s.e.Log.Emit(event.SnapshotWritten, "slot", c.Index, "bytes", len(c.State))
 	_ = s.acc.Reserve(len(c.State)*2 + 64<<10)
 }
--- a/internal/store/fetch.go
+++ b/internal/store/fetch.go
@@ -72,7 +72,7 @@
 // stops the replica's state where it is, which readiness then shows.
 func (s *Store) applyChosen(e *paxos.Entry) bool {
 	if _, err := s.apply(e); err != nil {
-		s.e.Log.Emit(event.Foreign, "slot", e.Index, "why", err.Error())
+		s.e.Log.Emit(event.ForeignData, "slot", e.Index, "why", err.Error())
 		return false
 	}
 	s.checkpoint()
@@ -107,7 +107,7 @@
 			return err
 		}
 		if n := len(got.Entries); n > 0 {
-			s.e.Log.Emit(event.Mended, "from", from, "versions", n, "slot", s.slot)
+			s.e.Log.Emit(event.EntriesFetched, "from", from, "versions", n, "slot", s.slot)
 		}
 		if s.slot >= got.Top || s.slot >= to && to > 0 || (len(got.Entries) == 0 && !first) {
 			return nil
--- a/internal/store/founding.go
+++ b/internal/store/founding.go
@@ -35,7 +35,7 @@
 	}
 	own := s.acc.Identity().ID
 	if err := checkFounders(in.Members, own); err != nil {
-		s.e.Log.Emit(event.Foreign, "mesh", in.Mesh, "why", err.Error())
+		s.e.Log.Emit(event.ForeignData, "mesh", in.Mesh, "why", err.Error())
 		return ack{}, err
 	}
 	return ack{Yes: true, ID: own}, s.begin(in)
@@ -110,16 +110,16 @@
 // newer format, of a newer program's state or of another cluster; learn is held.
 func (s *Store) install(c paxos.Snapshot, say event.Kind) error {
 	if c.Format > paxos.Format {
-		s.e.Log.Emit(event.Foreign, "format", c.Format, "own", paxos.Format)
+		s.e.Log.Emit(event.ForeignData, "format", c.Format, "own", paxos.Format)
 		return fault.New(fault.Input, "a snapshot of format %d, newer than %d", c.Format, paxos.Format)
 	}
 	led, err := statemachine.Load(c.State)
 	if err != nil {
-		s.e.Log.Emit(event.Foreign, "slot", c.Index, "why", err.Error())
+		s.e.Log.Emit(event.ForeignData, "slot", c.Index, "why", err.Error())
 		return err
 	}
 	if mine := s.acc.Identity().ClusterID; mine != "" && mine != led.ClusterID {
-		s.e.Log.Emit(event.Foreign, "mesh", led.ClusterID, "own", mine)
+		s.e.Log.Emit(event.ForeignData, "mesh", led.ClusterID, "own", mine)
 		return fault.New(fault.Refused, "data of mesh %s", led.ClusterID)
 	}
 	err = s.writeDurably(func() error {
@@ -165,7 +165,7 @@
 	}
 	in.Members = founders(in.Members, s.Settings.InternalAddr)
 	if err := checkFounders(in.Members, s.acc.Identity().ID); err != nil {
-		s.e.Log.Emit(event.Foreign, "mesh", in.Mesh, "why", err.Error())
+		s.e.Log.Emit(event.ForeignData, "mesh", in.Mesh, "why", err.Error())
 		return
 	}
 	if err := s.begin(in); err != nil {
--- a/internal/store/leave.go
+++ b/internal/store/leave.go
@@ -37,7 +37,7 @@
 	if ctx.Err() == nil {
 		s.e.Trace.Notify(trace.Left{Replica: s.acc.Identity().ID})
 	}
-	s.e.Log.Emit(event.Left, "place_given", given, "after_ms", time.Since(from).Milliseconds(), "in_time", ctx.Err() == nil)
+	s.e.Log.Emit(event.StoreLeft, "place_given", given, "after_ms", time.Since(from).Milliseconds(), "in_time", ctx.Err() == nil)
 }
 
 // isVoter tells whether this replica is a member.
--- a/internal/store/loop.go
+++ b/internal/store/loop.go
@@ -58,6 +58,6 @@
 // resumed is called after a gap in the ticks: a role held before it may be
 // somebody else's by now.
 func (s *Store) resumed(gap time.Duration) {
-	s.e.Log.Emit(event.Froze, "ms", gap.Milliseconds())
+	s.e.Log.Emit(event.Paused, "ms", gap.Milliseconds())
 	s.stepDown("frozen")
 }
--- a/internal/store/membership.go
+++ b/internal/store/membership.go
@@ -149,7 +149,7 @@
 	got = joinGot{Slot: s.slot, Done: s.isMember(in.ID)}
 	s.mu.Unlock()
 	if in.Mesh != mesh {
-		s.e.Log.Emit(event.Foreign, "joiner", in.Addr, "mesh", in.Mesh)
+		s.e.Log.Emit(event.ForeignData, "joiner", in.Addr, "mesh", in.Mesh)
 		return joinGot{}, fault.New(fault.Refused, "joiner is of another mesh")
 	}
 	if got.Done {
--- a/internal/store/remove.go
+++ b/internal/store/remove.go
@@ -46,7 +46,7 @@
 		return g, nil
 	}
 	if left := len(g.Members) - 1; left < 2 || stay < left {
-		s.e.Log.Emit(event.Unsafe, "member", in.ID, "left", left, "in_touch", stay)
+		s.e.Log.Emit(event.UnsafeRemoval, "member", in.ID, "left", left, "in_touch", stay)
 		g.Result = statemachine.Result{Code: statemachine.Conflict, Message: "the stores that stay would be without a majority"}
 		return g, nil
 	}
--- a/internal/store/stepdown.go
+++ b/internal/store/stepdown.go
@@ -29,7 +29,7 @@
 	t.stop()
 	s.role.Fire("lose")
 	s.wakeLoop(false)
-	s.e.Log.Emit(event.Lost, "duty", "writer", "why", why)
+	s.e.Log.Emit(event.RoleLost, "duty", "writer", "why", why)
 }
 
 // transferLeadership gives the leadership up and tells the voters that it is vacant.
--- a/internal/store/vote.go
+++ b/internal/store/vote.go
@@ -39,7 +39,7 @@
 	}
 	if time.Since(s.foreignWarned) > s.Settings.RecoveryBound {
 		s.foreignWarned = time.Now()
-		s.e.Log.Emit(event.Foreign, "mesh", mesh, "own", s.state.ClusterID, "from", who)
+		s.e.Log.Emit(event.ForeignData, "mesh", mesh, "own", s.state.ClusterID, "from", who)
 	}
 	return true
 }
--- a/internal/transport/take.go
+++ b/internal/transport/take.go
@@ -53,7 +53,7 @@
 	t, h := n.takers[f.kind], f.head
 	if t == nil {
 		f.free()
-		n.env.Log.Emit(event.Unspoken, "kind", h.kind, "fellow", l.hail.Node)
+		n.env.Log.Emit(event.UnknownMessage, "kind", h.kind, "fellow", l.hail.Node)
 		l.receipt(h, h.kind, nil, fault.New(fault.Refused, "kind %q is not spoken here", h.kind), 0)
 		return
 	}
--- a/internal/transport/watch.go
+++ b/internal/transport/watch.go
@@ -142,7 +142,7 @@
 	case doubts:
 		l.n.unlist(l)
 	case dead:
-		l.n.env.Log.Emit(event.Mute, "fellow", l.hail.Node)
+		l.n.env.Log.Emit(event.LinkSilent, "fellow", l.hail.Node)
 		l.sever()
 	}
 	return due
--- a/internal/transport/wire_test.go
+++ b/internal/transport/wire_test.go
@@ -43,13 +43,13 @@
 
 func (p *pair) node(h, m string) *transport.Node {
 	log := event.New(h, nil)
-	log.Tell(func(e event.Entry) {
-		if e.Num == event.BadLink.Num {
+	log.SetListener(func(e event.Entry) {
+		if e.Number == event.BadLink.Number {
 			p.bad.Add(1)
 		}
-		if e.Num == event.LinkEnded.Num {
+		if e.Number == event.LinkEnded.Number {
 			p.mu.Lock()
-			p.ends = append(p.ends, h+" "+e.Say)
+			p.ends = append(p.ends, h+" "+e.Text)
 			p.mu.Unlock()
 		}
 	})
