--- a/cmd/known/main.go
+++ b/cmd/known/main.go
@@ -8,7 +8,7 @@
 	"io/fs"
 	"os"
 
-	"puffincrank/internal/known"
+	"puffincrank/internal/knownfailures"
 )
 
 func main() { os.Exit(run()) }
@@ -23,12 +23,12 @@
 		fmt.Fprintln(os.Stderr, "known:", err)
 		return 2
 	}
-	list, err := known.Read(string(raw))
+	list, err := knownfailures.Read(string(raw))
 	if err != nil {
 		fmt.Fprintf(os.Stderr, "known: %s: %v\n", os.Args[1], err)
 		return 2
 	}
-	got, err := known.ReadRun(os.Stdin, os.Stdout)
+	got, err := knownfailures.ReadRun(os.Stdin, os.Stdout)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "known:", err)
 		return 1
--- a/internal/fleetrun/cost_test.go
+++ b/internal/fleetrun/cost_test.go
@@ -17,7 +17,7 @@
 	"puffincrank/internal/registry"
 	"puffincrank/internal/responsedigest"
 	"puffincrank/internal/settings"
-	"puffincrank/internal/stand"
+	"puffincrank/internal/standin"
 	"puffincrank/internal/store"
 )
 
@@ -32,7 +32,7 @@
 
 // mesh brings up three stores, three registries, two proxies and a worker in
 // this process, over real sockets and files.
-func mesh(t *testing.T, base string) (*Run, *stand.Worker) {
+func mesh(t *testing.T, base string) (*Run, *standin.Worker) {
 	t.Helper()
 	quiet := func(n string) env.Env {
 		e := env.Real(n)
@@ -79,14 +79,14 @@
 		start(r, nil)
 		t.Cleanup(r.Kill)
 	}
-	var worker *stand.Worker
+	var worker *standin.Worker
 	for i := range 2 {
 		h := fmt.Sprint(base, 10+i)
 		x := proxy.New(mk("proxy", fmt.Sprint("p", i), h, 7302, 7303, map[string]any{"seeds": seeds(7302), "traffic": h + ":7300"}), quiet("p"))
 		start(x, nil)
 		t.Cleanup(x.Kill)
 		if i == 1 {
-			w, err := stand.NewWorker(quiet("w"), "a", "w1", h+":7305", h+":7303", 64, stand.Way{}, nil)
+			w, err := standin.NewWorker(quiet("w"), "a", "w1", h+":7305", h+":7303", 64, standin.Way{}, nil)
 			start(nothing{}, err)
 			t.Cleanup(w.Kill)
 			worker = w
--- a/internal/fleetrun/faults.go
+++ b/internal/fleetrun/faults.go
@@ -10,12 +10,12 @@
 	"syscall"
 	"time"
 
-	"puffincrank/internal/stand"
+	"puffincrank/internal/standin"
 )
 
 // try proposes to move the first path to the second service, whose workers
 // behave as given, and checks how the trial ends.
-func (r *Run) try(want string, way stand.Way, meanwhile func()) {
+func (r *Run) try(want string, way standin.Way, meanwhile func()) {
 	one := r.S.Services[0]
 	alt := one + "2"
 	took := r.S.Took[alt]
@@ -60,12 +60,12 @@
 		r.missed = append(r.missed, fmt.Sprintf("trial %v ended %v, want %s", id, tr["state"], want))
 	}
 	for _, n := range r.Nodes {
-		n.Worker.Behave(stand.Way{Took: r.S.Took[n.Service]})
+		n.Worker.Behave(standin.Way{Took: r.S.Took[n.Service]})
 	}
 }
 
 // sick changes how two workers behave; the zero way makes them well.
-func (r *Run) sick(w stand.Way) {
+func (r *Run) sick(w standin.Way) {
 	for _, i := range []int{0, 4} {
 		n := r.Nodes[i]
 		w.Took = r.S.Took[n.Service]
--- a/internal/fleetrun/machines.go
+++ b/internal/fleetrun/machines.go
@@ -20,7 +20,7 @@
 	"puffincrank/internal/event"
 	"puffincrank/internal/fleetrun/process"
 	"puffincrank/internal/sim"
-	"puffincrank/internal/stand"
+	"puffincrank/internal/standin"
 	"puffincrank/internal/task"
 )
 
@@ -38,7 +38,7 @@
 	Host, Area, Service string
 	Proxy               *Proc
 	mu                  sync.Mutex
-	Worker              *stand.Worker
+	Worker              *standin.Worker
 	starts              int
 }
 
@@ -54,7 +54,7 @@
 	Seed     uint64 // of the plan "seeded"
 	Old      string // programs of an earlier version, to begin with
 	S        sim.Shape
-	Obs      *stand.Observer
+	Obs      *standin.Observer
 	Cores    []*Core
 	Nodes    []*Node
 	g        *task.Group
@@ -69,7 +69,7 @@
 // New lays out a run below a folder, on addresses that begin with net, such as
 // 127.0: two runs on one machine must not meet.
 func New(bin, dir, net string, s sim.Shape, out io.Writer) (*Run, error) {
-	r := &Run{Bin: bin, Dir: dir, S: s, Obs: stand.NewObserver(), g: task.New(context.Background()), out: out, began: time.Now(),
+	r := &Run{Bin: bin, Dir: dir, S: s, Obs: standin.NewObserver(), g: task.New(context.Background()), out: out, began: time.Now(),
 		way: &http.Transport{DisableKeepAlives: true}}
 	for i := range 3 {
 		h := fmt.Sprintf("%s.1.%d", net, i+1)
@@ -144,7 +144,7 @@
 	id := fmt.Sprintf("%s-%s-%d", n.Service, n.Proxy.Name, n.starts)
 	e := env.Real(id)
 	e.Log = event.New(id, nil)
-	w, err := stand.NewWorker(e, n.Service, id, n.Host+":9000", n.Host+":7003", r.S.Slots, stand.Way{Took: r.S.Took[n.Service]}, r.Obs)
+	w, err := standin.NewWorker(e, n.Service, id, n.Host+":9000", n.Host+":7003", r.S.Slots, standin.Way{Took: r.S.Took[n.Service]}, r.Obs)
 	if err == nil {
 		w.Nests(n.Host+":8000", r.S.Nested[n.Service])
 	}
--- a/internal/fleetrun/plan.go
+++ b/internal/fleetrun/plan.go
@@ -4,7 +4,7 @@
 	"syscall"
 	"time"
 
-	"puffincrank/internal/stand"
+	"puffincrank/internal/standin"
 )
 
 // step is one fault or change of a plan.
@@ -38,11 +38,11 @@
 	// A good, a failing and a slow change, while a core process is killed and
 	// a proxy is rolled.
 	"trials": {
-		{0.08, "propose a good change; kill the writing store meanwhile", func(r *Run) { r.try("promoted", stand.Way{}, func() { r.killWriter() }) }},
+		{0.08, "propose a good change; kill the writing store meanwhile", func(r *Run) { r.try("promoted", standin.Way{}, func() { r.killWriter() }) }},
 		{0.38, "propose a failing change; roll a proxy meanwhile", func(r *Run) {
-			r.try("held-back", stand.Way{Fail: 0.15}, func() { r.bounceNode(5, syscall.SIGTERM, 0) })
+			r.try("held-back", standin.Way{Fail: 0.15}, func() { r.bounceNode(5, syscall.SIGTERM, 0) })
 		}},
-		{0.68, "propose a slow change", func(r *Run) { r.try("held-back", stand.Way{Took: 4}, func() {}) }},
+		{0.68, "propose a slow change", func(r *Run) { r.try("held-back", standin.Way{Took: 4}, func() {}) }},
 	},
 	// Every process is rolled from an earlier version to this one, then half
 	// of them back; run with --old.
@@ -55,8 +55,8 @@
 	},
 	// A day with one fault after another, and one more at its end.
 	"day": {
-		{0.04, "garbling and losing workers", func(r *Run) { r.sick(stand.Way{Garble: 0.3, Lose: 0.3}) }},
-		{0.12, "they are well again", func(r *Run) { r.sick(stand.Way{}) }},
+		{0.04, "garbling and losing workers", func(r *Run) { r.sick(standin.Way{Garble: 0.3, Lose: 0.3}) }},
+		{0.12, "they are well again", func(r *Run) { r.sick(standin.Way{}) }},
 		{0.16, "kill the writing store", func(r *Run) { r.killWriter() }},
 		{0.24, "freeze the writing store for 4 s", func(r *Run) { r.freezeWriter(4 * time.Second) }},
 		{0.32, "kill four nodes and their workers at once, back after 3 s", func(r *Run) { r.many(4, 3*time.Second) }},
--- a/internal/fleetrun/report.go
+++ b/internal/fleetrun/report.go
@@ -9,7 +9,7 @@
 
 	"puffincrank/internal/env"
 	"puffincrank/internal/event"
-	"puffincrank/internal/stand"
+	"puffincrank/internal/standin"
 )
 
 // Go runs the load and the plan, stops the fleet and prints the report. The
@@ -17,8 +17,8 @@
 func (r *Run) Go(plan string, long time.Duration, coord float64) bool {
 	e := env.Real("callers")
 	e.Log = event.New("callers", nil)
-	callers := stand.NewCallers(e, r.Fronts(), r.Obs, 15*time.Second)
-	apps := stand.NewCoord(e, r.Outers(), r.Obs)
+	callers := standin.NewCallers(e, r.Fronts(), r.Obs, 15*time.Second)
+	apps := standin.NewCoord(e, r.Outers(), r.Obs)
 	// As the platform does: readiness is polled every second, and callers
 	// leave out whoever isn't ready.
 	var away sync.Map
@@ -56,13 +56,13 @@
 	return r.report(plan, took, apps, fleet, whole, late)
 }
 
-func (r *Run) report(plan string, took time.Duration, apps *stand.Coord, fleet map[string]any, whole bool, late []string) bool {
+func (r *Run) report(plan string, took time.Duration, apps *standin.Coord, fleet map[string]any, whole bool, late []string) bool {
 	p := func(form string, args ...any) { fmt.Fprintf(r.out, form+"\n", args...) }
 	bad, notes := r.Obs.Verdict()
 	good := len(late) == 0 && whole && len(r.missed) == 0
 	p("\n## plan %s, %.0f s", plan, took.Seconds())
 	p("\n| what must never happen | seen |\n| --- | --- |")
-	for _, k := range append(append([]string(nil), stand.Kinds...), stand.CoordKinds...) {
+	for _, k := range append(append([]string(nil), standin.Kinds...), standin.CoordKinds...) {
 		p("| %s | %d |", k, bad[k])
 		good = good && bad[k] == 0
 	}
--- a/internal/fleetrun/seeded.go
+++ b/internal/fleetrun/seeded.go
@@ -5,7 +5,7 @@
 	"syscall"
 	"time"
 
-	"puffincrank/internal/stand"
+	"puffincrank/internal/standin"
 )
 
 // short is the plan of CI: one of each kind, in well under a minute.
@@ -45,9 +45,9 @@
 	{"replace a worker at once", func(r *Run, rnd *rand.Rand) { r.replaceWorker(rnd.IntN(12), false) }},
 	{"replace a worker politely", func(r *Run, rnd *rand.Rand) { r.replaceWorker(rnd.IntN(12), true) }},
 	{"garbling and losing workers", func(r *Run, rnd *rand.Rand) {
-		r.sick(stand.Way{Garble: rnd.Float64() / 2, Lose: rnd.Float64() / 2})
+		r.sick(standin.Way{Garble: rnd.Float64() / 2, Lose: rnd.Float64() / 2})
 		pause(2 * time.Second)
-		r.sick(stand.Way{})
+		r.sick(standin.Way{})
 	}},
 	{"two changes at once, and a broken one", func(r *Run, _ *rand.Rand) { r.race() }},
 }
--- a/internal/fleetrun/soak/coretroubles.go
+++ b/internal/fleetrun/soak/coretroubles.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"puffincrank/internal/fleetrun/process"
-	"puffincrank/internal/stand/play"
+	"puffincrank/internal/standin/actors"
 )
 
 // catchUp is how long a core machine counts as lost after its return.
@@ -104,7 +104,7 @@
 }
 
 // next makes the draft of a change; numbers climb in uneven steps.
-func (f *fleet) next(r *rand.Rand) *play.Draft {
+func (f *fleet) next(r *rand.Rand) *actors.Draft {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	d := f.draft.Copy()
--- a/internal/fleetrun/soak/fleet.go
+++ b/internal/fleetrun/soak/fleet.go
@@ -22,8 +22,8 @@
 	"puffincrank/internal/event"
 	"puffincrank/internal/fault"
 	"puffincrank/internal/fleetrun/process"
-	"puffincrank/internal/stand/play"
-	"puffincrank/internal/stand/witness"
+	"puffincrank/internal/standin/actors"
+	"puffincrank/internal/standin/checker"
 	"puffincrank/internal/task"
 )
 
@@ -43,9 +43,9 @@
 	name, host, area, service string
 	number                    int
 	node                      *process.Process
-	client                    *play.Client
+	client                    *actors.Client
 	mu                        sync.Mutex
-	worker                    *play.Worker
+	worker                    *actors.Worker
 	births                    int
 	misses                    int // looks at its readiness in a row that failed
 	busy                      bool
@@ -62,15 +62,15 @@
 type fleet struct {
 	o        Options
 	g        *task.Group
-	wit      *witness.Witness
-	lines    []*play.Line
-	op       *play.Operator
-	apps     *play.Apps
+	wit      *checker.Witness
+	lines    []*actors.Line
+	op       *actors.Operator
+	apps     *actors.Apps
 	machines []*machine
 	mu       sync.Mutex
 	cores    []*core
 	born     int // core machines so far
-	draft    *play.Draft
+	draft    *actors.Draft
 	traffic  atomic.Bool
 	press    atomic.Int64 // the load in percent
 	stalls   atomic.Int64
@@ -85,14 +85,14 @@
 const coreSize = 3
 
 func newFleet(o Options) *fleet {
-	f := &fleet{o: o, g: task.New(context.Background()), wit: witness.New(bounds(o.Size)), lines: lines(o.Size), began: time.Now()}
+	f := &fleet{o: o, g: task.New(context.Background()), wit: checker.New(bounds(o.Size)), lines: lines(o.Size), began: time.Now()}
 	f.press.Store(100)
 	for range coreSize {
 		f.cores = append(f.cores, f.newCore(areas[len(f.cores)%len(areas)]))
 	}
 	e := quiet("outside")
-	f.op = play.NewOperator(e, f.control, f.wit, o.Seed+1)
-	f.apps = play.NewApps(e, f.control, f.wit, f.g, o.Seed+2)
+	f.op = actors.NewOperator(e, f.control, f.wit, o.Seed+1)
+	f.apps = actors.NewApps(e, f.control, f.wit, f.g, o.Seed+2)
 	f.draft = firstDraft(f.lines)
 	for i := range o.Size {
 		f.machines = append(f.machines, f.newMachine(i))
@@ -118,7 +118,7 @@
 func (f *fleet) newMachine(i int) *machine {
 	m := &machine{name: fmt.Sprint("m", i+1), number: i + 1, host: fmt.Sprintf("%s.%d.%d", f.o.Net, 2+i/250, 1+i%250), area: areas[i%len(areas)], service: serviceOf(i)}
 	m.node = f.member("proxy", m.name)
-	m.client = play.NewClient(quiet(m.name), play.Plain, m.host+":8000", m.name, fmt.Sprint("c", m.number, "-"), f.wit, f.g, f.o.Seed*1000+uint64(i))
+	m.client = actors.NewClient(quiet(m.name), actors.Plain, m.host+":8000", m.name, fmt.Sprint("c", m.number, "-"), f.wit, f.g, f.o.Seed*1000+uint64(i))
 	f.wit.Serves(m.name, m.service)
 	return m
 }
--- a/internal/fleetrun/soak/holdings.go
+++ b/internal/fleetrun/soak/holdings.go
@@ -12,7 +12,7 @@
 	"time"
 
 	"puffincrank/internal/fleetrun/process"
-	"puffincrank/internal/stand/play"
+	"puffincrank/internal/standin/actors"
 )
 
 // programs are the kinds of processes.
@@ -99,7 +99,7 @@
 
 // routines asks a node for its goroutines.
 func routines(host string) int {
-	_, raw := play.Ask(context.Background(), quiet("look").Net, http.MethodGet, host+":7003", "/puffin/own", nil, time.Second)
+	_, raw := actors.Ask(context.Background(), quiet("look").Net, http.MethodGet, host+":7003", "/puffin/own", nil, time.Second)
 	var own struct {
 		Goroutines int `json:"goroutines"`
 	}
--- a/internal/fleetrun/soak/member.go
+++ b/internal/fleetrun/soak/member.go
@@ -9,7 +9,7 @@
 	"puffincrank/internal/proxy"
 	"puffincrank/internal/registry"
 	"puffincrank/internal/settings"
-	"puffincrank/internal/stand/play"
+	"puffincrank/internal/standin/actors"
 	"puffincrank/internal/store"
 )
 
@@ -28,7 +28,7 @@
 	if build == nil {
 		return 0, false
 	}
-	site := lifecycle.Site{Settings: readSettings, File: func() string { return os.Getenv(settingsVariable) }, Dialect: play.Plain}
+	site := lifecycle.Site{Settings: readSettings, File: func() string { return os.Getenv(settingsVariable) }, Dialect: actors.Plain}
 	return lifecycle.Main(program, []string{"--site"}, site, build), true
 }
 
--- a/internal/fleetrun/soak/nodetroubles.go
+++ b/internal/fleetrun/soak/nodetroubles.go
@@ -7,7 +7,7 @@
 	"syscall"
 	"time"
 
-	"puffincrank/internal/stand/witness"
+	"puffincrank/internal/standin/checker"
 )
 
 // stopNode stops a node in order and starts it again.
@@ -20,7 +20,7 @@
 
 func (f *fleet) roll(r *rand.Rand) {
 	for range 1 + r.IntN(3) {
-		f.with(r, witness.Planned+"roll", func(m *machine) { f.stopNode(m, r) })
+		f.with(r, checker.Planned+"roll", func(m *machine) { f.stopNode(m, r) })
 		pause(span(r, time.Millisecond, 500*time.Millisecond))
 	}
 }
@@ -34,7 +34,7 @@
 		over.Add(1)
 		f.g.Go("roll-at-once", func(context.Context) {
 			defer over.Done()
-			f.with(own, witness.Planned+"roll", func(m *machine) { f.stopBesideSettings(m, own) })
+			f.with(own, checker.Planned+"roll", func(m *machine) { f.stopBesideSettings(m, own) })
 		})
 		pause(span(r, time.Millisecond, 700*time.Millisecond))
 	}
@@ -52,7 +52,7 @@
 		over.Add(1)
 		f.g.Go("roll-in-steps", func(context.Context) {
 			defer over.Done()
-			f.with(own, witness.Planned+"roll", func(m *machine) { f.stopBesideSettings(m, own) })
+			f.with(own, checker.Planned+"roll", func(m *machine) { f.stopBesideSettings(m, own) })
 		})
 		pause(step)
 	}
--- a/internal/fleetrun/soak/run.go
+++ b/internal/fleetrun/soak/run.go
@@ -8,8 +8,8 @@
 	"sort"
 	"time"
 
-	"puffincrank/internal/stand/play"
-	"puffincrank/internal/stand/witness"
+	"puffincrank/internal/standin/actors"
+	"puffincrank/internal/standin/checker"
 )
 
 // Run plays one soak and tells whether nothing was seen that must not be. The
@@ -64,7 +64,7 @@
 }
 
 func isReady(host string) bool {
-	code, _ := play.Ask(context.Background(), quiet("ready").Net, http.MethodGet, host+":7003", "/puffin/ready", nil, time.Second)
+	code, _ := actors.Ask(context.Background(), quiet("ready").Net, http.MethodGet, host+":7003", "/puffin/ready", nil, time.Second)
 	return code == http.StatusOK
 }
 
@@ -180,7 +180,7 @@
 	risk := f.wit.Risk()
 	p("\n## soak, seed %d, %d machines, %v", f.o.Seed, f.o.Size, f.o.Long)
 	p("\n| rule | broken | had to lose |\n| --- | --- | --- |")
-	for _, rule := range witness.Rules {
+	for _, rule := range checker.Rules {
 		p("| %s | %d | %d |", rule, bad[rule], risk[rule])
 	}
 	for _, n := range notes {
--- a/internal/fleetrun/soak/start.go
+++ b/internal/fleetrun/soak/start.go
@@ -7,8 +7,8 @@
 	"path/filepath"
 
 	"puffincrank/internal/fleetrun/process"
-	"puffincrank/internal/stand/play"
-	"puffincrank/internal/stand/witness"
+	"puffincrank/internal/standin/actors"
+	"puffincrank/internal/standin/checker"
 )
 
 // settings writes the settings file of a member: the bounds and what is its own.
@@ -41,7 +41,7 @@
 // startNode starts a machine's node.
 func (f *fleet) startNode(m *machine) {
 	f.wit.Lives(m.name)
-	f.wit.Touch.Begin(m.name, witness.Planned+"start")()
+	f.wit.Touch.Begin(m.name, checker.Planned+"start")()
 	err := f.nodeSettings(m)
 	if err == nil {
 		err = m.node.Start(f.g)
@@ -56,12 +56,12 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.births++
-	id := witness.Worker{Name: fmt.Sprintf("w%d-%d", m.number, m.births), Service: m.service, Machine: m.name, Area: m.area}
+	id := checker.Worker{Name: fmt.Sprintf("w%d-%d", m.number, m.births), Service: m.service, Machine: m.name, Area: m.area}
 	w := ways
 	w.Speed = 0.8 + float64(m.number%5)*0.15
-	var k *play.Worker
+	var k *actors.Worker
 	err := process.Bind(func() (err error) {
-		k, err = play.Start(quiet(id.Name), play.Plain, id, m.host+":9000", m.host+":8000", []string{m.host + ":7003"}, w, f.wit, f.o.Seed*1000+uint64(m.number)+500)
+		k, err = actors.Start(quiet(id.Name), actors.Plain, id, m.host+":9000", m.host+":8000", []string{m.host + ":7003"}, w, f.wit, f.o.Seed*1000+uint64(m.number)+500)
 		return err
 	})
 	if err != nil {
@@ -72,7 +72,7 @@
 }
 
 // at is the worker beside a machine's node.
-func (m *machine) at() *play.Worker {
+func (m *machine) at() *actors.Worker {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.worker
--- a/internal/fleetrun/soak/troubles.go
+++ b/internal/fleetrun/soak/troubles.go
@@ -6,7 +6,7 @@
 	"sync"
 	"time"
 
-	"puffincrank/internal/stand/play"
+	"puffincrank/internal/standin/actors"
 )
 
 // trouble is one thing that may happen; core tells that it takes a machine of the
@@ -170,12 +170,12 @@
 }
 
 func (f *fleet) workerIll(r *rand.Rand) {
-	ills := []play.Ills{{Slow: 3 + 5*r.Float64()}, {Lose: 0.1 + 0.4*r.Float64()}, {Spoil: 0.1 + 0.4*r.Float64()}, {Fail: 0.3}, {Tear: 0.3}, {Hang: 0.1}, {Shed: 0.3}}
+	ills := []actors.Ills{{Slow: 3 + 5*r.Float64()}, {Lose: 0.1 + 0.4*r.Float64()}, {Spoil: 0.1 + 0.4*r.Float64()}, {Fail: 0.3}, {Tear: 0.3}, {Hang: 0.1}, {Shed: 0.3}}
 	f.with(r, "", func(m *machine) {
 		w := m.at()
 		w.Fall(ills[r.IntN(len(ills))])
 		pause(span(r, time.Second, 4*time.Second))
-		w.Fall(play.Ills{})
+		w.Fall(actors.Ills{})
 	})
 }
 
--- a/internal/known/known.go
+++ b/internal/knownfailures/known.go
@@ -1,7 +1,7 @@
-// Package known judges a test run by the list of tests that are known to fail:
+// Package knownfailures judges a test run by the list of tests that are known to fail:
 // each for a real fault that can't be mended now, with its cause and its issue.
 // All else that fails, and each run that did not end, stays a failure.
-package known
+package knownfailures
 
 import (
 	"bufio"
--- a/internal/known/known_test.go
+++ b/internal/knownfailures/known_test.go
@@ -1,4 +1,4 @@
-package known
+package knownfailures
 
 import (
 	"strings"
--- a/internal/proxy/fuzz_test.go
+++ b/internal/proxy/fuzz_test.go
@@ -12,7 +12,7 @@
 	"puffincrank/internal/dialect"
 	"puffincrank/internal/protocol"
 	"puffincrank/internal/schema"
-	"puffincrank/internal/stand/play"
+	"puffincrank/internal/standin/actors"
 	"puffincrank/internal/task"
 	"puffincrank/internal/workerconn"
 )
@@ -65,7 +65,7 @@
 		if len(body) > 4096 || w.StatusCode < 200 || w.ContentLength >= 0 && int64(len(body)) != w.ContentLength && len(body) > 0 {
 			t.Errorf("%d, %d bytes of %d", w.StatusCode, len(body), w.ContentLength)
 		}
-		for _, say := range []dialect.Dialect{dialect.Default, play.Plain} {
+		for _, say := range []dialect.Dialect{dialect.Default, actors.Plain} {
 			x := &Proxy{say: say}
 			v := &visit{in: protocol.AttemptRequest{AttemptID: "a.1", Worker: "w"}, back: protocol.AttemptResult{Status: w.StatusCode, Header: w.Header, Body: body}}
 			good := x.broken(v, x.notRun(&v.back)) == ""
--- a/internal/house/house_test.go
+++ b/internal/repocheck/house_test.go
@@ -1,5 +1,5 @@
-// Package house checks the rules of the house on the tree itself.
-package house
+// Package repocheck checks the rules of this repository on its own tree.
+package repocheck
 
 import (
 	"bytes"
@@ -135,7 +135,7 @@
 	}
 	got, err := os.ReadFile(file)
 	if err != nil || string(got) != want {
-		t.Errorf("docs/%s is not what the code says (%v); run go test ./internal/house -update", name, err)
+		t.Errorf("docs/%s is not what the code says (%v); run go test ./internal/repocheck -update", name, err)
 	}
 }
 
--- a/internal/house/platform_test.go
+++ b/internal/repocheck/platform_test.go
@@ -1,4 +1,4 @@
-package house
+package repocheck
 
 import (
 	"bytes"
@@ -56,7 +56,7 @@
 		if strings.HasPrefix(slash, "platform/") || strings.HasPrefix(slash, "deploy/") || strings.HasPrefix(slash, "docs/") || !strings.HasSuffix(slash, ".go") {
 			return
 		}
-		if strings.HasSuffix(slash, "house/platform_test.go") {
+		if strings.HasSuffix(slash, "repocheck/platform_test.go") {
 			return
 		}
 		for i, line := range bytes.Split(raw, []byte("\n")) {
--- a/internal/house/prose_test.go
+++ b/internal/repocheck/prose_test.go
@@ -1,4 +1,4 @@
-package house
+package repocheck
 
 // sayPaths is what the page of the document says besides its tables.
 const sayPaths = "# How the parts work together\n\n" +
--- a/internal/house/table_test.go
+++ b/internal/repocheck/table_test.go
@@ -1,4 +1,4 @@
-package house
+package repocheck
 
 import (
 	"os"
--- a/internal/sim/acts_test.go
+++ b/internal/sim/acts_test.go
@@ -5,11 +5,11 @@
 	"strings"
 	"time"
 
-	"puffincrank/internal/stand"
+	"puffincrank/internal/standin"
 )
 
 // leaves lets a worker say that it is leaving; its word may wait unread.
-func (d draw) leaves(w *stand.Worker) {
+func (d draw) leaves(w *standin.Worker) {
 	d.mu.Lock()
 	d.left++
 	d.mu.Unlock()
--- a/internal/sim/appday_test.go
+++ b/internal/sim/appday_test.go
@@ -9,8 +9,8 @@
 	"testing/synctest"
 	"time"
 
-	"puffincrank/internal/stand/play"
-	"puffincrank/internal/stand/witness"
+	"puffincrank/internal/standin/actors"
+	"puffincrank/internal/standin/checker"
 )
 
 // appFaults are what befalls the core under applications' calls; each returns
@@ -99,9 +99,9 @@
 // after the other, and counts every breach from the sockets alone.
 func (f *Fleet) appDay(seed uint64, faults int, only string) (map[string]int, time.Duration) {
 	f.Net.Place("10.0.9.7", "outside")
-	wit := witness.New(witness.Usual)
+	wit := checker.New(checker.Usual)
 	e := f.env("apps", "10.0.9.7", "outside", new(atomic.Int64))
-	apps := play.NewApps(e, func() []string {
+	apps := actors.NewApps(e, func() []string {
 		var at []string
 		for _, c := range f.Cores {
 			at = append(at, c.Host+":7003")
--- a/internal/sim/bad_test.go
+++ b/internal/sim/bad_test.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"puffincrank/internal/rules"
-	"puffincrank/internal/stand"
+	"puffincrank/internal/standin"
 )
 
 // TestBadCalls: what callers and workers send wrong is told so, and not run.
@@ -158,7 +158,7 @@
 				})
 			}
 			if s.Serves(i) == "pages" {
-				n.Worker.Behave(stand.Way{Took: 600 * time.Millisecond})
+				n.Worker.Behave(standin.Way{Took: 600 * time.Millisecond})
 			}
 		}
 		r, _ := http.NewRequest("POST", "http://"+f.Fronts()[0]+"/loans", nil)
--- a/internal/sim/boundaries_test.go
+++ b/internal/sim/boundaries_test.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"puffincrank/internal/env"
-	"puffincrank/internal/stand"
+	"puffincrank/internal/standin"
 )
 
 // TestByteBoundaries: connections between nodes and workers break at every byte of
@@ -36,7 +36,7 @@
 	defer f.Stop()
 	f.Start()
 	const bytes, step = 600, 60 * time.Millisecond
-	calls := f.Load([]stand.Line{
+	calls := f.Load([]standin.Line{
 		{Method: "POST", URI: "/loans/new", Service: "lending", Rate: 60, Size: 120},
 		{Method: "GET", URI: "/pages/7", Service: "pages", Safe: true, Rate: 60},
 		{Method: "POST", URI: "/scans/up", Service: "scans", Rate: 30, Size: 900},
--- a/internal/sim/busy_test.go
+++ b/internal/sim/busy_test.go
@@ -8,7 +8,7 @@
 	"testing/synctest"
 	"time"
 
-	"puffincrank/internal/stand"
+	"puffincrank/internal/standin"
 )
 
 // TestBusyAtOnce: under twice the load that the room bears, a job that is
@@ -25,7 +25,7 @@
 		f := NewFleet(t, s, 380)
 		defer f.Stop()
 		f.Start()
-		f.Load([]stand.Line{{Method: "GET", URI: "/a", Service: "s", Rate: 30}, {Method: "POST", URI: "/b", Service: "s", Rate: 20}}, 30*time.Second)()
+		f.Load([]standin.Line{{Method: "GET", URI: "/a", Service: "s", Rate: 30}, {Method: "POST", URI: "/b", Service: "s", Rate: 20}}, 30*time.Second)()
 		f.Judge()
 		var held []time.Duration
 		retry := map[int]int{}
--- a/internal/sim/callerhistory_test.go
+++ b/internal/sim/callerhistory_test.go
@@ -9,15 +9,15 @@
 	"testing"
 	"time"
 
-	"puffincrank/internal/stand"
+	"puffincrank/internal/standin"
 )
 
 // history is what callers saw of a core, by kind of call.
 type history struct {
 	mu       sync.Mutex
-	keys     []stand.Op
-	numbers  []stand.HistoryCall
-	orders   []stand.HistoryCall
+	keys     []standin.Op
+	numbers  []standin.HistoryCall
+	orders   []standin.HistoryCall
 	holds    []lockHold
 	answered map[string]int // address to calls with a certain outcome
 }
@@ -62,7 +62,7 @@
 }
 
 func (l *lab) askKey(h *history, at *Core, value string, write bool) {
-	op := stand.Op{Key: "k", Write: write, Value: value, From: time.Now()}
+	op := standin.Op{Key: "k", Write: write, Value: value, From: time.Now()}
 	var code int
 	var got map[string]any
 	if write {
@@ -79,7 +79,7 @@
 }
 
 func (l *lab) askNumber(h *history, at *Core) {
-	call := stand.HistoryCall{From: time.Now()}
+	call := standin.HistoryCall{From: time.Now()}
 	code, got := l.Ask("POST", at.Host+":7003", "/puffin/numbers/n/next?left_ms=800", "{}")
 	call.To = time.Now()
 	n, _ := got["number"].(float64)
@@ -97,24 +97,24 @@
 }
 
 func (l *lab) askOrder(h *history, at *Core, number uint64, content string) {
-	call := stand.HistoryCall{In: stand.Order{Number: number, Content: content}, From: time.Now()}
+	call := standin.HistoryCall{In: standin.Order{Number: number, Content: content}, From: time.Now()}
 	code, _ := l.Ask("PUT", at.Host+":7003", "/puffin/config?by=number&left_ms=800", l.numberedDoc(number, content))
 	call.To = time.Now()
 	if code == 503 {
 		return
 	}
-	call.Out, call.Unknown = stand.OrderAnswer{Refused: code == 409}, code != 200 && code != 409
+	call.Out, call.Unknown = standin.OrderAnswer{Refused: code == 409}, code != 200 && code != 409
 	h.note(at, !call.Unknown, func() { h.orders = append(h.orders, call) })
 }
 
 func (l *lab) askConfig(h *history, at *Core) {
-	call := stand.HistoryCall{In: stand.Order{}, From: time.Now()}
+	call := standin.HistoryCall{In: standin.Order{}, From: time.Now()}
 	code, got := l.Get(at.Host+":7003", "/puffin/config?as=sent&left_ms=800")
 	call.To = time.Now()
 	if code != 200 && code != 404 {
 		return
 	}
-	out := stand.OrderAnswer{}
+	out := standin.OrderAnswer{}
 	if code == 200 {
 		n, _ := got["version"].(float64)
 		out.Number = uint64(n)
@@ -142,13 +142,13 @@
 // judge checks what callers saw.
 func (h *history) judge(t *testing.T) {
 	t.Helper()
-	if !stand.Linear(h.keys) {
+	if !standin.Linear(h.keys) {
 		t.Errorf("the history of a key can't be explained")
 	}
-	if !stand.Explained(stand.NumberModel, h.numbers) {
+	if !standin.Explained(standin.NumberModel, h.numbers) {
 		t.Errorf("the history of a number can't be explained")
 	}
-	if !stand.Explained(stand.OrderModel, h.orders) {
+	if !standin.Explained(standin.OrderModel, h.orders) {
 		t.Errorf("the history of the configuration can't be explained")
 	}
 	for i, a := range h.holds {
--- a/internal/sim/calls_test.go
+++ b/internal/sim/calls_test.go
@@ -5,8 +5,8 @@
 	"testing/synctest"
 	"time"
 
-	"puffincrank/internal/stand/play"
-	"puffincrank/internal/stand/witness"
+	"puffincrank/internal/standin/actors"
+	"puffincrank/internal/standin/checker"
 )
 
 // TestCallsOfRepeats: jobs that are repeated call another service, whose own
@@ -26,11 +26,11 @@
 		bad := s.day(50*time.Second, func() {
 			Wait(15 * time.Second)
 			for _, m := range s.all() {
-				m.w.Fall(play.Ills{Lose: 0.4})
+				m.w.Fall(actors.Ills{Lose: 0.4})
 			}
 			Wait(20 * time.Second)
 			for _, m := range s.all() {
-				m.w.Fall(play.Ills{})
+				m.w.Fall(actors.Ills{})
 				if m.service == d.services[0] {
 					given += int(m.Proxy.RetriesRequested())
 				}
@@ -38,7 +38,7 @@
 		})
 		part, of := s.wit.Most()
 		t.Logf("repeats at most %.2f of what is allowed (%s), %d asked for beside the first service", part, of, given)
-		if bad[witness.Budget] > 0 || part > 1 {
+		if bad[checker.Budget] > 0 || part > 1 {
 			t.Errorf("broken: %v", bad)
 		}
 		// The bound is used, not only kept.
--- a/internal/sim/choke_test.go
+++ b/internal/sim/choke_test.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"puffincrank/internal/event"
-	"puffincrank/internal/stand"
+	"puffincrank/internal/standin"
 )
 
 // TestChokedLine: a node's line is so full that all that it sends and gets is
@@ -37,7 +37,7 @@
 				f.Start()
 				wait := f.Load(s.Lines, 14*time.Second)
 				// Its own callers are many, so that bytes come in all the time.
-				own := stand.NewCallers(f.env("own", n.Host, n.Area, &n.skew), []string{n.Host + ":8000"}, f.Obs, 15*time.Second)
+				own := standin.NewCallers(f.env("own", n.Host, n.Area, &n.skew), []string{n.Host + ":8000"}, f.Obs, 15*time.Second)
 				f.g.Go("own", func(context.Context) {
 					for i := range 2000 {
 						go own.At(n.Host+":8000", s.Lines[i%2])
@@ -108,7 +108,7 @@
 				if n.Worker.Service != line.Service {
 					t.Fatalf("its worker is of %s", n.Worker.Service)
 				}
-				own := stand.NewCallers(f.env("own", n.Host, n.Area, &n.skew), []string{n.Host + ":8000"}, f.Obs, 15*time.Second)
+				own := standin.NewCallers(f.env("own", n.Host, n.Area, &n.skew), []string{n.Host + ":8000"}, f.Obs, 15*time.Second)
 				var last time.Duration
 				done, refused := 0, 0
 				for time.Since(from) < 5*time.Second {
--- a/internal/sim/congest_test.go
+++ b/internal/sim/congest_test.go
@@ -8,7 +8,7 @@
 	"testing/synctest"
 	"time"
 
-	"puffincrank/internal/stand"
+	"puffincrank/internal/standin"
 )
 
 const megabit = 1_000_000 / 8
@@ -72,14 +72,14 @@
 	}
 }
 
-var urgent = []stand.Line{
+var urgent = []standin.Line{
 	{Method: "GET", URI: "/pages/7", Service: "pages", Safe: true, Rate: 120},
 	{Method: "POST", URI: "/loans", Service: "lending", Rate: 80, Size: 200}}
 
 // bulky offers bulk of a size at twice what a link carries. Only callers at the
 // fronts of the other area press the link.
-func bulky(rate int) []stand.Line {
-	return []stand.Line{
+func bulky(rate int) []standin.Line {
+	return []standin.Line{
 		{Method: "POST", URI: "/scans", Service: "scans", Rate: 2 * float64(rate) / size, Size: size, Want: 1},
 		{Method: "GET", URI: "/files/7", Service: "scans", Safe: true, Rate: 2 * float64(rate) / size, Want: size}}
 }
@@ -88,17 +88,17 @@
 
 // entire tells whether a bulk call's answer is its own, byte for byte, and says
 // that its own body came whole.
-func entire(c stand.Call) bool {
+func entire(c standin.Call) bool {
 	sent, want := size, 1
 	if c.Safe {
 		sent, want = 0, size
 	}
 	_, got, _ := strings.Cut(c.Body, "|"+c.ID+"|")
-	return got == fmt.Sprint(sent)+string(stand.Whole(c.ID, stand.Pattern(c.ID, sent), want))
+	return got == fmt.Sprint(sent)+string(standin.Whole(c.ID, standin.Pattern(c.ID, sent), want))
 }
 
 // load runs urgent calls at all fronts and bulk at those of the first area.
-func (f *Fleet) thinLoad(bulk []stand.Line, long time.Duration) {
+func (f *Fleet) thinLoad(bulk []standin.Line, long time.Duration) {
 	var away []string
 	for _, n := range f.Nodes {
 		if n.Area == Areas[0] {
@@ -110,7 +110,7 @@
 	go func() {
 		defer close(one)
 		if len(bulk) > 0 {
-			c := stand.NewCallers(f.env("bulk", "10.0.9.9", "outside", &f.Nodes[0].skew), away, f.Obs, 15*time.Second)
+			c := standin.NewCallers(f.env("bulk", "10.0.9.9", "outside", &f.Nodes[0].skew), away, f.Obs, 15*time.Second)
 			c.Name = "bulk-"
 			c.Run(bulk, long)
 		}
@@ -158,7 +158,7 @@
 	part         float64       // of the thinner way's bytes that were used
 }
 
-func congest(t *testing.T, flat bool, bulk []stand.Line, thin, meanwhile func(*Fleet)) (out congested) {
+func congest(t *testing.T, flat bool, bulk []standin.Line, thin, meanwhile func(*Fleet)) (out congested) {
 	synctest.Test(t, func(t *testing.T) {
 		f := thinFleet(t, flat, thin)
 		defer f.Stop()
--- a/internal/sim/core_test.go
+++ b/internal/sim/core_test.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"puffincrank/internal/event"
-	"puffincrank/internal/stand"
+	"puffincrank/internal/standin"
 )
 
 // small is a fleet for faults of the core: few nodes, all of the core.
@@ -20,13 +20,13 @@
 }
 
 // apps runs coordination callers in the background.
-func (f *Fleet) apps(long time.Duration) func() *stand.Coord {
+func (f *Fleet) apps(long time.Duration) func() *standin.Coord {
 	_, over := f.appsNow(long)
 	return over
 }
 
 // appsNow is the same, and gives the callers while they run.
-func (f *Fleet) appsNow(long time.Duration) (*stand.Coord, func() *stand.Coord) {
+func (f *Fleet) appsNow(long time.Duration) (*standin.Coord, func() *standin.Coord) {
 	f.Net.Place("10.0.9.7", "outside")
 	var at []string
 	for _, c := range f.Cores {
@@ -35,7 +35,7 @@
 	for _, n := range f.Nodes {
 		at = append(at, n.Host+":7003")
 	}
-	c := stand.NewCoord(f.env("apps", "10.0.9.7", "outside", new(atomic.Int64)), at, f.Obs)
+	c := standin.NewCoord(f.env("apps", "10.0.9.7", "outside", new(atomic.Int64)), at, f.Obs)
 	if f.Polled {
 		c.Skip = f.poll()
 	}
@@ -44,7 +44,7 @@
 		c.Run(10, 60, long)
 		close(over)
 	})
-	return c, func() *stand.Coord { <-over; return c }
+	return c, func() *standin.Coord { <-over; return c }
 }
 
 // serves waits until a write goes through any node, and tells how long.
--- a/internal/sim/crowd_test.go
+++ b/internal/sim/crowd_test.go
@@ -9,7 +9,7 @@
 	"testing/synctest"
 	"time"
 
-	"puffincrank/internal/stand"
+	"puffincrank/internal/standin"
 )
 
 // TestCrowdOfBodies: more large bodies come to one node than its memory bears,
@@ -29,7 +29,7 @@
 			p.MemoryBytes = memory
 			n.Proxy.Reload(p)
 			if s.Serves(i) == "scans" {
-				n.Worker.Behave(stand.Way{Took: 300 * time.Millisecond})
+				n.Worker.Behave(standin.Way{Took: 300 * time.Millisecond})
 			}
 		}
 		n := f.Nodes[0]
--- a/internal/sim/cut_test.go
+++ b/internal/sim/cut_test.go
@@ -6,7 +6,7 @@
 	"testing/synctest"
 	"time"
 
-	"puffincrank/internal/stand"
+	"puffincrank/internal/standin"
 	"puffincrank/internal/store"
 	"puffincrank/internal/transport"
 )
@@ -21,9 +21,9 @@
 		defer f.Stop()
 		f.Start()
 		old := f.mark(f.Writer())
-		var ops []stand.Op
+		var ops []standin.Op
 		do := func(at, value string) int {
-			op := stand.Op{Key: "k", From: time.Now(), Write: value != "", Value: value}
+			op := standin.Op{Key: "k", From: time.Now(), Write: value != "", Value: value}
 			var code int
 			if op.Write {
 				code, _ = f.Ask("PUT", at+":7003", "/puffin/keys/k?left_ms=4000", `{"value":"`+value+`"}`)
@@ -71,13 +71,13 @@
 			}
 		}
 		code := <-wrote
-		ops = append(ops, stand.Op{Key: "k", From: from.Add(2500 * time.Millisecond), To: done, Write: true, Value: "two"})
+		ops = append(ops, standin.Op{Key: "k", From: from.Add(2500 * time.Millisecond), To: done, Write: true, Value: "two"})
 		do(f.Nodes[1].Host, "")
 		do(old.Host, "")
 		if code != 200 || ops[len(ops)-2].Value != "two" {
 			t.Fatalf("the others did not take the write: %d, then %q", code, ops[len(ops)-2].Value)
 		}
-		if !stand.Linear(ops) {
+		if !standin.Linear(ops) {
 			t.Errorf("an old read at the cut-off writer: %+v", ops[len(ops)-1])
 		}
 		t.Logf("%d reads were answered at the cut-off writer", known)
--- a/internal/sim/dayact_test.go
+++ b/internal/sim/dayact_test.go
@@ -5,7 +5,7 @@
 	"math/rand/v2"
 	"time"
 
-	"puffincrank/internal/stand/witness"
+	"puffincrank/internal/standin/checker"
 )
 
 // trouble is one thing that may happen on a day.
@@ -78,7 +78,7 @@
 // retire ends a machine in order after its worker has ended: its node is told
 // to end, and is killed after the grace.
 func (a act) retire(m *machine) {
-	defer a.wit.Touch.Begin(m.name, witness.Planned+"end")()
+	defer a.wit.Touch.Begin(m.name, checker.Planned+"end")()
 	a.stopNode(m)
 	m.gone.Store(true)
 	m.c.Out.Store(true)
--- a/internal/sim/dayacts_test.go
+++ b/internal/sim/dayacts_test.go
@@ -5,8 +5,8 @@
 	"sync"
 	"time"
 
-	"puffincrank/internal/stand/play"
-	"puffincrank/internal/stand/witness"
+	"puffincrank/internal/standin/actors"
+	"puffincrank/internal/standin/checker"
 )
 
 var troubles = []trouble{
@@ -59,7 +59,7 @@
 		a.startWorker(m)
 	}},
 	{"ill", none, func(a act) {
-		i := play.Ills{}
+		i := actors.Ills{}
 		switch a.IntN(4) {
 		case 0:
 			i.Lose = 0.2 + 0.7*a.Float64()
@@ -86,7 +86,7 @@
 		}
 		Wait(a.ms(4000, 5000))
 		for _, m := range all {
-			m.w.Fall(play.Ills{})
+			m.w.Fall(actors.Ills{})
 		}
 	}},
 	{"callers leave", none, func(a act) {
@@ -166,7 +166,7 @@
 			return
 		}
 		defer a.free(m)
-		defer a.wit.Touch.Begin(m.name, witness.Slowed)()
+		defer a.wit.Touch.Begin(m.name, checker.Slowed)()
 		by := a.ms(10, 300)
 		a.say("all to and from %s takes %v longer", m.name, by)
 		a.Net.Lag(m.Host, by)
@@ -194,7 +194,7 @@
 				return
 			}
 			a.say("node of %s stopped and started", m.name)
-			end := a.wit.Touch.Begin(m.name, witness.Planned+"roll")
+			end := a.wit.Touch.Begin(m.name, checker.Planned+"roll")
 			a.stopNode(m)
 			Wait(a.ms(100, 400))
 			a.boot(m)
--- a/internal/sim/daydocs_test.go
+++ b/internal/sim/daydocs_test.go
@@ -5,11 +5,11 @@
 	"fmt"
 	"time"
 
-	"puffincrank/internal/stand/play"
+	"puffincrank/internal/standin/actors"
 )
 
 // next makes the draft of a change; numbers climb in uneven steps.
-func (a act) next() *play.Draft {
+func (a act) next() *actors.Draft {
 	a.smu.Lock()
 	defer a.smu.Unlock()
 	d := a.draft.Copy()
@@ -20,7 +20,7 @@
 
 // alter changes something in a draft: where a path goes, its time, or which
 // paths there are.
-func (a act) alter(d *play.Draft) {
+func (a act) alter(d *actors.Draft) {
 	first := a.d.draft(0)
 	w := &d.Ways[a.IntN(len(first.Ways))]
 	one, two := a.d.services[a.IntN(len(a.d.services))], a.d.services[a.IntN(len(a.d.services))]
@@ -46,11 +46,11 @@
 }
 
 // grow adds paths.
-func (a act) grow(d *play.Draft, n int) {
+func (a act) grow(d *actors.Draft, n int) {
 	for range n {
 		a.smu.Lock()
 		a.extra++
-		w := play.Way{Name: fmt.Sprint("x", a.extra), Host: d.Ways[0].Host, Prefix: fmt.Sprintf("/x%d-%d/", a.extra, a.IntN(1000)), Repeat: "safe",
+		w := actors.Way{Name: fmt.Sprint("x", a.extra), Host: d.Ways[0].Host, Prefix: fmt.Sprintf("/x%d-%d/", a.extra, a.IntN(1000)), Repeat: "safe",
 			Split: map[string]int{a.d.services[a.IntN(len(a.d.services))]: 1}, Left: time.Second, Aim: 300 * time.Millisecond, Tries: 2, Rank: 2}
 		a.added = append(a.added, w)
 		a.smu.Unlock()
@@ -58,7 +58,7 @@
 	}
 }
 
-func (a act) drop(w play.Way) {
+func (a act) drop(w actors.Way) {
 	a.smu.Lock()
 	defer a.smu.Unlock()
 	for i, o := range a.added {
@@ -71,15 +71,15 @@
 
 // probe sends a few requests directly, on a path just added or removed and on
 // one that never was, to some machines that get clients.
-func (a act) probe(ways ...play.Way) {
-	ways = append(ways, play.Way{Host: a.draft.Ways[0].Host, Prefix: fmt.Sprintf("/never%d/", a.IntN(1000))})
+func (a act) probe(ways ...actors.Way) {
+	ways = append(ways, actors.Way{Host: a.draft.Ways[0].Host, Prefix: fmt.Sprintf("/never%d/", a.IntN(1000))})
 	for range 4 {
 		m := a.all()[a.IntN(len(a.all()))]
 		if m.c.Out.Load() {
 			continue
 		}
 		for _, w := range ways {
-			l := &play.Line{Kind: "probe", Host: w.Host, Method: "GET", Prefix: w.Prefix, Repeat: true, Back: 50, Work: ms(10), Left: time.Second}
+			l := &actors.Line{Kind: "probe", Host: w.Host, Method: "GET", Prefix: w.Prefix, Repeat: true, Back: 50, Work: ms(10), Left: time.Second}
 			a.g.Go("probe", func(ctx context.Context) { m.c.Probe(ctx, l) })
 		}
 		Wait(a.ms(50, 700))
@@ -87,7 +87,7 @@
 }
 
 // fresh lists the paths of one draft that another has not.
-func fresh(d, old *play.Draft) (out []play.Way) {
+func fresh(d, old *actors.Draft) (out []actors.Way) {
 	has := map[string]bool{}
 	for _, w := range old.Ways {
 		has[w.Prefix] = true
@@ -121,7 +121,7 @@
 		a.alter(two)
 		a.say("documents %d and %d at once", one.Number, two.Number)
 		over := make(chan struct{}, 2)
-		for _, d := range []*play.Draft{one, two} {
+		for _, d := range []*actors.Draft{one, two} {
 			a.g.Go("race", func(ctx context.Context) { a.op.Send(ctx, d, "", ""); over <- struct{}{} })
 		}
 		<-over
@@ -130,7 +130,7 @@
 	}},
 	{"broken", none, func(a act) {
 		for range 1 + a.IntN(3) {
-			b := play.Breaks[a.IntN(len(play.Breaks))]
+			b := actors.Breaks[a.IntN(len(actors.Breaks))]
 			d := a.next()
 			a.alter(d)
 			a.say("document %d is broken: %s", d.Number, b.Name)
--- a/internal/sim/days_test.go
+++ b/internal/sim/days_test.go
@@ -12,7 +12,7 @@
 	"time"
 
 	"puffincrank/internal/event"
-	"puffincrank/internal/stand/witness"
+	"puffincrank/internal/standin/checker"
 )
 
 var (
@@ -31,7 +31,7 @@
 // TestDays plays seeded days that mix all troubles and judges each by the
 // witness's counts. By command, as docs/contributing.md tells:
 // go test ./internal/sim -run 'TestDays$' -days 50 -seed 1
-func TestDays(t *testing.T) { playDays(t, fixedDays, witness.Rules, usualSite) }
+func TestDays(t *testing.T) { playDays(t, fixedDays, checker.Rules, usualSite) }
 
 // oddDays are the seeds of the ordinary run at sites whose bounds are at odds.
 // Between them they put every rule at risk that is counted by a bound.
@@ -40,7 +40,7 @@
 // TestOddDays plays days at sites that set each bound without a thought to the
 // others: a change may take longer than the time after which all are in touch.
 func TestOddDays(t *testing.T) {
-	bounded := []string{witness.Drain, witness.Lost, witness.Config, witness.Budget, witness.Recover, witness.One, witness.Acks}
+	bounded := []string{checker.Drain, checker.Lost, checker.Config, checker.Budget, checker.Recover, checker.One, checker.Acks}
 	playDays(t, oddDays, bounded, func(seed uint64) deployment { return usualSite(seed &^ 2).odd(seed) })
 }
 
--- a/internal/sim/doubt_test.go
+++ b/internal/sim/doubt_test.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"puffincrank/internal/event"
-	"puffincrank/internal/stand"
+	"puffincrank/internal/standin"
 )
 
 // TestDoubted: a worker that fails half of its jobs at once, among 36 nodes that
@@ -31,7 +31,7 @@
 			}
 		}
 		f.Start()
-		wait := f.Load([]stand.Line{{Method: "GET", URI: "/a", Service: "s", Rate: 500, Safe: true}}, 30*time.Second)
+		wait := f.Load([]standin.Line{{Method: "GET", URI: "/a", Service: "s", Rate: 500, Safe: true}}, 30*time.Second)
 		Wait(5 * time.Second)
 		ill := f.Nodes[0].Worker
 		runs := func(long time.Duration) float64 {
@@ -48,10 +48,10 @@
 			return float64(mine) / float64(all) * float64(len(f.Nodes))
 		}
 		before := runs(4 * time.Second)
-		ill.Behave(stand.Way{Took: 5 * time.Millisecond, Fail: 0.5})
+		ill.Behave(standin.Way{Took: 5 * time.Millisecond, Fail: 0.5})
 		Wait(time.Second)
 		sick := runs(5 * time.Second)
-		ill.Behave(stand.Way{Took: 100 * time.Millisecond})
+		ill.Behave(standin.Way{Took: 100 * time.Millisecond})
 		Wait(7 * time.Second)
 		after := runs(6 * time.Second)
 		t.Logf("of an even part: %.2f before, %.2f from a second after it began to fail, %.2f from 7 s after its end", before, sick, after)
--- a/internal/sim/faults.go
+++ b/internal/sim/faults.go
@@ -6,7 +6,7 @@
 	"sync/atomic"
 	"time"
 
-	"puffincrank/internal/stand"
+	"puffincrank/internal/standin"
 )
 
 // KillCore ends both programs of a core machine at once; with power the
@@ -112,9 +112,9 @@
 
 // Load runs callers in the background until the returned function is called,
 // which waits for their end.
-func (f *Fleet) Load(lines []stand.Line, long time.Duration) func() {
+func (f *Fleet) Load(lines []standin.Line, long time.Duration) func() {
 	f.Net.Place("10.0.9.8", "outside")
-	c := stand.NewCallers(f.env("callers", "10.0.9.8", "outside", new(atomic.Int64)), f.Fronts(), f.Obs, 15*time.Second)
+	c := standin.NewCallers(f.env("callers", "10.0.9.8", "outside", new(atomic.Int64)), f.Fronts(), f.Obs, 15*time.Second)
 	if f.Polled {
 		c.Skip = f.poll()
 	}
--- a/internal/sim/fleet.go
+++ b/internal/sim/fleet.go
@@ -17,7 +17,7 @@
 	"puffincrank/internal/proxy"
 	"puffincrank/internal/registry"
 	"puffincrank/internal/settings"
-	"puffincrank/internal/stand"
+	"puffincrank/internal/standin"
 	"puffincrank/internal/store"
 	"puffincrank/internal/task"
 )
@@ -29,8 +29,8 @@
 	Services []string
 	Took     map[string]time.Duration
 	Doc      string
-	Lines    []stand.Line
-	Nested   map[string][]stand.Line // a service's own calls; Rate is their part of its jobs
+	Lines    []standin.Line
+	Nested   map[string][]standin.Line // a service's own calls; Rate is their part of its jobs
 	Far      time.Duration
 }
 
@@ -56,7 +56,7 @@
 	Host   string
 	Area   string
 	Proxy  *proxy.Proxy
-	Worker *stand.Worker
+	Worker *standin.Worker
 	skew   atomic.Int64
 	starts int
 }
@@ -66,7 +66,7 @@
 	T         testing.TB
 	S         Shape
 	Net       *Net
-	Obs       *stand.Observer
+	Obs       *standin.Observer
 	Cores     []*Core
 	Nodes     []*Node
 	Log       func(event.Entry)
@@ -88,7 +88,7 @@
 
 // NewFleet lays out a fleet; Start brings it up.
 func NewFleet(t testing.TB, s Shape, seed uint64) *Fleet {
-	f := &Fleet{T: t, S: s, Net: NewNet(seed, 200*time.Microsecond, s.Far), Obs: stand.NewObserver(), Steps: model.NewMonitor(), g: task.New(context.Background())}
+	f := &Fleet{T: t, S: s, Net: NewNet(seed, 200*time.Microsecond, s.Far), Obs: standin.NewObserver(), Steps: model.NewMonitor(), g: task.New(context.Background())}
 	for i := range 3 {
 		f.Cores = append(f.Cores, &Core{Host: fmt.Sprintf("10.0.0.%d", i+1), Area: Areas[i], Disk: NewDisk()})
 		f.seedAt = append(f.seedAt, f.Cores[i].Host)
@@ -233,7 +233,7 @@
 	if f.WorkerNet != nil {
 		e.Net = f.WorkerNet(e.Net)
 	}
-	w, err := stand.NewWorker(e, service, id, n.Host+":9000", n.Host+":7003", f.S.Slots, stand.Way{Took: f.S.Took[service], Naive: naive}, f.Obs)
+	w, err := standin.NewWorker(e, service, id, n.Host+":9000", n.Host+":7003", f.S.Slots, standin.Way{Took: f.S.Took[service], Naive: naive}, f.Obs)
 	if err != nil {
 		f.T.Fatalf("worker at %s: %v", n.Host, err)
 	}
--- a/internal/sim/forgot_test.go
+++ b/internal/sim/forgot_test.go
@@ -5,8 +5,8 @@
 	"testing/synctest"
 	"time"
 
-	"puffincrank/internal/stand/play"
-	"puffincrank/internal/stand/witness"
+	"puffincrank/internal/standin/actors"
+	"puffincrank/internal/standin/checker"
 )
 
 // TestForgotten: workers forget connections that idled a while, without a word.
@@ -26,17 +26,17 @@
 			from = time.Now()
 			for _, m := range s.all() {
 				if m.n%2 == 0 {
-					m.w.Fall(play.Ills{Forget: 190 * time.Millisecond})
+					m.w.Fall(actors.Ills{Forget: 190 * time.Millisecond})
 				}
 			}
 			Wait(8 * time.Second)
 			for _, m := range s.all() {
-				m.w.Fall(play.Ills{})
+				m.w.Fall(actors.Ills{})
 			}
 		})
 		served, owed = s.wit.Served("buy", from, from.Add(8*time.Second))
 		t.Logf("%d of %d served while half of the workers forget", served, owed)
-		if len(bad) > 0 || bad[witness.Budget] > 0 {
+		if len(bad) > 0 || bad[checker.Budget] > 0 {
 			t.Errorf("broken: %v", bad)
 		}
 		if lost := owed - served; lost*200 > owed {
--- a/internal/sim/freeze_test.go
+++ b/internal/sim/freeze_test.go
@@ -6,7 +6,7 @@
 	"testing/synctest"
 	"time"
 
-	"puffincrank/internal/stand"
+	"puffincrank/internal/standin"
 )
 
 // TestFrozenOwner: the owner is frozen while its worker says that it is
@@ -55,7 +55,7 @@
 			line = l
 		}
 	}
-	c := stand.NewCallers(f.env("aim", "10.0.9.6", "outside", &n.skew), []string{n.Host + ":8000"}, f.Obs, 15*time.Second)
+	c := standin.NewCallers(f.env("aim", "10.0.9.6", "outside", &n.skew), []string{n.Host + ":8000"}, f.Obs, 15*time.Second)
 	c.Name = "aim-" + n.Host + "-"
 	for range count {
 		go c.At(n.Host+":8000", line)
--- a/internal/sim/grown_test.go
+++ b/internal/sim/grown_test.go
@@ -8,7 +8,7 @@
 	"testing/synctest"
 	"time"
 
-	"puffincrank/internal/stand/witness"
+	"puffincrank/internal/standin/checker"
 )
 
 var dayNodes = flag.Int("nodes", 0, "nodes of the grown sites; 0: as drawn, 12 to 90 by command, 12 to 14 in the fixed days")
@@ -22,7 +22,7 @@
 // of which two may be lost at once, dear new connections, bulky bodies, and
 // workers that are ill in new ways. By command:
 // go test ./internal/sim -run 'TestGrownDays$' -days 50 -seed 1
-func TestGrownDays(t *testing.T) { playDays(t, fixedGrown, witness.Rules, grownSite) }
+func TestGrownDays(t *testing.T) { playDays(t, fixedGrown, checker.Rules, grownSite) }
 
 // grownSite is the grown deployment of a seed.
 func grownSite(seed uint64) deployment {
--- a/internal/sim/grownacts_test.go
+++ b/internal/sim/grownacts_test.go
@@ -6,7 +6,7 @@
 	"sync"
 	"time"
 
-	"puffincrank/internal/stand/play"
+	"puffincrank/internal/standin/actors"
 )
 
 // crowd is the factor of the load of a kind in an area.
@@ -23,7 +23,7 @@
 }
 
 // sicken makes a part of the workers ill for a while; it waits meanwhile.
-func (a act) sicken(part float64, i play.Ills, what string) {
+func (a act) sicken(part float64, i actors.Ills, what string) {
 	all := a.some(part)
 	for _, m := range all {
 		a.say("worker of %s: %s", m.name, what)
@@ -32,7 +32,7 @@
 	}
 	Wait(a.ms(4000, 4000))
 	for _, m := range all {
-		m.w.Fall(play.Ills{})
+		m.w.Fall(actors.Ills{})
 	}
 }
 
@@ -63,7 +63,7 @@
 	{"grey", none, func(a act) {
 		// They fail a part of their jobs and say that they are well.
 		x := 0.25 + 0.4*a.Float64()
-		i := []play.Ills{{Fail: x}, {Shed: x}, {Tear: x}, {Hang: x / 2}, {Lose: x}, {Slow: 4 + 6*a.Float64()}}[a.IntN(6)]
+		i := []actors.Ills{{Fail: x}, {Shed: x}, {Tear: x}, {Hang: x / 2}, {Lose: x}, {Slow: 4 + 6*a.Float64()}}[a.IntN(6)]
 		what := fmt.Sprintf("grey %+v", i)
 		if a.IntN(3) == 0 {
 			var area string
@@ -74,7 +74,7 @@
 	}},
 	{"false fitness", none, func(a act) {
 		// Well for whoever asks while all fails, or ill while all is well.
-		i := []play.Ills{{Fail: 1}, {Tear: 1}, {Hang: 1}, {Sick: true}}[a.IntN(4)]
+		i := []actors.Ills{{Fail: 1}, {Tear: 1}, {Hang: 1}, {Sick: true}}[a.IntN(4)]
 		what := fmt.Sprintf("false fitness %+v", i)
 		if a.IntN(3) == 0 {
 			var area string
@@ -85,7 +85,7 @@
 	}},
 	{"idle race", none, func(a act) {
 		rest := a.ms(150, 500)
-		a.sicken(0.4+0.2*a.Float64(), play.Ills{Forget: rest}, fmt.Sprintf("forgets connections that rested %v", rest))
+		a.sicken(0.4+0.2*a.Float64(), actors.Ills{Forget: rest}, fmt.Sprintf("forgets connections that rested %v", rest))
 	}},
 	{"flap", none, func(a act) {
 		var over sync.WaitGroup
--- a/internal/sim/hedge_test.go
+++ b/internal/sim/hedge_test.go
@@ -6,7 +6,7 @@
 	"testing/synctest"
 	"time"
 
-	"puffincrank/internal/stand"
+	"puffincrank/internal/standin"
 )
 
 // partOfTheTime: a request has thirteen seconds, of which its first attempt was given six
@@ -27,9 +27,9 @@
 		for range 3 {
 			f.atFront(front, line, 8)
 		}
-		owner.Worker.Behave(stand.Way{Took: 10 * time.Second})
+		owner.Worker.Behave(standin.Way{Took: 10 * time.Second})
 		line.Left = "13000"
-		ended := make(chan []stand.Call, 1)
+		ended := make(chan []standin.Call, 1)
 		f.g.Go("call", func(context.Context) { ended <- f.atFront(front, line, many) })
 		Wait(100 * time.Millisecond)
 		for _, n := range f.Nodes {
@@ -69,13 +69,13 @@
 		for range 3 {
 			f.atFront(front, line, 8)
 		}
-		owner.Worker.Behave(stand.Way{Took: 8 * time.Second})
-		ended := make(chan []stand.Call, 1)
+		owner.Worker.Behave(standin.Way{Took: 8 * time.Second})
+		ended := make(chan []standin.Call, 1)
 		f.g.Go("call", func(context.Context) { ended <- f.atFront(front, line, slowRequests) })
 		Wait(1600 * time.Millisecond)
 		for _, n := range f.Nodes {
 			if n != owner && n.Worker.Service == "pages" {
-				n.Worker.Behave(stand.Way{Took: time.Second, Fail: 1})
+				n.Worker.Behave(standin.Way{Took: time.Second, Fail: 1})
 			}
 		}
 		front.Proxy.Stop()
--- a/internal/sim/lastword_test.go
+++ b/internal/sim/lastword_test.go
@@ -7,7 +7,7 @@
 	"testing/synctest"
 	"time"
 
-	"puffincrank/internal/stand"
+	"puffincrank/internal/standin"
 )
 
 // TestLastWord: jobs at a front that is stopped take longer than its grace. When
@@ -24,8 +24,8 @@
 		defer f.Stop()
 		f.Start()
 		n := f.Nodes[0]
-		own := stand.NewCallers(f.env("own", n.Host, n.Area, &n.skew), []string{n.Host + ":8000"}, nil, 50*time.Second)
-		ends := make(chan stand.Call, 20)
+		own := standin.NewCallers(f.env("own", n.Host, n.Area, &n.skew), []string{n.Host + ":8000"}, nil, 50*time.Second)
+		ends := make(chan standin.Call, 20)
 		for range cap(ends) {
 			f.g.Go("call", func(context.Context) { ends <- own.At(n.Host+":8000", s.Lines[2]) })
 		}
--- a/internal/sim/linear_test.go
+++ b/internal/sim/linear_test.go
@@ -8,14 +8,14 @@
 	"testing/synctest"
 	"time"
 
-	"puffincrank/internal/stand"
+	"puffincrank/internal/standin"
 )
 
 // keyOps drives one key from several callers through random nodes and records
 // what each saw.
-func (f *Fleet) keyOps(key string, seed uint64, long time.Duration) []stand.Op {
+func (f *Fleet) keyOps(key string, seed uint64, long time.Duration) []standin.Op {
 	var mu sync.Mutex
-	var all []stand.Op
+	var all []standin.Op
 	var wait sync.WaitGroup
 	end := time.Now().Add(long)
 	for i := range 4 {
@@ -28,7 +28,7 @@
 				if rnd.IntN(3) == 0 {
 					at = f.Cores[rnd.IntN(3)].Host + ":7003"
 				}
-				op := stand.Op{Key: key, From: time.Now()}
+				op := standin.Op{Key: key, From: time.Now()}
 				uri := "/puffin/keys/" + key + "?left_ms=1500"
 				if rnd.IntN(2) == 0 {
 					op.Write, op.Value = true, fmt.Sprintf("%d-%d", i, n)
@@ -102,7 +102,7 @@
 						known++
 					}
 				}
-				if !stand.Linear(ops) {
+				if !standin.Linear(ops) {
 					t.Errorf("seed %d: the history of %d calls can't be explained", seed, len(ops))
 				}
 				if known < 60 {
--- a/internal/sim/longstop_test.go
+++ b/internal/sim/longstop_test.go
@@ -10,7 +10,7 @@
 	"testing/synctest"
 	"time"
 
-	"puffincrank/internal/stand/witness"
+	"puffincrank/internal/standin/checker"
 )
 
 var longStopSeeds = flag.Int("long-stops", 2, "how many seeds TestStopsUnderLongWork plays")
@@ -72,7 +72,7 @@
 	if len(bad) > 0 {
 		t.Errorf("broken: %v; without their workers' answers: %s", bad, strings.Join(lines("unanswered"), "\n"))
 	}
-	if risk := s.wit.Risk()[witness.Lost]; risk < 50 {
+	if risk := s.wit.Risk()[checker.Lost]; risk < 50 {
 		t.Errorf("%d requests ended under an order to their front: the test shows nothing", risk)
 	}
 	if served, owed := s.wit.Served("", time.Time{}, time.Now()); served < owed*8/10 {
@@ -89,7 +89,7 @@
 			Wait(a.ms(50, 300))
 			continue
 		}
-		done := a.wit.Touch.Begin(m.name, witness.Planned+"stop")
+		done := a.wit.Touch.Begin(m.name, checker.Planned+"stop")
 		if a.IntN(3) == 0 {
 			a.wit.Hup(m.name)
 			x, _ := a.now(m.Node)
--- a/internal/sim/lostrun_test.go
+++ b/internal/sim/lostrun_test.go
@@ -7,7 +7,7 @@
 	"testing/synctest"
 	"time"
 
-	"puffincrank/internal/stand"
+	"puffincrank/internal/standin"
 )
 
 // slowRun is a fleet in which one worker of a service is at work on requests of another
@@ -16,8 +16,8 @@
 	*Fleet
 	front *Node // at which the requests came
 	owner *Node // beside the slow worker
-	line  stand.Line
-	ended chan []stand.Call
+	line  standin.Line
+	ended chan []standin.Call
 	many  int
 }
 
@@ -37,14 +37,14 @@
 	f, line := stopFleet(t, seed, usual)
 	f.repeatsEnough()
 	f.Start()
-	r := &slowRun{Fleet: f, front: f.other("pages"), owner: f.ofService("pages"), line: line, ended: make(chan []stand.Call, 1)}
+	r := &slowRun{Fleet: f, front: f.other("pages"), owner: f.ofService("pages"), line: line, ended: make(chan []standin.Call, 1)}
 	r.line.Left = left
 	// A node counts on its part of the repeats once a window has passed since its start.
 	Wait(12 * time.Second)
 	for range 3 {
 		f.atFront(r.front, line, 8)
 	}
-	r.owner.Worker.Behave(stand.Way{Took: 80 * time.Second})
+	r.owner.Worker.Behave(standin.Way{Took: 80 * time.Second})
 	before := r.owner.Worker.Runs()
 	f.g.Go("call", func(context.Context) { r.ended <- f.atFront(r.front, r.line, slowRequests) })
 	Wait(usual*3/2 + time.Second)
@@ -152,7 +152,7 @@
 		for range 8 {
 			f.atFront(front, line, 16)
 		}
-		ended := make(chan []stand.Call, 1)
+		ended := make(chan []standin.Call, 1)
 		f.g.Go("call", func(context.Context) { ended <- f.atFront(front, line, many) })
 		Wait(500 * time.Millisecond)
 		from := time.Now()
--- a/internal/sim/machines.go
+++ b/internal/sim/machines.go
@@ -3,12 +3,12 @@
 import (
 	"puffincrank/internal/proxy"
 	"puffincrank/internal/registry"
-	"puffincrank/internal/stand"
+	"puffincrank/internal/standin"
 	"puffincrank/internal/store"
 )
 
 // now tells which processes of a node run.
-func (f *Fleet) now(n *Node) (*proxy.Proxy, *stand.Worker) {
+func (f *Fleet) now(n *Node) (*proxy.Proxy, *standin.Worker) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return n.Proxy, n.Worker
--- a/internal/sim/node_test.go
+++ b/internal/sim/node_test.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"puffincrank/internal/event"
-	"puffincrank/internal/stand"
+	"puffincrank/internal/standin"
 )
 
 // equal tells that the replicas of all running nodes have the same entries.
@@ -171,13 +171,13 @@
 		f.Start()
 		wait := f.Load(s.Lines, 20*time.Second)
 		Wait(2 * time.Second)
-		f.Nodes[0].Worker.Behave(stand.Way{Took: 20 * time.Millisecond, Garble: 0.5})
-		f.Nodes[4].Worker.Behave(stand.Way{Took: 20 * time.Millisecond, Lose: 0.5})
-		f.Nodes[2].Worker.Behave(stand.Way{Took: 20 * time.Millisecond, Busy: 0.5})
-		f.Nodes[3].Worker.Behave(stand.Way{Took: 400 * time.Millisecond})
+		f.Nodes[0].Worker.Behave(standin.Way{Took: 20 * time.Millisecond, Garble: 0.5})
+		f.Nodes[4].Worker.Behave(standin.Way{Took: 20 * time.Millisecond, Lose: 0.5})
+		f.Nodes[2].Worker.Behave(standin.Way{Took: 20 * time.Millisecond, Busy: 0.5})
+		f.Nodes[3].Worker.Behave(standin.Way{Took: 400 * time.Millisecond})
 		Wait(10 * time.Second)
 		for i, n := range f.Nodes {
-			n.Worker.Behave(stand.Way{Took: s.Took[s.Serves(i)]})
+			n.Worker.Behave(standin.Way{Took: s.Took[s.Serves(i)]})
 		}
 		wait()
 		f.Judge()
--- a/internal/sim/ownstop_test.go
+++ b/internal/sim/ownstop_test.go
@@ -7,7 +7,7 @@
 	"testing/synctest"
 	"time"
 
-	"puffincrank/internal/stand"
+	"puffincrank/internal/standin"
 )
 
 // ofService is a node whose worker is one of a service.
@@ -22,7 +22,7 @@
 
 // stopFleet has one service whose requests take a time, time enough for them, and
 // another whose requests outlast any stop.
-func stopFleet(t *testing.T, seed uint64, took time.Duration) (*Fleet, stand.Line) {
+func stopFleet(t *testing.T, seed uint64, took time.Duration) (*Fleet, standin.Line) {
 	s := small()
 	s.Nodes = 6
 	s.Took["pages"], s.Took["scans"] = took, 40*time.Second
@@ -56,7 +56,7 @@
 		defer f.Stop()
 		f.Start()
 		at := f.ofService("pages")
-		ended := make(chan []stand.Call, 1)
+		ended := make(chan []standin.Call, 1)
 		f.g.Go("call", func(context.Context) { ended <- f.atFront(at, line, 12) })
 		Wait(400 * time.Millisecond)
 		if at.Worker.Ran() == 0 {
@@ -144,7 +144,7 @@
 		front := f.other("pages")
 		f.atFront(front, line, 24)
 		// So that the node has to wait.
-		ended := make(chan []stand.Call, 1)
+		ended := make(chan []standin.Call, 1)
 		f.g.Go("before", func(context.Context) { ended <- f.atFront(front, line, 6) })
 		Wait(time.Second)
 		over := make(chan struct{})
@@ -179,7 +179,7 @@
 		own := f.ofService("pages")
 		front := f.other("pages")
 		// So that the node has to wait.
-		ended := make(chan []stand.Call, 1)
+		ended := make(chan []standin.Call, 1)
 		f.g.Go("before", func(context.Context) { ended <- f.atFront(front, line, 8) })
 		Wait(time.Second)
 		over := make(chan struct{})
--- a/internal/sim/plan_test.go
+++ b/internal/sim/plan_test.go
@@ -10,14 +10,14 @@
 	"testing/synctest"
 	"time"
 
-	"puffincrank/internal/stand"
+	"puffincrank/internal/standin"
 )
 
 // plan is a seeded row of faults under load: never more than one machine of
 // the core at a time, and now and then two faults that overlap.
 type plan struct {
 	f    *Fleet
-	apps *stand.Coord
+	apps *standin.Coord
 	mu   sync.Mutex
 	busy map[*Node]bool // nodes that a fault has in hand
 	said []string
@@ -82,7 +82,7 @@
 	f := p.f
 	rnd := rand.New(rand.NewPCG(seed, 5))
 	wait := f.Load(f.S.Lines, long)
-	var over func() *stand.Coord
+	var over func() *standin.Coord
 	p.apps, over = f.appsNow(long)
 	from := time.Now()
 	one := func(s *step, seed uint64) {
--- a/internal/sim/queued_test.go
+++ b/internal/sim/queued_test.go
@@ -7,7 +7,7 @@
 	"testing/synctest"
 	"time"
 
-	"puffincrank/internal/stand"
+	"puffincrank/internal/standin"
 )
 
 // TestQueuedOnce: a job waits for slots for half of its time, all workers
@@ -26,11 +26,11 @@
 				f := NewFleet(t, s, 383)
 				defer f.Stop()
 				f.Start()
-				own := stand.NewCallers(f.env("own", "10.0.9.3", "outside", &f.Nodes[0].skew), nil, f.Obs, time.Minute)
-				got := make(chan stand.Call, 3+3*s.Slots)
+				own := standin.NewCallers(f.env("own", "10.0.9.3", "outside", &f.Nodes[0].skew), nil, f.Obs, time.Minute)
+				got := make(chan standin.Call, 3+3*s.Slots)
 				ask := func(n *Node, uri, left string) {
 					f.g.Go("ask", func(context.Context) {
-						got <- own.At(n.Host+":8000", stand.Line{Method: "GET", URI: uri, Service: "s", Left: left})
+						got <- own.At(n.Host+":8000", standin.Line{Method: "GET", URI: uri, Service: "s", Left: left})
 					})
 				}
 				// All slots are taken by jobs that run for longer than the others wait,
@@ -47,7 +47,7 @@
 					if n.Worker.Ran() != s.Slots {
 						t.Fatalf("%s has %d jobs", n.Worker.ID, n.Worker.Ran())
 					}
-					n.Worker.Behave(stand.Way{Took: 50 * time.Millisecond})
+					n.Worker.Behave(standin.Way{Took: 50 * time.Millisecond})
 				}
 				// Nothing has ended yet, so nothing is known of how long that takes.
 				from := time.Now()
--- a/internal/sim/refusal_test.go
+++ b/internal/sim/refusal_test.go
@@ -8,7 +8,7 @@
 	"testing/synctest"
 	"time"
 
-	"puffincrank/internal/stand"
+	"puffincrank/internal/standin"
 )
 
 // spent is the processor time of this process so far.
@@ -37,11 +37,11 @@
 			f := NewFleet(t, s, 440)
 			defer f.Stop()
 			f.Start()
-			own := stand.NewCallers(f.env("own", "10.0.9.3", "outside", &f.Nodes[0].skew), nil, f.Obs, time.Minute)
-			line := stand.Line{Method: "GET", URI: "/a", Service: "s"}
+			own := standin.NewCallers(f.env("own", "10.0.9.3", "outside", &f.Nodes[0].skew), nil, f.Obs, time.Minute)
+			line := standin.Line{Method: "GET", URI: "/a", Service: "s"}
 			if full {
 				for _, n := range f.Nodes {
-					n.Worker.Behave(stand.Way{Took: 55 * time.Second})
+					n.Worker.Behave(standin.Way{Took: 55 * time.Second})
 				}
 				for range 12 {
 					f.g.Go("fill", func(context.Context) { own.At(f.Nodes[0].Host+":8000", line) })
--- a/internal/sim/repeatsofothers_test.go
+++ b/internal/sim/repeatsofothers_test.go
@@ -8,7 +8,7 @@
 	"testing/synctest"
 	"time"
 
-	"puffincrank/internal/stand"
+	"puffincrank/internal/standin"
 )
 
 // TestRepeatsOfOthers: a stop makes more repeats necessary than the front has left. The
@@ -37,9 +37,9 @@
 		for range 3 {
 			f.atFront(front, line, 8)
 		}
-		owner.Worker.Behave(stand.Way{Took: 80 * time.Second})
+		owner.Worker.Behave(standin.Way{Took: 80 * time.Second})
 		before := owner.Worker.Runs()
-		ended := make(chan []stand.Call, 1)
+		ended := make(chan []standin.Call, 1)
 		f.g.Go("call", func(context.Context) { ended <- f.atFront(front, line, 3*slowRequests) })
 		Wait(8 * time.Second)
 		many := owner.Worker.Runs() - before
--- a/internal/sim/room_test.go
+++ b/internal/sim/room_test.go
@@ -7,7 +7,7 @@
 	"testing/synctest"
 	"time"
 
-	"puffincrank/internal/stand"
+	"puffincrank/internal/standin"
 )
 
 // one is a fleet with one service and three classes.
@@ -38,9 +38,9 @@
 				f := NewFleet(t, s, 110)
 				defer f.Stop()
 				f.Start()
-				var lines []stand.Line
+				var lines []standin.Line
 				for _, k := range c.press {
-					lines = append(lines, stand.Line{Method: "GET", URI: "/" + string(k), Service: "s", Rate: 600})
+					lines = append(lines, standin.Line{Method: "GET", URI: "/" + string(k), Service: "s", Rate: 600})
 				}
 				f.Load(lines, 10*time.Second)()
 				f.Judge()
@@ -90,7 +90,7 @@
 	f := NewFleet(t, s, 111)
 	defer f.Stop()
 	f.Start()
-	wait := f.Load([]stand.Line{{Method: "GET", URI: "/a", Service: "s", Rate: 120, Safe: repeat == "safe"}}, 60*time.Second)
+	wait := f.Load([]standin.Line{{Method: "GET", URI: "/a", Service: "s", Rate: 120, Safe: repeat == "safe"}}, 60*time.Second)
 	runs := func(long time.Duration) float64 {
 		mine, all := 0.0, 0.0
 		count := func(sign float64) {
@@ -111,10 +111,10 @@
 		return mine / all
 	}
 	before := runs(10 * time.Second)
-	f.Nodes[0].Worker.Behave(stand.Way{Took: 450 * time.Millisecond})
+	f.Nodes[0].Worker.Behave(standin.Way{Took: 450 * time.Millisecond})
 	Wait(5 * time.Second)
 	sick := runs(10 * time.Second)
-	f.Nodes[0].Worker.Behave(stand.Way{Took: 100 * time.Millisecond})
+	f.Nodes[0].Worker.Behave(standin.Way{Took: 100 * time.Millisecond})
 	Wait(15 * time.Second)
 	after := runs(10 * time.Second)
 	t.Logf("part of the jobs: %.2f before, %.2f while slow, %.2f when well again", before, sick, after)
--- a/internal/sim/shapes.go
+++ b/internal/sim/shapes.go
@@ -4,7 +4,7 @@
 	"strings"
 	"time"
 
-	"puffincrank/internal/stand"
+	"puffincrank/internal/standin"
 )
 
 // WithAlt adds a second service beside the first, to try changes on: the
@@ -18,7 +18,7 @@
 		took[n] = d
 	}
 	s.Took = took
-	s.Lines = append([]stand.Line(nil), s.Lines...)
+	s.Lines = append([]standin.Line(nil), s.Lines...)
 	s.Doc = strings.Replace(s.Doc, `{"name":"`+one+`"}`, `{"name":"`+one+`"},{"name":"`+alt+`"},{"name":"nobody"}`, 1)
 	s.Doc = strings.TrimSuffix(s.Doc, "}") + `,"judge":{"slice":20,"least_jobs":100,"least_ms":4000,"most_ms":60000}}`
 	for i := range s.Lines {
@@ -27,7 +27,7 @@
 			s.Lines[i].Service = one + "/" + alt
 		}
 	}
-	nested := map[string][]stand.Line{}
+	nested := map[string][]standin.Line{}
 	for name, list := range s.Nested {
 		for _, l := range list {
 			if l.Service == one {
@@ -52,10 +52,10 @@
 {"name":"credit","method":"POST","prefix":"/credits","service":"scans","class":"desk","left_ms":800},
 {"name":"check","method":"POST","prefix":"/checks","service":"pages","class":"desk","left_ms":600},
 {"name":"lookup","method":"GET","prefix":"/lookups","service":"pages","class":"upload","left_ms":600,"repeat":"safe"}]}`,
-		Nested: map[string][]stand.Line{
+		Nested: map[string][]standin.Line{
 			"lending": {{Method: "POST", URI: "/checks/loan", Service: "pages", Rate: 0.4, Size: 50}},
 			"scans":   {{Method: "GET", URI: "/lookups/7", Service: "pages", Safe: true, Rate: 0.4}}},
-		Lines: []stand.Line{
+		Lines: []standin.Line{
 			{Method: "GET", URI: "/pages/7?side=2", Service: "pages", Safe: true, Rate: 450 * scale},
 			{Method: "POST", URI: "/loans/new", Service: "lending", Rate: 250 * scale, Size: 200},
 			{Method: "POST", URI: "/scans/up", Service: "scans", Rate: 120 * scale, Size: 8000},
@@ -75,11 +75,11 @@
 {"name":"fares","method":"GET","prefix":"/fares","service":"manifests","class":"agents","left_ms":2000,"repeat":"safe"},
 {"name":"templates","method":"POST","prefix":"/templates","service":"manifests","class":"desks","left_ms":2000},
 {"name":"cabins","method":"GET","prefix":"/cabins","service":"bookings","class":"agents","left_ms":2000,"repeat":"safe"}]}`,
-		Nested: map[string][]stand.Line{
+		Nested: map[string][]standin.Line{
 			"bookings": {{Method: "GET", URI: "/fares/3", Service: "manifests", Safe: true, Rate: 0.2}},
 			"boarding": {{Method: "POST", URI: "/templates/pass", Service: "manifests", Rate: 0.3, Size: 60}},
 			"seats":    {{Method: "GET", URI: "/cabins/12", Service: "bookings", Safe: true, Rate: 0.5}}},
-		Lines: []stand.Line{
+		Lines: []standin.Line{
 			{Method: "GET", URI: "/bookings?q=x", Service: "bookings", Safe: true, Rate: 220 * scale},
 			{Method: "POST", URI: "/boarding/pass", Service: "boarding", Rate: 150 * scale, Size: 300},
 			{Method: "GET", URI: "/manifests/12", Service: "manifests", Safe: true, Rate: 40 * scale},
--- a/internal/sim/shortgrace_test.go
+++ b/internal/sim/shortgrace_test.go
@@ -9,7 +9,7 @@
 	"testing/synctest"
 	"time"
 
-	"puffincrank/internal/stand"
+	"puffincrank/internal/standin"
 )
 
 // TestShortGrace: a deployment whose grace is no longer than the time that
@@ -67,7 +67,7 @@
 				defer f.Stop()
 				f.Start()
 				n := f.Nodes[0]
-				own := stand.NewCallers(f.env("own", n.Host, n.Area, &n.skew), []string{n.Host + ":8000"}, nil, 50*time.Second)
+				own := standin.NewCallers(f.env("own", n.Host, n.Area, &n.skew), []string{n.Host + ":8000"}, nil, 50*time.Second)
 				for range 5 {
 					f.g.Go("call", func(context.Context) { own.At(n.Host+":8000", s.Lines[2]) })
 				}
--- a/internal/sim/sight_test.go
+++ b/internal/sim/sight_test.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"puffincrank/internal/event"
-	"puffincrank/internal/stand/play"
+	"puffincrank/internal/standin/actors"
 )
 
 // TestSight: the logs and the trail of the nodes alone tell what an owner knew of
@@ -32,7 +32,7 @@
 			}
 			Wait(2 * time.Second)
 			m := s.machines[0]
-			m.w.LeaveBy(context.Background(), play.Manner{SignsOff: true, Late: time.Second})
+			m.w.LeaveBy(context.Background(), actors.Manner{SignsOff: true, Late: time.Second})
 			_, got := s.Get(m.Host+":7003", "/puffin/own/trail?of="+m.w.Name)
 			steps, _ = got["steps"].([]any)
 			for _, m := range s.machines {
--- a/internal/sim/sightstop_test.go
+++ b/internal/sim/sightstop_test.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"puffincrank/internal/event"
-	"puffincrank/internal/stand"
+	"puffincrank/internal/standin"
 )
 
 // logOf collects the events of a fleet by name.
@@ -44,7 +44,7 @@
 		at := f.other("pages")
 		line := s.Lines[0]
 		line.Left = "60000"
-		ended := make(chan []stand.Call, 1)
+		ended := make(chan []standin.Call, 1)
 		f.g.Go("call", func(context.Context) { ended <- f.atFront(at, line, 1) })
 		Wait(300 * time.Millisecond)
 		at.Proxy.Stop()
@@ -80,7 +80,7 @@
 		defer f.Stop()
 		f.Start()
 		at := f.other("scans")
-		ended := make(chan []stand.Call, 1)
+		ended := make(chan []standin.Call, 1)
 		f.g.Go("call", func(context.Context) { ended <- f.atFront(at, line, 1) })
 		Wait(400 * time.Millisecond)
 		var owner *Node
--- a/internal/sim/site_test.go
+++ b/internal/sim/site_test.go
@@ -12,8 +12,8 @@
 	"puffincrank/internal/env"
 	"puffincrank/internal/event"
 	"puffincrank/internal/proxy"
-	"puffincrank/internal/stand/play"
-	"puffincrank/internal/stand/witness"
+	"puffincrank/internal/standin/actors"
+	"puffincrank/internal/standin/checker"
 )
 
 // machine is one machine with a node, the worker beside it and its callers.
@@ -24,8 +24,8 @@
 	addr    string
 	n       int
 	births  int // of its workers
-	w       *play.Worker
-	c       *play.Client
+	w       *actors.Worker
+	c       *actors.Client
 	misses  atomic.Int64 // looks at its readiness that found it unready
 	busy    bool         // a trouble has it in hand
 	gone    atomic.Bool  // taken away for good
@@ -36,11 +36,11 @@
 type site struct {
 	*Fleet
 	d        deployment
-	wit      *witness.Witness
+	wit      *checker.Witness
 	rnd      *rand.Rand // of the day's player alone
-	op       *play.Operator
-	apps     *play.Apps
-	draft    *play.Draft // the newest document
+	op       *actors.Operator
+	apps     *actors.Apps
+	draft    *actors.Draft // the newest document
 	smu      sync.Mutex
 	machines []*machine
 	list     []string // control nodes as operators and applications know them
@@ -53,7 +53,7 @@
 	last     int          // of the machines' numbers
 	spare    int          // core machines that came later
 	extra    int          // paths that came later
-	added    []play.Way   // those that are there
+	added    []actors.Way // those that are there
 	said     []string
 	crowds   map[[2]string]float64 // area and kind, "" for all, to the load's factor
 }
@@ -63,15 +63,15 @@
 	for i := len(f.Cores); i < d.cores; i++ {
 		f.Cores = append(f.Cores, &Core{Host: fmt.Sprintf("10.0.0.%d", i+1), Area: Areas[i%len(Areas)], Disk: NewDisk()})
 	}
-	s := &site{Fleet: f, d: d, wit: witness.New(d.bounds), dark: map[string]bool{}, crowds: map[[2]string]float64{}, held: map[*Core]bool{}, rnd: rand.New(rand.NewPCG(seed, 21)), down: map[*Core]bool{}}
+	s := &site{Fleet: f, d: d, wit: checker.New(d.bounds), dark: map[string]bool{}, crowds: map[[2]string]float64{}, held: map[*Core]bool{}, rnd: rand.New(rand.NewPCG(seed, 21)), down: map[*Core]bool{}}
 	s.press.Store(100)
 	for _, c := range f.Cores {
 		s.list = append(s.list, c.Host)
 	}
 	f.Net.Place("10.0.9.7", "outside")
 	out := env.Env{Net: f.Net.Host("10.0.9.7"), Log: event.New("outside", nil), Wall: time.Now}
-	s.op = play.NewOperator(out, s.control, s.wit, seed+1)
-	s.apps = play.NewApps(out, s.control, s.wit, f.g, seed+2)
+	s.op = actors.NewOperator(out, s.control, s.wit, seed+1)
+	s.apps = actors.NewApps(out, s.control, s.wit, f.g, seed+2)
 	s.draft = d.draft(1)
 	return s
 }
@@ -138,9 +138,9 @@
 	s.Net.Place(far, area)
 	s.Net.Lag(far, s.d.reach)
 	e := env.Env{Net: s.Net.Host(far), Log: event.New(far, nil), Wall: time.Now}
-	m.c = play.NewClient(e, play.Plain, h+":8000", m.name, fmt.Sprint("c", n, "-"), s.wit, s.g, s.seed(n))
+	m.c = actors.NewClient(e, actors.Plain, h+":8000", m.name, fmt.Sprint("c", n, "-"), s.wit, s.g, s.seed(n))
 	m.c.Out.Store(true)
-	for _, l := range append([]*play.Line{s.later()}, s.d.lines...) {
+	for _, l := range append([]*actors.Line{s.later()}, s.d.lines...) {
 		if l.Rate > 0 {
 			s.g.Go("load", func(ctx context.Context) {
 				m.c.Load(ctx, l, func() float64 {
@@ -159,8 +159,8 @@
 }
 
 // later is the line of requests on paths that came later.
-func (s *site) later() *play.Line {
-	return &play.Line{Kind: "later", Method: "GET", Repeat: true, Rate: 8, Back: 100, Work: 10 * time.Millisecond, Aim: 300 * time.Millisecond, Left: time.Second, Further: 1,
+func (s *site) later() *actors.Line {
+	return &actors.Line{Kind: "later", Method: "GET", Repeat: true, Rate: 8, Back: 100, Work: 10 * time.Millisecond, Aim: 300 * time.Millisecond, Left: time.Second, Further: 1,
 		Pick: func(chance uint64) (string, string) {
 			s.smu.Lock()
 			defer s.smu.Unlock()
@@ -177,14 +177,14 @@
 func (s *site) boot(m *machine) {
 	m.starts++
 	s.wit.Lives(m.name)
-	s.wit.Touch.Begin(m.name, witness.Planned+"start")()
+	s.wit.Touch.Begin(m.name, checker.Planned+"start")()
 	more := map[string]any{"seeds": s.seedHosts(7002), "traffic": m.Host + ":8000", "service": m.service, "worker_addr": m.addr, "beat_ms": num(1500),
 		"repeat_share": num(s.d.bounds.Share), "repeat_allowance": num(s.d.bounds.Allow)}
 	for k, v := range s.d.told() {
 		more[k] = v
 	}
 	e := s.env("node-"+m.Host, m.Host, m.Area, &m.skew)
-	e.Dialect = play.Plain
+	e.Dialect = actors.Plain
 	x := proxy.New(s.props("proxy", "node-"+m.Host, m.Area, m.Host, 7002, 7003, more), e)
 	if err := x.Start(); err != nil {
 		s.T.Errorf("node at %s: %v", m.Host, err)
@@ -198,13 +198,13 @@
 func (s *site) startWorker(m *machine) {
 	m.births++
 	n := m.n
-	id := witness.Worker{Name: fmt.Sprintf("w%d-%d", n, m.births), Service: m.service, Machine: m.name, Area: m.Area}
+	id := checker.Worker{Name: fmt.Sprintf("w%d-%d", n, m.births), Service: m.service, Machine: m.name, Area: m.Area}
 	e := env.Env{Net: s.Net.Host(m.Host), Log: event.New(id.Name, nil), Wall: time.Now}
 	ways := s.d.ways
 	// Workers of one service run at different speeds; of some, full ones reset.
 	ways.Speed = 0.8 + float64(n%5)*0.15
 	ways.Resets = s.d.resets[m.service]
-	w, err := play.Start(e, play.Plain, id, m.addr, m.Host+":8000", []string{m.Host + ":7003"}, ways, s.wit, s.seed(n)+3)
+	w, err := actors.Start(e, actors.Plain, id, m.addr, m.Host+":8000", []string{m.Host + ":7003"}, ways, s.wit, s.seed(n)+3)
 	if err != nil {
 		s.T.Errorf("worker at %s: %v", m.Host, err)
 		return
--- a/internal/sim/sitecore_test.go
+++ b/internal/sim/sitecore_test.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"puffincrank/internal/registry"
-	"puffincrank/internal/stand/play"
+	"puffincrank/internal/standin/actors"
 	"puffincrank/internal/store"
 )
 
@@ -33,7 +33,7 @@
 		return
 	}
 	e = s.env("core-"+c.Host, c.Host, c.Area, &c.skew)
-	e.Dialect, e.FS = play.Plain, c.Disk
+	e.Dialect, e.FS = actors.Plain, c.Disk
 	r := registry.New(s.props("registry", "core-"+c.Host, c.Area, c.Host, 7002, 7003, reg), e)
 	if err := r.Start(); err != nil {
 		s.T.Errorf("registry at %s: %v", c.Host, err)
@@ -143,7 +143,7 @@
 	}
 	for _, m := range all {
 		s.g.Go("look", func(ctx context.Context) {
-			code, _ := play.Ask(ctx, s.Net.Host("10.0.9.9"), "GET", m.Host+":7003", "/puffin/ready", nil, 900*time.Millisecond)
+			code, _ := actors.Ask(ctx, s.Net.Host("10.0.9.9"), "GET", m.Host+":7003", "/puffin/ready", nil, 900*time.Millisecond)
 			s.wit.Looked(m.name, code == 200)
 			if code == 200 {
 				m.misses.Store(0)
--- a/internal/sim/sitelines_test.go
+++ b/internal/sim/sitelines_test.go
@@ -7,8 +7,8 @@
 	"strconv"
 	"time"
 
-	"puffincrank/internal/stand/play"
-	"puffincrank/internal/stand/witness"
+	"puffincrank/internal/standin/actors"
+	"puffincrank/internal/standin/checker"
 )
 
 // deployment is the shape of a site, with names that nobody knows beforehand.
@@ -16,16 +16,16 @@
 	nodes    int
 	services []string
 	order    []int // service of each node
-	lines    []*play.Line
+	lines    []*actors.Line
 	prefixes map[string]string
-	ways     play.Ways
+	ways     actors.Ways
 	resets   map[string]bool
 	far      time.Duration
 	reach    time.Duration // one way between clients and their node
 	repeat   map[string]string
 	to       map[string]string // line to service
 	rank     map[string]int
-	bounds   witness.Bounds
+	bounds   checker.Bounds
 	catchUp  time.Duration
 	cores    int
 	bear     int       // core machines that may be lost at once
@@ -111,8 +111,8 @@
 func deploy(seed uint64, nodes, slots int, far, reach time.Duration, names []string, workers []int, rows []row, scale float64) deployment {
 	n := namer{rand.New(rand.NewPCG(seed, 31))}
 	// What is allowed besides goes with the load, as its share does.
-	d := deployment{nodes: nodes, cores: 3, bear: 1, catchUp: 4 * time.Second, bounds: witness.Usual, far: far, reach: reach, prefixes: map[string]string{}, resets: map[string]bool{}, repeat: map[string]string{}, to: map[string]string{}, rank: map[string]int{},
-		ways: play.Ways{Slots: slots, Queue: max(slots/3, 2), Conns: 10 * slots, Hello: 1500 * time.Microsecond, Idle: 5 * time.Second, Crowd: 1.4, Cold: 4 * time.Second, ColdBy: 1.8,
+	d := deployment{nodes: nodes, cores: 3, bear: 1, catchUp: 4 * time.Second, bounds: checker.Usual, far: far, reach: reach, prefixes: map[string]string{}, resets: map[string]bool{}, repeat: map[string]string{}, to: map[string]string{}, rank: map[string]int{},
+		ways: actors.Ways{Slots: slots, Queue: max(slots/3, 2), Conns: 10 * slots, Hello: 1500 * time.Microsecond, Idle: 5 * time.Second, Crowd: 1.4, Cold: 4 * time.Second, ColdBy: 1.8,
 			Hop: 0.01, Drain: 2 * time.Second, Fitness: "/" + n.word()}}
 	d.bounds.Allow = float64(int(60*scale + 0.9))
 	real := map[string]string{}
@@ -132,9 +132,9 @@
 		}
 	}
 	hosts := []string{n.word() + ".example", n.word() + ".example"}
-	by := map[string]*play.Line{}
+	by := map[string]*actors.Line{}
 	for i, r := range rows {
-		l := &play.Line{Kind: r.kind, Host: hosts[i%2], Method: r.method, Prefix: "/" + n.word() + "/", Repeat: r.repeat == "safe" || r.repeat == "download", Rate: r.rate * scale,
+		l := &actors.Line{Kind: r.kind, Host: hosts[i%2], Method: r.method, Prefix: "/" + n.word() + "/", Repeat: r.repeat == "safe" || r.repeat == "download", Rate: r.rate * scale,
 			Size: r.size, Back: r.back, Work: ms(r.work), Aim: ms(r.aim), Left: ms(r.left), Most: ms(r.left), Further: r.further}
 		by[r.kind] = l
 		d.lines = append(d.lines, l)
@@ -142,7 +142,7 @@
 	}
 	for _, r := range rows {
 		for k, share := range r.calls {
-			by[r.kind].Calls = append(by[r.kind].Calls, play.Call{Line: by[k], Share: share})
+			by[r.kind].Calls = append(by[r.kind].Calls, actors.Call{Line: by[k], Share: share})
 		}
 	}
 	return d
@@ -151,10 +151,10 @@
 func ms(n int) time.Duration { return time.Duration(n) * time.Millisecond }
 
 // draft is the first document of the deployment.
-func (d deployment) draft(number uint64) *play.Draft {
-	out := &play.Draft{Number: number, Services: append([]string(nil), d.services...), Links: d.ways.Conns, Fitness: d.ways.Fitness}
+func (d deployment) draft(number uint64) *actors.Draft {
+	out := &actors.Draft{Number: number, Services: append([]string(nil), d.services...), Links: d.ways.Conns, Fitness: d.ways.Fitness}
 	for _, l := range d.lines {
-		out.Ways = append(out.Ways, play.Way{Name: "p-" + l.Kind, Host: l.Host, Prefix: l.Prefix, Repeat: d.repeat[l.Kind], Split: map[string]int{d.to[l.Kind]: 1}, Left: l.Most, Aim: l.Aim, Tries: 2 + len(l.Kind)%2, Rank: d.rank[l.Kind]})
+		out.Ways = append(out.Ways, actors.Way{Name: "p-" + l.Kind, Host: l.Host, Prefix: l.Prefix, Repeat: d.repeat[l.Kind], Split: map[string]int{d.to[l.Kind]: 1}, Left: l.Most, Aim: l.Aim, Tries: 2 + len(l.Kind)%2, Rank: d.rank[l.Kind]})
 	}
 	return out
 }
--- a/internal/sim/stay_test.go
+++ b/internal/sim/stay_test.go
@@ -11,7 +11,7 @@
 	"testing/synctest"
 	"time"
 
-	"puffincrank/internal/stand"
+	"puffincrank/internal/standin"
 )
 
 // byHand is a connection to a front, written and read by hand.
@@ -125,7 +125,7 @@
 		// whose body comes slowly.
 		limits(70000, 300, 300)
 		for _, m := range f.Nodes {
-			m.Worker.Behave(stand.Way{Took: 350 * time.Millisecond})
+			m.Worker.Behave(standin.Way{Took: 350 * time.Millisecond})
 		}
 		long := f.hand(t, n)
 		if w := long.ask("X-More: " + strings.Repeat("x", 66000) + "\r\n"); w.StatusCode != 200 {
--- a/internal/sim/steps_test.go
+++ b/internal/sim/steps_test.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"time"
 
-	"puffincrank/internal/stand"
+	"puffincrank/internal/standin"
 )
 
 // step is one kind of fault that a plan draws from.
@@ -186,14 +186,14 @@
 		n := d.take()
 		defer d.free(n)
 		took := d.f.S.Took[n.Worker.Service]
-		w := stand.Way{Took: took, Garble: d.Float64() / 2, Lose: d.Float64() / 2, Busy: d.Float64() / 2, Sulk: d.Float64() / 4}
+		w := standin.Way{Took: took, Garble: d.Float64() / 2, Lose: d.Float64() / 2, Busy: d.Float64() / 2, Sulk: d.Float64() / 4}
 		if d.IntN(3) == 0 {
-			w = stand.Way{Took: 5 * took}
+			w = standin.Way{Took: 5 * took}
 		}
 		d.say("worker at %s behaves %+v", n.Host, w)
 		n.Worker.Behave(w)
 		Wait(2 * time.Second)
-		n.Worker.Behave(stand.Way{Took: took})
+		n.Worker.Behave(standin.Way{Took: took})
 	}},
 	{clocksJump, false, false, func(d draw) {
 		n := d.take()
--- a/internal/sim/stopwork_test.go
+++ b/internal/sim/stopwork_test.go
@@ -7,13 +7,13 @@
 	"testing/synctest"
 	"time"
 
-	"puffincrank/internal/stand"
+	"puffincrank/internal/standin"
 )
 
 // atFront calls a line so many times at one node, all at once, and gives what came.
-func (f *Fleet) atFront(n *Node, l stand.Line, many int) (out []stand.Call) {
-	own := stand.NewCallers(f.env("own", "10.0.9.3", "outside", &n.skew), nil, f.Obs, 60*time.Second)
-	got := make(chan stand.Call, many)
+func (f *Fleet) atFront(n *Node, l standin.Line, many int) (out []standin.Call) {
+	own := standin.NewCallers(f.env("own", "10.0.9.3", "outside", &n.skew), nil, f.Obs, 60*time.Second)
+	got := make(chan standin.Call, many)
 	for range many {
 		f.g.Go("ask", func(context.Context) { got <- own.At(n.Host+":8000", l) })
 	}
@@ -81,7 +81,7 @@
 		f.Start()
 		at := f.other("pages")
 		// Others of the service, so that repeats are to be had.
-		look := stand.Line{Method: "GET", URI: "/lookups/7", Service: "pages", Safe: true, Left: "3000"}
+		look := standin.Line{Method: "GET", URI: "/lookups/7", Service: "pages", Safe: true, Left: "3000"}
 		for range 4 {
 			f.atFront(at, look, 8)
 		}
--- a/internal/sim/storm_test.go
+++ b/internal/sim/storm_test.go
@@ -7,7 +7,7 @@
 	"testing/synctest"
 	"time"
 
-	"puffincrank/internal/stand"
+	"puffincrank/internal/standin"
 )
 
 // TestStorms: all workers of the busiest service turn bad at once, so that
@@ -16,7 +16,7 @@
 // twice, and busy is told only of jobs that did not run.
 func TestStorms(t *testing.T) {
 	heavy(t)
-	for i, way := range []stand.Way{{Lose: 0.8}, {Busy: 0.9}, {Sulk: 0.5, Garble: 0.4}} {
+	for i, way := range []standin.Way{{Lose: 0.8}, {Busy: 0.9}, {Sulk: 0.5, Garble: 0.4}} {
 		for _, s := range []Shape{Fumettoteca(0.25), Ingenzi(0.4)} {
 			t.Run(fmt.Sprint(s.Services[0], " ", i), func(t *testing.T) {
 				t.Parallel()
@@ -33,7 +33,7 @@
 					}
 					Wait(8 * time.Second)
 					for _, n := range f.Nodes {
-						n.Worker.Behave(stand.Way{Took: s.Took[n.Worker.Service]})
+						n.Worker.Behave(standin.Way{Took: s.Took[n.Worker.Service]})
 					}
 					wait()
 					f.Judge()
@@ -63,7 +63,7 @@
 		defer f.Stop()
 		f.Start()
 		f.Polled = true
-		wait := f.Load([]stand.Line{s.Lines[3]}, 20*time.Second)
+		wait := f.Load([]standin.Line{s.Lines[3]}, 20*time.Second)
 		for i := range 4 {
 			Wait(4 * time.Second)
 			n := f.Nodes[i*3]
--- a/internal/sim/trial_test.go
+++ b/internal/sim/trial_test.go
@@ -7,7 +7,7 @@
 	"testing/synctest"
 	"time"
 
-	"puffincrank/internal/stand"
+	"puffincrank/internal/standin"
 )
 
 func rehearsal() Shape { return WithAlt(Fumettoteca(0.5)) }
@@ -38,7 +38,7 @@
 				s := WithAlt(c.shape)
 				one := s.Services[0]
 				alt := one + "2"
-				way := stand.Way{Took: time.Duration(float64(s.Took[one]) * c.slow), Fail: c.fail}
+				way := standin.Way{Took: time.Duration(float64(s.Took[one]) * c.slow), Fail: c.fail}
 				path := map[string]string{"pages": "read", "bookings": "search"}[one]
 				to := alt
 				if c.to == "nobody" {
--- a/internal/sim/waitline_test.go
+++ b/internal/sim/waitline_test.go
@@ -7,7 +7,7 @@
 	"testing/synctest"
 	"time"
 
-	"puffincrank/internal/stand"
+	"puffincrank/internal/standin"
 )
 
 // TestStopWhileUnsent: a node is told to end while its callers' large bodies
@@ -21,9 +21,9 @@
 		f := thinFleetOf(t, s, narrow(megabit/8))
 		defer f.Stop()
 		at, own := f.Nodes[0], f.ownCallers()
-		line := stand.Line{Method: "POST", URI: "/scans", Service: "scans", Size: size, Want: 1, Left: "30000"}
+		line := standin.Line{Method: "POST", URI: "/scans", Service: "scans", Size: size, Want: 1, Left: "30000"}
 		const jobs = 6
-		got := make(chan stand.Call, jobs)
+		got := make(chan standin.Call, jobs)
 		for range jobs {
 			f.g.Go("ask", func(context.Context) { got <- own.At(at.Host+":8000", line) })
 		}
@@ -47,13 +47,13 @@
 		f := thinFleetOf(t, s, narrow(megabit/4))
 		defer f.Stop()
 		at, own := f.Nodes[0], f.ownCallers()
-		line := stand.Line{Method: "GET", URI: "/files/7", Service: "scans", Safe: true, Want: size, Left: "30000"}
+		line := standin.Line{Method: "GET", URI: "/files/7", Service: "scans", Safe: true, Want: size, Left: "30000"}
 		// The owners learn how large the answers are, and how fast they go.
 		for range 6 {
 			own.At(at.Host+":8000", line)
 		}
 		const jobs = 16
-		got := make(chan stand.Call, jobs)
+		got := make(chan standin.Call, jobs)
 		for range jobs {
 			f.g.Go("ask", func(context.Context) { got <- own.At(at.Host+":8000", line) })
 			Wait(100 * time.Millisecond)
@@ -69,14 +69,14 @@
 }
 
 // ownCallers are callers at the first node alone.
-func (f *Fleet) ownCallers() *stand.Callers {
+func (f *Fleet) ownCallers() *standin.Callers {
 	f.Net.Place("10.0.9.3", "outside")
-	return stand.NewCallers(f.env("own", "10.0.9.3", "outside", &f.Nodes[0].skew), nil, f.Obs, 40*time.Second)
+	return standin.NewCallers(f.env("own", "10.0.9.3", "outside", &f.Nodes[0].skew), nil, f.Obs, 40*time.Second)
 }
 
 // answered waits for so many calls: each is done, or busy with a time to come
 // back. It counts them by their status.
-func answered(t *testing.T, got chan stand.Call, jobs int) map[int]int {
+func answered(t *testing.T, got chan standin.Call, jobs int) map[int]int {
 	ends := map[int]int{}
 	for range jobs {
 		c := <-got
--- a/internal/sim/waitstop_test.go
+++ b/internal/sim/waitstop_test.go
@@ -8,7 +8,7 @@
 	"testing/synctest"
 	"time"
 
-	"puffincrank/internal/stand"
+	"puffincrank/internal/standin"
 )
 
 // TestStopWhileWaiting: a node is told to end while a job of its caller waits
@@ -27,10 +27,10 @@
 				f := NewFleet(t, s, 430)
 				defer f.Stop()
 				f.Start()
-				own := stand.NewCallers(f.env("own", "10.0.9.3", "outside", &f.Nodes[0].skew), nil, f.Obs, 30*time.Second)
+				own := standin.NewCallers(f.env("own", "10.0.9.3", "outside", &f.Nodes[0].skew), nil, f.Obs, 30*time.Second)
 				line := s.Lines[0]
 				line.Left = "30000"
-				got := make(chan stand.Call, 3)
+				got := make(chan standin.Call, 3)
 				ask := func(n *Node) { f.g.Go("ask", func(context.Context) { got <- own.At(n.Host+":8000", line) }) }
 				var at *Node
 				for _, n := range f.Nodes {
--- a/internal/sim/withdraw_test.go
+++ b/internal/sim/withdraw_test.go
@@ -11,8 +11,8 @@
 	"time"
 
 	"puffincrank/internal/event"
-	"puffincrank/internal/stand/play"
-	"puffincrank/internal/stand/witness"
+	"puffincrank/internal/standin/actors"
+	"puffincrank/internal/standin/checker"
 )
 
 // TestLateBeatAfterSignOff: a worker signs off, and a beat that it sent before
@@ -24,12 +24,12 @@
 		bad := s.day(10*time.Second, func() {
 			Wait(time.Second)
 			m := s.machines[0]
-			m.w.LeaveBy(context.Background(), play.Manner{SignsOff: true, Late: 2100 * time.Millisecond, More: 3 * time.Second})
+			m.w.LeaveBy(context.Background(), actors.Manner{SignsOff: true, Late: 2100 * time.Millisecond, More: 3 * time.Second})
 		})
 		if len(bad) > 0 {
 			t.Errorf("broken: %v", bad)
 		}
-		if s.wit.Risk()[witness.Drain] == 0 {
+		if s.wit.Risk()[checker.Drain] == 0 {
 			t.Error("the worker had no traffic before it left: the test shows nothing")
 		}
 	})
@@ -50,7 +50,7 @@
 		if len(bad) > 0 {
 			t.Errorf("broken: %v", bad)
 		}
-		if n := s.wit.Risk()[witness.Gone]; n < 20 {
+		if n := s.wit.Risk()[checker.Gone]; n < 20 {
 			t.Errorf("%d callers left while their runs were under way: the test shows nothing", n)
 		}
 	})
@@ -80,7 +80,7 @@
 		m = s.machines[0]
 		over := make(chan struct{})
 		s.g.Go("leave", func(context.Context) {
-			m.w.LeaveBy(context.Background(), play.Manner{SignsOff: signsOff, Late: 1500 * time.Millisecond, More: 6 * time.Second})
+			m.w.LeaveBy(context.Background(), actors.Manner{SignsOff: signsOff, Late: 1500 * time.Millisecond, More: 6 * time.Second})
 			close(over)
 		})
 		for !m.w.Acknowledged() {
@@ -92,7 +92,7 @@
 	if len(bad) > 0 {
 		t.Errorf("broken: %v", bad)
 	}
-	if s.wit.Risk()[witness.Drain] == 0 {
+	if s.wit.Risk()[checker.Drain] == 0 {
 		t.Error("the worker had no traffic before it left: the test shows nothing")
 	}
 }
@@ -156,7 +156,7 @@
 	s.day(12*time.Second, func() {
 		m := s.machines[0]
 		trouble(a, m, true)
-		s.g.Go("leave", func(context.Context) { m.w.LeaveBy(context.Background(), play.Manner{More: 4 * time.Second}) })
+		s.g.Go("leave", func(context.Context) { m.w.LeaveBy(context.Background(), actors.Manner{More: 4 * time.Second}) })
 		Wait(1500 * time.Millisecond)
 		if m.w.Acknowledged() {
 			t.Error("acknowledged, though nobody else can know of it")
--- a/internal/sim/withdrawals_test.go
+++ b/internal/sim/withdrawals_test.go
@@ -9,7 +9,7 @@
 	"testing/synctest"
 	"time"
 
-	"puffincrank/internal/stand/witness"
+	"puffincrank/internal/standin/checker"
 )
 
 var withdrawalSeeds = flag.Int("withdrawals", 1, "how many seeds each trouble is played with in TestWithdrawals")
@@ -62,8 +62,8 @@
 		t.Errorf("broken by %s with %s: %v\n%s", first.name, second.name, bad, s.said)
 	}
 	risk := s.wit.Risk()
-	t.Logf("%s with %s had to lose: %d at leaving workers, %d for callers that left", first.name, second.name, risk[witness.Drain], risk[witness.Gone])
-	if risk[witness.Gone] == 0 {
+	t.Logf("%s with %s had to lose: %d at leaving workers, %d for callers that left", first.name, second.name, risk[checker.Drain], risk[checker.Gone])
+	if risk[checker.Gone] == 0 {
 		t.Error("no caller left while a run of its was under way: the test shows nothing")
 	}
 }
--- a/internal/stand/play/answer.go
+++ b/internal/standin/actors/answer.go
@@ -1,4 +1,4 @@
-package play
+package actors
 
 import (
 	"bytes"
@@ -8,7 +8,7 @@
 	"strings"
 	"time"
 
-	"puffincrank/internal/stand/witness"
+	"puffincrank/internal/standin/checker"
 )
 
 // head writes the status line and headers of an answer.
@@ -79,7 +79,7 @@
 		how = k.dice.below(spoilKinds)
 	}
 	k.wit.Change(func() {
-		s.v.Status, s.v.Stamp, s.v.Gave, s.v.End = code, mark, witness.BodyOf(body), time.Now()
+		s.v.Status, s.v.Stamp, s.v.Gave, s.v.End = code, mark, checker.BodyOf(body), time.Now()
 		// What follows a whole answer takes nothing from it.
 		s.v.Broke, s.v.Odd = how >= 0 && how <= noAnswer, how > noAnswer
 	})
--- a/internal/stand/play/app.go
+++ b/internal/standin/actors/app.go
@@ -1,4 +1,4 @@
-package play
+package actors
 
 import (
 	"context"
@@ -9,14 +9,14 @@
 	"time"
 
 	"puffincrank/internal/env"
-	"puffincrank/internal/stand/witness"
+	"puffincrank/internal/standin/checker"
 	"puffincrank/internal/task"
 )
 
 // Apps are the applications' callers of locks, numbers, keys and watches.
 type Apps struct {
 	E       env.Env
-	Wit     *witness.Witness
+	Wit     *checker.Witness
 	G       *task.Group
 	At      func() []string
 	Callers int
@@ -34,7 +34,7 @@
 }
 
 // NewApps makes the callers; they run until the group ends or Run's time is up.
-func NewApps(e env.Env, at func() []string, wit *witness.Witness, g *task.Group, seed uint64) *Apps {
+func NewApps(e env.Env, at func() []string, wit *checker.Witness, g *task.Group, seed uint64) *Apps {
 	return &Apps{E: e, Wit: wit, G: g, At: at, Callers: 7, Rate: 40, Locks: 12, Numbers: 4, Groups: 3, Keys: 8, dice: newDice(seed),
 		revs: map[string]uint64{}, saved: map[string]uint64{}, done: map[string]int{}}
 }
@@ -56,7 +56,7 @@
 
 // call makes one call; each send is written down by itself. After a failure, a
 // 5xx, a 429 or a second of silence it turns to another node.
-func (a *Apps) call(ctx context.Context, o witness.Op, method, uri string, body any, long, wait time.Duration) *witness.Op {
+func (a *Apps) call(ctx context.Context, o checker.Op, method, uri string, body any, long, wait time.Duration) *checker.Op {
 	var raw []byte
 	if body != nil {
 		raw, _ = json.Marshal(body)
@@ -87,27 +87,27 @@
 	}
 }
 
-func (a *Apps) fill(o *witness.Op, raw []byte) {
+func (a *Apps) fill(o *checker.Op, raw []byte) {
 	var s said
 	if json.Unmarshal(raw, &s) != nil && o.Code == 200 {
 		o.Code = 0
 		return
 	}
 	switch o.Kind {
-	case witness.Take, witness.Renew, witness.Free:
+	case checker.Take, checker.Renew, checker.Free:
 		o.Num = s.Fence
-	case witness.Number:
+	case checker.Number:
 		if f, ok := s.Value.(float64); ok {
 			o.Num = uint64(f)
 		}
-	case witness.Get:
+	case checker.Get:
 		o.Num = s.Rev
 		o.Value, _ = s.Value.(string)
 	default:
 		o.Num = s.Rev
 	}
 	for _, c := range s.Changes {
-		o.Changes = append(o.Changes, witness.Change{Key: c.Name, Value: c.Value, Rev: c.Rev})
+		o.Changes = append(o.Changes, checker.Change{Key: c.Name, Value: c.Value, Rev: c.Rev})
 	}
 }
 
@@ -156,7 +156,7 @@
 
 func (a *Apps) number(ctx context.Context, final bool) {
 	n := fmt.Sprintf("n%d", a.dice.below(a.Numbers))
-	a.call(ctx, witness.Op{Kind: witness.Number, Name: n, Final: final}, http.MethodPost, "numbers/"+n, map[string]any{}, a.long(final), 0)
+	a.call(ctx, checker.Op{Kind: checker.Number, Name: n, Final: final}, http.MethodPost, "numbers/"+n, map[string]any{}, a.long(final), 0)
 }
 
 func (a *Apps) long(final bool) time.Duration {
@@ -167,7 +167,7 @@
 }
 
 func (a *Apps) get(ctx context.Context, key string, final bool) {
-	got := a.call(ctx, witness.Op{Kind: witness.Get, Name: key, Final: final}, http.MethodGet, "keys/"+key, nil, a.long(final), 0)
+	got := a.call(ctx, checker.Op{Kind: checker.Get, Name: key, Final: final}, http.MethodGet, "keys/"+key, nil, a.long(final), 0)
 	if got.Code == 200 {
 		a.saw(key, got.Num)
 	}
@@ -182,7 +182,7 @@
 // put puts a value that nobody else puts; without a clear answer it is sent
 // again, the same.
 func (a *Apps) put(ctx context.Context, key string) {
-	o := witness.Op{Kind: witness.Put, Name: key, Value: fmt.Sprintf("%016x", a.dice.word())}
+	o := checker.Op{Kind: checker.Put, Name: key, Value: fmt.Sprintf("%016x", a.dice.word())}
 	body := map[string]any{"value": o.Value}
 	if a.dice.below(2) == 0 {
 		a.mu.Lock()
--- a/internal/stand/play/beat.go
+++ b/internal/standin/actors/beat.go
@@ -1,4 +1,4 @@
-package play
+package actors
 
 import (
 	"bytes"
--- a/internal/stand/play/client.go
+++ b/internal/standin/actors/client.go
@@ -1,4 +1,4 @@
-package play
+package actors
 
 import (
 	"context"
@@ -9,7 +9,7 @@
 
 	"puffincrank/internal/dialect"
 	"puffincrank/internal/env"
-	"puffincrank/internal/stand/witness"
+	"puffincrank/internal/standin/checker"
 	"puffincrank/internal/task"
 )
 
@@ -19,7 +19,7 @@
 	Say     dialect.Dialect
 	Front   string // the node's traffic address
 	Machine string // its name for the witness
-	Wit     *witness.Witness
+	Wit     *checker.Witness
 	G       *task.Group
 	Keep    float64      // part of the requests on kept connections
 	Hasty   float64      // part that try again at once and more often, whatever they are told
@@ -36,7 +36,7 @@
 }
 
 // NewClient makes the callers of a node.
-func NewClient(e env.Env, say dialect.Dialect, front, machine, name string, wit *witness.Witness, g *task.Group, seed uint64) *Client {
+func NewClient(e env.Env, say dialect.Dialect, front, machine, name string, wit *checker.Witness, g *task.Group, seed uint64) *Client {
 	c := &Client{E: e, Say: say, Front: front, Machine: machine, Wit: wit, G: g, Keep: 0.6, Hasty: 0.1, dice: newDice(seed), name: name}
 	c.Quits(usualQuits)
 	return c
@@ -86,7 +86,7 @@
 
 // Job makes a request and tries again as far as it may; it tells whether it
 // was served. By is the run that needs it, of a nested one.
-func (c *Client) Job(ctx context.Context, l *Line, left time.Duration, by *witness.Visit) bool {
+func (c *Client) Job(ctx context.Context, l *Line, left time.Duration, by *checker.Visit) bool {
 	job := fmt.Sprint(c.name, c.seq.Add(1))
 	end := time.Now().Add(left)
 	further := l.Further
@@ -126,7 +126,7 @@
 }
 
 // again tells whether a request may be tried once more after an answer.
-func again(repeat bool, a witness.Answer) bool {
+func again(repeat bool, a checker.Answer) bool {
 	switch a.Status {
 	case 400, 401, 404, 413, 431:
 		return false
@@ -140,12 +140,12 @@
 }
 
 // draft makes a try with an id of its own.
-func (c *Client) draft(l *Line, job string, n int, left time.Duration) *witness.Try {
+func (c *Client) draft(l *Line, job string, n int, left time.Duration) *checker.Try {
 	at, prefix := l.Host, l.Prefix
 	if l.Pick != nil {
 		at, prefix = l.Pick(c.dice.word())
 	}
-	t := &witness.Try{ID: fmt.Sprintf("%s.%d", job, n), Job: job, Kind: l.Kind, Front: c.Machine, Host: at, Method: l.Method,
+	t := &checker.Try{ID: fmt.Sprintf("%s.%d", job, n), Job: job, Kind: l.Kind, Front: c.Machine, Host: at, Method: l.Method,
 		URI: fmt.Sprintf("%s%x?k=%d", prefix, c.dice.below(1<<16), n), Repeat: l.Repeat, Left: left, Work: l.Work, From: time.Now()}
 	w := Work{Back: l.Back/2 + c.dice.below(l.Back+1)}
 	for _, o := range l.Calls {
@@ -158,34 +158,34 @@
 }
 
 // Probe sends one request directly, to see which document is in force here.
-func (c *Client) Probe(ctx context.Context, l *Line) witness.Answer {
+func (c *Client) Probe(ctx context.Context, l *Line) checker.Answer {
 	t := c.draft(l, fmt.Sprint(c.name, "p", c.seq.Add(1)), 0, l.Left)
 	t.Probe = true
 	return c.try(ctx, t, l, false)
 }
 
 // try sends one request and waits for what comes of it.
-func (c *Client) try(ctx context.Context, t *witness.Try, l *Line, kept bool) witness.Answer {
+func (c *Client) try(ctx context.Context, t *checker.Try, l *Line, kept bool) checker.Answer {
 	body := c.body(l, t)
-	t.Body = witness.BodyOf(body)
+	t.Body = checker.BodyOf(body)
 	c.Wit.Send(t)
 	a := c.send(ctx, t, body, kept)
 	c.Wit.Ended(t, a)
 	return a
 }
 
-func (c *Client) send(ctx context.Context, t *witness.Try, body []byte, kept bool) witness.Answer {
+func (c *Client) send(ctx context.Context, t *checker.Try, body []byte, kept bool) checker.Answer {
 	end := t.From.Add(t.Left)
 	ctx, stop := context.WithDeadline(ctx, end)
 	defer stop()
 	w := c.take(ctx, kept)
 	if w == nil {
-		return witness.Answer{Why: "no connection", ClosedBefore: true, GaveUp: ctx.Err() != nil}
+		return checker.Answer{Why: "no connection", ClosedBefore: true, GaveUp: ctx.Err() != nil}
 	}
 	c.Wit.Change(func() { t.Kept = w.used })
-	to := make(chan witness.Answer, 1)
+	to := make(chan checker.Answer, 1)
 	if !w.expect(t, to) {
-		return witness.Answer{Why: "closed meanwhile", ClosedBefore: true}
+		return checker.Answer{Why: "closed meanwhile", ClosedBefore: true}
 	}
 	err := w.write(t, body, c, !kept && c.dice.below(2) == 0)
 	if err == nil {
@@ -209,17 +209,17 @@
 				continue
 			}
 			w.shut()
-			return witness.Answer{Why: "unread", GaveUp: true}
+			return checker.Answer{Why: "unread", GaveUp: true}
 		case <-ctx.Done():
 			taken := w.taken()
 			w.shut()
-			return witness.Answer{Why: "time up", GaveUp: true, Taken: taken}
+			return checker.Answer{Why: "time up", GaveUp: true, Taken: taken}
 		}
 	}
 }
 
 // body makes a body; some hold a request of their own, which must stay a body.
-func (c *Client) body(l *Line, t *witness.Try) []byte {
+func (c *Client) body(l *Line, t *checker.Try) []byte {
 	if l.Size <= 0 {
 		return nil
 	}
--- a/internal/stand/play/core_test.go
+++ b/internal/standin/actors/core_test.go
@@ -1,4 +1,4 @@
-package play_test
+package actors_test
 
 import (
 	"context"
@@ -16,8 +16,8 @@
 	"puffincrank/internal/event"
 	"puffincrank/internal/httpapi"
 	"puffincrank/internal/sim"
-	"puffincrank/internal/stand/play"
-	"puffincrank/internal/stand/witness"
+	"puffincrank/internal/standin/actors"
+	"puffincrank/internal/standin/checker"
 	"puffincrank/internal/task"
 )
 
@@ -167,8 +167,8 @@
 // TestCallers: against a control node that keeps every promise nothing is
 // blamed; each promise that it breaks is caught by applications and operators.
 func TestCallers(t *testing.T) {
-	for err, rules := range map[string][]string{"": nil, "locks": {witness.One}, "numbers": {witness.Order}, "reads": {witness.Stale}, "conditions": {witness.Order},
-		"watches": {witness.Order}, "documents": {witness.Config}, "broken": {witness.Config}} {
+	for err, rules := range map[string][]string{"": nil, "locks": {checker.One}, "numbers": {checker.Order}, "reads": {checker.Stale}, "conditions": {checker.Order},
+		"watches": {checker.Order}, "documents": {checker.Config}, "broken": {checker.Config}} {
 		t.Run("breaks "+err, func(t *testing.T) {
 			t.Parallel()
 			synctest.Test(t, func(t *testing.T) { callers(t, err, rules) })
@@ -183,7 +183,7 @@
 	net := sim.NewNet(1, time.Millisecond, time.Millisecond)
 	net.Place("h1", "x")
 	net.Place("h2", "x")
-	g, wit := task.New(context.Background()), witness.New(witness.Usual)
+	g, wit := task.New(context.Background()), checker.New(checker.Usual)
 	e := env.Env{Net: net.Host("h1"), Log: event.New("h1", nil), Wall: time.Now}
 	c := &core{err: err, locks: map[string]*lease{}, nums: map[string]uint64{}, revs: map[string]uint64{}, keys: map[string][]cell{}}
 	if err := httpapi.Serve(g, e, "h1:1", c, time.Second); err != nil {
@@ -191,16 +191,16 @@
 	}
 	e.Net = net.Host("h2")
 	at := func() []string { return []string{"h1:1"} }
-	a, o := play.NewApps(e, at, wit, g, 1), play.NewOperator(e, at, wit, 2)
+	a, o := actors.NewApps(e, at, wit, g, 1), actors.NewOperator(e, at, wit, 2)
 	a.Locks, a.Rate, a.Callers = 9, 150, 21
 	ctx, end := context.WithTimeout(context.Background(), 12*time.Second)
-	d := &play.Draft{Number: 1, Services: []string{"s", "u"}, Ways: []play.Way{{Name: "p", Host: "h.example", Prefix: "/a/", Repeat: "safe", Split: map[string]int{"s": 1}, Left: time.Second, Tries: 2}}}
+	d := &actors.Draft{Number: 1, Services: []string{"s", "u"}, Ways: []actors.Way{{Name: "p", Host: "h.example", Prefix: "/a/", Repeat: "safe", Split: map[string]int{"s": 1}, Left: time.Second, Tries: 2}}}
 	for n := range uint64(3) {
 		d = d.Copy()
 		d.Number = n + 1
 		o.Send(ctx, d, "", "")
 	}
-	o.Send(ctx, d, play.Breaks[0].Of(d), play.Breaks[0].Name)
+	o.Send(ctx, d, actors.Breaks[0].Of(d), actors.Breaks[0].Name)
 	if c.err == "broken" {
 		c.doc = c.first
 	}
@@ -231,8 +231,8 @@
 // TestBreaks: each broken document is what its name says, and the whole one it
 // was made of is not.
 func TestBreaks(t *testing.T) {
-	d := &play.Draft{Number: 1, Services: []string{"s", "u"}, Ways: []play.Way{{Name: "p", Host: "h.example", Prefix: "/a/", Repeat: "safe", Split: map[string]int{"s": 1}, Left: time.Second, Tries: 2}}}
-	for _, b := range play.Breaks {
+	d := &actors.Draft{Number: 1, Services: []string{"s", "u"}, Ways: []actors.Way{{Name: "p", Host: "h.example", Prefix: "/a/", Repeat: "safe", Split: map[string]int{"s": 1}, Left: time.Second, Tries: 2}}}
+	for _, b := range actors.Breaks {
 		got := b.Of(d)
 		if got == d.JSON() || (b.Name != "cut short") != json.Valid([]byte(got)) {
 			t.Errorf("%s: %s", b.Name, got)
--- a/internal/stand/play/draft.go
+++ b/internal/standin/actors/draft.go
@@ -1,4 +1,4 @@
-package play
+package actors
 
 import (
 	"encoding/json"
@@ -6,7 +6,7 @@
 	"strings"
 	"time"
 
-	"puffincrank/internal/stand/witness"
+	"puffincrank/internal/standin/checker"
 )
 
 // Way is one path of a draft.
@@ -70,10 +70,10 @@
 }
 
 // Doc is the draft for the witness.
-func (d *Draft) Doc() *witness.Doc {
-	c := &witness.Doc{Number: d.Number, Raw: d.JSON()}
+func (d *Draft) Doc() *checker.Doc {
+	c := &checker.Doc{Number: d.Number, Raw: d.JSON()}
 	for _, w := range d.Ways {
-		c.Paths = append(c.Paths, witness.Path{Name: w.Name, Host: w.Host, Prefix: w.Prefix, Repeat: w.Repeat == "safe" || w.Repeat == "download", Services: w.Split, Left: w.Left, Tries: w.Tries})
+		c.Paths = append(c.Paths, checker.Path{Name: w.Name, Host: w.Host, Prefix: w.Prefix, Repeat: w.Repeat == "safe" || w.Repeat == "download", Services: w.Split, Left: w.Left, Tries: w.Tries})
 	}
 	return c
 }
--- a/internal/stand/play/gone_test.go
+++ b/internal/standin/actors/gone_test.go
@@ -1,4 +1,4 @@
-package play_test
+package actors_test
 
 import (
 	"context"
--- a/internal/stand/play/hold.go
+++ b/internal/standin/actors/hold.go
@@ -1,4 +1,4 @@
-package play
+package actors
 
 import (
 	"context"
@@ -6,7 +6,7 @@
 	"net/http"
 	"time"
 
-	"puffincrank/internal/stand/witness"
+	"puffincrank/internal/standin/checker"
 	"puffincrank/internal/task"
 )
 
@@ -29,7 +29,7 @@
 	}
 	// It counts itself holder from the answer on, for the time from before the
 	// call was sent.
-	h := &witness.Hold{Name: name, Owner: owner, Fence: got.Num, From: got.To, Until: got.From.Add(ttl)}
+	h := &checker.Hold{Name: name, Owner: owner, Fence: got.Num, From: got.To, Until: got.From.Add(ttl)}
 	a.Wit.Holds(h)
 	switch a.dice.below(holderKinds) {
 	case givesBack:
@@ -60,19 +60,19 @@
 	}
 	a.Wit.Change(func() { h.Until = earlier(h.Until, time.Now()) })
 	body := map[string]any{"owner": owner, "fence": h.Fence}
-	a.call(ctx, witness.Op{Kind: witness.Free, Name: name, Owner: owner}, http.MethodDelete, "locks/"+name, body, 2*time.Second, 0)
+	a.call(ctx, checker.Op{Kind: checker.Free, Name: name, Owner: owner}, http.MethodDelete, "locks/"+name, body, 2*time.Second, 0)
 }
 
-func (a *Apps) take(ctx context.Context, owner, name string, ttl time.Duration) *witness.Op {
+func (a *Apps) take(ctx context.Context, owner, name string, ttl time.Duration) *checker.Op {
 	body := map[string]any{"owner": owner, "ttl_ms": ttl.Milliseconds()}
-	return a.call(ctx, witness.Op{Kind: witness.Take, Name: name, Owner: owner}, http.MethodPost, "locks/"+name, body, 2*time.Second, 0)
+	return a.call(ctx, checker.Op{Kind: checker.Take, Name: name, Owner: owner}, http.MethodPost, "locks/"+name, body, 2*time.Second, 0)
 }
 
 // renew asks for more time; a 200 after the time has run out counts for
 // nothing, and the lock is given up.
-func (a *Apps) renew(ctx context.Context, h *witness.Hold, ttl time.Duration) bool {
+func (a *Apps) renew(ctx context.Context, h *checker.Hold, ttl time.Duration) bool {
 	body := map[string]any{"owner": h.Owner, "fence": h.Fence, "ttl_ms": ttl.Milliseconds()}
-	got := a.call(ctx, witness.Op{Kind: witness.Renew, Name: h.Name, Owner: h.Owner}, http.MethodPut, "locks/"+h.Name, body, time.Second, 0)
+	got := a.call(ctx, checker.Op{Kind: checker.Renew, Name: h.Name, Owner: h.Owner}, http.MethodPut, "locks/"+h.Name, body, time.Second, 0)
 	if got.Code != 200 || !got.To.Before(h.Until) {
 		if got.Code == 409 {
 			a.Wit.Change(func() { h.Until = earlier(h.Until, time.Now()) })
@@ -119,8 +119,8 @@
 	}
 }
 
-func (a *Apps) look(ctx context.Context, group string, after uint64, wait time.Duration, final bool) *witness.Op {
-	o := witness.Op{Kind: witness.Watch, Name: group, After: after, Final: final}
+func (a *Apps) look(ctx context.Context, group string, after uint64, wait time.Duration, final bool) *checker.Op {
+	o := checker.Op{Kind: checker.Watch, Name: group, After: after, Final: final}
 	return a.call(ctx, o, http.MethodGet, fmt.Sprintf("watch/%s?after=%d&wait_ms=%d", group, after, wait.Milliseconds()), nil, a.long(final), wait)
 }
 
@@ -139,15 +139,15 @@
 	}
 	for n := range a.Numbers {
 		name := fmt.Sprintf("n%d", n)
-		a.call(ctx, witness.Op{Kind: witness.Number, Name: name, Final: true}, http.MethodPost, "numbers/"+name, map[string]any{}, 4*time.Second, 0)
+		a.call(ctx, checker.Op{Kind: checker.Number, Name: name, Final: true}, http.MethodPost, "numbers/"+name, map[string]any{}, 4*time.Second, 0)
 	}
 	for n := range a.Locks {
 		name := fmt.Sprintf("l%d", n)
 		ttl := time.Second
 		body := map[string]any{"owner": "last", "ttl_ms": ttl.Milliseconds()}
-		got := a.call(ctx, witness.Op{Kind: witness.Take, Name: name, Owner: "last", Final: true}, http.MethodPost, "locks/"+name, body, 4*time.Second, 0)
+		got := a.call(ctx, checker.Op{Kind: checker.Take, Name: name, Owner: "last", Final: true}, http.MethodPost, "locks/"+name, body, 4*time.Second, 0)
 		if got.Code == 200 {
-			a.Wit.Holds(&witness.Hold{Name: name, Owner: "last", Fence: got.Num, From: got.To, Until: got.From.Add(ttl)})
+			a.Wit.Holds(&checker.Hold{Name: name, Owner: "last", Fence: got.Num, From: got.To, Until: got.From.Add(ttl)})
 		}
 	}
 }
--- a/internal/stand/play/leave_test.go
+++ b/internal/standin/actors/leave_test.go
@@ -1,4 +1,4 @@
-package play_test
+package actors_test
 
 import (
 	"bytes"
@@ -15,7 +15,7 @@
 	"puffincrank/internal/env"
 	"puffincrank/internal/event"
 	"puffincrank/internal/httpapi"
-	"puffincrank/internal/stand/play"
+	"puffincrank/internal/standin/actors"
 )
 
 // TestLeave: a worker that leaves says so until it is heard, serves on for its
@@ -34,7 +34,7 @@
 			}
 			<-time.After(2 * time.Second)
 			from := time.Now()
-			d.k.LeaveBy(context.Background(), play.Manner{})
+			d.k.LeaveBy(context.Background(), actors.Manner{})
 			took := time.Since(from)
 			d.g.Stop()
 			<-time.After(time.Second)
@@ -66,7 +66,7 @@
 		<-time.After(2 * time.Second)
 		said = nil
 		from := time.Now()
-		d.k.LeaveBy(context.Background(), play.Manner{SignsOff: true, Late: time.Second, More: time.Second})
+		d.k.LeaveBy(context.Background(), actors.Manner{SignsOff: true, Late: time.Second, More: time.Second})
 		if took := time.Since(from); took < 3*time.Second || took > 4*time.Second {
 			t.Errorf("left in %v", took)
 		}
--- a/internal/stand/play/operator.go
+++ b/internal/standin/actors/operator.go
@@ -1,4 +1,4 @@
-package play
+package actors
 
 import (
 	"context"
@@ -8,23 +8,23 @@
 	"time"
 
 	"puffincrank/internal/env"
-	"puffincrank/internal/stand/witness"
+	"puffincrank/internal/standin/checker"
 	"puffincrank/internal/task"
 )
 
 // Operator sends whole documents by number and reads them back.
 type Operator struct {
 	E    env.Env
-	Wit  *witness.Witness
+	Wit  *checker.Witness
 	At   func() []string // the nodes that take its calls, as it knows them
 	Give time.Duration   // how long it sends a document without a clear answer
 	dice *dice
 	mu   sync.Mutex
-	sent []*witness.Doc
+	sent []*checker.Doc
 }
 
 // NewOperator makes an operator who knows the given nodes.
-func NewOperator(e env.Env, at func() []string, wit *witness.Witness, seed uint64) *Operator {
+func NewOperator(e env.Env, at func() []string, wit *checker.Witness, seed uint64) *Operator {
 	return &Operator{E: e, Wit: wit, At: at, Give: 30 * time.Second, dice: newDice(seed)}
 }
 
@@ -59,7 +59,7 @@
 // Again sends a document that was sent before once more, as it was.
 func (o *Operator) Again(ctx context.Context) {
 	o.mu.Lock()
-	var old *witness.Doc
+	var old *checker.Doc
 	if n := len(o.sent); n > 1 {
 		old = o.sent[o.dice.below(n-1)]
 	}
@@ -69,7 +69,7 @@
 	}
 }
 
-func (o *Operator) put(ctx context.Context, doc *witness.Doc) bool {
+func (o *Operator) put(ctx context.Context, doc *checker.Doc) bool {
 	at, rest, odd := "", 100*time.Millisecond, 0
 	long := time.Second + time.Duration(len(doc.Raw)/1000)*time.Millisecond
 	for from := time.Now(); time.Since(from) < o.Give && ctx.Err() == nil; {
@@ -94,7 +94,7 @@
 	return false
 }
 
-func (o *Operator) refused(doc *witness.Doc) {
+func (o *Operator) refused(doc *checker.Doc) {
 	o.Wit.Change(func() {
 		if doc.Refused.IsZero() {
 			doc.Refused = time.Now()
@@ -114,19 +114,19 @@
 			return
 		}
 		if time.Since(from) > long || ctx.Err() != nil {
-			o.Wit.ReadBack(witness.Read{From: asked, At: time.Now(), Final: final})
+			o.Wit.ReadBack(checker.Read{From: asked, At: time.Now(), Final: final})
 			return
 		}
 		task.Sleep(ctx, 200*time.Millisecond)
 	}
 }
 
-func (o *Operator) look(asked time.Time, raw string, final bool) witness.Read {
+func (o *Operator) look(asked time.Time, raw string, final bool) checker.Read {
 	var got struct {
 		Version uint64 `json:"version"`
 	}
 	_ = json.Unmarshal([]byte(raw), &got)
-	r := witness.Read{From: asked, At: time.Now(), Number: got.Version, Final: final, Came: true}
+	r := checker.Read{From: asked, At: time.Now(), Number: got.Version, Final: final, Came: true}
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	for _, d := range o.sent {
--- a/internal/stand/play/plain.go
+++ b/internal/standin/actors/plain.go
@@ -1,7 +1,7 @@
-// Package play holds the stand-ins of a deployment that speaks a tongue other
+// Package actors holds the stand-ins of a deployment that speaks a tongue other
 // than the product's own: its workers, clients, operators and applications,
 // on bare sockets, so that each can behave as badly as real ones do.
-package play
+package actors
 
 import (
 	"math/rand/v2"
--- a/internal/stand/play/play_test.go
+++ b/internal/standin/actors/play_test.go
@@ -1,4 +1,4 @@
-package play_test
+package actors_test
 
 import (
 	"bytes"
@@ -16,8 +16,8 @@
 	"puffincrank/internal/event"
 	"puffincrank/internal/httpapi"
 	"puffincrank/internal/sim"
-	"puffincrank/internal/stand/play"
-	"puffincrank/internal/stand/witness"
+	"puffincrank/internal/standin/actors"
+	"puffincrank/internal/standin/checker"
 	"puffincrank/internal/task"
 )
 
@@ -26,29 +26,29 @@
 	t    *testing.T
 	net  *sim.Net
 	g    *task.Group
-	wit  *witness.Witness
-	k    *play.Worker
-	c    *play.Client
-	line *play.Line
+	wit  *checker.Witness
+	k    *actors.Worker
+	c    *actors.Client
+	line *actors.Line
 	// How the front errs; nil: it passes on what it gets, once.
 	err func(w http.ResponseWriter, r *http.Request, body []byte, send func() (*http.Response, []byte, error)) bool
 }
 
-func newGround(t *testing.T, w play.Ways, err func(http.ResponseWriter, *http.Request, []byte, func() (*http.Response, []byte, error)) bool) *ground {
-	d := &ground{t: t, net: sim.NewNet(1, time.Millisecond, time.Millisecond), g: task.New(context.Background()), wit: witness.New(witness.Usual), err: err}
+func newGround(t *testing.T, w actors.Ways, err func(http.ResponseWriter, *http.Request, []byte, func() (*http.Response, []byte, error)) bool) *ground {
+	d := &ground{t: t, net: sim.NewNet(1, time.Millisecond, time.Millisecond), g: task.New(context.Background()), wit: checker.New(checker.Usual), err: err}
 	d.net.Place("10.0.0.1", "x")
 	d.net.Place("10.0.0.2", "x")
 	e := env.Env{Net: d.net.Host("10.0.0.1"), Log: event.New("h1", nil), Wall: time.Now}
-	d.line = &play.Line{Kind: "read", Host: "h.example", Method: "GET", Prefix: "/a/", Repeat: true, Rate: 50, Back: 300, Work: 20 * time.Millisecond, Left: 800 * time.Millisecond, Further: 1}
-	doc := &witness.Doc{Number: 1, Paths: []witness.Path{{Host: "h.example", Prefix: "/a/", Repeat: true, Services: map[string]int{"s": 1}}, {Host: "h.example", Prefix: "/b/", Services: map[string]int{"s": 1}}}}
+	d.line = &actors.Line{Kind: "read", Host: "h.example", Method: "GET", Prefix: "/a/", Repeat: true, Rate: 50, Back: 300, Work: 20 * time.Millisecond, Left: 800 * time.Millisecond, Further: 1}
+	doc := &checker.Doc{Number: 1, Paths: []checker.Path{{Host: "h.example", Prefix: "/a/", Repeat: true, Services: map[string]int{"s": 1}}, {Host: "h.example", Prefix: "/b/", Services: map[string]int{"s": 1}}}}
 	d.wit.Offer(doc)
 	d.wit.Took(doc, "c1")
 	if err := httpapi.Serve(d.g, e, "10.0.0.1:8000", http.HandlerFunc(d.front), time.Second); err != nil {
 		t.Fatal(err)
 	}
-	d.k, _ = play.Start(e, play.Plain, witness.Worker{Name: "w1", Service: "s", Machine: "10.0.0.1"}, "10.0.0.1:9000", "10.0.0.1:8000", []string{"10.0.0.1:7003"}, w, d.wit, 1)
+	d.k, _ = actors.Start(e, actors.Plain, checker.Worker{Name: "w1", Service: "s", Machine: "10.0.0.1"}, "10.0.0.1:9000", "10.0.0.1:8000", []string{"10.0.0.1:7003"}, w, d.wit, 1)
 	e.Net = d.net.Host("10.0.0.2")
-	d.c = play.NewClient(e, play.Plain, "10.0.0.1:8000", "10.0.0.1", "c", d.wit, d.g, 2)
+	d.c = actors.NewClient(e, actors.Plain, "10.0.0.1:8000", "10.0.0.1", "c", d.wit, d.g, 2)
 	return d
 }
 
@@ -62,8 +62,8 @@
 		out, _ := http.NewRequestWithContext(r.Context(), r.Method, "http://10.0.0.1:9000"+r.RequestURI, bytes.NewReader(body))
 		out.Header = r.Header.Clone()
 		out.Header.Del("Connection")
-		out.Header.Set(play.Plain.CallerService, "s")
-		out.Header.Set(play.Plain.ExpectedWorker, "w1")
+		out.Header.Set(actors.Plain.CallerService, "s")
+		out.Header.Set(actors.Plain.ExpectedWorker, "w1")
 		way := &http.Transport{DisableKeepAlives: true, DialContext: func(ctx context.Context, _, a string) (net.Conn, error) { return d.net.Host("10.0.0.1").Dial(ctx, a) }}
 		got, err := way.RoundTrip(out)
 		if err != nil {
@@ -86,7 +86,7 @@
 		w.WriteHeader(http.StatusBadGateway)
 		return
 	}
-	for _, n := range []string{play.Plain.AttemptID, play.Plain.ResponseDigest, play.Plain.NotExecuted} {
+	for _, n := range []string{actors.Plain.AttemptID, actors.Plain.ResponseDigest, actors.Plain.NotExecuted} {
 		if v := got.Header.Get(n); v != "" {
 			w.Header().Set(n, v)
 		}
@@ -97,7 +97,7 @@
 }
 
 // play runs a load and gives the verdict.
-func (d *ground) play(long time.Duration, lines ...*play.Line) map[string]int {
+func (d *ground) play(long time.Duration, lines ...*actors.Line) map[string]int {
 	ctx, end := context.WithTimeout(context.Background(), long)
 	defer end()
 	for _, l := range append(lines, d.line) {
@@ -117,7 +117,7 @@
 	return bad
 }
 
-var usual = play.Ways{Slots: 8, Queue: 4, Conns: 60, Hello: 1500 * time.Microsecond, Idle: 4 * time.Second, Speed: 1, Crowd: 1.5, Cold: 3 * time.Second, ColdBy: 2, Hop: 0.02, Drain: 2 * time.Second, Fitness: "/health"}
+var usual = actors.Ways{Slots: 8, Queue: 4, Conns: 60, Hello: 1500 * time.Microsecond, Idle: 4 * time.Second, Speed: 1, Crowd: 1.5, Cold: 3 * time.Second, ColdBy: 2, Hop: 0.02, Drain: 2 * time.Second, Fitness: "/health"}
 
 // TestHonest: a front that passes on what it gets breaks no rule, with bodies,
 // repeats, a worker that is full, loses and spoils answers, and calls of its own.
@@ -127,9 +127,9 @@
 			w := usual
 			w.Resets = resets
 			d := newGround(t, w, nil)
-			put := &play.Line{Kind: "put", Host: "h.example", Method: "POST", Prefix: "/b/", Rate: 20, Size: 20000, Back: 40000, Work: 60 * time.Millisecond, Left: time.Second, Further: 2}
-			d.line.Calls = []play.Call{{Line: put, Share: 0.1}}
-			d.k.Fall(play.Ills{Lose: 0.02, Spoil: 0.05, Fail: 0.01})
+			put := &actors.Line{Kind: "put", Host: "h.example", Method: "POST", Prefix: "/b/", Rate: 20, Size: 20000, Back: 40000, Work: 60 * time.Millisecond, Left: time.Second, Further: 2}
+			d.line.Calls = []actors.Call{{Line: put, Share: 0.1}}
+			d.k.Fall(actors.Ills{Lose: 0.02, Spoil: 0.05, Fail: 0.01})
 			if bad := d.play(15*time.Second, put); len(bad) > 0 {
 				t.Errorf("blamed: %v", bad)
 			}
@@ -148,20 +148,20 @@
 		rule string
 		err  func(w http.ResponseWriter, r *http.Request, body []byte, send func() (*http.Response, []byte, error)) bool
 	}{
-		{witness.Twice, func(_ http.ResponseWriter, _ *http.Request, _ []byte, send func() (*http.Response, []byte, error)) bool {
+		{checker.Twice, func(_ http.ResponseWriter, _ *http.Request, _ []byte, send func() (*http.Response, []byte, error)) bool {
 			_, _, _ = send()
 			return false
 		}},
-		{witness.Refused, func(w http.ResponseWriter, _ *http.Request, _ []byte, send func() (*http.Response, []byte, error)) bool {
+		{checker.Refused, func(w http.ResponseWriter, _ *http.Request, _ []byte, send func() (*http.Response, []byte, error)) bool {
 			_, _, _ = send()
 			w.WriteHeader(http.StatusServiceUnavailable)
 			return true
 		}},
-		{witness.Unasked, func(_ http.ResponseWriter, r *http.Request, _ []byte, _ func() (*http.Response, []byte, error)) bool {
+		{checker.Unasked, func(_ http.ResponseWriter, r *http.Request, _ []byte, _ func() (*http.Response, []byte, error)) bool {
 			r.RequestURI += "&more=1"
 			return false
 		}},
-		{witness.Mixed, func(w http.ResponseWriter, _ *http.Request, _ []byte, send func() (*http.Response, []byte, error)) bool {
+		{checker.Mixed, func(w http.ResponseWriter, _ *http.Request, _ []byte, send func() (*http.Response, []byte, error)) bool {
 			got, all, err := send()
 			if was := last.Swap(&all); was != nil && err == nil {
 				all = *was
@@ -169,14 +169,14 @@
 			pass(w, got, all, err)
 			return true
 		}},
-		{witness.Mixed, func(w http.ResponseWriter, _ *http.Request, _ []byte, _ func() (*http.Response, []byte, error)) bool {
+		{checker.Mixed, func(w http.ResponseWriter, _ *http.Request, _ []byte, _ func() (*http.Response, []byte, error)) bool {
 			c, _, err := w.(http.Hijacker).Hijack()
 			if err == nil {
 				_, _ = c.Write([]byte("HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"))
 			}
 			return true
 		}},
-		{witness.Denied, func(w http.ResponseWriter, _ *http.Request, _ []byte, _ func() (*http.Response, []byte, error)) bool {
+		{checker.Denied, func(w http.ResponseWriter, _ *http.Request, _ []byte, _ func() (*http.Response, []byte, error)) bool {
 			w.WriteHeader(http.StatusForbidden)
 			return true
 		}},
@@ -204,7 +204,7 @@
 				}
 				return true
 			})
-			if bad := d.play(time.Second); (bad[witness.Mixed] > 0) != mixed {
+			if bad := d.play(time.Second); (bad[checker.Mixed] > 0) != mixed {
 				t.Errorf("%q: blamed %v", head, bad)
 			}
 		})
--- a/internal/stand/play/wire.go
+++ b/internal/standin/actors/wire.go
@@ -1,4 +1,4 @@
-package play
+package actors
 
 import (
 	"bufio"
@@ -14,7 +14,7 @@
 	"sync"
 	"time"
 
-	"puffincrank/internal/stand/witness"
+	"puffincrank/internal/standin/checker"
 )
 
 // wire is one connection of a client to the node.
@@ -23,8 +23,8 @@
 	r     *bufio.Reader
 	tail  *tail
 	mu    sync.Mutex
-	t     *witness.Try // who waits for an answer
-	to    chan witness.Answer
+	t     *checker.Try // who waits for an answer
+	to    chan checker.Answer
 	over  bool
 	until time.Time // to be left alone after
 	n     int
@@ -116,7 +116,7 @@
 	return true
 }
 
-func (w *wire) expect(t *witness.Try, to chan witness.Answer) bool {
+func (w *wire) expect(t *checker.Try, to chan checker.Answer) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.t, w.to = t, to
@@ -125,7 +125,7 @@
 }
 
 // write sends a request, its body with a length or in chunks.
-func (w *wire) write(t *witness.Try, body []byte, c *Client, last bool) error {
+func (w *wire) write(t *checker.Try, body []byte, c *Client, last bool) error {
 	var b bytes.Buffer
 	ms := max(time.Until(t.From.Add(t.Left)).Milliseconds(), 1)
 	t.Told = time.Since(t.From) + time.Duration(ms)*time.Millisecond
@@ -175,7 +175,7 @@
 			w.over = true
 			w.mu.Unlock()
 			if to != nil {
-				to <- witness.Answer{Why: err.Error(), Taken: w.taken()}
+				to <- checker.Answer{Why: err.Error(), Taken: w.taken()}
 			}
 			_ = w.c.Close()
 			return
@@ -200,7 +200,7 @@
 }
 
 // read reads one answer.
-func (w *wire) read(c *Client, t *witness.Try) (a witness.Answer, on bool) {
+func (w *wire) read(c *Client, t *checker.Try) (a checker.Answer, on bool) {
 	req := &http.Request{Method: t.Method}
 	got, err := http.ReadResponse(w.r, req)
 	for err == nil && got.StatusCode >= 100 && got.StatusCode < 200 {
@@ -210,11 +210,11 @@
 		// The end of the connection is no bytes, and no answer.
 		var n net.Error
 		cut := errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) || errors.Is(err, net.ErrClosed) || errors.As(err, &n) || w.tail.cutInHead(w.r, err)
-		return witness.Answer{Broken: !cut, Taken: true, Why: err.Error()}, false
+		return checker.Answer{Broken: !cut, Taken: true, Why: err.Error()}, false
 	}
 	body, err := io.ReadAll(got.Body)
 	_ = got.Body.Close()
-	a = witness.Answer{Status: got.StatusCode, ID: got.Header.Get(c.Say.AttemptID), Stamp: got.Header.Get(c.Say.ResponseDigest), Body: witness.BodyOf(body), Whole: err == nil, Taken: true}
+	a = checker.Answer{Status: got.StatusCode, ID: got.Header.Get(c.Say.AttemptID), Stamp: got.Header.Get(c.Say.ResponseDigest), Body: checker.BodyOf(body), Whole: err == nil, Taken: true}
 	if got.Header.Get("Content-Encoding") != "" {
 		a.Body.Sum++
 	}
@@ -238,7 +238,7 @@
 }
 
 // good tells whether a connection may serve another request.
-func (w *wire) good(a witness.Answer) bool {
+func (w *wire) good(a checker.Answer) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return !w.over && a.Whole && a.Status != 0
--- a/internal/stand/play/work.go
+++ b/internal/standin/actors/work.go
@@ -1,4 +1,4 @@
-package play
+package actors
 
 import (
 	"bufio"
@@ -8,7 +8,7 @@
 	"strconv"
 	"time"
 
-	"puffincrank/internal/stand/witness"
+	"puffincrank/internal/standin/checker"
 	"puffincrank/internal/task"
 )
 
@@ -23,7 +23,7 @@
 	after string // a surplus answer that comes before the next one's
 	left  chan struct{}
 	seen  chan struct{}
-	v     *witness.Visit
+	v     *checker.Visit
 	id    string
 	end   time.Time
 }
@@ -71,7 +71,7 @@
 	if s.req.Method == http.MethodGet && s.req.URL.Path == k.W.Fitness && s.id == "" {
 		return s.fitness()
 	}
-	s.v = &witness.Visit{Worker: k.Worker, Method: s.req.Method, URI: s.req.RequestURI, From: h.Get(k.say.CallerService), To: h.Get(k.say.ExpectedWorker), Body: witness.BodyOf(s.body), Given: given}
+	s.v = &checker.Visit{Worker: k.Worker, Method: s.req.Method, URI: s.req.RequestURI, From: h.Get(k.say.CallerService), To: h.Get(k.say.ExpectedWorker), Body: checker.BodyOf(s.body), Given: given}
 	k.wit.Arrive(s.v, s.id)
 	switch {
 	case s.id == "":
--- a/internal/stand/play/worker.go
+++ b/internal/standin/actors/worker.go
@@ -1,4 +1,4 @@
-package play
+package actors
 
 import (
 	"bufio"
@@ -11,7 +11,7 @@
 
 	"puffincrank/internal/dialect"
 	"puffincrank/internal/env"
-	"puffincrank/internal/stand/witness"
+	"puffincrank/internal/standin/checker"
 	"puffincrank/internal/task"
 )
 
@@ -50,7 +50,7 @@
 
 // Worker is one life of a worker.
 type Worker struct {
-	*witness.Worker
+	*checker.Worker
 	Addr  string
 	Front string // where its own calls go: the node beside it
 	Beats []string
@@ -58,7 +58,7 @@
 	say   dialect.Dialect
 	e     env.Env
 	g     *task.Group
-	wit   *witness.Witness
+	wit   *checker.Witness
 	dice  *dice
 	room  *room
 	born  time.Time
@@ -75,7 +75,7 @@
 
 // Start starts a worker; beats go to the first of the given addresses, and to
 // the next after a second without an answer.
-func Start(e env.Env, say dialect.Dialect, id witness.Worker, addr, front string, beats []string, w Ways, wit *witness.Witness, seed uint64) (*Worker, error) {
+func Start(e env.Env, say dialect.Dialect, id checker.Worker, addr, front string, beats []string, w Ways, wit *checker.Witness, seed uint64) (*Worker, error) {
 	k := &Worker{Worker: &id, Addr: addr, Front: front, Beats: beats, W: w, say: say, e: e, g: task.New(context.Background()), wit: wit, dice: newDice(seed),
 		room: &room{slots: w.Slots, queue: w.Queue}, born: time.Now(), state: "up", conns: map[net.Conn]bool{}, Over: make(chan struct{})}
 	k.calls = &Client{E: e, Say: say, Front: front, Machine: id.Machine, Wit: wit, G: k.g, Keep: 0.7, dice: k.dice, name: "n-" + id.Name + "-"}
--- a/internal/stand/witness/kept.go
+++ b/internal/standin/checker/kept.go
@@ -1,4 +1,4 @@
-package witness
+package checker
 
 // keptCutsAtMost is how many requests of kept connections may be passed on to a
 // worker and end with their connections, in a whole day.
--- a/internal/stand/witness/kept_test.go
+++ b/internal/standin/checker/kept_test.go
@@ -1,4 +1,4 @@
-package witness
+package checker
 
 // keptCuts has requests of kept connections passed on and cut off, at any time.
 func keptCuts() []breach {
--- a/internal/stand/witness/risk.go
+++ b/internal/standin/checker/risk.go
@@ -1,4 +1,4 @@
-package witness
+package checker
 
 import "time"
 
--- a/internal/stand/witness/tries.go
+++ b/internal/standin/checker/tries.go
@@ -1,4 +1,4 @@
-package witness
+package checker
 
 // beyondTriesAtMost is how many tries of clients may run on more workers than their
 // path's tries, in a whole day.
--- a/internal/stand/witness/witness.go
+++ b/internal/standin/checker/witness.go
@@ -1,6 +1,6 @@
-// Package witness writes down what clients, workers and operators of a played
+// Package checker writes down what clients, workers and operators of a played
 // day see on their sockets, and counts every breach of a rule from that alone.
-package witness
+package checker
 
 import (
 	"fmt"
--- a/internal/stand/coord_test.go
+++ b/internal/standin/coord_test.go
@@ -1,4 +1,4 @@
-package stand_test
+package standin_test
 
 import (
 	"context"
@@ -14,7 +14,7 @@
 	"puffincrank/internal/event"
 	"puffincrank/internal/httpapi"
 	"puffincrank/internal/sim"
-	"puffincrank/internal/stand"
+	"puffincrank/internal/standin"
 	"puffincrank/internal/task"
 )
 
@@ -49,13 +49,13 @@
 		if err := httpapi.Serve(g, e, "h1:1", &broken{}, time.Second); err != nil {
 			t.Fatal(err)
 		}
-		o := stand.NewObserver()
+		o := standin.NewObserver()
 		e.Net = net.Host("h2")
-		c := stand.NewCoord(e, []string{"h1:1"}, o)
+		c := standin.NewCoord(e, []string{"h1:1"}, o)
 		c.Run(6, 60, 5*time.Second)
 		g.Stop()
 		bad, _ := o.Verdict()
-		for _, k := range stand.CoordKinds {
+		for _, k := range standin.CoordKinds {
 			if bad[k] == 0 {
 				t.Errorf("not caught: %s", k)
 			}
--- a/internal/stand/counts.go
+++ b/internal/standin/counts.go
@@ -1,4 +1,4 @@
-package stand
+package standin
 
 // Under tells how many jobs it runs just now.
 func (k *Worker) Under() int {
--- a/internal/stand/verdict.go
+++ b/internal/standin/verdict.go
@@ -1,4 +1,4 @@
-package stand
+package standin
 
 import (
 	"encoding/json"
--- a/internal/stand/worker.go
+++ b/internal/standin/worker.go
@@ -1,6 +1,6 @@
-// Package stand holds stand-ins for what the mesh serves: workers and callers,
+// Package standin holds stand-ins for what the mesh serves: workers and callers,
 // and the observer who counts what must never happen.
-package stand
+package standin
 
 import (
 	"bytes"
