--- a/internal/proxy/acknowledge.go
+++ b/internal/proxy/acknowledge.go
@@ -13,75 +13,75 @@
 )
 
 const (
-	// tellAtOnce is how many control nodes are told of a leave; one that has
+	// leaveFanout is how many control nodes are told of a leave; one that has
 	// noted it is enough, and the others hear of it by gossip.
-	tellAtOnce = 3
-	// tellWithin bounds the wait for the first of them: a worker waits a second
+	leaveFanout = 3
+	// leaveTimeout bounds the wait for the first of them: a worker waits a second
 	// for its acknowledgement.
-	tellWithin = 600 * time.Millisecond
+	leaveTimeout = 600 * time.Millisecond
 )
 
 // acknowledge answers a worker's call that was taken. That it leaves is a promise,
 // which has to hold when this process is gone: it is acknowledged when a control
 // node has it too.
 func (x *Proxy) acknowledge(w http.ResponseWriter, r *http.Request, worker, state string, body any) {
-	if state != saysUp && !x.leaveKept(r.Context(), worker, state) {
-		httpapi.WriteBusy(w, "no control node has noted the leave yet", x.Settings.HeartbeatInterval(), x.say.FractionalRetryAfter)
+	if state != stateUp && !x.leaveRecorded(r.Context(), worker, state) {
+		httpapi.WriteBusy(w, "no control node has noted the leave yet", x.Settings.HeartbeatInterval(), x.dialect.FractionalRetryAfter)
 		return
 	}
 	httpapi.WriteJSON(w, http.StatusOK, body)
 }
 
-// leaveKept tells whether a control node has noted what a worker said of its leave,
+// leaveRecorded tells whether a control node has noted what a worker said of its leave,
 // and sees to it.
-func (x *Proxy) leaveKept(ctx context.Context, worker, state string) bool {
-	x.calling.Lock()
-	kept := x.kept[worker] == state
-	x.calling.Unlock()
-	if kept {
+func (x *Proxy) leaveRecorded(ctx context.Context, worker, state string) bool {
+	x.workerCallMu.Lock()
+	recorded := x.recordedLeaves[worker] == state
+	x.workerCallMu.Unlock()
+	if recorded {
 		return true
 	}
-	word := x.rep.EntriesOf(worker)
-	if word.Empty() {
+	entries := x.replica.EntriesOf(worker)
+	if entries.Empty() {
 		// Nobody else knows of the worker, unless this node has not been told yet.
-		return !x.life.Is("starting")
+		return !x.lifecycle.Is("starting")
 	}
-	if !x.tellControl(ctx, word) {
+	if !x.recordLeave(ctx, entries) {
 		return false
 	}
-	x.calling.Lock()
-	x.kept[worker] = state
-	x.calling.Unlock()
+	x.workerCallMu.Lock()
+	x.recordedLeaves[worker] = state
+	x.workerCallMu.Unlock()
 	return true
 }
 
-// tellControl hands a word on a worker to some control nodes at once, and tells
+// recordLeave hands a word on a worker to some control nodes at once, and tells
 // whether one has noted it.
-func (x *Proxy) tellControl(ctx context.Context, word ormap.Delta) bool {
-	ctx, end := context.WithTimeout(ctx, min(tellWithin, x.Settings.CallTimeout()))
+func (x *Proxy) recordLeave(ctx context.Context, entries ormap.Delta) bool {
+	ctx, end := context.WithTimeout(ctx, min(leaveTimeout, x.Settings.CallTimeout()))
 	defer end()
-	core := x.touch.ControlNodes()
-	core = core[:min(len(core), tellAtOnce)]
-	noted := make(chan bool, len(core))
-	for _, at := range core {
-		if !x.g.Go("tell-leave", func(context.Context) { noted <- x.tellOne(ctx, at, word) }) {
+	controlNodes := x.control.ControlNodes()
+	controlNodes = controlNodes[:min(len(controlNodes), leaveFanout)]
+	recorded := make(chan bool, len(controlNodes))
+	for _, addr := range controlNodes {
+		if !x.group.Go("tell-leave", func(context.Context) { recorded <- x.recordLeaveAt(ctx, addr, entries) }) {
 			return false
 		}
 	}
-	for range core {
-		if <-noted {
+	for range controlNodes {
+		if <-recorded {
 			return true
 		}
 	}
 	return false
 }
 
-// tellOne hands it to one control node.
-func (x *Proxy) tellOne(ctx context.Context, at string, word ormap.Delta) bool {
-	_, err := transport.Call[struct{}](ctx, x.n, at, protocol.WorkerLeavingKind, word)
+// recordLeaveAt hands it to one control node.
+func (x *Proxy) recordLeaveAt(ctx context.Context, addr string, entries ormap.Delta) bool {
+	_, err := transport.Call[struct{}](ctx, x.node, addr, protocol.WorkerLeavingKind, entries)
 	if fault.Is(err, fault.Refused) {
 		// One of an earlier version notes it, though not on its disk.
-		_, err = transport.Call[struct{}](ctx, x.n, at, "replica.mend", word)
+		_, err = transport.Call[struct{}](ctx, x.node, addr, "replica.mend", entries)
 	}
 	return err == nil
 }
--- a/internal/proxy/answer.go
+++ b/internal/proxy/answer.go
@@ -10,79 +10,79 @@
 	"puffincrank/internal/responsedigest"
 )
 
-// wrong answers for a job that can't be taken as it came: it was not run.
-func (x *Proxy) wrong(w http.ResponseWriter, code int, why string) {
-	x.mark(w, responsedigest.RanHeader, "no")
-	httpapi.WriteJSON(w, code, httpapi.ErrorBody{Message: why, Ran: "no"})
+// reject answers for a job that can't be taken as it came: it was not run.
+func (x *Proxy) reject(w http.ResponseWriter, code int, message string) {
+	x.setOwnHeader(w, responsedigest.RanHeader, "no")
+	httpapi.WriteJSON(w, code, httpapi.ErrorBody{Message: message, Ran: "no"})
 }
 
-// mark sets one of the mesh's own headers, where the tongue has them.
-func (x *Proxy) mark(w http.ResponseWriter, name, value string) {
-	if x.say.WritesOwnHeaders {
+// setOwnHeader sets one of the mesh's own headers, where the tongue has them.
+func (x *Proxy) setOwnHeader(w http.ResponseWriter, name, value string) {
+	if x.dialect.WritesOwnHeaders {
 		w.Header().Set(name, value)
 	}
 }
 
-// busyNow gives the busy answer: the job was not run and never will be.
-func (x *Proxy) busyNow(w http.ResponseWriter, why string, come time.Duration) {
-	x.mark(w, responsedigest.RanHeader, "no")
-	x.mark(w, responsedigest.ReasonHeader, why)
+// respondBusy gives the busy answer: the job was not run and never will be.
+func (x *Proxy) respondBusy(w http.ResponseWriter, reason string, retryAfter time.Duration) {
+	x.setOwnHeader(w, responsedigest.RanHeader, "no")
+	x.setOwnHeader(w, responsedigest.ReasonHeader, reason)
 	// The caller is told when to come back rather than held here.
-	httpapi.WriteBusy(w, "busy, try later: "+why, come, x.say.FractionalRetryAfter)
+	httpapi.WriteBusy(w, "busy, try later: "+reason, retryAfter, x.dialect.FractionalRetryAfter)
 }
 
-// receipt answers the caller.
-func (x *Proxy) receipt(w http.ResponseWriter, j *job) {
-	if j.back.Outcome != protocol.Done && j.spare != nil {
-		j.back = *j.spare
+// respond answers the caller.
+func (x *Proxy) respond(w http.ResponseWriter, req *request) {
+	if req.result.Outcome != protocol.Done && req.fallback != nil {
+		req.result = *req.fallback
 	}
-	x.score(j)
-	if !j.due.IsZero() && (j.back.Outcome != protocol.Done || j.back.Status >= http.StatusInternalServerError) {
-		x.knows.note(j.path.Name, j.first, j.due)
+	x.recordOutcome(req)
+	if !req.callerDeadline.IsZero() && (req.result.Outcome != protocol.Done || req.result.Status >= http.StatusInternalServerError) {
+		x.callerRetries.record(req.route.Name, req.firstSeen, req.callerDeadline)
 	}
-	if v := j.rules; v != nil {
-		x.mark(w, responsedigest.ConfigVersionHeader, strconv.FormatUint(v.Version, 10))
+	if version := req.rules; version != nil {
+		x.setOwnHeader(w, responsedigest.ConfigVersionHeader, strconv.FormatUint(version.Version, 10))
 	}
 	switch {
-	case j.back.Outcome == protocol.Done:
-		for k, v := range x.passed(j.back.Header) {
-			w.Header()[k] = v
+	case req.result.Outcome == protocol.Done:
+		for k, version := range x.forwardedHeaders(req.result.Header) {
+			w.Header()[k] = version
 		}
-		x.mark(w, responsedigest.WorkerHeader, j.back.Worker)
-		w.Header().Set("Content-Length", strconv.Itoa(len(j.back.Body)))
-		w.WriteHeader(j.back.Status)
-		if j.req.Method != http.MethodHead {
-			_, _ = w.Write(j.back.Body)
+		x.setOwnHeader(w, responsedigest.WorkerHeader, req.result.Worker)
+		w.Header().Set("Content-Length", strconv.Itoa(len(req.result.Body)))
+		w.WriteHeader(req.result.Status)
+		if req.httpReq.Method != http.MethodHead {
+			_, _ = w.Write(req.result.Body)
 		}
-	case j.lost != nil:
+	case req.lost != nil:
 		code := http.StatusBadGateway
-		if j.lost.TimedOut {
+		if req.lost.TimedOut {
 			code = http.StatusGatewayTimeout
 		}
-		x.mark(w, responsedigest.RanHeader, "unknown")
-		httpapi.WriteJSON(w, code, httpapi.ErrorBody{Message: "outcome unknown: " + j.lost.Reason, Ran: "unknown"})
+		x.setOwnHeader(w, responsedigest.RanHeader, "unknown")
+		httpapi.WriteJSON(w, code, httpapi.ErrorBody{Message: "outcome unknown: " + req.lost.Reason, Ran: "unknown"})
 	default:
-		x.busyNow(w, j.why, x.comeback(j))
+		x.respondBusy(w, req.reason, x.callerRetryAfter(req))
 	}
 }
 
-// score counts how a job ended.
-func (x *Proxy) score(j *job) {
+// recordOutcome counts how a job ended.
+func (x *Proxy) recordOutcome(req *request) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	c := &x.count
-	c.Jobs++
-	c.Sends += int64(j.sends)
+	counts := &x.counts
+	counts.Jobs++
+	counts.Sends += int64(req.attempts)
 	switch {
-	case j.back.Outcome == protocol.Done:
-		c.Done++
-		if j.entry.Zone == x.Settings.Zone {
-			c.Near++
+	case req.result.Outcome == protocol.Done:
+		counts.Done++
+		if req.entry.Zone == x.Settings.Zone {
+			counts.Near++
 		}
-	case j.lost != nil:
-		c.Unknown++
+	case req.lost != nil:
+		counts.Unknown++
 	default:
-		c.Refused++
+		counts.Refused++
 	}
-	x.tallyLocked(j)
+	x.countTrialLocked(req)
 }
--- a/internal/proxy/attempts.go
+++ b/internal/proxy/attempts.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// meet notes an attempt; false means that it was here before.
-func (x *Proxy) meet(id string, left time.Duration) bool {
+// recordArrival notes an attempt; false means that it was here before.
+func (x *Proxy) recordArrival(id string, remaining time.Duration) bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	if _, ok := x.met[id]; ok {
+	if _, ok := x.seenAttempts[id]; ok {
 		return false
 	}
 	// Longer than the attempt could still be under way anywhere.
-	x.met[id] = time.Now().Add(2*left + x.Settings.RecoveryBound)
+	x.seenAttempts[id] = time.Now().Add(2*remaining + x.Settings.RecoveryBound)
 	return true
 }
--- a/internal/proxy/back_test.go
+++ b/internal/proxy/back_test.go
@@ -19,14 +19,14 @@
 	x := New(p, env.Env{Wall: time.Now, Sleep: task.Sleep, Log: event.New("n", io.Discard)})
 	doc := []byte(`{"services":[{"name":"s"}],"classes":[{"name":"c","share":100}],"paths":[{"name":"p","prefix":"/p","service":"s","class":"c"}]}`)
 	for _, v := range []uint64{3, 2, 3, 1} {
-		if !x.take(v, doc) || x.rules.Load().Version != 3 {
+		if !x.applyConfig(v, doc) || x.rules.Load().Version != 3 {
 			t.Fatalf("version %d in force after %d came", x.rules.Load().Version, v)
 		}
 	}
-	if x.take(4, []byte("{")) || x.rules.Load().Version != 3 {
+	if x.applyConfig(4, []byte("{")) || x.rules.Load().Version != 3 {
 		t.Error("a broken one was taken")
 	}
-	if !x.take(4, doc) || x.rules.Load().Version != 4 {
+	if !x.applyConfig(4, doc) || x.rules.Load().Version != 4 {
 		t.Error("a newer one was not taken")
 	}
 }
--- a/internal/proxy/beat.go
+++ b/internal/proxy/beat.go
@@ -17,132 +17,132 @@
 	{Name: "state", Type: schema.Text, Required: true, Check: schema.OneOf("up", "draining", "gone"), Rule: "up, draining or gone", Help: "alive, leaving or signed off"},
 }}
 
-// onBeat takes a worker's beat: the whole registration each time, so that a
+// onHeartbeat takes a worker's beat: the whole registration each time, so that a
 // restarted proxy is filled by the next one.
-func (x *Proxy) onBeat(w http.ResponseWriter, r *http.Request) {
+func (x *Proxy) onHeartbeat(w http.ResponseWriter, r *http.Request) {
 	raw, code := httpapi.ReadBody(w, r, 4096)
 	if code != 0 {
 		httpapi.WriteJSON(w, code, httpapi.ErrorBody{Message: "the beat can't be read"})
 		return
 	}
-	in, bad, err := schema.Parse(raw)
+	in, problems, err := schema.Parse(raw)
 	if err != nil {
 		httpapi.WriteJSON(w, http.StatusBadRequest, httpapi.ErrorBody{Message: "not JSON: " + err.Error()})
 		return
 	}
-	v, more := HeartbeatTable.Read(in, "")
-	if bad = append(bad, more...); len(bad) > 0 {
-		x.e.Log.Emit(event.HeartbeatRejected, "faults", len(bad), "first", bad[0].Place)
-		httpapi.WriteJSON(w, http.StatusUnprocessableEntity, httpapi.ErrorBody{Message: "the beat is wrong", Faults: bad})
+	values, more := HeartbeatTable.Read(in, "")
+	if problems = append(problems, more...); len(problems) > 0 {
+		x.env.Log.Emit(event.HeartbeatRejected, "faults", len(problems), "first", problems[0].Place)
+		httpapi.WriteJSON(w, http.StatusUnprocessableEntity, httpapi.ErrorBody{Message: "the beat is wrong", Faults: problems})
 		return
 	}
-	x.takeCall(workerCall{worker: v.Text("worker"), service: v.Text("service"), addr: v.Text("addr"), slots: int(v.Count("slots")), state: v.Text("state")})
-	x.acknowledge(w, r, v.Text("worker"), v.Text("state"), map[string]any{"beat_ms": x.Settings.WorkerHeartbeat().Milliseconds(), "missed_ms": x.Settings.WorkerTimeout().Milliseconds()})
+	x.handleCall(workerCall{worker: values.Text("worker"), service: values.Text("service"), addr: values.Text("addr"), slots: int(values.Count("slots")), state: values.Text("state")})
+	x.acknowledge(w, r, values.Text("worker"), values.Text("state"), map[string]any{"beat_ms": x.Settings.WorkerHeartbeat().Milliseconds(), "missed_ms": x.Settings.WorkerTimeout().Milliseconds()})
 }
 
-// beat does what a worker's call says. x.calling is held.
-func (x *Proxy) beat(c workerCall) {
-	worker, service, addr, slots, say := c.worker, c.service, c.addr, c.slots, c.state
-	if say == saysGone {
-		x.signsOff(worker)
+// applyState does what a worker's call says. x.calling is held.
+func (x *Proxy) applyState(c workerCall) {
+	worker, service, addr, slots, state := c.worker, c.service, c.addr, c.slots, c.state
+	if state == stateGone {
+		x.signOff(worker)
 		return
 	}
 	x.mu.Lock()
-	g := x.gates[worker]
-	var old []*gate
-	for id, o := range x.gates {
+	local := x.workers[worker]
+	var replaced []*localWorker
+	for id, o := range x.workers {
 		// A new identity at a known address, or a changed registration: the
 		// old entry goes first, so that nothing meant for it gets here.
 		if (id != worker && o.addr == addr) || (id == worker && (o.service != service || o.addr != addr)) {
-			old = append(old, o)
-			delete(x.gates, id)
+			replaced = append(replaced, o)
+			delete(x.workers, id)
 		}
 	}
-	if g != nil && x.gates[worker] == nil {
-		g = nil
+	if local != nil && x.workers[worker] == nil {
+		local = nil
 	}
-	if g == nil {
-		g = newGate(worker, service, addr, slots, x.Settings.RetryWindow)
-		x.gates[worker] = g
+	if local == nil {
+		local = newLocalWorker(worker, service, addr, slots, x.Settings.RetryWindow)
+		x.workers[worker] = local
 	}
 	x.mu.Unlock()
-	for _, o := range old {
-		x.e.Log.Emit(event.Evicted, "worker", o.worker, "by", worker, "addr", addr)
-		if o.worker == worker {
-			x.drop(o, "evicted")
+	for _, o := range replaced {
+		x.env.Log.Emit(event.Evicted, "worker", o.id, "by", worker, "addr", addr)
+		if o.id == worker {
+			x.closeAndRemove(o, "evicted")
 		} else {
-			x.departs(o, "evicted")
+			x.closeDeparted(o, "evicted")
 		}
 	}
-	x.hears(g, say == "up")
-	if c.cold > 0 {
-		g.own.SetWarmup(c.cold)
+	x.recordContact(local, state == "up")
+	if c.warmup > 0 {
+		local.stats.SetWarmup(c.warmup)
 	}
-	g.mu.Lock()
-	resized := g.slots != slots
-	g.slots, g.seq = slots, max(g.seq, c.number)
-	sick := g.bad >= 2
-	g.mu.Unlock()
+	local.mu.Lock()
+	resized := local.slots != slots
+	local.slots, local.callSeq = slots, max(local.callSeq, c.number)
+	failing := local.failedProbes >= 2
+	local.mu.Unlock()
 	if resized {
-		x.shapeGate(g, x.rules.Load())
+		x.configureWorkerAdmission(local, x.rules.Load())
 	}
 	// A node that leaves keeps its worker's door shut, whatever the worker says.
-	if say == "up" && (x.held() || x.left.Load()) {
-		say = "draining"
+	if state == "up" && (x.isDrained() || x.workersLeaving.Load()) {
+		state = "draining"
 	}
-	switch say {
+	switch state {
 	case "draining":
-		x.drain(g)
+		x.drainWorker(local)
 	case "up":
-		if !sick && (x.moves(g, "up", "its word") || resized) {
-			x.shapeGate(g, x.rules.Load())
-			g.room.Open()
-			x.enter(g)
+		if !failing && (x.transition(local, "up", "its word") || resized) {
+			x.configureWorkerAdmission(local, x.rules.Load())
+			local.admission.Open()
+			x.register(local)
 		}
-		x.doubt(g)
+		x.publishHealth(local)
 	}
 }
 
-// signsOff takes a worker's last word, also where its gate is not known: this node
+// signOff takes a worker's last word, also where its gate is not known: this node
 // may have started since.
-func (x *Proxy) signsOff(worker string) {
+func (x *Proxy) signOff(worker string) {
 	x.mu.Lock()
-	g := x.gates[worker]
-	delete(x.gates, worker)
+	local := x.workers[worker]
+	delete(x.workers, worker)
 	x.mu.Unlock()
-	if g == nil {
-		x.depart(worker, signedOff)
+	if local == nil {
+		x.recordDeparture(worker, reasonSignedOff)
 		return
 	}
-	x.departs(g, signedOff)
+	x.closeDeparted(local, reasonSignedOff)
 }
 
-// departs shuts the gate of a worker that is gone for good. x.calling is held.
-func (x *Proxy) departs(g *gate, why string) {
-	g.room.Close()
-	x.moves(g, "gone", why)
-	g.tell.Lock()
-	defer g.tell.Unlock()
-	x.depart(g.worker, why)
+// closeDeparted shuts the gate of a worker that is gone for good. x.calling is held.
+func (x *Proxy) closeDeparted(local *localWorker, reason string) {
+	local.admission.Close()
+	x.transition(local, "gone", reason)
+	local.registryMu.Lock()
+	defer local.registryMu.Unlock()
+	x.recordDeparture(local.id, reason)
 }
 
-// drop shuts a gate for good and removes its entry.
-func (x *Proxy) drop(g *gate, why string) {
-	g.room.Close()
-	x.moves(g, "gone", why)
-	x.remove(g, why)
+// closeAndRemove shuts a gate for good and removes its entry.
+func (x *Proxy) closeAndRemove(worker *localWorker, reason string) {
+	worker.admission.Close()
+	x.transition(worker, "gone", reason)
+	x.unregister(worker, reason)
 }
 
-// afresh registers own live workers again whose dots others have removed, as
+// reregister registers own live workers again whose dots others have removed, as
 // the steward does when this node was out of touch for too long.
-func (x *Proxy) afresh() {
-	for _, g := range x.allGates() {
-		g.mu.Lock()
-		dot := g.dot
-		g.mu.Unlock()
-		if g.state.Is("up", "draining") && x.rep.OwnRemoved(dot) {
-			x.e.Log.Emit(event.Reregistered, "worker", g.worker)
-			x.enter(g)
+func (x *Proxy) reregister() {
+	for _, local := range x.allWorkers() {
+		local.mu.Lock()
+		dot := local.dot
+		local.mu.Unlock()
+		if local.state.Is("up", "draining") && x.replica.OwnRemoved(dot) {
+			x.env.Log.Emit(event.Reregistered, "worker", local.id)
+			x.register(local)
 		}
 	}
 }
--- a/internal/proxy/callerleft.go
+++ b/internal/proxy/callerleft.go
@@ -10,75 +10,75 @@
 	"puffincrank/internal/workerconn"
 )
 
-// name is the id by which a job is known outside: its caller's own, if it has one.
-func (j *job) name() string {
-	if j.said != "" {
-		return j.said
+// externalID is the id by which a job is known outside: its caller's own, if it has one.
+func (req *request) externalID() string {
+	if req.callerAttemptID != "" {
+		return req.callerAttemptID
 	}
-	return j.id
+	return req.id
 }
 
-// heedsLeaving notes it when the caller of a job goes before its answer; the
+// watchCaller notes it when the caller of a job goes before its answer; the
 // result ends the watch.
-func (x *Proxy) heedsLeaving(j *job) func() bool {
-	request := j.name()
-	return context.AfterFunc(j.req.Context(), func() {
-		x.quit.Add(1)
-		x.trail.add(Decision{Request: request, Step: stepLeft})
-		x.gone.Emit(x.e.Log, event.CallerLeft, "request", request)
+func (x *Proxy) watchCaller(req *request) func() bool {
+	id := req.externalID()
+	return context.AfterFunc(req.httpReq.Context(), func() {
+		x.callersLeft.Add(1)
+		x.decisions.add(Decision{Request: id, Step: stepLeft})
+		x.callerLeftEvents.Emit(x.env.Log, event.CallerLeft, "request", id)
 	})
 }
 
-// endsWith ends the run of an attempt by the connection to the worker: when this node
+// closeOnCancel ends the run of an attempt by the connection to the worker: when this node
 // can wait for it no longer, and, if it may run again, when its caller leaves, since
 // whoever sends it anew has it run anew. What may run but once goes on for a caller
 // that left, since its effect may be half done. The result, false if the connection
 // was ended, is called before the connection is used again.
-func (x *Proxy) endsWith(ctx context.Context, v *visit, c *workerconn.Conn) (release func() bool) {
+func (x *Proxy) closeOnCancel(ctx context.Context, attempt *ownerAttempt, conn *workerconn.Conn) (release func() bool) {
 	var mu sync.Mutex
-	over := false
+	released := false
 	stop := context.AfterFunc(ctx, func() {
 		mu.Lock()
 		defer mu.Unlock()
-		ending := shutdown.IsCutoff(ctx)
-		if over || !ending && !transport.CanceledByCaller(ctx) {
+		nodeEnding := shutdown.IsCutoff(ctx)
+		if released || !nodeEnding && !transport.CanceledByCaller(ctx) {
 			return
 		}
-		x.step(v, stepCancelled, "")
-		if !ending && !v.in.Repeatable {
-			x.step(v, stepKept, "")
+		x.recordDecision(attempt, stepCancelled, "")
+		if !nodeEnding && !attempt.req.Repeatable {
+			x.recordDecision(attempt, stepKept, "")
 			return
 		}
-		v.cut = whyLeft
-		if ending {
-			v.cut = whyEnding
+		attempt.cutReason = reasonCallerLeft
+		if nodeEnding {
+			attempt.cutReason = reasonNodeEnding
 		}
-		_ = c.Close()
-		x.step(v, stepEnded, v.cut)
-		x.runsEnded.Emit(x.e.Log, event.RunEnded, "worker", v.in.Worker, "attempt", v.in.AttemptID, "why", v.cut)
+		_ = conn.Close()
+		x.recordDecision(attempt, stepEnded, attempt.cutReason)
+		x.runEndedEvents.Emit(x.env.Log, event.RunEnded, "worker", attempt.req.Worker, "attempt", attempt.req.AttemptID, "why", attempt.cutReason)
 	})
 	return func() bool {
 		stop()
 		mu.Lock()
 		defer mu.Unlock()
-		over = true
-		return v.cut == ""
+		released = true
+		return attempt.cutReason == ""
 	}
 }
 
 // Why this node ended a run.
 const (
-	whyLeft   = "its caller has left"
-	whyEnding = "its node is ending"
+	reasonCallerLeft = "its caller has left"
+	reasonNodeEnding = "its node is ending"
 )
 
-// jobContext is the context of a job: until its time is up, its caller has left, or
+// requestContext is the context of a job: until its time is up, its caller has left, or
 // a stop of this node can wait for it no longer.
-func (x *Proxy) jobContext(j *job) (ctx context.Context, stop func()) {
-	ctx, over := x.late.Bind(j.req.Context())
-	ctx, end := context.WithDeadline(ctx, j.end)
+func (x *Proxy) requestContext(req *request) (ctx context.Context, release func()) {
+	ctx, unbind := x.cutoff.Bind(req.httpReq.Context())
+	ctx, cancel := context.WithDeadline(ctx, req.deadline)
 	return ctx, func() {
-		end()
-		over()
+		cancel()
+		unbind()
 	}
 }
--- a/internal/proxy/callerleft_test.go
+++ b/internal/proxy/callerleft_test.go
@@ -38,12 +38,12 @@
 			return ctx
 		}, true},
 	} {
-		v := &visit{in: protocol.AttemptRequest{WorkerAttemptID: "r"}, end: time.Now().Add(time.Minute)}
-		if got := x.timely(c.end(t.Context()), v); got != c.runs {
+		attempt := &ownerAttempt{req: protocol.AttemptRequest{WorkerAttemptID: "r"}, deadline: time.Now().Add(time.Minute)}
+		if got := x.stillWanted(c.end(t.Context()), attempt); got != c.runs {
 			t.Errorf("%s: begun %v", c.name, got)
 		}
-		if !c.runs && v.back.Outcome != protocol.Refused {
-			t.Errorf("%s: answered %+v", c.name, v.back)
+		if !c.runs && attempt.result.Outcome != protocol.Refused {
+			t.Errorf("%s: answered %+v", c.name, attempt.result)
 		}
 	}
 }
--- a/internal/proxy/calls.go
+++ b/internal/proxy/calls.go
@@ -6,170 +6,170 @@
 	"puffincrank/internal/protocol"
 )
 
-// calls measures what runs of the own worker call in turn: for each path, how
+// callRates measures what runs of the own worker call in turn: for each path, how
 // many calls one run makes to each service on the mean. Nothing in a call says
 // whose it is; but only paths that owners found to be called from within are
 // looked at, and each call is credited to the runs under way by what each path
 // is known to call. That converges on the likeliest means, since what a run
 // doesn't make is also made while it doesn't run.
-type calls struct {
-	mu    sync.Mutex
-	inner map[string]bool      // paths called from within, as their owners say
-	made  map[string]*made     // by path of the own worker's runs
-	under map[string]*underWay // likewise
+type callRates struct {
+	mu      sync.Mutex
+	nested  map[string]bool        // paths called from within, as their owners say
+	byRoute map[string]*routeCalls // by path of the own worker's runs
+	active  map[string]*activeRuns // likewise
 }
 
-type made struct {
-	runs float64
-	to   map[string]float64 // service to calls
+type routeCalls struct {
+	runs      float64
+	byService map[string]float64 // service to calls
 }
 
-// underWay is the runs of one path that go on: how many, and by how much of
+// activeRuns is the runs of one path that go on: how many, and by how much of
 // that they count as repeats.
-type underWay struct{ runs, parts float64 }
+type activeRuns struct{ runs, retryShares float64 }
 
-func newCalls() *calls {
-	return &calls{inner: map[string]bool{}, made: map[string]*made{}, under: map[string]*underWay{}}
+func newCallRates() *callRates {
+	return &callRates{nested: map[string]bool{}, byRoute: map[string]*routeCalls{}, active: map[string]*activeRuns{}}
 }
 
-// marks notes that a path is called from within.
-func (c *calls) marks(path string) {
+// markNested notes that a path is called from within.
+func (c *callRates) markNested(route string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.inner[path] && len(c.inner) >= 1024 {
-		clear(c.inner)
+	if !c.nested[route] && len(c.nested) >= 1024 {
+		clear(c.nested)
 	}
-	c.inner[path] = true
+	c.nested[route] = true
 }
 
-// begin and end bracket a run; part is by how much it counts as a repeat.
-func (c *calls) begin(path string, part float64) {
+// beginRun and end bracket a run; part is by how much it counts as a repeat.
+func (c *callRates) beginRun(route string, retryShare float64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	u := c.under[path]
-	if u == nil {
-		u = &underWay{}
-		c.under[path] = u
-	}
-	u.runs++
-	u.parts += part
-	m := c.made[path]
-	if m == nil {
+	active := c.active[route]
+	if active == nil {
+		active = &activeRuns{}
+		c.active[route] = active
+	}
+	active.runs++
+	active.retryShares += retryShare
+	made := c.byRoute[route]
+	if made == nil {
 		// Paths of older configurations must not pile up.
-		if len(c.made) >= 1024 {
-			clear(c.made)
+		if len(c.byRoute) >= 1024 {
+			clear(c.byRoute)
 		}
-		m = &made{to: map[string]float64{}}
-		c.made[path] = m
+		made = &routeCalls{byService: map[string]float64{}}
+		c.byRoute[route] = made
 	}
 	// Old figures fade, so that a change shows after a while.
-	if m.runs++; m.runs > 2*enough {
-		m.runs /= 2
-		for s := range m.to {
-			m.to[s] /= 2
+	if made.runs++; made.runs > 2*minSamples {
+		made.runs /= 2
+		for s := range made.byService {
+			made.byService[s] /= 2
 		}
 	}
 }
 
-func (c *calls) end(path string, part float64, ran bool) {
+func (c *callRates) endRun(route string, retryShare float64, ran bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	// What the worker declined called nothing.
-	if m := c.made[path]; m != nil && !ran {
-		m.runs = max(m.runs-1, 0)
+	if made := c.byRoute[route]; made != nil && !ran {
+		made.runs = max(made.runs-1, 0)
 	}
-	if u := c.under[path]; u != nil {
-		u.parts -= part
-		if u.runs--; u.runs < 1 {
-			delete(c.under, path)
+	if active := c.active[route]; active != nil {
+		active.retryShares -= retryShare
+		if active.runs--; active.runs < 1 {
+			delete(c.active, route)
 		}
 	}
 }
 
 // rate is what a run of a path calls of a service, as far as it is known; one
 // that was never seen to call it may still do so.
-func (c *calls) rate(path, service string) float64 {
-	m := c.made[path]
-	if m == nil {
+func (c *callRates) rate(route, service string) float64 {
+	made := c.byRoute[route]
+	if made == nil {
 		return 0.5
 	}
-	return (m.to[service] + 0.5) / (m.runs + 1)
+	return (made.byService[service] + 0.5) / (made.runs + 1)
 }
 
-// meet takes a call to a service and tells by how much of it it is the call of
+// recordCall takes a call to a service and tells by how much of it it is the call of
 // a repeated run.
-func (c *calls) meet(path, service string) float64 {
+func (c *callRates) recordCall(route, service string) float64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.inner[path] {
+	if !c.nested[route] {
 		return 0
 	}
-	all, again := 0.0, 0.0
-	for p, u := range c.under {
+	total, retries := 0.0, 0.0
+	for p, u := range c.active {
 		r := c.rate(p, service)
-		all, again = all+u.runs*r, again+u.parts*r
+		total, retries = total+u.runs*r, retries+u.retryShares*r
 	}
-	if all == 0 {
+	if total == 0 {
 		return 0
 	}
 	// The shares are taken before any of them changes.
 	share := map[string]float64{}
-	for p, u := range c.under {
-		share[p] = u.runs * c.rate(p, service) / all
+	for p, u := range c.active {
+		share[p] = u.runs * c.rate(p, service) / total
 	}
 	for p, n := range share {
-		if m := c.made[p]; m != nil {
-			m.to[service] += n
+		if m := c.byRoute[p]; m != nil {
+			m.byService[service] += n
 		}
 	}
-	return min(max(again/all, 0), 1)
+	return min(max(retries/total, 0), 1)
 }
 
-// expects is what one run of a path calls, by service; what is under one in a
+// expected is what one run of a path calls, by service; what is under one in a
 // hundred is taken for an error of the measure.
-func (c *calls) expects(path string, part float64) map[string]float64 {
+func (c *callRates) expected(route string, retryShare float64) map[string]float64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	m := c.made[path]
-	if m == nil || part == 0 {
+	made := c.byRoute[route]
+	if made == nil || retryShare == 0 {
 		return nil
 	}
 	var out map[string]float64
-	for s, n := range m.to {
-		if n >= m.runs/100 && n >= 1 {
+	for s, n := range made.byService {
+		if n >= made.runs/100 && n >= 1 {
 			if out == nil {
 				out = map[string]float64{}
 			}
-			out[s] = part * n / m.runs
+			out[s] = retryShare * n / made.runs
 		}
 	}
 	return out
 }
 
-// begun notes a run at the own worker. A repeat runs only if the calls that it
+// beginRun notes a run at the own worker. A repeat runs only if the calls that it
 // will make have room among the repeats of the services they go to.
-func (x *Proxy) begun(v *visit) (lacks string, ok bool) {
-	if v.part = v.in.NestedRetryShare; v.in.Retry {
-		v.part = 1
+func (x *Proxy) beginRun(attempt *ownerAttempt) (exhausted string, ok bool) {
+	if attempt.retryShare = attempt.req.NestedRetryShare; attempt.req.Retry {
+		attempt.retryShare = 1
 	}
-	if v.in.NeedsRetryBudget && !x.again.Allow(v.in.Service) {
-		return v.in.Service, false
+	if attempt.req.NeedsRetryBudget && !x.retryBudget.Allow(attempt.req.Service) {
+		return attempt.req.Service, false
 	}
-	calls := x.calls.expects(v.in.Route, v.part)
+	calls := x.callRates.expected(attempt.req.Route, attempt.retryShare)
 	// One that is only called by a repeat isn't refused, or the work of that one
 	// would be lost; its room is held all the same, before that of others.
-	if lacks, ok = x.again.ReserveNested(calls, !v.in.Retry); !ok {
-		return lacks, false
+	if exhausted, ok = x.retryBudget.ReserveNested(calls, !attempt.req.Retry); !ok {
+		return exhausted, false
 	}
-	v.runs, v.calls = true, calls
-	x.calls.begin(v.in.Route, v.part)
+	attempt.started, attempt.reservedCalls = true, calls
+	x.callRates.beginRun(attempt.req.Route, attempt.retryShare)
 	return "", true
 }
 
-// ended gives back what a run held.
-func (x *Proxy) ended(v *visit) {
-	if v.runs {
-		x.calls.end(v.in.Route, v.part, v.back.Outcome != protocol.Refused)
-		x.again.ReleaseNested(v.calls)
+// endRun gives back what a run held.
+func (x *Proxy) endRun(attempt *ownerAttempt) {
+	if attempt.started {
+		x.callRates.endRun(attempt.req.Route, attempt.retryShare, attempt.result.Outcome != protocol.Refused)
+		x.retryBudget.ReleaseNested(attempt.reservedCalls)
 	}
 }
--- a/internal/proxy/deliver.go
+++ b/internal/proxy/deliver.go
@@ -15,16 +15,16 @@
 	"puffincrank/internal/workerconn"
 )
 
-// dropped are headers that belong to one connection or to the mesh.
-var dropped = map[string]bool{"Connection": true, "Keep-Alive": true, "Proxy-Connection": true, "Transfer-Encoding": true,
+// hopByHopHeaders are headers that belong to one connection or to the mesh.
+var hopByHopHeaders = map[string]bool{"Connection": true, "Keep-Alive": true, "Proxy-Connection": true, "Transfer-Encoding": true,
 	"Upgrade": true, "Te": true, "Trailer": true, "Content-Length": true, "Expect": true}
 
-// passed gives the headers that go on: all but those of one connection, those
+// forwardedHeaders gives the headers that go on: all but those of one connection, those
 // that a Connection header names, and the mesh's own.
-func (x *Proxy) passed(in map[string][]string) http.Header {
+func (x *Proxy) forwardedHeaders(in map[string][]string) http.Header {
 	out := make(http.Header, len(in))
 	for k, v := range in {
-		if k = http.CanonicalHeaderKey(k); !dropped[k] && !strings.HasPrefix(k, "Puffin-") {
+		if k = http.CanonicalHeaderKey(k); !hopByHopHeaders[k] && !strings.HasPrefix(k, "Puffin-") {
 			out[k] = v
 		}
 	}
@@ -36,9 +36,9 @@
 	return out
 }
 
-// origin gives the target of a job as it was sent, so that not a sign of it
+// requestTarget gives the target of a job as it was sent, so that not a sign of it
 // changes on the way.
-func origin(r *http.Request) string {
+func requestTarget(r *http.Request) string {
 	if strings.HasPrefix(r.RequestURI, "/") {
 		return r.RequestURI
 	}
@@ -52,116 +52,116 @@
 	return uri
 }
 
-// deliver sends the job to the worker, once.
-func (x *Proxy) deliver(ctx context.Context, v *visit) bool {
-	r, err := x.letter(ctx, v)
+// callWorker sends the job to the worker, once.
+func (x *Proxy) callWorker(ctx context.Context, attempt *ownerAttempt) bool {
+	req, err := x.workerRequest(ctx, attempt)
 	if err != nil {
-		return v.refuse("the job can't be sent on")
+		return attempt.refuse("the job can't be sent on")
 	}
-	c, err := x.conns.Acquire(ctx, v.gate.worker, v.gate.addr)
+	conn, err := x.workerConns.Acquire(ctx, attempt.worker.id, attempt.worker.addr)
 	if errors.Is(err, workerconn.ErrWrongWorker) {
-		x.stranger(v.gate)
-		return v.refuse("another stands at the worker's address")
+		x.onWrongWorker(attempt.worker)
+		return attempt.refuse("another stands at the worker's address")
 	}
 	if err != nil {
-		v.mute = true
-		return v.refuse("no connection to the worker")
+		attempt.unreachable = true
+		return attempt.refuse("no connection to the worker")
 	}
 	// The last look, now that nothing is waited for any more.
-	if !x.timely(ctx, v) || !x.open(v) {
-		x.conns.Release(c)
+	if !x.stillWanted(ctx, attempt) || !x.checkAccepting(attempt) {
+		x.workerConns.Release(conn)
 		return false
 	}
-	if lacks, ok := x.begun(v); !ok {
-		x.conns.Release(c)
-		return v.later("no repeats are left for "+lacks, x.again.EstimateWait(lacks))
+	if exhausted, ok := x.beginRun(attempt); !ok {
+		x.workerConns.Release(conn)
+		return attempt.refuseRetryAfter("no repeats are left for "+exhausted, x.retryBudget.EstimateWait(exhausted))
 	}
 	// From here on the worker may have had the job, whatever an error says.
-	x.step(v, stepSent, "")
-	defer x.noteRemote(ctx, &v.in)()
-	v.back.ReachedWorker = true
-	release := x.endsWith(ctx, v, c)
-	w, body, err := x.conns.RoundTrip(c, r, v.end, x.surplus(v), release)
-	if err != nil && v.cut != "" {
-		return v.unknown(v.cut)
+	x.recordDecision(attempt, stepSent, "")
+	defer x.trackRemoteRun(ctx, &attempt.req)()
+	attempt.result.ReachedWorker = true
+	release := x.closeOnCancel(ctx, attempt, conn)
+	resp, body, err := x.workerConns.RoundTrip(conn, req, attempt.deadline, x.isSurplusResponse(attempt), release)
+	if err != nil && attempt.cutReason != "" {
+		return attempt.outcomeUnknown(attempt.cutReason)
 	}
 	if err != nil {
-		v.stale = errors.Is(err, workerconn.ErrConnectionForgotten)
-		return v.unknown("no whole answer from the worker: " + plain(err))
+		attempt.connForgotten = errors.Is(err, workerconn.ErrConnectionForgotten)
+		return attempt.outcomeUnknown("no whole answer from the worker: " + withoutAddresses(err))
 	}
-	if int64(len(body)) > x.wide() {
-		return v.unknown("the answer is over the bound")
+	if int64(len(body)) > x.maxResponseBody() {
+		return attempt.outcomeUnknown("the answer is over the bound")
 	}
-	if !x.say.VerifiesDigest && v.in.Method != http.MethodHead && w.ContentLength < 0 && len(w.TransferEncoding) == 0 {
+	if !x.dialect.VerifiesDigest && attempt.req.Method != http.MethodHead && resp.ContentLength < 0 && len(resp.TransferEncoding) == 0 {
 		// It ended with its connection: nothing says that it is whole.
-		return v.unknown("the answer has no end of its own")
+		return attempt.outcomeUnknown("the answer has no end of its own")
 	}
-	v.back = protocol.AttemptResult{Status: w.StatusCode, Header: w.Header, Body: body, ReachedWorker: true}
+	attempt.result = protocol.AttemptResult{Status: resp.StatusCode, Header: resp.Header, Body: body, ReachedWorker: true}
 	return true
 }
 
-// letter writes the request to the worker.
-func (x *Proxy) letter(ctx context.Context, v *visit) (*http.Request, error) {
-	u, err := url.ParseRequestURI(v.in.URI)
+// workerRequest writes the request to the worker.
+func (x *Proxy) workerRequest(ctx context.Context, attempt *ownerAttempt) (*http.Request, error) {
+	target, err := url.ParseRequestURI(attempt.req.URI)
 	if err != nil {
 		return nil, err
 	}
-	if x.say.KeepsAttemptID && !strings.HasPrefix(v.in.URI, "//") {
-		u = &url.URL{Scheme: "http", Opaque: v.in.URI}
+	if x.dialect.KeepsAttemptID && !strings.HasPrefix(attempt.req.URI, "//") {
+		target = &url.URL{Scheme: "http", Opaque: attempt.req.URI}
 	}
-	u.Scheme, u.Host = "http", v.gate.addr
-	r := (&http.Request{Method: v.in.Method, URL: u, Host: v.in.Host, Proto: "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1}).WithContext(ctx)
-	if r.Host == "" {
-		r.Host = v.gate.addr
+	target.Scheme, target.Host = "http", attempt.worker.addr
+	req := (&http.Request{Method: attempt.req.Method, URL: target, Host: attempt.req.Host, Proto: "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1}).WithContext(ctx)
+	if req.Host == "" {
+		req.Host = attempt.worker.addr
 	}
-	if len(v.in.Body) > 0 {
-		r.Body = io.NopCloser(bytes.NewReader(v.in.Body))
-		r.ContentLength = int64(len(v.in.Body))
+	if len(attempt.req.Body) > 0 {
+		req.Body = io.NopCloser(bytes.NewReader(attempt.req.Body))
+		req.ContentLength = int64(len(attempt.req.Body))
 	}
-	r.Header = x.passed(v.in.Header)
-	if r.Header["User-Agent"] == nil {
-		r.Header["User-Agent"] = []string{""}
+	req.Header = x.forwardedHeaders(attempt.req.Header)
+	if req.Header["User-Agent"] == nil {
+		req.Header["User-Agent"] = []string{""}
 	}
-	if x.say.RequestID != "" {
-		r.Header.Set(x.say.RequestID, v.in.RequestID)
+	if x.dialect.RequestID != "" {
+		req.Header.Set(x.dialect.RequestID, attempt.req.RequestID)
 	}
-	r.Header.Set(x.say.AttemptID, v.id())
-	r.Header.Set(x.say.ExpectedWorker, v.in.Worker)
-	if x.say.CallerService != "" && v.in.CallerService != "" {
+	req.Header.Set(x.dialect.AttemptID, attempt.workerAttemptID())
+	req.Header.Set(x.dialect.ExpectedWorker, attempt.req.Worker)
+	if x.dialect.CallerService != "" && attempt.req.CallerService != "" {
 		// Whatever the caller wrote there: the front knows where the job began.
-		r.Header.Set(x.say.CallerService, v.in.CallerService)
+		req.Header.Set(x.dialect.CallerService, attempt.req.CallerService)
 	}
 	// A little less than there is: what the worker calls in turn gives up
 	// while the worker can still answer.
-	r.Header.Set(x.say.Timeout, strconv.FormatInt((time.Until(v.end)*19/20).Milliseconds(), 10))
-	return r, nil
+	req.Header.Set(x.dialect.Timeout, strconv.FormatInt((time.Until(attempt.deadline)*19/20).Milliseconds(), 10))
+	return req, nil
 }
 
-// id is what the worker is told as the attempt's id.
-func (v *visit) id() string {
-	if v.in.WorkerAttemptID != "" {
-		return v.in.WorkerAttemptID
+// workerAttemptID is what the worker is told as the attempt's id.
+func (v *ownerAttempt) workerAttemptID() string {
+	if v.req.WorkerAttemptID != "" {
+		return v.req.WorkerAttemptID
 	}
-	return v.in.AttemptID
+	return v.req.AttemptID
 }
 
-// surplus tells of an answer that it belongs to an earlier send: a worker may
+// isSurplusResponse tells of an answer that it belongs to an earlier send: a worker may
 // answer twice, and the second then stands where ours is due.
-func (x *Proxy) surplus(v *visit) func(*http.Response) bool {
-	if !x.say.KeepsAttemptID {
+func (x *Proxy) isSurplusResponse(attempt *ownerAttempt) func(*http.Response) bool {
+	if !x.dialect.KeepsAttemptID {
 		return nil
 	}
-	return func(w *http.Response) bool {
-		id := w.Header.Get(x.say.AttemptID)
-		return id != "" && id != v.id()
+	return func(resp *http.Response) bool {
+		id := resp.Header.Get(x.dialect.AttemptID)
+		return id != "" && id != attempt.workerAttemptID()
 	}
 }
 
-// plain keeps addresses of the inside out of what callers read.
-func plain(err error) string {
-	s := err.Error()
-	if i := strings.LastIndex(s, ": "); i >= 0 {
-		s = s[i+2:]
+// withoutAddresses keeps addresses of the inside out of what callers read.
+func withoutAddresses(err error) string {
+	text := err.Error()
+	if i := strings.LastIndex(text, ": "); i >= 0 {
+		text = text[i+2:]
 	}
-	return s
+	return text
 }
--- a/internal/proxy/fit.go
+++ b/internal/proxy/fit.go
@@ -10,116 +10,116 @@
 	"puffincrank/internal/protocol"
 )
 
-// dead is how many failed jobs it is worth that the worker takes no connection.
-const dead = 4
+// connFailureWeight is how many failed jobs it is worth that the worker takes no connection.
+const connFailureWeight = 4
 
-// measure takes in what an attempt that held a slot showed of the worker. All
+// recordRun takes in what an attempt that held a slot showed of the worker. All
 // of a worker's jobs pass here, however many fronts there are.
-func (x *Proxy) measure(v *visit) {
-	b, own, path := &v.back, v.gate.own, v.in.Route
-	ms := own.RunEnded(v.run)
-	usual := x.pick.UsualRunMS(path)
+func (x *Proxy) recordRun(attempt *ownerAttempt) {
+	result, stats, route := &attempt.result, attempt.worker.stats, attempt.req.Route
+	ms := stats.RunEnded(attempt.activeRun)
+	usual := x.balancer.UsualRunMS(route)
 	switch {
-	case v.cut != "":
+	case attempt.cutReason != "":
 		// It was ended from here.
 		return
-	case v.stale:
+	case attempt.connForgotten:
 		// It forgot a connection that idled: a matter of how long they are kept.
 		return
-	case v.mute:
-		own.RecordFailures(dead)
-	case b.Outcome == protocol.Done && b.Status < 500:
-		own.RecordRun(path, ms, usual)
-	case b.Outcome == protocol.Unknown && b.TimedOut, b.Outcome == protocol.Done && b.Status == http.StatusGatewayTimeout:
+	case attempt.unreachable:
+		stats.RecordFailures(connFailureWeight)
+	case result.Outcome == protocol.Done && result.Status < 500:
+		stats.RecordRun(route, ms, usual)
+	case result.Outcome == protocol.Unknown && result.TimedOut, result.Outcome == protocol.Done && result.Status == http.StatusGatewayTimeout:
 		// One that came with too little time says nothing of the worker.
 		if usual > 0 && ms > 2*usual {
-			own.RecordFailures(1)
+			stats.RecordFailures(1)
 		}
-	case b.ReachedWorker:
+	case result.ReachedWorker:
 		// Its own failures; and no more jobs are here than it has slots, so
 		// one that it turned away counts too.
-		own.RecordFailures(1)
+		stats.RecordFailures(1)
 	default:
 		return
 	}
-	x.doubt(v.gate)
+	x.publishHealth(attempt.worker)
 }
 
-// doubt tells all fronts when what is to be thought of the worker changed much:
+// publishHealth tells all fronts when what is to be thought of the worker changed much:
 // with many fronts each sees too few of its jobs to find out in time. How often it
 // does so is bounded: where all are overloaded, what they tell of each other is load.
-func (x *Proxy) doubt(g *gate) {
-	if !x.changed(g) || !g.state.Is("up") {
+func (x *Proxy) publishHealth(local *localWorker) {
+	if !x.healthChanged(local) || !local.state.Is("up") {
 		return
 	}
-	g.tell.Lock()
-	defer g.tell.Unlock()
+	local.registryMu.Lock()
+	defer local.registryMu.Unlock()
 	// Whoever had the lock before may have told it.
-	if x.changed(g) && x.fitnessNews.Take(time.Now()) {
-		x.register(g)
+	if x.healthChanged(local) && x.healthUpdates.Take(time.Now()) {
+		x.registerLocked(local)
 	}
 }
 
-// changed tells whether the registry has other doubts about a worker than its owner.
-func (x *Proxy) changed(g *gate) bool {
-	now := g.own.Suspicion(x.pick.FailureRate(g.service))
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	return g.told != now
+// healthChanged tells whether the registry has other doubts about a worker than its owner.
+func (x *Proxy) healthChanged(worker *localWorker) bool {
+	suspicion := worker.stats.Suspicion(x.balancer.FailureRate(worker.service))
+	worker.mu.Lock()
+	defer worker.mu.Unlock()
+	return worker.publishedSuspicion != suspicion
 }
 
-// enter puts the gate's entry into the registry with a fresh dot, as the gate
+// register puts the gate's entry into the registry with a fresh dot, as the gate
 // is now.
-func (x *Proxy) enter(g *gate) {
-	g.tell.Lock()
-	defer g.tell.Unlock()
-	x.register(g)
+func (x *Proxy) register(worker *localWorker) {
+	worker.registryMu.Lock()
+	defer worker.registryMu.Unlock()
+	x.registerLocked(worker)
 }
 
-// register does so; g.tell is held.
-func (x *Proxy) register(g *gate) {
-	say := g.state.Current()
-	if say != "up" && say != "draining" {
+// registerLocked does so; g.tell is held.
+func (x *Proxy) registerLocked(local *localWorker) {
+	state := local.state.Current()
+	if state != "up" && state != "draining" {
 		return
 	}
-	meta := map[string]string{"slots": strconv.Itoa(g.slots), "state": say, "addr": g.addr}
-	if say == "draining" && g.seq > 0 {
+	meta := map[string]string{"slots": strconv.Itoa(local.slots), "state": state, "addr": local.addr}
+	if state == "draining" && local.callSeq > 0 {
 		// A later start of this node knows by it which calls are older.
-		meta["call"] = strconv.FormatInt(g.seq, 10)
+		meta["call"] = strconv.FormatInt(local.callSeq, 10)
 	}
-	doubts := g.own.Suspicion(x.pick.FailureRate(g.service))
-	if doubts > 0 {
-		meta["doubts"] = strconv.Itoa(doubts)
-		if g.own.WarmingUp() {
+	suspicion := local.stats.Suspicion(x.balancer.FailureRate(local.service))
+	if suspicion > 0 {
+		meta["doubts"] = strconv.Itoa(suspicion)
+		if local.stats.WarmingUp() {
 			meta["cold"] = "1"
 		}
 	}
-	e := x.rep.Register(g.service, g.worker, meta)
-	g.mu.Lock()
-	was := g.told
-	g.dot, g.told = e.Dot, doubts
-	g.mu.Unlock()
+	entry := x.replica.Register(local.service, local.id, meta)
+	local.mu.Lock()
+	previous := local.publishedSuspicion
+	local.dot, local.publishedSuspicion = entry.Dot, suspicion
+	local.mu.Unlock()
 	switch {
-	case doubts > was:
-		x.e.Log.Emit(event.WorkerUnhealthy, "worker", g.worker, "doubts", doubts)
-	case doubts == 0 && was > 0:
-		x.e.Log.Emit(event.WorkerHealthy, "worker", g.worker)
+	case suspicion > previous:
+		x.env.Log.Emit(event.WorkerUnhealthy, "worker", local.id, "doubts", suspicion)
+	case suspicion == 0 && previous > 0:
+		x.env.Log.Emit(event.WorkerHealthy, "worker", local.id)
 	}
 }
 
-// remove takes the gate's entry out of the registry; none that was about to
+// unregister takes the gate's entry out of the registry; none that was about to
 // enter again comes after it.
-func (x *Proxy) remove(g *gate, why string) {
-	g.tell.Lock()
-	defer g.tell.Unlock()
-	x.rep.Remove(g.worker, why)
+func (x *Proxy) unregister(local *localWorker, reason string) {
+	local.registryMu.Lock()
+	defer local.registryMu.Unlock()
+	x.replica.Remove(local.id, reason)
 }
 
-// uses gives the classes' use of each worker for the status.
-func (x *Proxy) uses() map[string]map[string]admission.ClassUsage {
+// classUsage gives the classes' use of each worker for the status.
+func (x *Proxy) classUsage() map[string]map[string]admission.ClassUsage {
 	out := map[string]map[string]admission.ClassUsage{}
-	for _, g := range x.allGates() {
-		out[g.worker] = g.room.Usage()
+	for _, local := range x.allWorkers() {
+		out[local.id] = local.admission.Usage()
 	}
 	return out
 }
--- a/internal/proxy/fuzz_test.go
+++ b/internal/proxy/fuzz_test.go
@@ -66,9 +66,9 @@
 			t.Errorf("%d, %d bytes of %d", w.StatusCode, len(body), w.ContentLength)
 		}
 		for _, say := range []dialect.Dialect{dialect.Default, actors.Plain} {
-			x := &Proxy{say: say}
-			v := &visit{in: protocol.AttemptRequest{AttemptID: "a.1", Worker: "w"}, back: protocol.AttemptResult{Status: w.StatusCode, Header: w.Header, Body: body}}
-			good := x.broken(v, x.notRun(&v.back)) == ""
+			x := &Proxy{dialect: say}
+			attempt := &ownerAttempt{req: protocol.AttemptRequest{AttemptID: "a.1", Worker: "w"}, result: protocol.AttemptResult{Status: w.StatusCode, Header: w.Header, Body: body}}
+			good := x.invalidReason(attempt, x.reportsNotRun(&attempt.result)) == ""
 			if good && w.StatusCode < 300 && (!strings.Contains(text, "a.1") || w.Header.Get(say.ResponseDigest) == "") {
 				t.Errorf("%s: a success that shows nothing was taken: %q", say.Name, text)
 			}
--- a/internal/proxy/gate.go
+++ b/internal/proxy/gate.go
@@ -14,32 +14,32 @@
 	"puffincrank/internal/task"
 )
 
-// gate is the owner's door to one worker.
-type gate struct {
-	worker  string
-	service string
-	addr    string
-	slots   int
-	room    *admission.Controller
-	state   *fsm.Machine // up, draining, down, gone
-	mu      sync.Mutex
-	heard   time.Time
-	word    time.Time // the newest 'up' that is certain to be no older than it looks
-	bad     int       // failed probes in a row
-	dot     ormap.Dot
-	seq     int64                    // of the worker's newest call
-	takes   map[string]time.Duration // by path, how long a job runs here, smoothed
-	bytes   map[string]int           // by path, how long its answers are, smoothed
-	leaves  time.Time                // when it said that it is leaving
-	began   uint64                   // the step of the trail at which its state began
-	own     *balancer.WorkerStats
-	tell    sync.Mutex // one word to the registry at a time; taken before mu
-	told    int        // the doubts that the registry has
-}
-
-func newGate(worker, service, addr string, slots int, window time.Duration) *gate {
-	g := &gate{worker: worker, service: service, addr: addr, slots: slots, room: admission.New(), takes: map[string]time.Duration{}, bytes: map[string]int{}, own: balancer.NewWorkerStats(window)}
-	g.state = fsm.New("new", nil,
+// localWorker is the owner's door to one worker.
+type localWorker struct {
+	id                 string
+	service            string
+	addr               string
+	slots              int
+	admission          *admission.Controller
+	state              *fsm.Machine // up, draining, down, gone
+	mu                 sync.Mutex
+	lastContact        time.Time
+	lastUp             time.Time // the newest 'up' that is certain to be no older than it looks
+	failedProbes       int       // failed probes in a row
+	dot                ormap.Dot
+	callSeq            int64                    // of the worker's newest call
+	runTimes           map[string]time.Duration // by path, how long a job runs here, smoothed
+	responseSizes      map[string]int           // by path, how long its answers are, smoothed
+	drainingSince      time.Time                // when it said that it is leaving
+	stateSeq           uint64                   // the step of the trail at which its state began
+	stats              *balancer.WorkerStats
+	registryMu         sync.Mutex // one word to the registry at a time; taken before mu
+	publishedSuspicion int        // the doubts that the registry has
+}
+
+func newLocalWorker(worker, service, addr string, slots int, window time.Duration) *localWorker {
+	local := &localWorker{id: worker, service: service, addr: addr, slots: slots, admission: admission.New(), runTimes: map[string]time.Duration{}, responseSizes: map[string]int{}, stats: balancer.NewWorkerStats(window)}
+	local.state = fsm.New("new", nil,
 		fsm.Move{From: "new", By: "up", To: "up"},
 		fsm.Move{From: "new", By: "drain", To: "draining"},
 		fsm.Move{From: "up", By: "drain", To: "draining"},
@@ -52,95 +52,95 @@
 		fsm.Move{From: "draining", By: "gone", To: "gone"},
 		fsm.Move{From: "down", By: "gone", To: "gone"},
 		fsm.Move{From: "new", By: "gone", To: "gone"})
-	return g
+	return local
 }
 
-// ran notes how long a job of a path ran here, and its answer's bytes.
-func (g *gate) ran(path string, took time.Duration, size int) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	was, ok := g.takes[path]
+// recordRun notes how long a job of a path ran here, and its answer's bytes.
+func (w *localWorker) recordRun(route string, took time.Duration, size int) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	mean, ok := w.runTimes[route]
 	if !ok {
-		was = took
+		mean = took
 		// Paths of older configurations must not pile up.
-		if len(g.takes) >= 1024 {
-			clear(g.takes)
-			clear(g.bytes)
+		if len(w.runTimes) >= 1024 {
+			clear(w.runTimes)
+			clear(w.responseSizes)
 		}
-		g.bytes[path] = size
+		w.responseSizes[route] = size
 	}
-	g.bytes[path] += (size - g.bytes[path]) / 16
-	g.takes[path] = was + (took-was)/16
+	w.responseSizes[route] += (size - w.responseSizes[route]) / 16
+	w.runTimes[route] = mean + (took-mean)/16
 }
 
-// need is the time to allow for a job of a path: half as much again as it
+// timeNeeded is the time to allow for a job of a path: half as much again as it
 // usually takes, or a guess as long as none has run.
-func (g *gate) need(path string, guess time.Duration) time.Duration {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	if t, ok := g.takes[path]; ok {
+func (w *localWorker) timeNeeded(route string, guess time.Duration) time.Duration {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	if t, ok := w.runTimes[route]; ok {
 		return t * 3 / 2
 	}
 	return guess
 }
 
-// gives is how many bytes the answers of a path have, 0 as long as none came.
-func (g *gate) gives(path string) int {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	return g.bytes[path]
+// responseSize is how many bytes the answers of a path have, 0 as long as none came.
+func (w *localWorker) responseSize(route string) int {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	return w.responseSizes[route]
 }
 
-// gateOf finds the door to a worker, nil when it isn't this node's own.
-func (x *Proxy) gateOf(worker string) *gate {
+// findWorker finds the door to a worker, nil when it isn't this node's own.
+func (x *Proxy) findWorker(worker string) *localWorker {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	return x.gates[worker]
+	return x.workers[worker]
 }
 
-func (x *Proxy) allGates() []*gate {
+func (x *Proxy) allWorkers() []*localWorker {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	var out []*gate
-	for _, g := range x.gates {
-		out = append(out, g)
+	var out []*localWorker
+	for _, worker := range x.workers {
+		out = append(out, worker)
 	}
 	return out
 }
 
-func (x *Proxy) shape(r *rules.Rules) {
-	for _, g := range x.allGates() {
-		x.shapeGate(g, r)
+func (x *Proxy) configureAdmission(r *rules.Rules) {
+	for _, worker := range x.allWorkers() {
+		x.configureWorkerAdmission(worker, r)
 	}
 }
 
-func (x *Proxy) shapeGate(g *gate, r *rules.Rules) {
+func (x *Proxy) configureWorkerAdmission(worker *localWorker, r *rules.Rules) {
 	if r == nil {
 		return
 	}
-	g.mu.Lock()
-	slots := g.slots
-	g.mu.Unlock()
-	g.room.Configure(slots, r.Shares, max(int(float64(slots)*r.QueueRatio), 1))
-}
-
-// watch finds dead workers: by missed beats, and by probes of their port.
-func (x *Proxy) watch(ctx context.Context) {
-	x.e.PollSettings()
-	for _, g := range x.allGates() {
-		g.mu.Lock()
-		mute := time.Since(g.heard) > x.Settings.WorkerTimeout()
-		g.mu.Unlock()
-		if mute && x.moves(g, "miss", "no word in time") {
-			g.room.Close()
-			x.remove(g, "down")
+	worker.mu.Lock()
+	slots := worker.slots
+	worker.mu.Unlock()
+	worker.admission.Configure(slots, r.Shares, max(int(float64(slots)*r.QueueRatio), 1))
+}
+
+// watchWorkers finds dead workers: by missed beats, and by probes of their port.
+func (x *Proxy) watchWorkers(ctx context.Context) {
+	x.env.PollSettings()
+	for _, local := range x.allWorkers() {
+		local.mu.Lock()
+		silent := time.Since(local.lastContact) > x.Settings.WorkerTimeout()
+		local.mu.Unlock()
+		if silent && x.transition(local, "miss", "no word in time") {
+			local.admission.Close()
+			x.unregister(local, "down")
 		}
 		// One that stays mute for good leaves no door behind.
-		if mute {
-			if time.Since(g.lastHeard()) > x.Settings.RetireAfter {
+		if silent {
+			if time.Since(local.lastContactTime()) > x.Settings.RetireAfter {
 				x.mu.Lock()
-				if x.gates[g.worker] == g {
-					delete(x.gates, g.worker)
+				if x.workers[local.id] == local {
+					delete(x.workers, local.id)
 				}
 				x.mu.Unlock()
 			}
@@ -148,90 +148,90 @@
 		}
 		// Where none is asked who it is, none is probed either: beats and the
 		// ends of jobs tell, and a probe costs the worker a connection.
-		if x.say.IdentifiesConns {
-			x.g.Go("probe", func(ctx context.Context) { x.probe(ctx, g) })
+		if x.dialect.IdentifiesConns {
+			x.group.Go("probe", func(ctx context.Context) { x.probe(ctx, local) })
 		}
 	}
 }
 
-// moves changes the state of a gate and tells by which of the worker's calls;
+// transition changes the state of a gate and tells by which of the worker's calls;
 // false means that nothing changed.
-func (x *Proxy) moves(g *gate, by, why string) bool {
-	was := g.state.Current()
-	if !g.state.Fire(by) {
+func (x *Proxy) transition(local *localWorker, trigger, reason string) bool {
+	previous := local.state.Current()
+	if !local.state.Fire(trigger) {
 		return false
 	}
-	g.mu.Lock()
-	g.began = x.trail.next()
-	step, call := g.began, g.seq
-	g.mu.Unlock()
-	x.e.Log.Emit(event.WorkerState, "worker", g.worker, "from", was, "to", g.state.Current(), "call", call, "step", step, "why", why)
+	local.mu.Lock()
+	local.stateSeq = x.decisions.nextSeq()
+	seq, call := local.stateSeq, local.callSeq
+	local.mu.Unlock()
+	x.env.Log.Emit(event.WorkerState, "worker", local.id, "from", previous, "to", local.state.Current(), "call", call, "step", seq, "why", reason)
 	return true
 }
 
 func (x *Proxy) drainWorkers() {
-	for _, g := range x.allGates() {
-		x.drain(g)
+	for _, worker := range x.allWorkers() {
+		x.drainWorker(worker)
 	}
 }
 
 func (x *Proxy) removeWorkers() {
-	for _, g := range x.allGates() {
-		x.drop(g, "its node stopped")
+	for _, worker := range x.allWorkers() {
+		x.closeAndRemove(worker, "its node stopped")
 	}
 }
 
-func (g *gate) lastHeard() time.Time {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	return g.heard
+func (w *localWorker) lastContactTime() time.Time {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	return w.lastContact
 }
 
-// takes tells whether new jobs may go in: on fresh word of the worker, while it
+// accepts tells whether new jobs may go in: on fresh word of the worker, while it
 // is up, and for a part of the leaving bound after it began to drain. Fronts
 // that have not seen the flag yet would otherwise spend repeats, or their
 // callers get errors, for a planned leave.
-func (x *Proxy) takes(g *gate) bool {
-	woke := x.pulse.LastPauseEnd()
-	g.mu.Lock()
-	defer g.mu.Unlock()
+func (x *Proxy) accepts(local *localWorker) bool {
+	pauseEnd := x.pauseDetector.LastPauseEnd()
+	local.mu.Lock()
+	defer local.mu.Unlock()
 	// A 'draining' may wait unread in a socket, or not get here at all: the
 	// worker may have left at any time after its newest word.
-	if !g.word.After(woke) || time.Since(g.word) > x.Settings.WorkerTimeout() {
+	if !local.lastUp.After(pauseEnd) || time.Since(local.lastUp) > x.Settings.WorkerTimeout() {
 		return false
 	}
-	return g.state.Is("up") || g.state.Is("draining") && time.Since(g.leaves) < x.Settings.LeaveBound/4
+	return local.state.Is("up") || local.state.Is("draining") && time.Since(local.drainingSince) < x.Settings.LeaveBound/4
 }
 
-// hears notes a beat. One that is read right after a freeze may be as old as
+// recordContact notes a beat. One that is read right after a freeze may be as old as
 // the freeze, so it is no word that the worker is up now.
-func (x *Proxy) hears(g *gate, up bool) {
-	woke := x.pulse.LastPauseEnd()
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	g.heard = time.Now()
-	if up && time.Since(woke) > x.Settings.WorkerHeartbeat()/2 {
-		g.word = g.heard
+func (x *Proxy) recordContact(worker *localWorker, up bool) {
+	pauseEnd := x.pauseDetector.LastPauseEnd()
+	worker.mu.Lock()
+	defer worker.mu.Unlock()
+	worker.lastContact = time.Now()
+	if up && time.Since(pauseEnd) > x.Settings.WorkerHeartbeat()/2 {
+		worker.lastUp = worker.lastContact
 	}
 }
 
-// drain flags the entry for the others at once and shuts the door soon after.
-func (x *Proxy) drain(g *gate) {
-	g.mu.Lock()
-	first := !g.state.Is("draining")
+// drainWorker flags the entry for the others at once and shuts the door soon after.
+func (x *Proxy) drainWorker(local *localWorker) {
+	local.mu.Lock()
+	first := !local.state.Is("draining")
 	if first {
-		g.leaves = time.Now()
+		local.drainingSince = time.Now()
 	}
-	g.mu.Unlock()
-	if !first || !x.moves(g, "drain", "told to drain") {
+	local.mu.Unlock()
+	if !first || !x.transition(local, "drain", "told to drain") {
 		return
 	}
-	x.e.Log.Emit(event.Draining, "worker", g.worker)
-	x.enter(g)
-	x.g.Go("shut-door", func(ctx context.Context) {
+	x.env.Log.Emit(event.Draining, "worker", local.id)
+	x.register(local)
+	x.group.Go("shut-door", func(ctx context.Context) {
 		task.Sleep(ctx, x.Settings.LeaveBound/4)
-		if g.state.Is("draining") {
-			g.room.Close()
+		if local.state.Is("draining") {
+			local.admission.Close()
 		}
 	})
 }
--- a/internal/proxy/hedge_test.go
+++ b/internal/proxy/hedge_test.go
@@ -40,16 +40,16 @@
 
 // hedgeProxy is a front that knows of three workers of a service, and a request that is
 // about to be sent to one of them.
-func hedgeProxy() (*Proxy, *job) {
+func hedgeProxy() (*Proxy, *request) {
 	x := &Proxy{Settings: settings.Settings{GracePeriod: 6 * time.Second, ConfigBound: 2 * time.Second}}
-	x.attempts.by = map[string]*attempt{}
-	x.pick = balancer.New("a", time.Second, 10*time.Second, func(string, bool) {})
-	return x, &job{path: &rules.Route{Name: "p"}, arm: &rules.Arm{Repeatable: true, Tries: 2}, service: "s", tried: map[string]bool{"w": true}, sends: 1, known: 3, end: time.Now().Add(time.Second)}
+	x.ingressAttempts.byID = map[string]*ingressAttempt{}
+	x.balancer = balancer.New("a", time.Second, 10*time.Second, func(string, bool) {})
+	return x, &request{route: &rules.Route{Name: "p"}, arm: &rules.Arm{Repeatable: true, Tries: 2}, service: "s", tried: map[string]bool{"w": true}, attempts: 1, workerCount: 3, deadline: time.Now().Add(time.Second)}
 }
 
 // ran has a worker run a job of the path in a time, as a front sees it.
 func ran(x *Proxy, took time.Duration) {
-	x.pick.RecordOutcome(balancer.Outcome{Worker: "w", Service: "s", Route: "p", RoundTrip: took, RunTime: took, OK: true, AboutWorker: true})
+	x.balancer.RecordOutcome(balancer.Outcome{Worker: "w", Service: "s", Route: "p", RoundTrip: took, RunTime: took, OK: true, AboutWorker: true})
 }
 
 // TestHedgeable: a second attempt may follow a first one only for what may be repeated,
@@ -60,36 +60,36 @@
 	const never = 0
 	for _, c := range []struct {
 		name string
-		do   func(*Proxy, *job)
+		do   func(*Proxy, *request)
 		want time.Duration // from the first attempt's begin; never: no second one
 	}{
-		{"as usual", func(*Proxy, *job) {}, 600 * time.Millisecond},
-		{"the only worker", func(_ *Proxy, j *job) { j.known = 1 }, never},
-		{"all others were tried", func(_ *Proxy, j *job) { j.tried["v"], j.tried["u"] = true, true }, never},
-		{"no try is left", func(_ *Proxy, j *job) { j.came = 1 }, never},
-		{"it may run once", func(_ *Proxy, j *job) { j.arm.Repeatable = false }, never},
-		{"large bodies", func(_ *Proxy, j *job) { j.arm.Bulk = "download" }, never},
-		{"its like take up to the rest", func(x *Proxy, _ *job) { ran(x, 400*time.Millisecond) }, 600 * time.Millisecond},
-		{"its like take longer", func(x *Proxy, _ *job) { ran(x, 410*time.Millisecond) }, never},
-		{"told to end, with time enough", func(x *Proxy, _ *job) {
+		{"as usual", func(*Proxy, *request) {}, 600 * time.Millisecond},
+		{"the only worker", func(_ *Proxy, req *request) { req.workerCount = 1 }, never},
+		{"all others were tried", func(_ *Proxy, req *request) { req.tried["v"], req.tried["u"] = true, true }, never},
+		{"no try is left", func(_ *Proxy, req *request) { req.reached = 1 }, never},
+		{"it may run once", func(_ *Proxy, req *request) { req.arm.Repeatable = false }, never},
+		{"large bodies", func(_ *Proxy, req *request) { req.arm.Bulk = "download" }, never},
+		{"its like take up to the rest", func(x *Proxy, _ *request) { ran(x, 400*time.Millisecond) }, 600 * time.Millisecond},
+		{"its like take longer", func(x *Proxy, _ *request) { ran(x, 410*time.Millisecond) }, never},
+		{"told to end, with time enough", func(x *Proxy, _ *request) {
 			ran(x, 100*time.Millisecond)
-			x.stop.Store(shutdown.Begin(1300*time.Millisecond, 0))
+			x.stopSchedule.Store(shutdown.Begin(1300*time.Millisecond, 0))
 		}, 150 * time.Millisecond},
-		{"told to end, with no time for another one", func(x *Proxy, _ *job) {
+		{"told to end, with no time for another one", func(x *Proxy, _ *request) {
 			ran(x, 300*time.Millisecond)
-			x.stop.Store(shutdown.Begin(600*time.Millisecond, 0))
+			x.stopSchedule.Store(shutdown.Begin(600*time.Millisecond, 0))
 		}, 600 * time.Millisecond},
-		{"told to end, a second attempt itself", func(x *Proxy, j *job) {
+		{"told to end, a second attempt itself", func(x *Proxy, req *request) {
 			ran(x, 100*time.Millisecond)
-			x.stop.Store(shutdown.Begin(1300*time.Millisecond, 0))
-			j.hedged = true
+			x.stopSchedule.Store(shutdown.Begin(1300*time.Millisecond, 0))
+			req.isHedge = true
 		}, 600 * time.Millisecond},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				x, j := hedgeProxy()
-				c.do(x, j)
-				a, ctx := x.beginAttempt(t.Context(), j, "1")
+				x, req := hedgeProxy()
+				c.do(x, req)
+				a, ctx := x.beginAttempt(t.Context(), req, "1")
 				if a == nil {
 					if c.want != never {
 						t.Error("no second attempt may follow")
@@ -97,10 +97,10 @@
 					return
 				}
 				defer a.close("1")
-				if a.due.IsZero() && c.want == never {
+				if a.hedgeTime.IsZero() && c.want == never {
 					return
 				}
-				if got := time.Until(a.due); got.Round(time.Millisecond) != c.want {
+				if got := time.Until(a.hedgeTime); got.Round(time.Millisecond) != c.want {
 					t.Errorf("due after %v, want %v", got, c.want)
 				}
 				if ctx.Err() != nil {
@@ -115,21 +115,21 @@
 // when the attempt is over.
 func TestHedgeSoonest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		x, j := hedgeProxy()
-		j.end = time.Now().Add(time.Minute)
+		x, req := hedgeProxy()
+		req.deadline = time.Now().Add(time.Minute)
 		ran(x, 100*time.Millisecond)
-		a, _ := x.beginAttempt(context.Background(), j, "1")
+		a, _ := x.beginAttempt(context.Background(), req, "1")
 		from := time.Now()
 		for _, in := range []time.Duration{10 * time.Second, 5 * time.Second, 20 * time.Second} {
-			a.endsAt(from.Add(in))
+			a.onRunEnd(from.Add(in))
 		}
-		if got := a.due.Sub(from); got != 5*time.Second-300*time.Millisecond {
+		if got := a.hedgeTime.Sub(from); got != 5*time.Second-300*time.Millisecond {
 			t.Errorf("due after %v", got)
 		}
 		a.close("1")
-		due := a.due
-		a.endsAt(from.Add(time.Second))
-		if a.due != due || len(x.attempts.by) != 0 {
+		due := a.hedgeTime
+		a.onRunEnd(from.Add(time.Second))
+		if a.hedgeTime != due || len(x.ingressAttempts.byID) != 0 {
 			t.Error("an attempt that is over is hedged")
 		}
 	})
@@ -154,16 +154,16 @@
 		{"neither has one", unknown, refused, false, unknown},
 		{"the first never ran, the second was lost", refused, unknown, true, refused},
 	} {
-		first, second := &job{tried: map[string]bool{"v": true}, came: 1, sends: 1, back: c.first}, &job{tried: map[string]bool{"w": true}, came: 2, sends: 3, back: c.second}
+		first, second := &request{tried: map[string]bool{"v": true}, reached: 1, attempts: 1, result: c.first}, &request{tried: map[string]bool{"w": true}, reached: 2, attempts: 3, result: c.second}
 		if c.lost {
 			second.lost = &lostAttempt{AttemptResult: c.second}
 		}
-		first.merge(second)
-		if first.back.Outcome != c.want.Outcome || first.back.Status != c.want.Status || (first.lost != nil) != c.lost {
-			t.Errorf("%s: %+v, lost %v", c.name, first.back, first.lost)
+		first.mergeHedge(second)
+		if first.result.Outcome != c.want.Outcome || first.result.Status != c.want.Status || (first.lost != nil) != c.lost {
+			t.Errorf("%s: %+v, lost %v", c.name, first.result, first.lost)
 		}
-		if first.came != 2 || first.sends != 3 || len(first.tried) != 2 {
-			t.Errorf("%s: %d came, %d sends, %v", c.name, first.came, first.sends, first.tried)
+		if first.reached != 2 || first.attempts != 3 || len(first.tried) != 2 {
+			t.Errorf("%s: %d came, %d sends, %v", c.name, first.reached, first.attempts, first.tried)
 		}
 	}
 }
--- a/internal/proxy/kin_test.go
+++ b/internal/proxy/kin_test.go
@@ -11,28 +11,28 @@
 	rnd := rand.New(rand.NewPCG(5, 6))
 	all := []string{"a", "a", "a", "a", "a", "b", "b", "b", "b", "c", "c", "c"}
 	any := func() string { return all[rnd.IntN(len(all))] }
-	k := newKin()
+	k := newNestedRoutes()
 	for i := range 4000 {
-		k.meet("first", any())
-		if k.inner("first") {
+		k.recordCaller("first", any())
+		if k.isNested("first") {
 			t.Fatalf("a path that all call is from within, after %d jobs", i+1)
 		}
-		k.meet("nested", []string{"a", "b"}[rnd.IntN(2)])
-		if i < enough/2 && k.inner("nested") {
+		k.recordCaller("nested", []string{"a", "b"}[rnd.IntN(2)])
+		if i < minSamples/2 && k.isNested("nested") {
 			t.Fatalf("%d jobs are enough to tell", i+1)
 		}
-		if i > 2*enough && !k.inner("nested") {
+		if i > 2*minSamples && !k.isNested("nested") {
 			t.Fatalf("a path that one service never calls is not from within, after %d jobs", i+1)
 		}
 	}
 	for range 4000 {
-		k.meet("nested", any())
+		k.recordCaller("nested", any())
 	}
-	if k.inner("nested") {
+	if k.isNested("nested") {
 		t.Error("all call it by now")
 	}
-	k.meet("x", "")
-	if k.inner("x") || k.inner("unknown") {
+	k.recordCaller("x", "")
+	if k.isNested("x") || k.isNested("unknown") {
 		t.Error("nothing is known of it")
 	}
 }
--- a/internal/proxy/lane.go
+++ b/internal/proxy/lane.go
@@ -13,117 +13,117 @@
 // The rules have as many lanes as the links have for jobs.
 var _ = [1]struct{}{}[transport.LaneBulk-transport.LaneRequests+1-rules.RequestLanes]
 
-// lane is the lane that a job goes by on links: its arm's, or the most urgent of
+// requestLane is the lane that a job goes by on links: its arm's, or the most urgent of
 // the jobs that it may be a call of. A small call of a bulk job goes after all
 // that is urgent and before the bulk itself: as long as it waits, a slot does.
-func (x *Proxy) lane(j *job) int {
-	own := transport.LaneRequests + j.rules.Lane(j.arm)
-	if j.arm.Bulk != "" {
-		return own
+func (x *Proxy) requestLane(req *request) int {
+	armLane := transport.LaneRequests + req.rules.Lane(req.arm)
+	if req.arm.Bulk != "" {
+		return armLane
 	}
-	if l, ok := x.kin.serves(j.path.Name); ok {
+	if l, ok := x.nested.callerLane(req.route.Name); ok {
 		return min(l, transport.LaneBulk-1)
 	}
-	return own
+	return armLane
 }
 
-// wait tells the nominator how long a bulk job would be under way to an owner
+// bulkDelay tells the nominator how long a bulk job would be under way to an owner
 // now, as measured.
-func (x *Proxy) wait(j *job) func(ormap.Entry) time.Duration {
-	if j.arm.Bulk == "" {
+func (x *Proxy) bulkDelay(req *request) func(ormap.Entry) time.Duration {
+	if req.arm.Bulk == "" {
 		return nil
 	}
-	return func(e ormap.Entry) time.Duration { return x.n.BulkDelay(e.InternalAddr, len(j.body)) }
+	return func(e ormap.Entry) time.Duration { return x.node.BulkDelay(e.InternalAddr, len(req.body)) }
 }
 
-// thin is the outcome of an attempt for which the link had no room: nothing was
+// linkFull is the outcome of an attempt for which the link had no room: nothing was
 // sent, and the owner is none the worse for it.
-func (x *Proxy) thin(come time.Duration) protocol.AttemptResult {
-	x.slim.Add(1)
-	return protocol.AttemptResult{Outcome: protocol.Refused, Reason: "the link to the owner is full", RetryAfterMS: max(come, x.Settings.HeartbeatInterval()).Milliseconds(), UsedSlots: -1}
+func (x *Proxy) linkFull(retryAfter time.Duration) protocol.AttemptResult {
+	x.thinLinkRefusals.Add(1)
+	return protocol.AttemptResult{Outcome: protocol.Refused, Reason: "the link to the owner is full", RetryAfterMS: max(retryAfter, x.Settings.HeartbeatInterval()).Milliseconds(), UsedSlots: -1}
 }
 
-// book keeps room on the link back for the answer of a bulk job, by what others
+// reserveResponse keeps room on the link back for the answer of a bulk job, by what others
 // of its path brought. A link that could not take it in time refuses the job
 // before it runs.
-func (x *Proxy) book(ctx context.Context, v *visit) bool {
-	left := time.Until(v.end)
-	need := v.gate.need(v.in.Route, left/4)
-	if transport.LaneOf(ctx) == transport.LaneBulk && left < need+x.Settings.CallTimeout()/4 {
+func (x *Proxy) reserveResponse(ctx context.Context, attempt *ownerAttempt) bool {
+	remaining := time.Until(attempt.deadline)
+	needed := attempt.worker.timeNeeded(attempt.req.Route, remaining/4)
+	if transport.LaneOf(ctx) == transport.LaneBulk && remaining < needed+x.Settings.CallTimeout()/4 {
 		// It took its time to come here; begun now, its receipt might come too
 		// late, and nobody would know that it ran.
-		return v.refuse("no time left to run it in")
+		return attempt.refuse("no time left to run it in")
 	}
 	// The answer must be there before its front goes, should that be told to end
 	// in this moment; else it would be cut off on its way.
-	if most := time.Duration(v.in.MaxQueueMS) * time.Millisecond; most > 0 && most < left {
-		short, end := context.WithTimeout(ctx, most)
+	if maxWait := time.Duration(attempt.req.MaxQueueMS) * time.Millisecond; maxWait > 0 && maxWait < remaining {
+		limited, end := context.WithTimeout(ctx, maxWait)
 		defer end()
-		ctx = short
+		ctx = limited
 	}
-	free, come, ok := transport.ReserveResponse(ctx, v.gate.gives(v.in.Route), need)
+	release, retryAfter, ok := transport.ReserveResponse(ctx, attempt.worker.responseSize(attempt.req.Route), needed)
 	if !ok {
-		x.slim.Add(1)
-		return v.later("the link back to the front is full", max(come, x.Settings.HeartbeatInterval()))
+		x.thinLinkRefusals.Add(1)
+		return attempt.refuseRetryAfter("the link back to the front is full", max(retryAfter, x.Settings.HeartbeatInterval()))
 	}
-	v.free = free
+	attempt.releaseResponse = release
 	return true
 }
 
-// unbook gives back what an attempt booked, right before its receipt goes out.
-func (x *Proxy) unbook(v *visit) {
-	if v.free != nil {
-		v.free()
+// releaseReservations gives back what an attempt booked, right before its receipt goes out.
+func (x *Proxy) releaseReservations(attempt *ownerAttempt) {
+	if attempt.releaseResponse != nil {
+		attempt.releaseResponse()
 	}
-	if v.held {
-		x.kin.end(v.lane)
+	if attempt.slotHeld {
+		x.nested.runEnded(attempt.lane)
 	}
 }
 
-// begin notes the lane of a job that has its slot now.
-func (x *Proxy) begin(ctx context.Context) int {
+// beginLane notes the lane of a job that has its slot now.
+func (x *Proxy) beginLane(ctx context.Context) int {
 	lane := transport.LaneOf(ctx)
-	x.kin.begin(lane)
+	x.nested.runBegan(lane)
 	return lane
 }
 
-// begin and end note by which lanes the jobs at the own worker came, for the
+// runBegan and end note by which lanes the jobs at the own worker came, for the
 // calls that they make.
-func (k *kin) begin(lane int) {
+func (k *nestedRoutes) runBegan(lane int) {
 	k.mu.Lock()
-	k.under[lane]++
+	k.runsByLane[lane]++
 	k.mu.Unlock()
 }
 
-func (k *kin) end(lane int) {
+func (k *nestedRoutes) runEnded(lane int) {
 	k.mu.Lock()
-	k.under[lane]--
+	k.runsByLane[lane]--
 	k.mu.Unlock()
 }
 
-// told notes an owner's word on whether a path is called from within.
-func (k *kin) told(path string, inner bool) {
+// setNested notes an owner's word on whether a path is called from within.
+func (k *nestedRoutes) setNested(route string, nested bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if !inner {
-		delete(k.within, path)
+	if !nested {
+		delete(k.nestedAtOwner, route)
 		return
 	}
-	if len(k.within) >= 1024 {
-		clear(k.within)
+	if len(k.nestedAtOwner) >= 1024 {
+		clear(k.nestedAtOwner)
 	}
-	k.within[path] = true
+	k.nestedAtOwner[route] = true
 }
 
-// serves gives the most urgent lane of the jobs that a call of this path may
+// callerLane gives the most urgent lane of the jobs that a call of this path may
 // belong to; false when it is none, as far as is known.
-func (k *kin) serves(path string) (int, bool) {
+func (k *nestedRoutes) callerLane(route string) (int, bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if !k.within[path] {
+	if !k.nestedAtOwner[route] {
 		return 0, false
 	}
-	for lane, n := range k.under {
+	for lane, n := range k.runsByLane {
 		if n > 0 {
 			return lane, true
 		}
--- a/internal/proxy/lane_test.go
+++ b/internal/proxy/lane_test.go
@@ -11,38 +11,38 @@
 // most urgent lane among those that it may belong to, but never as bulk, unless
 // it is bulk itself.
 func TestLaneOfCalls(t *testing.T) {
-	x := &Proxy{kin: newKin()}
+	x := &Proxy{nested: newNestedRoutes()}
 	r, bad, err := rules.Compile(1, []byte(`{"services":[{"name":"s"}],"paths":[
 {"name":"first","prefix":"/a","service":"s"},{"name":"second","prefix":"/b","service":"s","rank":1},
 {"name":"check","prefix":"/c","service":"s","rank":2},{"name":"up","prefix":"/d","service":"s","repeat":"upload"}]}`))
 	if err != nil || len(bad) > 0 {
 		t.Fatal(err, bad)
 	}
-	j := &job{rules: r, path: r.RouteByName("check"), arm: &r.RouteByName("check").Base}
+	req := &request{rules: r, route: r.RouteByName("check"), arm: &r.RouteByName("check").Base}
 	is := func(want int) {
 		t.Helper()
-		if got := x.lane(j); got != want {
+		if got := x.requestLane(req); got != want {
 			t.Errorf("it goes by lane %d, not %d", got, want)
 		}
 	}
 	is(transport.LaneRequests + 2)
-	x.kin.begin(transport.LaneRequests)
+	x.nested.runBegan(transport.LaneRequests)
 	is(transport.LaneRequests + 2)
-	x.kin.told("check", true)
+	x.nested.setNested("check", true)
 	is(transport.LaneRequests)
-	x.kin.begin(transport.LaneBulk)
+	x.nested.runBegan(transport.LaneBulk)
 	is(transport.LaneRequests)
-	x.kin.end(transport.LaneRequests)
+	x.nested.runEnded(transport.LaneRequests)
 	is(transport.LaneBulk - 1)
-	j.arm = &r.RouteByName("up").Base
-	x.kin.begin(transport.LaneRequests)
+	req.arm = &r.RouteByName("up").Base
+	x.nested.runBegan(transport.LaneRequests)
 	is(transport.LaneBulk)
-	j.arm = &r.RouteByName("check").Base
+	req.arm = &r.RouteByName("check").Base
 	is(transport.LaneRequests)
-	x.kin.end(transport.LaneRequests)
-	x.kin.end(transport.LaneBulk)
+	x.nested.runEnded(transport.LaneRequests)
+	x.nested.runEnded(transport.LaneBulk)
 	is(transport.LaneRequests + 2)
-	x.kin.begin(transport.LaneRequests)
-	x.kin.told("check", false)
+	x.nested.runBegan(transport.LaneRequests)
+	x.nested.setNested("check", false)
 	is(transport.LaneRequests + 2)
 }
--- a/internal/proxy/limits_test.go
+++ b/internal/proxy/limits_test.go
@@ -18,8 +18,8 @@
 			doc = `{"version":1,"services":[{"name":"s"}],"paths":[{"name":"p","prefix":"/p/","service":"s"}]}`
 		}
 		x.rules.Store(compiled(t, doc))
-		if x.most() != c.most || x.wide() != c.wide {
-			t.Errorf("told %d: %d and %d", c.told, x.most(), x.wide())
+		if x.maxRequestBody() != c.most || x.maxResponseBody() != c.wide {
+			t.Errorf("told %d: %d and %d", c.told, x.maxRequestBody(), x.maxResponseBody())
 		}
 	}
 }
@@ -34,7 +34,7 @@
 		want  [2]float64
 	}{{0, 0, [2]float64{0.2, 50}}, {0.1, 60, [2]float64{0.1, 60}}, {0, 60, [2]float64{0, 60}}, {0.3, 0, [2]float64{0.3, 0}}} {
 		x := &Proxy{Settings: settings.Settings{RetryRatio: c.share, RetryAllowance: c.allow}}
-		if share, allow := x.repeats(r); share != c.want[0] || float64(allow) != c.want[1] {
+		if share, allow := x.retryLimits(r); share != c.want[0] || float64(allow) != c.want[1] {
 			t.Errorf("told %g and %d: %g and %d", c.share, c.allow, share, allow)
 		}
 	}
--- a/internal/proxy/newsrate_test.go
+++ b/internal/proxy/newsrate_test.go
@@ -13,9 +13,9 @@
 func TestNewsRate(t *testing.T) {
 	for _, nodes := range []int{1, 40, 240, 24000} {
 		start := time.Unix(0, 0)
-		rate := newNewsRate(start)
-		rate.Nodes(nodes)
-		for i := range int(newsAtOnce(nodes)) {
+		rate := newUpdateRate(start)
+		rate.SetNodes(nodes)
+		for i := range int(updateBurst(nodes)) {
 			if !rate.Take(start) {
 				t.Errorf("%d nodes: news %d is not told at once", nodes, i+1)
 			}
@@ -27,7 +27,7 @@
 				told++
 			}
 		}
-		if most := fitnessNewsPerSecond * minute; told*nodes > most+nodes-1 || nodes == 1 && told < most-1 {
+		if most := healthUpdatesPerSecond * minute; told*nodes > most+nodes-1 || nodes == 1 && told < most-1 {
 			t.Errorf("%d nodes: each tells %d in a minute, all of them may tell %d", nodes, told, most)
 		}
 	}
@@ -39,29 +39,29 @@
 func TestFlappingFitness(t *testing.T) {
 	x := lone()
 	defer x.Kill()
-	x.takeCall(call("w", saysUp, 1))
-	g := x.gateOf("w")
-	x.fitnessNews.Nodes(240)
+	x.handleCall(call("w", stateUp, 1))
+	local := x.findWorker("w")
+	x.healthUpdates.SetNodes(240)
 	registered := 0
-	x.rep.Subscribe(func(n replica.Event) {
+	x.replica.Subscribe(func(n replica.Event) {
 		if n.Kind == "registered" {
 			registered++
 		}
 	})
 	for range 200 {
-		g.own.SetWarmup(time.Hour)
-		x.doubt(g)
-		g.own = balancer.NewWorkerStats(x.Settings.RetryWindow)
-		x.doubt(g)
+		local.stats.SetWarmup(time.Hour)
+		x.publishHealth(local)
+		local.stats = balancer.NewWorkerStats(x.Settings.RetryWindow)
+		x.publishHealth(local)
 	}
-	if most := int(newsAtOnce(240)); registered > most {
+	if most := int(updateBurst(240)); registered > most {
 		t.Errorf("%d changes were told, %d may be at once", registered, most)
 	}
-	g.own.SetWarmup(time.Hour)
-	x.fitnessNews.Nodes(1)
-	x.fitnessNews.filled = x.fitnessNews.filled.Add(-time.Second)
-	x.doubt(g)
-	if g.told != 1 {
-		t.Errorf("doubts told are %d, the worker says that it is cold", g.told)
+	local.stats.SetWarmup(time.Hour)
+	x.healthUpdates.SetNodes(1)
+	x.healthUpdates.filled = x.healthUpdates.filled.Add(-time.Second)
+	x.publishHealth(local)
+	if local.publishedSuspicion != 1 {
+		t.Errorf("doubts told are %d, the worker says that it is cold", local.publishedSuspicion)
 	}
 }
--- a/internal/proxy/outer.go
+++ b/internal/proxy/outer.go
@@ -17,18 +17,18 @@
 	"puffincrank/internal/transport"
 )
 
-// outerRoutes is the port of operators, the platform and the own worker.
-func (x *Proxy) outerRoutes() http.Handler {
+// apiRoutes is the port of operators, the platform and the own worker.
+func (x *Proxy) apiRoutes() http.Handler {
 	r := chi.NewRouter()
 	r.Get("/puffin/ready", x.onReady)
-	r.Post("/puffin/beat", x.onBeat)
+	r.Post("/puffin/beat", x.onHeartbeat)
 	r.Put("/puffin/workers/{id}", x.onWorker)
-	r.Delete("/puffin/workers/{id}", x.onLeave)
+	r.Delete("/puffin/workers/{id}", x.onSignOff)
 	r.Get("/puffin/own", func(w http.ResponseWriter, _ *http.Request) { httpapi.WriteJSON(w, http.StatusOK, x.status()) })
-	r.Get("/puffin/own/trail", x.onTrail)
+	r.Get("/puffin/own/trail", x.onDecisions)
 	// All else is the core's to answer, so that every node gives the same.
-	r.NotFound(x.handOut)
-	r.MethodNotAllowed(x.handOut)
+	r.NotFound(x.forwardToControl)
+	r.MethodNotAllowed(x.forwardToControl)
 	return r
 }
 
@@ -41,20 +41,20 @@
 	if r := x.rules.Load(); r != nil {
 		version = r.Version
 	}
-	httpapi.WriteJSON(w, code, map[string]any{"ready": x.Ready(), "state": x.life.Current(), "config_version": version})
+	httpapi.WriteJSON(w, code, map[string]any{"ready": x.Ready(), "state": x.lifecycle.Current(), "config_version": version})
 }
 
-// handOut hands an outside call over to the control node of the session, and
+// forwardToControl hands an outside call over to the control node of the session, and
 // to others as long as it is certain that none has acted on it.
-func (x *Proxy) handOut(w http.ResponseWriter, r *http.Request) {
-	x.owned.Add(1)
-	defer x.owned.Add(-1)
+func (x *Proxy) forwardToControl(w http.ResponseWriter, r *http.Request) {
+	x.activeAttempts.Add(1)
+	defer x.activeAttempts.Add(-1)
 	// An application's change that is read right after a freeze may be as old
 	// as the freeze; its sender has done other things since. A front notices
 	// only longer freezes than a control node does, so that less time is left.
-	by := time.Now().Add(x.Settings.MaxCallAge() / 2)
-	app := r.Method != http.MethodGet && strings.HasPrefix(r.URL.Path, "/puffin/app/")
-	if app && time.Since(x.pulse.LastPauseEnd()) < x.Settings.HeartbeatInterval() {
+	latestStart := time.Now().Add(x.Settings.MaxCallAge() / 2)
+	appChange := r.Method != http.MethodGet && strings.HasPrefix(r.URL.Path, "/puffin/app/")
+	if appChange && time.Since(x.pauseDetector.LastPauseEnd()) < x.Settings.HeartbeatInterval() {
 		httpapi.WriteBusy(w, "frozen until just now; nothing was done", x.Settings.HeartbeatInterval())
 		return
 	}
@@ -65,30 +65,30 @@
 	}
 	// The core's own bound and a little more: a change that is held up on its
 	// way must not be done long after its caller gave up.
-	long := 2*x.Settings.ConfigBound + x.Settings.CallTimeout()
+	timeout := 2*x.Settings.ConfigBound + x.Settings.CallTimeout()
 	if r.URL.Query().Get("left_ms") != "" {
-		long = x.Settings.GracePeriod
+		timeout = x.Settings.GracePeriod
 	}
-	bound, over := x.late.Bind(r.Context())
-	defer over()
-	ctx, end := context.WithTimeout(bound, long)
+	bounded, unbind := x.cutoff.Bind(r.Context())
+	defer unbind()
+	ctx, end := context.WithTimeout(bounded, timeout)
 	defer end()
 	in := protocol.ForwardedCall{Method: r.Method, URI: r.URL.RequestURI(), Body: body}
-	if end, ok := ctx.Deadline(); ok && app {
-		in.ProposalMarginMS = end.Sub(by).Milliseconds() + 1
+	if end, ok := ctx.Deadline(); ok && appChange {
+		in.ProposalMarginMS = end.Sub(latestStart).Milliseconds() + 1
 	}
-	for _, to := range x.touch.ControlNodes() {
-		if app && !time.Now().Before(by) {
+	for _, addr := range x.control.ControlNodes() {
+		if appChange && !time.Now().Before(latestStart) {
 			break
 		}
-		got, err := transport.Call[protocol.ForwardedResponse](ctx, x.n, to, "outer.call", in)
+		resp, err := transport.Call[protocol.ForwardedResponse](ctx, x.node, addr, "outer.call", in)
 		if err == nil {
 			w.Header().Set("Content-Type", "application/json")
-			if got.RetryAfter != "" {
-				w.Header().Set("Retry-After", got.RetryAfter)
+			if resp.RetryAfter != "" {
+				w.Header().Set("Retry-After", resp.RetryAfter)
 			}
-			w.WriteHeader(got.Status)
-			_, _ = w.Write(got.Body)
+			w.WriteHeader(resp.Status)
+			_, _ = w.Write(resp.Body)
 			return
 		}
 		// A read may be asked again; a change that may have been done may not.
@@ -111,7 +111,7 @@
 	Entries            int                                        `msgpack:"entries" json:"entries"`
 	Tombstones         int                                        `msgpack:"dead" json:"tombstones"`
 	Digest             uint64                                     `msgpack:"digest" json:"digest"`
-	Requests           counts                                     `msgpack:"count" json:"jobs"`
+	Requests           requestCounts                              `msgpack:"count" json:"jobs"`
 	Retries            int64                                      `msgpack:"repeats" json:"repeats"`
 	Classes            map[string]map[string]admission.ClassUsage `msgpack:"classes" json:"classes"`
 	Health             map[string]float64                         `msgpack:"fitness" json:"fitness"`
@@ -148,33 +148,33 @@
 }
 
 func (x *Proxy) status() Status {
-	at, sure := x.touch.Current()
-	s := Status{Node: x.Settings.Node, Zone: x.Settings.Zone, State: x.life.Current(), Session: at, ConfirmedAgoMS: time.Since(sure).Milliseconds(), TrafficAddr: x.Settings.TrafficAddr}
+	session, confirmedAt := x.control.Current()
+	s := Status{Node: x.Settings.Node, Zone: x.Settings.Zone, State: x.lifecycle.Current(), Session: session, ConfirmedAgoMS: time.Since(confirmedAt).Milliseconds(), TrafficAddr: x.Settings.TrafficAddr}
 	if r := x.rules.Load(); r != nil {
 		s.Version = r.Version
 	}
-	s.Entries, s.Tombstones = x.rep.Map().Size()
-	for _, d := range x.rep.Map().Digests() {
+	s.Entries, s.Tombstones = x.replica.Map().Size()
+	for _, d := range x.replica.Map().Digests() {
 		s.Digest ^= d
 	}
 	x.mu.Lock()
-	s.Requests = x.count
+	s.Requests = x.counts
 	x.mu.Unlock()
-	s.Retries, s.ThinLinkRefusals = x.again.AllowedCount(), x.slim.Load()
-	s.Hedges = x.hedges.Load()
+	s.Retries, s.ThinLinkRefusals = x.retryBudget.AllowedCount(), x.thinLinkRefusals.Load()
+	s.Hedges = x.hedgeCount.Load()
 	s.Goroutines = runtime.NumGoroutine()
-	s.CallerConnections, s.CallersLeft = x.stay.OpenConns(), x.quit.Load()
-	s.BytesInFlight, s.BytesInFlightPeak, s.BytesInFlightLimit = x.load.at()
-	s.Classes, s.Health = x.uses(), x.pick.Weights()
-	s.EagerLinks, s.LazyLinks = x.rep.Tree().LinkCounts()
-	for k, v := range x.n.BytesSent() {
+	s.CallerConnections, s.CallersLeft = x.connLimits.OpenConns(), x.callersLeft.Load()
+	s.BytesInFlight, s.BytesInFlightPeak, s.BytesInFlightLimit = x.byteLimiter.usage()
+	s.Classes, s.Health = x.classUsage(), x.balancer.Weights()
+	s.EagerLinks, s.LazyLinks = x.replica.Tree().LinkCounts()
+	for k, v := range x.node.BytesSent() {
 		if k.OtherZone {
 			s.BytesToOtherZones += v.Bytes
 		}
 	}
-	for _, g := range x.allGates() {
-		used, _, slots := g.room.Load()
-		s.Workers = append(s.Workers, WorkerStatus{g.worker, g.service, g.addr, g.state.Current(), slots, used})
+	for _, local := range x.allWorkers() {
+		used, _, slots := local.admission.Load()
+		s.Workers = append(s.Workers, WorkerStatus{local.id, local.service, local.addr, local.state.Current(), slots, used})
 	}
 	return s
 }
@@ -182,7 +182,7 @@
 func (x *Proxy) onStatus(_ context.Context, _ transport.Hello, in StatusRequest) (Status, error) {
 	s := x.status()
 	if in.Events {
-		s.Events = x.e.Log.Since(in.Since)
+		s.Events = x.env.Log.Since(in.Since)
 	}
 	return s, nil
 }
@@ -192,17 +192,17 @@
 	On bool `msgpack:"o"`
 }
 
-func (x *Proxy) held() bool {
+func (x *Proxy) isDrained() bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	return x.hold
+	return x.drainedByOperator
 }
 
 // onDrain drains the workers of this node until it is undone; the next beat
 // of a worker brings it back.
 func (x *Proxy) onDrain(_ context.Context, _ transport.Hello, in DrainRequest) (Status, error) {
 	x.mu.Lock()
-	x.hold = in.On
+	x.drainedByOperator = in.On
 	x.mu.Unlock()
 	if in.On {
 		x.drainWorkers()
@@ -211,17 +211,17 @@
 }
 
 // ActiveRequests counts the jobs under way at this front.
-func (x *Proxy) ActiveRequests() int64 { return x.busy.Load() }
+func (x *Proxy) ActiveRequests() int64 { return x.activeRequests.Load() }
 
 // ActiveAttempts counts the attempts under way at this node's worker.
-func (x *Proxy) ActiveAttempts() int64 { return x.owned.Load() }
+func (x *Proxy) ActiveAttempts() int64 { return x.activeAttempts.Load() }
 
 // HedgeCount counts the second attempts that were begun beside first ones.
-func (x *Proxy) HedgeCount() int64 { return x.hedges.Load() }
+func (x *Proxy) HedgeCount() int64 { return x.hedgeCount.Load() }
 
 // RetriesRequested counts the repeats that this front's jobs asked for.
-func (x *Proxy) RetriesRequested() int64 { return x.again.RequestedCount() }
+func (x *Proxy) RetriesRequested() int64 { return x.retryBudget.RequestedCount() }
 
 // BytesSent gives the bytes that this process sent to others, by kind of message;
 // receipts count with what they answer.
-func (x *Proxy) BytesSent() map[transport.Flow]transport.Traffic { return x.n.BytesSent() }
+func (x *Proxy) BytesSent() map[transport.Flow]transport.Traffic { return x.node.BytesSent() }
--- a/internal/proxy/owner.go
+++ b/internal/proxy/owner.go
@@ -12,219 +12,219 @@
 	"puffincrank/internal/transport"
 )
 
-// visit is one attempt on its way through the owner.
-type visit struct {
-	in    protocol.AttemptRequest
-	end   time.Time
-	last  time.Time // when its front waits for answers no more; zero if it wasn't told to end
-	gate  *gate
-	back  protocol.AttemptResult
-	from  time.Time
-	held  bool               // a slot is taken
-	runs  bool               // it was begun at the worker
-	part  float64            // how far the run is a repeat
-	calls map[string]float64 // held for the calls of a repeat
-	run   *balancer.ActiveRun
-	mute  bool   // the worker took no connection
-	stale bool   // it had forgotten a kept connection
-	cut   string // why its run was ended from here; "" if it was not
-	lane  int    // that it came by
-	free  func() // gives back what was booked for its answer
-	ask   admission.Request
-	holds uint64 // the version held here, where it isn't the job's
+// ownerAttempt is one attempt on its way through the owner.
+type ownerAttempt struct {
+	req             protocol.AttemptRequest
+	deadline        time.Time
+	ingressDeadline time.Time // when its front waits for answers no more; zero if it wasn't told to end
+	worker          *localWorker
+	result          protocol.AttemptResult
+	admittedAt      time.Time
+	slotHeld        bool               // a slot is taken
+	started         bool               // it was begun at the worker
+	retryShare      float64            // how far the run is a repeat
+	reservedCalls   map[string]float64 // held for the calls of a repeat
+	activeRun       *balancer.ActiveRun
+	unreachable     bool   // the worker took no connection
+	connForgotten   bool   // it had forgotten a kept connection
+	cutReason       string // why its run was ended from here; "" if it was not
+	lane            int    // that it came by
+	releaseResponse func() // gives back what was booked for its answer
+	admission       admission.Request
+	localVersion    uint64 // the version held here, where it isn't the job's
 }
 
 // The owner's filters, run in order until one says how the attempt ended.
-var ownerSteps = []func(*Proxy, context.Context, *visit) bool{
-	(*Proxy).checkNode, (*Proxy).checkRules, (*Proxy).checkGate, (*Proxy).book, (*Proxy).admit, (*Proxy).deliver, (*Proxy).unseal,
+var ownerSteps = []func(*Proxy, context.Context, *ownerAttempt) bool{
+	(*Proxy).checkNode, (*Proxy).checkRules, (*Proxy).checkWorker, (*Proxy).reserveResponse, (*Proxy).admit, (*Proxy).callWorker, (*Proxy).checkResponse,
 }
 
-// own runs one attempt as the owner. All doubts about whether the job may run
+// runAsOwner runs one attempt as the owner. All doubts about whether the job may run
 // are settled here, where the worker is, so that no two nodes can disagree.
-func (x *Proxy) own(ctx context.Context, in protocol.AttemptRequest) protocol.AttemptResult {
-	v := &visit{in: in, end: time.Now().Add(time.Duration(in.TimeoutMS) * time.Millisecond)}
+func (x *Proxy) runAsOwner(ctx context.Context, in protocol.AttemptRequest) protocol.AttemptResult {
+	attempt := &ownerAttempt{req: in, deadline: time.Now().Add(time.Duration(in.TimeoutMS) * time.Millisecond)}
 	// What came over a link has its time as a bound already, less what it spent
 	// on the way; of an own job a part may be kept for a repeat.
-	if d, ok := ctx.Deadline(); ok && d.Before(v.end) {
-		v.end = d
-	} else if !ok || d.Sub(v.end) > time.Duration(in.TimeoutMS)*time.Millisecond/8 {
-		var stop context.CancelFunc
-		ctx, stop = context.WithDeadline(ctx, v.end)
-		defer stop()
+	if ctxDeadline, ok := ctx.Deadline(); ok && ctxDeadline.Before(attempt.deadline) {
+		attempt.deadline = ctxDeadline
+	} else if !ok || ctxDeadline.Sub(attempt.deadline) > time.Duration(in.TimeoutMS)*time.Millisecond/8 {
+		var cancel context.CancelFunc
+		ctx, cancel = context.WithDeadline(ctx, attempt.deadline)
+		defer cancel()
 	}
 	// Counted from when it was handed over, as its time left is.
 	if in.FrontWaitMS > 0 {
-		v.last = v.end.Add(time.Duration(in.FrontWaitMS-in.TimeoutMS) * time.Millisecond)
+		attempt.ingressDeadline = attempt.deadline.Add(time.Duration(in.FrontWaitMS-in.TimeoutMS) * time.Millisecond)
 	}
-	x.owned.Add(1)
-	defer x.owned.Add(-1)
+	x.activeAttempts.Add(1)
+	defer x.activeAttempts.Add(-1)
 	for _, step := range ownerSteps {
-		if !step(x, ctx, v) {
+		if !step(x, ctx, attempt) {
 			break
 		}
 	}
-	if v.back.Outcome == protocol.Refused && !v.back.ReachedWorker {
-		x.step(v, stepRefused, v.back.Reason)
+	if attempt.result.Outcome == protocol.Refused && !attempt.result.ReachedWorker {
+		x.recordDecision(attempt, stepRefused, attempt.result.Reason)
 	}
-	if v.back.Outcome == protocol.Unknown {
-		x.step(v, stepUnknown, v.back.Reason)
+	if attempt.result.Outcome == protocol.Unknown {
+		x.recordDecision(attempt, stepUnknown, attempt.result.Reason)
 	}
-	if plan := x.stop.Load(); plan != nil && v.back.Outcome != protocol.Done {
-		v.back.StoppingForMS = max(plan.Elapsed().Milliseconds(), 1)
+	if schedule := x.stopSchedule.Load(); schedule != nil && attempt.result.Outcome != protocol.Done {
+		attempt.result.StoppingForMS = max(schedule.Elapsed().Milliseconds(), 1)
 	}
-	v.back.UsedSlots, v.back.CalledByRequests = -1, v.ask.Nested
-	if v.gate != nil {
-		x.ended(v)
-		x.unbook(v)
-		if v.held {
-			if v.back.Outcome == protocol.Done {
-				took := time.Since(v.from)
-				v.gate.ran(in.Route, took, len(v.back.Body))
-				v.back.RunMicros = took.Microseconds()
+	attempt.result.UsedSlots, attempt.result.CalledByRequests = -1, attempt.admission.Nested
+	if attempt.worker != nil {
+		x.endRun(attempt)
+		x.releaseReservations(attempt)
+		if attempt.slotHeld {
+			if attempt.result.Outcome == protocol.Done {
+				took := time.Since(attempt.admittedAt)
+				attempt.worker.recordRun(in.Route, took, len(attempt.result.Body))
+				attempt.result.RunMicros = took.Microseconds()
 			}
-			v.gate.room.Release(v.ask, time.Since(v.from))
-			x.measure(v)
+			attempt.worker.admission.Release(attempt.admission, time.Since(attempt.admittedAt))
+			x.recordRun(attempt)
 		}
-		used, wait, _ := v.gate.room.Load()
-		v.back.UsedSlots = used + wait
-		w := v.gate.own.Report()
-		v.back.PaceEighths, v.back.FailedPer64 = w.Pace, w.Fail
+		used, waiting, _ := attempt.worker.admission.Load()
+		attempt.result.UsedSlots = used + waiting
+		report := attempt.worker.stats.Report()
+		attempt.result.PaceEighths, attempt.result.FailedPer64 = report.Pace, report.Fail
 	}
-	return v.back
+	return attempt.result
 }
 
-func (v *visit) refuse(why string) bool { return v.later(why, 0) }
+func (v *ownerAttempt) refuse(reason string) bool { return v.refuseRetryAfter(reason, 0) }
 
-// later refuses with a word on when there may be room.
-func (v *visit) later(why string, come time.Duration) bool {
-	v.back = protocol.AttemptResult{Outcome: protocol.Refused, Reason: why, RetryAfterMS: come.Milliseconds()}
+// refuseRetryAfter refuses with a word on when there may be room.
+func (v *ownerAttempt) refuseRetryAfter(reason string, retryAfter time.Duration) bool {
+	v.result = protocol.AttemptResult{Outcome: protocol.Refused, Reason: reason, RetryAfterMS: retryAfter.Milliseconds()}
 	return false
 }
 
-// differ refuses a job whose front holds another configuration.
-func (v *visit) differ(why string) bool {
-	v.back = protocol.AttemptResult{Outcome: protocol.Refused, Reason: why, ConfigMismatch: true, ConfigVersion: v.holds}
+// refuseMismatch refuses a job whose front holds another configuration.
+func (v *ownerAttempt) refuseMismatch(reason string) bool {
+	v.result = protocol.AttemptResult{Outcome: protocol.Refused, Reason: reason, ConfigMismatch: true, ConfigVersion: v.localVersion}
 	return false
 }
 
-func (v *visit) unknown(why string) bool {
-	v.back = protocol.AttemptResult{Outcome: protocol.Unknown, Reason: why, TimedOut: !time.Now().Before(v.end), ReachedWorker: v.back.ReachedWorker}
+func (v *ownerAttempt) outcomeUnknown(reason string) bool {
+	v.result = protocol.AttemptResult{Outcome: protocol.Unknown, Reason: reason, TimedOut: !time.Now().Before(v.deadline), ReachedWorker: v.result.ReachedWorker}
 	return false
 }
 
 // checkNode holds the attempt until this node is sure of its configuration
 // and refuses a second arrival.
-func (x *Proxy) checkNode(ctx context.Context, v *visit) bool {
-	if !x.meet(v.in.AttemptID, time.Duration(v.in.TimeoutMS)*time.Millisecond) {
-		x.e.Log.Emit(event.DuplicateAttempt, "attempt", v.in.AttemptID)
+func (x *Proxy) checkNode(ctx context.Context, attempt *ownerAttempt) bool {
+	if !x.recordArrival(attempt.req.AttemptID, time.Duration(attempt.req.TimeoutMS)*time.Millisecond) {
+		x.env.Log.Emit(event.DuplicateAttempt, "attempt", attempt.req.AttemptID)
 		// The first arrival may have run, so this is not a refusal.
-		return v.unknown("second arrival of one attempt")
+		return attempt.outcomeUnknown("second arrival of one attempt")
 	}
 	// Others may know this node's worker before it has its own rules.
-	x.begins(ctx, time.Until(v.end)/4)
-	return x.sure(ctx, v)
+	x.waitUntilReady(ctx, time.Until(attempt.deadline)/4)
+	return x.confirmConfig(ctx, attempt)
 }
 
-// sure tells whether the job may run by what is held here. A bound on changes
+// confirmConfig tells whether the job may run by what is held here. A bound on changes
 // counts from when a job was sent: one whose front was sure after it had read it
 // may run by that version whenever it does. A front that was not needs an owner
 // that is; when both are out of touch, both act by what they have.
-func (x *Proxy) sure(ctx context.Context, v *visit) bool {
-	if v.in.Confidence == protocol.Confirmed {
+func (x *Proxy) confirmConfig(ctx context.Context, attempt *ownerAttempt) bool {
+	if attempt.req.Confidence == protocol.Confirmed {
 		return true
 	}
-	if w := x.confirm(ctx, v.end); w == protocol.Confirmed || w == protocol.Disconnected && v.in.Confidence != protocol.Unconfirmed {
+	if confidence := x.confirm(ctx, attempt.deadline); confidence == protocol.Confirmed || confidence == protocol.Disconnected && attempt.req.Confidence != protocol.Unconfirmed {
 		return true
 	}
-	return v.refuse("owner can't confirm its configuration")
+	return attempt.refuse("owner can't confirm its configuration")
 }
 
 // checkRules lets a job in only if the newest configuration here still sends
 // jobs of its kind to this service. A front that was sure of an older one when it
 // had read the job may go by it; one that said that it was not takes the newer
 // one from here first, since its own may have been replaced long ago.
-func (x *Proxy) checkRules(_ context.Context, v *visit) bool {
-	r := x.rules.Load()
-	if r == nil {
-		return v.refuse("owner has no configuration")
+func (x *Proxy) checkRules(_ context.Context, attempt *ownerAttempt) bool {
+	newest := x.rules.Load()
+	if newest == nil {
+		return attempt.refuse("owner has no configuration")
 	}
-	if r.Version == v.in.ConfigVersion {
+	if newest.Version == attempt.req.ConfigVersion {
 		return true
 	}
-	v.holds = r.Version
-	if r.Version < v.in.ConfigVersion {
-		x.touch.HeartbeatNow()
-		return v.differ("owner's configuration is older than the job's")
+	attempt.localVersion = newest.Version
+	if newest.Version < attempt.req.ConfigVersion {
+		x.control.HeartbeatNow()
+		return attempt.refuseMismatch("owner's configuration is older than the job's")
 	}
-	if v.in.Confidence == protocol.Disconnected || v.in.Confidence == protocol.Unconfirmed {
-		return v.differ("a newer configuration is known than the job's front was sure of")
+	if attempt.req.Confidence == protocol.Disconnected || attempt.req.Confidence == protocol.Unconfirmed {
+		return attempt.refuseMismatch("a newer configuration is known than the job's front was sure of")
 	}
-	p := r.Match(v.in.Host, v.in.Method, urlPath(v.in.URI))
-	if p == nil || (!p.Base.RoutesTo(v.in.Service) && (p.Trial == 0 || !p.New.RoutesTo(v.in.Service))) {
-		return v.differ("a newer configuration doesn't send this job here")
+	route := newest.Match(attempt.req.Host, attempt.req.Method, urlPath(attempt.req.URI))
+	if route == nil || (!route.Base.RoutesTo(attempt.req.Service) && (route.Trial == 0 || !route.New.RoutesTo(attempt.req.Service))) {
+		return attempt.refuseMismatch("a newer configuration doesn't send this job here")
 	}
-	if _, ok := r.Shares[v.in.Class]; !ok {
-		return v.differ("a newer configuration has no such class")
+	if _, ok := newest.Shares[attempt.req.Class]; !ok {
+		return attempt.refuseMismatch("a newer configuration has no such class")
 	}
 	return true
 }
 
-func (x *Proxy) checkGate(_ context.Context, v *visit) bool {
-	x.kin.meet(v.in.Route, v.in.CallerService)
-	v.gate = x.gateOf(v.in.Worker)
-	if v.gate == nil || v.gate.service != v.in.Service {
-		v.gate = nil
-		return v.refuse("no such worker here")
+func (x *Proxy) checkWorker(_ context.Context, attempt *ownerAttempt) bool {
+	x.nested.recordCaller(attempt.req.Route, attempt.req.CallerService)
+	attempt.worker = x.findWorker(attempt.req.Worker)
+	if attempt.worker == nil || attempt.worker.service != attempt.req.Service {
+		attempt.worker = nil
+		return attempt.refuse("no such worker here")
 	}
-	return x.open(v)
+	return x.checkAccepting(attempt)
 }
 
-// timely looks whether somebody still waits for the attempt, and whether it has
+// stillWanted looks whether somebody still waits for the attempt, and whether it has
 // time left to be delivered in.
-func (x *Proxy) timely(ctx context.Context, v *visit) bool {
+func (x *Proxy) stillWanted(ctx context.Context, attempt *ownerAttempt) bool {
 	if transport.CanceledByCaller(ctx) {
-		return v.refuse(whyLeft)
+		return attempt.refuse(reasonCallerLeft)
 	}
 	if shutdown.IsCutoff(ctx) {
-		return v.refuse(whyEnding)
+		return attempt.refuse(reasonNodeEnding)
 	}
-	return time.Now().Before(v.end) || v.refuse("no time left before delivery")
+	return time.Now().Before(attempt.deadline) || attempt.refuse("no time left before delivery")
 }
 
-// open looks whether the gate's door is open just now.
-func (x *Proxy) open(v *visit) bool {
-	if x.takes(v.gate) {
+// checkAccepting looks whether the gate's door is open just now.
+func (x *Proxy) checkAccepting(attempt *ownerAttempt) bool {
+	if x.accepts(attempt.worker) {
 		return true
 	}
-	if s := v.gate.state.Current(); s != "up" {
-		return v.later("worker is "+s, x.Settings.WorkerTimeout())
+	if state := attempt.worker.state.Current(); state != "up" {
+		return attempt.refuseRetryAfter("worker is "+state, x.Settings.WorkerTimeout())
 	}
-	return v.later("no fresh word of the worker", 2*x.Settings.WorkerHeartbeat())
+	return attempt.refuseRetryAfter("no fresh word of the worker", 2*x.Settings.WorkerHeartbeat())
 }
 
 // admit takes a slot. Waiting is bounded by a part of the time left, so that
 // enough is left to run the job or to try elsewhere.
-func (x *Proxy) admit(ctx context.Context, v *visit) bool {
+func (x *Proxy) admit(ctx context.Context, attempt *ownerAttempt) bool {
 	// Jobs that hang say nothing by themselves; those that come find them.
-	x.doubt(v.gate)
-	if !x.endsInTime(v) {
+	x.publishHealth(attempt.worker)
+	if !x.endsInTime(attempt) {
 		return false
 	}
-	v.ask = admission.Request{Class: v.in.Class, MaxWait: x.queueWait(v), Nested: x.kin.inner(v.in.Route), Priority: v.rank()}
-	if v.in.NoQueue {
-		v.ask.MaxWait = 0
+	attempt.admission = admission.Request{Class: attempt.req.Class, MaxWait: x.queueWait(attempt), Nested: x.nested.isNested(attempt.req.Route), Priority: attempt.priority()}
+	if attempt.req.NoQueue {
+		attempt.admission.MaxWait = 0
 	}
-	if why := v.gate.room.Acquire(ctx, v.ask); why != admission.Admitted {
-		v.later(why, v.gate.room.EstimateDrain(v.in.Class))
-		v.back.NoFreeSlot = v.in.NoQueue && (why == admission.QueueFull || why == admission.NoTimeLeft)
+	if reason := attempt.worker.admission.Acquire(ctx, attempt.admission); reason != admission.Admitted {
+		attempt.refuseRetryAfter(reason, attempt.worker.admission.EstimateDrain(attempt.req.Class))
+		attempt.result.NoFreeSlot = attempt.req.NoQueue && (reason == admission.QueueFull || reason == admission.NoTimeLeft)
 		return false
 	}
-	v.held, v.from, v.lane = true, time.Now(), x.begin(ctx)
-	v.run = v.gate.own.RunStarted(x.pick.UsualRunMS(v.in.Route))
+	attempt.slotHeld, attempt.admittedAt, attempt.lane = true, time.Now(), x.beginLane(ctx)
+	attempt.activeRun = attempt.worker.stats.RunStarted(x.balancer.UsualRunMS(attempt.req.Route))
 	// The wait may have been long: all that could have changed is looked at
 	// once more right before the job goes out.
-	if !x.timely(ctx, v) || !x.endsInTime(v) {
+	if !x.stillWanted(ctx, attempt) || !x.endsInTime(attempt) {
 		return false
 	}
-	return x.sure(ctx, v) && x.checkRules(ctx, v)
+	return x.confirmConfig(ctx, attempt) && x.checkRules(ctx, attempt)
 }
--- a/internal/proxy/owner_test.go
+++ b/internal/proxy/owner_test.go
@@ -32,13 +32,13 @@
 		{5, protocol.Unconfirmed, true},
 		{5, protocol.Disconnected, true},
 	} {
-		v := &visit{in: hand}
-		v.in.ConfigVersion, v.in.Confidence = c.version, c.word
-		if x.checkRules(context.Background(), v) != c.runs {
+		attempt := &ownerAttempt{req: hand}
+		attempt.req.ConfigVersion, attempt.req.Confidence = c.version, c.word
+		if x.checkRules(context.Background(), attempt) != c.runs {
 			t.Errorf("version %d, word %d: runs %v", c.version, c.word, !c.runs)
 		}
-		if !c.runs && (!v.back.ConfigMismatch || v.back.ConfigVersion != 5 || v.back.Outcome != protocol.Refused) {
-			t.Errorf("version %d, word %d: answered %+v", c.version, c.word, v.back)
+		if !c.runs && (!attempt.result.ConfigMismatch || attempt.result.ConfigVersion != 5 || attempt.result.Outcome != protocol.Refused) {
+			t.Errorf("version %d, word %d: answered %+v", c.version, c.word, attempt.result)
 		}
 	}
 }
--- a/internal/proxy/probe.go
+++ b/internal/proxy/probe.go
@@ -8,37 +8,37 @@
 
 // probe asks the worker's port whether it lives, on a connection of its own:
 // it must find out whether one stands.
-func (x *Proxy) probe(ctx context.Context, g *gate) {
+func (x *Proxy) probe(ctx context.Context, local *localWorker) {
 	ctx, end := context.WithTimeout(ctx, x.Settings.WorkerTimeout()/2)
 	defer end()
-	c, err := x.conns.Open(ctx, g.worker, g.addr)
+	c, err := x.workerConns.Open(ctx, local.id, local.addr)
 	if err == nil {
-		x.conns.Discard(c)
+		x.workerConns.Discard(c)
 	}
-	g.mu.Lock()
+	local.mu.Lock()
 	if err == nil {
-		g.bad = 0
+		local.failedProbes = 0
 	} else {
-		g.bad++
+		local.failedProbes++
 	}
-	dead := g.bad >= 2
-	g.mu.Unlock()
+	dead := local.failedProbes >= 2
+	local.mu.Unlock()
 	if dead {
-		x.evictStranger(g)
+		x.markDown(local)
 	}
 }
 
-// stranger is called when another identity was met at a worker's address: as
+// onWrongWorker is called when another identity was met at a worker's address: as
 // good as dead for ours, until its own beat says otherwise.
-func (x *Proxy) stranger(g *gate) {
-	x.e.Log.Emit(event.WrongWorker, "worker", g.worker, "addr", g.addr)
-	x.evictStranger(g)
+func (x *Proxy) onWrongWorker(local *localWorker) {
+	x.env.Log.Emit(event.WrongWorker, "worker", local.id, "addr", local.addr)
+	x.markDown(local)
 }
 
-// evictStranger is called when another identity answers at a worker's address.
-func (x *Proxy) evictStranger(g *gate) {
-	if x.moves(g, "miss", "another answers at its address, or nobody") {
-		g.room.Close()
-		x.remove(g, "down")
+// markDown is called when another identity answers at a worker's address.
+func (x *Proxy) markDown(worker *localWorker) {
+	if x.transition(worker, "miss", "another answers at its address, or nobody") {
+		worker.admission.Close()
+		x.unregister(worker, "down")
 	}
 }
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -33,166 +33,166 @@
 
 // Proxy is one process. Lock order: mu before a gate's own lock.
 type Proxy struct {
-	Settings    settings.Settings
-	e           env.Env
-	g           *task.Group
-	n           *transport.Node
-	self        membership.Member
-	life        *fsm.Machine
-	well        chan struct{} // closed when it became ready
-	touch       *controlclient.Client
-	rep         *replica.Replica
-	pick        *balancer.Balancer
-	again       *retrybudget.Budget
-	kin         *kin
-	calls       *calls
-	knows       *recall
-	load        *load
-	trail       trail
-	gone        *event.Limiter   // of callers that left
-	runsEnded   *event.Limiter   // of runs ended for them
-	unanswered  *event.Limiter   // of requests without their worker's answers
-	stopLines   stopLines        // of those, since this node was told to end
-	fitnessNews *newsRate        // of what the mesh is told of its workers' fitness
-	conns       *workerconn.Pool // to the own workers
-	pulse       *pausedetect.Detector
-	say         dialect.Dialect
-	door        *http.Server           // where callers come in
-	stay        httpapi.ConnLimits     // how long callers' connections may
-	told        atomic.Pointer[string] // what callers are told of that
-	rules       atomic.Pointer[rules.Rules]
-	reset       atomic.Pointer[settings.Settings] // settings read again since the start
-	busy        atomic.Int64                      // jobs under way as a front
-	owned       atomic.Int64                      // attempts under way as an owner
-	seq         atomic.Uint64
-	slim        atomic.Int64                      // attempts refused for want of room on a link
-	quit        atomic.Int64                      // callers that left before their answers
-	hedges      atomic.Int64                      // second attempts begun beside first ones
-	left        atomic.Bool                       // this node's workers are being left for good
-	stop        atomic.Pointer[shutdown.Schedule] // of the stop, once it was told to end
-	boot        string
-	born        time.Time
-	late        *shutdown.Cutoff
-	attempts    attempts   // of this front, that may be hedged
-	remote      remoteRuns // at the own worker, of other fronts
+	Settings         settings.Settings
+	env              env.Env
+	group            *task.Group
+	node             *transport.Node
+	self             membership.Member
+	lifecycle        *fsm.Machine
+	readyCh          chan struct{} // closed when it became ready
+	control          *controlclient.Client
+	replica          *replica.Replica
+	balancer         *balancer.Balancer
+	retryBudget      *retrybudget.Budget
+	nested           *nestedRoutes
+	callRates        *callRates
+	callerRetries    *callerRetries
+	byteLimiter      *byteLimiter
+	decisions        decisionLog
+	callerLeftEvents *event.Limiter   // of callers that left
+	runEndedEvents   *event.Limiter   // of runs ended for them
+	unansweredEvents *event.Limiter   // of requests without their worker's answers
+	stopLogLimit     lineLimit        // of those, since this node was told to end
+	healthUpdates    *updateRate      // of what the mesh is told of its workers' fitness
+	workerConns      *workerconn.Pool // to the own workers
+	pauseDetector    *pausedetect.Detector
+	dialect          dialect.Dialect
+	trafficServer    *http.Server           // where callers come in
+	connLimits       httpapi.ConnLimits     // how long callers' connections may
+	keepAliveHeader  atomic.Pointer[string] // what callers are told of that
+	rules            atomic.Pointer[rules.Rules]
+	reloadedSettings atomic.Pointer[settings.Settings] // settings read again since the start
+	activeRequests   atomic.Int64                      // jobs under way as a front
+	activeAttempts   atomic.Int64                      // attempts under way as an owner
+	requestSeq       atomic.Uint64
+	thinLinkRefusals atomic.Int64                      // attempts refused for want of room on a link
+	callersLeft      atomic.Int64                      // callers that left before their answers
+	hedgeCount       atomic.Int64                      // second attempts begun beside first ones
+	workersLeaving   atomic.Bool                       // this node's workers are being left for good
+	stopSchedule     atomic.Pointer[shutdown.Schedule] // of the stop, once it was told to end
+	incarnation      string
+	startedAt        time.Time
+	cutoff           *shutdown.Cutoff
+	ingressAttempts  ingressAttempts // of this front, that may be hedged
+	remoteRuns       remoteRuns      // at the own worker, of other fronts
 
-	calling    sync.Mutex // one call of a worker at a time; taken before mu
-	lastCalls  map[string]lastCall
-	departures map[string]time.Time // workers that are gone for good, and since when
-	kept       map[string]string    // the state of leaving workers that a control node has noted
+	workerCallMu   sync.Mutex // one call of a worker at a time; taken before mu
+	lastCalls      map[string]lastCall
+	departures     map[string]time.Time // workers that are gone for good, and since when
+	recordedLeaves map[string]string    // the state of leaving workers that a control node has noted
 
-	mu    sync.Mutex
-	gates map[string]*gate // worker identity to its gate
-	met   map[string]time.Time
-	count counts
-	tally map[armKey]*armTally
-	live  map[string]time.Time // path to its newest job
-	hold  bool                 // an operator drained this node
+	mu                sync.Mutex
+	workers           map[string]*localWorker // worker identity to its gate
+	seenAttempts      map[string]time.Time
+	counts            requestCounts
+	armTallies        map[armKey]*armTally
+	routeLastUsed     map[string]time.Time // path to its newest job
+	drainedByOperator bool                 // an operator drained this node
 }
 
-type counts struct{ Jobs, Done, Refused, Unknown, Sends, Near int64 }
+type requestCounts struct{ Jobs, Done, Refused, Unknown, Sends, Near int64 }
 
 // New readies a proxy.
-func New(p settings.Settings, e env.Env) *Proxy {
-	g := task.New(context.Background()).SetSleep(e.Sleep)
-	x := &Proxy{Settings: p, e: e, g: g, well: make(chan struct{}), gates: map[string]*gate{}, met: map[string]time.Time{}, tally: map[armKey]*armTally{}, live: map[string]time.Time{}, lastCalls: map[string]lastCall{}, departures: map[string]time.Time{}, kept: map[string]string{}, boot: fresh(), born: time.Now(), say: e.Dialect}
-	x.late = shutdown.NewCutoff(g.Context())
-	x.attempts.by, x.remote.by = map[string]*attempt{}, map[string]context.Context{}
-	if x.say.Name == "" {
-		x.say = dialect.Default
+func New(conf settings.Settings, environ env.Env) *Proxy {
+	group := task.New(context.Background()).SetSleep(environ.Sleep)
+	x := &Proxy{Settings: conf, env: environ, group: group, readyCh: make(chan struct{}), workers: map[string]*localWorker{}, seenAttempts: map[string]time.Time{}, armTallies: map[armKey]*armTally{}, routeLastUsed: map[string]time.Time{}, lastCalls: map[string]lastCall{}, departures: map[string]time.Time{}, recordedLeaves: map[string]string{}, incarnation: newIncarnation(), startedAt: time.Now(), dialect: environ.Dialect}
+	x.cutoff = shutdown.NewCutoff(group.Context())
+	x.ingressAttempts.byID, x.remoteRuns.byID = map[string]*ingressAttempt{}, map[string]context.Context{}
+	if x.dialect.Name == "" {
+		x.dialect = dialect.Default
 	}
-	x.self = membership.Member{Node: p.Node, Incarnation: x.boot, Role: "proxy", Zone: p.Zone, InternalAddr: p.InternalAddr, APIAddr: p.APIAddr, TrafficAddr: p.TrafficAddr}
-	x.n = transport.NewNode(transport.Hello{ClusterID: p.ClusterID, Node: p.Node, Zone: p.Zone, Role: "proxy"}, e, g, p.MaxFrameBytes, p.MaxRequests, p.CallTimeout())
-	x.n.MaxIdleLinks = p.MaxIdleLinks()
-	x.rep = replica.New(x.self, x.n, g, e.Log, hlc.New(e.Wall, 2*p.RecoveryBound), p.HeartbeatInterval(), p.RepairInterval(), p.TombstoneTTL())
-	x.pick = balancer.New(p.Zone, p.HeartbeatInterval(), p.RetryWindow, x.fitness)
-	x.again = retrybudget.New(p.RetryWindow)
-	x.kin = newKin()
-	x.calls = newCalls()
-	x.knows = newRecall(p.HeartbeatInterval() / 32)
-	x.load = newLoad(&p)
-	x.gone, x.runsEnded = event.NewLimiter(p.HeartbeatInterval()), event.NewLimiter(p.HeartbeatInterval())
-	x.unanswered = event.NewLimiter(p.HeartbeatInterval())
-	x.stay.SetMaxConns(callers(&p))
-	x.limits(nil)
-	x.fitnessNews = newNewsRate(time.Now())
-	x.pulse = pausedetect.New(p.HeartbeatInterval()/4, p.PauseThreshold(), func(gap time.Duration) { e.Log.Emit(event.Paused, "ms", gap.Milliseconds()) })
-	x.touch = newTouch(x)
-	x.conns = workerconn.NewPool(e.Net, g, p.ConfigBound, int64(max(p.MaxBodyBytes, p.MaxFrameBytes/2))+64<<10, x.say.IdentifiesConns)
-	x.life = fsm.New("starting", nil,
+	x.self = membership.Member{Node: conf.Node, Incarnation: x.incarnation, Role: "proxy", Zone: conf.Zone, InternalAddr: conf.InternalAddr, APIAddr: conf.APIAddr, TrafficAddr: conf.TrafficAddr}
+	x.node = transport.NewNode(transport.Hello{ClusterID: conf.ClusterID, Node: conf.Node, Zone: conf.Zone, Role: "proxy"}, environ, group, conf.MaxFrameBytes, conf.MaxRequests, conf.CallTimeout())
+	x.node.MaxIdleLinks = conf.MaxIdleLinks()
+	x.replica = replica.New(x.self, x.node, group, environ.Log, hlc.New(environ.Wall, 2*conf.RecoveryBound), conf.HeartbeatInterval(), conf.RepairInterval(), conf.TombstoneTTL())
+	x.balancer = balancer.New(conf.Zone, conf.HeartbeatInterval(), conf.RetryWindow, x.onHealthChange)
+	x.retryBudget = retrybudget.New(conf.RetryWindow)
+	x.nested = newNestedRoutes()
+	x.callRates = newCallRates()
+	x.callerRetries = newCallerRetries(conf.HeartbeatInterval() / 32)
+	x.byteLimiter = newByteLimiter(&conf)
+	x.callerLeftEvents, x.runEndedEvents = event.NewLimiter(conf.HeartbeatInterval()), event.NewLimiter(conf.HeartbeatInterval())
+	x.unansweredEvents = event.NewLimiter(conf.HeartbeatInterval())
+	x.connLimits.SetMaxConns(maxCallerConns(&conf))
+	x.setConnLimits(nil)
+	x.healthUpdates = newUpdateRate(time.Now())
+	x.pauseDetector = pausedetect.New(conf.HeartbeatInterval()/4, conf.PauseThreshold(), func(gap time.Duration) { environ.Log.Emit(event.Paused, "ms", gap.Milliseconds()) })
+	x.control = newControlClient(x)
+	x.workerConns = workerconn.NewPool(environ.Net, group, conf.ConfigBound, int64(max(conf.MaxBodyBytes, conf.MaxFrameBytes/2))+64<<10, x.dialect.IdentifiesConns)
+	x.lifecycle = fsm.New("starting", nil,
 		fsm.Move{From: "starting", By: "filled", To: "ready"},
 		fsm.Move{From: "starting", By: "stop", To: "leaving"},
 		fsm.Move{From: "ready", By: "stop", To: "leaving"},
 		fsm.Move{From: "leaving", By: "shut", To: "shut"},
 		fsm.Move{From: "shut", By: "end", To: "ended"})
-	x.rep.Subscribe(x.news)
+	x.replica.Subscribe(x.onRegistryEvent)
 	return x
 }
 
-func fresh() string {
+func newIncarnation() string {
 	var b [6]byte
 	_, _ = rand.Read(b[:])
 	return hex.EncodeToString(b[:])
 }
 
-func (x *Proxy) fitness(worker string, fit bool) {
-	if fit {
-		x.e.Log.Emit(event.WorkerHealthy, "worker", worker)
+func (x *Proxy) onHealthChange(worker string, healthy bool) {
+	if healthy {
+		x.env.Log.Emit(event.WorkerHealthy, "worker", worker)
 	} else {
-		x.e.Log.Emit(event.WorkerUnhealthy, "worker", worker)
+		x.env.Log.Emit(event.WorkerUnhealthy, "worker", worker)
 	}
 }
 
-// news logs the registry's events and forgets workers that are gone for good.
-func (x *Proxy) news(n replica.Event) {
+// onRegistryEvent logs the registry's events and forgets workers that are gone for good.
+func (x *Proxy) onRegistryEvent(n replica.Event) {
 	if n.Kind == "registered" {
-		x.e.Log.Emit(event.Registered, "service", n.Entry.Service, "worker", n.Entry.Worker, "owner", n.Entry.Owner)
+		x.env.Log.Emit(event.Registered, "service", n.Entry.Service, "worker", n.Entry.Worker, "owner", n.Entry.Owner)
 		return
 	}
 	k := event.Unregistered
 	if n.Kind == "down" {
 		k = event.WorkerDown
 	}
-	x.e.Log.Emit(k, "service", n.Entry.Service, "worker", n.Entry.Worker, "owner", n.Entry.Owner, "why", n.Reason)
-	for _, e := range x.rep.Lookup(n.Entry.Service) {
+	x.env.Log.Emit(k, "service", n.Entry.Service, "worker", n.Entry.Worker, "owner", n.Entry.Owner, "why", n.Reason)
+	for _, e := range x.replica.Lookup(n.Entry.Service) {
 		if e.Worker == n.Entry.Worker {
 			return
 		}
 	}
-	x.pick.Forget(n.Entry.Worker)
+	x.balancer.Forget(n.Entry.Worker)
 }
 
 // AcceptsRequests tells whether jobs are taken: a leaving node takes them for a while.
-func (x *Proxy) AcceptsRequests() bool { return x.life.Is("ready", "leaving") }
+func (x *Proxy) AcceptsRequests() bool { return x.lifecycle.Is("ready", "leaving") }
 
 // Ready tells the platform whether to send callers here.
-func (x *Proxy) Ready() bool { return x.life.Is("ready") }
+func (x *Proxy) Ready() bool { return x.lifecycle.Is("ready") }
 
 // Kill ends the process at once.
 func (x *Proxy) Kill() {
-	x.g.Cancel()
-	x.n.Close()
-	x.conns.Close()
-	x.g.Stop()
+	x.group.Cancel()
+	x.node.Close()
+	x.workerConns.Close()
+	x.group.Stop()
 }
 
-// forget drops attempt ids that are older than any time left could be.
-func (x *Proxy) forget(context.Context) {
+// expireState drops attempt ids that are older than any time left could be.
+func (x *Proxy) expireState(context.Context) {
 	// Whoever was away for longer than graves are kept may have brought them back.
-	if x.life.Is("ready") {
-		x.buryOld()
+	if x.lifecycle.Is("ready") {
+		x.retireOldEntries()
 	}
-	x.conns.CloseIdle()
-	x.forgetCalls()
-	x.knows.forget(time.Now())
+	x.workerConns.CloseIdle()
+	x.expireCalls()
+	x.callerRetries.expire(time.Now())
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	for id, end := range x.met {
+	for id, end := range x.seenAttempts {
 		if time.Now().After(end) {
-			delete(x.met, id)
+			delete(x.seenAttempts, id)
 		}
 	}
 }
 
 // LinkCount counts the links to fellows that stand, whoever dialed them.
-func (x *Proxy) LinkCount() int { return x.n.LinkCount() }
+func (x *Proxy) LinkCount() int { return x.node.LinkCount() }
--- a/internal/proxy/recall.go
+++ b/internal/proxy/recall.go
@@ -5,75 +5,75 @@
 	"time"
 )
 
-// recall knows jobs that come back after they were not served. Nothing in a job
+// callerRetries knows jobs that come back after they were not served. Nothing in a job
 // says so, and each try has an id of its own, but its time ends when it ended
 // before. Who came back has lost a part of its aim, or all of it: where room is
 // short it must not take the place of one that can still be served in time.
-type recall struct {
-	mu   sync.Mutex
-	near time.Duration // two ends this near to each other are one
-	ends map[ending]time.Time
+type callerRetries struct {
+	mu        sync.Mutex
+	tolerance time.Duration // two ends this near to each other are one
+	firstSeen map[deadlineKey]time.Time
 }
 
-// ending is the end of a job's time on a path, in steps of what is near.
-type ending struct {
-	path string
-	at   int64
+// deadlineKey is the end of a job's time on a path, in steps of what is near.
+type deadlineKey struct {
+	route  string
+	bucket int64
 }
 
-// recallMost bounds the jobs that are remembered at once; beyond it those that
+// maxCallerRetries bounds the jobs that are remembered at once; beyond it those that
 // come back look like new ones.
-const recallMost = 4096
+const maxCallerRetries = 4096
 
-func newRecall(near time.Duration) *recall {
-	return &recall{near: max(near, time.Millisecond), ends: map[ending]time.Time{}}
+func newCallerRetries(tolerance time.Duration) *callerRetries {
+	return &callerRetries{tolerance: max(tolerance, time.Millisecond), firstSeen: map[deadlineKey]time.Time{}}
 }
 
-func (r *recall) step(end time.Time) int64 { return end.UnixNano() / int64(r.near) }
+func (r *callerRetries) bucket(end time.Time) int64 { return end.UnixNano() / int64(r.tolerance) }
 
-// first gives when a job that came at a time first came here.
-func (r *recall) first(path string, from, end time.Time) time.Time {
+// firstArrival gives when a job that came at a time first came here.
+func (r *callerRetries) firstArrival(route string, from, end time.Time) time.Time {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	at := r.step(end)
+	at := r.bucket(end)
 	for _, s := range []int64{at - 1, at, at + 1} {
-		if t, ok := r.ends[ending{path, s}]; ok && t.Before(from) {
+		if t, ok := r.firstSeen[deadlineKey{route, s}]; ok && t.Before(from) {
 			from = t
 		}
 	}
 	return from
 }
 
-// note remembers a job that was not served.
-func (r *recall) note(path string, first, end time.Time) {
+// record remembers a job that was not served.
+func (r *callerRetries) record(route string, first, end time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	k := ending{path, r.step(end)}
-	if t, ok := r.ends[k]; ok && t.Before(first) || !ok && len(r.ends) >= recallMost {
+	k := deadlineKey{route, r.bucket(end)}
+	if t, ok := r.firstSeen[k]; ok && t.Before(first) || !ok && len(r.firstSeen) >= maxCallerRetries {
 		return
 	}
-	r.ends[k] = first
+	r.firstSeen[k] = first
 }
 
-// comeback is when a refused job may come back. One that would then be late in any
+// callerRetryAfter is when a refused job may come back. One that would then be late in any
 // case loses nothing more by coming later, and the rush that it met may be over by
 // then.
-func (x *Proxy) comeback(j *job) time.Duration {
+func (x *Proxy) callerRetryAfter(req *request) time.Duration {
 	now := time.Now()
-	run := time.Duration(x.pick.UsualRunMS(j.path.Name) * float64(time.Millisecond))
-	if now.Add(j.come + run).After(j.first.Add(j.arm.Target)) {
-		return max(j.come, j.end.Sub(now)/3)
+	usualRun := time.Duration(x.balancer.UsualRunMS(req.route.Name) * float64(time.Millisecond))
+	if now.Add(req.retryAfter + usualRun).After(req.firstSeen.Add(req.arm.Target)) {
+		return max(req.retryAfter, req.deadline.Sub(now)/3)
 	}
-	return j.come
+	return req.retryAfter
 }
 
-// forget drops those whose time is over.
-func (r *recall) forget(now time.Time) {
+// expire drops those whose time is over.
+func (r *callerRetries) expire(now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for k := range r.ends {
-		if k.at < r.step(now)-1 {
-			delete(r.ends, k)
+	for k := range r.firstSeen {
+		if k.bucket < r.bucket(now)-1 {
+			delete(r.firstSeen, k)
 		}
 	}
 }
--- a/internal/proxy/recall_test.go
+++ b/internal/proxy/recall_test.go
@@ -17,44 +17,44 @@
 func TestRecall(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const near, left = 6 * time.Millisecond, 3 * time.Second
-		r := newRecall(near)
+		r := newCallerRetries(near)
 		from := time.Now()
 		end := from.Add(left)
-		if got := r.first("p", from, end); !got.Equal(from) {
+		if got := r.firstArrival("p", from, end); !got.Equal(from) {
 			t.Errorf("a new job first came %v before", from.Sub(got))
 		}
-		r.note("p", from, end)
+		r.record("p", from, end)
 		for i, off := range []time.Duration{-near, 0, 2 * time.Millisecond, near} {
 			task.Sleep(t.Context(), 200*time.Millisecond)
 			now := time.Now()
-			got := r.first("p", now, end.Add(off))
+			got := r.firstArrival("p", now, end.Add(off))
 			if !got.Equal(from) {
 				t.Errorf("try %d, %v off: first came %v before, want %v", i, off, now.Sub(got), now.Sub(from))
 			}
 			// Refused once more: it is still the first time that counts.
-			r.note("p", got, end.Add(off))
-			r.note("p", now, end)
+			r.record("p", got, end.Add(off))
+			r.record("p", now, end)
 		}
 		now := time.Now()
-		if got := r.first("q", now, end); !got.Equal(now) {
+		if got := r.firstArrival("q", now, end); !got.Equal(now) {
 			t.Error("a job of another path was taken for it")
 		}
 		for _, off := range []time.Duration{-4 * near, 4 * near, time.Second} {
-			if got := r.first("p", now, end.Add(off)); !got.Equal(now) {
+			if got := r.firstArrival("p", now, end.Add(off)); !got.Equal(now) {
 				t.Errorf("a job with %v more time was taken for it", off)
 			}
 		}
 		// One that starts anew always has a later end than all before it.
-		if got := r.first("p", now, now.Add(left)); !got.Equal(now) {
+		if got := r.firstArrival("p", now, now.Add(left)); !got.Equal(now) {
 			t.Error("a new job was taken for an old one")
 		}
-		r.forget(end.Add(-near))
-		if got := r.first("p", now, end); !got.Equal(from) {
+		r.expire(end.Add(-near))
+		if got := r.firstArrival("p", now, end); !got.Equal(from) {
 			t.Error("forgotten before its time was over")
 		}
-		r.forget(end.Add(4 * near))
-		if got := r.first("p", now, end); !got.Equal(now) || len(r.ends) != 0 {
-			t.Errorf("%d are remembered beyond their time", len(r.ends))
+		r.expire(end.Add(4 * near))
+		if got := r.firstArrival("p", now, end); !got.Equal(now) || len(r.firstSeen) != 0 {
+			t.Errorf("%d are remembered beyond their time", len(r.firstSeen))
 		}
 	})
 }
@@ -64,15 +64,15 @@
 func TestComeback(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const aim, left, ms = 500 * time.Millisecond, 3 * time.Second, time.Millisecond
-		x := &Proxy{pick: balancer.New("a", time.Second, time.Second, nil)}
+		x := &Proxy{balancer: balancer.New("a", time.Second, time.Second, nil)}
 		now := time.Now()
 		for _, c := range []struct{ spent, come, want time.Duration }{
 			{0, 100 * ms, 100 * ms}, {0, 500 * ms, 500 * ms}, {0, 501 * ms, time.Second}, {0, 2 * time.Second, 2 * time.Second},
 			{300 * ms, 200 * ms, 200 * ms}, {300 * ms, 201 * ms, 900 * ms}, {1500 * ms, 50 * ms, 500 * ms},
 		} {
 			first := now.Add(-c.spent)
-			j := &job{path: &rules.Route{Name: "p"}, arm: &rules.Arm{Target: aim}, first: first, end: first.Add(left), come: c.come}
-			if got := x.comeback(j); got != c.want {
+			req := &request{route: &rules.Route{Name: "p"}, arm: &rules.Arm{Target: aim}, firstSeen: first, deadline: first.Add(left), retryAfter: c.come}
+			if got := x.callerRetryAfter(req); got != c.want {
 				t.Errorf("after %v, %v until there is room: comes back after %v, want %v", c.spent, c.come, got, c.want)
 			}
 		}
@@ -82,19 +82,19 @@
 // TestRecallBound: however many are refused, a bounded number is remembered, and
 // those beyond look like new ones.
 func TestRecallBound(t *testing.T) {
-	r := newRecall(time.Millisecond)
+	r := newCallerRetries(time.Millisecond)
 	now := time.Now()
-	for i := range 2 * recallMost {
-		r.note(fmt.Sprint("p", i), now, now.Add(time.Hour))
+	for i := range 2 * maxCallerRetries {
+		r.record(fmt.Sprint("p", i), now, now.Add(time.Hour))
 	}
-	if len(r.ends) != recallMost {
-		t.Errorf("%d are remembered, want %d", len(r.ends), recallMost)
+	if len(r.firstSeen) != maxCallerRetries {
+		t.Errorf("%d are remembered, want %d", len(r.firstSeen), maxCallerRetries)
 	}
 	later := now.Add(time.Second)
-	if got := r.first("p0", later, now.Add(time.Hour)); !got.Equal(now) {
+	if got := r.firstArrival("p0", later, now.Add(time.Hour)); !got.Equal(now) {
 		t.Error("the first one is not known any more")
 	}
-	if got := r.first(fmt.Sprint("p", 2*recallMost-1), later, now.Add(time.Hour)); !got.Equal(later) {
+	if got := r.firstArrival(fmt.Sprint("p", 2*maxCallerRetries-1), later, now.Add(time.Hour)); !got.Equal(later) {
 		t.Error("one beyond the bound is known")
 	}
 }
--- a/internal/proxy/rush_test.go
+++ b/internal/proxy/rush_test.go
@@ -13,11 +13,11 @@
 // of one that named no time what was named before it.
 func TestRefusedLast(t *testing.T) {
 	x := &Proxy{}
-	j := &job{arm: &rules.Arm{Tries: 1}, end: time.Now().Add(time.Hour)}
+	req := &request{arm: &rules.Arm{Tries: 1}, deadline: time.Now().Add(time.Hour)}
 	for _, c := range []struct{ says, told int64 }{{4000, 4000}, {2500, 2500}, {0, 2500}, {3000, 3000}} {
-		j.back = protocol.AttemptResult{Outcome: protocol.Refused, Reason: "queue full", RetryAfterMS: c.says}
-		x.weigh(context.Background(), j)
-		if got := j.come.Milliseconds(); got != c.told {
+		req.result = protocol.AttemptResult{Outcome: protocol.Refused, Reason: "queue full", RetryAfterMS: c.says}
+		x.evaluate(context.Background(), req)
+		if got := req.retryAfter.Milliseconds(); got != c.told {
 			t.Errorf("after a refusal for %d ms the caller is told %d", c.says, got)
 		}
 	}
@@ -32,17 +32,17 @@
 		stay   int64
 		rush   bool
 	}{{0, 0, false}, {time.Second, 3500, false}, {4 * time.Second, 500, false}, {4500 * time.Millisecond, 0, true}, {6 * time.Second, 0, true}} {
-		j := &job{from: now, end: now.Add(9 * time.Second), waited: c.waited}
+		req := &request{receivedAt: now, deadline: now.Add(9 * time.Second), undeliveredTime: c.waited}
 		var h protocol.AttemptRequest
-		j.boundRequeue(&h)
+		req.limitRequeue(&h)
 		if h.QueueBudgetMS != c.stay || h.NoQueue != c.rush {
 			t.Errorf("waited %v: %d ms, rush %v", c.waited, h.QueueBudgetMS, h.NoQueue)
 		}
 		// The owner keeps to it.
 		x := &Proxy{}
-		v := &visit{in: protocol.AttemptRequest{Route: "p", TargetMS: 9000, QueueBudgetMS: h.QueueBudgetMS}, end: now.Add(9 * time.Second), gate: newGate("w", "s", "", 1, time.Second)}
-		if most := time.Duration(c.stay) * time.Millisecond; most > 0 && x.queueWait(v) > most {
-			t.Errorf("it may wait %v, and waits %v", most, x.queueWait(v))
+		attempt := &ownerAttempt{req: protocol.AttemptRequest{Route: "p", TargetMS: 9000, QueueBudgetMS: h.QueueBudgetMS}, deadline: now.Add(9 * time.Second), worker: newLocalWorker("w", "s", "", 1, time.Second)}
+		if most := time.Duration(c.stay) * time.Millisecond; most > 0 && x.queueWait(attempt) > most {
+			t.Errorf("it may wait %v, and waits %v", most, x.queueWait(attempt))
 		}
 	}
 }
--- a/internal/proxy/steps.go
+++ b/internal/proxy/steps.go
@@ -17,209 +17,209 @@
 	"puffincrank/internal/transport"
 )
 
-// verb is what a step says: go on with the next, go back to the nomination,
+// stepResult is what a step says: go on with the next, go back to the nomination,
 // or stop.
-type verb int
+type stepResult int
 
 const (
-	next verb = iota
-	back
-	stop
+	proceed stepResult = iota
+	restart
+	finish
 )
 
-// frontStep does one step of the rules.
-func (x *Proxy) frontStep(ctx context.Context, j *job, step rules.Step) verb {
+// runStep does one step of the rules.
+func (x *Proxy) runStep(ctx context.Context, req *request, step rules.Step) stepResult {
 	switch step {
 	case rules.StepPick:
-		return x.nominate(ctx, j)
+		return x.pickWorker(ctx, req)
 	case rules.StepDeliver:
-		return x.handOver(ctx, j)
+		return x.attemptDelivery(ctx, req)
 	case rules.StepEvaluate:
-		return x.weigh(ctx, j)
+		return x.evaluate(ctx, req)
 	}
-	return stop
+	return finish
 }
 
-// run is the interpreter: it runs the steps that the path was compiled to.
-func (x *Proxy) run(ctx context.Context, j *job) {
-	for at := 0; at < len(j.arm.Steps); {
-		switch x.frontStep(ctx, j, j.arm.Steps[at]) {
-		case next:
-			at++
-		case back:
-			at = 0
-		case stop:
-			if !x.persists(ctx, j) {
+// runSteps is the interpreter: it runs the steps that the path was compiled to.
+func (x *Proxy) runSteps(ctx context.Context, req *request) {
+	for index := 0; index < len(req.arm.Steps); {
+		switch x.runStep(ctx, req, req.arm.Steps[index]) {
+		case proceed:
+			index++
+		case restart:
+			index = 0
+		case finish:
+			if !x.keepsTrying(ctx, req) {
 				return
 			}
-			at = 0
+			index = 0
 		}
 	}
 }
 
-// nominate picks a worker. A lookup that finds nothing is tried again with a
+// pickWorker picks a worker. A lookup that finds nothing is tried again with a
 // short backoff; after that the job is given up at once.
-func (x *Proxy) nominate(ctx context.Context, j *job) verb {
+func (x *Proxy) pickWorker(ctx context.Context, req *request) stepResult {
 	for {
 		if ctx.Err() != nil {
-			j.why = "no time left"
-			return stop
+			req.reason = "no time left"
+			return finish
 		}
-		all := x.rep.Lookup(j.service)
-		e, ok := x.pick.Pick(all, balancer.PickRequest{Route: j.path.Name, Target: time.Until(j.first.Add(j.arm.Target)), Bulk: j.arm.Bulk != "", Repeatable: j.arm.Repeatable, Delay: x.wait(j), Tried: j.tried})
+		entries := x.replica.Lookup(req.service)
+		entry, ok := x.balancer.Pick(entries, balancer.PickRequest{Route: req.route.Name, Target: time.Until(req.firstSeen.Add(req.arm.Target)), Bulk: req.arm.Bulk != "", Repeatable: req.arm.Repeatable, Delay: x.bulkDelay(req), Tried: req.tried})
 		// The own worker's door is seen from here: shut, it costs no send.
-		if ok && x.shutHere(e) {
-			x.pick.RecordOutcome(balancer.Outcome{Worker: e.Worker, UsedSlots: -1})
-			j.tried[e.Worker] = true
+		if ok && x.closedHere(entry) {
+			x.balancer.RecordOutcome(balancer.Outcome{Worker: entry.Worker, UsedSlots: -1})
+			req.tried[entry.Worker] = true
 			continue
 		}
 		if ok {
-			j.entry, j.known = e, len(all)
+			req.entry, req.workerCount = entry, len(entries)
 			break
 		}
-		if j.calm() {
+		if req.revisitSkipped() {
 			continue
 		}
-		if j.sends > 0 || j.looks >= replica.DefaultRetries || !x.rep.Backoff(ctx, j.looks) {
-			if j.why == "" {
+		if req.attempts > 0 || req.lookups >= replica.DefaultRetries || !x.replica.Backoff(ctx, req.lookups) {
+			if req.reason == "" {
 				// One that starts is known everywhere after a beat or two.
-				j.why, j.come = "no worker of "+j.service+" is up", x.Settings.WorkerTimeout()
+				req.reason, req.retryAfter = "no worker of "+req.service+" is up", x.Settings.WorkerTimeout()
 			}
-			return stop
+			return finish
 		}
-		j.looks++
-		j.tried = map[string]bool{}
+		req.lookups++
+		req.tried = map[string]bool{}
 	}
-	if j.sends == 0 {
+	if req.attempts == 0 {
 		// Calls of a repeated run are repeats as well.
-		j.part = x.calls.meet(j.path.Name, j.service)
+		req.retryShare = x.callRates.recordCall(req.route.Name, req.service)
 	}
 	// As long as none is known to have come, each send may be the first there.
-	if j.fresh = j.came == 0; j.fresh {
-		x.again.RecordNestedCall(j.service, j.part)
+	if req.countedAsFirst = req.reached == 0; req.countedAsFirst {
+		x.retryBudget.RecordNestedCall(req.service, req.retryShare)
 	}
 	// Only what comes to a worker after the first is a repeat there; what an
 	// owner refused by itself cost no worker anything.
-	paid := j.came == 0 || x.again.Allow(j.service)
-	if j.unpaid = !paid && j.borrows; !paid && !j.unpaid {
-		x.pick.RecordOutcome(balancer.Outcome{Worker: j.entry.Worker, UsedSlots: -1})
-		j.why += "; no repeats are left"
+	paid := req.reached == 0 || x.retryBudget.Allow(req.service)
+	if req.needsRetryBudget = !paid && req.mayBorrowRetry; !paid && !req.needsRetryBudget {
+		x.balancer.RecordOutcome(balancer.Outcome{Worker: req.entry.Worker, UsedSlots: -1})
+		req.reason += "; no repeats are left"
 		// Whoever comes back needs what the last refusal lacked; when that one
 		// named no time, what lacks is a repeat.
-		if j.come == 0 {
-			j.come = x.again.EstimateWait(j.service)
+		if req.retryAfter == 0 {
+			req.retryAfter = x.retryBudget.EstimateWait(req.service)
 		}
-		return stop
+		return finish
 	}
-	return next
+	return proceed
 }
 
-// shutHere tells that a worker is this node's own and takes nothing just now.
-func (x *Proxy) shutHere(e ormap.Entry) bool {
+// closedHere tells that a worker is this node's own and takes nothing just now.
+func (x *Proxy) closedHere(e ormap.Entry) bool {
 	if e.Owner != x.Settings.Node {
 		return false
 	}
-	g := x.gateOf(e.Worker)
-	return g == nil || !x.takes(g)
+	local := x.findWorker(e.Worker)
+	return local == nil || !x.accepts(local)
 }
 
-// handOver sends one attempt to the owner of the nominated worker.
-func (x *Proxy) handOver(ctx context.Context, j *job) verb {
-	j.sends++
-	j.tried[j.entry.Worker] = true
-	left := time.Until(j.end)
-	h := protocol.AttemptRequest{RequestID: j.id, AttemptID: fmt.Sprintf("%s.%d", j.id, j.sends), Route: j.path.Name, Arm: j.arm.Name,
-		ConfigVersion: j.rules.Version, Service: j.service, Class: j.arm.Class, Worker: j.entry.Worker,
-		Host: j.req.Host, Method: j.req.Method, URI: j.req.URL.RequestURI(), Header: x.passed(j.req.Header), Body: j.body, TimeoutMS: left.Milliseconds(),
-		WorkerAttemptID: j.said, CallerService: x.set().Service, Retry: j.came > 0, NestedRetryShare: j.part, Confidence: j.word, MaxQueueMS: x.queueWaitBound().Milliseconds(), FrontWaitMS: x.waitLeft(), Repeatable: j.arm.Repeatable, UsualRunMS: x.usual(j.path.Name).Milliseconds(), AllowUnfinishedRun: j.hedged || j.lost != nil, AllowEndingNode: j.any, NeedsRetryBudget: j.unpaid,
-		TargetMS: time.Until(j.first.Add(j.arm.Target)).Milliseconds(), SentAgainByCaller: j.first.Before(j.from)}
-	if x.say.KeepsAttemptID {
-		h.URI = origin(j.req)
-	}
-	if h.TimeoutMS <= 0 {
-		j.back = protocol.AttemptResult{Outcome: protocol.Refused, Reason: "no time left", UsedSlots: -1}
-		x.pick.RecordOutcome(balancer.Outcome{Worker: j.entry.Worker, UsedSlots: -1})
-		return next
-	}
-	h.NoQueue = x.rushes(j)
-	j.boundRequeue(&h)
-	from := time.Now()
-	a, ctx := x.beginAttempt(transport.WithLane(ctx, x.lane(j)), j, h.AttemptID)
-	back := x.send(ctx, j, h)
+// attemptDelivery sends one attempt to the owner of the nominated worker.
+func (x *Proxy) attemptDelivery(ctx context.Context, req *request) stepResult {
+	req.attempts++
+	req.tried[req.entry.Worker] = true
+	remaining := time.Until(req.deadline)
+	out := protocol.AttemptRequest{RequestID: req.id, AttemptID: fmt.Sprintf("%s.%d", req.id, req.attempts), Route: req.route.Name, Arm: req.arm.Name,
+		ConfigVersion: req.rules.Version, Service: req.service, Class: req.arm.Class, Worker: req.entry.Worker,
+		Host: req.httpReq.Host, Method: req.httpReq.Method, URI: req.httpReq.URL.RequestURI(), Header: x.forwardedHeaders(req.httpReq.Header), Body: req.body, TimeoutMS: remaining.Milliseconds(),
+		WorkerAttemptID: req.callerAttemptID, CallerService: x.currentSettings().Service, Retry: req.reached > 0, NestedRetryShare: req.retryShare, Confidence: req.confidence, MaxQueueMS: x.maxQueueWait().Milliseconds(), FrontWaitMS: x.remainingWaitMS(), Repeatable: req.arm.Repeatable, UsualRunMS: x.usualRunTime(req.route.Name).Milliseconds(), AllowUnfinishedRun: req.isHedge || req.lost != nil, AllowEndingNode: req.allowEndingNode, NeedsRetryBudget: req.needsRetryBudget,
+		TargetMS: time.Until(req.firstSeen.Add(req.arm.Target)).Milliseconds(), SentAgainByCaller: req.firstSeen.Before(req.receivedAt)}
+	if x.dialect.KeepsAttemptID {
+		out.URI = requestTarget(req.httpReq)
+	}
+	if out.TimeoutMS <= 0 {
+		req.result = protocol.AttemptResult{Outcome: protocol.Refused, Reason: "no time left", UsedSlots: -1}
+		x.balancer.RecordOutcome(balancer.Outcome{Worker: req.entry.Worker, UsedSlots: -1})
+		return proceed
+	}
+	out.NoQueue = x.skipsQueue(req)
+	req.limitRequeue(&out)
+	sentAt := time.Now()
+	a, ctx := x.beginAttempt(transport.WithLane(ctx, x.requestLane(req)), req, out.AttemptID)
+	result := x.sendAttempt(ctx, req, out)
 	if a != nil {
 		// From here on the request is changed by nobody else.
-		a.close(h.AttemptID)
-		defer a.end()
+		a.close(out.AttemptID)
+		defer a.cancel()
 		defer a.settle()
 	}
-	j.back = back
-	if j.back.Outcome == protocol.Done {
-		x.kin.told(j.path.Name, j.back.CalledByRequests)
+	req.result = result
+	if req.result.Outcome == protocol.Done {
+		x.nested.setNested(req.route.Name, req.result.CalledByRequests)
 	}
-	if j.back.ReachedWorker || j.back.Outcome == protocol.Unknown {
-		j.came++
+	if req.result.ReachedWorker || req.result.Outcome == protocol.Unknown {
+		req.reached++
 	} else {
-		j.waited += time.Since(from)
+		req.undeliveredTime += time.Since(sentAt)
 	}
 	// An answer larger than was expected is there all the same.
-	if n := len(j.back.Body); j.back.Outcome == protocol.Done {
-		if more := int64(n) - x.load.expects(j.path.Name); more > 0 {
-			x.load.force(more)
-			j.took += more
+	if size := len(req.result.Body); req.result.Outcome == protocol.Done {
+		if excess := int64(size) - x.byteLimiter.expectedResponse(req.route.Name); excess > 0 {
+			x.byteLimiter.forceReserve(excess)
+			req.reservedBytes += excess
 		}
-		x.load.answered(j.path.Name, n)
+		x.byteLimiter.recordResponse(req.route.Name, size)
 	}
-	if j.back.CalledByRequests {
-		x.calls.marks(j.path.Name)
+	if req.result.CalledByRequests {
+		x.callRates.markNested(req.route.Name)
 	}
 	// Only what the worker itself did speaks of its fitness.
-	counts := j.back.Outcome != protocol.Refused && !transport.CanceledByCaller(ctx)
-	ok := j.back.Outcome == protocol.Done && j.back.Status < 500
-	x.pick.RecordOutcome(balancer.Outcome{Worker: j.entry.Worker, Service: j.service, Route: j.path.Name, UsedSlots: j.back.UsedSlots,
-		Report: balancer.WorkerReport{Pace: j.back.PaceEighths, Fail: j.back.FailedPer64}, RoundTrip: time.Since(from),
-		RunTime: time.Duration(j.back.RunMicros) * time.Microsecond, MissedTarget: time.Since(j.from) > j.arm.Target, OK: ok, AboutWorker: counts})
-	return next
+	aboutWorker := req.result.Outcome != protocol.Refused && !transport.CanceledByCaller(ctx)
+	ok := req.result.Outcome == protocol.Done && req.result.Status < 500
+	x.balancer.RecordOutcome(balancer.Outcome{Worker: req.entry.Worker, Service: req.service, Route: req.route.Name, UsedSlots: req.result.UsedSlots,
+		Report: balancer.WorkerReport{Pace: req.result.PaceEighths, Fail: req.result.FailedPer64}, RoundTrip: time.Since(sentAt),
+		RunTime: time.Duration(req.result.RunMicros) * time.Microsecond, MissedTarget: time.Since(req.receivedAt) > req.arm.Target, OK: ok, AboutWorker: aboutWorker})
+	return proceed
 }
 
-// send has an attempt run, here or at another node.
-func (x *Proxy) send(ctx context.Context, j *job, h protocol.AttemptRequest) protocol.AttemptResult {
-	if j.entry.Owner == x.Settings.Node {
-		return x.own(ctx, h)
+// sendAttempt has an attempt run, here or at another node.
+func (x *Proxy) sendAttempt(ctx context.Context, req *request, out protocol.AttemptRequest) protocol.AttemptResult {
+	if req.entry.Owner == x.Settings.Node {
+		return x.runAsOwner(ctx, out)
 	}
-	return x.away(ctx, j, h)
+	return x.sendToOwner(ctx, req, out)
 }
 
-// noReceipt is why an attempt ends whose owner, or the link to it, said no more.
-const noReceipt = "no receipt from the owner"
+// reasonNoResponse is why an attempt ends whose owner, or the link to it, said no more.
+const reasonNoResponse = "no receipt from the owner"
 
-// away hands the attempt over to another node and checks what comes back.
-func (x *Proxy) away(ctx context.Context, j *job, h protocol.AttemptRequest) protocol.AttemptResult {
+// sendToOwner hands the attempt over to another node and checks what comes back.
+func (x *Proxy) sendToOwner(ctx context.Context, req *request, out protocol.AttemptRequest) protocol.AttemptResult {
 	// A large body waits for the link no longer than for a slot.
-	if j.arm.Bulk != "" {
-		ctx = transport.WithSendDeadline(ctx, time.Now().Add(x.queueWaitBound()))
+	if req.arm.Bulk != "" {
+		ctx = transport.WithSendDeadline(ctx, time.Now().Add(x.maxQueueWait()))
 	}
-	b, err := transport.Call[protocol.AttemptResult](ctx, x.n, j.entry.InternalAddr, "job.hand", h)
-	come, full := transport.IsLinkFull(err)
+	result, err := transport.Call[protocol.AttemptResult](ctx, x.node, req.entry.InternalAddr, "job.hand", out)
+	retryAfter, full := transport.IsLinkFull(err)
 	switch {
 	case err == nil:
 	case full:
-		return x.thin(come)
+		return x.linkFull(retryAfter)
 	case transport.CanceledByCaller(ctx):
 		// It says nothing of the owner that nobody waited for it.
 		return protocol.AttemptResult{Outcome: protocol.Unknown, Reason: "the caller has left", UsedSlots: -1}
 	case fault.Is(err, fault.Unsent), fault.Is(err, fault.Refused):
-		x.pick.Exclude(j.entry.Owner, x.Settings.ConfigBound/2)
+		x.balancer.Exclude(req.entry.Owner, x.Settings.ConfigBound/2)
 		return protocol.AttemptResult{Outcome: protocol.Refused, Reason: "owner can't be reached", RetryAfterMS: (x.Settings.ConfigBound / 2).Milliseconds(), UsedSlots: -1}
 	case shutdown.IsCutoff(ctx):
-		return protocol.AttemptResult{Outcome: protocol.Unknown, Reason: whyEnding, UsedSlots: -1}
+		return protocol.AttemptResult{Outcome: protocol.Unknown, Reason: reasonNodeEnding, UsedSlots: -1}
 	default:
-		x.pick.Exclude(j.entry.Owner, x.Settings.ConfigBound/2)
-		return protocol.AttemptResult{Outcome: protocol.Unknown, Reason: noReceipt, TimedOut: ctx.Err() != nil, UsedSlots: -1}
+		x.balancer.Exclude(req.entry.Owner, x.Settings.ConfigBound/2)
+		return protocol.AttemptResult{Outcome: protocol.Unknown, Reason: reasonNoResponse, TimedOut: ctx.Err() != nil, UsedSlots: -1}
 	}
 	// The answer is checked again here: it must be for this very attempt.
-	if b.Outcome == protocol.Done && (b.Worker != h.Worker || x.say.VerifiesDigest && b.Digest != responsedigest.Of(h.AttemptID, h.Worker, b.Status, b.Body)) {
-		x.e.Log.Emit(event.CorruptAnswer, "worker", h.Worker, "attempt", h.AttemptID, "owner", j.entry.Owner)
-		return protocol.AttemptResult{Outcome: protocol.Unknown, Reason: "the answer's seal is broken", UsedSlots: b.UsedSlots}
+	if result.Outcome == protocol.Done && (result.Worker != out.Worker || x.dialect.VerifiesDigest && result.Digest != responsedigest.Of(out.AttemptID, out.Worker, result.Status, result.Body)) {
+		x.env.Log.Emit(event.CorruptAnswer, "worker", out.Worker, "attempt", out.AttemptID, "owner", req.entry.Owner)
+		return protocol.AttemptResult{Outcome: protocol.Unknown, Reason: "the answer's seal is broken", UsedSlots: result.UsedSlots}
 	}
-	return b
+	return result
 }
--- a/internal/proxy/tally.go
+++ b/internal/proxy/tally.go
@@ -10,13 +10,13 @@
 
 type armKey struct {
 	trial uint64
-	path  string
+	route string
 	arm   string
 }
 
 type armTally struct {
-	t    protocol.ArmCounts
-	from time.Time
+	counts protocol.ArmCounts
+	since  time.Time
 }
 
 // LatencyBins is the size of the latency histogram: bin i holds latencies up to
@@ -32,46 +32,46 @@
 	return min(int(math.Ceil(4*math.Log2(ms))), LatencyBins-1)
 }
 
-// tallyLocked counts a job of a path on trial; x.mu is held.
-func (x *Proxy) tallyLocked(j *job) {
-	if j.path == nil {
+// countTrialLocked counts a job of a path on trial; x.mu is held.
+func (x *Proxy) countTrialLocked(req *request) {
+	if req.route == nil {
 		return
 	}
-	x.live[j.path.Name] = time.Now()
-	if j.path.Trial == 0 {
+	x.routeLastUsed[req.route.Name] = time.Now()
+	if req.route.Trial == 0 {
 		return
 	}
-	k := armKey{j.path.Trial, j.path.Name, j.arm.Name}
-	a := x.tally[k]
-	if a == nil {
-		a = newTally(k)
-		x.tally[k] = a
+	key := armKey{req.route.Trial, req.route.Name, req.arm.Name}
+	tally := x.armTallies[key]
+	if tally == nil {
+		tally = newArmTally(key)
+		x.armTallies[key] = tally
 	}
 	switch {
-	case j.back.Outcome == protocol.Done && j.back.Status < 500:
-		a.t.Done++
-		a.t.LatencyBins[LatencyBin(time.Since(j.from))]++
-	case j.back.Outcome == protocol.Done:
-		a.t.Failed++
-	case j.lost != nil:
-		a.t.Unknown++
+	case req.result.Outcome == protocol.Done && req.result.Status < 500:
+		tally.counts.Done++
+		tally.counts.LatencyBins[LatencyBin(time.Since(req.receivedAt))]++
+	case req.result.Outcome == protocol.Done:
+		tally.counts.Failed++
+	case req.lost != nil:
+		tally.counts.Unknown++
 	default:
-		a.t.Refused++
+		tally.counts.Refused++
 	}
 }
 
-func newTally(k armKey) *armTally {
-	return &armTally{t: protocol.ArmCounts{Trial: k.trial, Route: k.path, Arm: k.arm, LatencyBins: make([]uint64, LatencyBins)}, from: time.Now()}
+func newArmTally(key armKey) *armTally {
+	return &armTally{counts: protocol.ArmCounts{Trial: key.trial, Route: key.route, Arm: key.arm, LatencyBins: make([]uint64, LatencyBins)}, since: time.Now()}
 }
 
-// lively lists the paths that had jobs within the window.
-func (x *Proxy) lively() []string {
+// activeRoutes lists the paths that had jobs within the window.
+func (x *Proxy) activeRoutes() []string {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	var out []string
-	for n, at := range x.live {
+	for n, at := range x.routeLastUsed {
 		if time.Since(at) > x.Settings.RetryWindow {
-			delete(x.live, n)
+			delete(x.routeLastUsed, n)
 			continue
 		}
 		out = append(out, n)
@@ -80,11 +80,11 @@
 	return out
 }
 
-// tallies gives the counts of the trials that still run; those of ended ones
+// trialCounts gives the counts of the trials that still run; those of ended ones
 // are dropped.
-func (x *Proxy) tallies() []protocol.ArmCounts {
+func (x *Proxy) trialCounts() []protocol.ArmCounts {
 	r := x.rules.Load()
-	live := map[uint64]bool{}
+	running := map[uint64]bool{}
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	if r != nil {
@@ -92,23 +92,23 @@
 			if p.Trial == 0 {
 				continue
 			}
-			live[p.Trial] = true
+			running[p.Trial] = true
 			// A front counts from when it knows the trial, jobs or none, so
 			// that a trial without traffic has an age too.
-			if k := (armKey{p.Trial, p.Name, "new"}); x.tally[k] == nil {
-				x.tally[k] = newTally(k)
+			if k := (armKey{p.Trial, p.Name, "new"}); x.armTallies[k] == nil {
+				x.armTallies[k] = newArmTally(k)
 			}
 		}
 	}
 	var out []protocol.ArmCounts
-	for k, a := range x.tally {
-		if !live[k.trial] {
-			delete(x.tally, k)
+	for k, a := range x.armTallies {
+		if !running[k.trial] {
+			delete(x.armTallies, k)
 			continue
 		}
-		t := a.t
+		t := a.counts
 		t.LatencyBins = append([]uint64(nil), t.LatencyBins...)
-		t.AgeMS = time.Since(a.from).Milliseconds()
+		t.AgeMS = time.Since(a.since).Milliseconds()
 		out = append(out, t)
 	}
 	return out
--- a/internal/proxy/touch.go
+++ b/internal/proxy/touch.go
@@ -11,61 +11,61 @@
 	"puffincrank/internal/protocol"
 )
 
-// host is the proxy as its session sees it.
-type host struct{ x *Proxy }
+// controlHost is the proxy as its session sees it.
+type controlHost struct{ x *Proxy }
 
-func newTouch(x *Proxy) *controlclient.Client {
-	return controlclient.New(controlclient.Dependencies{Settings: x.Settings, Log: x.e.Log, Group: x.g, Node: x.n, Replica: x.rep, Self: x.self, LastPauseEnd: x.pulse.LastPauseEnd}, host{x})
+func newControlClient(x *Proxy) *controlclient.Client {
+	return controlclient.New(controlclient.Dependencies{Settings: x.Settings, Log: x.env.Log, Group: x.group, Node: x.node, Replica: x.replica, Self: x.self, LastPauseEnd: x.pauseDetector.LastPauseEnd}, controlHost{x})
 }
 
-func (h host) Version() uint64 {
+func (h controlHost) Version() uint64 {
 	if r := h.x.rules.Load(); r != nil {
 		return r.Version
 	}
 	return 0
 }
 
-func (h host) ApplyConfig(version uint64, doc []byte) ([]byte, bool) {
-	return doc, h.x.take(version, doc)
+func (h controlHost) ApplyConfig(version uint64, doc []byte) ([]byte, bool) {
+	return doc, h.x.applyConfig(version, doc)
 }
 
-func (h host) FillHeartbeat(b *protocol.Heartbeat) {
-	b.TrialCounts, b.ActiveRoutes = h.x.tallies(), h.x.lively()
+func (h controlHost) FillHeartbeat(b *protocol.Heartbeat) {
+	b.TrialCounts, b.ActiveRoutes = h.x.trialCounts(), h.x.activeRoutes()
 }
 
-func (h host) MembersChanged(all *membership.List) {
+func (h controlHost) MembersChanged(all *membership.List) {
 	own := h.x.Settings.Node
-	h.x.pick.SetSessionCheck(func(node string) bool { return node == own || all.Has(node) })
+	h.x.balancer.SetSessionCheck(func(node string) bool { return node == own || all.Has(node) })
 }
 
 // ProxyCountChanged tells all that is shared among the nodes how many they are.
-func (h host) ProxyCountChanged(n int) {
-	h.x.again.SetProxyCount(n)
-	h.x.fitnessNews.Nodes(n)
+func (h controlHost) ProxyCountChanged(n int) {
+	h.x.retryBudget.SetProxyCount(n)
+	h.x.healthUpdates.SetNodes(n)
 }
 
 // ReplicaRefilled takes up the worker that an earlier start of this node had registered,
 // and buries what that start left in the registry.
-func (h host) ReplicaRefilled() {
-	h.x.adopt()
-	h.x.buryOld()
+func (h controlHost) ReplicaRefilled() {
+	h.x.adoptEarlierWorker()
+	h.x.retireOldEntries()
 }
 
-// buryOld buries what earlier starts of this node left in the registry.
-func (x *Proxy) buryOld() {
-	x.rep.RetireNode(x.Settings.Node, func(e ormap.Entry) bool { return e.Dot.Node != x.rep.Dot() })
+// retireOldEntries buries what earlier starts of this node left in the registry.
+func (x *Proxy) retireOldEntries() {
+	x.replica.RetireNode(x.Settings.Node, func(e ormap.Entry) bool { return e.Dot.Node != x.replica.Dot() })
 }
 
-func (h host) SessionRenewed() {
-	if r := h.x.rules.Load(); r != nil && h.x.life.Fire("filled") {
-		close(h.x.well)
-		h.x.e.Log.Emit(event.Ready, "version", r.Version)
+func (h controlHost) SessionRenewed() {
+	if r := h.x.rules.Load(); r != nil && h.x.lifecycle.Fire("filled") {
+		close(h.x.readyCh)
+		h.x.env.Log.Emit(event.Ready, "version", r.Version)
 	}
-	h.x.afresh()
+	h.x.reregister()
 }
 
 // confirm waits until the node may act on what it holds, and tells how sure it
 // is of that.
 func (x *Proxy) confirm(ctx context.Context, end time.Time) protocol.Confidence {
-	return x.touch.Confirm(ctx, end)
+	return x.control.Confirm(ctx, end)
 }
--- a/internal/proxy/trail.go
+++ b/internal/proxy/trail.go
@@ -38,20 +38,20 @@
 	Reason         string    `json:"why,omitempty"`
 }
 
-// trailLength bounds the trail of one process; with some 200 bytes a step it
+// decisionLogSize bounds the trail of one process; with some 200 bytes a step it
 // takes less than half a megabyte.
-const trailLength = 2048
+const decisionLogSize = 2048
 
-// trail keeps the newest steps of a process.
-type trail struct {
+// decisionLog keeps the newest steps of a process.
+type decisionLog struct {
 	mu     sync.Mutex
 	seq    uint64
 	oldest int        // in the ring, once that is full
 	ring   []Decision // grows to its length, then the oldest is overwritten
 }
 
-// next counts a change of a worker's state in the order of the steps.
-func (t *trail) next() uint64 {
+// nextSeq counts a change of a worker's state in the order of the steps.
+func (t *decisionLog) nextSeq() uint64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.seq++
@@ -59,21 +59,21 @@
 }
 
 // add keeps a step, in the place of the oldest.
-func (t *trail) add(s Decision) {
+func (t *decisionLog) add(s Decision) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.seq++
 	s.Seq, s.Time = t.seq, time.Now()
-	if len(t.ring) < trailLength {
+	if len(t.ring) < decisionLogSize {
 		t.ring = append(t.ring, s)
 		return
 	}
 	t.ring[t.oldest] = s
-	t.oldest = (t.oldest + 1) % trailLength
+	t.oldest = (t.oldest + 1) % decisionLogSize
 }
 
-// of gives the kept steps of a request or a worker, all for "", oldest first.
-func (t *trail) of(name string) []Decision {
+// filter gives the kept steps of a request or a worker, all for "", oldest first.
+func (t *decisionLog) filter(name string) []Decision {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	out := []Decision{}
@@ -86,26 +86,26 @@
 	return out
 }
 
-// step adds what is known of the worker and keeps it.
-func (x *Proxy) step(v *visit, what, why string) {
-	s := Decision{Request: v.in.WorkerAttemptID, Attempt: v.in.AttemptID, Step: what, Worker: v.in.Worker, Reason: why}
-	if s.Request == "" {
-		s.Request = v.in.RequestID
+// recordDecision adds what is known of the worker and keeps it.
+func (x *Proxy) recordDecision(attempt *ownerAttempt, step, reason string) {
+	decision := Decision{Request: attempt.req.WorkerAttemptID, Attempt: attempt.req.AttemptID, Step: step, Worker: attempt.req.Worker, Reason: reason}
+	if decision.Request == "" {
+		decision.Request = attempt.req.RequestID
 	}
-	if g := v.gate; g != nil {
-		g.mu.Lock()
-		s.Since, s.HeartbeatSeq = g.began, g.seq
-		if !g.word.IsZero() {
-			s.HeartbeatAgeMS = time.Since(g.word).Milliseconds()
+	if local := attempt.worker; local != nil {
+		local.mu.Lock()
+		decision.Since, decision.HeartbeatSeq = local.stateSeq, local.callSeq
+		if !local.lastUp.IsZero() {
+			decision.HeartbeatAgeMS = time.Since(local.lastUp).Milliseconds()
 		}
-		g.mu.Unlock()
-		s.State = g.state.Current()
+		local.mu.Unlock()
+		decision.State = local.state.Current()
 	}
-	x.trail.add(s)
+	x.decisions.add(decision)
 }
 
-// onTrail tells the newest decisions about requests, of one request or worker
+// onDecisions tells the newest decisions about requests, of one request or worker
 // where the query names it ("of").
-func (x *Proxy) onTrail(w http.ResponseWriter, r *http.Request) {
-	httpapi.WriteJSON(w, http.StatusOK, map[string][]Decision{"steps": x.trail.of(r.URL.Query().Get("of"))})
+func (x *Proxy) onDecisions(w http.ResponseWriter, r *http.Request) {
+	httpapi.WriteJSON(w, http.StatusOK, map[string][]Decision{"steps": x.decisions.filter(r.URL.Query().Get("of"))})
 }
--- a/internal/proxy/unanswered.go
+++ b/internal/proxy/unanswered.go
@@ -31,58 +31,58 @@
 	entry ormap.Entry
 }
 
-// unansweredInStop bounds the log lines of one stop; the trail holds the rest.
-const unansweredInStop = 64
+// maxStopLines bounds the log lines of one stop; the trail holds the rest.
+const maxStopLines = 64
 
-// stopLines counts the lines that were written since this node was told to end.
-type stopLines struct{ written atomic.Int64 }
+// lineLimit counts the lines that were written since this node was told to end.
+type lineLimit struct{ written atomic.Int64 }
 
 // allow tells whether one more line may be written.
-func (s *stopLines) allow() bool { return s.written.Add(1) <= unansweredInStop }
+func (s *lineLimit) allow() bool { return s.written.Add(1) <= maxStopLines }
 
-// noteUnanswered tells of a request that may have run and that ends without its
+// logUnanswered tells of a request that may have run and that ends without its
 // worker's answer: by which bound, how long after the order to end of this node and
 // of the one beside the worker (negative: there was none), at which worker it was
 // lost, and what was said of the newest attempt after that. One line a beat with a
 // count of the others; after the order to end each one, up to a bound. The trail has
 // all of them.
-func (x *Proxy) noteUnanswered(ctx context.Context, j *job) {
-	if j.back.Outcome == protocol.Done || j.lost == nil {
+func (x *Proxy) logUnanswered(ctx context.Context, req *request) {
+	if req.result.Outcome == protocol.Done || req.lost == nil {
 		return
 	}
-	by := x.endedBy(ctx, j)
-	stop := x.sinceStop()
-	x.trail.add(Decision{Request: j.name(), Attempt: j.id, Step: stepUnanswered, Worker: j.lost.entry.Worker, Reason: by + ": " + j.lost.Reason})
+	endedBy := x.endedBy(ctx, req)
+	sinceStop := x.sinceStop()
+	x.decisions.add(Decision{Request: req.externalID(), Attempt: req.id, Step: stepUnanswered, Worker: req.lost.entry.Worker, Reason: endedBy + ": " + req.lost.Reason})
 	ownerStop := int64(-1)
-	if j.lost.StoppingForMS > 0 {
-		ownerStop = j.lost.StoppingForMS
+	if req.lost.StoppingForMS > 0 {
+		ownerStop = req.lost.StoppingForMS
 	}
-	pairs := []any{"request", j.name(), "path", j.path.Name, "by", by, "why", j.lost.Reason, "worker", j.lost.entry.Worker, "owner", j.lost.entry.Owner,
-		"held_ms", time.Since(j.from).Milliseconds(), "stop_ms", stop.Milliseconds(), "owner_stop_ms", ownerStop, "sends", j.sends, "then", j.why}
-	if stop < 0 {
-		x.unanswered.Emit(x.e.Log, event.Unanswered, pairs...)
-	} else if x.stopLines.allow() {
-		x.e.Log.Emit(event.Unanswered, pairs...)
+	pairs := []any{"request", req.externalID(), "path", req.route.Name, "by", endedBy, "why", req.lost.Reason, "worker", req.lost.entry.Worker, "owner", req.lost.entry.Owner,
+		"held_ms", time.Since(req.receivedAt).Milliseconds(), "stop_ms", sinceStop.Milliseconds(), "owner_stop_ms", ownerStop, "sends", req.attempts, "then", req.reason}
+	if sinceStop < 0 {
+		x.unansweredEvents.Emit(x.env.Log, event.Unanswered, pairs...)
+	} else if x.stopLogLimit.allow() {
+		x.env.Log.Emit(event.Unanswered, pairs...)
 	}
 }
 
 // endedBy tells what ended the last attempt of a request.
-func (x *Proxy) endedBy(ctx context.Context, j *job) string {
+func (x *Proxy) endedBy(ctx context.Context, req *request) string {
 	switch {
 	case transport.CanceledByCaller(ctx):
 		return endedByCaller
 	case shutdown.IsCutoff(ctx):
 		return endedByStop
-	case !time.Now().Before(j.end):
-		if j.due.IsZero() || j.end.Before(j.due) {
+	case !time.Now().Before(req.deadline):
+		if req.callerDeadline.IsZero() || req.deadline.Before(req.callerDeadline) {
 			return endedByRouteTime
 		}
 		return endedByDeadline
-	case j.lost.TimedOut:
+	case req.lost.TimedOut:
 		return endedByAttempt
-	case j.lost.Reason == noReceipt:
+	case req.lost.Reason == reasonNoResponse:
 		return endedByLink
-	case j.lost.Reason == whyEnding:
+	case req.lost.Reason == reasonNodeEnding:
 		return endedByOwner
 	}
 	return endedByWorker
@@ -90,9 +90,9 @@
 
 // sinceStop is how long ago this node was told to end; negative if it was not.
 func (x *Proxy) sinceStop() time.Duration {
-	plan := x.stop.Load()
-	if plan == nil {
+	schedule := x.stopSchedule.Load()
+	if schedule == nil {
 		return -time.Millisecond
 	}
-	return plan.Elapsed()
+	return schedule.Elapsed()
 }
--- a/internal/proxy/unseal.go
+++ b/internal/proxy/unseal.go
@@ -9,79 +9,79 @@
 	"puffincrank/internal/responsedigest"
 )
 
-func headOf(b *protocol.AttemptResult, name string) string {
-	if l := b.Header[http.CanonicalHeaderKey(name)]; len(l) > 0 {
-		return l[0]
+func headerValue(result *protocol.AttemptResult, name string) string {
+	if values := result.Header[http.CanonicalHeaderKey(name)]; len(values) > 0 {
+		return values[0]
 	}
 	return ""
 }
 
-// notRun tells whether the worker says that it left the job unrun.
-func (x *Proxy) notRun(b *protocol.AttemptResult) bool {
-	said := headOf(b, x.say.NotExecuted)
-	if said == "" || x.say.NotExecutedValue != "" && said != x.say.NotExecutedValue {
+// reportsNotRun tells whether the worker says that it left the job unrun.
+func (x *Proxy) reportsNotRun(result *protocol.AttemptResult) bool {
+	value := headerValue(result, x.dialect.NotExecuted)
+	if value == "" || x.dialect.NotExecutedValue != "" && value != x.dialect.NotExecutedValue {
 		// With a seal that can be checked, the status alone says it.
-		return x.say.VerifiesDigest && b.Status == http.StatusMisdirectedRequest
+		return x.dialect.VerifiesDigest && result.Status == http.StatusMisdirectedRequest
 	}
-	if x.say.VerifiesDigest {
-		return b.Status == http.StatusMisdirectedRequest || b.Status == http.StatusServiceUnavailable || b.Status == http.StatusTooManyRequests
+	if x.dialect.VerifiesDigest {
+		return result.Status == http.StatusMisdirectedRequest || result.Status == http.StatusServiceUnavailable || result.Status == http.StatusTooManyRequests
 	}
-	return b.Status >= 400
+	return result.Status >= 400
 }
 
-// broken tells why an answer can't be the worker's whole answer to this very
+// invalidReason tells why an answer can't be the worker's whole answer to this very
 // attempt; empty when nothing speaks against it. Framing was checked when it
 // was read.
-func (x *Proxy) broken(v *visit, notRun bool) string {
-	b := &v.back
-	if x.say.VerifiesDigest {
-		if headOf(b, x.say.AttemptID) != v.in.AttemptID || headOf(b, x.say.WorkerID) != v.in.Worker || headOf(b, x.say.ResponseDigest) != responsedigest.Of(v.in.AttemptID, v.in.Worker, b.Status, b.Body) {
+func (x *Proxy) invalidReason(attempt *ownerAttempt, notRun bool) string {
+	result := &attempt.result
+	if x.dialect.VerifiesDigest {
+		if headerValue(result, x.dialect.AttemptID) != attempt.req.AttemptID || headerValue(result, x.dialect.WorkerID) != attempt.req.Worker || headerValue(result, x.dialect.ResponseDigest) != responsedigest.Of(attempt.req.AttemptID, attempt.req.Worker, result.Status, result.Body) {
 			return "the answer's seal is broken"
 		}
 		return ""
 	}
 	switch {
-	case notRun && headOf(b, x.say.AttemptID) == "":
+	case notRun && headerValue(result, x.dialect.AttemptID) == "":
 		// A refusal by one who did not read so far.
 		return ""
-	case headOf(b, x.say.AttemptID) != v.id():
+	case headerValue(result, x.dialect.AttemptID) != attempt.workerAttemptID():
 		return "the answer is another attempt's"
-	case headOf(b, x.say.ResponseDigest) == "" && b.Status < 300:
+	case headerValue(result, x.dialect.ResponseDigest) == "" && result.Status < 300:
 		return "the answer has no seal"
-	case headOf(b, "Content-Encoding") != "":
+	case headerValue(result, "Content-Encoding") != "":
 		return "the answer's body is encoded"
 	}
 	return ""
 }
 
-// unseal checks the answer whole before anything of it is passed on.
-func (x *Proxy) unseal(_ context.Context, v *visit) bool {
-	b := &v.back
-	head := func(n string) string {
-		if l := b.Header[n]; len(l) > 0 {
+// checkResponse checks the answer whole before anything of it is passed on.
+func (x *Proxy) checkResponse(_ context.Context, attempt *ownerAttempt) bool {
+	result := &attempt.result
+	header := func(n string) string {
+		if l := result.Header[n]; len(l) > 0 {
 			return l[0]
 		}
 		return ""
 	}
-	notRun := x.notRun(b)
-	if why := x.broken(v, notRun); why != "" {
-		x.e.Log.Emit(event.CorruptAnswer, "worker", v.in.Worker, "attempt", v.in.AttemptID, "status", b.Status, "why", why)
-		return v.unknown(why)
+	notRun := x.reportsNotRun(result)
+	if reason := x.invalidReason(attempt, notRun); reason != "" {
+		x.env.Log.Emit(event.CorruptAnswer, "worker", attempt.req.Worker, "attempt", attempt.req.AttemptID, "status", result.Status, "why", reason)
+		return attempt.outcomeUnknown(reason)
 	}
 	switch {
 	case notRun:
 		// Another worker at the address, or a full one: certain that it did
 		// not run, though it came that far.
-		if b.Status == http.StatusMisdirectedRequest && !x.say.IdentifiesConns {
-			x.stranger(v.gate)
+		if result.Status == http.StatusMisdirectedRequest && !x.dialect.IdentifiesConns {
+			x.onWrongWorker(attempt.worker)
 		}
-		v.later("the worker refused: "+head(responsedigest.ReasonHeader), v.gate.room.EstimateDrain(v.in.Class))
-		v.back.ReachedWorker = true
+		attempt.refuseRetryAfter("the worker refused: "+header(responsedigest.ReasonHeader), attempt.worker.admission.EstimateDrain(attempt.req.Class))
+		attempt.result.ReachedWorker = true
 		return false
-	case b.Status == 503 || b.Status == 429:
+	case result.Status == 503 || result.Status == 429:
 		// The worker's own busy doesn't promise that the job never ran.
-		return v.unknown("the worker answered busy without a word on whether the job ran")
+		return attempt.outcomeUnknown("the worker answered busy without a word on whether the job ran")
 	}
-	b.Outcome, b.Digest, b.Worker = protocol.Done, head(x.say.ResponseDigest), v.in.Worker
+	result.Outcome, result.Digest, result.Worker = protocol.Done, header(x.dialect.ResponseDigest), attempt.req.Worker
 	return false
 }
--- a/internal/proxy/weigh.go
+++ b/internal/proxy/weigh.go
@@ -7,49 +7,49 @@
 	"puffincrank/internal/protocol"
 )
 
-// spare is how many owners without room are passed over, beyond a path's tries.
-const spare = 2
+// extraAttempts is how many owners without room are passed over, beyond a path's tries.
+const extraAttempts = 2
 
-// weigh decides what follows an attempt.
-func (x *Proxy) weigh(ctx context.Context, j *job) verb {
+// evaluate decides what follows an attempt.
+func (x *Proxy) evaluate(ctx context.Context, req *request) stepResult {
 	// What came to no worker is no traffic there, and allows no repeats.
-	if j.fresh && !j.back.ReachedWorker && j.back.Outcome != protocol.Done {
-		x.again.RecordUndelivered(j.service, j.part)
+	if req.countedAsFirst && !req.result.ReachedWorker && req.result.Outcome != protocol.Done {
+		x.retryBudget.RecordUndelivered(req.service, req.retryShare)
 	}
 	// The path's tries are workers; an owner that had no room may be passed
 	// over besides, but not for ever.
-	more := j.came < j.arm.Tries && j.sends-j.rushes < j.arm.Tries+spare && ctx.Err() == nil && time.Now().Before(j.end) && !x.isEnding()
-	switch j.back.Outcome {
+	canRetry := req.reached < req.arm.Tries && req.attempts-req.noQueueAttempts < req.arm.Tries+extraAttempts && ctx.Err() == nil && time.Now().Before(req.deadline) && !x.isEnding()
+	switch req.result.Outcome {
 	case protocol.Done:
 		// A worker that failed by itself may be alone in that; its own word is
 		// kept for the case that no other does better.
-		if j.back.Status >= 500 && j.arm.Repeatable && more && x.again.MostlyUnused(j.service) {
-			b := j.back
-			j.spare = &b
-			return back
+		if req.result.Status >= 500 && req.arm.Repeatable && canRetry && x.retryBudget.MostlyUnused(req.service) {
+			failed := req.result
+			req.fallback = &failed
+			return restart
 		}
-		return next
+		return proceed
 	case protocol.Refused:
-		if j.rushing && j.back.NoFreeSlot {
-			return j.rushed()
+		if req.noQueue && req.result.NoFreeSlot {
+			return req.skipFullWorker()
 		}
 		// Certain that it did not run: another may have it.
-		j.refused()
-		if j.back.ConfigMismatch && more {
-			x.rematch(ctx, j)
+		req.recordRefusal()
+		if req.result.ConfigMismatch && canRetry {
+			x.resolveMismatch(ctx, req)
 		}
-		if more {
-			return back
+		if canRetry {
+			return restart
 		}
-		return stop
+		return finish
 	}
-	if j.lost == nil {
-		j.lost = &lostAttempt{AttemptResult: j.back, entry: j.entry}
-		j.borrows = j.borrows || j.back.StoppingForMS > 0 || x.stop.Load() != nil
+	if req.lost == nil {
+		req.lost = &lostAttempt{AttemptResult: req.result, entry: req.entry}
+		req.mayBorrowRetry = req.mayBorrowRetry || req.result.StoppingForMS > 0 || x.stopSchedule.Load() != nil
 	}
 	// It may have run, so only a path declared safe is tried again.
-	if j.arm.Repeatable && more {
-		return back
+	if req.arm.Repeatable && canRetry {
+		return restart
 	}
-	return stop
+	return finish
 }
--- a/internal/proxy/worker.go
+++ b/internal/proxy/worker.go
@@ -36,28 +36,28 @@
 		httpapi.WriteJSON(w, http.StatusBadRequest, httpapi.ErrorBody{Message: "not JSON: " + err.Error()})
 		return
 	}
-	v, bad := WorkerTable.ReadKnown(in, "")
+	values, problems := WorkerTable.ReadKnown(in, "")
 	id := chi.URLParam(r, "id")
 	if schema.IsName(id) != nil {
-		bad = append(bad, schema.Problem{Place: "id", Message: "must be a name"})
+		problems = append(problems, schema.Problem{Place: "id", Message: "must be a name"})
 	}
 	// Only the worker of this machine is spoken for here.
-	if at := x.set().WorkerAddr; at != "" && len(bad) == 0 && v.Text("addr") != at {
-		bad = append(bad, schema.Problem{Place: "addr", Message: "is not the worker beside this node"})
+	if expected := x.currentSettings().WorkerAddr; expected != "" && len(problems) == 0 && values.Text("addr") != expected {
+		problems = append(problems, schema.Problem{Place: "addr", Message: "is not the worker beside this node"})
 	}
-	if len(bad) > 0 {
-		x.e.Log.Emit(event.HeartbeatRejected, "faults", len(bad), "first", bad[0].Place)
-		httpapi.WriteJSON(w, http.StatusUnprocessableEntity, httpapi.ErrorBody{Message: "the beat is wrong", Faults: bad})
+	if len(problems) > 0 {
+		x.env.Log.Emit(event.HeartbeatRejected, "faults", len(problems), "first", problems[0].Place)
+		httpapi.WriteJSON(w, http.StatusUnprocessableEntity, httpapi.ErrorBody{Message: "the beat is wrong", Faults: problems})
 		return
 	}
-	x.takeCall(workerCall{worker: id, service: v.Text("service"), addr: v.Text("addr"), slots: int(v.Count("slots")), state: v.Text("state"),
-		cold: time.Duration(v.Share("cold_ms")) * time.Millisecond, number: v.Count("seq")})
-	x.acknowledge(w, r, id, v.Text("state"), struct{}{})
+	x.handleCall(workerCall{worker: id, service: values.Text("service"), addr: values.Text("addr"), slots: int(values.Count("slots")), state: values.Text("state"),
+		warmup: time.Duration(values.Share("cold_ms")) * time.Millisecond, number: values.Count("seq")})
+	x.acknowledge(w, r, id, values.Text("state"), struct{}{})
 }
 
-// onLeave takes a worker's sign-off.
-func (x *Proxy) onLeave(w http.ResponseWriter, r *http.Request) {
+// onSignOff takes a worker's sign-off.
+func (x *Proxy) onSignOff(w http.ResponseWriter, r *http.Request) {
 	id := chi.URLParam(r, "id")
-	x.takeCall(workerCall{worker: id, state: saysGone})
-	x.acknowledge(w, r, id, saysGone, struct{}{})
+	x.handleCall(workerCall{worker: id, state: stateGone})
+	x.acknowledge(w, r, id, stateGone, struct{}{})
 }
--- a/internal/proxy/workercall_test.go
+++ b/internal/proxy/workercall_test.go
@@ -27,8 +27,8 @@
 
 // up tells whether the worker is one that requests may go to.
 func (x *Proxy) up(worker string) bool {
-	g := x.gateOf(worker)
-	return g != nil && g.state.Is("up")
+	local := x.findWorker(worker)
+	return local != nil && local.state.Is("up")
 }
 
 // TestOlderCall: of a worker's calls the newest stands, in whatever order they come
@@ -39,20 +39,20 @@
 		calls []workerCall
 		up    bool
 	}{
-		{"it comes up", []workerCall{call("w", saysUp, 1)}, true},
-		{"it drains", []workerCall{call("w", saysUp, 1), call("w", saysDraining, 2)}, false},
-		{"a beat of before it drained", []workerCall{call("w", saysDraining, 3), call("w", saysUp, 2)}, false},
-		{"it takes the drain back", []workerCall{call("w", saysDraining, 3), call("w", saysUp, 4)}, true},
-		{"a beat of before its sign-off", []workerCall{call("w", saysUp, 1), call("w", saysGone, 0), call("w", saysUp, 2)}, false},
-		{"a sign-off before any beat", []workerCall{call("w", saysGone, 0), call("w", saysUp, 2)}, false},
-		{"another has its address", []workerCall{call("w", saysUp, 7), call("v", saysUp, 1), call("w", saysUp, 8)}, false},
-		{"calls without numbers", []workerCall{call("w", saysUp, 0), call("w", saysDraining, 0), call("w", saysUp, 0)}, true},
+		{"it comes up", []workerCall{call("w", stateUp, 1)}, true},
+		{"it drains", []workerCall{call("w", stateUp, 1), call("w", stateDraining, 2)}, false},
+		{"a beat of before it drained", []workerCall{call("w", stateDraining, 3), call("w", stateUp, 2)}, false},
+		{"it takes the drain back", []workerCall{call("w", stateDraining, 3), call("w", stateUp, 4)}, true},
+		{"a beat of before its sign-off", []workerCall{call("w", stateUp, 1), call("w", stateGone, 0), call("w", stateUp, 2)}, false},
+		{"a sign-off before any beat", []workerCall{call("w", stateGone, 0), call("w", stateUp, 2)}, false},
+		{"another has its address", []workerCall{call("w", stateUp, 7), call("v", stateUp, 1), call("w", stateUp, 8)}, false},
+		{"calls without numbers", []workerCall{call("w", stateUp, 0), call("w", stateDraining, 0), call("w", stateUp, 0)}, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			x := lone()
 			defer x.Kill()
 			for _, one := range c.calls {
-				x.takeCall(one)
+				x.handleCall(one)
 			}
 			if x.up("w") != c.up {
 				t.Errorf("up: %v", !c.up)
@@ -71,14 +71,14 @@
 		r := rand.New(rand.NewPCG(seed, 81))
 		var all []workerCall
 		for n := range int64(12) {
-			all = append(all, call("w", []string{saysUp, saysDraining}[r.IntN(2)], n+1))
+			all = append(all, call("w", []string{stateUp, stateDraining}[r.IntN(2)], n+1))
 		}
-		want := all[len(all)-1].state == saysUp
+		want := all[len(all)-1].state == stateUp
 		r.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
 		var over sync.WaitGroup
 		for _, one := range all {
 			over.Add(1)
-			x.g.Go("call", func(context.Context) { defer over.Done(); x.takeCall(one) })
+			x.group.Go("call", func(context.Context) { defer over.Done(); x.handleCall(one) })
 		}
 		over.Wait()
 		if x.up("w") != want {
@@ -94,18 +94,18 @@
 	first, second := lone(), lone()
 	defer first.Kill()
 	defer second.Kill()
-	first.takeCall(call("w", saysUp, 1))
-	first.takeCall(call("w", saysGone, 0))
-	all, err := first.rep.Map().All().Encode().Decode()
+	first.handleCall(call("w", stateUp, 1))
+	first.handleCall(call("w", stateGone, 0))
+	all, err := first.replica.Map().All().Encode().Decode()
 	if err != nil {
 		t.Fatal(err)
 	}
-	second.rep.ReplaceRemote(all)
-	second.takeCall(call("w", saysUp, 2))
+	second.replica.ReplaceRemote(all)
+	second.handleCall(call("w", stateUp, 2))
 	if second.up("w") {
 		t.Error("a beat of before the sign-off brought the worker back at the next start")
 	}
-	second.takeCall(call("v", saysUp, 1))
+	second.handleCall(call("v", stateUp, 1))
 	if !second.up("v") {
 		t.Error("a new worker is not taken")
 	}
