--- a/internal/proxy/api.go
+++ b/internal/proxy/api.go
@@ -149,34 +149,34 @@
 
 func (x *Proxy) status() Status {
 	session, confirmedAt := x.control.Current()
-	s := Status{Node: x.Settings.Node, Zone: x.Settings.Zone, State: x.lifecycle.Current(), Session: session, ConfirmedAgoMS: time.Since(confirmedAt).Milliseconds(), TrafficAddr: x.Settings.TrafficAddr}
+	status := Status{Node: x.Settings.Node, Zone: x.Settings.Zone, State: x.lifecycle.Current(), Session: session, ConfirmedAgoMS: time.Since(confirmedAt).Milliseconds(), TrafficAddr: x.Settings.TrafficAddr}
 	if r := x.rules.Load(); r != nil {
-		s.Version = r.Version
+		status.Version = r.Version
 	}
-	s.Entries, s.Tombstones = x.replica.Map().Size()
-	for _, d := range x.replica.Map().Digests() {
-		s.Digest ^= d
+	status.Entries, status.Tombstones = x.replica.Map().Size()
+	for _, digest := range x.replica.Map().Digests() {
+		status.Digest ^= digest
 	}
 	x.mu.Lock()
-	s.Requests = x.counts
+	status.Requests = x.counts
 	x.mu.Unlock()
-	s.Retries, s.ThinLinkRefusals = x.retryBudget.AllowedCount(), x.thinLinkRefusals.Load()
-	s.Hedges = x.hedgeCount.Load()
-	s.Goroutines = runtime.NumGoroutine()
-	s.CallerConnections, s.CallersLeft = x.connLimits.OpenConns(), x.callersLeft.Load()
-	s.BytesInFlight, s.BytesInFlightPeak, s.BytesInFlightLimit = x.byteLimiter.usage()
-	s.Classes, s.Health = x.classUsage(), x.balancer.Weights()
-	s.EagerLinks, s.LazyLinks = x.replica.Tree().LinkCounts()
-	for k, v := range x.node.BytesSent() {
-		if k.OtherZone {
-			s.BytesToOtherZones += v.Bytes
+	status.Retries, status.ThinLinkRefusals = x.retryBudget.AllowedCount(), x.thinLinkRefusals.Load()
+	status.Hedges = x.hedgeCount.Load()
+	status.Goroutines = runtime.NumGoroutine()
+	status.CallerConnections, status.CallersLeft = x.connLimits.OpenConns(), x.callersLeft.Load()
+	status.BytesInFlight, status.BytesInFlightPeak, status.BytesInFlightLimit = x.byteLimiter.usage()
+	status.Classes, status.Health = x.classUsage(), x.balancer.Weights()
+	status.EagerLinks, status.LazyLinks = x.replica.Tree().LinkCounts()
+	for flow, traffic := range x.node.BytesSent() {
+		if flow.OtherZone {
+			status.BytesToOtherZones += traffic.Bytes
 		}
 	}
 	for _, local := range x.allWorkers() {
 		used, _, slots := local.admission.Load()
-		s.Workers = append(s.Workers, WorkerStatus{local.id, local.service, local.addr, local.state.Current(), slots, used})
+		status.Workers = append(status.Workers, WorkerStatus{local.id, local.service, local.addr, local.state.Current(), slots, used})
 	}
-	return s
+	return status
 }
 
 func (x *Proxy) onStatus(_ context.Context, _ transport.Hello, in StatusRequest) (Status, error) {
--- a/internal/proxy/bytelimiter_test.go
+++ b/internal/proxy/bytelimiter_test.go
@@ -10,64 +10,64 @@
 	"puffincrank/internal/settings"
 )
 
-// TestLoad: large ones leave a quarter to small ones, one alone is let in
+// TestByteLimiter: large ones leave a quarter to small ones, one alone is let in
 // whatever its size, and a body without a length counts as what it is in all.
-func TestLoad(t *testing.T) {
+func TestByteLimiter(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		l := newByteLimiter(&settings.Settings{MemoryBytes: 8 << 20})
+		limiter := newByteLimiter(&settings.Settings{MemoryBytes: 8 << 20})
 		from := time.Now()
-		if !l.reserve(3 << 20) {
+		if !limiter.reserve(3 << 20) {
 			t.Fatal("one alone found no room")
 		}
-		if l.reserve(100 << 10) {
+		if limiter.reserve(100 << 10) {
 			t.Fatal("a second beside one over the bound")
 		}
-		small := 0
-		for l.reserve(4 << 10) {
-			small++
+		smallCount := 0
+		for limiter.reserve(4 << 10) {
+			smallCount++
 		}
-		if small != 64 {
-			t.Fatalf("%d small ones beside one over the bound", small)
+		if smallCount != 64 {
+			t.Fatalf("%d small ones beside one over the bound", smallCount)
 		}
-		l.release(64*4<<10, from)
+		limiter.release(64*4<<10, from)
 		<-time.After(time.Second)
-		l.release(3<<20, from)
-		if l.retryAfter(0) == 0 {
+		limiter.release(3<<20, from)
+		if limiter.retryAfter(0) == 0 {
 			t.Error("how long bytes stay was not learnt")
 		}
-		n := 0
-		for l.reserve(64 << 10) {
-			n++
+		count := 0
+		for limiter.reserve(64 << 10) {
+			count++
 		}
-		if n != 12 {
-			t.Errorf("%d large ones in three quarters of 1 MiB", n)
+		if count != 12 {
+			t.Errorf("%d large ones in three quarters of 1 MiB", count)
 		}
-		for l.reserve(4 << 10) {
-			n++
+		for limiter.reserve(4 << 10) {
+			count++
 		}
-		if used, _, most := l.usage(); used != most || n != 12+64 {
-			t.Errorf("%d of %d used, %d taken", used, most, n)
+		if used, _, most := limiter.usage(); used != most || count != 12+64 {
+			t.Errorf("%d of %d used, %d taken", used, most, count)
 		}
-		l.release(1<<20, time.Now())
-		p := &meteredBody{ReadCloser: io.NopCloser(strings.NewReader(strings.Repeat("x", 2<<20))), limiter: l}
-		if !l.reserve(1 << 10) {
+		limiter.release(1<<20, time.Now())
+		body := &meteredBody{ReadCloser: io.NopCloser(strings.NewReader(strings.Repeat("x", 2<<20))), limiter: limiter}
+		if !limiter.reserve(1 << 10) {
 			t.Fatal("no room")
 		}
-		if _, err := io.ReadAll(p); err == nil || !p.overLimit {
+		if _, err := io.ReadAll(body); err == nil || !body.overLimit {
 			t.Errorf("a body over the bound without a length: %v", err)
 		}
-		if used, _, _ := l.usage(); used != p.reserved+1<<10 || used > 3<<18 {
-			t.Errorf("%d used, %d of them its own", used, p.reserved)
+		if used, _, _ := limiter.usage(); used != body.reserved+1<<10 || used > 3<<18 {
+			t.Errorf("%d used, %d of them its own", used, body.reserved)
 		}
-		l.release(p.reserved+1<<10, time.Now())
+		limiter.release(body.reserved+1<<10, time.Now())
 		// An answer's size is known by the large ones, and fades slowly.
-		l.recordResponse("p", 50)
-		l.recordResponse("p", 1000)
-		l.recordResponse("p", 40)
-		if n := l.expectedResponse("p"); n != 940 {
-			t.Errorf("an answer of %d is expected", n)
+		limiter.recordResponse("p", 50)
+		limiter.recordResponse("p", 1000)
+		limiter.recordResponse("p", 40)
+		if count := limiter.expectedResponse("p"); count != 940 {
+			t.Errorf("an answer of %d is expected", count)
 		}
-		if used, _, _ := l.usage(); used != 0 {
+		if used, _, _ := limiter.usage(); used != 0 {
 			t.Errorf("%d left", used)
 		}
 	})
--- a/internal/proxy/callerleft_test.go
+++ b/internal/proxy/callerleft_test.go
@@ -10,11 +10,11 @@
 	"puffincrank/internal/shutdown"
 )
 
-// TestBegunForNobody: what waits for a slot, a connection or a configuration is
+// TestNotStartedWithoutCaller: what waits for a slot, a connection or a configuration is
 // looked at once more before it goes out; nothing is begun for a caller that left, nor
 // for one that has had its answer since its node ends. What a cancel with another
 // cause ends is not that.
-func TestBegunForNobody(t *testing.T) {
+func TestNotStartedWithoutCaller(t *testing.T) {
 	x := &Proxy{}
 	for _, c := range []struct {
 		name string
--- a/internal/proxy/callerretries.go
+++ b/internal/proxy/callerretries.go
@@ -29,30 +29,32 @@
 	return &callerRetries{tolerance: max(tolerance, time.Millisecond), firstSeen: map[deadlineKey]time.Time{}}
 }
 
-func (r *callerRetries) bucket(end time.Time) int64 { return end.UnixNano() / int64(r.tolerance) }
+func (r *callerRetries) bucket(deadline time.Time) int64 {
+	return deadline.UnixNano() / int64(r.tolerance)
+}
 
 // firstArrival gives when a job that came at a time first came here.
-func (r *callerRetries) firstArrival(route string, from, end time.Time) time.Time {
+func (r *callerRetries) firstArrival(route string, arrivedAt, deadline time.Time) time.Time {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	at := r.bucket(end)
-	for _, s := range []int64{at - 1, at, at + 1} {
-		if t, ok := r.firstSeen[deadlineKey{route, s}]; ok && t.Before(from) {
-			from = t
+	bucket := r.bucket(deadline)
+	for _, candidate := range []int64{bucket - 1, bucket, bucket + 1} {
+		if t, ok := r.firstSeen[deadlineKey{route, candidate}]; ok && t.Before(arrivedAt) {
+			arrivedAt = t
 		}
 	}
-	return from
+	return arrivedAt
 }
 
 // record remembers a job that was not served.
-func (r *callerRetries) record(route string, first, end time.Time) {
+func (r *callerRetries) record(route string, firstSeen, deadline time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	k := deadlineKey{route, r.bucket(end)}
-	if t, ok := r.firstSeen[k]; ok && t.Before(first) || !ok && len(r.firstSeen) >= maxCallerRetries {
+	key := deadlineKey{route, r.bucket(deadline)}
+	if t, ok := r.firstSeen[key]; ok && t.Before(firstSeen) || !ok && len(r.firstSeen) >= maxCallerRetries {
 		return
 	}
-	r.firstSeen[k] = first
+	r.firstSeen[key] = firstSeen
 }
 
 // callerRetryAfter is when a refused job may come back. One that would then be late in any
--- a/internal/proxy/callerretries_test.go
+++ b/internal/proxy/callerretries_test.go
@@ -11,59 +11,59 @@
 	"puffincrank/internal/task"
 )
 
-// TestRecall: a job that was not served is known when it comes back, through
+// TestCallerRetries: a job that was not served is known when it comes back, through
 // several refusals, by the end of its time alone; other paths and jobs with
 // another end are new, and what is over is forgotten.
-func TestRecall(t *testing.T) {
+func TestCallerRetries(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		const near, left = 6 * time.Millisecond, 3 * time.Second
-		r := newCallerRetries(near)
+		const tolerance, remaining = 6 * time.Millisecond, 3 * time.Second
+		r := newCallerRetries(tolerance)
 		from := time.Now()
-		end := from.Add(left)
+		end := from.Add(remaining)
 		if got := r.firstArrival("p", from, end); !got.Equal(from) {
 			t.Errorf("a new job first came %v before", from.Sub(got))
 		}
 		r.record("p", from, end)
-		for i, off := range []time.Duration{-near, 0, 2 * time.Millisecond, near} {
+		for i, offset := range []time.Duration{-tolerance, 0, 2 * time.Millisecond, tolerance} {
 			task.Sleep(t.Context(), 200*time.Millisecond)
 			now := time.Now()
-			got := r.firstArrival("p", now, end.Add(off))
+			got := r.firstArrival("p", now, end.Add(offset))
 			if !got.Equal(from) {
-				t.Errorf("try %d, %v off: first came %v before, want %v", i, off, now.Sub(got), now.Sub(from))
+				t.Errorf("try %d, %v off: first came %v before, want %v", i, offset, now.Sub(got), now.Sub(from))
 			}
 			// Refused once more: it is still the first time that counts.
-			r.record("p", got, end.Add(off))
+			r.record("p", got, end.Add(offset))
 			r.record("p", now, end)
 		}
 		now := time.Now()
 		if got := r.firstArrival("q", now, end); !got.Equal(now) {
 			t.Error("a job of another path was taken for it")
 		}
-		for _, off := range []time.Duration{-4 * near, 4 * near, time.Second} {
-			if got := r.firstArrival("p", now, end.Add(off)); !got.Equal(now) {
-				t.Errorf("a job with %v more time was taken for it", off)
+		for _, offset := range []time.Duration{-4 * tolerance, 4 * tolerance, time.Second} {
+			if got := r.firstArrival("p", now, end.Add(offset)); !got.Equal(now) {
+				t.Errorf("a job with %v more time was taken for it", offset)
 			}
 		}
 		// One that starts anew always has a later end than all before it.
-		if got := r.firstArrival("p", now, now.Add(left)); !got.Equal(now) {
+		if got := r.firstArrival("p", now, now.Add(remaining)); !got.Equal(now) {
 			t.Error("a new job was taken for an old one")
 		}
-		r.expire(end.Add(-near))
+		r.expire(end.Add(-tolerance))
 		if got := r.firstArrival("p", now, end); !got.Equal(from) {
 			t.Error("forgotten before its time was over")
 		}
-		r.expire(end.Add(4 * near))
+		r.expire(end.Add(4 * tolerance))
 		if got := r.firstArrival("p", now, end); !got.Equal(now) || len(r.firstSeen) != 0 {
 			t.Errorf("%d are remembered beyond their time", len(r.firstSeen))
 		}
 	})
 }
 
-// TestComeback: a refused job is told the time that what it lacked needs, unless
+// TestCallerRetryAfter: a refused job is told the time that what it lacked needs, unless
 // it would be late by then anyway.
-func TestComeback(t *testing.T) {
+func TestCallerRetryAfter(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		const aim, left, ms = 500 * time.Millisecond, 3 * time.Second, time.Millisecond
+		const target, remaining, ms = 500 * time.Millisecond, 3 * time.Second, time.Millisecond
 		x := &Proxy{balancer: balancer.New("a", time.Second, time.Second, nil)}
 		now := time.Now()
 		for _, c := range []struct{ spent, come, want time.Duration }{
@@ -71,7 +71,7 @@
 			{300 * ms, 200 * ms, 200 * ms}, {300 * ms, 201 * ms, 900 * ms}, {1500 * ms, 50 * ms, 500 * ms},
 		} {
 			first := now.Add(-c.spent)
-			req := &request{route: &rules.Route{Name: "p"}, arm: &rules.Arm{Target: aim}, firstSeen: first, deadline: first.Add(left), retryAfter: c.come}
+			req := &request{route: &rules.Route{Name: "p"}, arm: &rules.Arm{Target: target}, firstSeen: first, deadline: first.Add(remaining), retryAfter: c.come}
 			if got := x.callerRetryAfter(req); got != c.want {
 				t.Errorf("after %v, %v until there is room: comes back after %v, want %v", c.spent, c.come, got, c.want)
 			}
@@ -79,9 +79,9 @@
 	})
 }
 
-// TestRecallBound: however many are refused, a bounded number is remembered, and
+// TestCallerRetriesBound: however many are refused, a bounded number is remembered, and
 // those beyond look like new ones.
-func TestRecallBound(t *testing.T) {
+func TestCallerRetriesBound(t *testing.T) {
 	r := newCallerRetries(time.Millisecond)
 	now := time.Now()
 	for i := range 2 * maxCallerRetries {
--- a/internal/proxy/callrates.go
+++ b/internal/proxy/callrates.go
@@ -105,17 +105,17 @@
 		return 0
 	}
 	total, retries := 0.0, 0.0
-	for p, u := range c.active {
+	for p, runs := range c.active {
 		r := c.rate(p, service)
-		total, retries = total+u.runs*r, retries+u.retryShares*r
+		total, retries = total+runs.runs*r, retries+runs.retryShares*r
 	}
 	if total == 0 {
 		return 0
 	}
 	// The shares are taken before any of them changes.
 	share := map[string]float64{}
-	for p, u := range c.active {
-		share[p] = u.runs * c.rate(p, service) / total
+	for p, runs := range c.active {
+		share[p] = runs.runs * c.rate(p, service) / total
 	}
 	for p, n := range share {
 		if m := c.byRoute[p]; m != nil {
--- a/internal/proxy/callworker.go
+++ b/internal/proxy/callworker.go
@@ -21,19 +21,19 @@
 
 // forwardedHeaders gives the headers that go on: all but those of one connection, those
 // that a Connection header names, and the mesh's own.
-func (x *Proxy) forwardedHeaders(in map[string][]string) http.Header {
-	out := make(http.Header, len(in))
-	for k, v := range in {
+func (x *Proxy) forwardedHeaders(headers map[string][]string) http.Header {
+	forwarded := make(http.Header, len(headers))
+	for k, v := range headers {
 		if k = http.CanonicalHeaderKey(k); !hopByHopHeaders[k] && !strings.HasPrefix(k, "Puffin-") {
-			out[k] = v
+			forwarded[k] = v
 		}
 	}
-	for _, v := range in["Connection"] {
+	for _, v := range headers["Connection"] {
 		for _, n := range strings.Split(v, ",") {
-			delete(out, http.CanonicalHeaderKey(strings.TrimSpace(n)))
+			delete(forwarded, http.CanonicalHeaderKey(strings.TrimSpace(n)))
 		}
 	}
-	return out
+	return forwarded
 }
 
 // requestTarget gives the target of a job as it was sent, so that not a sign of it
--- a/internal/proxy/configmismatch.go
+++ b/internal/proxy/configmismatch.go
@@ -19,9 +19,9 @@
 		return
 	}
 	for range 4 {
-		if r := x.rules.Load(); r.Version != req.rules.Version {
-			if p := r.Match(req.httpReq.Host, req.httpReq.Method, req.httpReq.URL.EscapedPath()); p != nil {
-				req.rules, req.route, req.arm = r, p, p.Arm(req.id)
+		if current := x.rules.Load(); current.Version != req.rules.Version {
+			if route := current.Match(req.httpReq.Host, req.httpReq.Method, req.httpReq.URL.EscapedPath()); route != nil {
+				req.rules, req.route, req.arm = current, route, route.Arm(req.id)
 				req.service = req.arm.ServiceFor(req.id)
 				req.tried = map[string]bool{}
 			}
--- a/internal/proxy/controlhost.go
+++ b/internal/proxy/controlhost.go
@@ -66,6 +66,6 @@
 
 // confirm waits until the node may act on what it holds, and tells how sure it
 // is of that.
-func (x *Proxy) confirm(ctx context.Context, end time.Time) protocol.Confidence {
-	return x.control.Confirm(ctx, end)
+func (x *Proxy) confirm(ctx context.Context, deadline time.Time) protocol.Confidence {
+	return x.control.Confirm(ctx, deadline)
 }
--- a/internal/proxy/decisionlog.go
+++ b/internal/proxy/decisionlog.go
@@ -59,16 +59,16 @@
 }
 
 // add keeps a step, in the place of the oldest.
-func (t *decisionLog) add(s Decision) {
+func (t *decisionLog) add(decision Decision) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.seq++
-	s.Seq, s.Time = t.seq, time.Now()
+	decision.Seq, decision.Time = t.seq, time.Now()
 	if len(t.ring) < decisionLogSize {
-		t.ring = append(t.ring, s)
+		t.ring = append(t.ring, decision)
 		return
 	}
-	t.ring[t.oldest] = s
+	t.ring[t.oldest] = decision
 	t.oldest = (t.oldest + 1) % decisionLogSize
 }
 
@@ -78,9 +78,9 @@
 	defer t.mu.Unlock()
 	out := []Decision{}
 	for i := range t.ring {
-		s := t.ring[(t.oldest+i)%len(t.ring)]
-		if name == "" || s.Request == name || s.Worker == name {
-			out = append(out, s)
+		decision := t.ring[(t.oldest+i)%len(t.ring)]
+		if name == "" || decision.Request == name || decision.Worker == name {
+			out = append(out, decision)
 		}
 	}
 	return out
--- a/internal/proxy/decisionlog_test.go
+++ b/internal/proxy/decisionlog_test.go
@@ -5,17 +5,17 @@
 	"testing"
 )
 
-// TestTrail: the newest decisions are kept, oldest first, by request or by worker,
+// TestDecisionLog: the newest decisions are kept, oldest first, by request or by worker,
 // and no more of them than its length.
-func TestTrail(t *testing.T) {
-	var trail decisionLog
-	const all = decisionLogSize + 100
-	for i := range all {
-		trail.nextSeq() // a change of a worker's state in between
-		trail.add(Decision{Request: fmt.Sprint("r", i), Worker: fmt.Sprint("w", i%2), Step: stepSent})
+func TestDecisionLog(t *testing.T) {
+	var log decisionLog
+	const total = decisionLogSize + 100
+	for i := range total {
+		log.nextSeq() // a change of a worker's state in between
+		log.add(Decision{Request: fmt.Sprint("r", i), Worker: fmt.Sprint("w", i%2), Step: stepSent})
 	}
-	got := trail.filter("")
-	if len(got) != decisionLogSize || got[0].Request != "r100" || got[decisionLogSize-1].Request != fmt.Sprint("r", all-1) {
+	got := log.filter("")
+	if len(got) != decisionLogSize || got[0].Request != "r100" || got[decisionLogSize-1].Request != fmt.Sprint("r", total-1) {
 		t.Fatalf("%d steps from %s to %s", len(got), got[0].Request, got[len(got)-1].Request)
 	}
 	for i := 1; i < len(got); i++ {
@@ -23,10 +23,10 @@
 			t.Fatalf("step %d comes after %d", got[i].Seq, got[i-1].Seq)
 		}
 	}
-	if n := len(trail.filter("w1")); n != decisionLogSize/2 {
+	if n := len(log.filter("w1")); n != decisionLogSize/2 {
 		t.Errorf("%d steps of a worker", n)
 	}
-	if n := len(trail.filter("r99")) + len(trail.filter("r100")); n != 1 {
+	if n := len(log.filter("r99")) + len(log.filter("r100")); n != 1 {
 		t.Errorf("%d steps of two requests of which one is forgotten", n)
 	}
 }
--- a/internal/proxy/fuzz_test.go
+++ b/internal/proxy/fuzz_test.go
@@ -17,19 +17,19 @@
 	"puffincrank/internal/workerconn"
 )
 
-// liar is a worker that reads a request and answers with given bytes.
-type liar struct {
-	g   *task.Group
-	say string
+// scriptedWorker is a worker that reads a request and answers with given bytes.
+type scriptedWorker struct {
+	group    *task.Group
+	response string
 }
 
-func (l liar) Listen(string) (net.Listener, error) { return nil, net.ErrClosed }
-func (l liar) Dial(context.Context, string) (net.Conn, error) {
+func (l scriptedWorker) Listen(string) (net.Listener, error) { return nil, net.ErrClosed }
+func (l scriptedWorker) Dial(context.Context, string) (net.Conn, error) {
 	a, b := net.Pipe()
-	l.g.Go("liar", func(context.Context) {
+	l.group.Go("liar", func(context.Context) {
 		defer func() { _ = b.Close() }()
 		if r, err := http.ReadRequest(bufio.NewReader(b)); err == nil && r != nil {
-			_, _ = b.Write([]byte(l.say))
+			_, _ = b.Write([]byte(l.response))
 		}
 	})
 	return a, nil
@@ -51,7 +51,7 @@
 	}
 	f.Fuzz(func(t *testing.T, text string) {
 		g := task.New(context.Background())
-		pool := workerconn.NewPool(liar{g, text}, g, time.Minute, 4096, false)
+		pool := workerconn.NewPool(scriptedWorker{g, text}, g, time.Minute, 4096, false)
 		defer func() { pool.Close(); g.Cancel(); g.Stop() }()
 		c, err := pool.Acquire(t.Context(), "w", "10.0.0.1:1")
 		if err != nil {
@@ -65,20 +65,20 @@
 		if len(body) > 4096 || w.StatusCode < 200 || w.ContentLength >= 0 && int64(len(body)) != w.ContentLength && len(body) > 0 {
 			t.Errorf("%d, %d bytes of %d", w.StatusCode, len(body), w.ContentLength)
 		}
-		for _, say := range []dialect.Dialect{dialect.Default, actors.Plain} {
-			x := &Proxy{dialect: say}
+		for _, dialectUsed := range []dialect.Dialect{dialect.Default, actors.Plain} {
+			x := &Proxy{dialect: dialectUsed}
 			attempt := &ownerAttempt{req: protocol.AttemptRequest{AttemptID: "a.1", Worker: "w"}, result: protocol.AttemptResult{Status: w.StatusCode, Header: w.Header, Body: body}}
-			good := x.invalidReason(attempt, x.reportsNotRun(&attempt.result)) == ""
-			if good && w.StatusCode < 300 && (!strings.Contains(text, "a.1") || w.Header.Get(say.ResponseDigest) == "") {
-				t.Errorf("%s: a success that shows nothing was taken: %q", say.Name, text)
+			accepted := x.invalidReason(attempt, x.reportsNotRun(&attempt.result)) == ""
+			if accepted && w.StatusCode < 300 && (!strings.Contains(text, "a.1") || w.Header.Get(dialectUsed.ResponseDigest) == "") {
+				t.Errorf("%s: a success that shows nothing was taken: %q", dialectUsed.Name, text)
 			}
 		}
 	})
 }
 
-// FuzzBeat: whatever a worker's word on itself holds, it is refused with a place
+// FuzzHeartbeat: whatever a worker's word on itself holds, it is refused with a place
 // for each fault, or what is read of it is within its bounds.
-func FuzzBeat(f *testing.F) {
+func FuzzHeartbeat(f *testing.F) {
 	f.Add(`{"service":"pages","addr":"10.0.1.1:9","slots":4,"state":"up","cold_ms":0.5,"seq":7,"more":1}`)
 	f.Add(`{"service":"-","addr":"h:9","slots":4.0,"state":"UP","cold_ms":-1,"seq":1e30}`)
 	f.Fuzz(func(t *testing.T, raw string) {
@@ -86,15 +86,15 @@
 		if err != nil {
 			return
 		}
-		for _, tab := range []schema.Table{WorkerTable, HeartbeatTable} {
-			v, bad := tab.ReadKnown(in, "")
+		for _, table := range []schema.Table{WorkerTable, HeartbeatTable} {
+			values, bad := table.ReadKnown(in, "")
 			for _, b := range bad {
 				if b.Place == "" || b.Message == "" {
 					t.Errorf("a fault without its place: %+v", b)
 				}
 			}
-			if n := v.Count("slots"); len(bad) == 0 && (n < 1 || n > 1024 || schema.IsAddr(v.Text("addr")) != nil || schema.IsName(v.Text("service")) != nil) {
-				t.Errorf("read: %v", v)
+			if n := values.Count("slots"); len(bad) == 0 && (n < 1 || n > 1024 || schema.IsAddr(values.Text("addr")) != nil || schema.IsName(values.Text("service")) != nil) {
+				t.Errorf("read: %v", values)
 			}
 		}
 	})
--- a/internal/proxy/heartbeat.go
+++ b/internal/proxy/heartbeat.go
@@ -41,8 +41,8 @@
 }
 
 // applyState does what a worker's call says. x.calling is held.
-func (x *Proxy) applyState(c workerCall) {
-	worker, service, addr, slots, state := c.worker, c.service, c.addr, c.slots, c.state
+func (x *Proxy) applyState(call workerCall) {
+	worker, service, addr, slots, state := call.worker, call.service, call.addr, call.slots, call.state
 	if state == stateGone {
 		x.signOff(worker)
 		return
@@ -50,11 +50,11 @@
 	x.mu.Lock()
 	local := x.workers[worker]
 	var replaced []*localWorker
-	for id, o := range x.workers {
+	for id, other := range x.workers {
 		// A new identity at a known address, or a changed registration: the
 		// old entry goes first, so that nothing meant for it gets here.
-		if (id != worker && o.addr == addr) || (id == worker && (o.service != service || o.addr != addr)) {
-			replaced = append(replaced, o)
+		if (id != worker && other.addr == addr) || (id == worker && (other.service != service || other.addr != addr)) {
+			replaced = append(replaced, other)
 			delete(x.workers, id)
 		}
 	}
@@ -66,21 +66,21 @@
 		x.workers[worker] = local
 	}
 	x.mu.Unlock()
-	for _, o := range replaced {
-		x.env.Log.Emit(event.Evicted, "worker", o.id, "by", worker, "addr", addr)
-		if o.id == worker {
-			x.closeAndRemove(o, "evicted")
+	for _, other := range replaced {
+		x.env.Log.Emit(event.Evicted, "worker", other.id, "by", worker, "addr", addr)
+		if other.id == worker {
+			x.closeAndRemove(other, "evicted")
 		} else {
-			x.closeDeparted(o, "evicted")
+			x.closeDeparted(other, "evicted")
 		}
 	}
 	x.recordContact(local, state == "up")
-	if c.warmup > 0 {
-		local.stats.SetWarmup(c.warmup)
+	if call.warmup > 0 {
+		local.stats.SetWarmup(call.warmup)
 	}
 	local.mu.Lock()
 	resized := local.slots != slots
-	local.slots, local.callSeq = slots, max(local.callSeq, c.number)
+	local.slots, local.callSeq = slots, max(local.callSeq, call.number)
 	failing := local.failedProbes >= 2
 	local.mu.Unlock()
 	if resized {
--- a/internal/proxy/hedge.go
+++ b/internal/proxy/hedge.go
@@ -54,17 +54,17 @@
 		return nil, ctx
 	}
 	attemptCtx, cancel := context.WithCancel(ctx)
-	a := &ingressAttempt{proxy: x, ctx: ctx, request: req, startedAt: time.Now(), cancel: cancel}
+	attempt := &ingressAttempt{proxy: x, ctx: ctx, request: req, startedAt: time.Now(), cancel: cancel}
 	x.ingressAttempts.mu.Lock()
-	x.ingressAttempts.byID[id] = a
+	x.ingressAttempts.byID[id] = attempt
 	x.ingressAttempts.mu.Unlock()
 	if schedule := x.stopSchedule.Load(); schedule != nil {
-		a.onIngressStop(schedule.WaitDeadline())
+		attempt.onIngressStop(schedule.WaitDeadline())
 	}
 	if hedgeTime, ok := x.hedgeOverdueAt(req); ok {
-		a.hedgeAt(hedgeTime)
+		attempt.hedgeAt(hedgeTime)
 	}
-	return a, attemptCtx
+	return attempt, attemptCtx
 }
 
 // hedgeOverdueAt is when a request is hedged that has taken the larger part of its time,
@@ -142,16 +142,16 @@
 // copyOfRequest is the request as the second attempt goes on with it. The first one is
 // at a worker, or on its way to one.
 func (a *ingressAttempt) copyOfRequest() *request {
-	req := *a.request
-	req.isHedge, req.mayBorrowRetry, req.allowEndingNode = true, a.forStop, a.hedgeAttempts > 0
-	req.attempts = max(req.attempts, a.hedgeAttempts)
-	req.reached++
-	req.countedAsFirst = false
-	req.tried = maps.Clone(req.tried)
-	req.skipped = nil
-	req.result, req.lost, req.fallback = protocol.AttemptResult{}, nil, nil
-	req.reason, req.retryAfter, req.reservedBytes, req.lookups = "", 0, 0, 0
-	return &req
+	copied := *a.request
+	copied.isHedge, copied.mayBorrowRetry, copied.allowEndingNode = true, a.forStop, a.hedgeAttempts > 0
+	copied.attempts = max(copied.attempts, a.hedgeAttempts)
+	copied.reached++
+	copied.countedAsFirst = false
+	copied.tried = maps.Clone(copied.tried)
+	copied.skipped = nil
+	copied.result, copied.lost, copied.fallback = protocol.AttemptResult{}, nil, nil
+	copied.reason, copied.retryAfter, copied.reservedBytes, copied.lookups = "", 0, 0, 0
+	return &copied
 }
 
 // runHedge sends the copy. A worker's answer ends the first attempt; where no worker took
--- a/internal/proxy/hedge_test.go
+++ b/internal/proxy/hedge_test.go
@@ -38,17 +38,17 @@
 	}
 }
 
-// hedgeProxy is a front that knows of three workers of a service, and a request that is
+// newHedgeFixture is a front that knows of three workers of a service, and a request that is
 // about to be sent to one of them.
-func hedgeProxy() (*Proxy, *request) {
+func newHedgeFixture() (*Proxy, *request) {
 	x := &Proxy{Settings: settings.Settings{GracePeriod: 6 * time.Second, ConfigBound: 2 * time.Second}}
 	x.ingressAttempts.byID = map[string]*ingressAttempt{}
 	x.balancer = balancer.New("a", time.Second, 10*time.Second, func(string, bool) {})
 	return x, &request{route: &rules.Route{Name: "p"}, arm: &rules.Arm{Repeatable: true, Tries: 2}, service: "s", tried: map[string]bool{"w": true}, attempts: 1, workerCount: 3, deadline: time.Now().Add(time.Second)}
 }
 
-// ran has a worker run a job of the path in a time, as a front sees it.
-func ran(x *Proxy, took time.Duration) {
+// simulateRun has a worker run a job of the path in a time, as a front sees it.
+func simulateRun(x *Proxy, took time.Duration) {
 	x.balancer.RecordOutcome(balancer.Outcome{Worker: "w", Service: "s", Route: "p", RoundTrip: took, RunTime: took, OK: true, AboutWorker: true})
 }
 
@@ -69,25 +69,25 @@
 		{"no try is left", func(_ *Proxy, req *request) { req.reached = 1 }, never},
 		{"it may run once", func(_ *Proxy, req *request) { req.arm.Repeatable = false }, never},
 		{"large bodies", func(_ *Proxy, req *request) { req.arm.Bulk = "download" }, never},
-		{"its like take up to the rest", func(x *Proxy, _ *request) { ran(x, 400*time.Millisecond) }, 600 * time.Millisecond},
-		{"its like take longer", func(x *Proxy, _ *request) { ran(x, 410*time.Millisecond) }, never},
+		{"its like take up to the rest", func(x *Proxy, _ *request) { simulateRun(x, 400*time.Millisecond) }, 600 * time.Millisecond},
+		{"its like take longer", func(x *Proxy, _ *request) { simulateRun(x, 410*time.Millisecond) }, never},
 		{"told to end, with time enough", func(x *Proxy, _ *request) {
-			ran(x, 100*time.Millisecond)
+			simulateRun(x, 100*time.Millisecond)
 			x.stopSchedule.Store(shutdown.Begin(1300*time.Millisecond, 0))
 		}, 150 * time.Millisecond},
 		{"told to end, with no time for another one", func(x *Proxy, _ *request) {
-			ran(x, 300*time.Millisecond)
+			simulateRun(x, 300*time.Millisecond)
 			x.stopSchedule.Store(shutdown.Begin(600*time.Millisecond, 0))
 		}, 600 * time.Millisecond},
 		{"told to end, a second attempt itself", func(x *Proxy, req *request) {
-			ran(x, 100*time.Millisecond)
+			simulateRun(x, 100*time.Millisecond)
 			x.stopSchedule.Store(shutdown.Begin(1300*time.Millisecond, 0))
 			req.isHedge = true
 		}, 600 * time.Millisecond},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				x, req := hedgeProxy()
+				x, req := newHedgeFixture()
 				c.do(x, req)
 				a, ctx := x.beginAttempt(t.Context(), req, "1")
 				if a == nil {
@@ -111,24 +111,24 @@
 	}
 }
 
-// TestHedgeSoonest: of several ends of a run the soonest counts, and none that is said
+// TestHedgeEarliestEnd: of several ends of a run the soonest counts, and none that is said
 // when the attempt is over.
-func TestHedgeSoonest(t *testing.T) {
+func TestHedgeEarliestEnd(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		x, req := hedgeProxy()
+		x, req := newHedgeFixture()
 		req.deadline = time.Now().Add(time.Minute)
-		ran(x, 100*time.Millisecond)
+		simulateRun(x, 100*time.Millisecond)
 		a, _ := x.beginAttempt(context.Background(), req, "1")
-		from := time.Now()
-		for _, in := range []time.Duration{10 * time.Second, 5 * time.Second, 20 * time.Second} {
-			a.onRunEnd(from.Add(in))
+		start := time.Now()
+		for _, delay := range []time.Duration{10 * time.Second, 5 * time.Second, 20 * time.Second} {
+			a.onRunEnd(start.Add(delay))
 		}
-		if got := a.hedgeTime.Sub(from); got != 5*time.Second-300*time.Millisecond {
+		if got := a.hedgeTime.Sub(start); got != 5*time.Second-300*time.Millisecond {
 			t.Errorf("due after %v", got)
 		}
 		a.close("1")
 		due := a.hedgeTime
-		a.onRunEnd(from.Add(time.Second))
+		a.onRunEnd(start.Add(time.Second))
 		if a.hedgeTime != due || len(x.ingressAttempts.byID) != 0 {
 			t.Error("an attempt that is over is hedged")
 		}
--- a/internal/proxy/hedgetime.go
+++ b/internal/proxy/hedgetime.go
@@ -22,15 +22,15 @@
 // hedgeBeforeEnd is when a second attempt is begun beside a run that began at a time and
 // that its node ends at another. A run that is not overdue most likely ends by itself
 // before that; a second one needs its own time.
-func hedgeBeforeEnd(begun, ends time.Time, usual time.Duration) time.Time {
+func hedgeBeforeEnd(startedAt, endsAt time.Time, usual time.Duration) time.Time {
 	if usual <= 0 {
-		return begun
+		return startedAt
 	}
-	at := ends.Add(-usualTimes(hedgeLatest, usual))
-	if overdue := begun.Add(usualTimes(hedgeOverdue, usual)); overdue.Before(at) {
+	at := endsAt.Add(-usualTimes(hedgeLatest, usual))
+	if overdue := startedAt.Add(usualTimes(hedgeOverdue, usual)); overdue.Before(at) {
 		at = overdue
 	}
-	if earliest := ends.Add(-usualTimes(hedgeEarliest, usual)); earliest.After(at) {
+	if earliest := endsAt.Add(-usualTimes(hedgeEarliest, usual)); earliest.After(at) {
 		at = earliest
 	}
 	return at
@@ -38,7 +38,7 @@
 
 // hedgeInStop is when a second attempt is begun beside a run that is waited for until a
 // time. One that is not overdue has as good a chance as another. False: not at all.
-func hedgeInStop(begun, waits time.Time, usual time.Duration) (at time.Time, ok bool) {
-	at = begun.Add(usualTimes(hedgeOverdueInStop, usual))
-	return at, usual > 0 && !at.After(waits.Add(-usualTimes(hedgeLeast, usual)))
+func hedgeInStop(startedAt, waitUntil time.Time, usual time.Duration) (at time.Time, ok bool) {
+	at = startedAt.Add(usualTimes(hedgeOverdueInStop, usual))
+	return at, usual > 0 && !at.After(waitUntil.Add(-usualTimes(hedgeLeast, usual)))
 }
--- a/internal/proxy/lane_test.go
+++ b/internal/proxy/lane_test.go
@@ -7,10 +7,10 @@
 	"puffincrank/internal/transport"
 )
 
-// TestLaneOfCalls: a job goes by its arm's lane; a call of other jobs by the
+// TestLaneOfNestedCalls: a job goes by its arm's lane; a call of other jobs by the
 // most urgent lane among those that it may belong to, but never as bulk, unless
 // it is bulk itself.
-func TestLaneOfCalls(t *testing.T) {
+func TestLaneOfNestedCalls(t *testing.T) {
 	x := &Proxy{nested: newNestedRoutes()}
 	r, bad, err := rules.Compile(1, []byte(`{"services":[{"name":"s"}],"paths":[
 {"name":"first","prefix":"/a","service":"s"},{"name":"second","prefix":"/b","service":"s","rank":1},
@@ -19,30 +19,30 @@
 		t.Fatal(err, bad)
 	}
 	req := &request{rules: r, route: r.RouteByName("check"), arm: &r.RouteByName("check").Base}
-	is := func(want int) {
+	expectLane := func(want int) {
 		t.Helper()
 		if got := x.requestLane(req); got != want {
 			t.Errorf("it goes by lane %d, not %d", got, want)
 		}
 	}
-	is(transport.LaneRequests + 2)
+	expectLane(transport.LaneRequests + 2)
 	x.nested.runBegan(transport.LaneRequests)
-	is(transport.LaneRequests + 2)
+	expectLane(transport.LaneRequests + 2)
 	x.nested.setNested("check", true)
-	is(transport.LaneRequests)
+	expectLane(transport.LaneRequests)
 	x.nested.runBegan(transport.LaneBulk)
-	is(transport.LaneRequests)
+	expectLane(transport.LaneRequests)
 	x.nested.runEnded(transport.LaneRequests)
-	is(transport.LaneBulk - 1)
+	expectLane(transport.LaneBulk - 1)
 	req.arm = &r.RouteByName("up").Base
 	x.nested.runBegan(transport.LaneRequests)
-	is(transport.LaneBulk)
+	expectLane(transport.LaneBulk)
 	req.arm = &r.RouteByName("check").Base
-	is(transport.LaneRequests)
+	expectLane(transport.LaneRequests)
 	x.nested.runEnded(transport.LaneRequests)
 	x.nested.runEnded(transport.LaneBulk)
-	is(transport.LaneRequests + 2)
+	expectLane(transport.LaneRequests + 2)
 	x.nested.runBegan(transport.LaneRequests)
 	x.nested.setNested("check", false)
-	is(transport.LaneRequests + 2)
+	expectLane(transport.LaneRequests + 2)
 }
--- a/internal/proxy/limits_test.go
+++ b/internal/proxy/limits_test.go
@@ -8,39 +8,39 @@
 	"puffincrank/internal/settings"
 )
 
-// TestBodyBound: the document's bound on bodies holds as soon as it is in
+// TestBodyLimits: the document's bound on bodies holds as soon as it is in
 // force, within what a frame can carry; without one the prop's does.
-func TestBodyBound(t *testing.T) {
+func TestBodyLimits(t *testing.T) {
 	x := &Proxy{Settings: settings.Settings{MaxBodyBytes: 1 << 20, MaxFrameBytes: 16 << 20}}
-	for _, c := range []struct{ told, most, wide int64 }{{0, 1 << 20, 1 << 20}, {4 << 20, 4 << 20, 4 << 20}, {64 << 20, 8 << 20, 8 << 20}, {1000, 1000, 1 << 20}} {
-		doc := fmt.Sprintf(`{"version":1,"services":[{"name":"s"}],"paths":[{"name":"p","prefix":"/p/","service":"s"}],"limits":{"body_bytes":%d}}`, c.told)
-		if c.told == 0 {
+	for _, c := range []struct{ configured, maxRequest, maxResponse int64 }{{0, 1 << 20, 1 << 20}, {4 << 20, 4 << 20, 4 << 20}, {64 << 20, 8 << 20, 8 << 20}, {1000, 1000, 1 << 20}} {
+		doc := fmt.Sprintf(`{"version":1,"services":[{"name":"s"}],"paths":[{"name":"p","prefix":"/p/","service":"s"}],"limits":{"body_bytes":%d}}`, c.configured)
+		if c.configured == 0 {
 			doc = `{"version":1,"services":[{"name":"s"}],"paths":[{"name":"p","prefix":"/p/","service":"s"}]}`
 		}
-		x.rules.Store(compiled(t, doc))
-		if x.maxRequestBody() != c.most || x.maxResponseBody() != c.wide {
-			t.Errorf("told %d: %d and %d", c.told, x.maxRequestBody(), x.maxResponseBody())
+		x.rules.Store(compileRules(t, doc))
+		if x.maxRequestBody() != c.maxRequest || x.maxResponseBody() != c.maxResponse {
+			t.Errorf("told %d: %d and %d", c.configured, x.maxRequestBody(), x.maxResponseBody())
 		}
 	}
 }
 
-// TestRepeatBound: the platform's bound on repeats goes before the document's,
+// TestRetryLimits: the platform's bound on repeats goes before the document's,
 // also where it has no share or no allowance.
-func TestRepeatBound(t *testing.T) {
+func TestRetryLimits(t *testing.T) {
 	r := &rules.Rules{RetryRatio: 0.2, RetryAllowance: 50}
 	for _, c := range []struct {
-		share float64
-		allow int
-		want  [2]float64
+		ratio     float64
+		allowance int
+		want      [2]float64
 	}{{0, 0, [2]float64{0.2, 50}}, {0.1, 60, [2]float64{0.1, 60}}, {0, 60, [2]float64{0, 60}}, {0.3, 0, [2]float64{0.3, 0}}} {
-		x := &Proxy{Settings: settings.Settings{RetryRatio: c.share, RetryAllowance: c.allow}}
-		if share, allow := x.retryLimits(r); share != c.want[0] || float64(allow) != c.want[1] {
-			t.Errorf("told %g and %d: %g and %d", c.share, c.allow, share, allow)
+		x := &Proxy{Settings: settings.Settings{RetryRatio: c.ratio, RetryAllowance: c.allowance}}
+		if ratio, allowance := x.retryLimits(r); ratio != c.want[0] || float64(allowance) != c.want[1] {
+			t.Errorf("told %g and %d: %g and %d", c.ratio, c.allowance, ratio, allowance)
 		}
 	}
 }
 
-func compiled(t *testing.T, doc string) *rules.Rules {
+func compileRules(t *testing.T, doc string) *rules.Rules {
 	t.Helper()
 	r, bad, err := rules.Compile(1, []byte(doc))
 	if err != nil || len(bad) > 0 {
--- a/internal/proxy/localworker.go
+++ b/internal/proxy/localworker.go
@@ -108,9 +108,9 @@
 	return out
 }
 
-func (x *Proxy) configureAdmission(r *rules.Rules) {
+func (x *Proxy) configureAdmission(current *rules.Rules) {
 	for _, worker := range x.allWorkers() {
-		x.configureWorkerAdmission(worker, r)
+		x.configureWorkerAdmission(worker, current)
 	}
 }
 
--- a/internal/proxy/owner_test.go
+++ b/internal/proxy/owner_test.go
@@ -19,11 +19,11 @@
 	}
 	x := &Proxy{}
 	x.rules.Store(newer)
-	hand := protocol.AttemptRequest{Host: "h", Method: "GET", URI: "/p/1", Service: "s", Class: newer.Match("h", "GET", "/p/1").Base.Class}
+	attemptReq := protocol.AttemptRequest{Host: "h", Method: "GET", URI: "/p/1", Service: "s", Class: newer.Match("h", "GET", "/p/1").Base.Class}
 	for _, c := range []struct {
-		version uint64
-		word    protocol.Confidence
-		runs    bool
+		version    uint64
+		confidence protocol.Confidence
+		runs       bool
 	}{
 		{4, protocol.Confirmed, true},
 		{4, protocol.Unspecified, true},
@@ -32,13 +32,13 @@
 		{5, protocol.Unconfirmed, true},
 		{5, protocol.Disconnected, true},
 	} {
-		attempt := &ownerAttempt{req: hand}
-		attempt.req.ConfigVersion, attempt.req.Confidence = c.version, c.word
+		attempt := &ownerAttempt{req: attemptReq}
+		attempt.req.ConfigVersion, attempt.req.Confidence = c.version, c.confidence
 		if x.checkRules(context.Background(), attempt) != c.runs {
-			t.Errorf("version %d, word %d: runs %v", c.version, c.word, !c.runs)
+			t.Errorf("version %d, word %d: runs %v", c.version, c.confidence, !c.runs)
 		}
 		if !c.runs && (!attempt.result.ConfigMismatch || attempt.result.ConfigVersion != 5 || attempt.result.Outcome != protocol.Refused) {
-			t.Errorf("version %d, word %d: answered %+v", c.version, c.word, attempt.result)
+			t.Errorf("version %d, word %d: answered %+v", c.version, c.confidence, attempt.result)
 		}
 	}
 }
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -144,22 +144,22 @@
 }
 
 // onRegistryEvent logs the registry's events and forgets workers that are gone for good.
-func (x *Proxy) onRegistryEvent(n replica.Event) {
-	if n.Kind == "registered" {
-		x.env.Log.Emit(event.Registered, "service", n.Entry.Service, "worker", n.Entry.Worker, "owner", n.Entry.Owner)
+func (x *Proxy) onRegistryEvent(update replica.Event) {
+	if update.Kind == "registered" {
+		x.env.Log.Emit(event.Registered, "service", update.Entry.Service, "worker", update.Entry.Worker, "owner", update.Entry.Owner)
 		return
 	}
-	k := event.Unregistered
-	if n.Kind == "down" {
-		k = event.WorkerDown
+	kind := event.Unregistered
+	if update.Kind == "down" {
+		kind = event.WorkerDown
 	}
-	x.env.Log.Emit(k, "service", n.Entry.Service, "worker", n.Entry.Worker, "owner", n.Entry.Owner, "why", n.Reason)
-	for _, e := range x.replica.Lookup(n.Entry.Service) {
-		if e.Worker == n.Entry.Worker {
+	x.env.Log.Emit(kind, "service", update.Entry.Service, "worker", update.Entry.Worker, "owner", update.Entry.Owner, "why", update.Reason)
+	for _, entry := range x.replica.Lookup(update.Entry.Service) {
+		if entry.Worker == update.Entry.Worker {
 			return
 		}
 	}
-	x.balancer.Forget(n.Entry.Worker)
+	x.balancer.Forget(update.Entry.Worker)
 }
 
 // AcceptsRequests tells whether jobs are taken: a leaving node takes them for a while.
@@ -187,8 +187,8 @@
 	x.callerRetries.expire(time.Now())
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	for id, end := range x.seenAttempts {
-		if time.Now().After(end) {
+	for id, expiry := range x.seenAttempts {
+		if time.Now().After(expiry) {
 			delete(x.seenAttempts, id)
 		}
 	}
--- a/internal/proxy/requeue_test.go
+++ b/internal/proxy/requeue_test.go
@@ -9,40 +9,40 @@
 	"puffincrank/internal/rules"
 )
 
-// TestRefusedLast: a caller is told what the worker that refused last named, and
+// TestRetryAfterOfLastRefusal: a caller is told what the worker that refused last named, and
 // of one that named no time what was named before it.
-func TestRefusedLast(t *testing.T) {
+func TestRetryAfterOfLastRefusal(t *testing.T) {
 	x := &Proxy{}
 	req := &request{arm: &rules.Arm{Tries: 1}, deadline: time.Now().Add(time.Hour)}
-	for _, c := range []struct{ says, told int64 }{{4000, 4000}, {2500, 2500}, {0, 2500}, {3000, 3000}} {
-		req.result = protocol.AttemptResult{Outcome: protocol.Refused, Reason: "queue full", RetryAfterMS: c.says}
+	for _, c := range []struct{ retryAfterMS, wantMS int64 }{{4000, 4000}, {2500, 2500}, {0, 2500}, {3000, 3000}} {
+		req.result = protocol.AttemptResult{Outcome: protocol.Refused, Reason: "queue full", RetryAfterMS: c.retryAfterMS}
 		x.evaluate(context.Background(), req)
-		if got := req.retryAfter.Milliseconds(); got != c.told {
-			t.Errorf("after a refusal for %d ms the caller is told %d", c.says, got)
+		if got := req.retryAfter.Milliseconds(); got != c.wantMS {
+			t.Errorf("after a refusal for %d ms the caller is told %d", c.retryAfterMS, got)
 		}
 	}
 }
 
-// TestBoundRequeue: the first send has no bound of its own; later ones have what is left
+// TestLimitRequeue: the first send has no bound of its own; later ones have what is left
 // of half of the job's time, and then none waits at all.
-func TestBoundRequeue(t *testing.T) {
+func TestLimitRequeue(t *testing.T) {
 	now := time.Now()
 	for _, c := range []struct {
-		waited time.Duration
-		stay   int64
-		rush   bool
+		undelivered time.Duration
+		budgetMS    int64
+		noQueue     bool
 	}{{0, 0, false}, {time.Second, 3500, false}, {4 * time.Second, 500, false}, {4500 * time.Millisecond, 0, true}, {6 * time.Second, 0, true}} {
-		req := &request{receivedAt: now, deadline: now.Add(9 * time.Second), undeliveredTime: c.waited}
-		var h protocol.AttemptRequest
-		req.limitRequeue(&h)
-		if h.QueueBudgetMS != c.stay || h.NoQueue != c.rush {
-			t.Errorf("waited %v: %d ms, rush %v", c.waited, h.QueueBudgetMS, h.NoQueue)
+		req := &request{receivedAt: now, deadline: now.Add(9 * time.Second), undeliveredTime: c.undelivered}
+		var out protocol.AttemptRequest
+		req.limitRequeue(&out)
+		if out.QueueBudgetMS != c.budgetMS || out.NoQueue != c.noQueue {
+			t.Errorf("waited %v: %d ms, rush %v", c.undelivered, out.QueueBudgetMS, out.NoQueue)
 		}
 		// The owner keeps to it.
 		x := &Proxy{}
-		attempt := &ownerAttempt{req: protocol.AttemptRequest{Route: "p", TargetMS: 9000, QueueBudgetMS: h.QueueBudgetMS}, deadline: now.Add(9 * time.Second), worker: newLocalWorker("w", "s", "", 1, time.Second)}
-		if most := time.Duration(c.stay) * time.Millisecond; most > 0 && x.queueWait(attempt) > most {
-			t.Errorf("it may wait %v, and waits %v", most, x.queueWait(attempt))
+		attempt := &ownerAttempt{req: protocol.AttemptRequest{Route: "p", TargetMS: 9000, QueueBudgetMS: out.QueueBudgetMS}, deadline: now.Add(9 * time.Second), worker: newLocalWorker("w", "s", "", 1, time.Second)}
+		if limit := time.Duration(c.budgetMS) * time.Millisecond; limit > 0 && x.queueWait(attempt) > limit {
+			t.Errorf("it may wait %v, and waits %v", limit, x.queueWait(attempt))
 		}
 	}
 }
--- a/internal/proxy/respond.go
+++ b/internal/proxy/respond.go
@@ -40,13 +40,13 @@
 	if !req.callerDeadline.IsZero() && (req.result.Outcome != protocol.Done || req.result.Status >= http.StatusInternalServerError) {
 		x.callerRetries.record(req.route.Name, req.firstSeen, req.callerDeadline)
 	}
-	if version := req.rules; version != nil {
-		x.setOwnHeader(w, responsedigest.ConfigVersionHeader, strconv.FormatUint(version.Version, 10))
+	if rulesUsed := req.rules; rulesUsed != nil {
+		x.setOwnHeader(w, responsedigest.ConfigVersionHeader, strconv.FormatUint(rulesUsed.Version, 10))
 	}
 	switch {
 	case req.result.Outcome == protocol.Done:
-		for k, version := range x.forwardedHeaders(req.result.Header) {
-			w.Header()[k] = version
+		for k, rulesUsed := range x.forwardedHeaders(req.result.Header) {
+			w.Header()[k] = rulesUsed
 		}
 		x.setOwnHeader(w, responsedigest.WorkerHeader, req.result.Worker)
 		w.Header().Set("Content-Length", strconv.Itoa(len(req.result.Body)))
--- a/internal/proxy/start.go
+++ b/internal/proxy/start.go
@@ -30,17 +30,17 @@
 		return err
 	}
 	if x.Settings.ReadyAddr != "" {
-		m := chi.NewRouter()
-		m.Get("/puffin/ready", x.onReady)
-		if err := httpapi.Serve(x.group, x.env, x.Settings.ReadyAddr, m, x.Settings.ConfigBound); err != nil {
+		readyRoutes := chi.NewRouter()
+		readyRoutes.Get("/puffin/ready", x.onReady)
+		if err := httpapi.Serve(x.group, x.env, x.Settings.ReadyAddr, readyRoutes, x.Settings.ConfigBound); err != nil {
 			return err
 		}
 	}
-	srv, err := httpapi.ServeCallers(x.group, x.env, x.Settings.TrafficAddr, http.HandlerFunc(x.serveCaller), x.Settings.ConfigBound, x.Settings.MaxFrameBytes/16, &x.connLimits)
+	server, err := httpapi.ServeCallers(x.group, x.env, x.Settings.TrafficAddr, http.HandlerFunc(x.serveCaller), x.Settings.ConfigBound, x.Settings.MaxFrameBytes/16, &x.connLimits)
 	if err != nil {
 		return err
 	}
-	x.trafficServer = srv
+	x.trafficServer = server
 	x.env.Log.Emit(event.Started, "program", "proxy", "traffic", x.Settings.TrafficAddr)
 	x.group.Go("pulse", func(ctx context.Context) { x.pauseDetector.Run(ctx, x.env.Sleep) })
 	x.group.Go("session", x.control.Run)
@@ -148,8 +148,8 @@
 }
 
 // halfTimeout is half of the time that a caller says it has left.
-func (x *Proxy) halfTimeout(r *http.Request) time.Duration {
-	if ms, err := strconv.ParseInt(r.Header.Get(x.dialect.Timeout), 10, 64); err == nil && ms > 0 && ms < 3600_000 {
+func (x *Proxy) halfTimeout(req *http.Request) time.Duration {
+	if ms, err := strconv.ParseInt(req.Header.Get(x.dialect.Timeout), 10, 64); err == nil && ms > 0 && ms < 3600_000 {
 		return time.Duration(ms) * time.Millisecond / 2
 	}
 	return x.Settings.CallTimeout()
--- a/internal/proxy/steps.go
+++ b/internal/proxy/steps.go
@@ -115,11 +115,11 @@
 }
 
 // closedHere tells that a worker is this node's own and takes nothing just now.
-func (x *Proxy) closedHere(e ormap.Entry) bool {
-	if e.Owner != x.Settings.Node {
+func (x *Proxy) closedHere(entry ormap.Entry) bool {
+	if entry.Owner != x.Settings.Node {
 		return false
 	}
-	local := x.findWorker(e.Worker)
+	local := x.findWorker(entry.Worker)
 	return local == nil || !x.accepts(local)
 }
 
@@ -144,13 +144,13 @@
 	out.NoQueue = x.skipsQueue(req)
 	req.limitRequeue(&out)
 	sentAt := time.Now()
-	a, ctx := x.beginAttempt(transport.WithLane(ctx, x.requestLane(req)), req, out.AttemptID)
+	hedgeable, ctx := x.beginAttempt(transport.WithLane(ctx, x.requestLane(req)), req, out.AttemptID)
 	result := x.sendAttempt(ctx, req, out)
-	if a != nil {
+	if hedgeable != nil {
 		// From here on the request is changed by nobody else.
-		a.close(out.AttemptID)
-		defer a.cancel()
-		defer a.settle()
+		hedgeable.close(out.AttemptID)
+		defer hedgeable.cancel()
+		defer hedgeable.settle()
 	}
 	req.result = result
 	if req.result.Outcome == protocol.Done {
--- a/internal/proxy/trialcounts.go
+++ b/internal/proxy/trialcounts.go
@@ -69,12 +69,12 @@
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	var out []string
-	for n, at := range x.routeLastUsed {
-		if time.Since(at) > x.Settings.RetryWindow {
-			delete(x.routeLastUsed, n)
+	for route, lastUsed := range x.routeLastUsed {
+		if time.Since(lastUsed) > x.Settings.RetryWindow {
+			delete(x.routeLastUsed, route)
 			continue
 		}
-		out = append(out, n)
+		out = append(out, route)
 	}
 	sort.Strings(out)
 	return out
@@ -83,33 +83,33 @@
 // trialCounts gives the counts of the trials that still run; those of ended ones
 // are dropped.
 func (x *Proxy) trialCounts() []protocol.ArmCounts {
-	r := x.rules.Load()
+	current := x.rules.Load()
 	running := map[uint64]bool{}
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	if r != nil {
-		for _, p := range r.Routes {
-			if p.Trial == 0 {
+	if current != nil {
+		for _, route := range current.Routes {
+			if route.Trial == 0 {
 				continue
 			}
-			running[p.Trial] = true
+			running[route.Trial] = true
 			// A front counts from when it knows the trial, jobs or none, so
 			// that a trial without traffic has an age too.
-			if k := (armKey{p.Trial, p.Name, "new"}); x.armTallies[k] == nil {
-				x.armTallies[k] = newArmTally(k)
+			if key := (armKey{route.Trial, route.Name, "new"}); x.armTallies[key] == nil {
+				x.armTallies[key] = newArmTally(key)
 			}
 		}
 	}
 	var out []protocol.ArmCounts
-	for k, a := range x.armTallies {
-		if !running[k.trial] {
-			delete(x.armTallies, k)
+	for key, tally := range x.armTallies {
+		if !running[key.trial] {
+			delete(x.armTallies, key)
 			continue
 		}
-		t := a.counts
-		t.LatencyBins = append([]uint64(nil), t.LatencyBins...)
-		t.AgeMS = time.Since(a.since).Milliseconds()
-		out = append(out, t)
+		counts := tally.counts
+		counts.LatencyBins = append([]uint64(nil), counts.LatencyBins...)
+		counts.AgeMS = time.Since(tally.since).Milliseconds()
+		out = append(out, counts)
 	}
 	return out
 }
--- a/internal/proxy/unanswered.go
+++ b/internal/proxy/unanswered.go
@@ -57,12 +57,12 @@
 	if req.lost.StoppingForMS > 0 {
 		ownerStop = req.lost.StoppingForMS
 	}
-	pairs := []any{"request", req.externalID(), "path", req.route.Name, "by", endedBy, "why", req.lost.Reason, "worker", req.lost.entry.Worker, "owner", req.lost.entry.Owner,
+	fields := []any{"request", req.externalID(), "path", req.route.Name, "by", endedBy, "why", req.lost.Reason, "worker", req.lost.entry.Worker, "owner", req.lost.entry.Owner,
 		"held_ms", time.Since(req.receivedAt).Milliseconds(), "stop_ms", sinceStop.Milliseconds(), "owner_stop_ms", ownerStop, "sends", req.attempts, "then", req.reason}
 	if sinceStop < 0 {
-		x.unansweredEvents.Emit(x.env.Log, event.Unanswered, pairs...)
+		x.unansweredEvents.Emit(x.env.Log, event.Unanswered, fields...)
 	} else if x.stopLogLimit.allow() {
-		x.env.Log.Emit(event.Unanswered, pairs...)
+		x.env.Log.Emit(event.Unanswered, fields...)
 	}
 }
 
--- a/internal/proxy/updaterate_test.go
+++ b/internal/proxy/updaterate_test.go
@@ -8,9 +8,9 @@
 	"puffincrank/internal/replica"
 )
 
-// TestNewsRate: what all nodes together tell in a minute stays within the mesh's
+// TestUpdateRate: what all nodes together tell in a minute stays within the mesh's
 // rate, whatever their number; a node's first news are told at once.
-func TestNewsRate(t *testing.T) {
+func TestUpdateRate(t *testing.T) {
 	for _, nodes := range []int{1, 40, 240, 24000} {
 		start := time.Unix(0, 0)
 		rate := newUpdateRate(start)
@@ -20,26 +20,26 @@
 				t.Errorf("%d nodes: news %d is not told at once", nodes, i+1)
 			}
 		}
-		told := 0
+		published := 0
 		const minute = 60
 		for now := start; now.Sub(start) < minute*time.Second; now = now.Add(10 * time.Millisecond) {
 			if rate.Take(now) {
-				told++
+				published++
 			}
 		}
-		if most := healthUpdatesPerSecond * minute; told*nodes > most+nodes-1 || nodes == 1 && told < most-1 {
-			t.Errorf("%d nodes: each tells %d in a minute, all of them may tell %d", nodes, told, most)
+		if limit := healthUpdatesPerSecond * minute; published*nodes > limit+nodes-1 || nodes == 1 && published < limit-1 {
+			t.Errorf("%d nodes: each tells %d in a minute, all of them may tell %d", nodes, published, limit)
 		}
 	}
 }
 
-// TestFlappingFitness: a worker whose fitness changes with each look makes its node
+// TestFlappingHealth: a worker whose fitness changes with each look makes its node
 // tell the mesh of it no more often than its part of the rate, and the last state
 // is told once the rate lets it.
-func TestFlappingFitness(t *testing.T) {
-	x := lone()
+func TestFlappingHealth(t *testing.T) {
+	x := newIsolatedProxy()
 	defer x.Kill()
-	x.handleCall(call("w", stateUp, 1))
+	x.handleCall(testCall("w", stateUp, 1))
 	local := x.findWorker("w")
 	x.healthUpdates.SetNodes(240)
 	registered := 0
@@ -54,8 +54,8 @@
 		local.stats = balancer.NewWorkerStats(x.Settings.RetryWindow)
 		x.publishHealth(local)
 	}
-	if most := int(updateBurst(240)); registered > most {
-		t.Errorf("%d changes were told, %d may be at once", registered, most)
+	if limit := int(updateBurst(240)); registered > limit {
+		t.Errorf("%d changes were told, %d may be at once", registered, limit)
 	}
 	local.stats.SetWarmup(time.Hour)
 	x.healthUpdates.SetNodes(1)
--- a/internal/proxy/workercall.go
+++ b/internal/proxy/workercall.go
@@ -42,25 +42,25 @@
 //
 // A sign-off is the last word of a worker, whatever number a later call bears: an
 // identity is never used again, so what still comes was on its way.
-func (x *Proxy) handleCall(c workerCall) {
+func (x *Proxy) handleCall(call workerCall) {
 	x.workerCallMu.Lock()
 	defer x.workerCallMu.Unlock()
-	x.applyCallLocked(c)
+	x.applyCallLocked(call)
 }
 
 // applyCallLocked does so; x.calling is held.
-func (x *Proxy) applyCallLocked(c workerCall) {
-	newest := x.lastCalls[c.worker]
-	late := c.number != 0 && c.number <= newest.number
-	if c.state != stateGone && (late || x.hasDeparted(c.worker)) {
-		x.env.Log.Emit(event.HeartbeatOutdated, "worker", c.worker, "call", c.number, "says", c.state, "newest", newest.number, "signed_off", x.hasDeparted(c.worker))
+func (x *Proxy) applyCallLocked(call workerCall) {
+	newest := x.lastCalls[call.worker]
+	outdated := call.number != 0 && call.number <= newest.number
+	if call.state != stateGone && (outdated || x.hasDeparted(call.worker)) {
+		x.env.Log.Emit(event.HeartbeatOutdated, "worker", call.worker, "call", call.number, "says", call.state, "newest", newest.number, "signed_off", x.hasDeparted(call.worker))
 		return
 	}
-	x.lastCalls[c.worker] = lastCall{max(c.number, newest.number), time.Now()}
-	if c.state == stateUp {
-		delete(x.recordedLeaves, c.worker)
+	x.lastCalls[call.worker] = lastCall{max(call.number, newest.number), time.Now()}
+	if call.state == stateUp {
+		delete(x.recordedLeaves, call.worker)
 	}
-	x.applyState(c)
+	x.applyState(call)
 }
 
 // hasDeparted tells whether a worker is gone for good: it signed off here, or the
