--- a/internal/proxy/acknowledge.go
+++ b/internal/proxy/acknowledge.go
@@ -13,17 +13,16 @@
 )
 
 const (
-	// leaveFanout is how many control nodes are told of a leave; one that has
-	// noted it is enough, and the others hear of it by gossip.
+	// leaveFanout is how many control nodes are told of a leave. One that has recorded it is
+	// enough; the others learn of it by gossip.
 	leaveFanout = 3
-	// leaveTimeout bounds the wait for the first of them: a worker waits a second
-	// for its acknowledgement.
+	// leaveTimeout bounds the wait for the first of them; a worker waits 1 s for its
+	// acknowledgement.
 	leaveTimeout = 600 * time.Millisecond
 )
 
-// acknowledge answers a worker's call that was taken. That it leaves is a promise,
-// which has to hold when this process is gone: it is acknowledged when a control
-// node has it too.
+// acknowledge answers a worker's call that was accepted. A leave must hold even if this process
+// dies, so it is acknowledged only once a control node has recorded it too.
 func (x *Proxy) acknowledge(w http.ResponseWriter, r *http.Request, worker, state string, body any) {
 	if state != stateUp && !x.leaveRecorded(r.Context(), worker, state) {
 		httpapi.WriteBusy(w, "no control node has noted the leave yet", x.Settings.HeartbeatInterval(), x.dialect.FractionalRetryAfter)
@@ -32,8 +31,8 @@
 	httpapi.WriteJSON(w, http.StatusOK, body)
 }
 
-// leaveRecorded tells whether a control node has noted what a worker said of its leave,
-// and sees to it.
+// leaveRecorded tells whether a control node has recorded that a worker leaves, and reports the
+// leave if none has.
 func (x *Proxy) leaveRecorded(ctx context.Context, worker, state string) bool {
 	x.workerCallMu.Lock()
 	recorded := x.recordedLeaves[worker] == state
@@ -43,7 +42,7 @@
 	}
 	entries := x.replica.EntriesOf(worker)
 	if entries.Empty() {
-		// Nobody else knows of the worker, unless this node has not been told yet.
+		// No other node knows of the worker, unless this one has not been refilled yet.
 		return !x.lifecycle.Is("starting")
 	}
 	if !x.recordLeave(ctx, entries) {
@@ -55,8 +54,8 @@
 	return true
 }
 
-// recordLeave hands a word on a worker to some control nodes at once, and tells
-// whether one has noted it.
+// recordLeave sends a worker's entries to some control nodes in parallel and tells whether one
+// of them has recorded the leave.
 func (x *Proxy) recordLeave(ctx context.Context, entries ormap.Delta) bool {
 	ctx, end := context.WithTimeout(ctx, min(leaveTimeout, x.Settings.CallTimeout()))
 	defer end()
@@ -76,11 +75,11 @@
 	return false
 }
 
-// recordLeaveAt hands it to one control node.
+// recordLeaveAt sends them to one control node.
 func (x *Proxy) recordLeaveAt(ctx context.Context, addr string, entries ormap.Delta) bool {
 	_, err := transport.Call[struct{}](ctx, x.node, addr, protocol.WorkerLeavingKind, entries)
 	if fault.Is(err, fault.Refused) {
-		// One of an earlier version notes it, though not on its disk.
+		// A control node of an earlier version records it, though not on its disk.
 		_, err = transport.Call[struct{}](ctx, x.node, addr, "replica.mend", entries)
 	}
 	return err == nil
--- a/internal/proxy/callerleft.go
+++ b/internal/proxy/callerleft.go
@@ -10,7 +10,7 @@
 	"puffincrank/internal/workerconn"
 )
 
-// externalID is the id by which a job is known outside: its caller's own, if it has one.
+// externalID is the ID by which the request is known outside: the caller's own if it sent one.
 func (req *request) externalID() string {
 	if req.callerAttemptID != "" {
 		return req.callerAttemptID
@@ -18,8 +18,8 @@
 	return req.id
 }
 
-// watchCaller notes it when the caller of a job goes before its answer; the
-// result ends the watch.
+// watchCaller records it if the caller leaves before its response; the returned function ends
+// the watch.
 func (x *Proxy) watchCaller(req *request) func() bool {
 	id := req.externalID()
 	return context.AfterFunc(req.httpReq.Context(), func() {
@@ -29,11 +29,12 @@
 	})
 }
 
-// closeOnCancel ends the run of an attempt by the connection to the worker: when this node
-// can wait for it no longer, and, if it may run again, when its caller leaves, since
-// whoever sends it anew has it run anew. What may run but once goes on for a caller
-// that left, since its effect may be half done. The result, false if the connection
-// was ended, is called before the connection is used again.
+// closeOnCancel ends the run of an attempt by closing the connection to the worker. It does so
+// when this node can no longer wait for the run. If the request is repeatable it also does so
+// when the caller leaves, since a caller that sends it again has it run again. A request that
+// may run only once goes on after its caller left, since its effect may be half done. The
+// returned function must be called before the connection is used again; it reports false if the
+// connection was closed.
 func (x *Proxy) closeOnCancel(ctx context.Context, attempt *ownerAttempt, conn *workerconn.Conn) (release func() bool) {
 	var mu sync.Mutex
 	released := false
@@ -66,14 +67,14 @@
 	}
 }
 
-// Why this node ended a run.
+// Reasons for which this node ends a run.
 const (
 	reasonCallerLeft = "its caller has left"
 	reasonNodeEnding = "its node is ending"
 )
 
-// requestContext is the context of a job: until its time is up, its caller has left, or
-// a stop of this node can wait for it no longer.
+// requestContext is the context of a request: it ends at the deadline, when the caller leaves,
+// or when a shutdown of this node can no longer wait for the request.
 func (x *Proxy) requestContext(req *request) (ctx context.Context, release func()) {
 	ctx, unbind := x.cutoff.Bind(req.httpReq.Context())
 	ctx, cancel := context.WithDeadline(ctx, req.deadline)
--- a/internal/proxy/callrates.go
+++ b/internal/proxy/callrates.go
@@ -6,33 +6,32 @@
 	"puffincrank/internal/protocol"
 )
 
-// callRates measures what runs of the own worker call in turn: for each path, how
-// many calls one run makes to each service on the mean. Nothing in a call says
-// whose it is; but only paths that owners found to be called from within are
-// looked at, and each call is credited to the runs under way by what each path
-// is known to call. That converges on the likeliest means, since what a run
-// doesn't make is also made while it doesn't run.
+// callRates measures which calls the runs at the local worker make: for each route, the mean
+// number of calls per run to each service. A call does not say which run it belongs to. Only
+// routes that owners have found to be nested are considered, and each call is credited to the
+// active runs in proportion to what their routes are known to call. This converges to the most
+// likely means, since calls that a run does not make also occur while it is not active.
 type callRates struct {
 	mu      sync.Mutex
-	nested  map[string]bool        // paths called from within, as their owners say
-	byRoute map[string]*routeCalls // by path of the own worker's runs
-	active  map[string]*activeRuns // likewise
+	nested  map[string]bool        // routes called by other requests, as their owners report
+	byRoute map[string]*routeCalls // route of the local worker's runs to their calls
+	active  map[string]*activeRuns // the runs in progress, by route
 }
 
 type routeCalls struct {
 	runs      float64
-	byService map[string]float64 // service to calls
+	byService map[string]float64 // service to number of calls
 }
 
-// activeRuns is the runs of one path that go on: how many, and by how much of
-// that they count as repeats.
+// activeRuns counts the runs of one route in progress, and the sum of their shares that count
+// as retries.
 type activeRuns struct{ runs, retryShares float64 }
 
 func newCallRates() *callRates {
 	return &callRates{nested: map[string]bool{}, byRoute: map[string]*routeCalls{}, active: map[string]*activeRuns{}}
 }
 
-// markNested notes that a path is called from within.
+// markNested records that a route is called by other requests.
 func (c *callRates) markNested(route string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -42,7 +41,7 @@
 	c.nested[route] = true
 }
 
-// beginRun and end bracket a run; part is by how much it counts as a repeat.
+// beginRun and endRun bracket a run; retryShare is how far it counts as a retry.
 func (c *callRates) beginRun(route string, retryShare float64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -55,14 +54,14 @@
 	active.retryShares += retryShare
 	made := c.byRoute[route]
 	if made == nil {
-		// Paths of older configurations must not pile up.
+		// Routes of older configurations must not accumulate.
 		if len(c.byRoute) >= 1024 {
 			clear(c.byRoute)
 		}
 		made = &routeCalls{byService: map[string]float64{}}
 		c.byRoute[route] = made
 	}
-	// Old figures fade, so that a change shows after a while.
+	// Old figures decay, so that a change shows after a while.
 	if made.runs++; made.runs > 2*minSamples {
 		made.runs /= 2
 		for s := range made.byService {
@@ -74,7 +73,7 @@
 func (c *callRates) endRun(route string, retryShare float64, ran bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	// What the worker declined called nothing.
+	// A run that the worker declined made no calls.
 	if made := c.byRoute[route]; made != nil && !ran {
 		made.runs = max(made.runs-1, 0)
 	}
@@ -86,8 +85,8 @@
 	}
 }
 
-// rate is what a run of a path calls of a service, as far as it is known; one
-// that was never seen to call it may still do so.
+// rate estimates the calls to a service per run of a route; a run that was never seen to call
+// it may still do so.
 func (c *callRates) rate(route, service string) float64 {
 	made := c.byRoute[route]
 	if made == nil {
@@ -96,8 +95,7 @@
 	return (made.byService[service] + 0.5) / (made.runs + 1)
 }
 
-// recordCall takes a call to a service and tells by how much of it it is the call of
-// a repeated run.
+// recordCall records a call to a service and returns how far it is the call of a retried run.
 func (c *callRates) recordCall(route, service string) float64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -112,7 +110,7 @@
 	if total == 0 {
 		return 0
 	}
-	// The shares are taken before any of them changes.
+	// The shares are computed before any of the rates changes.
 	share := map[string]float64{}
 	for p, runs := range c.active {
 		share[p] = runs.runs * c.rate(p, service) / total
@@ -125,8 +123,8 @@
 	return min(max(retries/total, 0), 1)
 }
 
-// expected is what one run of a path calls, by service; what is under one in a
-// hundred is taken for an error of the measure.
+// expected gives the calls that one run of a route makes, by service; less than one call per
+// hundred runs is taken for a measurement error.
 func (c *callRates) expected(route string, retryShare float64) map[string]float64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -146,8 +144,8 @@
 	return out
 }
 
-// beginRun notes a run at the own worker. A repeat runs only if the calls that it
-// will make have room among the repeats of the services they go to.
+// beginRun records a run at the local worker. A retry runs only if the retry budgets of the
+// services that it will call have room for its calls.
 func (x *Proxy) beginRun(attempt *ownerAttempt) (exhausted string, ok bool) {
 	if attempt.retryShare = attempt.req.NestedRetryShare; attempt.req.Retry {
 		attempt.retryShare = 1
@@ -156,8 +154,8 @@
 		return attempt.req.Service, false
 	}
 	calls := x.callRates.expected(attempt.req.Route, attempt.retryShare)
-	// One that is only called by a repeat isn't refused, or the work of that one
-	// would be lost; its room is held all the same, before that of others.
+	// A run that is only called by a retry is not refused, or the work of that retry would be
+	// lost. Its calls are reserved all the same, ahead of those of others.
 	if exhausted, ok = x.retryBudget.ReserveNested(calls, !attempt.req.Retry); !ok {
 		return exhausted, false
 	}
@@ -166,7 +164,7 @@
 	return "", true
 }
 
-// endRun gives back what a run held.
+// endRun releases what a run reserved.
 func (x *Proxy) endRun(attempt *ownerAttempt) {
 	if attempt.started {
 		x.callRates.endRun(attempt.req.Route, attempt.retryShare, attempt.result.Outcome != protocol.Refused)
--- a/internal/proxy/callworker.go
+++ b/internal/proxy/callworker.go
@@ -19,8 +19,8 @@
 var hopByHopHeaders = map[string]bool{"Connection": true, "Keep-Alive": true, "Proxy-Connection": true, "Transfer-Encoding": true,
 	"Upgrade": true, "Te": true, "Trailer": true, "Content-Length": true, "Expect": true}
 
-// forwardedHeaders gives the headers that go on: all but those of one connection, those
-// that a Connection header names, and the mesh's own.
+// forwardedHeaders gives the headers to pass on: all except hop-by-hop headers, those that a
+// Connection header names, and the mesh's own.
 func (x *Proxy) forwardedHeaders(headers map[string][]string) http.Header {
 	forwarded := make(http.Header, len(headers))
 	for k, v := range headers {
@@ -36,8 +36,8 @@
 	return forwarded
 }
 
-// requestTarget gives the target of a job as it was sent, so that not a sign of it
-// changes on the way.
+// requestTarget gives the target exactly as the caller sent it, so that no character changes on
+// the way.
 func requestTarget(r *http.Request) string {
 	if strings.HasPrefix(r.RequestURI, "/") {
 		return r.RequestURI
@@ -52,7 +52,7 @@
 	return uri
 }
 
-// callWorker sends the job to the worker, once.
+// callWorker sends the request to the worker, once.
 func (x *Proxy) callWorker(ctx context.Context, attempt *ownerAttempt) bool {
 	req, err := x.workerRequest(ctx, attempt)
 	if err != nil {
@@ -67,7 +67,7 @@
 		attempt.unreachable = true
 		return attempt.refuse("no connection to the worker")
 	}
-	// The last look, now that nothing is waited for any more.
+	// Final check, since nothing is waited for after this.
 	if !x.stillWanted(ctx, attempt) || !x.checkAccepting(attempt) {
 		x.workerConns.Release(conn)
 		return false
@@ -76,7 +76,7 @@
 		x.workerConns.Release(conn)
 		return attempt.refuseRetryAfter("no repeats are left for "+exhausted, x.retryBudget.EstimateWait(exhausted))
 	}
-	// From here on the worker may have had the job, whatever an error says.
+	// From here on the worker may have received the request, whatever an error says.
 	x.recordDecision(attempt, stepSent, "")
 	defer x.trackRemoteRun(ctx, &attempt.req)()
 	attempt.result.ReachedWorker = true
@@ -93,14 +93,14 @@
 		return attempt.outcomeUnknown("the answer is over the bound")
 	}
 	if !x.dialect.VerifiesDigest && attempt.req.Method != http.MethodHead && resp.ContentLength < 0 && len(resp.TransferEncoding) == 0 {
-		// It ended with its connection: nothing says that it is whole.
+		// The body ended with the connection, so nothing shows that it is complete.
 		return attempt.outcomeUnknown("the answer has no end of its own")
 	}
 	attempt.result = protocol.AttemptResult{Status: resp.StatusCode, Header: resp.Header, Body: body, ReachedWorker: true}
 	return true
 }
 
-// workerRequest writes the request to the worker.
+// workerRequest builds the request to the worker.
 func (x *Proxy) workerRequest(ctx context.Context, attempt *ownerAttempt) (*http.Request, error) {
 	target, err := url.ParseRequestURI(attempt.req.URI)
 	if err != nil {
@@ -128,16 +128,17 @@
 	req.Header.Set(x.dialect.AttemptID, attempt.workerAttemptID())
 	req.Header.Set(x.dialect.ExpectedWorker, attempt.req.Worker)
 	if x.dialect.CallerService != "" && attempt.req.CallerService != "" {
-		// Whatever the caller wrote there: the front knows where the job began.
+		// This replaces whatever the caller sent there: the ingress knows which service the
+		// request came from.
 		req.Header.Set(x.dialect.CallerService, attempt.req.CallerService)
 	}
-	// A little less than there is: what the worker calls in turn gives up
+	// A little less than the remaining time, so that the calls that the worker makes time out
 	// while the worker can still answer.
 	req.Header.Set(x.dialect.Timeout, strconv.FormatInt((time.Until(attempt.deadline)*19/20).Milliseconds(), 10))
 	return req, nil
 }
 
-// workerAttemptID is what the worker is told as the attempt's id.
+// workerAttemptID is the attempt ID that the worker is given.
 func (v *ownerAttempt) workerAttemptID() string {
 	if v.req.WorkerAttemptID != "" {
 		return v.req.WorkerAttemptID
@@ -145,8 +146,8 @@
 	return v.req.AttemptID
 }
 
-// isSurplusResponse tells of an answer that it belongs to an earlier send: a worker may
-// answer twice, and the second then stands where ours is due.
+// isSurplusResponse tells whether a response belongs to an earlier attempt: a worker may answer
+// twice, and the second response then arrives in place of the expected one.
 func (x *Proxy) isSurplusResponse(attempt *ownerAttempt) func(*http.Response) bool {
 	if !x.dialect.KeepsAttemptID {
 		return nil
@@ -157,7 +158,7 @@
 	}
 }
 
-// withoutAddresses keeps addresses of the inside out of what callers read.
+// withoutAddresses removes internal addresses from errors that callers read.
 func withoutAddresses(err error) string {
 	text := err.Error()
 	if i := strings.LastIndex(text, ": "); i >= 0 {
--- a/internal/proxy/heartbeat.go
+++ b/internal/proxy/heartbeat.go
@@ -8,7 +8,7 @@
 	"puffincrank/internal/schema"
 )
 
-// HeartbeatTable is the table of a worker's beat.
+// HeartbeatTable describes the fields of a worker's heartbeat.
 var HeartbeatTable = schema.Table{Name: "beat", Rows: []schema.Field{
 	{Name: "service", Type: schema.Text, Required: true, Check: schema.IsName, Rule: "a name", Help: "the service it serves"},
 	{Name: "worker", Type: schema.Text, Required: true, Check: schema.IsName, Rule: "a name", Help: "its identity, a new one at each start"},
@@ -17,8 +17,8 @@
 	{Name: "state", Type: schema.Text, Required: true, Check: schema.OneOf("up", "draining", "gone"), Rule: "up, draining or gone", Help: "alive, leaving or signed off"},
 }}
 
-// onHeartbeat takes a worker's beat: the whole registration each time, so that a
-// restarted proxy is filled by the next one.
+// onHeartbeat handles a worker's heartbeat. Each one carries the whole registration, so that a
+// restarted proxy is complete again after the next one.
 func (x *Proxy) onHeartbeat(w http.ResponseWriter, r *http.Request) {
 	raw, code := httpapi.ReadBody(w, r, 4096)
 	if code != 0 {
@@ -40,7 +40,7 @@
 	x.acknowledge(w, r, values.Text("worker"), values.Text("state"), map[string]any{"beat_ms": x.Settings.WorkerHeartbeat().Milliseconds(), "missed_ms": x.Settings.WorkerTimeout().Milliseconds()})
 }
 
-// applyState does what a worker's call says. x.calling is held.
+// applyState applies a worker's call. x.workerCallMu is held.
 func (x *Proxy) applyState(call workerCall) {
 	worker, service, addr, slots, state := call.worker, call.service, call.addr, call.slots, call.state
 	if state == stateGone {
@@ -51,8 +51,8 @@
 	local := x.workers[worker]
 	var replaced []*localWorker
 	for id, other := range x.workers {
-		// A new identity at a known address, or a changed registration: the
-		// old entry goes first, so that nothing meant for it gets here.
+		// A new worker ID at a known address, or a changed registration: the old entry is
+		// removed first, so that nothing meant for it arrives here.
 		if (id != worker && other.addr == addr) || (id == worker && (other.service != service || other.addr != addr)) {
 			replaced = append(replaced, other)
 			delete(x.workers, id)
@@ -86,7 +86,7 @@
 	if resized {
 		x.configureWorkerAdmission(local, x.rules.Load())
 	}
-	// A node that leaves keeps its worker's door shut, whatever the worker says.
+	// A node that is leaving keeps its worker draining, whatever state the worker reports.
 	if state == "up" && (x.isDrained() || x.workersLeaving.Load()) {
 		state = "draining"
 	}
@@ -103,8 +103,8 @@
 	}
 }
 
-// signOff takes a worker's last word, also where its gate is not known: this node
-// may have started since.
+// signOff handles a worker's sign-off, also if the worker is not known here, since this node
+// may have restarted meanwhile.
 func (x *Proxy) signOff(worker string) {
 	x.mu.Lock()
 	local := x.workers[worker]
@@ -117,7 +117,7 @@
 	x.closeDeparted(local, reasonSignedOff)
 }
 
-// closeDeparted shuts the gate of a worker that is gone for good. x.calling is held.
+// closeDeparted closes a worker that has left for good. x.workerCallMu is held.
 func (x *Proxy) closeDeparted(local *localWorker, reason string) {
 	local.admission.Close()
 	x.transition(local, "gone", reason)
@@ -126,15 +126,15 @@
 	x.recordDeparture(local.id, reason)
 }
 
-// closeAndRemove shuts a gate for good and removes its entry.
+// closeAndRemove closes a worker for good and removes its registry entry.
 func (x *Proxy) closeAndRemove(worker *localWorker, reason string) {
 	worker.admission.Close()
 	x.transition(worker, "gone", reason)
 	x.unregister(worker, reason)
 }
 
-// reregister registers own live workers again whose dots others have removed, as
-// the steward does when this node was out of touch for too long.
+// reregister registers live local workers again whose entries other nodes have removed, as the
+// steward does when this node was out of contact for too long.
 func (x *Proxy) reregister() {
 	for _, local := range x.allWorkers() {
 		local.mu.Lock()
--- a/internal/proxy/ingress.go
+++ b/internal/proxy/ingress.go
@@ -12,47 +12,47 @@
 	"puffincrank/internal/rules"
 )
 
-// request is one call on its way through the front. It pins the rules that it was
-// matched by.
+// request is one caller's request on its way through the ingress. It keeps the rules that it
+// was matched by.
 type request struct {
 	id               string
-	callerAttemptID  string              // the id by which the caller and the worker know it
-	confidence       protocol.Confidence // how sure this node was of its rules, after the job was read
+	callerAttemptID  string              // the ID by which the caller and the worker know it
+	confidence       protocol.Confidence // in this node's configuration, after the request was read
 	rules            *rules.Rules
 	route            *rules.Route
 	arm              *rules.Arm
-	service          string // of the arm, for this job
+	service          string // of the arm, for this request
 	httpReq          *http.Request
 	body             []byte
 	receivedAt       time.Time
 	deadline         time.Time
-	firstSeen        time.Time // when its caller first came with it, as far as is known
-	callerDeadline   time.Time // when the caller gives it up; zero: it did not say
+	firstSeen        time.Time // when the caller first sent it, as far as known
+	callerDeadline   time.Time // when the caller stops waiting; zero if it did not say
 	tried            map[string]bool
 	attempts         int
-	noQueueAttempts  int      // of them, those that would not wait
-	noQueue          bool     // the newest one is such
-	skipped          []string // workers that such ones passed over
-	reached          int      // attempts that came, or may have come, to a worker
-	countedAsFirst   bool     // the attempt under way was counted as a first send
+	noQueueAttempts  int      // of these attempts, those that did not queue
+	noQueue          bool     // the current attempt does not queue
+	skipped          []string // workers without a free slot for such attempts
+	reached          int      // attempts that reached, or may have reached, a worker
+	countedAsFirst   bool     // the current attempt counted as a first one
 	lookups          int
-	workerCount      int           // workers of the service, when the newest one was nominated
-	undeliveredTime  time.Duration // what attempts took that came to no worker
-	reservedBytes    int64         // bytes that it holds here
-	retryShare       float64       // how far it is the call of a repeated run
+	workerCount      int           // workers of the service at the latest choice
+	undeliveredTime  time.Duration // spent on attempts that reached no worker
+	reservedBytes    int64         // of the byte limiter
+	retryShare       float64       // how far it is a call of a retried run, 0 to 1
 	entry            ormap.Entry
 	result           protocol.AttemptResult
-	lost             *lostAttempt            // the first attempt that may have run and has no answer
-	isHedge          bool                    // a copy, sent beside an attempt that goes on
-	allowEndingNode  bool                    // no worker took its repeat: one whose node ends may have it
-	mayBorrowRetry   bool                    // a stop makes its repeat necessary: an owner may pay for it
-	needsRetryBudget bool                    // this front had no repeat left for the attempt under way
-	fallback         *protocol.AttemptResult // a worker's own failure, given if nothing better comes
+	lost             *lostAttempt            // the first attempt that may have run without a response
+	isHedge          bool                    // a copy, sent beside an attempt in progress
+	allowEndingNode  bool                    // no worker took its retry: a node that is ending may have it
+	mayBorrowRetry   bool                    // a shutdown makes its retry necessary: the owner's budget may pay
+	needsRetryBudget bool                    // this ingress has no budget for the current attempt
+	fallback         *protocol.AttemptResult // a worker's 5xx response, given if no better one comes
 	reason           string
-	retryAfter       time.Duration // when the caller may come back, as the last refusal had it
+	retryAfter       time.Duration // as the last refusal stated it
 }
 
-// serveCaller takes a caller's job: read, match, then the steps of its path.
+// serveCaller handles a caller's request: read it, match it, then run the steps of its route.
 func (x *Proxy) serveCaller(w http.ResponseWriter, r *http.Request) {
 	active := x.activeRequests.Add(1)
 	defer x.activeRequests.Add(-1)
@@ -62,7 +62,7 @@
 	} else if keepAlive := x.keepAliveHeader.Load(); *keepAlive != "" {
 		w.Header().Set("Keep-Alive", *keepAlive)
 	}
-	// What others may take for two requests is none here.
+	// A request that other HTTP implementations could read as two is rejected.
 	switch httpapi.FramingOf(r.Context()) {
 	case httpapi.FramingAmbiguous, httpapi.FramingBareLF:
 		w.Header().Set("Connection", "close")
@@ -74,7 +74,7 @@
 		}
 	}
 	if x.dialect.KeepsAttemptID {
-		// The caller's own id, and none of ours, goes all the way.
+		// The caller's own ID is passed on all the way, and none of the mesh.
 		if req.callerAttemptID = r.Header.Get(x.dialect.AttemptID); req.callerAttemptID == "" {
 			x.reject(w, http.StatusBadRequest, x.dialect.AttemptID+" is missing")
 			return
@@ -86,7 +86,7 @@
 		x.respondBusy(w, "this node is not taking jobs: "+x.lifecycle.Current(), x.notReadyRetryAfter())
 		return
 	}
-	// The load that one front takes at once is bounded like all else.
+	// The load on one ingress is bounded as well.
 	if active > int64(x.currentSettings().MaxRequests) {
 		x.respondBusy(w, "this node has too many jobs under way", x.Settings.HeartbeatInterval())
 		return
@@ -102,9 +102,9 @@
 		return
 	}
 	req.confidence = x.confirm(r.Context(), req.deadline)
-	// Matched only now: the configuration is the newest for certain, or else the
-	// owner has to be sure of what it holds, and says when it differs. That there
-	// is no path only a node that is sure may say.
+	// The request is matched only now: either the configuration is confirmed as the newest, or
+	// the owner has to be confirmed and reports a mismatch. Only a confirmed node may say that
+	// no route matches.
 	if code, reason := x.matchRoute(req); code != 0 {
 		if req.confidence == protocol.Unconfirmed {
 			x.respondBusy(w, "this node can't confirm its configuration", x.Settings.ConfigBound)
@@ -117,7 +117,7 @@
 		x.respondBusy(w, "this node ends before the job's time is over", retryAfter)
 		return
 	}
-	// Its answer will need room too.
+	// The response will need memory too.
 	if expected := x.byteLimiter.expectedResponse(req.route.Name); x.byteLimiter.reserve(expected) {
 		req.reservedBytes += expected
 	} else {
@@ -134,7 +134,7 @@
 
 const reasonBytesFull = "this node has too many bytes under way"
 
-// readRequest takes the body and the time left that the caller gave.
+// readRequest reads the caller's timeout and the body.
 func (x *Proxy) readRequest(w http.ResponseWriter, req *request) (int, string) {
 	req.deadline = req.receivedAt.Add(x.Settings.GracePeriod)
 	if raw := req.httpReq.Header.Get(x.dialect.Timeout); raw != "" {
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -1,5 +1,6 @@
-// Package proxy is the node beside each worker: it takes callers' jobs as a
-// front, and as the owner of its worker it alone hands jobs to it.
+// Package proxy is the node that runs beside each worker. As the ingress it takes callers'
+// requests; as the owner of its worker it is the only process that delivers requests to that
+// worker.
 package proxy
 
 import (
@@ -31,7 +32,7 @@
 	"puffincrank/internal/workerconn"
 )
 
-// Proxy is one process. Lock order: mu before a gate's own lock.
+// Proxy is one process. Lock order: mu before the lock of a localWorker.
 type Proxy struct {
 	Settings         settings.Settings
 	env              env.Env
@@ -39,7 +40,7 @@
 	node             *transport.Node
 	self             membership.Member
 	lifecycle        *fsm.Machine
-	readyCh          chan struct{} // closed when it became ready
+	readyCh          chan struct{} // closed when the node becomes ready
 	control          *controlclient.Client
 	replica          *replica.Replica
 	balancer         *balancer.Balancer
@@ -49,50 +50,50 @@
 	callerRetries    *callerRetries
 	byteLimiter      *byteLimiter
 	decisions        decisionLog
-	callerLeftEvents *event.Limiter   // of callers that left
-	runEndedEvents   *event.Limiter   // of runs ended for them
-	unansweredEvents *event.Limiter   // of requests without their worker's answers
-	stopLogLimit     lineLimit        // of those, since this node was told to end
-	healthUpdates    *updateRate      // of what the mesh is told of its workers' fitness
-	workerConns      *workerconn.Pool // to the own workers
+	callerLeftEvents *event.Limiter   // limits the log lines about callers that left
+	runEndedEvents   *event.Limiter   // limits the log lines about runs that this node ended
+	unansweredEvents *event.Limiter   // limits the log lines about requests without their worker's response
+	stopLogLimit     lineLimit        // limits such lines after the stop signal
+	healthUpdates    *updateRate      // limits how often the health of local workers is published
+	workerConns      *workerconn.Pool // to the local workers
 	pauseDetector    *pausedetect.Detector
 	dialect          dialect.Dialect
-	trafficServer    *http.Server           // where callers come in
-	connLimits       httpapi.ConnLimits     // how long callers' connections may
-	keepAliveHeader  atomic.Pointer[string] // what callers are told of that
+	trafficServer    *http.Server           // accepts callers' connections
+	connLimits       httpapi.ConnLimits     // limits on callers' connections
+	keepAliveHeader  atomic.Pointer[string] // the idle timeout that callers are told
 	rules            atomic.Pointer[rules.Rules]
-	reloadedSettings atomic.Pointer[settings.Settings] // settings read again since the start
-	activeRequests   atomic.Int64                      // jobs under way as a front
-	activeAttempts   atomic.Int64                      // attempts under way as an owner
+	reloadedSettings atomic.Pointer[settings.Settings] // settings reloaded since the start
+	activeRequests   atomic.Int64                      // requests in progress at this ingress
+	activeAttempts   atomic.Int64                      // attempts in progress at this owner
 	requestSeq       atomic.Uint64
-	thinLinkRefusals atomic.Int64                      // attempts refused for want of room on a link
-	callersLeft      atomic.Int64                      // callers that left before their answers
-	hedgeCount       atomic.Int64                      // second attempts begun beside first ones
-	workersLeaving   atomic.Bool                       // this node's workers are being left for good
-	stopSchedule     atomic.Pointer[shutdown.Schedule] // of the stop, once it was told to end
+	thinLinkRefusals atomic.Int64                      // attempts refused because a link was full
+	callersLeft      atomic.Int64                      // callers that left before their responses
+	hedgeCount       atomic.Int64                      // second attempts started beside first ones
+	workersLeaving   atomic.Bool                       // the local workers are being drained for a shutdown
+	stopSchedule     atomic.Pointer[shutdown.Schedule] // set once the stop signal has come
 	incarnation      string
 	startedAt        time.Time
 	cutoff           *shutdown.Cutoff
-	ingressAttempts  ingressAttempts // of this front, that may be hedged
-	remoteRuns       remoteRuns      // at the own worker, of other fronts
+	ingressAttempts  ingressAttempts // of this ingress, that may be hedged
+	remoteRuns       remoteRuns      // of other ingresses, at the local worker
 
-	workerCallMu   sync.Mutex // one call of a worker at a time; taken before mu
+	workerCallMu   sync.Mutex // serializes workers' calls; taken before mu
 	lastCalls      map[string]lastCall
-	departures     map[string]time.Time // workers that are gone for good, and since when
-	recordedLeaves map[string]string    // the state of leaving workers that a control node has noted
+	departures     map[string]time.Time // workers that have left for good, and since when
+	recordedLeaves map[string]string    // states of leaving workers that a control node has recorded
 
 	mu                sync.Mutex
-	workers           map[string]*localWorker // worker identity to its gate
+	workers           map[string]*localWorker // by worker ID
 	seenAttempts      map[string]time.Time
 	counts            requestCounts
 	armTallies        map[armKey]*armTally
-	routeLastUsed     map[string]time.Time // path to its newest job
-	drainedByOperator bool                 // an operator drained this node
+	routeLastUsed     map[string]time.Time // route to the time of its newest request
+	drainedByOperator bool                 // set when an operator drains this node
 }
 
 type requestCounts struct{ Jobs, Done, Refused, Unknown, Sends, Near int64 }
 
-// New readies a proxy.
+// New prepares a proxy; Start makes it serve.
 func New(conf settings.Settings, environ env.Env) *Proxy {
 	group := task.New(context.Background()).SetSleep(environ.Sleep)
 	x := &Proxy{Settings: conf, env: environ, group: group, readyCh: make(chan struct{}), workers: map[string]*localWorker{}, seenAttempts: map[string]time.Time{}, armTallies: map[armKey]*armTally{}, routeLastUsed: map[string]time.Time{}, lastCalls: map[string]lastCall{}, departures: map[string]time.Time{}, recordedLeaves: map[string]string{}, incarnation: newIncarnation(), startedAt: time.Now(), dialect: environ.Dialect}
@@ -143,7 +144,7 @@
 	}
 }
 
-// onRegistryEvent logs the registry's events and forgets workers that are gone for good.
+// onRegistryEvent logs the registry's events and drops balancer state of workers that are gone.
 func (x *Proxy) onRegistryEvent(update replica.Event) {
 	if update.Kind == "registered" {
 		x.env.Log.Emit(event.Registered, "service", update.Entry.Service, "worker", update.Entry.Worker, "owner", update.Entry.Owner)
@@ -162,13 +163,14 @@
 	x.balancer.Forget(update.Entry.Worker)
 }
 
-// AcceptsRequests tells whether jobs are taken: a leaving node takes them for a while.
+// AcceptsRequests tells whether requests are accepted; a leaving node still accepts them for a
+// while.
 func (x *Proxy) AcceptsRequests() bool { return x.lifecycle.Is("ready", "leaving") }
 
-// Ready tells the platform whether to send callers here.
+// Ready tells the platform whether to send callers to this node.
 func (x *Proxy) Ready() bool { return x.lifecycle.Is("ready") }
 
-// Kill ends the process at once.
+// Kill ends the process without a graceful shutdown.
 func (x *Proxy) Kill() {
 	x.group.Cancel()
 	x.node.Close()
@@ -176,9 +178,10 @@
 	x.group.Stop()
 }
 
-// expireState drops attempt ids that are older than any time left could be.
+// expireState drops expired state, such as the IDs of attempts that can no longer be in
+// progress.
 func (x *Proxy) expireState(context.Context) {
-	// Whoever was away for longer than graves are kept may have brought them back.
+	// A node that was away for longer than the tombstone TTL may have brought old entries back.
 	if x.lifecycle.Is("ready") {
 		x.retireOldEntries()
 	}
@@ -194,5 +197,5 @@
 	}
 }
 
-// LinkCount counts the links to fellows that stand, whoever dialed them.
+// LinkCount counts the open links to peers, whichever side dialed them.
 func (x *Proxy) LinkCount() int { return x.node.LinkCount() }
--- a/internal/proxy/reload.go
+++ b/internal/proxy/reload.go
@@ -2,9 +2,9 @@
 
 import "puffincrank/internal/settings"
 
-// currentSettings gives the settings that may change while this process runs, as they were
-// last read. Bounds aren't among them: beats, leases and what others were told
-// follow from those, and P holds them for life.
+// currentSettings gives the latest settings, including those reloaded while the process runs.
+// Time bounds are not among the reloadable ones, since heartbeats, leases and what other nodes
+// were told depend on them; those are read from Proxy.Settings.
 func (x *Proxy) currentSettings() *settings.Settings {
 	if reloaded := x.reloadedSettings.Load(); reloaded != nil {
 		return reloaded
@@ -12,10 +12,9 @@
 	return &x.Settings
 }
 
-// Reload takes up changed settings and names those that it takes: the control
-// nodes to turn to when none of those known answers, the worker beside this
-// node, the bound on repeats and those on what is under way. Nothing that is
-// under way is touched.
+// Reload applies changed settings and names those that take effect: the control nodes to turn
+// to when no known one answers, the local worker, the limits on retries and those on work in
+// progress. Work in progress is not affected.
 func (x *Proxy) Reload(conf settings.Settings) []string {
 	x.reloadedSettings.Store(&conf)
 	x.control.SetSeeds(conf.Seeds)
@@ -27,6 +26,6 @@
 	return []string{"seeds", "service", "worker_addr", "repeat_share", "repeat_allowance", "body_bytes", "jobs", "files"}
 }
 
-// maxCallerConns is how many connections of callers there may be: three quarters of
-// what this process may open. The rest is for fellows, the worker and files.
+// maxCallerConns bounds callers' connections to three quarters of the process's file
+// descriptors. The rest is for peers, the worker and files.
 func maxCallerConns(conf *settings.Settings) int { return conf.FileLimit * 3 / 4 }
--- a/internal/proxy/respond.go
+++ b/internal/proxy/respond.go
@@ -10,28 +10,28 @@
 	"puffincrank/internal/responsedigest"
 )
 
-// reject answers for a job that can't be taken as it came: it was not run.
+// reject answers a request that can't be accepted as it is; it was not run.
 func (x *Proxy) reject(w http.ResponseWriter, code int, message string) {
 	x.setOwnHeader(w, responsedigest.RanHeader, "no")
 	httpapi.WriteJSON(w, code, httpapi.ErrorBody{Message: message, Ran: "no"})
 }
 
-// setOwnHeader sets one of the mesh's own headers, where the tongue has them.
+// setOwnHeader sets one of the mesh's own headers, if the dialect has them.
 func (x *Proxy) setOwnHeader(w http.ResponseWriter, name, value string) {
 	if x.dialect.WritesOwnHeaders {
 		w.Header().Set(name, value)
 	}
 }
 
-// respondBusy gives the busy answer: the job was not run and never will be.
+// respondBusy sends the busy response: the request was not run and never will be.
 func (x *Proxy) respondBusy(w http.ResponseWriter, reason string, retryAfter time.Duration) {
 	x.setOwnHeader(w, responsedigest.RanHeader, "no")
 	x.setOwnHeader(w, responsedigest.ReasonHeader, reason)
-	// The caller is told when to come back rather than held here.
+	// The caller gets a retry-after time instead of being held here.
 	httpapi.WriteBusy(w, "busy, try later: "+reason, retryAfter, x.dialect.FractionalRetryAfter)
 }
 
-// respond answers the caller.
+// respond sends the final response to the caller.
 func (x *Proxy) respond(w http.ResponseWriter, req *request) {
 	if req.result.Outcome != protocol.Done && req.fallback != nil {
 		req.result = *req.fallback
@@ -66,7 +66,7 @@
 	}
 }
 
-// recordOutcome counts how a job ended.
+// recordOutcome counts how a request ended.
 func (x *Proxy) recordOutcome(req *request) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
--- a/internal/proxy/runendnotice.go
+++ b/internal/proxy/runendnotice.go
@@ -10,15 +10,15 @@
 	"puffincrank/internal/transport"
 )
 
-// remoteRuns are the attempts of other fronts under way at the own worker that may be
-// repeated. When this node is told to end, their fronts are told by when it ends the
-// runs, so that they need not wait until they are lost.
+// remoteRuns are the repeatable attempts of other ingresses in progress at the local worker. On
+// the stop signal this node tells each ingress when it ends their runs, so that an ingress can
+// act before the run is lost.
 type remoteRuns struct {
 	mu   sync.Mutex
-	byID map[string]context.Context // attempt to the context of its call
+	byID map[string]context.Context // attempt ID to the context of its call
 }
 
-// trackRemoteRun notes an attempt of another front until the result is called.
+// trackRemoteRun keeps an attempt of another ingress until the returned function is called.
 func (x *Proxy) trackRemoteRun(ctx context.Context, in *protocol.AttemptRequest) (untrack func()) {
 	if !in.Repeatable {
 		return func() {}
@@ -36,7 +36,7 @@
 	}
 }
 
-// notifyRunEnds tells the fronts of all attempts under way that this node ends.
+// notifyRunEnds tells the ingresses of all attempts in progress that this node shuts down.
 func (x *Proxy) notifyRunEnds(schedule *shutdown.Schedule) {
 	x.remoteRuns.mu.Lock()
 	defer x.remoteRuns.mu.Unlock()
@@ -45,12 +45,13 @@
 	}
 }
 
-// notifyRunEnd tells one front. A loss is no fault: it hears of the end when it comes.
+// notifyRunEnd tells one ingress. If the notice is lost, the ingress learns of the end when the
+// run ends.
 func notifyRunEnd(ctx context.Context, attempt string, schedule *shutdown.Schedule) {
 	_ = transport.Notify(ctx, protocol.RunEndNoticeKind, protocol.RunEndNotice{AttemptID: attempt, RemainingMS: max(schedule.RemainingWait().Milliseconds(), 0)})
 }
 
-// onRunEndNotice takes in that the node beside a worker ends the run of an attempt.
+// onRunEndNotice handles an owner's notice of when it ends the run of an attempt.
 func (x *Proxy) onRunEndNotice(_ context.Context, _ transport.Hello, in protocol.RunEndNotice) (struct{}, error) {
 	x.ingressAttempts.mu.Lock()
 	a := x.ingressAttempts.byID[in.AttemptID]
--- a/internal/proxy/start.go
+++ b/internal/proxy/start.go
@@ -15,7 +15,7 @@
 	"puffincrank/internal/transport"
 )
 
-// Start opens the ports and the session.
+// Start opens the ports and the session with the control plane.
 func (x *Proxy) Start() error {
 	transport.Handle(x.node, "job.hand", x.onAttempt)
 	transport.PropagateCancellation(x.node, "job.hand")
@@ -49,12 +49,12 @@
 	return nil
 }
 
-// setRetryLimits sets the bound on repeats.
+// setRetryLimits applies the limits on retries.
 func (x *Proxy) setRetryLimits(r *rules.Rules) { x.retryBudget.SetLimits(x.retryLimits(r)) }
 
-// retryLimits is the bound on repeats: the platform's, where it tells one, since it
-// is the platform that holds the mesh to it; else the document's. An allowance
-// beside a share of none is one.
+// retryLimits gives the limits on retries: those of the platform if it sets any, since the
+// platform enforces them for the whole mesh, else those of the configuration. An allowance with
+// a ratio of 0 counts as set.
 func (x *Proxy) retryLimits(r *rules.Rules) (float64, int64) {
 	if conf := x.currentSettings(); conf.RetryRatio > 0 || conf.RetryAllowance > 0 {
 		return conf.RetryRatio, int64(conf.RetryAllowance)
@@ -62,9 +62,9 @@
 	return r.RetryRatio, r.RetryAllowance
 }
 
-// setConnLimits steers callers' connections by the document. One that idles is told
-// for how long it may, less a part of a change, so that no caller sends into a
-// connection that is about to go.
+// setConnLimits applies the configured timeouts to callers' connections. Callers are told an
+// idle timeout that is shorter by a quarter of the configuration bound, so that none sends into
+// a connection that is about to close.
 func (x *Proxy) setConnLimits(r *rules.Rules) {
 	headerTimeout, idleTimeout := x.Settings.ConfigBound, 30*x.Settings.ConfigBound
 	keepAlive := ""
@@ -81,8 +81,8 @@
 	x.keepAliveHeader.Store(&keepAlive)
 }
 
-// headerTooLarge tells whether a caller's header has more bytes than the document lets
-// it have, counted as they were sent.
+// headerTooLarge tells whether a caller's header exceeds the configured size, counted in bytes
+// as sent.
 func headerTooLarge(r *rules.Rules, req *http.Request) bool {
 	size := len(req.Method) + len(req.RequestURI) + len(req.Proto) + len("  \r\nHost: \r\n\r\n") + len(req.Host)
 	for k, l := range req.Header {
@@ -93,8 +93,8 @@
 	return r.MaxHeaderBytes > 0 && size > r.MaxHeaderBytes
 }
 
-// maxRequestBody bounds a caller's body in bytes: by the document where it tells a bound,
-// but never by more than half a frame, in which the body has to travel.
+// maxRequestBody bounds a caller's body in bytes: the configured limit if there is one, but
+// never more than half a frame, since the body has to travel in one.
 func (x *Proxy) maxRequestBody() int64 {
 	if r := x.rules.Load(); r != nil && r.MaxBodyBytes > 0 {
 		return int64(min(r.MaxBodyBytes, x.Settings.MaxFrameBytes/2))
@@ -102,13 +102,14 @@
 	return int64(x.currentSettings().MaxBodyBytes)
 }
 
-// maxResponseBody bounds a worker's answer in bytes. Documents tell what callers may send;
-// an answer may be as large as that, and as the prop says in any case.
+// maxResponseBody bounds a worker's response in bytes. The configuration limits only what
+// callers send; a response may be that large, and always as large as the process settings
+// allow.
 func (x *Proxy) maxResponseBody() int64 {
 	return max(x.maxRequestBody(), int64(x.currentSettings().MaxBodyBytes))
 }
 
-// applyConfig puts a configuration in force if it is newer; it never steps back.
+// applyConfig puts a configuration in force if it is newer; it never reverts to an older one.
 func (x *Proxy) applyConfig(version uint64, doc []byte) bool {
 	for {
 		current := x.rules.Load()
@@ -130,9 +131,9 @@
 	}
 }
 
-// waitUntilReady lets a job that came to a node right after its start wait until that is
-// ready, for one inner call and a part of its time at the most: whatever took the
-// start before has cost the job a try already, and all is well again soon.
+// waitUntilReady lets a request that came to a node right after its start wait until the node
+// is ready, for at most the limit and one internal call timeout. Whatever interrupted the node
+// has already cost the request an attempt, and the node is ready again soon.
 func (x *Proxy) waitUntilReady(ctx context.Context, limit time.Duration) bool {
 	if !x.lifecycle.Is("starting") {
 		return false
@@ -147,7 +148,7 @@
 	return x.AcceptsRequests()
 }
 
-// halfTimeout is half of the time that a caller says it has left.
+// halfTimeout is half of the remaining time that the caller states.
 func (x *Proxy) halfTimeout(req *http.Request) time.Duration {
 	if ms, err := strconv.ParseInt(req.Header.Get(x.dialect.Timeout), 10, 64); err == nil && ms > 0 && ms < 3600_000 {
 		return time.Duration(ms) * time.Millisecond / 2
@@ -155,8 +156,8 @@
 	return x.Settings.CallTimeout()
 }
 
-// notReadyRetryAfter is when a caller may come back to a node that takes no jobs: soon where
-// it has only started.
+// notReadyRetryAfter is the retry-after time of a node that accepts no requests; it is short
+// for one that is starting.
 func (x *Proxy) notReadyRetryAfter() time.Duration {
 	if x.lifecycle.Is("starting") {
 		return x.Settings.HeartbeatInterval()
--- a/internal/proxy/steps.go
+++ b/internal/proxy/steps.go
@@ -17,8 +17,8 @@
 	"puffincrank/internal/transport"
 )
 
-// stepResult is what a step says: go on with the next, go back to the nomination,
-// or stop.
+// stepResult says how the request continues after a step: with the next step, again from the
+// choice of a worker, or not at all.
 type stepResult int
 
 const (
@@ -27,7 +27,7 @@
 	finish
 )
 
-// runStep does one step of the rules.
+// runStep executes one step of the compiled route.
 func (x *Proxy) runStep(ctx context.Context, req *request, step rules.Step) stepResult {
 	switch step {
 	case rules.StepPick:
@@ -40,7 +40,7 @@
 	return finish
 }
 
-// runSteps is the interpreter: it runs the steps that the path was compiled to.
+// runSteps executes the steps that the route was compiled to.
 func (x *Proxy) runSteps(ctx context.Context, req *request) {
 	for index := 0; index < len(req.arm.Steps); {
 		switch x.runStep(ctx, req, req.arm.Steps[index]) {
@@ -57,8 +57,8 @@
 	}
 }
 
-// pickWorker picks a worker. A lookup that finds nothing is tried again with a
-// short backoff; after that the job is given up at once.
+// pickWorker chooses a worker. A lookup without a result is retried with a short backoff; after
+// that the request is refused without further waiting.
 func (x *Proxy) pickWorker(ctx context.Context, req *request) stepResult {
 	for {
 		if ctx.Err() != nil {
@@ -67,7 +67,8 @@
 		}
 		entries := x.replica.Lookup(req.service)
 		entry, ok := x.balancer.Pick(entries, balancer.PickRequest{Route: req.route.Name, Target: time.Until(req.firstSeen.Add(req.arm.Target)), Bulk: req.arm.Bulk != "", Repeatable: req.arm.Repeatable, Delay: x.bulkDelay(req), Tried: req.tried})
-		// The own worker's door is seen from here: shut, it costs no send.
+		// Whether the local worker accepts requests is known here, so a closed one costs no
+		// attempt.
 		if ok && x.closedHere(entry) {
 			x.balancer.RecordOutcome(balancer.Outcome{Worker: entry.Worker, UsedSlots: -1})
 			req.tried[entry.Worker] = true
@@ -82,7 +83,7 @@
 		}
 		if req.attempts > 0 || req.lookups >= replica.DefaultRetries || !x.replica.Backoff(ctx, req.lookups) {
 			if req.reason == "" {
-				// One that starts is known everywhere after a beat or two.
+				// A worker that is starting is known everywhere after one or two heartbeats.
 				req.reason, req.retryAfter = "no worker of "+req.service+" is up", x.Settings.WorkerTimeout()
 			}
 			return finish
@@ -91,21 +92,21 @@
 		req.tried = map[string]bool{}
 	}
 	if req.attempts == 0 {
-		// Calls of a repeated run are repeats as well.
+		// Calls that a retried run makes count as retries as well.
 		req.retryShare = x.callRates.recordCall(req.route.Name, req.service)
 	}
-	// As long as none is known to have come, each send may be the first there.
+	// Until one attempt is known to have arrived, each attempt may be the first at a worker.
 	if req.countedAsFirst = req.reached == 0; req.countedAsFirst {
 		x.retryBudget.RecordNestedCall(req.service, req.retryShare)
 	}
-	// Only what comes to a worker after the first is a repeat there; what an
-	// owner refused by itself cost no worker anything.
+	// Only what reaches a worker after the first attempt is a retry there; an attempt that an
+	// owner refused cost no worker anything.
 	paid := req.reached == 0 || x.retryBudget.Allow(req.service)
 	if req.needsRetryBudget = !paid && req.mayBorrowRetry; !paid && !req.needsRetryBudget {
 		x.balancer.RecordOutcome(balancer.Outcome{Worker: req.entry.Worker, UsedSlots: -1})
 		req.reason += "; no repeats are left"
-		// Whoever comes back needs what the last refusal lacked; when that one
-		// named no time, what lacks is a repeat.
+		// The retry-after time covers what the last refusal lacked. If that refusal named no
+		// time, the retry budget is what is missing.
 		if req.retryAfter == 0 {
 			req.retryAfter = x.retryBudget.EstimateWait(req.service)
 		}
@@ -114,7 +115,7 @@
 	return proceed
 }
 
-// closedHere tells that a worker is this node's own and takes nothing just now.
+// closedHere tells whether a worker is local and currently accepts no requests.
 func (x *Proxy) closedHere(entry ormap.Entry) bool {
 	if entry.Owner != x.Settings.Node {
 		return false
@@ -123,7 +124,7 @@
 	return local == nil || !x.accepts(local)
 }
 
-// attemptDelivery sends one attempt to the owner of the nominated worker.
+// attemptDelivery sends one attempt to the owner of the chosen worker.
 func (x *Proxy) attemptDelivery(ctx context.Context, req *request) stepResult {
 	req.attempts++
 	req.tried[req.entry.Worker] = true
@@ -147,7 +148,7 @@
 	hedgeable, ctx := x.beginAttempt(transport.WithLane(ctx, x.requestLane(req)), req, out.AttemptID)
 	result := x.sendAttempt(ctx, req, out)
 	if hedgeable != nil {
-		// From here on the request is changed by nobody else.
+		// From here on no hedge changes the request.
 		hedgeable.close(out.AttemptID)
 		defer hedgeable.cancel()
 		defer hedgeable.settle()
@@ -161,7 +162,7 @@
 	} else {
 		req.undeliveredTime += time.Since(sentAt)
 	}
-	// An answer larger than was expected is there all the same.
+	// A response larger than reserved is already in memory, so it is counted in any case.
 	if size := len(req.result.Body); req.result.Outcome == protocol.Done {
 		if excess := int64(size) - x.byteLimiter.expectedResponse(req.route.Name); excess > 0 {
 			x.byteLimiter.forceReserve(excess)
@@ -172,7 +173,7 @@
 	if req.result.CalledByRequests {
 		x.callRates.markNested(req.route.Name)
 	}
-	// Only what the worker itself did speaks of its fitness.
+	// Only what the worker itself did counts for its health.
 	aboutWorker := req.result.Outcome != protocol.Refused && !transport.CanceledByCaller(ctx)
 	ok := req.result.Outcome == protocol.Done && req.result.Status < 500
 	x.balancer.RecordOutcome(balancer.Outcome{Worker: req.entry.Worker, Service: req.service, Route: req.route.Name, UsedSlots: req.result.UsedSlots,
@@ -181,7 +182,7 @@
 	return proceed
 }
 
-// sendAttempt has an attempt run, here or at another node.
+// sendAttempt runs an attempt on this node or sends it to the owner.
 func (x *Proxy) sendAttempt(ctx context.Context, req *request, out protocol.AttemptRequest) protocol.AttemptResult {
 	if req.entry.Owner == x.Settings.Node {
 		return x.runAsOwner(ctx, out)
@@ -189,10 +190,10 @@
 	return x.sendToOwner(ctx, req, out)
 }
 
-// reasonNoResponse is why an attempt ends whose owner, or the link to it, said no more.
+// reasonNoResponse is the reason of an attempt whose owner, or the link to it, gave no result.
 const reasonNoResponse = "no receipt from the owner"
 
-// sendToOwner hands the attempt over to another node and checks what comes back.
+// sendToOwner sends the attempt to another node and checks the result.
 func (x *Proxy) sendToOwner(ctx context.Context, req *request, out protocol.AttemptRequest) protocol.AttemptResult {
 	// A large body waits for the link no longer than for a slot.
 	if req.arm.Bulk != "" {
@@ -205,7 +206,7 @@
 	case full:
 		return x.linkFull(retryAfter)
 	case transport.CanceledByCaller(ctx):
-		// It says nothing of the owner that nobody waited for it.
+		// That the caller left says nothing about the owner.
 		return protocol.AttemptResult{Outcome: protocol.Unknown, Reason: "the caller has left", UsedSlots: -1}
 	case fault.Is(err, fault.Unsent), fault.Is(err, fault.Refused):
 		x.balancer.Exclude(req.entry.Owner, x.Settings.ConfigBound/2)
@@ -216,7 +217,7 @@
 		x.balancer.Exclude(req.entry.Owner, x.Settings.ConfigBound/2)
 		return protocol.AttemptResult{Outcome: protocol.Unknown, Reason: reasonNoResponse, TimedOut: ctx.Err() != nil, UsedSlots: -1}
 	}
-	// The answer is checked again here: it must be for this very attempt.
+	// The ingress verifies the response again: it must belong to exactly this attempt.
 	if result.Outcome == protocol.Done && (result.Worker != out.Worker || x.dialect.VerifiesDigest && result.Digest != responsedigest.Of(out.AttemptID, out.Worker, result.Status, result.Body)) {
 		x.env.Log.Emit(event.CorruptAnswer, "worker", out.Worker, "attempt", out.AttemptID, "owner", req.entry.Owner)
 		return protocol.AttemptResult{Outcome: protocol.Unknown, Reason: "the answer's seal is broken", UsedSlots: result.UsedSlots}
--- a/internal/proxy/stop.go
+++ b/internal/proxy/stop.go
@@ -9,9 +9,8 @@
 	"puffincrank/internal/task"
 )
 
-// Stop ends politely: readiness falls, fellows get the time to notice, jobs
-// under way end, then the node signs off. When which of these is over stands in
-// its schedule.
+// Stop shuts down gracefully: it withdraws readiness, gives peers time to notice, lets requests
+// in progress finish, and then leaves the mesh. The schedule sets the end of each phase.
 func (x *Proxy) Stop() {
 	x.env.Log.Emit(event.Stopping, "program", "proxy", "jobs", x.activeRequests.Load())
 	if !x.lifecycle.Fire("stop") {
@@ -19,25 +18,26 @@
 	}
 	schedule := shutdown.Begin(x.Settings.GracePeriod, x.Settings.FarewellTimeout())
 	x.stopSchedule.Store(schedule)
-	// Large answers that wait for a thin link on their way here go first now.
+	// Large responses that wait at peers for a slow link to this node are sent first from now
+	// on.
 	x.node.PrioritizeBulk()
-	// What is under way and won't end in time may have its answer from elsewhere.
+	// Ingresses may hedge attempts that will not finish here in time.
 	x.notifyRunEnds(schedule)
 	x.notifyAttemptsOfStop(schedule.WaitDeadline())
 	ctx, cancel := context.WithDeadline(x.group.Context(), schedule.WaitDeadline())
 	defer cancel()
-	// Callers learn from readiness, which the platform polls; until they had
-	// the time to, this front goes on taking their jobs, and for as long as the
-	// own worker runs some, since they may call others through it.
-	// The own worker serves on meanwhile, and is flagged only so early that all
-	// fronts have seen it when this node goes.
+	// Callers learn of the shutdown from the readiness probe, which the platform polls. Until
+	// they had time to, this ingress goes on accepting their requests, and longer while the
+	// local worker runs some, since those may make calls through it. The worker serves on
+	// meanwhile; it is marked as draining only early enough for all ingresses to see the mark
+	// before this node goes.
 	task.Sleep(ctx, x.Settings.LeaveBound*3/4)
 	x.workersLeaving.Store(true)
 	x.drainWorkers()
 	task.Sleep(ctx, x.Settings.LeaveBound/2)
 	x.waitForNone(ctx, x.activeAttempts.Load)
-	// From here on an answer ends its connection, and idle ones end now: no
-	// caller sends into a connection that is about to go.
+	// From here on each response closes its connection and idle connections close now, so that
+	// no caller sends into a connection that is about to close.
 	x.trafficServer.SetKeepAlivesEnabled(false)
 	x.lifecycle.Fire("shut")
 	x.waitForNone(ctx, func() int64 { return x.activeRequests.Load() + x.activeAttempts.Load() + x.node.QueuedBulkLinks() })
@@ -50,10 +50,10 @@
 	x.env.Log.Emit(event.Stopped, "program", "proxy", "after_ms", schedule.Elapsed().Milliseconds())
 }
 
-// answerRemaining ends what can't be waited for any longer: each caller is told that the
-// outcome is unknown, or that it did not run, rather than that its connection just
-// ends, and so is each front whose attempt is at the own worker. Answers count as
-// given once they are written.
+// answerRemaining ends what can no longer be waited for. Each caller gets a response saying
+// that the outcome is unknown or that the request did not run, instead of a closed connection;
+// so does each ingress with an attempt at the local worker. Responses count as given once they
+// are written.
 func (x *Proxy) answerRemaining(schedule *shutdown.Schedule) {
 	x.cutoff.Trigger()
 	ctx, cancel := context.WithDeadline(x.group.Context(), schedule.AnswerDeadline())
@@ -61,19 +61,19 @@
 	x.waitForNone(ctx, func() int64 { return x.activeRequests.Load() + x.activeAttempts.Load() + x.connLimits.ActiveConns() })
 }
 
-// drainPollInterval is how often it is looked whether something is still under way.
+// drainPollInterval is how often the counts of work in progress are polled.
 const drainPollInterval = 10 * time.Millisecond
 
-// waitForNone waits until none of something is under way.
+// waitForNone waits until the count is 0 or the context ends.
 func (x *Proxy) waitForNone(ctx context.Context, active func() int64) {
 	for active() > 0 && ctx.Err() == nil {
 		task.Sleep(ctx, drainPollInterval)
 	}
 }
 
-// outlastsStop tells that a job is not begun, since this node was told to end a while
-// ago and may be gone before the job's time is over: it would be broken off at work.
-// Its caller may come back when the node has started again.
+// outlastsStop tells whether a request must not be started because the stop signal came a while
+// ago and this node may end before the request's deadline, which would break it off in the
+// middle. Its caller may come back when the node has started again.
 func (x *Proxy) outlastsStop(req *request) (retryAfter time.Duration, ending bool) {
 	schedule := x.stopSchedule.Load()
 	if schedule == nil || req.receivedAt.Before(schedule.LongWorkDeadline()) || !req.deadline.After(schedule.WaitDeadline()) {
