--- a/internal/proxy/api.go
+++ b/internal/proxy/api.go
@@ -17,7 +17,7 @@
 	"puffincrank/internal/transport"
 )
 
-// apiRoutes is the port of operators, the platform and the own worker.
+// apiRoutes serves operators, the platform and the local worker.
 func (x *Proxy) apiRoutes() http.Handler {
 	r := chi.NewRouter()
 	r.Get("/puffin/ready", x.onReady)
@@ -26,7 +26,8 @@
 	r.Delete("/puffin/workers/{id}", x.onSignOff)
 	r.Get("/puffin/own", func(w http.ResponseWriter, _ *http.Request) { httpapi.WriteJSON(w, http.StatusOK, x.status()) })
 	r.Get("/puffin/own/trail", x.onDecisions)
-	// All else is the core's to answer, so that every node gives the same.
+	// Everything else is answered by the control plane, so that every node gives the same
+	// answer.
 	r.NotFound(x.forwardToControl)
 	r.MethodNotAllowed(x.forwardToControl)
 	return r
@@ -44,14 +45,14 @@
 	httpapi.WriteJSON(w, code, map[string]any{"ready": x.Ready(), "state": x.lifecycle.Current(), "config_version": version})
 }
 
-// forwardToControl hands an outside call over to the control node of the session, and
-// to others as long as it is certain that none has acted on it.
+// forwardToControl forwards a call to the control node of the session, and to others while it
+// is certain that none has acted on it.
 func (x *Proxy) forwardToControl(w http.ResponseWriter, r *http.Request) {
 	x.activeAttempts.Add(1)
 	defer x.activeAttempts.Add(-1)
-	// An application's change that is read right after a freeze may be as old
-	// as the freeze; its sender has done other things since. A front notices
-	// only longer freezes than a control node does, so that less time is left.
+	// An application's change that is read right after a pause of this process may be as old as
+	// the pause, and its sender may have moved on. A proxy detects only longer pauses than a
+	// control node does, so less time is left for the change.
 	latestStart := time.Now().Add(x.Settings.MaxCallAge() / 2)
 	appChange := r.Method != http.MethodGet && strings.HasPrefix(r.URL.Path, "/puffin/app/")
 	if appChange && time.Since(x.pauseDetector.LastPauseEnd()) < x.Settings.HeartbeatInterval() {
@@ -63,8 +64,8 @@
 		httpapi.WriteJSON(w, code, httpapi.ErrorBody{Message: "the body can't be read or is over the bound"})
 		return
 	}
-	// The core's own bound and a little more: a change that is held up on its
-	// way must not be done long after its caller gave up.
+	// The control plane's own bound and a little more: a change that is delayed in transit must
+	// not be applied long after its caller gave up.
 	timeout := 2*x.Settings.ConfigBound + x.Settings.CallTimeout()
 	if r.URL.Query().Get("left_ms") != "" {
 		timeout = x.Settings.GracePeriod
@@ -91,7 +92,7 @@
 			_, _ = w.Write(resp.Body)
 			return
 		}
-		// A read may be asked again; a change that may have been done may not.
+		// A read may be sent again; a change that may have been applied may not.
 		if !fault.Is(err, fault.Unsent) && !fault.Is(err, fault.Refused) && r.Method != http.MethodGet {
 			httpapi.WriteJSON(w, http.StatusGatewayTimeout, httpapi.ErrorBody{Message: "outcome unknown: the control node gave no receipt", Ran: "unknown"})
 			return
@@ -100,7 +101,7 @@
 	httpapi.WriteBusy(w, "no control node can be reached; nothing was done", x.Settings.ConfigBound)
 }
 
-// Status is what a proxy says of itself.
+// Status is a proxy's report on itself.
 type Status struct {
 	Node               string                                     `msgpack:"node" json:"node"`
 	Zone               string                                     `msgpack:"area" json:"area"`
@@ -141,7 +142,7 @@
 	Used    int    `msgpack:"u" json:"used"`
 }
 
-// StatusRequest asks a node for its status, with its events above a number.
+// StatusRequest asks a node for its status, optionally with its events since a number.
 type StatusRequest struct {
 	Events bool   `msgpack:"e"`
 	Since  uint64 `msgpack:"s"`
@@ -187,7 +188,7 @@
 	return s, nil
 }
 
-// DrainRequest is an operator's word to drain a node's workers, or to undo it.
+// DrainRequest asks a node to drain its workers, or to undo that.
 type DrainRequest struct {
 	On bool `msgpack:"o"`
 }
@@ -198,8 +199,8 @@
 	return x.drainedByOperator
 }
 
-// onDrain drains the workers of this node until it is undone; the next beat
-// of a worker brings it back.
+// onDrain drains the workers of this node until that is undone; the next heartbeat of a worker
+// then brings it back.
 func (x *Proxy) onDrain(_ context.Context, _ transport.Hello, in DrainRequest) (Status, error) {
 	x.mu.Lock()
 	x.drainedByOperator = in.On
@@ -210,18 +211,18 @@
 	return x.status(), nil
 }
 
-// ActiveRequests counts the jobs under way at this front.
+// ActiveRequests counts the requests in progress at this ingress.
 func (x *Proxy) ActiveRequests() int64 { return x.activeRequests.Load() }
 
-// ActiveAttempts counts the attempts under way at this node's worker.
+// ActiveAttempts counts the attempts in progress at the local worker.
 func (x *Proxy) ActiveAttempts() int64 { return x.activeAttempts.Load() }
 
-// HedgeCount counts the second attempts that were begun beside first ones.
+// HedgeCount counts the second attempts that were started beside first ones.
 func (x *Proxy) HedgeCount() int64 { return x.hedgeCount.Load() }
 
-// RetriesRequested counts the repeats that this front's jobs asked for.
+// RetriesRequested counts the retries that requests of this ingress asked the budget for.
 func (x *Proxy) RetriesRequested() int64 { return x.retryBudget.RequestedCount() }
 
-// BytesSent gives the bytes that this process sent to others, by kind of message;
-// receipts count with what they answer.
+// BytesSent gives the bytes that this process sent to other nodes, by kind of message;
+// responses count under the kind of their request.
 func (x *Proxy) BytesSent() map[transport.Flow]transport.Traffic { return x.node.BytesSent() }
--- a/internal/proxy/bytelimiter.go
+++ b/internal/proxy/bytelimiter.go
@@ -13,25 +13,24 @@
 	"puffincrank/internal/transport"
 )
 
-// byteLimiter counts the bytes of jobs and answers that are under way here, as a front
-// and as an owner, and keeps them within a bound. What doesn't fit is refused
-// before it is read or run; an answer of a run can't be refused, so room is
-// kept beforehand for one as large as its path's lately were.
+// byteLimiter counts the bytes of requests and responses in progress here, as the ingress and
+// as the owner, and bounds them. What does not fit is refused before it is read or run. The
+// response of a run can't be refused, so space for one as large as recent ones of its route is
+// reserved beforehand.
 type byteLimiter struct {
 	mu            sync.Mutex
 	limit         int64
 	used          int64
 	peak          int64
-	soloExcess    int64            // by how much one alone is over what large ones may take
-	meanHold      time.Duration    // how long bytes stay, smoothed
-	responseSizes map[string]int64 // by path, the large answers of late
+	soloExcess    int64            // by how much a single item exceeds the share of large ones
+	meanHold      time.Duration    // how long bytes are held, smoothed
+	responseSizes map[string]int64 // by route, recent large responses
 }
 
-// byteLimit is the bound in bytes. A body stands up to three times at once: as it
-// came, packed and on its way; with an eighth of the memory for it the rest is
-// left for the tables, the links and what the collector has not yet swept.
-// Where the memory isn't told, eight bodies of the largest kind that a frame
-// can carry have room.
+// byteLimit is the limit in bytes. A body is held up to three times at once: as received,
+// encoded and in transit. With an eighth of the memory for bodies, the rest is left for tables,
+// links and garbage not yet collected. If the memory is not configured, the limit has room for
+// eight bodies of the largest size that fits a frame.
 func byteLimit(conf *settings.Settings) int64 {
 	if conf.MemoryBytes > 0 {
 		return int64(conf.MemoryBytes) / 8
@@ -43,19 +42,19 @@
 	return &byteLimiter{limit: byteLimit(conf), responseSizes: map[string]int64{}}
 }
 
-// setLimit changes the bound; what is under way stays.
+// setLimit changes the limit; what is in progress stays.
 func (l *byteLimiter) setLimit(conf *settings.Settings) {
 	l.mu.Lock()
 	l.limit = byteLimit(conf)
 	l.mu.Unlock()
 }
 
-// reserve asks for room for bytes. Large ones leave a quarter to small ones, of
-// which hundreds fit; a single one is let in whatever its size, or a bound that
-// is set too low would never serve it.
+// reserve requests space for n bytes. Large items leave a quarter to small ones, hundreds of
+// which fit there. A single item is accepted whatever its size, or a limit set too low would
+// never serve it.
 func (l *byteLimiter) reserve(n int64) bool { return l.reservePart(n, n) }
 
-// reservePart is take for a part of something that is larger as a whole.
+// reservePart is reserve for a part of a larger item.
 func (l *byteLimiter) reservePart(n, whole int64) bool {
 	if n <= 0 {
 		return true
@@ -73,13 +72,13 @@
 	}
 	l.addLocked(n)
 	if alone {
-		// Beside one that is over the bound by itself small ones go on as usual.
+		// Beside a single item over the limit, small ones are still accepted as usual.
 		l.soloExcess = max(l.used-large, 0)
 	}
 	return true
 }
 
-// forceReserve counts bytes that are there already.
+// forceReserve counts bytes that are already in memory.
 func (l *byteLimiter) forceReserve(n int64) {
 	l.mu.Lock()
 	l.addLocked(n)
@@ -91,7 +90,7 @@
 	l.peak = max(l.peak, l.used)
 }
 
-// release gives back what was taken a while ago.
+// release returns bytes that were reserved at the given time.
 func (l *byteLimiter) release(n int64, since time.Time) {
 	if n == 0 {
 		return
@@ -103,41 +102,41 @@
 	l.meanHold += (time.Since(since) - l.meanHold) / 16
 }
 
-// retryAfter is when there may be room again: bytes stay as long as they lately did.
+// retryAfter estimates when there may be space again, from how long bytes were held recently.
 func (l *byteLimiter) retryAfter(minimum time.Duration) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return max(l.meanHold, minimum)
 }
 
-// recordResponse notes how large an answer of a path was. Large ones count at once,
-// and fade with the smaller ones that follow.
+// recordResponse records the size of a response. A large one counts at once and decays with the
+// smaller ones that follow.
 func (l *byteLimiter) recordResponse(route string, size int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	previous, ok := l.responseSizes[route]
 	if !ok && len(l.responseSizes) >= 1024 {
-		// Paths of older configurations must not pile up.
+		// Routes of older configurations must not accumulate.
 		clear(l.responseSizes)
 	}
 	l.responseSizes[route] = max(int64(size), previous-(previous-int64(size))/16)
 }
 
-// expectedResponse is how large an answer of a path may be.
+// expectedResponse is the size to expect of a response of a route.
 func (l *byteLimiter) expectedResponse(route string) int64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.responseSizes[route]
 }
 
-// usage gives the bytes under way, and the most there were at once.
+// usage gives the bytes in progress now, the highest value so far, and the limit.
 func (l *byteLimiter) usage() (used, peak, limit int64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.used, l.peak, l.limit
 }
 
-// meteredBody is a body whose length isn't told: its room is asked for as it comes.
+// meteredBody is a body of unknown length; space is reserved as it is read.
 type meteredBody struct {
 	io.ReadCloser
 	limiter   *byteLimiter
@@ -155,9 +154,9 @@
 	return n, err
 }
 
-// readBody reads a caller's body into room that is counted, and tells how much was
-// taken. The status tells what is wrong; 503 is that there is no room, and what
-// was not read of the body then is left.
+// readBody reads a caller's body into reserved space and returns how much was reserved. The
+// code is an HTTP status if the body was not accepted; 503 means that there was no space, and
+// the rest of the body is left unread.
 func (x *Proxy) readBody(w http.ResponseWriter, r *http.Request) (body []byte, reserved int64, code int) {
 	limit := x.maxRequestBody()
 	switch n := r.ContentLength; {
@@ -179,10 +178,10 @@
 	return body, metered.reserved, code
 }
 
-// onAttempt takes an attempt that comes over a link.
+// onAttempt handles an attempt that arrives over a link.
 func (x *Proxy) onAttempt(ctx context.Context, _ transport.Hello, in protocol.AttemptRequest) (protocol.AttemptResult, error) {
-	// What an own job holds is counted by the front. One that came over a link
-	// is here already, but must not wait and run while there is no room.
+	// The bytes of requests from this node are counted by its ingress. A request that came over
+	// a link is already in memory, but must not queue and run while there is no space.
 	start, reserved := time.Now(), int64(len(in.Body))+x.byteLimiter.expectedResponse(in.Route)
 	if !x.byteLimiter.reserve(reserved) {
 		return protocol.AttemptResult{Outcome: protocol.Refused, Reason: reasonBytesFull, RetryAfterMS: x.byteLimiter.retryAfter(x.Settings.HeartbeatInterval()).Milliseconds(), UsedSlots: -1}, nil
--- a/internal/proxy/callerretries.go
+++ b/internal/proxy/callerretries.go
@@ -5,24 +5,24 @@
 	"time"
 )
 
-// callerRetries knows jobs that come back after they were not served. Nothing in a job
-// says so, and each try has an id of its own, but its time ends when it ended
-// before. Who came back has lost a part of its aim, or all of it: where room is
-// short it must not take the place of one that can still be served in time.
+// callerRetries recognizes requests that callers send again after they were not served. A
+// request does not say so, and each try has a new ID, but its deadline stays the same. Such a
+// request has lost part or all of its target latency: when capacity is short it must not
+// displace one that can still be served in time.
 type callerRetries struct {
 	mu        sync.Mutex
-	tolerance time.Duration // two ends this near to each other are one
+	tolerance time.Duration // deadlines this close to each other count as the same
 	firstSeen map[deadlineKey]time.Time
 }
 
-// deadlineKey is the end of a job's time on a path, in steps of what is near.
+// deadlineKey is a request's deadline on a route, in units of the tolerance.
 type deadlineKey struct {
 	route  string
 	bucket int64
 }
 
-// maxCallerRetries bounds the jobs that are remembered at once; beyond it those that
-// come back look like new ones.
+// maxCallerRetries bounds how many requests are remembered at once; beyond it, repeated ones
+// look like new ones.
 const maxCallerRetries = 4096
 
 func newCallerRetries(tolerance time.Duration) *callerRetries {
@@ -33,7 +33,7 @@
 	return deadline.UnixNano() / int64(r.tolerance)
 }
 
-// firstArrival gives when a job that came at a time first came here.
+// firstArrival returns when a request was first seen here.
 func (r *callerRetries) firstArrival(route string, arrivedAt, deadline time.Time) time.Time {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -46,7 +46,7 @@
 	return arrivedAt
 }
 
-// record remembers a job that was not served.
+// record remembers a request that was not served.
 func (r *callerRetries) record(route string, firstSeen, deadline time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -57,9 +57,8 @@
 	r.firstSeen[key] = firstSeen
 }
 
-// callerRetryAfter is when a refused job may come back. One that would then be late in any
-// case loses nothing more by coming later, and the rush that it met may be over by
-// then.
+// callerRetryAfter is the retry-after time of a refused request. One that would miss its target
+// in any case loses nothing more by coming later, when the overload may be over.
 func (x *Proxy) callerRetryAfter(req *request) time.Duration {
 	now := time.Now()
 	usualRun := time.Duration(x.balancer.UsualRunMS(req.route.Name) * float64(time.Millisecond))
@@ -69,7 +68,7 @@
 	return req.retryAfter
 }
 
-// expire drops those whose time is over.
+// expire drops requests whose deadline has passed.
 func (r *callerRetries) expire(now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/proxy/health.go
+++ b/internal/proxy/health.go
@@ -10,34 +10,35 @@
 	"puffincrank/internal/protocol"
 )
 
-// connFailureWeight is how many failed jobs it is worth that the worker takes no connection.
+// connFailureWeight is how many failed requests a failed connection to the worker counts for.
 const connFailureWeight = 4
 
-// recordRun takes in what an attempt that held a slot showed of the worker. All
-// of a worker's jobs pass here, however many fronts there are.
+// recordRun records what an attempt that held a slot shows about the worker. All requests of a
+// worker pass here, whichever ingress they come from.
 func (x *Proxy) recordRun(attempt *ownerAttempt) {
 	result, stats, route := &attempt.result, attempt.worker.stats, attempt.req.Route
 	ms := stats.RunEnded(attempt.activeRun)
 	usual := x.balancer.UsualRunMS(route)
 	switch {
 	case attempt.cutReason != "":
-		// It was ended from here.
+		// This node ended the run.
 		return
 	case attempt.connForgotten:
-		// It forgot a connection that idled: a matter of how long they are kept.
+		// The worker closed an idle connection: this concerns only how long connections are
+		// kept.
 		return
 	case attempt.unreachable:
 		stats.RecordFailures(connFailureWeight)
 	case result.Outcome == protocol.Done && result.Status < 500:
 		stats.RecordRun(route, ms, usual)
 	case result.Outcome == protocol.Unknown && result.TimedOut, result.Outcome == protocol.Done && result.Status == http.StatusGatewayTimeout:
-		// One that came with too little time says nothing of the worker.
+		// A timeout of an attempt with too little time says nothing about the worker.
 		if usual > 0 && ms > 2*usual {
 			stats.RecordFailures(1)
 		}
 	case result.ReachedWorker:
-		// Its own failures; and no more jobs are here than it has slots, so
-		// one that it turned away counts too.
+		// Failures of the worker itself. This node sends it no more requests than it has slots,
+		// so a request that the worker turned away counts too.
 		stats.RecordFailures(1)
 	default:
 		return
@@ -45,22 +46,22 @@
 	x.publishHealth(attempt.worker)
 }
 
-// publishHealth tells all fronts when what is to be thought of the worker changed much:
-// with many fronts each sees too few of its jobs to find out in time. How often it
-// does so is bounded: where all are overloaded, what they tell of each other is load.
+// publishHealth publishes a large change of the worker's health to all ingresses, since with
+// many of them each sees too few of its requests to notice in time. The rate is bounded: when
+// all workers are overloaded, the updates themselves are load.
 func (x *Proxy) publishHealth(local *localWorker) {
 	if !x.healthChanged(local) || !local.state.Is("up") {
 		return
 	}
 	local.registryMu.Lock()
 	defer local.registryMu.Unlock()
-	// Whoever had the lock before may have told it.
+	// The previous holder of the lock may have published it.
 	if x.healthChanged(local) && x.healthUpdates.Take(time.Now()) {
 		x.registerLocked(local)
 	}
 }
 
-// healthChanged tells whether the registry has other doubts about a worker than its owner.
+// healthChanged tells whether the published suspicion of a worker differs from the current one.
 func (x *Proxy) healthChanged(worker *localWorker) bool {
 	suspicion := worker.stats.Suspicion(x.balancer.FailureRate(worker.service))
 	worker.mu.Lock()
@@ -68,15 +69,14 @@
 	return worker.publishedSuspicion != suspicion
 }
 
-// register puts the gate's entry into the registry with a fresh dot, as the gate
-// is now.
+// register writes the worker's entry to the registry, with a new dot and its current state.
 func (x *Proxy) register(worker *localWorker) {
 	worker.registryMu.Lock()
 	defer worker.registryMu.Unlock()
 	x.registerLocked(worker)
 }
 
-// registerLocked does so; g.tell is held.
+// registerLocked is register with registryMu held.
 func (x *Proxy) registerLocked(local *localWorker) {
 	state := local.state.Current()
 	if state != "up" && state != "draining" {
@@ -84,7 +84,7 @@
 	}
 	meta := map[string]string{"slots": strconv.Itoa(local.slots), "state": state, "addr": local.addr}
 	if state == "draining" && local.callSeq > 0 {
-		// A later start of this node knows by it which calls are older.
+		// After a restart this node uses the number to tell which calls are older.
 		meta["call"] = strconv.FormatInt(local.callSeq, 10)
 	}
 	suspicion := local.stats.Suspicion(x.balancer.FailureRate(local.service))
@@ -107,15 +107,15 @@
 	}
 }
 
-// unregister takes the gate's entry out of the registry; none that was about to
-// enter again comes after it.
+// unregister removes the worker's entry from the registry; no concurrent registration follows
+// the removal.
 func (x *Proxy) unregister(local *localWorker, reason string) {
 	local.registryMu.Lock()
 	defer local.registryMu.Unlock()
 	x.replica.Remove(local.id, reason)
 }
 
-// classUsage gives the classes' use of each worker for the status.
+// classUsage gives the usage of each worker by class, for the status.
 func (x *Proxy) classUsage() map[string]map[string]admission.ClassUsage {
 	out := map[string]map[string]admission.ClassUsage{}
 	for _, local := range x.allWorkers() {
--- a/internal/proxy/hedge.go
+++ b/internal/proxy/hedge.go
@@ -9,29 +9,29 @@
 	"puffincrank/internal/protocol"
 )
 
-// Hedging: a request that may be repeated is sent a second time, to another worker,
-// while its first attempt goes on, when that is not likely to bring an answer: its
-// run will be ended by a stop of its node or of this one, or it has taken the larger
-// part of the time. The first whole answer wins, and the other attempt is ended.
+// Hedging: a repeatable request is sent a second time, to another worker, while its first
+// attempt is still in progress but unlikely to bring a response: its run will be ended by a
+// shutdown of its node or of this one, or it has taken most of the time. The first complete
+// response wins, and the other attempt is canceled.
 //
-// A second attempt counts among the repeats of its service and among the workers that
-// one request may go to, as one that is begun when the first is lost.
+// A second attempt counts against the service's retry budget and the request's limit of
+// workers, like one that starts after the first is lost.
 
-// ingressAttempt is one send of a request that may be repeated, while it is under way.
+// ingressAttempt is one attempt of a repeatable request while it is in progress.
 type ingressAttempt struct {
 	proxy     *Proxy
 	ctx       context.Context // of the request
-	request   *request        // not changed by others while the attempt is under way
+	request   *request        // not changed elsewhere while the attempt is in progress
 	startedAt time.Time
-	cancel    context.CancelFunc // ends it, as its caller's leaving would
+	cancel    context.CancelFunc // cancels it, as if its caller had left
 
 	mu            sync.Mutex
 	over          bool
-	forStop       bool // a stop, of its node or of this one, is what it is hedged for
+	forStop       bool // it is hedged because its node or this one shuts down
 	timer         *time.Timer
 	hedgeTime     time.Time // of the timer
 	second        *secondAttempt
-	hedgeAttempts int // of second attempts that came to no worker
+	hedgeAttempts int // second attempts that reached no worker
 }
 
 // secondAttempt is the copy of a request that is sent beside its first attempt.
@@ -41,14 +41,14 @@
 	done    chan struct{}
 }
 
-// ingressAttempts are those of this front that are under way and may be hedged, by their ids.
+// ingressAttempts holds the attempts in progress of this ingress that may be hedged, by ID.
 type ingressAttempts struct {
 	mu   sync.Mutex
 	byID map[string]*ingressAttempt
 }
 
-// beginAttempt notes an attempt; the context is that of the attempt. Nil where no second one
-// may follow: the request may not be repeated, or has no other worker or tries left.
+// beginAttempt registers an attempt and returns its context. The attempt is nil if it can't be
+// hedged: the request is not repeatable, or has no other worker or no attempts left.
 func (x *Proxy) beginAttempt(ctx context.Context, req *request, id string) (*ingressAttempt, context.Context) {
 	if !req.arm.Repeatable || req.reached+1 >= req.arm.Tries || req.workerCount <= len(req.tried) {
 		return nil, ctx
@@ -67,21 +67,21 @@
 	return attempt, attemptCtx
 }
 
-// hedgeOverdueAt is when a request is hedged that has taken the larger part of its time,
-// where such requests usually run for less than the rest of it.
+// hedgeOverdueAt is when a request that has used most of its time is hedged; only if such
+// requests usually run for less than the rest of it.
 func (x *Proxy) hedgeOverdueAt(req *request) (at time.Time, ok bool) {
 	remaining := time.Until(req.deadline)
 	rest := remaining * 4 / 10
 	return req.deadline.Add(-rest), req.arm.Bulk == "" && x.usualRunTime(req.route.Name) <= rest
 }
 
-// usualRunTime is how long a request of a path runs at a worker, as far as this front knows;
-// 0 when it does not.
+// usualRunTime is how long requests of a route run at workers as seen by this ingress, 0 if
+// unknown.
 func (x *Proxy) usualRunTime(route string) time.Duration {
 	return time.Duration(x.balancer.UsualRunMS(route) * float64(time.Millisecond))
 }
 
-// onRunEnd takes in that the node beside its worker ends the attempt's run at a time.
+// onRunEnd handles the owner's notice of when it ends the attempt's run.
 func (a *ingressAttempt) onRunEnd(end time.Time) {
 	a.mu.Lock()
 	a.forStop = true
@@ -89,7 +89,8 @@
 	a.hedgeAt(hedgeBeforeEnd(a.startedAt, end, a.proxy.usualRunTime(a.request.route.Name)))
 }
 
-// onIngressStop takes in that this node, told to end, waits for the attempt until a time.
+// onIngressStop handles a shutdown of this node, which waits for the attempt until the
+// deadline.
 func (a *ingressAttempt) onIngressStop(deadline time.Time) {
 	at, ok := hedgeInStop(a.startedAt, deadline, a.proxy.usualRunTime(a.request.route.Name))
 	if !ok || a.request.isHedge {
@@ -101,7 +102,7 @@
 	a.hedgeAt(at)
 }
 
-// hedgeAt begins a second attempt at a time, or earlier if that was said before.
+// hedgeAt schedules a second attempt, unless an earlier time is already set.
 func (a *ingressAttempt) hedgeAt(t time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -120,7 +121,7 @@
 	a.timer = time.AfterFunc(time.Until(t), a.startHedge)
 }
 
-// startHedge begins a second attempt, unless one is under way or the first is over.
+// startHedge starts a second attempt, unless one is in progress or the first is over.
 func (a *ingressAttempt) startHedge() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -139,8 +140,8 @@
 	a.proxy.decisions.add(Decision{Request: a.request.externalID(), Attempt: a.request.id, Step: stepHedged, Worker: a.request.entry.Worker})
 }
 
-// copyOfRequest is the request as the second attempt goes on with it. The first one is
-// at a worker, or on its way to one.
+// copyOfRequest copies the request for the second attempt. The first attempt is counted as
+// having reached a worker.
 func (a *ingressAttempt) copyOfRequest() *request {
 	copied := *a.request
 	copied.isHedge, copied.mayBorrowRetry, copied.allowEndingNode = true, a.forStop, a.hedgeAttempts > 0
@@ -154,8 +155,9 @@
 	return &copied
 }
 
-// runHedge sends the copy. A worker's answer ends the first attempt; where no worker took
-// it and a stop will end the first, it is tried again as long as that goes on.
+// runHedge runs the copy. A worker's response cancels the first attempt. If no worker took the
+// copy and a shutdown will end the first attempt, the hedge is retried as long as that one goes
+// on.
 func (a *ingressAttempt) runHedge(ctx context.Context, second *secondAttempt) {
 	defer second.cancel()
 	a.proxy.runSteps(ctx, second.request)
@@ -167,7 +169,7 @@
 	case second.request.answered():
 		a.cancel()
 	case second.request.reached <= a.request.reached+1:
-		// It came to no worker.
+		// It reached no worker.
 		a.second, a.hedgeAttempts = nil, second.request.attempts
 		if a.forStop {
 			a.setTimerLocked(time.Now().Add(a.proxy.lostRetryPause(second.request.retryAfter)))
@@ -175,8 +177,8 @@
 	}
 }
 
-// settle ends an attempt whose outcome stands in the request, and brings in that of the
-// second one, which is waited for unless the first has a worker's answer.
+// settle combines the first attempt's result, which stands in the request, with that of the
+// second. It waits for the second unless the first has a worker's response.
 func (a *ingressAttempt) settle() {
 	first := a.request
 	a.mu.Lock()
@@ -198,7 +200,7 @@
 	first.mergeHedge(second.request)
 }
 
-// close tells that the attempt is over: no second one is begun any more.
+// close marks the attempt as over, so that no second one starts.
 func (a *ingressAttempt) close(id string) {
 	a.proxy.ingressAttempts.mu.Lock()
 	delete(a.proxy.ingressAttempts.byID, id)
@@ -211,13 +213,13 @@
 	}
 }
 
-// answered tells that a worker has answered, and not with a failure of its own.
+// answered tells whether a worker has answered, other than with a failure of its own.
 func (req *request) answered() bool {
 	return req.result.Outcome == protocol.Done && req.result.Status < 500
 }
 
-// mergeHedge takes in what became of a second attempt: its answer, if it has a better one,
-// and that it may have run without one.
+// mergeHedge takes over the result of a second attempt: its response if that is better, and
+// that it may have run without one.
 func (req *request) mergeHedge(second *request) {
 	req.attempts, req.noQueueAttempts, req.reached, req.reservedBytes = second.attempts, second.noQueueAttempts, max(req.reached, second.reached), req.reservedBytes+second.reservedBytes
 	maps.Copy(req.tried, second.tried)
@@ -230,8 +232,7 @@
 	}
 }
 
-// notifyAttemptsOfStop tells all attempts under way that this node waits for them no longer than
-// until a time.
+// notifyAttemptsOfStop tells all attempts in progress until when this node waits for them.
 func (x *Proxy) notifyAttemptsOfStop(deadline time.Time) {
 	x.ingressAttempts.mu.Lock()
 	all := make([]*ingressAttempt, 0, len(x.ingressAttempts.byID))
--- a/internal/proxy/hedgetime.go
+++ b/internal/proxy/hedgetime.go
@@ -2,10 +2,11 @@
 
 import "time"
 
-// When a second attempt is begun, in usual times of such requests: beside a run that its
-// node will end, when so much is left of it, and earlier if it has lasted for
-// hedgeOverdue; and beside any run that has lasted for hedgeOverdueInStop, at a front
-// that was told to end and still has hedgeLeast: what it waits for in vain is lost.
+// When a second attempt starts, in multiples of the usual run time. Beside a run that its node
+// will end: when hedgeLatest times are left before that end, or up to hedgeEarliest times
+// before it if the run has lasted for hedgeOverdue. At an ingress that is shutting down: beside
+// any run that has lasted for hedgeOverdueInStop, if at least hedgeLeast is left, since a run
+// that it waits for in vain is lost.
 const (
 	hedgeLatest        = 1.5
 	hedgeEarliest      = 3
@@ -14,14 +15,13 @@
 	hedgeLeast         = 0.75
 )
 
-// usualTimes is so many times what a request usually takes.
+// usualTimes multiplies the usual run time.
 func usualTimes(n float64, usual time.Duration) time.Duration {
 	return time.Duration(n * float64(usual))
 }
 
-// hedgeBeforeEnd is when a second attempt is begun beside a run that began at a time and
-// that its node ends at another. A run that is not overdue most likely ends by itself
-// before that; a second one needs its own time.
+// hedgeBeforeEnd is when a second attempt starts beside a run that its node will end. A run
+// that is not overdue most likely finishes before that; a second one needs its own time.
 func hedgeBeforeEnd(startedAt, endsAt time.Time, usual time.Duration) time.Time {
 	if usual <= 0 {
 		return startedAt
@@ -36,8 +36,9 @@
 	return at
 }
 
-// hedgeInStop is when a second attempt is begun beside a run that is waited for until a
-// time. One that is not overdue has as good a chance as another. False: not at all.
+// hedgeInStop is when a second attempt starts beside a run that a stopping ingress waits for
+// until a given time. A run that is not overdue has as good a chance as a second one. It
+// returns false if none should start.
 func hedgeInStop(startedAt, waitUntil time.Time, usual time.Duration) (at time.Time, ok bool) {
 	at = startedAt.Add(usualTimes(hedgeOverdueInStop, usual))
 	return at, usual > 0 && !at.After(waitUntil.Add(-usualTimes(hedgeLeast, usual)))
--- a/internal/proxy/lane.go
+++ b/internal/proxy/lane.go
@@ -10,12 +10,13 @@
 	"puffincrank/internal/transport"
 )
 
-// The rules have as many lanes as the links have for jobs.
+// The rules have as many lanes as the links have for requests.
 var _ = [1]struct{}{}[transport.LaneBulk-transport.LaneRequests+1-rules.RequestLanes]
 
-// requestLane is the lane that a job goes by on links: its arm's, or the most urgent of
-// the jobs that it may be a call of. A small call of a bulk job goes after all
-// that is urgent and before the bulk itself: as long as it waits, a slot does.
+// requestLane is the lane that a request takes on links: that of its arm, or for a nested call
+// the most urgent lane of the requests it may belong to. A small call of a bulk request goes
+// after everything urgent and before the bulk itself, since the bulk request holds a slot while
+// the call waits.
 func (x *Proxy) requestLane(req *request) int {
 	armLane := transport.LaneRequests + req.rules.Lane(req.arm)
 	if req.arm.Bulk != "" {
@@ -27,8 +28,7 @@
 	return armLane
 }
 
-// bulkDelay tells the nominator how long a bulk job would be under way to an owner
-// now, as measured.
+// bulkDelay gives the balancer the measured transfer time of a bulk request to an owner.
 func (x *Proxy) bulkDelay(req *request) func(ormap.Entry) time.Duration {
 	if req.arm.Bulk == "" {
 		return nil
@@ -36,26 +36,26 @@
 	return func(e ormap.Entry) time.Duration { return x.node.BulkDelay(e.InternalAddr, len(req.body)) }
 }
 
-// linkFull is the outcome of an attempt for which the link had no room: nothing was
-// sent, and the owner is none the worse for it.
+// linkFull is the result of an attempt for which the link had no capacity: nothing was sent,
+// and it does not count against the owner.
 func (x *Proxy) linkFull(retryAfter time.Duration) protocol.AttemptResult {
 	x.thinLinkRefusals.Add(1)
 	return protocol.AttemptResult{Outcome: protocol.Refused, Reason: "the link to the owner is full", RetryAfterMS: max(retryAfter, x.Settings.HeartbeatInterval()).Milliseconds(), UsedSlots: -1}
 }
 
-// reserveResponse keeps room on the link back for the answer of a bulk job, by what others
-// of its path brought. A link that could not take it in time refuses the job
-// before it runs.
+// reserveResponse reserves capacity on the link back to the ingress for the response of a bulk
+// request, sized by earlier responses of its route. A link that could not take the response in
+// time refuses the request before it runs.
 func (x *Proxy) reserveResponse(ctx context.Context, attempt *ownerAttempt) bool {
 	remaining := time.Until(attempt.deadline)
 	needed := attempt.worker.timeNeeded(attempt.req.Route, remaining/4)
 	if transport.LaneOf(ctx) == transport.LaneBulk && remaining < needed+x.Settings.CallTimeout()/4 {
-		// It took its time to come here; begun now, its receipt might come too
-		// late, and nobody would know that it ran.
+		// The transfer to this node took long. If the request started now, its result might
+		// arrive too late, and nobody would know that it ran.
 		return attempt.refuse("no time left to run it in")
 	}
-	// The answer must be there before its front goes, should that be told to end
-	// in this moment; else it would be cut off on its way.
+	// The response must arrive before its ingress ends, should that one get the stop signal
+	// right now; otherwise it would be cut off in transit.
 	if maxWait := time.Duration(attempt.req.MaxQueueMS) * time.Millisecond; maxWait > 0 && maxWait < remaining {
 		limited, end := context.WithTimeout(ctx, maxWait)
 		defer end()
@@ -70,7 +70,7 @@
 	return true
 }
 
-// releaseReservations gives back what an attempt booked, right before its receipt goes out.
+// releaseReservations releases what an attempt reserved, right before its result is sent.
 func (x *Proxy) releaseReservations(attempt *ownerAttempt) {
 	if attempt.releaseResponse != nil {
 		attempt.releaseResponse()
@@ -80,14 +80,14 @@
 	}
 }
 
-// beginLane notes the lane of a job that has its slot now.
+// beginLane records the lane of a request that has just got its slot.
 func (x *Proxy) beginLane(ctx context.Context) int {
 	lane := transport.LaneOf(ctx)
 	x.nested.runBegan(lane)
 	return lane
 }
 
-// runBegan and end note by which lanes the jobs at the own worker came, for the
+// runBegan and runEnded record on which lanes the requests at the local worker arrived, for the
 // calls that they make.
 func (k *nestedRoutes) runBegan(lane int) {
 	k.mu.Lock()
@@ -101,7 +101,7 @@
 	k.mu.Unlock()
 }
 
-// setNested notes an owner's word on whether a path is called from within.
+// setNested records an owner's report of whether a route is nested.
 func (k *nestedRoutes) setNested(route string, nested bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -115,8 +115,8 @@
 	k.nestedAtOwner[route] = true
 }
 
-// callerLane gives the most urgent lane of the jobs that a call of this path may
-// belong to; false when it is none, as far as is known.
+// callerLane gives the most urgent lane of the requests that a call of this route may belong
+// to; false if it is not known to be nested.
 func (k *nestedRoutes) callerLane(route string) (int, bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
--- a/internal/proxy/localworker.go
+++ b/internal/proxy/localworker.go
@@ -14,7 +14,7 @@
 	"puffincrank/internal/task"
 )
 
-// localWorker is the owner's door to one worker.
+// localWorker is a worker that this node owns, with its admission control.
 type localWorker struct {
 	id                 string
 	service            string
@@ -24,17 +24,17 @@
 	state              *fsm.Machine // up, draining, down, gone
 	mu                 sync.Mutex
 	lastContact        time.Time
-	lastUp             time.Time // the newest 'up' that is certain to be no older than it looks
-	failedProbes       int       // failed probes in a row
+	lastUp             time.Time // newest 'up' report that can't be older than the time it was read
+	failedProbes       int       // in a row
 	dot                ormap.Dot
 	callSeq            int64                    // of the worker's newest call
-	runTimes           map[string]time.Duration // by path, how long a job runs here, smoothed
-	responseSizes      map[string]int           // by path, how long its answers are, smoothed
-	drainingSince      time.Time                // when it said that it is leaving
-	stateSeq           uint64                   // the step of the trail at which its state began
+	runTimes           map[string]time.Duration // run time by route, smoothed
+	responseSizes      map[string]int           // response size by route, smoothed
+	drainingSince      time.Time                // when it reported that it is leaving
+	stateSeq           uint64                   // decision log sequence number at which its state began
 	stats              *balancer.WorkerStats
-	registryMu         sync.Mutex // one word to the registry at a time; taken before mu
-	publishedSuspicion int        // the doubts that the registry has
+	registryMu         sync.Mutex // serializes registry updates; taken before mu
+	publishedSuspicion int        // suspicion in the registry
 }
 
 func newLocalWorker(worker, service, addr string, slots int, window time.Duration) *localWorker {
@@ -55,14 +55,14 @@
 	return local
 }
 
-// recordRun notes how long a job of a path ran here, and its answer's bytes.
+// recordRun records how long a request of a route ran here and the size of its response.
 func (w *localWorker) recordRun(route string, took time.Duration, size int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	mean, ok := w.runTimes[route]
 	if !ok {
 		mean = took
-		// Paths of older configurations must not pile up.
+		// Routes of older configurations must not accumulate.
 		if len(w.runTimes) >= 1024 {
 			clear(w.runTimes)
 			clear(w.responseSizes)
@@ -73,8 +73,8 @@
 	w.runTimes[route] = mean + (took-mean)/16
 }
 
-// timeNeeded is the time to allow for a job of a path: half as much again as it
-// usually takes, or a guess as long as none has run.
+// timeNeeded is the time to allow for a request of a route: one and a half times its usual run
+// time, or the guess if none has run yet.
 func (w *localWorker) timeNeeded(route string, guess time.Duration) time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -84,14 +84,14 @@
 	return guess
 }
 
-// responseSize is how many bytes the answers of a path have, 0 as long as none came.
+// responseSize is the usual size in bytes of a route's responses, 0 if there was none yet.
 func (w *localWorker) responseSize(route string) int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.responseSizes[route]
 }
 
-// findWorker finds the door to a worker, nil when it isn't this node's own.
+// findWorker finds a local worker, nil if this node does not own it.
 func (x *Proxy) findWorker(worker string) *localWorker {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -124,7 +124,7 @@
 	worker.admission.Configure(slots, r.Shares, max(int(float64(slots)*r.QueueRatio), 1))
 }
 
-// watchWorkers finds dead workers: by missed beats, and by probes of their port.
+// watchWorkers detects dead workers by missed heartbeats and by probes of their port.
 func (x *Proxy) watchWorkers(ctx context.Context) {
 	x.env.PollSettings()
 	for _, local := range x.allWorkers() {
@@ -135,7 +135,7 @@
 			local.admission.Close()
 			x.unregister(local, "down")
 		}
-		// One that stays mute for good leaves no door behind.
+		// A worker that stays silent for good is dropped.
 		if silent {
 			if time.Since(local.lastContactTime()) > x.Settings.RetireAfter {
 				x.mu.Lock()
@@ -146,16 +146,16 @@
 			}
 			continue
 		}
-		// Where none is asked who it is, none is probed either: beats and the
-		// ends of jobs tell, and a probe costs the worker a connection.
+		// Workers whose connections carry no identity check are not probed: heartbeats and the
+		// results of requests suffice, and a probe costs the worker a connection.
 		if x.dialect.IdentifiesConns {
 			x.group.Go("probe", func(ctx context.Context) { x.probe(ctx, local) })
 		}
 	}
 }
 
-// transition changes the state of a gate and tells by which of the worker's calls;
-// false means that nothing changed.
+// transition changes the state of a worker and logs the call of the worker that caused it;
+// false means that the state did not change.
 func (x *Proxy) transition(local *localWorker, trigger, reason string) bool {
 	previous := local.state.Current()
 	if !local.state.Fire(trigger) {
@@ -187,24 +187,24 @@
 	return w.lastContact
 }
 
-// accepts tells whether new jobs may go in: on fresh word of the worker, while it
-// is up, and for a part of the leaving bound after it began to drain. Fronts
-// that have not seen the flag yet would otherwise spend repeats, or their
-// callers get errors, for a planned leave.
+// accepts tells whether new requests may be admitted: on a recent report of the worker, while
+// it is up, and for a quarter of the leave bound after it began to drain. Otherwise ingresses
+// that have not seen the drain yet would spend retries, or return errors to callers, for a
+// planned leave.
 func (x *Proxy) accepts(local *localWorker) bool {
 	pauseEnd := x.pauseDetector.LastPauseEnd()
 	local.mu.Lock()
 	defer local.mu.Unlock()
-	// A 'draining' may wait unread in a socket, or not get here at all: the
-	// worker may have left at any time after its newest word.
+	// A 'draining' report may wait unread in a socket or never arrive: the worker may have left
+	// at any time after its newest report.
 	if !local.lastUp.After(pauseEnd) || time.Since(local.lastUp) > x.Settings.WorkerTimeout() {
 		return false
 	}
 	return local.state.Is("up") || local.state.Is("draining") && time.Since(local.drainingSince) < x.Settings.LeaveBound/4
 }
 
-// recordContact notes a beat. One that is read right after a freeze may be as old as
-// the freeze, so it is no word that the worker is up now.
+// recordContact records a heartbeat. One that is read right after a pause of this process may
+// be as old as the pause, so it does not prove that the worker is up now.
 func (x *Proxy) recordContact(worker *localWorker, up bool) {
 	pauseEnd := x.pauseDetector.LastPauseEnd()
 	worker.mu.Lock()
@@ -215,7 +215,7 @@
 	}
 }
 
-// drainWorker flags the entry for the others at once and shuts the door soon after.
+// drainWorker publishes the drain at once and closes admission soon after.
 func (x *Proxy) drainWorker(local *localWorker) {
 	local.mu.Lock()
 	first := !local.state.Is("draining")
--- a/internal/proxy/nestedroutes.go
+++ b/internal/proxy/nestedroutes.go
@@ -6,36 +6,36 @@
 	"puffincrank/internal/transport"
 )
 
-// nestedRoutes tells which paths are called from within, by jobs that hold a slot
-// elsewhere. Nothing in a job says so, but who calls does: callers from outside
-// come in at every node, whatever its service, and the calls of a service's own
-// jobs only at the nodes of that service. A job from within that is turned away
-// costs the work that was done for it already.
+// nestedRoutes detects which routes are called by other requests, which hold a slot elsewhere.
+// A request does not say so, but the caller's service shows it: callers from outside enter at
+// all nodes, whatever their service, while the calls of a service's own requests enter only at
+// the nodes of that service. Refusing a nested request wastes the work already done for it.
 type nestedRoutes struct {
 	mu              sync.Mutex
 	callers         map[string]*callerCounts
-	allCallers      map[string]float64 // callers of anything, smoothed
+	allCallers      map[string]float64 // of all routes, decaying
 	allCallersTotal float64
 
-	nestedAtOwner map[string]bool             // paths that owners say are called from within
-	runsByLane    [transport.LaneBulk + 1]int // jobs at the own worker, by the lane that they came by
+	nestedAtOwner map[string]bool             // routes that owners report as nested
+	runsByLane    [transport.LaneBulk + 1]int // requests at the local worker, by the lane they arrived on
 }
 
-// callerCounts counts one path's callers by their service, smoothed.
+// callerCounts counts the callers of one route by service, with decay.
 type callerCounts struct {
 	byService map[string]float64
 	total     float64
 }
 
-// minSamples is how many jobs of a path say which services do not call it: one that
-// has a twelfth of the nodes is missing by chance once in seventy thousand times.
+// minSamples is how many requests of a route are needed to say which services do not call it: a
+// service with a twelfth of the nodes is missing by chance once in 70,000 cases.
 const minSamples = 128
 
 func newNestedRoutes() *nestedRoutes {
 	return &nestedRoutes{callers: map[string]*callerCounts{}, allCallers: map[string]float64{}, nestedAtOwner: map[string]bool{}}
 }
 
-// addDecaying adds one and lets old counts fade, so that a change shows after a while.
+// addDecaying counts one caller and halves old counts at intervals, so that a change shows
+// after a while.
 func addDecaying(counts map[string]float64, total *float64, service string) {
 	counts[service]++
 	if *total++; *total > 16*minSamples {
@@ -46,7 +46,7 @@
 	}
 }
 
-// recordCaller notes that a job of a path came from a caller's service.
+// recordCaller records that a request of a route came from a service.
 func (k *nestedRoutes) recordCaller(route, caller string) {
 	if caller == "" {
 		return
@@ -55,7 +55,7 @@
 	defer k.mu.Unlock()
 	counts := k.callers[route]
 	if counts == nil {
-		// Paths of older configurations must not pile up.
+		// Routes of older configurations must not accumulate.
 		if len(k.callers) >= 1024 {
 			clear(k.callers)
 		}
@@ -66,8 +66,8 @@
 	addDecaying(k.allCallers, &k.allCallersTotal, caller)
 }
 
-// isNested tells whether a path's jobs are calls of other jobs: some service that
-// calls here does not call it.
+// isNested tells whether a route is called by other requests: some service that sends requests
+// here does not call it.
 func (k *nestedRoutes) isNested(route string) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -76,7 +76,7 @@
 		return false
 	}
 	for service, n := range k.allCallers {
-		// Those that call seldom at all say nothing by not calling this.
+		// Services that rarely call anything say nothing by not calling this route.
 		if n >= k.allCallersTotal/16 && counts.byService[service] < counts.total/256 {
 			return true
 		}
--- a/internal/proxy/owner.go
+++ b/internal/proxy/owner.go
@@ -16,35 +16,35 @@
 type ownerAttempt struct {
 	req             protocol.AttemptRequest
 	deadline        time.Time
-	ingressDeadline time.Time // when its front waits for answers no more; zero if it wasn't told to end
+	ingressDeadline time.Time // when its ingress stops waiting; zero if that one is not stopping
 	worker          *localWorker
 	result          protocol.AttemptResult
 	admittedAt      time.Time
-	slotHeld        bool               // a slot is taken
-	started         bool               // it was begun at the worker
-	retryShare      float64            // how far the run is a repeat
-	reservedCalls   map[string]float64 // held for the calls of a repeat
+	slotHeld        bool               // it holds a slot
+	started         bool               // the worker was sent the request
+	retryShare      float64            // how far the run counts as a retry
+	reservedCalls   map[string]float64 // retries reserved for the calls of this run
 	activeRun       *balancer.ActiveRun
-	unreachable     bool   // the worker took no connection
-	connForgotten   bool   // it had forgotten a kept connection
-	cutReason       string // why its run was ended from here; "" if it was not
-	lane            int    // that it came by
-	releaseResponse func() // gives back what was booked for its answer
+	unreachable     bool   // the worker accepted no connection
+	connForgotten   bool   // the worker had closed a kept connection
+	cutReason       string // why this node ended the run; "" if it did not
+	lane            int    // that the attempt arrived on
+	releaseResponse func() // releases the space reserved for its response
 	admission       admission.Request
-	localVersion    uint64 // the version held here, where it isn't the job's
+	localVersion    uint64 // set if it differs from the version of the request
 }
 
-// The owner's filters, run in order until one says how the attempt ended.
+// The owner's checks, run in order until one of them sets the result.
 var ownerSteps = []func(*Proxy, context.Context, *ownerAttempt) bool{
 	(*Proxy).checkNode, (*Proxy).checkRules, (*Proxy).checkWorker, (*Proxy).reserveResponse, (*Proxy).admit, (*Proxy).callWorker, (*Proxy).checkResponse,
 }
 
-// runAsOwner runs one attempt as the owner. All doubts about whether the job may run
-// are settled here, where the worker is, so that no two nodes can disagree.
+// runAsOwner runs one attempt as the owner. Whether the request may run is decided here only,
+// beside the worker, so that no two nodes can disagree.
 func (x *Proxy) runAsOwner(ctx context.Context, in protocol.AttemptRequest) protocol.AttemptResult {
 	attempt := &ownerAttempt{req: in, deadline: time.Now().Add(time.Duration(in.TimeoutMS) * time.Millisecond)}
-	// What came over a link has its time as a bound already, less what it spent
-	// on the way; of an own job a part may be kept for a repeat.
+	// The deadline of an attempt from a link is already in the context, less its transfer time;
+	// for a local one a part may be kept back for a retry.
 	if ctxDeadline, ok := ctx.Deadline(); ok && ctxDeadline.Before(attempt.deadline) {
 		attempt.deadline = ctxDeadline
 	} else if !ok || ctxDeadline.Sub(attempt.deadline) > time.Duration(in.TimeoutMS)*time.Millisecond/8 {
@@ -52,7 +52,7 @@
 		ctx, cancel = context.WithDeadline(ctx, attempt.deadline)
 		defer cancel()
 	}
-	// Counted from when it was handed over, as its time left is.
+	// Counted from when the ingress sent it, like its timeout.
 	if in.FrontWaitMS > 0 {
 		attempt.ingressDeadline = attempt.deadline.Add(time.Duration(in.FrontWaitMS-in.TimeoutMS) * time.Millisecond)
 	}
@@ -95,13 +95,13 @@
 
 func (v *ownerAttempt) refuse(reason string) bool { return v.refuseRetryAfter(reason, 0) }
 
-// refuseRetryAfter refuses with a word on when there may be room.
+// refuseRetryAfter refuses with an estimate of when there may be capacity.
 func (v *ownerAttempt) refuseRetryAfter(reason string, retryAfter time.Duration) bool {
 	v.result = protocol.AttemptResult{Outcome: protocol.Refused, Reason: reason, RetryAfterMS: retryAfter.Milliseconds()}
 	return false
 }
 
-// refuseMismatch refuses a job whose front holds another configuration.
+// refuseMismatch refuses a request whose ingress holds another configuration.
 func (v *ownerAttempt) refuseMismatch(reason string) bool {
 	v.result = protocol.AttemptResult{Outcome: protocol.Refused, Reason: reason, ConfigMismatch: true, ConfigVersion: v.localVersion}
 	return false
@@ -112,23 +112,24 @@
 	return false
 }
 
-// checkNode holds the attempt until this node is sure of its configuration
-// and refuses a second arrival.
+// checkNode holds the attempt until this node's configuration is confirmed, and detects
+// duplicate arrivals.
 func (x *Proxy) checkNode(ctx context.Context, attempt *ownerAttempt) bool {
 	if !x.recordArrival(attempt.req.AttemptID, time.Duration(attempt.req.TimeoutMS)*time.Millisecond) {
 		x.env.Log.Emit(event.DuplicateAttempt, "attempt", attempt.req.AttemptID)
 		// The first arrival may have run, so this is not a refusal.
 		return attempt.outcomeUnknown("second arrival of one attempt")
 	}
-	// Others may know this node's worker before it has its own rules.
+	// Other nodes may know the local worker before this node has its rules.
 	x.waitUntilReady(ctx, time.Until(attempt.deadline)/4)
 	return x.confirmConfig(ctx, attempt)
 }
 
-// confirmConfig tells whether the job may run by what is held here. A bound on changes
-// counts from when a job was sent: one whose front was sure after it had read it
-// may run by that version whenever it does. A front that was not needs an owner
-// that is; when both are out of touch, both act by what they have.
+// confirmConfig tells whether the request may run by the configuration held here. The bound on
+// how long older versions are used counts from when a request was sent: if the ingress was
+// confirmed after it had read the request, the request may run by that version at any time.
+// Otherwise the owner has to be confirmed. If both are disconnected from the control plane,
+// both act by what they have.
 func (x *Proxy) confirmConfig(ctx context.Context, attempt *ownerAttempt) bool {
 	if attempt.req.Confidence == protocol.Confirmed {
 		return true
@@ -139,10 +140,10 @@
 	return attempt.refuse("owner can't confirm its configuration")
 }
 
-// checkRules lets a job in only if the newest configuration here still sends
-// jobs of its kind to this service. A front that was sure of an older one when it
-// had read the job may go by it; one that said that it was not takes the newer
-// one from here first, since its own may have been replaced long ago.
+// checkRules admits a request only if the newest configuration here still routes requests of
+// its kind to this service. An ingress that was confirmed in an older version when it had read
+// the request may use that version. One that was not confirmed first takes the newer version
+// from here, since its own may have been replaced long ago.
 func (x *Proxy) checkRules(_ context.Context, attempt *ownerAttempt) bool {
 	newest := x.rules.Load()
 	if newest == nil {
@@ -179,8 +180,8 @@
 	return x.checkAccepting(attempt)
 }
 
-// stillWanted looks whether somebody still waits for the attempt, and whether it has
-// time left to be delivered in.
+// stillWanted tells whether somebody still waits for the attempt and time is left to deliver
+// it.
 func (x *Proxy) stillWanted(ctx context.Context, attempt *ownerAttempt) bool {
 	if transport.CanceledByCaller(ctx) {
 		return attempt.refuse(reasonCallerLeft)
@@ -191,7 +192,7 @@
 	return time.Now().Before(attempt.deadline) || attempt.refuse("no time left before delivery")
 }
 
-// checkAccepting looks whether the gate's door is open just now.
+// checkAccepting tells whether the worker accepts requests at the moment.
 func (x *Proxy) checkAccepting(attempt *ownerAttempt) bool {
 	if x.accepts(attempt.worker) {
 		return true
@@ -202,10 +203,10 @@
 	return attempt.refuseRetryAfter("no fresh word of the worker", 2*x.Settings.WorkerHeartbeat())
 }
 
-// admit takes a slot. Waiting is bounded by a part of the time left, so that
-// enough is left to run the job or to try elsewhere.
+// admit takes a slot. The wait is bounded by a part of the remaining time, so that enough is
+// left to run the request or to retry elsewhere.
 func (x *Proxy) admit(ctx context.Context, attempt *ownerAttempt) bool {
-	// Jobs that hang say nothing by themselves; those that come find them.
+	// A hung request reports nothing by itself; it is noticed when the next ones arrive.
 	x.publishHealth(attempt.worker)
 	if !x.endsInTime(attempt) {
 		return false
@@ -221,8 +222,8 @@
 	}
 	attempt.slotHeld, attempt.admittedAt, attempt.lane = true, time.Now(), x.beginLane(ctx)
 	attempt.activeRun = attempt.worker.stats.RunStarted(x.balancer.UsualRunMS(attempt.req.Route))
-	// The wait may have been long: all that could have changed is looked at
-	// once more right before the job goes out.
+	// The wait may have been long, so everything that could have changed is checked again right
+	// before the request is delivered.
 	if !x.stillWanted(ctx, attempt) || !x.endsInTime(attempt) {
 		return false
 	}
--- a/internal/proxy/probe.go
+++ b/internal/proxy/probe.go
@@ -6,8 +6,8 @@
 	"puffincrank/internal/event"
 )
 
-// probe asks the worker's port whether it lives, on a connection of its own:
-// it must find out whether one stands.
+// probe checks whether the worker's port accepts connections. It opens a new connection, since
+// the check is whether one can be established.
 func (x *Proxy) probe(ctx context.Context, local *localWorker) {
 	ctx, end := context.WithTimeout(ctx, x.Settings.WorkerTimeout()/2)
 	defer end()
@@ -28,14 +28,15 @@
 	}
 }
 
-// onWrongWorker is called when another identity was met at a worker's address: as
-// good as dead for ours, until its own beat says otherwise.
+// onWrongWorker handles another worker ID at a worker's address: the worker counts as dead
+// until its own next heartbeat.
 func (x *Proxy) onWrongWorker(local *localWorker) {
 	x.env.Log.Emit(event.WrongWorker, "worker", local.id, "addr", local.addr)
 	x.markDown(local)
 }
 
-// markDown is called when another identity answers at a worker's address.
+// markDown takes a worker out of service whose address is not answered, or is answered by
+// another worker.
 func (x *Proxy) markDown(worker *localWorker) {
 	if x.transition(worker, "miss", "another answers at its address, or nobody") {
 		worker.admission.Close()
--- a/internal/proxy/queuewait.go
+++ b/internal/proxy/queuewait.go
@@ -8,11 +8,11 @@
 	"puffincrank/internal/task"
 )
 
-// maxQueueWait is how long a job of this front may wait for a slot at most. A node that
-// is told to end has its grace to answer all that it took; one that waits longer
-// than that, at a worker that never had it, would see its connection cut. What
-// was handed over before the order is bounded as well, so that it is refused
-// before this node goes, too.
+// maxQueueWait bounds how long a request of this ingress may wait for a slot. After the stop
+// signal a node has its grace period to answer everything it accepted; a request that waited
+// longer than that at a worker, without ever running, would see its connection closed. The
+// bound also holds for attempts sent before the stop signal, so that these are refused before
+// this node ends, too.
 func (x *Proxy) maxQueueWait() time.Duration {
 	limit := x.Settings.GracePeriod * 6 / 10
 	if schedule := x.stopSchedule.Load(); schedule != nil {
@@ -21,17 +21,17 @@
 	return max(limit, time.Millisecond)
 }
 
-// isEnding tells that this node goes so soon that nothing more is begun for a job.
+// isEnding tells whether this node ends so soon that nothing more is started for a request.
 func (x *Proxy) isEnding() bool {
 	schedule := x.stopSchedule.Load()
 	return schedule != nil && schedule.RemainingWait() <= 0
 }
 
-// limitRequeue bounds how long a job that waited elsewhere already may wait at its next
-// worker: half of its time, all workers together. Queued anew for half of what
-// is left each time, one that is given up would be held for seven eighths of its
-// time. What has waited that long takes a slot that is free, or none; but not one that
-// has lost a run, and can't be told that it did not run.
+// limitRequeue bounds how long a request that already waited elsewhere may wait at its next
+// worker: half of its time for all workers together. If it queued again for half of the
+// remaining time each time, a request that is refused in the end would be held for seven
+// eighths of its time. Once that half is used up it takes only a slot that is free. A request
+// that has lost a run is exempt, since its caller can't be told that it did not run.
 func (req *request) limitRequeue(out *protocol.AttemptRequest) {
 	if req.undeliveredTime == 0 || out.AllowUnfinishedRun {
 		return
@@ -42,8 +42,8 @@
 	}
 }
 
-// remainingWaitMS is how long this front goes on waiting for answers, in ms and at least 1,
-// once it was told to end; 0 as long as it was not.
+// remainingWaitMS is how long this ingress will still wait for responses after the stop signal,
+// at least 1 ms; 0 without a stop signal.
 func (x *Proxy) remainingWaitMS() int64 {
 	schedule := x.stopSchedule.Load()
 	if schedule == nil {
@@ -52,17 +52,16 @@
 	return max(schedule.RemainingWait().Milliseconds(), 1)
 }
 
-// timeNeeded is the time to allow for an attempt: by what such requests take at this worker,
-// else by what its front says that they take; 0 when neither is known.
+// timeNeeded estimates the run time of an attempt: from runs of the route at this worker, else
+// from what the ingress reports; 0 when neither is known.
 func (v *ownerAttempt) timeNeeded() time.Duration {
 	reported := time.Duration(v.req.UsualRunMS) * time.Millisecond
 	return v.worker.timeNeeded(v.req.Route, reported*3/2)
 }
 
-// slackBeforeEnd is how long an attempt may wait that its front, which was told to end, or
-// this node waits for no longer than until some time: by what such requests take it is
-// answered before then. Begun later, it would be broken off at work.
-// False for all other attempts.
+// slackBeforeEnd is how long an attempt may queue and still be answered, by the usual run time,
+// while its ingress or this node waits for it after a stop signal. Started later, it would be
+// broken off in the middle. It returns false if neither is shutting down.
 func (x *Proxy) slackBeforeEnd(attempt *ownerAttempt) (wait time.Duration, ends bool) {
 	needed := attempt.timeNeeded()
 	if !attempt.ingressDeadline.IsZero() {
@@ -72,7 +71,7 @@
 	if schedule == nil {
 		return wait, ends
 	}
-	// Other nodes can have it still, so here it must be all but certain.
+	// Other nodes can still run it, so it must be almost certain to finish here.
 	local := schedule.RemainingWait() - 2*needed
 	if needed == 0 {
 		local = 0
@@ -83,10 +82,10 @@
 	return wait, ends
 }
 
-// endsInTime refuses an attempt that can't be answered before its front or this node goes;
-// another may have it. One whose request has lost a run, or will, is begun all the same
-// where only its front goes, or where nobody else took it: a run that may not end in
-// time is better than none.
+// endsInTime refuses an attempt that can't be answered before its ingress or this node ends;
+// another node may run it. If the request has lost a run, or will lose it, it is started all
+// the same where only its ingress ends, or where no other worker took it: a run that may not
+// finish in time is better than none.
 func (x *Proxy) endsInTime(attempt *ownerAttempt) bool {
 	wait, ends := x.slackBeforeEnd(attempt)
 	if !ends || wait > 0 {
@@ -98,14 +97,15 @@
 	return attempt.refuseRetryAfter("a node on its way ends before it would be done", x.Settings.HeartbeatInterval())
 }
 
-// mayStillEnd tells that an attempt has some time, if less than such requests usually take,
-// before its front or this node goes.
+// mayStillEnd tells whether an attempt has some time, even if less than usually needed, before
+// its ingress or this node ends.
 func (x *Proxy) mayStillEnd(attempt *ownerAttempt) bool {
 	return x.remainingBeforeEnd(attempt) > x.Settings.FarewellTimeout()
 }
 
-// remainingBeforeEnd is how long a lost request's attempt has until its front or this node
-// goes; none at a node that ends as long as others may take it.
+// remainingBeforeEnd is how long the attempt of a request with a lost run has until its ingress
+// or this node ends. It is 0 at a node that is shutting down, as long as other nodes may take
+// the attempt.
 func (x *Proxy) remainingBeforeEnd(attempt *ownerAttempt) time.Duration {
 	remaining := x.Settings.GracePeriod
 	if !attempt.ingressDeadline.IsZero() {
@@ -120,15 +120,15 @@
 	return remaining
 }
 
-// lostWaitDivisor is, as a divisor of the time until its front or this node goes, how long
-// the attempt of a lost request waits for a slot where it may not end in time anyway.
+// lostWaitDivisor gives the queue wait of an attempt whose request has lost a run and that may
+// not finish in time anyway: this fraction of the time until its ingress or this node ends.
 const lostWaitDivisor = 4
 
-// queueWait is how long an attempt waits for a slot: as long as it can then
-// still be answered inside its aim, by what jobs of its path take here, and
-// half of the time left at most, so that it can be tried elsewhere. One that
-// will be late whatever is done waits a part of its time, after those that need
-// not be.
+// queueWait bounds how long an attempt waits for a slot. It may wait while it can still be
+// answered within its target latency, judging by the usual run time of its route here, and for
+// at most half of the remaining time, so that it can be retried elsewhere. An attempt that will
+// miss its target in any case waits for a part of its time, after those that can still meet
+// theirs.
 func (x *Proxy) queueWait(attempt *ownerAttempt) time.Duration {
 	wait := attempt.usualQueueWait()
 	for _, ms := range []int64{attempt.req.MaxQueueMS, attempt.req.QueueBudgetMS} {
@@ -145,21 +145,21 @@
 	return wait
 }
 
-// priority is what a job's turn goes by before all else: what it is still worth to
-// be served. A slot serves one job either way.
+// priority orders the queue before all other criteria, by how much is gained if the attempt is
+// served; a slot serves one request either way.
 func (v *ownerAttempt) priority() int {
 	switch remaining := time.Until(v.deadline); {
 	case v.req.AllowUnfinishedRun:
 		return -1 // a run of it is lost
 	case time.Duration(v.req.TargetMS)*time.Millisecond <= v.worker.timeNeeded(v.req.Route, remaining/4)*2/3:
-		return 2 // it would be late, by what jobs of its path take here
+		return 2 // it will be late, judging by the usual run time of its route here
 	case v.req.SentAgainByCaller:
-		return 1 // a part of its aim is lost
+		return 1 // a part of its target latency is lost
 	}
 	return 0
 }
 
-// usualQueueWait is the same without the front's own bounds.
+// usualQueueWait is queueWait without the bounds set by the ingress.
 func (v *ownerAttempt) usualQueueWait() time.Duration {
 	remaining := time.Until(v.deadline)
 	needed := v.worker.timeNeeded(v.req.Route, remaining/4)
@@ -169,15 +169,16 @@
 	return max(min(remaining/4, remaining-needed), 0)
 }
 
-// lostRetryPause is the pause before a lost request turns to workers anew that had no room,
-// by when they said that they may have some. Room that comes sooner must not be missed.
+// lostRetryPause is the pause before a request with a lost run tries the workers that had no
+// capacity again. It follows their retry-after time within limits, so that capacity that
+// becomes free earlier is not missed.
 func (x *Proxy) lostRetryPause(retryAfter time.Duration) time.Duration {
 	return min(max(retryAfter, x.Settings.HeartbeatInterval()/2), 2*x.Settings.HeartbeatInterval())
 }
 
-// keepsTrying tells that a request goes on to look for a worker, after a pause: this node
-// was told to end, and the request has lost the run that it had. Its caller can't come
-// back here, and workers whose slots are taken now may have one before this node goes.
+// keepsTrying tells, after a pause, whether a request continues to look for a worker. This is
+// for requests that lost a run after this node got the stop signal: the caller can't come back
+// here, and workers that are full now may have a free slot before this node ends.
 func (x *Proxy) keepsTrying(ctx context.Context, req *request) bool {
 	if req.lost == nil || req.isHedge || !req.arm.Repeatable || req.result.Outcome == protocol.Done || req.reached >= req.arm.Tries || x.stopSchedule.Load() == nil || x.isEnding() {
 		return false
@@ -190,7 +191,7 @@
 		return false
 	}
 	req.allowEndingNode = true
-	// Only those at which it was lost are left out now.
+	// From now on only the worker that lost the run is excluded.
 	req.tried = map[string]bool{req.lost.entry.Worker: true}
 	req.lookups, req.skipped = 0, nil
 	return true
--- a/internal/proxy/updaterate.go
+++ b/internal/proxy/updaterate.go
@@ -5,24 +5,24 @@
 	"time"
 )
 
-// How often changes of workers' fitness may be told in the whole mesh, each second
-// on average and, where a node tells none for long, at once. Each costs every node
-// a message and a merge, about 0.3 ms: 16 a second are half a percent of a core.
+// Rate of published health changes in the whole mesh, per second on average and as a burst
+// after a quiet time. Each update costs every node a message and a merge, about 0.3 ms: 16 per
+// second are half a percent of a core.
 const (
 	healthUpdatesPerSecond = 16
 	healthUpdateBurst      = 960
 )
 
-// A node may tell at least that a worker became unfit and fit again, and no more at
-// once than a worker needs that becomes unfit in steps, twice.
+// Limits of one node's burst. The minimum allows one change to unhealthy and back; the maximum
+// covers twice the updates of a worker that becomes unhealthy in steps.
 const (
 	minUpdateBurst = 2
 	maxUpdateBurst = 6
 )
 
-// updateRate bounds how often a node tells the mesh something that changes by
-// itself and may be told late. It is a token bucket that fills the slower the more
-// nodes there are, so that the sum over all nodes does not grow with the mesh.
+// updateRate bounds how often a node publishes something that changes on its own and may be
+// published late. It is a token bucket that fills more slowly the more nodes there are, so that
+// the sum over all nodes does not grow with the mesh.
 type updateRate struct {
 	mu     sync.Mutex
 	nodes  int
@@ -41,8 +41,8 @@
 	r.nodes = max(count, 1)
 }
 
-// Take tells whether news may be told now, and counts it if so. What may not be
-// told is offered again by the next request or beat, as it is then.
+// Take tells whether an update may be published now, and counts it if so. A suppressed update
+// is offered again at the next request or heartbeat, with the values of that time.
 func (r *updateRate) Take(now time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -57,7 +57,7 @@
 	return true
 }
 
-// updateBurst is how many news a node of so many may tell at once.
+// updateBurst is how many updates one node may publish at once.
 func updateBurst(nodes int) float64 {
 	share := float64(healthUpdateBurst) / float64(nodes)
 	return min(max(share, minUpdateBurst), maxUpdateBurst)
