--- a/internal/proxy/bytelimiter_test.go
+++ b/internal/proxy/bytelimiter_test.go
@@ -10,8 +10,9 @@
 	"puffincrank/internal/settings"
 )
 
-// TestByteLimiter: large ones leave a quarter to small ones, one alone is let in
-// whatever its size, and a body without a length counts as what it is in all.
+// TestByteLimiter checks that large items leave a quarter of the limit to small ones, that a
+// single item is accepted whatever its size, and that a body of unknown length counts by its
+// total.
 func TestByteLimiter(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		limiter := newByteLimiter(&settings.Settings{MemoryBytes: 8 << 20})
@@ -60,7 +61,7 @@
 			t.Errorf("%d used, %d of them its own", used, body.reserved)
 		}
 		limiter.release(body.reserved+1<<10, time.Now())
-		// An answer's size is known by the large ones, and fades slowly.
+		// The expected size follows large responses at once and decays slowly.
 		limiter.recordResponse("p", 50)
 		limiter.recordResponse("p", 1000)
 		limiter.recordResponse("p", 40)
--- a/internal/proxy/callerleft_test.go
+++ b/internal/proxy/callerleft_test.go
@@ -10,10 +10,10 @@
 	"puffincrank/internal/shutdown"
 )
 
-// TestNotStartedWithoutCaller: what waits for a slot, a connection or a configuration is
-// looked at once more before it goes out; nothing is begun for a caller that left, nor
-// for one that has had its answer since its node ends. What a cancel with another
-// cause ends is not that.
+// TestNotStartedWithoutCaller checks the last look before a request goes to the worker, after
+// waits for a slot, a connection or a configuration: nothing starts for a caller that left, or
+// that got its response because its node is ending. A context canceled for another reason does
+// not prevent the start.
 func TestNotStartedWithoutCaller(t *testing.T) {
 	x := &Proxy{}
 	for _, c := range []struct {
--- a/internal/proxy/callerretries_test.go
+++ b/internal/proxy/callerretries_test.go
@@ -11,9 +11,9 @@
 	"puffincrank/internal/task"
 )
 
-// TestCallerRetries: a job that was not served is known when it comes back, through
-// several refusals, by the end of its time alone; other paths and jobs with
-// another end are new, and what is over is forgotten.
+// TestCallerRetries checks that a request that was not served is recognized by its deadline
+// alone when it comes back, also after several refusals. Requests of other routes or with other
+// deadlines are new, and past deadlines are dropped.
 func TestCallerRetries(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const tolerance, remaining = 6 * time.Millisecond, 3 * time.Second
@@ -31,7 +31,7 @@
 			if !got.Equal(from) {
 				t.Errorf("try %d, %v off: first came %v before, want %v", i, offset, now.Sub(got), now.Sub(from))
 			}
-			// Refused once more: it is still the first time that counts.
+			// After another refusal the first arrival still counts.
 			r.record("p", got, end.Add(offset))
 			r.record("p", now, end)
 		}
@@ -44,7 +44,7 @@
 				t.Errorf("a job with %v more time was taken for it", offset)
 			}
 		}
-		// One that starts anew always has a later end than all before it.
+		// A new request has a later deadline than all before it.
 		if got := r.firstArrival("p", now, now.Add(remaining)); !got.Equal(now) {
 			t.Error("a new job was taken for an old one")
 		}
@@ -59,8 +59,8 @@
 	})
 }
 
-// TestCallerRetryAfter: a refused job is told the time that what it lacked needs, unless
-// it would be late by then anyway.
+// TestCallerRetryAfter checks that a refused request is told when the missing capacity may be
+// there, unless it would miss its target by then anyway.
 func TestCallerRetryAfter(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const target, remaining, ms = 500 * time.Millisecond, 3 * time.Second, time.Millisecond
@@ -79,8 +79,8 @@
 	})
 }
 
-// TestCallerRetriesBound: however many are refused, a bounded number is remembered, and
-// those beyond look like new ones.
+// TestCallerRetriesBound checks that a bounded number of refused requests is remembered, and
+// that those beyond it look like new ones.
 func TestCallerRetriesBound(t *testing.T) {
 	r := newCallerRetries(time.Millisecond)
 	now := time.Now()
--- a/internal/proxy/callrates_test.go
+++ b/internal/proxy/callrates_test.go
@@ -6,10 +6,9 @@
 	"testing"
 )
 
-// TestCallRates: of two paths that always overlap, one calls a service in
-// most of its runs, one seldom and one never; what is measured comes close to
-// each, and the parts of the calls that repeats made add up to those that they
-// did make.
+// TestCallRates overlaps runs of routes of which one calls a service in most of its runs, one
+// rarely and one never. The measured rates must come close to the real ones, and the retry
+// shares must add up to the calls that retried runs really made.
 func TestCallRates(t *testing.T) {
 	rnd := rand.New(rand.NewPCG(3, 9))
 	rates := newCallRates()
@@ -55,8 +54,8 @@
 	}
 }
 
-// TestDeclinedRunsNotCounted: a run that the worker declined doesn't lower what
-// its path is known to call.
+// TestDeclinedRunsNotCounted checks that a run that the worker declined does not lower the
+// measured call rate of its route.
 func TestDeclinedRunsNotCounted(t *testing.T) {
 	rates := newCallRates()
 	rates.markNested("inner")
--- a/internal/proxy/checkresponse.go
+++ b/internal/proxy/checkresponse.go
@@ -16,11 +16,11 @@
 	return ""
 }
 
-// reportsNotRun tells whether the worker says that it left the job unrun.
+// reportsNotRun tells whether the worker states that it did not run the request.
 func (x *Proxy) reportsNotRun(result *protocol.AttemptResult) bool {
 	value := headerValue(result, x.dialect.NotExecuted)
 	if value == "" || x.dialect.NotExecutedValue != "" && value != x.dialect.NotExecutedValue {
-		// With a seal that can be checked, the status alone says it.
+		// If responses carry a verifiable digest, the status alone states it.
 		return x.dialect.VerifiesDigest && result.Status == http.StatusMisdirectedRequest
 	}
 	if x.dialect.VerifiesDigest {
@@ -29,9 +29,8 @@
 	return result.Status >= 400
 }
 
-// invalidReason tells why an answer can't be the worker's whole answer to this very
-// attempt; empty when nothing speaks against it. Framing was checked when it
-// was read.
+// invalidReason tells why a response can't be the worker's complete response to exactly this
+// attempt; empty if it is valid. The framing was checked when the response was read.
 func (x *Proxy) invalidReason(attempt *ownerAttempt, notRun bool) string {
 	result := &attempt.result
 	if x.dialect.VerifiesDigest {
@@ -42,7 +41,7 @@
 	}
 	switch {
 	case notRun && headerValue(result, x.dialect.AttemptID) == "":
-		// A refusal by one who did not read so far.
+		// A worker that refuses early may not have read the attempt ID.
 		return ""
 	case headerValue(result, x.dialect.AttemptID) != attempt.workerAttemptID():
 		return "the answer is another attempt's"
@@ -54,7 +53,7 @@
 	return ""
 }
 
-// checkResponse checks the answer whole before anything of it is passed on.
+// checkResponse validates the complete response before any of it is passed on.
 func (x *Proxy) checkResponse(_ context.Context, attempt *ownerAttempt) bool {
 	result := &attempt.result
 	header := func(n string) string {
@@ -70,8 +69,8 @@
 	}
 	switch {
 	case notRun:
-		// Another worker at the address, or a full one: certain that it did
-		// not run, though it came that far.
+		// Another worker at the address, or a full one: the request certainly did not run,
+		// although it reached a worker.
 		if result.Status == http.StatusMisdirectedRequest && !x.dialect.IdentifiesConns {
 			x.onWrongWorker(attempt.worker)
 		}
@@ -79,7 +78,7 @@
 		attempt.result.ReachedWorker = true
 		return false
 	case result.Status == 503 || result.Status == 429:
-		// The worker's own busy doesn't promise that the job never ran.
+		// A busy status from the worker does not guarantee that the request never ran.
 		return attempt.outcomeUnknown("the worker answered busy without a word on whether the job ran")
 	}
 	result.Outcome, result.Digest, result.Worker = protocol.Done, header(x.dialect.ResponseDigest), attempt.req.Worker
--- a/internal/proxy/configmismatch.go
+++ b/internal/proxy/configmismatch.go
@@ -7,10 +7,10 @@
 	"puffincrank/internal/task"
 )
 
-// resolveMismatch brings front and owner to one configuration after an owner refused a
-// job for its rules: a change that passes by must not cost a caller an error,
-// nor must a node that only its control nodes can't reach. What a node holds is
-// agreed, so whoever holds the newer one may give it to the other.
+// resolveMismatch brings ingress and owner to the same configuration after an owner refused a
+// request because the versions differ. Neither a change in progress nor a node that only its
+// control nodes can't reach may cost a caller an error. Any configuration that a node holds was
+// agreed on, so whichever node holds the newer one may give it to the other.
 func (x *Proxy) resolveMismatch(ctx context.Context, req *request) {
 	if req.result.ConfigVersion < req.rules.Version {
 		if x.pushConfig(ctx, req) {
@@ -33,12 +33,12 @@
 		x.control.HeartbeatNow()
 		task.Sleep(ctx, x.Settings.HeartbeatInterval()/8)
 	}
-	// It has had the time to catch up.
+	// The owner has had time to catch up.
 	delete(req.tried, req.entry.Worker)
 }
 
-// pushConfig gives an owner that is behind the configuration held here; most likely
-// it lacks the newest step.
+// pushConfig sends the configuration held here to an owner with an older one; most likely that
+// one lacks only the newest step.
 func (x *Proxy) pushConfig(ctx context.Context, req *request) bool {
 	ctx, end := context.WithTimeout(ctx, x.Settings.CallTimeout())
 	defer end()
--- a/internal/proxy/configversion_test.go
+++ b/internal/proxy/configversion_test.go
@@ -11,8 +11,8 @@
 	"puffincrank/internal/task"
 )
 
-// TestConfigNeverReverts: a configuration that comes late, past the session's own look
-// at its number, never takes the place of a newer one.
+// TestConfigNeverReverts checks that a configuration that arrives late, after the session's own
+// check of its version, never replaces a newer one.
 func TestConfigNeverReverts(t *testing.T) {
 	conf := settings.Settings{Node: "n", ClusterID: "m", Zone: "a", ConfigBound: 2 * time.Second, LeaveBound: 2 * time.Second, RetryWindow: 10 * time.Second, RecoveryBound: 15 * time.Second, RetireAfter: 10 * time.Second,
 		MaxFrameBytes: 1 << 20, MaxBodyBytes: 1 << 20, MaxRequests: 16, GracePeriod: time.Second, Seeds: []string{"10.0.0.1:1"}}
--- a/internal/proxy/controlhost.go
+++ b/internal/proxy/controlhost.go
@@ -11,7 +11,7 @@
 	"puffincrank/internal/protocol"
 )
 
-// controlHost is the proxy as its session sees it.
+// controlHost gives the control client access to the proxy.
 type controlHost struct{ x *Proxy }
 
 func newControlClient(x *Proxy) *controlclient.Client {
@@ -38,20 +38,20 @@
 	h.x.balancer.SetSessionCheck(func(node string) bool { return node == own || all.Has(node) })
 }
 
-// ProxyCountChanged tells all that is shared among the nodes how many they are.
+// ProxyCountChanged updates everything that is shared among the nodes by their number.
 func (h controlHost) ProxyCountChanged(n int) {
 	h.x.retryBudget.SetProxyCount(n)
 	h.x.healthUpdates.SetNodes(n)
 }
 
-// ReplicaRefilled takes up the worker that an earlier start of this node had registered,
-// and buries what that start left in the registry.
+// ReplicaRefilled takes over the worker that an earlier start of this node had registered, and
+// removes that start's entries from the registry.
 func (h controlHost) ReplicaRefilled() {
 	h.x.adoptEarlierWorker()
 	h.x.retireOldEntries()
 }
 
-// retireOldEntries buries what earlier starts of this node left in the registry.
+// retireOldEntries replaces registry entries of earlier starts of this node by tombstones.
 func (x *Proxy) retireOldEntries() {
 	x.replica.RetireNode(x.Settings.Node, func(e ormap.Entry) bool { return e.Dot.Node != x.replica.Dot() })
 }
@@ -64,8 +64,8 @@
 	h.x.reregister()
 }
 
-// confirm waits until the node may act on what it holds, and tells how sure it
-// is of that.
+// confirm waits until the node may act on the configuration it holds, and tells with what
+// confidence.
 func (x *Proxy) confirm(ctx context.Context, deadline time.Time) protocol.Confidence {
 	return x.control.Confirm(ctx, deadline)
 }
--- a/internal/proxy/decisionlog.go
+++ b/internal/proxy/decisionlog.go
@@ -8,49 +8,49 @@
 	"puffincrank/internal/httpapi"
 )
 
-// What a step of the trail says of a request.
+// Steps of a request that the decision log records.
 const (
 	stepSent      = "sent"        // written to the worker
-	stepRefused   = "refused"     // turned away by the owner, unrun
-	stepLeft      = "caller-left" // the front saw that the caller had gone
-	stepCancelled = "cancelled"   // the owner heard that the caller had gone
-	stepEnded     = "run-ended"   // the owner closed the connection on which it ran
-	stepKept      = "run-kept"    // it runs on, since it may not be run again
-	stepUnknown   = "unknown"     // the owner has no answer of the worker, which may have run it
-	stepHedged    = "hedged"      // the front began a second attempt beside the one at the worker
-	// The front answered a request that may have run, without its worker's answer.
+	stepRefused   = "refused"     // refused by the owner without running
+	stepLeft      = "caller-left" // the ingress saw that the caller had left
+	stepCancelled = "cancelled"   // the owner was told that the caller had left
+	stepEnded     = "run-ended"   // the owner closed the connection of the run
+	stepKept      = "run-kept"    // the run goes on, since it must not be repeated
+	stepUnknown   = "unknown"     // the owner has no response of the worker, which may have run it
+	stepHedged    = "hedged"      // the ingress started a second attempt beside the one at the worker
+	// The ingress answered a request that may have run, without its worker's response.
 	stepUnanswered = "unanswered"
 )
 
-// Decision is one decision about a request, with what this node knew of the worker
-// when it was made.
+// Decision is one decision about a request, with what this node knew of the worker at that
+// time.
 type Decision struct {
-	Seq            uint64    `json:"seq"` // orders the steps and the worker's states of this process
-	Time           time.Time `json:"at"`  // by the wall clock, to find it beside other logs; orders nothing
+	Seq            uint64    `json:"seq"` // orders decisions and worker state changes of this process
+	Time           time.Time `json:"at"`  // wall clock, for comparison with other logs; not an order
 	Request        string    `json:"request"`
 	Attempt        string    `json:"attempt,omitempty"`
 	Step           string    `json:"step"`
 	Worker         string    `json:"worker,omitempty"`
 	State          string    `json:"state,omitempty"`   // of the worker
-	Since          uint64    `json:"since,omitempty"`   // the step number at which that state began
-	HeartbeatSeq   int64     `json:"call,omitempty"`    // the newest call of the worker that was taken
-	HeartbeatAgeMS int64     `json:"word_ms,omitempty"` // how old the worker's newest word was
+	Since          uint64    `json:"since,omitempty"`   // sequence number at which that state began
+	HeartbeatSeq   int64     `json:"call,omitempty"`    // newest accepted call of the worker
+	HeartbeatAgeMS int64     `json:"word_ms,omitempty"` // age of the worker's newest report
 	Reason         string    `json:"why,omitempty"`
 }
 
-// decisionLogSize bounds the trail of one process; with some 200 bytes a step it
-// takes less than half a megabyte.
+// decisionLogSize bounds the decision log of one process; at some 200 bytes per entry it takes
+// less than half a megabyte.
 const decisionLogSize = 2048
 
-// decisionLog keeps the newest steps of a process.
+// decisionLog keeps the newest decisions of a process.
 type decisionLog struct {
 	mu     sync.Mutex
 	seq    uint64
-	oldest int        // in the ring, once that is full
-	ring   []Decision // grows to its length, then the oldest is overwritten
+	oldest int        // index of the oldest entry once the ring is full
+	ring   []Decision // grows to its full size, then the oldest entry is overwritten
 }
 
-// nextSeq counts a change of a worker's state in the order of the steps.
+// nextSeq assigns a sequence number to a change of a worker's state.
 func (t *decisionLog) nextSeq() uint64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -58,7 +58,7 @@
 	return t.seq
 }
 
-// add keeps a step, in the place of the oldest.
+// add appends a decision, replacing the oldest if the log is full.
 func (t *decisionLog) add(decision Decision) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -72,7 +72,7 @@
 	t.oldest = (t.oldest + 1) % decisionLogSize
 }
 
-// filter gives the kept steps of a request or a worker, all for "", oldest first.
+// filter returns the decisions about a request or a worker, or all for "", oldest first.
 func (t *decisionLog) filter(name string) []Decision {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -86,7 +86,7 @@
 	return out
 }
 
-// recordDecision adds what is known of the worker and keeps it.
+// recordDecision logs a decision with the current state of the worker.
 func (x *Proxy) recordDecision(attempt *ownerAttempt, step, reason string) {
 	decision := Decision{Request: attempt.req.WorkerAttemptID, Attempt: attempt.req.AttemptID, Step: step, Worker: attempt.req.Worker, Reason: reason}
 	if decision.Request == "" {
@@ -104,8 +104,8 @@
 	x.decisions.add(decision)
 }
 
-// onDecisions tells the newest decisions about requests, of one request or worker
-// where the query names it ("of").
+// onDecisions returns the newest decisions, those of one request or worker if the query names
+// it as "of".
 func (x *Proxy) onDecisions(w http.ResponseWriter, r *http.Request) {
 	httpapi.WriteJSON(w, http.StatusOK, map[string][]Decision{"steps": x.decisions.filter(r.URL.Query().Get("of"))})
 }
--- a/internal/proxy/decisionlog_test.go
+++ b/internal/proxy/decisionlog_test.go
@@ -5,13 +5,13 @@
 	"testing"
 )
 
-// TestDecisionLog: the newest decisions are kept, oldest first, by request or by worker,
-// and no more of them than its length.
+// TestDecisionLog checks that the newest decisions are kept up to the limit, oldest first, and
+// can be filtered by request or worker.
 func TestDecisionLog(t *testing.T) {
 	var log decisionLog
 	const total = decisionLogSize + 100
 	for i := range total {
-		log.nextSeq() // a change of a worker's state in between
+		log.nextSeq() // a worker's state changes in between
 		log.add(Decision{Request: fmt.Sprint("r", i), Worker: fmt.Sprint("w", i%2), Step: stepSent})
 	}
 	got := log.filter("")
--- a/internal/proxy/fuzz_test.go
+++ b/internal/proxy/fuzz_test.go
@@ -17,7 +17,7 @@
 	"puffincrank/internal/workerconn"
 )
 
-// scriptedWorker is a worker that reads a request and answers with given bytes.
+// scriptedWorker is a worker that reads a request and answers with fixed bytes.
 type scriptedWorker struct {
 	group    *task.Group
 	response string
@@ -35,9 +35,9 @@
 	return a, nil
 }
 
-// FuzzAnswer: whatever a worker answers, at most one whole answer within the
-// bound comes of it, and a success without what shows that it is the worker's
-// own answer to this very attempt is never taken for one.
+// FuzzAnswer checks that any bytes from a worker yield at most one complete response within the
+// bound, and that a success is never accepted without proof that it is the worker's own
+// response to exactly this attempt.
 func FuzzAnswer(f *testing.F) {
 	for _, s := range []string{
 		"HTTP/1.1 200 OK\r\nContent-Length: 3\r\nPlain-Id: a.1\r\nPlain-Stamp: s\r\n\r\nabc",
@@ -76,8 +76,8 @@
 	})
 }
 
-// FuzzHeartbeat: whatever a worker's word on itself holds, it is refused with a place
-// for each fault, or what is read of it is within its bounds.
+// FuzzHeartbeat checks that any report of a worker is either refused with the place of each
+// problem, or yields values within their bounds.
 func FuzzHeartbeat(f *testing.F) {
 	f.Add(`{"service":"pages","addr":"10.0.1.1:9","slots":4,"state":"up","cold_ms":0.5,"seq":7,"more":1}`)
 	f.Add(`{"service":"-","addr":"h:9","slots":4.0,"state":"UP","cold_ms":-1,"seq":1e30}`)
--- a/internal/proxy/hedge_test.go
+++ b/internal/proxy/hedge_test.go
@@ -13,9 +13,9 @@
 	"puffincrank/internal/shutdown"
 )
 
-// TestHedgeBeforeEnd: a second attempt begins when what is left of a run's time is one and a
-// half times what such requests usually take; once the run has lasted twice that, when
-// three times is left; and at once when nobody knows how long they take.
+// TestHedgeBeforeEnd checks when a second attempt starts beside a run that its node will end:
+// with one and a half times the usual run time left; with three times left once the run has
+// lasted twice the usual time; and at once if the usual time is unknown.
 func TestHedgeBeforeEnd(t *testing.T) {
 	now := time.Now()
 	for _, c := range []struct {
@@ -38,8 +38,8 @@
 	}
 }
 
-// newHedgeFixture is a front that knows of three workers of a service, and a request that is
-// about to be sent to one of them.
+// newHedgeFixture returns an ingress that knows three workers of a service, and a request about
+// to be sent to one of them.
 func newHedgeFixture() (*Proxy, *request) {
 	x := &Proxy{Settings: settings.Settings{GracePeriod: 6 * time.Second, ConfigBound: 2 * time.Second}}
 	x.ingressAttempts.byID = map[string]*ingressAttempt{}
@@ -47,21 +47,21 @@
 	return x, &request{route: &rules.Route{Name: "p"}, arm: &rules.Arm{Repeatable: true, Tries: 2}, service: "s", tried: map[string]bool{"w": true}, attempts: 1, workerCount: 3, deadline: time.Now().Add(time.Second)}
 }
 
-// simulateRun has a worker run a job of the path in a time, as a front sees it.
+// simulateRun records a run of the route at a worker, as the ingress sees it.
 func simulateRun(x *Proxy, took time.Duration) {
 	x.balancer.RecordOutcome(balancer.Outcome{Worker: "w", Service: "s", Route: "p", RoundTrip: took, RunTime: took, OK: true, AboutWorker: true})
 }
 
-// TestHedgeable: a second attempt may follow a first one only for what may be repeated,
-// with another worker and a try left. It follows when six tenths of the time are over,
-// if such requests usually end in the rest; and earlier in a stop of the front, once the
-// first has taken one and a half times the usual time and there is time for another.
+// TestHedgeable checks that only a repeatable request with another worker and an attempt left
+// is hedged: after six tenths of its time if such requests usually finish within the rest, and
+// in a shutdown of the ingress already after one and a half times the usual run time, if there
+// is time for a second run.
 func TestHedgeable(t *testing.T) {
 	const never = 0
 	for _, c := range []struct {
 		name string
 		do   func(*Proxy, *request)
-		want time.Duration // from the first attempt's begin; never: no second one
+		want time.Duration // after the start of the first attempt; never: not hedged
 	}{
 		{"as usual", func(*Proxy, *request) {}, 600 * time.Millisecond},
 		{"the only worker", func(_ *Proxy, req *request) { req.workerCount = 1 }, never},
@@ -111,8 +111,8 @@
 	}
 }
 
-// TestHedgeEarliestEnd: of several ends of a run the soonest counts, and none that is said
-// when the attempt is over.
+// TestHedgeEarliestEnd checks that the earliest of several announced ends of a run counts, and
+// that announcements after the attempt is over are ignored.
 func TestHedgeEarliestEnd(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		x, req := newHedgeFixture()
@@ -135,8 +135,8 @@
 	})
 }
 
-// TestMerge: of a first and a second attempt the better answer is given, and whatever
-// may have run is never told to be unrun.
+// TestMerge checks that the better response of a first and a second attempt is given, and that
+// what may have run is never reported as not run.
 func TestMerge(t *testing.T) {
 	done := func(status int) protocol.AttemptResult {
 		return protocol.AttemptResult{Outcome: protocol.Done, Status: status}
@@ -145,7 +145,7 @@
 	for _, c := range []struct {
 		name          string
 		first, second protocol.AttemptResult
-		lost          bool // the second may have run without an answer
+		lost          bool // the second may have run without a response
 		want          protocol.AttemptResult
 	}{
 		{"the second has an answer", unknown, done(200), false, done(200)},
--- a/internal/proxy/lane_test.go
+++ b/internal/proxy/lane_test.go
@@ -7,9 +7,9 @@
 	"puffincrank/internal/transport"
 )
 
-// TestLaneOfNestedCalls: a job goes by its arm's lane; a call of other jobs by the
-// most urgent lane among those that it may belong to, but never as bulk, unless
-// it is bulk itself.
+// TestLaneOfNestedCalls checks that a request uses the lane of its arm, and a nested call the
+// most urgent lane of the requests it may belong to, but the bulk lane only if it is bulk
+// itself.
 func TestLaneOfNestedCalls(t *testing.T) {
 	x := &Proxy{nested: newNestedRoutes()}
 	r, bad, err := rules.Compile(1, []byte(`{"services":[{"name":"s"}],"paths":[
--- a/internal/proxy/limits_test.go
+++ b/internal/proxy/limits_test.go
@@ -8,8 +8,8 @@
 	"puffincrank/internal/settings"
 )
 
-// TestBodyLimits: the document's bound on bodies holds as soon as it is in
-// force, within what a frame can carry; without one the prop's does.
+// TestBodyLimits checks that the configured limit on bodies holds as soon as it is in force, up
+// to what a frame can carry, and that the process setting holds without one.
 func TestBodyLimits(t *testing.T) {
 	x := &Proxy{Settings: settings.Settings{MaxBodyBytes: 1 << 20, MaxFrameBytes: 16 << 20}}
 	for _, c := range []struct{ configured, maxRequest, maxResponse int64 }{{0, 1 << 20, 1 << 20}, {4 << 20, 4 << 20, 4 << 20}, {64 << 20, 8 << 20, 8 << 20}, {1000, 1000, 1 << 20}} {
@@ -24,8 +24,8 @@
 	}
 }
 
-// TestRetryLimits: the platform's bound on repeats goes before the document's,
-// also where it has no share or no allowance.
+// TestRetryLimits checks that the platform's retry limits override those of the configuration,
+// also if only the ratio or only the allowance is set.
 func TestRetryLimits(t *testing.T) {
 	r := &rules.Rules{RetryRatio: 0.2, RetryAllowance: 50}
 	for _, c := range []struct {
--- a/internal/proxy/nestedroutes_test.go
+++ b/internal/proxy/nestedroutes_test.go
@@ -5,8 +5,9 @@
 	"testing"
 )
 
-// TestNestedRoutes: a path that the jobs of two services call is told from one that
-// callers from outside use at all nodes; a change shows; few jobs say nothing.
+// TestNestedRoutes checks that a route called by the requests of two services is told from one
+// that outside callers use at all nodes, that a change is noticed, and that few requests decide
+// nothing.
 func TestNestedRoutes(t *testing.T) {
 	rnd := rand.New(rand.NewPCG(5, 6))
 	callerServices := []string{"a", "a", "a", "a", "a", "b", "b", "b", "b", "c", "c", "c"}
--- a/internal/proxy/noqueue.go
+++ b/internal/proxy/noqueue.go
@@ -2,24 +2,24 @@
 
 import "time"
 
-// A job that finds no free slot goes on to another worker rather than wait, so
-// often at the most, before it waits at one: what the front knows of loads is old
-// where there are many fronts, and asking costs less than waiting.
+// A request that finds no free slot is sent to another worker instead of queuing, up to this
+// many times before it queues. With many ingresses, each one's view of the load is out of date,
+// and an attempt costs less than the wait.
 const (
 	maxNoQueueAttempts = 2
-	// Bodies over this part of a frame are not carried about.
+	// Larger bodies than this fraction of a frame are not sent around.
 	noQueueBodyDivisor = 2048
 )
 
-// skipsQueue decides whether a job's next send would rather go on than wait: as long
-// as slots are free somewhere, and its body is small.
+// skipsQueue decides whether the next attempt should not queue: while slots are free somewhere
+// and the body is small.
 func (x *Proxy) skipsQueue(req *request) bool {
 	req.noQueue = req.noQueueAttempts < maxNoQueueAttempts && req.arm.Bulk == "" && len(req.body) <= x.Settings.MaxFrameBytes/noQueueBodyDivisor && x.balancer.HasFreeSlots(req.service)
 	return req.noQueue
 }
 
-// skipFullWorker follows a rush that found no free slot: the worker is passed over for
-// the next, which counts as none of the path's tries.
+// skipFullWorker follows an attempt without queuing that found no free slot: the next worker is
+// tried, and the attempt does not count against the route's limit.
 func (req *request) skipFullWorker() stepResult {
 	req.noQueueAttempts++
 	req.skipped = append(req.skipped, req.entry.Worker)
@@ -29,8 +29,8 @@
 	return restart
 }
 
-// revisitSkipped lets a job turn to the workers that it passed over, to wait there; false
-// when there were none.
+// revisitSkipped lets the request return to the workers that it skipped, to queue there; false
+// if there were none.
 func (req *request) revisitSkipped() bool {
 	if len(req.skipped) == 0 {
 		return false
@@ -42,9 +42,9 @@
 	return true
 }
 
-// recordRefusal notes what a caller would be told now: what the last worker asked
-// lacked, and when it has room. The longest of several such words, each spread at
-// random, would call a crowd back together, and late.
+// recordRefusal keeps what the caller would be told now: the reason of the last refusal, and
+// its retry-after time if it has one. The longest of several such times, each with its own
+// jitter, would bring many callers back together, and late.
 func (req *request) recordRefusal() {
 	req.reason = req.result.Reason
 	if req.result.RetryAfterMS > 0 {
--- a/internal/proxy/owner_test.go
+++ b/internal/proxy/owner_test.go
@@ -8,9 +8,9 @@
 	"puffincrank/internal/rules"
 )
 
-// TestOlderConfiguration: an owner that holds a newer configuration runs a job by
-// an older one only for a front that was sure of it. A front that was frozen or
-// cut off is told to take the newer one, though that sends the job here too.
+// TestOlderConfiguration checks that an owner with a newer configuration runs a request by an
+// older one only if the ingress was confirmed in that one. An ingress that was paused or
+// partitioned has to take the newer one first, even if that routes the request here too.
 func TestOlderConfiguration(t *testing.T) {
 	const doc = `{"version":1,"services":[{"name":"s"}],"paths":[{"name":"p","prefix":"/p/","service":"s"}]}`
 	newer, bad, err := rules.Compile(5, []byte(doc))
--- a/internal/proxy/requeue_test.go
+++ b/internal/proxy/requeue_test.go
@@ -9,8 +9,8 @@
 	"puffincrank/internal/rules"
 )
 
-// TestRetryAfterOfLastRefusal: a caller is told what the worker that refused last named, and
-// of one that named no time what was named before it.
+// TestRetryAfterOfLastRefusal checks that a caller gets the retry-after time of the last
+// refusal, or of the one before if the last named none.
 func TestRetryAfterOfLastRefusal(t *testing.T) {
 	x := &Proxy{}
 	req := &request{arm: &rules.Arm{Tries: 1}, deadline: time.Now().Add(time.Hour)}
@@ -23,8 +23,8 @@
 	}
 }
 
-// TestLimitRequeue: the first send has no bound of its own; later ones have what is left
-// of half of the job's time, and then none waits at all.
+// TestLimitRequeue checks that the first attempt's queue wait has no extra bound, that later
+// ones share half of the request's time, and that after it none queues.
 func TestLimitRequeue(t *testing.T) {
 	now := time.Now()
 	for _, c := range []struct {
@@ -38,7 +38,7 @@
 		if out.QueueBudgetMS != c.budgetMS || out.NoQueue != c.noQueue {
 			t.Errorf("waited %v: %d ms, rush %v", c.undelivered, out.QueueBudgetMS, out.NoQueue)
 		}
-		// The owner keeps to it.
+		// The owner respects the bound.
 		x := &Proxy{}
 		attempt := &ownerAttempt{req: protocol.AttemptRequest{Route: "p", TargetMS: 9000, QueueBudgetMS: out.QueueBudgetMS}, deadline: now.Add(9 * time.Second), worker: newLocalWorker("w", "s", "", 1, time.Second)}
 		if limit := time.Duration(c.budgetMS) * time.Millisecond; limit > 0 && x.queueWait(attempt) > limit {
--- a/internal/proxy/trialcounts.go
+++ b/internal/proxy/trialcounts.go
@@ -19,11 +19,11 @@
 	since  time.Time
 }
 
-// LatencyBins is the size of the latency histogram: bin i holds latencies up to
-// 2^(i/4) ms, so a quantile read from it is at most a fifth too high.
+// LatencyBins is the size of the latency histogram: bin i holds latencies up to 2^(i/4) ms, so
+// a quantile read from it is at most a fifth too high.
 const LatencyBins = 72
 
-// LatencyBin finds the bin of a latency.
+// LatencyBin returns the bin of a latency.
 func LatencyBin(d time.Duration) int {
 	ms := float64(d) / float64(time.Millisecond)
 	if ms <= 1 {
@@ -32,7 +32,7 @@
 	return min(int(math.Ceil(4*math.Log2(ms))), LatencyBins-1)
 }
 
-// countTrialLocked counts a job of a path on trial; x.mu is held.
+// countTrialLocked counts a request of a route with a trial; x.mu is held.
 func (x *Proxy) countTrialLocked(req *request) {
 	if req.route == nil {
 		return
@@ -64,7 +64,7 @@
 	return &armTally{counts: protocol.ArmCounts{Trial: key.trial, Route: key.route, Arm: key.arm, LatencyBins: make([]uint64, LatencyBins)}, since: time.Now()}
 }
 
-// activeRoutes lists the paths that had jobs within the window.
+// activeRoutes lists the routes that had requests within the window.
 func (x *Proxy) activeRoutes() []string {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -80,8 +80,7 @@
 	return out
 }
 
-// trialCounts gives the counts of the trials that still run; those of ended ones
-// are dropped.
+// trialCounts returns the counts of running trials and drops those of ended ones.
 func (x *Proxy) trialCounts() []protocol.ArmCounts {
 	current := x.rules.Load()
 	running := map[uint64]bool{}
@@ -93,8 +92,8 @@
 				continue
 			}
 			running[route.Trial] = true
-			// A front counts from when it knows the trial, jobs or none, so
-			// that a trial without traffic has an age too.
+			// The age counts from when this ingress learned of the trial, with or without
+			// requests, so that a trial without traffic has an age too.
 			if key := (armKey{route.Trial, route.Name, "new"}); x.armTallies[key] == nil {
 				x.armTallies[key] = newArmTally(key)
 			}
--- a/internal/proxy/unanswered.go
+++ b/internal/proxy/unanswered.go
@@ -12,40 +12,39 @@
 	"puffincrank/internal/transport"
 )
 
-// What ended a request that may have run and did not get its worker's answer.
+// What ended a request that may have run and did not get its worker's response.
 const (
 	endedByCaller    = "caller"     // it closed its connection
-	endedByStop      = "stop"       // this node was told to end
-	endedByDeadline  = "deadline"   // the caller's time was up
-	endedByRouteTime = "route-time" // the route's time was up
-	endedByAttempt   = "attempt"    // the time of an attempt was up, before that of the request
-	endedByLink      = "link"       // the link to the owner ended
-	endedByOwner     = "owner"      // the node beside the worker was told to end
-	endedByWorker    = "worker"     // the worker's connection ended, or its answer was wrong
+	endedByStop      = "stop"       // this node got the stop signal
+	endedByDeadline  = "deadline"   // the caller's timeout
+	endedByRouteTime = "route-time" // the route's timeout
+	endedByAttempt   = "attempt"    // an attempt timed out before the request did
+	endedByLink      = "link"       // the link to the owner failed
+	endedByOwner     = "owner"      // the owner's node got the stop signal
+	endedByWorker    = "worker"     // the worker's connection failed, or its response was invalid
 )
 
-// lostAttempt is an attempt that may have run and has no answer, with the entry of
-// the worker that it was sent to.
+// lostAttempt is an attempt that may have run and has no response, with the registry entry of
+// its worker.
 type lostAttempt struct {
 	protocol.AttemptResult
 	entry ormap.Entry
 }
 
-// maxStopLines bounds the log lines of one stop; the trail holds the rest.
+// maxStopLines bounds the log lines during one shutdown; the decision log has the rest.
 const maxStopLines = 64
 
-// lineLimit counts the lines that were written since this node was told to end.
+// lineLimit counts the lines written since the stop signal.
 type lineLimit struct{ written atomic.Int64 }
 
 // allow tells whether one more line may be written.
 func (s *lineLimit) allow() bool { return s.written.Add(1) <= maxStopLines }
 
-// logUnanswered tells of a request that may have run and that ends without its
-// worker's answer: by which bound, how long after the order to end of this node and
-// of the one beside the worker (negative: there was none), at which worker it was
-// lost, and what was said of the newest attempt after that. One line a beat with a
-// count of the others; after the order to end each one, up to a bound. The trail has
-// all of them.
+// logUnanswered logs a request that may have run and ends without its worker's response: what
+// ended it, how long after the stop signals of this node and of the owner (negative if there
+// was none), which worker lost it, and the reason of the last refusal after that. Normally it
+// writes one line per heartbeat interval, with a count of the others; after the stop signal it
+// writes every line up to a limit. The decision log has all of them.
 func (x *Proxy) logUnanswered(ctx context.Context, req *request) {
 	if req.result.Outcome == protocol.Done || req.lost == nil {
 		return
@@ -88,7 +87,7 @@
 	return endedByWorker
 }
 
-// sinceStop is how long ago this node was told to end; negative if it was not.
+// sinceStop is the time since this node's stop signal, negative if there was none.
 func (x *Proxy) sinceStop() time.Duration {
 	schedule := x.stopSchedule.Load()
 	if schedule == nil {
--- a/internal/proxy/updaterate_test.go
+++ b/internal/proxy/updaterate_test.go
@@ -8,8 +8,8 @@
 	"puffincrank/internal/replica"
 )
 
-// TestUpdateRate: what all nodes together tell in a minute stays within the mesh's
-// rate, whatever their number; a node's first news are told at once.
+// TestUpdateRate checks that the updates of all nodes in a minute stay within the mesh's rate,
+// whatever the number of nodes, and that the first updates of a node are not delayed.
 func TestUpdateRate(t *testing.T) {
 	for _, nodes := range []int{1, 40, 240, 24000} {
 		start := time.Unix(0, 0)
@@ -33,9 +33,9 @@
 	}
 }
 
-// TestFlappingHealth: a worker whose fitness changes with each look makes its node
-// tell the mesh of it no more often than its part of the rate, and the last state
-// is told once the rate lets it.
+// TestFlappingHealth checks that a worker whose health changes with each check makes its node
+// publish no more often than its part of the rate, and that the last state is published once
+// the rate allows it.
 func TestFlappingHealth(t *testing.T) {
 	x := newIsolatedProxy()
 	defer x.Kill()
--- a/internal/proxy/worker.go
+++ b/internal/proxy/worker.go
@@ -11,8 +11,8 @@
 	"puffincrank/internal/schema"
 )
 
-// WorkerTable is the table of a worker's own resource: its identity stands in the
-// path, and each call has a number that grows.
+// WorkerTable describes the fields of a worker's own resource. The worker's ID stands in the
+// URL path, and each call has an increasing number.
 var WorkerTable = schema.Table{Name: "worker", Rows: []schema.Field{
 	{Name: "service", Type: schema.Text, Required: true, Check: schema.IsName, Rule: "a name", Help: "the service it serves"},
 	{Name: "addr", Type: schema.Addr, Required: true, Rule: "IP number and port", Help: "where it takes jobs"},
@@ -24,7 +24,7 @@
 	{Name: "seq", Type: schema.Count, Default: int64(0), Check: schema.IntRange(0, 1<<62), Rule: "a number", Help: "grows with each call; a late one is known by it"},
 }}
 
-// onWorker takes a worker's word on itself.
+// onWorker handles a worker's report on itself.
 func (x *Proxy) onWorker(w http.ResponseWriter, r *http.Request) {
 	raw, code := httpapi.ReadBody(w, r, 4096)
 	if code != 0 {
@@ -41,7 +41,7 @@
 	if schema.IsName(id) != nil {
 		problems = append(problems, schema.Problem{Place: "id", Message: "must be a name"})
 	}
-	// Only the worker of this machine is spoken for here.
+	// Only the worker of this machine may register here.
 	if expected := x.currentSettings().WorkerAddr; expected != "" && len(problems) == 0 && values.Text("addr") != expected {
 		problems = append(problems, schema.Problem{Place: "addr", Message: "is not the worker beside this node"})
 	}
@@ -55,7 +55,7 @@
 	x.acknowledge(w, r, id, values.Text("state"), struct{}{})
 }
 
-// onSignOff takes a worker's sign-off.
+// onSignOff handles a worker's sign-off.
 func (x *Proxy) onSignOff(w http.ResponseWriter, r *http.Request) {
 	id := chi.URLParam(r, "id")
 	x.handleCall(workerCall{worker: id, state: stateGone})
--- a/internal/proxy/workercall.go
+++ b/internal/proxy/workercall.go
@@ -9,46 +9,45 @@
 	"puffincrank/internal/ormap"
 )
 
-// What a worker says of itself.
+// States that a worker reports of itself.
 const (
 	stateUp       = "up"
 	stateDraining = "draining"
 	stateGone     = "gone" // it signed off
 )
 
-// reasonSignedOff is why a worker's entry is removed when the worker itself said so.
+// reasonSignedOff is why an entry is removed when the worker itself signed off.
 const reasonSignedOff = "signed off"
 
-// workerCall is one call of a worker, or what takes its place after a restart.
+// workerCall is one call of a worker, or a registry entry taken over after a restart.
 type workerCall struct {
-	worker  string // its identity, a new one at each start of a worker
+	worker  string // the worker's ID, a new one at each of its starts
 	service string
 	addr    string
 	slots   int
 	state   string
-	warmup  time.Duration // how much longer it is slow from its start
-	number  int64         // rises with each call of a worker; 0: it bears none
+	warmup  time.Duration // how much longer it is slow after its start
+	number  int64         // increases with each call of a worker; 0 if the call has none
 }
 
-// lastCall is the newest call that was taken of a worker. It outlives the gate.
+// lastCall is the newest accepted call of a worker. It is kept longer than the worker itself.
 type lastCall struct {
 	number int64
 	at     time.Time
 }
 
-// handleCall takes a worker's call, if it is no older than what is known of the
-// worker. Whether it is, and what follows from it, are one step: of two calls that
-// come at once the newer one stands.
+// handleCall accepts a worker's call unless it is older than what is known of the worker. The
+// check and its effects are atomic: of two concurrent calls the newer one stands.
 //
-// A sign-off is the last word of a worker, whatever number a later call bears: an
-// identity is never used again, so what still comes was on its way.
+// A sign-off is final, whatever number a later call has: worker IDs are never reused, so a call
+// that still arrives was sent before.
 func (x *Proxy) handleCall(call workerCall) {
 	x.workerCallMu.Lock()
 	defer x.workerCallMu.Unlock()
 	x.applyCallLocked(call)
 }
 
-// applyCallLocked does so; x.calling is held.
+// applyCallLocked is handleCall with x.workerCallMu held.
 func (x *Proxy) applyCallLocked(call workerCall) {
 	newest := x.lastCalls[call.worker]
 	outdated := call.number != 0 && call.number <= newest.number
@@ -63,23 +62,23 @@
 	x.applyState(call)
 }
 
-// hasDeparted tells whether a worker is gone for good: it signed off here, or the
-// mesh knows of it. x.calling is held.
+// hasDeparted tells whether a worker is gone for good: it signed off here, or the registry says
+// so. x.workerCallMu is held.
 func (x *Proxy) hasDeparted(worker string) bool {
 	_, here := x.departures[worker]
 	return here || x.replica.Map().Departed(worker)
 }
 
-// recordDeparture takes a worker's sign-off, or that another has its address. What others
-// know of it is removed for good, here and wherever it is refilled from. x.calling
-// is held.
+// recordDeparture records that a worker signed off, or that another worker has its address. Its
+// entries are removed for good, here and at every node that refills this one. x.workerCallMu is
+// held.
 func (x *Proxy) recordDeparture(worker, reason string) {
 	x.departures[worker] = time.Now()
 	x.replica.SignOffWorker(worker, reason)
 }
 
-// expireCalls drops what is remembered of workers that have not called for longer
-// than tombstones are kept.
+// expireCalls drops the state of workers that have not called for longer than the tombstone
+// TTL.
 func (x *Proxy) expireCalls() {
 	x.workerCallMu.Lock()
 	defer x.workerCallMu.Unlock()
@@ -100,14 +99,15 @@
 	}
 }
 
-// adoptEarlierWorker takes up the own worker's entry of an earlier start: it would else stand
-// idle until its next beat, or be taken for one that is up by a beat of before it
-// said that it is draining. Only where the platform says which address is the own
-// worker's; should another stand there by now, it refuses what isn't its.
+// adoptEarlierWorker takes over the local worker's entry from an earlier start of this node.
+// Otherwise the worker would be idle until its next heartbeat, or an old heartbeat could mark
+// it as up after it had reported that it is draining. This is done only where the platform sets
+// the worker's address; if another worker has that address by now, it refuses requests that are
+// not for it.
 func (x *Proxy) adoptEarlierWorker() {
 	x.workerCallMu.Lock()
 	defer x.workerCallMu.Unlock()
-	// Who signed off before this node knew what its earlier start had registered.
+	// These signed off before this node knew what its earlier start had registered.
 	for worker := range x.departures {
 		x.replica.SignOffWorker(worker, reasonSignedOff)
 	}
@@ -123,11 +123,11 @@
 	}
 	latest := earlier[0]
 	for _, e := range earlier {
-		// Two workers would mean that one of them is over, and not which.
+		// With two workers, one of them is gone, and it is not known which.
 		if e.Worker != latest.Worker {
 			return
 		}
-		// Core machines may have kept one worker's earlier entries too.
+		// Control plane machines may have kept older entries of the same worker too.
 		if latest.Dot.Compare(e.Dot) < 0 {
 			latest = e
 		}
@@ -135,7 +135,7 @@
 	number, _ := strconv.ParseInt(latest.Meta["call"], 10, 64)
 	x.applyCallLocked(workerCall{worker: latest.Worker, service: latest.Service, addr: latest.Meta["addr"], slots: balancer.Slots(latest), state: latest.Meta["state"], number: number})
 	if local := x.findWorker(latest.Worker); local != nil && local.state.Is("draining") {
-		// How long it has been leaving isn't known, so nothing more goes in.
+		// How long it has been draining is unknown, so it gets no more requests.
 		local.mu.Lock()
 		local.drainingSince = time.Time{}
 		local.mu.Unlock()
--- a/internal/proxy/workercall_test.go
+++ b/internal/proxy/workercall_test.go
@@ -14,7 +14,7 @@
 	"puffincrank/internal/task"
 )
 
-// newIsolatedProxy makes a node that nobody else knows.
+// newIsolatedProxy creates a node that no other node knows.
 func newIsolatedProxy() *Proxy {
 	conf := settings.Settings{Node: "n", ClusterID: "m", Zone: "a", ConfigBound: 2 * time.Second, LeaveBound: 2 * time.Second, RetryWindow: 10 * time.Second, RecoveryBound: 15 * time.Second, RetireAfter: 10 * time.Second,
 		MaxFrameBytes: 1 << 20, MaxBodyBytes: 1 << 20, MaxRequests: 16, GracePeriod: time.Second, Seeds: []string{"10.0.0.1:1"}}
@@ -25,14 +25,14 @@
 	return workerCall{worker: worker, service: "s", addr: "10.0.0.2:1", slots: 2, state: state, number: number}
 }
 
-// isUp tells whether the worker is one that requests may go to.
+// isUp tells whether requests may go to the worker.
 func (x *Proxy) isUp(worker string) bool {
 	local := x.findWorker(worker)
 	return local != nil && local.state.Is("up")
 }
 
-// TestOutOfOrderCalls: of a worker's calls the newest stands, in whatever order they come
-// and however many come at once; a sign-off stands over all.
+// TestOutOfOrderCalls checks that the newest of a worker's calls stands in whatever order they
+// arrive, and that a sign-off is final.
 func TestOutOfOrderCalls(t *testing.T) {
 	for _, c := range []struct {
 		name  string
@@ -64,7 +64,7 @@
 	}
 }
 
-// TestConcurrentCalls: calls that come at once end in what the newest of them says.
+// TestConcurrentCalls checks that after concurrent calls the state of the newest one stands.
 func TestConcurrentCalls(t *testing.T) {
 	for seed := range uint64(50) {
 		x := newIsolatedProxy()
@@ -88,8 +88,8 @@
 	}
 }
 
-// TestSignOffSurvivesRestart: a start of a node that is refilled knows who signed off
-// at the start before.
+// TestSignOffSurvivesRestart checks that a restarted node, once refilled, knows which workers
+// signed off before the restart.
 func TestSignOffSurvivesRestart(t *testing.T) {
 	first, second := newIsolatedProxy(), newIsolatedProxy()
 	defer first.Kill()
