--- a/internal/proxy/callerleft_test.go
+++ b/internal/proxy/callerleft_test.go
@@ -21,18 +21,18 @@
 		end  func(ctx context.Context) context.Context
 		runs bool
 	}{
-		{"it waits", func(ctx context.Context) context.Context { return ctx }, true},
-		{"it left", func(ctx context.Context) context.Context {
+		{"the caller waits", func(ctx context.Context) context.Context { return ctx }, true},
+		{"the caller left", func(ctx context.Context) context.Context {
 			ctx, stop := context.WithCancel(ctx)
 			stop()
 			return ctx
 		}, false},
-		{"a node on its way ends", func(ctx context.Context) context.Context {
+		{"a node is shutting down", func(ctx context.Context) context.Context {
 			ctx, stop := context.WithCancelCause(ctx)
 			stop(shutdown.ErrCutoff)
 			return ctx
 		}, false},
-		{"ended with another cause", func(ctx context.Context) context.Context {
+		{"canceled for another reason", func(ctx context.Context) context.Context {
 			ctx, stop := context.WithCancelCause(ctx)
 			stop(errors.New("another"))
 			return ctx
@@ -40,10 +40,10 @@
 	} {
 		attempt := &ownerAttempt{req: protocol.AttemptRequest{WorkerAttemptID: "r"}, deadline: time.Now().Add(time.Minute)}
 		if got := x.stillWanted(c.end(t.Context()), attempt); got != c.runs {
-			t.Errorf("%s: begun %v", c.name, got)
+			t.Errorf("%s: started %v", c.name, got)
 		}
 		if !c.runs && attempt.result.Outcome != protocol.Refused {
-			t.Errorf("%s: answered %+v", c.name, attempt.result)
+			t.Errorf("%s: result %+v", c.name, attempt.result)
 		}
 	}
 }
--- a/internal/proxy/callerretries_test.go
+++ b/internal/proxy/callerretries_test.go
@@ -21,7 +21,7 @@
 		from := time.Now()
 		end := from.Add(remaining)
 		if got := r.firstArrival("p", from, end); !got.Equal(from) {
-			t.Errorf("a new job first came %v before", from.Sub(got))
+			t.Errorf("a new request counts as first seen %v earlier", from.Sub(got))
 		}
 		r.record("p", from, end)
 		for i, offset := range []time.Duration{-tolerance, 0, 2 * time.Millisecond, tolerance} {
@@ -29,7 +29,7 @@
 			now := time.Now()
 			got := r.firstArrival("p", now, end.Add(offset))
 			if !got.Equal(from) {
-				t.Errorf("try %d, %v off: first came %v before, want %v", i, offset, now.Sub(got), now.Sub(from))
+				t.Errorf("try %d, deadline %v off: first seen %v earlier, want %v", i, offset, now.Sub(got), now.Sub(from))
 			}
 			// After another refusal the first arrival still counts.
 			r.record("p", got, end.Add(offset))
@@ -37,24 +37,24 @@
 		}
 		now := time.Now()
 		if got := r.firstArrival("q", now, end); !got.Equal(now) {
-			t.Error("a job of another path was taken for it")
+			t.Error("a request of another route was taken for it")
 		}
 		for _, offset := range []time.Duration{-4 * tolerance, 4 * tolerance, time.Second} {
 			if got := r.firstArrival("p", now, end.Add(offset)); !got.Equal(now) {
-				t.Errorf("a job with %v more time was taken for it", offset)
+				t.Errorf("a request with a deadline %v off was taken for it", offset)
 			}
 		}
 		// A new request has a later deadline than all before it.
 		if got := r.firstArrival("p", now, now.Add(remaining)); !got.Equal(now) {
-			t.Error("a new job was taken for an old one")
+			t.Error("a new request was taken for an old one")
 		}
 		r.expire(end.Add(-tolerance))
 		if got := r.firstArrival("p", now, end); !got.Equal(from) {
-			t.Error("forgotten before its time was over")
+			t.Error("forgotten before its deadline")
 		}
 		r.expire(end.Add(4 * tolerance))
 		if got := r.firstArrival("p", now, end); !got.Equal(now) || len(r.firstSeen) != 0 {
-			t.Errorf("%d are remembered beyond their time", len(r.firstSeen))
+			t.Errorf("%d requests are remembered beyond their deadline", len(r.firstSeen))
 		}
 	})
 }
@@ -73,7 +73,7 @@
 			first := now.Add(-c.spent)
 			req := &request{route: &rules.Route{Name: "p"}, arm: &rules.Arm{Target: target}, firstSeen: first, deadline: first.Add(remaining), retryAfter: c.come}
 			if got := x.callerRetryAfter(req); got != c.want {
-				t.Errorf("after %v, %v until there is room: comes back after %v, want %v", c.spent, c.come, got, c.want)
+				t.Errorf("seen %v ago, capacity in %v: retry after %v, want %v", c.spent, c.come, got, c.want)
 			}
 		}
 	})
@@ -88,13 +88,13 @@
 		r.record(fmt.Sprint("p", i), now, now.Add(time.Hour))
 	}
 	if len(r.firstSeen) != maxCallerRetries {
-		t.Errorf("%d are remembered, want %d", len(r.firstSeen), maxCallerRetries)
+		t.Errorf("%d requests are remembered, want %d", len(r.firstSeen), maxCallerRetries)
 	}
 	later := now.Add(time.Second)
 	if got := r.firstArrival("p0", later, now.Add(time.Hour)); !got.Equal(now) {
-		t.Error("the first one is not known any more")
+		t.Error("the first request was forgotten")
 	}
 	if got := r.firstArrival(fmt.Sprint("p", 2*maxCallerRetries-1), later, now.Add(time.Hour)); !got.Equal(later) {
-		t.Error("one beyond the bound is known")
+		t.Error("a request beyond the bound is remembered")
 	}
 }
--- a/internal/proxy/callrates_test.go
+++ b/internal/proxy/callrates_test.go
@@ -43,14 +43,14 @@
 	}
 	for p, want := range truth {
 		if got := rates.expected(p, 1)["s"]; math.Abs(got-want) > 0.12 {
-			t.Errorf("%s: %.2f calls a run, want %.2f", p, got, want)
+			t.Errorf("%s: %.2f calls per run, want %.2f", p, got, want)
 		}
 	}
 	if counted < made*0.9 || counted > made*1.1 {
-		t.Errorf("%.0f calls of repeats counted, %.0f made", counted, made)
+		t.Errorf("%.0f calls of retries counted, %.0f made", counted, made)
 	}
 	if rates.recordCall("other", "s") != 0 {
-		t.Error("a path that isn't called from within counts")
+		t.Error("a route that is not nested was counted")
 	}
 }
 
@@ -67,9 +67,9 @@
 		rates.endRun("p", 0, false)
 	}
 	if got := rates.expected("p", 1)["s"]; got < 0.98 {
-		t.Errorf("%.2f calls a run, want 1", got)
+		t.Errorf("%.2f calls per run, want 1", got)
 	}
 	if got := rates.expected("p", 0.5)["s"]; got > 0.51 {
-		t.Errorf("%.2f calls of half a repeat", got)
+		t.Errorf("%.2f calls for a retry share of one half, want 0.5 at most", got)
 	}
 }
--- a/internal/proxy/configversion_test.go
+++ b/internal/proxy/configversion_test.go
@@ -20,13 +20,13 @@
 	doc := []byte(`{"services":[{"name":"s"}],"classes":[{"name":"c","share":100}],"paths":[{"name":"p","prefix":"/p","service":"s","class":"c"}]}`)
 	for _, v := range []uint64{3, 2, 3, 1} {
 		if !x.applyConfig(v, doc) || x.rules.Load().Version != 3 {
-			t.Fatalf("version %d in force after %d came", x.rules.Load().Version, v)
+			t.Fatalf("version %d in force after version %d arrived", x.rules.Load().Version, v)
 		}
 	}
 	if x.applyConfig(4, []byte("{")) || x.rules.Load().Version != 3 {
-		t.Error("a broken one was taken")
+		t.Error("an invalid configuration was applied")
 	}
 	if !x.applyConfig(4, doc) || x.rules.Load().Version != 4 {
-		t.Error("a newer one was not taken")
+		t.Error("a newer configuration was not applied")
 	}
 }
--- a/internal/proxy/decisionlog_test.go
+++ b/internal/proxy/decisionlog_test.go
@@ -16,17 +16,17 @@
 	}
 	got := log.filter("")
 	if len(got) != decisionLogSize || got[0].Request != "r100" || got[decisionLogSize-1].Request != fmt.Sprint("r", total-1) {
-		t.Fatalf("%d steps from %s to %s", len(got), got[0].Request, got[len(got)-1].Request)
+		t.Fatalf("%d decisions from %s to %s", len(got), got[0].Request, got[len(got)-1].Request)
 	}
 	for i := 1; i < len(got); i++ {
 		if got[i].Seq <= got[i-1].Seq {
-			t.Fatalf("step %d comes after %d", got[i].Seq, got[i-1].Seq)
+			t.Fatalf("decision %d follows %d", got[i].Seq, got[i-1].Seq)
 		}
 	}
 	if n := len(log.filter("w1")); n != decisionLogSize/2 {
-		t.Errorf("%d steps of a worker", n)
+		t.Errorf("%d decisions of a worker", n)
 	}
 	if n := len(log.filter("r99")) + len(log.filter("r100")); n != 1 {
-		t.Errorf("%d steps of two requests of which one is forgotten", n)
+		t.Errorf("%d decisions of two requests, want 1 since one was overwritten", n)
 	}
 }
--- a/internal/proxy/fuzz_test.go
+++ b/internal/proxy/fuzz_test.go
@@ -63,14 +63,14 @@
 			return
 		}
 		if len(body) > 4096 || w.StatusCode < 200 || w.ContentLength >= 0 && int64(len(body)) != w.ContentLength && len(body) > 0 {
-			t.Errorf("%d, %d bytes of %d", w.StatusCode, len(body), w.ContentLength)
+			t.Errorf("status %d, body of %d bytes, Content-Length %d", w.StatusCode, len(body), w.ContentLength)
 		}
 		for _, dialectUsed := range []dialect.Dialect{dialect.Default, actors.Plain} {
 			x := &Proxy{dialect: dialectUsed}
 			attempt := &ownerAttempt{req: protocol.AttemptRequest{AttemptID: "a.1", Worker: "w"}, result: protocol.AttemptResult{Status: w.StatusCode, Header: w.Header, Body: body}}
 			accepted := x.invalidReason(attempt, x.reportsNotRun(&attempt.result)) == ""
 			if accepted && w.StatusCode < 300 && (!strings.Contains(text, "a.1") || w.Header.Get(dialectUsed.ResponseDigest) == "") {
-				t.Errorf("%s: a success that shows nothing was taken: %q", dialectUsed.Name, text)
+				t.Errorf("%s: a success without proof of its origin was accepted: %q", dialectUsed.Name, text)
 			}
 		}
 	})
@@ -90,11 +90,11 @@
 			values, bad := table.ReadKnown(in, "")
 			for _, b := range bad {
 				if b.Place == "" || b.Message == "" {
-					t.Errorf("a fault without its place: %+v", b)
+					t.Errorf("a problem without place or message: %+v", b)
 				}
 			}
 			if n := values.Count("slots"); len(bad) == 0 && (n < 1 || n > 1024 || schema.IsAddr(values.Text("addr")) != nil || schema.IsName(values.Text("service")) != nil) {
-				t.Errorf("read: %v", values)
+				t.Errorf("out-of-range values accepted: %v", values)
 			}
 		}
 	})
--- a/internal/proxy/hedge_test.go
+++ b/internal/proxy/hedge_test.go
@@ -24,13 +24,13 @@
 		begun, ends time.Duration // from now
 		want        time.Duration
 	}{
-		{"begun just now, short ones", 300 * time.Millisecond, 0, 5 * time.Second, 4100 * time.Millisecond},
-		{"overdue, short ones", 300 * time.Millisecond, -time.Second, 5 * time.Second, 4100 * time.Millisecond},
-		{"begun just now, long ones", 1500 * time.Millisecond, 0, 5 * time.Second, 2750 * time.Millisecond},
-		{"overdue soon, long ones", 1500 * time.Millisecond, -1800 * time.Millisecond, 5200 * time.Millisecond, 1200 * time.Millisecond},
-		{"overdue long since, long ones", 1500 * time.Millisecond, -4 * time.Second, 5 * time.Second, 500 * time.Millisecond},
-		{"longer than what is left", 4 * time.Second, -time.Second, 5 * time.Second, -time.Second},
-		{"nobody knows", 0, -time.Second, 5 * time.Second, -time.Second},
+		{"just started, short runs", 300 * time.Millisecond, 0, 5 * time.Second, 4100 * time.Millisecond},
+		{"overdue, short runs", 300 * time.Millisecond, -time.Second, 5 * time.Second, 4100 * time.Millisecond},
+		{"just started, long runs", 1500 * time.Millisecond, 0, 5 * time.Second, 2750 * time.Millisecond},
+		{"nearly overdue, long runs", 1500 * time.Millisecond, -1800 * time.Millisecond, 5200 * time.Millisecond, 1200 * time.Millisecond},
+		{"long overdue, long runs", 1500 * time.Millisecond, -4 * time.Second, 5 * time.Second, 500 * time.Millisecond},
+		{"usual run longer than the rest", 4 * time.Second, -time.Second, 5 * time.Second, -time.Second},
+		{"usual run time unknown", 0, -time.Second, 5 * time.Second, -time.Second},
 	} {
 		if got := hedgeBeforeEnd(now.Add(c.begun), now.Add(c.ends), c.usual).Sub(now); got != c.want {
 			t.Errorf("%s: %v, want %v", c.name, got, c.want)
@@ -63,23 +63,23 @@
 		do   func(*Proxy, *request)
 		want time.Duration // after the start of the first attempt; never: not hedged
 	}{
-		{"as usual", func(*Proxy, *request) {}, 600 * time.Millisecond},
+		{"plain repeatable request", func(*Proxy, *request) {}, 600 * time.Millisecond},
 		{"the only worker", func(_ *Proxy, req *request) { req.workerCount = 1 }, never},
-		{"all others were tried", func(_ *Proxy, req *request) { req.tried["v"], req.tried["u"] = true, true }, never},
-		{"no try is left", func(_ *Proxy, req *request) { req.reached = 1 }, never},
-		{"it may run once", func(_ *Proxy, req *request) { req.arm.Repeatable = false }, never},
-		{"large bodies", func(_ *Proxy, req *request) { req.arm.Bulk = "download" }, never},
-		{"its like take up to the rest", func(x *Proxy, _ *request) { simulateRun(x, 400*time.Millisecond) }, 600 * time.Millisecond},
-		{"its like take longer", func(x *Proxy, _ *request) { simulateRun(x, 410*time.Millisecond) }, never},
-		{"told to end, with time enough", func(x *Proxy, _ *request) {
+		{"all other workers were tried", func(_ *Proxy, req *request) { req.tried["v"], req.tried["u"] = true, true }, never},
+		{"no attempt is left", func(_ *Proxy, req *request) { req.reached = 1 }, never},
+		{"not repeatable", func(_ *Proxy, req *request) { req.arm.Repeatable = false }, never},
+		{"bulk route", func(_ *Proxy, req *request) { req.arm.Bulk = "download" }, never},
+		{"usual run time equals the rest", func(x *Proxy, _ *request) { simulateRun(x, 400*time.Millisecond) }, 600 * time.Millisecond},
+		{"usual run time exceeds the rest", func(x *Proxy, _ *request) { simulateRun(x, 410*time.Millisecond) }, never},
+		{"ingress stopping, enough time", func(x *Proxy, _ *request) {
 			simulateRun(x, 100*time.Millisecond)
 			x.stopSchedule.Store(shutdown.Begin(1300*time.Millisecond, 0))
 		}, 150 * time.Millisecond},
-		{"told to end, with no time for another one", func(x *Proxy, _ *request) {
+		{"ingress stopping, no time for a second run", func(x *Proxy, _ *request) {
 			simulateRun(x, 300*time.Millisecond)
 			x.stopSchedule.Store(shutdown.Begin(600*time.Millisecond, 0))
 		}, 600 * time.Millisecond},
-		{"told to end, a second attempt itself", func(x *Proxy, req *request) {
+		{"ingress stopping, already a hedge", func(x *Proxy, req *request) {
 			simulateRun(x, 100*time.Millisecond)
 			x.stopSchedule.Store(shutdown.Begin(1300*time.Millisecond, 0))
 			req.isHedge = true
@@ -92,7 +92,7 @@
 				a, ctx := x.beginAttempt(t.Context(), req, "1")
 				if a == nil {
 					if c.want != never {
-						t.Error("no second attempt may follow")
+						t.Error("the request can't be hedged")
 					}
 					return
 				}
@@ -101,10 +101,10 @@
 					return
 				}
 				if got := time.Until(a.hedgeTime); got.Round(time.Millisecond) != c.want {
-					t.Errorf("due after %v, want %v", got, c.want)
+					t.Errorf("hedge due after %v, want %v", got, c.want)
 				}
 				if ctx.Err() != nil {
-					t.Error("the first attempt is ended")
+					t.Error("the first attempt was canceled")
 				}
 			})
 		})
@@ -124,13 +124,13 @@
 			a.onRunEnd(start.Add(delay))
 		}
 		if got := a.hedgeTime.Sub(start); got != 5*time.Second-300*time.Millisecond {
-			t.Errorf("due after %v", got)
+			t.Errorf("hedge due after %v, want 4.7s", got)
 		}
 		a.close("1")
 		due := a.hedgeTime
 		a.onRunEnd(start.Add(time.Second))
 		if a.hedgeTime != due || len(x.ingressAttempts.byID) != 0 {
-			t.Error("an attempt that is over is hedged")
+			t.Error("an attempt that is over was hedged")
 		}
 	})
 }
@@ -148,10 +148,10 @@
 		lost          bool // the second may have run without a response
 		want          protocol.AttemptResult
 	}{
-		{"the second has an answer", unknown, done(200), false, done(200)},
-		{"the second has a better answer", done(500), done(200), false, done(200)},
-		{"the second has a worse answer", done(404), done(500), false, done(404)},
-		{"neither has one", unknown, refused, false, unknown},
+		{"only the second has a response", unknown, done(200), false, done(200)},
+		{"the second has a better response", done(500), done(200), false, done(200)},
+		{"the second has a worse response", done(404), done(500), false, done(404)},
+		{"neither has a response", unknown, refused, false, unknown},
 		{"the first never ran, the second was lost", refused, unknown, true, refused},
 	} {
 		first, second := &request{tried: map[string]bool{"v": true}, reached: 1, attempts: 1, result: c.first}, &request{tried: map[string]bool{"w": true}, reached: 2, attempts: 3, result: c.second}
@@ -163,7 +163,7 @@
 			t.Errorf("%s: %+v, lost %v", c.name, first.result, first.lost)
 		}
 		if first.reached != 2 || first.attempts != 3 || len(first.tried) != 2 {
-			t.Errorf("%s: %d came, %d sends, %v", c.name, first.reached, first.attempts, first.tried)
+			t.Errorf("%s: reached %d, %d attempts, tried %v", c.name, first.reached, first.attempts, first.tried)
 		}
 	}
 }
--- a/internal/proxy/lane_test.go
+++ b/internal/proxy/lane_test.go
@@ -22,7 +22,7 @@
 	expectLane := func(want int) {
 		t.Helper()
 		if got := x.requestLane(req); got != want {
-			t.Errorf("it goes by lane %d, not %d", got, want)
+			t.Errorf("lane %d, want %d", got, want)
 		}
 	}
 	expectLane(transport.LaneRequests + 2)
--- a/internal/proxy/limits_test.go
+++ b/internal/proxy/limits_test.go
@@ -19,7 +19,7 @@
 		}
 		x.rules.Store(compileRules(t, doc))
 		if x.maxRequestBody() != c.maxRequest || x.maxResponseBody() != c.maxResponse {
-			t.Errorf("told %d: %d and %d", c.configured, x.maxRequestBody(), x.maxResponseBody())
+			t.Errorf("limit %d: %d for requests and %d for responses", c.configured, x.maxRequestBody(), x.maxResponseBody())
 		}
 	}
 }
@@ -35,7 +35,7 @@
 	}{{0, 0, [2]float64{0.2, 50}}, {0.1, 60, [2]float64{0.1, 60}}, {0, 60, [2]float64{0, 60}}, {0.3, 0, [2]float64{0.3, 0}}} {
 		x := &Proxy{Settings: settings.Settings{RetryRatio: c.ratio, RetryAllowance: c.allowance}}
 		if ratio, allowance := x.retryLimits(r); ratio != c.want[0] || float64(allowance) != c.want[1] {
-			t.Errorf("told %g and %d: %g and %d", c.ratio, c.allowance, ratio, allowance)
+			t.Errorf("settings %g and %d: limits %g and %d", c.ratio, c.allowance, ratio, allowance)
 		}
 	}
 }
--- a/internal/proxy/nestedroutes_test.go
+++ b/internal/proxy/nestedroutes_test.go
@@ -16,24 +16,24 @@
 	for i := range 4000 {
 		routes.recordCaller("first", randomCaller())
 		if routes.isNested("first") {
-			t.Fatalf("a path that all call is from within, after %d jobs", i+1)
+			t.Fatalf("a route that all services call counts as nested after %d requests", i+1)
 		}
 		routes.recordCaller("nested", []string{"a", "b"}[rnd.IntN(2)])
 		if i < minSamples/2 && routes.isNested("nested") {
-			t.Fatalf("%d jobs are enough to tell", i+1)
+			t.Fatalf("%d requests are enough to decide", i+1)
 		}
 		if i > 2*minSamples && !routes.isNested("nested") {
-			t.Fatalf("a path that one service never calls is not from within, after %d jobs", i+1)
+			t.Fatalf("a route that one service never calls does not count as nested after %d requests", i+1)
 		}
 	}
 	for range 4000 {
 		routes.recordCaller("nested", randomCaller())
 	}
 	if routes.isNested("nested") {
-		t.Error("all call it by now")
+		t.Error("still nested although all services call it now")
 	}
 	routes.recordCaller("x", "")
 	if routes.isNested("x") || routes.isNested("unknown") {
-		t.Error("nothing is known of it")
+		t.Error("nested without any data")
 	}
 }
--- a/internal/proxy/owner_test.go
+++ b/internal/proxy/owner_test.go
@@ -35,10 +35,10 @@
 		attempt := &ownerAttempt{req: attemptReq}
 		attempt.req.ConfigVersion, attempt.req.Confidence = c.version, c.confidence
 		if x.checkRules(context.Background(), attempt) != c.runs {
-			t.Errorf("version %d, word %d: runs %v", c.version, c.confidence, !c.runs)
+			t.Errorf("version %d, confidence %d: runs %v", c.version, c.confidence, !c.runs)
 		}
 		if !c.runs && (!attempt.result.ConfigMismatch || attempt.result.ConfigVersion != 5 || attempt.result.Outcome != protocol.Refused) {
-			t.Errorf("version %d, word %d: answered %+v", c.version, c.confidence, attempt.result)
+			t.Errorf("version %d, confidence %d: result %+v", c.version, c.confidence, attempt.result)
 		}
 	}
 }
--- a/internal/proxy/requeue_test.go
+++ b/internal/proxy/requeue_test.go
@@ -18,7 +18,7 @@
 		req.result = protocol.AttemptResult{Outcome: protocol.Refused, Reason: "queue full", RetryAfterMS: c.retryAfterMS}
 		x.evaluate(context.Background(), req)
 		if got := req.retryAfter.Milliseconds(); got != c.wantMS {
-			t.Errorf("after a refusal for %d ms the caller is told %d", c.retryAfterMS, got)
+			t.Errorf("after a refusal with %d ms the caller is told %d ms", c.retryAfterMS, got)
 		}
 	}
 }
@@ -36,13 +36,13 @@
 		var out protocol.AttemptRequest
 		req.limitRequeue(&out)
 		if out.QueueBudgetMS != c.budgetMS || out.NoQueue != c.noQueue {
-			t.Errorf("waited %v: %d ms, rush %v", c.undelivered, out.QueueBudgetMS, out.NoQueue)
+			t.Errorf("waited %v: budget %d ms, no queue %v", c.undelivered, out.QueueBudgetMS, out.NoQueue)
 		}
 		// The owner respects the bound.
 		x := &Proxy{}
 		attempt := &ownerAttempt{req: protocol.AttemptRequest{Route: "p", TargetMS: 9000, QueueBudgetMS: out.QueueBudgetMS}, deadline: now.Add(9 * time.Second), worker: newLocalWorker("w", "s", "", 1, time.Second)}
 		if limit := time.Duration(c.budgetMS) * time.Millisecond; limit > 0 && x.queueWait(attempt) > limit {
-			t.Errorf("it may wait %v, and waits %v", limit, x.queueWait(attempt))
+			t.Errorf("queue wait bound %v, got %v", limit, x.queueWait(attempt))
 		}
 	}
 }
--- a/internal/proxy/updaterate_test.go
+++ b/internal/proxy/updaterate_test.go
@@ -17,7 +17,7 @@
 		rate.SetNodes(nodes)
 		for i := range int(updateBurst(nodes)) {
 			if !rate.Take(start) {
-				t.Errorf("%d nodes: news %d is not told at once", nodes, i+1)
+				t.Errorf("%d nodes: update %d of the burst was suppressed", nodes, i+1)
 			}
 		}
 		published := 0
@@ -28,7 +28,7 @@
 			}
 		}
 		if limit := healthUpdatesPerSecond * minute; published*nodes > limit+nodes-1 || nodes == 1 && published < limit-1 {
-			t.Errorf("%d nodes: each tells %d in a minute, all of them may tell %d", nodes, published, limit)
+			t.Errorf("%d nodes: each publishes %d per minute, limit for all %d", nodes, published, limit)
 		}
 	}
 }
@@ -55,13 +55,13 @@
 		x.publishHealth(local)
 	}
 	if limit := int(updateBurst(240)); registered > limit {
-		t.Errorf("%d changes were told, %d may be at once", registered, limit)
+		t.Errorf("%d changes were published, burst limit %d", registered, limit)
 	}
 	local.stats.SetWarmup(time.Hour)
 	x.healthUpdates.SetNodes(1)
 	x.healthUpdates.filled = x.healthUpdates.filled.Add(-time.Second)
 	x.publishHealth(local)
 	if local.publishedSuspicion != 1 {
-		t.Errorf("doubts told are %d, the worker says that it is cold", local.publishedSuspicion)
+		t.Errorf("published suspicion %d, want 1 for a worker that is warming up", local.publishedSuspicion)
 	}
 }
--- a/internal/proxy/workercall_test.go
+++ b/internal/proxy/workercall_test.go
@@ -39,13 +39,13 @@
 		calls []workerCall
 		up    bool
 	}{
-		{"it comes up", []workerCall{testCall("w", stateUp, 1)}, true},
-		{"it drains", []workerCall{testCall("w", stateUp, 1), testCall("w", stateDraining, 2)}, false},
-		{"a beat of before it drained", []workerCall{testCall("w", stateDraining, 3), testCall("w", stateUp, 2)}, false},
-		{"it takes the drain back", []workerCall{testCall("w", stateDraining, 3), testCall("w", stateUp, 4)}, true},
-		{"a beat of before its sign-off", []workerCall{testCall("w", stateUp, 1), testCall("w", stateGone, 0), testCall("w", stateUp, 2)}, false},
-		{"a sign-off before any beat", []workerCall{testCall("w", stateGone, 0), testCall("w", stateUp, 2)}, false},
-		{"another has its address", []workerCall{testCall("w", stateUp, 7), testCall("v", stateUp, 1), testCall("w", stateUp, 8)}, false},
+		{"comes up", []workerCall{testCall("w", stateUp, 1)}, true},
+		{"drains", []workerCall{testCall("w", stateUp, 1), testCall("w", stateDraining, 2)}, false},
+		{"outdated heartbeat after the drain", []workerCall{testCall("w", stateDraining, 3), testCall("w", stateUp, 2)}, false},
+		{"drain canceled by the worker", []workerCall{testCall("w", stateDraining, 3), testCall("w", stateUp, 4)}, true},
+		{"outdated heartbeat after the sign-off", []workerCall{testCall("w", stateUp, 1), testCall("w", stateGone, 0), testCall("w", stateUp, 2)}, false},
+		{"sign-off before any heartbeat", []workerCall{testCall("w", stateGone, 0), testCall("w", stateUp, 2)}, false},
+		{"address taken over by another worker", []workerCall{testCall("w", stateUp, 7), testCall("v", stateUp, 1), testCall("w", stateUp, 8)}, false},
 		{"calls without numbers", []workerCall{testCall("w", stateUp, 0), testCall("w", stateDraining, 0), testCall("w", stateUp, 0)}, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -58,7 +58,7 @@
 				t.Errorf("up: %v", !c.up)
 			}
 			if len(c.calls) == 3 && c.calls[1].worker == "v" && !x.isUp("v") {
-				t.Error("the one that has the address now is not up")
+				t.Error("the worker that has the address now is not up")
 			}
 		})
 	}
@@ -103,10 +103,10 @@
 	second.replica.ReplaceRemote(entries)
 	second.handleCall(testCall("w", stateUp, 2))
 	if second.isUp("w") {
-		t.Error("a beat of before the sign-off brought the worker back at the next start")
+		t.Error("an outdated heartbeat brought the worker back after the restart")
 	}
 	second.handleCall(testCall("v", stateUp, 1))
 	if !second.isUp("v") {
-		t.Error("a new worker is not taken")
+		t.Error("a new worker was not accepted")
 	}
 }
