--- a/internal/proxy/acknowledge.go
+++ b/internal/proxy/acknowledge.go
@@ -57,8 +57,8 @@
 // recordLeave sends a worker's entries to some control nodes in parallel and tells whether one
 // of them has recorded the leave.
 func (x *Proxy) recordLeave(ctx context.Context, entries ormap.Delta) bool {
-	ctx, end := context.WithTimeout(ctx, min(leaveTimeout, x.Settings.CallTimeout()))
-	defer end()
+	ctx, cancel := context.WithTimeout(ctx, min(leaveTimeout, x.Settings.CallTimeout()))
+	defer cancel()
 	controlNodes := x.control.ControlNodes()
 	controlNodes = controlNodes[:min(len(controlNodes), leaveFanout)]
 	recorded := make(chan bool, len(controlNodes))
--- a/internal/proxy/bytelimiter.go
+++ b/internal/proxy/bytelimiter.go
@@ -144,13 +144,13 @@
 	overLimit bool
 }
 
-func (p *meteredBody) Read(b []byte) (int, error) {
-	n, err := p.ReadCloser.Read(b)
-	if n > 0 && !p.limiter.reservePart(int64(n), p.reserved+int64(n)) {
-		p.overLimit = true
+func (m *meteredBody) Read(b []byte) (int, error) {
+	n, err := m.ReadCloser.Read(b)
+	if n > 0 && !m.limiter.reservePart(int64(n), m.reserved+int64(n)) {
+		m.overLimit = true
 		return 0, io.ErrShortBuffer
 	}
-	p.reserved += int64(n)
+	m.reserved += int64(n)
 	return n, err
 }
 
--- a/internal/proxy/callrates.go
+++ b/internal/proxy/callrates.go
@@ -103,21 +103,21 @@
 		return 0
 	}
 	total, retries := 0.0, 0.0
-	for p, runs := range c.active {
-		r := c.rate(p, service)
-		total, retries = total+runs.runs*r, retries+runs.retryShares*r
+	for caller, running := range c.active {
+		rate := c.rate(caller, service)
+		total, retries = total+running.runs*rate, retries+running.retryShares*rate
 	}
 	if total == 0 {
 		return 0
 	}
 	// The shares are computed before any of the rates changes.
 	share := map[string]float64{}
-	for p, runs := range c.active {
-		share[p] = runs.runs * c.rate(p, service) / total
+	for caller, running := range c.active {
+		share[caller] = running.runs * c.rate(caller, service) / total
 	}
-	for p, n := range share {
-		if m := c.byRoute[p]; m != nil {
-			m.byService[service] += n
+	for caller, n := range share {
+		if made := c.byRoute[caller]; made != nil {
+			made.byService[service] += n
 		}
 	}
 	return min(max(retries/total, 0), 1)
@@ -133,12 +133,12 @@
 		return nil
 	}
 	var out map[string]float64
-	for s, n := range made.byService {
+	for service, n := range made.byService {
 		if n >= made.runs/100 && n >= 1 {
 			if out == nil {
 				out = map[string]float64{}
 			}
-			out[s] = retryShare * n / made.runs
+			out[service] = retryShare * n / made.runs
 		}
 	}
 	return out
--- a/internal/proxy/callworker.go
+++ b/internal/proxy/callworker.go
@@ -139,11 +139,11 @@
 }
 
 // workerAttemptID is the attempt ID that the worker is given.
-func (v *ownerAttempt) workerAttemptID() string {
-	if v.req.WorkerAttemptID != "" {
-		return v.req.WorkerAttemptID
+func (a *ownerAttempt) workerAttemptID() string {
+	if a.req.WorkerAttemptID != "" {
+		return a.req.WorkerAttemptID
 	}
-	return v.req.AttemptID
+	return a.req.AttemptID
 }
 
 // isSurplusResponse tells whether a response belongs to an earlier attempt: a worker may answer
--- a/internal/proxy/configmismatch.go
+++ b/internal/proxy/configmismatch.go
@@ -40,15 +40,15 @@
 // pushConfig sends the configuration held here to an owner with an older one; most likely that
 // one lacks only the newest step.
 func (x *Proxy) pushConfig(ctx context.Context, req *request) bool {
-	ctx, end := context.WithTimeout(ctx, x.Settings.CallTimeout())
-	defer end()
+	ctx, cancel := context.WithTimeout(ctx, x.Settings.CallTimeout())
+	defer cancel()
 	_, err := controlclient.PushConfig(ctx, x.node, req.entry.InternalAddr, x.control.Document(), req.rules.Version-1)
 	return err == nil
 }
 
 // fetchConfig takes the configuration that an owner holds, if it is newer.
 func (x *Proxy) fetchConfig(ctx context.Context, addr string) bool {
-	ctx, end := context.WithTimeout(ctx, x.Settings.CallTimeout())
-	defer end()
+	ctx, cancel := context.WithTimeout(ctx, x.Settings.CallTimeout())
+	defer cancel()
 	return x.control.FetchFrom(ctx, addr)
 }
--- a/internal/proxy/decisionlog.go
+++ b/internal/proxy/decisionlog.go
@@ -51,34 +51,34 @@
 }
 
 // nextSeq assigns a sequence number to a change of a worker's state.
-func (t *decisionLog) nextSeq() uint64 {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.seq++
-	return t.seq
+func (l *decisionLog) nextSeq() uint64 {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.seq++
+	return l.seq
 }
 
 // add appends a decision, replacing the oldest if the log is full.
-func (t *decisionLog) add(decision Decision) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.seq++
-	decision.Seq, decision.Time = t.seq, time.Now()
-	if len(t.ring) < decisionLogSize {
-		t.ring = append(t.ring, decision)
+func (l *decisionLog) add(decision Decision) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.seq++
+	decision.Seq, decision.Time = l.seq, time.Now()
+	if len(l.ring) < decisionLogSize {
+		l.ring = append(l.ring, decision)
 		return
 	}
-	t.ring[t.oldest] = decision
-	t.oldest = (t.oldest + 1) % decisionLogSize
+	l.ring[l.oldest] = decision
+	l.oldest = (l.oldest + 1) % decisionLogSize
 }
 
 // filter returns the decisions about a request or a worker, or all for "", oldest first.
-func (t *decisionLog) filter(name string) []Decision {
-	t.mu.Lock()
-	defer t.mu.Unlock()
+func (l *decisionLog) filter(name string) []Decision {
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	out := []Decision{}
-	for i := range t.ring {
-		decision := t.ring[(t.oldest+i)%len(t.ring)]
+	for i := range l.ring {
+		decision := l.ring[(l.oldest+i)%len(l.ring)]
 		if name == "" || decision.Request == name || decision.Worker == name {
 			out = append(out, decision)
 		}
--- a/internal/proxy/hedge.go
+++ b/internal/proxy/hedge.go
@@ -236,11 +236,11 @@
 func (x *Proxy) notifyAttemptsOfStop(deadline time.Time) {
 	x.ingressAttempts.mu.Lock()
 	all := make([]*ingressAttempt, 0, len(x.ingressAttempts.byID))
-	for _, a := range x.ingressAttempts.byID {
-		all = append(all, a)
+	for _, attempt := range x.ingressAttempts.byID {
+		all = append(all, attempt)
 	}
 	x.ingressAttempts.mu.Unlock()
-	for _, a := range all {
-		a.onIngressStop(deadline)
+	for _, attempt := range all {
+		attempt.onIngressStop(deadline)
 	}
 }
--- a/internal/proxy/ingress.go
+++ b/internal/proxy/ingress.go
@@ -124,8 +124,8 @@
 		x.respondBusy(w, reasonBytesFull, x.byteLimiter.retryAfter(x.Settings.HeartbeatInterval()))
 		return
 	}
-	ctx, stop := x.requestContext(req)
-	defer stop()
+	ctx, release := x.requestContext(req)
+	defer release()
 	defer x.watchCaller(req)()
 	x.runSteps(ctx, req)
 	x.logUnanswered(ctx, req)
@@ -169,8 +169,8 @@
 	}
 	req.arm = req.route.Arm(req.id)
 	req.service = req.arm.ServiceFor(req.id)
-	if end := req.receivedAt.Add(req.arm.Timeout); end.Before(req.deadline) || req.httpReq.Header.Get(x.dialect.Timeout) == "" {
-		req.deadline = end
+	if routeDeadline := req.receivedAt.Add(req.arm.Timeout); routeDeadline.Before(req.deadline) || req.httpReq.Header.Get(x.dialect.Timeout) == "" {
+		req.deadline = routeDeadline
 	}
 	req.firstSeen = req.receivedAt
 	if !req.callerDeadline.IsZero() {
--- a/internal/proxy/lane.go
+++ b/internal/proxy/lane.go
@@ -22,8 +22,8 @@
 	if req.arm.Bulk != "" {
 		return armLane
 	}
-	if l, ok := x.nested.callerLane(req.route.Name); ok {
-		return min(l, transport.LaneBulk-1)
+	if lane, ok := x.nested.callerLane(req.route.Name); ok {
+		return min(lane, transport.LaneBulk-1)
 	}
 	return armLane
 }
@@ -57,8 +57,8 @@
 	// The response must arrive before its ingress ends, should that one get the stop signal
 	// right now; otherwise it would be cut off in transit.
 	if maxWait := time.Duration(attempt.req.MaxQueueMS) * time.Millisecond; maxWait > 0 && maxWait < remaining {
-		limited, end := context.WithTimeout(ctx, maxWait)
-		defer end()
+		limited, cancel := context.WithTimeout(ctx, maxWait)
+		defer cancel()
 		ctx = limited
 	}
 	release, retryAfter, ok := transport.ReserveResponse(ctx, attempt.worker.responseSize(attempt.req.Route), needed)
--- a/internal/proxy/owner.go
+++ b/internal/proxy/owner.go
@@ -93,22 +93,22 @@
 	return attempt.result
 }
 
-func (v *ownerAttempt) refuse(reason string) bool { return v.refuseRetryAfter(reason, 0) }
+func (a *ownerAttempt) refuse(reason string) bool { return a.refuseRetryAfter(reason, 0) }
 
 // refuseRetryAfter refuses with an estimate of when there may be capacity.
-func (v *ownerAttempt) refuseRetryAfter(reason string, retryAfter time.Duration) bool {
-	v.result = protocol.AttemptResult{Outcome: protocol.Refused, Reason: reason, RetryAfterMS: retryAfter.Milliseconds()}
+func (a *ownerAttempt) refuseRetryAfter(reason string, retryAfter time.Duration) bool {
+	a.result = protocol.AttemptResult{Outcome: protocol.Refused, Reason: reason, RetryAfterMS: retryAfter.Milliseconds()}
 	return false
 }
 
 // refuseMismatch refuses a request whose ingress holds another configuration.
-func (v *ownerAttempt) refuseMismatch(reason string) bool {
-	v.result = protocol.AttemptResult{Outcome: protocol.Refused, Reason: reason, ConfigMismatch: true, ConfigVersion: v.localVersion}
+func (a *ownerAttempt) refuseMismatch(reason string) bool {
+	a.result = protocol.AttemptResult{Outcome: protocol.Refused, Reason: reason, ConfigMismatch: true, ConfigVersion: a.localVersion}
 	return false
 }
 
-func (v *ownerAttempt) outcomeUnknown(reason string) bool {
-	v.result = protocol.AttemptResult{Outcome: protocol.Unknown, Reason: reason, TimedOut: !time.Now().Before(v.deadline), ReachedWorker: v.result.ReachedWorker}
+func (a *ownerAttempt) outcomeUnknown(reason string) bool {
+	a.result = protocol.AttemptResult{Outcome: protocol.Unknown, Reason: reason, TimedOut: !time.Now().Before(a.deadline), ReachedWorker: a.result.ReachedWorker}
 	return false
 }
 
@@ -208,7 +208,7 @@
 func (x *Proxy) admit(ctx context.Context, attempt *ownerAttempt) bool {
 	// A hung request reports nothing by itself; it is noticed when the next ones arrive.
 	x.publishHealth(attempt.worker)
-	if !x.endsInTime(attempt) {
+	if !x.checkEndsInTime(attempt) {
 		return false
 	}
 	attempt.admission = admission.Request{Class: attempt.req.Class, MaxWait: x.queueWait(attempt), Nested: x.nested.isNested(attempt.req.Route), Priority: attempt.priority()}
@@ -224,7 +224,7 @@
 	attempt.activeRun = attempt.worker.stats.RunStarted(x.balancer.UsualRunMS(attempt.req.Route))
 	// The wait may have been long, so everything that could have changed is checked again right
 	// before the request is delivered.
-	if !x.stillWanted(ctx, attempt) || !x.endsInTime(attempt) {
+	if !x.stillWanted(ctx, attempt) || !x.checkEndsInTime(attempt) {
 		return false
 	}
 	return x.confirmConfig(ctx, attempt) && x.checkRules(ctx, attempt)
--- a/internal/proxy/probe.go
+++ b/internal/proxy/probe.go
@@ -9,11 +9,11 @@
 // probe checks whether the worker's port accepts connections. It opens a new connection, since
 // the check is whether one can be established.
 func (x *Proxy) probe(ctx context.Context, local *localWorker) {
-	ctx, end := context.WithTimeout(ctx, x.Settings.WorkerTimeout()/2)
-	defer end()
-	c, err := x.workerConns.Open(ctx, local.id, local.addr)
+	ctx, cancel := context.WithTimeout(ctx, x.Settings.WorkerTimeout()/2)
+	defer cancel()
+	conn, err := x.workerConns.Open(ctx, local.id, local.addr)
 	if err == nil {
-		x.workerConns.Discard(c)
+		x.workerConns.Discard(conn)
 	}
 	local.mu.Lock()
 	if err == nil {
@@ -21,9 +21,9 @@
 	} else {
 		local.failedProbes++
 	}
-	dead := local.failedProbes >= 2
+	failing := local.failedProbes >= 2
 	local.mu.Unlock()
-	if dead {
+	if failing {
 		x.markDown(local)
 	}
 }
--- a/internal/proxy/queuewait.go
+++ b/internal/proxy/queuewait.go
@@ -54,9 +54,9 @@
 
 // timeNeeded estimates the run time of an attempt: from runs of the route at this worker, else
 // from what the ingress reports; 0 when neither is known.
-func (v *ownerAttempt) timeNeeded() time.Duration {
-	reported := time.Duration(v.req.UsualRunMS) * time.Millisecond
-	return v.worker.timeNeeded(v.req.Route, reported*3/2)
+func (a *ownerAttempt) timeNeeded() time.Duration {
+	reported := time.Duration(a.req.UsualRunMS) * time.Millisecond
+	return a.worker.timeNeeded(a.req.Route, reported*3/2)
 }
 
 // slackBeforeEnd is how long an attempt may queue and still be answered, by the usual run time,
@@ -82,24 +82,24 @@
 	return wait, ends
 }
 
-// endsInTime refuses an attempt that can't be answered before its ingress or this node ends;
+// checkEndsInTime refuses an attempt that can't be answered before its ingress or this node ends;
 // another node may run it. If the request has lost a run, or will lose it, it is started all
 // the same where only its ingress ends, or where no other worker took it: a run that may not
 // finish in time is better than none.
-func (x *Proxy) endsInTime(attempt *ownerAttempt) bool {
+func (x *Proxy) checkEndsInTime(attempt *ownerAttempt) bool {
 	wait, ends := x.slackBeforeEnd(attempt)
 	if !ends || wait > 0 {
 		return true
 	}
-	if attempt.req.AllowUnfinishedRun && x.mayStillEnd(attempt) {
+	if attempt.req.AllowUnfinishedRun && x.mayFinish(attempt) {
 		return true
 	}
 	return attempt.refuseRetryAfter("a node on its way ends before it would be done", x.Settings.HeartbeatInterval())
 }
 
-// mayStillEnd tells whether an attempt has some time, even if less than usually needed, before
+// mayFinish tells whether an attempt has some time, even if less than usually needed, before
 // its ingress or this node ends.
-func (x *Proxy) mayStillEnd(attempt *ownerAttempt) bool {
+func (x *Proxy) mayFinish(attempt *ownerAttempt) bool {
 	return x.remainingBeforeEnd(attempt) > x.Settings.FarewellTimeout()
 }
 
@@ -147,23 +147,23 @@
 
 // priority orders the queue before all other criteria, by how much is gained if the attempt is
 // served; a slot serves one request either way.
-func (v *ownerAttempt) priority() int {
-	switch remaining := time.Until(v.deadline); {
-	case v.req.AllowUnfinishedRun:
+func (a *ownerAttempt) priority() int {
+	switch remaining := time.Until(a.deadline); {
+	case a.req.AllowUnfinishedRun:
 		return -1 // a run of it is lost
-	case time.Duration(v.req.TargetMS)*time.Millisecond <= v.worker.timeNeeded(v.req.Route, remaining/4)*2/3:
+	case time.Duration(a.req.TargetMS)*time.Millisecond <= a.worker.timeNeeded(a.req.Route, remaining/4)*2/3:
 		return 2 // it will be late, judging by the usual run time of its route here
-	case v.req.SentAgainByCaller:
+	case a.req.SentAgainByCaller:
 		return 1 // a part of its target latency is lost
 	}
 	return 0
 }
 
 // usualQueueWait is queueWait without the bounds set by the ingress.
-func (v *ownerAttempt) usualQueueWait() time.Duration {
-	remaining := time.Until(v.deadline)
-	needed := v.worker.timeNeeded(v.req.Route, remaining/4)
-	if slack := time.Duration(v.req.TargetMS)*time.Millisecond - needed; slack > 0 {
+func (a *ownerAttempt) usualQueueWait() time.Duration {
+	remaining := time.Until(a.deadline)
+	needed := a.worker.timeNeeded(a.req.Route, remaining/4)
+	if slack := time.Duration(a.req.TargetMS)*time.Millisecond - needed; slack > 0 {
 		return min(remaining/2, slack)
 	}
 	return max(min(remaining/4, remaining-needed), 0)
--- a/internal/proxy/runendnotice.go
+++ b/internal/proxy/runendnotice.go
@@ -54,10 +54,10 @@
 // onRunEndNotice handles an owner's notice of when it ends the run of an attempt.
 func (x *Proxy) onRunEndNotice(_ context.Context, _ transport.Hello, in protocol.RunEndNotice) (struct{}, error) {
 	x.ingressAttempts.mu.Lock()
-	a := x.ingressAttempts.byID[in.AttemptID]
+	attempt := x.ingressAttempts.byID[in.AttemptID]
 	x.ingressAttempts.mu.Unlock()
-	if a != nil {
-		a.onRunEnd(time.Now().Add(time.Duration(in.RemainingMS) * time.Millisecond))
+	if attempt != nil {
+		attempt.onRunEnd(time.Now().Add(time.Duration(in.RemainingMS) * time.Millisecond))
 	}
 	return struct{}{}, nil
 }
--- a/internal/proxy/unanswered.go
+++ b/internal/proxy/unanswered.go
@@ -38,7 +38,7 @@
 type lineLimit struct{ written atomic.Int64 }
 
 // allow tells whether one more line may be written.
-func (s *lineLimit) allow() bool { return s.written.Add(1) <= maxStopLines }
+func (l *lineLimit) allow() bool { return l.written.Add(1) <= maxStopLines }
 
 // logUnanswered logs a request that may have run and ends without its worker's response: what
 // ended it, how long after the stop signals of this node and of the owner (negative if there
