--- a/internal/proxy/callerleft_test.go
+++ b/internal/proxy/callerleft_test.go
@@ -10,40 +10,40 @@
 	"puffincrank/internal/shutdown"
 )
 
-// TestBegunForNobody: what waits for a slot, a connection or a configuration is
-// looked at once more before it goes out; nothing is begun for a caller that left, nor
-// for one that has had its answer since its node ends. What a cancel with another
-// cause ends is not that.
-func TestBegunForNobody(t *testing.T) {
+// TestNotStartedWithoutCaller checks the last look before a request goes to the worker, after
+// waits for a slot, a connection or a configuration: nothing starts for a caller that left, or
+// that got its response because its node is ending. A context canceled for another reason does
+// not prevent the start.
+func TestNotStartedWithoutCaller(t *testing.T) {
 	x := &Proxy{}
 	for _, c := range []struct {
 		name string
 		end  func(ctx context.Context) context.Context
 		runs bool
 	}{
-		{"it waits", func(ctx context.Context) context.Context { return ctx }, true},
-		{"it left", func(ctx context.Context) context.Context {
+		{"the caller waits", func(ctx context.Context) context.Context { return ctx }, true},
+		{"the caller left", func(ctx context.Context) context.Context {
 			ctx, stop := context.WithCancel(ctx)
 			stop()
 			return ctx
 		}, false},
-		{"a node on its way ends", func(ctx context.Context) context.Context {
+		{"a node is shutting down", func(ctx context.Context) context.Context {
 			ctx, stop := context.WithCancelCause(ctx)
 			stop(shutdown.ErrCutoff)
 			return ctx
 		}, false},
-		{"ended with another cause", func(ctx context.Context) context.Context {
+		{"canceled for another reason", func(ctx context.Context) context.Context {
 			ctx, stop := context.WithCancelCause(ctx)
 			stop(errors.New("another"))
 			return ctx
 		}, true},
 	} {
-		v := &visit{in: protocol.AttemptRequest{WorkerAttemptID: "r"}, end: time.Now().Add(time.Minute)}
-		if got := x.timely(c.end(t.Context()), v); got != c.runs {
-			t.Errorf("%s: begun %v", c.name, got)
+		attempt := &ownerAttempt{req: protocol.AttemptRequest{WorkerAttemptID: "r"}, deadline: time.Now().Add(time.Minute)}
+		if got := x.stillWanted(c.end(t.Context()), attempt); got != c.runs {
+			t.Errorf("%s: started %v", c.name, got)
 		}
-		if !c.runs && v.back.Outcome != protocol.Refused {
-			t.Errorf("%s: answered %+v", c.name, v.back)
+		if !c.runs && attempt.result.Outcome != protocol.Refused {
+			t.Errorf("%s: result %+v", c.name, attempt.result)
 		}
 	}
 }
--- a/internal/proxy/owner_test.go
+++ b/internal/proxy/owner_test.go
@@ -8,9 +8,9 @@
 	"puffincrank/internal/rules"
 )
 
-// TestOlderConfiguration: an owner that holds a newer configuration runs a job by
-// an older one only for a front that was sure of it. A front that was frozen or
-// cut off is told to take the newer one, though that sends the job here too.
+// TestOlderConfiguration checks that an owner with a newer configuration runs a request by an
+// older one only if the ingress was confirmed in that one. An ingress that was paused or
+// partitioned has to take the newer one first, even if that routes the request here too.
 func TestOlderConfiguration(t *testing.T) {
 	const doc = `{"version":1,"services":[{"name":"s"}],"paths":[{"name":"p","prefix":"/p/","service":"s"}]}`
 	newer, bad, err := rules.Compile(5, []byte(doc))
@@ -19,11 +19,11 @@
 	}
 	x := &Proxy{}
 	x.rules.Store(newer)
-	hand := protocol.AttemptRequest{Host: "h", Method: "GET", URI: "/p/1", Service: "s", Class: newer.Match("h", "GET", "/p/1").Base.Class}
+	attemptReq := protocol.AttemptRequest{Host: "h", Method: "GET", URI: "/p/1", Service: "s", Class: newer.Match("h", "GET", "/p/1").Base.Class}
 	for _, c := range []struct {
-		version uint64
-		word    protocol.Confidence
-		runs    bool
+		version    uint64
+		confidence protocol.Confidence
+		runs       bool
 	}{
 		{4, protocol.Confirmed, true},
 		{4, protocol.Unspecified, true},
@@ -32,13 +32,13 @@
 		{5, protocol.Unconfirmed, true},
 		{5, protocol.Disconnected, true},
 	} {
-		v := &visit{in: hand}
-		v.in.ConfigVersion, v.in.Confidence = c.version, c.word
-		if x.checkRules(context.Background(), v) != c.runs {
-			t.Errorf("version %d, word %d: runs %v", c.version, c.word, !c.runs)
+		attempt := &ownerAttempt{req: attemptReq}
+		attempt.req.ConfigVersion, attempt.req.Confidence = c.version, c.confidence
+		if x.checkRules(context.Background(), attempt) != c.runs {
+			t.Errorf("version %d, confidence %d: runs %v", c.version, c.confidence, !c.runs)
 		}
-		if !c.runs && (!v.back.ConfigMismatch || v.back.ConfigVersion != 5 || v.back.Outcome != protocol.Refused) {
-			t.Errorf("version %d, word %d: answered %+v", c.version, c.word, v.back)
+		if !c.runs && (!attempt.result.ConfigMismatch || attempt.result.ConfigVersion != 5 || attempt.result.Outcome != protocol.Refused) {
+			t.Errorf("version %d, confidence %d: result %+v", c.version, c.confidence, attempt.result)
 		}
 	}
 }
--- a/internal/proxy/unanswered.go
+++ b/internal/proxy/unanswered.go
@@ -12,87 +12,86 @@
 	"puffincrank/internal/transport"
 )
 
-// What ended a request that may have run and did not get its worker's answer.
+// What ended a request that may have run and did not get its worker's response.
 const (
 	endedByCaller    = "caller"     // it closed its connection
-	endedByStop      = "stop"       // this node was told to end
-	endedByDeadline  = "deadline"   // the caller's time was up
-	endedByRouteTime = "route-time" // the route's time was up
-	endedByAttempt   = "attempt"    // the time of an attempt was up, before that of the request
-	endedByLink      = "link"       // the link to the owner ended
-	endedByOwner     = "owner"      // the node beside the worker was told to end
-	endedByWorker    = "worker"     // the worker's connection ended, or its answer was wrong
+	endedByStop      = "stop"       // this node got the stop signal
+	endedByDeadline  = "deadline"   // the caller's timeout
+	endedByRouteTime = "route-time" // the route's timeout
+	endedByAttempt   = "attempt"    // an attempt timed out before the request did
+	endedByLink      = "link"       // the link to the owner failed
+	endedByOwner     = "owner"      // the owner's node got the stop signal
+	endedByWorker    = "worker"     // the worker's connection failed, or its response was invalid
 )
 
-// lostAttempt is an attempt that may have run and has no answer, with the entry of
-// the worker that it was sent to.
+// lostAttempt is an attempt that may have run and has no response, with the registry entry of
+// its worker.
 type lostAttempt struct {
 	protocol.AttemptResult
 	entry ormap.Entry
 }
 
-// unansweredInStop bounds the log lines of one stop; the trail holds the rest.
-const unansweredInStop = 64
+// maxStopLines bounds the log lines during one shutdown; the decision log has the rest.
+const maxStopLines = 64
 
-// stopLines counts the lines that were written since this node was told to end.
-type stopLines struct{ written atomic.Int64 }
+// lineLimit counts the lines written since the stop signal.
+type lineLimit struct{ written atomic.Int64 }
 
 // allow tells whether one more line may be written.
-func (s *stopLines) allow() bool { return s.written.Add(1) <= unansweredInStop }
+func (l *lineLimit) allow() bool { return l.written.Add(1) <= maxStopLines }
 
-// noteUnanswered tells of a request that may have run and that ends without its
-// worker's answer: by which bound, how long after the order to end of this node and
-// of the one beside the worker (negative: there was none), at which worker it was
-// lost, and what was said of the newest attempt after that. One line a beat with a
-// count of the others; after the order to end each one, up to a bound. The trail has
-// all of them.
-func (x *Proxy) noteUnanswered(ctx context.Context, j *job) {
-	if j.back.Outcome == protocol.Done || j.lost == nil {
+// logUnanswered logs a request that may have run and ends without its worker's response: what
+// ended it, how long after the stop signals of this node and of the owner (negative if there
+// was none), which worker lost it, and the reason of the last refusal after that. Normally it
+// writes one line per heartbeat interval, with a count of the others; after the stop signal it
+// writes every line up to a limit. The decision log has all of them.
+func (x *Proxy) logUnanswered(ctx context.Context, req *request) {
+	if req.result.Outcome == protocol.Done || req.lost == nil {
 		return
 	}
-	by := x.endedBy(ctx, j)
-	stop := x.sinceStop()
-	x.trail.add(Decision{Request: j.name(), Attempt: j.id, Step: stepUnanswered, Worker: j.lost.entry.Worker, Reason: by + ": " + j.lost.Reason})
+	endedBy := x.endedBy(ctx, req)
+	sinceStop := x.sinceStop()
+	x.decisions.add(Decision{Request: req.externalID(), Attempt: req.id, Step: stepUnanswered, Worker: req.lost.entry.Worker, Reason: endedBy + ": " + req.lost.Reason})
 	ownerStop := int64(-1)
-	if j.lost.StoppingForMS > 0 {
-		ownerStop = j.lost.StoppingForMS
+	if req.lost.StoppingForMS > 0 {
+		ownerStop = req.lost.StoppingForMS
 	}
-	pairs := []any{"request", j.name(), "path", j.path.Name, "by", by, "why", j.lost.Reason, "worker", j.lost.entry.Worker, "owner", j.lost.entry.Owner,
-		"held_ms", time.Since(j.from).Milliseconds(), "stop_ms", stop.Milliseconds(), "owner_stop_ms", ownerStop, "sends", j.sends, "then", j.why}
-	if stop < 0 {
-		x.unanswered.Emit(x.e.Log, event.Unanswered, pairs...)
-	} else if x.stopLines.allow() {
-		x.e.Log.Emit(event.Unanswered, pairs...)
+	fields := []any{"request", req.externalID(), "path", req.route.Name, "by", endedBy, "why", req.lost.Reason, "worker", req.lost.entry.Worker, "owner", req.lost.entry.Owner,
+		"held_ms", time.Since(req.receivedAt).Milliseconds(), "stop_ms", sinceStop.Milliseconds(), "owner_stop_ms", ownerStop, "sends", req.attempts, "then", req.reason}
+	if sinceStop < 0 {
+		x.unansweredEvents.Emit(x.env.Log, event.Unanswered, fields...)
+	} else if x.stopLogLimit.allow() {
+		x.env.Log.Emit(event.Unanswered, fields...)
 	}
 }
 
 // endedBy tells what ended the last attempt of a request.
-func (x *Proxy) endedBy(ctx context.Context, j *job) string {
+func (x *Proxy) endedBy(ctx context.Context, req *request) string {
 	switch {
 	case transport.CanceledByCaller(ctx):
 		return endedByCaller
 	case shutdown.IsCutoff(ctx):
 		return endedByStop
-	case !time.Now().Before(j.end):
-		if j.due.IsZero() || j.end.Before(j.due) {
+	case !time.Now().Before(req.deadline):
+		if req.callerDeadline.IsZero() || req.deadline.Before(req.callerDeadline) {
 			return endedByRouteTime
 		}
 		return endedByDeadline
-	case j.lost.TimedOut:
+	case req.lost.TimedOut:
 		return endedByAttempt
-	case j.lost.Reason == noReceipt:
+	case req.lost.Reason == reasonNoResponse:
 		return endedByLink
-	case j.lost.Reason == whyEnding:
+	case req.lost.Reason == reasonNodeEnding:
 		return endedByOwner
 	}
 	return endedByWorker
 }
 
-// sinceStop is how long ago this node was told to end; negative if it was not.
+// sinceStop is the time since this node's stop signal, negative if there was none.
 func (x *Proxy) sinceStop() time.Duration {
-	plan := x.stop.Load()
-	if plan == nil {
+	schedule := x.stopSchedule.Load()
+	if schedule == nil {
 		return -time.Millisecond
 	}
-	return plan.Elapsed()
+	return schedule.Elapsed()
 }
--- a/internal/proxy/worker.go
+++ b/internal/proxy/worker.go
@@ -11,8 +11,8 @@
 	"puffincrank/internal/schema"
 )
 
-// WorkerTable is the table of a worker's own resource: its identity stands in the
-// path, and each call has a number that grows.
+// WorkerTable describes the fields of a worker's own resource. The worker's ID stands in the
+// URL path, and each call has an increasing number.
 var WorkerTable = schema.Table{Name: "worker", Rows: []schema.Field{
 	{Name: "service", Type: schema.Text, Required: true, Check: schema.IsName, Rule: "a name", Help: "the service it serves"},
 	{Name: "addr", Type: schema.Addr, Required: true, Rule: "IP number and port", Help: "where it takes jobs"},
@@ -24,7 +24,7 @@
 	{Name: "seq", Type: schema.Count, Default: int64(0), Check: schema.IntRange(0, 1<<62), Rule: "a number", Help: "grows with each call; a late one is known by it"},
 }}
 
-// onWorker takes a worker's word on itself.
+// onWorker handles a worker's report on itself.
 func (x *Proxy) onWorker(w http.ResponseWriter, r *http.Request) {
 	raw, code := httpapi.ReadBody(w, r, 4096)
 	if code != 0 {
@@ -36,28 +36,28 @@
 		httpapi.WriteJSON(w, http.StatusBadRequest, httpapi.ErrorBody{Message: "not JSON: " + err.Error()})
 		return
 	}
-	v, bad := WorkerTable.ReadKnown(in, "")
+	values, problems := WorkerTable.ReadKnown(in, "")
 	id := chi.URLParam(r, "id")
 	if schema.IsName(id) != nil {
-		bad = append(bad, schema.Problem{Place: "id", Message: "must be a name"})
+		problems = append(problems, schema.Problem{Place: "id", Message: "must be a name"})
 	}
-	// Only the worker of this machine is spoken for here.
-	if at := x.set().WorkerAddr; at != "" && len(bad) == 0 && v.Text("addr") != at {
-		bad = append(bad, schema.Problem{Place: "addr", Message: "is not the worker beside this node"})
+	// Only the worker of this machine may register here.
+	if expected := x.currentSettings().WorkerAddr; expected != "" && len(problems) == 0 && values.Text("addr") != expected {
+		problems = append(problems, schema.Problem{Place: "addr", Message: "is not the worker beside this node"})
 	}
-	if len(bad) > 0 {
-		x.e.Log.Emit(event.HeartbeatRejected, "faults", len(bad), "first", bad[0].Place)
-		httpapi.WriteJSON(w, http.StatusUnprocessableEntity, httpapi.ErrorBody{Message: "the beat is wrong", Faults: bad})
+	if len(problems) > 0 {
+		x.env.Log.Emit(event.HeartbeatRejected, "faults", len(problems), "first", problems[0].Place)
+		httpapi.WriteJSON(w, http.StatusUnprocessableEntity, httpapi.ErrorBody{Message: "the beat is wrong", Faults: problems})
 		return
 	}
-	x.takeCall(workerCall{worker: id, service: v.Text("service"), addr: v.Text("addr"), slots: int(v.Count("slots")), state: v.Text("state"),
-		cold: time.Duration(v.Share("cold_ms")) * time.Millisecond, number: v.Count("seq")})
-	x.acknowledge(w, r, id, v.Text("state"), struct{}{})
+	x.handleCall(workerCall{worker: id, service: values.Text("service"), addr: values.Text("addr"), slots: int(values.Count("slots")), state: values.Text("state"),
+		warmup: time.Duration(values.Share("cold_ms")) * time.Millisecond, number: values.Count("seq")})
+	x.acknowledge(w, r, id, values.Text("state"), struct{}{})
 }
 
-// onLeave takes a worker's sign-off.
-func (x *Proxy) onLeave(w http.ResponseWriter, r *http.Request) {
+// onSignOff handles a worker's sign-off.
+func (x *Proxy) onSignOff(w http.ResponseWriter, r *http.Request) {
 	id := chi.URLParam(r, "id")
-	x.takeCall(workerCall{worker: id, state: saysGone})
-	x.acknowledge(w, r, id, saysGone, struct{}{})
+	x.handleCall(workerCall{worker: id, state: stateGone})
+	x.acknowledge(w, r, id, stateGone, struct{}{})
 }
