--- a/internal/controlclient/client.go
+++ b/internal/controlclient/client.go
@@ -51,72 +51,72 @@
 
 // Client is the session with one control node.
 type Client struct {
-	x     Dependencies
-	host  Host
-	mu    sync.Mutex
-	at    string    // the control node of the session
-	core  []string  // all control nodes known
-	seeds []string  // those that the settings name now
-	sure  time.Time // when the configuration held here was last the newest, for certain
-	out   time.Time // when the newest round began that found every control node out of touch
-	lost  bool
-	slow  bool // the newest round found neither one in touch nor a cut: answers are late
-	turn  chan struct{}
-	kick  chan struct{}
-	hash  uint64 // of the list of members, as the control node names it
-	book  *membership.List
-	since time.Time // when the session last stood
-	due   time.Time // when the control node is to be asked for a refill again
-	tips  []string  // fellows that it filled meanwhile
-	held  *patch.Document
-	whole bool // the next document must come whole: steps did not fit
+	deps               Dependencies
+	host               Host
+	mu                 sync.Mutex
+	controlNode        string    // the control node of the session
+	controlNodes       []string  // all control nodes known
+	seeds              []string  // those that the settings name now
+	confirmedAt        time.Time // when the configuration held here was last the newest, for certain
+	disconnectedRound  time.Time // when the newest round began that found every control node out of touch
+	disconnected       bool
+	slow               bool // the newest round found neither one in touch nor a cut: answers are late
+	stateChanged       chan struct{}
+	beatNow            chan struct{}
+	membersHash        uint64 // of the list of members, as the control node names it
+	members            *membership.List
+	lastRenewed        time.Time // when the session last stood
+	refillAt           time.Time // when the control node is to be asked for a refill again
+	refillAlternatives []string  // fellows that it filled meanwhile
+	document           *patch.Document
+	needFullDocument   bool // the next document must come whole: steps did not fit
 }
 
 // New readies a session; Run holds it.
-func New(x Dependencies, host Host) *Client {
-	x.Replica.SetRefillPending(true)
-	return &Client{x: x, host: host, core: x.Settings.Seeds, seeds: x.Settings.Seeds, book: &membership.List{}, held: patch.NewDocument(spare), turn: make(chan struct{}), kick: make(chan struct{}, 1)}
+func New(deps Dependencies, host Host) *Client {
+	deps.Replica.SetRefillPending(true)
+	return &Client{deps: deps, host: host, controlNodes: deps.Settings.Seeds, seeds: deps.Settings.Seeds, members: &membership.List{}, document: patch.NewDocument(stepsKept), stateChanged: make(chan struct{}), beatNow: make(chan struct{}, 1)}
 }
 
-func (t *Client) stir() {
-	close(t.turn)
-	t.turn = make(chan struct{})
+func (t *Client) signalChange() {
+	close(t.stateChanged)
+	t.stateChanged = make(chan struct{})
 }
 
 // Run is the loop of beats.
 func (t *Client) Run(ctx context.Context) {
-	from := time.Now()
+	startedAt := time.Now()
 	for {
-		tick := time.NewTimer(t.pause(from))
+		timer := time.NewTimer(t.nextDelay(startedAt))
 		select {
 		case <-ctx.Done():
-			tick.Stop()
+			timer.Stop()
 			return
-		case <-tick.C:
-		case <-t.kick:
-			tick.Stop()
+		case <-timer.C:
+		case <-t.beatNow:
+			timer.Stop()
 		}
-		t.once(ctx)
+		t.renewSession(ctx)
 	}
 }
 
-// pause is how long the next beat is waited for. Until the first session stands
+// nextDelay is how long the next beat is waited for. Until the first session stands
 // nothing can be served, and after the loss of all the core is back within less
 // than a beat: tries come in quick succession at first, each later by a quarter
 // of the time that it has taken.
-func (t *Client) pause(from time.Time) time.Duration {
+func (t *Client) nextDelay(startedAt time.Time) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.since.IsZero() {
-		return min(t.x.Settings.HeartbeatInterval()/8+time.Since(from)/4, t.x.Settings.HeartbeatInterval())
+	if t.lastRenewed.IsZero() {
+		return min(t.deps.Settings.HeartbeatInterval()/8+time.Since(startedAt)/4, t.deps.Settings.HeartbeatInterval())
 	}
-	return t.x.Settings.HeartbeatInterval()
+	return t.deps.Settings.HeartbeatInterval()
 }
 
 // HeartbeatNow makes the next beat come at once.
 func (t *Client) HeartbeatNow() {
 	select {
-	case t.kick <- struct{}{}:
+	case t.beatNow <- struct{}{}:
 	default:
 	}
 }
@@ -125,18 +125,18 @@
 func (t *Client) ControlNodes() []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.at == "" {
-		return t.core
+	if t.controlNode == "" {
+		return t.controlNodes
 	}
-	return union([]string{t.at}, t.core)
+	return union([]string{t.controlNode}, t.controlNodes)
 }
 
 // SetSeeds names other control nodes to turn to when none of those known answers.
-func (t *Client) SetSeeds(all []string) {
+func (t *Client) SetSeeds(seeds []string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.seeds = all
-	t.core = union(t.core, all)
+	t.seeds = seeds
+	t.controlNodes = union(t.controlNodes, seeds)
 }
 
 // Current gives the control node of the session, and when the configuration held
@@ -144,17 +144,17 @@
 func (t *Client) Current() (string, time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.at, t.sure
+	return t.controlNode, t.confirmedAt
 }
 
 func union(a, b []string) []string {
 	seen := map[string]bool{}
-	var out []string
+	var result []string
 	for _, s := range append(append([]string(nil), a...), b...) {
 		if !seen[s] {
 			seen[s] = true
-			out = append(out, s)
+			result = append(result, s)
 		}
 	}
-	return out
+	return result
 }
--- a/internal/controlclient/document.go
+++ b/internal/controlclient/document.go
@@ -9,8 +9,8 @@
 	"puffincrank/internal/transport"
 )
 
-// spare is how many steps a node keeps for fellows that lag.
-const spare = 16
+// stepsKept is how many steps a node keeps for fellows that lag.
+const stepsKept = 16
 
 // ApplyConfig puts a newer configuration in force, that came whole or as steps from
 // the one held; false means that it can't.
@@ -19,56 +19,56 @@
 		return true
 	}
 	if doc == nil {
-		made, ok := t.held.Build(steps)
+		built, ok := t.document.Build(steps)
 		if !ok || len(steps) == 0 || steps[len(steps)-1].To != version {
 			return t.host.Version() >= version
 		}
-		doc = made
+		doc = built
 	}
 	kept, ok := t.host.ApplyConfig(version, doc)
 	if ok {
-		t.held.Set(version, kept, steps)
+		t.document.Set(version, kept, steps)
 	}
 	return ok
 }
 
 // Document gives the document held here, with the newest steps to it.
-func (t *Client) Document() *patch.Document { return t.held }
+func (t *Client) Document() *patch.Document { return t.document }
 
 // RegisterHandlers takes pushes of the configuration, and fellows' questions.
 func (t *Client) RegisterHandlers() {
-	push := func(_ context.Context, _ transport.Hello, in protocol.ConfigPush) (protocol.ConfigPushResponse, error) {
-		t.ApplyConfig(in.Version, in.Document, in.Steps)
+	push := func(_ context.Context, _ transport.Hello, request protocol.ConfigPush) (protocol.ConfigPushResponse, error) {
+		t.ApplyConfig(request.Version, request.Document, request.Steps)
 		return protocol.ConfigPushResponse{Version: t.host.Version()}, nil
 	}
 	// Steps have a kind of their own, which earlier versions refuse by name.
-	transport.Handle(t.x.Node, "config.push", push)
-	transport.Handle(t.x.Node, "config.step", push)
-	transport.Handle(t.x.Node, "config.give", t.give)
-	transport.Handle(t.x.Node, "session.members", t.list)
+	transport.Handle(t.deps.Node, "config.push", push)
+	transport.Handle(t.deps.Node, "config.step", push)
+	transport.Handle(t.deps.Node, "config.give", t.serveConfig)
+	transport.Handle(t.deps.Node, "session.members", t.serveMembers)
 }
 
-// give hands a fellow the configuration held here, if it is newer than its own.
-func (t *Client) give(_ context.Context, _ transport.Hello, in protocol.ConfigPush) (protocol.ConfigPush, error) {
-	version, doc := t.held.Current()
-	if version <= in.Version {
+// serveConfig hands a fellow the configuration held here, if it is newer than its own.
+func (t *Client) serveConfig(_ context.Context, _ transport.Hello, request protocol.ConfigPush) (protocol.ConfigPush, error) {
+	version, doc := t.document.Current()
+	if version <= request.Version {
 		return protocol.ConfigPush{}, nil
 	}
-	if steps, ok := t.held.Since(in.Version); ok && in.AcceptsPatch {
+	if steps, ok := t.document.Since(request.Version); ok && request.AcceptsPatch {
 		return protocol.ConfigPush{Version: version, Steps: steps}, nil
 	}
 	return protocol.ConfigPush{Version: version, Document: doc}, nil
 }
 
 // FetchFrom takes the configuration that a fellow holds, if it is newer.
-func (t *Client) FetchFrom(ctx context.Context, at string) bool {
-	for _, steps := range []bool{true, false} {
-		had := t.host.Version()
-		got, err := transport.Call[protocol.ConfigPush](ctx, t.x.Node, at, "config.give", protocol.ConfigPush{Version: had, AcceptsPatch: steps})
-		if err != nil || got.Version <= had {
+func (t *Client) FetchFrom(ctx context.Context, addr string) bool {
+	for _, acceptsPatch := range []bool{true, false} {
+		heldVersion := t.host.Version()
+		push, err := transport.Call[protocol.ConfigPush](ctx, t.deps.Node, addr, "config.give", protocol.ConfigPush{Version: heldVersion, AcceptsPatch: acceptsPatch})
+		if err != nil || push.Version <= heldVersion {
 			return false
 		}
-		if t.ApplyConfig(got.Version, got.Document, got.Steps) {
+		if t.ApplyConfig(push.Version, push.Document, push.Steps) {
 			return true
 		}
 	}
@@ -78,26 +78,26 @@
 // PushConfig gives a fellow that likely holds a version what is held: steps if there
 // are some from there, the whole otherwise. It gives back what the fellow holds
 // then, 0 when it didn't say.
-func PushConfig(ctx context.Context, n *transport.Node, to string, held *patch.Document, have uint64) (uint64, error) {
-	version, doc := held.Current()
+func PushConfig(ctx context.Context, node *transport.Node, addr string, document *patch.Document, peerVersion uint64) (uint64, error) {
+	version, doc := document.Current()
 	for range 2 {
-		steps, ok := held.Since(have)
+		steps, ok := document.Since(peerVersion)
 		if !ok {
 			break
 		}
-		got, err := transport.Call[protocol.ConfigPushResponse](ctx, n, to, "config.step", protocol.ConfigPush{Version: version, Steps: steps})
+		response, err := transport.Call[protocol.ConfigPushResponse](ctx, node, addr, "config.step", protocol.ConfigPush{Version: version, Steps: steps})
 		if err != nil && !fault.Is(err, fault.Refused) {
 			return 0, err
 		}
-		if err == nil && got.Version >= version {
-			return got.Version, nil
+		if err == nil && response.Version >= version {
+			return response.Version, nil
 		}
 		// It holds another one than was thought, or knows no steps.
-		if err != nil || got.Version == have {
+		if err != nil || response.Version == peerVersion {
 			break
 		}
-		have = got.Version
+		peerVersion = response.Version
 	}
-	got, err := transport.Call[protocol.ConfigPushResponse](ctx, n, to, "config.push", protocol.ConfigPush{Version: version, Document: doc})
-	return got.Version, err
+	response, err := transport.Call[protocol.ConfigPushResponse](ctx, node, addr, "config.push", protocol.ConfigPush{Version: version, Document: doc})
+	return response.Version, err
 }
--- a/internal/controlclient/heartbeat.go
+++ b/internal/controlclient/heartbeat.go
@@ -10,112 +10,112 @@
 	"puffincrank/internal/transport"
 )
 
-// beat sends one beat and takes in the receipt. Beats come one after the other,
+// sendHeartbeat sends one beat and takes in the receipt. Beats come one after the other,
 // so the list whose hash is kept is the one that is passed on last.
-func (t *Client) beat(ctx context.Context, to string) bool {
+func (t *Client) sendHeartbeat(ctx context.Context, addr string) bool {
 	t.mu.Lock()
-	ask := protocol.Heartbeat{Member: t.x.Self, MembersHash: t.hash, AcceptsDiff: true, ControlNodesHash: membership.HashNames(t.core), AcceptsPatch: !t.whole, AcceptsCompact: true}
+	heartbeat := protocol.Heartbeat{Member: t.deps.Self, MembersHash: t.membersHash, AcceptsDiff: true, ControlNodesHash: membership.HashNames(t.controlNodes), AcceptsPatch: !t.needFullDocument, AcceptsCompact: true}
 	t.mu.Unlock()
-	ask.ConfigVersion = t.host.Version()
-	t.host.FillHeartbeat(&ask)
-	one, end := context.WithTimeout(ctx, t.leash())
-	defer end()
-	from := time.Now()
-	got, err := transport.Call[protocol.HeartbeatResponse](one, t.x.Node, to, "session.beat", ask)
-	if err != nil || !got.InTouch {
+	heartbeat.ConfigVersion = t.host.Version()
+	t.host.FillHeartbeat(&heartbeat)
+	callCtx, cancel := context.WithTimeout(ctx, t.answerTimeout())
+	defer cancel()
+	sentAt := time.Now()
+	response, err := transport.Call[protocol.HeartbeatResponse](callCtx, t.deps.Node, addr, "session.beat", heartbeat)
+	if err != nil || !response.InTouch {
 		return false
 	}
-	if len(got.CompressedDocument) > 0 {
+	if len(response.CompressedDocument) > 0 {
 		// What can't be read is like steps that don't fit.
-		got.Document, _ = compression.Decompress(got.CompressedDocument)
+		response.Document, _ = compression.Decompress(response.CompressedDocument)
 	}
-	if got.ConfigVersion > t.host.Version() && !t.ApplyConfig(got.ConfigVersion, got.Document, got.Steps) {
+	if response.ConfigVersion > t.host.Version() && !t.ApplyConfig(response.ConfigVersion, response.Document, response.Steps) {
 		// Steps that did not fit are asked for whole at once, a broken document
 		// is no reason to ask again.
-		if !ask.AcceptsPatch || got.Document != nil {
+		if !heartbeat.AcceptsPatch || response.Document != nil {
 			return false
 		}
-		t.whole = true
-		return t.beat(ctx, to)
+		t.needFullDocument = true
+		return t.sendHeartbeat(ctx, addr)
 	}
-	t.whole = false
+	t.needFullDocument = false
 	// A control node that knows less than we do is not one to follow.
-	if t.host.Version() > got.ConfigVersion {
+	if t.host.Version() > response.ConfigVersion {
 		return false
 	}
-	t.sees(from, got.ConfirmedAgoMS)
+	t.recordConfirmation(sentAt, response.ConfirmedAgoMS)
 	t.mu.Lock()
 	// A receipt in time says that the way is free again.
-	t.slow = t.slow && time.Since(from) > t.x.Settings.CallTimeout()
-	fill := t.since.IsZero() || time.Since(t.since) > t.x.Settings.MaxAbsence()
-	if len(got.ControlNodes) > 0 {
-		t.core = got.ControlNodes
+	t.slow = t.slow && time.Since(sentAt) > t.deps.Settings.CallTimeout()
+	needRefill := t.lastRenewed.IsZero() || time.Since(t.lastRenewed) > t.deps.Settings.MaxAbsence()
+	if len(response.ControlNodes) > 0 {
+		t.controlNodes = response.ControlNodes
 	}
 	t.mu.Unlock()
-	if got.MembersHash != ask.MembersHash {
-		t.members(one, to, ask.MembersHash, &got)
+	if response.MembersHash != heartbeat.MembersHash {
+		t.applyMembers(callCtx, addr, heartbeat.MembersHash, &response)
 	}
-	t.host.ProxyCountChanged(got.ProxyCount)
+	t.host.ProxyCountChanged(response.ProxyCount)
 	// A new replica, or one that was away for too long, is refilled before
 	// the session counts. Who is put off keeps its seat meanwhile.
-	if fill {
-		switch t.fill(ctx, to) {
-		case unfilled:
+	if needRefill {
+		switch t.refill(ctx, addr) {
+		case refillFailed:
 			return false
-		case putOff:
+		case refillDeferred:
 			return true
 		}
 	}
-	t.x.Replica.SetCompleteUntil(time.Now().Add(t.x.Settings.SessionTTL()))
+	t.deps.Replica.SetCompleteUntil(time.Now().Add(t.deps.Settings.SessionTTL()))
 	t.mu.Lock()
-	t.since = time.Now()
-	t.stir()
+	t.lastRenewed = time.Now()
+	t.signalChange()
 	t.mu.Unlock()
 	t.host.SessionRenewed()
 	return true
 }
 
-// members takes in what a receipt says of the list of members. When the
+// applyMembers takes in what a receipt says of the list of members. When the
 // control node knew nothing of the list held here, what differs is asked for
 // by parts; the rest of that waits for the next beat when time runs out.
-func (t *Client) members(ctx context.Context, to string, was uint64, got *protocol.HeartbeatResponse) {
+func (t *Client) applyMembers(ctx context.Context, addr string, sentHash uint64, response *protocol.HeartbeatResponse) {
 	t.mu.Lock()
-	b, now := t.book, t.hash
+	list, heldHash := t.members, t.membersHash
 	t.mu.Unlock()
-	if len(got.CompactDiff) > 0 {
+	if len(response.CompactDiff) > 0 {
 		// What can't be opened is no difference: the parts are asked for.
-		d, err := membership.DecodeDiff(got.CompactDiff)
-		got.IsDiff, got.Added, got.Removed = got.IsDiff && err == nil, d.Added, d.Removed
+		diff, err := membership.DecodeDiff(response.CompactDiff)
+		response.IsDiff, response.Added, response.Removed = response.IsDiff && err == nil, diff.Added, diff.Removed
 	}
 	switch {
-	case got.Members != nil:
-		b = membership.NewList(got.Members)
-	case got.IsDiff && now == was:
-		if b = b.Apply(got.Added, got.Removed); b.Hash() != got.MembersHash {
+	case response.Members != nil:
+		list = membership.NewList(response.Members)
+	case response.IsDiff && heldHash == sentHash:
+		if list = list.Apply(response.Added, response.Removed); list.Hash() != response.MembersHash {
 			// Not what the control node holds: asked for by parts next time.
-			got.MembersHash = b.Hash()
+			response.MembersHash = list.Hash()
 		}
 	default:
-		b = t.parts(ctx, to, b, got.MembersHash, got.ProxyCount)
-		got.MembersHash = b.Hash()
+		list = t.repairMembers(ctx, addr, list, response.MembersHash, response.ProxyCount)
+		response.MembersHash = list.Hash()
 	}
-	if t.x.SharedList != nil {
-		b = t.x.SharedList(b)
+	if t.deps.SharedList != nil {
+		list = t.deps.SharedList(list)
 	}
 	t.mu.Lock()
-	t.book, t.hash = b, got.MembersHash
+	t.members, t.membersHash = list, response.MembersHash
 	t.mu.Unlock()
-	t.x.Replica.SetMembers(b)
-	t.host.MembersChanged(b)
+	t.deps.Replica.SetMembers(list)
+	t.host.MembersChanged(list)
 }
 
 // Close ends the session politely.
 func (t *Client) Close() {
-	at, _ := t.Current()
-	if at == "" {
+	addr, _ := t.Current()
+	if addr == "" {
 		return
 	}
-	ctx, end := context.WithTimeout(t.x.Group.Context(), t.x.Settings.FarewellTimeout())
-	defer end()
-	_, _ = transport.Call[protocol.HeartbeatResponse](ctx, t.x.Node, at, "session.beat", protocol.Heartbeat{Member: t.x.Self, Leaving: true})
+	ctx, cancel := context.WithTimeout(t.deps.Group.Context(), t.deps.Settings.FarewellTimeout())
+	defer cancel()
+	_, _ = transport.Call[protocol.HeartbeatResponse](ctx, t.deps.Node, addr, "session.beat", protocol.Heartbeat{Member: t.deps.Self, Leaving: true})
 }
--- a/internal/controlclient/memberlist.go
+++ b/internal/controlclient/memberlist.go
@@ -14,92 +14,92 @@
 // page is how many members one message brings at the most, few how many are not
 // worth the short form's own frame.
 const (
-	page = 512
-	few  = 2
+	membersPerPage  = 512
+	maxPlainMembers = 2
 )
 
-// parts mends a list part by part until it is the control node's, or that of a
+// repairMembers mends a list part by part until it is the control node's, or that of a
 // fellow when the control node has handed out all that it may.
-func (t *Client) parts(ctx context.Context, to string, b *membership.List, want uint64, fronts int) *membership.List {
-	b, got, _ := t.mend(ctx, to, b, fronts, func(uint64) bool { return true })
-	if !got.Busy {
-		return b
+func (t *Client) repairMembers(ctx context.Context, controlNode string, list *membership.List, wantHash uint64, proxyCount int) *membership.List {
+	list, response, _ := t.fetchParts(ctx, controlNode, list, proxyCount, func(uint64) bool { return true })
+	if !response.Busy {
+		return list
 	}
-	from := []string{""}
-	if len(got.Alternatives) > 0 {
-		from[0] = got.Alternatives[rand.IntN(len(got.Alternatives))]
+	sources := []string{""}
+	if len(response.Alternatives) > 0 {
+		sources[0] = response.Alternatives[rand.IntN(len(response.Alternatives))]
 	}
-	if f := b.Random(t.x.Self.Zone, rand.IntN); f != nil && f.Role == "proxy" && f.Node != t.x.Self.Node {
-		from = append(from, f.InternalAddr)
+	if member := list.Random(t.deps.Self.Zone, rand.IntN); member != nil && member.Role == "proxy" && member.Node != t.deps.Self.Node {
+		sources = append(sources, member.InternalAddr)
 	}
-	for _, a := range from {
-		if a == "" {
+	for _, addr := range sources {
+		if addr == "" {
 			continue
 		}
-		one, end := context.WithTimeout(ctx, t.x.Settings.CallTimeout()/4)
+		callCtx, cancel := context.WithTimeout(ctx, t.deps.Settings.CallTimeout()/4)
 		// A list that is no newer would undo what is known here; but to one that
 		// knows next to nothing any is of use, and the rest comes with the beats.
-		next, _, ok := t.mend(one, a, b, fronts, func(hash uint64) bool { return hash == want || 2*b.Len() < fronts })
-		end()
+		repaired, _, ok := t.fetchParts(callCtx, addr, list, proxyCount, func(hash uint64) bool { return hash == wantHash || 2*list.Len() < proxyCount })
+		cancel()
 		if ok {
-			return next
+			return repaired
 		}
 	}
-	return b
+	return list
 }
 
-// mend asks one for the parts that differ, if its list will do; the last word
+// fetchParts asks one for the parts that differ, if its list will do; the last word
 // tells whether all came.
-func (t *Client) mend(ctx context.Context, at string, b *membership.List, fronts int, will func(hash uint64) bool) (*membership.List, protocol.MemberListResponse, bool) {
-	n := max(b.PartCount(), membership.PartCount(fronts))
+func (t *Client) fetchParts(ctx context.Context, addr string, list *membership.List, proxyCount int, accept func(hash uint64) bool) (*membership.List, protocol.MemberListResponse, bool) {
+	partCount := max(list.PartCount(), membership.PartCount(proxyCount))
 	for {
-		got, err := transport.Call[protocol.MemberListResponse](ctx, t.x.Node, at, "session.members", protocol.MemberListRequest{Digests: b.Digests(n), AcceptsCompact: true})
-		if err != nil || len(got.Parts) == 0 || !will(got.Hash) {
-			return b, got, false
+		response, err := transport.Call[protocol.MemberListResponse](ctx, t.deps.Node, addr, "session.members", protocol.MemberListRequest{Digests: list.Digests(partCount), AcceptsCompact: true})
+		if err != nil || len(response.Parts) == 0 || !accept(response.Hash) {
+			return list, response, false
 		}
-		if len(got.Compact) > 0 {
-			d, err := membership.DecodeDiff(got.Compact)
+		if len(response.Compact) > 0 {
+			diff, err := membership.DecodeDiff(response.Compact)
 			if err != nil {
-				return b, got, false
+				return list, response, false
 			}
-			got.Members = d.Added
+			response.Members = diff.Added
 		}
-		if b = b.ReplaceParts(n, got.Parts, got.Members); !got.More {
-			return b, got, true
+		if list = list.ReplaceParts(partCount, response.Parts, response.Members); !response.More {
+			return list, response, true
 		}
 	}
 }
 
-// list gives fellows the parts of the list held here that differ from theirs.
-func (t *Client) list(_ context.Context, from transport.Hello, in protocol.MemberListRequest) (protocol.MemberListResponse, error) {
+// serveMembers gives fellows the parts of the list held here that differ from theirs.
+func (t *Client) serveMembers(_ context.Context, from transport.Hello, request protocol.MemberListRequest) (protocol.MemberListResponse, error) {
 	t.mu.Lock()
-	b, since := t.book, t.since
+	list, lastRenewed := t.members, t.lastRenewed
 	t.mu.Unlock()
-	if since.IsZero() || time.Since(since) > t.x.Settings.SessionTTL() || !t.x.Replica.HasRefillCapacity() {
-		return protocol.MemberListResponse{Busy: true, Alternatives: t.x.Replica.RefilledNodes(from.Zone, "")}, nil
+	if lastRenewed.IsZero() || time.Since(lastRenewed) > t.deps.Settings.SessionTTL() || !t.deps.Replica.HasRefillCapacity() {
+		return protocol.MemberListResponse{Busy: true, Alternatives: t.deps.Replica.RefilledNodes(from.Zone, "")}, nil
 	}
-	out, err := DiffMembers(b, in)
-	t.x.Replica.RecordRefillBytes(ResponseSize(out))
-	return out, err
+	response, err := DiffMembers(list, request)
+	t.deps.Replica.RecordRefillBytes(ResponseSize(response))
+	return response, err
 }
 
 // DiffMembers answers who asks for the parts of a list that differ from its own.
-func DiffMembers(b *membership.List, in protocol.MemberListRequest) (protocol.MemberListResponse, error) {
-	if len(in.Digests) == 0 || len(in.Digests) > 1<<12 {
-		return protocol.MemberListResponse{}, fault.New(fault.Input, "%d digests", len(in.Digests))
+func DiffMembers(list *membership.List, request protocol.MemberListRequest) (protocol.MemberListResponse, error) {
+	if len(request.Digests) == 0 || len(request.Digests) > 1<<12 {
+		return protocol.MemberListResponse{}, fault.New(fault.Input, "%d digests", len(request.Digests))
 	}
-	out := protocol.MemberListResponse{Hash: b.Hash()}
-	out.Parts, out.Members, out.More = b.DifferingParts(in.Digests, page)
-	if in.AcceptsCompact && len(out.Members) > few {
-		out.Compact, out.Members = membership.Diff{Added: out.Members}.Encode(), nil
+	response := protocol.MemberListResponse{Hash: list.Hash()}
+	response.Parts, response.Members, response.More = list.DifferingParts(request.Digests, membersPerPage)
+	if request.AcceptsCompact && len(response.Members) > maxPlainMembers {
+		response.Compact, response.Members = membership.Diff{Added: response.Members}.Encode(), nil
 	}
-	return out, nil
+	return response, nil
 }
 
 // member names take about so many bytes each when they aren't packed.
-const whole = 125
+const memberBytes = 125
 
 // ResponseSize is about how many bytes an answer has.
-func ResponseSize(out protocol.MemberListResponse) int {
-	return len(out.Compact) + whole*len(out.Members)
+func ResponseSize(response protocol.MemberListResponse) int {
+	return len(response.Compact) + memberBytes*len(response.Members)
 }
--- a/internal/controlclient/memberlist_test.go
+++ b/internal/controlclient/memberlist_test.go
@@ -56,27 +56,27 @@
 		}
 		t.Cleanup(core.Close)
 		ask := func(b *membership.List) *membership.List {
-			return node.parts(t.Context(), "core:1", b, newest.Hash(), newest.ProxyCount())
+			return node.repairMembers(t.Context(), "core:1", b, newest.Hash(), newest.ProxyCount())
 		}
-		fellow.book = newest
+		fellow.members = newest
 		if b := ask(&membership.List{}); b.Len() != 0 {
 			t.Errorf("%d members from one without a session", b.Len())
 		}
-		fellow.since = time.Now()
+		fellow.lastRenewed = time.Now()
 		if b := ask(&membership.List{}); b.Hash() != newest.Hash() {
 			t.Errorf("%d members of %d for one that knew none", b.Len(), newest.Len())
 		}
 		if b := ask(older); b.Hash() != newest.Hash() {
 			t.Error("the newest list was not taken")
 		}
-		fellow.book = older
+		fellow.members = older
 		if b := ask(membership.NewList(all[:595])); b.Len() != 595 {
 			t.Errorf("an older list undid what was known: %d", b.Len())
 		}
 		if b := ask(membership.NewList(all[:5])); b.Hash() != older.Hash() {
 			t.Errorf("nearly all is not taken by one that knows 5: %d", b.Len())
 		}
-		fellow.x.Replica.RecordRefillBytes(1 << 20)
+		fellow.deps.Replica.RecordRefillBytes(1 << 20)
 		if b := ask(older); b.Hash() != older.Hash() {
 			t.Error("one that handed out its part hands out more")
 		}
--- a/internal/controlclient/refill.go
+++ b/internal/controlclient/refill.go
@@ -9,115 +9,115 @@
 	"puffincrank/internal/task"
 )
 
-// filling is what came of an attempt to have the replica filled.
-type filling int
+// refillOutcome is what came of an attempt to have the replica filled.
+type refillOutcome int
 
 const (
-	unfilled filling = iota // the control node gave no answer
-	putOff                  // it is not this node's turn yet
-	filled
+	refillFailed   refillOutcome = iota // the control node gave no answer
+	refillDeferred                      // it is not this node's turn yet
+	refillDone
 )
 
-// mends is how often a replica that was filled is compared soon after.
-const mends = 3
+// repairsAfterRefill is how often a replica that was filled is compared soon after.
+const repairsAfterRefill = 3
 
-// fill has the replica filled: by a fellow of the own area, if the control node
+// refill has the replica filled: by a fellow of the own area, if the control node
 // is elsewhere, since bytes between areas are dear; by the control node in its
 // turn; and while that is to come, by those who were filled meanwhile.
-func (t *Client) fill(ctx context.Context, to string) filling {
-	ctx, end := context.WithTimeout(ctx, t.leash())
-	defer end()
+func (t *Client) refill(ctx context.Context, controlNode string) refillOutcome {
+	ctx, cancel := context.WithTimeout(ctx, t.answerTimeout())
+	defer cancel()
 	t.mu.Lock()
-	due, f := !time.Now().Before(t.due), t.book.ByAddr(to)
+	due, member := !time.Now().Before(t.refillAt), t.members.ByAddr(controlNode)
 	var first, last []string
-	if len(t.tips) > 0 {
-		first = append(first, t.tips[rand.IntN(len(t.tips))])
+	if len(t.refillAlternatives) > 0 {
+		first = append(first, t.refillAlternatives[rand.IntN(len(t.refillAlternatives))])
 	}
 	t.mu.Unlock()
 	switch {
 	case !due:
-		last = append(last, t.x.Replica.RandomProxy(t.x.Self.Zone), t.x.Replica.RandomProxy(""))
-	case f == nil || f.Zone != t.x.Self.Zone:
-		first = append(first, t.x.Replica.RandomProxy(t.x.Self.Zone))
+		last = append(last, t.deps.Replica.RandomProxy(t.deps.Self.Zone), t.deps.Replica.RandomProxy(""))
+	case member == nil || member.Zone != t.deps.Self.Zone:
+		first = append(first, t.deps.Replica.RandomProxy(t.deps.Self.Zone))
 	}
-	for _, a := range first {
-		if t.pull(ctx, a, to) {
-			return filled
+	for _, addr := range first {
+		if t.refillFromPeer(ctx, addr, controlNode) {
+			return refillDone
 		}
 	}
 	if due {
-		got, err := t.x.Replica.Refill(ctx, to)
+		result, err := t.deps.Replica.Refill(ctx, controlNode)
 		switch {
 		case err != nil:
-			return unfilled
-		case got.Done:
-			t.full(to, to, got.Limited)
-			return filled
+			return refillFailed
+		case result.Done:
+			t.completeRefill(controlNode, controlNode, result.Limited)
+			return refillDone
 		}
-		t.off(got)
-		if len(got.Alternatives) > 0 {
-			last = append(last, got.Alternatives[rand.IntN(len(got.Alternatives))])
+		t.recordRetry(result)
+		if len(result.Alternatives) > 0 {
+			last = append(last, result.Alternatives[rand.IntN(len(result.Alternatives))])
 		}
 	}
-	for _, a := range last {
-		if t.pull(ctx, a, to) {
-			return filled
+	for _, addr := range last {
+		if t.refillFromPeer(ctx, addr, controlNode) {
+			return refillDone
 		}
 	}
 	// Until then nothing old goes to others.
-	t.x.Replica.SetRefillPending(true)
-	return putOff
+	t.deps.Replica.SetRefillPending(true)
+	return refillDeferred
 }
 
-// pull asks a fellow. One that says nothing costs a part of the wait only.
-func (t *Client) pull(ctx context.Context, at, to string) bool {
-	if at == "" || at == to {
+// refillFromPeer asks a fellow. One that says nothing costs a part of the wait only.
+func (t *Client) refillFromPeer(ctx context.Context, addr, controlNode string) bool {
+	if addr == "" || addr == controlNode {
 		return false
 	}
-	ctx, end := context.WithTimeout(ctx, t.x.Settings.CallTimeout()/4)
-	defer end()
-	got, err := t.x.Replica.Refill(ctx, at)
-	if err == nil && got.Done {
-		t.full(at, to, got.Limited)
+	ctx, cancel := context.WithTimeout(ctx, t.deps.Settings.CallTimeout()/4)
+	defer cancel()
+	result, err := t.deps.Replica.Refill(ctx, addr)
+	if err == nil && result.Done {
+		t.completeRefill(addr, controlNode, result.Limited)
 		return true
 	}
 	t.mu.Lock()
-	t.tips = got.Alternatives
+	t.refillAlternatives = result.Alternatives
 	t.mu.Unlock()
 	return false
 }
 
-// off notes when it is this node's turn, and who may fill it before.
-func (t *Client) off(got replica.Refill) {
+// recordRetry notes when it is this node's turn, and who may fill it before.
+func (t *Client) recordRetry(result replica.Refill) {
 	t.mu.Lock()
-	t.due, t.tips = time.Now().Add(got.RetryAfter), got.Alternatives
+	t.refillAt, t.refillAlternatives = time.Now().Add(result.RetryAfter), result.Alternatives
 	t.mu.Unlock()
 }
 
-// full goes on with a filled replica. Own entries made before there was anybody
+// completeRefill goes on with a filled replica. Own entries made before there was anybody
 // to tell go out now, and those that crossed with this one's start are fetched
 // soon after. A control node that has handed out what it may in a beat gives
 // nothing then: gossip brings what is missing, and bytes that a fellow would
 // send in its place are dearer.
-func (t *Client) full(at, to string, many bool) {
+func (t *Client) completeRefill(source, controlNode string, limited bool) {
 	t.mu.Lock()
-	t.due, t.tips = time.Time{}, nil
+	t.refillAt, t.refillAlternatives = time.Time{}, nil
 	t.mu.Unlock()
-	beat := t.x.Settings.HeartbeatInterval()
-	if at != to && !many {
+	interval := t.deps.Settings.HeartbeatInterval()
+	if source != controlNode && !limited {
 		// A fellow may know less than the control node does.
-		ctx, end := context.WithTimeout(t.x.Group.Context(), t.leash())
-		_ = t.x.Replica.Repair(ctx, to)
-		end()
+		ctx, cancel := context.WithTimeout(t.deps.Group.Context(), t.answerTimeout())
+		_ = t.deps.Replica.Repair(ctx, controlNode)
+		cancel()
 	}
 	t.host.ReplicaRefilled()
-	if many {
-		t.x.Replica.AnnounceOwn()
+	if limited {
+		t.deps.Replica.AnnounceOwn()
 	}
-	t.x.Group.Go("mend-soon", func(ctx context.Context) {
-		for range mends {
-			_ = t.x.Replica.Repair(ctx, to)
-			task.Sleep(ctx, 2*beat)
+	t.deps.Group.Go("mend-soon", func(ctx context.Context) {
+		for range repairsAfterRefill {
+			_ = t.deps.Replica.Repair(ctx, controlNode)
+			task.Sleep(ctx, 2*interval)
 		}
 	})
 }
--- a/internal/registry/abort.go
+++ b/internal/registry/abort.go
@@ -12,8 +12,8 @@
 	"puffincrank/internal/statemachine"
 )
 
-// abort ends a trial by an operator's word: the old path stays.
-func (r *Registry) abort(w http.ResponseWriter, req *http.Request) {
+// abortTrial ends a trial by an operator's word: the old path stays.
+func (r *Registry) abortTrial(w http.ResponseWriter, req *http.Request) {
 	id, err := strconv.ParseUint(chi.URLParam(req, "id"), 10, 64)
 	if err != nil {
 		httpapi.WriteJSON(w, http.StatusNotFound, httpapi.ErrorBody{Message: "no such trial"})
@@ -23,34 +23,34 @@
 	if key == nil {
 		return
 	}
-	ctx, end := r.withDeadline(req)
-	defer end()
-	earlier, known, err := r.earlierAnswer(ctx, key)
+	ctx, cancel := r.withDeadline(req)
+	defer cancel()
+	earlier, known, err := r.earlierResult(ctx, key)
 	if err != nil {
-		r.answerFailure(w, err)
+		r.writeStoreError(w, err)
 		return
 	}
 	if known {
-		answer(w, earlier, map[string]any{"version": earlier.Version, "trial": id})
+		writeResult(w, earlier, map[string]any{"version": earlier.Version, "trial": id})
 		return
 	}
-	now, err := r.confirmed(ctx)
+	current, err := r.readConfirmed(ctx)
 	if err != nil {
-		r.answerFailure(w, err)
+		r.writeStoreError(w, err)
 		return
 	}
-	doc, err := rules.FinishTrial(now.Doc, id, false)
+	doc, err := rules.FinishTrial(current.Doc, id, false)
 	if err != nil {
-		answerWrong(w, err.Error(), nil)
+		writeInvalid(w, err.Error(), nil)
 		return
 	}
-	got, err := r.stores.proposeOnce(ctx, "trial.decide", &statemachine.Decide{ID: id, Base: now.Version, Doc: doc, State: statemachine.HeldBack, Why: "aborted by " + operatorOf(req), Who: operatorOf(req)}, key)
+	result, err := r.stores.proposeOnce(ctx, "trial.decide", &statemachine.Decide{ID: id, Base: current.Version, Doc: doc, State: statemachine.HeldBack, Why: "aborted by " + operatorOf(req), Who: operatorOf(req)}, key)
 	if err != nil {
-		r.answerFailure(w, err)
+		r.writeStoreError(w, err)
 		return
 	}
-	if got.Code == statemachine.OK {
-		r.e.Log.Emit(event.TrialHeldBack, "trial", id, "version", got.Version, "why", "aborted by "+operatorOf(req))
+	if result.Code == statemachine.OK {
+		r.env.Log.Emit(event.TrialHeldBack, "trial", id, "version", result.Version, "why", "aborted by "+operatorOf(req))
 	}
-	answer(w, got, map[string]any{"version": got.Version, "trial": id})
+	writeResult(w, result, map[string]any{"version": result.Version, "trial": id})
 }
--- a/internal/registry/config.go
+++ b/internal/registry/config.go
@@ -18,77 +18,77 @@
 // traffic and would go elsewhere are rehearsed; the rest applies at once, and
 // all of it does in an emergency.
 func (r *Registry) putConfig(w http.ResponseWriter, req *http.Request) {
-	q := req.URL.Query()
-	if q.Get("by") == "number" {
-		r.numberConfig(w, req)
+	query := req.URL.Query()
+	if query.Get("by") == "number" {
+		r.putNumberedConfig(w, req)
 		return
 	}
-	base, err := strconv.ParseUint(q.Get("based_on"), 10, 64)
+	base, err := strconv.ParseUint(query.Get("based_on"), 10, 64)
 	if err != nil {
-		answerWrong(w, "based_on must name the version that the document is based on", nil)
+		writeInvalid(w, "based_on must name the version that the document is based on", nil)
 		return
 	}
-	raw, c := r.readDoc(w, req)
-	if c == nil {
+	raw, compiled := r.readDocument(w, req)
+	if compiled == nil {
 		return
 	}
-	now := q.Get("emergency") == "true"
-	key := requestKey(w, req, "config", []byte(operatorOf(req)), []byte(q.Get("based_on")), []byte(q.Get("emergency")), raw)
+	emergency := query.Get("emergency") == "true"
+	key := requestKey(w, req, "config", []byte(operatorOf(req)), []byte(query.Get("based_on")), []byte(query.Get("emergency")), raw)
 	if key == nil {
 		return
 	}
-	ctx, end := r.withDeadline(req)
-	defer end()
-	if r.answerEarlier(ctx, w, key) {
+	ctx, cancel := r.withDeadline(req)
+	defer cancel()
+	if r.writeEarlierResult(ctx, w, key) {
 		return
 	}
-	if !now && base > 0 {
-		old, err := r.confirmed(ctx)
+	if !emergency && base > 0 {
+		current, err := r.readConfirmed(ctx)
 		if err != nil {
-			r.answerFailure(w, err)
+			r.writeStoreError(w, err)
 			return
 		}
-		if old.Version == base && r.checkChange(ctx, w, req, key, old, raw) {
+		if current.Version == base && r.startRouteTrials(ctx, w, req, key, current, raw) {
 			return
 		}
 	}
-	why := "applied whole"
-	if now {
-		why = "applied whole as an emergency"
+	reason := "applied whole"
+	if emergency {
+		reason = "applied whole as an emergency"
 	}
-	got, err := r.stores.proposeOnce(ctx, "config.set", &statemachine.SetConfig{Base: base, Doc: raw, Who: operatorOf(req), Why: why, Now: now}, key)
+	result, err := r.stores.proposeOnce(ctx, "config.set", &statemachine.SetConfig{Base: base, Doc: raw, Who: operatorOf(req), Why: reason, Now: emergency}, key)
 	if err != nil {
-		r.answerFailure(w, err)
+		r.writeStoreError(w, err)
 		return
 	}
-	if got.Code == statemachine.OK && now {
-		r.e.Log.Emit(event.EmergencyChange, "version", got.Version, "who", operatorOf(req))
+	if result.Code == statemachine.OK && emergency {
+		r.env.Log.Emit(event.EmergencyChange, "version", result.Version, "who", operatorOf(req))
 	}
-	if got.Code == statemachine.OK {
-		r.e.Log.Emit(event.ConfigAcknowledged, "version", got.Version, "who", operatorOf(req))
+	if result.Code == statemachine.OK {
+		r.env.Log.Emit(event.ConfigAcknowledged, "version", result.Version, "who", operatorOf(req))
 	}
-	answerOrder(w, got, nil)
+	writeConfigResult(w, result, nil)
 }
 
-// checkChange begins a trial for a whole document's changed live paths; false
+// startRouteTrials begins a trial for a whole document's changed live paths; false
 // means that there are none.
-func (r *Registry) checkChange(ctx context.Context, w http.ResponseWriter, req *http.Request, key *store.RequestKey, old statemachine.Result, raw []byte) bool {
-	for _, t := range old.Trials {
+func (r *Registry) startRouteTrials(ctx context.Context, w http.ResponseWriter, req *http.Request, key *store.RequestKey, current statemachine.Result, raw []byte) bool {
+	for _, t := range current.Trials {
 		if t.State == statemachine.Running {
-			httpapi.WriteJSON(w, http.StatusConflict, httpapi.ErrorBody{Message: fmt.Sprintf("trial %d runs: wait, abort it, or apply as an emergency", t.ID), Version: old.Version})
+			httpapi.WriteJSON(w, http.StatusConflict, httpapi.ErrorBody{Message: fmt.Sprintf("trial %d runs: wait, abort it, or apply as an emergency", t.ID), Version: current.Version})
 			return true
 		}
 	}
-	doc, paths, err := rules.PlanTrials(old.Doc, raw, old.Number+1, liveReports(r.reports(ctx)))
-	if err != nil || len(paths) == 0 {
+	doc, routes, err := rules.PlanTrials(current.Doc, raw, current.Number+1, activeRoutes(r.collectReports(ctx)))
+	if err != nil || len(routes) == 0 {
 		return false
 	}
-	c, bad, err := rules.Compile(old.Version+1, doc)
-	if err != nil || len(bad) > 0 {
-		answerWrong(w, "a path with traffic is rehearsed first, and its old arm needs what the document drops; keep that until the trial ends, or apply as an emergency", bad)
+	compiled, problems, err := rules.Compile(current.Version+1, doc)
+	if err != nil || len(problems) > 0 {
+		writeInvalid(w, "a path with traffic is rehearsed first, and its old arm needs what the document drops; keep that until the trial ends, or apply as an emergency", problems)
 		return true
 	}
-	r.begin(ctx, w, req, key, &statemachine.Propose{ID: old.Number + 1, Base: old.Version, Doc: doc, Routes: paths, Slice: c.Judge.Share("slice"), Who: operatorOf(req)})
+	r.startTrial(ctx, w, req, key, &statemachine.Propose{ID: current.Number + 1, Base: current.Version, Doc: doc, Routes: routes, Slice: compiled.Judge.Share("slice"), Who: operatorOf(req)})
 	return true
 }
 
@@ -100,12 +100,12 @@
 }
 
 func (r *Registry) getHistory(w http.ResponseWriter, req *http.Request) {
-	ctx, end := r.withDeadline(req)
-	defer end()
+	ctx, cancel := r.withDeadline(req)
+	defer cancel()
 	from, _ := strconv.ParseUint(req.URL.Query().Get("version"), 10, 64)
-	got, err := r.stores.read(ctx, store.ReadRequest{Kind: "history", From: from})
+	result, err := r.stores.read(ctx, store.ReadRequest{Kind: "history", From: from})
 	if err != nil {
-		r.answerFailure(w, err)
+		r.writeStoreError(w, err)
 		return
 	}
 	type row struct {
@@ -113,12 +113,12 @@
 		Doc any `json:"document,omitempty"`
 	}
 	rows := []row{}
-	for _, c := range got.Configs {
+	for _, c := range result.Configs {
 		line := row{Config: c}
 		if from > 0 {
 			line.Doc, _, _ = schema.Parse(c.Doc)
 		}
 		rows = append(rows, line)
 	}
-	httpapi.WriteJSON(w, http.StatusOK, map[string]any{"version": got.Version, "history": rows})
+	httpapi.WriteJSON(w, http.StatusOK, map[string]any{"version": result.Version, "history": rows})
 }
--- a/internal/registry/configpoll.go
+++ b/internal/registry/configpoll.go
@@ -11,76 +11,76 @@
 	"puffincrank/internal/store"
 )
 
-// poll keeps the configuration here the newest: a confirmed read that waits a
+// pollConfig keeps the configuration here the newest: a confirmed read that waits a
 // little for a change, over and over.
-func (r *Registry) poll(ctx context.Context) {
+func (r *Registry) pollConfig(ctx context.Context) {
 	for ctx.Err() == nil {
 		r.mu.Lock()
-		have := uint64(0)
+		heldVersion := uint64(0)
 		if r.rules != nil {
-			have = r.rules.Version
+			heldVersion = r.rules.Version
 		}
 		// The first word is not waited for: nothing is served before it.
 		wait := r.Settings.HeartbeatInterval()
-		if r.sure.IsZero() {
+		if r.confirmedAt.IsZero() {
 			wait = 0
 		}
 		r.mu.Unlock()
 		// Time for a second store when the first is unreachable.
-		one, end := context.WithTimeout(ctx, 2*r.Settings.CallTimeout())
-		from := time.Now()
-		got, err := r.stores.read(one, store.ReadRequest{Kind: "config", From: have, WaitMS: wait.Milliseconds(), AcceptsPatch: !r.whole})
-		end()
-		if err == nil && r.takeConfig(got) {
+		callCtx, cancel := context.WithTimeout(ctx, 2*r.Settings.CallTimeout())
+		startedAt := time.Now()
+		result, err := r.stores.read(callCtx, store.ReadRequest{Kind: "config", From: heldVersion, WaitMS: wait.Milliseconds(), AcceptsPatch: !r.needFullDocument})
+		cancel()
+		if err == nil && r.applyConfig(result) {
 			r.mu.Lock()
-			r.sure = from
-			r.trials, r.tries = got.Trials, got.Number
+			r.confirmedAt = startedAt
+			r.trials, r.lastTrialNumber = result.Trials, result.Number
 			r.mu.Unlock()
-			r.fill(ctx)
+			r.refill(ctx)
 			continue
 		}
-		if !r.inTouch() && r.life.Fire("lost") {
-			r.e.Log.Emit(event.ControlLost, "with", "stores")
+		if !r.connected() && r.lifecycle.Fire("lost") {
+			r.env.Log.Emit(event.ControlLost, "with", "stores")
 		}
-		r.e.Sleep(ctx, r.Settings.HeartbeatInterval()/4)
+		r.env.Sleep(ctx, r.Settings.HeartbeatInterval()/4)
 	}
 }
 
-// takeConfig puts a newer configuration in force here and pushes it at once.
-func (r *Registry) takeConfig(got statemachine.Result) bool {
+// applyConfig puts a newer configuration in force here and pushes it at once.
+func (r *Registry) applyConfig(result statemachine.Result) bool {
 	r.mu.Lock()
-	have := uint64(0)
-	old := r.rules
-	if old != nil {
-		have = old.Version
+	heldVersion := uint64(0)
+	previous := r.rules
+	if previous != nil {
+		heldVersion = previous.Version
 	}
 	r.mu.Unlock()
-	if got.Version <= have {
+	if result.Version <= heldVersion {
 		// A lower version than ours can't be confirmed by a majority.
-		return got.Version == have
+		return result.Version == heldVersion
 	}
-	steps := got.Steps
-	if got.Doc == nil {
-		doc, ok := r.held.Build(steps)
+	steps := result.Steps
+	if result.Doc == nil {
+		doc, ok := r.document.Build(steps)
 		// Steps that do not fit are followed by the whole at the next poll.
-		if r.whole = !ok; !ok {
+		if r.needFullDocument = !ok; !ok {
 			return false
 		}
-		got.Doc = doc
-	} else if _, old := r.held.Current(); have > 0 {
-		steps = []patch.Step{patch.Make(have, got.Version, old, got.Doc)}
-		r.whole = false
+		result.Doc = doc
+	} else if _, previous := r.document.Current(); heldVersion > 0 {
+		steps = []patch.Step{patch.Make(heldVersion, result.Version, previous, result.Doc)}
+		r.needFullDocument = false
 	}
-	c, bad, err := rules.Next(old, got.Version, got.Doc)
-	if err != nil || len(bad) > 0 {
-		r.e.Log.Emit(event.ConfigRefused, "version", got.Version, "faults", len(bad))
+	compiled, problems, err := rules.Next(previous, result.Version, result.Doc)
+	if err != nil || len(problems) > 0 {
+		r.env.Log.Emit(event.ConfigRefused, "version", result.Version, "faults", len(problems))
 		return false
 	}
 	r.mu.Lock()
-	r.held.Set(c.Version, c.Doc, steps)
-	r.rules = c
+	r.document.Set(compiled.Version, compiled.Doc, steps)
+	r.rules = compiled
 	r.mu.Unlock()
-	r.e.Log.Emit(event.ConfigApplied, "version", c.Version)
-	r.push()
+	r.env.Log.Emit(event.ConfigApplied, "version", compiled.Version)
+	r.pushConfig()
 	return true
 }
--- a/internal/registry/coordination.go
+++ b/internal/registry/coordination.go
@@ -24,128 +24,128 @@
 	}}
 )
 
-type errValueTooLarge struct{}
+type valueTooLargeError struct{}
 
-func (errValueTooLarge) Error() string { return "must be 64 KiB at the most" }
+func (valueTooLargeError) Error() string { return "must be 64 KiB at the most" }
 
 func checkValueSize(v any) error {
 	if s, _ := v.(string); len(s) > 64<<10 {
-		return errValueTooLarge{}
+		return valueTooLargeError{}
 	}
 	return nil
 }
 
 // readFields reads a small JSON body by a table.
-func readFields(w http.ResponseWriter, req *http.Request, tab schema.Table) (schema.Values, bool) {
+func readFields(w http.ResponseWriter, req *http.Request, table schema.Table) (schema.Values, bool) {
 	raw, code := httpapi.ReadBody(w, req, 256<<10)
 	if code != 0 {
 		httpapi.WriteJSON(w, code, httpapi.ErrorBody{Message: "the body is over the bound or can't be read"})
 		return nil, false
 	}
-	in, bad, err := schema.Parse(raw)
+	input, problems, err := schema.Parse(raw)
 	if err != nil {
 		httpapi.WriteJSON(w, http.StatusBadRequest, httpapi.ErrorBody{Message: "not JSON: " + err.Error()})
 		return nil, false
 	}
-	v, more := tab.Read(in, "")
-	if bad = append(bad, more...); len(bad) > 0 {
-		httpapi.WriteJSON(w, http.StatusUnprocessableEntity, httpapi.ErrorBody{Message: "the body is wrong", Faults: bad})
+	fields, fieldProblems := table.Read(input, "")
+	if problems = append(problems, fieldProblems...); len(problems) > 0 {
+		httpapi.WriteJSON(w, http.StatusUnprocessableEntity, httpapi.ErrorBody{Message: "the body is wrong", Faults: problems})
 		return nil, false
 	}
-	return v, true
+	return fields, true
 }
 
-// answer turns a receipt into a status and a body.
-func answer(w http.ResponseWriter, got statemachine.Result, body map[string]any) {
-	code := map[string]int{statemachine.OK: http.StatusOK, statemachine.Conflict: http.StatusConflict, statemachine.Reused: http.StatusConflict, statemachine.NotFound: http.StatusNotFound, statemachine.Compacted: http.StatusGone, statemachine.Full: http.StatusServiceUnavailable}[got.Code]
+// writeResult turns a receipt into a status and a body.
+func writeResult(w http.ResponseWriter, result statemachine.Result, body map[string]any) {
+	code := map[string]int{statemachine.OK: http.StatusOK, statemachine.Conflict: http.StatusConflict, statemachine.Reused: http.StatusConflict, statemachine.NotFound: http.StatusNotFound, statemachine.Compacted: http.StatusGone, statemachine.Full: http.StatusServiceUnavailable}[result.Code]
 	if code == 0 {
 		code = http.StatusInternalServerError
 	}
-	if got.Message != "" {
-		body["wrong"] = got.Message
+	if result.Message != "" {
+		body["wrong"] = result.Message
 	}
 	httpapi.WriteJSON(w, code, body)
 }
 
-// change offers a command and answers with what body makes of the receipt.
-func (r *Registry) change(w http.ResponseWriter, req *http.Request, kind string, cmd statemachine.Command, body func(statemachine.Result) map[string]any) {
-	ctx, end := r.withDeadline(req)
-	defer end()
-	got, err := r.stores.propose(ctx, kind, cmd)
+// proposeChange offers a command and answers with what body makes of the receipt.
+func (r *Registry) proposeChange(w http.ResponseWriter, req *http.Request, kind string, command statemachine.Command, body func(statemachine.Result) map[string]any) {
+	ctx, cancel := r.withDeadline(req)
+	defer cancel()
+	result, err := r.stores.propose(ctx, kind, command)
 	if err != nil {
-		r.answerFailure(w, err)
+		r.writeStoreError(w, err)
 		return
 	}
-	answer(w, got, body(got))
+	writeResult(w, result, body(result))
 }
 
-func (r *Registry) query(w http.ResponseWriter, req *http.Request, q store.ReadRequest, body func(statemachine.Result) map[string]any) {
-	ctx, end := r.withDeadline(req)
-	defer end()
-	got, err := r.stores.read(ctx, q)
+func (r *Registry) readStores(w http.ResponseWriter, req *http.Request, query store.ReadRequest, body func(statemachine.Result) map[string]any) {
+	ctx, cancel := r.withDeadline(req)
+	defer cancel()
+	result, err := r.stores.read(ctx, query)
 	if err != nil {
-		r.answerFailure(w, err)
+		r.writeStoreError(w, err)
 		return
 	}
-	answer(w, got, body(got))
+	writeResult(w, result, body(result))
 }
 
-func lockBody(name string) func(statemachine.Result) map[string]any {
-	return func(got statemachine.Result) map[string]any {
-		out := map[string]any{"lock": name}
-		if got.Lock != nil {
-			out["owner"], out["fence"], out["ttl_ms"] = got.Lock.Owner, got.Lock.Fence, got.Lock.TTL
+func lockResponse(name string) func(statemachine.Result) map[string]any {
+	return func(result statemachine.Result) map[string]any {
+		response := map[string]any{"lock": name}
+		if result.Lock != nil {
+			response["owner"], response["fence"], response["ttl_ms"] = result.Lock.Owner, result.Lock.Fence, result.Lock.TTL
 		}
-		return out
+		return response
 	}
 }
 
 func (r *Registry) getLock(w http.ResponseWriter, req *http.Request) {
 	name := chi.URLParam(req, "name")
-	r.query(w, req, store.ReadRequest{Kind: "lock", Name: name}, lockBody(name))
+	r.readStores(w, req, store.ReadRequest{Kind: "lock", Name: name}, lockResponse(name))
 }
 
 func (r *Registry) getLocks(w http.ResponseWriter, req *http.Request) {
-	r.query(w, req, store.ReadRequest{Kind: "locks"}, func(got statemachine.Result) map[string]any {
-		if got.Locks == nil {
-			got.Locks = map[string]statemachine.Lock{}
+	r.readStores(w, req, store.ReadRequest{Kind: "locks"}, func(result statemachine.Result) map[string]any {
+		if result.Locks == nil {
+			result.Locks = map[string]statemachine.Lock{}
 		}
-		return map[string]any{"locks": got.Locks}
+		return map[string]any{"locks": result.Locks}
 	})
 }
 
 func (r *Registry) postLock(w http.ResponseWriter, req *http.Request) {
-	name, op := chi.URLParam(req, "name"), chi.URLParam(req, "op")
+	name, operation := chi.URLParam(req, "name"), chi.URLParam(req, "op")
 	if schema.IsName(name) != nil {
 		httpapi.WriteJSON(w, http.StatusUnprocessableEntity, httpapi.ErrorBody{Message: "the lock's name is wrong"})
 		return
 	}
-	v, ok := readFields(w, req, LockTable)
+	fields, ok := readFields(w, req, LockTable)
 	if !ok {
 		return
 	}
-	owner, fence := v.Text("owner"), uint64(v.Count("fence"))
-	switch op {
+	owner, fence := fields.Text("owner"), uint64(fields.Count("fence"))
+	switch operation {
 	case "acquire":
-		r.change(w, req, "lock.take", &statemachine.AcquireLock{Name: name, Owner: owner, TTL: v.Count("ttl_ms")}, lockBody(name))
+		r.proposeChange(w, req, "lock.take", &statemachine.AcquireLock{Name: name, Owner: owner, TTL: fields.Count("ttl_ms")}, lockResponse(name))
 	case "renew":
-		r.change(w, req, "lock.take", &statemachine.AcquireLock{Name: name, Owner: owner, TTL: v.Count("ttl_ms"), Renew: true, Fence: fence}, lockBody(name))
+		r.proposeChange(w, req, "lock.take", &statemachine.AcquireLock{Name: name, Owner: owner, TTL: fields.Count("ttl_ms"), Renew: true, Fence: fence}, lockResponse(name))
 	case "release":
-		r.change(w, req, "lock.free", &statemachine.ReleaseLock{Name: name, Owner: owner, Fence: fence}, lockBody(name))
+		r.proposeChange(w, req, "lock.free", &statemachine.ReleaseLock{Name: name, Owner: owner, Fence: fence}, lockResponse(name))
 	default:
 		httpapi.WriteJSON(w, http.StatusNotFound, httpapi.ErrorBody{Message: "a lock knows acquire, renew and release"})
 	}
 }
 
-func numberBody(name string) func(statemachine.Result) map[string]any {
-	return func(got statemachine.Result) map[string]any {
-		return map[string]any{"name": name, "number": got.Number}
+func numberResponse(name string) func(statemachine.Result) map[string]any {
+	return func(result statemachine.Result) map[string]any {
+		return map[string]any{"name": name, "number": result.Number}
 	}
 }
 
 func (r *Registry) getNumber(w http.ResponseWriter, req *http.Request) {
 	name := chi.URLParam(req, "name")
-	r.query(w, req, store.ReadRequest{Kind: "number", Name: name}, numberBody(name))
+	r.readStores(w, req, store.ReadRequest{Kind: "number", Name: name}, numberResponse(name))
 }
 
 func (r *Registry) nextNumber(w http.ResponseWriter, req *http.Request) {
@@ -154,5 +154,5 @@
 		httpapi.WriteJSON(w, http.StatusUnprocessableEntity, httpapi.ErrorBody{Message: "the number's name is wrong"})
 		return
 	}
-	r.change(w, req, "number.next", &statemachine.NextNumber{Name: name}, numberBody(name))
+	r.proposeChange(w, req, "number.next", &statemachine.NextNumber{Name: name}, numberResponse(name))
 }
--- a/internal/registry/election.go
+++ b/internal/registry/election.go
@@ -17,54 +17,54 @@
 // roleElection is one that a single control node does, won by a round of ballots with
 // the stores as voters each time it falls vacant.
 type roleElection struct {
-	r     *Registry
-	name  string
-	work  func(ctx context.Context, num ballot.Number)
-	mu    sync.Mutex
-	num   ballot.Number
-	held  bool
-	major time.Time
-	seen  uint64
+	registry     *Registry
+	name         string
+	work         func(ctx context.Context, num ballot.Number)
+	mu           sync.Mutex
+	ballot       ballot.Number
+	holding      bool
+	majorityAt   time.Time
+	highestRound uint64
 }
 
-func newRoleElection(r *Registry, name string, work func(context.Context, ballot.Number)) *roleElection {
-	return &roleElection{r: r, name: name, work: work}
+func newRoleElection(registry *Registry, name string, work func(context.Context, ballot.Number)) *roleElection {
+	return &roleElection{registry: registry, name: name, work: work}
 }
 
 // leads gives the ballot while the role is held.
 func (d *roleElection) leads() (ballot.Number, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.num, d.held && time.Since(d.major) < d.r.Settings.Lease()
+	return d.ballot, d.holding && time.Since(d.majorityAt) < d.registry.Settings.Lease()
 }
 
 func (d *roleElection) run(ctx context.Context) {
 	for ctx.Err() == nil {
-		if num, ok := d.leads(); ok {
-			d.r.e.Sleep(ctx, d.r.Settings.HeartbeatInterval())
-			if d.vote(ctx, "beat", num) {
-				d.work(ctx, num)
-			} else if _, still := d.leads(); !still {
+		if number, ok := d.leads(); ok {
+			d.registry.env.Sleep(ctx, d.registry.Settings.HeartbeatInterval())
+			if d.collectVotes(ctx, "beat", number) {
+				d.work(ctx, number)
+			} else if _, holding := d.leads(); !holding {
 				d.stepDown("no majority of the stores")
 			}
 			continue
 		}
 		d.stepDown("the lease ran out")
-		d.r.e.Sleep(ctx, d.r.Settings.Lease()/2+time.Duration(rand.Int64N(int64(d.r.Settings.Lease()))))
-		if !d.r.Ready() {
+		d.registry.env.Sleep(ctx, d.registry.Settings.Lease()/2+time.Duration(rand.Int64N(int64(d.registry.Settings.Lease()))))
+		if !d.registry.Ready() {
 			continue
 		}
 		d.campaign(ctx)
 	}
 }
 
-func (d *roleElection) stepDown(why string) {
+func (d *roleElection) stepDown(reason string) {
 	d.mu.Lock()
-	was := d.held
-	d.held = false
+	wasHolding := d.holding
+	d.holding = false
 	d.mu.Unlock()
-	if was {
-		d.r.e.Log.Emit(event.RoleLost, "duty", d.name, "why", why)
+	if wasHolding {
+		d.registry.env.Log.Emit(event.RoleLost, "duty", d.name, "why", reason)
 	}
 }
 
@@ -72,100 +72,100 @@
 // before any work, so that an earlier holder's late word is refused.
 func (d *roleElection) campaign(ctx context.Context) {
 	d.mu.Lock()
-	num := ballot.Number{Round: d.seen + 1, Candidate: d.r.Settings.Node}
+	number := ballot.Number{Round: d.highestRound + 1, Candidate: d.registry.Settings.Node}
 	d.mu.Unlock()
-	from := time.Now()
-	if !d.vote(ctx, "ask", num) {
+	startedAt := time.Now()
+	if !d.collectVotes(ctx, "ask", number) {
 		return
 	}
-	one, end := context.WithTimeout(ctx, d.r.Settings.Lease())
-	defer end()
-	got, err := d.r.stores.propose(one, "duty.fence", &statemachine.FenceRole{Role: d.name, Ballot: num})
-	if err != nil || got.Code != statemachine.OK {
+	callCtx, cancel := context.WithTimeout(ctx, d.registry.Settings.Lease())
+	defer cancel()
+	result, err := d.registry.stores.propose(callCtx, "duty.fence", &statemachine.FenceRole{Role: d.name, Ballot: number})
+	if err != nil || result.Code != statemachine.OK {
 		return
 	}
 	d.mu.Lock()
-	d.num, d.held, d.major = num, true, from
+	d.ballot, d.holding, d.majorityAt = number, true, startedAt
 	d.mu.Unlock()
-	d.r.e.Log.Emit(event.RoleWon, "duty", d.name, "ballot", num.String())
+	d.registry.env.Log.Emit(event.RoleWon, "duty", d.name, "ballot", number.String())
 }
 
-// vote asks all stores and counts a majority of yes.
-func (d *roleElection) vote(ctx context.Context, op string, num ballot.Number) bool {
-	from := time.Now()
-	ctx, end := context.WithTimeout(ctx, d.r.Settings.CallTimeout())
-	defer end()
-	d.r.stores.mu.Lock()
-	all := d.r.stores.members
-	d.r.stores.mu.Unlock()
-	if len(all) == 0 {
+// collectVotes asks all stores and counts a majority of yes.
+func (d *roleElection) collectVotes(ctx context.Context, operation string, number ballot.Number) bool {
+	startedAt := time.Now()
+	ctx, cancel := context.WithTimeout(ctx, d.registry.Settings.CallTimeout())
+	defer cancel()
+	d.registry.stores.mu.Lock()
+	voters := d.registry.stores.members
+	d.registry.stores.mu.Unlock()
+	if len(voters) == 0 {
 		return false
 	}
-	yes := 0
-	ballot.Poll(ctx, d.r.g, all, func(ctx context.Context, to string) (store.RoleVote, error) {
-		return transport.Call[store.RoleVote](ctx, d.r.n, to, "store.duty", store.RoleBallot{Role: d.name, Ballot: num, Op: op})
-	}, func(_ string, v store.RoleVote, err error) bool {
-		if err == nil && v.Granted {
-			yes++
+	granted := 0
+	ballot.Poll(ctx, d.registry.group, voters, func(ctx context.Context, addr string) (store.RoleVote, error) {
+		return transport.Call[store.RoleVote](ctx, d.registry.node, addr, "store.duty", store.RoleBallot{Role: d.name, Ballot: number, Op: operation})
+	}, func(_ string, vote store.RoleVote, err error) bool {
+		if err == nil && vote.Granted {
+			granted++
 		}
 		d.mu.Lock()
-		d.seen = max(d.seen, v.Promised.Round)
+		d.highestRound = max(d.highestRound, vote.Promised.Round)
 		d.mu.Unlock()
-		return yes > len(all)/2
+		return granted > len(voters)/2
 	})
-	if yes <= len(all)/2 {
+	if granted <= len(voters)/2 {
 		return false
 	}
 	d.mu.Lock()
-	d.major = from
+	d.majorityAt = startedAt
 	d.mu.Unlock()
 	return true
 }
 
 // vacate gives the role up at once.
 func (d *roleElection) vacate() {
-	num, ok := d.leads()
+	number, ok := d.leads()
 	if !ok {
 		return
 	}
 	d.stepDown("handed on")
-	d.vote(d.r.g.Context(), "vacate", num)
+	d.collectVotes(d.registry.group.Context(), "vacate", number)
 }
 
 // retireNodes retires the entries of nodes that have no session with any control
 // node in touch for the retire bound, counted only while the steward itself
 // is in touch with a majority.
-func (r *Registry) retireNodes(_ context.Context, num ballot.Number) {
-	if !r.inTouch() {
+func (r *Registry) retireNodes(_ context.Context, number ballot.Number) {
+	if !r.connected() {
 		r.mu.Lock()
-		r.away = map[string]time.Time{}
+		r.absentSince = map[string]time.Time{}
 		r.mu.Unlock()
 		return
 	}
-	live := r.rep.Map().Live(nil)
+	entries := r.replica.Map().Live(nil)
 	r.mu.Lock()
-	here := r.roll.List()
+	members := r.members.List()
 	now := time.Now()
 	dead := map[string]bool{}
-	seen := map[string]bool{}
-	for _, e := range live {
-		seen[e.Owner] = true
-		if here.Has(e.Owner) {
-			delete(r.away, e.Owner)
-		} else if t, ok := r.away[e.Owner]; !ok {
-			r.away[e.Owner] = now
-		} else if now.Sub(t) > r.Settings.RetireAfter {
+	owners := map[string]bool{}
+	for _, e := range entries {
+		owners[e.Owner] = true
+		if members.Has(e.Owner) {
+			delete(r.absentSince, e.Owner)
+		} else if since, ok := r.absentSince[e.Owner]; !ok {
+			r.absentSince[e.Owner] = now
+		} else if now.Sub(since) > r.Settings.RetireAfter {
 			dead[e.Owner] = true
 		}
 	}
-	for n := range r.away {
-		if !seen[n] {
-			delete(r.away, n)
+	for n := range r.absentSince {
+		if !owners[n] {
+			delete(r.absentSince, n)
 		}
 	}
 	r.mu.Unlock()
 	for n := range dead {
-		count := r.rep.RetireNode(n, func(ormap.Entry) bool { return true })
-		r.e.Log.Emit(event.Retired, "node", n, "entries", count, "ballot", num.String())
+		count := r.replica.RetireNode(n, func(ormap.Entry) bool { return true })
+		r.env.Log.Emit(event.Retired, "node", n, "entries", count, "ballot", number.String())
 	}
 }
--- a/internal/registry/fuzz_test.go
+++ b/internal/registry/fuzz_test.go
@@ -37,7 +37,7 @@
 					t.Errorf("%s: %s is %v", tab.Name, row.Name, got)
 				}
 			}
-			if ms := appTime(v); tab.Name != PutGroupKeyTable.Name && v["ttl_ms"] != nil && (ms < 1 || ms > 86400000) {
+			if ms := ttlMillis(v); tab.Name != PutGroupKeyTable.Name && v["ttl_ms"] != nil && (ms < 1 || ms > 86400000) {
 				t.Errorf("a time of %d ms", ms)
 			}
 			if _, is := v["fence"]; is && uint64(v.Count("fence")) == 0 {
--- a/internal/registry/judge.go
+++ b/internal/registry/judge.go
@@ -17,161 +17,161 @@
 )
 
 // reportKey names one start of one front: its counters begin anew with each.
-type reportKey struct{ node, start string }
+type reportKey struct{ node, incarnation string }
 
-func (r *Registry) onReports(context.Context, transport.Hello, struct{}) ([]protocol.TrialReport, error) {
+func (r *Registry) onTrialReports(context.Context, transport.Hello, struct{}) ([]protocol.TrialReport, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	var out []protocol.TrialReport
-	for _, s := range r.own {
-		out = append(out, protocol.TrialReport{Node: s.f.Node, Start: s.f.Incarnation, Counts: s.tallies, ActiveRoutes: s.live})
+	var reports []protocol.TrialReport
+	for _, s := range r.sessions {
+		reports = append(reports, protocol.TrialReport{Node: s.member.Node, Start: s.member.Incarnation, Counts: s.trialCounts, ActiveRoutes: s.activeRoutes})
 	}
-	return out, nil
+	return reports, nil
 }
 
-// reports gathers what all fronts counted, from all control nodes.
-func (r *Registry) reports(ctx context.Context) []protocol.TrialReport {
-	ctx, end := context.WithTimeout(ctx, r.Settings.CallTimeout())
-	defer end()
+// collectReports gathers what all fronts counted, from all control nodes.
+func (r *Registry) collectReports(ctx context.Context) []protocol.TrialReport {
+	ctx, cancel := context.WithTimeout(ctx, r.Settings.CallTimeout())
+	defer cancel()
 	var mu sync.Mutex
-	var wait sync.WaitGroup
-	out, _ := r.onReports(ctx, transport.Hello{}, struct{}{})
-	for _, a := range r.core() {
-		if a == r.Settings.InternalAddr {
+	var pending sync.WaitGroup
+	reports, _ := r.onTrialReports(ctx, transport.Hello{}, struct{}{})
+	for _, addr := range r.controlNodes() {
+		if addr == r.Settings.InternalAddr {
 			continue
 		}
-		wait.Add(1)
-		if !r.g.Go("ask-reports", func(context.Context) {
-			defer wait.Done()
-			got, err := transport.Call[[]protocol.TrialReport](ctx, r.n, a, "registry.reports", struct{}{})
+		pending.Add(1)
+		if !r.group.Go("ask-reports", func(context.Context) {
+			defer pending.Done()
+			peerReports, err := transport.Call[[]protocol.TrialReport](ctx, r.node, addr, "registry.reports", struct{}{})
 			if err == nil {
 				mu.Lock()
-				out = append(out, got...)
+				reports = append(reports, peerReports...)
 				mu.Unlock()
 			}
 		}) {
-			wait.Done()
+			pending.Done()
 		}
 	}
-	wait.Wait()
-	return out
+	pending.Wait()
+	return reports
 }
 
 // judgeBounds reads the judge's bounds from the configuration.
-func judgeBounds(v schema.Values) judge.Bounds {
-	ms := func(n string) time.Duration { return time.Duration(v.Count(n)) * time.Millisecond }
-	return judge.Bounds{Jobs: uint64(v.Count("least_jobs")), Least: ms("least_ms"), Most: ms("most_ms"),
-		Risk: v.Share("risk"), Margin: v.Share("fail_margin"), Slow: v.Share("slow_ratio"), Quantile: v.Share("quantile")}
+func judgeBounds(fields schema.Values) judge.Bounds {
+	millis := func(name string) time.Duration { return time.Duration(fields.Count(name)) * time.Millisecond }
+	return judge.Bounds{Jobs: uint64(fields.Count("least_jobs")), Least: millis("least_ms"), Most: millis("most_ms"),
+		Risk: fields.Share("risk"), Margin: fields.Share("fail_margin"), Slow: fields.Share("slow_ratio"), Quantile: fields.Share("quantile")}
 }
 
-// weigh sums the reports up for one trial and judges each of its paths.
-func (r *Registry) weigh(t statemachine.Trial, all []protocol.TrialReport, b judge.Bounds) []judge.Facts {
-	var out []judge.Facts
-	for _, path := range t.Routes {
-		var old, now judge.Arm
+// evaluateTrial sums the reports up for one trial and judges each of its paths.
+func (r *Registry) evaluateTrial(trial statemachine.Trial, reports []protocol.TrialReport, bounds judge.Bounds) []judge.Facts {
+	var facts []judge.Facts
+	for _, route := range trial.Routes {
+		var oldArm, newArm judge.Arm
 		age := time.Duration(0)
-		for _, rep := range all {
-			for _, y := range rep.Counts {
-				if y.Trial != t.ID || y.Route != path {
+		for _, report := range reports {
+			for _, counts := range report.Counts {
+				if counts.Trial != trial.ID || counts.Route != route {
 					continue
 				}
-				if y.Arm == "new" {
-					now.Add(y)
+				if counts.Arm == "new" {
+					newArm.Add(counts)
 				} else {
-					old.Add(y)
+					oldArm.Add(counts)
 				}
-				age = max(age, time.Duration(y.AgeMS)*time.Millisecond)
+				age = max(age, time.Duration(counts.AgeMS)*time.Millisecond)
 			}
 		}
-		out = append(out, judge.Evaluate(path, old, now, age, b))
+		facts = append(facts, judge.Evaluate(route, oldArm, newArm, age, bounds))
 	}
-	return out
+	return facts
 }
 
-// judge is the role that ends trials. It goes on from the reports of the
+// judgeTrials is the role that ends trials. It goes on from the reports of the
 // standing sessions, so a judge that takes over half-way needs nothing from
 // the one before.
-func (r *Registry) judge(ctx context.Context, num ballot.Number) {
+func (r *Registry) judgeTrials(ctx context.Context, number ballot.Number) {
 	r.mu.Lock()
-	rl, trials := r.rules, r.trials
-	run := []statemachine.Trial{}
+	compiled, trials := r.rules, r.trials
+	running := []statemachine.Trial{}
 	for _, t := range trials {
 		if t.State == statemachine.Running {
-			run = append(run, t)
+			running = append(running, t)
 		}
 	}
 	// Without a trial nothing needs to be remembered of fronts that are gone.
-	if len(run) == 0 {
-		r.seenOf = map[reportKey]protocol.TrialReport{}
+	if len(running) == 0 {
+		r.latestReports = map[reportKey]protocol.TrialReport{}
 	}
-	due := len(run) > 0 && time.Since(r.looked) >= r.Settings.ConfigBound/2
+	due := len(running) > 0 && time.Since(r.lastJudged) >= r.Settings.ConfigBound/2
 	if due {
-		r.looked = time.Now()
+		r.lastJudged = time.Now()
 	}
 	r.mu.Unlock()
-	if !due || rl == nil {
+	if !due || compiled == nil {
 		return
 	}
-	now := map[reportKey]protocol.TrialReport{}
+	newest := map[reportKey]protocol.TrialReport{}
 	r.mu.Lock()
 	// A front that died keeps what it counted: its start never counts again.
-	for _, rep := range r.seenOf {
-		now[reportKey{rep.Node, rep.Start}] = rep
+	for _, report := range r.latestReports {
+		newest[reportKey{report.Node, report.Start}] = report
 	}
 	r.mu.Unlock()
-	for _, rep := range r.reports(ctx) {
-		k := reportKey{rep.Node, rep.Start}
+	for _, report := range r.collectReports(ctx) {
+		key := reportKey{report.Node, report.Start}
 		// A front that changed its control node is in two lists for a moment;
 		// the higher count is the newer.
-		if requestsOf(rep) >= requestsOf(now[k]) {
-			now[k] = rep
+		if requestCount(report) >= requestCount(newest[key]) {
+			newest[key] = report
 		}
 	}
-	var all []protocol.TrialReport
-	for _, rep := range now {
-		all = append(all, rep)
+	var reports []protocol.TrialReport
+	for _, report := range newest {
+		reports = append(reports, report)
 	}
 	r.mu.Lock()
-	r.seenOf = now
+	r.latestReports = newest
 	r.mu.Unlock()
-	for _, t := range run {
-		r.decide(ctx, t, r.weigh(t, all, judgeBounds(rl.Judge)), num, rl)
+	for _, t := range running {
+		r.decideTrial(ctx, t, r.evaluateTrial(t, reports, judgeBounds(compiled.Judge)), number, compiled)
 	}
 }
 
-func requestsOf(r protocol.TrialReport) uint64 {
-	n := uint64(0)
-	for _, t := range r.Counts {
-		n += t.Done + t.Failed + t.Unknown + t.Refused + 1
+func requestCount(report protocol.TrialReport) uint64 {
+	count := uint64(0)
+	for _, arm := range report.Counts {
+		count += arm.Done + arm.Failed + arm.Unknown + arm.Refused + 1
 	}
-	return n
+	return count
 }
 
-// decide ends a trial when every path is good, or one is bad. The decision
+// decideTrial ends a trial when every path is good, or one is bad. The decision
 // carries the judge's ballot and the version it is based on, so it is taken
 // once, whoever else tries.
-func (r *Registry) decide(ctx context.Context, t statemachine.Trial, facts []judge.Facts, num ballot.Number, rl *rules.Rules) {
-	word, why := judge.Good, "every path of the change is good"
+func (r *Registry) decideTrial(ctx context.Context, trial statemachine.Trial, facts []judge.Facts, number ballot.Number, compiled *rules.Rules) {
+	verdict, reason := judge.Good, "every path of the change is good"
 	for _, f := range facts {
 		if f.Verdict == judge.Bad {
-			word, why = judge.Bad, f.Route+": "+f.Reason
+			verdict, reason = judge.Bad, f.Route+": "+f.Reason
 			break
 		}
 		if f.Verdict == judge.Wait {
-			word = judge.Wait
+			verdict = judge.Wait
 		}
 	}
-	if word == judge.Wait {
+	if verdict == judge.Wait {
 		return
 	}
-	if word == judge.Good && len(facts) == 1 {
-		why = facts[0].Reason
+	if verdict == judge.Good && len(facts) == 1 {
+		reason = facts[0].Reason
 	}
 	state := statemachine.Promoted
-	if word == judge.Bad {
+	if verdict == judge.Bad {
 		state = statemachine.HeldBack
 	}
-	doc, err := rules.FinishTrial(rl.Doc, t.ID, state == statemachine.Promoted)
+	doc, err := rules.FinishTrial(compiled.Doc, trial.ID, state == statemachine.Promoted)
 	if err != nil {
 		return
 	}
@@ -179,10 +179,10 @@
 	if err != nil {
 		return
 	}
-	ctx, end := context.WithTimeout(ctx, r.Settings.ConfigBound)
-	defer end()
-	got, err := r.stores.propose(ctx, "trial.decide", &statemachine.Decide{ID: t.ID, Ballot: num, Base: rl.Version, Doc: doc, State: state, Why: why, Who: "judge", Facts: raw})
-	if err != nil || got.Code != statemachine.OK {
+	ctx, cancel := context.WithTimeout(ctx, r.Settings.ConfigBound)
+	defer cancel()
+	result, err := r.stores.propose(ctx, "trial.decide", &statemachine.Decide{ID: trial.ID, Ballot: number, Base: compiled.Version, Doc: doc, State: state, Why: reason, Who: "judge", Facts: raw})
+	if err != nil || result.Code != statemachine.OK {
 		// Looked at again at the next beat, on what then stands.
 		return
 	}
@@ -190,5 +190,5 @@
 	if state == statemachine.HeldBack {
 		kind = event.TrialHeldBack
 	}
-	r.e.Log.Emit(kind, "trial", t.ID, "version", got.Version, "why", why)
+	r.env.Log.Emit(kind, "trial", trial.ID, "version", result.Version, "why", reason)
 }
--- a/internal/registry/keys.go
+++ b/internal/registry/keys.go
@@ -12,13 +12,13 @@
 	"puffincrank/internal/store"
 )
 
-func keyBody(name string) func(statemachine.Result) map[string]any {
-	return func(got statemachine.Result) map[string]any {
-		out := map[string]any{"key": name, "rev": got.Revision}
-		if got.Key != nil {
-			out["value"], out["rev"], out["made"] = string(got.Key.Value), got.Key.Revision, got.Key.CreatedRevision
+func keyResponse(name string) func(statemachine.Result) map[string]any {
+	return func(result statemachine.Result) map[string]any {
+		response := map[string]any{"key": name, "rev": result.Revision}
+		if result.Key != nil {
+			response["value"], response["rev"], response["made"] = string(result.Key.Value), result.Key.Revision, result.Key.CreatedRevision
 		}
-		return out
+		return response
 	}
 }
 
@@ -33,17 +33,17 @@
 }
 
 func (r *Registry) listKeys(w http.ResponseWriter, req *http.Request) {
-	r.query(w, req, store.ReadRequest{Kind: "keys", Name: req.URL.Query().Get("prefix")}, func(got statemachine.Result) map[string]any {
-		if got.Names == nil {
-			got.Names = []string{}
+	r.readStores(w, req, store.ReadRequest{Kind: "keys", Name: req.URL.Query().Get("prefix")}, func(result statemachine.Result) map[string]any {
+		if result.Names == nil {
+			result.Names = []string{}
 		}
-		return map[string]any{"keys": got.Names, "rev": got.Revision}
+		return map[string]any{"keys": result.Names, "rev": result.Revision}
 	})
 }
 
 func (r *Registry) getKey(w http.ResponseWriter, req *http.Request) {
 	if name, ok := keyName(w, req); ok {
-		r.query(w, req, store.ReadRequest{Kind: "key", Name: name}, keyBody(name))
+		r.readStores(w, req, store.ReadRequest{Kind: "key", Name: name}, keyResponse(name))
 	}
 }
 
@@ -52,12 +52,12 @@
 	if !ok {
 		return
 	}
-	v, ok := readFields(w, req, KeyTable)
+	fields, ok := readFields(w, req, KeyTable)
 	if !ok {
 		return
 	}
-	rev, cond := v["if_rev"].(int64)
-	r.change(w, req, "key.put", &statemachine.PutKey{Name: name, Value: []byte(v.Text("value")), If: cond, Revision: uint64(rev)}, keyBody(name))
+	revision, conditional := fields["if_rev"].(int64)
+	r.proposeChange(w, req, "key.put", &statemachine.PutKey{Name: name, Value: []byte(fields.Text("value")), If: conditional, Revision: uint64(revision)}, keyResponse(name))
 }
 
 func (r *Registry) deleteKey(w http.ResponseWriter, req *http.Request) {
@@ -65,37 +65,37 @@
 	if !ok {
 		return
 	}
-	cmd := &statemachine.DeleteKey{Name: name}
+	command := &statemachine.DeleteKey{Name: name}
 	if raw := req.URL.Query().Get("if_rev"); raw != "" {
-		rev, err := strconv.ParseUint(raw, 10, 64)
+		revision, err := strconv.ParseUint(raw, 10, 64)
 		if err != nil {
 			httpapi.WriteJSON(w, http.StatusUnprocessableEntity, httpapi.ErrorBody{Message: "if_rev must be a revision"})
 			return
 		}
-		cmd.If, cmd.Revision = true, rev
+		command.If, command.Revision = true, revision
 	}
-	r.change(w, req, "key.delete", cmd, keyBody(name))
+	r.proposeChange(w, req, "key.delete", command, keyResponse(name))
 }
 
 // watch is a long poll for the changes of a prefix from a revision on.
 func (r *Registry) watch(w http.ResponseWriter, req *http.Request) {
-	q := req.URL.Query()
-	from, err := strconv.ParseUint(q.Get("from"), 10, 64)
-	wait, err2 := strconv.ParseInt(q.Get("wait_ms"), 10, 64)
-	if err != nil || from == 0 || (q.Get("wait_ms") != "" && err2 != nil) {
+	query := req.URL.Query()
+	from, err := strconv.ParseUint(query.Get("from"), 10, 64)
+	wait, waitErr := strconv.ParseInt(query.Get("wait_ms"), 10, 64)
+	if err != nil || from == 0 || (query.Get("wait_ms") != "" && waitErr != nil) {
 		httpapi.WriteJSON(w, http.StatusUnprocessableEntity, httpapi.ErrorBody{Message: "from must be a revision from 1 on, wait_ms a number"})
 		return
 	}
-	ctx, end := r.withDeadline(req)
-	defer end()
+	ctx, cancel := r.withDeadline(req)
+	defer cancel()
 	wait = min(max(wait, 0), r.Settings.ConfigBound.Milliseconds())
-	got, err := r.stores.watch(ctx, store.ReadRequest{Name: q.Get("prefix"), From: from, WaitMS: wait})
+	result, err := r.stores.watch(ctx, store.ReadRequest{Name: query.Get("prefix"), From: from, WaitMS: wait})
 	if err != nil {
-		r.answerFailure(w, err)
+		r.writeStoreError(w, err)
 		return
 	}
-	if got.Code == statemachine.Compacted {
-		httpapi.WriteJSON(w, http.StatusGone, map[string]any{"wrong": "the history does not reach back so far", "oldest": got.Revision})
+	if result.Code == statemachine.Compacted {
+		httpapi.WriteJSON(w, http.StatusGone, map[string]any{"wrong": "the history does not reach back so far", "oldest": result.Revision})
 		return
 	}
 	type line struct {
@@ -103,12 +103,12 @@
 		Value string `json:"value,omitempty"`
 	}
 	lines := []line{}
-	next := max(from, got.Revision+1)
-	for _, c := range got.Changes {
+	next := max(from, result.Revision+1)
+	for _, c := range result.Changes {
 		lines = append(lines, line{c, string(c.Value)})
 	}
-	if len(got.Changes) == 256 {
-		next = got.Changes[255].Revision + 1
+	if len(result.Changes) == 256 {
+		next = result.Changes[255].Revision + 1
 	}
 	httpapi.WriteJSON(w, http.StatusOK, map[string]any{"changes": lines, "next": next})
 }
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -33,79 +33,79 @@
 
 // Registry is one process. Lock order: mu before the replica's locks.
 type Registry struct {
-	Settings settings.Settings
-	e        env.Env
-	g        *task.Group
-	n        *transport.Node
-	self     membership.Member
-	life     *fsm.Machine
-	rep      *replica.Replica
-	stores   *stores
-	routes   http.Handler
-	calls    atomic.Int64     // outside calls under way
-	late     *shutdown.Cutoff // ends them when a stop can wait no longer
-	pulse    *pausedetect.Detector
-	duties   []*roleElection
+	Settings      settings.Settings
+	env           env.Env
+	group         *task.Group
+	node          *transport.Node
+	self          membership.Member
+	lifecycle     *fsm.Machine
+	replica       *replica.Replica
+	stores        *storeClient
+	handler       http.Handler
+	activeCalls   atomic.Int64     // outside calls under way
+	cutoff        *shutdown.Cutoff // ends them when a stop can wait no longer
+	pauseDetector *pausedetect.Detector
+	elections     []*roleElection
 
-	mu     sync.Mutex
-	own    map[string]*nodeSession // node to its session here
-	others map[string]*shared      // control node to its word on its sessions
-	shares int
-	rounds int
-	list   struct {
-		at   time.Time
-		core []string
-		name uint64
+	mu           sync.Mutex
+	sessions     map[string]*nodeSession // node to its session here
+	peerNodes    map[string]*peerNode    // control node to its word on its sessions
+	targetRounds int
+	reportRounds int
+	nodeList     struct {
+		computedAt time.Time
+		addrs      []string
+		hash       uint64
 	}
-	circle  uint64    // names the control nodes heard here
-	circled time.Time // when that changed last
-	owe     bool      // the other control nodes wait for word
-	packs   struct {
-		to   uint64
-		from map[uint64][]byte // differences to the list of now, packed
+	reachableHash      uint64    // names the control nodes heard here
+	reachableChangedAt time.Time // when that changed last
+	reportDue          bool      // the other control nodes wait for word
+	encodedDiffs       struct {
+		targetHash uint64
+		byBaseHash map[uint64][]byte // differences to the list of now, packed
 	}
-	known   map[string]time.Time // control node, by its inner address, to when a peer named it
-	roll    *membership.Tracker  // the members, by all sessions
-	mine    *membership.Tracker  // those of the sessions here
-	told    uint64               // the hash of mine that the other control nodes were told last
-	linked  uint64               // the hash of roll that the replica's links follow
-	linking bool                 // they are about to
-	sure    time.Time            // when a majority last confirmed what is held here
-	rules   *rules.Rules
-	held    *patch.Document // the document, with the steps to it
-	shrunk  struct {
-		version uint64
-		doc     []byte // the document of that version, compressed
+	indirectPeers map[string]time.Time // control node, by its inner address, to when a peer named it
+	members       *membership.Tracker  // the members, by all sessions
+	localMembers  *membership.Tracker  // those of the sessions here
+	reportedHash  uint64               // the hash of mine that the other control nodes were told last
+	linkedHash    uint64               // the hash of roll that the replica's links follow
+	linksUpdating bool                 // they are about to
+	confirmedAt   time.Time            // when a majority last confirmed what is held here
+	rules         *rules.Rules
+	document      *patch.Document // the document, with the steps to it
+	compressed    struct {
+		version  uint64
+		document []byte // the document of that version, compressed
 	}
-	whole  bool // the next document must come whole: the poll\'s own
-	trials []statemachine.Trial
-	tries  uint64
-	looked time.Time                          // judge: the last look
-	seenOf map[reportKey]protocol.TrialReport // judge: the newest report of each front's start
-	away   map[string]time.Time               // steward: since when a node has no session
-	filled time.Time
-	saving task.Lock // one save of the workers at a time
-	keptAs uint64    // the replica's digest when it was last kept on the disk
+	needFullDocument bool // the next document must come whole: the poll\'s own
+	trials           []statemachine.Trial
+	lastTrialNumber  uint64
+	lastJudged       time.Time                          // judge: the last look
+	latestReports    map[reportKey]protocol.TrialReport // judge: the newest report of each front's start
+	absentSince      map[string]time.Time               // steward: since when a node has no session
+	refilledAt       time.Time
+	saveLock         task.Lock // one save of the workers at a time
+	savedDigest      uint64    // the replica's digest when it was last kept on the disk
 }
 
 // New readies a registry.
-func New(p settings.Settings, e env.Env) *Registry {
-	g := task.New(context.Background()).SetSleep(e.Sleep)
-	r := &Registry{Settings: p, e: e, g: g, saving: task.NewLock(), own: map[string]*nodeSession{}, others: map[string]*shared{}, known: map[string]time.Time{}, away: map[string]time.Time{}, seenOf: map[reportKey]protocol.TrialReport{}}
-	var b [6]byte
-	_, _ = rand.Read(b[:])
-	r.self = membership.Member{Node: p.Node, Incarnation: hex.EncodeToString(b[:]), Role: "registry", Zone: p.Zone, InternalAddr: p.InternalAddr, APIAddr: p.APIAddr}
-	r.late = shutdown.NewCutoff(g.Context())
-	r.roll, r.mine = membership.NewTracker(p.Node, memberChangesKept), membership.NewTracker(p.Node, memberChangesKept)
-	r.roll.Set(p.Node, r.self)
-	r.n = transport.NewNode(transport.Hello{ClusterID: p.ClusterID, Node: p.Node, Zone: p.Zone, Role: "registry"}, e, g, p.MaxFrameBytes, p.MaxRequests, p.CallTimeout())
-	r.n.MaxIdleLinks = p.MaxIdleLinks()
-	r.rep = replica.New(r.self, r.n, g, e.Log, hlc.New(e.Wall, 2*p.RecoveryBound), p.HeartbeatInterval(), p.RepairInterval(), p.TombstoneTTL())
-	r.held = patch.NewDocument(memberChangesKept / 16)
-	r.rep.SetRefillPending(true)
-	r.stores = newStores(r.n, p.Stores, p.CallTimeout(), p.HeartbeatInterval()/4)
-	r.pulse = pausedetect.New(p.HeartbeatInterval(), p.UnnoticedPause(), nil)
-	r.life = fsm.New("starting", nil,
+func New(nodeSettings settings.Settings, environment env.Env) *Registry {
+	group := task.New(context.Background()).SetSleep(environment.Sleep)
+	registry := &Registry{Settings: nodeSettings, env: environment, group: group, saveLock: task.NewLock(), sessions: map[string]*nodeSession{}, peerNodes: map[string]*peerNode{}, indirectPeers: map[string]time.Time{}, absentSince: map[string]time.Time{}, latestReports: map[reportKey]protocol.TrialReport{}}
+	var incarnation [6]byte
+	_, _ = rand.Read(incarnation[:])
+	registry.self = membership.Member{Node: nodeSettings.Node, Incarnation: hex.EncodeToString(incarnation[:]), Role: "registry", Zone: nodeSettings.Zone, InternalAddr: nodeSettings.InternalAddr, APIAddr: nodeSettings.APIAddr}
+	registry.cutoff = shutdown.NewCutoff(group.Context())
+	registry.members, registry.localMembers = membership.NewTracker(nodeSettings.Node, memberChangesKept), membership.NewTracker(nodeSettings.Node, memberChangesKept)
+	registry.members.Set(nodeSettings.Node, registry.self)
+	registry.node = transport.NewNode(transport.Hello{ClusterID: nodeSettings.ClusterID, Node: nodeSettings.Node, Zone: nodeSettings.Zone, Role: "registry"}, environment, group, nodeSettings.MaxFrameBytes, nodeSettings.MaxRequests, nodeSettings.CallTimeout())
+	registry.node.MaxIdleLinks = nodeSettings.MaxIdleLinks()
+	registry.replica = replica.New(registry.self, registry.node, group, environment.Log, hlc.New(environment.Wall, 2*nodeSettings.RecoveryBound), nodeSettings.HeartbeatInterval(), nodeSettings.RepairInterval(), nodeSettings.TombstoneTTL())
+	registry.document = patch.NewDocument(memberChangesKept / 16)
+	registry.replica.SetRefillPending(true)
+	registry.stores = newStoreClient(registry.node, nodeSettings.Stores, nodeSettings.CallTimeout(), nodeSettings.HeartbeatInterval()/4)
+	registry.pauseDetector = pausedetect.New(nodeSettings.HeartbeatInterval(), nodeSettings.UnnoticedPause(), nil)
+	registry.lifecycle = fsm.New("starting", nil,
 		fsm.Move{From: "starting", By: "filled", To: "ready"},
 		fsm.Move{From: "ready", By: "lost", To: "lost"},
 		fsm.Move{From: "lost", By: "filled", To: "ready"},
@@ -113,94 +113,94 @@
 		fsm.Move{From: "lost", By: "stop", To: "leaving"},
 		fsm.Move{From: "ready", By: "stop", To: "leaving"},
 		fsm.Move{From: "leaving", By: "shut", To: "shut"})
-	r.duties = []*roleElection{newRoleElection(r, "steward", r.retireNodes), newRoleElection(r, "judge", r.judge)}
-	r.rep.Subscribe(func(n replica.Event) {
-		k := map[string]event.Kind{"registered": event.Registered, "unregistered": event.Unregistered, "down": event.WorkerDown}[n.Kind]
-		e.Log.Emit(k, "service", n.Entry.Service, "worker", n.Entry.Worker, "owner", n.Entry.Owner, "why", n.Reason)
+	registry.elections = []*roleElection{newRoleElection(registry, "steward", registry.retireNodes), newRoleElection(registry, "judge", registry.judgeTrials)}
+	registry.replica.Subscribe(func(change replica.Event) {
+		kind := map[string]event.Kind{"registered": event.Registered, "unregistered": event.Unregistered, "down": event.WorkerDown}[change.Kind]
+		environment.Log.Emit(kind, "service", change.Entry.Service, "worker", change.Entry.Worker, "owner", change.Entry.Owner, "why", change.Reason)
 	})
-	return r
+	return registry
 }
 
 // Start opens the ports and begins the rounds.
 func (r *Registry) Start() error {
-	transport.Handle(r.n, "session.beat", r.onBeat)
-	transport.Handle(r.n, "session.share", r.onShare)
-	transport.Handle(r.n, "session.members", r.onMembers)
-	transport.Handle(r.n, "outer.call", r.onOuter)
-	transport.Handle(r.n, protocol.WorkerLeavingKind, r.onWorkerLeaves)
-	transport.Handle(r.n, "registry.status", r.onStatus)
-	transport.Handle(r.n, "registry.reports", r.onReports)
-	r.routes = r.outerRoutes()
-	if err := r.n.Listen(r.Settings.InternalAddr); err != nil {
+	transport.Handle(r.node, "session.beat", r.onHeartbeat)
+	transport.Handle(r.node, "session.share", r.onSessionReport)
+	transport.Handle(r.node, "session.members", r.onMemberListRequest)
+	transport.Handle(r.node, "outer.call", r.onForwardedCall)
+	transport.Handle(r.node, protocol.WorkerLeavingKind, r.onWorkerLeaving)
+	transport.Handle(r.node, "registry.status", r.onStatus)
+	transport.Handle(r.node, "registry.reports", r.onTrialReports)
+	r.handler = r.newHandler()
+	if err := r.node.Listen(r.Settings.InternalAddr); err != nil {
 		return err
 	}
-	if err := httpapi.Serve(r.g, r.e, r.Settings.APIAddr, httpapi.TranslateCalls(r.e.Dialect, r.routes), r.Settings.ConfigBound); err != nil {
+	if err := httpapi.Serve(r.group, r.env, r.Settings.APIAddr, httpapi.TranslateCalls(r.env.Dialect, r.handler), r.Settings.ConfigBound); err != nil {
 		return err
 	}
-	r.e.Log.Emit(event.Started, "program", "registry", "outer", r.Settings.APIAddr)
-	r.g.Go("poll", r.poll)
-	r.g.Every("share", r.Settings.HeartbeatInterval(), r.share)
-	r.g.Every("keep", r.Settings.HeartbeatInterval(), func(context.Context) { r.saveWorkers() })
-	r.g.Go("pulse", func(ctx context.Context) { r.pulse.Run(ctx, r.e.Sleep) })
-	for _, d := range r.duties {
-		r.g.Go("duty-"+d.name, d.run)
+	r.env.Log.Emit(event.Started, "program", "registry", "outer", r.Settings.APIAddr)
+	r.group.Go("poll", r.pollConfig)
+	r.group.Every("share", r.Settings.HeartbeatInterval(), r.reportSessions)
+	r.group.Every("keep", r.Settings.HeartbeatInterval(), func(context.Context) { r.saveWorkers() })
+	r.group.Go("pulse", func(ctx context.Context) { r.pauseDetector.Run(ctx, r.env.Sleep) })
+	for _, d := range r.elections {
+		r.group.Go("duty-"+d.name, d.run)
 	}
 	return nil
 }
 
-// inTouch tells whether a majority confirmed this node's word recently.
-func (r *Registry) inTouch() bool {
+// connected tells whether a majority confirmed this node's word recently.
+func (r *Registry) connected() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return !r.sure.IsZero() && time.Since(r.sure) <= r.Settings.ConfirmationTTL()
+	return !r.confirmedAt.IsZero() && time.Since(r.confirmedAt) <= r.Settings.ConfirmationTTL()
 }
 
-// fill makes the node ready once its replica is filled from a peer; when no
+// refill makes the node ready once its replica is filled from a peer; when no
 // peer answers it goes on with what the proxies' repairs bring.
-func (r *Registry) fill(ctx context.Context) {
-	if r.life.Is("ready", "leaving", "shut") {
+func (r *Registry) refill(ctx context.Context) {
+	if r.lifecycle.Is("ready", "leaving", "shut") {
 		return
 	}
 	r.mu.Lock()
-	stale := r.filled.IsZero() || time.Since(r.filled) > r.Settings.MaxAbsence()
+	stale := r.refilledAt.IsZero() || time.Since(r.refilledAt) > r.Settings.MaxAbsence()
 	r.mu.Unlock()
 	if stale {
-		one, end := context.WithTimeout(ctx, r.Settings.CallTimeout())
-		defer end()
+		callCtx, cancel := context.WithTimeout(ctx, r.Settings.CallTimeout())
+		defer cancel()
 		// In any order, or many that start would all ask the same.
-		all := r.core()
-		mrand.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
-		for _, a := range all {
+		addrs := r.controlNodes()
+		mrand.Shuffle(len(addrs), func(i, j int) { addrs[i], addrs[j] = addrs[j], addrs[i] })
+		for _, a := range addrs {
 			if a == r.Settings.InternalAddr {
 				continue
 			}
-			if got, err := r.rep.Refill(one, a); err == nil && got.Done {
+			if result, err := r.replica.Refill(callCtx, a); err == nil && result.Done {
 				break
 			}
 		}
 		r.loadWorkers()
 	}
-	r.rep.SetRefillPending(false)
-	r.rep.SetCompleteUntil(time.Now().Add(r.Settings.SessionTTL()))
-	if r.life.Fire("filled") {
-		r.e.Log.Emit(event.Ready, "program", "registry")
+	r.replica.SetRefillPending(false)
+	r.replica.SetCompleteUntil(time.Now().Add(r.Settings.SessionTTL()))
+	if r.lifecycle.Fire("filled") {
+		r.env.Log.Emit(event.Ready, "program", "registry")
 	}
 }
 
 // Kill ends the process at once.
 func (r *Registry) Kill() {
-	r.g.Cancel()
-	r.n.Close()
-	r.g.Stop()
+	r.group.Cancel()
+	r.node.Close()
+	r.group.Stop()
 }
 
 // Stop ends politely: roles are handed on, the proxies go elsewhere.
 func (r *Registry) Stop() {
-	r.e.Log.Emit(event.Stopping, "program", "registry")
-	if !r.life.Fire("stop") {
+	r.env.Log.Emit(event.Stopping, "program", "registry")
+	if !r.lifecycle.Fire("stop") {
 		return
 	}
-	for _, d := range r.duties {
+	for _, d := range r.elections {
 		d.vacate()
 	}
 	// Sessions are refused from now on, so within two beats all have moved.
@@ -208,20 +208,20 @@
 	// served meanwhile, and calls under way get their answers.
 	// Whatever the bounds are, it has gone by itself before its grace is over.
 	plan := shutdown.Begin(r.Settings.GracePeriod, r.Settings.FarewellTimeout())
-	task.Sleep(r.g.Context(), min(r.Settings.LeaveBound, r.Settings.GracePeriod/2))
-	r.life.Fire("shut")
-	for r.calls.Load() > 0 && plan.RemainingWait() > 0 {
-		task.Sleep(r.g.Context(), r.Settings.HeartbeatInterval()/10)
+	task.Sleep(r.group.Context(), min(r.Settings.LeaveBound, r.Settings.GracePeriod/2))
+	r.lifecycle.Fire("shut")
+	for r.activeCalls.Load() > 0 && plan.RemainingWait() > 0 {
+		task.Sleep(r.group.Context(), r.Settings.HeartbeatInterval()/10)
 	}
 	// Each that is still under way is told that its outcome is unknown.
-	r.late.Trigger()
-	for r.calls.Load() > 0 && time.Now().Before(plan.AnswerDeadline()) {
-		task.Sleep(r.g.Context(), r.Settings.HeartbeatInterval()/10)
+	r.cutoff.Trigger()
+	for r.activeCalls.Load() > 0 && time.Now().Before(plan.AnswerDeadline()) {
+		task.Sleep(r.group.Context(), r.Settings.HeartbeatInterval()/10)
 	}
-	r.n.CloseGracefully(r.Settings.FarewellTimeout())
+	r.node.CloseGracefully(r.Settings.FarewellTimeout())
 	r.Kill()
-	r.e.Log.Emit(event.Stopped, "program", "registry", "after_ms", plan.Elapsed().Milliseconds())
+	r.env.Log.Emit(event.Stopped, "program", "registry", "after_ms", plan.Elapsed().Milliseconds())
 }
 
 // Ready tells whether outside calls and sessions are taken.
-func (r *Registry) Ready() bool { return r.life.Is("ready") && r.inTouch() }
+func (r *Registry) Ready() bool { return r.lifecycle.Is("ready") && r.connected() }
--- a/internal/registry/requestkey.go
+++ b/internal/registry/requestkey.go
@@ -26,7 +26,7 @@
 		return &store.RequestKey{ID: kind + "/" + hex.EncodeToString(digest[:16]), Digest: digest}
 	}
 	if err := schema.IsName(id); err != nil {
-		answerWrong(w, requestIDParameter+" "+err.Error(), nil)
+		writeInvalid(w, requestIDParameter+" "+err.Error(), nil)
 		return nil
 	}
 	return &store.RequestKey{ID: "id/" + id, Digest: digest}
@@ -35,12 +35,12 @@
 // contentDigest is the identity of a request's content; each part is led in by
 // its length, so that no two rows of parts look alike.
 func contentDigest(kind string, content [][]byte) []byte {
-	sum := sha256.New()
+	hash := sha256.New()
 	for _, part := range append([][]byte{[]byte(kind)}, content...) {
-		fmt.Fprintf(sum, "%d:", len(part))
-		sum.Write(part)
+		fmt.Fprintf(hash, "%d:", len(part))
+		hash.Write(part)
 	}
-	return sum.Sum(nil)
+	return hash.Sum(nil)
 }
 
 // numberKey identifies a configuration under the operator's own number. One
@@ -49,54 +49,54 @@
 	return &store.RequestKey{ID: statemachine.NumberRequestID(number), Digest: statemachine.DocumentDigest(doc), Number: number}
 }
 
-// earlierAnswer gives the first answer of a request that was taken already. A
+// earlierResult gives the first answer of a request that was taken already. A
 // majority confirms that it is known, or that it is not.
-func (r *Registry) earlierAnswer(ctx context.Context, key *store.RequestKey) (got statemachine.Result, known bool, err error) {
-	got, err = r.stores.read(ctx, store.ReadRequest{Kind: "request", Name: key.ID})
-	if err != nil || got.Code != statemachine.OK || got.Earlier == nil {
+func (r *Registry) earlierResult(ctx context.Context, key *store.RequestKey) (result statemachine.Result, known bool, err error) {
+	result, err = r.stores.read(ctx, store.ReadRequest{Kind: "request", Name: key.ID})
+	if err != nil || result.Code != statemachine.OK || result.Earlier == nil {
 		return statemachine.Result{}, false, err
 	}
-	return got.Earlier.Repeat(key.Digest), true, nil
+	return result.Earlier.Repeat(key.Digest), true, nil
 }
 
-// answerOrder answers an order that puts a version in force, or begins a trial.
-func answerOrder(w http.ResponseWriter, got statemachine.Result, paths []string) {
+// writeConfigResult answers an order that puts a version in force, or begins a trial.
+func writeConfigResult(w http.ResponseWriter, result statemachine.Result, routes []string) {
 	switch {
-	case got.Code != statemachine.OK:
-		httpapi.WriteJSON(w, http.StatusConflict, httpapi.ErrorBody{Message: got.Message, Version: got.Version})
-	case got.Number > 0:
-		httpapi.WriteJSON(w, http.StatusOK, map[string]any{"version": got.Version, "trial": got.Number, "paths": paths})
+	case result.Code != statemachine.OK:
+		httpapi.WriteJSON(w, http.StatusConflict, httpapi.ErrorBody{Message: result.Message, Version: result.Version})
+	case result.Number > 0:
+		httpapi.WriteJSON(w, http.StatusOK, map[string]any{"version": result.Version, "trial": result.Number, "paths": routes})
 	default:
-		httpapi.WriteJSON(w, http.StatusOK, map[string]any{"version": got.Version})
+		httpapi.WriteJSON(w, http.StatusOK, map[string]any{"version": result.Version})
 	}
 }
 
-// answerEarlier answers a request whose first answer is known; false means that
+// writeEarlierResult answers a request whose first answer is known; false means that
 // it is not, and nothing was answered.
-func (r *Registry) answerEarlier(ctx context.Context, w http.ResponseWriter, key *store.RequestKey) bool {
-	got, known, err := r.earlierAnswer(ctx, key)
+func (r *Registry) writeEarlierResult(ctx context.Context, w http.ResponseWriter, key *store.RequestKey) bool {
+	result, known, err := r.earlierResult(ctx, key)
 	if err != nil {
-		r.answerFailure(w, err)
+		r.writeStoreError(w, err)
 		return true
 	}
 	if !known {
 		return false
 	}
-	var paths []string
-	if got.Code == statemachine.OK && got.Number > 0 {
-		now, err := r.confirmed(ctx)
+	var routes []string
+	if result.Code == statemachine.OK && result.Number > 0 {
+		current, err := r.readConfirmed(ctx)
 		if err != nil {
-			r.answerFailure(w, err)
+			r.writeStoreError(w, err)
 			return true
 		}
-		paths = pathsOf(now.Trials, got.Number)
+		routes = trialRoutes(current.Trials, result.Number)
 	}
-	answerOrder(w, got, paths)
+	writeConfigResult(w, result, routes)
 	return true
 }
 
-// pathsOf gives the paths of a trial, none when it is no longer known.
-func pathsOf(trials []statemachine.Trial, id uint64) []string {
+// trialRoutes gives the paths of a trial, none when it is no longer known.
+func trialRoutes(trials []statemachine.Trial, id uint64) []string {
 	for _, t := range trials {
 		if t.ID == id {
 			return t.Routes
--- a/internal/registry/savedworkers.go
+++ b/internal/registry/savedworkers.go
@@ -15,33 +15,33 @@
 
 // savedWorkers is the file's content.
 type savedWorkers struct {
-	Mesh string      `msgpack:"m"`
-	All  ormap.Delta `msgpack:"a"` // the live entries, and who is gone for good
+	ClusterID string      `msgpack:"m"`
+	Entries   ormap.Delta `msgpack:"a"` // the live entries, and who is gone for good
 }
 
 // saveWorkers writes the live entries where they have changed. It is best effort: a
 // disk in trouble costs no more than what this file would have saved. The result
 // tells whether what stands now is there, or there is no disk.
 func (r *Registry) saveWorkers() bool {
-	r.saving.Lock()
-	defer r.saving.Unlock()
-	now := ormap.CombineDigests(r.rep.Map().Digests())
-	if r.e.FS == nil || now == r.keptAs {
+	r.saveLock.Lock()
+	defer r.saveLock.Unlock()
+	digest := ormap.CombineDigests(r.replica.Map().Digests())
+	if r.env.FS == nil || digest == r.savedDigest {
 		return true
 	}
-	if !r.life.Is("ready") {
+	if !r.lifecycle.Is("ready") {
 		return false
 	}
-	all := ormap.Delta{Adds: r.rep.Map().Live(nil), Tombstones: r.rep.Map().Departures("")}
-	if all.Empty() {
+	entries := ormap.Delta{Adds: r.replica.Map().Live(nil), Tombstones: r.replica.Map().Departures("")}
+	if entries.Empty() {
 		// A replica that was emptied must not empty the file.
 		return true
 	}
-	raw, err := msgpack.Marshal(savedWorkers{Mesh: r.Settings.ClusterID, All: all.Encode()})
-	if err != nil || disk.Save(r.e.FS, workersFile, raw) != nil {
+	raw, err := msgpack.Marshal(savedWorkers{ClusterID: r.Settings.ClusterID, Entries: entries.Encode()})
+	if err != nil || disk.Save(r.env.FS, workersFile, raw) != nil {
 		return false
 	}
-	r.keptAs = now
+	r.savedDigest = digest
 	return true
 }
 
@@ -51,26 +51,26 @@
 // the tombstones of what it holds are forgotten; the few workers that beat before a
 // start was through say nothing of that.
 func (r *Registry) loadWorkers() {
-	if r.e.FS == nil {
+	if r.env.FS == nil {
 		return
 	}
-	raw, err := disk.Load(r.e.FS, workersFile)
-	var was savedWorkers
-	if err != nil || transport.Decode(raw, &was) != nil || was.Mesh != r.Settings.ClusterID {
+	raw, err := disk.Load(r.env.FS, workersFile)
+	var saved savedWorkers
+	if err != nil || transport.Decode(raw, &saved) != nil || saved.ClusterID != r.Settings.ClusterID {
 		return
 	}
-	all, err := was.All.Decode()
+	entries, err := saved.Entries.Decode()
 	if err != nil {
 		return
 	}
-	r.rep.Accept(ormap.Delta{Tombstones: all.Tombstones})
-	for _, e := range all.Adds {
-		if live, dead := r.rep.Map().Knows(e.Dot.Hash()); live || dead {
+	r.replica.Accept(ormap.Delta{Tombstones: entries.Tombstones})
+	for _, e := range entries.Adds {
+		if live, removed := r.replica.Map().Knows(e.Dot.Hash()); live || removed {
 			return
 		}
 	}
-	if 2*len(r.rep.Map().Live(nil)) >= len(all.Adds) {
+	if 2*len(r.replica.Map().Live(nil)) >= len(entries.Adds) {
 		return
 	}
-	r.rep.Restore(ormap.Delta{Adds: all.Adds})
+	r.replica.Restore(ormap.Delta{Adds: entries.Adds})
 }
--- a/internal/registry/savedworkers_test.go
+++ b/internal/registry/savedworkers_test.go
@@ -35,25 +35,25 @@
 func TestLastWorkerLeaves(t *testing.T) {
 	folder := t.TempDir()
 	r := onDisk(t, folder)
-	r.life.Fire("filled")
+	r.lifecycle.Fire("filled")
 	dot := ormap.Dot{Node: "n#1", Stamp: hlc.New(time.Now, time.Second).Now()}
 	entry := ormap.Entry{Dot: dot, Service: "s", Worker: "w", Owner: "n", InternalAddr: "10.0.0.2:1", Zone: "a", Meta: map[string]string{"state": "up"}}
-	r.rep.Accept(ormap.Delta{Adds: []ormap.Entry{entry}})
+	r.replica.Accept(ormap.Delta{Adds: []ormap.Entry{entry}})
 	if !r.saveWorkers() {
 		t.Fatal("the worker is not kept")
 	}
 	leave := ormap.Delta{Tombstones: []ormap.Tombstone{{Dot: dot, Reason: "signed off", Worker: "w"}}}
-	if _, err := r.onWorkerLeaves(t.Context(), transport.Hello{}, leave); err != nil {
+	if _, err := r.onWorkerLeaving(t.Context(), transport.Hello{}, leave); err != nil {
 		t.Fatal(err)
 	}
 	emptied := onDisk(t, folder)
-	emptied.life.Fire("filled")
+	emptied.lifecycle.Fire("filled")
 	if !emptied.saveWorkers() {
 		t.Error("nothing to keep is no failure")
 	}
 	again := onDisk(t, folder)
 	again.loadWorkers()
-	if !again.rep.Map().Departed("w") || len(again.rep.Map().Live(nil)) != 0 {
-		t.Errorf("departed %v, registered again %v", again.rep.Map().Departed("w"), again.rep.Map().Live(nil))
+	if !again.replica.Map().Departed("w") || len(again.replica.Map().Live(nil)) != 0 {
+		t.Errorf("departed %v, registered again %v", again.replica.Map().Departed("w"), again.replica.Map().Live(nil))
 	}
 }
--- a/internal/registry/sessionreports.go
+++ b/internal/registry/sessionreports.go
@@ -9,141 +9,141 @@
 	"puffincrank/internal/transport"
 )
 
-// seldom is how many beats pass between two words without news; two in a row
+// idleReportInterval is how many beats pass between two words without news; two in a row
 // may be lost.
-const seldom = 3
+const idleReportInterval = 3
 
-// shared is another control node's word on its sessions.
-type shared struct {
-	f     membership.Member
-	hash  uint64 // of the list as last heard, 0 for none
-	heard time.Time
+// peerNode is another control node's word on its sessions.
+type peerNode struct {
+	member    membership.Member
+	listHash  uint64 // of the list as last heard, 0 for none
+	lastHeard time.Time
 	// What it said counts; it does not after a session's time without a word.
-	stands bool
+	active bool
 	// Since when words to it were not answered, zero for not at all.
-	mute time.Time
-	well time.Time // when the newest word began that was
-	out  bool      // it is left out of the list for that
+	silentSince       time.Time
+	lastAnsweredStart time.Time // when the newest word began that was
+	excluded          bool      // it is left out of the list for that
 }
 
-// share tells the other control nodes of the sessions here: what changed since
+// reportSessions tells the other control nodes of the sessions here: what changed since
 // the last round, and to those who lack more what they lack.
-func (r *Registry) share(context.Context) {
-	r.e.PollSettings()
+func (r *Registry) reportSessions(context.Context) {
+	r.env.PollSettings()
 	r.mu.Lock()
-	r.expire()
+	r.expireSessions()
 	r.dropUnreachable()
-	if !r.sure.IsZero() && time.Since(r.sure) <= r.Settings.ConfirmationTTL() {
-		r.rep.SetCompleteUntil(time.Now().Add(r.Settings.SessionTTL()))
+	if !r.confirmedAt.IsZero() && time.Since(r.confirmedAt) <= r.Settings.ConfirmationTTL() {
+		r.replica.SetCompleteUntil(time.Now().Add(r.Settings.SessionTTL()))
 	}
-	r.relink()
+	r.updateLinks()
 	// Unless something changed or somebody came or went lately, a word now and
 	// then is enough: what was said counts for ten beats.
-	_, met := r.near()
-	if met != r.circle {
-		r.circle, r.circled = met, time.Now()
+	_, reachableHash := r.reachableNodes()
+	if reachableHash != r.reachableHash {
+		r.reachableHash, r.reachableChangedAt = reachableHash, time.Now()
 	}
-	calm := r.mine.Hash() == r.told && !r.owe && time.Since(r.circled) > r.Settings.SessionTTL()
-	r.rounds++
-	rest := calm && r.rounds%seldom != 0
-	var to []string
-	if rest {
-		if to = r.unreachablePeers(); len(to) == 0 {
+	unchanged := r.localMembers.Hash() == r.reportedHash && !r.reportDue && time.Since(r.reachableChangedAt) > r.Settings.SessionTTL()
+	r.reportRounds++
+	skip := unchanged && r.reportRounds%idleReportInterval != 0
+	var targets []string
+	if skip {
+		if targets = r.unreachablePeers(); len(targets) == 0 {
 			r.mu.Unlock()
 			return
 		}
 	}
-	r.owe = false
-	in := protocol.SessionReport{Sender: r.self, Hash: r.mine.Hash()}
-	if d, ok := r.mine.Since(r.told); ok && r.told != in.Hash && len(d.Added)+len(d.Removed) <= membersPerPage {
-		in.IsDiff, in.BaseHash, in.Added, in.Removed = true, r.told, d.Added, d.Removed
+	r.reportDue = false
+	report := protocol.SessionReport{Sender: r.self, Hash: r.localMembers.Hash()}
+	if diff, ok := r.localMembers.Since(r.reportedHash); ok && r.reportedHash != report.Hash && len(diff.Added)+len(diff.Removed) <= membersPerPage {
+		report.IsDiff, report.BaseHash, report.Added, report.Removed = true, r.reportedHash, diff.Added, diff.Removed
 	}
-	r.told = in.Hash
-	in.ReachableHash = met
-	if !rest {
-		to = r.peers()
+	r.reportedHash = report.Hash
+	report.ReachableHash = reachableHash
+	if !skip {
+		targets = r.reportTargets()
 	}
 	r.mu.Unlock()
-	for _, a := range to {
-		if a == r.Settings.InternalAddr {
+	for _, addr := range targets {
+		if addr == r.Settings.InternalAddr {
 			continue
 		}
-		r.g.Go("share-one", func(ctx context.Context) {
-			ctx, end := context.WithTimeout(ctx, r.Settings.CallTimeout())
-			defer end()
-			began := time.Now()
-			got, err := transport.Call[protocol.SessionReportResponse](ctx, r.n, a, "session.share", in)
-			r.recordAnswer(a, began, err == nil)
+		r.group.Go("share-one", func(ctx context.Context) {
+			ctx, cancel := context.WithTimeout(ctx, r.Settings.CallTimeout())
+			defer cancel()
+			sentAt := time.Now()
+			response, err := transport.Call[protocol.SessionReportResponse](ctx, r.node, addr, "session.share", report)
+			r.recordAnswer(addr, sentAt, err == nil)
 			if err == nil {
-				r.meet(got.Reachable)
+				r.recordIndirectPeers(response.Reachable)
 			}
-			if err == nil && got.NeedMore {
-				_, _ = transport.Call[protocol.SessionReportResponse](ctx, r.n, a, "session.share", r.more(got))
+			if err == nil && response.NeedMore {
+				_, _ = transport.Call[protocol.SessionReportResponse](ctx, r.node, addr, "session.share", r.fullerReport(response))
 			}
 		})
 	}
 }
 
-// more gives a control node what it lacks: what differs from the list that it
+// fullerReport gives a control node what it lacks: what differs from the list that it
 // holds, if that is known here, or else the whole.
-func (r *Registry) more(got protocol.SessionReportResponse) protocol.SessionReport {
+func (r *Registry) fullerReport(response protocol.SessionReportResponse) protocol.SessionReport {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	out := protocol.SessionReport{Sender: r.self, Hash: r.mine.Hash()}
-	if d, ok := r.mine.Since(got.Hash); ok && got.AcceptsDiff && got.Hash != 0 {
-		out.IsDiff, out.BaseHash, out.Added, out.Removed = true, got.Hash, d.Added, d.Removed
+	report := protocol.SessionReport{Sender: r.self, Hash: r.localMembers.Hash()}
+	if diff, ok := r.localMembers.Since(response.Hash); ok && response.AcceptsDiff && response.Hash != 0 {
+		report.IsDiff, report.BaseHash, report.Added, report.Removed = true, response.Hash, diff.Added, diff.Removed
 	} else {
-		out.Complete, out.Members = true, r.mine.List().Members()
+		report.Complete, report.Members = true, r.localMembers.List().Members()
 	}
-	if got.AcceptsCompact && len(out.Members)+len(out.Added)+len(out.Removed) > plainDiff {
-		out.Compact = membership.Diff{Added: append(out.Added, out.Members...), Removed: out.Removed}.Encode()
-		out.Members, out.Added, out.Removed = nil, nil, nil
+	if response.AcceptsCompact && len(report.Members)+len(report.Added)+len(report.Removed) > maxPlainDiff {
+		report.Compact = membership.Diff{Added: append(report.Added, report.Members...), Removed: report.Removed}.Encode()
+		report.Members, report.Added, report.Removed = nil, nil, nil
 	}
-	return out
+	return report
 }
 
-func (r *Registry) onShare(_ context.Context, _ transport.Hello, in protocol.SessionReport) (protocol.SessionReportResponse, error) {
-	if len(in.Compact) > 0 {
-		d, err := membership.DecodeDiff(in.Compact)
+func (r *Registry) onSessionReport(_ context.Context, _ transport.Hello, report protocol.SessionReport) (protocol.SessionReportResponse, error) {
+	if len(report.Compact) > 0 {
+		diff, err := membership.DecodeDiff(report.Compact)
 		if err != nil {
 			return protocol.SessionReportResponse{}, err
 		}
-		if in.Complete {
-			in.Members = d.Added
+		if report.Complete {
+			report.Members = diff.Added
 		} else {
-			in.Added, in.Removed = d.Added, d.Removed
+			report.Added, report.Removed = diff.Added, diff.Removed
 		}
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	who := in.Sender.Node
-	o := r.others[who]
-	if o == nil {
-		o = &shared{}
-		r.others[who] = o
+	sender := report.Sender.Node
+	peer := r.peerNodes[sender]
+	if peer == nil {
+		peer = &peerNode{}
+		r.peerNodes[sender] = peer
 	}
 	// Who begins anew or was away lacks what is said here.
-	r.owe = r.owe || !o.stands || o.f.Incarnation != in.Sender.Incarnation
-	o.hears(in.Sender)
-	r.roll.Set(who, in.Sender)
+	r.reportDue = r.reportDue || !peer.active || peer.member.Incarnation != report.Sender.Incarnation
+	peer.recordContact(report.Sender)
+	r.members.Set(sender, report.Sender)
 	switch {
-	case in.Complete:
-		r.roll.Replace(who, append(in.Members, in.Sender))
-		o.hash = in.Hash
-	case in.IsDiff && in.BaseHash == o.hash && o.hash != in.Hash:
-		for _, f := range in.Added {
-			r.roll.Set(who, f)
+	case report.Complete:
+		r.members.Replace(sender, append(report.Members, report.Sender))
+		peer.listHash = report.Hash
+	case report.IsDiff && report.BaseHash == peer.listHash && peer.listHash != report.Hash:
+		for _, member := range report.Added {
+			r.members.Set(sender, member)
 		}
-		for _, n := range in.Removed {
-			r.roll.Remove(who, n)
+		for _, node := range report.Removed {
+			r.members.Remove(sender, node)
 		}
-		o.hash = in.Hash
+		peer.listHash = report.Hash
 	}
-	r.relink()
+	r.updateLinks()
 	// What is known is kept until more comes.
-	back := protocol.SessionReportResponse{NeedMore: in.Hash != o.hash, Responder: r.self, AcceptsDiff: true, Hash: o.hash, AcceptsCompact: true}
-	if near, met := r.near(); met != in.ReachableHash {
-		back.Reachable = near
+	response := protocol.SessionReportResponse{NeedMore: report.Hash != peer.listHash, Responder: r.self, AcceptsDiff: true, Hash: peer.listHash, AcceptsCompact: true}
+	if reachable, reachableHash := r.reachableNodes(); reachableHash != report.ReachableHash {
+		response.Reachable = reachable
 	}
-	return back, nil
+	return response, nil
 }
--- a/internal/registry/sessions.go
+++ b/internal/registry/sessions.go
@@ -20,223 +20,223 @@
 // membersPerPage is how many members one message brings at the most.
 const membersPerPage = 512
 
-// plainDiff is how many members are sent one by one: so few are not worth the short
+// maxPlainDiff is how many members are sent one by one: so few are not worth the short
 // form's own frame.
-const plainDiff = 2
+const maxPlainDiff = 2
 
 // nodeSession is one proxy's session here.
 type nodeSession struct {
-	f       membership.Member
-	heard   time.Time
-	version uint64
-	tallies []protocol.ArmCounts
-	live    []string
+	member        membership.Member
+	lastHeard     time.Time
+	configVersion uint64
+	trialCounts   []protocol.ArmCounts
+	activeRoutes  []string
 }
 
-// onBeat renews a session. A control node that is out of touch with the
+// onHeartbeat renews a session. A control node that is out of touch with the
 // stores, or leaving, says so, and the proxy tries another.
-func (r *Registry) onBeat(_ context.Context, _ transport.Hello, in protocol.Heartbeat) (protocol.HeartbeatResponse, error) {
+func (r *Registry) onHeartbeat(_ context.Context, _ transport.Hello, heartbeat protocol.Heartbeat) (protocol.HeartbeatResponse, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	defer r.relink()
-	if in.Leaving {
-		r.endSession(in.Member.Node)
+	defer r.updateLinks()
+	if heartbeat.Leaving {
+		r.endSession(heartbeat.Member.Node)
 		return protocol.HeartbeatResponse{}, nil
 	}
-	if r.rules == nil && r.sure.IsZero() || time.Since(r.sure) > r.Settings.ConfirmationTTL() || r.life.Is("starting", "leaving", "shut", "lost") {
+	if r.rules == nil && r.confirmedAt.IsZero() || time.Since(r.confirmedAt) > r.Settings.ConfirmationTTL() || r.lifecycle.Is("starting", "leaving", "shut", "lost") {
 		return protocol.HeartbeatResponse{}, nil
 	}
-	out := protocol.HeartbeatResponse{InTouch: true, ConfirmedAgoMS: time.Since(r.sure).Milliseconds() + 1}
+	response := protocol.HeartbeatResponse{InTouch: true, ConfirmedAgoMS: time.Since(r.confirmedAt).Milliseconds() + 1}
 	// Who only looks for a control node in touch takes no session.
-	if in.Probe {
+	if heartbeat.Probe {
 		if r.rules != nil {
-			out.ConfigVersion = r.rules.Version
+			response.ConfigVersion = r.rules.Version
 		}
-		return out, nil
+		return response, nil
 	}
-	s := r.own[in.Member.Node]
-	if s == nil || s.f != in.Member {
-		if s == nil || s.f.Incarnation != in.Member.Incarnation {
-			r.e.Log.Emit(event.SessionUp, "node", in.Member.Node)
-			r.buryOld(in.Member)
+	session := r.sessions[heartbeat.Member.Node]
+	if session == nil || session.member != heartbeat.Member {
+		if session == nil || session.member.Incarnation != heartbeat.Member.Incarnation {
+			r.env.Log.Emit(event.SessionUp, "node", heartbeat.Member.Node)
+			r.retireOldIncarnations(heartbeat.Member)
 		}
-		s = &nodeSession{f: in.Member}
-		r.own[in.Member.Node] = s
-		r.mine.Set(r.Settings.Node, s.f)
-		r.roll.Set(r.Settings.Node, s.f)
+		session = &nodeSession{member: heartbeat.Member}
+		r.sessions[heartbeat.Member.Node] = session
+		r.localMembers.Set(r.Settings.Node, session.member)
+		r.members.Set(r.Settings.Node, session.member)
 	}
-	s.heard, s.version, s.tallies, s.live = time.Now(), in.ConfigVersion, in.TrialCounts, in.ActiveRoutes
-	out.MembersHash, out.ProxyCount = r.roll.Hash(), r.roll.ProxyCount()
-	if core, name := r.tell(); in.ControlNodesHash != name {
-		out.ControlNodes = core
+	session.lastHeard, session.configVersion, session.trialCounts, session.activeRoutes = time.Now(), heartbeat.ConfigVersion, heartbeat.TrialCounts, heartbeat.ActiveRoutes
+	response.MembersHash, response.ProxyCount = r.members.Hash(), r.members.ProxyCount()
+	if addrs, hash := r.cachedControlNodes(); heartbeat.ControlNodesHash != hash {
+		response.ControlNodes = addrs
 	}
 	if r.rules != nil {
-		out.ConfigVersion = r.rules.Version
-		if in.ConfigVersion < out.ConfigVersion {
-			r.addMissing(&out, in)
+		response.ConfigVersion = r.rules.Version
+		if heartbeat.ConfigVersion < response.ConfigVersion {
+			r.addConfig(&response, heartbeat)
 		}
 	}
-	if in.MembersHash != out.MembersHash {
-		r.addMembersDiff(&out, in)
+	if heartbeat.MembersHash != response.MembersHash {
+		r.addMembersDiff(&response, heartbeat)
 	}
-	return out, nil
+	return response, nil
 }
 
-// addMissing gives a beat the steps to the newest configuration from the one that its
+// addConfig gives a beat the steps to the newest configuration from the one that its
 // node holds, or else the whole.
-func (r *Registry) addMissing(out *protocol.HeartbeatResponse, in protocol.Heartbeat) {
-	version, doc := r.held.Current()
-	out.ConfigVersion = version
-	if steps, ok := r.held.Since(in.ConfigVersion); ok && in.AcceptsPatch {
-		out.Steps = steps
-	} else if in.AcceptsCompact {
+func (r *Registry) addConfig(response *protocol.HeartbeatResponse, heartbeat protocol.Heartbeat) {
+	version, doc := r.document.Current()
+	response.ConfigVersion = version
+	if steps, ok := r.document.Since(heartbeat.ConfigVersion); ok && heartbeat.AcceptsPatch {
+		response.Steps = steps
+	} else if heartbeat.AcceptsCompact {
 		// Shrunk once for all that ask for it.
-		if r.shrunk.version != version {
-			r.shrunk.version, r.shrunk.doc = version, compression.Compress(doc)
+		if r.compressed.version != version {
+			r.compressed.version, r.compressed.document = version, compression.Compress(doc)
 		}
-		out.CompressedDocument = r.shrunk.doc
+		response.CompressedDocument = r.compressed.document
 	} else {
-		out.Document = doc
+		response.Document = doc
 	}
 }
 
 // addMembersDiff tells a beat what differs from the list that its node holds. Nothing
 // at all means that this hash isn't known here: the node then asks by parts.
-func (r *Registry) addMembersDiff(out *protocol.HeartbeatResponse, in protocol.Heartbeat) {
-	if !in.AcceptsDiff {
-		out.Members = r.roll.List().Members()
+func (r *Registry) addMembersDiff(response *protocol.HeartbeatResponse, heartbeat protocol.Heartbeat) {
+	if !heartbeat.AcceptsDiff {
+		response.Members = r.members.List().Members()
 		return
 	}
-	if d, ok := r.roll.Since(in.MembersHash); ok && len(d.Added)+len(d.Removed) <= membersPerPage {
-		out.IsDiff = true
-		if in.AcceptsCompact && len(d.Added)+len(d.Removed) > plainDiff {
+	if diff, ok := r.members.Since(heartbeat.MembersHash); ok && len(diff.Added)+len(diff.Removed) <= membersPerPage {
+		response.IsDiff = true
+		if heartbeat.AcceptsCompact && len(diff.Added)+len(diff.Removed) > maxPlainDiff {
 			// With nothing said it asks by parts, and is told whom to ask.
-			if out.IsDiff = r.rep.HasRefillCapacity(); out.IsDiff {
-				out.CompactDiff = r.packed(in.MembersHash, d)
-				r.rep.RecordRefillBytes(len(out.CompactDiff))
+			if response.IsDiff = r.replica.HasRefillCapacity(); response.IsDiff {
+				response.CompactDiff = r.encodedDiff(heartbeat.MembersHash, diff)
+				r.replica.RecordRefillBytes(len(response.CompactDiff))
 			}
 		} else {
-			out.Added, out.Removed = d.Added, d.Removed
+			response.Added, response.Removed = diff.Added, diff.Removed
 		}
 	}
 }
 
-// packed is what differs since a hash, packed once for all that hold it: a whole
+// encodedDiff is what differs since a hash, packed once for all that hold it: a whole
 // region that comes back is news to every session at the same time. mu is held.
-func (r *Registry) packed(from uint64, d membership.Diff) []byte {
-	if r.packs.to != r.roll.Hash() {
-		r.packs.to, r.packs.from = r.roll.Hash(), map[uint64][]byte{}
+func (r *Registry) encodedDiff(baseHash uint64, diff membership.Diff) []byte {
+	if r.encodedDiffs.targetHash != r.members.Hash() {
+		r.encodedDiffs.targetHash, r.encodedDiffs.byBaseHash = r.members.Hash(), map[uint64][]byte{}
 	}
-	if r.packs.from[from] == nil {
-		r.packs.from[from] = d.Encode()
+	if r.encodedDiffs.byBaseHash[baseHash] == nil {
+		r.encodedDiffs.byBaseHash[baseHash] = diff.Encode()
 	}
-	return r.packs.from[from]
+	return r.encodedDiffs.byBaseHash[baseHash]
 }
 
-// onMembers gives the parts of the list that differ, some at a time. Beyond what
+// onMemberListRequest gives the parts of the list that differ, some at a time. Beyond what
 // it hands out in a beat it names those who have them.
-func (r *Registry) onMembers(_ context.Context, from transport.Hello, in protocol.MemberListRequest) (protocol.MemberListResponse, error) {
+func (r *Registry) onMemberListRequest(_ context.Context, from transport.Hello, request protocol.MemberListRequest) (protocol.MemberListResponse, error) {
 	r.mu.Lock()
-	b, at := r.roll.List(), ""
-	if s := r.own[from.Node]; s != nil {
-		at = s.f.InternalAddr
+	list, addr := r.members.List(), ""
+	if session := r.sessions[from.Node]; session != nil {
+		addr = session.member.InternalAddr
 	}
 	r.mu.Unlock()
-	if !r.rep.HasRefillCapacity() {
-		return protocol.MemberListResponse{Hash: b.Hash(), Busy: true, Alternatives: r.rep.RefilledNodes(from.Zone, at)}, nil
+	if !r.replica.HasRefillCapacity() {
+		return protocol.MemberListResponse{Hash: list.Hash(), Busy: true, Alternatives: r.replica.RefilledNodes(from.Zone, addr)}, nil
 	}
-	out, err := controlclient.DiffMembers(b, in)
-	r.rep.RecordRefillBytes(controlclient.ResponseSize(out))
-	if err == nil && !out.More {
-		r.rep.RecordRefill(at, from.Zone)
+	response, err := controlclient.DiffMembers(list, request)
+	r.replica.RecordRefillBytes(controlclient.ResponseSize(response))
+	if err == nil && !response.More {
+		r.replica.RecordRefill(addr, from.Zone)
 	}
-	return out, err
+	return response, err
 }
 
 // endSession ends a session; mu is held.
 func (r *Registry) endSession(node string) {
-	delete(r.own, node)
-	r.mine.Remove(r.Settings.Node, node)
-	r.roll.Remove(r.Settings.Node, node)
+	delete(r.sessions, node)
+	r.localMembers.Remove(r.Settings.Node, node)
+	r.members.Remove(r.Settings.Node, node)
 }
 
-// expire ends the sessions that were not renewed, and what other control nodes
+// expireSessions ends the sessions that were not renewed, and what other control nodes
 // said that were not heard since; mu is held.
-func (r *Registry) expire() {
-	for n, o := range r.others {
-		if o.stands && time.Since(o.heard) > r.Settings.SessionTTL() {
-			o.stands, o.hash = false, 0
-			r.roll.RemoveSource(n)
+func (r *Registry) expireSessions() {
+	for name, peer := range r.peerNodes {
+		if peer.active && time.Since(peer.lastHeard) > r.Settings.SessionTTL() {
+			peer.active, peer.listHash = false, 0
+			r.members.RemoveSource(name)
 		}
 	}
-	for n, s := range r.own {
-		if time.Since(s.heard) > r.Settings.SessionTTL() {
-			r.endSession(n)
-			r.e.Log.Emit(event.SessionDown, "node", n)
+	for name, session := range r.sessions {
+		if time.Since(session.lastHeard) > r.Settings.SessionTTL() {
+			r.endSession(name)
+			r.env.Log.Emit(event.SessionDown, "node", name)
 		}
 	}
 }
 
-// relink lets the replica's links follow the list, once for many changes; mu
+// updateLinks lets the replica's links follow the list, once for many changes; mu
 // is held.
-func (r *Registry) relink() {
-	if r.linking || r.roll.Hash() == r.linked {
+func (r *Registry) updateLinks() {
+	if r.linksUpdating || r.members.Hash() == r.linkedHash {
 		return
 	}
 	// One after the other: of two lists in a row, the older must never be the
 	// last word.
-	r.linking = r.g.Go("peers", func(context.Context) {
+	r.linksUpdating = r.group.Go("peers", func(context.Context) {
 		for {
 			r.mu.Lock()
-			b := r.roll.List()
-			if b.Hash() == r.linked {
-				r.linking = false
+			list := r.members.List()
+			if list.Hash() == r.linkedHash {
+				r.linksUpdating = false
 				r.mu.Unlock()
 				return
 			}
-			r.linked = b.Hash()
+			r.linkedHash = list.Hash()
 			r.mu.Unlock()
-			r.rep.SetMembers(b)
+			r.replica.SetMembers(list)
 		}
 	})
 }
 
-// buryOld removes what earlier starts of a node left: one name, one process.
-func (r *Registry) buryOld(f membership.Member) {
-	r.g.Go("bury-old", func(ctx context.Context) {
+// retireOldIncarnations removes what earlier starts of a node left: one name, one process.
+func (r *Registry) retireOldIncarnations(member membership.Member) {
+	r.group.Go("bury-old", func(ctx context.Context) {
 		// The new start buries them itself, after it has looked at what its
 		// worker was; this is for one that does not get so far.
-		r.e.Sleep(ctx, 2*r.Settings.HeartbeatInterval())
-		r.rep.RetireNode(f.Node, func(e ormap.Entry) bool { return e.Dot.Node != f.Node+"#"+f.Incarnation })
+		r.env.Sleep(ctx, 2*r.Settings.HeartbeatInterval())
+		r.replica.RetireNode(member.Node, func(entry ormap.Entry) bool { return entry.Dot.Node != member.Node+"#"+member.Incarnation })
 	})
 }
 
-// push sends a new configuration to every session here at once: to those that
+// pushConfig sends a new configuration to every session here at once: to those that
 // hold an earlier one the steps from there.
-func (r *Registry) push() {
-	type one struct {
-		s    *nodeSession
-		at   string
-		have uint64
+func (r *Registry) pushConfig() {
+	type target struct {
+		session     *nodeSession
+		at          string
+		heldVersion uint64
 	}
 	r.mu.Lock()
-	var list []one
-	for _, s := range r.own {
-		list = append(list, one{s, s.f.InternalAddr, s.version})
+	var targets []target
+	for _, session := range r.sessions {
+		targets = append(targets, target{session, session.member.InternalAddr, session.configVersion})
 	}
 	r.mu.Unlock()
-	for _, o := range list {
-		r.g.Go("push", func(ctx context.Context) {
+	for _, target := range targets {
+		r.group.Go("push", func(ctx context.Context) {
 			// Of use for as long as the session stands, however late it comes.
-			ctx, end := context.WithTimeout(ctx, r.Settings.SessionTTL())
-			defer end()
+			ctx, cancel := context.WithTimeout(ctx, r.Settings.SessionTTL())
+			defer cancel()
 			// One that misses this gets it with its next beat.
-			have, err := controlclient.PushConfig(ctx, r.n, o.at, r.held, o.have)
+			heldVersion, err := controlclient.PushConfig(ctx, r.node, target.at, r.document, target.heldVersion)
 			if err != nil {
 				return
 			}
 			r.mu.Lock()
-			o.s.version = max(o.s.version, have)
+			target.session.configVersion = max(target.session.configVersion, heldVersion)
 			r.mu.Unlock()
 		})
 	}
--- a/internal/registry/status.go
+++ b/internal/registry/status.go
@@ -43,154 +43,154 @@
 	Unreachable []string            `json:"mute"` // members that gave no answer
 }
 
-func (r *Registry) onStatus(_ context.Context, _ transport.Hello, in proxy.StatusRequest) (Status, error) {
-	s := r.status()
-	if in.Events {
-		s.Events = r.e.Log.Since(in.Since)
+func (r *Registry) onStatus(_ context.Context, _ transport.Hello, request proxy.StatusRequest) (Status, error) {
+	status := r.status()
+	if request.Events {
+		status.Events = r.env.Log.Since(request.Since)
 	}
-	return s, nil
+	return status, nil
 }
 
 func (r *Registry) status() Status {
-	s := Status{Node: r.Settings.Node, Zone: r.Settings.Zone, State: r.life.Current(), Ready: r.Ready(), Roles: map[string]string{}}
-	for _, d := range r.duties {
-		if num, ok := d.leads(); ok {
-			s.Roles[d.name] = num.String()
+	status := Status{Node: r.Settings.Node, Zone: r.Settings.Zone, State: r.lifecycle.Current(), Ready: r.Ready(), Roles: map[string]string{}}
+	for _, election := range r.elections {
+		if number, ok := election.leads(); ok {
+			status.Roles[election.name] = number.String()
 		}
 	}
-	s.Entries, s.Tombstones = r.rep.Map().Size()
-	for _, d := range r.rep.Map().Digests() {
-		s.Digest ^= d
+	status.Entries, status.Tombstones = r.replica.Map().Size()
+	for _, election := range r.replica.Map().Digests() {
+		status.Digest ^= election
 	}
-	for k, v := range r.n.BytesSent() {
-		if k.OtherZone {
-			s.BytesToOtherZones += v.Bytes
+	for flow, traffic := range r.node.BytesSent() {
+		if flow.OtherZone {
+			status.BytesToOtherZones += traffic.Bytes
 		}
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	s.ConfirmedAgoMS = time.Since(r.sure).Milliseconds()
+	status.ConfirmedAgoMS = time.Since(r.confirmedAt).Milliseconds()
 	if r.rules != nil {
-		s.Version = r.rules.Version
+		status.Version = r.rules.Version
 	}
-	for n := range r.own {
-		s.Sessions = append(s.Sessions, n)
+	for node := range r.sessions {
+		status.Sessions = append(status.Sessions, node)
 	}
-	sort.Strings(s.Sessions)
-	return s
+	sort.Strings(status.Sessions)
+	return status
 }
 
-// gather asks every member for its status at once.
-func (r *Registry) gather(ctx context.Context, events bool, since uint64) ClusterStatus {
+// collectStatus asks every member for its status at once.
+func (r *Registry) collectStatus(ctx context.Context, events bool, since uint64) ClusterStatus {
 	r.mu.Lock()
-	out := ClusterStatus{Members: r.roll.List().Members(), Roles: map[string]string{}, Unreachable: []string{}}
+	cluster := ClusterStatus{Members: r.members.List().Members(), Roles: map[string]string{}, Unreachable: []string{}}
 	r.mu.Unlock()
 	r.stores.mu.Lock()
 	stores := append([]string(nil), r.stores.members...)
 	r.stores.mu.Unlock()
-	ctx, end := context.WithTimeout(ctx, r.Settings.CallTimeout())
-	defer end()
+	ctx, cancel := context.WithTimeout(ctx, r.Settings.CallTimeout())
+	defer cancel()
 	var mu sync.Mutex
-	var wait sync.WaitGroup
-	ask := func(name string, f func() error) {
-		wait.Add(1)
-		if !r.g.Go("gather", func(context.Context) {
-			defer wait.Done()
-			if f() != nil {
+	var pending sync.WaitGroup
+	query := func(name string, member func() error) {
+		pending.Add(1)
+		if !r.group.Go("gather", func(context.Context) {
+			defer pending.Done()
+			if member() != nil {
 				mu.Lock()
-				out.Unreachable = append(out.Unreachable, name)
+				cluster.Unreachable = append(cluster.Unreachable, name)
 				mu.Unlock()
 			}
 		}) {
-			wait.Done()
+			pending.Done()
 		}
 	}
-	in := proxy.StatusRequest{Events: events, Since: since}
-	for _, f := range out.Members {
-		ask(f.Node, func() error {
-			if f.Role == "proxy" {
-				s, err := transport.Call[proxy.Status](ctx, r.n, f.InternalAddr, "node.status", in)
+	request := proxy.StatusRequest{Events: events, Since: since}
+	for _, member := range cluster.Members {
+		query(member.Node, func() error {
+			if member.Role == "proxy" {
+				status, err := transport.Call[proxy.Status](ctx, r.node, member.InternalAddr, "node.status", request)
 				if err == nil {
 					mu.Lock()
-					out.Proxies = append(out.Proxies, s)
+					cluster.Proxies = append(cluster.Proxies, status)
 					mu.Unlock()
 				}
 				return err
 			}
-			s, err := transport.Call[Status](ctx, r.n, f.InternalAddr, "registry.status", in)
+			status, err := transport.Call[Status](ctx, r.node, member.InternalAddr, "registry.status", request)
 			if err == nil {
 				mu.Lock()
-				out.Registries = append(out.Registries, s)
+				cluster.Registries = append(cluster.Registries, status)
 				mu.Unlock()
 			}
 			return err
 		})
 	}
-	for _, a := range stores {
-		ask("store at "+a, func() error {
-			s, err := transport.Call[store.Status](ctx, r.n, a, "store.status", struct{}{})
+	for _, addr := range stores {
+		query("store at "+addr, func() error {
+			status, err := transport.Call[store.Status](ctx, r.node, addr, "store.status", struct{}{})
 			if err == nil {
 				mu.Lock()
-				out.Stores = append(out.Stores, s)
+				cluster.Stores = append(cluster.Stores, status)
 				mu.Unlock()
 			}
 			return err
 		})
 	}
-	wait.Wait()
-	sort.Strings(out.Unreachable)
-	sort.Slice(out.Proxies, func(i, j int) bool { return out.Proxies[i].Node < out.Proxies[j].Node })
-	sort.Slice(out.Registries, func(i, j int) bool { return out.Registries[i].Node < out.Registries[j].Node })
-	sort.Slice(out.Stores, func(i, j int) bool { return out.Stores[i].Node < out.Stores[j].Node })
-	for _, s := range out.Registries {
-		for d := range s.Roles {
-			out.Roles[d] = s.Node
+	pending.Wait()
+	sort.Strings(cluster.Unreachable)
+	sort.Slice(cluster.Proxies, func(i, j int) bool { return cluster.Proxies[i].Node < cluster.Proxies[j].Node })
+	sort.Slice(cluster.Registries, func(i, j int) bool { return cluster.Registries[i].Node < cluster.Registries[j].Node })
+	sort.Slice(cluster.Stores, func(i, j int) bool { return cluster.Stores[i].Node < cluster.Stores[j].Node })
+	for _, status := range cluster.Registries {
+		for role := range status.Roles {
+			cluster.Roles[role] = status.Node
 		}
 	}
-	for _, s := range out.Stores {
-		if s.Role == "write" {
-			out.Roles["writer"] = s.Node
+	for _, status := range cluster.Stores {
+		if status.Role == "write" {
+			cluster.Roles["writer"] = status.Node
 		}
 	}
-	return out
+	return cluster
 }
 
 func (r *Registry) getStatus(w http.ResponseWriter, req *http.Request) {
-	ctx, end := r.withDeadline(req)
-	defer end()
-	got, err := r.stores.read(ctx, store.ReadRequest{Kind: "config", From: 1 << 62})
-	f := r.gather(ctx, false, 0)
-	f.Version = got.Version
+	ctx, cancel := r.withDeadline(req)
+	defer cancel()
+	result, err := r.stores.read(ctx, store.ReadRequest{Kind: "config", From: 1 << 62})
+	cluster := r.collectStatus(ctx, false, 0)
+	cluster.Version = result.Version
 	if err != nil {
 		// Without a majority the status still helps, and says what it lacks.
-		f.Unreachable = append(f.Unreachable, "no majority of the stores")
+		cluster.Unreachable = append(cluster.Unreachable, "no majority of the stores")
 	}
-	httpapi.WriteJSON(w, http.StatusOK, f)
+	httpapi.WriteJSON(w, http.StatusOK, cluster)
 }
 
 func (r *Registry) getServices(w http.ResponseWriter, _ *http.Request) {
-	httpapi.WriteJSON(w, http.StatusOK, map[string]any{"version": r.version(), "services": r.rep.Services(), "entries": r.rep.Map().Live(nil)})
+	httpapi.WriteJSON(w, http.StatusOK, map[string]any{"version": r.version(), "services": r.replica.Services(), "entries": r.replica.Map().Live(nil)})
 }
 
 func (r *Registry) getEvents(w http.ResponseWriter, req *http.Request) {
-	ctx, end := r.withDeadline(req)
-	defer end()
-	f := r.gather(ctx, true, 0)
-	all := []event.Entry{}
-	for _, s := range f.Proxies {
-		all = append(all, s.Events...)
+	ctx, cancel := r.withDeadline(req)
+	defer cancel()
+	cluster := r.collectStatus(ctx, true, 0)
+	events := []event.Entry{}
+	for _, s := range cluster.Proxies {
+		events = append(events, s.Events...)
 	}
-	for _, s := range f.Registries {
-		all = append(all, s.Events...)
+	for _, s := range cluster.Registries {
+		events = append(events, s.Events...)
 	}
-	for _, s := range f.Stores {
-		all = append(all, s.Events...)
+	for _, s := range cluster.Stores {
+		events = append(events, s.Events...)
 	}
-	sort.SliceStable(all, func(i, j int) bool { return all[i].Time.Before(all[j].Time) })
-	if len(all) > 500 {
-		all = all[len(all)-500:]
+	sort.SliceStable(events, func(i, j int) bool { return events[i].Time.Before(events[j].Time) })
+	if len(events) > 500 {
+		events = events[len(events)-500:]
 	}
-	httpapi.WriteJSON(w, http.StatusOK, map[string]any{"version": r.version(), "events": all, "mute": f.Unreachable})
+	httpapi.WriteJSON(w, http.StatusOK, map[string]any{"version": r.version(), "events": events, "mute": cluster.Unreachable})
 }
 
 // version is the configuration held here.
@@ -205,4 +205,4 @@
 
 // BytesSent gives the bytes that this process sent to others, by kind of message;
 // receipts count with what they answer.
-func (r *Registry) BytesSent() map[transport.Flow]transport.Traffic { return r.n.BytesSent() }
+func (r *Registry) BytesSent() map[transport.Flow]transport.Traffic { return r.node.BytesSent() }
--- a/internal/registry/storeclient.go
+++ b/internal/registry/storeclient.go
@@ -14,10 +14,10 @@
 	"puffincrank/internal/transport"
 )
 
-// stores is how a registry talks to the stores: it finds the leader and says
+// storeClient is how a registry talks to the stores: it finds the leader and says
 // what is known of each change.
-type stores struct {
-	n            *transport.Node
+type storeClient struct {
+	node         *transport.Node
 	seeds        []string
 	storeTimeout time.Duration // how long one store may take
 	retryPause   time.Duration // pause when no store writes
@@ -27,59 +27,61 @@
 	unreachable  map[string]time.Time // store to when it last did not answer
 }
 
-func newStores(n *transport.Node, seed []string, wait, rest time.Duration) *stores {
-	return &stores{n: n, seeds: seed, storeTimeout: wait, retryPause: rest, unreachable: map[string]time.Time{}}
+func newStoreClient(node *transport.Node, seeds []string, storeTimeout, retryPause time.Duration) *storeClient {
+	return &storeClient{node: node, seeds: seeds, storeTimeout: storeTimeout, retryPause: retryPause, unreachable: map[string]time.Time{}}
 }
 
 // candidates gives the addresses to try, the last known leader first, and last those
 // that were unreachable just now: a dead leader is named by others until they miss it.
-func (c *stores) candidates() []string {
+func (c *storeClient) candidates() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	seen := map[string]bool{"": true}
-	var out, late []string
-	for _, l := range [][]string{{c.leader}, c.members, c.seeds} {
-		for _, a := range l {
-			if seen[a] {
+	var reachable, unreachable []string
+	for _, addrs := range [][]string{{c.leader}, c.members, c.seeds} {
+		for _, addr := range addrs {
+			if seen[addr] {
 				continue
 			}
-			seen[a] = true
-			if c.isUnreachable(a) {
-				late = append(late, a)
+			seen[addr] = true
+			if c.isUnreachable(addr) {
+				unreachable = append(unreachable, addr)
 			} else {
-				out = append(out, a)
+				reachable = append(reachable, addr)
 			}
 		}
 	}
-	return append(out, late...)
+	return append(reachable, unreachable...)
 }
 
 // isUnreachable tells that a store did not answer lately; mu is held.
-func (c *stores) isUnreachable(a string) bool { return time.Since(c.unreachable[a]) < 2*c.storeTimeout }
+func (c *storeClient) isUnreachable(addr string) bool {
+	return time.Since(c.unreachable[addr]) < 2*c.storeTimeout
+}
 
 // observe takes in what a store says of the leader and the members.
-func (c *stores) observe(from string, g store.LeaderResponse) {
+func (c *storeClient) observe(from string, response store.LeaderResponse) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	delete(c.unreachable, from)
-	if g.Done {
+	if response.Done {
 		c.leader = from
-	} else if g.LeaderAddr != "" && g.LeaderAddr != from && !c.isUnreachable(g.LeaderAddr) {
-		c.leader = g.LeaderAddr
+	} else if response.LeaderAddr != "" && response.LeaderAddr != from && !c.isUnreachable(response.LeaderAddr) {
+		c.leader = response.LeaderAddr
 	} else if c.leader == from {
 		c.leader = ""
 	}
-	if len(g.Members) > 0 {
+	if len(response.Members) > 0 {
 		c.members = nil
-		for _, m := range g.Members {
-			c.members = append(c.members, m.Addr)
+		for _, member := range response.Members {
+			c.members = append(c.members, member.Addr)
 		}
 	}
 }
 
 // markUnreachable notes a store that did not answer. One that had too little time to is
 // not unreachable for that.
-func (c *stores) markUnreachable(ctx context.Context, addr string) {
+func (c *storeClient) markUnreachable(ctx context.Context, addr string) {
 	c.mu.Lock()
 	if ctx.Err() == nil {
 		c.unreachable[addr] = time.Now()
@@ -92,142 +94,142 @@
 
 // request goes round the stores until the leader answers. Once a store may have
 // acted on a change, no other is asked: the outcome is unknown.
-func (c *stores) request(ctx context.Context, kind string, in any, again bool) (statemachine.Result, error) {
-	return c.requestWithin(ctx, kind, in, again, c.storeTimeout, time.Time{})
+func (c *storeClient) request(ctx context.Context, kind string, request any, idempotent bool) (statemachine.Result, error) {
+	return c.requestWithin(ctx, kind, request, idempotent, c.storeTimeout, time.Time{})
 }
 
 // requestWithin is ask with the time that one store may take to answer a read, and
 // the moment after which a change is no longer sent anywhere.
-func (c *stores) requestWithin(ctx context.Context, kind string, in any, again bool, long time.Duration, by time.Time) (statemachine.Result, error) {
-	var last error = fault.New(fault.Refused, "no store writes")
+func (c *storeClient) requestWithin(ctx context.Context, kind string, request any, idempotent bool, timeout time.Duration, sendBefore time.Time) (statemachine.Result, error) {
+	var lastErr error = fault.New(fault.Refused, "no store writes")
 	for {
 		tried := map[string]bool{}
-		for at := c.next(tried); at != ""; at = c.next(tried) {
-			if ctx.Err() != nil || !by.IsZero() && !time.Now().Before(by) {
-				return statemachine.Result{}, fault.New(fault.Refused, "no time left: %v", last)
+		for addr := c.nextCandidate(tried); addr != ""; addr = c.nextCandidate(tried) {
+			if ctx.Err() != nil || !sendBefore.IsZero() && !time.Now().Before(sendBefore) {
+				return statemachine.Result{}, fault.New(fault.Refused, "no time left: %v", lastErr)
 			}
-			tried[at] = true
+			tried[addr] = true
 			// A change has the whole time left, since a cut-off wait would
 			// leave it unknown; a read is tried elsewhere soon.
-			one, end := ctx, context.CancelFunc(func() {})
-			if again {
-				one, end = context.WithTimeout(ctx, long)
+			callCtx, cancel := ctx, context.CancelFunc(func() {})
+			if idempotent {
+				callCtx, cancel = context.WithTimeout(ctx, timeout)
 			}
-			g, err := transport.Call[store.LeaderResponse](one, c.n, at, kind, in)
-			end()
+			response, err := transport.Call[store.LeaderResponse](callCtx, c.node, addr, kind, request)
+			cancel()
 			if err == nil {
-				c.observe(at, g)
-				if g.Done {
-					return g.Result, nil
+				c.observe(addr, response)
+				if response.Done {
+					return response.Result, nil
 				}
 				continue
 			}
-			c.markUnreachable(ctx, at)
-			last = err
-			if !again && !fault.Is(err, fault.Unsent) && !fault.Is(err, fault.Refused) {
+			c.markUnreachable(ctx, addr)
+			lastErr = err
+			if !idempotent && !fault.Is(err, fault.Unsent) && !fault.Is(err, fault.Refused) {
 				return statemachine.Result{}, fault.Wrap(fault.Unknown, err, "change handed to the store")
 			}
 		}
-		t := time.NewTimer(c.retryPause)
+		timer := time.NewTimer(c.retryPause)
 		select {
-		case <-t.C:
+		case <-timer.C:
 		case <-ctx.Done():
-			t.Stop()
-			return statemachine.Result{}, fault.New(fault.Refused, "no store in touch with a majority: %v", last)
+			timer.Stop()
+			return statemachine.Result{}, fault.New(fault.Refused, "no store in touch with a majority: %v", lastErr)
 		}
 	}
 }
 
-// next gives the address to try now: the leader as last heard of, then all
+// nextCandidate gives the address to try now: the leader as last heard of, then all
 // others, each once in a round; "" at its end.
-func (c *stores) next(tried map[string]bool) string {
-	for _, a := range c.candidates() {
-		if !tried[a] {
-			return a
+func (c *storeClient) nextCandidate(tried map[string]bool) string {
+	for _, addr := range c.candidates() {
+		if !tried[addr] {
+			return addr
 		}
 	}
 	return ""
 }
 
 // propose proposes a command.
-func (c *stores) propose(ctx context.Context, kind string, cmd statemachine.Command) (statemachine.Result, error) {
-	return c.proposeBefore(ctx, kind, cmd, time.Time{})
+func (c *storeClient) propose(ctx context.Context, kind string, command statemachine.Command) (statemachine.Result, error) {
+	return c.proposeBefore(ctx, kind, command, time.Time{})
 }
 
 // proposeOnce proposes the command of a request that may be sent again.
-func (c *stores) proposeOnce(ctx context.Context, kind string, cmd statemachine.Command, key *store.RequestKey) (statemachine.Result, error) {
-	p, err := statemachine.Pack(kind, cmd)
+func (c *storeClient) proposeOnce(ctx context.Context, kind string, command statemachine.Command, key *store.RequestKey) (statemachine.Result, error) {
+	packed, err := statemachine.Pack(kind, command)
 	if err != nil {
 		return statemachine.Result{}, err
 	}
-	return c.request(ctx, "store.offer", store.ProposeRequest{Command: p, Request: key}, false)
+	return c.request(ctx, "store.offer", store.ProposeRequest{Command: packed, Request: key}, false)
 }
 
 // proposeBefore proposes a command that must not be done when it comes later than by.
-func (c *stores) proposeBefore(ctx context.Context, kind string, cmd statemachine.Command, by time.Time) (statemachine.Result, error) {
-	p, err := statemachine.Pack(kind, cmd)
+func (c *storeClient) proposeBefore(ctx context.Context, kind string, command statemachine.Command, proposeBy time.Time) (statemachine.Result, error) {
+	packed, err := statemachine.Pack(kind, command)
 	if err != nil {
 		return statemachine.Result{}, err
 	}
-	in := store.ProposeRequest{Command: p}
-	if end, ok := ctx.Deadline(); ok && by.Before(end) && !by.IsZero() {
-		in.ProposalMarginMS = (end.Sub(by) + time.Millisecond - 1).Milliseconds()
+	request := store.ProposeRequest{Command: packed}
+	if deadline, ok := ctx.Deadline(); ok && proposeBy.Before(deadline) && !proposeBy.IsZero() {
+		request.ProposalMarginMS = (deadline.Sub(proposeBy) + time.Millisecond - 1).Milliseconds()
 	}
-	return c.requestWithin(ctx, "store.offer", in, false, c.storeTimeout, by)
+	return c.requestWithin(ctx, "store.offer", request, false, c.storeTimeout, proposeBy)
 }
 
 // read asks for a confirmed read.
-func (c *stores) read(ctx context.Context, q store.ReadRequest) (statemachine.Result, error) {
-	return c.request(ctx, "store.read", q, true)
+func (c *storeClient) read(ctx context.Context, query store.ReadRequest) (statemachine.Result, error) {
+	return c.request(ctx, "store.read", query, true)
 }
 
 // watch asks any store for changes; the own machine's is the first seed.
-func (c *stores) watch(ctx context.Context, q store.ReadRequest) (statemachine.Result, error) {
-	var last error
-	for _, at := range c.candidates() {
-		g, err := transport.Call[store.LeaderResponse](ctx, c.n, at, "store.watch", q)
-		if err == nil && g.Done {
-			return g.Result, nil
+func (c *storeClient) watch(ctx context.Context, query store.ReadRequest) (statemachine.Result, error) {
+	var lastErr error
+	for _, addr := range c.candidates() {
+		response, err := transport.Call[store.LeaderResponse](ctx, c.node, addr, "store.watch", query)
+		if err == nil && response.Done {
+			return response.Result, nil
 		}
-		last = err
+		lastErr = err
 		if ctx.Err() != nil {
 			break
 		}
 	}
-	return statemachine.Result{}, fault.Wrap(fault.Refused, last, "watch")
+	return statemachine.Result{}, fault.Wrap(fault.Refused, lastErr, "watch")
 }
 
 // groupPuts asks the leader for the puts of a group. A long wait is made of parts,
 // so that a store that went dark in the middle of it is left soon.
-func (c *stores) groupPuts(ctx context.Context, q store.ReadRequest, wait, part time.Duration) (statemachine.Result, error) {
-	end := time.Now().Add(wait)
+func (c *storeClient) groupPuts(ctx context.Context, query store.ReadRequest, maxWait, maxPoll time.Duration) (statemachine.Result, error) {
+	deadline := time.Now().Add(maxWait)
 	for {
-		one := max(min(time.Until(end), part), 0)
-		q.WaitMS = one.Milliseconds()
-		got, err := c.requestWithin(ctx, "store.puts", q, true, one+c.storeTimeout, time.Time{})
-		if err != nil || got.Code != statemachine.OK || len(got.Changes) > 0 || q.From == 0 || time.Until(end) < time.Millisecond {
-			return got, err
+		wait := max(min(time.Until(deadline), maxPoll), 0)
+		query.WaitMS = wait.Milliseconds()
+		result, err := c.requestWithin(ctx, "store.puts", query, true, wait+c.storeTimeout, time.Time{})
+		if err != nil || result.Code != statemachine.OK || len(result.Changes) > 0 || query.From == 0 || time.Until(deadline) < time.Millisecond {
+			return result, err
 		}
 	}
 }
 
 // removeStore takes a store out of the core, if those who stay can decide.
 func (r *Registry) removeStore(w http.ResponseWriter, req *http.Request) {
-	ctx, end := r.withDeadline(req)
-	defer end()
+	ctx, cancel := r.withDeadline(req)
+	defer cancel()
 	id := chi.URLParam(req, "id")
 	// A replica has its id for itself and for ever, so the id names the request.
 	key := requestKey(w, req, "remove", []byte(id))
 	if key == nil {
 		return
 	}
-	got, known, err := r.earlierAnswer(ctx, key)
+	result, known, err := r.earlierResult(ctx, key)
 	if err == nil && !known {
-		got, err = r.stores.request(ctx, "store.remove", store.RemoveRequest{ID: id, Request: key}, false)
+		result, err = r.stores.request(ctx, "store.remove", store.RemoveRequest{ID: id, Request: key}, false)
 	}
 	if err != nil {
-		r.answerFailure(w, err)
+		r.writeStoreError(w, err)
 		return
 	}
-	answer(w, got, map[string]any{"store": id})
+	writeResult(w, result, map[string]any{"store": id})
 }
--- a/internal/registry/trials.go
+++ b/internal/registry/trials.go
@@ -34,139 +34,139 @@
 	{Name: "tries", Type: schema.Count, Check: schema.IntRange(1, 1000), Rule: "1 to 1000", Help: "the new sends at the most"},
 }}
 
-// confirmed reads the configuration and the trials with a majority.
-func (r *Registry) confirmed(ctx context.Context) (statemachine.Result, error) {
+// readConfirmed reads the configuration and the trials with a majority.
+func (r *Registry) readConfirmed(ctx context.Context) (statemachine.Result, error) {
 	return r.stores.read(ctx, store.ReadRequest{Kind: "config"})
 }
 
-func answerWrong(w http.ResponseWriter, why string, bad []schema.Problem) {
-	httpapi.WriteJSON(w, http.StatusUnprocessableEntity, httpapi.ErrorBody{Message: why, Faults: bad})
+func writeInvalid(w http.ResponseWriter, reason string, problems []schema.Problem) {
+	httpapi.WriteJSON(w, http.StatusUnprocessableEntity, httpapi.ErrorBody{Message: reason, Faults: problems})
 }
 
-// propose begins a trial of one path.
-func (r *Registry) propose(w http.ResponseWriter, req *http.Request) {
+// proposeTrial begins a trial of one path.
+func (r *Registry) proposeTrial(w http.ResponseWriter, req *http.Request) {
 	base, err := strconv.ParseUint(req.URL.Query().Get("based_on"), 10, 64)
 	if err != nil {
-		answerWrong(w, "based_on must name the version that the proposal is based on", nil)
+		writeInvalid(w, "based_on must name the version that the proposal is based on", nil)
 		return
 	}
-	v, ok := readFields(w, req, ProposalTable)
+	fields, ok := readFields(w, req, ProposalTable)
 	if !ok {
 		return
 	}
-	content, err := json.Marshal(v)
+	content, err := json.Marshal(fields)
 	if err != nil {
-		answerWrong(w, err.Error(), nil)
+		writeInvalid(w, err.Error(), nil)
 		return
 	}
 	key := requestKey(w, req, "propose", []byte(operatorOf(req)), []byte(req.URL.Query().Get("based_on")), content)
 	if key == nil {
 		return
 	}
-	ctx, end := r.withDeadline(req)
-	defer end()
-	if r.answerEarlier(ctx, w, key) {
+	ctx, cancel := r.withDeadline(req)
+	defer cancel()
+	if r.writeEarlierResult(ctx, w, key) {
 		return
 	}
-	now, err := r.confirmed(ctx)
+	current, err := r.readConfirmed(ctx)
 	if err != nil {
-		r.answerFailure(w, err)
+		r.writeStoreError(w, err)
 		return
 	}
-	if now.Version != base {
-		httpapi.WriteJSON(w, http.StatusConflict, httpapi.ErrorBody{Message: fmt.Sprintf("based on version %d, but %d stands", base, now.Version), Version: now.Version})
+	if current.Version != base {
+		httpapi.WriteJSON(w, http.StatusConflict, httpapi.ErrorBody{Message: fmt.Sprintf("based on version %d, but %d stands", base, current.Version), Version: current.Version})
 		return
 	}
-	path := v.Text("path")
+	routeName := fields.Text("path")
 	change := map[string]any{}
-	for _, f := range rules.ArmFields {
-		if x, ok := v[f]; ok {
-			change[f] = x
+	for _, field := range rules.ArmFields {
+		if value, ok := fields[field]; ok {
+			change[field] = value
 		}
 	}
-	standing, _, _ := rules.Compile(base, now.Doc)
-	if standing == nil || standing.RouteByName(path) == nil {
-		answerWrong(w, "there is no such path", []schema.Problem{{Place: "path", Message: fmt.Sprintf("no path %q", path)}})
+	compiled, _, _ := rules.Compile(base, current.Doc)
+	if compiled == nil || compiled.RouteByName(routeName) == nil {
+		writeInvalid(w, "there is no such path", []schema.Problem{{Place: "path", Message: fmt.Sprintf("no path %q", routeName)}})
 		return
 	}
-	if rules.IsNoop(now.Doc, path, change) {
-		answerWrong(w, "the proposal is what stands already", nil)
+	if rules.IsNoop(current.Doc, routeName, change) {
+		writeInvalid(w, "the proposal is what stands already", nil)
 		return
 	}
-	for _, t := range now.Trials {
-		for _, p := range t.Routes {
-			if t.State == statemachine.Running && p == path {
-				httpapi.WriteJSON(w, http.StatusConflict, httpapi.ErrorBody{Message: fmt.Sprintf("trial %d runs on the same path", t.ID), Version: now.Version})
+	for _, trial := range current.Trials {
+		for _, route := range trial.Routes {
+			if trial.State == statemachine.Running && route == routeName {
+				httpapi.WriteJSON(w, http.StatusConflict, httpapi.ErrorBody{Message: fmt.Sprintf("trial %d runs on the same path", trial.ID), Version: current.Version})
 				return
 			}
 		}
 	}
-	slice := standing.Judge.Share("slice")
-	if x, ok := v["slice"]; ok {
-		slice = x.(float64)
+	slice := compiled.Judge.Share("slice")
+	if value, ok := fields["slice"]; ok {
+		slice = value.(float64)
 	}
-	id := now.Number + 1
-	doc, err := rules.StartTrial(now.Doc, id, path, change, slice)
+	id := current.Number + 1
+	doc, err := rules.StartTrial(current.Doc, id, routeName, change, slice)
 	if err != nil {
-		answerWrong(w, err.Error(), nil)
+		writeInvalid(w, err.Error(), nil)
 		return
 	}
-	if _, bad, err := rules.Compile(base+1, doc); err != nil || len(bad) > 0 {
-		answerWrong(w, "the proposal can't stand", bad)
+	if _, problems, err := rules.Compile(base+1, doc); err != nil || len(problems) > 0 {
+		writeInvalid(w, "the proposal can't stand", problems)
 		return
 	}
-	r.begin(ctx, w, req, key, &statemachine.Propose{ID: id, Base: base, Doc: doc, Routes: []string{path}, Slice: slice, Who: operatorOf(req)})
+	r.startTrial(ctx, w, req, key, &statemachine.Propose{ID: id, Base: base, Doc: doc, Routes: []string{routeName}, Slice: slice, Who: operatorOf(req)})
 }
 
-// begin offers a trial and answers.
-func (r *Registry) begin(ctx context.Context, w http.ResponseWriter, req *http.Request, key *store.RequestKey, c *statemachine.Propose) {
-	got, err := r.stores.proposeOnce(ctx, "trial.propose", c, key)
+// startTrial offers a trial and answers.
+func (r *Registry) startTrial(ctx context.Context, w http.ResponseWriter, req *http.Request, key *store.RequestKey, command *statemachine.Propose) {
+	result, err := r.stores.proposeOnce(ctx, "trial.propose", command, key)
 	if err != nil {
-		r.answerFailure(w, err)
+		r.writeStoreError(w, err)
 		return
 	}
-	if got.Code == statemachine.OK {
-		r.e.Log.Emit(event.TrialBegan, "trial", got.Number, "version", got.Version, "who", operatorOf(req), "paths", fmt.Sprint(c.Routes))
+	if result.Code == statemachine.OK {
+		r.env.Log.Emit(event.TrialBegan, "trial", result.Number, "version", result.Version, "who", operatorOf(req), "paths", fmt.Sprint(command.Routes))
 	}
-	answerOrder(w, got, c.Routes)
+	writeConfigResult(w, result, command.Routes)
 }
 
-// trialBody shows a trial with the figures that decided, or those so far.
-func (r *Registry) trialBody(ctx context.Context, t statemachine.Trial, doc []byte, version uint64) map[string]any {
-	out := map[string]any{"trial": t}
-	if t.State != statemachine.Running {
+// trialResponse shows a trial with the figures that decided, or those so far.
+func (r *Registry) trialResponse(ctx context.Context, trial statemachine.Trial, doc []byte, version uint64) map[string]any {
+	response := map[string]any{"trial": trial}
+	if trial.State != statemachine.Running {
 		var facts any
-		if json.Unmarshal(t.Facts, &facts) == nil {
-			out["figures"] = facts
+		if json.Unmarshal(trial.Facts, &facts) == nil {
+			response["figures"] = facts
 		}
-		return out
+		return response
 	}
-	if rl, _, _ := rules.Compile(version, doc); rl != nil {
-		out["figures"] = r.weigh(t, r.reports(ctx), judgeBounds(rl.Judge))
+	if compiled, _, _ := rules.Compile(version, doc); compiled != nil {
+		response["figures"] = r.evaluateTrial(trial, r.collectReports(ctx), judgeBounds(compiled.Judge))
 	}
-	return out
+	return response
 }
 
 func (r *Registry) getTrials(w http.ResponseWriter, req *http.Request) {
-	ctx, end := r.withDeadline(req)
-	defer end()
-	now, err := r.confirmed(ctx)
+	ctx, cancel := r.withDeadline(req)
+	defer cancel()
+	current, err := r.readConfirmed(ctx)
 	if err != nil {
-		r.answerFailure(w, err)
+		r.writeStoreError(w, err)
 		return
 	}
-	raw := chi.URLParam(req, "id")
-	if raw == "" {
-		if now.Trials == nil {
-			now.Trials = []statemachine.Trial{}
+	id := chi.URLParam(req, "id")
+	if id == "" {
+		if current.Trials == nil {
+			current.Trials = []statemachine.Trial{}
 		}
-		httpapi.WriteJSON(w, http.StatusOK, map[string]any{"version": now.Version, "trials": now.Trials})
+		httpapi.WriteJSON(w, http.StatusOK, map[string]any{"version": current.Version, "trials": current.Trials})
 		return
 	}
-	for _, t := range now.Trials {
-		if fmt.Sprint(t.ID) == raw {
-			body := r.trialBody(ctx, t, now.Doc, now.Version)
-			body["version"] = now.Version
+	for _, t := range current.Trials {
+		if fmt.Sprint(t.ID) == id {
+			body := r.trialResponse(ctx, t, current.Doc, current.Version)
+			body["version"] = current.Version
 			httpapi.WriteJSON(w, http.StatusOK, body)
 			return
 		}
@@ -174,36 +174,36 @@
 	httpapi.WriteJSON(w, http.StatusNotFound, httpapi.ErrorBody{Message: "no such trial"})
 }
 
-// drain tells a node to drain its workers, or to take jobs again.
-func (r *Registry) drain(w http.ResponseWriter, req *http.Request) {
+// drainNode tells a node to drain its workers, or to take jobs again.
+func (r *Registry) drainNode(w http.ResponseWriter, req *http.Request) {
 	node := chi.URLParam(req, "node")
-	ctx, end := r.withDeadline(req)
-	defer end()
+	ctx, cancel := r.withDeadline(req)
+	defer cancel()
 	r.mu.Lock()
-	at := ""
-	if f := r.roll.List().Get(node); f != nil && f.Role == "proxy" {
-		at = f.InternalAddr
+	addr := ""
+	if member := r.members.List().Get(node); member != nil && member.Role == "proxy" {
+		addr = member.InternalAddr
 	}
 	r.mu.Unlock()
-	if at == "" {
+	if addr == "" {
 		httpapi.WriteJSON(w, http.StatusNotFound, httpapi.ErrorBody{Message: "no such node has a session"})
 		return
 	}
-	got, err := transport.Call[proxy.Status](ctx, r.n, at, "node.drain", proxy.DrainRequest{On: req.URL.Query().Get("undo") != "true"})
+	status, err := transport.Call[proxy.Status](ctx, r.node, addr, "node.drain", proxy.DrainRequest{On: req.URL.Query().Get("undo") != "true"})
 	if err != nil {
-		r.answerFailure(w, err)
+		r.writeStoreError(w, err)
 		return
 	}
-	httpapi.WriteJSON(w, http.StatusOK, map[string]any{"node": node, "workers": got.Workers})
+	httpapi.WriteJSON(w, http.StatusOK, map[string]any{"node": node, "workers": status.Workers})
 }
 
-// liveReports tells which paths had jobs lately, by all fronts.
-func liveReports(all []protocol.TrialReport) func(string) bool {
-	set := map[string]bool{}
-	for _, rep := range all {
-		for _, p := range rep.ActiveRoutes {
-			set[p] = true
+// activeRoutes tells which paths had jobs lately, by all fronts.
+func activeRoutes(reports []protocol.TrialReport) func(string) bool {
+	active := map[string]bool{}
+	for _, report := range reports {
+		for _, route := range report.ActiveRoutes {
+			active[route] = true
 		}
 	}
-	return func(p string) bool { return set[p] }
+	return func(route string) bool { return active[route] }
 }
--- a/internal/registry/unreachable.go
+++ b/internal/registry/unreachable.go
@@ -8,20 +8,20 @@
 
 // recordAnswer notes whether a control node answered a word that began at a time,
 // so that one that ended is out of the list before its sessions' time is over.
-func (r *Registry) recordAnswer(at string, began time.Time, ok bool) {
+func (r *Registry) recordAnswer(addr string, sentAt time.Time, answered bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, o := range r.others {
+	for _, peer := range r.peerNodes {
 		switch {
-		case o.f.InternalAddr != at:
-		case ok:
-			o.mute = time.Time{}
-			if began.After(o.well) {
-				o.well = began
+		case peer.member.InternalAddr != addr:
+		case answered:
+			peer.silentSince = time.Time{}
+			if sentAt.After(peer.lastAnsweredStart) {
+				peer.lastAnsweredStart = sentAt
 			}
 		// An older word that is given up late says nothing against a newer one.
-		case began.After(o.well) && (o.mute.IsZero() || o.mute.After(began)):
-			o.mute = began
+		case sentAt.After(peer.lastAnsweredStart) && (peer.silentSince.IsZero() || peer.silentSince.After(sentAt)):
+			peer.silentSince = sentAt
 		}
 	}
 }
@@ -30,13 +30,13 @@
 // them at each beat, as a word now and then would find it out too late. mu is
 // held.
 func (r *Registry) unreachablePeers() []string {
-	var out []string
-	for _, o := range r.others {
-		if o.stands && !o.mute.IsZero() && !o.out {
-			out = append(out, o.f.InternalAddr)
+	var addrs []string
+	for _, peer := range r.peerNodes {
+		if peer.active && !peer.silentSince.IsZero() && !peer.excluded {
+			addrs = append(addrs, peer.member.InternalAddr)
 		}
 	}
-	return out
+	return addrs
 }
 
 // dropUnreachable takes a control node off the list that answered nothing for as long as
@@ -44,15 +44,15 @@
 // said of its sessions goes on counting: who is cut off from it is not from them.
 // mu is held.
 func (r *Registry) dropUnreachable() {
-	for who, o := range r.others {
-		if o.stands && !o.mute.IsZero() && !o.out && o.heard.Before(o.mute) && time.Since(o.mute) >= r.Settings.LeaderTimeout() {
-			o.out = true
-			r.roll.Remove(who, who)
+	for name, peer := range r.peerNodes {
+		if peer.active && !peer.silentSince.IsZero() && !peer.excluded && peer.lastHeard.Before(peer.silentSince) && time.Since(peer.silentSince) >= r.Settings.LeaderTimeout() {
+			peer.excluded = true
+			r.members.Remove(name, name)
 		}
 	}
 }
 
-// hears takes in that a control node spoke: it is one again. mu is held.
-func (o *shared) hears(from membership.Member) {
-	o.f, o.heard, o.stands, o.out = from, time.Now(), true, false
+// recordContact takes in that a control node spoke: it is one again. mu is held.
+func (o *peerNode) recordContact(from membership.Member) {
+	o.member, o.lastHeard, o.active, o.excluded = from, time.Now(), true, false
 }
--- a/internal/registry/unreachable_test.go
+++ b/internal/registry/unreachable_test.go
@@ -17,19 +17,19 @@
 	synctest.Test(t, func(t *testing.T) {
 		const beat = 200 * time.Millisecond
 		x := membership.Member{Node: "x", InternalAddr: "hx:1", Role: "registry"}
-		make := func() (*Registry, *shared) {
-			r := &Registry{Settings: settings.Settings{Node: "c", InternalAddr: "hc:1", ConfigBound: 10 * beat}, others: map[string]*shared{}, roll: membership.NewTracker("c", 16)}
-			o := &shared{}
-			o.hears(x)
-			r.others["x"] = o
-			r.roll.Set("x", x)
-			r.roll.Set("x", membership.Member{Node: "p", Role: "proxy"})
+		make := func() (*Registry, *peerNode) {
+			r := &Registry{Settings: settings.Settings{Node: "c", InternalAddr: "hc:1", ConfigBound: 10 * beat}, peerNodes: map[string]*peerNode{}, members: membership.NewTracker("c", 16)}
+			o := &peerNode{}
+			o.recordContact(x)
+			r.peerNodes["x"] = o
+			r.members.Set("x", x)
+			r.members.Set("x", membership.Member{Node: "p", Role: "proxy"})
 			return r, o
 		}
 		step := func(r *Registry, began time.Time, ok bool) bool {
 			r.recordAnswer("hx:1", began, ok)
 			r.dropUnreachable()
-			return r.roll.List().Has("x")
+			return r.members.List().Has("x")
 		}
 		// pass lets a time go by before a word begins.
 		pass := func(d time.Duration) time.Time {
@@ -45,11 +45,11 @@
 				t.Errorf("%d asked at each beat after %d beats", n, i)
 			}
 		}
-		if !r.roll.List().Has("p") {
+		if !r.members.List().Has("p") {
 			t.Error("its sessions went with it")
 		}
-		o.hears(x)
-		r.roll.Set("x", x)
+		o.recordContact(x)
+		r.members.Set("x", x)
 		if !step(r, pass(beat), true) {
 			t.Error("it spoke and answered, and is not on the list")
 		}
@@ -64,7 +64,7 @@
 		r, o = make()
 		for i := range 9 {
 			if i%3 == 2 {
-				o.hears(x)
+				o.recordContact(x)
 			}
 			if !step(r, pass(beat), false) {
 				t.Errorf("off the list at %d though it speaks", i)
--- a/internal/registry/workerleaving.go
+++ b/internal/registry/workerleaving.go
@@ -8,12 +8,12 @@
 	"puffincrank/internal/transport"
 )
 
-// onWorkerLeaves notes what a node says of a worker that leaves, on the disk as
+// onWorkerLeaving notes what a node says of a worker that leaves, on the disk as
 // well: the node acknowledges the leave by this, and it has to hold when all
 // processes are gone. An error of the kind fault.Disk means that it is not on the
 // disk; it is in force all the same.
-func (r *Registry) onWorkerLeaves(_ context.Context, _ transport.Hello, word ormap.Delta) (struct{}, error) {
-	r.rep.Accept(word)
+func (r *Registry) onWorkerLeaving(_ context.Context, _ transport.Hello, delta ormap.Delta) (struct{}, error) {
+	r.replica.Accept(delta)
 	if !r.saveWorkers() {
 		return struct{}{}, fault.New(fault.Disk, "the leave is not on this disk")
 	}
