--- a/internal/controlclient/client.go
+++ b/internal/controlclient/client.go
@@ -1,5 +1,6 @@
-// Package controlclient is a node's session with one control node: the beats, what
-// their receipts bring, and whether the node may act on what it holds.
+// Package controlclient maintains a node's session with one control node: it sends
+// heartbeats, applies what their responses bring, and decides whether the node may act on
+// the configuration that it holds.
 package controlclient
 
 import (
@@ -19,24 +20,24 @@
 
 // Host is the node that the session is held for.
 type Host interface {
-	// Version names the configuration held, 0 for none.
+	// Version returns the version of the configuration held, 0 for none.
 	Version() uint64
-	// Take puts a newer configuration in force and gives the document as it is
-	// kept; false means that it can't.
+	// ApplyConfig puts a newer configuration in force and returns the document as it is
+	// kept; false means that it could not be applied.
 	ApplyConfig(version uint64, doc []byte) ([]byte, bool)
-	// Report adds to a beat what the node counted.
+	// FillHeartbeat adds the node's counters to a heartbeat.
 	FillHeartbeat(*protocol.Heartbeat)
-	// Members hears of each new list of members.
+	// MembersChanged is called with each new member list.
 	MembersChanged(all *membership.List)
-	// Fronts hears how many fronts the mesh has.
+	// ProxyCountChanged is called with the number of proxies in the cluster.
 	ProxyCountChanged(n int)
-	// Filled is called when the replica was refilled.
+	// ReplicaRefilled is called after the replica was refilled.
 	ReplicaRefilled()
-	// Stands is called at each renewal of the session.
+	// SessionRenewed is called at each renewal of the session.
 	SessionRenewed()
 }
 
-// Dependencies is what the session is built on.
+// Dependencies are the components that a Client uses.
 type Dependencies struct {
 	Settings     settings.Settings
 	Log          *event.Log
@@ -44,35 +45,36 @@
 	Node         *transport.Node
 	Replica      *replica.Replica
 	Self         membership.Member
-	LastPauseEnd func() time.Time // the end of the newest freeze
-	// Same gives a list as other nodes of this process hold it, if any do.
+	LastPauseEnd func() time.Time // the end of the newest process pause
+	// SharedList returns an equal list that another node of this process already holds, if
+	// there is one, to save memory. It may be nil.
 	SharedList func(*membership.List) *membership.List
 }
 
-// Client is the session with one control node.
+// Client is a node's session with one control node.
 type Client struct {
 	deps               Dependencies
 	host               Host
 	mu                 sync.Mutex
-	controlNode        string    // the control node of the session
-	controlNodes       []string  // all control nodes known
-	seeds              []string  // those that the settings name now
-	confirmedAt        time.Time // when the configuration held here was last the newest, for certain
-	disconnectedRound  time.Time // when the newest round began that found every control node out of touch
+	controlNode        string    // the control node that holds the session, "" for none
+	controlNodes       []string  // all known control nodes
+	seeds              []string  // the control nodes named in the settings
+	confirmedAt        time.Time // when the configuration held here was last known to be the newest
+	disconnectedRound  time.Time // start of the newest round in which every control node was disconnected
 	disconnected       bool
-	slow               bool // the newest round found neither one in touch nor a cut: answers are late
+	slow               bool // the newest round found no connected control node and no partition: answers are late
 	stateChanged       chan struct{}
 	beatNow            chan struct{}
-	membersHash        uint64 // of the list of members, as the control node names it
+	membersHash        uint64 // hash of the member list, as the control node computed it
 	members            *membership.List
-	lastRenewed        time.Time // when the session last stood
-	refillAt           time.Time // when the control node is to be asked for a refill again
-	refillAlternatives []string  // fellows that it filled meanwhile
+	lastRenewed        time.Time // when the session was last renewed
+	refillAt           time.Time // when to request a refill from the control node again
+	refillAlternatives []string  // peers that the control node has refilled meanwhile
 	document           *patch.Document
-	needFullDocument   bool // the next document must come whole: steps did not fit
+	needFullDocument   bool // patches did not fit: the next document must come whole
 }
 
-// New readies a session; Run holds it.
+// New returns a client; Run maintains its session.
 func New(deps Dependencies, host Host) *Client {
 	deps.Replica.SetRefillPending(true)
 	return &Client{deps: deps, host: host, controlNodes: deps.Settings.Seeds, seeds: deps.Settings.Seeds, members: &membership.List{}, document: patch.NewDocument(stepsKept), stateChanged: make(chan struct{}), beatNow: make(chan struct{}, 1)}
@@ -83,7 +85,7 @@
 	t.stateChanged = make(chan struct{})
 }
 
-// Run is the loop of beats.
+// Run sends heartbeats until the context ends.
 func (t *Client) Run(ctx context.Context) {
 	startedAt := time.Now()
 	for {
@@ -100,10 +102,10 @@
 	}
 }
 
-// nextDelay is how long the next beat is waited for. Until the first session stands
-// nothing can be served, and after the loss of all the core is back within less
-// than a beat: tries come in quick succession at first, each later by a quarter
-// of the time that it has taken.
+// nextDelay returns the time until the next heartbeat. Before the first session nothing can
+// be served, and after an outage of all machines the control plane is back within less than
+// a heartbeat interval. So the first attempts follow each other quickly, and each further
+// delay grows by a quarter of the time spent so far.
 func (t *Client) nextDelay(startedAt time.Time) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -113,7 +115,7 @@
 	return t.deps.Settings.HeartbeatInterval()
 }
 
-// HeartbeatNow makes the next beat come at once.
+// HeartbeatNow triggers the next heartbeat at once.
 func (t *Client) HeartbeatNow() {
 	select {
 	case t.beatNow <- struct{}{}:
@@ -121,7 +123,7 @@
 	}
 }
 
-// ControlNodes gives the control nodes known, that of the session first.
+// ControlNodes returns the known control nodes, the one that holds the session first.
 func (t *Client) ControlNodes() []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -131,7 +133,7 @@
 	return union([]string{t.controlNode}, t.controlNodes)
 }
 
-// SetSeeds names other control nodes to turn to when none of those known answers.
+// SetSeeds replaces the seeds, which are tried when no known control node answers.
 func (t *Client) SetSeeds(seeds []string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -139,8 +141,8 @@
 	t.controlNodes = union(t.controlNodes, seeds)
 }
 
-// Current gives the control node of the session, and when the configuration held
-// here was last the newest for certain.
+// Current returns the control node that holds the session, and the time at which the
+// configuration held here was last known to be the newest.
 func (t *Client) Current() (string, time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/controlclient/client_test.go
+++ b/internal/controlclient/client_test.go
@@ -22,10 +22,10 @@
 	"puffincrank/internal/transport"
 )
 
-// host is a node that holds one configuration and nothing else. While it is
-// frozen nobody is asked.
+// pausableHost is a node that holds one configuration and nothing else. Version blocks
+// while the process is paused.
 type host struct {
-	thaw *atomic.Pointer[chan struct{}] // closed while there is no freeze
+	thaw *atomic.Pointer[chan struct{}] // closed while the process is not paused
 }
 
 func (h host) Version() uint64 {
@@ -39,11 +39,11 @@
 func (host) ReplicaRefilled()                          {}
 func (host) SessionRenewed()                           {}
 
-// icy is the network of a process that may be frozen: the dials of before end
-// only after it.
+// pausableNet is the network of a process that can be paused: dials that are in progress
+// return only after the pause.
 type icy struct {
 	env.Net
-	thaw atomic.Pointer[chan struct{}] // closed while there is no freeze
+	thaw atomic.Pointer[chan struct{}] // closed while the process is not paused
 }
 
 func (n *icy) Dial(ctx context.Context, addr string) (net.Conn, error) {
@@ -52,9 +52,9 @@
 	return c, err
 }
 
-// TestFrozenRound: a node that finds every control node out of touch may act on
-// what it holds; but a round that a freeze fell into says nothing, since its
-// answers may wait unread: then a whole round after the freeze is needed.
+// A node that finds every control node disconnected may act on the configuration that it
+// holds. But a round during which the process was paused proves nothing, since its answers
+// may be waiting unread: a whole round after the pause is needed.
 func TestFrozenRound(t *testing.T) {
 	for late := range 7 {
 		t.Run(fmt.Sprint(late), func(t *testing.T) {
@@ -115,17 +115,17 @@
 	if _, sure := x.Current(); x.Confidence() == protocol.Unconfirmed || time.Since(sure) <= p.ConfirmationTTL() {
 		t.Fatalf("out of touch, it may not act: %v", time.Since(sure))
 	}
-	// Frozen at one of the instants of a round, with dials under way.
+	// Pause at some point of a round, with dials in progress.
 	ice := make(chan struct{})
 	cold.thaw.Store(&ice)
 	loop.Store(&ice)
-	wait(p.HeartbeatInterval() + p.PauseThreshold()) // the shortest that a process notices
+	wait(p.HeartbeatInterval() + p.PauseThreshold()) // the shortest pause that a process notices
 	at := time.Now()
 	woke.Store(&at)
 	if x.Confidence() != protocol.Unconfirmed {
 		t.Error("it acts by a round of before the freeze's end")
 	}
-	// The loop goes on at once, its dials hear later.
+	// The loop resumes at once, its dials later.
 	loop.Store(&none)
 	wait(time.Millisecond)
 	x.HeartbeatNow()
@@ -140,7 +140,7 @@
 	if d := time.Since(at); d < p.CallTimeout()/2 || d > 2*p.CallTimeout()+2*p.HeartbeatInterval() {
 		t.Errorf("it acts again %v after the freeze", d)
 	}
-	// Back in touch it is sure of the newest, without any such round.
+	// Once reconnected, the node confirms the newest configuration without such a round.
 	air.Isolate("h1", false)
 	wait(2 * time.Second)
 	if at, sure := x.Current(); at == "" || time.Since(sure) > p.ConfirmationTTL() {
--- a/internal/controlclient/document.go
+++ b/internal/controlclient/document.go
@@ -9,11 +9,11 @@
 	"puffincrank/internal/transport"
 )
 
-// stepsKept is how many steps a node keeps for fellows that lag.
+// stepsKept is how many patches a node keeps for peers that lag behind.
 const stepsKept = 16
 
-// ApplyConfig puts a newer configuration in force, that came whole or as steps from
-// the one held; false means that it can't.
+// ApplyConfig puts a newer configuration in force, received whole or as patches from the
+// version held. It returns false if that is not possible.
 func (t *Client) ApplyConfig(version uint64, doc []byte, steps []patch.Step) bool {
 	if t.host.Version() >= version {
 		return true
@@ -32,23 +32,23 @@
 	return ok
 }
 
-// Document gives the document held here, with the newest steps to it.
+// Document returns the document held here, with the newest patches that led to it.
 func (t *Client) Document() *patch.Document { return t.document }
 
-// RegisterHandlers takes pushes of the configuration, and fellows' questions.
+// RegisterHandlers registers the handlers for configuration pushes and for peers' requests.
 func (t *Client) RegisterHandlers() {
 	push := func(_ context.Context, _ transport.Hello, request protocol.ConfigPush) (protocol.ConfigPushResponse, error) {
 		t.ApplyConfig(request.Version, request.Document, request.Steps)
 		return protocol.ConfigPushResponse{Version: t.host.Version()}, nil
 	}
-	// Steps have a kind of their own, which earlier versions refuse by name.
+	// Patches have a message kind of their own, which earlier versions refuse as unknown.
 	transport.Handle(t.deps.Node, "config.push", push)
 	transport.Handle(t.deps.Node, "config.step", push)
 	transport.Handle(t.deps.Node, "config.give", t.serveConfig)
 	transport.Handle(t.deps.Node, "session.members", t.serveMembers)
 }
 
-// serveConfig hands a fellow the configuration held here, if it is newer than its own.
+// serveConfig gives a peer the configuration held here, if it is newer than the peer's.
 func (t *Client) serveConfig(_ context.Context, _ transport.Hello, request protocol.ConfigPush) (protocol.ConfigPush, error) {
 	version, doc := t.document.Current()
 	if version <= request.Version {
@@ -60,7 +60,7 @@
 	return protocol.ConfigPush{Version: version, Document: doc}, nil
 }
 
-// FetchFrom takes the configuration that a fellow holds, if it is newer.
+// FetchFrom fetches the configuration that a peer holds, if it is newer.
 func (t *Client) FetchFrom(ctx context.Context, addr string) bool {
 	for _, acceptsPatch := range []bool{true, false} {
 		heldVersion := t.host.Version()
@@ -75,9 +75,9 @@
 	return false
 }
 
-// PushConfig gives a fellow that likely holds a version what is held: steps if there
-// are some from there, the whole otherwise. It gives back what the fellow holds
-// then, 0 when it didn't say.
+// PushConfig sends the configuration held here to a peer that is believed to hold
+// peerVersion: as patches if there are some from that version, or else whole. It returns
+// the version that the peer holds afterwards, 0 if the peer didn't say.
 func PushConfig(ctx context.Context, node *transport.Node, addr string, document *patch.Document, peerVersion uint64) (uint64, error) {
 	version, doc := document.Current()
 	for range 2 {
@@ -92,7 +92,8 @@
 		if err == nil && response.Version >= version {
 			return response.Version, nil
 		}
-		// It holds another one than was thought, or knows no steps.
+		// The peer doesn't accept patches, or still holds the version that they should
+		// start from.
 		if err != nil || response.Version == peerVersion {
 			break
 		}
--- a/internal/controlclient/heartbeat.go
+++ b/internal/controlclient/heartbeat.go
@@ -10,8 +10,8 @@
 	"puffincrank/internal/transport"
 )
 
-// sendHeartbeat sends one beat and takes in the receipt. Beats come one after the other,
-// so the list whose hash is kept is the one that is passed on last.
+// sendHeartbeat sends one heartbeat and applies the response. Heartbeats are sent one at a
+// time, so the stored hash always belongs to the list that was passed on last.
 func (t *Client) sendHeartbeat(ctx context.Context, addr string) bool {
 	t.mu.Lock()
 	heartbeat := protocol.Heartbeat{Member: t.deps.Self, MembersHash: t.membersHash, AcceptsDiff: true, ControlNodesHash: membership.HashNames(t.controlNodes), AcceptsPatch: !t.needFullDocument, AcceptsCompact: true}
@@ -26,12 +26,12 @@
 		return false
 	}
 	if len(response.CompressedDocument) > 0 {
-		// What can't be read is like steps that don't fit.
+		// A document that can't be decompressed is handled like patches that don't fit.
 		response.Document, _ = compression.Decompress(response.CompressedDocument)
 	}
 	if response.ConfigVersion > t.host.Version() && !t.ApplyConfig(response.ConfigVersion, response.Document, response.Steps) {
-		// Steps that did not fit are asked for whole at once, a broken document
-		// is no reason to ask again.
+		// If patches did not fit, the whole document is requested at once. If the whole
+		// document is invalid, requesting it again is pointless.
 		if !heartbeat.AcceptsPatch || response.Document != nil {
 			return false
 		}
@@ -39,13 +39,13 @@
 		return t.sendHeartbeat(ctx, addr)
 	}
 	t.needFullDocument = false
-	// A control node that knows less than we do is not one to follow.
+	// A control node with an older configuration than this node's is not used.
 	if t.host.Version() > response.ConfigVersion {
 		return false
 	}
 	t.recordConfirmation(sentAt, response.ConfirmedAgoMS)
 	t.mu.Lock()
-	// A receipt in time says that the way is free again.
+	// A response in time shows that the link is no longer slow.
 	t.slow = t.slow && time.Since(sentAt) > t.deps.Settings.CallTimeout()
 	needRefill := t.lastRenewed.IsZero() || time.Since(t.lastRenewed) > t.deps.Settings.MaxAbsence()
 	if len(response.ControlNodes) > 0 {
@@ -56,8 +56,8 @@
 		t.applyMembers(callCtx, addr, heartbeat.MembersHash, &response)
 	}
 	t.host.ProxyCountChanged(response.ProxyCount)
-	// A new replica, or one that was away for too long, is refilled before
-	// the session counts. Who is put off keeps its seat meanwhile.
+	// A new replica, or one that was disconnected for too long, is refilled before the
+	// session counts. If the refill is deferred, the session is kept meanwhile.
 	if needRefill {
 		switch t.refill(ctx, addr) {
 		case refillFailed:
@@ -75,15 +75,15 @@
 	return true
 }
 
-// applyMembers takes in what a receipt says of the list of members. When the
-// control node knew nothing of the list held here, what differs is asked for
-// by parts; the rest of that waits for the next beat when time runs out.
+// applyMembers applies what a heartbeat response says about the member list. If the control
+// node didn't know the list held here, the parts that differ are requested; those that
+// don't arrive in time are left to the next heartbeat.
 func (t *Client) applyMembers(ctx context.Context, addr string, sentHash uint64, response *protocol.HeartbeatResponse) {
 	t.mu.Lock()
 	list, heldHash := t.members, t.membersHash
 	t.mu.Unlock()
 	if len(response.CompactDiff) > 0 {
-		// What can't be opened is no difference: the parts are asked for.
+		// A diff that can't be decoded is ignored, and the parts are requested instead.
 		diff, err := membership.DecodeDiff(response.CompactDiff)
 		response.IsDiff, response.Added, response.Removed = response.IsDiff && err == nil, diff.Added, diff.Removed
 	}
@@ -92,7 +92,8 @@
 		list = membership.NewList(response.Members)
 	case response.IsDiff && heldHash == sentHash:
 		if list = list.Apply(response.Added, response.Removed); list.Hash() != response.MembersHash {
-			// Not what the control node holds: asked for by parts next time.
+			// The result differs from the control node's list: the next heartbeat requests
+			// parts.
 			response.MembersHash = list.Hash()
 		}
 	default:
@@ -109,7 +110,7 @@
 	t.host.MembersChanged(list)
 }
 
-// Close ends the session politely.
+// Close ends the session with a leave message.
 func (t *Client) Close() {
 	addr, _ := t.Current()
 	if addr == "" {
--- a/internal/controlclient/memberlist.go
+++ b/internal/controlclient/memberlist.go
@@ -11,15 +11,16 @@
 	"puffincrank/internal/transport"
 )
 
-// page is how many members one message brings at the most, few how many are not
-// worth the short form's own frame.
+// membersPerPage is the maximum number of members in one message. maxPlainMembers is how
+// many are sent uncompressed: for so few, the overhead of the compact encoding is not worth
+// it.
 const (
 	membersPerPage  = 512
 	maxPlainMembers = 2
 )
 
-// repairMembers mends a list part by part until it is the control node's, or that of a
-// fellow when the control node has handed out all that it may.
+// repairMembers replaces the parts of a list that differ from the control node's. If the
+// control node has used up its refill capacity, it fetches them from a peer.
 func (t *Client) repairMembers(ctx context.Context, controlNode string, list *membership.List, wantHash uint64, proxyCount int) *membership.List {
 	list, response, _ := t.fetchParts(ctx, controlNode, list, proxyCount, func(uint64) bool { return true })
 	if !response.Busy {
@@ -37,8 +38,9 @@
 			continue
 		}
 		callCtx, cancel := context.WithTimeout(ctx, t.deps.Settings.CallTimeout()/4)
-		// A list that is no newer would undo what is known here; but to one that
-		// knows next to nothing any is of use, and the rest comes with the beats.
+		// A list that is not the wanted one might undo newer changes held here. But a node
+		// that knows less than half of the proxies takes any list, and later heartbeats
+		// correct it.
 		repaired, _, ok := t.fetchParts(callCtx, addr, list, proxyCount, func(hash uint64) bool { return hash == wantHash || 2*list.Len() < proxyCount })
 		cancel()
 		if ok {
@@ -48,8 +50,8 @@
 	return list
 }
 
-// fetchParts asks one for the parts that differ, if its list will do; the last word
-// tells whether all came.
+// fetchParts fetches the parts that differ from a node's list, if accept agrees to the hash
+// of that list. The boolean tells whether all parts arrived.
 func (t *Client) fetchParts(ctx context.Context, addr string, list *membership.List, proxyCount int, accept func(hash uint64) bool) (*membership.List, protocol.MemberListResponse, bool) {
 	partCount := max(list.PartCount(), membership.PartCount(proxyCount))
 	for {
@@ -70,7 +72,7 @@
 	}
 }
 
-// serveMembers gives fellows the parts of the list held here that differ from theirs.
+// serveMembers gives peers the parts of this node's list that differ from theirs.
 func (t *Client) serveMembers(_ context.Context, from transport.Hello, request protocol.MemberListRequest) (protocol.MemberListResponse, error) {
 	t.mu.Lock()
 	list, lastRenewed := t.members, t.lastRenewed
@@ -83,7 +85,7 @@
 	return response, err
 }
 
-// DiffMembers answers who asks for the parts of a list that differ from its own.
+// DiffMembers returns the parts of a list that differ from the requester's digests.
 func DiffMembers(list *membership.List, request protocol.MemberListRequest) (protocol.MemberListResponse, error) {
 	if len(request.Digests) == 0 || len(request.Digests) > 1<<12 {
 		return protocol.MemberListResponse{}, fault.New(fault.Input, "%d digests", len(request.Digests))
@@ -96,10 +98,10 @@
 	return response, nil
 }
 
-// member names take about so many bytes each when they aren't packed.
+// memberBytes is the approximate size of one uncompressed member, in bytes.
 const memberBytes = 125
 
-// ResponseSize is about how many bytes an answer has.
+// ResponseSize returns the approximate size of a response in bytes.
 func ResponseSize(response protocol.MemberListResponse) int {
 	return len(response.Compact) + memberBytes*len(response.Members)
 }
--- a/internal/controlclient/memberlist_test.go
+++ b/internal/controlclient/memberlist_test.go
@@ -18,66 +18,65 @@
 	"puffincrank/internal/transport"
 )
 
-// TestListFromFellow: while the control node has handed out all that it may, a
-// list comes from who has it; one that differs from the control node's is taken
-// only by a node that knows next to nothing; and who has no session that stands
-// gives none.
-func TestListFromFellow(t *testing.T) {
+// When the control node has used up its refill capacity, the list comes from a peer that
+// has it. A list that differs from the control node's is accepted only by a node that knows
+// next to nothing, and a peer without a current session serves no list.
+func TestMemberListFromPeer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		g := task.New(context.Background())
-		defer g.Stop()
-		p := settings.Settings{ConfigBound: 2 * time.Second, RecoveryBound: 15 * time.Second, RetireAfter: 10 * time.Second}
-		road := &transport.LocalNet{Network: transport.NewLocalNetwork(func(string, string) time.Duration { return time.Millisecond })}
-		up := func(name string) *Client {
-			e := env.Env{Net: road, Log: event.New(name, nil), Wall: time.Now}
-			w := transport.NewNode(transport.Hello{ClusterID: "m", Node: name, Zone: "x"}, e, g, 1<<20, 8, p.CallTimeout())
+		group := task.New(context.Background())
+		defer group.Stop()
+		nodeSettings := settings.Settings{ConfigBound: 2 * time.Second, RecoveryBound: 15 * time.Second, RetireAfter: 10 * time.Second}
+		network := &transport.LocalNet{Network: transport.NewLocalNetwork(func(string, string) time.Duration { return time.Millisecond })}
+		newClient := func(name string) *Client {
+			environment := env.Env{Net: network, Log: event.New(name, nil), Wall: time.Now}
+			transportNode := transport.NewNode(transport.Hello{ClusterID: "m", Node: name, Zone: "x"}, environment, group, 1<<20, 8, nodeSettings.CallTimeout())
 			self := membership.Member{Node: name, Role: "proxy", Zone: "x", InternalAddr: name + ":1"}
-			rep := replica.New(self, w, g, e.Log, hlc.New(time.Now, time.Minute), p.HeartbeatInterval(), time.Hour, time.Hour)
-			x := New(Dependencies{Settings: p, Log: e.Log, Group: g, Node: w, Replica: rep, Self: self}, nil)
-			x.RegisterHandlers()
-			if err := w.Listen(self.InternalAddr); err != nil {
+			nodeReplica := replica.New(self, transportNode, group, environment.Log, hlc.New(time.Now, time.Minute), nodeSettings.HeartbeatInterval(), time.Hour, time.Hour)
+			client := New(Dependencies{Settings: nodeSettings, Log: environment.Log, Group: group, Node: transportNode, Replica: nodeReplica, Self: self}, nil)
+			client.RegisterHandlers()
+			if err := transportNode.Listen(self.InternalAddr); err != nil {
 				t.Fatal(err)
 			}
-			t.Cleanup(w.Close)
-			return x
+			t.Cleanup(transportNode.Close)
+			return client
 		}
-		var all []membership.Member
+		var members []membership.Member
 		for i := range 600 {
-			all = append(all, membership.Member{Node: fmt.Sprint("n", i), Role: "proxy", Zone: "z", InternalAddr: fmt.Sprintf("n%d:1", i)})
+			members = append(members, membership.Member{Node: fmt.Sprint("n", i), Role: "proxy", Zone: "z", InternalAddr: fmt.Sprintf("n%d:1", i)})
 		}
-		newest, older := membership.NewList(all), membership.NewList(all[:590])
-		fellow, node := up("fellow"), up("node")
-		core := transport.NewNode(transport.Hello{ClusterID: "m", Node: "core", Zone: "x"}, env.Env{Net: road, Log: event.New("core", nil), Wall: time.Now}, g, 1<<20, 8, p.CallTimeout())
-		transport.Handle(core, "session.members", func(context.Context, transport.Hello, protocol.MemberListRequest) (protocol.MemberListResponse, error) {
+		newest, older := membership.NewList(members), membership.NewList(members[:590])
+		peer, node := newClient("fellow"), newClient("node")
+		controlNode := transport.NewNode(transport.Hello{ClusterID: "m", Node: "core", Zone: "x"}, env.Env{Net: network, Log: event.New("core", nil), Wall: time.Now}, group, 1<<20, 8, nodeSettings.CallTimeout())
+		transport.Handle(controlNode, "session.members", func(context.Context, transport.Hello, protocol.MemberListRequest) (protocol.MemberListResponse, error) {
 			return protocol.MemberListResponse{Hash: newest.Hash(), Busy: true, Alternatives: []string{"fellow:1"}}, nil
 		})
-		if err := core.Listen("core:1"); err != nil {
+		if err := controlNode.Listen("core:1"); err != nil {
 			t.Fatal(err)
 		}
-		t.Cleanup(core.Close)
-		ask := func(b *membership.List) *membership.List {
-			return node.repairMembers(t.Context(), "core:1", b, newest.Hash(), newest.ProxyCount())
+		t.Cleanup(controlNode.Close)
+		repair := func(list *membership.List) *membership.List {
+			return node.repairMembers(t.Context(), "core:1", list, newest.Hash(), newest.ProxyCount())
 		}
-		fellow.members = newest
-		if b := ask(&membership.List{}); b.Len() != 0 {
-			t.Errorf("%d members from one without a session", b.Len())
+		peer.members = newest
+		if list := repair(&membership.List{}); list.Len() != 0 {
+			t.Errorf("%d members from one without a session", list.Len())
 		}
-		fellow.lastRenewed = time.Now()
-		if b := ask(&membership.List{}); b.Hash() != newest.Hash() {
-			t.Errorf("%d members of %d for one that knew none", b.Len(), newest.Len())
+		peer.lastRenewed = time.Now()
+		if list := repair(&membership.List{}); list.Hash() != newest.Hash() {
+			t.Errorf("%d members of %d for one that knew none", list.Len(), newest.Len())
 		}
-		if b := ask(older); b.Hash() != newest.Hash() {
+		if list := repair(older); list.Hash() != newest.Hash() {
 			t.Error("the newest list was not taken")
 		}
-		fellow.members = older
-		if b := ask(membership.NewList(all[:595])); b.Len() != 595 {
-			t.Errorf("an older list undid what was known: %d", b.Len())
+		peer.members = older
+		if list := repair(membership.NewList(members[:595])); list.Len() != 595 {
+			t.Errorf("an older list undid what was known: %d", list.Len())
 		}
-		if b := ask(membership.NewList(all[:5])); b.Hash() != older.Hash() {
-			t.Errorf("nearly all is not taken by one that knows 5: %d", b.Len())
+		if list := repair(membership.NewList(members[:5])); list.Hash() != older.Hash() {
+			t.Errorf("nearly all is not taken by one that knows 5: %d", list.Len())
 		}
-		fellow.deps.Replica.RecordRefillBytes(1 << 20)
-		if b := ask(older); b.Hash() != older.Hash() {
+		peer.deps.Replica.RecordRefillBytes(1 << 20)
+		if list := repair(older); list.Hash() != older.Hash() {
 			t.Error("one that handed out its part hands out more")
 		}
 	})
--- a/internal/controlclient/probe.go
+++ b/internal/controlclient/probe.go
@@ -10,11 +10,11 @@
 	"puffincrank/internal/transport"
 )
 
-// peerPings is how many fellows are pinged to learn whether the own line is quick.
+// peerPings is how many peers are pinged to find out whether this node's own link is fast.
 const peerPings = 3
 
-// answerTimeout is how long an answer is waited for: where they are known to come late,
-// as long as they can still be of use.
+// answerTimeout returns how long to wait for an answer. If answers are known to come late,
+// it is as long as they can still be of use.
 func (t *Client) answerTimeout() time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -24,7 +24,7 @@
 	return t.deps.Settings.CallTimeout()
 }
 
-// renewSession renews the session, with another control node if need be.
+// renewSession renews the session, with another control node if necessary.
 func (t *Client) renewSession(ctx context.Context) {
 	t.mu.Lock()
 	current := t.controlNode
@@ -40,9 +40,9 @@
 		t.deps.Log.Emit(event.SessionDown, "with", previous)
 	}
 	found, confidence, startedAt := t.probeAll(ctx, controlNodes)
-	// Control nodes that were gone and came back in the middle of a round answer
-	// late by that alone, and so does everything in a round that a freeze fell
-	// into: one that begins now tells.
+	// Control nodes that came back in the middle of a round answer late for that reason
+	// alone, and a process pause delays everything in its round. A second round, started
+	// now, gives a clear result.
 	if confidence != protocol.Confirmed && (wasDisconnected && confidence == protocol.Unconfirmed || t.deps.LastPauseEnd().After(startedAt)) {
 		found, confidence, startedAt = t.probeAll(ctx, controlNodes)
 	}
@@ -68,10 +68,11 @@
 	}
 }
 
-// probeAll asks all control nodes at once: within the bound it must be known
-// whether any is in touch. The first that is gets the beat, so that the others
-// hold no seat, send no list and fill no replica. When none answers that it is,
-// the word is Lost only on evidence of a cut.
+// probeAll probes all control nodes concurrently, because it must be known within the bound
+// whether any of them is connected to a majority. Only the first that is gets a heartbeat,
+// so that the others open no session, send no member list and refill no replica. If none
+// confirms that it is connected, the result is Disconnected only on evidence of a
+// partition.
 func (t *Client) probeAll(ctx context.Context, controlNodes []string) (string, protocol.Confidence, time.Time) {
 	found, disconnectedNodes, linkFast, startedAt := "", 0, false, time.Now()
 	probeCtx, cancel := context.WithTimeout(ctx, t.answerTimeout())
@@ -105,38 +106,40 @@
 	return "", t.classifyOutage(startedAt, disconnectedNodes, <-pinged || linkFast), startedAt
 }
 
-// classifyOutage tells a cut from a line on which answers come late. One that brings
-// bytes late is no cut, and what has been acknowledged beyond it binds this node
-// too. What is sent to the control nodes and to fellows waits in the same line,
-// so a fellow that answers in time, or a control node that says it is out of
-// touch, shows that the silence of the others is theirs.
+// classifyOutage distinguishes a network partition from a link on which answers come late.
+// A link that still delivers bytes is not partitioned, and then this node is bound by what
+// was acknowledged on the other side. Messages to control nodes and to peers wait in the
+// same link. So a peer that answers in time, or a control node that answers in time that it
+// is disconnected, shows that the link is fast and that the other control nodes' silence is
+// their own.
 func (t *Client) classifyOutage(startedAt time.Time, disconnectedNodes int, linkFast bool) protocol.Confidence {
 	if t.deps.Node.CountActivePeers("registry", startedAt) > disconnectedNodes {
-		// One is heard that gave no answer: it isn't cut off, only late.
+		// A control node that sent bytes but no answer is late, not cut off.
 		return protocol.Unconfirmed
 	}
-	// A full line may also be still for a while before it brings what waits.
+	// A saturated link may also be silent for a while before it delivers what is queued.
 	if !linkFast && t.deps.Node.CountActivePeers("", time.Now().Add(-t.deps.Settings.ConfigBound)) > 0 {
 		return protocol.Unconfirmed
 	}
 	return protocol.Disconnected
 }
 
-// probe asks a control node whether it is in touch. Its answer counts for as long
-// as it can be of use, also when the round is over.
+// probe asks a control node whether it is connected. The answer counts for as long as it
+// can be of use, even when the round is over.
 func (t *Client) probe(_ context.Context, addr string) (protocol.HeartbeatResponse, error) {
 	ctx, cancel := context.WithTimeout(t.deps.Group.Context(), t.deps.Settings.ConfirmationTTL())
 	defer cancel()
 	sentAt := time.Now()
 	response, err := transport.Call[protocol.HeartbeatResponse](ctx, t.deps.Node, addr, "session.beat", protocol.Heartbeat{Member: t.deps.Self, ConfigVersion: t.host.Version(), Probe: true})
-	// Control nodes of before give no age with it.
+	// Control nodes of earlier versions send no age with the answer to a probe.
 	if err == nil && response.InTouch && response.ConfirmedAgoMS > 0 && response.ConfigVersion <= t.host.Version() {
 		t.recordConfirmation(sentAt, response.ConfirmedAgoMS)
 	}
 	return response, err
 }
 
-// recordConfirmation notes that what is held here was the newest at a time before a call.
+// recordConfirmation records that the configuration held here was the newest ageMS before
+// the call was sent.
 func (t *Client) recordConfirmation(sentAt time.Time, ageMS int64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -145,7 +148,7 @@
 	}
 }
 
-// Confidence tells how sure the node is of the configuration that it holds.
+// Confidence returns how certain the node is that its configuration is the newest.
 func (t *Client) Confidence() protocol.Confidence {
 	pauseEnd := t.deps.LastPauseEnd()
 	t.mu.Lock()
@@ -153,17 +156,17 @@
 	if time.Since(t.confirmedAt) <= t.deps.Settings.ConfirmationTTL() {
 		return protocol.Confirmed
 	}
-	// A round that a freeze fell into says nothing: its answers may wait unread.
+	// A round during a process pause proves nothing: answers may be waiting unread.
 	if t.disconnected && t.disconnectedRound.After(pauseEnd) && time.Since(t.disconnectedRound) <= t.deps.Settings.ConfirmationTTL() {
 		return protocol.Disconnected
 	}
 	return protocol.Unconfirmed
 }
 
-// Confirm waits until the node may act by itself. A node that was frozen comes
-// here before it takes or hands over another job. The wait is bounded by a round
-// over all control nodes and by half of the time left. Where answers are known
-// to come late there is no use in waiting: others may know better.
+// Confirm waits until the node may act on its own. A node that was paused calls it before
+// it accepts or forwards another request. The wait is bounded by the time of one round over
+// all control nodes and by half of the remaining time. If answers are known to come late it
+// doesn't wait, because other nodes may be better informed.
 func (t *Client) Confirm(ctx context.Context, deadline time.Time) protocol.Confidence {
 	if confidence := t.Confidence(); confidence != protocol.Unconfirmed {
 		return confidence
--- a/internal/controlclient/refill.go
+++ b/internal/controlclient/refill.go
@@ -9,21 +9,22 @@
 	"puffincrank/internal/task"
 )
 
-// refillOutcome is what came of an attempt to have the replica filled.
+// refillOutcome is the outcome of an attempt to refill the replica.
 type refillOutcome int
 
 const (
 	refillFailed   refillOutcome = iota // the control node gave no answer
-	refillDeferred                      // it is not this node's turn yet
+	refillDeferred                      // it is not yet this node's turn
 	refillDone
 )
 
-// repairsAfterRefill is how often a replica that was filled is compared soon after.
+// repairsAfterRefill is how many repairs follow soon after a refill.
 const repairsAfterRefill = 3
 
-// refill has the replica filled: by a fellow of the own area, if the control node
-// is elsewhere, since bytes between areas are dear; by the control node in its
-// turn; and while that is to come, by those who were filled meanwhile.
+// refill refills the replica. If the control node is in another zone, a peer of this node's
+// own zone is tried first, since traffic between zones is expensive. Then the control node
+// is asked, when it is this node's turn there. Until then, peers that were refilled
+// meanwhile are tried.
 func (t *Client) refill(ctx context.Context, controlNode string) refillOutcome {
 	ctx, cancel := context.WithTimeout(ctx, t.answerTimeout())
 	defer cancel()
@@ -64,12 +65,13 @@
 			return refillDone
 		}
 	}
-	// Until then nothing old goes to others.
+	// Until the refill, no outdated entries are passed on to others.
 	t.deps.Replica.SetRefillPending(true)
 	return refillDeferred
 }
 
-// refillFromPeer asks a fellow. One that says nothing costs a part of the wait only.
+// refillFromPeer requests a refill from a peer. A peer that doesn't answer costs only a
+// quarter of the call timeout.
 func (t *Client) refillFromPeer(ctx context.Context, addr, controlNode string) bool {
 	if addr == "" || addr == controlNode {
 		return false
@@ -87,25 +89,25 @@
 	return false
 }
 
-// recordRetry notes when it is this node's turn, and who may fill it before.
+// recordRetry records when it is this node's turn, and which peers may refill it earlier.
 func (t *Client) recordRetry(result replica.Refill) {
 	t.mu.Lock()
 	t.refillAt, t.refillAlternatives = time.Now().Add(result.RetryAfter), result.Alternatives
 	t.mu.Unlock()
 }
 
-// completeRefill goes on with a filled replica. Own entries made before there was anybody
-// to tell go out now, and those that crossed with this one's start are fetched
-// soon after. A control node that has handed out what it may in a beat gives
-// nothing then: gossip brings what is missing, and bytes that a fellow would
-// send in its place are dearer.
+// completeRefill resumes operation with a refilled replica. Own entries that were made
+// while there was no peer to send them to are announced now, and entries that crossed with
+// this node's start are fetched by repairs soon after. If the control node has used up its
+// refill capacity, no repair is requested first: gossip delivers the missing entries, and a
+// transfer from a peer in its place would cost more.
 func (t *Client) completeRefill(source, controlNode string, limited bool) {
 	t.mu.Lock()
 	t.refillAt, t.refillAlternatives = time.Time{}, nil
 	t.mu.Unlock()
 	interval := t.deps.Settings.HeartbeatInterval()
 	if source != controlNode && !limited {
-		// A fellow may know less than the control node does.
+		// A peer may hold less than the control node does.
 		ctx, cancel := context.WithTimeout(t.deps.Group.Context(), t.answerTimeout())
 		_ = t.deps.Replica.Repair(ctx, controlNode)
 		cancel()
--- a/internal/registry/abort.go
+++ b/internal/registry/abort.go
@@ -12,7 +12,7 @@
 	"puffincrank/internal/statemachine"
 )
 
-// abortTrial ends a trial by an operator's word: the old path stays.
+// abortTrial ends a trial at an operator's request; the old route stays in force.
 func (r *Registry) abortTrial(w http.ResponseWriter, req *http.Request) {
 	id, err := strconv.ParseUint(chi.URLParam(req, "id"), 10, 64)
 	if err != nil {
--- a/internal/registry/app.go
+++ b/internal/registry/app.go
@@ -16,7 +16,7 @@
 	"puffincrank/internal/store"
 )
 
-// registerAppRoutes are the applications' calls as resources.
+// registerAppRoutes adds the HTTP resources that applications use.
 func (r *Registry) registerAppRoutes(router chi.Router) {
 	router.Post("/puffin/app/locks/{name}", r.acquireAppLock)
 	router.Put("/puffin/app/locks/{name}", r.renewAppLock)
@@ -27,19 +27,19 @@
 	router.Get("/puffin/app/watch/{name}", r.watchAppKeys)
 }
 
-// proposeByKey is under what a call's context says until when it may be proposed, if
-// it was read by another process.
+// proposeByKey is the context key of the time after which a call must no longer be
+// proposed. It is set for calls that another process received and forwarded.
 type proposeByKey struct{}
 
-// appCall is one application's call as it was read.
+// appCall is an application's call after parsing.
 type appCall struct {
 	name      string
 	fields    schema.Values
-	proposeBy time.Time // when it may last be proposed
+	proposeBy time.Time // after this time the change must no longer be proposed
 }
 
-// readAppCall reads the name and the body of a call. Fields that this program
-// doesn't know are passed over; an empty body counts as an empty object.
+// readAppCall reads the name and the body of a call. It ignores fields that this version
+// doesn't know, and takes an empty body as an empty object.
 func (r *Registry) readAppCall(w http.ResponseWriter, req *http.Request, table schema.Table) (call appCall, ok bool) {
 	call.proposeBy = time.Now().Add(r.Settings.MaxCallAge())
 	if proposeBy, ok := req.Context().Value(proposeByKey{}).(time.Time); ok && proposeBy.Before(call.proposeBy) {
@@ -52,7 +52,7 @@
 	}
 	call.name = name
 	if req.Method == http.MethodGet {
-		// Whatever body it has says nothing.
+		// The body of a GET request is ignored.
 		return call, true
 	}
 	raw, code := httpapi.ReadBody(w, req, 256<<10)
@@ -77,11 +77,12 @@
 	return call, true
 }
 
-// proposeAppChange offers a command; its receipt's code is given the status that
-// codes says, and body makes the answer.
+// proposeAppChange proposes a command. codes maps the result's code to an HTTP status, and
+// body builds the answer.
 func (r *Registry) proposeAppChange(w http.ResponseWriter, req *http.Request, call appCall, kind string, command statemachine.Command, codes map[string]int, body func(statemachine.Result) map[string]any) {
-	// What is read right after a freeze may be as old as the freeze: its sender
-	// has turned elsewhere, and what it did there must not be undone.
+	// A call that is read right after a process pause may be as old as the pause. Its
+	// sender may have turned to another node since, and applying the call now could undo
+	// what it did there.
 	if time.Since(r.pauseDetector.LastPauseEnd()) < r.Settings.HeartbeatInterval() {
 		httpapi.WriteBusy(w, "frozen until just now; nothing was done", r.Settings.HeartbeatInterval())
 		return
@@ -112,7 +113,7 @@
 	httpapi.WriteJSON(w, code, response)
 }
 
-// ttlMillis is a time to live; a part of a millisecond counts as a whole one.
+// ttlMillis returns the time to live in milliseconds, rounded up.
 func ttlMillis(fields schema.Values) int64 { return int64(math.Ceil(fields.Share("ttl_ms"))) }
 
 func fenceResponse(result statemachine.Result) map[string]any {
@@ -126,7 +127,8 @@
 	return map[string]any{"rev": result.Revision}
 }
 
-// acquireAppLock takes a lock; its holder keeps the fence and gets more time.
+// acquireAppLock acquires a lock. A holder that acquires it again keeps its fence and
+// extends the time to live.
 func (r *Registry) acquireAppLock(w http.ResponseWriter, req *http.Request) {
 	if call, ok := r.readAppCall(w, req, AcquireLockTable); ok {
 		command := &statemachine.AcquireLock{Name: call.name, Owner: call.fields.Text("owner"), TTL: ttlMillis(call.fields), Same: true}
@@ -141,7 +143,7 @@
 	}
 }
 
-// releaseAppLock gives a lock back. That it is not held any more is no fault.
+// releaseAppLock releases a lock. Releasing a lock that is no longer held is not an error.
 func (r *Registry) releaseAppLock(w http.ResponseWriter, req *http.Request) {
 	if call, ok := r.readAppCall(w, req, ReleaseLockTable); ok {
 		command := &statemachine.ReleaseLock{Name: call.name, Owner: call.fields.Text("owner"), Fence: uint64(call.fields.Count("fence"))}
@@ -181,7 +183,7 @@
 	})
 }
 
-// watchAppKeys is a long poll for the puts of a group above a revision.
+// watchAppKeys is a long poll for the puts to a key group above a revision.
 func (r *Registry) watchAppKeys(w http.ResponseWriter, req *http.Request) {
 	c, ok := r.readAppCall(w, req, NextNumberTable)
 	if !ok {
@@ -202,7 +204,7 @@
 		return
 	}
 	timeout := wait + 2*r.Settings.ConfigBound
-	// Over a link the time is bounded: what is left there ends the wait early.
+	// A forwarded call has a deadline: the wait ends early enough to answer before it.
 	if end, is := req.Context().Deadline(); is {
 		timeout = min(timeout, time.Until(end))
 		wait = max(min(wait, timeout-r.Settings.CallTimeout()), 0)
--- a/internal/registry/appschema.go
+++ b/internal/registry/appschema.go
@@ -6,7 +6,7 @@
 	"puffincrank/internal/schema"
 )
 
-// The tables of the bodies of applications' calls.
+// The schemas of the bodies of applications' calls.
 var (
 	AcquireLockTable = schema.Table{Name: "app lock, POST", Rows: []schema.Field{ownerField, ttlField}}
 	RenewLockTable   = schema.Table{Name: "app lock, PUT", Rows: []schema.Field{ownerField, ttlField, fenceField}}
--- a/internal/registry/config.go
+++ b/internal/registry/config.go
@@ -14,9 +14,9 @@
 	"puffincrank/internal/store"
 )
 
-// putConfig takes a whole document, based on a version. Paths that carry
-// traffic and would go elsewhere are rehearsed; the rest applies at once, and
-// all of it does in an emergency.
+// putConfig puts a whole document in force, based on a version. Routes that carry traffic
+// and would lead elsewhere go through a trial first; all other changes apply at once. In an
+// emergency everything applies at once.
 func (r *Registry) putConfig(w http.ResponseWriter, req *http.Request) {
 	query := req.URL.Query()
 	if query.Get("by") == "number" {
@@ -70,8 +70,8 @@
 	writeConfigResult(w, result, nil)
 }
 
-// startRouteTrials begins a trial for a whole document's changed live paths; false
-// means that there are none.
+// startRouteTrials starts a trial of the routes that carry traffic and that the document
+// changes. It returns false, without having answered, when there are none.
 func (r *Registry) startRouteTrials(ctx context.Context, w http.ResponseWriter, req *http.Request, key *store.RequestKey, current statemachine.Result, raw []byte) bool {
 	for _, t := range current.Trials {
 		if t.State == statemachine.Running {
--- a/internal/registry/configpoll.go
+++ b/internal/registry/configpoll.go
@@ -11,8 +11,8 @@
 	"puffincrank/internal/store"
 )
 
-// pollConfig keeps the configuration here the newest: a confirmed read that waits a
-// little for a change, over and over.
+// pollConfig keeps the configuration held here up to date, with confirmed reads that wait
+// up to a heartbeat interval for a change.
 func (r *Registry) pollConfig(ctx context.Context) {
 	for ctx.Err() == nil {
 		r.mu.Lock()
@@ -20,13 +20,13 @@
 		if r.rules != nil {
 			heldVersion = r.rules.Version
 		}
-		// The first word is not waited for: nothing is served before it.
+		// The first read doesn't wait for a change, since nothing is served before it.
 		wait := r.Settings.HeartbeatInterval()
 		if r.confirmedAt.IsZero() {
 			wait = 0
 		}
 		r.mu.Unlock()
-		// Time for a second store when the first is unreachable.
+		// The timeout leaves time for a second store when the first is unreachable.
 		callCtx, cancel := context.WithTimeout(ctx, 2*r.Settings.CallTimeout())
 		startedAt := time.Now()
 		result, err := r.stores.read(callCtx, store.ReadRequest{Kind: "config", From: heldVersion, WaitMS: wait.Milliseconds(), AcceptsPatch: !r.needFullDocument})
@@ -46,7 +46,8 @@
 	}
 }
 
-// applyConfig puts a newer configuration in force here and pushes it at once.
+// applyConfig puts a newer configuration in force here and pushes it to the sessions at
+// once.
 func (r *Registry) applyConfig(result statemachine.Result) bool {
 	r.mu.Lock()
 	heldVersion := uint64(0)
@@ -56,13 +57,13 @@
 	}
 	r.mu.Unlock()
 	if result.Version <= heldVersion {
-		// A lower version than ours can't be confirmed by a majority.
+		// A majority can't have confirmed a version below the one held here.
 		return result.Version == heldVersion
 	}
 	steps := result.Steps
 	if result.Doc == nil {
 		doc, ok := r.document.Build(steps)
-		// Steps that do not fit are followed by the whole at the next poll.
+		// If the patches don't fit, the next poll fetches the full document.
 		if r.needFullDocument = !ok; !ok {
 			return false
 		}
--- a/internal/registry/controlnodes.go
+++ b/internal/registry/controlnodes.go
@@ -9,8 +9,8 @@
 	"puffincrank/internal/membership"
 )
 
-// reachableNodes gives the control nodes heard here, this one first, and a name for the
-// set of them; mu is held.
+// reachableNodes returns the addresses of the control nodes that this node has heard from
+// within the session TTL, its own first, and a hash of the set. The caller holds mu.
 func (r *Registry) reachableNodes() ([]string, uint64) {
 	addrs := []string{r.Settings.InternalAddr}
 	for _, peer := range r.peerNodes {
@@ -23,7 +23,8 @@
 	return addrs, hash.Sum64()
 }
 
-// controlNodesLocked gives the control nodes' addresses; mu is held.
+// controlNodesLocked returns the addresses of the reachable control nodes and the seeds.
+// The caller holds mu.
 func (r *Registry) controlNodesLocked() []string {
 	addrs, _ := r.reachableNodes()
 	for _, seed := range r.Settings.Seeds {
@@ -34,9 +35,10 @@
 	return addrs
 }
 
-// cachedControlNodes is what beats are told of the control nodes: their addresses and the
-// name of that list. It is worked out once for a part of a beat, since hundreds
-// of sessions ask for it in each and it grows with the control nodes; mu is held.
+// cachedControlNodes returns the control nodes' addresses and a hash of the list, as
+// heartbeat responses carry them. The list is computed at most once per eighth of a
+// heartbeat interval: hundreds of sessions need it in each interval, and its cost grows
+// with the number of control nodes. The caller holds mu.
 func (r *Registry) cachedControlNodes() ([]string, uint64) {
 	if r.nodeList.computedAt.IsZero() || time.Since(r.nodeList.computedAt) > r.Settings.HeartbeatInterval()/8 {
 		r.nodeList.addrs = r.controlNodesLocked()
@@ -51,9 +53,10 @@
 	return r.controlNodesLocked()
 }
 
-// reportTargets gives the control nodes to share with: those heard, those that they
-// hear, and the seeds. A seed that is not heard may be gone for good; it is
-// tried now and then, and tells of itself when it comes. mu is held.
+// reportTargets returns the control nodes to send session reports to: the reachable ones,
+// those that a peer reaches, and in every fifth round, or when no other is reachable, the
+// seeds as well. A seed that is silent may be gone for good, and it reports by itself when
+// it starts. The caller holds mu.
 func (r *Registry) reportTargets() []string {
 	addrs, _ := r.reachableNodes()
 	r.targetRounds++
@@ -70,8 +73,8 @@
 	return addrs
 }
 
-// recordIndirectPeers notes control nodes that a peer hears itself. Word of them goes no
-// further until this node hears them too, so that a dead one is forgotten.
+// recordIndirectPeers records control nodes that a peer can reach. They are passed on to
+// others only once this node has heard from them itself, so that dead nodes are forgotten.
 func (r *Registry) recordIndirectPeers(addrs []string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/registry/coordination.go
+++ b/internal/registry/coordination.go
@@ -11,7 +11,7 @@
 	"puffincrank/internal/store"
 )
 
-// The tables of the coordination calls' bodies.
+// The schemas of the bodies of coordination calls.
 var (
 	LockTable = schema.Table{Name: "lock", Rows: []schema.Field{
 		{Name: "owner", Type: schema.Text, Required: true, Check: schema.IsName, Rule: "a name", Help: "who takes it"},
@@ -35,7 +35,7 @@
 	return nil
 }
 
-// readFields reads a small JSON body by a table.
+// readFields reads a small JSON body and validates it against a schema.
 func readFields(w http.ResponseWriter, req *http.Request, table schema.Table) (schema.Values, bool) {
 	raw, code := httpapi.ReadBody(w, req, 256<<10)
 	if code != 0 {
@@ -55,7 +55,7 @@
 	return fields, true
 }
 
-// writeResult turns a receipt into a status and a body.
+// writeResult writes a store's result as an HTTP status and a JSON body.
 func writeResult(w http.ResponseWriter, result statemachine.Result, body map[string]any) {
 	code := map[string]int{statemachine.OK: http.StatusOK, statemachine.Conflict: http.StatusConflict, statemachine.Reused: http.StatusConflict, statemachine.NotFound: http.StatusNotFound, statemachine.Compacted: http.StatusGone, statemachine.Full: http.StatusServiceUnavailable}[result.Code]
 	if code == 0 {
@@ -67,7 +67,7 @@
 	httpapi.WriteJSON(w, code, body)
 }
 
-// proposeChange offers a command and answers with what body makes of the receipt.
+// proposeChange proposes a command and answers with the body built from its result.
 func (r *Registry) proposeChange(w http.ResponseWriter, req *http.Request, kind string, command statemachine.Command, body func(statemachine.Result) map[string]any) {
 	ctx, cancel := r.withDeadline(req)
 	defer cancel()
--- a/internal/registry/election.go
+++ b/internal/registry/election.go
@@ -14,8 +14,9 @@
 	"puffincrank/internal/transport"
 )
 
-// roleElection is one that a single control node does, won by a round of ballots with
-// the stores as voters each time it falls vacant.
+// roleElection elects the holder of a role that only one control node has at a time. Each
+// time the role is vacant, it is won in a round of ballots with the stores as voters. A
+// majority has to renew it at each heartbeat, or the lease runs out.
 type roleElection struct {
 	registry     *Registry
 	name         string
@@ -31,7 +32,7 @@
 	return &roleElection{registry: registry, name: name, work: work}
 }
 
-// leads gives the ballot while the role is held.
+// leads returns the ballot number and true while this node holds the role.
 func (d *roleElection) leads() (ballot.Number, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -68,8 +69,8 @@
 	}
 }
 
-// campaign is one try to win the role. The number goes into the log as a fence
-// before any work, so that an earlier holder's late word is refused.
+// campaign tries once to win the role. The ballot number is committed to the log as a fence
+// before any work, so that late commands of an earlier holder are refused.
 func (d *roleElection) campaign(ctx context.Context) {
 	d.mu.Lock()
 	number := ballot.Number{Round: d.highestRound + 1, Candidate: d.registry.Settings.Node}
@@ -90,7 +91,7 @@
 	d.registry.env.Log.Emit(event.RoleWon, "duty", d.name, "ballot", number.String())
 }
 
-// collectVotes asks all stores and counts a majority of yes.
+// collectVotes asks all stores and reports whether a majority granted.
 func (d *roleElection) collectVotes(ctx context.Context, operation string, number ballot.Number) bool {
 	startedAt := time.Now()
 	ctx, cancel := context.WithTimeout(ctx, d.registry.Settings.CallTimeout())
@@ -122,7 +123,7 @@
 	return true
 }
 
-// vacate gives the role up at once.
+// vacate gives the role up at once, so that another node can win it before the lease ends.
 func (d *roleElection) vacate() {
 	number, ok := d.leads()
 	if !ok {
@@ -132,9 +133,9 @@
 	d.collectVotes(d.registry.group.Context(), "vacate", number)
 }
 
-// retireNodes retires the entries of nodes that have no session with any control
-// node in touch for the retire bound, counted only while the steward itself
-// is in touch with a majority.
+// retireNodes removes the entries of nodes that have had no session with any reachable
+// control node for longer than RetireAfter. The time counts only while the steward itself
+// is connected to a majority.
 func (r *Registry) retireNodes(_ context.Context, number ballot.Number) {
 	if !r.connected() {
 		r.mu.Lock()
--- a/internal/registry/fuzz_test.go
+++ b/internal/registry/fuzz_test.go
@@ -6,41 +6,41 @@
 	"puffincrank/internal/schema"
 )
 
-// FuzzBodies: whatever body an application's call has, it is refused with a
-// place for each fault, or what is read of it is within its bounds.
+// FuzzBodies checks that any body of an application's call is either refused, with a place
+// for each problem, or read into values within their bounds.
 func FuzzBodies(f *testing.F) {
-	for _, s := range []string{`{"owner":"a","ttl_ms":0.5,"fence":3}`, `{"owner":"a","ttl_ms":3000}`, `{"value":"x","if_rev":0}`, `{}`, `{"owner":"a","owner":"b"}`, `{"ttl_ms":1e99,"fence":1.0}`} {
-		f.Add(s)
+	for _, body := range []string{`{"owner":"a","ttl_ms":0.5,"fence":3}`, `{"owner":"a","ttl_ms":3000}`, `{"value":"x","if_rev":0}`, `{}`, `{"owner":"a","owner":"b"}`, `{"ttl_ms":1e99,"fence":1.0}`} {
+		f.Add(body)
 	}
 	f.Fuzz(func(t *testing.T, raw string) {
-		in, twice, err := schema.Parse([]byte(raw))
+		input, duplicates, err := schema.Parse([]byte(raw))
 		if err != nil {
 			return
 		}
-		for _, tab := range []schema.Table{AcquireLockTable, RenewLockTable, ReleaseLockTable, NextNumberTable, PutGroupKeyTable} {
-			v, bad := tab.ReadKnown(in, "")
-			for _, b := range append(bad, twice...) {
-				// The place of a name that is empty is empty too.
-				if _, empty := in[""]; b.Place == "" && !empty || b.Message == "" {
-					t.Errorf("%s: a fault without its place: %+v", tab.Name, b)
+		for _, table := range []schema.Table{AcquireLockTable, RenewLockTable, ReleaseLockTable, NextNumberTable, PutGroupKeyTable} {
+			fields, problems := table.ReadKnown(input, "")
+			for _, problem := range append(problems, duplicates...) {
+				// The place of a field with an empty name is empty too.
+				if _, empty := input[""]; problem.Place == "" && !empty || problem.Message == "" {
+					t.Errorf("%s: a fault without its place: %+v", table.Name, problem)
 				}
 			}
-			if len(bad) > 0 {
+			if len(problems) > 0 {
 				continue
 			}
-			for _, row := range tab.Rows {
-				got, is := v[row.Name]
-				if !is && row.Required {
-					t.Errorf("%s: %s is missing", tab.Name, row.Name)
+			for _, field := range table.Rows {
+				value, present := fields[field.Name]
+				if !present && field.Required {
+					t.Errorf("%s: %s is missing", table.Name, field.Name)
 				}
-				if is && row.Check != nil && row.Check(got) != nil {
-					t.Errorf("%s: %s is %v", tab.Name, row.Name, got)
+				if present && field.Check != nil && field.Check(value) != nil {
+					t.Errorf("%s: %s is %v", table.Name, field.Name, value)
 				}
 			}
-			if ms := ttlMillis(v); tab.Name != PutGroupKeyTable.Name && v["ttl_ms"] != nil && (ms < 1 || ms > 86400000) {
-				t.Errorf("a time of %d ms", ms)
+			if millis := ttlMillis(fields); table.Name != PutGroupKeyTable.Name && fields["ttl_ms"] != nil && (millis < 1 || millis > 86400000) {
+				t.Errorf("a time of %d ms", millis)
 			}
-			if _, is := v["fence"]; is && uint64(v.Count("fence")) == 0 {
+			if _, present := fields["fence"]; present && uint64(fields.Count("fence")) == 0 {
 				t.Error("a fence of nothing")
 			}
 		}
--- a/internal/registry/handlers.go
+++ b/internal/registry/handlers.go
@@ -20,7 +20,8 @@
 	"puffincrank/internal/transport"
 )
 
-// newHandler are the outside calls, for this program and for the store.
+// newHandler returns the handler of the HTTP API, for the calls that this process answers
+// and for those that it passes on to the stores.
 func (r *Registry) newHandler() http.Handler {
 	router := chi.NewRouter()
 	router.Use(r.trackCalls)
@@ -58,8 +59,8 @@
 	return router
 }
 
-// trackCalls lets a stop wait for the calls under way, and sends new ones away
-// from a node that leaves.
+// trackCalls counts the calls in progress, so that a shutdown can wait for them, and turns
+// new ones away once the node no longer serves.
 func (r *Registry) trackCalls(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
 		r.activeCalls.Add(1)
@@ -74,7 +75,7 @@
 	})
 }
 
-// responseRecorder collects an answer that goes back over a link.
+// responseRecorder records a response that is sent back over an internal link.
 type responseRecorder struct {
 	header http.Header
 	status int
@@ -92,7 +93,7 @@
 	return t.body.Write(b)
 }
 
-// onForwardedCall answers an outside call that a proxy handed over.
+// onForwardedCall serves an API call that a proxy forwarded.
 func (r *Registry) onForwardedCall(ctx context.Context, _ transport.Hello, call protocol.ForwardedCall) (protocol.ForwardedResponse, error) {
 	if r.lifecycle.Is("leaving", "shut") {
 		return protocol.ForwardedResponse{}, fault.New(fault.Refused, "leaving")
@@ -109,7 +110,8 @@
 	return protocol.ForwardedResponse{Status: recorder.status, Body: recorder.body.Bytes(), RetryAfter: recorder.header.Get("Retry-After")}, nil
 }
 
-// withDeadline bounds an outside call.
+// withDeadline bounds the time of an API call: by the remaining time that the client gave,
+// up to the grace period, or else by twice ConfigBound.
 func (r *Registry) withDeadline(req *http.Request) (context.Context, context.CancelFunc) {
 	timeout := 2 * r.Settings.ConfigBound
 	if remaining, err := strconv.ParseInt(req.URL.Query().Get("left_ms"), 10, 64); err == nil && remaining > 0 {
@@ -118,11 +120,11 @@
 	return context.WithTimeout(req.Context(), timeout)
 }
 
-// writeStoreError answers for an error of the stores: 503 when nothing was proposed,
-// 504 when the outcome is unknown.
+// writeStoreError answers for an error of the stores: 503 if nothing was proposed, 504 if
+// the outcome is unknown.
 func (r *Registry) writeStoreError(w http.ResponseWriter, err error) {
 	if fault.Is(err, fault.Refused) && !fault.Is(err, fault.Unknown) {
-		// A vacant role is won again after a lease and up to half of one.
+		// A vacant role is won again within one and a half leases.
 		httpapi.WriteBusy(w, "no majority of the stores: nothing was done", r.Settings.Lease()*3/2)
 		return
 	}
@@ -159,7 +161,7 @@
 	httpapi.WriteJSON(w, http.StatusOK, response)
 }
 
-// readDocument reads a document from a body and finds its faults.
+// readDocument reads a configuration document from the body and validates it.
 func (r *Registry) readDocument(w http.ResponseWriter, req *http.Request) ([]byte, *rules.Rules) {
 	raw, ok := r.readDocumentBody(w, req)
 	if !ok {
@@ -176,8 +178,8 @@
 	return raw, code == 0
 }
 
-// checkDocument finds a document's faults, besides those that are known already.
-// Paths that carry a trial are the mesh's own to write.
+// checkDocument validates a document and answers with the problems found, after those
+// already known. Only the control plane may write routes that carry a trial.
 func (r *Registry) checkDocument(w http.ResponseWriter, raw []byte, problems []schema.Problem) *rules.Rules {
 	compiled, found, err := rules.Compile(0, raw)
 	if err != nil {
--- a/internal/registry/judge.go
+++ b/internal/registry/judge.go
@@ -16,7 +16,8 @@
 	"puffincrank/internal/transport"
 )
 
-// reportKey names one start of one front: its counters begin anew with each.
+// reportKey identifies one incarnation of a proxy: counters restart at zero with each
+// incarnation.
 type reportKey struct{ node, incarnation string }
 
 func (r *Registry) onTrialReports(context.Context, transport.Hello, struct{}) ([]protocol.TrialReport, error) {
@@ -29,7 +30,7 @@
 	return reports, nil
 }
 
-// collectReports gathers what all fronts counted, from all control nodes.
+// collectReports gathers the trial counters of all proxies from all control nodes.
 func (r *Registry) collectReports(ctx context.Context) []protocol.TrialReport {
 	ctx, cancel := context.WithTimeout(ctx, r.Settings.CallTimeout())
 	defer cancel()
@@ -64,7 +65,7 @@
 		Risk: fields.Share("risk"), Margin: fields.Share("fail_margin"), Slow: fields.Share("slow_ratio"), Quantile: fields.Share("quantile")}
 }
 
-// evaluateTrial sums the reports up for one trial and judges each of its paths.
+// evaluateTrial sums up the reports for one trial and evaluates each of its routes.
 func (r *Registry) evaluateTrial(trial statemachine.Trial, reports []protocol.TrialReport, bounds judge.Bounds) []judge.Facts {
 	var facts []judge.Facts
 	for _, route := range trial.Routes {
@@ -88,9 +89,9 @@
 	return facts
 }
 
-// judgeTrials is the role that ends trials. It goes on from the reports of the
-// standing sessions, so a judge that takes over half-way needs nothing from
-// the one before.
+// judgeTrials does the work of the judge, the role that ends trials. It works from the
+// reports that proxies send with their sessions, so a judge that takes over during a trial
+// needs nothing from its predecessor.
 func (r *Registry) judgeTrials(ctx context.Context, number ballot.Number) {
 	r.mu.Lock()
 	compiled, trials := r.rules, r.trials
@@ -100,7 +101,7 @@
 			running = append(running, t)
 		}
 	}
-	// Without a trial nothing needs to be remembered of fronts that are gone.
+	// While no trial runs, the reports of proxies that are gone are not needed.
 	if len(running) == 0 {
 		r.latestReports = map[reportKey]protocol.TrialReport{}
 	}
@@ -114,15 +115,15 @@
 	}
 	newest := map[reportKey]protocol.TrialReport{}
 	r.mu.Lock()
-	// A front that died keeps what it counted: its start never counts again.
+	// The counts of a proxy that died are kept: that incarnation never reports again.
 	for _, report := range r.latestReports {
 		newest[reportKey{report.Node, report.Start}] = report
 	}
 	r.mu.Unlock()
 	for _, report := range r.collectReports(ctx) {
 		key := reportKey{report.Node, report.Start}
-		// A front that changed its control node is in two lists for a moment;
-		// the higher count is the newer.
+		// A proxy that changed its control node is reported by both for a moment; the
+		// report with the higher count is the newer one.
 		if requestCount(report) >= requestCount(newest[key]) {
 			newest[key] = report
 		}
@@ -147,9 +148,9 @@
 	return count
 }
 
-// decideTrial ends a trial when every path is good, or one is bad. The decision
-// carries the judge's ballot and the version it is based on, so it is taken
-// once, whoever else tries.
+// decideTrial ends a trial when every route is good or one is bad. The decision carries the
+// judge's ballot and the version it is based on, so it is committed at most once, even when
+// several nodes try.
 func (r *Registry) decideTrial(ctx context.Context, trial statemachine.Trial, facts []judge.Facts, number ballot.Number, compiled *rules.Rules) {
 	verdict, reason := judge.Good, "every path of the change is good"
 	for _, f := range facts {
@@ -183,7 +184,7 @@
 	defer cancel()
 	result, err := r.stores.propose(ctx, "trial.decide", &statemachine.Decide{ID: trial.ID, Ballot: number, Base: compiled.Version, Doc: doc, State: state, Why: reason, Who: "judge", Facts: raw})
 	if err != nil || result.Code != statemachine.OK {
-		// Looked at again at the next beat, on what then stands.
+		// The next heartbeat evaluates the trial again, on the version then in force.
 		return
 	}
 	kind := event.TrialPromoted
--- a/internal/registry/keys.go
+++ b/internal/registry/keys.go
@@ -22,7 +22,7 @@
 	}
 }
 
-// keyName reads a key's name from the URL; it may have slashes.
+// keyName reads a key's name from the URL; it may contain slashes.
 func keyName(w http.ResponseWriter, req *http.Request) (string, bool) {
 	name, err := url.PathUnescape(chi.URLParam(req, "*"))
 	if err != nil || name == "" || len(name) > 256 {
@@ -77,7 +77,7 @@
 	r.proposeChange(w, req, "key.delete", command, keyResponse(name))
 }
 
-// watch is a long poll for the changes of a prefix from a revision on.
+// watch is a long poll for the changes of keys with a prefix, from a revision on.
 func (r *Registry) watch(w http.ResponseWriter, req *http.Request) {
 	query := req.URL.Query()
 	from, err := strconv.ParseUint(query.Get("from"), 10, 64)
--- a/internal/registry/numberedconfig.go
+++ b/internal/registry/numberedconfig.go
@@ -12,12 +12,11 @@
 	"puffincrank/internal/store"
 )
 
-// putNumberedConfig takes a whole document by the operator's own number: the highest
-// holds, at once and without a rehearsal, and one that is not above the version
-// that stands is acknowledged and changes nothing. A number stands for one
-// content: whoever sends another under one that was taken gets a 409, and the
-// same content is acknowledged as often as it comes. A broken document is
-// refused whatever its number.
+// putNumberedConfig puts a whole document in force under the operator's own number. The
+// highest number wins, at once and without a trial; a number that is not above the version
+// in force is acknowledged and changes nothing. A number stands for one content: other
+// content under a number already used gets a 409, and the same content is acknowledged
+// however often it is sent. An invalid document is refused whatever its number.
 func (r *Registry) putNumberedConfig(w http.ResponseWriter, req *http.Request) {
 	raw, ok := r.readDocumentBody(w, req)
 	if !ok {
@@ -27,7 +26,7 @@
 		Version *json.Number `json:"version"`
 	}
 	var problems []schema.Problem
-	// What can't be read here is named below, by the tables.
+	// If this doesn't parse, checkDocument reports the problems.
 	if json.Unmarshal(raw, &head) == nil && head.Version == nil {
 		problems = append(problems, schema.Problem{Place: "version", Message: "missing"})
 	}
@@ -52,8 +51,8 @@
 	writeConfigResult(w, result, nil)
 }
 
-// earlierNumberedResult looks whether a number that is not above the version held here has
-// been answered: then nothing needs to be written for it.
+// earlierNumberedResult looks for an earlier answer to a number that is not above the
+// version held here; then nothing needs to be written for it.
 func (r *Registry) earlierNumberedResult(ctx context.Context, key *store.RequestKey) (statemachine.Result, bool, error) {
 	if r.version() < key.Number {
 		return statemachine.Result{}, false, nil
@@ -61,7 +60,7 @@
 	return r.earlierResult(ctx, key)
 }
 
-// getSentConfig gives the newest document byte for byte as an operator sent it.
+// getSentConfig returns the newest document byte for byte as an operator sent it.
 func (r *Registry) getSentConfig(w http.ResponseWriter, req *http.Request) {
 	ctx, cancel := r.withDeadline(req)
 	defer cancel()
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -1,6 +1,7 @@
-// Package registry is the control node on each core machine: it holds the
-// sessions of the proxies, a replica of the service registry, the roles of
-// judge and steward, and takes the outside calls for the store as well.
+// Package registry implements the control node that runs on each control plane machine. It
+// holds the sessions of the proxies and a replica of the service registry, can win the
+// roles of judge and steward, and serves the HTTP API, including the calls that the stores
+// answer.
 package registry
 
 import (
@@ -31,7 +32,7 @@
 	"puffincrank/internal/transport"
 )
 
-// Registry is one process. Lock order: mu before the replica's locks.
+// Registry is one control node process. Lock order: mu before the replica's locks.
 type Registry struct {
 	Settings      settings.Settings
 	env           env.Env
@@ -42,14 +43,14 @@
 	replica       *replica.Replica
 	stores        *storeClient
 	handler       http.Handler
-	activeCalls   atomic.Int64     // outside calls under way
-	cutoff        *shutdown.Cutoff // ends them when a stop can wait no longer
+	activeCalls   atomic.Int64     // HTTP API calls in progress
+	cutoff        *shutdown.Cutoff // cancels activeCalls when a shutdown can wait no longer
 	pauseDetector *pausedetect.Detector
 	elections     []*roleElection
 
 	mu           sync.Mutex
-	sessions     map[string]*nodeSession // node to its session here
-	peerNodes    map[string]*peerNode    // control node to its word on its sessions
+	sessions     map[string]*nodeSession // by node name
+	peerNodes    map[string]*peerNode    // by the control node's name
 	targetRounds int
 	reportRounds int
 	nodeList     struct {
@@ -57,38 +58,38 @@
 		addrs      []string
 		hash       uint64
 	}
-	reachableHash      uint64    // names the control nodes heard here
-	reachableChangedAt time.Time // when that changed last
-	reportDue          bool      // the other control nodes wait for word
+	reachableHash      uint64    // identifies the set of reachable control nodes
+	reachableChangedAt time.Time // when reachableHash last changed
+	reportDue          bool      // another control node needs a report in the next round
 	encodedDiffs       struct {
 		targetHash uint64
-		byBaseHash map[uint64][]byte // differences to the list of now, packed
+		byBaseHash map[uint64][]byte // encoded diffs from a list hash to the current list
 	}
-	indirectPeers map[string]time.Time // control node, by its inner address, to when a peer named it
-	members       *membership.Tracker  // the members, by all sessions
-	localMembers  *membership.Tracker  // those of the sessions here
-	reportedHash  uint64               // the hash of mine that the other control nodes were told last
-	linkedHash    uint64               // the hash of roll that the replica's links follow
-	linksUpdating bool                 // they are about to
-	confirmedAt   time.Time            // when a majority last confirmed what is held here
+	indirectPeers map[string]time.Time // when a peer last reported this control node, by internal address
+	members       *membership.Tracker  // all members, merged from all control nodes' sessions
+	localMembers  *membership.Tracker  // the members with a session here
+	reportedHash  uint64               // hash of localMembers as last reported to the other control nodes
+	linkedHash    uint64               // hash of the member list that the replica's links were set up from
+	linksUpdating bool                 // a goroutine is updating the links
+	confirmedAt   time.Time            // when a majority last confirmed the configuration held here
 	rules         *rules.Rules
-	document      *patch.Document // the document, with the steps to it
+	document      *patch.Document // the configuration document and the patches that led to it
 	compressed    struct {
 		version  uint64
-		document []byte // the document of that version, compressed
+		document []byte // the compressed document of that version
 	}
-	needFullDocument bool // the next document must come whole: the poll\'s own
+	needFullDocument bool // the next poll must fetch the full document; used by pollConfig alone
 	trials           []statemachine.Trial
 	lastTrialNumber  uint64
-	lastJudged       time.Time                          // judge: the last look
-	latestReports    map[reportKey]protocol.TrialReport // judge: the newest report of each front's start
-	absentSince      map[string]time.Time               // steward: since when a node has no session
+	lastJudged       time.Time                          // judge: when the trials were last evaluated
+	latestReports    map[reportKey]protocol.TrialReport // judge: the newest report of each proxy incarnation
+	absentSince      map[string]time.Time               // steward: since when an owner has had no session
 	refilledAt       time.Time
-	saveLock         task.Lock // one save of the workers at a time
-	savedDigest      uint64    // the replica's digest when it was last kept on the disk
+	saveLock         task.Lock // only one goroutine saves the workers at a time
+	savedDigest      uint64    // the replica's digest at the last save
 }
 
-// New readies a registry.
+// New returns a registry that does nothing until Start is called.
 func New(nodeSettings settings.Settings, environment env.Env) *Registry {
 	group := task.New(context.Background()).SetSleep(environment.Sleep)
 	registry := &Registry{Settings: nodeSettings, env: environment, group: group, saveLock: task.NewLock(), sessions: map[string]*nodeSession{}, peerNodes: map[string]*peerNode{}, indirectPeers: map[string]time.Time{}, absentSince: map[string]time.Time{}, latestReports: map[reportKey]protocol.TrialReport{}}
@@ -121,7 +122,7 @@
 	return registry
 }
 
-// Start opens the ports and begins the rounds.
+// Start opens the listeners and starts the background loops.
 func (r *Registry) Start() error {
 	transport.Handle(r.node, "session.beat", r.onHeartbeat)
 	transport.Handle(r.node, "session.share", r.onSessionReport)
@@ -148,15 +149,16 @@
 	return nil
 }
 
-// connected tells whether a majority confirmed this node's word recently.
+// connected reports whether a majority of the stores confirmed this node's configuration
+// recently.
 func (r *Registry) connected() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return !r.confirmedAt.IsZero() && time.Since(r.confirmedAt) <= r.Settings.ConfirmationTTL()
 }
 
-// refill makes the node ready once its replica is filled from a peer; when no
-// peer answers it goes on with what the proxies' repairs bring.
+// refill makes the node ready once its replica has been refilled from a peer. If no peer
+// answers, the node becomes ready all the same, and the proxies' repairs fill the replica.
 func (r *Registry) refill(ctx context.Context) {
 	if r.lifecycle.Is("ready", "leaving", "shut") {
 		return
@@ -167,7 +169,7 @@
 	if stale {
 		callCtx, cancel := context.WithTimeout(ctx, r.Settings.CallTimeout())
 		defer cancel()
-		// In any order, or many that start would all ask the same.
+		// The order is random, or nodes that start together would all query the same peer.
 		addrs := r.controlNodes()
 		mrand.Shuffle(len(addrs), func(i, j int) { addrs[i], addrs[j] = addrs[j], addrs[i] })
 		for _, a := range addrs {
@@ -187,14 +189,15 @@
 	}
 }
 
-// Kill ends the process at once.
+// Kill ends the process at once, without a graceful shutdown.
 func (r *Registry) Kill() {
 	r.group.Cancel()
 	r.node.Close()
 	r.group.Stop()
 }
 
-// Stop ends politely: roles are handed on, the proxies go elsewhere.
+// Stop shuts down gracefully: it gives up its roles, lets the proxies move to other control
+// nodes, and finishes the calls in progress.
 func (r *Registry) Stop() {
 	r.env.Log.Emit(event.Stopping, "program", "registry")
 	if !r.lifecycle.Fire("stop") {
@@ -203,17 +206,17 @@
 	for _, d := range r.elections {
 		d.vacate()
 	}
-	// Sessions are refused from now on, so within two beats all have moved.
-	// Outside callers learn from readiness, which the platform polls: they are
-	// served meanwhile, and calls under way get their answers.
-	// Whatever the bounds are, it has gone by itself before its grace is over.
+	// Sessions are refused from now on, so all proxies have moved within two heartbeats.
+	// API clients learn of the shutdown from the readiness endpoint, which the platform
+	// polls. Until then they are served, and calls in progress get their answers. Whatever
+	// the bounds are set to, the process exits before its grace period ends.
 	plan := shutdown.Begin(r.Settings.GracePeriod, r.Settings.FarewellTimeout())
 	task.Sleep(r.group.Context(), min(r.Settings.LeaveBound, r.Settings.GracePeriod/2))
 	r.lifecycle.Fire("shut")
 	for r.activeCalls.Load() > 0 && plan.RemainingWait() > 0 {
 		task.Sleep(r.group.Context(), r.Settings.HeartbeatInterval()/10)
 	}
-	// Each that is still under way is told that its outcome is unknown.
+	// Calls that are still in progress are answered that their outcome is unknown.
 	r.cutoff.Trigger()
 	for r.activeCalls.Load() > 0 && time.Now().Before(plan.AnswerDeadline()) {
 		task.Sleep(r.group.Context(), r.Settings.HeartbeatInterval()/10)
@@ -223,5 +226,5 @@
 	r.env.Log.Emit(event.Stopped, "program", "registry", "after_ms", plan.Elapsed().Milliseconds())
 }
 
-// Ready tells whether outside calls and sessions are taken.
+// Ready reports whether the node accepts API calls and sessions.
 func (r *Registry) Ready() bool { return r.lifecycle.Is("ready") && r.connected() }
--- a/internal/registry/requestkey.go
+++ b/internal/registry/requestkey.go
@@ -13,12 +13,13 @@
 	"puffincrank/internal/store"
 )
 
-// requestIDParameter is the query parameter by which a caller names its request.
+// requestIDParameter is the query parameter with which a client identifies its request, so
+// that it can be retried safely.
 const requestIDParameter = "request_id"
 
-// requestKey identifies an operator's request: by the id that the call brings or,
-// without one, by the digest of its content. It answers the call and gives nil
-// when the id can't be one.
+// requestKey returns the key that identifies an operator's request: the ID that the client
+// sent or, without one, the digest of its content. If the ID is invalid, it answers the
+// request and returns nil.
 func requestKey(w http.ResponseWriter, req *http.Request, kind string, content ...[]byte) *store.RequestKey {
 	digest := contentDigest(kind, content)
 	id := req.URL.Query().Get(requestIDParameter)
@@ -32,8 +33,8 @@
 	return &store.RequestKey{ID: "id/" + id, Digest: digest}
 }
 
-// contentDigest is the identity of a request's content; each part is led in by
-// its length, so that no two rows of parts look alike.
+// contentDigest returns the digest of a request's content. Each part is prefixed with its
+// length, so that different sequences of parts never give the same input.
 func contentDigest(kind string, content [][]byte) []byte {
 	hash := sha256.New()
 	for _, part := range append([][]byte{[]byte(kind)}, content...) {
@@ -43,14 +44,14 @@
 	return hash.Sum(nil)
 }
 
-// numberKey identifies a configuration under the operator's own number. One
-// number stands for one content, whoever sends it.
+// numberKey identifies a configuration by the operator's own number. A number stands for
+// one content, whoever sends it.
 func numberKey(number uint64, doc []byte) *store.RequestKey {
 	return &store.RequestKey{ID: statemachine.NumberRequestID(number), Digest: statemachine.DocumentDigest(doc), Number: number}
 }
 
-// earlierResult gives the first answer of a request that was taken already. A
-// majority confirms that it is known, or that it is not.
+// earlierResult returns the first result of a request that was already committed. A
+// majority confirms that the request is known, or that it is not.
 func (r *Registry) earlierResult(ctx context.Context, key *store.RequestKey) (result statemachine.Result, known bool, err error) {
 	result, err = r.stores.read(ctx, store.ReadRequest{Kind: "request", Name: key.ID})
 	if err != nil || result.Code != statemachine.OK || result.Earlier == nil {
@@ -59,7 +60,7 @@
 	return result.Earlier.Repeat(key.Digest), true, nil
 }
 
-// writeConfigResult answers an order that puts a version in force, or begins a trial.
+// writeConfigResult answers a request that puts a version in force or starts a trial.
 func writeConfigResult(w http.ResponseWriter, result statemachine.Result, routes []string) {
 	switch {
 	case result.Code != statemachine.OK:
@@ -71,8 +72,8 @@
 	}
 }
 
-// writeEarlierResult answers a request whose first answer is known; false means that
-// it is not, and nothing was answered.
+// writeEarlierResult answers a request whose first result is known. It returns false,
+// without having answered, if none is known.
 func (r *Registry) writeEarlierResult(ctx context.Context, w http.ResponseWriter, key *store.RequestKey) bool {
 	result, known, err := r.earlierResult(ctx, key)
 	if err != nil {
@@ -95,7 +96,7 @@
 	return true
 }
 
-// trialRoutes gives the paths of a trial, none when it is no longer known.
+// trialRoutes returns the routes of a trial, or none if the trial is no longer known.
 func trialRoutes(trials []statemachine.Trial, id uint64) []string {
 	for _, t := range trials {
 		if t.ID == id {
--- a/internal/registry/savedworkers.go
+++ b/internal/registry/savedworkers.go
@@ -8,20 +8,20 @@
 	"puffincrank/internal/transport"
 )
 
-// workersFile holds the registrations on this machine's disk. Nodes have none: when
-// all processes are lost at once, nobody else remembers which worker stands
-// beside which node, though the workers run on and beat only after a while.
+// workersFile stores the registrations on this machine's disk. Proxies store none: when all
+// processes are lost at once, nothing else remembers which worker runs beside which node,
+// while the workers keep running and send their next heartbeat only later.
 const workersFile = "workers"
 
-// savedWorkers is the file's content.
+// savedWorkers is the content of the file.
 type savedWorkers struct {
 	ClusterID string      `msgpack:"m"`
-	Entries   ormap.Delta `msgpack:"a"` // the live entries, and who is gone for good
+	Entries   ormap.Delta `msgpack:"a"` // the live entries, and the tombstones of workers that left for good
 }
 
-// saveWorkers writes the live entries where they have changed. It is best effort: a
-// disk in trouble costs no more than what this file would have saved. The result
-// tells whether what stands now is there, or there is no disk.
+// saveWorkers writes the live entries if they have changed. It is best effort: a disk
+// failure costs only what the file would have restored. The result is true if the file
+// holds the current state, or if there is no disk.
 func (r *Registry) saveWorkers() bool {
 	r.saveLock.Lock()
 	defer r.saveLock.Unlock()
@@ -45,11 +45,11 @@
 	return true
 }
 
-// loadWorkers adds what the file holds to a replica that has nothing of it. Where a
-// peer remembers any of it, it knows what was removed since, which the file
-// does not. Where peers know about as many others, the file is of long ago, and
-// the tombstones of what it holds are forgotten; the few workers that beat before a
-// start was through say nothing of that.
+// loadWorkers restores the file's entries into a replica that knows none of them. If a peer
+// knows any of them, it also knows what was removed since, which the file does not. If
+// peers know at least half as many entries as the file holds, the file is outdated and the
+// tombstones of its entries may have expired. Fewer entries do not show that: they come
+// from workers whose heartbeats arrived during the start.
 func (r *Registry) loadWorkers() {
 	if r.env.FS == nil {
 		return
--- a/internal/registry/savedworkers_test.go
+++ b/internal/registry/savedworkers_test.go
@@ -15,45 +15,45 @@
 	"puffincrank/internal/transport"
 )
 
-// onDisk makes a control node that keeps its workers in a folder.
-func onDisk(t *testing.T, folder string) *Registry {
+// newRegistryOnDisk returns a control node that saves its workers in a directory.
+func newRegistryOnDisk(t *testing.T, directory string) *Registry {
 	t.Helper()
-	fs, err := disk.Open(folder)
+	fs, err := disk.Open(directory)
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := settings.Settings{Node: "c", ClusterID: "m", Zone: "a", InternalAddr: "10.0.0.1:1", ConfigBound: 2 * time.Second, LeaveBound: 2 * time.Second, RetryWindow: 10 * time.Second,
+	nodeSettings := settings.Settings{Node: "c", ClusterID: "m", Zone: "a", InternalAddr: "10.0.0.1:1", ConfigBound: 2 * time.Second, LeaveBound: 2 * time.Second, RetryWindow: 10 * time.Second,
 		RecoveryBound: 15 * time.Second, RetireAfter: 10 * time.Second, MaxFrameBytes: 1 << 20, MaxRequests: 16, Seeds: []string{"10.0.0.1:1"}}
-	r := New(p, env.Env{Wall: time.Now, Sleep: task.Sleep, Log: event.New("c", io.Discard), FS: fs})
-	t.Cleanup(r.Kill)
-	return r
+	registry := New(nodeSettings, env.Env{Wall: time.Now, Sleep: task.Sleep, Log: event.New("c", io.Discard), FS: fs})
+	t.Cleanup(registry.Kill)
+	return registry
 }
 
-// TestLastWorkerLeaves: that a worker is gone for good outlasts a loss of all
-// processes also where it was the only one, and an emptied replica leaves the file
-// as it is.
+// TestLastWorkerLeaves checks that the departure of a worker survives the loss of all
+// processes even if it was the only worker, so that there are no live entries left to save,
+// and that an emptied replica leaves the file unchanged.
 func TestLastWorkerLeaves(t *testing.T) {
-	folder := t.TempDir()
-	r := onDisk(t, folder)
-	r.lifecycle.Fire("filled")
+	directory := t.TempDir()
+	registry := newRegistryOnDisk(t, directory)
+	registry.lifecycle.Fire("filled")
 	dot := ormap.Dot{Node: "n#1", Stamp: hlc.New(time.Now, time.Second).Now()}
 	entry := ormap.Entry{Dot: dot, Service: "s", Worker: "w", Owner: "n", InternalAddr: "10.0.0.2:1", Zone: "a", Meta: map[string]string{"state": "up"}}
-	r.replica.Accept(ormap.Delta{Adds: []ormap.Entry{entry}})
-	if !r.saveWorkers() {
+	registry.replica.Accept(ormap.Delta{Adds: []ormap.Entry{entry}})
+	if !registry.saveWorkers() {
 		t.Fatal("the worker is not kept")
 	}
 	leave := ormap.Delta{Tombstones: []ormap.Tombstone{{Dot: dot, Reason: "signed off", Worker: "w"}}}
-	if _, err := r.onWorkerLeaving(t.Context(), transport.Hello{}, leave); err != nil {
+	if _, err := registry.onWorkerLeaving(t.Context(), transport.Hello{}, leave); err != nil {
 		t.Fatal(err)
 	}
-	emptied := onDisk(t, folder)
+	emptied := newRegistryOnDisk(t, directory)
 	emptied.lifecycle.Fire("filled")
 	if !emptied.saveWorkers() {
 		t.Error("nothing to keep is no failure")
 	}
-	again := onDisk(t, folder)
-	again.loadWorkers()
-	if !again.replica.Map().Departed("w") || len(again.replica.Map().Live(nil)) != 0 {
-		t.Errorf("departed %v, registered again %v", again.replica.Map().Departed("w"), again.replica.Map().Live(nil))
+	restarted := newRegistryOnDisk(t, directory)
+	restarted.loadWorkers()
+	if !restarted.replica.Map().Departed("w") || len(restarted.replica.Map().Live(nil)) != 0 {
+		t.Errorf("departed %v, registered again %v", restarted.replica.Map().Departed("w"), restarted.replica.Map().Live(nil))
 	}
 }
--- a/internal/registry/sessionreports.go
+++ b/internal/registry/sessionreports.go
@@ -9,25 +9,25 @@
 	"puffincrank/internal/transport"
 )
 
-// idleReportInterval is how many beats pass between two words without news; two in a row
-// may be lost.
+// idleReportInterval is the number of heartbeats between two reports while nothing changes.
+// With it, two reports in a row may be lost before the session TTL ends.
 const idleReportInterval = 3
 
-// peerNode is another control node's word on its sessions.
+// peerNode is another control node and what it last reported of its sessions.
 type peerNode struct {
 	member    membership.Member
-	listHash  uint64 // of the list as last heard, 0 for none
+	listHash  uint64 // hash of its session list as last reported, 0 for none
 	lastHeard time.Time
-	// What it said counts; it does not after a session's time without a word.
+	// Whether its report counts; cleared after the session TTL without contact.
 	active bool
-	// Since when words to it were not answered, zero for not at all.
+	// When the oldest report to it that is still unanswered was sent; zero if none.
 	silentSince       time.Time
-	lastAnsweredStart time.Time // when the newest word began that was
-	excluded          bool      // it is left out of the list for that
+	lastAnsweredStart time.Time // when the newest report that it answered was sent
+	excluded          bool      // removed from the member list because it was unreachable
 }
 
-// reportSessions tells the other control nodes of the sessions here: what changed since
-// the last round, and to those who lack more what they lack.
+// reportSessions reports the sessions held here to the other control nodes: the changes
+// since the last round, and more to those that answer that they lack it.
 func (r *Registry) reportSessions(context.Context) {
 	r.env.PollSettings()
 	r.mu.Lock()
@@ -37,8 +37,8 @@
 		r.replica.SetCompleteUntil(time.Now().Add(r.Settings.SessionTTL()))
 	}
 	r.updateLinks()
-	// Unless something changed or somebody came or went lately, a word now and
-	// then is enough: what was said counts for ten beats.
+	// Unless there was a change, or a control node came or went within the session TTL, a
+	// report every few rounds is enough, since a report counts for ten heartbeats.
 	_, reachableHash := r.reachableNodes()
 	if reachableHash != r.reachableHash {
 		r.reachableHash, r.reachableChangedAt = reachableHash, time.Now()
@@ -84,8 +84,8 @@
 	}
 }
 
-// fullerReport gives a control node what it lacks: what differs from the list that it
-// holds, if that is known here, or else the whole.
+// fullerReport builds the report for a control node that lacks more: the difference from
+// the list that it holds, if that list is known here, or else the full list.
 func (r *Registry) fullerReport(response protocol.SessionReportResponse) protocol.SessionReport {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -122,7 +122,7 @@
 		peer = &peerNode{}
 		r.peerNodes[sender] = peer
 	}
-	// Who begins anew or was away lacks what is said here.
+	// A control node that restarted or was unreachable lacks this node's sessions.
 	r.reportDue = r.reportDue || !peer.active || peer.member.Incarnation != report.Sender.Incarnation
 	peer.recordContact(report.Sender)
 	r.members.Set(sender, report.Sender)
@@ -140,7 +140,7 @@
 		peer.listHash = report.Hash
 	}
 	r.updateLinks()
-	// What is known is kept until more comes.
+	// The last known list is kept until the rest arrives.
 	response := protocol.SessionReportResponse{NeedMore: report.Hash != peer.listHash, Responder: r.self, AcceptsDiff: true, Hash: peer.listHash, AcceptsCompact: true}
 	if reachable, reachableHash := r.reachableNodes(); reachableHash != report.ReachableHash {
 		response.Reachable = reachable
--- a/internal/registry/sessions.go
+++ b/internal/registry/sessions.go
@@ -13,18 +13,18 @@
 	"puffincrank/internal/transport"
 )
 
-// memberChangesKept is how many changes of the list of members are kept, for those who
-// hold an older one.
+// memberChangesKept is how many changes of the member list are kept, for nodes that hold an
+// older list.
 const memberChangesKept = 4096
 
-// membersPerPage is how many members one message brings at the most.
+// membersPerPage is the maximum number of members in one message.
 const membersPerPage = 512
 
-// maxPlainDiff is how many members are sent one by one: so few are not worth the short
-// form's own frame.
+// maxPlainDiff is how many members are sent uncompressed: for so few, the overhead of the
+// compact encoding is not worth it.
 const maxPlainDiff = 2
 
-// nodeSession is one proxy's session here.
+// nodeSession is the session of one proxy with this control node.
 type nodeSession struct {
 	member        membership.Member
 	lastHeard     time.Time
@@ -33,8 +33,8 @@
 	activeRoutes  []string
 }
 
-// onHeartbeat renews a session. A control node that is out of touch with the
-// stores, or leaving, says so, and the proxy tries another.
+// onHeartbeat renews a session. A control node that is leaving or not connected to a
+// majority of the stores says so, and the proxy tries another one.
 func (r *Registry) onHeartbeat(_ context.Context, _ transport.Hello, heartbeat protocol.Heartbeat) (protocol.HeartbeatResponse, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -47,7 +47,7 @@
 		return protocol.HeartbeatResponse{}, nil
 	}
 	response := protocol.HeartbeatResponse{InTouch: true, ConfirmedAgoMS: time.Since(r.confirmedAt).Milliseconds() + 1}
-	// Who only looks for a control node in touch takes no session.
+	// A probe only asks whether this control node is connected; it opens no session.
 	if heartbeat.Probe {
 		if r.rules != nil {
 			response.ConfigVersion = r.rules.Version
@@ -82,15 +82,15 @@
 	return response, nil
 }
 
-// addConfig gives a beat the steps to the newest configuration from the one that its
-// node holds, or else the whole.
+// addConfig adds the newest configuration to a heartbeat response: as patches from the
+// version that the node holds, or else as the full document.
 func (r *Registry) addConfig(response *protocol.HeartbeatResponse, heartbeat protocol.Heartbeat) {
 	version, doc := r.document.Current()
 	response.ConfigVersion = version
 	if steps, ok := r.document.Since(heartbeat.ConfigVersion); ok && heartbeat.AcceptsPatch {
 		response.Steps = steps
 	} else if heartbeat.AcceptsCompact {
-		// Shrunk once for all that ask for it.
+		// Compressed once for all nodes that need it.
 		if r.compressed.version != version {
 			r.compressed.version, r.compressed.document = version, compression.Compress(doc)
 		}
@@ -100,8 +100,9 @@
 	}
 }
 
-// addMembersDiff tells a beat what differs from the list that its node holds. Nothing
-// at all means that this hash isn't known here: the node then asks by parts.
+// addMembersDiff adds the difference between the node's member list and the current one to
+// a heartbeat response. If the node's hash isn't known here it adds nothing, and the node
+// then requests the parts that differ.
 func (r *Registry) addMembersDiff(response *protocol.HeartbeatResponse, heartbeat protocol.Heartbeat) {
 	if !heartbeat.AcceptsDiff {
 		response.Members = r.members.List().Members()
@@ -110,7 +111,8 @@
 	if diff, ok := r.members.Since(heartbeat.MembersHash); ok && len(diff.Added)+len(diff.Removed) <= membersPerPage {
 		response.IsDiff = true
 		if heartbeat.AcceptsCompact && len(diff.Added)+len(diff.Removed) > maxPlainDiff {
-			// With nothing said it asks by parts, and is told whom to ask.
+			// Without a diff the node requests the parts, and is then told which other
+			// nodes have them.
 			if response.IsDiff = r.replica.HasRefillCapacity(); response.IsDiff {
 				response.CompactDiff = r.encodedDiff(heartbeat.MembersHash, diff)
 				r.replica.RecordRefillBytes(len(response.CompactDiff))
@@ -121,8 +123,9 @@
 	}
 }
 
-// encodedDiff is what differs since a hash, packed once for all that hold it: a whole
-// region that comes back is news to every session at the same time. mu is held.
+// encodedDiff returns the encoded difference from a list hash to the current list. It is
+// encoded once for all nodes that hold that list: when a whole region reconnects, every
+// session needs the same diff at the same time. The caller holds mu.
 func (r *Registry) encodedDiff(baseHash uint64, diff membership.Diff) []byte {
 	if r.encodedDiffs.targetHash != r.members.Hash() {
 		r.encodedDiffs.targetHash, r.encodedDiffs.byBaseHash = r.members.Hash(), map[uint64][]byte{}
@@ -133,8 +136,9 @@
 	return r.encodedDiffs.byBaseHash[baseHash]
 }
 
-// onMemberListRequest gives the parts of the list that differ, some at a time. Beyond what
-// it hands out in a beat it names those who have them.
+// onMemberListRequest returns some of the parts of the member list that differ. Once the
+// refill capacity of a heartbeat interval is used up, it names nodes that have them
+// instead.
 func (r *Registry) onMemberListRequest(_ context.Context, from transport.Hello, request protocol.MemberListRequest) (protocol.MemberListResponse, error) {
 	r.mu.Lock()
 	list, addr := r.members.List(), ""
@@ -153,15 +157,15 @@
 	return response, err
 }
 
-// endSession ends a session; mu is held.
+// endSession ends a session. The caller holds mu.
 func (r *Registry) endSession(node string) {
 	delete(r.sessions, node)
 	r.localMembers.Remove(r.Settings.Node, node)
 	r.members.Remove(r.Settings.Node, node)
 }
 
-// expireSessions ends the sessions that were not renewed, and what other control nodes
-// said that were not heard since; mu is held.
+// expireSessions ends sessions that were not renewed, and drops the reports of control
+// nodes that have been silent for the session TTL. The caller holds mu.
 func (r *Registry) expireSessions() {
 	for name, peer := range r.peerNodes {
 		if peer.active && time.Since(peer.lastHeard) > r.Settings.SessionTTL() {
@@ -177,14 +181,13 @@
 	}
 }
 
-// updateLinks lets the replica's links follow the list, once for many changes; mu
-// is held.
+// updateLinks updates the replica's links to match the member list, once for several
+// changes. The caller holds mu.
 func (r *Registry) updateLinks() {
 	if r.linksUpdating || r.members.Hash() == r.linkedHash {
 		return
 	}
-	// One after the other: of two lists in a row, the older must never be the
-	// last word.
+	// One goroutine applies the lists in order: an older list must never be applied last.
 	r.linksUpdating = r.group.Go("peers", func(context.Context) {
 		for {
 			r.mu.Lock()
@@ -201,18 +204,19 @@
 	})
 }
 
-// retireOldIncarnations removes what earlier starts of a node left: one name, one process.
+// retireOldIncarnations removes the entries that earlier incarnations of a node left
+// behind: only one process may use a name.
 func (r *Registry) retireOldIncarnations(member membership.Member) {
 	r.group.Go("bury-old", func(ctx context.Context) {
-		// The new start buries them itself, after it has looked at what its
-		// worker was; this is for one that does not get so far.
+		// The new incarnation removes them itself, after it has read what its worker was
+		// registered as. This is the fallback for one that does not get that far.
 		r.env.Sleep(ctx, 2*r.Settings.HeartbeatInterval())
 		r.replica.RetireNode(member.Node, func(entry ormap.Entry) bool { return entry.Dot.Node != member.Node+"#"+member.Incarnation })
 	})
 }
 
-// pushConfig sends a new configuration to every session here at once: to those that
-// hold an earlier one the steps from there.
+// pushConfig sends a new configuration to every session here at once, as patches to nodes
+// that hold an earlier version.
 func (r *Registry) pushConfig() {
 	type target struct {
 		session     *nodeSession
@@ -227,10 +231,10 @@
 	r.mu.Unlock()
 	for _, target := range targets {
 		r.group.Go("push", func(ctx context.Context) {
-			// Of use for as long as the session stands, however late it comes.
+			// A late push is still useful for as long as the session lasts.
 			ctx, cancel := context.WithTimeout(ctx, r.Settings.SessionTTL())
 			defer cancel()
-			// One that misses this gets it with its next beat.
+			// A node that misses the push gets the configuration with its next heartbeat.
 			heldVersion, err := controlclient.PushConfig(ctx, r.node, target.at, r.document, target.heldVersion)
 			if err != nil {
 				return
--- a/internal/registry/status.go
+++ b/internal/registry/status.go
@@ -15,7 +15,7 @@
 	"puffincrank/internal/transport"
 )
 
-// Status is what a registry says of itself.
+// Status is the state that a registry reports of itself.
 type Status struct {
 	Node              string            `msgpack:"node" json:"node"`
 	Zone              string            `msgpack:"area" json:"area"`
@@ -32,7 +32,7 @@
 	Events            []event.Entry     `msgpack:"events" json:"-"`
 }
 
-// ClusterStatus is the whole mesh as one node tells it.
+// ClusterStatus is the state of the whole cluster as seen from one node.
 type ClusterStatus struct {
 	Version     uint64              `json:"config_version"`
 	Members     []membership.Member `json:"members"`
@@ -40,7 +40,7 @@
 	Stores      []store.Status      `json:"stores"`
 	Registries  []Status            `json:"registries"`
 	Proxies     []proxy.Status      `json:"proxies"`
-	Unreachable []string            `json:"mute"` // members that gave no answer
+	Unreachable []string            `json:"mute"` // members that did not answer
 }
 
 func (r *Registry) onStatus(_ context.Context, _ transport.Hello, request proxy.StatusRequest) (Status, error) {
@@ -80,7 +80,7 @@
 	return status
 }
 
-// collectStatus asks every member for its status at once.
+// collectStatus requests the status of all members concurrently.
 func (r *Registry) collectStatus(ctx context.Context, events bool, since uint64) ClusterStatus {
 	r.mu.Lock()
 	cluster := ClusterStatus{Members: r.members.List().Members(), Roles: map[string]string{}, Unreachable: []string{}}
@@ -162,7 +162,7 @@
 	cluster := r.collectStatus(ctx, false, 0)
 	cluster.Version = result.Version
 	if err != nil {
-		// Without a majority the status still helps, and says what it lacks.
+		// Without a majority the status is still useful, and it says what is missing.
 		cluster.Unreachable = append(cluster.Unreachable, "no majority of the stores")
 	}
 	httpapi.WriteJSON(w, http.StatusOK, cluster)
@@ -193,7 +193,7 @@
 	httpapi.WriteJSON(w, http.StatusOK, map[string]any{"version": r.version(), "events": events, "mute": cluster.Unreachable})
 }
 
-// version is the configuration held here.
+// version returns the version of the configuration held here.
 func (r *Registry) version() uint64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -203,6 +203,6 @@
 	return r.rules.Version
 }
 
-// BytesSent gives the bytes that this process sent to others, by kind of message;
-// receipts count with what they answer.
+// BytesSent returns the bytes that this process sent to others, by message kind. Responses
+// count towards the kind of their request.
 func (r *Registry) BytesSent() map[transport.Flow]transport.Traffic { return r.node.BytesSent() }
--- a/internal/registry/storeclient.go
+++ b/internal/registry/storeclient.go
@@ -14,25 +14,26 @@
 	"puffincrank/internal/transport"
 )
 
-// storeClient is how a registry talks to the stores: it finds the leader and says
-// what is known of each change.
+// storeClient is the registry's client of the stores: it finds the leader, and reports of
+// each change whether it was committed, refused or has an unknown outcome.
 type storeClient struct {
 	node         *transport.Node
 	seeds        []string
-	storeTimeout time.Duration // how long one store may take
-	retryPause   time.Duration // pause when no store writes
+	storeTimeout time.Duration // time within which one store must answer a read
+	retryPause   time.Duration // wait between two rounds in which no leader was found
 	mu           sync.Mutex
 	leader       string
 	members      []string
-	unreachable  map[string]time.Time // store to when it last did not answer
+	unreachable  map[string]time.Time // when a store last failed to answer, by address
 }
 
 func newStoreClient(node *transport.Node, seeds []string, storeTimeout, retryPause time.Duration) *storeClient {
 	return &storeClient{node: node, seeds: seeds, storeTimeout: storeTimeout, retryPause: retryPause, unreachable: map[string]time.Time{}}
 }
 
-// candidates gives the addresses to try, the last known leader first, and last those
-// that were unreachable just now: a dead leader is named by others until they miss it.
+// candidates returns the addresses to try: the last known leader first, and stores that
+// were unreachable recently last. Other stores name a dead leader until they notice its
+// absence.
 func (c *storeClient) candidates() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -54,12 +55,12 @@
 	return append(reachable, unreachable...)
 }
 
-// isUnreachable tells that a store did not answer lately; mu is held.
+// isUnreachable reports whether a store failed to answer recently. The caller holds mu.
 func (c *storeClient) isUnreachable(addr string) bool {
 	return time.Since(c.unreachable[addr]) < 2*c.storeTimeout
 }
 
-// observe takes in what a store says of the leader and the members.
+// observe updates the known leader and members from a store's response.
 func (c *storeClient) observe(from string, response store.LeaderResponse) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -79,8 +80,8 @@
 	}
 }
 
-// markUnreachable notes a store that did not answer. One that had too little time to is
-// not unreachable for that.
+// markUnreachable records that a store did not answer. If the call's own context has ended,
+// the store had too little time and is not marked.
 func (c *storeClient) markUnreachable(ctx context.Context, addr string) {
 	c.mu.Lock()
 	if ctx.Err() == nil {
@@ -92,14 +93,14 @@
 	c.mu.Unlock()
 }
 
-// request goes round the stores until the leader answers. Once a store may have
-// acted on a change, no other is asked: the outcome is unknown.
+// request tries the stores in turn until the leader answers. Once a store may have applied
+// a change, no other store is tried, and the outcome is unknown.
 func (c *storeClient) request(ctx context.Context, kind string, request any, idempotent bool) (statemachine.Result, error) {
 	return c.requestWithin(ctx, kind, request, idempotent, c.storeTimeout, time.Time{})
 }
 
-// requestWithin is ask with the time that one store may take to answer a read, and
-// the moment after which a change is no longer sent anywhere.
+// requestWithin is request with the time within which one store must answer a read, and the
+// time after which a change is no longer sent to any store.
 func (c *storeClient) requestWithin(ctx context.Context, kind string, request any, idempotent bool, timeout time.Duration, sendBefore time.Time) (statemachine.Result, error) {
 	var lastErr error = fault.New(fault.Refused, "no store writes")
 	for {
@@ -109,8 +110,8 @@
 				return statemachine.Result{}, fault.New(fault.Refused, "no time left: %v", lastErr)
 			}
 			tried[addr] = true
-			// A change has the whole time left, since a cut-off wait would
-			// leave it unknown; a read is tried elsewhere soon.
+			// A change may take all the remaining time, since cutting it off would make its
+			// outcome unknown. A read is soon tried at another store.
 			callCtx, cancel := ctx, context.CancelFunc(func() {})
 			if idempotent {
 				callCtx, cancel = context.WithTimeout(ctx, timeout)
@@ -140,8 +141,8 @@
 	}
 }
 
-// nextCandidate gives the address to try now: the leader as last heard of, then all
-// others, each once in a round; "" at its end.
+// nextCandidate returns the next address to try: the leader if known, then all others, each
+// once per round. It returns "" at the end of a round.
 func (c *storeClient) nextCandidate(tried map[string]bool) string {
 	for _, addr := range c.candidates() {
 		if !tried[addr] {
@@ -156,7 +157,8 @@
 	return c.proposeBefore(ctx, kind, command, time.Time{})
 }
 
-// proposeOnce proposes the command of a request that may be sent again.
+// proposeOnce proposes the command of a request that the client may retry; the stores apply
+// it at most once.
 func (c *storeClient) proposeOnce(ctx context.Context, kind string, command statemachine.Command, key *store.RequestKey) (statemachine.Result, error) {
 	packed, err := statemachine.Pack(kind, command)
 	if err != nil {
@@ -165,7 +167,7 @@
 	return c.request(ctx, "store.offer", store.ProposeRequest{Command: packed, Request: key}, false)
 }
 
-// proposeBefore proposes a command that must not be done when it comes later than by.
+// proposeBefore proposes a command that must not be applied if it arrives after proposeBy.
 func (c *storeClient) proposeBefore(ctx context.Context, kind string, command statemachine.Command, proposeBy time.Time) (statemachine.Result, error) {
 	packed, err := statemachine.Pack(kind, command)
 	if err != nil {
@@ -178,12 +180,12 @@
 	return c.requestWithin(ctx, "store.offer", request, false, c.storeTimeout, proposeBy)
 }
 
-// read asks for a confirmed read.
+// read does a confirmed read.
 func (c *storeClient) read(ctx context.Context, query store.ReadRequest) (statemachine.Result, error) {
 	return c.request(ctx, "store.read", query, true)
 }
 
-// watch asks any store for changes; the own machine's is the first seed.
+// watch waits for changes at any store; the store on this machine is the first seed.
 func (c *storeClient) watch(ctx context.Context, query store.ReadRequest) (statemachine.Result, error) {
 	var lastErr error
 	for _, addr := range c.candidates() {
@@ -199,8 +201,8 @@
 	return statemachine.Result{}, fault.Wrap(fault.Refused, lastErr, "watch")
 }
 
-// groupPuts asks the leader for the puts of a group. A long wait is made of parts,
-// so that a store that went dark in the middle of it is left soon.
+// groupPuts reads the puts to a key group from the leader. A long wait is split into
+// several requests, so that a store that fails in the meantime is soon replaced by another.
 func (c *storeClient) groupPuts(ctx context.Context, query store.ReadRequest, maxWait, maxPoll time.Duration) (statemachine.Result, error) {
 	deadline := time.Now().Add(maxWait)
 	for {
@@ -213,12 +215,13 @@
 	}
 }
 
-// removeStore takes a store out of the core, if those who stay can decide.
+// removeStore removes a store from the control plane, if the remaining stores can form a
+// majority.
 func (r *Registry) removeStore(w http.ResponseWriter, req *http.Request) {
 	ctx, cancel := r.withDeadline(req)
 	defer cancel()
 	id := chi.URLParam(req, "id")
-	// A replica has its id for itself and for ever, so the id names the request.
+	// A replica ID is never reused, so it identifies the request.
 	key := requestKey(w, req, "remove", []byte(id))
 	if key == nil {
 		return
--- a/internal/registry/trials.go
+++ b/internal/registry/trials.go
@@ -20,7 +20,7 @@
 	"puffincrank/internal/transport"
 )
 
-// ProposalTable is the body of a proposal.
+// ProposalTable is the schema of a proposal's body.
 var ProposalTable = schema.Table{Name: "propose", Rows: []schema.Field{
 	{Name: "path", Type: schema.Text, Required: true, Check: schema.IsName, Rule: "a path in force", Help: "the path to change"},
 	{Name: "slice", Type: schema.Share, Check: schema.FloatRange(0.1, 50), Rule: "0.1 to 50", Help: "percent of its jobs; the judge's slice when left out"},
@@ -34,7 +34,7 @@
 	{Name: "tries", Type: schema.Count, Check: schema.IntRange(1, 1000), Rule: "1 to 1000", Help: "the new sends at the most"},
 }}
 
-// readConfirmed reads the configuration and the trials with a majority.
+// readConfirmed reads the configuration and the trials, confirmed by a majority.
 func (r *Registry) readConfirmed(ctx context.Context) (statemachine.Result, error) {
 	return r.stores.read(ctx, store.ReadRequest{Kind: "config"})
 }
@@ -43,7 +43,7 @@
 	httpapi.WriteJSON(w, http.StatusUnprocessableEntity, httpapi.ErrorBody{Message: reason, Faults: problems})
 }
 
-// proposeTrial begins a trial of one path.
+// proposeTrial starts a trial of one route.
 func (r *Registry) proposeTrial(w http.ResponseWriter, req *http.Request) {
 	base, err := strconv.ParseUint(req.URL.Query().Get("based_on"), 10, 64)
 	if err != nil {
@@ -118,7 +118,7 @@
 	r.startTrial(ctx, w, req, key, &statemachine.Propose{ID: id, Base: base, Doc: doc, Routes: []string{routeName}, Slice: slice, Who: operatorOf(req)})
 }
 
-// startTrial offers a trial and answers.
+// startTrial proposes a trial and answers the request.
 func (r *Registry) startTrial(ctx context.Context, w http.ResponseWriter, req *http.Request, key *store.RequestKey, command *statemachine.Propose) {
 	result, err := r.stores.proposeOnce(ctx, "trial.propose", command, key)
 	if err != nil {
@@ -131,7 +131,8 @@
 	writeConfigResult(w, result, command.Routes)
 }
 
-// trialResponse shows a trial with the figures that decided, or those so far.
+// trialResponse returns a trial with the figures it was decided on or, while it runs, the
+// current ones.
 func (r *Registry) trialResponse(ctx context.Context, trial statemachine.Trial, doc []byte, version uint64) map[string]any {
 	response := map[string]any{"trial": trial}
 	if trial.State != statemachine.Running {
@@ -174,7 +175,7 @@
 	httpapi.WriteJSON(w, http.StatusNotFound, httpapi.ErrorBody{Message: "no such trial"})
 }
 
-// drainNode tells a node to drain its workers, or to take jobs again.
+// drainNode asks a node to drain its workers, or to take requests again.
 func (r *Registry) drainNode(w http.ResponseWriter, req *http.Request) {
 	node := chi.URLParam(req, "node")
 	ctx, cancel := r.withDeadline(req)
@@ -197,7 +198,8 @@
 	httpapi.WriteJSON(w, http.StatusOK, map[string]any{"node": node, "workers": status.Workers})
 }
 
-// activeRoutes tells which paths had jobs lately, by all fronts.
+// activeRoutes returns a function that reports whether any proxy saw requests on a route
+// recently.
 func activeRoutes(reports []protocol.TrialReport) func(string) bool {
 	active := map[string]bool{}
 	for _, report := range reports {
--- a/internal/registry/unreachable.go
+++ b/internal/registry/unreachable.go
@@ -6,8 +6,8 @@
 	"puffincrank/internal/membership"
 )
 
-// recordAnswer notes whether a control node answered a word that began at a time,
-// so that one that ended is out of the list before its sessions' time is over.
+// recordAnswer records whether a control node answered the report sent at sentAt, so that a
+// node that died leaves the member list before its session TTL ends.
 func (r *Registry) recordAnswer(addr string, sentAt time.Time, answered bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -19,16 +19,16 @@
 			if sentAt.After(peer.lastAnsweredStart) {
 				peer.lastAnsweredStart = sentAt
 			}
-		// An older word that is given up late says nothing against a newer one.
+		// An older report that times out late does not count against a newer answer.
 		case sentAt.After(peer.lastAnsweredStart) && (peer.silentSince.IsZero() || peer.silentSince.After(sentAt)):
 			peer.silentSince = sentAt
 		}
 	}
 }
 
-// unreachablePeers gives the control nodes whose end is not certain yet: a word goes to
-// them at each beat, as a word now and then would find it out too late. mu is
-// held.
+// unreachablePeers returns the control nodes that did not answer but are not yet excluded.
+// They get a report at every heartbeat: at the idle interval the outage would be detected
+// too late. The caller holds mu.
 func (r *Registry) unreachablePeers() []string {
 	var addrs []string
 	for _, peer := range r.peerNodes {
@@ -39,10 +39,10 @@
 	return addrs
 }
 
-// dropUnreachable takes a control node off the list that answered nothing for as long as
-// a role stands without its holder, and said nothing itself meanwhile. What it
-// said of its sessions goes on counting: who is cut off from it is not from them.
-// mu is held.
+// dropUnreachable removes a control node from the member list when it has neither answered
+// nor sent anything for LeaderTimeout, the time that a role stays without its holder. The
+// sessions that it reported still count, since nodes that can't reach it may still reach
+// those proxies. The caller holds mu.
 func (r *Registry) dropUnreachable() {
 	for name, peer := range r.peerNodes {
 		if peer.active && !peer.silentSince.IsZero() && !peer.excluded && peer.lastHeard.Before(peer.silentSince) && time.Since(peer.silentSince) >= r.Settings.LeaderTimeout() {
@@ -52,7 +52,8 @@
 	}
 }
 
-// recordContact takes in that a control node spoke: it is one again. mu is held.
+// recordContact records that the control node sent a report; this ends its exclusion. The
+// caller holds mu.
 func (o *peerNode) recordContact(from membership.Member) {
 	o.member, o.lastHeard, o.active, o.excluded = from, time.Now(), true, false
 }
--- a/internal/registry/unreachable_test.go
+++ b/internal/registry/unreachable_test.go
@@ -10,36 +10,37 @@
 	"puffincrank/internal/task"
 )
 
-// TestLeftOut: a control node that answers nothing for three beats is off the list
-// while the sessions that it told of stay; one that answers or speaks in between
-// stays on it, whatever was lost on the way, and one that speaks again is back.
-func TestLeftOut(t *testing.T) {
+// A control node that answers nothing for three heartbeats leaves the member list, while
+// the sessions that it reported stay. One that answers or sends reports in between stays on
+// the list, even if other messages are lost. One that sends reports again returns to the
+// list.
+func TestUnreachableNodeExcluded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const beat = 200 * time.Millisecond
-		x := membership.Member{Node: "x", InternalAddr: "hx:1", Role: "registry"}
-		make := func() (*Registry, *peerNode) {
+		peerMember := membership.Member{Node: "x", InternalAddr: "hx:1", Role: "registry"}
+		newRegistry := func() (*Registry, *peerNode) {
 			r := &Registry{Settings: settings.Settings{Node: "c", InternalAddr: "hc:1", ConfigBound: 10 * beat}, peerNodes: map[string]*peerNode{}, members: membership.NewTracker("c", 16)}
-			o := &peerNode{}
-			o.recordContact(x)
-			r.peerNodes["x"] = o
-			r.members.Set("x", x)
+			peer := &peerNode{}
+			peer.recordContact(peerMember)
+			r.peerNodes["x"] = peer
+			r.members.Set("x", peerMember)
 			r.members.Set("x", membership.Member{Node: "p", Role: "proxy"})
-			return r, o
+			return r, peer
 		}
-		step := func(r *Registry, began time.Time, ok bool) bool {
-			r.recordAnswer("hx:1", began, ok)
+		report := func(r *Registry, sentAt time.Time, answered bool) bool {
+			r.recordAnswer("hx:1", sentAt, answered)
 			r.dropUnreachable()
 			return r.members.List().Has("x")
 		}
-		// pass lets a time go by before a word begins.
-		pass := func(d time.Duration) time.Time {
+		// wait lets some time pass and returns the send time of the next report.
+		wait := func(d time.Duration) time.Time {
 			task.Sleep(t.Context(), d)
 			return time.Now()
 		}
-		r, o := make()
+		r, peer := newRegistry()
 		for i := range 5 {
-			if on := step(r, pass(beat), false); on != (i < 3) {
-				t.Errorf("on the list %v, %d beats after the first word without an answer", on, i)
+			if listed := report(r, wait(beat), false); listed != (i < 3) {
+				t.Errorf("on the list %v, %d beats after the first word without an answer", listed, i)
 			}
 			if n := len(r.unreachablePeers()); n != 1 && i < 3 || n != 0 && i >= 3 {
 				t.Errorf("%d asked at each beat after %d beats", n, i)
@@ -48,34 +49,34 @@
 		if !r.members.List().Has("p") {
 			t.Error("its sessions went with it")
 		}
-		o.recordContact(x)
-		r.members.Set("x", x)
-		if !step(r, pass(beat), true) {
+		peer.recordContact(peerMember)
+		r.members.Set("x", peerMember)
+		if !report(r, wait(beat), true) {
 			t.Error("it spoke and answered, and is not on the list")
 		}
-		// Answers in between.
-		r, _ = make()
+		// It answers every third report.
+		r, _ = newRegistry()
 		for i := range 9 {
-			if !step(r, pass(beat), i%3 == 2) {
+			if !report(r, wait(beat), i%3 == 2) {
 				t.Errorf("off the list at %d though it answers now and then", i)
 			}
 		}
-		// Its own words come, the answers don't.
-		r, o = make()
+		// Its own reports arrive, its answers don't.
+		r, peer = newRegistry()
 		for i := range 9 {
 			if i%3 == 2 {
-				o.recordContact(x)
+				peer.recordContact(peerMember)
 			}
-			if !step(r, pass(beat), false) {
+			if !report(r, wait(beat), false) {
 				t.Errorf("off the list at %d though it speaks", i)
 			}
 		}
-		// A word that was given up late began before one that was answered.
-		r, _ = make()
-		early := pass(beat)
-		step(r, pass(beat), true)
-		pass(4 * beat)
-		if !step(r, early, false) || len(r.unreachablePeers()) != 0 {
+		// A report that timed out late was sent before one that was answered.
+		r, _ = newRegistry()
+		early := wait(beat)
+		report(r, wait(beat), true)
+		wait(4 * beat)
+		if !report(r, early, false) || len(r.unreachablePeers()) != 0 {
 			t.Error("an old word counts against a newer answer")
 		}
 	})
--- a/internal/registry/workerleaving.go
+++ b/internal/registry/workerleaving.go
@@ -8,10 +8,10 @@
 	"puffincrank/internal/transport"
 )
 
-// onWorkerLeaving notes what a node says of a worker that leaves, on the disk as
-// well: the node acknowledges the leave by this, and it has to hold when all
-// processes are gone. An error of the kind fault.Disk means that it is not on the
-// disk; it is in force all the same.
+// onWorkerLeaving records a node's message that a worker leaves, in the replica and on
+// disk. The node acknowledges the leave to its worker on the strength of this answer, so it
+// has to survive the loss of all processes. An error of kind fault.Disk means that the
+// leave is in force but not on disk.
 func (r *Registry) onWorkerLeaving(_ context.Context, _ transport.Hello, delta ormap.Delta) (struct{}, error) {
 	r.replica.Accept(delta)
 	if !r.saveWorkers() {
