--- a/internal/controlclient/client.go
+++ b/internal/controlclient/client.go
@@ -28,9 +28,9 @@
 	// FillHeartbeat adds the node's counters to a heartbeat.
 	FillHeartbeat(*protocol.Heartbeat)
 	// MembersChanged is called with each new member list.
-	MembersChanged(all *membership.List)
+	MembersChanged(list *membership.List)
 	// ProxyCountChanged is called with the number of proxies in the cluster.
-	ProxyCountChanged(n int)
+	ProxyCountChanged(count int)
 	// ReplicaRefilled is called after the replica was refilled.
 	ReplicaRefilled()
 	// SessionRenewed is called at each renewal of the session.
@@ -46,32 +46,32 @@
 	Replica      *replica.Replica
 	Self         membership.Member
 	LastPauseEnd func() time.Time // the end of the newest process pause
-	// SharedList returns an equal list that another node of this process already holds, if
-	// there is one, to save memory. It may be nil.
+	// SharedList returns the list as another node of this process already holds it, if one
+	// does, so that equal lists are kept once. It may be nil.
 	SharedList func(*membership.List) *membership.List
 }
 
 // Client is a node's session with one control node.
 type Client struct {
-	deps               Dependencies
-	host               Host
-	mu                 sync.Mutex
-	controlNode        string    // the control node that holds the session, "" for none
-	controlNodes       []string  // all known control nodes
-	seeds              []string  // the control nodes named in the settings
-	confirmedAt        time.Time // when the configuration held here was last known to be the newest
-	disconnectedRound  time.Time // start of the newest round in which every control node was disconnected
-	disconnected       bool
-	slow               bool // the newest round found no connected control node and no partition: answers are late
-	stateChanged       chan struct{}
-	beatNow            chan struct{}
-	membersHash        uint64 // hash of the member list, as the control node computed it
-	members            *membership.List
-	lastRenewed        time.Time // when the session was last renewed
-	refillAt           time.Time // when to request a refill from the control node again
-	refillAlternatives []string  // peers that the control node has refilled meanwhile
-	document           *patch.Document
-	needFullDocument   bool // patches did not fit: the next document must come whole
+	deps                  Dependencies
+	host                  Host
+	mu                    sync.Mutex
+	controlNode           string    // the control node that holds the session, "" for none
+	controlNodes          []string  // all known control nodes
+	seeds                 []string  // the control nodes named in the settings
+	confirmedAt           time.Time // when the configuration held here was last known to be the newest
+	lastDisconnectedRound time.Time // start of the newest round in which every control node was disconnected
+	disconnected          bool
+	slow                  bool // the newest round found no connected control node and no partition: answers are late
+	stateChanged          chan struct{}
+	beatNow               chan struct{}
+	membersHash           uint64 // hash of the member list, as the control node computed it
+	members               *membership.List
+	lastRenewed           time.Time // when the session was last renewed
+	refillAt              time.Time // when to request a refill from the control node again
+	refillAlternatives    []string  // peers that the control node has refilled meanwhile
+	document              *patch.Document
+	needFullDocument      bool // patches did not fit: the next document must come whole
 }
 
 // New returns a client; Run maintains its session.
--- a/internal/controlclient/client_test.go
+++ b/internal/controlclient/client_test.go
@@ -24,126 +24,126 @@
 
 // pausableHost is a node that holds one configuration and nothing else. Version blocks
 // while the process is paused.
-type host struct {
-	thaw *atomic.Pointer[chan struct{}] // closed while the process is not paused
+type pausableHost struct {
+	resumed *atomic.Pointer[chan struct{}] // closed while the process is not paused
 }
 
-func (h host) Version() uint64 {
-	<-*h.thaw.Load()
+func (h pausableHost) Version() uint64 {
+	<-*h.resumed.Load()
 	return 1
 }
-func (host) ApplyConfig(uint64, []byte) ([]byte, bool) { return nil, true }
-func (host) FillHeartbeat(*protocol.Heartbeat)         {}
-func (host) MembersChanged(*membership.List)           {}
-func (host) ProxyCountChanged(int)                     {}
-func (host) ReplicaRefilled()                          {}
-func (host) SessionRenewed()                           {}
+func (pausableHost) ApplyConfig(uint64, []byte) ([]byte, bool) { return nil, true }
+func (pausableHost) FillHeartbeat(*protocol.Heartbeat)         {}
+func (pausableHost) MembersChanged(*membership.List)           {}
+func (pausableHost) ProxyCountChanged(int)                     {}
+func (pausableHost) ReplicaRefilled()                          {}
+func (pausableHost) SessionRenewed()                           {}
 
 // pausableNet is the network of a process that can be paused: dials that are in progress
 // return only after the pause.
-type icy struct {
+type pausableNet struct {
 	env.Net
-	thaw atomic.Pointer[chan struct{}] // closed while the process is not paused
+	resumed atomic.Pointer[chan struct{}] // closed while the process is not paused
 }
 
-func (n *icy) Dial(ctx context.Context, addr string) (net.Conn, error) {
-	c, err := n.Net.Dial(ctx, addr)
-	<-*n.thaw.Load()
-	return c, err
+func (n *pausableNet) Dial(ctx context.Context, addr string) (net.Conn, error) {
+	conn, err := n.Net.Dial(ctx, addr)
+	<-*n.resumed.Load()
+	return conn, err
 }
 
 // A node that finds every control node disconnected may act on the configuration that it
 // holds. But a round during which the process was paused proves nothing, since its answers
 // may be waiting unread: a whole round after the pause is needed.
-func TestFrozenRound(t *testing.T) {
-	for late := range 7 {
-		t.Run(fmt.Sprint(late), func(t *testing.T) {
-			synctest.Test(t, func(t *testing.T) { frozenRound(t, time.Duration(late)*100*time.Millisecond) })
+func TestPauseDuringProbeRound(t *testing.T) {
+	for offset := range 7 {
+		t.Run(fmt.Sprint(offset), func(t *testing.T) {
+			synctest.Test(t, func(t *testing.T) { testPauseDuringProbeRound(t, time.Duration(offset)*100*time.Millisecond) })
 		})
 	}
 }
 
-func frozenRound(t *testing.T, late time.Duration) {
-	p := settings.Settings{ConfigBound: 2 * time.Second, RecoveryBound: 15 * time.Second, RetireAfter: 10 * time.Second, Seeds: []string{"c1:1", "c2:1"}}
-	air, g := sim.NewNet(1, time.Millisecond, time.Millisecond), task.New(context.Background())
-	var loop atomic.Pointer[chan struct{}]
-	cold, none := &icy{Net: air.Host("h1")}, make(chan struct{})
-	cold.thaw.Store(&none)
-	loop.Store(&none)
-	close(none)
-	up := func(h string) (*transport.Node, *replica.Replica, *event.Log) {
-		air.Place(h, "x")
-		e := env.Env{Net: air.Host(h), Log: event.New(h, nil), Wall: time.Now}
-		if h == "h1" {
-			e.Net = cold
+func testPauseDuringProbeRound(t *testing.T, offset time.Duration) {
+	nodeSettings := settings.Settings{ConfigBound: 2 * time.Second, RecoveryBound: 15 * time.Second, RetireAfter: 10 * time.Second, Seeds: []string{"c1:1", "c2:1"}}
+	network, group := sim.NewNet(1, time.Millisecond, time.Millisecond), task.New(context.Background())
+	var hostResumed atomic.Pointer[chan struct{}]
+	pausable, running := &pausableNet{Net: network.Host("h1")}, make(chan struct{})
+	pausable.resumed.Store(&running)
+	hostResumed.Store(&running)
+	close(running)
+	newNode := func(host string) (*transport.Node, *replica.Replica, *event.Log) {
+		network.Place(host, "x")
+		environment := env.Env{Net: network.Host(host), Log: event.New(host, nil), Wall: time.Now}
+		if host == "h1" {
+			environment.Net = pausable
 		}
-		w := transport.NewNode(transport.Hello{ClusterID: "m", Node: h, Zone: "x"}, e, g, 1<<20, 64, p.CallTimeout())
-		f := membership.Member{Node: h, Incarnation: "s", Role: "proxy", Zone: "x", InternalAddr: h + ":1"}
-		return w, replica.New(f, w, g, e.Log, hlc.New(time.Now, time.Minute), p.HeartbeatInterval(), p.RepairInterval(), p.TombstoneTTL()), e.Log
+		node := transport.NewNode(transport.Hello{ClusterID: "m", Node: host, Zone: "x"}, environment, group, 1<<20, 64, nodeSettings.CallTimeout())
+		self := membership.Member{Node: host, Incarnation: "s", Role: "proxy", Zone: "x", InternalAddr: host + ":1"}
+		return node, replica.New(self, node, group, environment.Log, hlc.New(time.Now, time.Minute), nodeSettings.HeartbeatInterval(), nodeSettings.RepairInterval(), nodeSettings.TombstoneTTL()), environment.Log
 	}
-	var all []*transport.Node
-	for _, h := range []string{"c1", "c2"} {
-		w, rep, _ := up(h)
-		rep.SetMembers(&membership.List{})
-		transport.Handle(w, "session.beat", func(context.Context, transport.Hello, protocol.Heartbeat) (protocol.HeartbeatResponse, error) {
-			return protocol.HeartbeatResponse{InTouch: true, ConfigVersion: 1}, nil
+	var controlNodes []*transport.Node
+	for _, host := range []string{"c1", "c2"} {
+		node, nodeReplica, _ := newNode(host)
+		nodeReplica.SetMembers(&membership.List{})
+		transport.Handle(node, "session.beat", func(context.Context, transport.Hello, protocol.Heartbeat) (protocol.HeartbeatResponse, error) {
+			return protocol.HeartbeatResponse{Connected: true, ConfigVersion: 1}, nil
 		})
-		if err := w.Listen(h + ":1"); err != nil {
+		if err := node.Listen(host + ":1"); err != nil {
 			t.Fatal(err)
 		}
-		all = append(all, w)
+		controlNodes = append(controlNodes, node)
 	}
-	var woke atomic.Pointer[time.Time]
-	woke.Store(&time.Time{})
-	w, rep, log := up("h1")
-	x := controlclient.New(controlclient.Dependencies{Settings: p, Log: log, Group: g, Node: w, Replica: rep, Self: membership.Member{Node: "h1", Role: "proxy", Zone: "x"}, LastPauseEnd: func() time.Time { return *woke.Load() }}, host{&loop})
-	g.Go("touch", x.Run)
+	var pauseEnd atomic.Pointer[time.Time]
+	pauseEnd.Store(&time.Time{})
+	node, nodeReplica, log := newNode("h1")
+	client := controlclient.New(controlclient.Dependencies{Settings: nodeSettings, Log: log, Group: group, Node: node, Replica: nodeReplica, Self: membership.Member{Node: "h1", Role: "proxy", Zone: "x"}, LastPauseEnd: func() time.Time { return *pauseEnd.Load() }}, pausableHost{&hostResumed})
+	group.Go("touch", client.Run)
 	defer func() {
-		g.Cancel()
-		for _, w := range append(all, w) {
-			w.Close()
+		group.Cancel()
+		for _, node := range append(controlNodes, node) {
+			node.Close()
 		}
-		g.Stop()
+		group.Stop()
 	}()
 	wait := func(d time.Duration) { <-time.After(d); synctest.Wait() }
 	wait(time.Second)
-	if at, sure := x.Current(); at == "" || x.Confidence() == protocol.Unconfirmed || time.Since(sure) > p.ConfirmationTTL() {
-		t.Fatalf("no session stands: %q %v", at, time.Since(sure))
+	if addr, confirmedAt := client.Current(); addr == "" || client.Confidence() == protocol.Unconfirmed || time.Since(confirmedAt) > nodeSettings.ConfirmationTTL() {
+		t.Fatalf("no session: control node %q, last confirmed %v ago", addr, time.Since(confirmedAt))
 	}
-	air.Isolate("h1", true)
-	wait(3*time.Second + late)
-	if _, sure := x.Current(); x.Confidence() == protocol.Unconfirmed || time.Since(sure) <= p.ConfirmationTTL() {
-		t.Fatalf("out of touch, it may not act: %v", time.Since(sure))
+	network.Isolate("h1", true)
+	wait(3*time.Second + offset)
+	if _, confirmedAt := client.Current(); client.Confidence() == protocol.Unconfirmed || time.Since(confirmedAt) <= nodeSettings.ConfirmationTTL() {
+		t.Fatalf("the disconnected node may not act, last confirmed %v ago", time.Since(confirmedAt))
 	}
 	// Pause at some point of a round, with dials in progress.
-	ice := make(chan struct{})
-	cold.thaw.Store(&ice)
-	loop.Store(&ice)
-	wait(p.HeartbeatInterval() + p.PauseThreshold()) // the shortest pause that a process notices
-	at := time.Now()
-	woke.Store(&at)
-	if x.Confidence() != protocol.Unconfirmed {
-		t.Error("it acts by a round of before the freeze's end")
+	pause := make(chan struct{})
+	pausable.resumed.Store(&pause)
+	hostResumed.Store(&pause)
+	wait(nodeSettings.HeartbeatInterval() + nodeSettings.PauseThreshold()) // the shortest pause that a process notices
+	resumedAt := time.Now()
+	pauseEnd.Store(&resumedAt)
+	if client.Confidence() != protocol.Unconfirmed {
+		t.Error("the node acts on a round from before the end of the pause")
 	}
 	// The loop resumes at once, its dials later.
-	loop.Store(&none)
+	hostResumed.Store(&running)
 	wait(time.Millisecond)
-	x.HeartbeatNow()
+	client.HeartbeatNow()
 	synctest.Wait()
-	if x.Confidence() != protocol.Unconfirmed {
-		t.Error("it acts by what its dials of before the freeze say")
+	if client.Confidence() != protocol.Unconfirmed {
+		t.Error("the node acts on dials from before the end of the pause")
 	}
-	close(ice)
-	for x.Confidence() == protocol.Unconfirmed && time.Since(at) < 3*time.Second {
+	close(pause)
+	for client.Confidence() == protocol.Unconfirmed && time.Since(resumedAt) < 3*time.Second {
 		wait(10 * time.Millisecond)
 	}
-	if d := time.Since(at); d < p.CallTimeout()/2 || d > 2*p.CallTimeout()+2*p.HeartbeatInterval() {
-		t.Errorf("it acts again %v after the freeze", d)
+	if d := time.Since(resumedAt); d < nodeSettings.CallTimeout()/2 || d > 2*nodeSettings.CallTimeout()+2*nodeSettings.HeartbeatInterval() {
+		t.Errorf("the node acts again %v after the pause", d)
 	}
 	// Once reconnected, the node confirms the newest configuration without such a round.
-	air.Isolate("h1", false)
+	network.Isolate("h1", false)
 	wait(2 * time.Second)
-	if at, sure := x.Current(); at == "" || time.Since(sure) > p.ConfirmationTTL() {
-		t.Errorf("no session came back: %q", at)
+	if addr, confirmedAt := client.Current(); addr == "" || time.Since(confirmedAt) > nodeSettings.ConfirmationTTL() {
+		t.Errorf("no session after reconnecting: control node %q", addr)
 	}
 }
--- a/internal/controlclient/heartbeat.go
+++ b/internal/controlclient/heartbeat.go
@@ -22,7 +22,7 @@
 	defer cancel()
 	sentAt := time.Now()
 	response, err := transport.Call[protocol.HeartbeatResponse](callCtx, t.deps.Node, addr, "session.beat", heartbeat)
-	if err != nil || !response.InTouch {
+	if err != nil || !response.Connected {
 		return false
 	}
 	if len(response.CompressedDocument) > 0 {
--- a/internal/controlclient/memberlist_test.go
+++ b/internal/controlclient/memberlist_test.go
@@ -59,25 +59,25 @@
 		}
 		peer.members = newest
 		if list := repair(&membership.List{}); list.Len() != 0 {
-			t.Errorf("%d members from one without a session", list.Len())
+			t.Errorf("got %d members from a peer without a session", list.Len())
 		}
 		peer.lastRenewed = time.Now()
 		if list := repair(&membership.List{}); list.Hash() != newest.Hash() {
-			t.Errorf("%d members of %d for one that knew none", list.Len(), newest.Len())
+			t.Errorf("got %d of %d members for a node that knew none", list.Len(), newest.Len())
 		}
 		if list := repair(older); list.Hash() != newest.Hash() {
-			t.Error("the newest list was not taken")
+			t.Error("the newest list was not accepted")
 		}
 		peer.members = older
 		if list := repair(membership.NewList(members[:595])); list.Len() != 595 {
-			t.Errorf("an older list undid what was known: %d", list.Len())
+			t.Errorf("an older list replaced a newer one: %d members", list.Len())
 		}
 		if list := repair(membership.NewList(members[:5])); list.Hash() != older.Hash() {
-			t.Errorf("nearly all is not taken by one that knows 5: %d", list.Len())
+			t.Errorf("a node that knows 5 members did not accept a nearly complete list: %d", list.Len())
 		}
 		peer.deps.Replica.RecordRefillBytes(1 << 20)
 		if list := repair(older); list.Hash() != older.Hash() {
-			t.Error("one that handed out its part hands out more")
+			t.Error("a peer without refill capacity served its list")
 		}
 	})
 }
--- a/internal/controlclient/probe.go
+++ b/internal/controlclient/probe.go
@@ -50,7 +50,7 @@
 	t.controlNode = found
 	t.disconnected, t.slow = confidence == protocol.Disconnected, confidence == protocol.Unconfirmed || confidence == protocol.Confirmed && t.slow
 	if t.disconnected {
-		t.disconnectedRound = startedAt
+		t.lastDisconnectedRound = startedAt
 		t.controlNodes = union(t.seeds, t.controlNodes)
 	}
 	t.signalChange()
@@ -92,7 +92,7 @@
 	ballot.Poll(probeCtx, t.deps.Group, controlNodes, t.probe, func(addr string, response protocol.HeartbeatResponse, err error) bool {
 		switch {
 		case err != nil:
-		case !response.InTouch:
+		case !response.Connected:
 			disconnectedNodes++
 			linkFast = linkFast || time.Since(startedAt) < t.deps.Settings.CallTimeout()/2
 		case found == "" && t.sendHeartbeat(heartbeatCtx, addr):
@@ -132,7 +132,7 @@
 	sentAt := time.Now()
 	response, err := transport.Call[protocol.HeartbeatResponse](ctx, t.deps.Node, addr, "session.beat", protocol.Heartbeat{Member: t.deps.Self, ConfigVersion: t.host.Version(), Probe: true})
 	// Control nodes of earlier versions send no age with the answer to a probe.
-	if err == nil && response.InTouch && response.ConfirmedAgoMS > 0 && response.ConfigVersion <= t.host.Version() {
+	if err == nil && response.Connected && response.ConfirmedAgoMS > 0 && response.ConfigVersion <= t.host.Version() {
 		t.recordConfirmation(sentAt, response.ConfirmedAgoMS)
 	}
 	return response, err
@@ -157,7 +157,7 @@
 		return protocol.Confirmed
 	}
 	// A round during a process pause proves nothing: answers may be waiting unread.
-	if t.disconnected && t.disconnectedRound.After(pauseEnd) && time.Since(t.disconnectedRound) <= t.deps.Settings.ConfirmationTTL() {
+	if t.disconnected && t.lastDisconnectedRound.After(pauseEnd) && time.Since(t.lastDisconnectedRound) <= t.deps.Settings.ConfirmationTTL() {
 		return protocol.Disconnected
 	}
 	return protocol.Unconfirmed
--- a/internal/protocol/messages.go
+++ b/internal/protocol/messages.go
@@ -27,15 +27,15 @@
 // TrialReport holds the trial counters of one proxy, as its control node received them.
 type TrialReport struct {
 	Node         string      `msgpack:"n"`
-	Start        string      `msgpack:"s"`
+	Incarnation  string      `msgpack:"s"`
 	Counts       []ArmCounts `msgpack:"t"`
 	ActiveRoutes []string    `msgpack:"l"`
 }
 
-// HeartbeatResponse answers a heartbeat. If InTouch is false, the control node is not
+// HeartbeatResponse answers a heartbeat. If Connected is false, the control node is not
 // connected to a majority of the stores and the proxy must try another one.
 type HeartbeatResponse struct {
-	InTouch            bool                `msgpack:"i"`
+	Connected          bool                `msgpack:"i"`
 	ConfirmedAgoMS     int64               `msgpack:"a"` // ms since a majority confirmed ConfigVersion
 	ConfigVersion      uint64              `msgpack:"v"`
 	Document           []byte              `msgpack:"d,omitempty"`
@@ -167,7 +167,7 @@
 	TimeoutMS          int64               `msgpack:"l"`
 	Host               string              `msgpack:"o"`
 	WorkerAttemptID    string              `msgpack:"d,omitempty"`  // the ID passed to the worker; empty: AttemptID
-	CallerService      string              `msgpack:"c2,omitempty"` // the service that the request came from
+	CallerService      string              `msgpack:"c2,omitempty"` // the service of the node at which the request entered
 	TargetMS           int64               `msgpack:"i,omitempty"`  // remaining target latency in ms
 	NoQueue            bool                `msgpack:"ru,omitempty"` // it goes to another worker rather than wait for a slot
 	SentAgainByCaller  bool                `msgpack:"sn,omitempty"` // the caller sent the request again
@@ -184,11 +184,11 @@
 	FrontWaitMS        int64               `msgpack:"re,omitempty"` // ms until an ingress that was told to stop no longer waits for answers; 0: not told to stop
 }
 
-// RunEndNoticeKind is the message kind with which an owner that was told to stop informs
-// the ingress of an attempt when it will end the run.
+// RunEndNoticeKind is the message kind of a RunEndNotice. An owner that was told to stop
+// sends it to the ingress of an attempt whose run it is going to end.
 const RunEndNoticeKind = "run.ends"
 
-// RunEndNotice identifies an attempt, and gives the ms until its run is ended.
+// RunEndNotice identifies an attempt and says in how many ms the owner ends its run.
 type RunEndNotice struct {
 	AttemptID   string `msgpack:"a"`
 	RemainingMS int64  `msgpack:"l"`
--- a/internal/registry/app.go
+++ b/internal/registry/app.go
@@ -185,7 +185,7 @@
 
 // watchAppKeys is a long poll for the puts to a key group above a revision.
 func (r *Registry) watchAppKeys(w http.ResponseWriter, req *http.Request) {
-	c, ok := r.readAppCall(w, req, NextNumberTable)
+	call, ok := r.readAppCall(w, req, NextNumberTable)
 	if !ok {
 		return
 	}
@@ -205,13 +205,13 @@
 	}
 	timeout := wait + 2*r.Settings.ConfigBound
 	// A forwarded call has a deadline: the wait ends early enough to answer before it.
-	if end, is := req.Context().Deadline(); is {
-		timeout = min(timeout, time.Until(end))
+	if deadline, ok := req.Context().Deadline(); ok {
+		timeout = min(timeout, time.Until(deadline))
 		wait = max(min(wait, timeout-r.Settings.CallTimeout()), 0)
 	}
-	ctx, end := context.WithTimeout(req.Context(), timeout)
-	defer end()
-	result, err := r.stores.groupPuts(ctx, store.ReadRequest{Kind: "puts", Name: c.name, From: after}, wait, r.Settings.ConfigBound)
+	ctx, cancel := context.WithTimeout(req.Context(), timeout)
+	defer cancel()
+	result, err := r.stores.groupPuts(ctx, store.ReadRequest{Kind: "puts", Name: call.name, From: after}, wait, r.Settings.ConfigBound)
 	r.writeAppResult(w, result, err, map[string]int{statemachine.Compacted: http.StatusGone}, func(result statemachine.Result) map[string]any {
 		type line struct {
 			Name  string `json:"name"`
@@ -219,8 +219,8 @@
 			Rev   uint64 `json:"rev"`
 		}
 		lines := []line{}
-		for _, c := range result.Changes {
-			lines = append(lines, line{c.Name, string(c.Value), c.Revision})
+		for _, call := range result.Changes {
+			lines = append(lines, line{call.Name, string(call.Value), call.Revision})
 		}
 		return map[string]any{"changes": lines, "rev": result.Revision}
 	})
--- a/internal/registry/config.go
+++ b/internal/registry/config.go
@@ -93,8 +93,8 @@
 }
 
 func operatorOf(req *http.Request) string {
-	if s := req.URL.Query().Get("who"); s != "" && len(s) <= 64 {
-		return s
+	if name := req.URL.Query().Get("who"); name != "" && len(name) <= 64 {
+		return name
 	}
 	return "operator"
 }
--- a/internal/registry/controlnodes_test.go
+++ b/internal/registry/controlnodes_test.go
@@ -29,7 +29,7 @@
 			t.Fatal(addrs, hash)
 		}
 		if n := testing.AllocsPerRun(10, func() { registry.cachedControlNodes() }); n != 0 {
-			t.Errorf("%.0f allocations for a beat", n)
+			t.Errorf("%.0f allocations per heartbeat", n)
 		}
 		addPeer(35)
 		task.Sleep(t.Context(), registry.Settings.HeartbeatInterval()/4)
--- a/internal/registry/election.go
+++ b/internal/registry/election.go
@@ -20,12 +20,12 @@
 type roleElection struct {
 	registry     *Registry
 	name         string
-	work         func(ctx context.Context, num ballot.Number)
+	work         func(ctx context.Context, number ballot.Number)
 	mu           sync.Mutex
-	ballot       ballot.Number
+	ballot       ballot.Number // the ballot that last won the role here
 	holding      bool
-	majorityAt   time.Time
-	highestRound uint64
+	majorityAt   time.Time // start of the last round that a majority granted; the lease counts from it
+	highestRound uint64    // the highest round promised by any store
 }
 
 func newRoleElection(registry *Registry, name string, work func(context.Context, ballot.Number)) *roleElection {
@@ -147,7 +147,7 @@
 	r.mu.Lock()
 	members := r.members.List()
 	now := time.Now()
-	dead := map[string]bool{}
+	expired := map[string]bool{}
 	owners := map[string]bool{}
 	for _, e := range entries {
 		owners[e.Owner] = true
@@ -156,7 +156,7 @@
 		} else if since, ok := r.absentSince[e.Owner]; !ok {
 			r.absentSince[e.Owner] = now
 		} else if now.Sub(since) > r.Settings.RetireAfter {
-			dead[e.Owner] = true
+			expired[e.Owner] = true
 		}
 	}
 	for n := range r.absentSince {
@@ -165,7 +165,7 @@
 		}
 	}
 	r.mu.Unlock()
-	for n := range dead {
+	for n := range expired {
 		count := r.replica.RetireNode(n, func(ormap.Entry) bool { return true })
 		r.env.Log.Emit(event.Retired, "node", n, "entries", count, "ballot", number.String())
 	}
--- a/internal/registry/fuzz_test.go
+++ b/internal/registry/fuzz_test.go
@@ -22,7 +22,7 @@
 			for _, problem := range append(problems, duplicates...) {
 				// The place of a field with an empty name is empty too.
 				if _, empty := input[""]; problem.Place == "" && !empty || problem.Message == "" {
-					t.Errorf("%s: a fault without its place: %+v", table.Name, problem)
+					t.Errorf("%s: a problem without place or message: %+v", table.Name, problem)
 				}
 			}
 			if len(problems) > 0 {
@@ -38,10 +38,10 @@
 				}
 			}
 			if millis := ttlMillis(fields); table.Name != PutGroupKeyTable.Name && fields["ttl_ms"] != nil && (millis < 1 || millis > 86400000) {
-				t.Errorf("a time of %d ms", millis)
+				t.Errorf("time to live of %d ms is out of bounds", millis)
 			}
 			if _, present := fields["fence"]; present && uint64(fields.Count("fence")) == 0 {
-				t.Error("a fence of nothing")
+				t.Error("fence is 0")
 			}
 		}
 	})
--- a/internal/registry/handlers.go
+++ b/internal/registry/handlers.go
@@ -83,14 +83,14 @@
 }
 
 func (t *responseRecorder) Header() http.Header { return t.header }
-func (t *responseRecorder) WriteHeader(c int) {
+func (t *responseRecorder) WriteHeader(status int) {
 	if t.status == 0 {
-		t.status = c
+		t.status = status
 	}
 }
-func (t *responseRecorder) Write(b []byte) (int, error) {
+func (t *responseRecorder) Write(data []byte) (int, error) {
 	t.WriteHeader(http.StatusOK)
-	return t.body.Write(b)
+	return t.body.Write(data)
 }
 
 // onForwardedCall serves an API call that a proxy forwarded.
--- a/internal/registry/judge.go
+++ b/internal/registry/judge.go
@@ -25,7 +25,7 @@
 	defer r.mu.Unlock()
 	var reports []protocol.TrialReport
 	for _, s := range r.sessions {
-		reports = append(reports, protocol.TrialReport{Node: s.member.Node, Start: s.member.Incarnation, Counts: s.trialCounts, ActiveRoutes: s.activeRoutes})
+		reports = append(reports, protocol.TrialReport{Node: s.member.Node, Incarnation: s.member.Incarnation, Counts: s.trialCounts, ActiveRoutes: s.activeRoutes})
 	}
 	return reports, nil
 }
@@ -117,11 +117,11 @@
 	r.mu.Lock()
 	// The counts of a proxy that died are kept: that incarnation never reports again.
 	for _, report := range r.latestReports {
-		newest[reportKey{report.Node, report.Start}] = report
+		newest[reportKey{report.Node, report.Incarnation}] = report
 	}
 	r.mu.Unlock()
 	for _, report := range r.collectReports(ctx) {
-		key := reportKey{report.Node, report.Start}
+		key := reportKey{report.Node, report.Incarnation}
 		// A proxy that changed its control node is reported by both for a moment; the
 		// report with the higher count is the newer one.
 		if requestCount(report) >= requestCount(newest[key]) {
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -172,11 +172,11 @@
 		// The order is random, or nodes that start together would all query the same peer.
 		addrs := r.controlNodes()
 		mrand.Shuffle(len(addrs), func(i, j int) { addrs[i], addrs[j] = addrs[j], addrs[i] })
-		for _, a := range addrs {
-			if a == r.Settings.InternalAddr {
+		for _, addr := range addrs {
+			if addr == r.Settings.InternalAddr {
 				continue
 			}
-			if result, err := r.replica.Refill(callCtx, a); err == nil && result.Done {
+			if result, err := r.replica.Refill(callCtx, addr); err == nil && result.Done {
 				break
 			}
 		}
--- a/internal/registry/savedworkers.go
+++ b/internal/registry/savedworkers.go
@@ -45,11 +45,11 @@
 	return true
 }
 
-// loadWorkers restores the file's entries into a replica that knows none of them. If a peer
-// knows any of them, it also knows what was removed since, which the file does not. If
-// peers know at least half as many entries as the file holds, the file is outdated and the
-// tombstones of its entries may have expired. Fewer entries do not show that: they come
-// from workers whose heartbeats arrived during the start.
+// loadWorkers restores the file's entries into a replica that has learned none of them from
+// its peers. A peer that knows any of them also knows what was removed since, which the
+// file does not. If the peers know at least half as many entries as the file holds, the
+// file is outdated and the tombstones of its entries may have expired. Fewer entries do not
+// show that: they come from workers whose heartbeats arrived during the start.
 func (r *Registry) loadWorkers() {
 	if r.env.FS == nil {
 		return
--- a/internal/registry/savedworkers_test.go
+++ b/internal/registry/savedworkers_test.go
@@ -40,7 +40,7 @@
 	entry := ormap.Entry{Dot: dot, Service: "s", Worker: "w", Owner: "n", InternalAddr: "10.0.0.2:1", Zone: "a", Meta: map[string]string{"state": "up"}}
 	registry.replica.Accept(ormap.Delta{Adds: []ormap.Entry{entry}})
 	if !registry.saveWorkers() {
-		t.Fatal("the worker is not kept")
+		t.Fatal("the worker was not saved")
 	}
 	leave := ormap.Delta{Tombstones: []ormap.Tombstone{{Dot: dot, Reason: "signed off", Worker: "w"}}}
 	if _, err := registry.onWorkerLeaving(t.Context(), transport.Hello{}, leave); err != nil {
@@ -49,11 +49,11 @@
 	emptied := newRegistryOnDisk(t, directory)
 	emptied.lifecycle.Fire("filled")
 	if !emptied.saveWorkers() {
-		t.Error("nothing to keep is no failure")
+		t.Error("saving an empty replica reported a failure")
 	}
 	restarted := newRegistryOnDisk(t, directory)
 	restarted.loadWorkers()
 	if !restarted.replica.Map().Departed("w") || len(restarted.replica.Map().Live(nil)) != 0 {
-		t.Errorf("departed %v, registered again %v", restarted.replica.Map().Departed("w"), restarted.replica.Map().Live(nil))
+		t.Errorf("departed %v, live entries %v", restarted.replica.Map().Departed("w"), restarted.replica.Map().Live(nil))
 	}
 }
--- a/internal/registry/sessionreports.go
+++ b/internal/registry/sessionreports.go
@@ -21,9 +21,9 @@
 	// Whether its report counts; cleared after the session TTL without contact.
 	active bool
 	// When the oldest report to it that is still unanswered was sent; zero if none.
-	silentSince       time.Time
-	lastAnsweredStart time.Time // when the newest report that it answered was sent
-	excluded          bool      // removed from the member list because it was unreachable
+	silentSince        time.Time
+	lastAnsweredSentAt time.Time // when the newest report that it answered was sent
+	excluded           bool      // removed from the member list because it was unreachable
 }
 
 // reportSessions reports the sessions held here to the other control nodes: the changes
--- a/internal/registry/sessions.go
+++ b/internal/registry/sessions.go
@@ -46,7 +46,7 @@
 	if r.rules == nil && r.confirmedAt.IsZero() || time.Since(r.confirmedAt) > r.Settings.ConfirmationTTL() || r.lifecycle.Is("starting", "leaving", "shut", "lost") {
 		return protocol.HeartbeatResponse{}, nil
 	}
-	response := protocol.HeartbeatResponse{InTouch: true, ConfirmedAgoMS: time.Since(r.confirmedAt).Milliseconds() + 1}
+	response := protocol.HeartbeatResponse{Connected: true, ConfirmedAgoMS: time.Since(r.confirmedAt).Milliseconds() + 1}
 	// A probe only asks whether this control node is connected; it opens no session.
 	if heartbeat.Probe {
 		if r.rules != nil {
@@ -220,7 +220,7 @@
 func (r *Registry) pushConfig() {
 	type target struct {
 		session     *nodeSession
-		at          string
+		addr        string
 		heldVersion uint64
 	}
 	r.mu.Lock()
@@ -235,7 +235,7 @@
 			ctx, cancel := context.WithTimeout(ctx, r.Settings.SessionTTL())
 			defer cancel()
 			// A node that misses the push gets the configuration with its next heartbeat.
-			heldVersion, err := controlclient.PushConfig(ctx, r.node, target.at, r.document, target.heldVersion)
+			heldVersion, err := controlclient.PushConfig(ctx, r.node, target.addr, r.document, target.heldVersion)
 			if err != nil {
 				return
 			}
--- a/internal/registry/status.go
+++ b/internal/registry/status.go
@@ -59,8 +59,8 @@
 		}
 	}
 	status.Entries, status.Tombstones = r.replica.Map().Size()
-	for _, election := range r.replica.Map().Digests() {
-		status.Digest ^= election
+	for _, digest := range r.replica.Map().Digests() {
+		status.Digest ^= digest
 	}
 	for flow, traffic := range r.node.BytesSent() {
 		if flow.OtherZone {
@@ -92,11 +92,11 @@
 	defer cancel()
 	var mu sync.Mutex
 	var pending sync.WaitGroup
-	query := func(name string, member func() error) {
+	query := func(name string, request func() error) {
 		pending.Add(1)
 		if !r.group.Go("gather", func(context.Context) {
 			defer pending.Done()
-			if member() != nil {
+			if request() != nil {
 				mu.Lock()
 				cluster.Unreachable = append(cluster.Unreachable, name)
 				mu.Unlock()
--- a/internal/registry/storeclient.go
+++ b/internal/registry/storeclient.go
@@ -136,7 +136,7 @@
 		case <-timer.C:
 		case <-ctx.Done():
 			timer.Stop()
-			return statemachine.Result{}, fault.New(fault.Refused, "no store in touch with a majority: %v", lastErr)
+			return statemachine.Result{}, fault.New(fault.Refused, "no store is connected to a majority: %v", lastErr)
 		}
 	}
 }
--- a/internal/registry/unreachable.go
+++ b/internal/registry/unreachable.go
@@ -16,11 +16,11 @@
 		case peer.member.InternalAddr != addr:
 		case answered:
 			peer.silentSince = time.Time{}
-			if sentAt.After(peer.lastAnsweredStart) {
-				peer.lastAnsweredStart = sentAt
+			if sentAt.After(peer.lastAnsweredSentAt) {
+				peer.lastAnsweredSentAt = sentAt
 			}
 		// An older report that times out late does not count against a newer answer.
-		case sentAt.After(peer.lastAnsweredStart) && (peer.silentSince.IsZero() || peer.silentSince.After(sentAt)):
+		case sentAt.After(peer.lastAnsweredSentAt) && (peer.silentSince.IsZero() || peer.silentSince.After(sentAt)):
 			peer.silentSince = sentAt
 		}
 	}
@@ -54,6 +54,6 @@
 
 // recordContact records that the control node sent a report; this ends its exclusion. The
 // caller holds mu.
-func (o *peerNode) recordContact(from membership.Member) {
-	o.member, o.lastHeard, o.active, o.excluded = from, time.Now(), true, false
+func (p *peerNode) recordContact(from membership.Member) {
+	p.member, p.lastHeard, p.active, p.excluded = from, time.Now(), true, false
 }
--- a/internal/registry/unreachable_test.go
+++ b/internal/registry/unreachable_test.go
@@ -16,10 +16,10 @@
 // list.
 func TestUnreachableNodeExcluded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		const beat = 200 * time.Millisecond
+		const interval = 200 * time.Millisecond
 		peerMember := membership.Member{Node: "x", InternalAddr: "hx:1", Role: "registry"}
 		newRegistry := func() (*Registry, *peerNode) {
-			r := &Registry{Settings: settings.Settings{Node: "c", InternalAddr: "hc:1", ConfigBound: 10 * beat}, peerNodes: map[string]*peerNode{}, members: membership.NewTracker("c", 16)}
+			r := &Registry{Settings: settings.Settings{Node: "c", InternalAddr: "hc:1", ConfigBound: 10 * interval}, peerNodes: map[string]*peerNode{}, members: membership.NewTracker("c", 16)}
 			peer := &peerNode{}
 			peer.recordContact(peerMember)
 			r.peerNodes["x"] = peer
@@ -39,26 +39,26 @@
 		}
 		r, peer := newRegistry()
 		for i := range 5 {
-			if listed := report(r, wait(beat), false); listed != (i < 3) {
-				t.Errorf("on the list %v, %d beats after the first word without an answer", listed, i)
+			if listed := report(r, wait(interval), false); listed != (i < 3) {
+				t.Errorf("on the list %v, %d heartbeats after the first unanswered report", listed, i)
 			}
 			if n := len(r.unreachablePeers()); n != 1 && i < 3 || n != 0 && i >= 3 {
-				t.Errorf("%d asked at each beat after %d beats", n, i)
+				t.Errorf("%d unreachable peers after %d heartbeats", n, i)
 			}
 		}
 		if !r.members.List().Has("p") {
-			t.Error("its sessions went with it")
+			t.Error("the sessions that it reported were removed")
 		}
 		peer.recordContact(peerMember)
 		r.members.Set("x", peerMember)
-		if !report(r, wait(beat), true) {
-			t.Error("it spoke and answered, and is not on the list")
+		if !report(r, wait(interval), true) {
+			t.Error("it reported and answered, but is not on the list")
 		}
 		// It answers every third report.
 		r, _ = newRegistry()
 		for i := range 9 {
-			if !report(r, wait(beat), i%3 == 2) {
-				t.Errorf("off the list at %d though it answers now and then", i)
+			if !report(r, wait(interval), i%3 == 2) {
+				t.Errorf("off the list at %d although it answers every third report", i)
 			}
 		}
 		// Its own reports arrive, its answers don't.
@@ -67,17 +67,17 @@
 			if i%3 == 2 {
 				peer.recordContact(peerMember)
 			}
-			if !report(r, wait(beat), false) {
-				t.Errorf("off the list at %d though it speaks", i)
+			if !report(r, wait(interval), false) {
+				t.Errorf("off the list at %d although it sends reports", i)
 			}
 		}
 		// A report that timed out late was sent before one that was answered.
 		r, _ = newRegistry()
-		early := wait(beat)
-		report(r, wait(beat), true)
-		wait(4 * beat)
+		early := wait(interval)
+		report(r, wait(interval), true)
+		wait(4 * interval)
 		if !report(r, early, false) || len(r.unreachablePeers()) != 0 {
-			t.Error("an old word counts against a newer answer")
+			t.Error("an older report counts against a newer answer")
 		}
 	})
 }
