--- a/internal/controlclient/client.go
+++ b/internal/controlclient/client.go
@@ -80,25 +80,25 @@
 	return &Client{deps: deps, host: host, controlNodes: deps.Settings.Seeds, seeds: deps.Settings.Seeds, members: &membership.List{}, document: patch.NewDocument(stepsKept), stateChanged: make(chan struct{}), beatNow: make(chan struct{}, 1)}
 }
 
-func (t *Client) signalChange() {
-	close(t.stateChanged)
-	t.stateChanged = make(chan struct{})
+func (c *Client) signalChange() {
+	close(c.stateChanged)
+	c.stateChanged = make(chan struct{})
 }
 
 // Run sends heartbeats until the context ends.
-func (t *Client) Run(ctx context.Context) {
+func (c *Client) Run(ctx context.Context) {
 	startedAt := time.Now()
 	for {
-		timer := time.NewTimer(t.nextDelay(startedAt))
+		timer := time.NewTimer(c.nextDelay(startedAt))
 		select {
 		case <-ctx.Done():
 			timer.Stop()
 			return
 		case <-timer.C:
-		case <-t.beatNow:
+		case <-c.beatNow:
 			timer.Stop()
 		}
-		t.renewSession(ctx)
+		c.renewSession(ctx)
 	}
 }
 
@@ -106,47 +106,47 @@
 // be served, and after an outage of all machines the control plane is back within less than
 // a heartbeat interval. So the first attempts follow each other quickly, and each further
 // delay grows by a quarter of the time spent so far.
-func (t *Client) nextDelay(startedAt time.Time) time.Duration {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	if t.lastRenewed.IsZero() {
-		return min(t.deps.Settings.HeartbeatInterval()/8+time.Since(startedAt)/4, t.deps.Settings.HeartbeatInterval())
+func (c *Client) nextDelay(startedAt time.Time) time.Duration {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.lastRenewed.IsZero() {
+		return min(c.deps.Settings.HeartbeatInterval()/8+time.Since(startedAt)/4, c.deps.Settings.HeartbeatInterval())
 	}
-	return t.deps.Settings.HeartbeatInterval()
+	return c.deps.Settings.HeartbeatInterval()
 }
 
 // HeartbeatNow triggers the next heartbeat at once.
-func (t *Client) HeartbeatNow() {
+func (c *Client) HeartbeatNow() {
 	select {
-	case t.beatNow <- struct{}{}:
+	case c.beatNow <- struct{}{}:
 	default:
 	}
 }
 
 // ControlNodes returns the known control nodes, the one that holds the session first.
-func (t *Client) ControlNodes() []string {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	if t.controlNode == "" {
-		return t.controlNodes
+func (c *Client) ControlNodes() []string {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.controlNode == "" {
+		return c.controlNodes
 	}
-	return union([]string{t.controlNode}, t.controlNodes)
+	return union([]string{c.controlNode}, c.controlNodes)
 }
 
 // SetSeeds replaces the seeds, which are tried when no known control node answers.
-func (t *Client) SetSeeds(seeds []string) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.seeds = seeds
-	t.controlNodes = union(t.controlNodes, seeds)
+func (c *Client) SetSeeds(seeds []string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.seeds = seeds
+	c.controlNodes = union(c.controlNodes, seeds)
 }
 
 // Current returns the control node that holds the session, and the time at which the
 // configuration held here was last known to be the newest.
-func (t *Client) Current() (string, time.Time) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	return t.controlNode, t.confirmedAt
+func (c *Client) Current() (string, time.Time) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.controlNode, c.confirmedAt
 }
 
 func union(a, b []string) []string {
--- a/internal/controlclient/document.go
+++ b/internal/controlclient/document.go
@@ -14,61 +14,61 @@
 
 // ApplyConfig puts a newer configuration in force, received whole or as patches from the
 // version held. It returns false if that is not possible.
-func (t *Client) ApplyConfig(version uint64, doc []byte, steps []patch.Step) bool {
-	if t.host.Version() >= version {
+func (c *Client) ApplyConfig(version uint64, doc []byte, steps []patch.Step) bool {
+	if c.host.Version() >= version {
 		return true
 	}
 	if doc == nil {
-		built, ok := t.document.Build(steps)
+		built, ok := c.document.Build(steps)
 		if !ok || len(steps) == 0 || steps[len(steps)-1].To != version {
-			return t.host.Version() >= version
+			return c.host.Version() >= version
 		}
 		doc = built
 	}
-	kept, ok := t.host.ApplyConfig(version, doc)
+	kept, ok := c.host.ApplyConfig(version, doc)
 	if ok {
-		t.document.Set(version, kept, steps)
+		c.document.Set(version, kept, steps)
 	}
 	return ok
 }
 
 // Document returns the document held here, with the newest patches that led to it.
-func (t *Client) Document() *patch.Document { return t.document }
+func (c *Client) Document() *patch.Document { return c.document }
 
 // RegisterHandlers registers the handlers for configuration pushes and for peers' requests.
-func (t *Client) RegisterHandlers() {
+func (c *Client) RegisterHandlers() {
 	push := func(_ context.Context, _ transport.Hello, request protocol.ConfigPush) (protocol.ConfigPushResponse, error) {
-		t.ApplyConfig(request.Version, request.Document, request.Steps)
-		return protocol.ConfigPushResponse{Version: t.host.Version()}, nil
+		c.ApplyConfig(request.Version, request.Document, request.Steps)
+		return protocol.ConfigPushResponse{Version: c.host.Version()}, nil
 	}
 	// Patches have a message kind of their own, which earlier versions refuse as unknown.
-	transport.Handle(t.deps.Node, "config.push", push)
-	transport.Handle(t.deps.Node, "config.step", push)
-	transport.Handle(t.deps.Node, "config.give", t.serveConfig)
-	transport.Handle(t.deps.Node, "session.members", t.serveMembers)
+	transport.Handle(c.deps.Node, "config.push", push)
+	transport.Handle(c.deps.Node, "config.step", push)
+	transport.Handle(c.deps.Node, "config.give", c.serveConfig)
+	transport.Handle(c.deps.Node, "session.members", c.serveMembers)
 }
 
 // serveConfig gives a peer the configuration held here, if it is newer than the peer's.
-func (t *Client) serveConfig(_ context.Context, _ transport.Hello, request protocol.ConfigPush) (protocol.ConfigPush, error) {
-	version, doc := t.document.Current()
+func (c *Client) serveConfig(_ context.Context, _ transport.Hello, request protocol.ConfigPush) (protocol.ConfigPush, error) {
+	version, doc := c.document.Current()
 	if version <= request.Version {
 		return protocol.ConfigPush{}, nil
 	}
-	if steps, ok := t.document.Since(request.Version); ok && request.AcceptsPatch {
+	if steps, ok := c.document.Since(request.Version); ok && request.AcceptsPatch {
 		return protocol.ConfigPush{Version: version, Steps: steps}, nil
 	}
 	return protocol.ConfigPush{Version: version, Document: doc}, nil
 }
 
 // FetchFrom fetches the configuration that a peer holds, if it is newer.
-func (t *Client) FetchFrom(ctx context.Context, addr string) bool {
+func (c *Client) FetchFrom(ctx context.Context, addr string) bool {
 	for _, acceptsPatch := range []bool{true, false} {
-		heldVersion := t.host.Version()
-		push, err := transport.Call[protocol.ConfigPush](ctx, t.deps.Node, addr, "config.give", protocol.ConfigPush{Version: heldVersion, AcceptsPatch: acceptsPatch})
+		heldVersion := c.host.Version()
+		push, err := transport.Call[protocol.ConfigPush](ctx, c.deps.Node, addr, "config.give", protocol.ConfigPush{Version: heldVersion, AcceptsPatch: acceptsPatch})
 		if err != nil || push.Version <= heldVersion {
 			return false
 		}
-		if t.ApplyConfig(push.Version, push.Document, push.Steps) {
+		if c.ApplyConfig(push.Version, push.Document, push.Steps) {
 			return true
 		}
 	}
--- a/internal/controlclient/heartbeat.go
+++ b/internal/controlclient/heartbeat.go
@@ -12,16 +12,16 @@
 
 // sendHeartbeat sends one heartbeat and applies the response. Heartbeats are sent one at a
 // time, so the stored hash always belongs to the list that was passed on last.
-func (t *Client) sendHeartbeat(ctx context.Context, addr string) bool {
-	t.mu.Lock()
-	heartbeat := protocol.Heartbeat{Member: t.deps.Self, MembersHash: t.membersHash, AcceptsDiff: true, ControlNodesHash: membership.HashNames(t.controlNodes), AcceptsPatch: !t.needFullDocument, AcceptsCompact: true}
-	t.mu.Unlock()
-	heartbeat.ConfigVersion = t.host.Version()
-	t.host.FillHeartbeat(&heartbeat)
-	callCtx, cancel := context.WithTimeout(ctx, t.answerTimeout())
+func (c *Client) sendHeartbeat(ctx context.Context, addr string) bool {
+	c.mu.Lock()
+	heartbeat := protocol.Heartbeat{Member: c.deps.Self, MembersHash: c.membersHash, AcceptsDiff: true, ControlNodesHash: membership.HashNames(c.controlNodes), AcceptsPatch: !c.needFullDocument, AcceptsCompact: true}
+	c.mu.Unlock()
+	heartbeat.ConfigVersion = c.host.Version()
+	c.host.FillHeartbeat(&heartbeat)
+	callCtx, cancel := context.WithTimeout(ctx, c.answerTimeout())
 	defer cancel()
 	sentAt := time.Now()
-	response, err := transport.Call[protocol.HeartbeatResponse](callCtx, t.deps.Node, addr, "session.beat", heartbeat)
+	response, err := transport.Call[protocol.HeartbeatResponse](callCtx, c.deps.Node, addr, "session.beat", heartbeat)
 	if err != nil || !response.Connected {
 		return false
 	}
@@ -29,59 +29,59 @@
 		// A document that can't be decompressed is handled like patches that don't fit.
 		response.Document, _ = compression.Decompress(response.CompressedDocument)
 	}
-	if response.ConfigVersion > t.host.Version() && !t.ApplyConfig(response.ConfigVersion, response.Document, response.Steps) {
+	if response.ConfigVersion > c.host.Version() && !c.ApplyConfig(response.ConfigVersion, response.Document, response.Steps) {
 		// If patches did not fit, the whole document is requested at once. If the whole
 		// document is invalid, requesting it again is pointless.
 		if !heartbeat.AcceptsPatch || response.Document != nil {
 			return false
 		}
-		t.needFullDocument = true
-		return t.sendHeartbeat(ctx, addr)
+		c.needFullDocument = true
+		return c.sendHeartbeat(ctx, addr)
 	}
-	t.needFullDocument = false
+	c.needFullDocument = false
 	// A control node with an older configuration than this node's is not used.
-	if t.host.Version() > response.ConfigVersion {
+	if c.host.Version() > response.ConfigVersion {
 		return false
 	}
-	t.recordConfirmation(sentAt, response.ConfirmedAgoMS)
-	t.mu.Lock()
+	c.recordConfirmation(sentAt, response.ConfirmedAgoMS)
+	c.mu.Lock()
 	// A response in time shows that the link is no longer slow.
-	t.slow = t.slow && time.Since(sentAt) > t.deps.Settings.CallTimeout()
-	needRefill := t.lastRenewed.IsZero() || time.Since(t.lastRenewed) > t.deps.Settings.MaxAbsence()
+	c.slow = c.slow && time.Since(sentAt) > c.deps.Settings.CallTimeout()
+	needRefill := c.lastRenewed.IsZero() || time.Since(c.lastRenewed) > c.deps.Settings.MaxAbsence()
 	if len(response.ControlNodes) > 0 {
-		t.controlNodes = response.ControlNodes
+		c.controlNodes = response.ControlNodes
 	}
-	t.mu.Unlock()
+	c.mu.Unlock()
 	if response.MembersHash != heartbeat.MembersHash {
-		t.applyMembers(callCtx, addr, heartbeat.MembersHash, &response)
+		c.applyMembers(callCtx, addr, heartbeat.MembersHash, &response)
 	}
-	t.host.ProxyCountChanged(response.ProxyCount)
+	c.host.ProxyCountChanged(response.ProxyCount)
 	// A new replica, or one that was disconnected for too long, is refilled before the
 	// session counts. If the refill is deferred, the session is kept meanwhile.
 	if needRefill {
-		switch t.refill(ctx, addr) {
+		switch c.refill(ctx, addr) {
 		case refillFailed:
 			return false
 		case refillDeferred:
 			return true
 		}
 	}
-	t.deps.Replica.SetCompleteUntil(time.Now().Add(t.deps.Settings.SessionTTL()))
-	t.mu.Lock()
-	t.lastRenewed = time.Now()
-	t.signalChange()
-	t.mu.Unlock()
-	t.host.SessionRenewed()
+	c.deps.Replica.SetCompleteUntil(time.Now().Add(c.deps.Settings.SessionTTL()))
+	c.mu.Lock()
+	c.lastRenewed = time.Now()
+	c.signalChange()
+	c.mu.Unlock()
+	c.host.SessionRenewed()
 	return true
 }
 
 // applyMembers applies what a heartbeat response says about the member list. If the control
 // node didn't know the list held here, the parts that differ are requested; those that
 // don't arrive in time are left to the next heartbeat.
-func (t *Client) applyMembers(ctx context.Context, addr string, sentHash uint64, response *protocol.HeartbeatResponse) {
-	t.mu.Lock()
-	list, heldHash := t.members, t.membersHash
-	t.mu.Unlock()
+func (c *Client) applyMembers(ctx context.Context, addr string, sentHash uint64, response *protocol.HeartbeatResponse) {
+	c.mu.Lock()
+	list, heldHash := c.members, c.membersHash
+	c.mu.Unlock()
 	if len(response.CompactDiff) > 0 {
 		// A diff that can't be decoded is ignored, and the parts are requested instead.
 		diff, err := membership.DecodeDiff(response.CompactDiff)
@@ -97,26 +97,26 @@
 			response.MembersHash = list.Hash()
 		}
 	default:
-		list = t.repairMembers(ctx, addr, list, response.MembersHash, response.ProxyCount)
+		list = c.repairMembers(ctx, addr, list, response.MembersHash, response.ProxyCount)
 		response.MembersHash = list.Hash()
 	}
-	if t.deps.SharedList != nil {
-		list = t.deps.SharedList(list)
+	if c.deps.SharedList != nil {
+		list = c.deps.SharedList(list)
 	}
-	t.mu.Lock()
-	t.members, t.membersHash = list, response.MembersHash
-	t.mu.Unlock()
-	t.deps.Replica.SetMembers(list)
-	t.host.MembersChanged(list)
+	c.mu.Lock()
+	c.members, c.membersHash = list, response.MembersHash
+	c.mu.Unlock()
+	c.deps.Replica.SetMembers(list)
+	c.host.MembersChanged(list)
 }
 
 // Close ends the session with a leave message.
-func (t *Client) Close() {
-	addr, _ := t.Current()
+func (c *Client) Close() {
+	addr, _ := c.Current()
 	if addr == "" {
 		return
 	}
-	ctx, cancel := context.WithTimeout(t.deps.Group.Context(), t.deps.Settings.FarewellTimeout())
+	ctx, cancel := context.WithTimeout(c.deps.Group.Context(), c.deps.Settings.FarewellTimeout())
 	defer cancel()
-	_, _ = transport.Call[protocol.HeartbeatResponse](ctx, t.deps.Node, addr, "session.beat", protocol.Heartbeat{Member: t.deps.Self, Leaving: true})
+	_, _ = transport.Call[protocol.HeartbeatResponse](ctx, c.deps.Node, addr, "session.beat", protocol.Heartbeat{Member: c.deps.Self, Leaving: true})
 }
--- a/internal/controlclient/memberlist.go
+++ b/internal/controlclient/memberlist.go
@@ -21,8 +21,8 @@
 
 // repairMembers replaces the parts of a list that differ from the control node's. If the
 // control node has used up its refill capacity, it fetches them from a peer.
-func (t *Client) repairMembers(ctx context.Context, controlNode string, list *membership.List, wantHash uint64, proxyCount int) *membership.List {
-	list, response, _ := t.fetchParts(ctx, controlNode, list, proxyCount, func(uint64) bool { return true })
+func (c *Client) repairMembers(ctx context.Context, controlNode string, list *membership.List, wantHash uint64, proxyCount int) *membership.List {
+	list, response, _ := c.fetchParts(ctx, controlNode, list, proxyCount, func(uint64) bool { return true })
 	if !response.Busy {
 		return list
 	}
@@ -30,18 +30,18 @@
 	if len(response.Alternatives) > 0 {
 		sources[0] = response.Alternatives[rand.IntN(len(response.Alternatives))]
 	}
-	if member := list.Random(t.deps.Self.Zone, rand.IntN); member != nil && member.Role == "proxy" && member.Node != t.deps.Self.Node {
+	if member := list.Random(c.deps.Self.Zone, rand.IntN); member != nil && member.Role == "proxy" && member.Node != c.deps.Self.Node {
 		sources = append(sources, member.InternalAddr)
 	}
 	for _, addr := range sources {
 		if addr == "" {
 			continue
 		}
-		callCtx, cancel := context.WithTimeout(ctx, t.deps.Settings.CallTimeout()/4)
+		callCtx, cancel := context.WithTimeout(ctx, c.deps.Settings.CallTimeout()/4)
 		// A list that is not the wanted one might undo newer changes held here. But a node
 		// that knows less than half of the proxies takes any list, and later heartbeats
 		// correct it.
-		repaired, _, ok := t.fetchParts(callCtx, addr, list, proxyCount, func(hash uint64) bool { return hash == wantHash || 2*list.Len() < proxyCount })
+		repaired, _, ok := c.fetchParts(callCtx, addr, list, proxyCount, func(hash uint64) bool { return hash == wantHash || 2*list.Len() < proxyCount })
 		cancel()
 		if ok {
 			return repaired
@@ -52,10 +52,10 @@
 
 // fetchParts fetches the parts that differ from a node's list, if accept agrees to the hash
 // of that list. The boolean tells whether all parts arrived.
-func (t *Client) fetchParts(ctx context.Context, addr string, list *membership.List, proxyCount int, accept func(hash uint64) bool) (*membership.List, protocol.MemberListResponse, bool) {
+func (c *Client) fetchParts(ctx context.Context, addr string, list *membership.List, proxyCount int, accept func(hash uint64) bool) (*membership.List, protocol.MemberListResponse, bool) {
 	partCount := max(list.PartCount(), membership.PartCount(proxyCount))
 	for {
-		response, err := transport.Call[protocol.MemberListResponse](ctx, t.deps.Node, addr, "session.members", protocol.MemberListRequest{Digests: list.Digests(partCount), AcceptsCompact: true})
+		response, err := transport.Call[protocol.MemberListResponse](ctx, c.deps.Node, addr, "session.members", protocol.MemberListRequest{Digests: list.Digests(partCount), AcceptsCompact: true})
 		if err != nil || len(response.Parts) == 0 || !accept(response.Hash) {
 			return list, response, false
 		}
@@ -73,15 +73,15 @@
 }
 
 // serveMembers gives peers the parts of this node's list that differ from theirs.
-func (t *Client) serveMembers(_ context.Context, from transport.Hello, request protocol.MemberListRequest) (protocol.MemberListResponse, error) {
-	t.mu.Lock()
-	list, lastRenewed := t.members, t.lastRenewed
-	t.mu.Unlock()
-	if lastRenewed.IsZero() || time.Since(lastRenewed) > t.deps.Settings.SessionTTL() || !t.deps.Replica.HasRefillCapacity() {
-		return protocol.MemberListResponse{Busy: true, Alternatives: t.deps.Replica.RefilledNodes(from.Zone, "")}, nil
+func (c *Client) serveMembers(_ context.Context, from transport.Hello, request protocol.MemberListRequest) (protocol.MemberListResponse, error) {
+	c.mu.Lock()
+	list, lastRenewed := c.members, c.lastRenewed
+	c.mu.Unlock()
+	if lastRenewed.IsZero() || time.Since(lastRenewed) > c.deps.Settings.SessionTTL() || !c.deps.Replica.HasRefillCapacity() {
+		return protocol.MemberListResponse{Busy: true, Alternatives: c.deps.Replica.RefilledNodes(from.Zone, "")}, nil
 	}
 	response, err := DiffMembers(list, request)
-	t.deps.Replica.RecordRefillBytes(ResponseSize(response))
+	c.deps.Replica.RecordRefillBytes(ResponseSize(response))
 	return response, err
 }
 
--- a/internal/controlclient/probe.go
+++ b/internal/controlclient/probe.go
@@ -15,56 +15,56 @@
 
 // answerTimeout returns how long to wait for an answer. If answers are known to come late,
 // it is as long as they can still be of use.
-func (t *Client) answerTimeout() time.Duration {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	if t.slow {
-		return t.deps.Settings.ConfirmationTTL()
+func (c *Client) answerTimeout() time.Duration {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.slow {
+		return c.deps.Settings.ConfirmationTTL()
 	}
-	return t.deps.Settings.CallTimeout()
+	return c.deps.Settings.CallTimeout()
 }
 
 // renewSession renews the session, with another control node if necessary.
-func (t *Client) renewSession(ctx context.Context) {
-	t.mu.Lock()
-	current := t.controlNode
-	t.mu.Unlock()
-	if current != "" && t.sendHeartbeat(ctx, current) {
+func (c *Client) renewSession(ctx context.Context) {
+	c.mu.Lock()
+	current := c.controlNode
+	c.mu.Unlock()
+	if current != "" && c.sendHeartbeat(ctx, current) {
 		return
 	}
-	t.mu.Lock()
-	controlNodes := append([]string(nil), t.controlNodes...)
-	previous, wasDisconnected, wasSlow := t.controlNode, t.disconnected, t.slow
-	t.mu.Unlock()
+	c.mu.Lock()
+	controlNodes := append([]string(nil), c.controlNodes...)
+	previous, wasDisconnected, wasSlow := c.controlNode, c.disconnected, c.slow
+	c.mu.Unlock()
 	if previous != "" {
-		t.deps.Log.Emit(event.SessionDown, "with", previous)
+		c.deps.Log.Emit(event.SessionDown, "with", previous)
 	}
-	found, confidence, startedAt := t.probeAll(ctx, controlNodes)
+	found, confidence, startedAt := c.probeAll(ctx, controlNodes)
 	// Control nodes that came back in the middle of a round answer late for that reason
 	// alone, and a process pause delays everything in its round. A second round, started
 	// now, gives a clear result.
-	if confidence != protocol.Confirmed && (wasDisconnected && confidence == protocol.Unconfirmed || t.deps.LastPauseEnd().After(startedAt)) {
-		found, confidence, startedAt = t.probeAll(ctx, controlNodes)
-	}
-	t.mu.Lock()
-	t.controlNode = found
-	t.disconnected, t.slow = confidence == protocol.Disconnected, confidence == protocol.Unconfirmed || confidence == protocol.Confirmed && t.slow
-	if t.disconnected {
-		t.lastDisconnectedRound = startedAt
-		t.controlNodes = union(t.seeds, t.controlNodes)
-	}
-	t.signalChange()
-	t.mu.Unlock()
+	if confidence != protocol.Confirmed && (wasDisconnected && confidence == protocol.Unconfirmed || c.deps.LastPauseEnd().After(startedAt)) {
+		found, confidence, startedAt = c.probeAll(ctx, controlNodes)
+	}
+	c.mu.Lock()
+	c.controlNode = found
+	c.disconnected, c.slow = confidence == protocol.Disconnected, confidence == protocol.Unconfirmed || confidence == protocol.Confirmed && c.slow
+	if c.disconnected {
+		c.lastDisconnectedRound = startedAt
+		c.controlNodes = union(c.seeds, c.controlNodes)
+	}
+	c.signalChange()
+	c.mu.Unlock()
 	switch {
 	case found != "":
-		t.deps.Log.Emit(event.SessionUp, "with", found)
+		c.deps.Log.Emit(event.SessionUp, "with", found)
 		if wasDisconnected {
-			t.deps.Log.Emit(event.ControlRegained, "with", found)
+			c.deps.Log.Emit(event.ControlRegained, "with", found)
 		}
 	case confidence == protocol.Disconnected && !wasDisconnected:
-		t.deps.Log.Emit(event.ControlLost, "asked", len(controlNodes))
+		c.deps.Log.Emit(event.ControlLost, "asked", len(controlNodes))
 	case confidence == protocol.Unconfirmed && !wasSlow:
-		t.deps.Log.Emit(event.ConfigUnconfirmed, "asked", len(controlNodes))
+		c.deps.Log.Emit(event.ConfigUnconfirmed, "asked", len(controlNodes))
 	}
 }
 
@@ -73,29 +73,29 @@
 // so that the others open no session, send no member list and refill no replica. If none
 // confirms that it is connected, the result is Disconnected only on evidence of a
 // partition.
-func (t *Client) probeAll(ctx context.Context, controlNodes []string) (string, protocol.Confidence, time.Time) {
+func (c *Client) probeAll(ctx context.Context, controlNodes []string) (string, protocol.Confidence, time.Time) {
 	found, disconnectedNodes, linkFast, startedAt := "", 0, false, time.Now()
-	probeCtx, cancel := context.WithTimeout(ctx, t.answerTimeout())
+	probeCtx, cancel := context.WithTimeout(ctx, c.answerTimeout())
 	defer cancel()
 	heartbeatCtx := probeCtx
-	if t.answerTimeout() > t.deps.Settings.CallTimeout() {
+	if c.answerTimeout() > c.deps.Settings.CallTimeout() {
 		heartbeatCtx = ctx
 	}
 	pinged := make(chan bool, 1)
-	if !t.deps.Group.Go("ring", func(ctx context.Context) {
-		ctx, cancel := context.WithTimeout(ctx, t.deps.Settings.CallTimeout()/2)
+	if !c.deps.Group.Go("ring", func(ctx context.Context) {
+		ctx, cancel := context.WithTimeout(ctx, c.deps.Settings.CallTimeout()/2)
 		defer cancel()
-		pinged <- t.deps.Node.PingRole(ctx, "proxy", peerPings)
+		pinged <- c.deps.Node.PingRole(ctx, "proxy", peerPings)
 	}) {
 		pinged <- false
 	}
-	ballot.Poll(probeCtx, t.deps.Group, controlNodes, t.probe, func(addr string, response protocol.HeartbeatResponse, err error) bool {
+	ballot.Poll(probeCtx, c.deps.Group, controlNodes, c.probe, func(addr string, response protocol.HeartbeatResponse, err error) bool {
 		switch {
 		case err != nil:
 		case !response.Connected:
 			disconnectedNodes++
-			linkFast = linkFast || time.Since(startedAt) < t.deps.Settings.CallTimeout()/2
-		case found == "" && t.sendHeartbeat(heartbeatCtx, addr):
+			linkFast = linkFast || time.Since(startedAt) < c.deps.Settings.CallTimeout()/2
+		case found == "" && c.sendHeartbeat(heartbeatCtx, addr):
 			found = addr
 		}
 		return found != ""
@@ -103,7 +103,7 @@
 	if found != "" {
 		return found, protocol.Confirmed, startedAt
 	}
-	return "", t.classifyOutage(startedAt, disconnectedNodes, <-pinged || linkFast), startedAt
+	return "", c.classifyOutage(startedAt, disconnectedNodes, <-pinged || linkFast), startedAt
 }
 
 // classifyOutage distinguishes a network partition from a link on which answers come late.
@@ -112,13 +112,13 @@
 // same link. So a peer that answers in time, or a control node that answers in time that it
 // is disconnected, shows that the link is fast and that the other control nodes' silence is
 // their own.
-func (t *Client) classifyOutage(startedAt time.Time, disconnectedNodes int, linkFast bool) protocol.Confidence {
-	if t.deps.Node.CountActivePeers("registry", startedAt) > disconnectedNodes {
+func (c *Client) classifyOutage(startedAt time.Time, disconnectedNodes int, linkFast bool) protocol.Confidence {
+	if c.deps.Node.CountActivePeers("registry", startedAt) > disconnectedNodes {
 		// A control node that sent bytes but no answer is late, not cut off.
 		return protocol.Unconfirmed
 	}
 	// A saturated link may also be silent for a while before it delivers what is queued.
-	if !linkFast && t.deps.Node.CountActivePeers("", time.Now().Add(-t.deps.Settings.ConfigBound)) > 0 {
+	if !linkFast && c.deps.Node.CountActivePeers("", time.Now().Add(-c.deps.Settings.ConfigBound)) > 0 {
 		return protocol.Unconfirmed
 	}
 	return protocol.Disconnected
@@ -126,38 +126,38 @@
 
 // probe asks a control node whether it is connected. The answer counts for as long as it
 // can be of use, even when the round is over.
-func (t *Client) probe(_ context.Context, addr string) (protocol.HeartbeatResponse, error) {
-	ctx, cancel := context.WithTimeout(t.deps.Group.Context(), t.deps.Settings.ConfirmationTTL())
+func (c *Client) probe(_ context.Context, addr string) (protocol.HeartbeatResponse, error) {
+	ctx, cancel := context.WithTimeout(c.deps.Group.Context(), c.deps.Settings.ConfirmationTTL())
 	defer cancel()
 	sentAt := time.Now()
-	response, err := transport.Call[protocol.HeartbeatResponse](ctx, t.deps.Node, addr, "session.beat", protocol.Heartbeat{Member: t.deps.Self, ConfigVersion: t.host.Version(), Probe: true})
+	response, err := transport.Call[protocol.HeartbeatResponse](ctx, c.deps.Node, addr, "session.beat", protocol.Heartbeat{Member: c.deps.Self, ConfigVersion: c.host.Version(), Probe: true})
 	// Control nodes of earlier versions send no age with the answer to a probe.
-	if err == nil && response.Connected && response.ConfirmedAgoMS > 0 && response.ConfigVersion <= t.host.Version() {
-		t.recordConfirmation(sentAt, response.ConfirmedAgoMS)
+	if err == nil && response.Connected && response.ConfirmedAgoMS > 0 && response.ConfigVersion <= c.host.Version() {
+		c.recordConfirmation(sentAt, response.ConfirmedAgoMS)
 	}
 	return response, err
 }
 
 // recordConfirmation records that the configuration held here was the newest ageMS before
 // the call was sent.
-func (t *Client) recordConfirmation(sentAt time.Time, ageMS int64) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	if confirmedAt := sentAt.Add(-time.Duration(ageMS) * time.Millisecond); confirmedAt.After(t.confirmedAt) {
-		t.confirmedAt = confirmedAt
+func (c *Client) recordConfirmation(sentAt time.Time, ageMS int64) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if confirmedAt := sentAt.Add(-time.Duration(ageMS) * time.Millisecond); confirmedAt.After(c.confirmedAt) {
+		c.confirmedAt = confirmedAt
 	}
 }
 
 // Confidence returns how certain the node is that its configuration is the newest.
-func (t *Client) Confidence() protocol.Confidence {
-	pauseEnd := t.deps.LastPauseEnd()
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	if time.Since(t.confirmedAt) <= t.deps.Settings.ConfirmationTTL() {
+func (c *Client) Confidence() protocol.Confidence {
+	pauseEnd := c.deps.LastPauseEnd()
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if time.Since(c.confirmedAt) <= c.deps.Settings.ConfirmationTTL() {
 		return protocol.Confirmed
 	}
 	// A round during a process pause proves nothing: answers may be waiting unread.
-	if t.disconnected && t.lastDisconnectedRound.After(pauseEnd) && time.Since(t.lastDisconnectedRound) <= t.deps.Settings.ConfirmationTTL() {
+	if c.disconnected && c.lastDisconnectedRound.After(pauseEnd) && time.Since(c.lastDisconnectedRound) <= c.deps.Settings.ConfirmationTTL() {
 		return protocol.Disconnected
 	}
 	return protocol.Unconfirmed
@@ -167,27 +167,27 @@
 // it accepts or forwards another request. The wait is bounded by the time of one round over
 // all control nodes and by half of the remaining time. If answers are known to come late it
 // doesn't wait, because other nodes may be better informed.
-func (t *Client) Confirm(ctx context.Context, deadline time.Time) protocol.Confidence {
-	if confidence := t.Confidence(); confidence != protocol.Unconfirmed {
+func (c *Client) Confirm(ctx context.Context, deadline time.Time) protocol.Confidence {
+	if confidence := c.Confidence(); confidence != protocol.Unconfirmed {
 		return confidence
 	}
-	ctx, cancel := context.WithTimeout(ctx, min(2*t.deps.Settings.CallTimeout()+t.deps.Settings.HeartbeatInterval(), time.Until(deadline)/2))
+	ctx, cancel := context.WithTimeout(ctx, min(2*c.deps.Settings.CallTimeout()+c.deps.Settings.HeartbeatInterval(), time.Until(deadline)/2))
 	defer cancel()
 	for {
-		t.mu.Lock()
-		stateChanged, slow := t.stateChanged, t.slow
-		t.mu.Unlock()
-		if confidence := t.Confidence(); confidence != protocol.Unconfirmed {
+		c.mu.Lock()
+		stateChanged, slow := c.stateChanged, c.slow
+		c.mu.Unlock()
+		if confidence := c.Confidence(); confidence != protocol.Unconfirmed {
 			return confidence
 		}
-		t.HeartbeatNow()
+		c.HeartbeatNow()
 		if slow {
 			return protocol.Unconfirmed
 		}
 		select {
 		case <-stateChanged:
 		case <-ctx.Done():
-			return t.Confidence()
+			return c.Confidence()
 		}
 	}
 }
--- a/internal/controlclient/refill.go
+++ b/internal/controlclient/refill.go
@@ -25,75 +25,75 @@
 // own zone is tried first, since traffic between zones is expensive. Then the control node
 // is asked, when it is this node's turn there. Until then, peers that were refilled
 // meanwhile are tried.
-func (t *Client) refill(ctx context.Context, controlNode string) refillOutcome {
-	ctx, cancel := context.WithTimeout(ctx, t.answerTimeout())
+func (c *Client) refill(ctx context.Context, controlNode string) refillOutcome {
+	ctx, cancel := context.WithTimeout(ctx, c.answerTimeout())
 	defer cancel()
-	t.mu.Lock()
-	due, member := !time.Now().Before(t.refillAt), t.members.ByAddr(controlNode)
+	c.mu.Lock()
+	due, member := !time.Now().Before(c.refillAt), c.members.ByAddr(controlNode)
 	var first, last []string
-	if len(t.refillAlternatives) > 0 {
-		first = append(first, t.refillAlternatives[rand.IntN(len(t.refillAlternatives))])
+	if len(c.refillAlternatives) > 0 {
+		first = append(first, c.refillAlternatives[rand.IntN(len(c.refillAlternatives))])
 	}
-	t.mu.Unlock()
+	c.mu.Unlock()
 	switch {
 	case !due:
-		last = append(last, t.deps.Replica.RandomProxy(t.deps.Self.Zone), t.deps.Replica.RandomProxy(""))
-	case member == nil || member.Zone != t.deps.Self.Zone:
-		first = append(first, t.deps.Replica.RandomProxy(t.deps.Self.Zone))
+		last = append(last, c.deps.Replica.RandomProxy(c.deps.Self.Zone), c.deps.Replica.RandomProxy(""))
+	case member == nil || member.Zone != c.deps.Self.Zone:
+		first = append(first, c.deps.Replica.RandomProxy(c.deps.Self.Zone))
 	}
 	for _, addr := range first {
-		if t.refillFromPeer(ctx, addr, controlNode) {
+		if c.refillFromPeer(ctx, addr, controlNode) {
 			return refillDone
 		}
 	}
 	if due {
-		result, err := t.deps.Replica.Refill(ctx, controlNode)
+		result, err := c.deps.Replica.Refill(ctx, controlNode)
 		switch {
 		case err != nil:
 			return refillFailed
 		case result.Done:
-			t.completeRefill(controlNode, controlNode, result.Limited)
+			c.completeRefill(controlNode, controlNode, result.Limited)
 			return refillDone
 		}
-		t.recordRetry(result)
+		c.recordRetry(result)
 		if len(result.Alternatives) > 0 {
 			last = append(last, result.Alternatives[rand.IntN(len(result.Alternatives))])
 		}
 	}
 	for _, addr := range last {
-		if t.refillFromPeer(ctx, addr, controlNode) {
+		if c.refillFromPeer(ctx, addr, controlNode) {
 			return refillDone
 		}
 	}
 	// Until the refill, no outdated entries are passed on to others.
-	t.deps.Replica.SetRefillPending(true)
+	c.deps.Replica.SetRefillPending(true)
 	return refillDeferred
 }
 
 // refillFromPeer requests a refill from a peer. A peer that doesn't answer costs only a
 // quarter of the call timeout.
-func (t *Client) refillFromPeer(ctx context.Context, addr, controlNode string) bool {
+func (c *Client) refillFromPeer(ctx context.Context, addr, controlNode string) bool {
 	if addr == "" || addr == controlNode {
 		return false
 	}
-	ctx, cancel := context.WithTimeout(ctx, t.deps.Settings.CallTimeout()/4)
+	ctx, cancel := context.WithTimeout(ctx, c.deps.Settings.CallTimeout()/4)
 	defer cancel()
-	result, err := t.deps.Replica.Refill(ctx, addr)
+	result, err := c.deps.Replica.Refill(ctx, addr)
 	if err == nil && result.Done {
-		t.completeRefill(addr, controlNode, result.Limited)
+		c.completeRefill(addr, controlNode, result.Limited)
 		return true
 	}
-	t.mu.Lock()
-	t.refillAlternatives = result.Alternatives
-	t.mu.Unlock()
+	c.mu.Lock()
+	c.refillAlternatives = result.Alternatives
+	c.mu.Unlock()
 	return false
 }
 
 // recordRetry records when it is this node's turn, and which peers may refill it earlier.
-func (t *Client) recordRetry(result replica.Refill) {
-	t.mu.Lock()
-	t.refillAt, t.refillAlternatives = time.Now().Add(result.RetryAfter), result.Alternatives
-	t.mu.Unlock()
+func (c *Client) recordRetry(result replica.Refill) {
+	c.mu.Lock()
+	c.refillAt, c.refillAlternatives = time.Now().Add(result.RetryAfter), result.Alternatives
+	c.mu.Unlock()
 }
 
 // completeRefill resumes operation with a refilled replica. Own entries that were made
@@ -101,24 +101,24 @@
 // this node's start are fetched by repairs soon after. If the control node has used up its
 // refill capacity, no repair is requested first: gossip delivers the missing entries, and a
 // transfer from a peer in its place would cost more.
-func (t *Client) completeRefill(source, controlNode string, limited bool) {
-	t.mu.Lock()
-	t.refillAt, t.refillAlternatives = time.Time{}, nil
-	t.mu.Unlock()
-	interval := t.deps.Settings.HeartbeatInterval()
+func (c *Client) completeRefill(source, controlNode string, limited bool) {
+	c.mu.Lock()
+	c.refillAt, c.refillAlternatives = time.Time{}, nil
+	c.mu.Unlock()
+	interval := c.deps.Settings.HeartbeatInterval()
 	if source != controlNode && !limited {
 		// A peer may hold less than the control node does.
-		ctx, cancel := context.WithTimeout(t.deps.Group.Context(), t.answerTimeout())
-		_ = t.deps.Replica.Repair(ctx, controlNode)
+		ctx, cancel := context.WithTimeout(c.deps.Group.Context(), c.answerTimeout())
+		_ = c.deps.Replica.Repair(ctx, controlNode)
 		cancel()
 	}
-	t.host.ReplicaRefilled()
+	c.host.ReplicaRefilled()
 	if limited {
-		t.deps.Replica.AnnounceOwn()
+		c.deps.Replica.AnnounceOwn()
 	}
-	t.deps.Group.Go("mend-soon", func(ctx context.Context) {
+	c.deps.Group.Go("mend-soon", func(ctx context.Context) {
 		for range repairsAfterRefill {
-			_ = t.deps.Replica.Repair(ctx, controlNode)
+			_ = c.deps.Replica.Repair(ctx, controlNode)
 			task.Sleep(ctx, 2*interval)
 		}
 	})
--- a/internal/registry/election.go
+++ b/internal/registry/election.go
@@ -33,104 +33,104 @@
 }
 
 // leads returns the ballot number and true while this node holds the role.
-func (d *roleElection) leads() (ballot.Number, bool) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return d.ballot, d.holding && time.Since(d.majorityAt) < d.registry.Settings.Lease()
+func (e *roleElection) leads() (ballot.Number, bool) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	return e.ballot, e.holding && time.Since(e.majorityAt) < e.registry.Settings.Lease()
 }
 
-func (d *roleElection) run(ctx context.Context) {
+func (e *roleElection) run(ctx context.Context) {
 	for ctx.Err() == nil {
-		if number, ok := d.leads(); ok {
-			d.registry.env.Sleep(ctx, d.registry.Settings.HeartbeatInterval())
-			if d.collectVotes(ctx, "beat", number) {
-				d.work(ctx, number)
-			} else if _, holding := d.leads(); !holding {
-				d.stepDown("no majority of the stores")
+		if number, ok := e.leads(); ok {
+			e.registry.env.Sleep(ctx, e.registry.Settings.HeartbeatInterval())
+			if e.collectVotes(ctx, "beat", number) {
+				e.work(ctx, number)
+			} else if _, holding := e.leads(); !holding {
+				e.stepDown("no majority of the stores")
 			}
 			continue
 		}
-		d.stepDown("the lease ran out")
-		d.registry.env.Sleep(ctx, d.registry.Settings.Lease()/2+time.Duration(rand.Int64N(int64(d.registry.Settings.Lease()))))
-		if !d.registry.Ready() {
+		e.stepDown("the lease ran out")
+		e.registry.env.Sleep(ctx, e.registry.Settings.Lease()/2+time.Duration(rand.Int64N(int64(e.registry.Settings.Lease()))))
+		if !e.registry.Ready() {
 			continue
 		}
-		d.campaign(ctx)
+		e.campaign(ctx)
 	}
 }
 
-func (d *roleElection) stepDown(reason string) {
-	d.mu.Lock()
-	wasHolding := d.holding
-	d.holding = false
-	d.mu.Unlock()
+func (e *roleElection) stepDown(reason string) {
+	e.mu.Lock()
+	wasHolding := e.holding
+	e.holding = false
+	e.mu.Unlock()
 	if wasHolding {
-		d.registry.env.Log.Emit(event.RoleLost, "duty", d.name, "why", reason)
+		e.registry.env.Log.Emit(event.RoleLost, "duty", e.name, "why", reason)
 	}
 }
 
 // campaign tries once to win the role. The ballot number is committed to the log as a fence
 // before any work, so that late commands of an earlier holder are refused.
-func (d *roleElection) campaign(ctx context.Context) {
-	d.mu.Lock()
-	number := ballot.Number{Round: d.highestRound + 1, Candidate: d.registry.Settings.Node}
-	d.mu.Unlock()
+func (e *roleElection) campaign(ctx context.Context) {
+	e.mu.Lock()
+	number := ballot.Number{Round: e.highestRound + 1, Candidate: e.registry.Settings.Node}
+	e.mu.Unlock()
 	startedAt := time.Now()
-	if !d.collectVotes(ctx, "ask", number) {
+	if !e.collectVotes(ctx, "ask", number) {
 		return
 	}
-	callCtx, cancel := context.WithTimeout(ctx, d.registry.Settings.Lease())
+	callCtx, cancel := context.WithTimeout(ctx, e.registry.Settings.Lease())
 	defer cancel()
-	result, err := d.registry.stores.propose(callCtx, "duty.fence", &statemachine.FenceRole{Role: d.name, Ballot: number})
+	result, err := e.registry.stores.propose(callCtx, "duty.fence", &statemachine.FenceRole{Role: e.name, Ballot: number})
 	if err != nil || result.Code != statemachine.OK {
 		return
 	}
-	d.mu.Lock()
-	d.ballot, d.holding, d.majorityAt = number, true, startedAt
-	d.mu.Unlock()
-	d.registry.env.Log.Emit(event.RoleWon, "duty", d.name, "ballot", number.String())
+	e.mu.Lock()
+	e.ballot, e.holding, e.majorityAt = number, true, startedAt
+	e.mu.Unlock()
+	e.registry.env.Log.Emit(event.RoleWon, "duty", e.name, "ballot", number.String())
 }
 
 // collectVotes asks all stores and reports whether a majority granted.
-func (d *roleElection) collectVotes(ctx context.Context, operation string, number ballot.Number) bool {
+func (e *roleElection) collectVotes(ctx context.Context, operation string, number ballot.Number) bool {
 	startedAt := time.Now()
-	ctx, cancel := context.WithTimeout(ctx, d.registry.Settings.CallTimeout())
+	ctx, cancel := context.WithTimeout(ctx, e.registry.Settings.CallTimeout())
 	defer cancel()
-	d.registry.stores.mu.Lock()
-	voters := d.registry.stores.members
-	d.registry.stores.mu.Unlock()
+	e.registry.stores.mu.Lock()
+	voters := e.registry.stores.members
+	e.registry.stores.mu.Unlock()
 	if len(voters) == 0 {
 		return false
 	}
 	granted := 0
-	ballot.Poll(ctx, d.registry.group, voters, func(ctx context.Context, addr string) (store.RoleVote, error) {
-		return transport.Call[store.RoleVote](ctx, d.registry.node, addr, "store.duty", store.RoleBallot{Role: d.name, Ballot: number, Op: operation})
+	ballot.Poll(ctx, e.registry.group, voters, func(ctx context.Context, addr string) (store.RoleVote, error) {
+		return transport.Call[store.RoleVote](ctx, e.registry.node, addr, "store.duty", store.RoleBallot{Role: e.name, Ballot: number, Op: operation})
 	}, func(_ string, vote store.RoleVote, err error) bool {
 		if err == nil && vote.Granted {
 			granted++
 		}
-		d.mu.Lock()
-		d.highestRound = max(d.highestRound, vote.Promised.Round)
-		d.mu.Unlock()
+		e.mu.Lock()
+		e.highestRound = max(e.highestRound, vote.Promised.Round)
+		e.mu.Unlock()
 		return granted > len(voters)/2
 	})
 	if granted <= len(voters)/2 {
 		return false
 	}
-	d.mu.Lock()
-	d.majorityAt = startedAt
-	d.mu.Unlock()
+	e.mu.Lock()
+	e.majorityAt = startedAt
+	e.mu.Unlock()
 	return true
 }
 
 // vacate gives the role up at once, so that another node can win it before the lease ends.
-func (d *roleElection) vacate() {
-	number, ok := d.leads()
+func (e *roleElection) vacate() {
+	number, ok := e.leads()
 	if !ok {
 		return
 	}
-	d.stepDown("handed on")
-	d.collectVotes(d.registry.group.Context(), "vacate", number)
+	e.stepDown("handed on")
+	e.collectVotes(e.registry.group.Context(), "vacate", number)
 }
 
 // retireNodes removes the entries of nodes that have had no session with any reachable
--- a/internal/registry/handlers.go
+++ b/internal/registry/handlers.go
@@ -82,15 +82,15 @@
 	body   bytes.Buffer
 }
 
-func (t *responseRecorder) Header() http.Header { return t.header }
-func (t *responseRecorder) WriteHeader(status int) {
-	if t.status == 0 {
-		t.status = status
+func (r *responseRecorder) Header() http.Header { return r.header }
+func (r *responseRecorder) WriteHeader(status int) {
+	if r.status == 0 {
+		r.status = status
 	}
 }
-func (t *responseRecorder) Write(data []byte) (int, error) {
-	t.WriteHeader(http.StatusOK)
-	return t.body.Write(data)
+func (r *responseRecorder) Write(data []byte) (int, error) {
+	r.WriteHeader(http.StatusOK)
+	return r.body.Write(data)
 }
 
 // onForwardedCall serves an API call that a proxy forwarded.
--- a/internal/registry/judge.go
+++ b/internal/registry/judge.go
@@ -96,9 +96,9 @@
 	r.mu.Lock()
 	compiled, trials := r.rules, r.trials
 	running := []statemachine.Trial{}
-	for _, t := range trials {
-		if t.State == statemachine.Running {
-			running = append(running, t)
+	for _, trial := range trials {
+		if trial.State == statemachine.Running {
+			running = append(running, trial)
 		}
 	}
 	// While no trial runs, the reports of proxies that are gone are not needed.
@@ -135,8 +135,8 @@
 	r.mu.Lock()
 	r.latestReports = newest
 	r.mu.Unlock()
-	for _, t := range running {
-		r.decideTrial(ctx, t, r.evaluateTrial(t, reports, judgeBounds(compiled.Judge)), number, compiled)
+	for _, trial := range running {
+		r.decideTrial(ctx, trial, r.evaluateTrial(trial, reports, judgeBounds(compiled.Judge)), number, compiled)
 	}
 }
 
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -44,7 +44,7 @@
 	stores        *storeClient
 	handler       http.Handler
 	activeCalls   atomic.Int64     // HTTP API calls in progress
-	cutoff        *shutdown.Cutoff // cancels activeCalls when a shutdown can wait no longer
+	cutoff        *shutdown.Cutoff // cancels the active calls when a shutdown can wait no longer
 	pauseDetector *pausedetect.Detector
 	elections     []*roleElection
 
@@ -143,8 +143,8 @@
 	r.group.Every("share", r.Settings.HeartbeatInterval(), r.reportSessions)
 	r.group.Every("keep", r.Settings.HeartbeatInterval(), func(context.Context) { r.saveWorkers() })
 	r.group.Go("pulse", func(ctx context.Context) { r.pauseDetector.Run(ctx, r.env.Sleep) })
-	for _, d := range r.elections {
-		r.group.Go("duty-"+d.name, d.run)
+	for _, election := range r.elections {
+		r.group.Go("duty-"+election.name, election.run)
 	}
 	return nil
 }
@@ -203,8 +203,8 @@
 	if !r.lifecycle.Fire("stop") {
 		return
 	}
-	for _, d := range r.elections {
-		d.vacate()
+	for _, election := range r.elections {
+		election.vacate()
 	}
 	// Sessions are refused from now on, so all proxies have moved within two heartbeats.
 	// API clients learn of the shutdown from the readiness endpoint, which the platform
