--- a/internal/controlclient/document.go
+++ b/internal/controlclient/document.go
@@ -9,95 +9,96 @@
 	"puffincrank/internal/transport"
 )
 
-// spare is how many steps a node keeps for fellows that lag.
-const spare = 16
+// stepsKept is how many patches a node keeps for peers that lag behind.
+const stepsKept = 16
 
-// ApplyConfig puts a newer configuration in force, that came whole or as steps from
-// the one held; false means that it can't.
-func (t *Client) ApplyConfig(version uint64, doc []byte, steps []patch.Step) bool {
-	if t.host.Version() >= version {
+// ApplyConfig puts a newer configuration in force, received whole or as patches from the
+// version held. It returns false if that is not possible.
+func (c *Client) ApplyConfig(version uint64, doc []byte, steps []patch.Step) bool {
+	if c.host.Version() >= version {
 		return true
 	}
 	if doc == nil {
-		made, ok := t.held.Build(steps)
+		built, ok := c.document.Build(steps)
 		if !ok || len(steps) == 0 || steps[len(steps)-1].To != version {
-			return t.host.Version() >= version
+			return c.host.Version() >= version
 		}
-		doc = made
+		doc = built
 	}
-	kept, ok := t.host.ApplyConfig(version, doc)
+	kept, ok := c.host.ApplyConfig(version, doc)
 	if ok {
-		t.held.Set(version, kept, steps)
+		c.document.Set(version, kept, steps)
 	}
 	return ok
 }
 
-// Document gives the document held here, with the newest steps to it.
-func (t *Client) Document() *patch.Document { return t.held }
+// Document returns the document held here, with the newest patches that led to it.
+func (c *Client) Document() *patch.Document { return c.document }
 
-// RegisterHandlers takes pushes of the configuration, and fellows' questions.
-func (t *Client) RegisterHandlers() {
-	push := func(_ context.Context, _ transport.Hello, in protocol.ConfigPush) (protocol.ConfigPushResponse, error) {
-		t.ApplyConfig(in.Version, in.Document, in.Steps)
-		return protocol.ConfigPushResponse{Version: t.host.Version()}, nil
+// RegisterHandlers registers the handlers for configuration pushes and for peers' requests.
+func (c *Client) RegisterHandlers() {
+	push := func(_ context.Context, _ transport.Hello, request protocol.ConfigPush) (protocol.ConfigPushResponse, error) {
+		c.ApplyConfig(request.Version, request.Document, request.Steps)
+		return protocol.ConfigPushResponse{Version: c.host.Version()}, nil
 	}
-	// Steps have a kind of their own, which earlier versions refuse by name.
-	transport.Handle(t.x.Node, "config.push", push)
-	transport.Handle(t.x.Node, "config.step", push)
-	transport.Handle(t.x.Node, "config.give", t.give)
-	transport.Handle(t.x.Node, "session.members", t.list)
+	// Patches have a message kind of their own, which earlier versions refuse as unknown.
+	transport.Handle(c.deps.Node, "config.push", push)
+	transport.Handle(c.deps.Node, "config.step", push)
+	transport.Handle(c.deps.Node, "config.give", c.serveConfig)
+	transport.Handle(c.deps.Node, "session.members", c.serveMembers)
 }
 
-// give hands a fellow the configuration held here, if it is newer than its own.
-func (t *Client) give(_ context.Context, _ transport.Hello, in protocol.ConfigPush) (protocol.ConfigPush, error) {
-	version, doc := t.held.Current()
-	if version <= in.Version {
+// serveConfig gives a peer the configuration held here, if it is newer than the peer's.
+func (c *Client) serveConfig(_ context.Context, _ transport.Hello, request protocol.ConfigPush) (protocol.ConfigPush, error) {
+	version, doc := c.document.Current()
+	if version <= request.Version {
 		return protocol.ConfigPush{}, nil
 	}
-	if steps, ok := t.held.Since(in.Version); ok && in.AcceptsPatch {
+	if steps, ok := c.document.Since(request.Version); ok && request.AcceptsPatch {
 		return protocol.ConfigPush{Version: version, Steps: steps}, nil
 	}
 	return protocol.ConfigPush{Version: version, Document: doc}, nil
 }
 
-// FetchFrom takes the configuration that a fellow holds, if it is newer.
-func (t *Client) FetchFrom(ctx context.Context, at string) bool {
-	for _, steps := range []bool{true, false} {
-		had := t.host.Version()
-		got, err := transport.Call[protocol.ConfigPush](ctx, t.x.Node, at, "config.give", protocol.ConfigPush{Version: had, AcceptsPatch: steps})
-		if err != nil || got.Version <= had {
+// FetchFrom fetches the configuration that a peer holds, if it is newer.
+func (c *Client) FetchFrom(ctx context.Context, addr string) bool {
+	for _, acceptsPatch := range []bool{true, false} {
+		heldVersion := c.host.Version()
+		push, err := transport.Call[protocol.ConfigPush](ctx, c.deps.Node, addr, "config.give", protocol.ConfigPush{Version: heldVersion, AcceptsPatch: acceptsPatch})
+		if err != nil || push.Version <= heldVersion {
 			return false
 		}
-		if t.ApplyConfig(got.Version, got.Document, got.Steps) {
+		if c.ApplyConfig(push.Version, push.Document, push.Steps) {
 			return true
 		}
 	}
 	return false
 }
 
-// PushConfig gives a fellow that likely holds a version what is held: steps if there
-// are some from there, the whole otherwise. It gives back what the fellow holds
-// then, 0 when it didn't say.
-func PushConfig(ctx context.Context, n *transport.Node, to string, held *patch.Document, have uint64) (uint64, error) {
-	version, doc := held.Current()
+// PushConfig sends the configuration held here to a peer that is believed to hold
+// peerVersion: as patches if there are some from that version, or else whole. It returns
+// the version that the peer holds afterwards, 0 if the peer didn't say.
+func PushConfig(ctx context.Context, node *transport.Node, addr string, document *patch.Document, peerVersion uint64) (uint64, error) {
+	version, doc := document.Current()
 	for range 2 {
-		steps, ok := held.Since(have)
+		steps, ok := document.Since(peerVersion)
 		if !ok {
 			break
 		}
-		got, err := transport.Call[protocol.ConfigPushResponse](ctx, n, to, "config.step", protocol.ConfigPush{Version: version, Steps: steps})
+		response, err := transport.Call[protocol.ConfigPushResponse](ctx, node, addr, "config.step", protocol.ConfigPush{Version: version, Steps: steps})
 		if err != nil && !fault.Is(err, fault.Refused) {
 			return 0, err
 		}
-		if err == nil && got.Version >= version {
-			return got.Version, nil
+		if err == nil && response.Version >= version {
+			return response.Version, nil
 		}
-		// It holds another one than was thought, or knows no steps.
-		if err != nil || got.Version == have {
+		// The peer doesn't accept patches, or still holds the version that they should
+		// start from.
+		if err != nil || response.Version == peerVersion {
 			break
 		}
-		have = got.Version
+		peerVersion = response.Version
 	}
-	got, err := transport.Call[protocol.ConfigPushResponse](ctx, n, to, "config.push", protocol.ConfigPush{Version: version, Document: doc})
-	return got.Version, err
+	response, err := transport.Call[protocol.ConfigPushResponse](ctx, node, addr, "config.push", protocol.ConfigPush{Version: version, Document: doc})
+	return response.Version, err
 }
--- a/internal/registry/election.go
+++ b/internal/registry/election.go
@@ -14,158 +14,159 @@
 	"puffincrank/internal/transport"
 )
 
-// roleElection is one that a single control node does, won by a round of ballots with
-// the stores as voters each time it falls vacant.
+// roleElection elects the holder of a role that only one control node has at a time. Each
+// time the role is vacant, it is won in a round of ballots with the stores as voters. A
+// majority has to renew it at each heartbeat, or the lease runs out.
 type roleElection struct {
-	r     *Registry
-	name  string
-	work  func(ctx context.Context, num ballot.Number)
-	mu    sync.Mutex
-	num   ballot.Number
-	held  bool
-	major time.Time
-	seen  uint64
+	registry     *Registry
+	name         string
+	work         func(ctx context.Context, number ballot.Number)
+	mu           sync.Mutex
+	ballot       ballot.Number // the ballot that last won the role here
+	holding      bool
+	majorityAt   time.Time // start of the last round that a majority granted; the lease counts from it
+	highestRound uint64    // the highest round promised by any store
 }
 
-func newRoleElection(r *Registry, name string, work func(context.Context, ballot.Number)) *roleElection {
-	return &roleElection{r: r, name: name, work: work}
+func newRoleElection(registry *Registry, name string, work func(context.Context, ballot.Number)) *roleElection {
+	return &roleElection{registry: registry, name: name, work: work}
 }
 
-// leads gives the ballot while the role is held.
-func (d *roleElection) leads() (ballot.Number, bool) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return d.num, d.held && time.Since(d.major) < d.r.Settings.Lease()
+// leads returns the ballot number and true while this node holds the role.
+func (e *roleElection) leads() (ballot.Number, bool) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	return e.ballot, e.holding && time.Since(e.majorityAt) < e.registry.Settings.Lease()
 }
 
-func (d *roleElection) run(ctx context.Context) {
+func (e *roleElection) run(ctx context.Context) {
 	for ctx.Err() == nil {
-		if num, ok := d.leads(); ok {
-			d.r.e.Sleep(ctx, d.r.Settings.HeartbeatInterval())
-			if d.vote(ctx, "beat", num) {
-				d.work(ctx, num)
-			} else if _, still := d.leads(); !still {
-				d.stepDown("no majority of the stores")
+		if number, ok := e.leads(); ok {
+			e.registry.env.Sleep(ctx, e.registry.Settings.HeartbeatInterval())
+			if e.collectVotes(ctx, "beat", number) {
+				e.work(ctx, number)
+			} else if _, holding := e.leads(); !holding {
+				e.stepDown("no majority of the stores")
 			}
 			continue
 		}
-		d.stepDown("the lease ran out")
-		d.r.e.Sleep(ctx, d.r.Settings.Lease()/2+time.Duration(rand.Int64N(int64(d.r.Settings.Lease()))))
-		if !d.r.Ready() {
+		e.stepDown("the lease ran out")
+		e.registry.env.Sleep(ctx, e.registry.Settings.Lease()/2+time.Duration(rand.Int64N(int64(e.registry.Settings.Lease()))))
+		if !e.registry.Ready() {
 			continue
 		}
-		d.campaign(ctx)
+		e.campaign(ctx)
 	}
 }
 
-func (d *roleElection) stepDown(why string) {
-	d.mu.Lock()
-	was := d.held
-	d.held = false
-	d.mu.Unlock()
-	if was {
-		d.r.e.Log.Emit(event.RoleLost, "duty", d.name, "why", why)
+func (e *roleElection) stepDown(reason string) {
+	e.mu.Lock()
+	wasHolding := e.holding
+	e.holding = false
+	e.mu.Unlock()
+	if wasHolding {
+		e.registry.env.Log.Emit(event.RoleLost, "duty", e.name, "why", reason)
 	}
 }
 
-// campaign is one try to win the role. The number goes into the log as a fence
-// before any work, so that an earlier holder's late word is refused.
-func (d *roleElection) campaign(ctx context.Context) {
-	d.mu.Lock()
-	num := ballot.Number{Round: d.seen + 1, Candidate: d.r.Settings.Node}
-	d.mu.Unlock()
-	from := time.Now()
-	if !d.vote(ctx, "ask", num) {
+// campaign tries once to win the role. The ballot number is committed to the log as a fence
+// before any work, so that late commands of an earlier holder are refused.
+func (e *roleElection) campaign(ctx context.Context) {
+	e.mu.Lock()
+	number := ballot.Number{Round: e.highestRound + 1, Candidate: e.registry.Settings.Node}
+	e.mu.Unlock()
+	startedAt := time.Now()
+	if !e.collectVotes(ctx, "ask", number) {
 		return
 	}
-	one, end := context.WithTimeout(ctx, d.r.Settings.Lease())
-	defer end()
-	got, err := d.r.stores.propose(one, "duty.fence", &statemachine.FenceRole{Role: d.name, Ballot: num})
-	if err != nil || got.Code != statemachine.OK {
+	callCtx, cancel := context.WithTimeout(ctx, e.registry.Settings.Lease())
+	defer cancel()
+	result, err := e.registry.stores.propose(callCtx, "duty.fence", &statemachine.FenceRole{Role: e.name, Ballot: number})
+	if err != nil || result.Code != statemachine.OK {
 		return
 	}
-	d.mu.Lock()
-	d.num, d.held, d.major = num, true, from
-	d.mu.Unlock()
-	d.r.e.Log.Emit(event.RoleWon, "duty", d.name, "ballot", num.String())
+	e.mu.Lock()
+	e.ballot, e.holding, e.majorityAt = number, true, startedAt
+	e.mu.Unlock()
+	e.registry.env.Log.Emit(event.RoleWon, "duty", e.name, "ballot", number.String())
 }
 
-// vote asks all stores and counts a majority of yes.
-func (d *roleElection) vote(ctx context.Context, op string, num ballot.Number) bool {
-	from := time.Now()
-	ctx, end := context.WithTimeout(ctx, d.r.Settings.CallTimeout())
-	defer end()
-	d.r.stores.mu.Lock()
-	all := d.r.stores.members
-	d.r.stores.mu.Unlock()
-	if len(all) == 0 {
+// collectVotes asks all stores and reports whether a majority granted.
+func (e *roleElection) collectVotes(ctx context.Context, operation string, number ballot.Number) bool {
+	startedAt := time.Now()
+	ctx, cancel := context.WithTimeout(ctx, e.registry.Settings.CallTimeout())
+	defer cancel()
+	e.registry.stores.mu.Lock()
+	voters := e.registry.stores.members
+	e.registry.stores.mu.Unlock()
+	if len(voters) == 0 {
 		return false
 	}
-	yes := 0
-	ballot.Poll(ctx, d.r.g, all, func(ctx context.Context, to string) (store.RoleVote, error) {
-		return transport.Call[store.RoleVote](ctx, d.r.n, to, "store.duty", store.RoleBallot{Role: d.name, Ballot: num, Op: op})
-	}, func(_ string, v store.RoleVote, err error) bool {
-		if err == nil && v.Granted {
-			yes++
+	granted := 0
+	ballot.Poll(ctx, e.registry.group, voters, func(ctx context.Context, addr string) (store.RoleVote, error) {
+		return transport.Call[store.RoleVote](ctx, e.registry.node, addr, "store.duty", store.RoleBallot{Role: e.name, Ballot: number, Op: operation})
+	}, func(_ string, vote store.RoleVote, err error) bool {
+		if err == nil && vote.Granted {
+			granted++
 		}
-		d.mu.Lock()
-		d.seen = max(d.seen, v.Promised.Round)
-		d.mu.Unlock()
-		return yes > len(all)/2
+		e.mu.Lock()
+		e.highestRound = max(e.highestRound, vote.Promised.Round)
+		e.mu.Unlock()
+		return granted > len(voters)/2
 	})
-	if yes <= len(all)/2 {
+	if granted <= len(voters)/2 {
 		return false
 	}
-	d.mu.Lock()
-	d.major = from
-	d.mu.Unlock()
+	e.mu.Lock()
+	e.majorityAt = startedAt
+	e.mu.Unlock()
 	return true
 }
 
-// vacate gives the role up at once.
-func (d *roleElection) vacate() {
-	num, ok := d.leads()
+// vacate gives the role up at once, so that another node can win it before the lease ends.
+func (e *roleElection) vacate() {
+	number, ok := e.leads()
 	if !ok {
 		return
 	}
-	d.stepDown("handed on")
-	d.vote(d.r.g.Context(), "vacate", num)
+	e.stepDown("handed on")
+	e.collectVotes(e.registry.group.Context(), "vacate", number)
 }
 
-// retireNodes retires the entries of nodes that have no session with any control
-// node in touch for the retire bound, counted only while the steward itself
-// is in touch with a majority.
-func (r *Registry) retireNodes(_ context.Context, num ballot.Number) {
-	if !r.inTouch() {
+// retireNodes removes the entries of nodes that have had no session with any reachable
+// control node for longer than RetireAfter. The time counts only while the steward itself
+// is connected to a majority.
+func (r *Registry) retireNodes(_ context.Context, number ballot.Number) {
+	if !r.connected() {
 		r.mu.Lock()
-		r.away = map[string]time.Time{}
+		r.absentSince = map[string]time.Time{}
 		r.mu.Unlock()
 		return
 	}
-	live := r.rep.Map().Live(nil)
+	entries := r.replica.Map().Live(nil)
 	r.mu.Lock()
-	here := r.roll.List()
+	members := r.members.List()
 	now := time.Now()
-	dead := map[string]bool{}
-	seen := map[string]bool{}
-	for _, e := range live {
-		seen[e.Owner] = true
-		if here.Has(e.Owner) {
-			delete(r.away, e.Owner)
-		} else if t, ok := r.away[e.Owner]; !ok {
-			r.away[e.Owner] = now
-		} else if now.Sub(t) > r.Settings.RetireAfter {
-			dead[e.Owner] = true
+	expired := map[string]bool{}
+	owners := map[string]bool{}
+	for _, e := range entries {
+		owners[e.Owner] = true
+		if members.Has(e.Owner) {
+			delete(r.absentSince, e.Owner)
+		} else if since, ok := r.absentSince[e.Owner]; !ok {
+			r.absentSince[e.Owner] = now
+		} else if now.Sub(since) > r.Settings.RetireAfter {
+			expired[e.Owner] = true
 		}
 	}
-	for n := range r.away {
-		if !seen[n] {
-			delete(r.away, n)
+	for n := range r.absentSince {
+		if !owners[n] {
+			delete(r.absentSince, n)
 		}
 	}
 	r.mu.Unlock()
-	for n := range dead {
-		count := r.rep.RetireNode(n, func(ormap.Entry) bool { return true })
-		r.e.Log.Emit(event.Retired, "node", n, "entries", count, "ballot", num.String())
+	for n := range expired {
+		count := r.replica.RetireNode(n, func(ormap.Entry) bool { return true })
+		r.env.Log.Emit(event.Retired, "node", n, "entries", count, "ballot", number.String())
 	}
 }
--- a/internal/registry/unreachable.go
+++ b/internal/registry/unreachable.go
@@ -6,53 +6,54 @@
 	"puffincrank/internal/membership"
 )
 
-// recordAnswer notes whether a control node answered a word that began at a time,
-// so that one that ended is out of the list before its sessions' time is over.
-func (r *Registry) recordAnswer(at string, began time.Time, ok bool) {
+// recordAnswer records whether a control node answered the report sent at sentAt, so that a
+// node that died leaves the member list before its session TTL ends.
+func (r *Registry) recordAnswer(addr string, sentAt time.Time, answered bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, o := range r.others {
+	for _, peer := range r.peerNodes {
 		switch {
-		case o.f.InternalAddr != at:
-		case ok:
-			o.mute = time.Time{}
-			if began.After(o.well) {
-				o.well = began
+		case peer.member.InternalAddr != addr:
+		case answered:
+			peer.silentSince = time.Time{}
+			if sentAt.After(peer.lastAnsweredSentAt) {
+				peer.lastAnsweredSentAt = sentAt
 			}
-		// An older word that is given up late says nothing against a newer one.
-		case began.After(o.well) && (o.mute.IsZero() || o.mute.After(began)):
-			o.mute = began
+		// An older report that times out late does not count against a newer answer.
+		case sentAt.After(peer.lastAnsweredSentAt) && (peer.silentSince.IsZero() || peer.silentSince.After(sentAt)):
+			peer.silentSince = sentAt
 		}
 	}
 }
 
-// unreachablePeers gives the control nodes whose end is not certain yet: a word goes to
-// them at each beat, as a word now and then would find it out too late. mu is
-// held.
+// unreachablePeers returns the control nodes that did not answer but are not yet excluded.
+// They get a report at every heartbeat: at the idle interval the outage would be detected
+// too late. The caller holds mu.
 func (r *Registry) unreachablePeers() []string {
-	var out []string
-	for _, o := range r.others {
-		if o.stands && !o.mute.IsZero() && !o.out {
-			out = append(out, o.f.InternalAddr)
+	var addrs []string
+	for _, peer := range r.peerNodes {
+		if peer.active && !peer.silentSince.IsZero() && !peer.excluded {
+			addrs = append(addrs, peer.member.InternalAddr)
 		}
 	}
-	return out
+	return addrs
 }
 
-// dropUnreachable takes a control node off the list that answered nothing for as long as
-// a role stands without its holder, and said nothing itself meanwhile. What it
-// said of its sessions goes on counting: who is cut off from it is not from them.
-// mu is held.
+// dropUnreachable removes a control node from the member list when it has neither answered
+// nor sent anything for LeaderTimeout, the time that a role stays without its holder. The
+// sessions that it reported still count, since nodes that can't reach it may still reach
+// those proxies. The caller holds mu.
 func (r *Registry) dropUnreachable() {
-	for who, o := range r.others {
-		if o.stands && !o.mute.IsZero() && !o.out && o.heard.Before(o.mute) && time.Since(o.mute) >= r.Settings.LeaderTimeout() {
-			o.out = true
-			r.roll.Remove(who, who)
+	for name, peer := range r.peerNodes {
+		if peer.active && !peer.silentSince.IsZero() && !peer.excluded && peer.lastHeard.Before(peer.silentSince) && time.Since(peer.silentSince) >= r.Settings.LeaderTimeout() {
+			peer.excluded = true
+			r.members.Remove(name, name)
 		}
 	}
 }
 
-// hears takes in that a control node spoke: it is one again. mu is held.
-func (o *shared) hears(from membership.Member) {
-	o.f, o.heard, o.stands, o.out = from, time.Now(), true, false
+// recordContact records that the control node sent a report; this ends its exclusion. The
+// caller holds mu.
+func (p *peerNode) recordContact(from membership.Member) {
+	p.member, p.lastHeard, p.active, p.excluded = from, time.Now(), true, false
 }
