--- a/internal/store/batch.go
+++ b/internal/store/batch.go
@@ -10,45 +10,45 @@
 // them. Some are led in by another command in the same entry, so that nothing
 // comes between the two; all are commands that every version of the program
 // applies alike. learn is held.
-func (s *Store) batchCommands(batch []*proposal) (cmds statemachine.Batch, mine []int) {
+func (s *Store) batchCommands(batch []*proposal) (commands statemachine.Batch, positions []int) {
 	now := time.Now()
-	add := func(kind string, c statemachine.Command) {
-		if p, err := statemachine.Pack(kind, c); err == nil {
-			cmds = append(cmds, p)
+	add := func(kind string, command statemachine.Command) {
+		if packed, err := statemachine.Pack(kind, command); err == nil {
+			commands = append(commands, packed)
 		}
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, o := range batch {
-		if in, ok := o.in.(*statemachine.AcquireLock); ok && !in.Renew {
-			s.lockPrelude(o, in, now, add)
+		if acquire, ok := o.command.(*statemachine.AcquireLock); ok && !acquire.Renew {
+			s.lockPrelude(o, acquire, now, add)
 		}
-		mine = append(mine, len(cmds))
-		cmds = append(cmds, o.cmd)
+		positions = append(positions, len(commands))
+		commands = append(commands, o.packed)
 	}
-	for kind, c := range s.trimCommands(now) {
-		add(kind, c)
+	for kind, command := range s.trimCommands(now) {
+		add(kind, command)
 	}
-	return cmds, mine
+	return commands, positions
 }
 
 // lockPrelude ends a lock that is asked for after its time. One that its owner
 // acquires again is given back first, so that it has a new fence: a release or
 // renewal of the old one, held up on its way, then does nothing. One that asks
 // to keep its fence is a renewal. mu is held.
-func (s *Store) lockPrelude(o *proposal, in *statemachine.AcquireLock, now time.Time, add func(string, statemachine.Command)) {
-	if c := s.expiredLock(in.Name, now); c != nil {
-		add("lock.expire", c)
+func (s *Store) lockPrelude(queued *proposal, acquire *statemachine.AcquireLock, now time.Time, add func(string, statemachine.Command)) {
+	if expire := s.expiredLock(acquire.Name, now); expire != nil {
+		add("lock.expire", expire)
 		return
 	}
-	l, held := s.state.Locks[in.Name]
-	if !held || l.Owner != in.Owner || in.Same {
+	lock, held := s.state.Locks[acquire.Name]
+	if !held || lock.Owner != acquire.Owner || acquire.Same {
 		return
 	}
 	// Nor does this take time away from what the owner may count on.
-	in.TTL = max(in.TTL, l.TTL)
-	if p, err := statemachine.Pack("lock.take", in); err == nil {
-		o.cmd = p
-		add("lock.free", &statemachine.ReleaseLock{Name: in.Name, Owner: in.Owner, Fence: l.Fence})
+	acquire.TTL = max(acquire.TTL, lock.TTL)
+	if packed, err := statemachine.Pack("lock.take", acquire); err == nil {
+		queued.packed = packed
+		add("lock.free", &statemachine.ReleaseLock{Name: acquire.Name, Owner: acquire.Owner, Fence: lock.Fence})
 	}
 }
--- a/internal/store/campaign.go
+++ b/internal/store/campaign.go
@@ -14,26 +14,26 @@
 // again.
 func (s *Store) followStep(ctx context.Context) time.Duration {
 	s.mu.Lock()
-	vow, quiet := s.voter.Promised()
+	promised, silence := s.voter.Promised()
 	// One whose disk is only slow is better than nobody, once all the others
 	// had their turn.
-	weak := time.Now().Before(s.restsUntil) && (s.lastWriteFailed || quiet < 2*s.Settings.LeaderTimeout())
-	rest := s.stopping || weak || s.diskHangs() || s.isMending()
-	again, free := s.campaignNow, time.Until(s.campaignFrom)
+	backOff := time.Now().Before(s.noCampaignUntil) && (s.lastWriteFailed || silence < 2*s.Settings.LeaderTimeout())
+	passive := s.stopping || backOff || s.diskStalled() || s.isRepairing()
+	immediate, delay := s.campaignNow, time.Until(s.campaignNotBefore)
 	s.campaignNow = false
 	s.mu.Unlock()
 	switch {
-	case rest:
+	case passive:
 		// One that may not stand still asks whether it has lost its place.
-		if quiet > s.Settings.Lease() && !again {
+		if silence > s.Settings.Lease() && !immediate {
 			s.askVotes(ctx, ballot.Number{}, false)
 		}
 		return s.Settings.HeartbeatInterval()
-	case again:
-	case free > 0:
-		return free
-	case quiet < s.Settings.LeaderTimeout():
-		return s.Settings.LeaderTimeout() - quiet + s.campaignDelay(vow)
+	case immediate:
+	case delay > 0:
+		return delay
+	case silence < s.Settings.LeaderTimeout():
+		return s.Settings.LeaderTimeout() - silence + s.campaignDelay(promised)
 	}
 	s.campaign(ctx)
 	if !s.role.Is("follow") {
@@ -46,7 +46,7 @@
 // campaignDelay is how long this store waits once the leadership of a holder is vacant. It
 // differs from store to store, by their order, so that two seldom stand at
 // once; whoever was voted for meanwhile is heard, and the others stay down.
-func (s *Store) campaignDelay(vow ballot.Number) time.Duration {
+func (s *Store) campaignDelay(promised ballot.Number) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	rank := 0
@@ -54,10 +54,10 @@
 		return 0
 	}
 	for _, m := range s.state.Members {
-		if m.ID == s.acc.Identity().ID {
+		if m.ID == s.acceptor.Identity().ID {
 			break
 		}
-		if m.ID != vow.Candidate {
+		if m.ID != promised.Candidate {
 			rank++
 		}
 	}
@@ -73,83 +73,83 @@
 	}
 	s.noteSilentLeader(s.voter.Promised())
 	s.mu.Lock()
-	vow := s.acc.Promised()
-	s.num = ballot.Number{Round: max(s.highestRound, vow.Round) + 1, Candidate: s.acc.Identity().ID}
-	s.highestRound = s.num.Round
-	num := s.num
+	promised := s.acceptor.Promised()
+	s.ballot = ballot.Number{Round: max(s.highestRound, promised.Round) + 1, Candidate: s.acceptor.Identity().ID}
+	s.highestRound = s.ballot.Round
+	number := s.ballot
 	s.mu.Unlock()
-	body := s.memberSet()
-	began := time.Now()
-	votes, from, no, ok := s.askVotes(ctx, num, true)
-	if !ok && no > 0 && time.Since(began) < s.Settings.HeartbeatInterval() {
+	members := s.memberSet()
+	started := time.Now()
+	votes, from, refused, ok := s.askVotes(ctx, number, true)
+	if !ok && refused > 0 && time.Since(started) < s.Settings.HeartbeatInterval() {
 		// Another stood at the same time, and neither has a majority. Those who
 		// promised wait for their one as for a holder; this one will write nothing
 		// under its number. Without any refusal the voters are only slow, and where a
 		// vote was waited for, the vacancy is over sooner than a new one would be.
-		s.announceVacancy(num)
+		s.announceVacancy(number)
 	}
-	if !ok || !s.prepare(ctx, num, body, votes, from) {
+	if !ok || !s.prepare(ctx, number, members, votes, from) {
 		s.role.Fire("lose")
 	}
 }
 
 // prepare brings this store up to what its voters know, proposes again what
 // they accepted, and begins to write.
-func (s *Store) prepare(ctx context.Context, num ballot.Number, body string, votes []ballotVote, from []string) bool {
-	s.applying.Lock()
-	defer s.applying.Unlock()
-	ctx, end := context.WithTimeout(ctx, s.Settings.ConfigBound)
-	defer end()
+func (s *Store) prepare(ctx context.Context, number ballot.Number, members string, votes []ballotVote, from []string) bool {
+	s.applyLock.Lock()
+	defer s.applyLock.Unlock()
+	ctx, cancel := context.WithTimeout(ctx, s.Settings.ConfigBound)
+	defer cancel()
 	best := -1
 	for i, v := range votes {
-		if v.Slot > s.slot && (best < 0 || v.Slot > votes[best].Slot) {
+		if v.Applied > s.appliedIndex && (best < 0 || v.Applied > votes[best].Applied) {
 			best = i
 		}
 	}
-	if best >= 0 && s.fetchMissing(ctx, from[best], votes[best].Slot) != nil {
+	if best >= 0 && s.fetchMissing(ctx, from[best], votes[best].Applied) != nil {
 		return false
 	}
-	t := s.newLeadership(num)
+	term := s.newLeadership(number)
 	for _, v := range votes {
-		t.recordContact(ack{ID: v.ID, Slot: v.Slot, Knows: t.contacts[v.ID].knows})
+		term.recordContact(ack{ID: v.ID, Applied: v.Applied, CommandLevel: term.contacts[v.ID].commandLevel})
 	}
-	if s.memberSet() != body {
+	if s.memberSet() != members {
 		s.wakeLoop(true)
 		return false
 	}
-	t.tellElected(votes)
+	term.traceElected(votes)
 	// In each open slot the value under the highest ballot may be chosen.
-	for slot := s.slot + 1; ; slot++ {
+	for index := s.appliedIndex + 1; ; index++ {
 		// Slots after a change of the members are theirs to decide: the voters of
 		// this ballot need not be a majority of them. It is run again at once.
-		if s.memberSet() != body {
+		if s.memberSet() != members {
 			s.wakeLoop(true)
 			return false
 		}
 		// Beyond what a cut vote names its voter may hold what is chosen.
-		if slot > toldUpTo(votes) {
+		if index > reportedUpTo(votes) {
 			s.wakeLoop(true)
 			return false
 		}
-		pick := highest(votes, slot)
-		if pick == nil {
+		accepted := highestAccepted(votes, index)
+		if accepted == nil {
 			break
 		}
-		if _, err := t.decide(ctx, pick.Batch); err != nil {
+		if _, err := term.decide(ctx, accepted.Batch); err != nil {
 			return false
 		}
 	}
 	// A first entry of our own: what the reads of this term see is then
 	// known to be all that was ever acknowledged.
-	p, err := statemachine.Pack("noop", &statemachine.Noop{})
+	packed, err := statemachine.Pack("noop", &statemachine.Noop{})
 	if err != nil {
 		return false
 	}
-	raw, err := statemachine.Batch{p}.Pack()
+	encoded, err := statemachine.Batch{packed}.Pack()
 	if err != nil {
 		return false
 	}
-	if _, err := t.decide(ctx, raw); err != nil {
+	if _, err := term.decide(ctx, encoded); err != nil {
 		return false
 	}
 	if !s.role.Fire("win") {
@@ -161,10 +161,10 @@
 		s.role.Fire("lose")
 		return true
 	}
-	s.leadership, s.leaderAddress = t, s.Settings.InternalAddr
+	s.leadership, s.leaderAddress = term, s.Settings.InternalAddr
 	s.mu.Unlock()
-	s.e.Log.Emit(event.RoleWon, "duty", "writer", "ballot", num.String(), "slot", s.slot)
-	t.run()
+	s.env.Log.Emit(event.RoleWon, "duty", "writer", "ballot", number.String(), "slot", s.appliedIndex)
+	term.run()
 	s.wakeLoop(false)
 	return true
 }
--- a/internal/store/campaign_test.go
+++ b/internal/store/campaign_test.go
@@ -17,38 +17,38 @@
 	"puffincrank/internal/statemachine"
 )
 
-// nobody is a network without peers; it notes who was dialled.
-type nobody struct {
-	mu   sync.Mutex
-	told int
+// unreachableNetwork is a network without peers; it notes who was dialled.
+type unreachableNetwork struct {
+	mu    sync.Mutex
+	dials int
 }
 
-func (n *nobody) Listen(string) (net.Listener, error) { return nil, errors.New("no port") }
-func (n *nobody) Dial(context.Context, string) (net.Conn, error) {
+func (n *unreachableNetwork) Listen(string) (net.Listener, error) { return nil, errors.New("no port") }
+func (n *unreachableNetwork) Dial(context.Context, string) (net.Conn, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.told++
+	n.dials++
 	return nil, errors.New("nobody")
 }
 
-func (n *nobody) count() int {
+func (n *unreachableNetwork) dialCount() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.told
+	return n.dials
 }
 
-// TestVacant: a member leaves a leader alone that was heard within the time of
+// TestCampaignAfterLeaderTimeout: a member leaves a leader alone that was heard within the time of
 // a vacant duty, and stands for the leadership within its turn after that.
-func TestVacant(t *testing.T) {
+func TestCampaignAfterLeaderTimeout(t *testing.T) {
 	for _, rank := range []int{0, 1, 2} {
 		synctest.Test(t, func(t *testing.T) {
 			dir, err := disk.Open(t.TempDir())
 			if err != nil {
 				t.Fatal(err)
 			}
-			p := settings.Settings{Node: "n", ClusterID: "m", ConfigBound: 2 * time.Second, RecoveryBound: 15 * time.Second, MaxFrameBytes: 1 << 20, MaxRequests: 8, InternalAddr: "me:1"}
-			out := &nobody{}
-			s, err := New(p, env.Env{Net: out, FS: dir, Wall: time.Now, Log: event.New("n", nil), Sleep: func(ctx context.Context, d time.Duration) {
+			settings := settings.Settings{Node: "n", ClusterID: "m", ConfigBound: 2 * time.Second, RecoveryBound: 15 * time.Second, MaxFrameBytes: 1 << 20, MaxRequests: 8, InternalAddr: "me:1"}
+			network := &unreachableNetwork{}
+			s, err := New(settings, env.Env{Net: network, FS: dir, Wall: time.Now, Log: event.New("n", nil), Sleep: func(ctx context.Context, d time.Duration) {
 				select {
 				case <-time.After(d):
 				case <-ctx.Done():
@@ -59,31 +59,31 @@
 			}
 			defer s.Kill()
 			// A member among five; another wrote and was heard just now.
-			holder := ballot.Number{Round: 7, Candidate: "w"}
+			promised := ballot.Number{Round: 7, Candidate: "w"}
 			s.state = statemachine.New("m", nil)
 			for i, id := range []string{"a", "b", "c", "d"} {
 				if i == rank {
-					id = s.acc.Identity().ID
+					id = s.acceptor.Identity().ID
 				}
 				s.state.Members = append(s.state.Members, statemachine.Member{ID: id, Addr: map[bool]string{true: "me:1", false: id + ":1"}[i == rank]})
 			}
 			s.state.Members = append(s.state.Members, statemachine.Member{ID: "w", Addr: "w:1"})
 			s.role.Fire("filled")
-			s.voter = ballot.NewVoter(holder, p.LeaderTimeout(), s.promise)
-			from := time.Now()
-			s.g.Go("life", s.run)
-			least := p.LeaderTimeout() + time.Duration(rank)*p.HeartbeatInterval()/2
-			<-time.After(least)
+			s.voter = ballot.NewVoter(promised, settings.LeaderTimeout(), s.promise)
+			started := time.Now()
+			s.tasks.Go("life", s.run)
+			earliest := settings.LeaderTimeout() + time.Duration(rank)*settings.HeartbeatInterval()/2
+			<-time.After(earliest)
 			synctest.Wait()
-			if n := out.count(); n > 0 {
-				t.Errorf("rank %d: a holder heard %v ago was not left alone", rank, p.LeaderTimeout())
+			if n := network.dialCount(); n > 0 {
+				t.Errorf("rank %d: a holder heard %v ago was not left alone", rank, settings.LeaderTimeout())
 			}
-			for out.count() == 0 && time.Since(from) < p.RecoveryBound {
-				<-time.After(p.HeartbeatInterval() / 10)
+			for network.dialCount() == 0 && time.Since(started) < settings.RecoveryBound {
+				<-time.After(settings.HeartbeatInterval() / 10)
 				synctest.Wait()
 			}
-			if took := time.Since(from); out.count() < 4 || took > least+p.HeartbeatInterval() {
-				t.Errorf("rank %d: %d were asked, %v after the holder was last heard", rank, out.count(), took)
+			if elapsed := time.Since(started); network.dialCount() < 4 || elapsed > earliest+settings.HeartbeatInterval() {
+				t.Errorf("rank %d: %d were asked, %v after the holder was last heard", rank, network.dialCount(), elapsed)
 			}
 		})
 	}
--- a/internal/store/chosenlog.go
+++ b/internal/store/chosenlog.go
@@ -9,53 +9,55 @@
 	"puffincrank/internal/paxos"
 )
 
-// digestShown is how many bytes of an entry's digest the log shows: enough to tell
+// loggedDigestBytes is how many bytes of an entry's digest the log shows: enough to tell
 // two entries of one slot apart.
-const digestShown = 6
+const loggedDigestBytes = 6
 
 // chosenLog bounds the lines on chosen entries: each change of the configuration
 // has one, of all other entries one a beat is told.
 type chosenLog struct {
-	mu      sync.Mutex
-	version uint64    // of the configuration that the newest line told
-	told    time.Time // when that was
-	skipped int
+	mu       sync.Mutex
+	version  uint64    // of the configuration that the newest line told
+	loggedAt time.Time // when that was
+	skipped  int
 }
 
 // due tells whether an entry after which a configuration version stands is told,
 // and how many before it were not.
-func (c *chosenLog) due(version uint64, span time.Duration) (skipped int, due bool) {
+func (c *chosenLog) due(version uint64, interval time.Duration) (skipped int, due bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := time.Now()
-	if version == c.version && now.Sub(c.told) < span {
+	if version == c.version && now.Sub(c.loggedAt) < interval {
 		c.skipped++
 		return 0, false
 	}
-	skipped, c.version, c.told, c.skipped = c.skipped, version, now, 0
+	skipped, c.version, c.loggedAt, c.skipped = c.skipped, version, now, 0
 	return skipped, true
 }
 
-// tellChosen logs an entry that is about to be acknowledged, with the members that
+// logChosen logs an entry that is about to be acknowledged, with the members that
 // said that it is on their disks; learn is held.
-func (s *Store) tellChosen(e *paxos.Entry, acceptors []string) {
+func (s *Store) logChosen(entry *paxos.Entry, acceptors []string) {
 	s.mu.Lock()
 	version := s.state.Config().Version
 	s.mu.Unlock()
 	if skipped, due := s.chosenLog.due(version, s.Settings.HeartbeatInterval()); due {
-		s.e.Log.Emit(event.Chosen, "slot", e.Index, "digest", shortDigest(e.Digest()), "version", version, "ballot", e.Ballot.String(), "held_by", acceptors, "more", skipped)
+		s.env.Log.Emit(event.Chosen, "slot", entry.Index, "digest", shortDigest(entry.Digest()), "version", version, "ballot", entry.Ballot.String(), "held_by", acceptors, "more", skipped)
 	}
 }
 
-// tellOpened logs what this store's disk held when it started.
-func (s *Store) tellOpened() {
+// logOpened logs what this store's disk held when it started.
+func (s *Store) logOpened() {
 	s.mu.Lock()
-	slot, sum, version := s.slot, s.sum, uint64(0)
+	index, digest, version := s.appliedIndex, s.appliedDigest, uint64(0)
 	if s.state != nil {
 		version = s.state.Config().Version
 	}
 	s.mu.Unlock()
-	s.e.Log.Emit(event.Reopened, "replica", s.acc.Identity().ID, "applied", slot, "digest", shortDigest(sum), "version", version, "accepted", s.acc.Top(), "promised", s.acc.Promised().String())
+	s.env.Log.Emit(event.Reopened, "replica", s.acceptor.Identity().ID, "applied", index, "digest", shortDigest(digest), "version", version, "accepted", s.acceptor.Top(), "promised", s.acceptor.Promised().String())
 }
 
-func shortDigest(sum []byte) string { return hex.EncodeToString(sum[:min(len(sum), digestShown)]) }
+func shortDigest(digest []byte) string {
+	return hex.EncodeToString(digest[:min(len(digest), loggedDigestBytes)])
+}
--- a/internal/store/confirm.go
+++ b/internal/store/confirm.go
@@ -17,21 +17,21 @@
 // this store's ballot the highest. All that was acknowledged before is then
 // applied here.
 func (t *leadership) confirmLeadership(ctx context.Context) error {
-	c := &readRequest{result: make(chan error, 1)}
+	read := &readRequest{result: make(chan error, 1)}
 	if t.ended() {
 		return fault.New(fault.Refused, "no longer the writer")
 	}
 	select {
-	case t.reads <- c:
+	case t.reads <- read:
 	default:
 		return fault.New(fault.Refused, "too many reads wait")
 	}
 	select {
-	case err := <-c.result:
+	case err := <-read.result:
 		return err
 	case <-ctx.Done():
 		return fault.New(fault.Refused, "not confirmed in time")
-	case <-t.g.Context().Done():
+	case <-t.tasks.Context().Done():
 		return fault.New(fault.Refused, "no longer the writer")
 	}
 }
@@ -39,54 +39,54 @@
 // confirmLoop is the loop of rounds: one for all reads that wait, and one at each
 // beat, which also keeps the lease.
 func (t *leadership) confirmLoop(ctx context.Context) {
-	beat := time.NewTicker(t.s.Settings.HeartbeatInterval())
-	defer beat.Stop()
+	ticker := time.NewTicker(t.store.Settings.HeartbeatInterval())
+	defer ticker.Stop()
 	for {
-		var wait []*readRequest
+		var waiting []*readRequest
 		select {
 		case <-ctx.Done():
 			return
-		case c := <-t.reads:
-			wait = append(wait, c)
-		case <-beat.C:
+		case read := <-t.reads:
+			waiting = append(waiting, read)
+		case <-ticker.C:
 		}
 		for more := true; more; {
 			select {
-			case c := <-t.reads:
-				wait = append(wait, c)
+			case read := <-t.reads:
+				waiting = append(waiting, read)
 			default:
 				more = false
 			}
 		}
 		err := t.heartbeat(ctx)
-		for _, c := range wait {
-			c.result <- err
+		for _, read := range waiting {
+			read.result <- err
 		}
-		if t.isOutbid() {
-			t.s.stepDown("a member holds a higher promise: the ballot is run again")
-			t.s.wakeLoop(true)
+		if t.isRefused() {
+			t.store.stepDown("a member holds a higher promise: the ballot is run again")
+			t.store.wakeLoop(true)
 			return
 		}
 		if err != nil && (fault.Is(err, fault.Stale) || t.isStale()) {
-			t.s.stepDown(err.Error())
+			t.store.stepDown(err.Error())
 			return
 		}
 	}
 }
 
-// noteHigher notes a member's promise that is higher than our ballot.
-func (t *leadership) noteHigher(n ballot.Number) {
-	t.s.mu.Lock()
-	t.s.highestRound = max(t.s.highestRound, n.Round)
-	t.s.mu.Unlock()
+// recordRefusal notes a member's promise that is higher than our ballot.
+func (t *leadership) recordRefusal(promised ballot.Number) {
+	t.store.mu.Lock()
+	t.store.highestRound = max(t.store.highestRound, promised.Round)
+	t.store.mu.Unlock()
 	t.mu.Lock()
 	t.refusals++
 	t.mu.Unlock()
 }
 
-// isOutbid tells that a member has refused us for a while: it would be left out
+// isRefused tells that a member has refused us for a while: it would be left out
 // of every entry, so the ballot is better run again above its promise.
-func (t *leadership) isOutbid() bool {
+func (t *leadership) isRefused() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.refusals >= 3
@@ -96,57 +96,57 @@
 func (t *leadership) isStale() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return time.Since(t.confirmedAt) > t.s.Settings.Lease()
+	return time.Since(t.confirmedAt) > t.store.Settings.Lease()
 }
 
 // heartbeat is one round: every member says whether our ballot still stands.
 func (t *leadership) heartbeat(ctx context.Context) error {
-	s := t.s
-	from, round := time.Now(), t.rounds.Add(1)
-	s.e.Trace.Notify(trace.RoundBegan{Replica: s.acc.Identity().ID, Round: round})
-	ask := t.beatOfNow()
-	who, need := s.memberAddresses()
-	yes, higher := 0, 0
+	store := t.store
+	started, round := time.Now(), t.rounds.Add(1)
+	store.env.Trace.Notify(trace.RoundBegan{Replica: store.acceptor.Identity().ID, Round: round})
+	request := t.currentHeartbeat()
+	addresses, need := store.memberAddresses()
+	granted, higher := 0, 0
 	// A slow member's answer still counts as heard after the majority is in.
-	ballot.Poll(ctx, s.g, who, func(_ context.Context, to string) (ack, error) {
-		ctx, end := context.WithTimeout(s.g.Context(), s.Settings.Lease()/2)
-		defer end()
-		if to == s.Settings.InternalAddr {
-			vow, _ := s.voter.Promised()
-			ok := vow == t.num
+	ballot.Poll(ctx, store.tasks, addresses, func(_ context.Context, to string) (ack, error) {
+		ctx, cancel := context.WithTimeout(store.tasks.Context(), store.Settings.Lease()/2)
+		defer cancel()
+		if to == store.Settings.InternalAddr {
+			promised, _ := store.voter.Promised()
+			ok := promised == t.ballot
 			if ok {
-				_, _, _ = s.voter.Heartbeat(t.num)
+				_, _, _ = store.voter.Heartbeat(t.ballot)
 			}
-			return ack{Yes: ok, ID: s.acc.Identity().ID, Seen: vow}, nil
+			return ack{OK: ok, ID: store.acceptor.Identity().ID, Promised: promised}, nil
 		}
-		a, err := transport.Call[ack](ctx, s.n, to, "store.beat", ask)
-		if err == nil && a.Yes {
-			t.recordContact(a)
+		reply, err := transport.Call[ack](ctx, store.node, to, "store.beat", request)
+		if err == nil && reply.OK {
+			t.recordContact(reply)
 		}
-		return a, err
-	}, func(_ string, a ack, err error) bool {
+		return reply, err
+	}, func(_ string, reply ack, err error) bool {
 		if err != nil {
 			return false
 		}
-		if t.num.Less(a.Seen) {
+		if t.ballot.Less(reply.Promised) {
 			higher++
-			t.noteHigher(a.Seen)
+			t.recordRefusal(reply.Promised)
 		}
-		s.mu.Lock()
-		member := s.isMember(a.ID)
-		s.mu.Unlock()
-		if a.Yes && member {
-			yes++
+		store.mu.Lock()
+		member := store.isMember(reply.ID)
+		store.mu.Unlock()
+		if reply.OK && member {
+			granted++
 		}
-		return higher >= need || yes >= need
+		return higher >= need || granted >= need
 	})
-	if yes >= need {
+	if granted >= need {
 		t.mu.Lock()
-		t.confirmedAt = from
+		t.confirmedAt = started
 		t.mu.Unlock()
-		s.mu.Lock()
-		s.e.Trace.Notify(trace.RoundConfirmed{Replica: s.acc.Identity().ID, Round: round, Index: s.slot})
-		s.mu.Unlock()
+		store.mu.Lock()
+		store.env.Trace.Notify(trace.RoundConfirmed{Replica: store.acceptor.Identity().ID, Round: round, Index: store.appliedIndex})
+		store.mu.Unlock()
 		return nil
 	}
 	if higher >= need {
--- a/internal/store/contact.go
+++ b/internal/store/contact.go
@@ -10,51 +10,51 @@
 
 // peerContact is the newest sign of life of a member.
 type peerContact struct {
-	at    time.Time
-	slot  uint64    // what it had applied
-	ill   bool      // its disk was slow or refused
-	knows int       // the level of commands that it understands
-	going time.Time // when it last said that it ends soon; zero: it stays
+	at           time.Time
+	appliedIndex uint64    // what it had applied
+	diskFailing  bool      // its disk was slow or refused
+	commandLevel int       // the level of commands that it understands
+	leavingAt    time.Time // when it last said that it ends soon; zero: it stays
 }
 
-// formerTerm is what the last term knew of the members.
-type formerTerm struct {
+// termRecord is what the last term knew of the members.
+type termRecord struct {
 	at       time.Time
 	contacts map[string]peerContact
 }
 
 // recordContact notes an ack and tells whether its sender is a member.
-func (t *leadership) recordContact(a ack) bool {
-	t.s.mu.Lock()
-	ok := t.s.isMember(a.ID)
-	t.s.mu.Unlock()
+func (t *leadership) recordContact(reply ack) bool {
+	t.store.mu.Lock()
+	ok := t.store.isMember(reply.ID)
+	t.store.mu.Unlock()
 	if ok {
 		t.mu.Lock()
-		t.contacts[a.ID] = t.newContact(a)
+		t.contacts[reply.ID] = t.newContact(reply)
 		t.mu.Unlock()
 	}
 	return ok
 }
 
 // newContact is what an ack tells of its sender; t.mu is held.
-func (t *leadership) newContact(a ack) peerContact {
-	before, now := t.contacts[a.ID], time.Now()
-	out := peerContact{at: now, slot: max(a.Slot, before.slot), ill: a.Ill, knows: a.Knows, going: before.going}
-	if a.Going {
-		out.going = now
-	} else if now.Sub(before.going) > t.s.Settings.Lease() {
+func (t *leadership) newContact(reply ack) peerContact {
+	before, now := t.contacts[reply.ID], time.Now()
+	contact := peerContact{at: now, appliedIndex: max(reply.Applied, before.appliedIndex), diskFailing: reply.DiskFailing, commandLevel: reply.CommandLevel, leavingAt: before.leavingAt}
+	if reply.Leaving {
+		contact.leavingAt = now
+	} else if now.Sub(before.leavingAt) > t.store.Settings.Lease() {
 		// It runs again: an ack from before its word would have come by now.
-		out.going = time.Time{}
+		contact.leavingAt = time.Time{}
 	}
-	return out
+	return contact
 }
 
-// noteGoing notes that a member ends soon: what it holds no longer counts.
-func (t *leadership) noteGoing(id string) {
+// recordLeaving notes that a member ends soon: what it holds no longer counts.
+func (t *leadership) recordLeaving(id string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	contact := t.contacts[id]
-	contact.going = time.Now()
+	contact.leavingAt = time.Now()
 	t.contacts[id] = contact
 }
 
@@ -64,47 +64,47 @@
 func (s *Store) initialContact(id string, now time.Time) peerContact {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if w, ok := s.formerTerm.contacts[id]; ok && now.Sub(s.formerTerm.at) < s.Settings.Lease() {
-		return w
+	if contact, known := s.previousTerm.contacts[id]; known && now.Sub(s.previousTerm.at) < s.Settings.Lease() {
+		return contact
 	}
 	return peerContact{at: now}
 }
 
 // noteSilentLeader notes since when the holder of the leadership is silent.
-func (s *Store) noteSilentLeader(vow ballot.Number, quiet time.Duration) {
+func (s *Store) noteSilentLeader(promised ballot.Number, silence time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
-	if vow.Candidate != s.acc.Identity().ID && quiet < s.Settings.CatchUpBound {
-		s.formerTerm = formerTerm{now, map[string]peerContact{vow.Candidate: {at: now.Add(-quiet)}}}
+	if promised.Candidate != s.acceptor.Identity().ID && silence < s.Settings.CatchUpBound {
+		s.previousTerm = termRecord{now, map[string]peerContact{promised.Candidate: {at: now.Add(-silence)}}}
 	}
 }
 
-// watch warns of a core that bears less than it should, and forgets learners
+// watchMembers warns of a core that bears less than it should, and forgets learners
 // that are gone.
-func (t *leadership) watch(context.Context) {
-	s := t.s
+func (t *leadership) watchMembers(context.Context) {
+	store := t.store
 	t.mu.Lock()
-	for id, sp := range t.learners {
-		if time.Since(sp.heard) > s.Settings.CatchUpBound {
+	for id, l := range t.learners {
+		if time.Since(l.lastReport) > store.Settings.CatchUpBound {
 			delete(t.learners, id)
 		}
 	}
 	t.mu.Unlock()
-	all, want, _ := s.members()
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	weak := s.missingTolerance(all)
-	if len(all) >= want && len(all)%2 == 1 && weak == 0 {
-		s.smallSince = time.Time{}
+	members, wanted, _ := store.members()
+	store.mu.Lock()
+	defer store.mu.Unlock()
+	missing := store.missingTolerance(members)
+	if len(members) >= wanted && len(members)%2 == 1 && missing == 0 {
+		store.toleranceWarnAt = time.Time{}
 		return
 	}
 	// A core that is just growing, or waits for a machine to come back, is no news.
-	if s.smallSince.IsZero() {
-		s.smallSince = time.Now().Add(s.Settings.CatchUpBound)
+	if store.toleranceWarnAt.IsZero() {
+		store.toleranceWarnAt = time.Now().Add(store.Settings.CatchUpBound)
 	}
-	if time.Now().After(s.smallSince) {
-		s.smallSince = time.Now().Add(s.Settings.RecoveryBound)
-		s.e.Log.Emit(event.TooFewStores, "voters", len(all), "wanted", want, "crowded", weak)
+	if time.Now().After(store.toleranceWarnAt) {
+		store.toleranceWarnAt = time.Now().Add(store.Settings.RecoveryBound)
+		store.env.Log.Emit(event.TooFewStores, "voters", len(members), "wanted", wanted, "crowded", missing)
 	}
 }
--- a/internal/store/diskhealth.go
+++ b/internal/store/diskhealth.go
@@ -11,172 +11,172 @@
 )
 
 // writeDurably runs a write to disk, times it and notes whether the disk is well.
-func (s *Store) writeDurably(f func() error) error {
-	from := time.Now()
+func (s *Store) writeDurably(write func() error) error {
+	started := time.Now()
 	s.mu.Lock()
-	s.writesBegun++
-	id := s.writesBegun
-	s.writesUnderWay[id] = from
+	s.writesStarted++
+	id := s.writesStarted
+	s.writesInFlight[id] = started
 	s.mu.Unlock()
-	err := f()
-	took := time.Since(from)
+	err := write()
+	elapsed := time.Since(started)
 	s.mu.Lock()
-	delete(s.writesUnderWay, id)
+	delete(s.writesInFlight, id)
 	s.mu.Unlock()
 	if err != nil && fault.Is(err, fault.Stale) {
 		return err
 	}
 	if err != nil {
-		s.diskFailed(err)
+		s.recordDiskFailure(err)
 		return err
 	}
-	slow := took > s.Settings.MaxSyncTime()
+	slow := elapsed > s.Settings.MaxSyncTime()
 	s.mu.Lock()
-	was := s.diskIll
-	s.diskIll, s.lastWriteFailed = slow, false
+	wasFailing := s.diskFailing
+	s.diskFailing, s.lastWriteFailed = slow, false
 	if slow {
-		s.restsUntil = time.Now().Add(s.Settings.RecoveryBound / 3)
+		s.noCampaignUntil = time.Now().Add(s.Settings.RecoveryBound / 3)
 	}
 	s.mu.Unlock()
-	if slow && !was {
-		s.e.Log.Emit(event.DiskFailing, "sync_ms", took.Milliseconds())
+	if slow && !wasFailing {
+		s.env.Log.Emit(event.DiskFailing, "sync_ms", elapsed.Milliseconds())
 	}
-	if was && !slow {
-		s.e.Log.Emit(event.DiskRecovered, "sync_ms", took.Milliseconds())
+	if wasFailing && !slow {
+		s.env.Log.Emit(event.DiskRecovered, "sync_ms", elapsed.Milliseconds())
 	}
 	return nil
 }
 
-// diskHangs tells that a write has been under way for too long: whoever waits for it
+// diskStalled tells that a write has been under way for too long: whoever waits for it
 // is told no at once, instead of waiting as well. mu is held.
-func (s *Store) diskHangs() bool {
-	for _, from := range s.writesUnderWay {
-		if time.Since(from) > s.Settings.MaxSyncTime() {
+func (s *Store) diskStalled() bool {
+	for _, started := range s.writesInFlight {
+		if time.Since(started) > s.Settings.MaxSyncTime() {
 			return true
 		}
 	}
 	return false
 }
 
-// diskFailed notes a disk that refused: nothing of it is acknowledged.
-func (s *Store) diskFailed(err error) {
+// recordDiskFailure notes a disk that refused: nothing of it is acknowledged.
+func (s *Store) recordDiskFailure(err error) {
 	s.mu.Lock()
-	was, now := s.diskIll, time.Now()
-	s.diskIll, s.lastWriteFailed = true, true
-	s.restsUntil = now.Add(s.Settings.RecoveryBound / 3)
+	wasFailing, now := s.diskFailing, time.Now()
+	s.diskFailing, s.lastWriteFailed = true, true
+	s.noCampaignUntil = now.Add(s.Settings.RecoveryBound / 3)
 	// Once in a while: what is full again right away is not helped by another.
-	ease := disk.IsFull(err) && now.Sub(s.easedAt) > s.Settings.RecoveryBound/3
-	if ease {
-		s.easedAt = now
+	freeSpace := disk.IsFull(err) && now.Sub(s.spaceFreedAt) > s.Settings.RecoveryBound/3
+	if freeSpace {
+		s.spaceFreedAt = now
 	}
 	s.mu.Unlock()
-	if !was {
-		s.e.Log.Emit(event.DiskFailing, "why", err.Error())
+	if !wasFailing {
+		s.env.Log.Emit(event.DiskFailing, "why", err.Error())
 	}
 	// A checkpoint has its room kept free, and frees what it makes needless.
-	if ease {
-		s.writePoint(0)
+	if freeSpace {
+		s.startSnapshot(0)
 	}
 }
 
-// watchDisk gives the leadership up while the own disk is worse than another's: looked at
+// checkDisk gives the leadership up while the own disk is worse than another's: looked at
 // at each beat, since a write that hangs says nothing.
-func (s *Store) watchDisk() {
+func (s *Store) checkDisk() {
 	s.mu.Lock()
-	t, hung := s.leadership, s.diskHangs()
-	ill := hung || s.diskIll
-	if hung {
-		s.restsUntil = time.Now().Add(s.Settings.RecoveryBound / 3)
+	term, stalled := s.leadership, s.diskStalled()
+	failing := stalled || s.diskFailing
+	if stalled {
+		s.noCampaignUntil = time.Now().Add(s.Settings.RecoveryBound / 3)
 	}
 	s.mu.Unlock()
-	if t == nil || !ill || !t.hasHealthierMember() || !t.leaves.CompareAndSwap(false, true) {
+	if term == nil || !failing || !term.hasHealthierMember() || !term.diskTransferStarted.CompareAndSwap(false, true) {
 		return
 	}
 	// From another goroutine, since resign waits for the voters.
-	s.g.Go("resign", func(context.Context) { s.transferLeadership("own disk hangs, is slow or refuses") })
+	s.tasks.Go("resign", func(context.Context) { s.transferLeadership("own disk hangs, is slow or refuses") })
 }
 
 // hasHealthierMember tells whether another member in touch has a disk that is well.
 func (t *leadership) hasHealthierMember() bool {
-	all, _, _ := t.s.members()
+	members, _, _ := t.store.members()
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for _, m := range all {
-		if w := t.contacts[m.ID]; m.ID != t.s.acc.Identity().ID && !w.ill && time.Since(w.at) < t.s.Settings.Lease() {
+	for _, m := range members {
+		if contact := t.contacts[m.ID]; m.ID != t.store.acceptor.Identity().ID && !contact.diskFailing && time.Since(contact.at) < t.store.Settings.Lease() {
 			return true
 		}
 	}
 	return false
 }
 
-// checkpoint bounds the count of files and the bytes of the log.
-func (s *Store) checkpoint() {
+// snapshotIfDue bounds the count of files and the bytes of the log.
+func (s *Store) snapshotIfDue() {
 	now := time.Now()
 	s.mu.Lock()
 	// One that failed is not tried again at each entry.
-	keep := s.checkpointDue()
-	wait := now.Before(s.checkpointAfter)
+	retain := s.entriesToRetain()
+	wait := now.Before(s.snapshotRetryAt)
 	s.mu.Unlock()
-	if keep > 0 && !wait {
-		s.writePoint(keep)
+	if retain > 0 && !wait {
+		s.startSnapshot(retain)
 	}
 }
 
-// checkpointDue tells how many entries a checkpoint of now would leave in the log,
+// entriesToRetain tells how many entries a checkpoint of now would leave in the log,
 // 0 when none is due; mu is held.
-func (s *Store) checkpointDue() uint64 {
-	last := s.acc.LatestSnapshot()
+func (s *Store) entriesToRetain() uint64 {
+	last := s.acceptor.LatestSnapshot()
 	if last == nil {
-		return keptEntries
+		return retainedEntries
 	}
-	since := s.slot - last.Index
-	if s.logBytes >= s.Settings.StateBytes()/logPart && s.slot%spanOfLarge == 0 && since > 0 {
+	since := s.appliedIndex - last.Index
+	if s.logBytes >= s.Settings.StateBytes()/maxLogDivisor && s.appliedIndex%largeLogInterval == 0 && since > 0 {
 		// The entries are large: few of them must not fill the disk.
-		return spanOfLarge
+		return largeLogInterval
 	}
-	small := s.stateBytes <= snapshotChunk || s.logBytes >= s.stateBytes/checkpointBytes || since >= spanMost
-	if s.slot%checkpointSpan == 0 && since >= checkpointSpan && small {
-		return keptEntries
+	small := s.stateBytes <= snapshotChunk || s.logBytes >= s.stateBytes/snapshotLogDivisor || since >= maxSnapshotInterval
+	if s.appliedIndex%snapshotInterval == 0 && since >= snapshotInterval && small {
+		return retainedEntries
 	}
 	return 0
 }
 
-// writePoint writes a checkpoint of the state of now, and drops the files that it makes
+// startSnapshot writes a checkpoint of the state of now, and drops the files that it makes
 // needless but for some of the newest entries. Nobody waits for it: a disk that
 // hangs must not stop the entries of the others. learn is held, or the replica's
 // place is certain otherwise.
-func (s *Store) writePoint(keep uint64) {
-	if !s.checkpointing.TryLock() {
+func (s *Store) startSnapshot(retain uint64) {
+	if !s.snapshotLock.TryLock() {
 		return
 	}
 	s.mu.Lock()
-	last := s.acc.LatestSnapshot()
-	if s.state == nil || last != nil && last.Index >= s.slot {
+	last := s.acceptor.LatestSnapshot()
+	if s.state == nil || last != nil && last.Index >= s.appliedIndex {
 		s.mu.Unlock()
-		s.checkpointing.Unlock()
+		s.snapshotLock.Unlock()
 		return
 	}
-	keep = max(keep, s.keptForTransfer(s.slot))
-	c, err := s.packState()
-	who := s.acc.Identity().ID
+	retain = max(retain, s.entriesKeptForTransfer(s.appliedIndex))
+	snapshot, err := s.packState()
+	replica := s.acceptor.Identity().ID
 	s.mu.Unlock()
-	ok := err == nil && s.g.Go("checkpoint", func(context.Context) {
-		defer s.checkpointing.Unlock()
-		s.writeCheckpoint(who, *c, keep)
+	started := err == nil && s.tasks.Go("checkpoint", func(context.Context) {
+		defer s.snapshotLock.Unlock()
+		s.saveSnapshot(replica, *snapshot, retain)
 	})
-	if !ok {
-		s.checkpointing.Unlock()
+	if !started {
+		s.snapshotLock.Unlock()
 	}
 }
 
-// writeCheckpoint keeps a checkpoint on the disk; points is held.
-func (s *Store) writeCheckpoint(who string, c paxos.Snapshot, keep uint64) {
-	if s.writeDurably(func() error { return s.acc.SaveSnapshot(who, c, keep) }) != nil {
+// saveSnapshot keeps a checkpoint on the disk; points is held.
+func (s *Store) saveSnapshot(replica string, snapshot paxos.Snapshot, retain uint64) {
+	if s.writeDurably(func() error { return s.acceptor.SaveSnapshot(replica, snapshot, retain) }) != nil {
 		s.mu.Lock()
-		s.checkpointAfter = time.Now().Add(s.Settings.Lease())
+		s.snapshotRetryAt = time.Now().Add(s.Settings.Lease())
 		s.mu.Unlock()
 		return
 	}
-	s.e.Log.Emit(event.SnapshotWritten, "slot", c.Index, "bytes", len(c.State))
-	_ = s.acc.Reserve(len(c.State)*2 + 64<<10)
+	s.env.Log.Emit(event.SnapshotWritten, "slot", snapshot.Index, "bytes", len(snapshot.State))
+	_ = s.acceptor.Reserve(len(snapshot.State)*2 + 64<<10)
 }
--- a/internal/store/download.go
+++ b/internal/store/download.go
@@ -15,34 +15,34 @@
 // download is a snapshot that is being fetched. What has come is kept when the
 // sender goes, and fetching goes on with whoever announces the same snapshot.
 type download struct {
-	head snapshotHead
-	data []byte
+	header snapshotHeader
+	data   []byte
 }
 
 // fetchSnapshot fetches an announced snapshot and installs it; learn is held. It
 // goes on for as long as chunks come, whatever the caller's own time is: a large
 // state takes longer than a call.
-func (s *Store) fetchSnapshot(ctx context.Context, from string, head snapshotHead) error {
-	if head.Format > paxos.Format {
-		return s.badSnapshot(from, "it is of format %d, newer than %d", head.Format, paxos.Format)
+func (s *Store) fetchSnapshot(ctx context.Context, from string, header snapshotHeader) error {
+	if header.Format > paxos.Format {
+		return s.badSnapshot(from, "it is of format %d, newer than %d", header.Format, paxos.Format)
 	}
-	if head.Size <= 0 || head.Size > s.largestSnapshot() || len(head.ID) != sha256.Size {
-		return s.badSnapshot(from, "its announced size is %d", head.Size)
+	if header.Size <= 0 || header.Size > s.largestSnapshot() || len(header.ID) != sha256.Size {
+		return s.badSnapshot(from, "its announced size is %d", header.Size)
 	}
-	if s.loading == nil || !bytes.Equal(s.loading.head.ID, head.ID) || s.loading.head.Size != head.Size {
-		s.loading = &download{head: head, data: make([]byte, 0, head.Size)}
+	if s.incoming == nil || !bytes.Equal(s.incoming.header.ID, header.ID) || s.incoming.header.Size != header.Size {
+		s.incoming = &download{header: header, data: make([]byte, 0, header.Size)}
 	}
-	for len(s.loading.data) < head.Size {
-		if err := s.fetchChunk(ctx, from, s.loading); err != nil {
+	for len(s.incoming.data) < header.Size {
+		if err := s.fetchChunk(ctx, from, s.incoming); err != nil {
 			return err
 		}
 	}
-	whole := s.loading.data
-	s.loading = nil
-	if sum := sha256.Sum256(whole); !bytes.Equal(sum[:], head.ID) {
+	state := s.incoming.data
+	s.incoming = nil
+	if digest := sha256.Sum256(state); !bytes.Equal(digest[:], header.ID) {
 		return s.badSnapshot(from, "it fails its checksum")
 	}
-	return s.install(paxos.Snapshot{Format: head.Format, Index: head.Slot, Digest: head.Sum, State: whole}, event.Refilled)
+	return s.installSnapshot(paxos.Snapshot{Format: header.Format, Index: header.Index, Digest: header.Digest, State: state}, event.Refilled)
 }
 
 // largestSnapshot bounds what is taken from another replica: its own bound may be
@@ -51,31 +51,31 @@
 
 // fetchChunk fetches the next chunk. It goes as bulk, so heartbeats and
 // proposals pass it on a thin link.
-func (s *Store) fetchChunk(ctx context.Context, from string, d *download) error {
-	ctx, end := context.WithTimeout(transport.WithLane(ctx, transport.LaneBulk), 2*s.Settings.ConfigBound)
-	defer end()
-	ask := chunkAsk{ID: d.head.ID, Offset: len(d.data)}
-	got, err := transport.Call[chunkGot](ctx, s.n, from, "store.snapshot", ask)
+func (s *Store) fetchChunk(ctx context.Context, from string, transfer *download) error {
+	ctx, cancel := context.WithTimeout(transport.WithLane(ctx, transport.LaneBulk), 2*s.Settings.ConfigBound)
+	defer cancel()
+	request := chunkRequest{ID: transfer.header.ID, Offset: len(transfer.data)}
+	response, err := transport.Call[chunkResponse](ctx, s.node, from, "store.snapshot", request)
 	if err != nil {
 		return err
 	}
-	fits := len(got.Data) > 0 && len(got.Data) <= snapshotChunk && len(d.data)+len(got.Data) <= d.head.Size
+	fits := len(response.Data) > 0 && len(response.Data) <= snapshotChunk && len(transfer.data)+len(response.Data) <= transfer.header.Size
 	switch {
-	case !bytes.Equal(got.ID, ask.ID):
+	case !bytes.Equal(response.ID, request.ID):
 		return s.badSnapshot(from, "a chunk is of another snapshot")
-	case got.Offset != ask.Offset || !fits:
-		return s.badSnapshot(from, "a chunk at %d with %d bytes came in place of %d", got.Offset, len(got.Data), ask.Offset)
-	case crc32.ChecksumIEEE(got.Data) != got.Checksum:
-		return s.badSnapshot(from, "the chunk at %d fails its checksum", got.Offset)
+	case response.Offset != request.Offset || !fits:
+		return s.badSnapshot(from, "a chunk at %d with %d bytes came in place of %d", response.Offset, len(response.Data), request.Offset)
+	case crc32.ChecksumIEEE(response.Data) != response.Checksum:
+		return s.badSnapshot(from, "the chunk at %d fails its checksum", response.Offset)
 	}
-	d.data = append(d.data, got.Data...)
+	transfer.data = append(transfer.data, response.Data...)
 	return nil
 }
 
 // badSnapshot drops what has come and names the fault.
-func (s *Store) badSnapshot(from, format string, a ...any) error {
-	s.loading = nil
-	err := fault.New(fault.Input, "snapshot from "+from+": "+format, a...)
-	s.e.Log.Emit(event.SnapshotBad, "from", from, "why", err.Error())
+func (s *Store) badSnapshot(from, format string, args ...any) error {
+	s.incoming = nil
+	err := fault.New(fault.Input, "snapshot from "+from+": "+format, args...)
+	s.env.Log.Emit(event.SnapshotBad, "from", from, "why", err.Error())
 	return err
 }
--- a/internal/store/duty.go
+++ b/internal/store/duty.go
@@ -11,54 +11,54 @@
 	"puffincrank/internal/transport"
 )
 
-// dutyVoter gives this store's vote for a duty of the registries. The promise is
+// roleVoter gives this store's vote for a duty of the registries. The promise is
 // a file of its own; a damaged one counts as none, since what a holder writes
 // is fenced in the log besides.
-func (s *Store) dutyVoter(duty string) *ballot.Voter {
+func (s *Store) roleVoter(role string) *ballot.Voter {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	v := s.duty[duty]
-	if v == nil {
-		var vow ballot.Number
-		file := "d-" + duty
-		if raw, err := disk.Load(s.e.FS, file); err == nil {
-			_ = msgpack.Unmarshal(raw, &vow)
+	voter := s.roleVoters[role]
+	if voter == nil {
+		var promised ballot.Number
+		file := "d-" + role
+		if encoded, err := disk.Load(s.env.FS, file); err == nil {
+			_ = msgpack.Unmarshal(encoded, &promised)
 		}
-		v = ballot.NewVoter(vow, s.Settings.Lease(), func(n ballot.Number) error {
-			raw, err := msgpack.Marshal(n)
+		voter = ballot.NewVoter(promised, s.Settings.Lease(), func(number ballot.Number) error {
+			encoded, err := msgpack.Marshal(number)
 			if err != nil {
 				return fault.Wrap(fault.Input, err, "pack promise")
 			}
-			return s.writeDurably(func() error { return disk.Save(s.e.FS, file, raw) })
+			return s.writeDurably(func() error { return disk.Save(s.env.FS, file, encoded) })
 		})
-		s.duty[duty] = v
+		s.roleVoters[role] = voter
 	}
-	return v
+	return voter
 }
 
-func (s *Store) onDuty(_ context.Context, _ transport.Hello, in RoleBallot) (RoleVote, error) {
-	if in.Role != "judge" && in.Role != "steward" {
+func (s *Store) onRoleBallot(_ context.Context, _ transport.Hello, request RoleBallot) (RoleVote, error) {
+	if request.Role != "judge" && request.Role != "steward" {
 		return RoleVote{}, fault.New(fault.Refused, "no such duty")
 	}
 	s.mu.Lock()
-	able := s.state != nil && s.isMember(s.acc.Identity().ID)
-	stuck := s.diskHangs() && in.Op == "ask"
+	member := s.state != nil && s.isMember(s.acceptor.Identity().ID)
+	stalled := s.diskStalled() && request.Op == "ask"
 	s.mu.Unlock()
-	if !able {
+	if !member {
 		return RoleVote{}, fault.New(fault.Refused, "not a member")
 	}
-	if stuck {
+	if stalled {
 		return RoleVote{}, fault.New(fault.Refused, "the disk hangs")
 	}
-	v := s.dutyVoter(in.Role)
-	switch in.Op {
+	voter := s.roleVoter(request.Role)
+	switch request.Op {
 	case "beat":
-		yes, seen, err := v.Heartbeat(in.Ballot)
-		return RoleVote{yes, seen}, err
+		granted, promised, err := voter.Heartbeat(request.Ballot)
+		return RoleVote{granted, promised}, err
 	case "vacate":
-		v.Vacate(in.Ballot)
+		voter.Vacate(request.Ballot)
 		return RoleVote{Granted: true}, nil
 	}
-	yes, seen, err := v.Vote(in.Ballot)
-	return RoleVote{yes, seen}, err
+	granted, promised, err := voter.Vote(request.Ballot)
+	return RoleVote{granted, promised}, err
 }
--- a/internal/store/electorate.go
+++ b/internal/store/electorate.go
@@ -8,89 +8,89 @@
 )
 
 // memberAddresses lists where the members are, and how many of them decide.
-func (s *Store) memberAddresses() (out []string, need int) {
+func (s *Store) memberAddresses() (addresses []string, majority int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, m := range s.state.Members {
-		out = append(out, m.Addr)
+		addresses = append(addresses, m.Addr)
 	}
-	return out, len(out)/2 + 1
+	return addresses, len(addresses)/2 + 1
 }
 
 // memberSet names the stores that vote, as this one has it.
 func (s *Store) memberSet() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.memberNames()
+	return s.memberSetLocked()
 }
 
-// memberNames is the same; mu is held.
-func (s *Store) memberNames() string {
-	all := ""
+// memberSetLocked is the same; mu is held.
+func (s *Store) memberSetLocked() string {
+	names := ""
 	for _, m := range s.state.Members {
-		all += m.ID + "@" + m.Addr + " "
+		names += m.ID + "@" + m.Addr + " "
 	}
-	return all
+	return names
 }
 
 // askVotes asks every member for its vote, this one among them; no counts those that
 // refused theirs.
-func (s *Store) askVotes(ctx context.Context, num ballot.Number, real bool) (yes []ballotVote, from []string, no int, ok bool) {
-	ctx, end := context.WithTimeout(ctx, s.Settings.Lease()/2)
-	defer end()
-	who, need := s.memberAddresses()
+func (s *Store) askVotes(ctx context.Context, number ballot.Number, binding bool) (granted []ballotVote, voters []string, refused int, elected bool) {
+	ctx, cancel := context.WithTimeout(ctx, s.Settings.Lease()/2)
+	defer cancel()
+	addresses, majority := s.memberAddresses()
 	s.mu.Lock()
-	ask := ballotAsk{Num: num, ID: s.acc.Identity().ID, Real: real, Slot: s.slot, Mesh: s.state.ClusterID, Addr: s.Settings.InternalAddr}
+	request := ballotAsk{Ballot: number, ID: s.acceptor.Identity().ID, Binding: binding, Applied: s.appliedIndex, ClusterID: s.state.ClusterID, Addr: s.Settings.InternalAddr}
 	s.mu.Unlock()
-	out, best, newest := 0, "", ask.Slot
-	ballot.Poll(ctx, s.g, who, func(ctx context.Context, to string) (ballotVote, error) {
+	notMember, source, newest := 0, "", request.Applied
+	ballot.Poll(ctx, s.tasks, addresses, func(ctx context.Context, to string) (ballotVote, error) {
 		if to == s.Settings.InternalAddr {
-			return s.onBallot(ctx, transport.Hello{}, ask)
+			return s.onVoteRequest(ctx, transport.Hello{}, request)
 		}
-		return transport.Call[ballotVote](ctx, s.n, to, "store.ballot", ask)
-	}, func(to string, v ballotVote, err error) bool {
+		return transport.Call[ballotVote](ctx, s.node, to, "store.ballot", request)
+	}, func(to string, vote ballotVote, err error) bool {
 		if err != nil {
 			return false
 		}
 		s.mu.Lock()
-		s.highestRound = max(s.highestRound, v.Seen.Round)
-		member := s.isMember(v.ID)
+		s.highestRound = max(s.highestRound, vote.Promised.Round)
+		member := s.isMember(vote.ID)
 		s.mu.Unlock()
-		if v.Out {
-			out++
+		if vote.NotMember {
+			notMember++
 		}
-		if v.Slot > newest {
-			best, newest = to, v.Slot
+		if vote.Applied > newest {
+			source, newest = to, vote.Applied
 		}
 		// A vote counts only under an identity that is a member's.
-		if v.Yes && member {
-			yes, from = append(yes, v), append(from, to)
+		if vote.Granted && member {
+			granted, voters = append(granted, vote), append(voters, to)
 		} else if member {
-			no++
+			refused++
 		}
-		return len(yes) >= need
+		return len(granted) >= majority
 	})
-	ok = len(yes) >= need
+	elected = len(granted) >= majority
 	switch {
-	case out >= need:
+	case notMember >= majority:
 		_ = s.becomeLearner()
-	case !ok && !real && best != "":
-		s.catchUpWithoutLeader(best)
+	case !elected && !binding && source != "":
+		s.catchUpWithoutLeader(source)
 	}
-	return yes, from, no, ok
+	return granted, voters, refused, elected
 }
 
 // catchUpWithoutLeader takes what a peer has applied beyond this store while
 // nobody can be elected: a change of the members among it may name those who can,
 // and an own entry that was damaged is mended by it.
 func (s *Store) catchUpWithoutLeader(from string) {
-	ctx, end := context.WithTimeout(s.g.Context(), s.Settings.ConfigBound)
-	defer end()
+	ctx, cancel := context.WithTimeout(s.tasks.Context(), s.Settings.ConfigBound)
+	defer cancel()
 	if s.refill(ctx, from) != nil {
 		return
 	}
 	s.mu.Lock()
-	lost := !s.isMember(s.acc.Identity().ID)
+	lost := !s.isMember(s.acceptor.Identity().ID)
 	s.mu.Unlock()
 	if lost {
 		_ = s.becomeLearner()
--- a/internal/store/fetch.go
+++ b/internal/store/fetch.go
@@ -15,47 +15,47 @@
 // ones are kept for slow members. Checkpoints are taken at slots that are
 // multiples of span, so that those of different members are equal byte for byte.
 const (
-	checkpointSpan = 256
-	keptEntries    = 256
+	snapshotInterval = 256
+	retainedEntries  = 256
 )
 
 // checkpointBytes is how many bytes of entries lie between two checkpoints of a
 // large state at the least, as a part of its size, and spanMost how many entries
 // at the most: writing a checkpoint costs its whole size.
 const (
-	checkpointBytes = 2
-	spanMost        = 16 * checkpointSpan
+	snapshotLogDivisor  = 2
+	maxSnapshotInterval = 16 * snapshotInterval
 )
 
 // logPart is the part of the bound on the state that the log may have before a
 // checkpoint is written at a multiple of spanOfLarge, whatever its count.
 const (
-	logPart     = 2
-	spanOfLarge = 8
+	maxLogDivisor    = 2
+	largeLogInterval = 8
 )
 
-// learnSoon extends the applied state to a slot that is known to be chosen.
+// learnAsync extends the applied state to a slot that is known to be chosen.
 // One learner at a time is enough; the next beat brings the rest.
-func (s *Store) learnSoon(slot uint64, sum []byte, from string) {
+func (s *Store) learnAsync(index uint64, digest []byte, from string) {
 	s.mu.Lock()
-	behind := s.slot < slot && s.leadership == nil
+	behind := s.appliedIndex < index && s.leadership == nil
 	s.mu.Unlock()
-	if !behind || !s.applying.TryLock() {
+	if !behind || !s.applyLock.TryLock() {
 		return
 	}
-	ok := s.g.Go("learn", func(ctx context.Context) {
-		defer s.applying.Unlock()
-		s.learnTo(ctx, slot, sum, from)
+	started := s.tasks.Go("learn", func(ctx context.Context) {
+		defer s.applyLock.Unlock()
+		s.learnUpTo(ctx, index, digest, from)
 	})
-	if !ok {
-		s.applying.Unlock()
+	if !started {
+		s.applyLock.Unlock()
 	}
 }
 
-// learnTo applies the own entries if they are proved chosen by their chain,
+// learnUpTo applies the own entries if they are proved chosen by their chain,
 // and fetches them otherwise; learn is held.
-func (s *Store) learnTo(ctx context.Context, slot uint64, sum []byte, from string) {
-	if chain := s.acc.Chain(s.slot, s.sum, slot, sum); chain != nil {
+func (s *Store) learnUpTo(ctx context.Context, index uint64, digest []byte, from string) {
+	if chain := s.acceptor.Chain(s.appliedIndex, s.appliedDigest, index, digest); chain != nil {
 		for i := range chain {
 			if !s.applyChosen(&chain[i]) {
 				return
@@ -63,19 +63,19 @@
 		}
 		return
 	}
-	ctx, end := context.WithTimeout(ctx, s.Settings.ConfigBound)
-	defer end()
-	_ = s.fetchMissing(ctx, from, slot)
+	ctx, cancel := context.WithTimeout(ctx, s.Settings.ConfigBound)
+	defer cancel()
+	_ = s.fetchMissing(ctx, from, index)
 }
 
 // applyChosen applies one chosen version; a version that this program can't read
 // stops the replica's state where it is, which readiness then shows.
-func (s *Store) applyChosen(e *paxos.Entry) bool {
-	if _, err := s.apply(e); err != nil {
-		s.e.Log.Emit(event.ForeignData, "slot", e.Index, "why", err.Error())
+func (s *Store) applyChosen(entry *paxos.Entry) bool {
+	if _, err := s.apply(entry); err != nil {
+		s.env.Log.Emit(event.ForeignData, "slot", entry.Index, "why", err.Error())
 		return false
 	}
-	s.checkpoint()
+	s.snapshotIfDue()
 	return true
 }
 
@@ -83,135 +83,135 @@
 func (s *Store) fetchMissing(ctx context.Context, from string, to uint64) error {
 	for first := true; ; first = false {
 		s.mu.Lock()
-		ask := fetchAsk{After: s.slot, Prev: s.sum, Chunks: true}
-		none := s.state == nil
+		request := fetchAsk{After: s.appliedIndex, PreviousDigest: s.appliedDigest, AcceptsChunks: true}
+		isEmpty := s.state == nil
 		s.mu.Unlock()
-		if none {
-			ask.Prev = nil
+		if isEmpty {
+			request.PreviousDigest = nil
 		}
-		got, err := transport.Call[fetchGot](ctx, s.n, from, "store.fetch", ask)
+		response, err := transport.Call[fetchGot](ctx, s.node, from, "store.fetch", request)
 		if err != nil {
 			return err
 		}
-		if got.Point != nil {
-			if err := s.install(*got.Point, event.Refilled); err != nil {
+		if response.Snapshot != nil {
+			if err := s.installSnapshot(*response.Snapshot, event.Refilled); err != nil {
 				return err
 			}
 		}
-		if got.Head != nil {
-			if err := s.fetchSnapshot(s.g.Context(), from, *got.Head); err != nil {
+		if response.Header != nil {
+			if err := s.fetchSnapshot(s.tasks.Context(), from, *response.Header); err != nil {
 				return err
 			}
 		}
-		if err := s.learnAll(got.Entries); err != nil {
+		if err := s.learnEntries(response.Entries); err != nil {
 			return err
 		}
-		if n := len(got.Entries); n > 0 {
-			s.e.Log.Emit(event.EntriesFetched, "from", from, "versions", n, "slot", s.slot)
+		if count := len(response.Entries); count > 0 {
+			s.env.Log.Emit(event.EntriesFetched, "from", from, "versions", count, "slot", s.appliedIndex)
 		}
-		if s.slot >= got.Top || s.slot >= to && to > 0 || (len(got.Entries) == 0 && !first) {
+		if s.appliedIndex >= response.Applied || s.appliedIndex >= to && to > 0 || (len(response.Entries) == 0 && !first) {
 			return nil
 		}
 	}
 }
 
-// learnAll keeps and applies chosen entries that follow what is applied; learn is held.
-func (s *Store) learnAll(all []paxos.Entry) error {
-	if len(all) == 0 {
+// learnEntries keeps and applies chosen entries that follow what is applied; learn is held.
+func (s *Store) learnEntries(entries []paxos.Entry) error {
+	if len(entries) == 0 {
 		return nil
 	}
-	if all[0].Index != s.slot+1 || !bytes.Equal(all[0].Previous, s.sum) || !rowed(all) {
-		return fault.New(fault.Stale, "fellow's version %d does not follow ours", all[0].Index)
+	if entries[0].Index != s.appliedIndex+1 || !bytes.Equal(entries[0].Previous, s.appliedDigest) || !isChain(entries) {
+		return fault.New(fault.Stale, "fellow's version %d does not follow ours", entries[0].Index)
 	}
-	for part := range slices.Chunk(all, learnedAtOnce) {
-		if err := s.writeDurably(func() error { return s.acc.Learn(part...) }); err != nil {
+	for batch := range slices.Chunk(entries, learnBatchSize) {
+		if err := s.writeDurably(func() error { return s.acceptor.Learn(batch...) }); err != nil {
 			return err
 		}
-		for i := range part {
-			if !s.applyChosen(&part[i]) {
-				return fault.New(fault.Input, "version %d can't be applied", part[i].Index)
+		for i := range batch {
+			if !s.applyChosen(&batch[i]) {
+				return fault.New(fault.Input, "version %d can't be applied", batch[i].Index)
 			}
 		}
 	}
 	return nil
 }
 
-// learnedAtOnce is how many entries are kept with one sync of the folder: few enough
+// learnBatchSize is how many entries are kept with one sync of the folder: few enough
 // that a disk that is well is not taken for a slow one.
-const learnedAtOnce = 16
+const learnBatchSize = 16
 
 // onFetch hands out what is applied here: entries while they are kept, a
 // snapshot otherwise.
-func (s *Store) onFetch(_ context.Context, _ transport.Hello, in fetchAsk) (fetchGot, error) {
+func (s *Store) onFetch(_ context.Context, _ transport.Hello, request fetchAsk) (fetchGot, error) {
 	s.mu.Lock()
 	if s.state == nil {
 		s.mu.Unlock()
 		return fetchGot{}, fault.New(fault.Refused, "empty")
 	}
-	got := fetchGot{Top: s.slot}
-	known := in.Prev != nil && in.After >= s.slot
-	if !known {
-		got.Entries = s.entriesAfter(in)
+	response := fetchGot{Applied: s.appliedIndex}
+	upToDate := request.PreviousDigest != nil && request.After >= s.appliedIndex
+	if !upToDate {
+		response.Entries = s.entriesAfter(request)
 	}
-	large := s.upperSize() > snapshotChunk
+	large := s.maxStateSize() > snapshotChunk
 	s.mu.Unlock()
-	if known || len(got.Entries) > 0 {
-		return got, nil
+	if upToDate || len(response.Entries) > 0 {
+		return response, nil
 	}
-	after := in.After
-	if in.Prev == nil {
+	after := request.After
+	if request.PreviousDigest == nil {
 		after = 0
 	}
-	if large && in.Chunks {
-		head, err := s.announce(after)
-		got.Head = head
-		return got, err
+	if large && request.AcceptsChunks {
+		header, err := s.announceSnapshot(after)
+		response.Header = header
+		return response, err
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	point, err := s.packState()
-	got.Point = point
-	return got, err
+	snapshot, err := s.packState()
+	response.Snapshot = snapshot
+	return response, err
 }
 
 // The bounds on the entries that one answer brings, in count and as a part of a
 // frame. One is always sent.
 const (
-	fetchEntries   = 128
-	fetchFrameRate = 4
+	maxFetchEntries   = 128
+	fetchFrameDivisor = 4
 )
 
 // entriesAfter gives the applied entries that follow what the asker has, none if
 // they are not all kept, or the asker's newest is not ours. mu is held.
-func (s *Store) entriesAfter(in fetchAsk) (out []paxos.Entry) {
-	if in.Prev == nil || !s.acc.HoldsAfter(in.After) {
+func (s *Store) entriesAfter(request fetchAsk) (entries []paxos.Entry) {
+	if request.PreviousDigest == nil || !s.acceptor.HoldsAfter(request.After) {
 		return nil
 	}
 	size := 0
-	for _, e := range s.acc.After(in.After, min(fetchEntries, int(s.slot-in.After))) {
+	for _, e := range s.acceptor.After(request.After, min(maxFetchEntries, int(s.appliedIndex-request.After))) {
 		size += len(e.Batch)
-		if e.Index > s.slot || len(out) > 0 && size > s.Settings.MaxFrameBytes/fetchFrameRate {
+		if e.Index > s.appliedIndex || len(entries) > 0 && size > s.Settings.MaxFrameBytes/fetchFrameDivisor {
 			break
 		}
-		out = append(out, e)
+		entries = append(entries, e)
 	}
-	if len(out) == 0 || out[0].Index != in.After+1 || !bytes.Equal(out[0].Previous, in.Prev) || !rowed(out) {
+	if len(entries) == 0 || entries[0].Index != request.After+1 || !bytes.Equal(entries[0].Previous, request.PreviousDigest) || !isChain(entries) {
 		return nil
 	}
-	return out
+	return entries
 }
 
-// rowed tells whether each entry follows the one before.
-func rowed(row []paxos.Entry) bool {
-	for i := 1; i < len(row); i++ {
-		if row[i].Index != row[i-1].Index+1 || !bytes.Equal(row[i].Previous, row[i-1].Digest()) {
+// isChain tells whether each entry follows the one before.
+func isChain(entries []paxos.Entry) bool {
+	for i := 1; i < len(entries); i++ {
+		if entries[i].Index != entries[i-1].Index+1 || !bytes.Equal(entries[i].Previous, entries[i-1].Digest()) {
 			return false
 		}
 	}
 	return true
 }
 
-// checkpointOf is the checkpoint of what is applied; mu is held.
-func (s *Store) checkpointOf(raw []byte) paxos.Snapshot {
-	return paxos.Snapshot{Index: s.slot, Digest: s.sum, State: raw}
+// snapshotOf is the checkpoint of what is applied; mu is held.
+func (s *Store) snapshotOf(encoded []byte) paxos.Snapshot {
+	return paxos.Snapshot{Index: s.appliedIndex, Digest: s.appliedDigest, State: encoded}
 }
--- a/internal/store/founding.go
+++ b/internal/store/founding.go
@@ -14,31 +14,31 @@
 	"puffincrank/internal/transport"
 )
 
-func (s *Store) empty() bool { return s.role.Is("empty") }
+func (s *Store) isEmpty() bool { return s.role.Is("empty") }
 
-// onFound tells a peer whether this store holds anything.
-func (s *Store) onFound(_ context.Context, _ transport.Hello, in foundAsk) (foundGot, error) {
-	s.noteSuccessor(in.ID, in.Addr)
+// onProbe tells a peer whether this store holds anything.
+func (s *Store) onProbe(_ context.Context, _ transport.Hello, request foundAsk) (foundGot, error) {
+	s.detectReplacedLeader(request.ID, request.Addr)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	got := foundGot{Empty: s.state == nil, ID: s.acc.Identity().ID, Head: s.leaderAddress, Never: !s.Settings.MayFound, Area: s.Settings.Zone, Land: s.Settings.Region, Knows: statemachine.Level}
+	response := foundGot{Empty: s.state == nil, ID: s.acceptor.Identity().ID, LeaderAddr: s.leaderAddress, MayNotFound: !s.Settings.MayFound, Zone: s.Settings.Zone, Region: s.Settings.Region, CommandLevel: statemachine.Level}
 	if s.state != nil {
-		got.Mesh, got.Members, got.Slot = s.state.ClusterID, s.state.Members, s.slot
+		response.ClusterID, response.Members, response.Applied = s.state.ClusterID, s.state.Members, s.appliedIndex
 	}
-	return got, nil
+	return response, nil
 }
 
 // onGenesis takes the founding, if this empty replica is named in it.
-func (s *Store) onGenesis(_ context.Context, _ transport.Hello, in genesis) (ack, error) {
-	if !s.empty() {
+func (s *Store) onGenesis(_ context.Context, _ transport.Hello, founding genesis) (ack, error) {
+	if !s.isEmpty() {
 		return ack{}, fault.New(fault.Refused, "not empty")
 	}
-	own := s.acc.Identity().ID
-	if err := checkFounders(in.Members, own); err != nil {
-		s.e.Log.Emit(event.ForeignData, "mesh", in.Mesh, "why", err.Error())
+	own := s.acceptor.Identity().ID
+	if err := checkFounders(founding.Members, own); err != nil {
+		s.env.Log.Emit(event.ForeignData, "mesh", founding.ClusterID, "why", err.Error())
 		return ack{}, err
 	}
-	return ack{Yes: true, ID: own}, s.begin(in)
+	return ack{OK: true, ID: own}, s.installFounding(founding)
 }
 
 // checkFounders refuses a list of founding members that doesn't name the receiver,
@@ -59,8 +59,8 @@
 	if !named[receiver] {
 		return fault.New(fault.Refused, "not named in the founding")
 	}
-	if n := len(members); n%2 == 0 && n != 2 {
-		return fault.New(fault.Refused, "the founding names %d members, an even number", n)
+	if count := len(members); count%2 == 0 && count != 2 {
+		return fault.New(fault.Refused, "the founding names %d members, an even number", count)
 	}
 	return nil
 }
@@ -68,114 +68,114 @@
 // founders gives the members that found a cluster: all that were found, but for
 // the last by address, not the founder itself, where they are of an even number
 // above two. That one stands by, and gets a place when one is free.
-func founders(all []statemachine.Member, founder string) []statemachine.Member {
-	if n := len(all); n%2 == 1 || n == 2 {
-		return all
+func founders(candidates []statemachine.Member, founder string) []statemachine.Member {
+	if count := len(candidates); count%2 == 1 || count == 2 {
+		return candidates
 	}
 	last := -1
-	for i, m := range all {
-		if m.Addr != founder && (last < 0 || m.Addr > all[last].Addr) {
+	for i, m := range candidates {
+		if m.Addr != founder && (last < 0 || m.Addr > candidates[last].Addr) {
 			last = i
 		}
 	}
-	return slices.Delete(slices.Clone(all), last, last+1)
+	return slices.Delete(slices.Clone(candidates), last, last+1)
 }
 
 func memberAddresses(members []statemachine.Member) []string {
-	var out []string
+	var addresses []string
 	for _, m := range members {
-		out = append(out, m.Addr)
+		addresses = append(addresses, m.Addr)
 	}
-	return out
+	return addresses
 }
 
-// begin keeps the founding state as the checkpoint of slot 0.
-func (s *Store) begin(in genesis) error {
-	s.applying.Lock()
-	defer s.applying.Unlock()
-	if !s.empty() {
+// installFounding keeps the founding state as the checkpoint of slot 0.
+func (s *Store) installFounding(founding genesis) error {
+	s.applyLock.Lock()
+	defer s.applyLock.Unlock()
+	if !s.isEmpty() {
 		return nil
 	}
-	led := statemachine.New(in.Mesh, in.Members)
-	led.WantedMembers, led.Level = in.Want, min(in.Level, statemachine.Level)
-	raw, err := led.Pack()
+	state := statemachine.New(founding.ClusterID, founding.Members)
+	state.WantedMembers, state.Level = founding.WantedMembers, min(founding.CommandLevel, statemachine.Level)
+	encoded, err := state.Pack()
 	if err != nil {
 		return err
 	}
-	sum := sha256.Sum256(raw)
-	return s.install(paxos.Snapshot{Digest: sum[:], State: raw}, event.Founded)
+	digest := sha256.Sum256(encoded)
+	return s.installSnapshot(paxos.Snapshot{Digest: digest[:], State: encoded}, event.Founded)
 }
 
-// install takes a checkpoint as all that this replica holds, unless it is of a
+// installSnapshot takes a checkpoint as all that this replica holds, unless it is of a
 // newer format, of a newer program's state or of another cluster; learn is held.
-func (s *Store) install(c paxos.Snapshot, say event.Kind) error {
-	if c.Format > paxos.Format {
-		s.e.Log.Emit(event.ForeignData, "format", c.Format, "own", paxos.Format)
-		return fault.New(fault.Input, "a snapshot of format %d, newer than %d", c.Format, paxos.Format)
+func (s *Store) installSnapshot(snapshot paxos.Snapshot, kind event.Kind) error {
+	if snapshot.Format > paxos.Format {
+		s.env.Log.Emit(event.ForeignData, "format", snapshot.Format, "own", paxos.Format)
+		return fault.New(fault.Input, "a snapshot of format %d, newer than %d", snapshot.Format, paxos.Format)
 	}
-	led, err := statemachine.Load(c.State)
+	state, err := statemachine.Load(snapshot.State)
 	if err != nil {
-		s.e.Log.Emit(event.ForeignData, "slot", c.Index, "why", err.Error())
+		s.env.Log.Emit(event.ForeignData, "slot", snapshot.Index, "why", err.Error())
 		return err
 	}
-	if mine := s.acc.Identity().ClusterID; mine != "" && mine != led.ClusterID {
-		s.e.Log.Emit(event.ForeignData, "mesh", led.ClusterID, "own", mine)
-		return fault.New(fault.Refused, "data of mesh %s", led.ClusterID)
+	if clusterID := s.acceptor.Identity().ClusterID; clusterID != "" && clusterID != state.ClusterID {
+		s.env.Log.Emit(event.ForeignData, "mesh", state.ClusterID, "own", clusterID)
+		return fault.New(fault.Refused, "data of mesh %s", state.ClusterID)
 	}
 	err = s.writeDurably(func() error {
-		if err := s.acc.InstallSnapshot(c); err != nil {
+		if err := s.acceptor.InstallSnapshot(snapshot); err != nil {
 			return err
 		}
-		return s.acc.SetIdentity(paxos.Identity{ID: s.acc.Identity().ID, ClusterID: led.ClusterID})
+		return s.acceptor.SetIdentity(paxos.Identity{ID: s.acceptor.Identity().ID, ClusterID: state.ClusterID})
 	})
 	if err != nil {
 		return err
 	}
-	if err := s.reset(c); err != nil {
+	if err := s.loadState(snapshot); err != nil {
 		return err
 	}
 	s.mu.Lock()
-	s.e.Trace.Notify(trace.Installed{Replica: s.acc.Identity().ID, Index: s.slot, Digest: string(s.sum), Members: s.memberIDs()})
+	s.env.Trace.Notify(trace.Installed{Replica: s.acceptor.Identity().ID, Index: s.appliedIndex, Digest: string(s.appliedDigest), Members: s.memberIDs()})
 	s.mu.Unlock()
-	s.e.Log.Emit(say, "mesh", led.ClusterID, "slot", c.Index)
+	s.env.Log.Emit(kind, "mesh", state.ClusterID, "slot", snapshot.Index)
 	// A joiner stays out of the voting until it is a member.
 	s.updateRole()
 	return nil
 }
 
-// found gives a cluster its first state, if all seeds are reachable and empty: by
+// foundCluster gives a cluster its first state, if all seeds are reachable and empty: by
 // the least of those that may, in whatever order each has them, so that there
 // is never a second founding. The others learn it from its word or, later,
 // from each other.
-func (s *Store) found(ctx context.Context, all []foundGot, addrs []string) {
-	least := ""
-	in := genesis{Mesh: s.Settings.ClusterID + "/" + fresh(), Want: s.Settings.Voters(), Level: statemachine.Level}
-	for i, got := range all {
-		if !got.Never && (least == "" || addrs[i] < least) {
-			least = addrs[i]
+func (s *Store) foundCluster(ctx context.Context, responses []foundGot, addresses []string) {
+	founder := ""
+	founding := genesis{ClusterID: s.Settings.ClusterID + "/" + randomID(), WantedMembers: s.Settings.Voters(), CommandLevel: statemachine.Level}
+	for i, response := range responses {
+		if !response.MayNotFound && (founder == "" || addresses[i] < founder) {
+			founder = addresses[i]
 		}
-		in.Level = min(in.Level, got.Knows)
-		in.Members = append(in.Members, statemachine.Member{ID: got.ID, Addr: addrs[i], Zone: got.Area, Region: got.Land})
+		founding.CommandLevel = min(founding.CommandLevel, response.CommandLevel)
+		founding.Members = append(founding.Members, statemachine.Member{ID: response.ID, Addr: addresses[i], Zone: response.Zone, Region: response.Region})
 	}
-	if least != s.Settings.InternalAddr {
+	if founder != s.Settings.InternalAddr {
 		return
 	}
-	if in.Want == 3 {
-		in.Want = 0
+	if founding.WantedMembers == 3 {
+		founding.WantedMembers = 0
 	}
-	in.Members = founders(in.Members, s.Settings.InternalAddr)
-	if err := checkFounders(in.Members, s.acc.Identity().ID); err != nil {
-		s.e.Log.Emit(event.ForeignData, "mesh", in.Mesh, "why", err.Error())
+	founding.Members = founders(founding.Members, s.Settings.InternalAddr)
+	if err := checkFounders(founding.Members, s.acceptor.Identity().ID); err != nil {
+		s.env.Log.Emit(event.ForeignData, "mesh", founding.ClusterID, "why", err.Error())
 		return
 	}
-	if err := s.begin(in); err != nil {
+	if err := s.installFounding(founding); err != nil {
 		return
 	}
-	ballot.Poll(ctx, s.g, memberAddresses(in.Members), func(ctx context.Context, to string) (ack, error) {
+	ballot.Poll(ctx, s.tasks, memberAddresses(founding.Members), func(ctx context.Context, to string) (ack, error) {
 		if to == s.Settings.InternalAddr {
 			return ack{}, nil
 		}
-		return transport.Call[ack](ctx, s.n, to, "store.genesis", in)
+		return transport.Call[ack](ctx, s.node, to, "store.genesis", founding)
 	}, func(string, ack, error) bool { return false })
 	s.wakeLoop(true)
 }
--- a/internal/store/holders.go
+++ b/internal/store/holders.go
@@ -13,65 +13,65 @@
 // members, and whatever is left of them after as many losses as they are to bear,
 // holds each entry that was ever acknowledged.
 
-// holders counts the members that are known to have applied up to a slot; t.mu
+// countHolders counts the members that are known to have applied up to a slot; t.mu
 // is held.
-func (t *leadership) holders(members []statemachine.Member, slot uint64) (n int) {
+func (t *leadership) countHolders(members []statemachine.Member, index uint64) (count int) {
 	for _, m := range members {
 		// One that ends soon may take its disk with it.
-		if !t.contacts[m.ID].going.IsZero() {
+		if !t.contacts[m.ID].leavingAt.IsZero() {
 			continue
 		}
-		has := t.contacts[m.ID].slot
-		if sp := t.learners[m.ID]; sp != nil {
-			has = max(has, sp.slot)
+		appliedIndex := t.contacts[m.ID].appliedIndex
+		if l := t.learners[m.ID]; l != nil {
+			appliedIndex = max(appliedIndex, l.appliedIndex)
 		}
-		if m.ID == t.s.acc.Identity().ID {
-			has = slot
+		if m.ID == t.store.acceptor.Identity().ID {
+			appliedIndex = index
 		}
-		if has >= slot {
-			n++
+		if appliedIndex >= index {
+			count++
 		}
 	}
-	return n
+	return count
 }
 
 // awaitHolders waits until so many of these members hold all that is chosen, a beat
 // at the most. learn is held, so nothing is decided meanwhile.
 func (t *leadership) awaitHolders(ctx context.Context, members []statemachine.Member, need int) bool {
-	for from := time.Now(); ctx.Err() == nil && !t.ended(); {
+	for started := time.Now(); ctx.Err() == nil && !t.ended(); {
 		t.mu.Lock()
-		slot := t.s.slot
-		held := t.holders(members, slot) >= need
-		able := t.holders(members, slot-min(slot, learnerLag)) >= need
+		index := t.store.appliedIndex
+		held := t.countHolders(members, index) >= need
+		close := t.countHolders(members, index-min(index, maxLearnerLag)) >= need
 		t.mu.Unlock()
 		if held {
 			return true
 		}
 		// Nobody is kept waiting for members that have much to catch up with.
-		if !able || time.Since(from) > t.s.Settings.HeartbeatInterval() {
+		if !close || time.Since(started) > t.store.Settings.HeartbeatInterval() {
 			return false
 		}
 		// The beat tells them the newest slot; the next one's answers tell that
 		// they have applied it.
 		_ = t.heartbeat(ctx)
-		t.s.e.Sleep(ctx, t.s.Settings.HeartbeatInterval()/40)
+		t.store.env.Sleep(ctx, t.store.Settings.HeartbeatInterval()/40)
 	}
 	return false
 }
 
 // heldByMajority is the guard of a change after which these are the members.
-func (t *leadership) heldByMajority(then []statemachine.Member) func(context.Context) bool {
-	return func(ctx context.Context) bool { return t.awaitHolders(ctx, then, len(then)/2+1) }
+func (t *leadership) heldByMajority(members []statemachine.Member) func(context.Context) bool {
+	return func(ctx context.Context) bool { return t.awaitHolders(ctx, members, len(members)/2+1) }
 }
 
 // without lists the members but one.
-func without(members []statemachine.Member, id string) (out []statemachine.Member) {
+func without(members []statemachine.Member, id string) (others []statemachine.Member) {
 	for _, m := range members {
 		if m.ID != id {
-			out = append(out, m)
+			others = append(others, m)
 		}
 	}
-	return out
+	return others
 }
 
 // withReplaced lists the members after one has taken the place of another, or a
@@ -85,14 +85,14 @@
 // itself decides nothing after that.
 func (t *leadership) othersHold(ctx context.Context, leaving string) bool {
 	guard := func(ctx context.Context) bool {
-		all, _, _ := t.s.members()
-		others := without(all, leaving)
-		held := t.awaitHolders(ctx, others, min(len(all)/2+1, len(others)))
-		if held && leaving == t.s.acc.Identity().ID {
-			t.shut.Store(true)
+		members, _, _ := t.store.members()
+		others := without(members, leaving)
+		held := t.awaitHolders(ctx, others, min(len(members)/2+1, len(others)))
+		if held && leaving == t.store.acceptor.Identity().ID {
+			t.closed.Store(true)
 		}
 		return held
 	}
-	r, err := t.submit(ctx, &proposal{guard: guard, result: make(chan outcome, 1)})
-	return err == nil && r.Code == statemachine.OK
+	result, err := t.submit(ctx, &proposal{guard: guard, result: make(chan outcome, 1)})
+	return err == nil && result.Code == statemachine.OK
 }
--- a/internal/store/join.go
+++ b/internal/store/join.go
@@ -17,20 +17,20 @@
 // tell the leader that it stands by. It tells when to try again.
 func (s *Store) joinStep(ctx context.Context) time.Duration {
 	s.mu.Lock()
-	head, bare, shut := s.leaderAddress, s.state == nil, s.stopping
+	leader, isEmpty, stopping := s.leaderAddress, s.state == nil, s.stopping
 	s.mu.Unlock()
-	if shut {
+	if stopping {
 		return s.Settings.HeartbeatInterval()
 	}
-	ctx, end := context.WithTimeout(ctx, s.Settings.CallTimeout()*2)
-	defer end()
-	if bare || head == "" || !s.reportToLeader(ctx, head) {
+	ctx, cancel := context.WithTimeout(ctx, s.Settings.CallTimeout()*2)
+	defer cancel()
+	if isEmpty || leader == "" || !s.reportToLeader(ctx, leader) {
 		s.discover(ctx)
 	}
 	switch {
-	case s.votes():
+	case s.canVote():
 		return 0
-	case time.Since(s.born) < s.Settings.RecoveryBound:
+	case time.Since(s.startedAt) < s.Settings.RecoveryBound:
 		// Until the cluster has been found each moment counts.
 		s.mu.Lock()
 		defer s.mu.Unlock()
@@ -44,33 +44,33 @@
 // discover asks the seeds, and the members as last known, for one that holds the
 // cluster's state.
 func (s *Store) discover(ctx context.Context) {
-	who := append([]string(nil), s.Settings.Seeds...)
+	addresses := append([]string(nil), s.Settings.Seeds...)
 	known := map[string]bool{}
-	for _, a := range who {
+	for _, a := range addresses {
 		known[a] = true
 	}
 	s.mu.Lock()
-	bare := s.state == nil
-	if !bare {
+	isEmpty := s.state == nil
+	if !isEmpty {
 		for _, m := range s.state.Members {
 			if !known[m.Addr] {
-				who = append(who, m.Addr)
+				addresses = append(addresses, m.Addr)
 			}
 		}
 	} else if s.leaderAddress != "" && !known[s.leaderAddress] {
 		// A leader that took this empty store for the member that it was.
-		who = append(who, s.leaderAddress)
+		addresses = append(addresses, s.leaderAddress)
 	}
-	if s.candidate != "" && !slices.Contains(who, s.candidate) {
-		who = append(who, s.candidate)
+	if s.candidate != "" && !slices.Contains(addresses, s.candidate) {
+		addresses = append(addresses, s.candidate)
 	}
 	s.mu.Unlock()
-	empty, at, best := s.askAround(ctx, who)
+	empty, emptyAddresses, best := s.probeStores(ctx, addresses)
 	if best.addr != "" {
 		s.joinVia(ctx, best)
-	} else if bare && len(empty) == len(s.Settings.Seeds) && len(who) == len(s.Settings.Seeds) {
+	} else if isEmpty && len(empty) == len(s.Settings.Seeds) && len(addresses) == len(s.Settings.Seeds) {
 		// Only the seeds themselves found. One that was in a cluster holds its state.
-		s.found(ctx, empty, at)
+		s.foundCluster(ctx, empty, emptyAddresses)
 	}
 }
 
@@ -80,34 +80,34 @@
 	addr string
 }
 
-// askAround asks stores what they hold. It gives those that are empty, and the one
+// probeStores asks stores what they hold. It gives those that are empty, and the one
 // to be refilled from: one that names a leader or, where none does, the one that
 // has applied most, since only that may know of a place that this store was given
 // right before the leader was lost. It leaves half of the time for the refill, as
 // one that is cut off never answers.
-func (s *Store) askAround(ctx context.Context, who []string) (empty []foundGot, at []string, best source) {
-	ctx, end := context.WithTimeout(ctx, s.Settings.CallTimeout())
-	defer end()
+func (s *Store) probeStores(ctx context.Context, addresses []string) (empty []foundGot, emptyAddresses []string, best source) {
+	ctx, cancel := context.WithTimeout(ctx, s.Settings.CallTimeout())
+	defer cancel()
 	s.mu.Lock()
-	misled := s.misled
+	hintFailed := s.leaderHintFailed
 	s.mu.Unlock()
-	ballot.Poll(ctx, s.g, who, func(ctx context.Context, to string) (foundGot, error) {
+	ballot.Poll(ctx, s.tasks, addresses, func(ctx context.Context, to string) (foundGot, error) {
 		if to == s.Settings.InternalAddr {
-			return foundGot{Empty: true, ID: s.acc.Identity().ID, Never: !s.Settings.MayFound, Area: s.Settings.Zone, Land: s.Settings.Region, Knows: statemachine.Level}, nil
+			return foundGot{Empty: true, ID: s.acceptor.Identity().ID, MayNotFound: !s.Settings.MayFound, Zone: s.Settings.Zone, Region: s.Settings.Region, CommandLevel: statemachine.Level}, nil
 		}
-		return transport.Call[foundGot](ctx, s.n, to, "store.found", foundAsk{s.acc.Identity().ID, s.Settings.InternalAddr})
-	}, func(to string, got foundGot, err error) bool {
+		return transport.Call[foundGot](ctx, s.node, to, "store.found", foundAsk{s.acceptor.Identity().ID, s.Settings.InternalAddr})
+	}, func(to string, response foundGot, err error) bool {
 		switch {
 		case err != nil:
-		case got.Empty:
-			empty, at = append(empty, got), append(at, to)
-		case best.addr == "" || !misled && best.Head == "" && got.Head != "" || (misled || best.Head == "") && got.Slot > best.Slot:
-			best = source{got, to}
+		case response.Empty:
+			empty, emptyAddresses = append(empty, response), append(emptyAddresses, to)
+		case best.addr == "" || !hintFailed && best.LeaderAddr == "" && response.LeaderAddr != "" || (hintFailed || best.LeaderAddr == "") && response.Applied > best.Applied:
+			best = source{response, to}
 		}
 		// One that knows the leader is enough: another may be dead and never answer.
-		return best.Head != "" && !misled
+		return best.LeaderAddr != "" && !hintFailed
 	})
-	return empty, at, best
+	return empty, emptyAddresses, best
 }
 
 // joinVia refills this replica from a peer and tells the leader of it. A peer that
@@ -115,26 +115,26 @@
 // next time.
 func (s *Store) joinVia(ctx context.Context, from source) {
 	s.mu.Lock()
-	was := s.state == nil
+	wasEmpty := s.state == nil
 	s.mu.Unlock()
 	err := s.refill(ctx, from.addr)
-	if was {
-		s.e.Log.Emit(event.Joining, "by", from.addr, "ok", err == nil)
+	if wasEmpty {
+		s.env.Log.Emit(event.Joining, "by", from.addr, "ok", err == nil)
 	}
-	if err == nil && !s.votes() && from.Head != "" {
-		answers := s.reportToLeader(ctx, from.Head)
+	if err == nil && !s.canVote() && from.LeaderAddr != "" {
+		answers := s.reportToLeader(ctx, from.LeaderAddr)
 		s.mu.Lock()
-		s.misled = !answers
+		s.leaderHintFailed = !answers
 		s.mu.Unlock()
 	}
 }
 
 // refill fetches what a peer has applied and takes up the place, if any, that
 // is known from it.
-func (s *Store) refill(ctx context.Context, at string) error {
-	s.applying.Lock()
-	defer s.applying.Unlock()
-	if err := s.fetchMissing(ctx, at, 0); err != nil {
+func (s *Store) refill(ctx context.Context, from string) error {
+	s.applyLock.Lock()
+	defer s.applyLock.Unlock()
+	if err := s.fetchMissing(ctx, from, 0); err != nil {
 		return err
 	}
 	s.updateRole()
@@ -143,32 +143,32 @@
 
 // reportToLeader tells the leader that this replica stands by, and learns from it; false
 // means that no leader answers there.
-func (s *Store) reportToLeader(ctx context.Context, to string) bool {
+func (s *Store) reportToLeader(ctx context.Context, leader string) bool {
 	for range 3 {
 		s.mu.Lock()
-		ask := joinAsk{ID: s.acc.Identity().ID, Addr: s.Settings.InternalAddr, Mesh: s.state.ClusterID, Slot: s.slot, Area: s.Settings.Zone, Land: s.Settings.Region, Knows: statemachine.Level}
+		request := joinAsk{ID: s.acceptor.Identity().ID, Addr: s.Settings.InternalAddr, ClusterID: s.state.ClusterID, Applied: s.appliedIndex, Zone: s.Settings.Zone, Region: s.Settings.Region, CommandLevel: statemachine.Level}
 		s.mu.Unlock()
-		got, err := transport.Call[joinGot](ctx, s.n, to, "store.join", ask)
-		if err == nil && got.Slot == 0 && got.Has > ask.Slot && s.refill(ctx, to) == nil && s.votes() {
+		response, err := transport.Call[joinGot](ctx, s.node, leader, "store.join", request)
+		if err == nil && response.LeaderApplied == 0 && response.Applied > request.Applied && s.refill(ctx, leader) == nil && s.canVote() {
 			// It does not lead, but knows of a place that this one was given.
 			return true
 		}
-		if err != nil || got.Head == to || got.Head == "" && got.Slot == 0 {
+		if err != nil || response.LeaderAddr == leader || response.LeaderAddr == "" && response.LeaderApplied == 0 {
 			s.noteLeader("")
 			return false
 		}
-		if got.Head != "" {
-			to = got.Head
+		if response.LeaderAddr != "" {
+			leader = response.LeaderAddr
 			continue
 		}
 		s.mu.Lock()
-		s.leaderAddress, s.lastJoined = to, time.Now()
+		s.leaderAddress, s.leaderAnsweredAt = leader, time.Now()
 		s.mu.Unlock()
-		if got.Slot <= ask.Slot && !got.Done {
+		if response.LeaderApplied <= request.Applied && !response.IsMember {
 			return true
 		}
 		// Whole now: asked again, it may have a place at once.
-		if s.refill(ctx, to) != nil || s.votes() {
+		if s.refill(ctx, leader) != nil || s.canVote() {
 			return true
 		}
 	}
@@ -180,20 +180,20 @@
 // kept, on the disk too, so that its copy is still there should the others lose
 // theirs right now, and so that it only fetches what it lacks.
 func (s *Store) becomeLearner() error {
-	s.applying.Lock()
-	defer s.applying.Unlock()
+	s.applyLock.Lock()
+	defer s.applyLock.Unlock()
 	s.mu.Lock()
-	chosen, clusterID := s.slot, s.state.ClusterID
+	chosen, clusterID := s.appliedIndex, s.state.ClusterID
 	s.mu.Unlock()
-	former, now := s.acc.Identity().ID, paxos.Identity{ID: fresh(), ClusterID: clusterID}
-	if err := s.writeDurably(func() error { return s.acc.Rename(now, chosen) }); err != nil {
+	former, identity := s.acceptor.Identity().ID, paxos.Identity{ID: randomID(), ClusterID: clusterID}
+	if err := s.writeDurably(func() error { return s.acceptor.Rename(identity, chosen) }); err != nil {
 		return err
 	}
-	s.e.Trace.Notify(trace.Renamed{Replica: now.ID, Former: former})
+	s.env.Trace.Notify(trace.Renamed{Replica: identity.ID, Former: former})
 	s.voter.Reset()
 	s.mu.Lock()
 	s.leaderAddress = ""
-	s.diskIll, s.restsUntil = false, time.Time{}
+	s.diskFailing, s.noCampaignUntil = false, time.Time{}
 	s.mu.Unlock()
 	s.role.Fire("outcast")
 	s.updateRole()
--- a/internal/store/join_test.go
+++ b/internal/store/join_test.go
@@ -15,63 +15,63 @@
 	"puffincrank/internal/transport"
 )
 
-// peer is a node at an address that answers as the test says.
-func peer(t *testing.T, road *transport.LocalNet, addr string, answers func(*transport.Node)) {
+// startPeer is a node at an address that answers as the test says.
+func startPeer(t *testing.T, network *transport.LocalNet, addr string, register func(*transport.Node)) {
 	t.Helper()
-	g := task.New(context.Background())
-	n := transport.NewNode(transport.Hello{ClusterID: "m", Node: addr}, env.Env{Net: road, Wall: time.Now, Log: event.New(addr, nil)}, g, 1<<20, 8, time.Second)
-	answers(n)
-	if err := n.Listen(addr); err != nil {
+	tasks := task.New(context.Background())
+	node := transport.NewNode(transport.Hello{ClusterID: "m", Node: addr}, env.Env{Net: network, Wall: time.Now, Log: event.New(addr, nil)}, tasks, 1<<20, 8, time.Second)
+	register(node)
+	if err := node.Listen(addr); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() {
-		n.Close()
-		g.Stop()
+		node.Close()
+		tasks.Stop()
 	})
 }
 
-// says answers what a store holds, after a while.
-func says(got foundGot, after time.Duration) func(*transport.Node) {
-	return func(n *transport.Node) {
-		transport.Handle(n, "store.found", func(ctx context.Context, _ transport.Hello, _ foundAsk) (foundGot, error) {
-			task.Sleep(ctx, after)
-			return got, ctx.Err()
+// probeReply answers what a store holds, after a while.
+func probeReply(response foundGot, delay time.Duration) func(*transport.Node) {
+	return func(node *transport.Node) {
+		transport.Handle(node, "store.found", func(ctx context.Context, _ transport.Hello, _ foundAsk) (foundGot, error) {
+			task.Sleep(ctx, delay)
+			return response, ctx.Err()
 		})
 	}
 }
 
-// TestNewestSource: a store without a place is refilled from the peer that has
+// TestRefillSource: a store without a place is refilled from the peer that has
 // applied most when nobody leads, whoever answers first and whoever never answers;
 // from one that names a leader otherwise, unless that leader was not there the last
 // time.
-func TestNewestSource(t *testing.T) {
-	behind, newest := foundGot{Slot: 485}, foundGot{Slot: 490}
-	leads, never := foundGot{Slot: 480, Head: "c:1"}, time.Hour
+func TestRefillSource(t *testing.T) {
+	behind, newest := foundGot{Applied: 485}, foundGot{Applied: 490}
+	leads, never := foundGot{Applied: 480, LeaderAddr: "c:1"}, time.Hour
 	for _, c := range []struct {
 		name    string
 		a, b, d foundGot
-		late    time.Duration // of the first
+		delay   time.Duration // of the first
 		misled  bool
 		want    string
 	}{
 		{"the nearest is behind", behind, newest, foundGot{Empty: true}, 0, false, "b:1"},
 		{"the nearest has most", newest, behind, foundGot{Empty: true}, 0, false, "a:1"},
-		{"one never answers", newest, behind, foundGot{Slot: 3}, never, false, "b:1"},
+		{"one never answers", newest, behind, foundGot{Applied: 3}, never, false, "b:1"},
 		{"one names a leader", newest, behind, leads, 0, false, "d:1"},
 		{"it names a leader that is gone", behind, newest, leads, 0, true, "b:1"},
 		{"all are empty", foundGot{Empty: true}, foundGot{Empty: true}, foundGot{Empty: true}, 0, false, ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				s, road := bare(t)
+				s, network := newEmptyStore(t)
 				defer s.Kill()
-				s.misled = c.misled
-				peer(t, road, "a:1", says(c.a, c.late))
-				peer(t, road, "b:1", says(c.b, 10*time.Millisecond))
-				peer(t, road, "d:1", says(c.d, 20*time.Millisecond))
+				s.leaderHintFailed = c.misled
+				startPeer(t, network, "a:1", probeReply(c.a, c.delay))
+				startPeer(t, network, "b:1", probeReply(c.b, 10*time.Millisecond))
+				startPeer(t, network, "d:1", probeReply(c.d, 20*time.Millisecond))
 				ctx, end := context.WithTimeout(t.Context(), 2*s.Settings.CallTimeout())
 				defer end()
-				empty, _, got := s.askAround(ctx, []string{"a:1", "b:1", "d:1"})
+				empty, _, got := s.probeStores(ctx, []string{"a:1", "b:1", "d:1"})
 				if got.addr != c.want {
 					t.Errorf("it turns to %q", got.addr)
 				}
@@ -86,15 +86,15 @@
 	}
 }
 
-// TestCandidateKnown: a store that does not know of its place turns to the member
+// TestCandidateRemembered: a store that does not know of its place turns to the member
 // that asks for its vote, though neither its seeds nor its members name it.
-func TestCandidateKnown(t *testing.T) {
+func TestCandidateRemembered(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s, _ := bare(t)
+		s, _ := newEmptyStore(t)
 		defer s.Kill()
-		for _, ask := range []ballotAsk{{Addr: "old:1"}, {Addr: "new:1", Slot: 9}} {
-			vote, err := s.onBallot(t.Context(), transport.Hello{}, ask)
-			if err != nil || vote.Yes {
+		for _, request := range []ballotAsk{{Addr: "old:1"}, {Addr: "new:1", Applied: 9}} {
+			vote, err := s.onVoteRequest(t.Context(), transport.Hello{}, request)
+			if err != nil || vote.Granted {
 				t.Fatalf("an empty store votes: %+v, %v", vote, err)
 			}
 		}
@@ -104,43 +104,43 @@
 	})
 }
 
-// firstEntry is a chosen entry that gives a member's place to another replica.
-func firstEntry(t *testing.T, old, joiner string) paxos.Entry {
+// replaceEntry is a chosen entry that gives a member's place to another replica.
+func replaceEntry(t *testing.T, old, joiner string) paxos.Entry {
 	t.Helper()
 	change, err := statemachine.Pack("store.replace", &statemachine.ReplaceMember{Old: old, New: statemachine.Member{ID: joiner, Addr: joiner + ":1"}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	raw, err := statemachine.Batch{change}.Pack()
+	encoded, err := statemachine.Batch{change}.Pack()
 	if err != nil {
 		t.Fatal(err)
 	}
-	return paxos.Entry{Index: 1, Previous: []byte("zero"), Batch: raw, Ballot: ballot.Number{Round: 1, Candidate: "b"}}
+	return paxos.Entry{Index: 1, Previous: []byte("zero"), Batch: encoded, Ballot: ballot.Number{Round: 1, Candidate: "b"}}
 }
 
-// TestPlaceLearned: a store that stands by and is told by one that no longer leads
+// TestMembershipLearnedFromFormerLeader: a store that stands by and is told by one that no longer leads
 // that more was applied takes it at once, and with it the place that it was given.
-func TestPlaceLearned(t *testing.T) {
+func TestMembershipLearnedFromFormerLeader(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s, road := bare(t)
+		s, network := newEmptyStore(t)
 		defer s.Kill()
-		led := statemachine.New("m", []statemachine.Member{{ID: "a", Addr: "a:1"}, {ID: "b", Addr: "b:1"}, {ID: "c", Addr: "c:1"}})
-		raw, err := led.Pack()
+		state := statemachine.New("m", []statemachine.Member{{ID: "a", Addr: "a:1"}, {ID: "b", Addr: "b:1"}, {ID: "c", Addr: "c:1"}})
+		encoded, err := state.Pack()
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := s.install(paxos.Snapshot{Digest: []byte("zero"), State: raw}, event.Refilled); err != nil || s.votes() {
+		if err := s.installSnapshot(paxos.Snapshot{Digest: []byte("zero"), State: encoded}, event.Refilled); err != nil || s.canVote() {
 			t.Fatalf("%v, role %s", err, s.role.Current())
 		}
-		entry := firstEntry(t, "a", s.acc.Identity().ID)
-		peer(t, road, "b:1", func(n *transport.Node) {
-			transport.Handle(n, "store.join", func(context.Context, transport.Hello, joinAsk) (joinGot, error) { return joinGot{Has: 1}, nil })
-			transport.Handle(n, "store.fetch", func(context.Context, transport.Hello, fetchAsk) (fetchGot, error) {
-				return fetchGot{Top: 1, Entries: []paxos.Entry{entry}}, nil
+		entry := replaceEntry(t, "a", s.acceptor.Identity().ID)
+		startPeer(t, network, "b:1", func(node *transport.Node) {
+			transport.Handle(node, "store.join", func(context.Context, transport.Hello, joinAsk) (joinGot, error) { return joinGot{Applied: 1}, nil })
+			transport.Handle(node, "store.fetch", func(context.Context, transport.Hello, fetchAsk) (fetchGot, error) {
+				return fetchGot{Applied: 1, Entries: []paxos.Entry{entry}}, nil
 			})
 		})
-		if !s.reportToLeader(t.Context(), "b:1") || !s.votes() {
-			t.Errorf("role %s after slot %d", s.role.Current(), s.slot)
+		if !s.reportToLeader(t.Context(), "b:1") || !s.canVote() {
+			t.Errorf("role %s after slot %d", s.role.Current(), s.appliedIndex)
 		}
 	})
 }
@@ -151,68 +151,68 @@
 func TestCatchUpWithoutLeader(t *testing.T) {
 	for _, removed := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
-			s, road := alone(t)
+			s, network := newSingleStore(t)
 			defer s.Kill()
-			me := s.acc.Identity().ID
-			s.state.Members = []statemachine.Member{{ID: me, Addr: "me:1"}, {ID: "b", Addr: "b:1"}, {ID: "c", Addr: "c:1"}}
+			self := s.acceptor.Identity().ID
+			s.state.Members = []statemachine.Member{{ID: self, Addr: "me:1"}, {ID: "b", Addr: "b:1"}, {ID: "c", Addr: "c:1"}}
 			s.updateRole()
-			entry := firstEntry(t, me, "d")
+			entry := replaceEntry(t, self, "d")
 			if !removed {
-				entry = firstEntry(t, "c", "d")
+				entry = replaceEntry(t, "c", "d")
 			}
-			peer(t, road, "b:1", func(n *transport.Node) {
+			startPeer(t, network, "b:1", func(n *transport.Node) {
 				transport.Handle(n, "store.ballot", func(context.Context, transport.Hello, ballotAsk) (ballotVote, error) {
-					return ballotVote{ID: "b", Slot: 1}, nil
+					return ballotVote{ID: "b", Applied: 1}, nil
 				})
 				transport.Handle(n, "store.fetch", func(context.Context, transport.Hello, fetchAsk) (fetchGot, error) {
-					return fetchGot{Top: 1, Entries: []paxos.Entry{entry}}, nil
+					return fetchGot{Applied: 1, Entries: []paxos.Entry{entry}}, nil
 				})
 			})
 			if _, _, _, ok := s.askVotes(t.Context(), ballot.Number{}, false); ok {
 				t.Fatal("one vote of three was enough")
 			}
-			if s.slot != 1 {
-				t.Errorf("it has applied %d", s.slot)
+			if s.appliedIndex != 1 {
+				t.Errorf("it has applied %d", s.appliedIndex)
 			}
-			if now := s.acc.Identity().ID; (now != me) != removed || s.votes() == removed {
-				t.Errorf("removed %v: identity %s, was %s, role %s", removed, now, me, s.role.Current())
+			if current := s.acceptor.Identity().ID; (current != self) != removed || s.canVote() == removed {
+				t.Errorf("removed %v: identity %s, was %s, role %s", removed, current, self, s.role.Current())
 			}
 		})
 	}
 }
 
-// TestGreetSeeds: a leader tells a seed that has no place who leads, and an empty
+// TestLeaderAnnouncedToSeeds: a leader tells a seed that has no place who leads, and an empty
 // store turns to the leader that it is told of.
-func TestGreetSeeds(t *testing.T) {
+func TestLeaderAnnouncedToSeeds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s, road := alone(t)
+		s, network := newSingleStore(t)
 		defer s.Kill()
 		s.Settings.Seeds = []string{"me:1", "seed:1", "heard:1"}
-		var told beatAsk
-		peer(t, road, "seed:1", func(n *transport.Node) {
-			transport.Handle(n, "store.beat", func(_ context.Context, _ transport.Hello, in beatAsk) (ack, error) {
-				told = in
+		var heartbeat beatAsk
+		startPeer(t, network, "seed:1", func(node *transport.Node) {
+			transport.Handle(node, "store.beat", func(_ context.Context, _ transport.Hello, in beatAsk) (ack, error) {
+				heartbeat = in
 				return ack{}, nil
 			})
 		})
-		peer(t, road, "heard:1", func(n *transport.Node) {
-			transport.Handle(n, "store.beat", func(context.Context, transport.Hello, beatAsk) (ack, error) {
+		startPeer(t, network, "heard:1", func(node *transport.Node) {
+			transport.Handle(node, "store.beat", func(context.Context, transport.Hello, beatAsk) (ack, error) {
 				t.Error("a learner that is heard of was told")
 				return ack{}, nil
 			})
 		})
-		term := s.newLeadership(ballot.Number{Round: 1, Candidate: s.acc.Identity().ID})
+		term := s.newLeadership(ballot.Number{Round: 1, Candidate: s.acceptor.Identity().ID})
 		defer term.stop()
-		term.noteLearner(joinAsk{ID: "l", Addr: "heard:1"})
-		term.greetSeeds(t.Context())
+		term.recordLearner(joinAsk{ID: "l", Addr: "heard:1"})
+		term.announceToSeeds(t.Context())
 		<-time.After(time.Second)
-		if told.Addr != "me:1" || told.Mesh != "m" {
-			t.Fatalf("the seed was told %+v", told)
+		if heartbeat.Addr != "me:1" || heartbeat.ClusterID != "m" {
+			t.Fatalf("the seed was told %+v", heartbeat)
 		}
-		empty, _ := bare(t)
-		defer empty.Kill()
-		if _, err := empty.onBeat(t.Context(), transport.Hello{}, told); err != nil || empty.leaderAddress != "me:1" {
-			t.Errorf("the empty store knows of %q, %v", empty.leaderAddress, err)
+		emptyStore, _ := newEmptyStore(t)
+		defer emptyStore.Kill()
+		if _, err := emptyStore.onHeartbeat(t.Context(), transport.Hello{}, heartbeat); err != nil || emptyStore.leaderAddress != "me:1" {
+			t.Errorf("the empty store knows of %q, %v", emptyStore.leaderAddress, err)
 		}
 	})
 }
--- a/internal/store/leadership.go
+++ b/internal/store/leadership.go
@@ -17,116 +17,116 @@
 
 // leadership is the time for which this store writes, under one ballot.
 type leadership struct {
-	s           *Store
-	num         ballot.Number
-	memberSet   string // the members that the ballot was won from
-	g           *task.Group
-	queue       chan *proposal
-	reads       chan *readRequest
-	mu          sync.Mutex
-	confirmedAt time.Time              // when the newest round that a majority answered began
-	contacts    map[string]peerContact // member to its newest ack
-	learners    map[string]*learner    // replica that stands by to its newest word
-	changing    sync.Mutex             // one change of the members at a time
-	shut        atomic.Bool            // handing the leadership on: no more offers
-	leaves      atomic.Bool            // giving the leadership up for its disk
-	pending     atomic.Int64           // offers that wait for their receipt
-	rounds      atomic.Uint64          // in which the members were asked whether this store still leads
-	refusals    int                    // rounds in which a member held a higher promise
+	store               *Store
+	ballot              ballot.Number
+	memberSet           string // the members that the ballot was won from
+	tasks               *task.Group
+	proposals           chan *proposal
+	reads               chan *readRequest
+	mu                  sync.Mutex
+	confirmedAt         time.Time              // when the newest round that a majority answered began
+	contacts            map[string]peerContact // member to its newest ack
+	learners            map[string]*learner    // replica that stands by to its newest word
+	membershipLock      sync.Mutex             // one change of the members at a time
+	closed              atomic.Bool            // handing the leadership on: no more offers
+	diskTransferStarted atomic.Bool            // giving the leadership up for its disk
+	pending             atomic.Int64           // offers that wait for their receipt
+	rounds              atomic.Uint64          // in which the members were asked whether this store still leads
+	refusals            int                    // rounds in which a member held a higher promise
 }
 
-func (s *Store) newLeadership(num ballot.Number) *leadership {
+func (s *Store) newLeadership(number ballot.Number) *leadership {
 	now := time.Now()
-	t := &leadership{s: s, num: num, memberSet: s.memberSet(), g: task.New(s.g.Context()).SetSleep(s.e.Sleep), queue: make(chan *proposal, 1024), reads: make(chan *readRequest, 1024),
+	term := &leadership{store: s, ballot: number, memberSet: s.memberSet(), tasks: task.New(s.tasks.Context()).SetSleep(s.env.Sleep), proposals: make(chan *proposal, 1024), reads: make(chan *readRequest, 1024),
 		confirmedAt: now, contacts: map[string]peerContact{}, learners: map[string]*learner{}}
 	for _, m := range s.state.Members {
-		t.contacts[m.ID] = s.initialContact(m.ID, now)
+		term.contacts[m.ID] = s.initialContact(m.ID, now)
 	}
-	return t
+	return term
 }
 
 func (t *leadership) run() {
-	t.g.Go("writer", t.writeLoop)
-	t.g.Go("confirmer", t.confirmLoop)
-	t.g.Go("clocks", t.gatherLeases)
-	t.g.Every("lock-clock", t.s.Settings.Lease(), t.expireLocks)
-	t.g.Every("command-level", t.s.Settings.HeartbeatInterval(), t.raiseLevel)
-	t.g.Every("core-watch", t.s.Settings.Lease(), t.watch)
-	t.g.Every("greet-seeds", t.s.Settings.CatchUpBound/4, t.greetSeeds)
+	t.tasks.Go("writer", t.proposeLoop)
+	t.tasks.Go("confirmer", t.confirmLoop)
+	t.tasks.Go("clocks", t.collectLeases)
+	t.tasks.Every("lock-clock", t.store.Settings.Lease(), t.expireLocks)
+	t.tasks.Every("command-level", t.store.Settings.HeartbeatInterval(), t.raiseLevel)
+	t.tasks.Every("core-watch", t.store.Settings.Lease(), t.watchMembers)
+	t.tasks.Every("greet-seeds", t.store.Settings.CatchUpBound/4, t.announceToSeeds)
 }
 
 // stop stops the term's loops; what they were doing stays unknown.
-func (t *leadership) stop() { t.g.Cancel() }
+func (t *leadership) stop() { t.tasks.Cancel() }
 
-func (t *leadership) ended() bool { return t.g.Context().Err() != nil }
+func (t *leadership) ended() bool { return t.tasks.Context().Err() != nil }
 
 // checkMembers ends the term when the members changed, since the ballot was won from
 // the old ones, or when the own disk is worse than another's.
 func (t *leadership) checkMembers() bool {
-	if t.s.memberSet() != t.memberSet {
-		t.s.voter.Vacate(t.num)
-		t.s.stepDown("the members changed")
-		t.s.wakeLoop(true)
+	if t.store.memberSet() != t.memberSet {
+		t.store.voter.Vacate(t.ballot)
+		t.store.stepDown("the members changed")
+		t.store.wakeLoop(true)
 		return false
 	}
-	t.s.watchDisk()
+	t.store.checkDisk()
 	return !t.ended()
 }
 
 // decide gets one entry accepted by a majority and applies it; learn is
 // held. An error means that it may or may not be chosen.
-func (t *leadership) decide(ctx context.Context, raw []byte) ([]statemachine.Result, error) {
-	s := t.s
-	e := paxos.Entry{Index: s.slot + 1, Previous: s.sum, Batch: raw, Ballot: t.num}
-	ask := acceptAsk{Entry: e, Addr: s.Settings.InternalAddr, Slot: s.slot, Sum: s.sum, Mesh: s.state.ClusterID}
-	who, need := s.memberAddresses()
-	got := map[string]bool{}
+func (t *leadership) decide(ctx context.Context, encoded []byte) ([]statemachine.Result, error) {
+	store := t.store
+	entry := paxos.Entry{Index: store.appliedIndex + 1, Previous: store.appliedDigest, Batch: encoded, Ballot: t.ballot}
+	request := acceptAsk{Entry: entry, Addr: store.Settings.InternalAddr, ChosenIndex: store.appliedIndex, ChosenDigest: store.appliedDigest, ClusterID: store.state.ClusterID}
+	addresses, majority := store.memberAddresses()
+	accepted := map[string]bool{}
 	var acceptors []string
-	s.e.Trace.Notify(trace.Proposed{Replica: s.acc.Identity().ID, Ballot: t.num, Index: e.Index, Digest: string(e.Digest())})
-	from := time.Now()
+	store.env.Trace.Notify(trace.Proposed{Replica: store.acceptor.Identity().ID, Ballot: t.ballot, Index: entry.Index, Digest: string(entry.Digest())})
+	started := time.Now()
 	for {
-		var left []string
-		for _, a := range who {
-			if !got[a] {
-				left = append(left, a)
+		var remaining []string
+		for _, reply := range addresses {
+			if !accepted[reply] {
+				remaining = append(remaining, reply)
 			}
 		}
 		// One member's higher promise doesn't end a term that a majority
 		// still follows; a majority of them does.
 		higher := 0
-		round, end := context.WithTimeout(ctx, s.Settings.Lease()/2)
-		ballot.Poll(round, s.g, left, func(ctx context.Context, to string) (ack, error) {
-			if to == s.Settings.InternalAddr {
-				return s.onAccept(ctx, transport.Hello{}, ask)
+		round, cancel := context.WithTimeout(ctx, store.Settings.Lease()/2)
+		ballot.Poll(round, store.tasks, remaining, func(ctx context.Context, to string) (ack, error) {
+			if to == store.Settings.InternalAddr {
+				return store.onAccept(ctx, transport.Hello{}, request)
 			}
-			return transport.Call[ack](ctx, s.n, to, "store.accept", ask)
-		}, func(to string, a ack, err error) bool {
+			return transport.Call[ack](ctx, store.node, to, "store.accept", request)
+		}, func(to string, reply ack, err error) bool {
 			if err != nil {
 				return false
 			}
-			if t.num.Less(a.Seen) {
+			if t.ballot.Less(reply.Promised) {
 				higher++
 			}
-			if a.Yes && t.recordContact(a) {
-				got[to] = true
-				acceptors = append(acceptors, a.ID)
+			if reply.OK && t.recordContact(reply) {
+				accepted[to] = true
+				acceptors = append(acceptors, reply.ID)
 			}
-			return higher >= need || len(got) >= need
+			return higher >= majority || len(accepted) >= majority
 		})
-		end()
-		if len(got) >= need {
-			s.e.Trace.Notify(trace.Chosen{Replica: s.acc.Identity().ID, Ballot: t.num, Index: e.Index, Digest: string(e.Digest()), Acceptors: acceptors})
-			out, err := s.apply(&e)
-			s.tellChosen(&e, acceptors)
+		cancel()
+		if len(accepted) >= majority {
+			store.env.Trace.Notify(trace.Chosen{Replica: store.acceptor.Identity().ID, Ballot: t.ballot, Index: entry.Index, Digest: string(entry.Digest()), Acceptors: acceptors})
+			out, err := store.apply(&entry)
+			store.logChosen(&entry, acceptors)
 			return out, err
 		}
-		if higher >= need {
+		if higher >= majority {
 			return nil, fault.New(fault.Stale, "a higher ballot was promised")
 		}
-		if ctx.Err() != nil || time.Since(from) > s.Settings.Lease() {
+		if ctx.Err() != nil || time.Since(started) > store.Settings.Lease() {
 			return nil, fault.New(fault.Unknown, "no majority accepted in time")
 		}
-		rest := time.NewTimer(s.Settings.HeartbeatInterval() / 4)
-		<-rest.C
+		pause := time.NewTimer(store.Settings.HeartbeatInterval() / 4)
+		<-pause.C
 	}
 }
--- a/internal/store/leases.go
+++ b/internal/store/leases.go
@@ -12,9 +12,9 @@
 // word on the lock, which is never before the holder sent that: so whoever
 // becomes the leader goes on with what is left.
 type lease struct {
-	fence uint64
-	renew uint64 // the newest word on it
-	end   time.Time
+	fence    uint64
+	renewals uint64 // the newest word on it
+	expires  time.Time
 }
 
 // withDrift is what clocks of two machines may differ over a time to live.
@@ -22,84 +22,84 @@
 
 // revisionMark says which revisions stood at a moment: all up to there are older.
 type revisionMark struct {
-	at   time.Time
-	rev  uint64
-	puts uint64
+	at       time.Time
+	revision uint64
+	puts     uint64
 }
 
 // restartLeases starts all clocks anew for a state that came whole; mu is held.
 func (s *Store) restartLeases() {
 	now := time.Now()
 	s.leases = map[string]lease{}
-	for n, l := range s.state.Locks {
-		s.leases[n] = lease{l.Fence, l.Renewals, now.Add(withDrift(time.Duration(l.TTL) * time.Millisecond))}
+	for name, lock := range s.state.Locks {
+		s.leases[name] = lease{lock.Fence, lock.Renewals, now.Add(withDrift(time.Duration(lock.TTL) * time.Millisecond))}
 	}
 	s.revisionMarks = []revisionMark{{now, s.state.Revision, s.state.TotalPuts()}}
 	s.requestMarks = nil
-	s.markRequests(now)
+	s.recordRequestCount(now)
 }
 
 // recordLeases notes what an entry did to locks and histories; mu is held.
-func (s *Store) recordLeases(cmds []statemachine.Command, out []statemachine.Result) {
+func (s *Store) recordLeases(commands []statemachine.Command, results []statemachine.Result) {
 	now := time.Now()
-	for i, c := range cmds {
-		if out[i].Code != statemachine.OK {
+	for i, c := range commands {
+		if results[i].Code != statemachine.OK {
 			continue
 		}
 		switch c := c.(type) {
 		case *statemachine.AcquireLock:
-			end := now.Add(withDrift(time.Duration(c.TTL) * time.Millisecond))
+			expires := now.Add(withDrift(time.Duration(c.TTL) * time.Millisecond))
 			// A renewal never takes time away, see TakeLock.
-			if old, ok := s.leases[c.Name]; ok && old.fence == out[i].Lock.Fence && old.end.After(end) {
-				end = old.end
+			if old, ok := s.leases[c.Name]; ok && old.fence == results[i].Lock.Fence && old.expires.After(expires) {
+				expires = old.expires
 			}
-			s.leases[c.Name] = lease{out[i].Lock.Fence, out[i].Lock.Renewals, end}
+			s.leases[c.Name] = lease{results[i].Lock.Fence, results[i].Lock.Renewals, expires}
 		case *statemachine.ReleaseLock:
 			delete(s.leases, c.Name)
 		case *statemachine.ExpireLock:
 			delete(s.leases, c.Name)
 		}
 	}
-	s.markPast(now)
+	s.recordRevisions(now)
 }
 
-// markPast notes from time to time which revisions stand; mu is held.
-func (s *Store) markPast(now time.Time) {
+// recordRevisions notes from time to time which revisions stand; mu is held.
+func (s *Store) recordRevisions(now time.Time) {
 	if now.Sub(s.revisionMarks[len(s.revisionMarks)-1].at) >= s.Settings.Lease() {
 		s.revisionMarks = append(s.revisionMarks, revisionMark{now, s.state.Revision, s.state.TotalPuts()})
 	}
-	s.markRequests(now)
+	s.recordRequestCount(now)
 }
 
 // expiredLock gives the end of a lock whose time has run out; nil while it has not.
 // mu is held.
 func (s *Store) expiredLock(name string, now time.Time) *statemachine.ExpireLock {
-	l, held := s.state.Locks[name]
-	if c, ok := s.leases[name]; !held || !ok || c.fence != l.Fence || !now.After(c.end) {
+	lock, held := s.state.Locks[name]
+	if lease, ok := s.leases[name]; !held || !ok || lease.fence != lock.Fence || !now.After(lease.expires) {
 		return nil
 	}
-	return &statemachine.ExpireLock{Name: name, Fence: l.Fence, Renew: l.Renewals}
+	return &statemachine.ExpireLock{Name: name, Fence: lock.Fence, Renew: lock.Renewals}
 }
 
 // expireLocks proposes the end of locks that nobody asks for any more. Those that
 // somebody asks for end in the entry that gives them to him.
 func (t *leadership) expireLocks(context.Context) {
-	s := t.s
+	store := t.store
 	now := time.Now()
-	var out []*statemachine.ExpireLock
-	s.mu.Lock()
-	for n := range s.state.Locks {
-		if c := s.expiredLock(n, now); c != nil {
-			out = append(out, c)
+	var expired []*statemachine.ExpireLock
+	store.mu.Lock()
+	for name := range store.state.Locks {
+		if command := store.expiredLock(name, now); command != nil {
+			expired = append(expired, command)
 		}
 	}
-	s.mu.Unlock()
-	for _, c := range out {
-		p, err := statemachine.Pack("lock.expire", c)
+	store.mu.Unlock()
+	for _, command := range expired {
+		packed, err := statemachine.Pack("lock.expire", command)
 		if err != nil {
 			continue
 		}
-		t.g.Go("expire", func(ctx context.Context) { _, _ = t.propose(ctx, p) })
+		t.tasks.Go("expire", func(ctx context.Context) { _, _ = t.propose(ctx, packed) })
 	}
 }
 
@@ -108,31 +108,31 @@
 // History is kept for a fifth longer than its bound, and puts longer still,
 // since they also tell one that is sent again. mu is held.
 func (s *Store) trimCommands(now time.Time) map[string]statemachine.Command {
-	s.markPast(now)
-	keep, long := s.Settings.WatchHistory+s.Settings.WatchHistory/5, s.Settings.WatchHistory+s.Settings.WatchHistory*3/5
-	out := map[string]statemachine.Command{}
-	n := 0
-	for n < len(s.revisionMarks)-1 && now.Sub(s.revisionMarks[n].at) > long {
-		n++
+	s.recordRevisions(now)
+	changeRetention, putRetention := s.Settings.WatchHistory+s.Settings.WatchHistory/5, s.Settings.WatchHistory+s.Settings.WatchHistory*3/5
+	commands := map[string]statemachine.Command{}
+	outdated := 0
+	for outdated < len(s.revisionMarks)-1 && now.Sub(s.revisionMarks[outdated].at) > putRetention {
+		outdated++
 	}
-	if n > 0 {
-		if to := s.revisionMarks[n-1].puts; to > s.state.CompactedPuts {
-			out["cell.trim"] = &statemachine.CompactPuts{To: to}
+	if outdated > 0 {
+		if to := s.revisionMarks[outdated-1].puts; to > s.state.CompactedPuts {
+			commands["cell.trim"] = &statemachine.CompactPuts{To: to}
 		}
-		s.revisionMarks = append([]revisionMark(nil), s.revisionMarks[n:]...)
+		s.revisionMarks = append([]revisionMark(nil), s.revisionMarks[outdated:]...)
 	}
 	to := uint64(0)
 	for _, m := range s.revisionMarks {
-		if now.Sub(m.at) <= keep {
+		if now.Sub(m.at) <= changeRetention {
 			break
 		}
-		to = m.rev
+		to = m.revision
 	}
 	if to >= s.state.OldestRevision {
-		out["history.trim"] = &statemachine.CompactChanges{To: to}
+		commands["history.trim"] = &statemachine.CompactChanges{To: to}
 	}
 	if c := s.trimRequests(now); c != nil {
-		out["request.trim"] = c
+		commands["request.trim"] = c
 	}
-	return out
+	return commands
 }
--- a/internal/store/loop.go
+++ b/internal/store/loop.go
@@ -11,14 +11,14 @@
 func (s *Store) run(ctx context.Context) {
 	wait := time.Duration(0)
 	for {
-		s.e.PollSettings()
-		from := time.Now()
+		s.env.PollSettings()
+		started := time.Now()
 		s.wait(ctx, wait)
 		if ctx.Err() != nil {
 			return
 		}
-		if gap := time.Since(from); gap > wait+s.Settings.PauseThreshold() {
-			s.resumed(gap)
+		if gap := time.Since(started); gap > wait+s.Settings.PauseThreshold() {
+			s.handlePause(gap)
 		}
 		switch s.role.Current() {
 		case "empty", "spare":
@@ -26,7 +26,7 @@
 		case "follow":
 			wait = s.followStep(ctx)
 		default:
-			s.watchDisk()
+			s.checkDisk()
 			wait = s.Settings.HeartbeatInterval()
 		}
 	}
@@ -34,30 +34,30 @@
 
 // wait waits for a time, or until something happens that the loop must act on.
 func (s *Store) wait(ctx context.Context, wait time.Duration) {
-	ctx, end := context.WithCancel(ctx)
-	defer end()
+	ctx, cancel := context.WithCancel(ctx)
+	defer cancel()
 	s.mu.Lock()
-	s.wake = end
-	at := s.campaignNow && s.role.Is("follow")
+	s.interruptWait = cancel
+	immediate := s.campaignNow && s.role.Is("follow")
 	s.mu.Unlock()
-	if wait > 0 && !at {
-		s.e.Sleep(ctx, wait)
+	if wait > 0 && !immediate {
+		s.env.Sleep(ctx, wait)
 	}
 }
 
 // wakeLoop ends the wait of the loop of life; with again it stands at once.
-func (s *Store) wakeLoop(again bool) {
+func (s *Store) wakeLoop(campaign bool) {
 	s.mu.Lock()
-	s.campaignNow = s.campaignNow || again
-	if s.wake != nil {
-		s.wake()
+	s.campaignNow = s.campaignNow || campaign
+	if s.interruptWait != nil {
+		s.interruptWait()
 	}
 	s.mu.Unlock()
 }
 
-// resumed is called after a gap in the ticks: a role held before it may be
+// handlePause is called after a gap in the ticks: a role held before it may be
 // somebody else's by now.
-func (s *Store) resumed(gap time.Duration) {
-	s.e.Log.Emit(event.Paused, "ms", gap.Milliseconds())
+func (s *Store) handlePause(gap time.Duration) {
+	s.env.Log.Emit(event.Paused, "ms", gap.Milliseconds())
 	s.stepDown("frozen")
 }
--- a/internal/store/membership.go
+++ b/internal/store/membership.go
@@ -16,47 +16,47 @@
 // near is how many entries a learner may lack at its word and still count as
 // whole. What was decided since then says nothing of it: a busy core decides
 // more than that between two words.
-const learnerLag = 16
+const maxLearnerLag = 16
 
 // learner is a replica that stands by, as the leader knows it.
 type learner struct {
-	m     statemachine.Member
-	slot  uint64    // what it had applied at its newest word
-	lacks uint64    // how many entries it lacked then
-	knows int       // the level of commands that it understands
-	since time.Time // from when on it was heard without a gap
-	heard time.Time
+	member         statemachine.Member
+	appliedIndex   uint64    // what it had applied at its newest word
+	lag            uint64    // how many entries it lacked then
+	commandLevel   int       // the level of commands that it understands
+	connectedSince time.Time // from when on it was heard without a gap
+	lastReport     time.Time
 }
 
-// noteLearner notes a learner's word.
-func (t *leadership) noteLearner(in joinAsk) {
-	_, _, slot := t.s.members()
+// recordLearner notes a learner's word.
+func (t *leadership) recordLearner(request joinAsk) {
+	_, _, index := t.store.members()
 	now := time.Now()
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	sp := t.learners[in.ID]
-	if sp == nil || now.Sub(sp.heard) > t.s.Settings.Lease() {
-		sp = &learner{m: statemachine.Member{ID: in.ID, Addr: in.Addr, Zone: in.Area, Region: in.Land}, since: now}
-		t.learners[in.ID] = sp
+	reporting := t.learners[request.ID]
+	if reporting == nil || now.Sub(reporting.lastReport) > t.store.Settings.Lease() {
+		reporting = &learner{member: statemachine.Member{ID: request.ID, Addr: request.Addr, Zone: request.Zone, Region: request.Region}, connectedSince: now}
+		t.learners[request.ID] = reporting
 	}
-	sp.slot, sp.heard, sp.knows = in.Slot, now, in.Knows
-	sp.lacks = slot - min(in.Slot, slot)
+	reporting.appliedIndex, reporting.lastReport, reporting.commandLevel = request.Applied, now, request.CommandLevel
+	reporting.lag = index - min(request.Applied, index)
 }
 
 // isSteady tells whether a learner is there and not about to be gone again. One
 // that lost its place a short while ago must stand for longer, or a machine that
 // comes and goes would be swapped in and out. mu is held.
-func (t *leadership) isSteady(sp *learner, steady time.Duration) bool {
-	if t.s.replacedAt[sp.m.Addr].After(time.Now().Add(-t.s.Settings.CatchUpBound)) {
-		steady = t.s.Settings.CatchUpBound / 2
+func (t *leadership) isSteady(candidate *learner, minDuration time.Duration) bool {
+	if t.store.replacedAt[candidate.member.Addr].After(time.Now().Add(-t.store.Settings.CatchUpBound)) {
+		minDuration = t.store.Settings.CatchUpBound / 2
 	}
-	return time.Since(sp.heard) < t.s.Settings.Lease() && time.Since(sp.since) >= steady
+	return time.Since(candidate.lastReport) < t.store.Settings.Lease() && time.Since(candidate.connectedSince) >= minDuration
 }
 
-// hasLearner tells whether any learner stays, whole or not; mu is held.
-func (t *leadership) hasLearner(steady time.Duration) bool {
-	for _, sp := range t.learners {
-		if t.isSteady(sp, steady) {
+// hasSteadyLearner tells whether any learner stays, whole or not; mu is held.
+func (t *leadership) hasSteadyLearner(minDuration time.Duration) bool {
+	for _, l := range t.learners {
+		if t.isSteady(l, minDuration) {
 			return true
 		}
 	}
@@ -66,67 +66,67 @@
 // bestLearner gives the whole learner for the place of a member, or for a free one: of the
 // region and area with the fewest members, so that their loss takes few; mu is
 // held.
-func (t *leadership) bestLearner(all []statemachine.Member, old string, steady time.Duration) *learner {
-	var pick *learner
-	for _, sp := range t.learners {
-		if sp.lacks > learnerLag || !t.isSteady(sp, steady) || slices.ContainsFunc(all, func(m statemachine.Member) bool { return m.ID == sp.m.ID }) {
+func (t *leadership) bestLearner(members []statemachine.Member, old string, minDuration time.Duration) *learner {
+	var best *learner
+	for _, l := range t.learners {
+		if l.lag > maxLearnerLag || !t.isSteady(l, minDuration) || slices.ContainsFunc(members, func(m statemachine.Member) bool { return m.ID == l.member.ID }) {
 			continue
 		}
-		if pick == nil || cmp.Or(compareSharing(all, sp.m, pick.m, old), strings.Compare(sp.m.ID, pick.m.ID)) < 0 {
-			pick = sp
+		if best == nil || cmp.Or(compareSharing(members, l.member, best.member, old), strings.Compare(l.member.ID, best.member.ID)) < 0 {
+			best = l
 		}
 	}
-	return pick
+	return best
 }
 
-// countInTouch counts the members that were heard lately, without one; mu is held.
-func (t *leadership) countInTouch(all []statemachine.Member, without string) (n int) {
-	for _, m := range all {
-		if m.ID != without && (m.ID == t.s.acc.Identity().ID || time.Since(t.contacts[m.ID].at) < t.s.Settings.Lease()) {
-			n++
+// countConnected counts the members that were heard lately, without one; mu is held.
+func (t *leadership) countConnected(members []statemachine.Member, without string) (count int) {
+	for _, m := range members {
+		if m.ID != without && (m.ID == t.store.acceptor.Identity().ID || time.Since(t.contacts[m.ID].at) < t.store.Settings.Lease()) {
+			count++
 		}
 	}
-	return n
+	return count
 }
 
-// placeFor says what may become of a learner now: the member whose place it
+// findPlace says what may become of a learner now: the member whose place it
 // takes, or a free place; say tells why neither.
-func (t *leadership) placeFor(in joinAsk, all []statemachine.Member, want int, slot uint64) (old string, free bool, say string) {
-	if in.Knows < t.s.level() {
+func (t *leadership) findPlace(request joinAsk, members []statemachine.Member, wanted int, index uint64) (old string, free bool, reason string) {
+	if request.CommandLevel < t.store.commandLevel() {
 		return "", false, "its program is too old for the commands in use"
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if in.Slot+learnerLag < slot {
+	if request.Applied+maxLearnerLag < index {
 		return "", false, "not refilled yet"
 	}
-	for _, m := range all {
+	for _, m := range members {
 		// The same address with another identity: the old disk is gone.
-		if m.Addr == in.Addr && m.ID != t.s.acc.Identity().ID {
+		if m.Addr == request.Addr && m.ID != t.store.acceptor.Identity().ID {
 			old = m.ID
 		}
 	}
-	steady := time.Duration(0)
+	minDuration := time.Duration(0)
 	if old == "" {
-		if old = t.silentMember(all, t.s.Settings.ReplaceAfter); old != "" {
-			steady = t.s.Settings.ReplaceAfter / 2
+		if old = t.silentMember(members, t.store.Settings.ReplaceAfter); old != "" {
+			minDuration = t.store.Settings.ReplaceAfter / 2
 		}
 	}
 	// A place is added only while all are in touch: one more voter must not be
 	// what leaves the others short of a majority.
-	free = old == "" && len(all) < want && t.countInTouch(all, "") == len(all)
-	if old == "" && len(all) >= want && t.countInTouch(all, "") == len(all) {
+	free = old == "" && len(members) < wanted && t.countConnected(members, "") == len(members)
+	if old == "" && len(members) >= wanted && t.countConnected(members, "") == len(members) {
 		// Nobody is lost, so there is no hurry: a learner must have shown that it stays.
-		if old = t.s.memberToMove(all, statemachine.Member{ID: in.ID, Zone: in.Area, Region: in.Land}); old != "" {
-			steady = t.s.Settings.ReplaceAfter / 2
+		if old = t.store.memberToReplace(members, statemachine.Member{ID: request.ID, Zone: request.Zone, Region: request.Region}); old != "" {
+			minDuration = t.store.Settings.ReplaceAfter / 2
 		}
 	}
 	switch {
 	case old == "" && !free:
 		return "", false, "stands by: no place is free, and no member is out of touch for long enough"
 	}
-	if pick := t.bestLearner(all, old, steady); steady > 0 || free {
-		if pick == nil || pick.m.ID != in.ID {
+	if best := t.bestLearner(members, old, minDuration); minDuration > 0 || free {
+		if best == nil || best.member.ID != request.ID {
 			return "", false, "stands by: another is to have the place, or this one is too new"
 		}
 	}
@@ -135,81 +135,81 @@
 
 // onJoin hears a refilled learner, and lets the leader put it in a lost
 // member's place or in a free one.
-func (s *Store) onJoin(ctx context.Context, _ transport.Hello, in joinAsk) (joinGot, error) {
+func (s *Store) onJoin(ctx context.Context, _ transport.Hello, request joinAsk) (joinGot, error) {
 	s.mu.Lock()
-	t, got := s.leadership, joinGot{Head: s.leaderAddress}
+	term, response := s.leadership, joinGot{LeaderAddr: s.leaderAddress}
 	if s.state != nil {
-		got.Has = s.slot
+		response.Applied = s.appliedIndex
 	}
-	if t == nil {
+	if term == nil {
 		s.mu.Unlock()
-		return got, nil
+		return response, nil
 	}
-	mesh := s.state.ClusterID
-	got = joinGot{Slot: s.slot, Done: s.isMember(in.ID)}
+	clusterID := s.state.ClusterID
+	response = joinGot{LeaderApplied: s.appliedIndex, IsMember: s.isMember(request.ID)}
 	s.mu.Unlock()
-	if in.Mesh != mesh {
-		s.e.Log.Emit(event.ForeignData, "joiner", in.Addr, "mesh", in.Mesh)
+	if request.ClusterID != clusterID {
+		s.env.Log.Emit(event.ForeignData, "joiner", request.Addr, "mesh", request.ClusterID)
 		return joinGot{}, fault.New(fault.Refused, "joiner is of another mesh")
 	}
-	if got.Done {
-		return got, nil
+	if response.IsMember {
+		return response, nil
 	}
-	t.noteLearner(in)
-	if !t.changing.TryLock() {
-		got.Say = "another change of the members is under way"
-		return got, nil
+	term.recordLearner(request)
+	if !term.membershipLock.TryLock() {
+		response.Reason = "another change of the members is under way"
+		return response, nil
 	}
-	defer t.changing.Unlock()
-	all, want, slot := s.members()
-	old, free, say := t.placeFor(in, all, want, slot)
-	if say != "" {
-		got.Say = say
-		return got, nil
+	defer term.membershipLock.Unlock()
+	members, wanted, index := s.members()
+	old, free, reason := term.findPlace(request, members, wanted, index)
+	if reason != "" {
+		response.Reason = reason
+		return response, nil
 	}
-	r, err := t.changeMembers(ctx, old, free, statemachine.Member{ID: in.ID, Addr: in.Addr, Zone: in.Area, Region: in.Land})
+	result, err := term.changeMembers(ctx, old, free, statemachine.Member{ID: request.ID, Addr: request.Addr, Zone: request.Zone, Region: request.Region})
 	if err != nil {
 		return joinGot{}, err
 	}
-	_, _, slot = s.members()
-	return joinGot{Done: r.Code == statemachine.OK, Say: r.Message, Slot: slot}, nil
+	_, _, index = s.members()
+	return joinGot{IsMember: result.Code == statemachine.OK, Reason: result.Message, LeaderApplied: index}, nil
 }
 
-// level is that of the commands in use.
-func (s *Store) level() int {
+// commandLevel is that of the commands in use.
+func (s *Store) commandLevel() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.state.Level
 }
 
-func (s *Store) members() (all []statemachine.Member, want int, slot uint64) {
+func (s *Store) members() (all []statemachine.Member, wanted int, index uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.state.Members, s.state.VoterCount(), s.slot
+	return s.state.Members, s.state.VoterCount(), s.appliedIndex
 }
 
 // changeMembers decides a change of the members; swaps is held.
-func (t *leadership) changeMembers(ctx context.Context, old string, free bool, m statemachine.Member) (statemachine.Result, error) {
-	s := t.s
-	all, _, _ := s.members()
-	kind, cmd := "store.replace", statemachine.Command(&statemachine.ReplaceMember{Old: old, New: m})
+func (t *leadership) changeMembers(ctx context.Context, old string, free bool, joiner statemachine.Member) (statemachine.Result, error) {
+	store := t.store
+	all, _, _ := store.members()
+	kind, command := "store.replace", statemachine.Command(&statemachine.ReplaceMember{Old: old, New: joiner})
 	if free && len(all) >= 3 {
-		kind, cmd = "store.add", &statemachine.AddMember{New: m}
+		kind, command = "store.add", &statemachine.AddMember{New: joiner}
 	}
-	p, err := statemachine.Pack(kind, cmd)
+	packed, err := statemachine.Pack(kind, command)
 	if err != nil {
 		return statemachine.Result{}, err
 	}
-	r, err := t.proposeGuarded(ctx, p, nil, t.heldByMajority(withReplaced(all, old, m)))
-	if err == nil && r.Code == statemachine.OK {
+	result, err := t.proposeGuarded(ctx, packed, nil, t.heldByMajority(withReplaced(all, old, joiner)))
+	if err == nil && result.Code == statemachine.OK {
 		for _, o := range all {
-			if o.ID == old && o.Addr != m.Addr {
-				s.mu.Lock()
-				s.replacedAt[o.Addr] = time.Now()
-				s.mu.Unlock()
+			if o.ID == old && o.Addr != joiner.Addr {
+				store.mu.Lock()
+				store.replacedAt[o.Addr] = time.Now()
+				store.mu.Unlock()
 			}
 		}
-		s.e.Log.Emit(event.Replaced, "old", old, "new", m.ID, "addr", m.Addr)
+		store.env.Log.Emit(event.Replaced, "old", old, "new", joiner.ID, "addr", joiner.Addr)
 	}
-	return r, err
+	return result, err
 }
--- a/internal/store/messages.go
+++ b/internal/store/messages.go
@@ -10,63 +10,63 @@
 // The messages between stores, and from registries to stores.
 
 type ballotAsk struct {
-	Num  ballot.Number `msgpack:"n"`
-	ID   string        `msgpack:"i"`
-	Real bool          `msgpack:"r"` // false only asks whether the duty is vacant
-	Slot uint64        `msgpack:"s"` // what the asker has applied
-	Mesh string        `msgpack:"m"`
-	Addr string        `msgpack:"a,omitempty"` // of the candidate
+	Ballot    ballot.Number `msgpack:"n"`
+	ID        string        `msgpack:"i"`
+	Binding   bool          `msgpack:"r"` // false only asks whether the duty is vacant
+	Applied   uint64        `msgpack:"s"` // what the asker has applied
+	ClusterID string        `msgpack:"m"`
+	Addr      string        `msgpack:"a,omitempty"` // of the candidate
 }
 
 type ballotVote struct {
-	Yes     bool          `msgpack:"y"`
-	ID      string        `msgpack:"i"`
-	Seen    ballot.Number `msgpack:"s"`
-	Out     bool          `msgpack:"o"` // the asker is no member
-	Slot    uint64        `msgpack:"t"`
-	Entries []paxos.Entry `msgpack:"e"`
-	More    bool          `msgpack:"r,omitempty"` // entries were accepted beyond those
+	Granted   bool          `msgpack:"y"`
+	ID        string        `msgpack:"i"`
+	Promised  ballot.Number `msgpack:"s"`
+	NotMember bool          `msgpack:"o"` // the asker is no member
+	Applied   uint64        `msgpack:"t"`
+	Entries   []paxos.Entry `msgpack:"e"`
+	Truncated bool          `msgpack:"r,omitempty"` // entries were accepted beyond those
 }
 
 type acceptAsk struct {
-	Entry paxos.Entry `msgpack:"e"`
-	Addr  string      `msgpack:"a"`
-	Slot  uint64      `msgpack:"s"` // chosen up to here
-	Sum   []byte      `msgpack:"h"`
-	Mesh  string      `msgpack:"m"`
+	Entry        paxos.Entry `msgpack:"e"`
+	Addr         string      `msgpack:"a"`
+	ChosenIndex  uint64      `msgpack:"s"` // chosen up to here
+	ChosenDigest []byte      `msgpack:"h"`
+	ClusterID    string      `msgpack:"m"`
 }
 
 type beatAsk struct {
-	Num  ballot.Number `msgpack:"n"`
-	Addr string        `msgpack:"a"`
-	Slot uint64        `msgpack:"s"`
-	Sum  []byte        `msgpack:"h"`
-	Mesh string        `msgpack:"m"`
+	Ballot       ballot.Number `msgpack:"n"`
+	Addr         string        `msgpack:"a"`
+	ChosenIndex  uint64        `msgpack:"s"`
+	ChosenDigest []byte        `msgpack:"h"`
+	ClusterID    string        `msgpack:"m"`
 }
 
 type ack struct {
-	Yes   bool          `msgpack:"y"`
-	ID    string        `msgpack:"i"`
-	Seen  ballot.Number `msgpack:"s"`
-	Ill   bool          `msgpack:"l"`
-	Slot  uint64        `msgpack:"t"`
-	Knows int           `msgpack:"k,omitempty"` // the level of commands that it understands
-	Held  bool          `msgpack:"h,omitempty"` // the others hold all that a leaving member has
-	Going bool          `msgpack:"g,omitempty"` // the sender ends soon, and its disk may go with it
+	OK           bool          `msgpack:"y"`
+	ID           string        `msgpack:"i"`
+	Promised     ballot.Number `msgpack:"s"`
+	DiskFailing  bool          `msgpack:"l"`
+	Applied      uint64        `msgpack:"t"`
+	CommandLevel int           `msgpack:"k,omitempty"` // the level of commands that it understands
+	HeldByOthers bool          `msgpack:"h,omitempty"` // the others hold all that a leaving member has
+	Leaving      bool          `msgpack:"g,omitempty"` // the sender ends soon, and its disk may go with it
 }
 
 type fetchAsk struct {
-	After uint64 `msgpack:"a"`
-	Prev  []byte `msgpack:"p"`
+	After          uint64 `msgpack:"a"`
+	PreviousDigest []byte `msgpack:"p"`
 	// Chunks tells that the asker can fetch a snapshot in chunks.
-	Chunks bool `msgpack:"k,omitempty"`
+	AcceptsChunks bool `msgpack:"k,omitempty"`
 }
 
 type fetchGot struct {
-	Entries []paxos.Entry   `msgpack:"e"`
-	Point   *paxos.Snapshot `msgpack:"c"` // a snapshot that fits a message
-	Head    *snapshotHead   `msgpack:"h,omitempty"`
-	Top     uint64          `msgpack:"t"`
+	Entries  []paxos.Entry   `msgpack:"e"`
+	Snapshot *paxos.Snapshot `msgpack:"c"` // a snapshot that fits a message
+	Header   *snapshotHeader `msgpack:"h,omitempty"`
+	Applied  uint64          `msgpack:"t"`
 }
 
 type foundAsk struct {
@@ -75,50 +75,50 @@
 }
 
 type foundGot struct {
-	Empty   bool                  `msgpack:"e"`
-	ID      string                `msgpack:"i"`
-	Mesh    string                `msgpack:"m"`
-	Members []statemachine.Member `msgpack:"b"`
-	Head    string                `msgpack:"h"`
-	Never   bool                  `msgpack:"n,omitempty"` // it may not found a mesh
-	Area    string                `msgpack:"z,omitempty"`
-	Land    string                `msgpack:"l,omitempty"`
-	Knows   int                   `msgpack:"k,omitempty"` // the level of commands that it understands
-	Slot    uint64                `msgpack:"s,omitempty"` // what it has applied
+	Empty        bool                  `msgpack:"e"`
+	ID           string                `msgpack:"i"`
+	ClusterID    string                `msgpack:"m"`
+	Members      []statemachine.Member `msgpack:"b"`
+	LeaderAddr   string                `msgpack:"h"`
+	MayNotFound  bool                  `msgpack:"n,omitempty"` // it may not found a mesh
+	Zone         string                `msgpack:"z,omitempty"`
+	Region       string                `msgpack:"l,omitempty"`
+	CommandLevel int                   `msgpack:"k,omitempty"` // the level of commands that it understands
+	Applied      uint64                `msgpack:"s,omitempty"` // what it has applied
 }
 
 type genesis struct {
-	Mesh    string                `msgpack:"m"`
-	Members []statemachine.Member `msgpack:"b"`
-	Want    int                   `msgpack:"w,omitempty"`
-	Level   int                   `msgpack:"k,omitempty"` // of commands, that all members understand
+	ClusterID     string                `msgpack:"m"`
+	Members       []statemachine.Member `msgpack:"b"`
+	WantedMembers int                   `msgpack:"w,omitempty"`
+	CommandLevel  int                   `msgpack:"k,omitempty"` // of commands, that all members understand
 }
 
 type joinAsk struct {
-	ID   string `msgpack:"i"`
-	Addr string `msgpack:"a"`
-	Mesh string `msgpack:"m"`
-	Slot uint64 `msgpack:"s"`
-	Area string `msgpack:"z,omitempty"`
-	Land string `msgpack:"l,omitempty"`
+	ID        string `msgpack:"i"`
+	Addr      string `msgpack:"a"`
+	ClusterID string `msgpack:"m"`
+	Applied   uint64 `msgpack:"s"`
+	Zone      string `msgpack:"z,omitempty"`
+	Region    string `msgpack:"l,omitempty"`
 
-	Knows int `msgpack:"k,omitempty"` // the level of commands that it understands
+	CommandLevel int `msgpack:"k,omitempty"` // the level of commands that it understands
 }
 
 type joinGot struct {
-	Head string `msgpack:"h"` // who writes, when it isn't the one asked
-	Say  string `msgpack:"s"`
-	Done bool   `msgpack:"d"`           // the asker is a member
-	Slot uint64 `msgpack:"t,omitempty"` // what the writer has applied
-	Has  uint64 `msgpack:"a,omitempty"` // what the one asked has applied, whoever leads
+	LeaderAddr    string `msgpack:"h"` // who writes, when it isn't the one asked
+	Reason        string `msgpack:"s"`
+	IsMember      bool   `msgpack:"d"`           // the asker is a member
+	LeaderApplied uint64 `msgpack:"t,omitempty"` // what the writer has applied
+	Applied       uint64 `msgpack:"a,omitempty"` // what the one asked has applied, whoever leads
 }
 
-// leaveAsk is a member's word that it stops: another may have its place.
-type leaveAsk struct {
+// leaveRequest is a member's word that it stops: another may have its place.
+type leaveRequest struct {
 	ID string `msgpack:"i"`
 	// Keeps tells that the member keeps its place, and asks whether the others
 	// hold all that it has.
-	Keeps bool `msgpack:"k,omitempty"`
+	KeepsMembership bool `msgpack:"k,omitempty"`
 }
 
 // RemoveRequest is an operator's word to take a store out.
@@ -128,7 +128,7 @@
 }
 
 type vacateAsk struct {
-	Num ballot.Number `msgpack:"n"`
+	Ballot ballot.Number `msgpack:"n"`
 }
 
 // ProposeRequest asks the leader for a command.
@@ -199,6 +199,6 @@
 // Messages lists every message of this package, for the check that a later
 // entry still speaks all that the last one did.
 func Messages() []any {
-	return []any{ballotAsk{}, ballotVote{}, acceptAsk{}, beatAsk{}, ack{}, fetchAsk{}, fetchGot{}, chunkAsk{}, chunkGot{}, foundAsk{}, foundGot{},
-		genesis{}, RemoveRequest{}, joinAsk{}, joinGot{}, vacateAsk{}, leaveAsk{}, ProposeRequest{}, LeaderResponse{}, ReadRequest{}, leftAsk{}, leftGot{}, RoleBallot{}, RoleVote{}, Status{}}
+	return []any{ballotAsk{}, ballotVote{}, acceptAsk{}, beatAsk{}, ack{}, fetchAsk{}, fetchGot{}, chunkRequest{}, chunkResponse{}, foundAsk{}, foundGot{},
+		genesis{}, RemoveRequest{}, joinAsk{}, joinGot{}, vacateAsk{}, leaveRequest{}, ProposeRequest{}, LeaderResponse{}, ReadRequest{}, remainingLeasesRequest{}, remainingLeasesResponse{}, RoleBallot{}, RoleVote{}, Status{}}
 }
--- a/internal/store/proposals.go
+++ b/internal/store/proposals.go
@@ -11,76 +11,76 @@
 
 // proposal is one command that waits to be proposed.
 type proposal struct {
-	cmd    statemachine.Packed
-	in     statemachine.Command // the same, opened
-	latest time.Time            // when it may last be proposed; zero: at any time
-	once   *RequestKey          // set for a request that may be sent again
+	packed     statemachine.Packed
+	command    statemachine.Command // the same, opened
+	notAfter   time.Time            // when it may last be proposed; zero: at any time
+	requestKey *RequestKey          // set for a request that may be sent again
 	// guard, if set, must hold at the moment of the proposal, with nothing decided
 	// in between. An offer without a command only asks for that.
-	guard  func(context.Context) bool
-	result chan outcome
-	taken  atomic.Bool // whoever sets it first, the leader loop or the waiter, has the offer
+	guard   func(context.Context) bool
+	result  chan outcome
+	claimed atomic.Bool // whoever sets it first, the leader loop or the waiter, has the offer
 }
 
 type outcome struct {
-	receipt statemachine.Result
-	err     error
+	result statemachine.Result
+	err    error
 }
 
 // propose proposes a command of this store's own.
-func (t *leadership) propose(ctx context.Context, p statemachine.Packed) (statemachine.Result, error) {
-	return t.proposeOnce(ctx, p, nil)
+func (t *leadership) propose(ctx context.Context, packed statemachine.Packed) (statemachine.Result, error) {
+	return t.proposeOnce(ctx, packed, nil)
 }
 
 // proposeOnce proposes a command of this store's own for a request that may come
 // again; without a key it is an ordinary command.
-func (t *leadership) proposeOnce(ctx context.Context, p statemachine.Packed, once *RequestKey) (statemachine.Result, error) {
-	return t.proposeGuarded(ctx, p, once, nil)
+func (t *leadership) proposeOnce(ctx context.Context, packed statemachine.Packed, key *RequestKey) (statemachine.Result, error) {
+	return t.proposeGuarded(ctx, packed, key, nil)
 }
 
 // proposeGuarded proposes a command of this store's own if its guard holds.
-func (t *leadership) proposeGuarded(ctx context.Context, p statemachine.Packed, once *RequestKey, guard func(context.Context) bool) (statemachine.Result, error) {
-	in, err := p.Open()
+func (t *leadership) proposeGuarded(ctx context.Context, packed statemachine.Packed, key *RequestKey, guard func(context.Context) bool) (statemachine.Result, error) {
+	command, err := packed.Open()
 	if err != nil {
 		return statemachine.Result{}, fault.Wrap(fault.Refused, err, "offer")
 	}
-	return t.submit(ctx, &proposal{cmd: p, in: in, once: once, guard: guard, result: make(chan outcome, 1)})
+	return t.submit(ctx, &proposal{packed: packed, command: command, requestKey: key, guard: guard, result: make(chan outcome, 1)})
 }
 
 // submit queues an offer and waits for what became of it.
-func (t *leadership) submit(ctx context.Context, o *proposal) (statemachine.Result, error) {
+func (t *leadership) submit(ctx context.Context, queued *proposal) (statemachine.Result, error) {
 	t.pending.Add(1)
 	defer t.pending.Add(-1)
-	if t.ended() || t.shut.Load() {
+	if t.ended() || t.closed.Load() {
 		return statemachine.Result{}, fault.New(fault.Refused, "no longer the writer")
 	}
 	select {
-	case t.queue <- o:
+	case t.proposals <- queued:
 	default:
 		return statemachine.Result{}, fault.New(fault.Refused, "the writer's queue is full")
 	}
 	select {
-	case d := <-o.result:
-		return d.receipt, d.err
+	case decided := <-queued.result:
+		return decided.result, decided.err
 	case <-ctx.Done():
-	case <-t.g.Context().Done():
+	case <-t.tasks.Context().Done():
 	}
 	// Not yet taken by the loop: it is ours to drop, and certainly not done.
-	if o.taken.CompareAndSwap(false, true) {
+	if queued.claimed.CompareAndSwap(false, true) {
 		return statemachine.Result{}, fault.New(fault.Refused, "never proposed")
 	}
 	// The term ended: the leader loop says what it knows, or nobody does.
 	select {
-	case d := <-o.result:
-		return d.receipt, d.err
+	case decided := <-queued.result:
+		return decided.result, decided.err
 	default:
 		return statemachine.Result{}, fault.New(fault.Unknown, "not decided in time")
 	}
 }
 
-// writeLoop is the loop that turns waiting commands into entries. While one
+// proposeLoop is the loop that turns waiting commands into entries. While one
 // entry syncs, the next batch forms.
-func (t *leadership) writeLoop(ctx context.Context) {
+func (t *leadership) proposeLoop(ctx context.Context) {
 	var next *proposal
 	for {
 		var batch []*proposal
@@ -90,14 +90,14 @@
 			select {
 			case <-ctx.Done():
 				return
-			case o := <-t.queue:
+			case o := <-t.proposals:
 				batch = append(batch, o)
 			}
 		}
-		size := len(batch[0].cmd.Body)
-		for more := batch[0].guard == nil; more && len(batch) < 256 && size < t.s.Settings.MaxFrameBytes/8; {
+		size := len(batch[0].packed.Body)
+		for more := batch[0].guard == nil; more && len(batch) < 256 && size < t.store.Settings.MaxFrameBytes/8; {
 			select {
-			case o := <-t.queue:
+			case o := <-t.proposals:
 				if o.guard != nil {
 					// It goes by itself, after those that came before it.
 					next = o
@@ -105,7 +105,7 @@
 					continue
 				}
 				batch = append(batch, o)
-				size += len(o.cmd.Body)
+				size += len(o.packed.Body)
 			default:
 				more = false
 			}
@@ -116,70 +116,70 @@
 	}
 }
 
-// dequeue takes those offers of a batch that nobody took back and that are not
+// claimProposals takes those offers of a batch that nobody took back and that are not
 // too old: one that its sender has given up must not be done after what it did
 // since. learn is held, so that nothing comes between this look and the proposal.
-func dequeue(all []*proposal) []*proposal {
-	var out []*proposal
+func claimProposals(queued []*proposal) []*proposal {
+	var claimed []*proposal
 	now := time.Now()
-	for _, o := range all {
-		if !o.taken.CompareAndSwap(false, true) {
+	for _, o := range queued {
+		if !o.claimed.CompareAndSwap(false, true) {
 			continue
 		}
-		if !o.latest.IsZero() && now.After(o.latest) {
+		if !o.notAfter.IsZero() && now.After(o.notAfter) {
 			o.result <- outcome{err: fault.New(fault.Refused, "too old when it was to be proposed")}
 			continue
 		}
-		out = append(out, o)
+		claimed = append(claimed, o)
 	}
-	return out
+	return claimed
 }
 
-// guarded gives the offers whose guard holds now, and answers the others, and those
+// checkGuards gives the offers whose guard holds now, and answers the others, and those
 // that only asked. learn is held.
-func (t *leadership) guarded(ctx context.Context, batch []*proposal) (out []*proposal) {
+func (t *leadership) checkGuards(ctx context.Context, batch []*proposal) (allowed []*proposal) {
 	for _, o := range batch {
 		held := o.guard == nil || o.guard(ctx)
 		switch {
 		case !held:
-			o.result <- outcome{receipt: statemachine.Result{Code: statemachine.Conflict, Message: "too few of the others hold all that is chosen"}}
-		case o.in == nil:
-			o.result <- outcome{receipt: statemachine.Result{Code: statemachine.OK}}
+			o.result <- outcome{result: statemachine.Result{Code: statemachine.Conflict, Message: "too few of the others hold all that is chosen"}}
+		case o.command == nil:
+			o.result <- outcome{result: statemachine.Result{Code: statemachine.OK}}
 		default:
-			out = append(out, o)
+			allowed = append(allowed, o)
 		}
 	}
-	return out
+	return allowed
 }
 
-func (t *leadership) decideBatch(ctx context.Context, all []*proposal) bool {
-	t.s.applying.Lock()
-	batch := t.s.withinSize(t.guarded(ctx, dequeue(all)))
-	t.shorten(batch)
-	t.s.wrapRequests(batch)
-	cmds, mine := t.s.batchCommands(batch)
-	if len(cmds) == 0 {
-		t.s.applying.Unlock()
+func (t *leadership) decideBatch(ctx context.Context, queued []*proposal) bool {
+	t.store.applyLock.Lock()
+	batch := t.store.dropOversized(t.checkGuards(ctx, claimProposals(queued)))
+	t.usePatch(batch)
+	t.store.wrapRequests(batch)
+	commands, positions := t.store.batchCommands(batch)
+	if len(commands) == 0 {
+		t.store.applyLock.Unlock()
 		return true
 	}
-	raw, err := cmds.Pack()
-	var out []statemachine.Result
+	encoded, err := commands.Pack()
+	var results []statemachine.Result
 	if err == nil {
-		out, err = t.decide(ctx, raw)
+		results, err = t.decide(ctx, encoded)
 		if err == nil {
-			t.s.checkpoint()
+			t.store.snapshotIfDue()
 		}
 	}
-	t.s.applying.Unlock()
+	t.store.applyLock.Unlock()
 	for i, o := range batch {
 		if err != nil {
 			o.result <- outcome{err: fault.Wrap(fault.Unknown, err, "decide")}
 		} else {
-			o.result <- outcome{receipt: out[mine[i]]}
+			o.result <- outcome{result: results[positions[i]]}
 		}
 	}
 	if err != nil {
-		t.s.stepDown("a version could not be decided: " + err.Error())
+		t.store.stepDown("a version could not be decided: " + err.Error())
 		return false
 	}
 	return t.checkMembers()
--- a/internal/store/proposals_test.go
+++ b/internal/store/proposals_test.go
@@ -8,22 +8,24 @@
 	"puffincrank/internal/fault"
 )
 
-// TestTooOld: what its sender took back is left alone, what is too old is
+// TestExpiredProposalsRefused: what its sender took back is left alone, what is too old is
 // refused for certain, all else is proposed.
-func TestTooOld(t *testing.T) {
+func TestExpiredProposalsRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		now := time.Now()
-		made := func(by time.Time) *proposal { return &proposal{latest: by, result: make(chan outcome, 1)} }
-		gone, old, good, plain := made(now.Add(time.Hour)), made(now.Add(-time.Millisecond)), made(now.Add(time.Millisecond)), made(time.Time{})
-		gone.taken.Store(true)
-		got := dequeue([]*proposal{gone, old, good, plain})
-		if len(got) != 2 || got[0] != good || got[1] != plain {
+		newProposal := func(notAfter time.Time) *proposal {
+			return &proposal{notAfter: notAfter, result: make(chan outcome, 1)}
+		}
+		abandoned, expired, current, unlimited := newProposal(now.Add(time.Hour)), newProposal(now.Add(-time.Millisecond)), newProposal(now.Add(time.Millisecond)), newProposal(time.Time{})
+		abandoned.claimed.Store(true)
+		got := claimProposals([]*proposal{abandoned, expired, current, unlimited})
+		if len(got) != 2 || got[0] != current || got[1] != unlimited {
 			t.Errorf("%d are proposed", len(got))
 		}
-		if d := <-old.result; !fault.Is(d.err, fault.Refused) {
-			t.Error(d.err)
+		if decided := <-expired.result; !fault.Is(decided.err, fault.Refused) {
+			t.Error(decided.err)
 		}
-		if len(gone.result)+len(good.result)+len(plain.result) != 0 || !good.taken.Load() || !old.taken.Load() {
+		if len(abandoned.result)+len(current.result)+len(unlimited.result) != 0 || !current.claimed.Load() || !expired.claimed.Load() {
 			t.Error("answered before it was decided, or not taken")
 		}
 	})
--- a/internal/store/puts.go
+++ b/internal/store/puts.go
@@ -13,41 +13,41 @@
 // there are none. Only the leader answers, after a majority confirmed it: so
 // the answer never lags behind what was acknowledged before it was asked for,
 // and a put reaches its watchers at the moment in which it is applied.
-func (s *Store) onPuts(ctx context.Context, _ transport.Hello, in ReadRequest) (LeaderResponse, error) {
-	t, g := s.currentLeadership()
-	if t == nil {
-		return g, nil
+func (s *Store) onPuts(ctx context.Context, _ transport.Hello, request ReadRequest) (LeaderResponse, error) {
+	term, response := s.currentLeadership()
+	if term == nil {
+		return response, nil
 	}
-	if err := t.confirmLeadership(ctx); err != nil {
-		return g, err
+	if err := term.confirmLeadership(ctx); err != nil {
+		return response, err
 	}
-	end := time.NewTimer(time.Duration(in.WaitMS) * time.Millisecond)
-	defer end.Stop()
-	for last := false; ; {
+	timeout := time.NewTimer(time.Duration(request.WaitMS) * time.Millisecond)
+	defer timeout.Stop()
+	for expired := false; ; {
 		s.mu.Lock()
-		got, rev, ok := s.state.After(in.Name, in.From)
-		turn := s.applied
+		changes, revision, ok := s.state.After(request.Name, request.From)
+		signal := s.appliedSignal
 		s.mu.Unlock()
-		g.Done = true
+		response.Done = true
 		switch {
-		case in.From == 0:
+		case request.From == 0:
 			// Only the present revision is asked for.
-			g.Result = statemachine.Result{Code: statemachine.OK, Revision: rev}
-			return g, nil
+			response.Result = statemachine.Result{Code: statemachine.OK, Revision: revision}
+			return response, nil
 		case !ok:
-			g.Result = statemachine.Result{Code: statemachine.Compacted, Revision: rev, Message: "the history does not reach back so far"}
-			return g, nil
-		case len(got) > 0 || last:
-			g.Result = statemachine.Result{Code: statemachine.OK, Changes: got, Revision: max(rev, in.From)}
-			return g, nil
+			response.Result = statemachine.Result{Code: statemachine.Compacted, Revision: revision, Message: "the history does not reach back so far"}
+			return response, nil
+		case len(changes) > 0 || expired:
+			response.Result = statemachine.Result{Code: statemachine.OK, Changes: changes, Revision: max(revision, request.From)}
+			return response, nil
 		}
 		select {
-		case <-turn:
-		case <-end.C:
-			last = true
+		case <-signal:
+		case <-timeout.C:
+			expired = true
 		case <-ctx.Done():
 			return LeaderResponse{}, fault.New(fault.Refused, "no time left")
-		case <-t.g.Context().Done():
+		case <-term.tasks.Context().Done():
 			return LeaderResponse{}, fault.New(fault.Refused, "no longer the writer")
 		}
 	}
--- a/internal/store/ready.go
+++ b/internal/store/ready.go
@@ -14,53 +14,53 @@
 
 // status tells how this store stands.
 func (s *Store) status() Status {
-	_, quiet := s.voter.Promised()
+	_, silence := s.voter.Promised()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	out := Status{Node: s.Settings.Node, Addr: s.Settings.InternalAddr, Zone: s.Settings.Zone, Role: s.role.Current(), Index: s.slot, Leader: s.leaderAddress, Ballot: s.acc.Promised().String(), DiskFailing: s.diskIll || s.diskHangs()}
+	status := Status{Node: s.Settings.Node, Addr: s.Settings.InternalAddr, Zone: s.Settings.Zone, Role: s.role.Current(), Index: s.appliedIndex, Leader: s.leaderAddress, Ballot: s.acceptor.Promised().String(), DiskFailing: s.diskFailing || s.diskStalled()}
 	if s.state != nil {
-		out.Members, out.Config = s.state.Members, s.state.Config().Version
+		status.Members, status.Config = s.state.Members, s.state.Config().Version
 	}
 	switch {
 	case s.stopping:
-		out.Reason = "stopping"
-	case out.Role == "spare" && time.Since(s.lastJoined) > s.Settings.Lease():
-		out.Reason = "stands by, but no writer answers"
-	case s.state == nil || out.Role == "empty":
-		out.Reason = "empty: waits for the founding or a place"
-	case s.leadership != nil && s.memberNames() != s.leadership.memberSet:
-		out.Reason = "the members have changed, and none of them leads yet"
-	case out.DiskFailing:
-		out.Reason = "the disk refuses or is slow"
-	case out.Role != "spare" && s.leadership == nil && (out.Role != "follow" || quiet > s.Settings.Lease()):
-		out.Reason = "no writer is heard"
+		status.Reason = "stopping"
+	case status.Role == "spare" && time.Since(s.leaderAnsweredAt) > s.Settings.Lease():
+		status.Reason = "stands by, but no writer answers"
+	case s.state == nil || status.Role == "empty":
+		status.Reason = "empty: waits for the founding or a place"
+	case s.leadership != nil && s.memberSetLocked() != s.leadership.memberSet:
+		status.Reason = "the members have changed, and none of them leads yet"
+	case status.DiskFailing:
+		status.Reason = "the disk refuses or is slow"
+	case status.Role != "spare" && s.leadership == nil && (status.Role != "follow" || silence > s.Settings.Lease()):
+		status.Reason = "no writer is heard"
 	}
-	out.Ready = out.Reason == ""
-	return out
+	status.Ready = status.Reason == ""
+	return status
 }
 
 func (s *Store) onStatus(context.Context, transport.Hello, struct{}) (Status, error) {
-	st := s.status()
-	st.Events = s.e.Log.Since(0)
-	return st, nil
+	status := s.status()
+	status.Events = s.env.Log.Since(0)
+	return status, nil
 }
 
 // listen serves readiness only: outside calls go to the registry.
 func (s *Store) listen() error {
-	r := chi.NewRouter()
-	r.Get("/puffin/ready", func(w http.ResponseWriter, _ *http.Request) {
-		st := s.status()
+	router := chi.NewRouter()
+	router.Get("/puffin/ready", func(w http.ResponseWriter, _ *http.Request) {
+		status := s.status()
 		w.Header().Set("Content-Type", "application/json")
-		if !st.Ready {
+		if !status.Ready {
 			w.WriteHeader(http.StatusServiceUnavailable)
 		}
-		_ = json.NewEncoder(w).Encode(st)
+		_ = json.NewEncoder(w).Encode(status)
 	})
-	for _, at := range []string{s.Settings.APIAddr, s.Settings.ReadyAddr} {
-		if at == "" {
+	for _, address := range []string{s.Settings.APIAddr, s.Settings.ReadyAddr} {
+		if address == "" {
 			continue
 		}
-		if err := httpapi.Serve(s.g, s.e, at, r, s.Settings.ConfigBound); err != nil {
+		if err := httpapi.Serve(s.tasks, s.env, address, router, s.Settings.ConfigBound); err != nil {
 			return err
 		}
 	}
@@ -69,4 +69,4 @@
 
 // BytesSent gives the bytes that this process sent to others, by kind of message;
 // receipts count with what they answer.
-func (s *Store) BytesSent() map[transport.Flow]transport.Traffic { return s.n.BytesSent() }
+func (s *Store) BytesSent() map[transport.Flow]transport.Traffic { return s.node.BytesSent() }
--- a/internal/store/recover.go
+++ b/internal/store/recover.go
@@ -9,44 +9,44 @@
 
 // open takes up what the folder holds, or names a new empty replica.
 func (s *Store) open() error {
-	if s.acc.Identity().ID == "" {
-		if err := s.acc.SetIdentity(paxos.Identity{ID: fresh()}); err != nil {
+	if s.acceptor.Identity().ID == "" {
+		if err := s.acceptor.SetIdentity(paxos.Identity{ID: randomID()}); err != nil {
 			return err
 		}
 	}
-	s.voter = ballot.NewVoter(s.acc.Promised(), s.Settings.LeaderTimeout(), s.promise)
-	s.highestRound = s.acc.Promised().Round
-	point, err := s.acc.ReadSnapshot()
-	if err != nil || point == nil {
+	s.voter = ballot.NewVoter(s.acceptor.Promised(), s.Settings.LeaderTimeout(), s.promise)
+	s.highestRound = s.acceptor.Promised().Round
+	snapshot, err := s.acceptor.ReadSnapshot()
+	if err != nil || snapshot == nil {
 		return err
 	}
-	if err := s.reset(*point); err != nil {
+	if err := s.loadState(*snapshot); err != nil {
 		return err
 	}
 	s.mu.Lock()
-	s.e.Trace.Notify(trace.Opened{Replica: s.acc.Identity().ID, Index: s.slot, Digest: string(s.sum), Members: s.memberIDs()})
+	s.env.Trace.Notify(trace.Opened{Replica: s.acceptor.Identity().ID, Index: s.appliedIndex, Digest: string(s.appliedDigest), Members: s.memberIDs()})
 	s.mu.Unlock()
 	// What the files alone prove to be chosen is applied at once.
-	for _, e := range s.acc.ProvenChosen(s.slot, s.sum) {
-		if _, err := s.apply(&e); err != nil {
+	for _, entry := range s.acceptor.ProvenChosen(s.appliedIndex, s.appliedDigest) {
+		if _, err := s.apply(&entry); err != nil {
 			return err
 		}
 	}
 	s.updateRole()
 	// Whoever wrote last knows that nobody does since it ended.
-	s.campaignNow = s.role.Is("follow") && s.acc.Promised().Candidate == s.acc.Identity().ID
+	s.campaignNow = s.role.Is("follow") && s.acceptor.Promised().Candidate == s.acceptor.Identity().ID
 	return nil
 }
 
-// reset takes a checkpoint as the applied state.
-func (s *Store) reset(c paxos.Snapshot) error {
-	led, err := statemachine.Load(c.State)
+// loadState takes a checkpoint as the applied state.
+func (s *Store) loadState(snapshot paxos.Snapshot) error {
+	state, err := statemachine.Load(snapshot.State)
 	if err != nil {
 		return err
 	}
 	s.mu.Lock()
-	s.state, s.slot, s.sum = led, c.Index, c.Digest
-	s.measured(len(c.State))
+	s.state, s.appliedIndex, s.appliedDigest = state, snapshot.Index, snapshot.Digest
+	s.recordSize(len(snapshot.State))
 	s.restartLeases()
 	s.announceApplied()
 	s.mu.Unlock()
@@ -54,9 +54,9 @@
 }
 
 // memberIDs lists the members' identities; mu is held.
-func (s *Store) memberIDs() (out []string) {
+func (s *Store) memberIDs() (ids []string) {
 	for _, m := range s.state.Members {
-		out = append(out, m.ID)
+		ids = append(ids, m.ID)
 	}
-	return out
+	return ids
 }
--- a/internal/store/remove.go
+++ b/internal/store/remove.go
@@ -15,7 +15,7 @@
 // than the bound; mu is held.
 func (t *leadership) silentMember(members []statemachine.Member, bound time.Duration) (id string) {
 	for _, m := range members {
-		if at := t.contacts[m.ID].at; m.ID != t.s.acc.Identity().ID && time.Since(at) > bound && (id == "" || at.Before(t.contacts[id].at)) {
+		if at := t.contacts[m.ID].at; m.ID != t.store.acceptor.Identity().ID && time.Since(at) > bound && (id == "" || at.Before(t.contacts[id].at)) {
 			id = m.ID
 		}
 	}
@@ -25,57 +25,57 @@
 // onRemove takes a store out by an operator's word. It is refused when those
 // who stay could not decide at once without it: fewer than two, or one of them
 // out of touch.
-func (s *Store) onRemove(ctx context.Context, _ transport.Hello, in RemoveRequest) (LeaderResponse, error) {
-	t, g := s.currentLeadership()
-	if t == nil {
-		return g, nil
+func (s *Store) onRemove(ctx context.Context, _ transport.Hello, request RemoveRequest) (LeaderResponse, error) {
+	term, response := s.currentLeadership()
+	if term == nil {
+		return response, nil
 	}
-	g.Done = true
-	stay, found := 0, false
-	t.mu.Lock()
-	for _, m := range g.Members {
-		if m.ID == in.ID {
+	response.Done = true
+	connected, found := 0, false
+	term.mu.Lock()
+	for _, m := range response.Members {
+		if m.ID == request.ID {
 			found = true
-		} else if m.ID == s.acc.Identity().ID || time.Since(t.contacts[m.ID].at) < s.Settings.Lease() {
-			stay++
+		} else if m.ID == s.acceptor.Identity().ID || time.Since(term.contacts[m.ID].at) < s.Settings.Lease() {
+			connected++
 		}
 	}
-	t.mu.Unlock()
+	term.mu.Unlock()
 	if !found {
-		g.Result = statemachine.Result{Code: statemachine.NotFound, Message: "no such member"}
-		return g, nil
+		response.Result = statemachine.Result{Code: statemachine.NotFound, Message: "no such member"}
+		return response, nil
 	}
-	if left := len(g.Members) - 1; left < 2 || stay < left {
-		s.e.Log.Emit(event.UnsafeRemoval, "member", in.ID, "left", left, "in_touch", stay)
-		g.Result = statemachine.Result{Code: statemachine.Conflict, Message: "the stores that stay would be without a majority"}
-		return g, nil
+	if left := len(response.Members) - 1; left < 2 || connected < left {
+		s.env.Log.Emit(event.UnsafeRemoval, "member", request.ID, "left", left, "in_touch", connected)
+		response.Result = statemachine.Result{Code: statemachine.Conflict, Message: "the stores that stay would be without a majority"}
+		return response, nil
 	}
-	p, err := statemachine.Pack("store.remove", &statemachine.RemoveMember{ID: in.ID})
+	packed, err := statemachine.Pack("store.remove", &statemachine.RemoveMember{ID: request.ID})
 	if err != nil {
-		return g, fault.Wrap(fault.Refused, err, "remove")
+		return response, fault.Wrap(fault.Refused, err, "remove")
 	}
-	g.Result, err = t.proposeGuarded(ctx, p, in.Request, t.heldByMajority(without(g.Members, in.ID)))
-	return g, err
+	response.Result, err = term.proposeGuarded(ctx, packed, request.Request, term.heldByMajority(without(response.Members, request.ID)))
+	return response, err
 }
 
-// noteSuccessor hears which replica stands at an address. Another than the holder of
+// detectReplacedLeader hears which replica stands at an address. Another than the holder of
 // the leadership at the holder's own means that the holder's disk is lost, and its
 // process with it: the leadership is vacant, and need not be missed for a time first.
-func (s *Store) noteSuccessor(id, addr string) {
-	vow, quiet := s.voter.Promised()
-	if id == vow.Candidate || quiet >= s.Settings.LeaderTimeout() || !s.votes() {
+func (s *Store) detectReplacedLeader(id, addr string) {
+	promised, silence := s.voter.Promised()
+	if id == promised.Candidate || silence >= s.Settings.LeaderTimeout() || !s.canVote() {
 		return
 	}
 	s.mu.Lock()
-	lost := slices.ContainsFunc(s.state.Members, func(m statemachine.Member) bool { return m.ID == vow.Candidate && m.Addr == addr })
+	lost := slices.ContainsFunc(s.state.Members, func(m statemachine.Member) bool { return m.ID == promised.Candidate && m.Addr == addr })
 	s.mu.Unlock()
 	if !lost {
 		return
 	}
-	s.voter.Vacate(vow)
-	at := time.Now().Add(s.campaignDelay(vow))
+	s.voter.Vacate(promised)
+	notBefore := time.Now().Add(s.campaignDelay(promised))
 	s.mu.Lock()
-	s.campaignFrom = at
+	s.campaignNotBefore = notBefore
 	s.mu.Unlock()
 	s.wakeLoop(false)
 }
--- a/internal/store/requests.go
+++ b/internal/store/requests.go
@@ -10,23 +10,23 @@
 // The time for which an answered request is remembered, as a ratio to the bound
 // on a return: an hour with the default of 15 s. An operator's own retry ends
 // long before.
-const requestMemory = 240
+const requestRetentionFactor = 240
 
 // wrapRequests turns commands that may be sent again into requests that are done
 // once. While a member has never been known to read them, the commands are
 // proposed as they are, and an order that is sent again is judged by what stands
 // alone. learn is held.
 func (s *Store) wrapRequests(batch []*proposal) {
-	if s.level() < statemachine.LevelRequests {
+	if s.commandLevel() < statemachine.LevelRequests {
 		return
 	}
 	for _, o := range batch {
-		if o.once == nil {
+		if o.requestKey == nil {
 			continue
 		}
-		p, err := statemachine.Pack(statemachine.KindRequest, &statemachine.Request{ID: o.once.ID, Digest: o.once.Digest, Number: o.once.Number, Cmd: o.cmd})
+		packed, err := statemachine.Pack(statemachine.KindRequest, &statemachine.Request{ID: o.requestKey.ID, Digest: o.requestKey.Digest, Number: o.requestKey.Number, Cmd: o.packed})
 		if err == nil {
-			o.cmd = p
+			o.packed = packed
 		}
 	}
 }
@@ -34,11 +34,11 @@
 // raiseLevel proposes the level of this program's commands once all members and
 // learners are known to be of it.
 func (t *leadership) raiseLevel(ctx context.Context) {
-	if t.s.level() >= statemachine.Level || !t.versed(statemachine.Level) {
+	if t.store.commandLevel() >= statemachine.Level || !t.allSupport(statemachine.Level) {
 		return
 	}
-	if p, err := statemachine.Pack("level.raise", &statemachine.RaiseLevel{To: statemachine.Level}); err == nil {
-		_, _ = t.propose(ctx, p)
+	if packed, err := statemachine.Pack("level.raise", &statemachine.RaiseLevel{To: statemachine.Level}); err == nil {
+		_, _ = t.propose(ctx, packed)
 	}
 }
 
@@ -48,10 +48,10 @@
 	total uint64
 }
 
-// markRequests notes the count of answered requests from time to time; mu is
+// recordRequestCount notes the count of answered requests from time to time; mu is
 // held.
-func (s *Store) markRequests(now time.Time) {
-	if n := len(s.requestMarks); n > 0 && now.Sub(s.requestMarks[n-1].at) < s.Settings.RecoveryBound {
+func (s *Store) recordRequestCount(now time.Time) {
+	if count := len(s.requestMarks); count > 0 && now.Sub(s.requestMarks[count-1].at) < s.Settings.RecoveryBound {
 		return
 	}
 	s.requestMarks = append(s.requestMarks, requestMark{now, s.state.TotalRequests()})
@@ -60,15 +60,15 @@
 // trimRequests gives the command that forgets requests answered too long ago, or
 // nil. mu is held.
 func (s *Store) trimRequests(now time.Time) statemachine.Command {
-	old := 0
-	for old < len(s.requestMarks) && now.Sub(s.requestMarks[old].at) > requestMemory*s.Settings.RecoveryBound {
-		old++
+	outdated := 0
+	for outdated < len(s.requestMarks) && now.Sub(s.requestMarks[outdated].at) > requestRetentionFactor*s.Settings.RecoveryBound {
+		outdated++
 	}
-	if old == 0 {
+	if outdated == 0 {
 		return nil
 	}
-	to := s.requestMarks[old-1].total
-	s.requestMarks = append([]requestMark(nil), s.requestMarks[old:]...)
+	to := s.requestMarks[outdated-1].total
+	s.requestMarks = append([]requestMark(nil), s.requestMarks[outdated:]...)
 	if to <= s.state.Forgotten {
 		return nil
 	}
--- a/internal/store/seeds.go
+++ b/internal/store/seeds.go
@@ -7,39 +7,39 @@
 	"puffincrank/internal/transport"
 )
 
-// beatOfNow is the leader's beat.
-func (t *leadership) beatOfNow() beatAsk {
-	s := t.s
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return beatAsk{Num: t.num, Addr: s.Settings.InternalAddr, Slot: s.slot, Sum: s.sum, Mesh: s.state.ClusterID}
+// currentHeartbeat is the leader's beat.
+func (t *leadership) currentHeartbeat() beatAsk {
+	store := t.store
+	store.mu.Lock()
+	defer store.mu.Unlock()
+	return beatAsk{Ballot: t.ballot, Addr: store.Settings.InternalAddr, ChosenIndex: store.appliedIndex, ChosenDigest: store.appliedDigest, ClusterID: store.state.ClusterID}
 }
 
-// greetSeeds tells the seeds without a place, those not heard of as learners, who
+// announceToSeeds tells the seeds without a place, those not heard of as learners, who
 // leads. One whose disk was lost knows of nobody but the seeds, and those may all
 // be gone or as empty.
-func (t *leadership) greetSeeds(ctx context.Context) {
-	s, ask := t.s, t.beatOfNow()
-	members, _ := s.memberAddresses()
-	for _, to := range s.Settings.Seeds {
-		if slices.Contains(members, to) || t.knowsLearnerAt(to) {
+func (t *leadership) announceToSeeds(ctx context.Context) {
+	store, request := t.store, t.currentHeartbeat()
+	members, _ := store.memberAddresses()
+	for _, to := range store.Settings.Seeds {
+		if slices.Contains(members, to) || t.hasLearnerAt(to) {
 			continue
 		}
-		t.g.Go("greet", func(context.Context) {
-			ctx, end := context.WithTimeout(ctx, s.Settings.Lease()/2)
-			defer end()
+		t.tasks.Go("greet", func(context.Context) {
+			ctx, cancel := context.WithTimeout(ctx, store.Settings.Lease()/2)
+			defer cancel()
 			// Whoever has no state notes the sender; the answer says nothing.
-			_, _ = transport.Call[ack](ctx, s.n, to, "store.beat", ask)
+			_, _ = transport.Call[ack](ctx, store.node, to, "store.beat", request)
 		})
 	}
 }
 
-// knowsLearnerAt tells whether a replica that stands by is heard of at an address.
-func (t *leadership) knowsLearnerAt(addr string) bool {
+// hasLearnerAt tells whether a replica that stands by is heard of at an address.
+func (t *leadership) hasLearnerAt(addr string) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, l := range t.learners {
-		if l.m.Addr == addr {
+		if l.member.Addr == addr {
 			return true
 		}
 	}
--- a/internal/store/serve.go
+++ b/internal/store/serve.go
@@ -13,82 +13,82 @@
 func (s *Store) currentLeadership() (*leadership, LeaderResponse) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	g := LeaderResponse{LeaderAddr: s.leaderAddress}
+	response := LeaderResponse{LeaderAddr: s.leaderAddress}
 	if s.state != nil {
-		g.Members = s.state.Members
+		response.Members = s.state.Members
 	}
-	return s.leadership, g
+	return s.leadership, response
 }
 
-// onOffer takes a command from a registry.
-func (s *Store) onOffer(ctx context.Context, _ transport.Hello, in ProposeRequest) (LeaderResponse, error) {
-	t, g := s.currentLeadership()
-	if t == nil {
-		return g, nil
+// onPropose takes a command from a registry.
+func (s *Store) onPropose(ctx context.Context, _ transport.Hello, request ProposeRequest) (LeaderResponse, error) {
+	term, response := s.currentLeadership()
+	if term == nil {
+		return response, nil
 	}
 	// A command that can't be read must not reach the log.
-	cmd, err := in.Command.Open()
+	command, err := request.Command.Open()
 	if err != nil {
-		return g, fault.Wrap(fault.Refused, err, "offer")
+		return response, fault.Wrap(fault.Refused, err, "offer")
 	}
-	o := &proposal{cmd: in.Command, in: cmd, once: in.Request, result: make(chan outcome, 1)}
-	if end, ok := ctx.Deadline(); ok {
-		o.latest = end.Add(-time.Duration(in.ProposalMarginMS) * time.Millisecond)
+	queued := &proposal{packed: request.Command, command: command, requestKey: request.Request, result: make(chan outcome, 1)}
+	if deadline, ok := ctx.Deadline(); ok {
+		queued.notAfter = deadline.Add(-time.Duration(request.ProposalMarginMS) * time.Millisecond)
 	}
 	// What is read right after a freeze may be as old as the freeze.
-	if in.ProposalMarginMS > 0 && s.justResumed() {
-		return g, fault.New(fault.Refused, "frozen until just now")
+	if request.ProposalMarginMS > 0 && s.justResumed() {
+		return response, fault.New(fault.Refused, "frozen until just now")
 	}
-	r, err := t.submit(ctx, o)
+	result, err := term.submit(ctx, queued)
 	if err != nil {
-		return g, err
+		return response, err
 	}
-	g.Done, g.Result = true, r
-	return g, nil
+	response.Done, response.Result = true, result
+	return response, nil
 }
 
 // justResumed tells that this process was frozen until just now.
 func (s *Store) justResumed() bool {
-	return time.Since(s.pulse.LastPauseEnd()) < s.Settings.HeartbeatInterval()
+	return time.Since(s.pauseDetector.LastPauseEnd()) < s.Settings.HeartbeatInterval()
 }
 
 // onRead answers a confirmed read: a majority is asked after it arrived.
-func (s *Store) onRead(ctx context.Context, _ transport.Hello, in ReadRequest) (LeaderResponse, error) {
-	t, g := s.currentLeadership()
-	if t == nil {
-		return g, nil
+func (s *Store) onRead(ctx context.Context, _ transport.Hello, request ReadRequest) (LeaderResponse, error) {
+	term, response := s.currentLeadership()
+	if term == nil {
+		return response, nil
 	}
-	if in.Kind == "config" && in.WaitMS > 0 {
-		t.await(ctx, in.From, time.Duration(in.WaitMS)*time.Millisecond)
+	if request.Kind == "config" && request.WaitMS > 0 {
+		term.awaitConfig(ctx, request.From, time.Duration(request.WaitMS)*time.Millisecond)
 	}
-	if err := t.confirmLeadership(ctx); err != nil {
-		return g, err
+	if err := term.confirmLeadership(ctx); err != nil {
+		return response, err
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	g.Done, g.Result = true, s.stepped(in, s.state.Read(in.Kind, in.Name, in.From))
-	g.Members = s.state.Members
-	return g, nil
+	response.Done, response.Result = true, s.withPatch(request, s.state.Read(request.Kind, request.Name, request.From))
+	response.Members = s.state.Members
+	return response, nil
 }
 
-// await holds a poll until an entry above from stands or the wait is over.
-func (t *leadership) await(ctx context.Context, from uint64, wait time.Duration) {
-	end := time.NewTimer(wait)
-	defer end.Stop()
+// awaitConfig holds a poll until an entry above from stands or the wait is over.
+func (t *leadership) awaitConfig(ctx context.Context, from uint64, wait time.Duration) {
+	timeout := time.NewTimer(wait)
+	defer timeout.Stop()
 	for {
-		t.s.mu.Lock()
-		turn, now := t.s.applied, t.s.state.Config().Version
-		t.s.mu.Unlock()
-		if now > from {
+		t.store.mu.Lock()
+		signal, version := t.store.appliedSignal, t.store.state.Config().Version
+		t.store.mu.Unlock()
+		if version > from {
 			return
 		}
 		select {
-		case <-turn:
-		case <-end.C:
+		case <-signal:
+		case <-timeout.C:
 			return
 		case <-ctx.Done():
 			return
-		case <-t.g.Context().Done():
+		case <-t.tasks.Context().Done():
 			return
 		}
 	}
@@ -96,28 +96,28 @@
 
 // onWatch gives the changes of a prefix from a revision on, and waits for
 // some if there are none. Any store may answer: it only tells what is chosen.
-func (s *Store) onWatch(ctx context.Context, _ transport.Hello, in ReadRequest) (LeaderResponse, error) {
-	end := time.NewTimer(time.Duration(in.WaitMS) * time.Millisecond)
-	defer end.Stop()
+func (s *Store) onWatch(ctx context.Context, _ transport.Hello, request ReadRequest) (LeaderResponse, error) {
+	timeout := time.NewTimer(time.Duration(request.WaitMS) * time.Millisecond)
+	defer timeout.Stop()
 	for {
 		s.mu.Lock()
 		if s.state == nil {
 			s.mu.Unlock()
 			return LeaderResponse{}, fault.New(fault.Refused, "empty")
 		}
-		got, ok := s.state.Since(in.Name, in.From, 256)
-		turn, rev, oldest := s.applied, s.state.Revision, s.state.OldestRevision
+		changes, ok := s.state.Since(request.Name, request.From, 256)
+		signal, revision, oldest := s.appliedSignal, s.state.Revision, s.state.OldestRevision
 		s.mu.Unlock()
 		if !ok {
 			return LeaderResponse{Done: true, Result: statemachine.Result{Code: statemachine.Compacted, Revision: oldest}}, nil
 		}
-		if len(got) > 0 {
-			return LeaderResponse{Done: true, Result: statemachine.Result{Code: statemachine.OK, Changes: got, Revision: rev}}, nil
+		if len(changes) > 0 {
+			return LeaderResponse{Done: true, Result: statemachine.Result{Code: statemachine.OK, Changes: changes, Revision: revision}}, nil
 		}
 		select {
-		case <-turn:
-		case <-end.C:
-			return LeaderResponse{Done: true, Result: statemachine.Result{Code: statemachine.OK, Revision: rev}}, nil
+		case <-signal:
+		case <-timeout.C:
+			return LeaderResponse{Done: true, Result: statemachine.Result{Code: statemachine.OK, Revision: revision}}, nil
 		case <-ctx.Done():
 			return LeaderResponse{}, fault.New(fault.Refused, "no time left")
 		}
--- a/internal/store/shorten_test.go
+++ b/internal/store/shorten_test.go
@@ -12,9 +12,9 @@
 	"puffincrank/internal/statemachine"
 )
 
-// TestVersed: steps are proposed only while every voter and every learner is
+// TestPatchNeedsCommandLevel: steps are proposed only while every voter and every learner is
 // known to understand them, and only for the first document of a batch.
-func TestVersed(t *testing.T) {
+func TestPatchNeedsCommandLevel(t *testing.T) {
 	dir, err := disk.Open(t.TempDir())
 	if err != nil {
 		t.Fatal(err)
@@ -27,9 +27,9 @@
 		t.Fatal(err)
 	}
 	doc := func(n int) []byte { return append(bytes.Repeat([]byte(`{"a":1}`), 60), fmt.Sprint(n)...) }
-	s := &Store{acc: acc, state: statemachine.New("m", []statemachine.Member{{ID: "a"}, {ID: "b"}, {ID: "c"}})}
+	s := &Store{acceptor: acc, state: statemachine.New("m", []statemachine.Member{{ID: "a"}, {ID: "b"}, {ID: "c"}})}
 	(&statemachine.SetConfig{Doc: doc(1)}).Apply(s.state)
-	kinds := func(t2 *leadership) string {
+	kinds := func(term *leadership) string {
 		var batch []*proposal
 		for i := range 2 {
 			c := &statemachine.SetNumberedConfig{Number: uint64(7 + i), Doc: doc(2 + i)}
@@ -37,30 +37,30 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			batch = append(batch, &proposal{cmd: p, in: c})
+			batch = append(batch, &proposal{packed: p, command: c})
 		}
-		t2.shorten(batch)
-		return batch[0].cmd.Kind + " " + batch[1].cmd.Kind
+		term.usePatch(batch)
+		return batch[0].packed.Kind + " " + batch[1].packed.Kind
 	}
 	const long, short = "config.number config.number", "config.step config.number"
-	w := &leadership{s: s, num: ballot.Number{Round: 1, Candidate: "a"}, contacts: map[string]peerContact{}, learners: map[string]*learner{}}
+	term := &leadership{store: s, ballot: ballot.Number{Round: 1, Candidate: "a"}, contacts: map[string]peerContact{}, learners: map[string]*learner{}}
 	for i, c := range []struct {
-		b, c  int
-		spare int // -1 for none
-		want  string
+		b, c    int
+		learner int // -1 for none
+		want    string
 	}{{0, 0, -1, long}, {1, 0, -1, long}, {0, 1, -1, long}, {1, 1, -1, short}, {1, 1, 0, long}, {1, 1, 1, short}, {2, 3, -1, short}} {
-		w.contacts = map[string]peerContact{"b": {at: time.Now(), knows: c.b}, "c": {at: time.Now(), knows: c.c}}
-		w.learners = map[string]*learner{}
-		if c.spare >= 0 {
-			w.learners["d"] = &learner{knows: c.spare}
+		term.contacts = map[string]peerContact{"b": {at: time.Now(), commandLevel: c.b}, "c": {at: time.Now(), commandLevel: c.c}}
+		term.learners = map[string]*learner{}
+		if c.learner >= 0 {
+			term.learners["d"] = &learner{commandLevel: c.learner}
 		}
-		if got := kinds(w); got != c.want {
+		if got := kinds(term); got != c.want {
 			t.Errorf("%d: %s, not %s", i, got, c.want)
 		}
 	}
 	// One that has not been heard in this term may be of any entry.
-	w.contacts = map[string]peerContact{"b": {knows: 1}}
-	if got := kinds(w); got != long {
+	term.contacts = map[string]peerContact{"b": {commandLevel: 1}}
+	if got := kinds(term); got != long {
 		t.Errorf("one not heard: %s", got)
 	}
 }
--- a/internal/store/snapshot.go
+++ b/internal/store/snapshot.go
@@ -21,74 +21,76 @@
 // with a newer snapshot.
 const snapshotLogFactor = 1
 
-// snapshotHead announces a snapshot that travels in chunks.
-type snapshotHead struct {
+// snapshotHeader announces a snapshot that travels in chunks.
+type snapshotHeader struct {
 	ID     []byte `msgpack:"i"` // SHA-256 of its bytes
-	Slot   uint64 `msgpack:"s"`
-	Sum    []byte `msgpack:"h"` // the identity of the entry at Slot
+	Index  uint64 `msgpack:"s"`
+	Digest []byte `msgpack:"h"` // the identity of the entry at Slot
 	Size   int    `msgpack:"z"`
 	Format int    `msgpack:"f,omitempty"` // of the stored files
 }
 
-// chunkAsk asks for the bytes of a snapshot from an offset on.
-type chunkAsk struct {
+// chunkRequest asks for the bytes of a snapshot from an offset on.
+type chunkRequest struct {
 	ID     []byte `msgpack:"i"`
 	Offset int    `msgpack:"o"`
 }
 
-// chunkGot is one chunk.
-type chunkGot struct {
+// chunkResponse is one chunk.
+type chunkResponse struct {
 	ID       []byte `msgpack:"i"`
 	Offset   int    `msgpack:"o"`
 	Data     []byte `msgpack:"d"`
 	Checksum uint32 `msgpack:"c"` // CRC-32 of Data
 }
 
-// image is a snapshot that is being sent: a stable copy, which neither changes of
+// outgoingSnapshot is a snapshot that is being sent: a stable copy, which neither changes of
 // the state nor compaction touch.
-type image struct {
-	head  snapshotHead
-	data  []byte
-	asked time.Time // when a chunk of it was last asked for
+type outgoingSnapshot struct {
+	header        snapshotHeader
+	data          []byte
+	lastRequested time.Time // when a chunk of it was last asked for
 }
 
 // inUse tells whether somebody still fetches the image.
-func (m *image) inUse(idle time.Duration) bool { return m != nil && time.Since(m.asked) < idle }
+func (m *outgoingSnapshot) inUse(idle time.Duration) bool {
+	return m != nil && time.Since(m.lastRequested) < idle
+}
 
-// snapshotIdle is how long an image is kept after it was last asked for: longer
+// snapshotIdleTimeout is how long an image is kept after it was last asked for: longer
 // than the cut or the election that may come in the middle of a transfer.
-func (s *Store) snapshotIdle() time.Duration { return 2 * s.Settings.CatchUpBound }
+func (s *Store) snapshotIdleTimeout() time.Duration { return 2 * s.Settings.CatchUpBound }
 
-// announce gives the head of a snapshot that reaches beyond a slot, and from
+// announceSnapshot gives the head of a snapshot that reaches beyond a slot, and from
 // which on this replica holds the whole log.
-func (s *Store) announce(after uint64) (*snapshotHead, error) {
-	s.imaging.Lock()
-	defer s.imaging.Unlock()
+func (s *Store) announceSnapshot(after uint64) (*snapshotHeader, error) {
+	s.transferLock.Lock()
+	defer s.transferLock.Unlock()
 	s.mu.Lock()
-	now := s.image
+	current := s.outgoing
 	s.mu.Unlock()
-	if now.inUse(s.snapshotIdle()) && now.head.Slot > after && s.acc.HoldsAfter(now.head.Slot) {
-		s.touchImage(now)
-		return &now.head, nil
+	if current.inUse(s.snapshotIdleTimeout()) && current.header.Index > after && s.acceptor.HoldsAfter(current.header.Index) {
+		s.touchSnapshot(current)
+		return &current.header, nil
 	}
-	point, err := s.stableSnapshot(after)
+	snapshot, err := s.stableSnapshot(after)
 	if err != nil {
 		return nil, err
 	}
-	sum := sha256.Sum256(point.State)
-	made := &image{head: snapshotHead{ID: sum[:], Slot: point.Index, Sum: point.Digest, Size: len(point.State), Format: paxos.Format}, data: point.State, asked: time.Now()}
+	digest := sha256.Sum256(snapshot.State)
+	created := &outgoingSnapshot{header: snapshotHeader{ID: digest[:], Index: snapshot.Index, Digest: snapshot.Digest, Size: len(snapshot.State), Format: paxos.Format}, data: snapshot.State, lastRequested: time.Now()}
 	s.mu.Lock()
-	s.image = made
+	s.outgoing = created
 	s.mu.Unlock()
-	return &made.head, nil
+	return &created.header, nil
 }
 
 // stableSnapshot reads the newest checkpoint from the disk or, when that does not
 // reach beyond a slot, packs the state of now.
 func (s *Store) stableSnapshot(after uint64) (*paxos.Snapshot, error) {
-	if point := s.acc.LatestSnapshot(); point != nil && point.Index > after {
-		if whole, err := s.acc.ReadSnapshot(); err == nil && whole != nil && whole.Index > after {
-			return whole, nil
+	if snapshot := s.acceptor.LatestSnapshot(); snapshot != nil && snapshot.Index > after {
+		if full, err := s.acceptor.ReadSnapshot(); err == nil && full != nil && full.Index > after {
+			return full, nil
 		}
 	}
 	s.mu.Lock()
@@ -98,56 +100,56 @@
 
 // packState packs the state of now; mu is held.
 func (s *Store) packState() (*paxos.Snapshot, error) {
-	raw, err := s.state.Pack()
+	encoded, err := s.state.Pack()
 	if err != nil {
 		return nil, err
 	}
-	s.measured(len(raw))
-	point := s.checkpointOf(raw)
-	return &point, nil
+	s.recordSize(len(encoded))
+	snapshot := s.snapshotOf(encoded)
+	return &snapshot, nil
 }
 
-func (s *Store) touchImage(m *image) {
+func (s *Store) touchSnapshot(snapshot *outgoingSnapshot) {
 	s.mu.Lock()
-	m.asked = time.Now()
+	snapshot.lastRequested = time.Now()
 	s.mu.Unlock()
 }
 
 // onChunk gives a chunk of the image that is being sent. Another image is refused
 // by name: its receiver asks for a new announcement.
-func (s *Store) onChunk(_ context.Context, _ transport.Hello, in chunkAsk) (chunkGot, error) {
+func (s *Store) onChunk(_ context.Context, _ transport.Hello, request chunkRequest) (chunkResponse, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	m := s.image
-	if m == nil || !bytes.Equal(m.head.ID, in.ID) {
-		return chunkGot{}, fault.New(fault.Stale, "snapshot %x is not sent from here", in.ID)
+	snapshot := s.outgoing
+	if snapshot == nil || !bytes.Equal(snapshot.header.ID, request.ID) {
+		return chunkResponse{}, fault.New(fault.Stale, "snapshot %x is not sent from here", request.ID)
 	}
-	if in.Offset < 0 || in.Offset >= len(m.data) {
-		return chunkGot{}, fault.New(fault.Refused, "offset %d is outside of a snapshot of %d bytes", in.Offset, len(m.data))
+	if request.Offset < 0 || request.Offset >= len(snapshot.data) {
+		return chunkResponse{}, fault.New(fault.Refused, "offset %d is outside of a snapshot of %d bytes", request.Offset, len(snapshot.data))
 	}
-	m.asked = time.Now()
-	data := m.data[in.Offset:min(in.Offset+snapshotChunk, len(m.data))]
-	return chunkGot{ID: m.head.ID, Offset: in.Offset, Data: data, Checksum: crc32.ChecksumIEEE(data)}, nil
+	snapshot.lastRequested = time.Now()
+	data := snapshot.data[request.Offset:min(request.Offset+snapshotChunk, len(snapshot.data))]
+	return chunkResponse{ID: snapshot.header.ID, Offset: request.Offset, Data: data, Checksum: crc32.ChecksumIEEE(data)}, nil
 }
 
-// dropImage lets go of an image that nobody fetches any more; mu is held.
-func (s *Store) dropImage() {
-	if s.image != nil && !s.image.inUse(s.snapshotIdle()) {
-		s.image = nil
+// dropIdleSnapshot lets go of an image that nobody fetches any more; mu is held.
+func (s *Store) dropIdleSnapshot() {
+	if s.outgoing != nil && !s.outgoing.inUse(s.snapshotIdleTimeout()) {
+		s.outgoing = nil
 	}
 }
 
-// keptForTransfer is how many entries before a checkpoint's slot must stay in the
+// entriesKeptForTransfer is how many entries before a checkpoint's slot must stay in the
 // log, so that whoever installs the image that is being sent can follow it up; mu
 // is held.
-func (s *Store) keptForTransfer(slot uint64) uint64 {
-	s.dropImage()
-	if s.image == nil || s.image.head.Slot >= slot {
+func (s *Store) entriesKeptForTransfer(index uint64) uint64 {
+	s.dropIdleSnapshot()
+	if s.outgoing == nil || s.outgoing.header.Index >= index {
 		return 0
 	}
 	if s.logBytes > snapshotLogFactor*s.Settings.StateBytes() {
-		s.image = nil
+		s.outgoing = nil
 		return 0
 	}
-	return slot - s.image.head.Slot
+	return index - s.outgoing.header.Index
 }
