--- a/internal/store/snapshot_test.go
+++ b/internal/store/snapshot_test.go
@@ -22,199 +22,199 @@
 	"puffincrank/internal/transport"
 )
 
-// bare is an empty store on a network without connections.
-func bare(t *testing.T) (*Store, *transport.LocalNet) {
+// newEmptyStore is an empty store on a network without connections.
+func newEmptyStore(t *testing.T) (*Store, *transport.LocalNet) {
 	t.Helper()
 	dir, err := disk.Open(t.TempDir())
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := settings.Settings{Node: "n", ClusterID: "m", ConfigBound: 2 * time.Second, RecoveryBound: 15 * time.Second, MaxFrameBytes: 1 << 20, MaxRequests: 8, InternalAddr: "me:1", ConfiguredStateBytes: 1 << 20}
-	road := &transport.LocalNet{Network: transport.NewLocalNetwork(func(string, string) time.Duration { return time.Millisecond })}
-	s, err := New(p, env.Env{Net: road, FS: dir, Wall: time.Now, Log: event.New("n", nil), Sleep: task.Sleep})
+	settings := settings.Settings{Node: "n", ClusterID: "m", ConfigBound: 2 * time.Second, RecoveryBound: 15 * time.Second, MaxFrameBytes: 1 << 20, MaxRequests: 8, InternalAddr: "me:1", ConfiguredStateBytes: 1 << 20}
+	network := &transport.LocalNet{Network: transport.NewLocalNetwork(func(string, string) time.Duration { return time.Millisecond })}
+	s, err := New(settings, env.Env{Net: network, FS: dir, Wall: time.Now, Log: event.New("n", nil), Sleep: task.Sleep})
 	if err != nil {
 		t.Fatal(err)
 	}
-	return s, road
+	return s, network
 }
 
-// alone is a store that is the one member of its cluster, on a network without
+// newSingleStore is a store that is the one member of its cluster, on a network without
 // connections.
-func alone(t *testing.T) (*Store, *transport.LocalNet) {
+func newSingleStore(t *testing.T) (*Store, *transport.LocalNet) {
 	t.Helper()
-	s, road := bare(t)
-	led := statemachine.New("m", []statemachine.Member{{ID: s.acc.Identity().ID, Addr: "me:1"}})
-	raw, err := led.Pack()
+	s, network := newEmptyStore(t)
+	state := statemachine.New("m", []statemachine.Member{{ID: s.acceptor.Identity().ID, Addr: "me:1"}})
+	encoded, err := state.Pack()
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := s.install(paxos.Snapshot{Digest: []byte("zero"), State: raw}, event.Founded); err != nil {
+	if err := s.installSnapshot(paxos.Snapshot{Digest: []byte("zero"), State: encoded}, event.Founded); err != nil {
 		t.Fatal(err)
 	}
-	return s, road
+	return s, network
 }
 
 // packedState is a snapshot of the store's own cluster with one change.
 func packedState(t *testing.T, s *Store, change func(*statemachine.State)) []byte {
 	t.Helper()
-	led := statemachine.New("m", s.state.Members)
-	led.Revision = 77
-	change(led)
-	raw, err := led.Pack()
+	state := statemachine.New("m", s.state.Members)
+	state.Revision = 77
+	change(state)
+	encoded, err := state.Pack()
 	if err != nil {
 		t.Fatal(err)
 	}
-	return raw
+	return encoded
 }
 
-// TestNewerSnapshots: a whole snapshot of a newer format, of a state that a newer
+// TestForeignSnapshotsRefused: a whole snapshot of a newer format, of a state that a newer
 // program raised, of another cluster or torn is refused, and nothing of it taken.
-func TestNewerSnapshots(t *testing.T) {
+func TestForeignSnapshotsRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s, _ := alone(t)
+		s, _ := newSingleStore(t)
 		defer s.Kill()
-		same := packedState(t, s, func(*statemachine.State) {})
+		valid := packedState(t, s, func(*statemachine.State) {})
 		for _, c := range []struct {
-			name  string
-			point paxos.Snapshot
-			fault string
+			name     string
+			snapshot paxos.Snapshot
+			fault    string
 		}{
-			{"newer format", paxos.Snapshot{Format: paxos.Format + 1, Index: 9, State: same}, "a snapshot of format 2, newer than 1"},
+			{"newer format", paxos.Snapshot{Format: paxos.Format + 1, Index: 9, State: valid}, "a snapshot of format 2, newer than 1"},
 			{"newer level", paxos.Snapshot{Index: 9, State: packedState(t, s, func(l *statemachine.State) { l.Level = statemachine.Level + 1 })}, "the state needs a program of level 3, this one is of 2"},
 			{"another cluster", paxos.Snapshot{Index: 9, State: packedState(t, s, func(l *statemachine.State) { l.ClusterID = "other" })}, "data of mesh other"},
-			{"torn", paxos.Snapshot{Index: 9, State: same[:len(same)/2]}, "read checkpoint"},
+			{"torn", paxos.Snapshot{Index: 9, State: valid[:len(valid)/2]}, "read checkpoint"},
 		} {
-			err := s.install(c.point, event.Refilled)
-			if err == nil || !strings.Contains(err.Error(), c.fault) || s.state.Revision == 77 || s.slot != 0 || s.acc.LatestSnapshot().Index != 0 {
-				t.Errorf("%s: %v, slot %d", c.name, err, s.slot)
+			err := s.installSnapshot(c.snapshot, event.Refilled)
+			if err == nil || !strings.Contains(err.Error(), c.fault) || s.state.Revision == 77 || s.appliedIndex != 0 || s.acceptor.LatestSnapshot().Index != 0 {
+				t.Errorf("%s: %v, slot %d", c.name, err, s.appliedIndex)
 			}
 		}
-		if err := s.install(paxos.Snapshot{Format: paxos.Format, Index: 9, State: same}, event.Refilled); err != nil || s.slot != 9 {
-			t.Errorf("one of our own: %v, slot %d", err, s.slot)
+		if err := s.installSnapshot(paxos.Snapshot{Format: paxos.Format, Index: 9, State: valid}, event.Refilled); err != nil || s.appliedIndex != 9 {
+			t.Errorf("one of our own: %v, slot %d", err, s.appliedIndex)
 		}
 	})
 }
 
-// packedBatch is a batch of one command that changes nothing.
-func packedBatch(t *testing.T) []byte {
+// packedNoop is a batch of one command that changes nothing.
+func packedNoop(t *testing.T) []byte {
 	t.Helper()
-	p, err := statemachine.Pack("noop", &statemachine.Noop{})
+	packed, err := statemachine.Pack("noop", &statemachine.Noop{})
 	if err != nil {
 		t.Fatal(err)
 	}
-	raw, err := statemachine.Batch{p}.Pack()
+	encoded, err := statemachine.Batch{packed}.Pack()
 	if err != nil {
 		t.Fatal(err)
 	}
-	return raw
+	return encoded
 }
 
-// TestCutVote: a voter that accepted more than fits a vote says so, and a new
+// TestTruncatedVote: a voter that accepted more than fits a vote says so, and a new
 // leader proposes nothing of its own beyond what it was told of: it is elected
 // again, and told the rest.
-func TestCutVote(t *testing.T) {
+func TestTruncatedVote(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s, _ := alone(t)
+		s, _ := newSingleStore(t)
 		defer s.Kill()
-		prev := []byte("zero")
-		num := ballot.Number{Round: 1, Candidate: "other"}
-		for slot := range uint64(voteEntries + 3) {
-			e := paxos.Entry{Index: slot + 1, Previous: prev, Batch: packedBatch(t), Ballot: num}
-			if err := s.acc.Accept(e); err != nil {
+		previous := []byte("zero")
+		number := ballot.Number{Round: 1, Candidate: "other"}
+		for slot := range uint64(maxVoteEntries + 3) {
+			entry := paxos.Entry{Index: slot + 1, Previous: previous, Batch: packedNoop(t), Ballot: number}
+			if err := s.acceptor.Accept(entry); err != nil {
 				t.Fatal(err)
 			}
-			prev = e.Digest()
+			previous = entry.Digest()
 		}
-		told, more := s.acceptedAfter(0)
-		if len(told) != voteEntries || !more {
-			t.Fatalf("%d entries are told, more %v", len(told), more)
+		reported, truncated := s.acceptedAfter(0)
+		if len(reported) != maxVoteEntries || !truncated {
+			t.Fatalf("%d entries are told, more %v", len(reported), truncated)
 		}
-		if rest, more := s.acceptedAfter(voteEntries); len(rest) != 3 || more {
-			t.Errorf("%d entries are left, more %v", len(rest), more)
+		if rest, truncated := s.acceptedAfter(maxVoteEntries); len(rest) != 3 || truncated {
+			t.Errorf("%d entries are left, more %v", len(rest), truncated)
 		}
-		mine := ballot.Number{Round: 2, Candidate: s.acc.Identity().ID}
-		s.voter = ballot.NewVoter(mine, s.Settings.LeaderTimeout(), s.promise)
+		own := ballot.Number{Round: 2, Candidate: s.acceptor.Identity().ID}
+		s.voter = ballot.NewVoter(own, s.Settings.LeaderTimeout(), s.promise)
 		s.role.Fire("stand")
-		vote := ballotVote{ID: mine.Candidate, Yes: true, Entries: told[:2], More: true}
-		if s.prepare(t.Context(), mine, s.memberSet(), []ballotVote{vote}, []string{"me:1"}) {
+		vote := ballotVote{ID: own.Candidate, Granted: true, Entries: reported[:2], Truncated: true}
+		if s.prepare(t.Context(), own, s.memberSet(), []ballotVote{vote}, []string{"me:1"}) {
 			t.Error("it leads by a vote that was cut")
 		}
-		if s.slot != 2 || s.leadership != nil || !s.campaignNow {
-			t.Errorf("slot %d is applied, stands again %v", s.slot, s.campaignNow)
+		if s.appliedIndex != 2 || s.leadership != nil || !s.campaignNow {
+			t.Errorf("slot %d is applied, stands again %v", s.appliedIndex, s.campaignNow)
 		}
 	})
 }
 
-// TestBadSnapshots: a snapshot whose announcement or chunks are wrong is refused
+// TestInvalidSnapshotTransfersRefused: a snapshot whose announcement or chunks are wrong is refused
 // by name, and nothing of it is installed; after a break it goes on where it was.
-func TestBadSnapshots(t *testing.T) {
+func TestInvalidSnapshotTransfersRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s, road := alone(t)
+		s, network := newSingleStore(t)
 		defer s.Kill()
-		led := statemachine.New("m", s.state.Members)
-		led.Revision = 77
-		led.Keys["large"] = statemachine.Key{Value: bytes.Repeat([]byte("x"), 3*snapshotChunk), Revision: 77}
-		state, err := led.Pack()
+		source := statemachine.New("m", s.state.Members)
+		source.Revision = 77
+		source.Keys["large"] = statemachine.Key{Value: bytes.Repeat([]byte("x"), 3*snapshotChunk), Revision: 77}
+		state, err := source.Pack()
 		if err != nil {
 			t.Fatal(err)
 		}
-		sum := sha256.Sum256(state)
-		good := snapshotHead{ID: sum[:], Slot: 9, Sum: []byte("nine"), Size: len(state)}
-		var spoil func(*chunkGot) error
-		asked := 0
-		g := task.New(context.Background())
-		defer g.Stop()
-		n := transport.NewNode(transport.Hello{ClusterID: "m", Node: "sender"}, env.Env{Net: road, Wall: time.Now, Log: event.New("sender", nil)}, g, 1<<20, 8, time.Second)
-		transport.Handle(n, "store.snapshot", func(_ context.Context, _ transport.Hello, in chunkAsk) (chunkGot, error) {
-			asked++
+		digest := sha256.Sum256(state)
+		valid := snapshotHeader{ID: digest[:], Index: 9, Digest: []byte("nine"), Size: len(state)}
+		var corrupt func(*chunkResponse) error
+		requests := 0
+		tasks := task.New(context.Background())
+		defer tasks.Stop()
+		node := transport.NewNode(transport.Hello{ClusterID: "m", Node: "sender"}, env.Env{Net: network, Wall: time.Now, Log: event.New("sender", nil)}, tasks, 1<<20, 8, time.Second)
+		transport.Handle(node, "store.snapshot", func(_ context.Context, _ transport.Hello, in chunkRequest) (chunkResponse, error) {
+			requests++
 			data := bytes.Clone(state[in.Offset:min(in.Offset+snapshotChunk, len(state))])
-			got := chunkGot{ID: in.ID, Offset: in.Offset, Data: data, Checksum: crc32.ChecksumIEEE(data)}
-			return got, spoil(&got)
+			got := chunkResponse{ID: in.ID, Offset: in.Offset, Data: data, Checksum: crc32.ChecksumIEEE(data)}
+			return got, corrupt(&got)
 		})
-		if err := n.Listen("sender:1"); err != nil {
+		if err := node.Listen("sender:1"); err != nil {
 			t.Fatal(err)
 		}
-		defer n.Close()
+		defer node.Close()
 		other := sha256.Sum256([]byte("other"))
 		for _, c := range []struct {
-			name  string
-			head  snapshotHead
-			spoil func(*chunkGot) error
-			fault string
+			name    string
+			head    snapshotHeader
+			corrupt func(*chunkResponse) error
+			fault   string
 		}{
-			{"too large", snapshotHead{ID: sum[:], Size: 1 << 30}, nil, "announced size"},
-			{"empty", snapshotHead{ID: sum[:]}, nil, "announced size"},
-			{"without an identity", snapshotHead{Size: 10}, nil, "announced size"},
-			{"a newer format", snapshotHead{ID: sum[:], Slot: 9, Size: len(state), Format: paxos.Format + 1}, nil, "it is of format 2, newer than 1"},
-			{"a damaged chunk", good, func(c *chunkGot) error { c.Data[5] ^= 1; return nil }, "fails its checksum"},
-			{"a chunk of another", good, func(c *chunkGot) error { c.ID = other[:]; return nil }, "another snapshot"},
-			{"a chunk out of order", good, func(c *chunkGot) error { c.Offset += 7; return nil }, "in place of"},
-			{"an empty chunk", good, func(c *chunkGot) error { c.Data = nil; return nil }, "in place of"},
-			{"too much", good, func(c *chunkGot) error { c.Data = append(c.Data, make([]byte, snapshotChunk)...); return nil }, "in place of"},
-			{"another content", snapshotHead{ID: other[:], Slot: 9, Size: len(state)}, func(*chunkGot) error { return nil }, "fails its checksum"},
+			{"too large", snapshotHeader{ID: digest[:], Size: 1 << 30}, nil, "announced size"},
+			{"empty", snapshotHeader{ID: digest[:]}, nil, "announced size"},
+			{"without an identity", snapshotHeader{Size: 10}, nil, "announced size"},
+			{"a newer format", snapshotHeader{ID: digest[:], Index: 9, Size: len(state), Format: paxos.Format + 1}, nil, "it is of format 2, newer than 1"},
+			{"a damaged chunk", valid, func(c *chunkResponse) error { c.Data[5] ^= 1; return nil }, "fails its checksum"},
+			{"a chunk of another", valid, func(c *chunkResponse) error { c.ID = other[:]; return nil }, "another snapshot"},
+			{"a chunk out of order", valid, func(c *chunkResponse) error { c.Offset += 7; return nil }, "in place of"},
+			{"an empty chunk", valid, func(c *chunkResponse) error { c.Data = nil; return nil }, "in place of"},
+			{"too much", valid, func(c *chunkResponse) error { c.Data = append(c.Data, make([]byte, snapshotChunk)...); return nil }, "in place of"},
+			{"another content", snapshotHeader{ID: other[:], Index: 9, Size: len(state)}, func(*chunkResponse) error { return nil }, "fails its checksum"},
 		} {
-			spoil = c.spoil
+			corrupt = c.corrupt
 			err := s.fetchSnapshot(t.Context(), "sender:1", c.head)
-			if !fault.Is(err, fault.Input) || !strings.Contains(err.Error(), c.fault) || s.state.Revision == 77 || s.loading != nil {
+			if !fault.Is(err, fault.Input) || !strings.Contains(err.Error(), c.fault) || s.state.Revision == 77 || s.incoming != nil {
 				t.Errorf("%s: %v, revision %d", c.name, err, s.state.Revision)
 			}
 		}
 		// The sender goes in the middle; what has come is kept.
-		spoil = func(c *chunkGot) error {
+		corrupt = func(c *chunkResponse) error {
 			if c.Offset >= 2*snapshotChunk {
 				return fault.New(fault.Refused, "gone")
 			}
 			return nil
 		}
-		if err := s.fetchSnapshot(t.Context(), "sender:1", good); err == nil || s.loading == nil {
+		if err := s.fetchSnapshot(t.Context(), "sender:1", valid); err == nil || s.incoming == nil {
 			t.Fatalf("a break: %v", err)
 		}
-		asked, spoil = 0, func(*chunkGot) error { return nil }
-		if err := s.fetchSnapshot(t.Context(), "sender:1", good); err != nil || s.state.Revision != 77 || s.slot != 9 {
+		requests, corrupt = 0, func(*chunkResponse) error { return nil }
+		if err := s.fetchSnapshot(t.Context(), "sender:1", valid); err != nil || s.state.Revision != 77 || s.appliedIndex != 9 {
 			t.Fatalf("after the break: %v, revision %d", err, s.state.Revision)
 		}
-		if asked != 2 {
-			t.Errorf("%d chunks were fetched after the break", asked)
+		if requests != 2 {
+			t.Errorf("%d chunks were fetched after the break", requests)
 		}
 	})
 }
--- a/internal/store/stepdown.go
+++ b/internal/store/stepdown.go
@@ -10,57 +10,57 @@
 )
 
 // stepDown ends the term that stands, if any.
-func (s *Store) stepDown(why string) {
+func (s *Store) stepDown(reason string) {
 	s.mu.Lock()
-	t := s.leadership
+	term := s.leadership
 	s.leadership = nil
-	if t != nil {
-		t.mu.Lock()
-		s.formerTerm = formerTerm{time.Now(), t.contacts}
-		t.mu.Unlock()
+	if term != nil {
+		term.mu.Lock()
+		s.previousTerm = termRecord{time.Now(), term.contacts}
+		term.mu.Unlock()
 	}
-	if t != nil && s.leaderAddress == s.Settings.InternalAddr {
+	if term != nil && s.leaderAddress == s.Settings.InternalAddr {
 		s.leaderAddress = ""
 	}
 	s.mu.Unlock()
-	if t == nil {
+	if term == nil {
 		return
 	}
-	t.stop()
+	term.stop()
 	s.role.Fire("lose")
 	s.wakeLoop(false)
-	s.e.Log.Emit(event.RoleLost, "duty", "writer", "why", why)
+	s.env.Log.Emit(event.RoleLost, "duty", "writer", "why", reason)
 }
 
 // transferLeadership gives the leadership up and tells the voters that it is vacant.
-func (s *Store) transferLeadership(why string) {
+func (s *Store) transferLeadership(reason string) {
 	s.mu.Lock()
-	t, num := s.leadership, s.num
+	term, number := s.leadership, s.ballot
 	s.mu.Unlock()
-	if t == nil {
+	if term == nil {
 		return
 	}
 	// What was offered is decided first, so that no outcome stays unknown for
 	// a planned stop; new offers are refused and go to the next leader.
-	t.shut.Store(true)
-	for from := time.Now(); t.pending.Load() > 0 && !t.ended() && time.Since(from) < s.Settings.Lease(); {
-		w := time.NewTimer(s.Settings.HeartbeatInterval() / 20)
-		<-w.C
+	term.closed.Store(true)
+	for started := time.Now(); term.pending.Load() > 0 && !term.ended() && time.Since(started) < s.Settings.Lease(); {
+		timer := time.NewTimer(s.Settings.HeartbeatInterval() / 20)
+		<-timer.C
 	}
-	s.stepDown(why)
-	s.announceVacancy(num)
+	s.stepDown(reason)
+	s.announceVacancy(number)
 }
 
 // announceVacancy tells the voters that the leadership is free.
-func (s *Store) announceVacancy(num ballot.Number) {
-	ctx, end := context.WithTimeout(context.Background(), s.Settings.HeartbeatInterval())
-	defer end()
-	who, _ := s.memberAddresses()
-	s.voter.Vacate(num)
-	ballot.Poll(ctx, s.g, who, func(ctx context.Context, to string) (ack, error) {
+func (s *Store) announceVacancy(number ballot.Number) {
+	ctx, cancel := context.WithTimeout(context.Background(), s.Settings.HeartbeatInterval())
+	defer cancel()
+	addresses, _ := s.memberAddresses()
+	s.voter.Vacate(number)
+	ballot.Poll(ctx, s.tasks, addresses, func(ctx context.Context, to string) (ack, error) {
 		if to == s.Settings.InternalAddr {
 			return ack{}, nil
 		}
-		return transport.Call[ack](ctx, s.n, to, "store.vacate", vacateAsk{num})
+		return transport.Call[ack](ctx, s.node, to, "store.vacate", vacateAsk{number})
 	}, func(string, ack, error) bool { return false })
 }
--- a/internal/store/steps.go
+++ b/internal/store/steps.go
@@ -5,27 +5,27 @@
 	"puffincrank/internal/statemachine"
 )
 
-// stepped gives a poll the step from the document that the asker has in the
+// withPatch gives a poll the step from the document that the asker has in the
 // place of the whole, if both are kept and it is worth it. All registries ask
 // for the same one, so the last is kept. mu is held.
-func (s *Store) stepped(in ReadRequest, r statemachine.Result) statemachine.Result {
-	if !in.AcceptsPatch || in.Kind != "config" || r.Doc == nil || in.From == 0 {
-		return r
+func (s *Store) withPatch(request ReadRequest, result statemachine.Result) statemachine.Result {
+	if !request.AcceptsPatch || request.Kind != "config" || result.Doc == nil || request.From == 0 {
+		return result
 	}
-	if s.step.From != in.From || s.step.To != r.Version {
+	if s.lastPatch.From != request.From || s.lastPatch.To != result.Version {
 		var old []byte
 		for _, c := range s.state.Configs {
-			if c.Version == in.From {
+			if c.Version == request.From {
 				old = c.Doc
 			}
 		}
 		if old == nil {
-			return r
+			return result
 		}
-		s.step = patch.Make(in.From, r.Version, old, r.Doc)
+		s.lastPatch = patch.Make(request.From, result.Version, old, result.Doc)
 	}
-	if s.step.Size() < len(r.Doc)/2 {
-		r.Doc, r.Steps = nil, []patch.Step{s.step}
+	if s.lastPatch.Size() < len(result.Doc)/2 {
+		result.Doc, result.Steps = nil, []patch.Step{s.lastPatch}
 	}
-	return r
+	return result
 }
--- a/internal/store/steps_test.go
+++ b/internal/store/steps_test.go
@@ -10,9 +10,9 @@
 	"puffincrank/internal/statemachine"
 )
 
-// TestStepped: who polls with an entry that is kept gets the step from there,
+// TestConfigReadReturnsPatch: who polls with an entry that is kept gets the step from there,
 // if it takes steps and the step is worth it; all others get the whole.
-func TestStepped(t *testing.T) {
+func TestConfigReadReturnsPatch(t *testing.T) {
 	doc := func(change int) []byte {
 		var rows []string
 		for i := range 200 {
@@ -22,14 +22,14 @@
 	}
 	s := &Store{state: statemachine.New("m", nil)}
 	docs := [][]byte{doc(1), append(doc(1), `,{"name":"more"}`...), doc(7)}
-	for i, d := range docs {
-		(&statemachine.SetConfig{Base: uint64(i), Doc: d}).Apply(s.state)
+	for i, encoded := range docs {
+		(&statemachine.SetConfig{Base: uint64(i), Doc: encoded}).Apply(s.state)
 	}
-	held := patch.NewDocument(4)
+	document := patch.NewDocument(4)
 	for i, c := range []struct {
-		q    ReadRequest
-		at   int // how many entries are there
-		step bool
+		request  ReadRequest
+		versions int // how many entries are there
+		patched  bool
 	}{
 		{ReadRequest{Kind: "config", From: 1, AcceptsPatch: true}, 2, true},
 		{ReadRequest{Kind: "config", From: 1}, 2, false},
@@ -38,20 +38,20 @@
 		{ReadRequest{Kind: "config", From: 2, AcceptsPatch: true}, 3, false}, // most rows differ
 		{ReadRequest{Kind: "config", From: 1, AcceptsPatch: true}, 2, true},
 	} {
-		led := *s.state
-		led.Configs = s.state.Configs[:c.at]
-		one := &Store{state: &led, step: s.step}
-		r := one.stepped(c.q, led.Read("config", "", c.q.From))
-		s.step = one.step
-		if c.q.From > uint64(c.at) {
+		state := *s.state
+		state.Configs = s.state.Configs[:c.versions]
+		reader := &Store{state: &state, lastPatch: s.lastPatch}
+		result := reader.withPatch(c.request, state.Read("config", "", c.request.From))
+		s.lastPatch = reader.lastPatch
+		if c.request.From > uint64(c.versions) {
 			continue
 		}
-		if got := len(r.Steps) > 0; got != c.step || got == (r.Doc != nil) {
-			t.Errorf("%d: steps %v, whole %v", i, got, r.Doc != nil)
+		if got := len(result.Steps) > 0; got != c.patched || got == (result.Doc != nil) {
+			t.Errorf("%d: steps %v, whole %v", i, got, result.Doc != nil)
 		}
-		if c.step {
-			held.Set(1, docs[0], nil)
-			if got, ok := held.Build(r.Steps); !ok || !bytes.Equal(got, docs[1]) {
+		if c.patched {
+			document.Set(1, docs[0], nil)
+			if got, ok := document.Build(result.Steps); !ok || !bytes.Equal(got, docs[1]) {
 				t.Errorf("%d: the steps do not lead there", i)
 			}
 		}
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -28,63 +28,63 @@
 // acceptor's own.
 type Store struct {
 	Settings settings.Settings
-	e        env.Env
-	g        *task.Group
-	n        *transport.Node
-	acc      *paxos.Acceptor
+	env      env.Env
+	tasks    *task.Group
+	node     *transport.Node
+	acceptor *paxos.Acceptor
 	voter    *ballot.Voter
 	role     *fsm.Machine
 
-	applying      task.Lock // one at a time extends the applied state
-	checkpointing task.Lock // one checkpoint at a time
-	imaging       task.Lock // one image of the state is made at a time
-	pulse         *pausedetect.Detector
-	born          time.Time
+	applyLock     task.Lock // one at a time extends the applied state
+	snapshotLock  task.Lock // one checkpoint at a time
+	transferLock  task.Lock // one image of the state is made at a time
+	pauseDetector *pausedetect.Detector
+	startedAt     time.Time
 
 	mu sync.Mutex // guards all fields below but loading, which learn guards
 
 	// The applied state.
-	state   *statemachine.State
-	slot    uint64
-	sum     []byte
-	applied chan struct{} // closed at each applied entry
-	step    patch.Step    // the last that a poll was given
+	state         *statemachine.State
+	appliedIndex  uint64
+	appliedDigest []byte
+	appliedSignal chan struct{} // closed at each applied entry
+	lastPatch     patch.Step    // the last that a poll was given
 
 	// Leadership and membership.
-	num           ballot.Number        // our ballot while we stand or lead
-	leaderAddress string               // the inner address of the leader, as last heard
-	highestRound  uint64               // the highest round seen anywhere
-	leadership    *leadership          // set while we lead
-	restsUntil    time.Time            // until when we leave the leadership to others
-	campaignNow   bool                 // stand at once, whoever is still heard
-	wake          func()               // ends the wait of the loop of life
-	stopping      bool                 // a polite stop has begun
-	leaving       bool                 // this member accepts nothing more: the others hold what it has
-	formerTerm    formerTerm           // what our last term knew of the members
-	lastJoined    time.Time            // when the leader last answered this learner
-	misled        bool                 // the leader that was last named by a peer didn't answer
-	candidate     string               // a store that stood for election and has applied more than this one
-	campaignFrom  time.Time            // after a leader gave up: from when on we stand
-	replacedAt    map[string]time.Time // address to when its store lost its place
-	smallSince    time.Time            // from when on a small core is worth a warning
-	foreignWarned time.Time            // when a foreign cluster was last named
-	duty          map[string]*ballot.Voter
+	ballot            ballot.Number        // our ballot while we stand or lead
+	leaderAddress     string               // the inner address of the leader, as last heard
+	highestRound      uint64               // the highest round seen anywhere
+	leadership        *leadership          // set while we lead
+	noCampaignUntil   time.Time            // until when we leave the leadership to others
+	campaignNow       bool                 // stand at once, whoever is still heard
+	interruptWait     func()               // ends the wait of the loop of life
+	stopping          bool                 // a polite stop has begun
+	leaving           bool                 // this member accepts nothing more: the others hold what it has
+	previousTerm      termRecord           // what our last term knew of the members
+	leaderAnsweredAt  time.Time            // when the leader last answered this learner
+	leaderHintFailed  bool                 // the leader that was last named by a peer didn't answer
+	candidate         string               // a store that stood for election and has applied more than this one
+	campaignNotBefore time.Time            // after a leader gave up: from when on we stand
+	replacedAt        map[string]time.Time // address to when its store lost its place
+	toleranceWarnAt   time.Time            // from when on a small core is worth a warning
+	foreignWarnedAt   time.Time            // when a foreign cluster was last named
+	roleVoters        map[string]*ballot.Voter
 
 	// The disk.
-	diskIll         bool                 // it refuses or is slow
+	diskFailing     bool                 // it refuses or is slow
 	lastWriteFailed bool                 // the newest write was refused
-	writesBegun     uint64               // writes begun
-	writesUnderWay  map[uint64]time.Time // writes under way, from when on
-	easedAt         time.Time            // when a full disk was last to be freed by a checkpoint
-	checkpointAfter time.Time            // until when a checkpoint that failed is not tried again
+	writesStarted   uint64               // writes begun
+	writesInFlight  map[uint64]time.Time // writes under way, from when on
+	spaceFreedAt    time.Time            // when a full disk was last to be freed by a checkpoint
+	snapshotRetryAt time.Time            // until when a checkpoint that failed is not tried again
 
 	// Snapshots and the size of the state, in bytes.
-	image       *image    // the snapshot that is being sent, if any
-	loading     *download // the snapshot that is being fetched, if any
-	stateBytes  int       // of the packed state when it was last packed
-	logBytes    int       // of the batches applied since
-	weighed     time.Time // when the state was last packed to learn its size
-	warnedLarge time.Time // when a state near its bound was last named
+	outgoing     *outgoingSnapshot // the snapshot that is being sent, if any
+	incoming     *download         // the snapshot that is being fetched, if any
+	stateBytes   int               // of the packed state when it was last packed
+	logBytes     int               // of the batches applied since
+	measuredAt   time.Time         // when the state was last packed to learn its size
+	sizeWarnedAt time.Time         // when a state near its bound was last named
 
 	// What this store's own clock says of the state.
 	chosenLog     chosenLog
@@ -94,18 +94,18 @@
 }
 
 // New readies a store over its folder.
-func New(p settings.Settings, e env.Env) (*Store, error) {
-	acc, err := paxos.Open(e.FS)
+func New(settings settings.Settings, environment env.Env) (*Store, error) {
+	acceptor, err := paxos.Open(environment.FS)
 	if err != nil {
 		return nil, err
 	}
-	s := &Store{applying: task.NewLock(), checkpointing: task.NewLock(), imaging: task.NewLock(), writesUnderWay: map[uint64]time.Time{}, Settings: p, e: e, g: task.New(context.Background()).SetSleep(e.Sleep), acc: acc, born: time.Now(), replacedAt: map[string]time.Time{}, applied: make(chan struct{}), duty: map[string]*ballot.Voter{}}
-	s.n = transport.NewNode(transport.Hello{ClusterID: p.ClusterID, Node: p.Node, Zone: p.Zone, Role: "store"}, e, s.g, p.MaxFrameBytes, p.MaxRequests, p.CallTimeout())
-	s.n.MaxIdleLinks = p.MaxIdleLinks()
-	s.pulse = pausedetect.New(p.HeartbeatInterval(), p.UnnoticedPause(), nil)
-	acc.Observe = e.Trace
-	for _, n := range acc.DamagedFiles {
-		e.Log.Emit(event.Damaged, "file", n)
+	s := &Store{applyLock: task.NewLock(), snapshotLock: task.NewLock(), transferLock: task.NewLock(), writesInFlight: map[uint64]time.Time{}, Settings: settings, env: environment, tasks: task.New(context.Background()).SetSleep(environment.Sleep), acceptor: acceptor, startedAt: time.Now(), replacedAt: map[string]time.Time{}, appliedSignal: make(chan struct{}), roleVoters: map[string]*ballot.Voter{}}
+	s.node = transport.NewNode(transport.Hello{ClusterID: settings.ClusterID, Node: settings.Node, Zone: settings.Zone, Role: "store"}, environment, s.tasks, settings.MaxFrameBytes, settings.MaxRequests, settings.CallTimeout())
+	s.node.MaxIdleLinks = settings.MaxIdleLinks()
+	s.pauseDetector = pausedetect.New(settings.HeartbeatInterval(), settings.UnnoticedPause(), nil)
+	acceptor.Observe = environment.Trace
+	for _, file := range acceptor.DamagedFiles {
+		environment.Log.Emit(event.Damaged, "file", file)
 	}
 	s.role = fsm.New("empty", nil,
 		fsm.Move{From: "empty", By: "refilled", To: "spare"},
@@ -123,18 +123,18 @@
 }
 
 // promise keeps a ballot number on disk.
-func (s *Store) promise(n ballot.Number) error {
-	return s.writeDurably(func() error { return s.acc.Promise(n) })
+func (s *Store) promise(number ballot.Number) error {
+	return s.writeDurably(func() error { return s.acceptor.Promise(number) })
 }
 
 // updateRole moves the role on once something is held: a member votes, another
 // stands by.
 func (s *Store) updateRole() {
 	// Whoever gave the place has the leadership, or is about to.
-	free := time.Now().Add(s.Settings.LeaderTimeout() + s.campaignDelay(ballot.Number{}))
+	notBefore := time.Now().Add(s.Settings.LeaderTimeout() + s.campaignDelay(ballot.Number{}))
 	s.mu.Lock()
-	member := s.isMember(s.acc.Identity().ID)
-	s.campaignFrom = free
+	member := s.isMember(s.acceptor.Identity().ID)
+	s.campaignNotBefore = notBefore
 	s.mu.Unlock()
 	if member && s.role.Fire("filled") {
 		s.wakeLoop(false)
@@ -143,70 +143,70 @@
 	}
 }
 
-// votes tells whether this replica takes part in what a majority decides.
-func (s *Store) votes() bool { return s.role.Is("follow", "stand", "write") }
+// canVote tells whether this replica takes part in what a majority decides.
+func (s *Store) canVote() bool { return s.role.Is("follow", "stand", "write") }
 
-func fresh() string {
-	var b [8]byte
-	_, _ = rand.Read(b[:])
-	return hex.EncodeToString(b[:])
+func randomID() string {
+	var id [8]byte
+	_, _ = rand.Read(id[:])
+	return hex.EncodeToString(id[:])
 }
 
 func (s *Store) announceApplied() {
-	close(s.applied)
-	s.applied = make(chan struct{})
+	close(s.appliedSignal)
+	s.appliedSignal = make(chan struct{})
 }
 
 // apply runs one chosen entry; the caller holds learn.
-func (s *Store) apply(e *paxos.Entry) ([]statemachine.Result, error) {
+func (s *Store) apply(entry *paxos.Entry) ([]statemachine.Result, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	cmds, out, err := s.state.Apply(e.Batch)
+	commands, results, err := s.state.Apply(entry.Batch)
 	if err != nil {
 		return nil, err
 	}
-	s.recordLeases(cmds, out)
-	s.slot, s.sum = e.Index, e.Digest()
-	s.grown(len(e.Batch))
-	s.e.Trace.Notify(trace.Applied{Replica: s.acc.Identity().ID, Index: s.slot, Digest: string(s.sum), Members: s.memberIDs()})
+	s.recordLeases(commands, results)
+	s.appliedIndex, s.appliedDigest = entry.Index, entry.Digest()
+	s.recordGrowth(len(entry.Batch))
+	s.env.Trace.Notify(trace.Applied{Replica: s.acceptor.Identity().ID, Index: s.appliedIndex, Digest: string(s.appliedDigest), Members: s.memberIDs()})
 	s.announceApplied()
-	return out, nil
+	return results, nil
 }
 
 // Start opens the ports and begins to take part.
 func (s *Store) Start() error {
 	s.registerHandlers()
-	if err := s.n.Listen(s.Settings.InternalAddr); err != nil {
+	if err := s.node.Listen(s.Settings.InternalAddr); err != nil {
 		return err
 	}
 	if err := s.listen(); err != nil {
 		return err
 	}
-	s.e.Log.Emit(event.Started, "program", "store", "inner", s.Settings.InternalAddr, "replica", s.acc.Identity().ID)
-	s.tellOpened()
-	s.g.Go("life", s.run)
-	s.g.Go("pulse", func(ctx context.Context) { s.pulse.Run(ctx, s.e.Sleep) })
+	s.env.Log.Emit(event.Started, "program", "store", "inner", s.Settings.InternalAddr, "replica", s.acceptor.Identity().ID)
+	s.logOpened()
+	s.tasks.Go("life", s.run)
+	s.tasks.Go("pulse", func(ctx context.Context) { s.pauseDetector.Run(ctx, s.env.Sleep) })
 	return nil
 }
 
 // Kill ends the process at once, as power loss does.
 func (s *Store) Kill() {
-	s.g.Cancel()
-	s.n.Close()
-	s.g.Stop()
+	s.tasks.Cancel()
+	s.node.Close()
+	s.tasks.Stop()
 }
 
 // Stop ends politely: the place and the leadership are handed on first.
 func (s *Store) Stop() {
-	s.e.Log.Emit(event.Stopping, "program", "store")
+	s.env.Log.Emit(event.Stopping, "program", "store")
 	s.mu.Lock()
 	s.stopping = true
 	s.mu.Unlock()
 	s.leave()
 	s.transferLeadership("stopping")
-	s.n.CloseGracefully(s.Settings.FarewellTimeout())
+	s.node.CloseGracefully(s.Settings.FarewellTimeout())
 	s.Kill()
-	s.e.Log.Emit(event.Stopped, "program", "store")
+	s.env.Log.Emit(event.Stopped, "program", "store")
 }
 
 // isMember tells whether a replica is a member of the agreed list; mu is held.
--- a/internal/store/tally.go
+++ b/internal/store/tally.go
@@ -7,44 +7,44 @@
 	"puffincrank/internal/trace"
 )
 
-// toldUpTo gives the highest slot for which every vote names all that its voter
+// reportedUpTo gives the highest slot for which every vote names all that its voter
 // accepted.
-func toldUpTo(votes []ballotVote) uint64 {
-	least := uint64(math.MaxUint64)
+func reportedUpTo(votes []ballotVote) uint64 {
+	index := uint64(math.MaxUint64)
 	for _, v := range votes {
-		if v.More && len(v.Entries) > 0 {
-			least = min(least, v.Entries[len(v.Entries)-1].Index)
+		if v.Truncated && len(v.Entries) > 0 {
+			index = min(index, v.Entries[len(v.Entries)-1].Index)
 		}
 	}
-	return least
+	return index
 }
 
-// highest gives the entry of a slot that was accepted under the highest ballot,
+// highestAccepted gives the entry of a slot that was accepted under the highest ballot,
 // nil when no voter accepted any.
-func highest(votes []ballotVote, slot uint64) (pick *paxos.Entry) {
+func highestAccepted(votes []ballotVote, index uint64) (accepted *paxos.Entry) {
 	for _, v := range votes {
 		for i := range v.Entries {
 			e := &v.Entries[i]
-			if e.Index == slot && (pick == nil || pick.Ballot.Less(e.Ballot)) {
-				pick = e
+			if e.Index == index && (accepted == nil || accepted.Ballot.Less(e.Ballot)) {
+				accepted = e
 			}
 		}
 	}
-	return pick
+	return accepted
 }
 
-// tellElected tells whose votes a term was won with; learn is held.
-func (t *leadership) tellElected(votes []ballotVote) {
-	s := t.s
-	if s.e.Trace == nil {
+// traceElected tells whose votes a term was won with; learn is held.
+func (t *leadership) traceElected(votes []ballotVote) {
+	store := t.store
+	if store.env.Trace == nil {
 		return
 	}
-	step := trace.Elected{Replica: s.acc.Identity().ID, Ballot: t.num}
+	step := trace.Elected{Replica: store.acceptor.Identity().ID, Ballot: t.ballot}
 	for _, v := range votes {
 		step.Voters = append(step.Voters, v.ID)
 	}
-	s.mu.Lock()
-	step.Index, step.Members = s.slot, s.memberIDs()
-	s.mu.Unlock()
-	s.e.Trace.Notify(step)
+	store.mu.Lock()
+	step.Index, step.Members = store.appliedIndex, store.memberIDs()
+	store.mu.Unlock()
+	store.env.Trace.Notify(step)
 }
--- a/internal/store/vote.go
+++ b/internal/store/vote.go
@@ -11,108 +11,108 @@
 )
 
 func (s *Store) registerHandlers() {
-	transport.Handle(s.n, "store.found", s.onFound)
-	transport.Handle(s.n, "store.genesis", s.onGenesis)
-	transport.Handle(s.n, "store.join", s.onJoin)
-	transport.Handle(s.n, "store.ballot", s.onBallot)
-	transport.Handle(s.n, "store.accept", s.onAccept)
-	transport.Handle(s.n, "store.leave", s.onLeave)
-	transport.Handle(s.n, "store.beat", s.onBeat)
-	transport.Handle(s.n, "store.vacate", s.onVacate)
-	transport.Handle(s.n, "store.fetch", s.onFetch)
-	transport.Handle(s.n, "store.snapshot", s.onChunk)
-	transport.Handle(s.n, "store.offer", s.onOffer)
-	transport.Handle(s.n, "store.read", s.onRead)
-	transport.Handle(s.n, "store.watch", s.onWatch)
-	transport.Handle(s.n, "store.puts", s.onPuts)
-	transport.Handle(s.n, "store.left", s.onLeft)
-	transport.Handle(s.n, "store.duty", s.onDuty)
-	transport.Handle(s.n, "store.status", s.onStatus)
-	transport.Handle(s.n, "store.remove", s.onRemove)
+	transport.Handle(s.node, "store.found", s.onProbe)
+	transport.Handle(s.node, "store.genesis", s.onGenesis)
+	transport.Handle(s.node, "store.join", s.onJoin)
+	transport.Handle(s.node, "store.ballot", s.onVoteRequest)
+	transport.Handle(s.node, "store.accept", s.onAccept)
+	transport.Handle(s.node, "store.leave", s.onLeave)
+	transport.Handle(s.node, "store.beat", s.onHeartbeat)
+	transport.Handle(s.node, "store.vacate", s.onVacate)
+	transport.Handle(s.node, "store.fetch", s.onFetch)
+	transport.Handle(s.node, "store.snapshot", s.onChunk)
+	transport.Handle(s.node, "store.offer", s.onPropose)
+	transport.Handle(s.node, "store.read", s.onRead)
+	transport.Handle(s.node, "store.watch", s.onWatch)
+	transport.Handle(s.node, "store.puts", s.onPuts)
+	transport.Handle(s.node, "store.left", s.onRemainingLeases)
+	transport.Handle(s.node, "store.duty", s.onRoleBallot)
+	transport.Handle(s.node, "store.status", s.onStatus)
+	transport.Handle(s.node, "store.remove", s.onRemove)
 }
 
 // isForeign tells that a message is of a cluster that was founded apart from ours,
 // though it has our cluster's name: nothing of it is heeded. mu is held.
-func (s *Store) isForeign(mesh string, who string) bool {
-	if mesh == "" || s.state == nil || mesh == s.state.ClusterID {
+func (s *Store) isForeign(clusterID string, from string) bool {
+	if clusterID == "" || s.state == nil || clusterID == s.state.ClusterID {
 		return false
 	}
-	if time.Since(s.foreignWarned) > s.Settings.RecoveryBound {
-		s.foreignWarned = time.Now()
-		s.e.Log.Emit(event.ForeignData, "mesh", mesh, "own", s.state.ClusterID, "from", who)
+	if time.Since(s.foreignWarnedAt) > s.Settings.RecoveryBound {
+		s.foreignWarnedAt = time.Now()
+		s.env.Log.Emit(event.ForeignData, "mesh", clusterID, "own", s.state.ClusterID, "from", from)
 	}
 	return true
 }
 
-// isMending tells that a damaged entry has not been mended: until then this
+// isRepairing tells that a damaged entry has not been mended: until then this
 // replica may have forgotten what it accepted, and must not vote.
-func (s *Store) isMending() bool { return s.acc.DamagedUpTo() > s.slot }
+func (s *Store) isRepairing() bool { return s.acceptor.DamagedUpTo() > s.appliedIndex }
 
-func (s *Store) onBallot(_ context.Context, _ transport.Hello, in ballotAsk) (ballotVote, error) {
+func (s *Store) onVoteRequest(_ context.Context, _ transport.Hello, request ballotAsk) (ballotVote, error) {
 	s.mu.Lock()
-	v := ballotVote{ID: s.acc.Identity().ID, Slot: s.slot}
-	able := s.votes() && !s.isMending() && !s.diskHangs() && !s.isForeign(in.Mesh, in.ID)
+	vote := ballotVote{ID: s.acceptor.Identity().ID, Applied: s.appliedIndex}
+	able := s.canVote() && !s.isRepairing() && !s.diskStalled() && !s.isForeign(request.ClusterID, request.ID)
 	// One that knows of more entries may be a member by one of them.
-	v.Out = able && !s.isMember(in.ID) && s.slot >= in.Slot
-	if !s.votes() && in.Addr != "" && in.Slot > s.slot && !s.isForeign(in.Mesh, in.ID) {
+	vote.NotMember = able && !s.isMember(request.ID) && s.appliedIndex >= request.Applied
+	if !s.canVote() && request.Addr != "" && request.Applied > s.appliedIndex && !s.isForeign(request.ClusterID, request.ID) {
 		// It asks for a vote that this store does not know it has.
-		s.candidate = in.Addr
+		s.candidate = request.Addr
 	}
 	s.mu.Unlock()
-	vow, quiet := s.voter.Promised()
-	v.Seen = vow
-	if !able || v.Out {
-		return v, nil
+	current, silence := s.voter.Promised()
+	vote.Promised = current
+	if !able || vote.NotMember {
+		return vote, nil
 	}
-	if !in.Real {
+	if !request.Binding {
 		// Asked before a round: a node that was cut off learns here that the
 		// duty is not vacant, without raising any number.
-		v.Yes = in.ID == vow.Candidate || quiet >= s.Settings.LeaderTimeout()
-		return v, nil
+		vote.Granted = request.ID == current.Candidate || silence >= s.Settings.LeaderTimeout()
+		return vote, nil
 	}
-	yes, seen, err := s.voter.Vote(in.Num)
+	granted, promised, err := s.voter.Vote(request.Ballot)
 	if err != nil {
-		return v, nil
+		return vote, nil
 	}
-	v.Yes, v.Seen = yes, seen
-	if yes {
-		s.e.Log.Emit(event.Promised, "ballot", in.Num.String())
-		if in.ID != s.acc.Identity().ID {
+	vote.Granted, vote.Promised = granted, promised
+	if granted {
+		s.env.Log.Emit(event.Promised, "ballot", request.Ballot.String())
+		if request.ID != s.acceptor.Identity().ID {
 			s.stepDown("another was promised a higher ballot")
 		}
-		v.Entries, v.More = s.acceptedAfter(max(v.Slot, in.Slot))
+		vote.Entries, vote.Truncated = s.acceptedAfter(max(vote.Applied, request.Applied))
 	}
 	// A vote under an identity that was given up meanwhile may lack what was
 	// accepted under it.
-	v.Yes = v.Yes && s.acc.Identity().ID == v.ID
-	return v, nil
+	vote.Granted = vote.Granted && s.acceptor.Identity().ID == vote.ID
+	return vote, nil
 }
 
-func (s *Store) onAccept(ctx context.Context, _ transport.Hello, in acceptAsk) (ack, error) {
+func (s *Store) onAccept(ctx context.Context, _ transport.Hello, request acceptAsk) (ack, error) {
 	s.mu.Lock()
-	a := ack{ID: s.acc.Identity().ID, Slot: s.slot, Ill: s.diskIll || s.diskHangs(), Knows: statemachine.Level, Going: s.leaving}
+	reply := ack{ID: s.acceptor.Identity().ID, Applied: s.appliedIndex, DiskFailing: s.diskFailing || s.diskStalled(), CommandLevel: statemachine.Level, Leaving: s.leaving}
 	// While a write hangs, the next would only queue up behind it.
-	able := s.votes() && !s.leaving && in.Entry.Index > s.slot && !s.diskHangs() && !s.isForeign(in.Mesh, in.Addr)
+	able := s.canVote() && !s.leaving && request.Entry.Index > s.appliedIndex && !s.diskStalled() && !s.isForeign(request.ClusterID, request.Addr)
 	s.mu.Unlock()
 	if !able {
-		return a, nil
+		return reply, nil
 	}
-	vow, _ := s.voter.Promised()
-	if in.Entry.Ballot.Less(vow) {
-		a.Seen = vow
-		return a, nil
+	promised, _ := s.voter.Promised()
+	if request.Entry.Ballot.Less(promised) {
+		reply.Promised = promised
+		return reply, nil
 	}
-	if err := s.writeDurably(func() error { return s.acc.Accept(in.Entry) }); err != nil {
-		a.Seen, _ = s.voter.Promised()
-		return a, nil
+	if err := s.writeDurably(func() error { return s.acceptor.Accept(request.Entry) }); err != nil {
+		reply.Promised, _ = s.voter.Promised()
+		return reply, nil
 	}
-	s.voter.RaisePromise(in.Entry.Ballot)
-	if in.Entry.Ballot.Candidate != s.acc.Identity().ID {
-		s.noteLeader(in.Addr)
+	s.voter.RaisePromise(request.Entry.Ballot)
+	if request.Entry.Ballot.Candidate != s.acceptor.Identity().ID {
+		s.noteLeader(request.Addr)
 	}
-	a.Yes = s.acc.Identity().ID == a.ID
-	s.learnSoon(in.Slot, in.Sum, in.Addr)
-	return a, nil
+	reply.OK = s.acceptor.Identity().ID == reply.ID
+	s.learnAsync(request.ChosenIndex, request.ChosenDigest, request.Addr)
+	return reply, nil
 }
 
 // The bounds on the accepted entries that go with one vote, in count and as a
@@ -120,22 +120,22 @@
 // before it is chosen, so a voter holds many only when it has applied none of
 // them for a while.
 const (
-	voteEntries   = 256
-	voteFrameRate = 4
+	maxVoteEntries   = 256
+	voteFrameDivisor = 4
 )
 
 // acceptedAfter gives what was accepted after a slot, as far as it fits a vote;
 // more tells that there is some beyond. What both sides have applied is left out.
-func (s *Store) acceptedAfter(slot uint64) (out []paxos.Entry, more bool) {
+func (s *Store) acceptedAfter(index uint64) (entries []paxos.Entry, truncated bool) {
 	size := 0
-	for _, e := range s.acc.After(slot, voteEntries+1) {
+	for _, e := range s.acceptor.After(index, maxVoteEntries+1) {
 		size += len(e.Batch)
-		if len(out) == voteEntries || len(out) > 0 && size > s.Settings.MaxFrameBytes/voteFrameRate {
-			return out, true
+		if len(entries) == maxVoteEntries || len(entries) > 0 && size > s.Settings.MaxFrameBytes/voteFrameDivisor {
+			return entries, true
 		}
-		out = append(out, e)
+		entries = append(entries, e)
 	}
-	return out, false
+	return entries, false
 }
 
 // noteLeader notes who writes.
@@ -155,38 +155,38 @@
 	s.mu.Unlock()
 }
 
-func (s *Store) onBeat(_ context.Context, _ transport.Hello, in beatAsk) (ack, error) {
+func (s *Store) onHeartbeat(_ context.Context, _ transport.Hello, request beatAsk) (ack, error) {
 	s.mu.Lock()
-	a := ack{ID: s.acc.Identity().ID, Slot: s.slot, Ill: s.diskIll || s.diskHangs(), Knows: statemachine.Level, Going: s.leaving}
-	able := s.votes() && !s.isForeign(in.Mesh, in.Addr)
+	reply := ack{ID: s.acceptor.Identity().ID, Applied: s.appliedIndex, DiskFailing: s.diskFailing || s.diskStalled(), CommandLevel: statemachine.Level, Leaving: s.leaving}
+	able := s.canVote() && !s.isForeign(request.ClusterID, request.Addr)
 	s.mu.Unlock()
 	if !able {
-		s.noteLeaderIfEmpty(in.Addr)
-		return a, nil
+		s.noteLeaderIfEmpty(request.Addr)
+		return reply, nil
 	}
-	yes, seen, err := s.voter.Heartbeat(in.Num)
+	granted, promised, err := s.voter.Heartbeat(request.Ballot)
 	if err != nil {
-		return a, nil
+		return reply, nil
 	}
-	a.Yes, a.Seen = yes, seen
-	if yes {
-		if in.Num.Candidate != s.acc.Identity().ID {
+	reply.OK, reply.Promised = granted, promised
+	if granted {
+		if request.Ballot.Candidate != s.acceptor.Identity().ID {
 			s.stepDown("another writes")
-			s.noteLeader(in.Addr)
+			s.noteLeader(request.Addr)
 		}
-		s.learnSoon(in.Slot, in.Sum, in.Addr)
+		s.learnAsync(request.ChosenIndex, request.ChosenDigest, request.Addr)
 	}
-	return a, nil
+	return reply, nil
 }
 
-func (s *Store) onVacate(_ context.Context, _ transport.Hello, in vacateAsk) (ack, error) {
-	s.voter.Vacate(in.Num)
-	if s.votes() {
-		at := time.Now().Add(s.campaignDelay(in.Num))
+func (s *Store) onVacate(_ context.Context, _ transport.Hello, request vacateAsk) (ack, error) {
+	s.voter.Vacate(request.Ballot)
+	if s.canVote() {
+		notBefore := time.Now().Add(s.campaignDelay(request.Ballot))
 		s.mu.Lock()
-		s.campaignFrom = at
+		s.campaignNotBefore = notBefore
 		s.mu.Unlock()
 		s.wakeLoop(false)
 	}
-	return ack{Yes: true}, nil
+	return ack{OK: true}, nil
 }
