--- a/internal/store/batch.go
+++ b/internal/store/batch.go
@@ -6,10 +6,11 @@
 	"puffincrank/internal/statemachine"
 )
 
-// batchCommands gives the commands of a batch, and where each offer's own stands among
-// them. Some are led in by another command in the same entry, so that nothing
-// comes between the two; all are commands that every version of the program
-// applies alike. learn is held.
+// batchCommands returns the commands of a batch, and the position of each
+// proposal's own command among them. Some commands are preceded by another one
+// in the same entry, so that nothing is applied between the two. All of them
+// are commands that every version of the program applies alike. applyLock is
+// held.
 func (s *Store) batchCommands(batch []*proposal) (commands statemachine.Batch, positions []int) {
 	now := time.Now()
 	add := func(kind string, command statemachine.Command) {
@@ -32,10 +33,10 @@
 	return commands, positions
 }
 
-// lockPrelude ends a lock that is asked for after its time. One that its owner
-// acquires again is given back first, so that it has a new fence: a release or
-// renewal of the old one, held up on its way, then does nothing. One that asks
-// to keep its fence is a renewal. mu is held.
+// lockPrelude expires a lock that is acquired after its time to live. A lock
+// that its owner acquires again is released first, so that it gets a new
+// fence: a delayed release or renewal under the old fence then has no effect.
+// A request to keep the fence (Same) is a renewal. mu is held.
 func (s *Store) lockPrelude(queued *proposal, acquire *statemachine.AcquireLock, now time.Time, add func(string, statemachine.Command)) {
 	if expire := s.expiredLock(acquire.Name, now); expire != nil {
 		add("lock.expire", expire)
@@ -45,7 +46,7 @@
 	if !held || lock.Owner != acquire.Owner || acquire.Same {
 		return
 	}
-	// Nor does this take time away from what the owner may count on.
+	// The owner keeps the time that it already counts on.
 	acquire.TTL = max(acquire.TTL, lock.TTL)
 	if packed, err := statemachine.Pack("lock.take", acquire); err == nil {
 		queued.packed = packed
--- a/internal/store/campaign.go
+++ b/internal/store/campaign.go
@@ -10,13 +10,13 @@
 	"puffincrank/internal/statemachine"
 )
 
-// followStep watches for a vacant duty and stands for it; it tells when to look
-// again.
+// followStep starts an election when the leader has been silent for too long.
+// It returns the time until the next step.
 func (s *Store) followStep(ctx context.Context) time.Duration {
 	s.mu.Lock()
 	promised, silence := s.voter.Promised()
-	// One whose disk is only slow is better than nobody, once all the others
-	// had their turn.
+	// A store whose disk is only slow may still lead, once all the others had
+	// their chance.
 	backOff := time.Now().Before(s.noCampaignUntil) && (s.lastWriteFailed || silence < 2*s.Settings.LeaderTimeout())
 	passive := s.stopping || backOff || s.diskStalled() || s.isRepairing()
 	immediate, delay := s.campaignNow, time.Until(s.campaignNotBefore)
@@ -24,7 +24,8 @@
 	s.mu.Unlock()
 	switch {
 	case passive:
-		// One that may not stand still asks whether it has lost its place.
+		// A member that must not start an election still asks whether it has
+		// lost its membership.
 		if silence > s.Settings.Lease() && !immediate {
 			s.askVotes(ctx, ballot.Number{}, false)
 		}
@@ -39,13 +40,14 @@
 	if !s.role.Is("follow") {
 		return 0
 	}
-	// One that failed leaves the others a moment.
+	// After a failed election the others get a chance first.
 	return s.Settings.HeartbeatInterval()/4 + s.campaignDelay(ballot.Number{})
 }
 
-// campaignDelay is how long this store waits once the leadership of a holder is vacant. It
-// differs from store to store, by their order, so that two seldom stand at
-// once; whoever was voted for meanwhile is heard, and the others stay down.
+// campaignDelay is how long this store waits once the leadership is vacant.
+// The delay grows with the store's rank in the member list, so that two stores
+// seldom start an election at once; a store that votes for another meanwhile
+// does not start its own.
 func (s *Store) campaignDelay(promised ballot.Number) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -61,12 +63,13 @@
 			rank++
 		}
 	}
-	// The others must have missed the holder as well, so the first waits too.
+	// The others must have noticed the silent leader as well, so the first
+	// store waits too.
 	step := s.Settings.HeartbeatInterval() / 2
 	return time.Duration(rank)*step + step/5 + time.Duration(rand.Int64N(int64(step/5)))
 }
 
-// campaign is one try to become the leader.
+// campaign is one attempt to become the leader.
 func (s *Store) campaign(ctx context.Context) {
 	if _, _, _, ok := s.askVotes(ctx, ballot.Number{}, false); !ok || !s.role.Fire("stand") {
 		return
@@ -82,10 +85,12 @@
 	started := time.Now()
 	votes, from, refused, ok := s.askVotes(ctx, number, true)
 	if !ok && refused > 0 && time.Since(started) < s.Settings.HeartbeatInterval() {
-		// Another stood at the same time, and neither has a majority. Those who
-		// promised wait for their one as for a holder; this one will write nothing
-		// under its number. Without any refusal the voters are only slow, and where a
-		// vote was waited for, the vacancy is over sooner than a new one would be.
+		// Another store started an election at the same time, and neither has
+		// a majority. Voters that promised this ballot would wait for its
+		// candidate as for a leader; it releases them, since it will propose
+		// nothing under this number. Without any refusal the voters are only
+		// slow, and waiting for their votes ends the vacancy sooner than a new
+		// election would.
 		s.announceVacancy(number)
 	}
 	if !ok || !s.prepare(ctx, number, members, votes, from) {
@@ -93,8 +98,8 @@
 	}
 }
 
-// prepare brings this store up to what its voters know, proposes again what
-// they accepted, and begins to write.
+// prepare fetches what the voters have applied beyond this store, proposes
+// again what they accepted, and starts the term.
 func (s *Store) prepare(ctx context.Context, number ballot.Number, members string, votes []ballotVote, from []string) bool {
 	s.applyLock.Lock()
 	defer s.applyLock.Unlock()
@@ -118,15 +123,18 @@
 		return false
 	}
 	term.traceElected(votes)
-	// In each open slot the value under the highest ballot may be chosen.
+	// At each open index the value accepted under the highest ballot may be
+	// chosen.
 	for index := s.appliedIndex + 1; ; index++ {
-		// Slots after a change of the members are theirs to decide: the voters of
-		// this ballot need not be a majority of them. It is run again at once.
+		// The entries after a change of the members are for the new members to
+		// decide: the voters of this ballot need not be a majority of them.
+		// The election is run again at once.
 		if s.memberSet() != members {
 			s.wakeLoop(true)
 			return false
 		}
-		// Beyond what a cut vote names its voter may hold what is chosen.
+		// Beyond the last entry of a truncated vote its voter may hold a
+		// chosen one.
 		if index > reportedUpTo(votes) {
 			s.wakeLoop(true)
 			return false
@@ -139,8 +147,8 @@
 			return false
 		}
 	}
-	// A first entry of our own: what the reads of this term see is then
-	// known to be all that was ever acknowledged.
+	// A first entry of this term's own: once it is chosen, reads of this term
+	// see everything that was ever acknowledged.
 	packed, err := statemachine.Pack("noop", &statemachine.Noop{})
 	if err != nil {
 		return false
--- a/internal/store/chosenlog.go
+++ b/internal/store/chosenlog.go
@@ -9,21 +9,21 @@
 	"puffincrank/internal/paxos"
 )
 
-// loggedDigestBytes is how many bytes of an entry's digest the log shows: enough to tell
-// two entries of one slot apart.
+// loggedDigestBytes is how many bytes of an entry's digest are logged: enough
+// to tell two entries at one index apart.
 const loggedDigestBytes = 6
 
-// chosenLog bounds the lines on chosen entries: each change of the configuration
-// has one, of all other entries one a beat is told.
+// chosenLog limits the log lines on chosen entries: one for each change of the
+// configuration, and for all other entries one per heartbeat interval.
 type chosenLog struct {
 	mu       sync.Mutex
-	version  uint64    // of the configuration that the newest line told
-	loggedAt time.Time // when that was
+	version  uint64    // the configuration version that was last logged
+	loggedAt time.Time // when the newest line was logged
 	skipped  int
 }
 
-// due tells whether an entry after which a configuration version stands is told,
-// and how many before it were not.
+// due reports whether an entry is logged after which a configuration version
+// is current, and how many entries before it were skipped.
 func (c *chosenLog) due(version uint64, interval time.Duration) (skipped int, due bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -36,8 +36,8 @@
 	return skipped, true
 }
 
-// logChosen logs an entry that is about to be acknowledged, with the members that
-// said that it is on their disks; learn is held.
+// logChosen logs an entry that is about to be acknowledged, with the members
+// that have synced it to disk; applyLock is held.
 func (s *Store) logChosen(entry *paxos.Entry, acceptors []string) {
 	s.mu.Lock()
 	version := s.state.Config().Version
@@ -47,7 +47,7 @@
 	}
 }
 
-// logOpened logs what this store's disk held when it started.
+// logOpened logs what this store's disk held at the start.
 func (s *Store) logOpened() {
 	s.mu.Lock()
 	index, digest, version := s.appliedIndex, s.appliedDigest, uint64(0)
--- a/internal/store/configpatch.go
+++ b/internal/store/configpatch.go
@@ -5,9 +5,10 @@
 	"puffincrank/internal/statemachine"
 )
 
-// withPatch gives a poll the step from the document that the asker has in the
-// place of the whole, if both are kept and it is worth it. All registries ask
-// for the same one, so the last is kept. mu is held.
+// withPatch replaces the document in the result of a configuration read by the
+// patch from the version that the reader has, if both versions are kept and
+// the patch is less than half of the document's size. All registries read from
+// the same version, so only the newest patch is cached. mu is held.
 func (s *Store) withPatch(request ReadRequest, result statemachine.Result) statemachine.Result {
 	if !request.AcceptsPatch || request.Kind != "config" || result.Doc == nil || request.From == 0 {
 		return result
--- a/internal/store/confirm.go
+++ b/internal/store/confirm.go
@@ -10,12 +10,12 @@
 	"puffincrank/internal/transport"
 )
 
-// readRequest is a read that waits for a majority to confirm the leader.
+// readRequest is a read that waits until a majority has confirmed the leader.
 type readRequest struct{ result chan error }
 
-// confirmLeadership returns nil when a majority, asked after this call began, still holds
-// this store's ballot the highest. All that was acknowledged before is then
-// applied here.
+// confirmLeadership returns nil when a majority, asked after this call began,
+// has promised no ballot above this store's. Everything that was acknowledged
+// before the call is then applied here.
 func (t *leadership) confirmLeadership(ctx context.Context) error {
 	read := &readRequest{result: make(chan error, 1)}
 	if t.ended() {
@@ -36,8 +36,8 @@
 	}
 }
 
-// confirmLoop is the loop of rounds: one for all reads that wait, and one at each
-// beat, which also keeps the lease.
+// confirmLoop runs the heartbeat rounds: one for all reads that wait, and one
+// at each heartbeat interval, which also keeps the lease.
 func (t *leadership) confirmLoop(ctx context.Context) {
 	ticker := time.NewTicker(t.store.Settings.HeartbeatInterval())
 	defer ticker.Stop()
@@ -74,7 +74,7 @@
 	}
 }
 
-// recordRefusal notes a member's promise that is higher than our ballot.
+// recordRefusal records a member's promise above the own ballot.
 func (t *leadership) recordRefusal(promised ballot.Number) {
 	t.store.mu.Lock()
 	t.store.highestRound = max(t.store.highestRound, promised.Round)
@@ -84,22 +84,24 @@
 	t.mu.Unlock()
 }
 
-// isRefused tells that a member has refused us for a while: it would be left out
-// of every entry, so the ballot is better run again above its promise.
+// isRefused reports whether members have refused this ballot 3 times. Such a
+// member would accept no entry of this term, so a new election above its
+// promise is better.
 func (t *leadership) isRefused() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.refusals >= 3
 }
 
-// isStale tells that no majority answered for a whole lease.
+// isStale reports whether no majority has answered for a whole lease.
 func (t *leadership) isStale() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return time.Since(t.confirmedAt) > t.store.Settings.Lease()
 }
 
-// heartbeat is one round: every member says whether our ballot still stands.
+// heartbeat is one round: every member answers whether the own ballot is still
+// its highest.
 func (t *leadership) heartbeat(ctx context.Context) error {
 	store := t.store
 	started, round := time.Now(), t.rounds.Add(1)
@@ -107,7 +109,8 @@
 	request := t.currentHeartbeat()
 	addresses, need := store.memberAddresses()
 	granted, higher := 0, 0
-	// A slow member's answer still counts as heard after the majority is in.
+	// The answer of a slow member still counts as contact after the majority
+	// has answered.
 	ballot.Poll(ctx, store.tasks, addresses, func(_ context.Context, to string) (ack, error) {
 		ctx, cancel := context.WithTimeout(store.tasks.Context(), store.Settings.Lease()/2)
 		defer cancel()
--- a/internal/store/contact.go
+++ b/internal/store/contact.go
@@ -8,22 +8,22 @@
 	"puffincrank/internal/event"
 )
 
-// peerContact is the newest sign of life of a member.
+// peerContact is what a member's newest response told of it.
 type peerContact struct {
 	at           time.Time
-	appliedIndex uint64    // what it had applied
-	diskFailing  bool      // its disk was slow or refused
-	commandLevel int       // the level of commands that it understands
-	leavingAt    time.Time // when it last said that it ends soon; zero: it stays
+	appliedIndex uint64    // the newest index that it had applied
+	diskFailing  bool      // its disk was slow or refused writes
+	commandLevel int       // the highest level of commands that it understands
+	leavingAt    time.Time // when it last announced that it stops; zero: it stays
 }
 
-// termRecord is what the last term knew of the members.
+// termRecord is what a former term of this store knew of the members.
 type termRecord struct {
 	at       time.Time
 	contacts map[string]peerContact
 }
 
-// recordContact notes an ack and tells whether its sender is a member.
+// recordContact records an ack and reports whether its sender is a member.
 func (t *leadership) recordContact(reply ack) bool {
 	t.store.mu.Lock()
 	ok := t.store.isMember(reply.ID)
@@ -36,20 +36,22 @@
 	return ok
 }
 
-// newContact is what an ack tells of its sender; t.mu is held.
+// newContact returns the contact that follows from an ack; t.mu is held.
 func (t *leadership) newContact(reply ack) peerContact {
 	before, now := t.contacts[reply.ID], time.Now()
 	contact := peerContact{at: now, appliedIndex: max(reply.Applied, before.appliedIndex), diskFailing: reply.DiskFailing, commandLevel: reply.CommandLevel, leavingAt: before.leavingAt}
 	if reply.Leaving {
 		contact.leavingAt = now
 	} else if now.Sub(before.leavingAt) > t.store.Settings.Lease() {
-		// It runs again: an ack from before its word would have come by now.
+		// It is running again: an ack sent before its announcement would have
+		// arrived within the lease.
 		contact.leavingAt = time.Time{}
 	}
 	return contact
 }
 
-// recordLeaving notes that a member ends soon: what it holds no longer counts.
+// recordLeaving records that a member stops soon: what it holds no longer
+// counts.
 func (t *leadership) recordLeaving(id string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -58,9 +60,10 @@
 	t.contacts[id] = contact
 }
 
-// initialContact is what a new term takes a member's newest word to be: what our own
-// last term knew if it has just ended, the voters' ear for the holder before
-// us, and the benefit of the doubt for the rest. s.learn is held.
+// initialContact is a new term's assumption about a member: the record of this
+// store's previous term if that ended within a lease, the record of the former
+// leader's silence, and for all others that they have just answered. applyLock
+// is held.
 func (s *Store) initialContact(id string, now time.Time) peerContact {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -70,7 +73,7 @@
 	return peerContact{at: now}
 }
 
-// noteSilentLeader notes since when the holder of the leadership is silent.
+// noteSilentLeader records since when the leader has been silent.
 func (s *Store) noteSilentLeader(promised ballot.Number, silence time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -80,8 +83,8 @@
 	}
 }
 
-// watchMembers warns of a core that bears less than it should, and forgets learners
-// that are gone.
+// watchMembers warns when the control plane tolerates fewer losses than
+// configured, and forgets learners that are silent.
 func (t *leadership) watchMembers(context.Context) {
 	store := t.store
 	t.mu.Lock()
@@ -99,7 +102,8 @@
 		store.toleranceWarnAt = time.Time{}
 		return
 	}
-	// A core that is just growing, or waits for a machine to come back, is no news.
+	// No warning while the control plane is still growing, or waits for a
+	// machine to come back.
 	if store.toleranceWarnAt.IsZero() {
 		store.toleranceWarnAt = time.Now().Add(store.Settings.CatchUpBound)
 	}
--- a/internal/store/loop.go
+++ b/internal/store/loop.go
@@ -7,7 +7,7 @@
 	"puffincrank/internal/event"
 )
 
-// run is the one loop that moves the role on.
+// run is the main loop. It takes the next step of the current role.
 func (s *Store) run(ctx context.Context) {
 	wait := time.Duration(0)
 	for {
@@ -32,7 +32,7 @@
 	}
 }
 
-// wait waits for a time, or until something happens that the loop must act on.
+// wait sleeps for a time, or until wakeLoop is called.
 func (s *Store) wait(ctx context.Context, wait time.Duration) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -45,7 +45,8 @@
 	}
 }
 
-// wakeLoop ends the wait of the loop of life; with again it stands at once.
+// wakeLoop ends the wait of the main loop; with campaign, a follower starts an
+// election at once.
 func (s *Store) wakeLoop(campaign bool) {
 	s.mu.Lock()
 	s.campaignNow = s.campaignNow || campaign
@@ -55,8 +56,8 @@
 	s.mu.Unlock()
 }
 
-// handlePause is called after a gap in the ticks: a role held before it may be
-// somebody else's by now.
+// handlePause is called after a gap in the ticks: another store may have
+// become the leader during the pause.
 func (s *Store) handlePause(gap time.Duration) {
 	s.env.Log.Emit(event.Paused, "ms", gap.Milliseconds())
 	s.stepDown("frozen")
--- a/internal/store/messages.go
+++ b/internal/store/messages.go
@@ -7,13 +7,14 @@
 	"puffincrank/internal/statemachine"
 )
 
-// The messages between stores, and from registries to stores.
+// The messages between stores, and from registries to stores. The fields' tags
+// are the names on the wire.
 
 type ballotAsk struct {
 	Ballot    ballot.Number `msgpack:"n"`
 	ID        string        `msgpack:"i"`
-	Binding   bool          `msgpack:"r"` // false only asks whether the duty is vacant
-	Applied   uint64        `msgpack:"s"` // what the asker has applied
+	Binding   bool          `msgpack:"r"` // false: a pre-vote, which only asks whether the leadership is vacant
+	Applied   uint64        `msgpack:"s"` // the newest index that the candidate has applied
 	ClusterID string        `msgpack:"m"`
 	Addr      string        `msgpack:"a,omitempty"` // of the candidate
 }
@@ -22,16 +23,16 @@
 	Granted   bool          `msgpack:"y"`
 	ID        string        `msgpack:"i"`
 	Promised  ballot.Number `msgpack:"s"`
-	NotMember bool          `msgpack:"o"` // the asker is no member
+	NotMember bool          `msgpack:"o"` // the candidate is not a member
 	Applied   uint64        `msgpack:"t"`
 	Entries   []paxos.Entry `msgpack:"e"`
-	Truncated bool          `msgpack:"r,omitempty"` // entries were accepted beyond those
+	Truncated bool          `msgpack:"r,omitempty"` // the voter accepted more entries than listed
 }
 
 type acceptAsk struct {
 	Entry        paxos.Entry `msgpack:"e"`
 	Addr         string      `msgpack:"a"`
-	ChosenIndex  uint64      `msgpack:"s"` // chosen up to here
+	ChosenIndex  uint64      `msgpack:"s"` // all up to this index is chosen
 	ChosenDigest []byte      `msgpack:"h"`
 	ClusterID    string      `msgpack:"m"`
 }
@@ -50,21 +51,21 @@
 	Promised     ballot.Number `msgpack:"s"`
 	DiskFailing  bool          `msgpack:"l"`
 	Applied      uint64        `msgpack:"t"`
-	CommandLevel int           `msgpack:"k,omitempty"` // the level of commands that it understands
-	HeldByOthers bool          `msgpack:"h,omitempty"` // the others hold all that a leaving member has
-	Leaving      bool          `msgpack:"g,omitempty"` // the sender ends soon, and its disk may go with it
+	CommandLevel int           `msgpack:"k,omitempty"` // the highest level of commands that the sender understands
+	HeldByOthers bool          `msgpack:"h,omitempty"` // the other members hold all that a leaving member has
+	Leaving      bool          `msgpack:"g,omitempty"` // the sender stops soon, and its disk may be lost with it
 }
 
 type fetchAsk struct {
 	After          uint64 `msgpack:"a"`
 	PreviousDigest []byte `msgpack:"p"`
-	// Chunks tells that the asker can fetch a snapshot in chunks.
+	// AcceptsChunks says that the sender can fetch a snapshot in chunks.
 	AcceptsChunks bool `msgpack:"k,omitempty"`
 }
 
 type fetchGot struct {
 	Entries  []paxos.Entry   `msgpack:"e"`
-	Snapshot *paxos.Snapshot `msgpack:"c"` // a snapshot that fits a message
+	Snapshot *paxos.Snapshot `msgpack:"c"` // a snapshot small enough for one message
 	Header   *snapshotHeader `msgpack:"h,omitempty"`
 	Applied  uint64          `msgpack:"t"`
 }
@@ -80,18 +81,18 @@
 	ClusterID    string                `msgpack:"m"`
 	Members      []statemachine.Member `msgpack:"b"`
 	LeaderAddr   string                `msgpack:"h"`
-	MayNotFound  bool                  `msgpack:"n,omitempty"` // it may not found a mesh
+	MayNotFound  bool                  `msgpack:"n,omitempty"` // the sender must not found a cluster
 	Zone         string                `msgpack:"z,omitempty"`
 	Region       string                `msgpack:"l,omitempty"`
-	CommandLevel int                   `msgpack:"k,omitempty"` // the level of commands that it understands
-	Applied      uint64                `msgpack:"s,omitempty"` // what it has applied
+	CommandLevel int                   `msgpack:"k,omitempty"` // the highest level of commands that the sender understands
+	Applied      uint64                `msgpack:"s,omitempty"` // the newest index that the sender has applied
 }
 
 type genesis struct {
 	ClusterID     string                `msgpack:"m"`
 	Members       []statemachine.Member `msgpack:"b"`
 	WantedMembers int                   `msgpack:"w,omitempty"`
-	CommandLevel  int                   `msgpack:"k,omitempty"` // of commands, that all members understand
+	CommandLevel  int                   `msgpack:"k,omitempty"` // the level of commands that all founders understand
 }
 
 type joinAsk struct {
@@ -102,26 +103,27 @@
 	Zone      string `msgpack:"z,omitempty"`
 	Region    string `msgpack:"l,omitempty"`
 
-	CommandLevel int `msgpack:"k,omitempty"` // the level of commands that it understands
+	CommandLevel int `msgpack:"k,omitempty"` // the highest level of commands that the sender understands
 }
 
 type joinGot struct {
-	LeaderAddr    string `msgpack:"h"` // who writes, when it isn't the one asked
+	LeaderAddr    string `msgpack:"h"` // the leader, if the receiver is not the leader itself
 	Reason        string `msgpack:"s"`
-	IsMember      bool   `msgpack:"d"`           // the asker is a member
-	LeaderApplied uint64 `msgpack:"t,omitempty"` // what the writer has applied
-	Applied       uint64 `msgpack:"a,omitempty"` // what the one asked has applied, whoever leads
+	IsMember      bool   `msgpack:"d"`           // the asking store is a member
+	LeaderApplied uint64 `msgpack:"t,omitempty"` // the newest index that the leader has applied
+	Applied       uint64 `msgpack:"a,omitempty"` // the newest index that the receiver has applied, leader or not
 }
 
-// leaveRequest is a member's word that it stops: another may have its place.
+// leaveRequest announces that a member stops, so that a learner can replace
+// it.
 type leaveRequest struct {
 	ID string `msgpack:"i"`
-	// Keeps tells that the member keeps its place, and asks whether the others
-	// hold all that it has.
+	// KeepsMembership says that the member stays a member, and only asks
+	// whether the others hold all that it has.
 	KeepsMembership bool `msgpack:"k,omitempty"`
 }
 
-// RemoveRequest is an operator's word to take a store out.
+// RemoveRequest is an operator's request to remove a store from the members.
 type RemoveRequest struct {
 	ID      string      `msgpack:"i"`
 	Request *RequestKey `msgpack:"o,omitempty"`
@@ -131,25 +133,27 @@
 	Ballot ballot.Number `msgpack:"n"`
 }
 
-// ProposeRequest asks the leader for a command.
+// ProposeRequest asks the leader to propose a command.
 type ProposeRequest struct {
 	Command statemachine.Packed `msgpack:"c"`
-	// Rest is how long before the call's own end the command may last be
-	// proposed, in ms; 0: until the end.
+	// ProposalMarginMS is how long before the call's deadline the command may
+	// last be proposed, in ms; 0: up to the deadline.
 	ProposalMarginMS int64 `msgpack:"r,omitempty"`
-	// Once names the request of an operator that the command is for.
+	// Request identifies the operator's request that the command is for, if
+	// any.
 	Request *RequestKey `msgpack:"o,omitempty"`
 }
 
-// RequestKey identifies a request that its sender may send again.
+// RequestKey identifies a request that its sender may retry.
 type RequestKey struct {
 	ID     string `msgpack:"i"`
-	Digest []byte `msgpack:"d"`           // of the content sent under the id
+	Digest []byte `msgpack:"d"`           // of the content sent under this ID
 	Number uint64 `msgpack:"n,omitempty"` // the operator's own number of a configuration
 }
 
-// LeaderResponse is the leader's word on an offer or a read; Head is set when another
-// store writes and nothing was done here.
+// LeaderResponse is the leader's response to a proposal or a read. A store
+// that is not the leader does nothing and sets LeaderAddr, if it knows the
+// leader.
 type LeaderResponse struct {
 	LeaderAddr string                `msgpack:"h"`
 	Done       bool                  `msgpack:"d"`
@@ -157,29 +161,29 @@
 	Members    []statemachine.Member `msgpack:"m"`
 }
 
-// ReadRequest asks the leader for a confirmed read.
+// ReadRequest asks the leader for a linearizable read.
 type ReadRequest struct {
 	Kind         string `msgpack:"w"`
 	Name         string `msgpack:"n"`
 	From         uint64 `msgpack:"f"`
 	WaitMS       int64  `msgpack:"t"`           // ms to wait for a version above From
-	AcceptsPatch bool   `msgpack:"p,omitempty"` // a document is taken as the steps from From
+	AcceptsPatch bool   `msgpack:"p,omitempty"` // the document may be returned as a patch from version From
 }
 
-// RoleBallot is a ballot for a role of the registries.
+// RoleBallot is a ballot for a role of the registries: judge or steward.
 type RoleBallot struct {
 	Role   string        `msgpack:"d"`
 	Ballot ballot.Number `msgpack:"n"`
 	Op     string        `msgpack:"o"` // ask, beat or vacate
 }
 
-// RoleVote is a store's vote on it.
+// RoleVote is a store's response to a RoleBallot.
 type RoleVote struct {
 	Granted  bool          `msgpack:"y"`
 	Promised ballot.Number `msgpack:"s"`
 }
 
-// Status is what a store says of itself.
+// Status is a store's report of its own state.
 type Status struct {
 	Node        string                `msgpack:"node" json:"node"`
 	Addr        string                `msgpack:"addr" json:"addr"`
@@ -197,7 +201,7 @@
 }
 
 // Messages lists every message of this package, for the check that a later
-// entry still speaks all that the last one did.
+// version of the program still understands all fields of an earlier one.
 func Messages() []any {
 	return []any{ballotAsk{}, ballotVote{}, acceptAsk{}, beatAsk{}, ack{}, fetchAsk{}, fetchGot{}, chunkRequest{}, chunkResponse{}, foundAsk{}, foundGot{},
 		genesis{}, RemoveRequest{}, joinAsk{}, joinGot{}, vacateAsk{}, leaveRequest{}, ProposeRequest{}, LeaderResponse{}, ReadRequest{}, remainingLeasesRequest{}, remainingLeasesResponse{}, RoleBallot{}, RoleVote{}, Status{}}
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -1,6 +1,7 @@
-// Package store is the program that keeps the agreed versions on disk. A
-// standing leader, won by ballots, proposes one batch of commands at a time;
-// a majority syncs it as one file each before it is acknowledged.
+// Package store is the control-plane process that keeps the replicated state
+// on disk. A leader elected by ballot proposes one batch of commands at a time
+// with multi-decree Paxos. An entry is acknowledged when a majority has synced
+// it to disk, as one file each.
 package store
 
 import (
@@ -24,8 +25,8 @@
 	"puffincrank/internal/transport"
 )
 
-// Store is one process. Lock order: learn, then imaging, then mu, then the
-// acceptor's own.
+// Store is one replica of the control plane. Lock order: applyLock,
+// transferLock, mu, then the locks of the acceptor.
 type Store struct {
 	Settings settings.Settings
 	env      env.Env
@@ -35,65 +36,65 @@
 	voter    *ballot.Voter
 	role     *fsm.Machine
 
-	applyLock     task.Lock // one at a time extends the applied state
-	snapshotLock  task.Lock // one checkpoint at a time
-	transferLock  task.Lock // one image of the state is made at a time
+	applyLock     task.Lock // held by whoever extends the applied state
+	snapshotLock  task.Lock // held while a snapshot is written to disk
+	transferLock  task.Lock // held while a snapshot is prepared for transfer
 	pauseDetector *pausedetect.Detector
 	startedAt     time.Time
 
-	mu sync.Mutex // guards all fields below but loading, which learn guards
+	mu sync.Mutex // guards all fields below except incoming, which applyLock guards
 
 	// The applied state.
 	state         *statemachine.State
 	appliedIndex  uint64
 	appliedDigest []byte
-	appliedSignal chan struct{} // closed at each applied entry
-	lastPatch     patch.Step    // the last that a poll was given
+	appliedSignal chan struct{} // closed, and replaced, at each applied entry
+	lastPatch     patch.Step    // the newest patch that was returned to a configuration read
 
 	// Leadership and membership.
-	ballot            ballot.Number        // our ballot while we stand or lead
-	leaderAddress     string               // the inner address of the leader, as last heard
-	highestRound      uint64               // the highest round seen anywhere
-	leadership        *leadership          // set while we lead
-	noCampaignUntil   time.Time            // until when we leave the leadership to others
-	campaignNow       bool                 // stand at once, whoever is still heard
-	interruptWait     func()               // ends the wait of the loop of life
-	stopping          bool                 // a polite stop has begun
-	leaving           bool                 // this member accepts nothing more: the others hold what it has
-	previousTerm      termRecord           // what our last term knew of the members
+	ballot            ballot.Number        // own ballot number as a candidate or leader
+	leaderAddress     string               // the internal address of the leader, as last reported
+	highestRound      uint64               // the highest round seen in any message
+	leadership        *leadership          // set while this store is the leader
+	noCampaignUntil   time.Time            // leave the leadership to others until then
+	campaignNow       bool                 // start an election at once, even if the leader is not silent
+	interruptWait     func()               // ends the wait of the main loop
+	stopping          bool                 // a graceful shutdown has begun
+	leaving           bool                 // accepts no more entries: the others hold all that this member has
+	previousTerm      termRecord           // what the previous term knew of the members
 	leaderAnsweredAt  time.Time            // when the leader last answered this learner
-	leaderHintFailed  bool                 // the leader that was last named by a peer didn't answer
-	candidate         string               // a store that stood for election and has applied more than this one
-	campaignNotBefore time.Time            // after a leader gave up: from when on we stand
-	replacedAt        map[string]time.Time // address to when its store lost its place
-	toleranceWarnAt   time.Time            // from when on a small core is worth a warning
-	foreignWarnedAt   time.Time            // when a foreign cluster was last named
+	leaderHintFailed  bool                 // the leader last named by a peer did not answer
+	candidate         string               // the address of a candidate that has applied more than this store
+	campaignNotBefore time.Time            // earliest start of an election, after a leader stepped down
+	replacedAt        map[string]time.Time // when the store at an address lost its membership
+	toleranceWarnAt   time.Time            // when missing fault tolerance is next worth a warning
+	foreignWarnedAt   time.Time            // when a message of another cluster was last logged
 	roleVoters        map[string]*ballot.Voter
 
 	// The disk.
-	diskFailing     bool                 // it refuses or is slow
+	diskFailing     bool                 // the disk refuses writes or is slow
 	lastWriteFailed bool                 // the newest write was refused
-	writesStarted   uint64               // writes begun
-	writesInFlight  map[uint64]time.Time // writes under way, from when on
-	spaceFreedAt    time.Time            // when a full disk was last to be freed by a checkpoint
-	snapshotRetryAt time.Time            // until when a checkpoint that failed is not tried again
+	writesStarted   uint64               // number of writes started
+	writesInFlight  map[uint64]time.Time // start times of the writes in flight
+	spaceFreedAt    time.Time            // when a snapshot was last written to free space on a full disk
+	snapshotRetryAt time.Time            // a failed snapshot is not retried before then
 
 	// Snapshots and the size of the state, in bytes.
-	outgoing     *outgoingSnapshot // the snapshot that is being sent, if any
-	incoming     *download         // the snapshot that is being fetched, if any
-	stateBytes   int               // of the packed state when it was last packed
-	logBytes     int               // of the batches applied since
-	measuredAt   time.Time         // when the state was last packed to learn its size
-	sizeWarnedAt time.Time         // when a state near its bound was last named
-
-	// What this store's own clock says of the state.
+	outgoing     *outgoingSnapshot // the snapshot being sent, if any
+	incoming     *download         // the snapshot being fetched, if any
+	stateBytes   int               // size of the packed state when it was last packed
+	logBytes     int               // size of the batches applied since
+	measuredAt   time.Time         // when the state was last packed to measure it
+	sizeWarnedAt time.Time         // when a state near its size bound was last logged
+
+	// What this store's own clock says about the state.
 	chosenLog     chosenLog
-	leases        map[string]lease // when each lock's time runs out
-	revisionMarks []revisionMark   // which revisions stood when
-	requestMarks  []requestMark    // how many requests had been answered when
+	leases        map[string]lease // when each lock expires
+	revisionMarks []revisionMark   // which revisions were current at which time
+	requestMarks  []requestMark    // how many requests had been answered at which time
 }
 
-// New readies a store over its folder.
+// New opens a store over its data folder.
 func New(settings settings.Settings, environment env.Env) (*Store, error) {
 	acceptor, err := paxos.Open(environment.FS)
 	if err != nil {
@@ -122,15 +123,15 @@
 	return s, nil
 }
 
-// promise keeps a ballot number on disk.
+// promise makes the promise of a ballot number durable.
 func (s *Store) promise(number ballot.Number) error {
 	return s.writeDurably(func() error { return s.acceptor.Promise(number) })
 }
 
-// updateRole moves the role on once something is held: a member votes, another
-// stands by.
+// updateRole fires the role change that follows once a state is held: a member
+// becomes a follower, any other replica a learner.
 func (s *Store) updateRole() {
-	// Whoever gave the place has the leadership, or is about to.
+	// The proposer of this membership is the leader, or is about to be.
 	notBefore := time.Now().Add(s.Settings.LeaderTimeout() + s.campaignDelay(ballot.Number{}))
 	s.mu.Lock()
 	member := s.isMember(s.acceptor.Identity().ID)
@@ -143,7 +144,7 @@
 	}
 }
 
-// canVote tells whether this replica takes part in what a majority decides.
+// canVote reports whether this replica votes in elections and accepts entries.
 func (s *Store) canVote() bool { return s.role.Is("follow", "stand", "write") }
 
 func randomID() string {
@@ -157,7 +158,7 @@
 	s.appliedSignal = make(chan struct{})
 }
 
-// apply runs one chosen entry; the caller holds learn.
+// apply applies one chosen entry; applyLock is held.
 func (s *Store) apply(entry *paxos.Entry) ([]statemachine.Result, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -173,7 +174,7 @@
 	return results, nil
 }
 
-// Start opens the ports and begins to take part.
+// Start opens the ports and starts the loops.
 func (s *Store) Start() error {
 	s.registerHandlers()
 	if err := s.node.Listen(s.Settings.InternalAddr); err != nil {
@@ -189,14 +190,15 @@
 	return nil
 }
 
-// Kill ends the process at once, as power loss does.
+// Kill ends the process at once, as a power loss does.
 func (s *Store) Kill() {
 	s.tasks.Cancel()
 	s.node.Close()
 	s.tasks.Stop()
 }
 
-// Stop ends politely: the place and the leadership are handed on first.
+// Stop shuts down gracefully: the membership and the leadership are handed
+// over first.
 func (s *Store) Stop() {
 	s.env.Log.Emit(event.Stopping, "program", "store")
 	s.mu.Lock()
@@ -209,7 +211,8 @@
 	s.env.Log.Emit(event.Stopped, "program", "store")
 }
 
-// isMember tells whether a replica is a member of the agreed list; mu is held.
+// isMember reports whether a replica is in the current member list; mu is
+// held.
 func (s *Store) isMember(id string) bool {
 	if s.state == nil {
 		return false
