--- a/internal/store/diskhealth.go
+++ b/internal/store/diskhealth.go
@@ -10,7 +10,8 @@
 	"puffincrank/internal/paxos"
 )
 
-// writeDurably runs a write to disk, times it and notes whether the disk is well.
+// writeDurably runs a write to disk, measures it and records whether the disk
+// is healthy.
 func (s *Store) writeDurably(write func() error) error {
 	started := time.Now()
 	s.mu.Lock()
@@ -47,8 +48,9 @@
 	return nil
 }
 
-// diskStalled tells that a write has been under way for too long: whoever waits for it
-// is told no at once, instead of waiting as well. mu is held.
+// diskStalled reports whether a write has been in flight for longer than
+// MaxSyncTime: requests that need the disk are then refused at once instead of
+// waiting as well. mu is held.
 func (s *Store) diskStalled() bool {
 	for _, started := range s.writesInFlight {
 		if time.Since(started) > s.Settings.MaxSyncTime() {
@@ -58,13 +60,14 @@
 	return false
 }
 
-// recordDiskFailure notes a disk that refused: nothing of it is acknowledged.
+// recordDiskFailure records a refused write, of which nothing is acknowledged.
 func (s *Store) recordDiskFailure(err error) {
 	s.mu.Lock()
 	wasFailing, now := s.diskFailing, time.Now()
 	s.diskFailing, s.lastWriteFailed = true, true
 	s.noCampaignUntil = now.Add(s.Settings.RecoveryBound / 3)
-	// Once in a while: what is full again right away is not helped by another.
+	// At most once in a while: if the disk is full again right away, another
+	// snapshot does not help.
 	freeSpace := disk.IsFull(err) && now.Sub(s.spaceFreedAt) > s.Settings.RecoveryBound/3
 	if freeSpace {
 		s.spaceFreedAt = now
@@ -73,14 +76,16 @@
 	if !wasFailing {
 		s.env.Log.Emit(event.DiskFailing, "why", err.Error())
 	}
-	// A checkpoint has its room kept free, and frees what it makes needless.
+	// Space is reserved for a snapshot, and the snapshot frees the files that
+	// it makes obsolete.
 	if freeSpace {
 		s.startSnapshot(0)
 	}
 }
 
-// checkDisk gives the leadership up while the own disk is worse than another's: looked at
-// at each beat, since a write that hangs says nothing.
+// checkDisk transfers the leadership while this store's disk is slow or
+// failing and another member's is not. It is called at each heartbeat
+// interval, since a stalled write reports nothing.
 func (s *Store) checkDisk() {
 	s.mu.Lock()
 	term, stalled := s.leadership, s.diskStalled()
@@ -92,11 +97,12 @@
 	if term == nil || !failing || !term.hasHealthierMember() || !term.diskTransferStarted.CompareAndSwap(false, true) {
 		return
 	}
-	// From another goroutine, since resign waits for the voters.
+	// In another goroutine, since the transfer waits for the voters.
 	s.tasks.Go("resign", func(context.Context) { s.transferLeadership("own disk hangs, is slow or refuses") })
 }
 
-// hasHealthierMember tells whether another member in touch has a disk that is well.
+// hasHealthierMember reports whether another connected member has a healthy
+// disk.
 func (t *leadership) hasHealthierMember() bool {
 	members, _, _ := t.store.members()
 	t.mu.Lock()
@@ -109,11 +115,11 @@
 	return false
 }
 
-// snapshotIfDue bounds the count of files and the bytes of the log.
+// snapshotIfDue writes a snapshot when the log has too many files or bytes.
 func (s *Store) snapshotIfDue() {
 	now := time.Now()
 	s.mu.Lock()
-	// One that failed is not tried again at each entry.
+	// A failed snapshot is not retried at each entry.
 	retain := s.entriesToRetain()
 	wait := now.Before(s.snapshotRetryAt)
 	s.mu.Unlock()
@@ -122,8 +128,8 @@
 	}
 }
 
-// entriesToRetain tells how many entries a checkpoint of now would leave in the log,
-// 0 when none is due; mu is held.
+// entriesToRetain returns how many entries a snapshot written now would leave
+// in the log, 0 if none is due; mu is held.
 func (s *Store) entriesToRetain() uint64 {
 	last := s.acceptor.LatestSnapshot()
 	if last == nil {
@@ -141,10 +147,11 @@
 	return 0
 }
 
-// startSnapshot writes a checkpoint of the state of now, and drops the files that it makes
-// needless but for some of the newest entries. Nobody waits for it: a disk that
-// hangs must not stop the entries of the others. learn is held, or the replica's
-// place is certain otherwise.
+// startSnapshot starts to write a snapshot of the current state, after which
+// the files that it makes obsolete are dropped, except for some of the newest
+// entries. Nobody waits for it: a stalled disk must not hold up the entries
+// that the others accept. applyLock is held, or the replica is certain to keep
+// its membership.
 func (s *Store) startSnapshot(retain uint64) {
 	if !s.snapshotLock.TryLock() {
 		return
@@ -169,7 +176,7 @@
 	}
 }
 
-// saveSnapshot keeps a checkpoint on the disk; points is held.
+// saveSnapshot writes a snapshot to disk; snapshotLock is held.
 func (s *Store) saveSnapshot(replica string, snapshot paxos.Snapshot, retain uint64) {
 	if s.writeDurably(func() error { return s.acceptor.SaveSnapshot(replica, snapshot, retain) }) != nil {
 		s.mu.Lock()
--- a/internal/store/download.go
+++ b/internal/store/download.go
@@ -12,16 +12,17 @@
 	"puffincrank/internal/transport"
 )
 
-// download is a snapshot that is being fetched. What has come is kept when the
-// sender goes, and fetching goes on with whoever announces the same snapshot.
+// download is a snapshot that is being fetched. The chunks received are kept
+// when the sender fails, and the download continues from any store that
+// announces the same snapshot.
 type download struct {
 	header snapshotHeader
 	data   []byte
 }
 
-// fetchSnapshot fetches an announced snapshot and installs it; learn is held. It
-// goes on for as long as chunks come, whatever the caller's own time is: a large
-// state takes longer than a call.
+// fetchSnapshot fetches an announced snapshot and installs it. It continues
+// for as long as chunks arrive, whatever the caller's deadline: a large state
+// takes longer than a call. applyLock is held.
 func (s *Store) fetchSnapshot(ctx context.Context, from string, header snapshotHeader) error {
 	if header.Format > paxos.Format {
 		return s.badSnapshot(from, "it is of format %d, newer than %d", header.Format, paxos.Format)
@@ -45,12 +46,12 @@
 	return s.installSnapshot(paxos.Snapshot{Format: header.Format, Index: header.Index, Digest: header.Digest, State: state}, event.Refilled)
 }
 
-// largestSnapshot bounds what is taken from another replica: its own bound may be
-// somewhat above ours.
+// largestSnapshot bounds the size of a snapshot that is accepted from another
+// replica, whose own bound may be somewhat above this one's.
 func (s *Store) largestSnapshot() int { return 2 * s.Settings.StateBytes() }
 
-// fetchChunk fetches the next chunk. It goes as bulk, so heartbeats and
-// proposals pass it on a thin link.
+// fetchChunk fetches the next chunk. It uses the bulk lane, so heartbeats and
+// proposals overtake it on a slow link.
 func (s *Store) fetchChunk(ctx context.Context, from string, transfer *download) error {
 	ctx, cancel := context.WithTimeout(transport.WithLane(ctx, transport.LaneBulk), 2*s.Settings.ConfigBound)
 	defer cancel()
@@ -72,7 +73,7 @@
 	return nil
 }
 
-// badSnapshot drops what has come and names the fault.
+// badSnapshot discards the download, and logs and returns the fault.
 func (s *Store) badSnapshot(from, format string, args ...any) error {
 	s.incoming = nil
 	err := fault.New(fault.Input, "snapshot from "+from+": "+format, args...)
--- a/internal/store/electorate.go
+++ b/internal/store/electorate.go
@@ -7,7 +7,8 @@
 	"puffincrank/internal/transport"
 )
 
-// memberAddresses lists where the members are, and how many of them decide.
+// memberAddresses lists the addresses of the members, and the size of a
+// majority.
 func (s *Store) memberAddresses() (addresses []string, majority int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -17,14 +18,15 @@
 	return addresses, len(addresses)/2 + 1
 }
 
-// memberSet names the stores that vote, as this one has it.
+// memberSet identifies the members with their addresses, as this store knows
+// them.
 func (s *Store) memberSet() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.memberSetLocked()
 }
 
-// memberSetLocked is the same; mu is held.
+// memberSetLocked is memberSet with mu held.
 func (s *Store) memberSetLocked() string {
 	names := ""
 	for _, m := range s.state.Members {
@@ -33,8 +35,8 @@
 	return names
 }
 
-// askVotes asks every member for its vote, this one among them; no counts those that
-// refused theirs.
+// askVotes asks every member, this store included, for its vote. It stops at a
+// majority of votes. refused counts the members that refused theirs.
 func (s *Store) askVotes(ctx context.Context, number ballot.Number, binding bool) (granted []ballotVote, voters []string, refused int, elected bool) {
 	ctx, cancel := context.WithTimeout(ctx, s.Settings.Lease()/2)
 	defer cancel()
@@ -62,7 +64,7 @@
 		if vote.Applied > newest {
 			source, newest = to, vote.Applied
 		}
-		// A vote counts only under an identity that is a member's.
+		// A vote counts only if its voter has the identity of a member.
 		if vote.Granted && member {
 			granted, voters = append(granted, vote), append(voters, to)
 		} else if member {
@@ -80,9 +82,9 @@
 	return granted, voters, refused, elected
 }
 
-// catchUpWithoutLeader takes what a peer has applied beyond this store while
-// nobody can be elected: a change of the members among it may name those who can,
-// and an own entry that was damaged is mended by it.
+// catchUpWithoutLeader fetches what a peer has applied beyond this store while
+// nobody can be elected: a change of the members among it may name those who
+// can, and it repairs a damaged entry of this store.
 func (s *Store) catchUpWithoutLeader(from string) {
 	ctx, cancel := context.WithTimeout(s.tasks.Context(), s.Settings.ConfigBound)
 	defer cancel()
--- a/internal/store/fetch.go
+++ b/internal/store/fetch.go
@@ -11,31 +11,34 @@
 	"puffincrank/internal/transport"
 )
 
-// How many entries lie between two checkpoints at the least, and how many older
-// ones are kept for slow members. Checkpoints are taken at slots that are
-// multiples of span, so that those of different members are equal byte for byte.
+// snapshotInterval is the least number of entries between two snapshots, and
+// retainedEntries how many older ones are kept for slow members. Snapshots are
+// taken at indexes that are multiples of snapshotInterval, so that those of
+// different members are equal byte for byte.
 const (
 	snapshotInterval = 256
 	retainedEntries  = 256
 )
 
-// checkpointBytes is how many bytes of entries lie between two checkpoints of a
-// large state at the least, as a part of its size, and spanMost how many entries
-// at the most: writing a checkpoint costs its whole size.
+// Writing a snapshot costs its whole size. So a large state is written only
+// after entries of 1/snapshotLogDivisor of its size, or after
+// maxSnapshotInterval entries.
 const (
 	snapshotLogDivisor  = 2
 	maxSnapshotInterval = 16 * snapshotInterval
 )
 
-// logPart is the part of the bound on the state that the log may have before a
-// checkpoint is written at a multiple of spanOfLarge, whatever its count.
+// Once the log is larger than 1/maxLogDivisor of the bound on the state, a
+// snapshot is written at the next multiple of largeLogInterval, whatever the
+// number of entries.
 const (
 	maxLogDivisor    = 2
 	largeLogInterval = 8
 )
 
-// learnAsync extends the applied state to a slot that is known to be chosen.
-// One learner at a time is enough; the next beat brings the rest.
+// learnAsync starts to extend the applied state to an index that is known to
+// be chosen. If another goroutine holds applyLock, the next heartbeat brings
+// the rest.
 func (s *Store) learnAsync(index uint64, digest []byte, from string) {
 	s.mu.Lock()
 	behind := s.appliedIndex < index && s.leadership == nil
@@ -52,8 +55,8 @@
 	}
 }
 
-// learnUpTo applies the own entries if they are proved chosen by their chain,
-// and fetches them otherwise; learn is held.
+// learnUpTo applies this store's own entries if their chain of digests proves
+// them chosen, and fetches them otherwise; applyLock is held.
 func (s *Store) learnUpTo(ctx context.Context, index uint64, digest []byte, from string) {
 	if chain := s.acceptor.Chain(s.appliedIndex, s.appliedDigest, index, digest); chain != nil {
 		for i := range chain {
@@ -68,8 +71,8 @@
 	_ = s.fetchMissing(ctx, from, index)
 }
 
-// applyChosen applies one chosen version; a version that this program can't read
-// stops the replica's state where it is, which readiness then shows.
+// applyChosen applies one chosen entry. An entry that this program cannot read
+// stops the replica's state at the one before, which readiness then shows.
 func (s *Store) applyChosen(entry *paxos.Entry) bool {
 	if _, err := s.apply(entry); err != nil {
 		s.env.Log.Emit(event.ForeignData, "slot", entry.Index, "why", err.Error())
@@ -79,7 +82,7 @@
 	return true
 }
 
-// fetchMissing fetches chosen entries from a peer; learn is held.
+// fetchMissing fetches chosen entries from a peer; applyLock is held.
 func (s *Store) fetchMissing(ctx context.Context, from string, to uint64) error {
 	for first := true; ; first = false {
 		s.mu.Lock()
@@ -115,7 +118,8 @@
 	}
 }
 
-// learnEntries keeps and applies chosen entries that follow what is applied; learn is held.
+// learnEntries stores and applies chosen entries that follow the applied
+// state; applyLock is held.
 func (s *Store) learnEntries(entries []paxos.Entry) error {
 	if len(entries) == 0 {
 		return nil
@@ -136,11 +140,11 @@
 	return nil
 }
 
-// learnBatchSize is how many entries are kept with one sync of the folder: few enough
-// that a disk that is well is not taken for a slow one.
+// learnBatchSize is how many entries are stored with one sync of the folder:
+// few enough that a healthy disk is not taken for a slow one.
 const learnBatchSize = 16
 
-// onFetch hands out what is applied here: entries while they are kept, a
+// onFetch returns what is applied here: entries while they are kept, a
 // snapshot otherwise.
 func (s *Store) onFetch(_ context.Context, _ transport.Hello, request fetchAsk) (fetchGot, error) {
 	s.mu.Lock()
@@ -174,15 +178,16 @@
 	return response, err
 }
 
-// The bounds on the entries that one answer brings, in count and as a part of a
-// frame. One is always sent.
+// The bounds on the entries in one response, in number and as
+// 1/fetchFrameDivisor of a frame's bytes. At least one entry is always sent.
 const (
 	maxFetchEntries   = 128
 	fetchFrameDivisor = 4
 )
 
-// entriesAfter gives the applied entries that follow what the asker has, none if
-// they are not all kept, or the asker's newest is not ours. mu is held.
+// entriesAfter returns the applied entries that follow the requester's state:
+// none if they are not all kept, or if the requester's newest entry differs
+// from the one here. mu is held.
 func (s *Store) entriesAfter(request fetchAsk) (entries []paxos.Entry) {
 	if request.PreviousDigest == nil || !s.acceptor.HoldsAfter(request.After) {
 		return nil
@@ -201,7 +206,8 @@
 	return entries
 }
 
-// isChain tells whether each entry follows the one before.
+// isChain reports whether each entry follows the one before by index and
+// digest.
 func isChain(entries []paxos.Entry) bool {
 	for i := 1; i < len(entries); i++ {
 		if entries[i].Index != entries[i-1].Index+1 || !bytes.Equal(entries[i].Previous, entries[i-1].Digest()) {
@@ -211,7 +217,7 @@
 	return true
 }
 
-// snapshotOf is the checkpoint of what is applied; mu is held.
+// snapshotOf returns the snapshot with the packed applied state; mu is held.
 func (s *Store) snapshotOf(encoded []byte) paxos.Snapshot {
 	return paxos.Snapshot{Index: s.appliedIndex, Digest: s.appliedDigest, State: encoded}
 }
--- a/internal/store/founding.go
+++ b/internal/store/founding.go
@@ -16,7 +16,7 @@
 
 func (s *Store) isEmpty() bool { return s.role.Is("empty") }
 
-// onProbe tells a peer whether this store holds anything.
+// onProbe reports what this store holds.
 func (s *Store) onProbe(_ context.Context, _ transport.Hello, request foundAsk) (foundGot, error) {
 	s.detectReplacedLeader(request.ID, request.Addr)
 	s.mu.Lock()
@@ -28,7 +28,8 @@
 	return response, nil
 }
 
-// onGenesis takes the founding, if this empty replica is named in it.
+// onGenesis installs the founding state, if this empty replica is one of the
+// founders.
 func (s *Store) onGenesis(_ context.Context, _ transport.Hello, founding genesis) (ack, error) {
 	if !s.isEmpty() {
 		return ack{}, fault.New(fault.Refused, "not empty")
@@ -41,10 +42,11 @@
 	return ack{OK: true, ID: own}, s.installFounding(founding)
 }
 
-// checkFounders refuses a list of founding members that doesn't name the receiver,
-// names a replica or an address twice, or is of an even number: the one more
-// bears no more losses, and every decision would wait for it. Two are let through,
-// since one alone would have the only copy.
+// checkFounders refuses a list of founding members that does not name the
+// receiver, names a replica or an address twice, or has an even number of
+// members: the additional member does not raise the fault tolerance, and every
+// decision would need one more response. Two members are accepted, since one
+// alone would hold the only copy.
 func checkFounders(members []statemachine.Member, receiver string) error {
 	named := map[string]bool{}
 	for _, m := range members {
@@ -65,9 +67,9 @@
 	return nil
 }
 
-// founders gives the members that found a cluster: all that were found, but for
-// the last by address, not the founder itself, where they are of an even number
-// above two. That one stands by, and gets a place when one is free.
+// founders returns the members that found a cluster. Of an even number above
+// two, the one with the last address is left out, but never the founder
+// itself. It becomes a learner, and joins when a member is needed.
 func founders(candidates []statemachine.Member, founder string) []statemachine.Member {
 	if count := len(candidates); count%2 == 1 || count == 2 {
 		return candidates
@@ -89,7 +91,7 @@
 	return addresses
 }
 
-// installFounding keeps the founding state as the checkpoint of slot 0.
+// installFounding stores the founding state as the snapshot of index 0.
 func (s *Store) installFounding(founding genesis) error {
 	s.applyLock.Lock()
 	defer s.applyLock.Unlock()
@@ -106,8 +108,9 @@
 	return s.installSnapshot(paxos.Snapshot{Digest: digest[:], State: encoded}, event.Founded)
 }
 
-// installSnapshot takes a checkpoint as all that this replica holds, unless it is of a
-// newer format, of a newer program's state or of another cluster; learn is held.
+// installSnapshot replaces all that this replica holds by a snapshot, unless
+// that is of a newer format, of a newer program's state or of another cluster;
+// applyLock is held.
 func (s *Store) installSnapshot(snapshot paxos.Snapshot, kind event.Kind) error {
 	if snapshot.Format > paxos.Format {
 		s.env.Log.Emit(event.ForeignData, "format", snapshot.Format, "own", paxos.Format)
@@ -138,15 +141,15 @@
 	s.env.Trace.Notify(trace.Installed{Replica: s.acceptor.Identity().ID, Index: s.appliedIndex, Digest: string(s.appliedDigest), Members: s.memberIDs()})
 	s.mu.Unlock()
 	s.env.Log.Emit(kind, "mesh", state.ClusterID, "slot", snapshot.Index)
-	// A joiner stays out of the voting until it is a member.
+	// A joining replica does not vote until it is a member.
 	s.updateRole()
 	return nil
 }
 
-// foundCluster gives a cluster its first state, if all seeds are reachable and empty: by
-// the least of those that may, in whatever order each has them, so that there
-// is never a second founding. The others learn it from its word or, later,
-// from each other.
+// foundCluster founds a cluster if all seeds are reachable and empty. The seed
+// with the least address among those that may found does so, whatever the
+// order in each one's settings, so that a cluster is never founded twice. The
+// others receive the founding state from it or, later, from each other.
 func (s *Store) foundCluster(ctx context.Context, responses []foundGot, addresses []string) {
 	founder := ""
 	founding := genesis{ClusterID: s.Settings.ClusterID + "/" + randomID(), WantedMembers: s.Settings.Voters(), CommandLevel: statemachine.Level}
--- a/internal/store/holders.go
+++ b/internal/store/holders.go
@@ -7,17 +7,17 @@
 	"puffincrank/internal/statemachine"
 )
 
-// A change of the members is proposed only when a majority of those who would
-// vote after it is known to have applied all that is chosen, and nothing is
-// decided between that look and the proposal. So every majority of the new
-// members, and whatever is left of them after as many losses as they are to bear,
-// holds each entry that was ever acknowledged.
+// A change of the members is proposed only when a majority of the members
+// after the change is known to have applied everything that is chosen, and
+// nothing is decided between this check and the proposal. So every majority of
+// the new members, and those left of them after as many losses as they have to
+// tolerate, hold each entry that was ever acknowledged.
 
-// countHolders counts the members that are known to have applied up to a slot; t.mu
-// is held.
+// countHolders counts the members that are known to have applied up to an
+// index; t.mu is held.
 func (t *leadership) countHolders(members []statemachine.Member, index uint64) (count int) {
 	for _, m := range members {
-		// One that ends soon may take its disk with it.
+		// A member that stops soon may lose its disk with it.
 		if !t.contacts[m.ID].leavingAt.IsZero() {
 			continue
 		}
@@ -35,8 +35,9 @@
 	return count
 }
 
-// awaitHolders waits until so many of these members hold all that is chosen, a beat
-// at the most. learn is held, so nothing is decided meanwhile.
+// awaitHolders waits until enough of these members hold everything that is
+// chosen, for one heartbeat interval at most. applyLock is held, so nothing is
+// decided meanwhile.
 func (t *leadership) awaitHolders(ctx context.Context, members []statemachine.Member, need int) bool {
 	for started := time.Now(); ctx.Err() == nil && !t.ended(); {
 		t.mu.Lock()
@@ -47,12 +48,13 @@
 		if held {
 			return true
 		}
-		// Nobody is kept waiting for members that have much to catch up with.
+		// No waiting for members that are more than maxLearnerLag entries
+		// behind.
 		if !close || time.Since(started) > t.store.Settings.HeartbeatInterval() {
 			return false
 		}
-		// The beat tells them the newest slot; the next one's answers tell that
-		// they have applied it.
+		// This heartbeat tells them the newest index; the responses to the
+		// next one tell that they have applied it.
 		_ = t.heartbeat(ctx)
 		t.store.env.Sleep(ctx, t.store.Settings.HeartbeatInterval()/40)
 	}
@@ -64,7 +66,7 @@
 	return func(ctx context.Context) bool { return t.awaitHolders(ctx, members, len(members)/2+1) }
 }
 
-// without lists the members but one.
+// without lists all members except one.
 func without(members []statemachine.Member, id string) (others []statemachine.Member) {
 	for _, m := range members {
 		if m.ID != id {
@@ -74,15 +76,15 @@
 	return others
 }
 
-// withReplaced lists the members after one has taken the place of another, or a
-// place of its own.
+// withReplaced lists the members after one has replaced another, or was added.
 func withReplaced(members []statemachine.Member, old string, joiner statemachine.Member) []statemachine.Member {
 	return append(without(members, old), joiner)
 }
 
-// othersHold tells whether the members but one hold all that is chosen, by a
-// majority of all: only then may that one go with what it has. A leader that goes
-// itself decides nothing after that.
+// othersHold reports whether the members other than the leaving one hold
+// everything that is chosen, counted against a majority of all: only then may
+// that one stop with what it has. A leader that stops itself decides nothing
+// after that.
 func (t *leadership) othersHold(ctx context.Context, leaving string) bool {
 	guard := func(ctx context.Context) bool {
 		members, _, _ := t.store.members()
--- a/internal/store/join.go
+++ b/internal/store/join.go
@@ -13,8 +13,9 @@
 	"puffincrank/internal/transport"
 )
 
-// joinStep is one try of a store without a vote: to found, to be refilled, or to
-// tell the leader that it stands by. It tells when to try again.
+// joinStep is one attempt of a store that is not a member: to found a cluster,
+// to be refilled, or to report to the leader as a learner. It returns the time
+// until the next attempt.
 func (s *Store) joinStep(ctx context.Context) time.Duration {
 	s.mu.Lock()
 	leader, isEmpty, stopping := s.leaderAddress, s.state == nil, s.stopping
@@ -31,7 +32,8 @@
 	case s.canVote():
 		return 0
 	case time.Since(s.startedAt) < s.Settings.RecoveryBound:
-		// Until the cluster has been found each moment counts.
+		// Within RecoveryBound of the start, retry sooner until the cluster is
+		// found.
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		if s.state == nil || s.leaderAddress == "" {
@@ -41,8 +43,8 @@
 	return s.Settings.HeartbeatInterval()
 }
 
-// discover asks the seeds, and the members as last known, for one that holds the
-// cluster's state.
+// discover asks the seeds, and the members as last known, for one that holds
+// the cluster's state.
 func (s *Store) discover(ctx context.Context) {
 	addresses := append([]string(nil), s.Settings.Seeds...)
 	known := map[string]bool{}
@@ -58,7 +60,8 @@
 			}
 		}
 	} else if s.leaderAddress != "" && !known[s.leaderAddress] {
-		// A leader that took this empty store for the member that it was.
+		// This empty store had a heartbeat from a leader that takes it for the
+		// member that it was.
 		addresses = append(addresses, s.leaderAddress)
 	}
 	if s.candidate != "" && !slices.Contains(addresses, s.candidate) {
@@ -69,22 +72,23 @@
 	if best.addr != "" {
 		s.joinVia(ctx, best)
 	} else if isEmpty && len(empty) == len(s.Settings.Seeds) && len(addresses) == len(s.Settings.Seeds) {
-		// Only the seeds themselves found. One that was in a cluster holds its state.
+		// Only the seeds found a cluster. A store that was in a cluster holds
+		// its state.
 		s.foundCluster(ctx, empty, emptyAddresses)
 	}
 }
 
-// source is a store that holds the cluster's state, and what it said of itself.
+// source is a store that holds the cluster's state, with its response.
 type source struct {
 	foundGot
 	addr string
 }
 
-// probeStores asks stores what they hold. It gives those that are empty, and the one
-// to be refilled from: one that names a leader or, where none does, the one that
-// has applied most, since only that may know of a place that this store was given
-// right before the leader was lost. It leaves half of the time for the refill, as
-// one that is cut off never answers.
+// probeStores asks stores what they hold. It returns the empty ones and the
+// one to refill from: a store that names a leader or, if none does, the one
+// that has applied most, since only that one may know of a membership that
+// this store was given right before the leader was lost. It leaves half of the
+// time for the refill, since a store that is cut off never answers.
 func (s *Store) probeStores(ctx context.Context, addresses []string) (empty []foundGot, emptyAddresses []string, best source) {
 	ctx, cancel := context.WithTimeout(ctx, s.Settings.CallTimeout())
 	defer cancel()
@@ -104,15 +108,16 @@
 		case best.addr == "" || !hintFailed && best.LeaderAddr == "" && response.LeaderAddr != "" || (hintFailed || best.LeaderAddr == "") && response.Applied > best.Applied:
 			best = source{response, to}
 		}
-		// One that knows the leader is enough: another may be dead and never answer.
+		// A store that knows the leader is enough: another may be dead and
+		// never answer.
 		return best.LeaderAddr != "" && !hintFailed
 	})
 	return empty, emptyAddresses, best
 }
 
-// joinVia refills this replica from a peer and tells the leader of it. A peer that
-// names a leader where none answers may be behind itself: it is not preferred the
-// next time.
+// joinVia refills this replica from a peer and reports to the leader that the
+// peer names. A peer whose leader does not answer may be behind itself: it is
+// not preferred the next time.
 func (s *Store) joinVia(ctx context.Context, from source) {
 	s.mu.Lock()
 	wasEmpty := s.state == nil
@@ -129,8 +134,8 @@
 	}
 }
 
-// refill fetches what a peer has applied and takes up the place, if any, that
-// is known from it.
+// refill fetches what a peer has applied, and takes up the membership, if any,
+// that this shows.
 func (s *Store) refill(ctx context.Context, from string) error {
 	s.applyLock.Lock()
 	defer s.applyLock.Unlock()
@@ -141,8 +146,8 @@
 	return nil
 }
 
-// reportToLeader tells the leader that this replica stands by, and learns from it; false
-// means that no leader answers there.
+// reportToLeader reports this learner to the leader and catches up from it;
+// false means that no leader answers at the address.
 func (s *Store) reportToLeader(ctx context.Context, leader string) bool {
 	for range 3 {
 		s.mu.Lock()
@@ -150,7 +155,8 @@
 		s.mu.Unlock()
 		response, err := transport.Call[joinGot](ctx, s.node, leader, "store.join", request)
 		if err == nil && response.LeaderApplied == 0 && response.Applied > request.Applied && s.refill(ctx, leader) == nil && s.canVote() {
-			// It does not lead, but knows of a place that this one was given.
+			// It is not the leader, but knows that this store was made a
+			// member.
 			return true
 		}
 		if err != nil || response.LeaderAddr == leader || response.LeaderAddr == "" && response.LeaderApplied == 0 {
@@ -167,7 +173,8 @@
 		if response.LeaderApplied <= request.Applied && !response.IsMember {
 			return true
 		}
-		// Whole now: asked again, it may have a place at once.
+		// Caught up now: at the next request the leader may make it a member
+		// at once.
 		if s.refill(ctx, leader) != nil || s.canVote() {
 			return true
 		}
@@ -175,10 +182,11 @@
 	return true
 }
 
-// becomeLearner takes up a new identity when this replica has lost its place: what it
-// promised and accepted as a member must not come back. What it has applied is
-// kept, on the disk too, so that its copy is still there should the others lose
-// theirs right now, and so that it only fetches what it lacks.
+// becomeLearner takes a new identity after this replica has lost its
+// membership: what it promised and accepted as a member must not be used
+// again. The applied state is kept, on disk too, so that this copy still
+// exists if the others lose theirs now, and only missing entries need to be
+// fetched.
 func (s *Store) becomeLearner() error {
 	s.applyLock.Lock()
 	defer s.applyLock.Unlock()
--- a/internal/store/leadership.go
+++ b/internal/store/leadership.go
@@ -15,24 +15,24 @@
 	"puffincrank/internal/transport"
 )
 
-// leadership is the time for which this store writes, under one ballot.
+// leadership is a term of this store as the leader, under one ballot.
 type leadership struct {
 	store               *Store
 	ballot              ballot.Number
-	memberSet           string // the members that the ballot was won from
+	memberSet           string // the members whose votes won the ballot
 	tasks               *task.Group
 	proposals           chan *proposal
 	reads               chan *readRequest
 	mu                  sync.Mutex
-	confirmedAt         time.Time              // when the newest round that a majority answered began
-	contacts            map[string]peerContact // member to its newest ack
-	learners            map[string]*learner    // replica that stands by to its newest word
-	membershipLock      sync.Mutex             // one change of the members at a time
-	closed              atomic.Bool            // handing the leadership on: no more offers
-	diskTransferStarted atomic.Bool            // giving the leadership up for its disk
-	pending             atomic.Int64           // offers that wait for their receipt
-	rounds              atomic.Uint64          // in which the members were asked whether this store still leads
-	refusals            int                    // rounds in which a member held a higher promise
+	confirmedAt         time.Time              // the start of the newest round that a majority answered
+	contacts            map[string]peerContact // newest ack of each member, by its ID
+	learners            map[string]*learner    // newest report of each learner, by its ID
+	membershipLock      sync.Mutex             // held during a change of the members
+	closed              atomic.Bool            // the leadership is being transferred: no more proposals
+	diskTransferStarted atomic.Bool            // a transfer because of the own disk has started
+	pending             atomic.Int64           // proposals that wait for their outcome
+	rounds              atomic.Uint64          // number of heartbeat rounds
+	refusals            int                    // refusals by members with a higher promise
 }
 
 func (s *Store) newLeadership(number ballot.Number) *leadership {
@@ -55,13 +55,15 @@
 	t.tasks.Every("greet-seeds", t.store.Settings.CatchUpBound/4, t.announceToSeeds)
 }
 
-// stop stops the term's loops; what they were doing stays unknown.
+// stop cancels the term's loops; the outcome of what they were doing stays
+// unknown.
 func (t *leadership) stop() { t.tasks.Cancel() }
 
 func (t *leadership) ended() bool { return t.tasks.Context().Err() != nil }
 
-// checkMembers ends the term when the members changed, since the ballot was won from
-// the old ones, or when the own disk is worse than another's.
+// checkMembers ends the term when the members have changed, since the ballot
+// was won from the old ones, or when this store's disk is worse than
+// another's.
 func (t *leadership) checkMembers() bool {
 	if t.store.memberSet() != t.memberSet {
 		t.store.voter.Vacate(t.ballot)
@@ -73,8 +75,8 @@
 	return !t.ended()
 }
 
-// decide gets one entry accepted by a majority and applies it; learn is
-// held. An error means that it may or may not be chosen.
+// decide gets one entry accepted by a majority and applies it; applyLock is
+// held. After an error it is unknown whether the entry is chosen.
 func (t *leadership) decide(ctx context.Context, encoded []byte) ([]statemachine.Result, error) {
 	store := t.store
 	entry := paxos.Entry{Index: store.appliedIndex + 1, Previous: store.appliedDigest, Batch: encoded, Ballot: t.ballot}
@@ -91,8 +93,8 @@
 				remaining = append(remaining, reply)
 			}
 		}
-		// One member's higher promise doesn't end a term that a majority
-		// still follows; a majority of them does.
+		// One member's higher promise does not end a term that a majority
+		// still follows; higher promises of a majority do.
 		higher := 0
 		round, cancel := context.WithTimeout(ctx, store.Settings.Lease()/2)
 		ballot.Poll(round, store.tasks, remaining, func(ctx context.Context, to string) (ack, error) {
--- a/internal/store/leases.go
+++ b/internal/store/leases.go
@@ -8,26 +8,29 @@
 )
 
 // lease is when a lock's time to live runs out, on this store's own monotonic
-// clock. Every store keeps it from the moment in which it applied the newest
-// word on the lock, which is never before the holder sent that: so whoever
-// becomes the leader goes on with what is left.
+// clock. Every store counts from the moment at which it applied the newest
+// acquisition or renewal, which is never before the holder sent that. So a new
+// leader continues with the remaining time.
 type lease struct {
 	fence    uint64
-	renewals uint64 // the newest word on it
+	renewals uint64 // number of the newest renewal
 	expires  time.Time
 }
 
-// withDrift is what clocks of two machines may differ over a time to live.
+// withDrift adds the drift allowed between two machines' clocks: 1/1024 of a
+// time to live.
 func withDrift(ttl time.Duration) time.Duration { return ttl + ttl/1024 }
 
-// revisionMark says which revisions stood at a moment: all up to there are older.
+// revisionMark records the newest revisions at a moment: all revisions up to
+// these are older.
 type revisionMark struct {
 	at       time.Time
 	revision uint64
 	puts     uint64
 }
 
-// restartLeases starts all clocks anew for a state that came whole; mu is held.
+// restartLeases restarts all leases for a state that came as a snapshot; mu is
+// held.
 func (s *Store) restartLeases() {
 	now := time.Now()
 	s.leases = map[string]lease{}
@@ -39,7 +42,7 @@
 	s.recordRequestCount(now)
 }
 
-// recordLeases notes what an entry did to locks and histories; mu is held.
+// recordLeases records what an entry did to locks and revisions; mu is held.
 func (s *Store) recordLeases(commands []statemachine.Command, results []statemachine.Result) {
 	now := time.Now()
 	for i, c := range commands {
@@ -49,7 +52,8 @@
 		switch c := c.(type) {
 		case *statemachine.AcquireLock:
 			expires := now.Add(withDrift(time.Duration(c.TTL) * time.Millisecond))
-			// A renewal never takes time away, see TakeLock.
+			// A renewal never shortens the remaining time, see
+			// statemachine.AcquireLock.
 			if old, ok := s.leases[c.Name]; ok && old.fence == results[i].Lock.Fence && old.expires.After(expires) {
 				expires = old.expires
 			}
@@ -63,7 +67,8 @@
 	s.recordRevisions(now)
 }
 
-// recordRevisions notes from time to time which revisions stand; mu is held.
+// recordRevisions records the newest revisions, at most once per
+// Settings.Lease; mu is held.
 func (s *Store) recordRevisions(now time.Time) {
 	if now.Sub(s.revisionMarks[len(s.revisionMarks)-1].at) >= s.Settings.Lease() {
 		s.revisionMarks = append(s.revisionMarks, revisionMark{now, s.state.Revision, s.state.TotalPuts()})
@@ -71,8 +76,8 @@
 	s.recordRequestCount(now)
 }
 
-// expiredLock gives the end of a lock whose time has run out; nil while it has not.
-// mu is held.
+// expiredLock returns the command that ends an expired lock; nil if it has not
+// expired. mu is held.
 func (s *Store) expiredLock(name string, now time.Time) *statemachine.ExpireLock {
 	lock, held := s.state.Locks[name]
 	if lease, ok := s.leases[name]; !held || !ok || lease.fence != lock.Fence || !now.After(lease.expires) {
@@ -81,8 +86,8 @@
 	return &statemachine.ExpireLock{Name: name, Fence: lock.Fence, Renew: lock.Renewals}
 }
 
-// expireLocks proposes the end of locks that nobody asks for any more. Those that
-// somebody asks for end in the entry that gives them to him.
+// expireLocks proposes the end of expired locks that nobody requests. A lock
+// that is requested ends in the entry that gives it to the next owner.
 func (t *leadership) expireLocks(context.Context) {
 	store := t.store
 	now := time.Now()
@@ -103,10 +108,10 @@
 	}
 }
 
-// trimCommands gives the commands that forget what is older than the bounds. They go
-// with an entry that is made anyway, so that they cost none of their own.
-// History is kept for a fifth longer than its bound, and puts longer still,
-// since they also tell one that is sent again. mu is held.
+// trimCommands returns the commands that drop history beyond its bounds. They
+// go with an entry that is written anyway, so that they need none of their
+// own. Changes are kept for a fifth longer than WatchHistory, and puts for
+// three fifths longer, since retried puts are recognized by them. mu is held.
 func (s *Store) trimCommands(now time.Time) map[string]statemachine.Command {
 	s.recordRevisions(now)
 	changeRetention, putRetention := s.Settings.WatchHistory+s.Settings.WatchHistory/5, s.Settings.WatchHistory+s.Settings.WatchHistory*3/5
--- a/internal/store/leasesync.go
+++ b/internal/store/leasesync.go
@@ -7,11 +7,11 @@
 	"puffincrank/internal/transport"
 )
 
-// remainingLease is what is left of one lock's time by one store's clock.
+// remainingLease is a lock's remaining time by the clock of one store.
 type remainingLease struct {
 	Fence       uint64 `msgpack:"f"`
 	Renewals    uint64 `msgpack:"r"`
-	RemainingMS int64  `msgpack:"l"` // ms, at the moment of the answer
+	RemainingMS int64  `msgpack:"l"` // at the moment of the response
 }
 
 type remainingLeasesRequest struct{}
@@ -20,7 +20,8 @@
 	Locks map[string]remainingLease `msgpack:"l"`
 }
 
-// onRemainingLeases tells what is left of each lock by this store's clock.
+// onRemainingLeases returns the remaining time of each lock by this store's
+// clock.
 func (s *Store) onRemainingLeases(context.Context, transport.Hello, remainingLeasesRequest) (remainingLeasesResponse, error) {
 	response := remainingLeasesResponse{Locks: map[string]remainingLease{}}
 	now := time.Now()
@@ -32,9 +33,10 @@
 	return response, nil
 }
 
-// collectLeases asks the others for their clocks: a leader that was itself restarted
-// lately counts locks in full that others saw taken long ago. No clock ends
-// before its holder's own, so the least one is right.
+// collectLeases asks the other members for their leases: a recently restarted
+// leader counts the full time to live of locks that others saw acquired long
+// ago. No store's lease expires before the holder's own count of it, so the
+// shortest one is right.
 func (t *leadership) collectLeases(ctx context.Context) {
 	store := t.store
 	addresses, _ := store.memberAddresses()
@@ -52,8 +54,8 @@
 	}
 }
 
-// adoptLeases takes over ends that are earlier, of clocks that know the newest
-// word on their lock.
+// adoptLeases takes over earlier expiry times from a store that knows the
+// newest acquisition or renewal of the lock.
 func (s *Store) adoptLeases(response remainingLeasesResponse) {
 	now := time.Now()
 	s.mu.Lock()
