--- a/internal/store/leave.go
+++ b/internal/store/leave.go
@@ -11,16 +11,16 @@
 	"puffincrank/internal/transport"
 )
 
-// leaveGracePercent is the part of the grace, in percent, for which a member that leaves
-// waits for the others to hold what it has. Then it ends all the same: its disk
-// stays, and the platform would kill it.
+// leaveGracePercent is the part of the grace period, in percent, for which a
+// leaving member waits for the others to hold what it has. After that it stops
+// anyway: its disk stays, and the platform would kill it.
 const leaveGracePercent = 60
 
-// leave hands this member's place to a whole learner, before the process ends.
-// Without one the place is kept, since a planned stop is mostly a restart. Either
-// way the process ends only when a majority without it holds all that it has, the
-// change of its place included: its disk may be gone with it, and another's right
-// after.
+// leave replaces this member by a learner that has caught up, before the
+// process ends. Without such a learner the membership is kept, since a planned
+// stop is usually a restart. Either way the process ends only when a majority
+// without it holds all that it has, including the change of the members: its
+// disk may be lost with it, and another one right after.
 func (s *Store) leave() {
 	started := time.Now()
 	ctx, cancel := context.WithTimeout(s.tasks.Context(), s.Settings.GracePeriod*leaveGracePercent/100)
@@ -40,15 +40,15 @@
 	s.env.Log.Emit(event.StoreLeft, "place_given", transferred, "after_ms", time.Since(started).Milliseconds(), "in_time", ctx.Err() == nil)
 }
 
-// isVoter tells whether this replica is a member.
+// isVoter reports whether this replica is a member.
 func (s *Store) isVoter() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.isMember(s.acceptor.Identity().ID)
 }
 
-// transferMembership gives this member's place to a learner, by the change in a slot; false
-// means that it is kept.
+// transferMembership replaces this member by a learner, with the entry at the
+// returned index; false means that the membership is kept.
 func (s *Store) transferMembership(ctx context.Context) (index uint64, transferred bool) {
 	s.mu.Lock()
 	term, leader, self, number := s.leadership, s.leaderAddress, s.acceptor.Identity().ID, s.ballot
@@ -61,7 +61,8 @@
 		response, err := transport.Call[ack](ctx, s.node, leader, "store.leave", leaveRequest{ID: self})
 		return response.Applied, err == nil && response.OK
 	case term != nil && term.replaceLeaving(ctx, self):
-		// The term is over with the change; the others need not miss it first.
+		// The term ends with the change; the others need not wait for the
+		// leader's timeout.
 		s.announceVacancy(number)
 		_, _, index = s.members()
 		return index, true
@@ -69,8 +70,9 @@
 	return 0, false
 }
 
-// majorityAppliedChange tells whether a majority of the members after a change has applied
-// it: until then those of before decide, and this one is among them.
+// majorityAppliedChange reports whether a majority of the members after a
+// change has applied it: until then the former members decide, and this one is
+// among them.
 func (s *Store) majorityAppliedChange(ctx context.Context, index uint64) bool {
 	ctx, cancel := context.WithTimeout(ctx, s.Settings.CallTimeout())
 	defer cancel()
@@ -86,7 +88,8 @@
 			}
 			return false
 		})
-		// The one who took the place is known from those who know the change.
+		// Those that have applied the change know the address of the new
+		// member.
 		addresses = nil
 		for _, m := range members {
 			if applied[m.ID] == 0 {
@@ -103,9 +106,9 @@
 	return count > len(members)/2
 }
 
-// othersHold tells whether the others hold all that this leaving member has. Once
-// they do it accepts nothing more, and asks again: what was accepted meanwhile
-// must not be with it alone.
+// othersHold reports whether the others hold everything that this leaving
+// member has. If so, it accepts no more entries and asks again: what it
+// accepted in between must not be held by it alone.
 func (s *Store) othersHold(ctx context.Context) bool {
 	if !s.queryOthersHold(ctx) {
 		return false
@@ -133,7 +136,7 @@
 	return err == nil && response.HeldByOthers
 }
 
-// onLeave hears a member that stops.
+// onLeave handles the announcement of a member that stops.
 func (s *Store) onLeave(ctx context.Context, _ transport.Hello, request leaveRequest) (ack, error) {
 	s.mu.Lock()
 	term := s.leadership
@@ -150,9 +153,10 @@
 	return ack{OK: transferred, Applied: index}, nil
 }
 
-// replaceLeaving gives a leaving member's place to the best learner, if there is one
-// and all the others are in touch. The learner is whole after its next word: it
-// is waited for, as the one that leaves is still there.
+// replaceLeaving replaces a leaving member by the best learner, if there is
+// one and all the other members are connected. A learner counts as caught up
+// after its next report, which is waited for, since the leaving member is
+// still running.
 func (t *leadership) replaceLeaving(ctx context.Context, old string) bool {
 	t.membershipLock.Lock()
 	defer t.membershipLock.Unlock()
--- a/internal/store/membership.go
+++ b/internal/store/membership.go
@@ -13,22 +13,23 @@
 	"puffincrank/internal/transport"
 )
 
-// near is how many entries a learner may lack at its word and still count as
-// whole. What was decided since then says nothing of it: a busy core decides
-// more than that between two words.
+// maxLearnerLag is how many entries a learner may lack at its report and still
+// count as caught up. Entries decided after the report do not count: a busy
+// control plane decides more than that between two reports.
 const maxLearnerLag = 16
 
-// learner is a replica that stands by, as the leader knows it.
+// learner is a replica without a vote that follows the leader, as the leader
+// knows it.
 type learner struct {
 	member         statemachine.Member
-	appliedIndex   uint64    // what it had applied at its newest word
+	appliedIndex   uint64    // at its newest report
 	lag            uint64    // how many entries it lacked then
-	commandLevel   int       // the level of commands that it understands
-	connectedSince time.Time // from when on it was heard without a gap
+	commandLevel   int       // the highest level of commands that it understands
+	connectedSince time.Time // start of its uninterrupted reports
 	lastReport     time.Time
 }
 
-// recordLearner notes a learner's word.
+// recordLearner records a learner's report.
 func (t *leadership) recordLearner(request joinAsk) {
 	_, _, index := t.store.members()
 	now := time.Now()
@@ -43,9 +44,10 @@
 	reporting.lag = index - min(request.Applied, index)
 }
 
-// isSteady tells whether a learner is there and not about to be gone again. One
-// that lost its place a short while ago must stand for longer, or a machine that
-// comes and goes would be swapped in and out. mu is held.
+// isSteady reports whether a learner is connected and has been for long
+// enough. A learner whose address lost a membership within CatchUpBound must
+// stay for longer, or a machine that keeps failing and recovering would be
+// swapped in and out. mu is held.
 func (t *leadership) isSteady(candidate *learner, minDuration time.Duration) bool {
 	if t.store.replacedAt[candidate.member.Addr].After(time.Now().Add(-t.store.Settings.CatchUpBound)) {
 		minDuration = t.store.Settings.CatchUpBound / 2
@@ -53,7 +55,8 @@
 	return time.Since(candidate.lastReport) < t.store.Settings.Lease() && time.Since(candidate.connectedSince) >= minDuration
 }
 
-// hasSteadyLearner tells whether any learner stays, whole or not; mu is held.
+// hasSteadyLearner reports whether any learner is steady, caught up or not; mu
+// is held.
 func (t *leadership) hasSteadyLearner(minDuration time.Duration) bool {
 	for _, l := range t.learners {
 		if t.isSteady(l, minDuration) {
@@ -63,9 +66,9 @@
 	return false
 }
 
-// bestLearner gives the whole learner for the place of a member, or for a free one: of the
-// region and area with the fewest members, so that their loss takes few; mu is
-// held.
+// bestLearner returns the caught-up learner that may replace a member or be
+// added: the one whose region and zone have the fewest members, so that the
+// loss of a region or zone takes few votes; mu is held.
 func (t *leadership) bestLearner(members []statemachine.Member, old string, minDuration time.Duration) *learner {
 	var best *learner
 	for _, l := range t.learners {
@@ -79,7 +82,8 @@
 	return best
 }
 
-// countConnected counts the members that were heard lately, without one; mu is held.
+// countConnected counts the members that answered within a lease, except one;
+// mu is held.
 func (t *leadership) countConnected(members []statemachine.Member, without string) (count int) {
 	for _, m := range members {
 		if m.ID != without && (m.ID == t.store.acceptor.Identity().ID || time.Since(t.contacts[m.ID].at) < t.store.Settings.Lease()) {
@@ -89,8 +93,8 @@
 	return count
 }
 
-// findPlace says what may become of a learner now: the member whose place it
-// takes, or a free place; say tells why neither.
+// findPlace returns the member that a learner may replace now, or whether it
+// may be added; reason tells why neither is possible.
 func (t *leadership) findPlace(request joinAsk, members []statemachine.Member, wanted int, index uint64) (old string, free bool, reason string) {
 	if request.CommandLevel < t.store.commandLevel() {
 		return "", false, "its program is too old for the commands in use"
@@ -101,7 +105,7 @@
 		return "", false, "not refilled yet"
 	}
 	for _, m := range members {
-		// The same address with another identity: the old disk is gone.
+		// The same address with another identity: the old disk is lost.
 		if m.Addr == request.Addr && m.ID != t.store.acceptor.Identity().ID {
 			old = m.ID
 		}
@@ -112,11 +116,12 @@
 			minDuration = t.store.Settings.ReplaceAfter / 2
 		}
 	}
-	// A place is added only while all are in touch: one more voter must not be
-	// what leaves the others short of a majority.
+	// A member is added only while all are connected: an additional voter must
+	// not leave the connected ones short of a majority.
 	free = old == "" && len(members) < wanted && t.countConnected(members, "") == len(members)
 	if old == "" && len(members) >= wanted && t.countConnected(members, "") == len(members) {
-		// Nobody is lost, so there is no hurry: a learner must have shown that it stays.
+		// No member is lost, so there is no hurry: a learner must first have
+		// been steady.
 		if old = t.store.memberToReplace(members, statemachine.Member{ID: request.ID, Zone: request.Zone, Region: request.Region}); old != "" {
 			minDuration = t.store.Settings.ReplaceAfter / 2
 		}
@@ -133,8 +138,8 @@
 	return old, free, ""
 }
 
-// onJoin hears a refilled learner, and lets the leader put it in a lost
-// member's place or in a free one.
+// onJoin handles a learner's report. The leader may let it replace a lost
+// member, or add it.
 func (s *Store) onJoin(ctx context.Context, _ transport.Hello, request joinAsk) (joinGot, error) {
 	s.mu.Lock()
 	term, response := s.leadership, joinGot{LeaderAddr: s.leaderAddress}
@@ -175,7 +180,7 @@
 	return joinGot{IsMember: result.Code == statemachine.OK, Reason: result.Message, LeaderApplied: index}, nil
 }
 
-// commandLevel is that of the commands in use.
+// commandLevel returns the level of the commands in use.
 func (s *Store) commandLevel() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -188,7 +193,7 @@
 	return s.state.Members, s.state.VoterCount(), s.appliedIndex
 }
 
-// changeMembers decides a change of the members; swaps is held.
+// changeMembers decides a change of the members; membershipLock is held.
 func (t *leadership) changeMembers(ctx context.Context, old string, free bool, joiner statemachine.Member) (statemachine.Result, error) {
 	store := t.store
 	all, _, _ := store.members()
--- a/internal/store/proposals.go
+++ b/internal/store/proposals.go
@@ -12,14 +12,14 @@
 // proposal is one command that waits to be proposed.
 type proposal struct {
 	packed     statemachine.Packed
-	command    statemachine.Command // the same, opened
-	notAfter   time.Time            // when it may last be proposed; zero: at any time
-	requestKey *RequestKey          // set for a request that may be sent again
-	// guard, if set, must hold at the moment of the proposal, with nothing decided
-	// in between. An offer without a command only asks for that.
+	command    statemachine.Command // the same, unpacked
+	notAfter   time.Time            // when it may last be proposed; zero: no limit
+	requestKey *RequestKey          // set for a request that its sender may retry
+	// guard, if set, must return true right before the proposal, with nothing
+	// decided in between. A proposal without a command only asks for that.
 	guard   func(context.Context) bool
 	result  chan outcome
-	claimed atomic.Bool // whoever sets it first, the leader loop or the waiter, has the offer
+	claimed atomic.Bool // set by the first to claim the proposal: the proposing loop or the waiting caller
 }
 
 type outcome struct {
@@ -27,18 +27,18 @@
 	err    error
 }
 
-// propose proposes a command of this store's own.
+// propose proposes a command of this store itself.
 func (t *leadership) propose(ctx context.Context, packed statemachine.Packed) (statemachine.Result, error) {
 	return t.proposeOnce(ctx, packed, nil)
 }
 
-// proposeOnce proposes a command of this store's own for a request that may come
-// again; without a key it is an ordinary command.
+// proposeOnce proposes a command of this store for a request that may be
+// retried; without a key it is an ordinary command.
 func (t *leadership) proposeOnce(ctx context.Context, packed statemachine.Packed, key *RequestKey) (statemachine.Result, error) {
 	return t.proposeGuarded(ctx, packed, key, nil)
 }
 
-// proposeGuarded proposes a command of this store's own if its guard holds.
+// proposeGuarded proposes a command of this store if its guard holds.
 func (t *leadership) proposeGuarded(ctx context.Context, packed statemachine.Packed, key *RequestKey, guard func(context.Context) bool) (statemachine.Result, error) {
 	command, err := packed.Open()
 	if err != nil {
@@ -47,7 +47,7 @@
 	return t.submit(ctx, &proposal{packed: packed, command: command, requestKey: key, guard: guard, result: make(chan outcome, 1)})
 }
 
-// submit queues an offer and waits for what became of it.
+// submit queues a proposal and waits for its outcome.
 func (t *leadership) submit(ctx context.Context, queued *proposal) (statemachine.Result, error) {
 	t.pending.Add(1)
 	defer t.pending.Add(-1)
@@ -65,11 +65,13 @@
 	case <-ctx.Done():
 	case <-t.tasks.Context().Done():
 	}
-	// Not yet taken by the loop: it is ours to drop, and certainly not done.
+	// Not yet claimed by the loop: it can be withdrawn, and is certainly not
+	// applied.
 	if queued.claimed.CompareAndSwap(false, true) {
 		return statemachine.Result{}, fault.New(fault.Refused, "never proposed")
 	}
-	// The term ended: the leader loop says what it knows, or nobody does.
+	// The term ended or the caller gave up: the loop may have sent an outcome,
+	// otherwise it is unknown.
 	select {
 	case decided := <-queued.result:
 		return decided.result, decided.err
@@ -78,8 +80,8 @@
 	}
 }
 
-// proposeLoop is the loop that turns waiting commands into entries. While one
-// entry syncs, the next batch forms.
+// proposeLoop turns waiting proposals into entries. While one entry is synced,
+// the next batch forms.
 func (t *leadership) proposeLoop(ctx context.Context) {
 	var next *proposal
 	for {
@@ -99,7 +101,8 @@
 			select {
 			case o := <-t.proposals:
 				if o.guard != nil {
-					// It goes by itself, after those that came before it.
+					// A guarded proposal gets a batch of its own, after the
+					// earlier ones.
 					next = o
 					more = false
 					continue
@@ -116,9 +119,10 @@
 	}
 }
 
-// claimProposals takes those offers of a batch that nobody took back and that are not
-// too old: one that its sender has given up must not be done after what it did
-// since. learn is held, so that nothing comes between this look and the proposal.
+// claimProposals claims the proposals of a batch that were neither withdrawn
+// nor are past their deadline: a command that its sender has given up must not
+// be applied after the sender's later ones. applyLock is held, so that nothing
+// is decided between this check and the proposal.
 func claimProposals(queued []*proposal) []*proposal {
 	var claimed []*proposal
 	now := time.Now()
@@ -135,8 +139,8 @@
 	return claimed
 }
 
-// checkGuards gives the offers whose guard holds now, and answers the others, and those
-// that only asked. learn is held.
+// checkGuards returns the proposals whose guard holds now. It answers the
+// others, and those that only ask for the guard. applyLock is held.
 func (t *leadership) checkGuards(ctx context.Context, batch []*proposal) (allowed []*proposal) {
 	for _, o := range batch {
 		held := o.guard == nil || o.guard(ctx)
--- a/internal/store/proposepatch.go
+++ b/internal/store/proposepatch.go
@@ -2,9 +2,9 @@
 
 import "puffincrank/internal/statemachine"
 
-// allSupport tells whether all who vote, and those who stand by, know a level of
-// the commands, each by its newest word in this term: one that stops at a
-// command that it doesn't know would be lost to the others.
+// allSupport reports whether all members and learners understand a level of
+// commands, by the newest report of each in this term: a replica that stops at
+// a command that it does not know would be lost to the others.
 func (t *leadership) allSupport(level int) bool {
 	members, _, _ := t.store.members()
 	t.mu.Lock()
@@ -22,9 +22,9 @@
 	return true
 }
 
-// usePatch puts the first document of a batch as the step from the one that
-// stands, which is all that changes from entry to entry of most. Those
-// after it begin at another document, and stay whole. learn is held.
+// usePatch replaces the first document of a batch by a patch from the current
+// one, since most entries change only a small part. Later documents of the
+// batch are based on another document, and stay whole. applyLock is held.
 func (t *leadership) usePatch(batch []*proposal) {
 	for _, o := range batch {
 		switch o.command.(type) {
--- a/internal/store/ready.go
+++ b/internal/store/ready.go
@@ -12,7 +12,7 @@
 	"puffincrank/internal/transport"
 )
 
-// status tells how this store stands.
+// status reports this store's state.
 func (s *Store) status() Status {
 	_, silence := s.voter.Promised()
 	s.mu.Lock()
@@ -45,7 +45,8 @@
 	return status, nil
 }
 
-// listen serves readiness only: outside calls go to the registry.
+// listen serves only the readiness endpoint: clients' calls go to the
+// registry.
 func (s *Store) listen() error {
 	router := chi.NewRouter()
 	router.Get("/puffin/ready", func(w http.ResponseWriter, _ *http.Request) {
@@ -67,6 +68,6 @@
 	return nil
 }
 
-// BytesSent gives the bytes that this process sent to others, by kind of message;
-// receipts count with what they answer.
+// BytesSent returns the bytes that this process sent to others, by kind of
+// message; responses count with their requests.
 func (s *Store) BytesSent() map[transport.Flow]transport.Traffic { return s.node.BytesSent() }
--- a/internal/store/recover.go
+++ b/internal/store/recover.go
@@ -7,7 +7,8 @@
 	"puffincrank/internal/trace"
 )
 
-// open takes up what the folder holds, or names a new empty replica.
+// open loads what the data folder holds, or gives an empty replica its
+// identity.
 func (s *Store) open() error {
 	if s.acceptor.Identity().ID == "" {
 		if err := s.acceptor.SetIdentity(paxos.Identity{ID: randomID()}); err != nil {
@@ -26,19 +27,19 @@
 	s.mu.Lock()
 	s.env.Trace.Notify(trace.Opened{Replica: s.acceptor.Identity().ID, Index: s.appliedIndex, Digest: string(s.appliedDigest), Members: s.memberIDs()})
 	s.mu.Unlock()
-	// What the files alone prove to be chosen is applied at once.
+	// The entries that the files alone prove to be chosen are applied at once.
 	for _, entry := range s.acceptor.ProvenChosen(s.appliedIndex, s.appliedDigest) {
 		if _, err := s.apply(&entry); err != nil {
 			return err
 		}
 	}
 	s.updateRole()
-	// Whoever wrote last knows that nobody does since it ended.
+	// The last leader knows that there has been no other since it stopped.
 	s.campaignNow = s.role.Is("follow") && s.acceptor.Promised().Candidate == s.acceptor.Identity().ID
 	return nil
 }
 
-// loadState takes a checkpoint as the applied state.
+// loadState makes a snapshot the applied state.
 func (s *Store) loadState(snapshot paxos.Snapshot) error {
 	state, err := statemachine.Load(snapshot.State)
 	if err != nil {
@@ -53,7 +54,7 @@
 	return nil
 }
 
-// memberIDs lists the members' identities; mu is held.
+// memberIDs lists the identities of the members; mu is held.
 func (s *Store) memberIDs() (ids []string) {
 	for _, m := range s.state.Members {
 		ids = append(ids, m.ID)
--- a/internal/store/remove.go
+++ b/internal/store/remove.go
@@ -11,8 +11,8 @@
 	"puffincrank/internal/transport"
 )
 
-// silentMember names the member that has not answered for longest, and for longer
-// than the bound; mu is held.
+// silentMember returns the member that has not answered for the longest time,
+// if that is longer than the bound; mu is held.
 func (t *leadership) silentMember(members []statemachine.Member, bound time.Duration) (id string) {
 	for _, m := range members {
 		if at := t.contacts[m.ID].at; m.ID != t.store.acceptor.Identity().ID && time.Since(at) > bound && (id == "" || at.Before(t.contacts[id].at)) {
@@ -22,9 +22,9 @@
 	return id
 }
 
-// onRemove takes a store out by an operator's word. It is refused when those
-// who stay could not decide at once without it: fewer than two, or one of them
-// out of touch.
+// onRemove removes a store at an operator's request. It is refused if the
+// others could not decide at once without it: there are fewer than two, or one
+// of them is not connected.
 func (s *Store) onRemove(ctx context.Context, _ transport.Hello, request RemoveRequest) (LeaderResponse, error) {
 	term, response := s.currentLeadership()
 	if term == nil {
@@ -58,9 +58,10 @@
 	return response, err
 }
 
-// detectReplacedLeader hears which replica stands at an address. Another than the holder of
-// the leadership at the holder's own means that the holder's disk is lost, and its
-// process with it: the leadership is vacant, and need not be missed for a time first.
+// detectReplacedLeader is told which replica runs at an address. Another
+// replica at the leader's own address means that the leader's disk and process
+// are lost: the leadership is vacant, without waiting for the leader's
+// timeout.
 func (s *Store) detectReplacedLeader(id, addr string) {
 	promised, silence := s.voter.Promised()
 	if id == promised.Candidate || silence >= s.Settings.LeaderTimeout() || !s.canVote() {
--- a/internal/store/requests.go
+++ b/internal/store/requests.go
@@ -7,15 +7,15 @@
 	"puffincrank/internal/statemachine"
 )
 
-// The time for which an answered request is remembered, as a ratio to the bound
-// on a return: an hour with the default of 15 s. An operator's own retry ends
-// long before.
+// requestRetentionFactor is the time for which an answered request is
+// remembered, as a multiple of RecoveryBound: an hour with the default of 15
+// s. An operator's own retries end long before.
 const requestRetentionFactor = 240
 
-// wrapRequests turns commands that may be sent again into requests that are done
-// once. While a member has never been known to read them, the commands are
-// proposed as they are, and an order that is sent again is judged by what stands
-// alone. learn is held.
+// wrapRequests wraps commands that may be retried into requests that are
+// applied once. Until all members and learners understand requests, the
+// commands are proposed as they are, and a retry is judged by the current
+// state alone. applyLock is held.
 func (s *Store) wrapRequests(batch []*proposal) {
 	if s.commandLevel() < statemachine.LevelRequests {
 		return
@@ -31,8 +31,8 @@
 	}
 }
 
-// raiseLevel proposes the level of this program's commands once all members and
-// learners are known to be of it.
+// raiseLevel proposes the command level of this program once all members and
+// learners are known to understand it.
 func (t *leadership) raiseLevel(ctx context.Context) {
 	if t.store.commandLevel() >= statemachine.Level || !t.allSupport(statemachine.Level) {
 		return
@@ -42,14 +42,14 @@
 	}
 }
 
-// requestMark says how many requests had been answered at a moment.
+// requestMark records how many requests had been answered at a moment.
 type requestMark struct {
 	at    time.Time
 	total uint64
 }
 
-// recordRequestCount notes the count of answered requests from time to time; mu is
-// held.
+// recordRequestCount records the number of answered requests, at most once per
+// RecoveryBound; mu is held.
 func (s *Store) recordRequestCount(now time.Time) {
 	if count := len(s.requestMarks); count > 0 && now.Sub(s.requestMarks[count-1].at) < s.Settings.RecoveryBound {
 		return
@@ -57,8 +57,8 @@
 	s.requestMarks = append(s.requestMarks, requestMark{now, s.state.TotalRequests()})
 }
 
-// trimRequests gives the command that forgets requests answered too long ago, or
-// nil. mu is held.
+// trimRequests returns the command that forgets requests answered too long
+// ago, or nil. mu is held.
 func (s *Store) trimRequests(now time.Time) statemachine.Command {
 	outdated := 0
 	for outdated < len(s.requestMarks) && now.Sub(s.requestMarks[outdated].at) > requestRetentionFactor*s.Settings.RecoveryBound {
--- a/internal/store/rolevote.go
+++ b/internal/store/rolevote.go
@@ -11,9 +11,9 @@
 	"puffincrank/internal/transport"
 )
 
-// roleVoter gives this store's vote for a duty of the registries. The promise is
-// a file of its own; a damaged one counts as none, since what a holder writes
-// is fenced in the log besides.
+// roleVoter returns this store's voter for a role of the registries. The
+// promise has a file of its own. A damaged file counts as no promise, since
+// what the holder of a role writes is also fenced in the log.
 func (s *Store) roleVoter(role string) *ballot.Voter {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/store/seeds.go
+++ b/internal/store/seeds.go
@@ -7,7 +7,7 @@
 	"puffincrank/internal/transport"
 )
 
-// currentHeartbeat is the leader's beat.
+// currentHeartbeat returns the leader's heartbeat request.
 func (t *leadership) currentHeartbeat() beatAsk {
 	store := t.store
 	store.mu.Lock()
@@ -15,9 +15,9 @@
 	return beatAsk{Ballot: t.ballot, Addr: store.Settings.InternalAddr, ChosenIndex: store.appliedIndex, ChosenDigest: store.appliedDigest, ClusterID: store.state.ClusterID}
 }
 
-// announceToSeeds tells the seeds without a place, those not heard of as learners, who
-// leads. One whose disk was lost knows of nobody but the seeds, and those may all
-// be gone or as empty.
+// announceToSeeds sends a heartbeat to the seeds that are neither members nor
+// known learners. A store that lost its disk knows only the seeds, and those
+// may all be down or empty as well.
 func (t *leadership) announceToSeeds(ctx context.Context) {
 	store, request := t.store, t.currentHeartbeat()
 	members, _ := store.memberAddresses()
@@ -28,13 +28,14 @@
 		t.tasks.Go("greet", func(context.Context) {
 			ctx, cancel := context.WithTimeout(ctx, store.Settings.Lease()/2)
 			defer cancel()
-			// Whoever has no state notes the sender; the answer says nothing.
+			// A store without state records the sender; the response is of no
+			// use.
 			_, _ = transport.Call[ack](ctx, store.node, to, "store.beat", request)
 		})
 	}
 }
 
-// hasLearnerAt tells whether a replica that stands by is heard of at an address.
+// hasLearnerAt reports whether a learner is known at an address.
 func (t *leadership) hasLearnerAt(addr string) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/store/serve.go
+++ b/internal/store/serve.go
@@ -9,7 +9,8 @@
 	"puffincrank/internal/transport"
 )
 
-// currentLeadership gives the term that stands here, or where the leader is.
+// currentLeadership returns the current term of this store, or the leader's
+// address.
 func (s *Store) currentLeadership() (*leadership, LeaderResponse) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -20,13 +21,13 @@
 	return s.leadership, response
 }
 
-// onPropose takes a command from a registry.
+// onPropose handles a registry's request to propose a command.
 func (s *Store) onPropose(ctx context.Context, _ transport.Hello, request ProposeRequest) (LeaderResponse, error) {
 	term, response := s.currentLeadership()
 	if term == nil {
 		return response, nil
 	}
-	// A command that can't be read must not reach the log.
+	// A command that cannot be unpacked must not reach the log.
 	command, err := request.Command.Open()
 	if err != nil {
 		return response, fault.Wrap(fault.Refused, err, "offer")
@@ -35,7 +36,7 @@
 	if deadline, ok := ctx.Deadline(); ok {
 		queued.notAfter = deadline.Add(-time.Duration(request.ProposalMarginMS) * time.Millisecond)
 	}
-	// What is read right after a freeze may be as old as the freeze.
+	// A request that is read right after a pause may be as old as the pause.
 	if request.ProposalMarginMS > 0 && s.justResumed() {
 		return response, fault.New(fault.Refused, "frozen until just now")
 	}
@@ -47,12 +48,14 @@
 	return response, nil
 }
 
-// justResumed tells that this process was frozen until just now.
+// justResumed reports whether a pause of this process ended within the last
+// heartbeat interval.
 func (s *Store) justResumed() bool {
 	return time.Since(s.pauseDetector.LastPauseEnd()) < s.Settings.HeartbeatInterval()
 }
 
-// onRead answers a confirmed read: a majority is asked after it arrived.
+// onRead handles a linearizable read: a majority confirms the leader after the
+// read arrived.
 func (s *Store) onRead(ctx context.Context, _ transport.Hello, request ReadRequest) (LeaderResponse, error) {
 	term, response := s.currentLeadership()
 	if term == nil {
@@ -71,7 +74,8 @@
 	return response, nil
 }
 
-// awaitConfig holds a poll until an entry above from stands or the wait is over.
+// awaitConfig waits until the configuration's version is above from, the wait
+// is over or the term ends.
 func (t *leadership) awaitConfig(ctx context.Context, from uint64, wait time.Duration) {
 	timeout := time.NewTimer(wait)
 	defer timeout.Stop()
@@ -94,8 +98,9 @@
 	}
 }
 
-// onWatch gives the changes of a prefix from a revision on, and waits for
-// some if there are none. Any store may answer: it only tells what is chosen.
+// onWatch returns the changes of keys with a prefix from a revision on, and
+// waits for some if there are none. Any store may answer, since it only
+// returns what is chosen.
 func (s *Store) onWatch(ctx context.Context, _ transport.Hello, request ReadRequest) (LeaderResponse, error) {
 	timeout := time.NewTimer(time.Duration(request.WaitMS) * time.Millisecond)
 	defer timeout.Stop()
--- a/internal/store/size.go
+++ b/internal/store/size.go
@@ -7,24 +7,26 @@
 	"puffincrank/internal/statemachine"
 )
 
-// stateWarnPercent is the part of the bound on the state, in percent, from which on
-// operators are warned.
+// stateWarnPercent is the part of the bound on the state, in percent, from
+// which on operators are warned.
 const stateWarnPercent = 80
 
-// recordSize notes how large the packed state is; mu is held.
+// recordSize records the size of the packed state; mu is held.
 func (s *Store) recordSize(size int) {
 	s.stateBytes, s.logBytes = size, 0
 }
 
-// recordGrowth notes an applied batch: the state is larger by no more than it; mu is
-// held.
+// recordGrowth records an applied batch: the state grows by its size at most;
+// mu is held.
 func (s *Store) recordGrowth(batch int) { s.logBytes += batch }
 
-// maxStateSize is what the packed state has at the most, mu is held.
+// maxStateSize returns an upper bound on the size of the packed state; mu is
+// held.
 func (s *Store) maxStateSize() int { return s.stateBytes + s.logBytes }
 
-// mayGrow tells whether a command may make the state larger. Whatever frees room,
-// or keeps the core itself going, is taken however full it is.
+// mayGrow reports whether a command may make the state larger. Commands that
+// free space, or that the control plane itself depends on, are accepted
+// however large the state is.
 func mayGrow(command statemachine.Command) bool {
 	switch command := command.(type) {
 	case *statemachine.SetConfig, *statemachine.SetNumberedConfig, *statemachine.Propose, *statemachine.PutKey, *statemachine.PutGroupKey, *statemachine.NextNumber:
@@ -35,9 +37,9 @@
 	return false
 }
 
-// fits tells whether a command may be proposed without the state outgrowing its
-// bound. Near the bound the state is measured anew, since much of what was
-// applied took the place of something else. learn is held.
+// fits reports whether a command may be proposed without the state exceeding
+// its bound. Near the bound the state is measured again, since much of what
+// was applied replaced something else. applyLock is held.
 func (s *Store) fits(command statemachine.Command, size int) bool {
 	if !mayGrow(command) {
 		return true
@@ -53,7 +55,7 @@
 	return s.maxStateSize()+size <= bound
 }
 
-// warnIfLarge warns of a state that nears its bound; mu is held.
+// warnIfLarge warns of a state that is close to its bound; mu is held.
 func (s *Store) warnIfLarge(bound int) {
 	size := s.maxStateSize()
 	if size*100 < bound*stateWarnPercent || time.Since(s.sizeWarnedAt) < s.Settings.RecoveryBound {
@@ -63,8 +65,8 @@
 	s.env.Log.Emit(event.StateLarge, "bytes", size, "bound", bound)
 }
 
-// dropOversized gives the commands of a batch that fit the state, and answers the
-// others: nothing of them was done. learn is held.
+// dropOversized returns the proposals of a batch that fit the state, and
+// refuses the others, of which nothing is applied. applyLock is held.
 func (s *Store) dropOversized(batch []*proposal) (accepted []*proposal) {
 	size := 0
 	for _, o := range batch {
--- a/internal/store/snapshot.go
+++ b/internal/store/snapshot.go
@@ -12,25 +12,26 @@
 	"puffincrank/internal/transport"
 )
 
-// snapshotChunk is how many bytes of a snapshot travel in one message. A state
-// that is not larger travels whole with the answer that announces it.
+// snapshotChunk is how many bytes of a snapshot are sent in one message. A
+// state that is not larger is sent whole in the response that would announce
+// it.
 const snapshotChunk = 128 << 10
 
-// snapshotLogFactor bounds the log that is kept for a transfer under way, as a
-// multiple of the bound on the state. A transfer slower than that begins anew
-// with a newer snapshot.
+// snapshotLogFactor bounds the log that is kept for a transfer in progress, as
+// a multiple of the bound on the state. A transfer that falls further behind
+// starts again with a newer snapshot.
 const snapshotLogFactor = 1
 
-// snapshotHeader announces a snapshot that travels in chunks.
+// snapshotHeader announces a snapshot that is sent in chunks.
 type snapshotHeader struct {
-	ID     []byte `msgpack:"i"` // SHA-256 of its bytes
+	ID     []byte `msgpack:"i"` // SHA-256 of the snapshot
 	Index  uint64 `msgpack:"s"`
-	Digest []byte `msgpack:"h"` // the identity of the entry at Slot
+	Digest []byte `msgpack:"h"` // the identity of the entry at Index
 	Size   int    `msgpack:"z"`
-	Format int    `msgpack:"f,omitempty"` // of the stored files
+	Format int    `msgpack:"f,omitempty"` // version of the stored files
 }
 
-// chunkRequest asks for the bytes of a snapshot from an offset on.
+// chunkRequest asks for a chunk of a snapshot, starting at an offset.
 type chunkRequest struct {
 	ID     []byte `msgpack:"i"`
 	Offset int    `msgpack:"o"`
@@ -44,25 +45,25 @@
 	Checksum uint32 `msgpack:"c"` // CRC-32 of Data
 }
 
-// outgoingSnapshot is a snapshot that is being sent: a stable copy, which neither changes of
-// the state nor compaction touch.
+// outgoingSnapshot is a snapshot that is being sent: a stable copy, which is
+// affected neither by changes of the state nor by compaction.
 type outgoingSnapshot struct {
 	header        snapshotHeader
 	data          []byte
-	lastRequested time.Time // when a chunk of it was last asked for
+	lastRequested time.Time // when a chunk was last requested
 }
 
-// inUse tells whether somebody still fetches the image.
+// inUse reports whether the snapshot is still being fetched.
 func (m *outgoingSnapshot) inUse(idle time.Duration) bool {
 	return m != nil && time.Since(m.lastRequested) < idle
 }
 
-// snapshotIdleTimeout is how long an image is kept after it was last asked for: longer
-// than the cut or the election that may come in the middle of a transfer.
+// snapshotIdleTimeout is how long a snapshot is kept after its last request:
+// longer than a network partition or an election in the middle of a transfer.
 func (s *Store) snapshotIdleTimeout() time.Duration { return 2 * s.Settings.CatchUpBound }
 
-// announceSnapshot gives the head of a snapshot that reaches beyond a slot, and from
-// which on this replica holds the whole log.
+// announceSnapshot returns the header of a snapshot of a state after the given
+// index, such that this replica holds the whole log from the snapshot on.
 func (s *Store) announceSnapshot(after uint64) (*snapshotHeader, error) {
 	s.transferLock.Lock()
 	defer s.transferLock.Unlock()
@@ -85,8 +86,8 @@
 	return &created.header, nil
 }
 
-// stableSnapshot reads the newest checkpoint from the disk or, when that does not
-// reach beyond a slot, packs the state of now.
+// stableSnapshot reads the newest snapshot from disk or, if that is not newer
+// than the given index, packs the current state.
 func (s *Store) stableSnapshot(after uint64) (*paxos.Snapshot, error) {
 	if snapshot := s.acceptor.LatestSnapshot(); snapshot != nil && snapshot.Index > after {
 		if full, err := s.acceptor.ReadSnapshot(); err == nil && full != nil && full.Index > after {
@@ -98,7 +99,7 @@
 	return s.packState()
 }
 
-// packState packs the state of now; mu is held.
+// packState packs the current state; mu is held.
 func (s *Store) packState() (*paxos.Snapshot, error) {
 	encoded, err := s.state.Pack()
 	if err != nil {
@@ -115,8 +116,8 @@
 	s.mu.Unlock()
 }
 
-// onChunk gives a chunk of the image that is being sent. Another image is refused
-// by name: its receiver asks for a new announcement.
+// onChunk returns a chunk of the snapshot that is being sent. A request for
+// another one is refused as stale: its sender asks for a new announcement.
 func (s *Store) onChunk(_ context.Context, _ transport.Hello, request chunkRequest) (chunkResponse, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -132,16 +133,16 @@
 	return chunkResponse{ID: snapshot.header.ID, Offset: request.Offset, Data: data, Checksum: crc32.ChecksumIEEE(data)}, nil
 }
 
-// dropIdleSnapshot lets go of an image that nobody fetches any more; mu is held.
+// dropIdleSnapshot drops a snapshot that is no longer fetched; mu is held.
 func (s *Store) dropIdleSnapshot() {
 	if s.outgoing != nil && !s.outgoing.inUse(s.snapshotIdleTimeout()) {
 		s.outgoing = nil
 	}
 }
 
-// entriesKeptForTransfer is how many entries before a checkpoint's slot must stay in the
-// log, so that whoever installs the image that is being sent can follow it up; mu
-// is held.
+// entriesKeptForTransfer returns how many entries before a new snapshot's
+// index must stay in the log, so that a replica can catch up after it has
+// installed the outgoing snapshot; mu is held.
 func (s *Store) entriesKeptForTransfer(index uint64) uint64 {
 	s.dropIdleSnapshot()
 	if s.outgoing == nil || s.outgoing.header.Index >= index {
--- a/internal/store/spread.go
+++ b/internal/store/spread.go
@@ -11,7 +11,8 @@
 func zoneOf(m statemachine.Member) string   { return m.Zone }
 func regionOf(m statemachine.Member) string { return m.Region }
 
-// countSharing counts the members that share a member's area or region, without one.
+// countSharing counts the members in the same zone or region as a member,
+// except one.
 func countSharing(members []statemachine.Member, location func(statemachine.Member) string, m statemachine.Member, without string) (count int) {
 	for _, o := range members {
 		if location(o) == location(m) && o.ID != without {
@@ -21,13 +22,15 @@
 	return count
 }
 
-// compareSharing compares two by how many vote in their regions, then in their areas.
+// compareSharing compares two replicas by the number of members in their
+// regions, then in their zones.
 func compareSharing(members []statemachine.Member, reply, b statemachine.Member, without string) int {
 	return cmp.Or(countSharing(members, regionOf, reply, without)-countSharing(members, regionOf, b, without), countSharing(members, zoneOf, reply, without)-countSharing(members, zoneOf, b, without))
 }
 
-// excessVotes is by how many votes the loss of the so many fullest areas or regions
-// leaves the others short of a majority; 0 when they have one.
+// excessVotes returns how many votes more than a minority are lost with the
+// fullest zones or regions, of which the given number must be tolerated; 0 if
+// the others still have a majority.
 func excessVotes(members []statemachine.Member, location func(statemachine.Member) string, tolerated int) int {
 	count := map[string]int{}
 	for _, m := range members {
@@ -41,15 +44,17 @@
 	return max(0, lost-(len(members)-1)/2)
 }
 
-// missingTolerance is how far the members are from bearing what the props name: areas and
-// regions by themselves, as the loss of one or the other is to be borne.
+// missingTolerance returns how many votes the members are short of the fault
+// tolerance in the settings. Zones and regions count separately, since the
+// loss of either alone must be tolerated.
 func (s *Store) missingTolerance(members []statemachine.Member) int {
 	return excessVotes(members, zoneOf, s.Settings.ToleratedZones) + excessVotes(members, regionOf, s.Settings.ToleratedRegions)
 }
 
-// memberToReplace names the member that is to give way to a learner of another area or
-// region, so that the others bear more; none if it would be no better. The
-// leader stays: its going would cost a ballot.
+// memberToReplace returns the member that should be replaced by a learner of
+// another zone or region, so that the members tolerate more; none if the
+// learner would be no improvement. The leader is never replaced, since that
+// would cost an election.
 func (s *Store) memberToReplace(members []statemachine.Member, joiner statemachine.Member) (old string) {
 	least := s.missingTolerance(members)
 	if least == 0 {
@@ -61,7 +66,8 @@
 		}
 		changed := slices.Clone(members)
 		changed[i] = joiner
-		// The first of equals is the same for each learner that asks.
+		// Of equally good members the first is chosen, the same for each
+		// learner.
 		if missing := s.missingTolerance(changed); missing < least {
 			least, old = missing, m.ID
 		}
--- a/internal/store/stepdown.go
+++ b/internal/store/stepdown.go
@@ -9,7 +9,7 @@
 	"puffincrank/internal/transport"
 )
 
-// stepDown ends the term that stands, if any.
+// stepDown ends the current term of this store, if there is one.
 func (s *Store) stepDown(reason string) {
 	s.mu.Lock()
 	term := s.leadership
@@ -32,7 +32,8 @@
 	s.env.Log.Emit(event.RoleLost, "duty", "writer", "why", reason)
 }
 
-// transferLeadership gives the leadership up and tells the voters that it is vacant.
+// transferLeadership ends the term and tells the voters that the leadership is
+// vacant.
 func (s *Store) transferLeadership(reason string) {
 	s.mu.Lock()
 	term, number := s.leadership, s.ballot
@@ -40,8 +41,8 @@
 	if term == nil {
 		return
 	}
-	// What was offered is decided first, so that no outcome stays unknown for
-	// a planned stop; new offers are refused and go to the next leader.
+	// Pending proposals are decided first, so that a planned stop leaves no
+	// outcome unknown; new ones are refused and go to the next leader.
 	term.closed.Store(true)
 	for started := time.Now(); term.pending.Load() > 0 && !term.ended() && time.Since(started) < s.Settings.Lease(); {
 		timer := time.NewTimer(s.Settings.HeartbeatInterval() / 20)
@@ -51,7 +52,7 @@
 	s.announceVacancy(number)
 }
 
-// announceVacancy tells the voters that the leadership is free.
+// announceVacancy tells the voters that the leadership is vacant.
 func (s *Store) announceVacancy(number ballot.Number) {
 	ctx, cancel := context.WithTimeout(context.Background(), s.Settings.HeartbeatInterval())
 	defer cancel()
--- a/internal/store/tally.go
+++ b/internal/store/tally.go
@@ -7,8 +7,8 @@
 	"puffincrank/internal/trace"
 )
 
-// reportedUpTo gives the highest slot for which every vote names all that its voter
-// accepted.
+// reportedUpTo returns the highest index up to which every vote lists all
+// entries that its voter accepted.
 func reportedUpTo(votes []ballotVote) uint64 {
 	index := uint64(math.MaxUint64)
 	for _, v := range votes {
@@ -19,8 +19,8 @@
 	return index
 }
 
-// highestAccepted gives the entry of a slot that was accepted under the highest ballot,
-// nil when no voter accepted any.
+// highestAccepted returns the entry at an index that was accepted under the
+// highest ballot, nil if no voter accepted any.
 func highestAccepted(votes []ballotVote, index uint64) (accepted *paxos.Entry) {
 	for _, v := range votes {
 		for i := range v.Entries {
@@ -33,7 +33,8 @@
 	return accepted
 }
 
-// traceElected tells whose votes a term was won with; learn is held.
+// traceElected notifies the observer whose votes won the term; applyLock is
+// held.
 func (t *leadership) traceElected(votes []ballotVote) {
 	store := t.store
 	if store.env.Trace == nil {
--- a/internal/store/vote.go
+++ b/internal/store/vote.go
@@ -31,8 +31,8 @@
 	transport.Handle(s.node, "store.remove", s.onRemove)
 }
 
-// isForeign tells that a message is of a cluster that was founded apart from ours,
-// though it has our cluster's name: nothing of it is heeded. mu is held.
+// isForeign reports whether a message is of a cluster that was founded
+// separately, under the same configured name: it is ignored. mu is held.
 func (s *Store) isForeign(clusterID string, from string) bool {
 	if clusterID == "" || s.state == nil || clusterID == s.state.ClusterID {
 		return false
@@ -44,18 +44,20 @@
 	return true
 }
 
-// isRepairing tells that a damaged entry has not been mended: until then this
-// replica may have forgotten what it accepted, and must not vote.
+// isRepairing reports whether a damaged entry has not been repaired yet: until
+// then this replica may have lost what it accepted, and must not vote.
 func (s *Store) isRepairing() bool { return s.acceptor.DamagedUpTo() > s.appliedIndex }
 
 func (s *Store) onVoteRequest(_ context.Context, _ transport.Hello, request ballotAsk) (ballotVote, error) {
 	s.mu.Lock()
 	vote := ballotVote{ID: s.acceptor.Identity().ID, Applied: s.appliedIndex}
 	able := s.canVote() && !s.isRepairing() && !s.diskStalled() && !s.isForeign(request.ClusterID, request.ID)
-	// One that knows of more entries may be a member by one of them.
+	// A candidate that has applied more may be a member by one of those
+	// entries.
 	vote.NotMember = able && !s.isMember(request.ID) && s.appliedIndex >= request.Applied
 	if !s.canVote() && request.Addr != "" && request.Applied > s.appliedIndex && !s.isForeign(request.ClusterID, request.ID) {
-		// It asks for a vote that this store does not know it has.
+		// The candidate takes this store for a member, which this store does
+		// not know yet.
 		s.candidate = request.Addr
 	}
 	s.mu.Unlock()
@@ -65,8 +67,8 @@
 		return vote, nil
 	}
 	if !request.Binding {
-		// Asked before a round: a node that was cut off learns here that the
-		// duty is not vacant, without raising any number.
+		// A pre-vote: a node that was cut off learns that the leadership is
+		// not vacant, without raising a ballot number.
 		vote.Granted = request.ID == current.Candidate || silence >= s.Settings.LeaderTimeout()
 		return vote, nil
 	}
@@ -91,7 +93,7 @@
 func (s *Store) onAccept(ctx context.Context, _ transport.Hello, request acceptAsk) (ack, error) {
 	s.mu.Lock()
 	reply := ack{ID: s.acceptor.Identity().ID, Applied: s.appliedIndex, DiskFailing: s.diskFailing || s.diskStalled(), CommandLevel: statemachine.Level, Leaving: s.leaving}
-	// While a write hangs, the next would only queue up behind it.
+	// While a write is stalled, another would only queue up behind it.
 	able := s.canVote() && !s.leaving && request.Entry.Index > s.appliedIndex && !s.diskStalled() && !s.isForeign(request.ClusterID, request.Addr)
 	s.mu.Unlock()
 	if !able {
@@ -115,17 +117,18 @@
 	return reply, nil
 }
 
-// The bounds on the accepted entries that go with one vote, in count and as a
-// part of a frame. More than one is rare: an entry is proposed only when the one
-// before it is chosen, so a voter holds many only when it has applied none of
-// them for a while.
+// The bounds on the accepted entries in one vote, in number and as
+// 1/voteFrameDivisor of a frame's bytes. More than one entry is rare: an entry
+// is proposed only when the one before it is chosen, so a voter holds many
+// only if it has applied none of them for a while.
 const (
 	maxVoteEntries   = 256
 	voteFrameDivisor = 4
 )
 
-// acceptedAfter gives what was accepted after a slot, as far as it fits a vote;
-// more tells that there is some beyond. What both sides have applied is left out.
+// acceptedAfter returns the entries accepted after an index, as many as fit
+// one vote; truncated reports that there are more. What both sides have
+// applied is left out.
 func (s *Store) acceptedAfter(index uint64) (entries []paxos.Entry, truncated bool) {
 	size := 0
 	for _, e := range s.acceptor.After(index, maxVoteEntries+1) {
@@ -138,15 +141,15 @@
 	return entries, false
 }
 
-// noteLeader notes who writes.
+// noteLeader records the leader's address.
 func (s *Store) noteLeader(addr string) {
 	s.mu.Lock()
 	s.leaderAddress = addr
 	s.mu.Unlock()
 }
 
-// noteLeaderIfEmpty notes a leader that takes this empty store, whose disk was lost, for the
-// member that it was: the seeds may all be as empty.
+// noteLeaderIfEmpty records a leader that takes this empty store, whose disk
+// was lost, for the member that it was: the seeds may all be empty as well.
 func (s *Store) noteLeaderIfEmpty(addr string) {
 	s.mu.Lock()
 	if s.state == nil {
--- a/internal/store/watchputs.go
+++ b/internal/store/watchputs.go
@@ -9,10 +9,10 @@
 	"puffincrank/internal/transport"
 )
 
-// onPuts gives the puts of a group above a revision, and waits for some if
-// there are none. Only the leader answers, after a majority confirmed it: so
-// the answer never lags behind what was acknowledged before it was asked for,
-// and a put reaches its watchers at the moment in which it is applied.
+// onPuts returns the puts of a group after a revision, and waits for some if
+// there are none. Only the leader answers, after a majority has confirmed it:
+// so the response never lags behind what was acknowledged before the request,
+// and a put reaches its watchers as soon as it is applied.
 func (s *Store) onPuts(ctx context.Context, _ transport.Hello, request ReadRequest) (LeaderResponse, error) {
 	term, response := s.currentLeadership()
 	if term == nil {
@@ -31,7 +31,7 @@
 		response.Done = true
 		switch {
 		case request.From == 0:
-			// Only the present revision is asked for.
+			// Only the current revision is requested.
 			response.Result = statemachine.Result{Code: statemachine.OK, Revision: revision}
 			return response, nil
 		case !ok:
--- a/internal/trace/trace.go
+++ b/internal/trace/trace.go
@@ -1,7 +1,7 @@
-// Package trace names the steps of the agreement, as a replica takes them. A
-// process is given an observer only by the simulator, whose monitor checks each
-// step against the rules of the model (package model). Steps are told in the order
-// in which they happen at a replica, before anybody else can know of them.
+// Package trace defines the steps of consensus that a replica reports. Only
+// the simulator installs an observer: its monitor checks each step against the
+// rules of the model (package model). Steps are reported in the order in which
+// they happen at a replica, before any other replica can know of them.
 package trace
 
 import "puffincrank/internal/ballot"
@@ -9,18 +9,18 @@
 // Step is one step of a replica.
 type Step interface{ step() }
 
-// Observer is told of steps; nil for none.
+// Observer is called with each step; nil for no observer.
 type Observer func(Step)
 
-// Notify tells a step, if anybody listens.
+// Notify reports a step, if there is an observer.
 func (o Observer) Notify(s Step) {
 	if o != nil {
 		o(s)
 	}
 }
 
-// Opened is a replica that starts, with what it has applied; Slot is 0 for an
-// empty one.
+// Opened is reported at the start of a replica, with the state that it has
+// applied; Index is 0 for an empty one.
 type Opened struct {
 	Replica string
 	Index   uint64
@@ -28,13 +28,13 @@
 	Members []string
 }
 
-// Promised is a promise that is durable.
+// Promised is reported when a promise is durable.
 type Promised struct {
 	Replica string
 	Ballot  ballot.Number
 }
 
-// Accepted is an entry that is accepted and durable.
+// Accepted is reported when an accepted entry is durable.
 type Accepted struct {
 	Replica string
 	Ballot  ballot.Number
@@ -42,16 +42,16 @@
 	Digest  string
 }
 
-// Elected is a replica that counts the votes of a majority.
+// Elected is reported when a candidate has the votes of a majority.
 type Elected struct {
 	Replica string
 	Ballot  ballot.Number
-	Index   uint64 // what it has applied, after catching up with its voters
+	Index   uint64 // the newest applied index, after catching up with the voters
 	Voters  []string
 	Members []string
 }
 
-// Proposed is an entry that a leader asks the members to accept.
+// Proposed is reported before a leader sends an entry to the members.
 type Proposed struct {
 	Replica string
 	Ballot  ballot.Number
@@ -59,7 +59,7 @@
 	Digest  string
 }
 
-// Chosen is an entry that a leader saw accepted by a majority.
+// Chosen is reported when a leader has counted a majority of acceptors.
 type Chosen struct {
 	Replica   string
 	Ballot    ballot.Number
@@ -68,7 +68,7 @@
 	Acceptors []string
 }
 
-// Applied is an entry that a replica applied, and the members after it.
+// Applied is reported when an entry is applied, with the members after it.
 type Applied struct {
 	Replica string
 	Index   uint64
@@ -76,7 +76,7 @@
 	Members []string
 }
 
-// Installed is a snapshot that took the place of a replica's state.
+// Installed is reported when a snapshot has replaced a replica's state.
 type Installed struct {
 	Replica string
 	Index   uint64
@@ -84,27 +84,29 @@
 	Members []string
 }
 
-// RoundBegan is a leader that begins to ask whether it still leads.
+// RoundBegan is reported when a leader starts to ask whether it still leads.
 type RoundBegan struct {
 	Replica string
 	Round   uint64
 }
 
-// RoundConfirmed is a round that a majority confirmed; Slot is what the leader
-// has applied then.
+// RoundConfirmed is reported when a majority has confirmed a round; Index is
+// what the leader has applied by then.
 type RoundConfirmed struct {
 	Replica string
 	Round   uint64
 	Index   uint64
 }
 
-// Renamed is a replica that lost its place and takes up a new identity.
+// Renamed is reported when a replica that lost its membership takes a new
+// identity.
 type Renamed struct {
-	Replica string // the new one
+	Replica string // the new identity
 	Former  string
 }
 
-// Left is a member that ended because the others hold all that it has.
+// Left is reported when a member stops because the others hold everything that
+// it has.
 type Left struct{ Replica string }
 
 func (Opened) step()         {}
