--- a/internal/store/campaign_test.go
+++ b/internal/store/campaign_test.go
@@ -17,13 +17,15 @@
 	"puffincrank/internal/statemachine"
 )
 
-// unreachableNetwork is a network without peers; it notes who was dialled.
+// unreachableNetwork is a network without peers; it counts the dial attempts.
 type unreachableNetwork struct {
 	mu    sync.Mutex
 	dials int
 }
 
-func (n *unreachableNetwork) Listen(string) (net.Listener, error) { return nil, errors.New("no port") }
+func (n *unreachableNetwork) Listen(string) (net.Listener, error) {
+	return nil, errors.New("listening is not possible")
+}
 func (n *unreachableNetwork) Dial(context.Context, string) (net.Conn, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -37,8 +39,9 @@
 	return n.dials
 }
 
-// TestCampaignAfterLeaderTimeout: a member leaves a leader alone that was heard within the time of
-// a vacant duty, and stands for the leadership within its turn after that.
+// TestCampaignAfterLeaderTimeout: a member starts no election while the leader
+// has been silent for less than LeaderTimeout, and starts one within its
+// campaign delay after that.
 func TestCampaignAfterLeaderTimeout(t *testing.T) {
 	for _, rank := range []int{0, 1, 2} {
 		synctest.Test(t, func(t *testing.T) {
@@ -58,7 +61,8 @@
 				t.Fatal(err)
 			}
 			defer s.Kill()
-			// A member among five; another wrote and was heard just now.
+			// A member of five; another one is the leader and has just sent a
+			// heartbeat.
 			promised := ballot.Number{Round: 7, Candidate: "w"}
 			s.state = statemachine.New("m", nil)
 			for i, id := range []string{"a", "b", "c", "d"} {
@@ -76,14 +80,14 @@
 			<-time.After(earliest)
 			synctest.Wait()
 			if n := network.dialCount(); n > 0 {
-				t.Errorf("rank %d: a holder heard %v ago was not left alone", rank, settings.LeaderTimeout())
+				t.Errorf("rank %d: election started although the leader was heard %v ago", rank, settings.LeaderTimeout())
 			}
 			for network.dialCount() == 0 && time.Since(started) < settings.RecoveryBound {
 				<-time.After(settings.HeartbeatInterval() / 10)
 				synctest.Wait()
 			}
 			if elapsed := time.Since(started); network.dialCount() < 4 || elapsed > earliest+settings.HeartbeatInterval() {
-				t.Errorf("rank %d: %d were asked, %v after the holder was last heard", rank, network.dialCount(), elapsed)
+				t.Errorf("rank %d: %d members dialled, %v after the last contact with the leader", rank, network.dialCount(), elapsed)
 			}
 		})
 	}
--- a/internal/store/configpatch_test.go
+++ b/internal/store/configpatch_test.go
@@ -10,8 +10,9 @@
 	"puffincrank/internal/statemachine"
 )
 
-// TestConfigReadReturnsPatch: who polls with an entry that is kept gets the step from there,
-// if it takes steps and the step is worth it; all others get the whole.
+// TestConfigReadReturnsPatch: a reader that has a kept version gets the patch
+// from there, if it accepts patches and the patch is small enough; all others
+// get the whole document.
 func TestConfigReadReturnsPatch(t *testing.T) {
 	doc := func(change int) []byte {
 		var rows []string
@@ -28,7 +29,7 @@
 	document := patch.NewDocument(4)
 	for i, c := range []struct {
 		request  ReadRequest
-		versions int // how many entries are there
+		versions int // how many versions are kept
 		patched  bool
 	}{
 		{ReadRequest{Kind: "config", From: 1, AcceptsPatch: true}, 2, true},
@@ -47,12 +48,12 @@
 			continue
 		}
 		if got := len(result.Steps) > 0; got != c.patched || got == (result.Doc != nil) {
-			t.Errorf("%d: steps %v, whole %v", i, got, result.Doc != nil)
+			t.Errorf("%d: got a patch: %v, got the whole document: %v", i, got, result.Doc != nil)
 		}
 		if c.patched {
 			document.Set(1, docs[0], nil)
 			if got, ok := document.Build(result.Steps); !ok || !bytes.Equal(got, docs[1]) {
-				t.Errorf("%d: the steps do not lead there", i)
+				t.Errorf("%d: the patch does not give the new document", i)
 			}
 		}
 	}
--- a/internal/store/fetch.go
+++ b/internal/store/fetch.go
@@ -125,7 +125,7 @@
 		return nil
 	}
 	if entries[0].Index != s.appliedIndex+1 || !bytes.Equal(entries[0].Previous, s.appliedDigest) || !isChain(entries) {
-		return fault.New(fault.Stale, "fellow's version %d does not follow ours", entries[0].Index)
+		return fault.New(fault.Stale, "the peer's entry %d does not follow the applied one", entries[0].Index)
 	}
 	for batch := range slices.Chunk(entries, learnBatchSize) {
 		if err := s.writeDurably(func() error { return s.acceptor.Learn(batch...) }); err != nil {
@@ -133,7 +133,7 @@
 		}
 		for i := range batch {
 			if !s.applyChosen(&batch[i]) {
-				return fault.New(fault.Input, "version %d can't be applied", batch[i].Index)
+				return fault.New(fault.Input, "entry %d can't be applied", batch[i].Index)
 			}
 		}
 	}
--- a/internal/store/founding_test.go
+++ b/internal/store/founding_test.go
@@ -10,8 +10,9 @@
 	"puffincrank/internal/transport"
 )
 
-// TestInvalidFoundingsRefused: a founding whose members are doubled, of an even number, with
-// a hole or without the receiver is refused by name, and the store stays empty.
+// TestInvalidFoundingsRefused: a founding with a duplicate member, an even
+// number of members, a member without identity or address, or without the
+// receiver is refused with its reason, and the store stays empty.
 func TestInvalidFoundingsRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, _ := newEmptyStore(t)
@@ -37,13 +38,13 @@
 			}
 		}
 		if got, err := s.onGenesis(t.Context(), transport.Hello{}, genesis{ClusterID: "m/1", Members: []statemachine.Member{b, self, c}}); err != nil || !got.OK || s.isEmpty() {
-			t.Errorf("a whole founding: %+v, %v", got, err)
+			t.Errorf("a valid founding: %+v, %v", got, err)
 		}
 	})
 }
 
-// TestFounders: a cluster is founded by an odd number, or by two; the one left
-// out is never the founder itself.
+// TestFounders: a cluster is founded by an odd number of stores, or by two;
+// the one left out is never the founder itself.
 func TestFounders(t *testing.T) {
 	for _, c := range []struct{ found, want string }{
 		{"a", "a"}, {"ab", "ab"}, {"abc", "abc"}, {"badc", "bac"}, {"zabc", "zab"}, {"abcdef", "abcde"},
@@ -54,10 +55,10 @@
 		}
 		got := strings.Join(memberAddresses(founders(candidates, c.found[:1])), "")
 		if got != c.want {
-			t.Errorf("of %s found %s, not %s", c.found, got, c.want)
+			t.Errorf("of the candidates %s, the founders are %s, want %s", c.found, got, c.want)
 		}
 		if len(candidates) != len(c.found) || strings.Join(memberAddresses(candidates), "") != c.found {
-			t.Errorf("the list that was found was changed")
+			t.Errorf("the list of candidates was changed")
 		}
 	}
 }
--- a/internal/store/holders_test.go
+++ b/internal/store/holders_test.go
@@ -9,8 +9,9 @@
 	"puffincrank/internal/statemachine"
 )
 
-// TestLeavingMemberNotCounted: a member that ends soon is not counted among those that
-// hold what is chosen, by its question or by its acks, until it runs again.
+// TestLeavingMemberNotCounted: a member that has announced in a request or an
+// ack that it stops does not count among those that hold what is chosen, until
+// it runs again.
 func TestLeavingMemberNotCounted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, _ := newSingleStore(t)
@@ -27,22 +28,22 @@
 		term.recordContact(ack{ID: "b", Applied: 7})
 		term.recordContact(ack{ID: "c", Applied: 6})
 		if n := count(); n != 2 {
-			t.Fatalf("%d hold it", n)
+			t.Fatalf("%d members counted as holders", n)
 		}
 		term.recordLeaving("b")
-		term.recordContact(ack{ID: "b", Applied: 8}) // sent before it knew
+		term.recordContact(ack{ID: "b", Applied: 8}) // sent before its announcement
 		if n := count(); n != 1 {
-			t.Errorf("%d hold it, one of whom ends soon", n)
+			t.Errorf("%d members counted as holders, after one announced that it stops", n)
 		}
 		<-time.After(2 * s.Settings.Lease())
 		term.recordContact(ack{ID: "b", Applied: 8, Leaving: true})
 		if n := count(); n != 1 {
-			t.Errorf("%d hold it, one of whom says that it ends", n)
+			t.Errorf("%d members counted as holders, while one announces in its acks that it stops", n)
 		}
 		<-time.After(2 * s.Settings.Lease())
 		term.recordContact(ack{ID: "b", Applied: 8})
 		if n := count(); n != 2 {
-			t.Errorf("%d hold it, with one that runs again", n)
+			t.Errorf("%d members counted as holders, after one runs again", n)
 		}
 	})
 }
--- a/internal/store/join.go
+++ b/internal/store/join.go
@@ -72,8 +72,8 @@
 	if best.addr != "" {
 		s.joinVia(ctx, best)
 	} else if isEmpty && len(empty) == len(s.Settings.Seeds) && len(addresses) == len(s.Settings.Seeds) {
-		// Only the seeds found a cluster. A store that was in a cluster holds
-		// its state.
+		// Only the seeds may found a cluster, and only if all of them are
+		// empty: a store that was in a cluster holds its state.
 		s.foundCluster(ctx, empty, emptyAddresses)
 	}
 }
@@ -173,8 +173,8 @@
 		if response.LeaderApplied <= request.Applied && !response.IsMember {
 			return true
 		}
-		// Caught up now: at the next request the leader may make it a member
-		// at once.
+		// After the refill report again: the leader may make this store a
+		// member at once.
 		if s.refill(ctx, leader) != nil || s.canVote() {
 			return true
 		}
--- a/internal/store/join_test.go
+++ b/internal/store/join_test.go
@@ -15,7 +15,7 @@
 	"puffincrank/internal/transport"
 )
 
-// startPeer is a node at an address that answers as the test says.
+// startPeer starts a node at an address with the handlers that register adds.
 func startPeer(t *testing.T, network *transport.LocalNet, addr string, register func(*transport.Node)) {
 	t.Helper()
 	tasks := task.New(context.Background())
@@ -30,7 +30,7 @@
 	})
 }
 
-// probeReply answers what a store holds, after a while.
+// probeReply answers probes with a response, after a delay.
 func probeReply(response foundGot, delay time.Duration) func(*transport.Node) {
 	return func(node *transport.Node) {
 		transport.Handle(node, "store.found", func(ctx context.Context, _ transport.Hello, _ foundAsk) (foundGot, error) {
@@ -40,19 +40,19 @@
 	}
 }
 
-// TestRefillSource: a store without a place is refilled from the peer that has
-// applied most when nobody leads, whoever answers first and whoever never answers;
-// from one that names a leader otherwise, unless that leader was not there the last
-// time.
+// TestRefillSource: without a leader, a store that is not a member is refilled
+// from the peer that has applied most, even if another answers first or never;
+// otherwise from one that names a leader, unless that leader did not answer
+// the last time.
 func TestRefillSource(t *testing.T) {
 	behind, newest := foundGot{Applied: 485}, foundGot{Applied: 490}
 	leads, never := foundGot{Applied: 480, LeaderAddr: "c:1"}, time.Hour
 	for _, c := range []struct {
-		name    string
-		a, b, d foundGot
-		delay   time.Duration // of the first
-		misled  bool
-		want    string
+		name       string
+		a, b, d    foundGot
+		delay      time.Duration // of a
+		hintFailed bool
+		want       string
 	}{
 		{"the nearest is behind", behind, newest, foundGot{Empty: true}, 0, false, "b:1"},
 		{"the nearest has most", newest, behind, foundGot{Empty: true}, 0, false, "a:1"},
@@ -65,18 +65,18 @@
 			synctest.Test(t, func(t *testing.T) {
 				s, network := newEmptyStore(t)
 				defer s.Kill()
-				s.leaderHintFailed = c.misled
+				s.leaderHintFailed = c.hintFailed
 				startPeer(t, network, "a:1", probeReply(c.a, c.delay))
 				startPeer(t, network, "b:1", probeReply(c.b, 10*time.Millisecond))
 				startPeer(t, network, "d:1", probeReply(c.d, 20*time.Millisecond))
-				ctx, end := context.WithTimeout(t.Context(), 2*s.Settings.CallTimeout())
-				defer end()
+				ctx, cancel := context.WithTimeout(t.Context(), 2*s.Settings.CallTimeout())
+				defer cancel()
 				empty, _, got := s.probeStores(ctx, []string{"a:1", "b:1", "d:1"})
 				if got.addr != c.want {
-					t.Errorf("it turns to %q", got.addr)
+					t.Errorf("refill source is %q", got.addr)
 				}
 				if c.want == "" && len(empty) != 3 {
-					t.Errorf("%d are empty", len(empty))
+					t.Errorf("%d empty stores", len(empty))
 				}
 				if ctx.Err() != nil {
 					t.Error("no time is left for the refill")
@@ -86,8 +86,9 @@
 	}
 }
 
-// TestCandidateRemembered: a store that does not know of its place turns to the member
-// that asks for its vote, though neither its seeds nor its members name it.
+// TestCandidateRemembered: a store that does not know that it is a member
+// remembers the candidate that asks for its vote, since neither its seeds nor
+// its members name that one.
 func TestCandidateRemembered(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, _ := newEmptyStore(t)
@@ -95,16 +96,16 @@
 		for _, request := range []ballotAsk{{Addr: "old:1"}, {Addr: "new:1", Applied: 9}} {
 			vote, err := s.onVoteRequest(t.Context(), transport.Hello{}, request)
 			if err != nil || vote.Granted {
-				t.Fatalf("an empty store votes: %+v, %v", vote, err)
+				t.Fatalf("an empty store granted its vote: %+v, %v", vote, err)
 			}
 		}
 		if s.candidate != "new:1" {
-			t.Errorf("it knows of %q", s.candidate)
+			t.Errorf("remembered candidate is %q", s.candidate)
 		}
 	})
 }
 
-// replaceEntry is a chosen entry that gives a member's place to another replica.
+// replaceEntry is a chosen entry that replaces a member by another replica.
 func replaceEntry(t *testing.T, old, joiner string) paxos.Entry {
 	t.Helper()
 	change, err := statemachine.Pack("store.replace", &statemachine.ReplaceMember{Old: old, New: statemachine.Member{ID: joiner, Addr: joiner + ":1"}})
@@ -118,8 +119,9 @@
 	return paxos.Entry{Index: 1, Previous: []byte("zero"), Batch: encoded, Ballot: ballot.Number{Round: 1, Candidate: "b"}}
 }
 
-// TestMembershipLearnedFromFormerLeader: a store that stands by and is told by one that no longer leads
-// that more was applied takes it at once, and with it the place that it was given.
+// TestMembershipLearnedFromFormerLeader: a learner that reports to a former
+// leader, which has applied more, catches up from it at once, and so learns
+// that it was made a member.
 func TestMembershipLearnedFromFormerLeader(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, network := newEmptyStore(t)
@@ -140,14 +142,14 @@
 			})
 		})
 		if !s.reportToLeader(t.Context(), "b:1") || !s.canVote() {
-			t.Errorf("role %s after slot %d", s.role.Current(), s.appliedIndex)
+			t.Errorf("role %s after applying index %d", s.role.Current(), s.appliedIndex)
 		}
 	})
 }
 
-// TestCatchUpWithoutLeader: while nobody can be elected, a member takes what a voter
-// has applied beyond it; when that says that it has no place any more, it stands by
-// under a new identity.
+// TestCatchUpWithoutLeader: while nobody can be elected, a member fetches what
+// a voter has applied beyond it; if that shows that it has lost its
+// membership, it becomes a learner under a new identity.
 func TestCatchUpWithoutLeader(t *testing.T) {
 	for _, removed := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
@@ -169,10 +171,10 @@
 				})
 			})
 			if _, _, _, ok := s.askVotes(t.Context(), ballot.Number{}, false); ok {
-				t.Fatal("one vote of three was enough")
+				t.Fatal("elected by one vote of three")
 			}
 			if s.appliedIndex != 1 {
-				t.Errorf("it has applied %d", s.appliedIndex)
+				t.Errorf("applied index is %d", s.appliedIndex)
 			}
 			if current := s.acceptor.Identity().ID; (current != self) != removed || s.canVote() == removed {
 				t.Errorf("removed %v: identity %s, was %s, role %s", removed, current, self, s.role.Current())
@@ -181,8 +183,9 @@
 	}
 }
 
-// TestLeaderAnnouncedToSeeds: a leader tells a seed that has no place who leads, and an empty
-// store turns to the leader that it is told of.
+// TestLeaderAnnouncedToSeeds: a leader sends heartbeats to a seed that is
+// neither a member nor a known learner, and an empty store that gets one
+// records the leader.
 func TestLeaderAnnouncedToSeeds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, network := newSingleStore(t)
@@ -197,7 +200,7 @@
 		})
 		startPeer(t, network, "heard:1", func(node *transport.Node) {
 			transport.Handle(node, "store.beat", func(context.Context, transport.Hello, beatAsk) (ack, error) {
-				t.Error("a learner that is heard of was told")
+				t.Error("a known learner got the heartbeat")
 				return ack{}, nil
 			})
 		})
@@ -207,12 +210,12 @@
 		term.announceToSeeds(t.Context())
 		<-time.After(time.Second)
 		if heartbeat.Addr != "me:1" || heartbeat.ClusterID != "m" {
-			t.Fatalf("the seed was told %+v", heartbeat)
+			t.Fatalf("the seed got the heartbeat %+v", heartbeat)
 		}
 		emptyStore, _ := newEmptyStore(t)
 		defer emptyStore.Kill()
 		if _, err := emptyStore.onHeartbeat(t.Context(), transport.Hello{}, heartbeat); err != nil || emptyStore.leaderAddress != "me:1" {
-			t.Errorf("the empty store knows of %q, %v", emptyStore.leaderAddress, err)
+			t.Errorf("the empty store recorded the leader %q, %v", emptyStore.leaderAddress, err)
 		}
 	})
 }
--- a/internal/store/leave.go
+++ b/internal/store/leave.go
@@ -31,7 +31,7 @@
 	for transferred && !s.majorityAppliedChange(ctx, index) && ctx.Err() == nil {
 		s.env.Sleep(ctx, s.Settings.HeartbeatInterval()/10)
 	}
-	for !transferred && s.isVoter() && !s.othersHold(ctx) && ctx.Err() == nil {
+	for !transferred && s.selfIsMember() && !s.othersHold(ctx) && ctx.Err() == nil {
 		s.env.Sleep(ctx, s.Settings.HeartbeatInterval()/4)
 	}
 	if ctx.Err() == nil {
@@ -40,8 +40,8 @@
 	s.env.Log.Emit(event.StoreLeft, "place_given", transferred, "after_ms", time.Since(started).Milliseconds(), "in_time", ctx.Err() == nil)
 }
 
-// isVoter reports whether this replica is a member.
-func (s *Store) isVoter() bool {
+// selfIsMember reports whether this replica is a member.
+func (s *Store) selfIsMember() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.isMember(s.acceptor.Identity().ID)
--- a/internal/store/proposals_test.go
+++ b/internal/store/proposals_test.go
@@ -8,8 +8,9 @@
 	"puffincrank/internal/fault"
 )
 
-// TestExpiredProposalsRefused: what its sender took back is left alone, what is too old is
-// refused for certain, all else is proposed.
+// TestExpiredProposalsRefused: a proposal that its sender has withdrawn is
+// skipped, one past its deadline is refused as certainly not applied, and all
+// others are proposed.
 func TestExpiredProposalsRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		now := time.Now()
@@ -20,13 +21,13 @@
 		abandoned.claimed.Store(true)
 		got := claimProposals([]*proposal{abandoned, expired, current, unlimited})
 		if len(got) != 2 || got[0] != current || got[1] != unlimited {
-			t.Errorf("%d are proposed", len(got))
+			t.Errorf("%d proposals claimed", len(got))
 		}
 		if decided := <-expired.result; !fault.Is(decided.err, fault.Refused) {
 			t.Error(decided.err)
 		}
 		if len(abandoned.result)+len(current.result)+len(unlimited.result) != 0 || !current.claimed.Load() || !expired.claimed.Load() {
-			t.Error("answered before it was decided, or not taken")
+			t.Error("answered before the decision, or not claimed")
 		}
 	})
 }
--- a/internal/store/proposepatch_test.go
+++ b/internal/store/proposepatch_test.go
@@ -12,8 +12,9 @@
 	"puffincrank/internal/statemachine"
 )
 
-// TestPatchNeedsCommandLevel: steps are proposed only while every voter and every learner is
-// known to understand them, and only for the first document of a batch.
+// TestPatchNeedsCommandLevel: patches are proposed only while every member and
+// learner is known to understand them, and only for the first document of a
+// batch.
 func TestPatchNeedsCommandLevel(t *testing.T) {
 	dir, err := disk.Open(t.TempDir())
 	if err != nil {
@@ -55,12 +56,12 @@
 			term.learners["d"] = &learner{commandLevel: c.learner}
 		}
 		if got := kinds(term); got != c.want {
-			t.Errorf("%d: %s, not %s", i, got, c.want)
+			t.Errorf("%d: got %s, want %s", i, got, c.want)
 		}
 	}
-	// One that has not been heard in this term may be of any entry.
+	// A member without a report in this term may be of any program version.
 	term.contacts = map[string]peerContact{"b": {commandLevel: 1}}
 	if got := kinds(term); got != long {
-		t.Errorf("one not heard: %s", got)
+		t.Errorf("a member without a report: %s", got)
 	}
 }
--- a/internal/store/snapshot_test.go
+++ b/internal/store/snapshot_test.go
@@ -22,7 +22,7 @@
 	"puffincrank/internal/transport"
 )
 
-// newEmptyStore is an empty store on a network without connections.
+// newEmptyStore returns an empty store on a network without connections.
 func newEmptyStore(t *testing.T) (*Store, *transport.LocalNet) {
 	t.Helper()
 	dir, err := disk.Open(t.TempDir())
@@ -38,8 +38,8 @@
 	return s, network
 }
 
-// newSingleStore is a store that is the one member of its cluster, on a network without
-// connections.
+// newSingleStore returns a store that is the only member of its cluster, on a
+// network without connections.
 func newSingleStore(t *testing.T) (*Store, *transport.LocalNet) {
 	t.Helper()
 	s, network := newEmptyStore(t)
@@ -54,7 +54,8 @@
 	return s, network
 }
 
-// packedState is a snapshot of the store's own cluster with one change.
+// packedState returns the packed state of the store's own cluster with one
+// change.
 func packedState(t *testing.T, s *Store, change func(*statemachine.State)) []byte {
 	t.Helper()
 	state := statemachine.New("m", s.state.Members)
@@ -67,8 +68,9 @@
 	return encoded
 }
 
-// TestForeignSnapshotsRefused: a whole snapshot of a newer format, of a state that a newer
-// program raised, of another cluster or torn is refused, and nothing of it taken.
+// TestForeignSnapshotsRefused: a snapshot of a newer format, of a newer
+// program's state, of another cluster or cut off is refused, and nothing of it
+// is installed.
 func TestForeignSnapshotsRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, _ := newSingleStore(t)
@@ -86,16 +88,16 @@
 		} {
 			err := s.installSnapshot(c.snapshot, event.Refilled)
 			if err == nil || !strings.Contains(err.Error(), c.fault) || s.state.Revision == 77 || s.appliedIndex != 0 || s.acceptor.LatestSnapshot().Index != 0 {
-				t.Errorf("%s: %v, slot %d", c.name, err, s.appliedIndex)
+				t.Errorf("%s: %v, index %d", c.name, err, s.appliedIndex)
 			}
 		}
 		if err := s.installSnapshot(paxos.Snapshot{Format: paxos.Format, Index: 9, State: valid}, event.Refilled); err != nil || s.appliedIndex != 9 {
-			t.Errorf("one of our own: %v, slot %d", err, s.appliedIndex)
+			t.Errorf("a valid snapshot: %v, index %d", err, s.appliedIndex)
 		}
 	})
 }
 
-// packedNoop is a batch of one command that changes nothing.
+// packedNoop returns a batch of one command that changes nothing.
 func packedNoop(t *testing.T) []byte {
 	t.Helper()
 	packed, err := statemachine.Pack("noop", &statemachine.Noop{})
@@ -109,9 +111,9 @@
 	return encoded
 }
 
-// TestTruncatedVote: a voter that accepted more than fits a vote says so, and a new
-// leader proposes nothing of its own beyond what it was told of: it is elected
-// again, and told the rest.
+// TestTruncatedVote: a voter that accepted more entries than fit a vote says
+// so, and a new leader proposes nothing of its own beyond the reported ones.
+// It runs the election again to get the rest.
 func TestTruncatedVote(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, _ := newSingleStore(t)
@@ -127,26 +129,27 @@
 		}
 		reported, truncated := s.acceptedAfter(0)
 		if len(reported) != maxVoteEntries || !truncated {
-			t.Fatalf("%d entries are told, more %v", len(reported), truncated)
+			t.Fatalf("%d entries reported, truncated %v", len(reported), truncated)
 		}
 		if rest, truncated := s.acceptedAfter(maxVoteEntries); len(rest) != 3 || truncated {
-			t.Errorf("%d entries are left, more %v", len(rest), truncated)
+			t.Errorf("%d entries in the rest, truncated %v", len(rest), truncated)
 		}
 		own := ballot.Number{Round: 2, Candidate: s.acceptor.Identity().ID}
 		s.voter = ballot.NewVoter(own, s.Settings.LeaderTimeout(), s.promise)
 		s.role.Fire("stand")
 		vote := ballotVote{ID: own.Candidate, Granted: true, Entries: reported[:2], Truncated: true}
 		if s.prepare(t.Context(), own, s.memberSet(), []ballotVote{vote}, []string{"me:1"}) {
-			t.Error("it leads by a vote that was cut")
+			t.Error("elected by a truncated vote")
 		}
 		if s.appliedIndex != 2 || s.leadership != nil || !s.campaignNow {
-			t.Errorf("slot %d is applied, stands again %v", s.appliedIndex, s.campaignNow)
+			t.Errorf("applied index is %d, new election %v", s.appliedIndex, s.campaignNow)
 		}
 	})
 }
 
-// TestInvalidSnapshotTransfersRefused: a snapshot whose announcement or chunks are wrong is refused
-// by name, and nothing of it is installed; after a break it goes on where it was.
+// TestInvalidSnapshotTransfersRefused: a snapshot with a wrong announcement or
+// wrong chunks is refused with its reason, and nothing of it is installed.
+// After an interruption the transfer continues where it was.
 func TestInvalidSnapshotTransfersRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, network := newSingleStore(t)
@@ -199,7 +202,7 @@
 				t.Errorf("%s: %v, revision %d", c.name, err, s.state.Revision)
 			}
 		}
-		// The sender goes in the middle; what has come is kept.
+		// The sender fails in the middle; the chunks received are kept.
 		corrupt = func(c *chunkResponse) error {
 			if c.Offset >= 2*snapshotChunk {
 				return fault.New(fault.Refused, "gone")
@@ -207,14 +210,14 @@
 			return nil
 		}
 		if err := s.fetchSnapshot(t.Context(), "sender:1", valid); err == nil || s.incoming == nil {
-			t.Fatalf("a break: %v", err)
+			t.Fatalf("interrupted transfer: %v", err)
 		}
 		requests, corrupt = 0, func(*chunkResponse) error { return nil }
 		if err := s.fetchSnapshot(t.Context(), "sender:1", valid); err != nil || s.state.Revision != 77 || s.appliedIndex != 9 {
-			t.Fatalf("after the break: %v, revision %d", err, s.state.Revision)
+			t.Fatalf("after the interruption: %v, revision %d", err, s.state.Revision)
 		}
 		if requests != 2 {
-			t.Errorf("%d chunks were fetched after the break", requests)
+			t.Errorf("%d chunks fetched after the interruption", requests)
 		}
 	})
 }
--- a/internal/store/splitvote_test.go
+++ b/internal/store/splitvote_test.go
@@ -16,9 +16,10 @@
 	"puffincrank/internal/transport"
 )
 
-// TestSplitVote: a candidate that got too few votes gives its number up to all at
-// once. Voters who promised it would wait for it as for a holder else, and with
-// them the others who stood at the same time; it stands again within its turn.
+// TestSplitVote: a candidate that got too few votes releases its ballot number
+// at once. Otherwise the voters that promised it, among them the other
+// candidates, would wait for it as for a leader. It starts another election
+// within its campaign delay.
 func TestSplitVote(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		dir, err := disk.Open(t.TempDir())
@@ -48,7 +49,8 @@
 				if in.Binding {
 					voteRequests <- said{time.Now(), in.Ballot}
 				}
-				// One votes for it, the others have promised another.
+				// One votes for the candidate, the others have promised
+				// another ballot.
 				return ballotVote{ID: id, Granted: !in.Binding || id == "b", Promised: ballot.Number{Round: 8, Candidate: "z"}}, nil
 			})
 			transport.Handle(node, "store.vacate", func(_ context.Context, _ transport.Hello, in vacateAsk) (ack, error) {
@@ -66,18 +68,18 @@
 		<-time.After(3 * settings.LeaderTimeout())
 		synctest.Wait()
 		if len(voteRequests) < 6 || len(vacancies) < 3 {
-			t.Fatalf("%d votes asked for, %d told that it gave up", len(voteRequests), len(vacancies))
+			t.Fatalf("%d vote requests, %d vacancies announced", len(voteRequests), len(vacancies))
 		}
 		first := <-voteRequests
 		<-voteRequests
 		<-voteRequests
 		for range 3 {
 			if got := <-vacancies; got.ballot != first.ballot || got.at.Sub(first.at) > settings.HeartbeatInterval()/4 {
-				t.Errorf("%v given up %v after %v was asked for", got.ballot, got.at.Sub(first.at), first.ballot)
+				t.Errorf("ballot %v released %v after the vote request for %v", got.ballot, got.at.Sub(first.at), first.ballot)
 			}
 		}
 		if next := <-voteRequests; next.at.Sub(first.at) > settings.HeartbeatInterval() || !first.ballot.Less(next.ballot) {
-			t.Errorf("stood again with %v after %v, %v before", next.ballot, next.at.Sub(first.at), first.ballot)
+			t.Errorf("next election with ballot %v after %v, the first was %v", next.ballot, next.at.Sub(first.at), first.ballot)
 		}
 	})
 }
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -56,7 +56,7 @@
 	leaderAddress     string               // the internal address of the leader, as last reported
 	highestRound      uint64               // the highest round seen in any message
 	leadership        *leadership          // set while this store is the leader
-	noCampaignUntil   time.Time            // leave the leadership to others until then
+	noCampaignUntil   time.Time            // the own disk is slow or failing: leave the leadership to others until then
 	campaignNow       bool                 // start an election at once, even if the leader is not silent
 	interruptWait     func()               // ends the wait of the main loop
 	stopping          bool                 // a graceful shutdown has begun
@@ -108,6 +108,8 @@
 	for _, file := range acceptor.DamagedFiles {
 		environment.Log.Emit(event.Damaged, "file", file)
 	}
+	// Status reports these names: a spare is a learner, stand a candidate, write
+	// the leader.
 	s.role = fsm.New("empty", nil,
 		fsm.Move{From: "empty", By: "refilled", To: "spare"},
 		fsm.Move{From: "empty", By: "filled", To: "follow"},
