--- a/internal/store/confirm.go
+++ b/internal/store/confirm.go
@@ -107,7 +107,7 @@
 	started, round := time.Now(), t.rounds.Add(1)
 	store.env.Trace.Notify(trace.RoundBegan{Replica: store.acceptor.Identity().ID, Round: round})
 	request := t.currentHeartbeat()
-	addresses, need := store.memberAddresses()
+	addresses, majority := store.memberAddresses()
 	granted, higher := 0, 0
 	// The answer of a slow member still counts as contact after the majority
 	// has answered.
@@ -141,9 +141,9 @@
 		if reply.OK && member {
 			granted++
 		}
-		return higher >= need || granted >= need
+		return higher >= majority || granted >= majority
 	})
-	if granted >= need {
+	if granted >= majority {
 		t.mu.Lock()
 		t.confirmedAt = started
 		t.mu.Unlock()
@@ -152,7 +152,7 @@
 		store.mu.Unlock()
 		return nil
 	}
-	if higher >= need {
+	if higher >= majority {
 		return fault.New(fault.Stale, "a higher ballot was promised")
 	}
 	return fault.New(fault.Refused, "no majority confirms the writer")
--- a/internal/store/diskhealth.go
+++ b/internal/store/diskhealth.go
@@ -136,12 +136,12 @@
 		return retainedEntries
 	}
 	since := s.appliedIndex - last.Index
-	if s.logBytes >= s.Settings.StateBytes()/maxLogDivisor && s.appliedIndex%largeLogInterval == 0 && since > 0 {
+	if s.logBytes >= s.Settings.StateBytes()/logBoundDivisor && s.appliedIndex%largeLogInterval == 0 && since > 0 {
 		// The entries are large: few of them must not fill the disk.
 		return largeLogInterval
 	}
-	small := s.stateBytes <= snapshotChunk || s.logBytes >= s.stateBytes/snapshotLogDivisor || since >= maxSnapshotInterval
-	if s.appliedIndex%snapshotInterval == 0 && since >= snapshotInterval && small {
+	affordable := s.stateBytes <= snapshotChunk || s.logBytes >= s.stateBytes/snapshotLogDivisor || since >= maxSnapshotInterval
+	if s.appliedIndex%snapshotInterval == 0 && since >= snapshotInterval && affordable {
 		return retainedEntries
 	}
 	return 0
--- a/internal/store/fetch.go
+++ b/internal/store/fetch.go
@@ -28,11 +28,11 @@
 	maxSnapshotInterval = 16 * snapshotInterval
 )
 
-// Once the log is larger than 1/maxLogDivisor of the bound on the state, a
+// Once the log is larger than 1/logBoundDivisor of the bound on the state, a
 // snapshot is written at the next multiple of largeLogInterval, whatever the
 // number of entries.
 const (
-	maxLogDivisor    = 2
+	logBoundDivisor  = 2
 	largeLogInterval = 8
 )
 
--- a/internal/store/holders.go
+++ b/internal/store/holders.go
@@ -38,19 +38,19 @@
 // awaitHolders waits until enough of these members hold everything that is
 // chosen, for one heartbeat interval at most. applyLock is held, so nothing is
 // decided meanwhile.
-func (t *leadership) awaitHolders(ctx context.Context, members []statemachine.Member, need int) bool {
+func (t *leadership) awaitHolders(ctx context.Context, members []statemachine.Member, required int) bool {
 	for started := time.Now(); ctx.Err() == nil && !t.ended(); {
 		t.mu.Lock()
 		index := t.store.appliedIndex
-		held := t.countHolders(members, index) >= need
-		close := t.countHolders(members, index-min(index, maxLearnerLag)) >= need
+		held := t.countHolders(members, index) >= required
+		nearlyHeld := t.countHolders(members, index-min(index, maxLearnerLag)) >= required
 		t.mu.Unlock()
 		if held {
 			return true
 		}
 		// No waiting for members that are more than maxLearnerLag entries
 		// behind.
-		if !close || time.Since(started) > t.store.Settings.HeartbeatInterval() {
+		if !nearlyHeld || time.Since(started) > t.store.Settings.HeartbeatInterval() {
 			return false
 		}
 		// This heartbeat tells them the newest index; the responses to the
--- a/internal/store/leadership.go
+++ b/internal/store/leadership.go
@@ -118,9 +118,9 @@
 		cancel()
 		if len(accepted) >= majority {
 			store.env.Trace.Notify(trace.Chosen{Replica: store.acceptor.Identity().ID, Ballot: t.ballot, Index: entry.Index, Digest: string(entry.Digest()), Acceptors: acceptors})
-			out, err := store.apply(&entry)
+			results, err := store.apply(&entry)
 			store.logChosen(&entry, acceptors)
-			return out, err
+			return results, err
 		}
 		if higher >= majority {
 			return nil, fault.New(fault.Stale, "a higher ballot was promised")
--- a/internal/store/membership.go
+++ b/internal/store/membership.go
@@ -93,9 +93,9 @@
 	return count
 }
 
-// findPlace returns the member that a learner may replace now, or whether it
+// decideAdmission returns the member that a learner may replace now, or whether it
 // may be added; reason tells why neither is possible.
-func (t *leadership) findPlace(request joinAsk, members []statemachine.Member, wanted int, index uint64) (old string, free bool, reason string) {
+func (t *leadership) decideAdmission(request joinAsk, members []statemachine.Member, wanted int, index uint64) (replaced string, mayAdd bool, reason string) {
 	if request.CommandLevel < t.store.commandLevel() {
 		return "", false, "its program is too old for the commands in use"
 	}
@@ -107,35 +107,35 @@
 	for _, m := range members {
 		// The same address with another identity: the old disk is lost.
 		if m.Addr == request.Addr && m.ID != t.store.acceptor.Identity().ID {
-			old = m.ID
+			replaced = m.ID
 		}
 	}
 	minDuration := time.Duration(0)
-	if old == "" {
-		if old = t.silentMember(members, t.store.Settings.ReplaceAfter); old != "" {
+	if replaced == "" {
+		if replaced = t.silentMember(members, t.store.Settings.ReplaceAfter); replaced != "" {
 			minDuration = t.store.Settings.ReplaceAfter / 2
 		}
 	}
 	// A member is added only while all are connected: an additional voter must
 	// not leave the connected ones short of a majority.
-	free = old == "" && len(members) < wanted && t.countConnected(members, "") == len(members)
-	if old == "" && len(members) >= wanted && t.countConnected(members, "") == len(members) {
+	mayAdd = replaced == "" && len(members) < wanted && t.countConnected(members, "") == len(members)
+	if replaced == "" && len(members) >= wanted && t.countConnected(members, "") == len(members) {
 		// No member is lost, so there is no hurry: a learner must first have
 		// been steady.
-		if old = t.store.memberToReplace(members, statemachine.Member{ID: request.ID, Zone: request.Zone, Region: request.Region}); old != "" {
+		if replaced = t.store.memberToReplace(members, statemachine.Member{ID: request.ID, Zone: request.Zone, Region: request.Region}); replaced != "" {
 			minDuration = t.store.Settings.ReplaceAfter / 2
 		}
 	}
 	switch {
-	case old == "" && !free:
+	case replaced == "" && !mayAdd:
 		return "", false, "stands by: no place is free, and no member is out of touch for long enough"
 	}
-	if best := t.bestLearner(members, old, minDuration); minDuration > 0 || free {
+	if best := t.bestLearner(members, replaced, minDuration); minDuration > 0 || mayAdd {
 		if best == nil || best.member.ID != request.ID {
 			return "", false, "stands by: another is to have the place, or this one is too new"
 		}
 	}
-	return old, free, ""
+	return replaced, mayAdd, ""
 }
 
 // onJoin handles a learner's report. The leader may let it replace a lost
@@ -167,12 +167,12 @@
 	}
 	defer term.membershipLock.Unlock()
 	members, wanted, index := s.members()
-	old, free, reason := term.findPlace(request, members, wanted, index)
+	replaced, mayAdd, reason := term.decideAdmission(request, members, wanted, index)
 	if reason != "" {
 		response.Reason = reason
 		return response, nil
 	}
-	result, err := term.changeMembers(ctx, old, free, statemachine.Member{ID: request.ID, Addr: request.Addr, Zone: request.Zone, Region: request.Region})
+	result, err := term.changeMembers(ctx, replaced, mayAdd, statemachine.Member{ID: request.ID, Addr: request.Addr, Zone: request.Zone, Region: request.Region})
 	if err != nil {
 		return joinGot{}, err
 	}
@@ -194,27 +194,27 @@
 }
 
 // changeMembers decides a change of the members; membershipLock is held.
-func (t *leadership) changeMembers(ctx context.Context, old string, free bool, joiner statemachine.Member) (statemachine.Result, error) {
+func (t *leadership) changeMembers(ctx context.Context, replaced string, add bool, joiner statemachine.Member) (statemachine.Result, error) {
 	store := t.store
 	all, _, _ := store.members()
-	kind, command := "store.replace", statemachine.Command(&statemachine.ReplaceMember{Old: old, New: joiner})
-	if free && len(all) >= 3 {
+	kind, command := "store.replace", statemachine.Command(&statemachine.ReplaceMember{Old: replaced, New: joiner})
+	if add && len(all) >= 3 {
 		kind, command = "store.add", &statemachine.AddMember{New: joiner}
 	}
 	packed, err := statemachine.Pack(kind, command)
 	if err != nil {
 		return statemachine.Result{}, err
 	}
-	result, err := t.proposeGuarded(ctx, packed, nil, t.heldByMajority(withReplaced(all, old, joiner)))
+	result, err := t.proposeGuarded(ctx, packed, nil, t.heldByMajority(withReplaced(all, replaced, joiner)))
 	if err == nil && result.Code == statemachine.OK {
 		for _, o := range all {
-			if o.ID == old && o.Addr != joiner.Addr {
+			if o.ID == replaced && o.Addr != joiner.Addr {
 				store.mu.Lock()
 				store.replacedAt[o.Addr] = time.Now()
 				store.mu.Unlock()
 			}
 		}
-		store.env.Log.Emit(event.Replaced, "old", old, "new", joiner.ID, "addr", joiner.Addr)
+		store.env.Log.Emit(event.Replaced, "old", replaced, "new", joiner.ID, "addr", joiner.Addr)
 	}
 	return result, err
 }
--- a/internal/store/messages.go
+++ b/internal/store/messages.go
@@ -10,6 +10,7 @@
 // The messages between stores, and from registries to stores. The fields' tags
 // are the names on the wire.
 
+// ballotAsk is a candidate's request for a member's vote.
 type ballotAsk struct {
 	Ballot    ballot.Number `msgpack:"n"`
 	ID        string        `msgpack:"i"`
@@ -19,6 +20,7 @@
 	Addr      string        `msgpack:"a,omitempty"` // of the candidate
 }
 
+// ballotVote is a member's vote, with the entries that it has accepted.
 type ballotVote struct {
 	Granted   bool          `msgpack:"y"`
 	ID        string        `msgpack:"i"`
@@ -29,6 +31,7 @@
 	Truncated bool          `msgpack:"r,omitempty"` // the voter accepted more entries than listed
 }
 
+// acceptAsk is the leader's request to accept an entry.
 type acceptAsk struct {
 	Entry        paxos.Entry `msgpack:"e"`
 	Addr         string      `msgpack:"a"`
@@ -37,6 +40,7 @@
 	ClusterID    string      `msgpack:"m"`
 }
 
+// beatAsk is the leader's heartbeat.
 type beatAsk struct {
 	Ballot       ballot.Number `msgpack:"n"`
 	Addr         string        `msgpack:"a"`
@@ -45,6 +49,8 @@
 	ClusterID    string        `msgpack:"m"`
 }
 
+// ack is a response to the leader or from it; each handler sets the fields
+// that its sender needs.
 type ack struct {
 	OK           bool          `msgpack:"y"`
 	ID           string        `msgpack:"i"`
@@ -56,6 +62,7 @@
 	Leaving      bool          `msgpack:"g,omitempty"` // the sender stops soon, and its disk may be lost with it
 }
 
+// fetchAsk requests the applied entries after an index, or a snapshot.
 type fetchAsk struct {
 	After          uint64 `msgpack:"a"`
 	PreviousDigest []byte `msgpack:"p"`
@@ -63,6 +70,8 @@
 	AcceptsChunks bool `msgpack:"k,omitempty"`
 }
 
+// fetchGot returns entries, a whole snapshot, or the header of a snapshot that
+// is to be fetched in chunks.
 type fetchGot struct {
 	Entries  []paxos.Entry   `msgpack:"e"`
 	Snapshot *paxos.Snapshot `msgpack:"c"` // a snapshot small enough for one message
@@ -70,11 +79,13 @@
 	Applied  uint64          `msgpack:"t"`
 }
 
+// foundAsk asks a store what it holds.
 type foundAsk struct {
 	ID   string `msgpack:"i"`
 	Addr string `msgpack:"a"`
 }
 
+// foundGot reports what a store holds.
 type foundGot struct {
 	Empty        bool                  `msgpack:"e"`
 	ID           string                `msgpack:"i"`
@@ -88,6 +99,7 @@
 	Applied      uint64                `msgpack:"s,omitempty"` // the newest index that the sender has applied
 }
 
+// genesis is the founding state, which the founder sends to all founders.
 type genesis struct {
 	ClusterID     string                `msgpack:"m"`
 	Members       []statemachine.Member `msgpack:"b"`
@@ -95,6 +107,7 @@
 	CommandLevel  int                   `msgpack:"k,omitempty"` // the level of commands that all founders understand
 }
 
+// joinAsk is a learner's report to the leader.
 type joinAsk struct {
 	ID        string `msgpack:"i"`
 	Addr      string `msgpack:"a"`
@@ -106,6 +119,7 @@
 	CommandLevel int `msgpack:"k,omitempty"` // the highest level of commands that the sender understands
 }
 
+// joinGot is the response to a learner's report.
 type joinGot struct {
 	LeaderAddr    string `msgpack:"h"` // the leader, if the receiver is not the leader itself
 	Reason        string `msgpack:"s"`
@@ -129,6 +143,7 @@
 	Request *RequestKey `msgpack:"o,omitempty"`
 }
 
+// vacateAsk announces that the leadership under a ballot is vacant.
 type vacateAsk struct {
 	Ballot ballot.Number `msgpack:"n"`
 }
--- a/internal/store/requests.go
+++ b/internal/store/requests.go
@@ -8,8 +8,8 @@
 )
 
 // requestRetentionFactor is the time for which an answered request is
-// remembered, as a multiple of RecoveryBound: an hour with the default of 15
-// s. An operator's own retries end long before.
+// remembered, as a multiple of RecoveryBound: an hour, as RecoveryBound is 15 s
+// by default. An operator's own retries end long before.
 const requestRetentionFactor = 240
 
 // wrapRequests wraps commands that may be retried into requests that are
