--- a/internal/store/confirm.go
+++ b/internal/store/confirm.go
@@ -74,7 +74,7 @@
 	}
 }
 
-// recordRefusal records a member's promise above the own ballot.
+// recordRefusal records a member's promise above this leader's ballot.
 func (t *leadership) recordRefusal(promised ballot.Number) {
 	t.store.mu.Lock()
 	t.store.highestRound = max(t.store.highestRound, promised.Round)
@@ -100,8 +100,8 @@
 	return time.Since(t.confirmedAt) > t.store.Settings.Lease()
 }
 
-// heartbeat is one round: every member answers whether the own ballot is still
-// its highest.
+// heartbeat is one round: every member answers whether this leader's ballot is
+// still the highest that it has promised.
 func (t *leadership) heartbeat(ctx context.Context) error {
 	store := t.store
 	started, round := time.Now(), t.rounds.Add(1)
--- a/internal/store/contact.go
+++ b/internal/store/contact.go
@@ -8,7 +8,7 @@
 	"puffincrank/internal/event"
 )
 
-// peerContact is what a member's newest response told of it.
+// peerContact is what a member's newest response reported of it.
 type peerContact struct {
 	at           time.Time
 	appliedIndex uint64    // the newest index that it had applied
--- a/internal/store/join_test.go
+++ b/internal/store/join_test.go
@@ -193,8 +193,8 @@
 		s.Settings.Seeds = []string{"me:1", "seed:1", "heard:1"}
 		var heartbeat beatAsk
 		startPeer(t, network, "seed:1", func(node *transport.Node) {
-			transport.Handle(node, "store.beat", func(_ context.Context, _ transport.Hello, in beatAsk) (ack, error) {
-				heartbeat = in
+			transport.Handle(node, "store.beat", func(_ context.Context, _ transport.Hello, request beatAsk) (ack, error) {
+				heartbeat = request
 				return ack{}, nil
 			})
 		})
--- a/internal/store/leadership.go
+++ b/internal/store/leadership.go
@@ -29,7 +29,7 @@
 	learners            map[string]*learner    // newest report of each learner, by its ID
 	membershipLock      sync.Mutex             // held during a change of the members
 	closed              atomic.Bool            // the leadership is being transferred: no more proposals
-	diskTransferStarted atomic.Bool            // a transfer because of the own disk has started
+	diskTransferStarted atomic.Bool            // a transfer because of this store's disk has started
 	pending             atomic.Int64           // proposals that wait for their outcome
 	rounds              atomic.Uint64          // number of heartbeat rounds
 	refusals            int                    // refusals by members with a higher promise
@@ -88,9 +88,9 @@
 	started := time.Now()
 	for {
 		var remaining []string
-		for _, reply := range addresses {
-			if !accepted[reply] {
-				remaining = append(remaining, reply)
+		for _, address := range addresses {
+			if !accepted[address] {
+				remaining = append(remaining, address)
 			}
 		}
 		// One member's higher promise does not end a term that a majority
--- a/internal/store/proposepatch_test.go
+++ b/internal/store/proposepatch_test.go
@@ -20,25 +20,25 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	acc, err := paxos.Open(dir)
+	acceptor, err := paxos.Open(dir)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := acc.SetIdentity(paxos.Identity{ID: "a"}); err != nil {
+	if err := acceptor.SetIdentity(paxos.Identity{ID: "a"}); err != nil {
 		t.Fatal(err)
 	}
 	doc := func(n int) []byte { return append(bytes.Repeat([]byte(`{"a":1}`), 60), fmt.Sprint(n)...) }
-	s := &Store{acceptor: acc, state: statemachine.New("m", []statemachine.Member{{ID: "a"}, {ID: "b"}, {ID: "c"}})}
+	s := &Store{acceptor: acceptor, state: statemachine.New("m", []statemachine.Member{{ID: "a"}, {ID: "b"}, {ID: "c"}})}
 	(&statemachine.SetConfig{Doc: doc(1)}).Apply(s.state)
 	kinds := func(term *leadership) string {
 		var batch []*proposal
 		for i := range 2 {
 			c := &statemachine.SetNumberedConfig{Number: uint64(7 + i), Doc: doc(2 + i)}
-			p, err := statemachine.Pack("config.number", c)
+			packed, err := statemachine.Pack("config.number", c)
 			if err != nil {
 				t.Fatal(err)
 			}
-			batch = append(batch, &proposal{packed: p, command: c})
+			batch = append(batch, &proposal{packed: packed, command: c})
 		}
 		term.usePatch(batch)
 		return batch[0].packed.Kind + " " + batch[1].packed.Kind
--- a/internal/store/remove.go
+++ b/internal/store/remove.go
@@ -58,7 +58,7 @@
 	return response, err
 }
 
-// detectReplacedLeader is told which replica runs at an address. Another
+// detectReplacedLeader checks the replica that runs at an address. Another
 // replica at the leader's own address means that the leader's disk and process
 // are lost: the leadership is vacant, without waiting for the leader's
 // timeout.
--- a/internal/store/snapshot_test.go
+++ b/internal/store/snapshot_test.go
@@ -120,8 +120,8 @@
 		defer s.Kill()
 		previous := []byte("zero")
 		number := ballot.Number{Round: 1, Candidate: "other"}
-		for slot := range uint64(maxVoteEntries + 3) {
-			entry := paxos.Entry{Index: slot + 1, Previous: previous, Batch: packedNoop(t), Ballot: number}
+		for index := range uint64(maxVoteEntries + 3) {
+			entry := paxos.Entry{Index: index + 1, Previous: previous, Batch: packedNoop(t), Ballot: number}
 			if err := s.acceptor.Accept(entry); err != nil {
 				t.Fatal(err)
 			}
@@ -168,11 +168,11 @@
 		tasks := task.New(context.Background())
 		defer tasks.Stop()
 		node := transport.NewNode(transport.Hello{ClusterID: "m", Node: "sender"}, env.Env{Net: network, Wall: time.Now, Log: event.New("sender", nil)}, tasks, 1<<20, 8, time.Second)
-		transport.Handle(node, "store.snapshot", func(_ context.Context, _ transport.Hello, in chunkRequest) (chunkResponse, error) {
+		transport.Handle(node, "store.snapshot", func(_ context.Context, _ transport.Hello, request chunkRequest) (chunkResponse, error) {
 			requests++
-			data := bytes.Clone(state[in.Offset:min(in.Offset+snapshotChunk, len(state))])
-			got := chunkResponse{ID: in.ID, Offset: in.Offset, Data: data, Checksum: crc32.ChecksumIEEE(data)}
-			return got, corrupt(&got)
+			data := bytes.Clone(state[request.Offset:min(request.Offset+snapshotChunk, len(state))])
+			response := chunkResponse{ID: request.ID, Offset: request.Offset, Data: data, Checksum: crc32.ChecksumIEEE(data)}
+			return response, corrupt(&response)
 		})
 		if err := node.Listen("sender:1"); err != nil {
 			t.Fatal(err)
@@ -181,7 +181,7 @@
 		other := sha256.Sum256([]byte("other"))
 		for _, c := range []struct {
 			name    string
-			head    snapshotHeader
+			header  snapshotHeader
 			corrupt func(*chunkResponse) error
 			fault   string
 		}{
@@ -197,7 +197,7 @@
 			{"another content", snapshotHeader{ID: other[:], Index: 9, Size: len(state)}, func(*chunkResponse) error { return nil }, "fails its checksum"},
 		} {
 			corrupt = c.corrupt
-			err := s.fetchSnapshot(t.Context(), "sender:1", c.head)
+			err := s.fetchSnapshot(t.Context(), "sender:1", c.header)
 			if !fault.Is(err, fault.Input) || !strings.Contains(err.Error(), c.fault) || s.state.Revision == 77 || s.incoming != nil {
 				t.Errorf("%s: %v, revision %d", c.name, err, s.state.Revision)
 			}
--- a/internal/store/splitvote_test.go
+++ b/internal/store/splitvote_test.go
@@ -35,26 +35,26 @@
 		defer s.Kill()
 		s.state = statemachine.New("m", nil)
 		s.state.Members = append(s.state.Members, statemachine.Member{ID: s.acceptor.Identity().ID, Addr: "me:1"}, statemachine.Member{ID: "w", Addr: "w:1"})
-		type said struct {
+		type announcement struct {
 			at     time.Time
 			ballot ballot.Number
 		}
-		voteRequests, vacancies := make(chan said, 99), make(chan said, 99)
+		voteRequests, vacancies := make(chan announcement, 99), make(chan announcement, 99)
 		tasks := task.New(context.Background())
 		defer tasks.Stop()
 		for _, id := range []string{"b", "c", "d"} {
 			s.state.Members = append(s.state.Members, statemachine.Member{ID: id, Addr: id + ":1"})
 			node := transport.NewNode(transport.Hello{ClusterID: "m", Node: id}, env.Env{Net: network, Wall: time.Now, Log: event.New(id, nil)}, tasks, 1<<20, 8, time.Second)
-			transport.Handle(node, "store.ballot", func(_ context.Context, _ transport.Hello, in ballotAsk) (ballotVote, error) {
-				if in.Binding {
-					voteRequests <- said{time.Now(), in.Ballot}
+			transport.Handle(node, "store.ballot", func(_ context.Context, _ transport.Hello, request ballotAsk) (ballotVote, error) {
+				if request.Binding {
+					voteRequests <- announcement{time.Now(), request.Ballot}
 				}
 				// One votes for the candidate, the others have promised
 				// another ballot.
-				return ballotVote{ID: id, Granted: !in.Binding || id == "b", Promised: ballot.Number{Round: 8, Candidate: "z"}}, nil
+				return ballotVote{ID: id, Granted: !request.Binding || id == "b", Promised: ballot.Number{Round: 8, Candidate: "z"}}, nil
 			})
-			transport.Handle(node, "store.vacate", func(_ context.Context, _ transport.Hello, in vacateAsk) (ack, error) {
-				vacancies <- said{time.Now(), in.Ballot}
+			transport.Handle(node, "store.vacate", func(_ context.Context, _ transport.Hello, request vacateAsk) (ack, error) {
+				vacancies <- announcement{time.Now(), request.Ballot}
 				return ack{}, nil
 			})
 			if err := node.Listen(id + ":1"); err != nil {
--- a/internal/store/spread.go
+++ b/internal/store/spread.go
@@ -24,13 +24,13 @@
 
 // compareSharing compares two replicas by the number of members in their
 // regions, then in their zones.
-func compareSharing(members []statemachine.Member, reply, b statemachine.Member, without string) int {
-	return cmp.Or(countSharing(members, regionOf, reply, without)-countSharing(members, regionOf, b, without), countSharing(members, zoneOf, reply, without)-countSharing(members, zoneOf, b, without))
+func compareSharing(members []statemachine.Member, a, b statemachine.Member, without string) int {
+	return cmp.Or(countSharing(members, regionOf, a, without)-countSharing(members, regionOf, b, without), countSharing(members, zoneOf, a, without)-countSharing(members, zoneOf, b, without))
 }
 
-// excessVotes returns how many votes more than a minority are lost with the
-// fullest zones or regions, of which the given number must be tolerated; 0 if
-// the others still have a majority.
+// excessVotes returns by how many votes the loss of the fullest zones or
+// regions, as many as must be tolerated, leaves the others short of a majority;
+// 0 if they still have one.
 func excessVotes(members []statemachine.Member, location func(statemachine.Member) string, tolerated int) int {
 	count := map[string]int{}
 	for _, m := range members {
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -36,7 +36,7 @@
 	voter    *ballot.Voter
 	role     *fsm.Machine
 
-	applyLock     task.Lock // held by whoever extends the applied state
+	applyLock     task.Lock // held while the applied state is extended
 	snapshotLock  task.Lock // held while a snapshot is written to disk
 	transferLock  task.Lock // held while a snapshot is prepared for transfer
 	pauseDetector *pausedetect.Detector
@@ -52,11 +52,11 @@
 	lastPatch     patch.Step    // the newest patch that was returned to a configuration read
 
 	// Leadership and membership.
-	ballot            ballot.Number        // own ballot number as a candidate or leader
+	ballot            ballot.Number        // this store's ballot number as a candidate or leader
 	leaderAddress     string               // the internal address of the leader, as last reported
 	highestRound      uint64               // the highest round seen in any message
 	leadership        *leadership          // set while this store is the leader
-	noCampaignUntil   time.Time            // the own disk is slow or failing: leave the leadership to others until then
+	noCampaignUntil   time.Time            // the disk is slow or failing: leave the leadership to others until then
 	campaignNow       bool                 // start an election at once, even if the leader is not silent
 	interruptWait     func()               // ends the wait of the main loop
 	stopping          bool                 // a graceful shutdown has begun
