--- a/internal/store/founding.go
+++ b/internal/store/founding.go
@@ -14,37 +14,39 @@
 	"puffincrank/internal/transport"
 )
 
-func (s *Store) empty() bool { return s.role.Is("empty") }
+func (s *Store) isEmpty() bool { return s.role.Is("empty") }
 
-// onFound tells a peer whether this store holds anything.
-func (s *Store) onFound(_ context.Context, _ transport.Hello, in foundAsk) (foundGot, error) {
-	s.noteSuccessor(in.ID, in.Addr)
+// onProbe reports what this store holds.
+func (s *Store) onProbe(_ context.Context, _ transport.Hello, request foundAsk) (foundGot, error) {
+	s.detectReplacedLeader(request.ID, request.Addr)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	got := foundGot{Empty: s.state == nil, ID: s.acc.Identity().ID, Head: s.leaderAddress, Never: !s.Settings.MayFound, Area: s.Settings.Zone, Land: s.Settings.Region, Knows: statemachine.Level}
+	response := foundGot{Empty: s.state == nil, ID: s.acceptor.Identity().ID, LeaderAddr: s.leaderAddress, MayNotFound: !s.Settings.MayFound, Zone: s.Settings.Zone, Region: s.Settings.Region, CommandLevel: statemachine.Level}
 	if s.state != nil {
-		got.Mesh, got.Members, got.Slot = s.state.ClusterID, s.state.Members, s.slot
+		response.ClusterID, response.Members, response.Applied = s.state.ClusterID, s.state.Members, s.appliedIndex
 	}
-	return got, nil
+	return response, nil
 }
 
-// onGenesis takes the founding, if this empty replica is named in it.
-func (s *Store) onGenesis(_ context.Context, _ transport.Hello, in genesis) (ack, error) {
-	if !s.empty() {
+// onGenesis installs the founding state, if this empty replica is one of the
+// founders.
+func (s *Store) onGenesis(_ context.Context, _ transport.Hello, founding genesis) (ack, error) {
+	if !s.isEmpty() {
 		return ack{}, fault.New(fault.Refused, "not empty")
 	}
-	own := s.acc.Identity().ID
-	if err := checkFounders(in.Members, own); err != nil {
-		s.e.Log.Emit(event.ForeignData, "mesh", in.Mesh, "why", err.Error())
+	own := s.acceptor.Identity().ID
+	if err := checkFounders(founding.Members, own); err != nil {
+		s.env.Log.Emit(event.ForeignData, "mesh", founding.ClusterID, "why", err.Error())
 		return ack{}, err
 	}
-	return ack{Yes: true, ID: own}, s.begin(in)
+	return ack{OK: true, ID: own}, s.installFounding(founding)
 }
 
-// checkFounders refuses a list of founding members that doesn't name the receiver,
-// names a replica or an address twice, or is of an even number: the one more
-// bears no more losses, and every decision would wait for it. Two are let through,
-// since one alone would have the only copy.
+// checkFounders refuses a list of founding members that does not name the
+// receiver, names a replica or an address twice, or has an even number of
+// members: the additional member does not raise the fault tolerance, and every
+// decision would need one more response. Two members are accepted, since one
+// alone would hold the only copy.
 func checkFounders(members []statemachine.Member, receiver string) error {
 	named := map[string]bool{}
 	for _, m := range members {
@@ -59,123 +61,124 @@
 	if !named[receiver] {
 		return fault.New(fault.Refused, "not named in the founding")
 	}
-	if n := len(members); n%2 == 0 && n != 2 {
-		return fault.New(fault.Refused, "the founding names %d members, an even number", n)
+	if count := len(members); count%2 == 0 && count != 2 {
+		return fault.New(fault.Refused, "the founding names %d members, an even number", count)
 	}
 	return nil
 }
 
-// founders gives the members that found a cluster: all that were found, but for
-// the last by address, not the founder itself, where they are of an even number
-// above two. That one stands by, and gets a place when one is free.
-func founders(all []statemachine.Member, founder string) []statemachine.Member {
-	if n := len(all); n%2 == 1 || n == 2 {
-		return all
+// founders returns the members that found a cluster. Of an even number above
+// two, the one with the last address is left out, but never the founder
+// itself. It becomes a learner, and joins when a member is needed.
+func founders(candidates []statemachine.Member, founder string) []statemachine.Member {
+	if count := len(candidates); count%2 == 1 || count == 2 {
+		return candidates
 	}
 	last := -1
-	for i, m := range all {
-		if m.Addr != founder && (last < 0 || m.Addr > all[last].Addr) {
+	for i, m := range candidates {
+		if m.Addr != founder && (last < 0 || m.Addr > candidates[last].Addr) {
 			last = i
 		}
 	}
-	return slices.Delete(slices.Clone(all), last, last+1)
+	return slices.Delete(slices.Clone(candidates), last, last+1)
 }
 
 func memberAddresses(members []statemachine.Member) []string {
-	var out []string
+	var addresses []string
 	for _, m := range members {
-		out = append(out, m.Addr)
+		addresses = append(addresses, m.Addr)
 	}
-	return out
+	return addresses
 }
 
-// begin keeps the founding state as the checkpoint of slot 0.
-func (s *Store) begin(in genesis) error {
-	s.applying.Lock()
-	defer s.applying.Unlock()
-	if !s.empty() {
+// installFounding stores the founding state as the snapshot of index 0.
+func (s *Store) installFounding(founding genesis) error {
+	s.applyLock.Lock()
+	defer s.applyLock.Unlock()
+	if !s.isEmpty() {
 		return nil
 	}
-	led := statemachine.New(in.Mesh, in.Members)
-	led.WantedMembers, led.Level = in.Want, min(in.Level, statemachine.Level)
-	raw, err := led.Pack()
+	state := statemachine.New(founding.ClusterID, founding.Members)
+	state.WantedMembers, state.Level = founding.WantedMembers, min(founding.CommandLevel, statemachine.Level)
+	encoded, err := state.Pack()
 	if err != nil {
 		return err
 	}
-	sum := sha256.Sum256(raw)
-	return s.install(paxos.Snapshot{Digest: sum[:], State: raw}, event.Founded)
+	digest := sha256.Sum256(encoded)
+	return s.installSnapshot(paxos.Snapshot{Digest: digest[:], State: encoded}, event.Founded)
 }
 
-// install takes a checkpoint as all that this replica holds, unless it is of a
-// newer format, of a newer program's state or of another cluster; learn is held.
-func (s *Store) install(c paxos.Snapshot, say event.Kind) error {
-	if c.Format > paxos.Format {
-		s.e.Log.Emit(event.ForeignData, "format", c.Format, "own", paxos.Format)
-		return fault.New(fault.Input, "a snapshot of format %d, newer than %d", c.Format, paxos.Format)
-	}
-	led, err := statemachine.Load(c.State)
+// installSnapshot replaces all that this replica holds by a snapshot, unless
+// that is of a newer format, of a newer program's state or of another cluster;
+// applyLock is held.
+func (s *Store) installSnapshot(snapshot paxos.Snapshot, kind event.Kind) error {
+	if snapshot.Format > paxos.Format {
+		s.env.Log.Emit(event.ForeignData, "format", snapshot.Format, "own", paxos.Format)
+		return fault.New(fault.Input, "a snapshot of format %d, newer than %d", snapshot.Format, paxos.Format)
+	}
+	state, err := statemachine.Load(snapshot.State)
 	if err != nil {
-		s.e.Log.Emit(event.ForeignData, "slot", c.Index, "why", err.Error())
+		s.env.Log.Emit(event.ForeignData, "slot", snapshot.Index, "why", err.Error())
 		return err
 	}
-	if mine := s.acc.Identity().ClusterID; mine != "" && mine != led.ClusterID {
-		s.e.Log.Emit(event.ForeignData, "mesh", led.ClusterID, "own", mine)
-		return fault.New(fault.Refused, "data of mesh %s", led.ClusterID)
+	if clusterID := s.acceptor.Identity().ClusterID; clusterID != "" && clusterID != state.ClusterID {
+		s.env.Log.Emit(event.ForeignData, "mesh", state.ClusterID, "own", clusterID)
+		return fault.New(fault.Refused, "data of mesh %s", state.ClusterID)
 	}
 	err = s.writeDurably(func() error {
-		if err := s.acc.InstallSnapshot(c); err != nil {
+		if err := s.acceptor.InstallSnapshot(snapshot); err != nil {
 			return err
 		}
-		return s.acc.SetIdentity(paxos.Identity{ID: s.acc.Identity().ID, ClusterID: led.ClusterID})
+		return s.acceptor.SetIdentity(paxos.Identity{ID: s.acceptor.Identity().ID, ClusterID: state.ClusterID})
 	})
 	if err != nil {
 		return err
 	}
-	if err := s.reset(c); err != nil {
+	if err := s.loadState(snapshot); err != nil {
 		return err
 	}
 	s.mu.Lock()
-	s.e.Trace.Notify(trace.Installed{Replica: s.acc.Identity().ID, Index: s.slot, Digest: string(s.sum), Members: s.memberIDs()})
+	s.env.Trace.Notify(trace.Installed{Replica: s.acceptor.Identity().ID, Index: s.appliedIndex, Digest: string(s.appliedDigest), Members: s.memberIDs()})
 	s.mu.Unlock()
-	s.e.Log.Emit(say, "mesh", led.ClusterID, "slot", c.Index)
-	// A joiner stays out of the voting until it is a member.
+	s.env.Log.Emit(kind, "mesh", state.ClusterID, "slot", snapshot.Index)
+	// A joining replica does not vote until it is a member.
 	s.updateRole()
 	return nil
 }
 
-// found gives a cluster its first state, if all seeds are reachable and empty: by
-// the least of those that may, in whatever order each has them, so that there
-// is never a second founding. The others learn it from its word or, later,
-// from each other.
-func (s *Store) found(ctx context.Context, all []foundGot, addrs []string) {
-	least := ""
-	in := genesis{Mesh: s.Settings.ClusterID + "/" + fresh(), Want: s.Settings.Voters(), Level: statemachine.Level}
-	for i, got := range all {
-		if !got.Never && (least == "" || addrs[i] < least) {
-			least = addrs[i]
+// foundCluster founds a cluster if all seeds are reachable and empty. The seed
+// with the least address among those that may found does so, whatever the
+// order in each one's settings, so that a cluster is never founded twice. The
+// others receive the founding state from it or, later, from each other.
+func (s *Store) foundCluster(ctx context.Context, responses []foundGot, addresses []string) {
+	founder := ""
+	founding := genesis{ClusterID: s.Settings.ClusterID + "/" + randomID(), WantedMembers: s.Settings.Voters(), CommandLevel: statemachine.Level}
+	for i, response := range responses {
+		if !response.MayNotFound && (founder == "" || addresses[i] < founder) {
+			founder = addresses[i]
 		}
-		in.Level = min(in.Level, got.Knows)
-		in.Members = append(in.Members, statemachine.Member{ID: got.ID, Addr: addrs[i], Zone: got.Area, Region: got.Land})
+		founding.CommandLevel = min(founding.CommandLevel, response.CommandLevel)
+		founding.Members = append(founding.Members, statemachine.Member{ID: response.ID, Addr: addresses[i], Zone: response.Zone, Region: response.Region})
 	}
-	if least != s.Settings.InternalAddr {
+	if founder != s.Settings.InternalAddr {
 		return
 	}
-	if in.Want == 3 {
-		in.Want = 0
+	if founding.WantedMembers == 3 {
+		founding.WantedMembers = 0
 	}
-	in.Members = founders(in.Members, s.Settings.InternalAddr)
-	if err := checkFounders(in.Members, s.acc.Identity().ID); err != nil {
-		s.e.Log.Emit(event.ForeignData, "mesh", in.Mesh, "why", err.Error())
+	founding.Members = founders(founding.Members, s.Settings.InternalAddr)
+	if err := checkFounders(founding.Members, s.acceptor.Identity().ID); err != nil {
+		s.env.Log.Emit(event.ForeignData, "mesh", founding.ClusterID, "why", err.Error())
 		return
 	}
-	if err := s.begin(in); err != nil {
+	if err := s.installFounding(founding); err != nil {
 		return
 	}
-	ballot.Poll(ctx, s.g, memberAddresses(in.Members), func(ctx context.Context, to string) (ack, error) {
+	ballot.Poll(ctx, s.tasks, memberAddresses(founding.Members), func(ctx context.Context, to string) (ack, error) {
 		if to == s.Settings.InternalAddr {
 			return ack{}, nil
 		}
-		return transport.Call[ack](ctx, s.n, to, "store.genesis", in)
+		return transport.Call[ack](ctx, s.node, to, "store.genesis", founding)
 	}, func(string, ack, error) bool { return false })
 	s.wakeLoop(true)
 }
--- a/internal/store/holders.go
+++ b/internal/store/holders.go
@@ -7,92 +7,94 @@
 	"puffincrank/internal/statemachine"
 )
 
-// A change of the members is proposed only when a majority of those who would
-// vote after it is known to have applied all that is chosen, and nothing is
-// decided between that look and the proposal. So every majority of the new
-// members, and whatever is left of them after as many losses as they are to bear,
-// holds each entry that was ever acknowledged.
+// A change of the members is proposed only when a majority of the members
+// after the change is known to have applied everything that is chosen, and
+// nothing is decided between this check and the proposal. So every majority of
+// the new members, and those left of them after as many losses as they have to
+// tolerate, hold each entry that was ever acknowledged.
 
-// holders counts the members that are known to have applied up to a slot; t.mu
-// is held.
-func (t *leadership) holders(members []statemachine.Member, slot uint64) (n int) {
+// countHolders counts the members that are known to have applied up to an
+// index; t.mu is held.
+func (t *leadership) countHolders(members []statemachine.Member, index uint64) (count int) {
 	for _, m := range members {
-		// One that ends soon may take its disk with it.
-		if !t.contacts[m.ID].going.IsZero() {
+		// A member that stops soon may lose its disk with it.
+		if !t.contacts[m.ID].leavingAt.IsZero() {
 			continue
 		}
-		has := t.contacts[m.ID].slot
-		if sp := t.learners[m.ID]; sp != nil {
-			has = max(has, sp.slot)
+		appliedIndex := t.contacts[m.ID].appliedIndex
+		if l := t.learners[m.ID]; l != nil {
+			appliedIndex = max(appliedIndex, l.appliedIndex)
 		}
-		if m.ID == t.s.acc.Identity().ID {
-			has = slot
+		if m.ID == t.store.acceptor.Identity().ID {
+			appliedIndex = index
 		}
-		if has >= slot {
-			n++
+		if appliedIndex >= index {
+			count++
 		}
 	}
-	return n
+	return count
 }
 
-// awaitHolders waits until so many of these members hold all that is chosen, a beat
-// at the most. learn is held, so nothing is decided meanwhile.
-func (t *leadership) awaitHolders(ctx context.Context, members []statemachine.Member, need int) bool {
-	for from := time.Now(); ctx.Err() == nil && !t.ended(); {
+// awaitHolders waits until enough of these members hold everything that is
+// chosen, for one heartbeat interval at most. applyLock is held, so nothing is
+// decided meanwhile.
+func (t *leadership) awaitHolders(ctx context.Context, members []statemachine.Member, required int) bool {
+	for started := time.Now(); ctx.Err() == nil && !t.ended(); {
 		t.mu.Lock()
-		slot := t.s.slot
-		held := t.holders(members, slot) >= need
-		able := t.holders(members, slot-min(slot, learnerLag)) >= need
+		index := t.store.appliedIndex
+		held := t.countHolders(members, index) >= required
+		nearlyHeld := t.countHolders(members, index-min(index, maxLearnerLag)) >= required
 		t.mu.Unlock()
 		if held {
 			return true
 		}
-		// Nobody is kept waiting for members that have much to catch up with.
-		if !able || time.Since(from) > t.s.Settings.HeartbeatInterval() {
+		// No waiting for members that are more than maxLearnerLag entries
+		// behind.
+		if !nearlyHeld || time.Since(started) > t.store.Settings.HeartbeatInterval() {
 			return false
 		}
-		// The beat tells them the newest slot; the next one's answers tell that
-		// they have applied it.
+		// This heartbeat tells them the newest index; the responses to the
+		// next one tell that they have applied it.
 		_ = t.heartbeat(ctx)
-		t.s.e.Sleep(ctx, t.s.Settings.HeartbeatInterval()/40)
+		t.store.env.Sleep(ctx, t.store.Settings.HeartbeatInterval()/40)
 	}
 	return false
 }
 
 // heldByMajority is the guard of a change after which these are the members.
-func (t *leadership) heldByMajority(then []statemachine.Member) func(context.Context) bool {
-	return func(ctx context.Context) bool { return t.awaitHolders(ctx, then, len(then)/2+1) }
+func (t *leadership) heldByMajority(members []statemachine.Member) func(context.Context) bool {
+	return func(ctx context.Context) bool { return t.awaitHolders(ctx, members, len(members)/2+1) }
 }
 
-// without lists the members but one.
-func without(members []statemachine.Member, id string) (out []statemachine.Member) {
+// without lists all members except one.
+func without(members []statemachine.Member, id string) (others []statemachine.Member) {
 	for _, m := range members {
 		if m.ID != id {
-			out = append(out, m)
+			others = append(others, m)
 		}
 	}
-	return out
+	return others
 }
 
-// withReplaced lists the members after one has taken the place of another, or a
-// place of its own.
+// withReplaced lists the members after one has replaced another, or was added.
 func withReplaced(members []statemachine.Member, old string, joiner statemachine.Member) []statemachine.Member {
 	return append(without(members, old), joiner)
 }
 
-// othersHold tells whether the members but one hold all that is chosen, by a
-// majority of all: only then may that one go with what it has. A leader that goes
-// itself decides nothing after that.
+// othersHold reports whether the members other than the leaving one hold
+// everything that is chosen, counted against a majority of all: only then may
+// that one stop with what it has. A leader that stops itself decides nothing
+// after that.
 func (t *leadership) othersHold(ctx context.Context, leaving string) bool {
 	guard := func(ctx context.Context) bool {
-		all, _, _ := t.s.members()
-		others := without(all, leaving)
-		held := t.awaitHolders(ctx, others, min(len(all)/2+1, len(others)))
-		if held && leaving == t.s.acc.Identity().ID {
-			t.shut.Store(true)
+		members, _, _ := t.store.members()
+		others := without(members, leaving)
+		held := t.awaitHolders(ctx, others, min(len(members)/2+1, len(others)))
+		if held && leaving == t.store.acceptor.Identity().ID {
+			t.closed.Store(true)
 		}
 		return held
 	}
-	r, err := t.submit(ctx, &proposal{guard: guard, result: make(chan outcome, 1)})
-	return err == nil && r.Code == statemachine.OK
+	result, err := t.submit(ctx, &proposal{guard: guard, result: make(chan outcome, 1)})
+	return err == nil && result.Code == statemachine.OK
 }
--- a/internal/store/loop.go
+++ b/internal/store/loop.go
@@ -7,18 +7,18 @@
 	"puffincrank/internal/event"
 )
 
-// run is the one loop that moves the role on.
+// run is the main loop. It takes the next step of the current role.
 func (s *Store) run(ctx context.Context) {
 	wait := time.Duration(0)
 	for {
-		s.e.PollSettings()
-		from := time.Now()
+		s.env.PollSettings()
+		started := time.Now()
 		s.wait(ctx, wait)
 		if ctx.Err() != nil {
 			return
 		}
-		if gap := time.Since(from); gap > wait+s.Settings.PauseThreshold() {
-			s.resumed(gap)
+		if gap := time.Since(started); gap > wait+s.Settings.PauseThreshold() {
+			s.handlePause(gap)
 		}
 		switch s.role.Current() {
 		case "empty", "spare":
@@ -26,38 +26,39 @@
 		case "follow":
 			wait = s.followStep(ctx)
 		default:
-			s.watchDisk()
+			s.checkDisk()
 			wait = s.Settings.HeartbeatInterval()
 		}
 	}
 }
 
-// wait waits for a time, or until something happens that the loop must act on.
+// wait sleeps for a time, or until wakeLoop is called.
 func (s *Store) wait(ctx context.Context, wait time.Duration) {
-	ctx, end := context.WithCancel(ctx)
-	defer end()
+	ctx, cancel := context.WithCancel(ctx)
+	defer cancel()
 	s.mu.Lock()
-	s.wake = end
-	at := s.campaignNow && s.role.Is("follow")
+	s.interruptWait = cancel
+	immediate := s.campaignNow && s.role.Is("follow")
 	s.mu.Unlock()
-	if wait > 0 && !at {
-		s.e.Sleep(ctx, wait)
+	if wait > 0 && !immediate {
+		s.env.Sleep(ctx, wait)
 	}
 }
 
-// wakeLoop ends the wait of the loop of life; with again it stands at once.
-func (s *Store) wakeLoop(again bool) {
+// wakeLoop ends the wait of the main loop; with campaign, a follower starts an
+// election at once.
+func (s *Store) wakeLoop(campaign bool) {
 	s.mu.Lock()
-	s.campaignNow = s.campaignNow || again
-	if s.wake != nil {
-		s.wake()
+	s.campaignNow = s.campaignNow || campaign
+	if s.interruptWait != nil {
+		s.interruptWait()
 	}
 	s.mu.Unlock()
 }
 
-// resumed is called after a gap in the ticks: a role held before it may be
-// somebody else's by now.
-func (s *Store) resumed(gap time.Duration) {
-	s.e.Log.Emit(event.Paused, "ms", gap.Milliseconds())
+// handlePause is called after a gap in the ticks: another store may have
+// become the leader during the pause.
+func (s *Store) handlePause(gap time.Duration) {
+	s.env.Log.Emit(event.Paused, "ms", gap.Milliseconds())
 	s.stepDown("frozen")
 }
--- a/internal/store/requests.go
+++ b/internal/store/requests.go
@@ -7,68 +7,68 @@
 	"puffincrank/internal/statemachine"
 )
 
-// The time for which an answered request is remembered, as a ratio to the bound
-// on a return: an hour with the default of 15 s. An operator's own retry ends
-// long before.
-const requestMemory = 240
+// requestRetentionFactor is the time for which an answered request is
+// remembered, as a multiple of RecoveryBound: an hour, as RecoveryBound is 15 s
+// by default. An operator's own retries end long before.
+const requestRetentionFactor = 240
 
-// wrapRequests turns commands that may be sent again into requests that are done
-// once. While a member has never been known to read them, the commands are
-// proposed as they are, and an order that is sent again is judged by what stands
-// alone. learn is held.
+// wrapRequests wraps commands that may be retried into requests that are
+// applied once. Until all members and learners understand requests, the
+// commands are proposed as they are, and a retry is judged by the current
+// state alone. applyLock is held.
 func (s *Store) wrapRequests(batch []*proposal) {
-	if s.level() < statemachine.LevelRequests {
+	if s.commandLevel() < statemachine.LevelRequests {
 		return
 	}
 	for _, o := range batch {
-		if o.once == nil {
+		if o.requestKey == nil {
 			continue
 		}
-		p, err := statemachine.Pack(statemachine.KindRequest, &statemachine.Request{ID: o.once.ID, Digest: o.once.Digest, Number: o.once.Number, Cmd: o.cmd})
+		packed, err := statemachine.Pack(statemachine.KindRequest, &statemachine.Request{ID: o.requestKey.ID, Digest: o.requestKey.Digest, Number: o.requestKey.Number, Cmd: o.packed})
 		if err == nil {
-			o.cmd = p
+			o.packed = packed
 		}
 	}
 }
 
-// raiseLevel proposes the level of this program's commands once all members and
-// learners are known to be of it.
+// raiseLevel proposes the command level of this program once all members and
+// learners are known to understand it.
 func (t *leadership) raiseLevel(ctx context.Context) {
-	if t.s.level() >= statemachine.Level || !t.versed(statemachine.Level) {
+	if t.store.commandLevel() >= statemachine.Level || !t.allSupport(statemachine.Level) {
 		return
 	}
-	if p, err := statemachine.Pack("level.raise", &statemachine.RaiseLevel{To: statemachine.Level}); err == nil {
-		_, _ = t.propose(ctx, p)
+	if packed, err := statemachine.Pack("level.raise", &statemachine.RaiseLevel{To: statemachine.Level}); err == nil {
+		_, _ = t.propose(ctx, packed)
 	}
 }
 
-// requestMark says how many requests had been answered at a moment.
+// requestMark records how many requests had been answered at a moment.
 type requestMark struct {
 	at    time.Time
 	total uint64
 }
 
-// markRequests notes the count of answered requests from time to time; mu is
-// held.
-func (s *Store) markRequests(now time.Time) {
-	if n := len(s.requestMarks); n > 0 && now.Sub(s.requestMarks[n-1].at) < s.Settings.RecoveryBound {
+// recordRequestCount records the number of answered requests, at most once per
+// RecoveryBound; mu is held.
+func (s *Store) recordRequestCount(now time.Time) {
+	if count := len(s.requestMarks); count > 0 && now.Sub(s.requestMarks[count-1].at) < s.Settings.RecoveryBound {
 		return
 	}
 	s.requestMarks = append(s.requestMarks, requestMark{now, s.state.TotalRequests()})
 }
 
-// trimRequests gives the command that forgets requests answered too long ago, or
-// nil. mu is held.
+// trimRequests returns the command that forgets requests answered too long
+// ago, or nil. mu is held.
 func (s *Store) trimRequests(now time.Time) statemachine.Command {
-	old := 0
-	for old < len(s.requestMarks) && now.Sub(s.requestMarks[old].at) > requestMemory*s.Settings.RecoveryBound {
-		old++
+	outdated := 0
+	for outdated < len(s.requestMarks) && now.Sub(s.requestMarks[outdated].at) > requestRetentionFactor*s.Settings.RecoveryBound {
+		outdated++
 	}
-	if old == 0 {
+	if outdated == 0 {
 		return nil
 	}
-	to := s.requestMarks[old-1].total
-	s.requestMarks = append([]requestMark(nil), s.requestMarks[old:]...)
+	to := s.requestMarks[outdated-1].total
+	s.requestMarks = append([]requestMark(nil), s.requestMarks[outdated:]...)
 	if to <= s.state.Forgotten {
 		return nil
 	}
