--- a/internal/transport/age_test.go
+++ b/internal/transport/age_test.go
@@ -12,7 +12,7 @@
 func TestAge(t *testing.T) {
 	ms := func(n int64) time.Duration { return time.Duration(n) * time.Millisecond }
 	rapid.Check(t, func(t *rapid.T) {
-		var a age
+		var a transitDelay
 		// Parts in a million by which the receiver's clock runs off.
 		off := rapid.Int64Range(-900, 900).Draw(t, "off")
 		way := ms(rapid.Int64Range(0, 200).Draw(t, "way"))
@@ -27,29 +27,29 @@
 			// The hello took a little more than the way.
 			came := now + held - hello
 			came += came / 1_000_000 * time.Duration(off)
-			got := a.of(now, came)
+			got := a.excess(now, came)
 			// In order: the next one comes later than this.
 			now += held
 			// The usual way isn't known better than by the frames before, nor the
 			// clocks than by their slack since.
-			if most := held + ms(1) + now/slack; got < 0 || got > most {
+			if most := held + ms(1) + now/clockDriftDivisor; got < 0 || got > most {
 				t.Fatalf("held for %v, age %v", held, got)
 			}
-			if got < held-hello-way-2*now/slack-ms(1) {
+			if got < held-hello-way-2*now/clockDriftDivisor-ms(1) {
 				t.Fatalf("held for %v, age %v only", held, got)
 			}
 		}
 	})
-	var a age
+	var a transitDelay
 	for day := range int64(30) {
 		at := time.Duration(day) * 24 * time.Hour
 		for i := range int64(100) {
 			sent := at + ms(i*10)
-			if got := a.of(sent, sent+sent/1_000_000*400); got > ms(5) {
+			if got := a.excess(sent, sent+sent/1_000_000*400); got > ms(5) {
 				t.Fatalf("day %d: a frame that wasn't held has age %v", day, got)
 			}
 		}
-		if got := a.of(at+time.Second, at+4*time.Second+at/1_000_000*400); got < ms(2900) {
+		if got := a.excess(at+time.Second, at+4*time.Second+at/1_000_000*400); got < ms(2900) {
 			t.Fatalf("day %d: held for 3 s, age %v", day, got)
 		}
 	}
--- a/internal/transport/book.go
+++ b/internal/transport/book.go
@@ -7,169 +7,169 @@
 	"puffincrank/internal/fault"
 )
 
-// full says that a link takes no more of a lane.
-type full struct {
+// linkFullError says that a link takes no more of a lane.
+type linkFullError struct {
 	error
-	come time.Duration
+	retryAfter time.Duration
 }
 
-func (f *full) Unwrap() error { return f.error }
+func (f *linkFullError) Unwrap() error { return f.error }
 
 // IsLinkFull tells whether a call was not sent for want of room on its link alone,
 // and when there may be some, 0 if that is not known.
 func IsLinkFull(err error) (time.Duration, bool) {
-	f, ok := err.(*full)
+	full, ok := err.(*linkFullError)
 	if !ok {
 		return 0, false
 	}
-	return f.come, true
+	return full.retryAfter, true
 }
 
-// patient is the part of its time left that may pass until bulk is through; the
+// bulkTimeBudget is the part of its time left that may pass until bulk is through; the
 // rest is for what it is sent for.
-func patient(left time.Duration) time.Duration { return left / 2 }
+func bulkTimeBudget(remaining time.Duration) time.Duration { return remaining / 2 }
 
-// timely tells whether bulk of a size would be through in a time, by the speed of
+// canDeliverWithin tells whether bulk of a size would be through in a time, by the speed of
 // now. What waits before it may take two thirds of that: speeds vary by half from
 // second to second where links share a way, and a shorter line keeps it as full.
 // The link's lock is held.
-func (l *link) timely(size int, most time.Duration) bool {
-	return l.hope(size) <= most && l.hope(0) <= most*2/3
+func (l *link) canDeliverWithin(size int, limit time.Duration) bool {
+	return l.estimatedWait(size) <= limit && l.estimatedWait(0) <= limit*2/3
 }
 
-// late tells that a bulk call would not be through in time. The link's lock is
+// wouldMissDeadline tells that a bulk call would not be through in time. The link's lock is
 // held.
-func (l *link) late(i *item) bool {
-	if i.lane != LaneBulk || i.left <= 0 {
+func (l *link) wouldMissDeadline(queued *queuedFrame) bool {
+	if queued.lane != LaneBulk || queued.timeoutMS <= 0 {
 		return false
 	}
-	most := patient(time.Duration(i.left) * time.Millisecond)
-	if i.soon > 0 {
-		most = min(most, i.soon)
+	limit := bulkTimeBudget(time.Duration(queued.timeoutMS) * time.Millisecond)
+	if queued.sendWithin > 0 {
+		limit = min(limit, queued.sendWithin)
 	}
-	return !l.timely(i.cost(), most)
+	return !l.canDeliverWithin(queued.cost(), limit)
 }
 
-// stuffed is the error of a call without room. The link's lock is held.
-func (l *link) stuffed() error {
-	return &full{fault.New(fault.Unsent, "link to %s takes no more", l.hail.Node), l.come()}
+// fullError is the error of a call without room. The link's lock is held.
+func (l *link) fullError() error {
+	return &linkFullError{fault.New(fault.Unsent, "link to %s takes no more", l.peer.Node), l.retryDelay()}
 }
 
-// pace sends a mark when one is due. The link's lock is held.
-func (l *link) pace() {
-	w := &l.q.flow
-	if !w.due() {
+// sendDueProbe sends a mark when one is due. The link's lock is held.
+func (l *link) sendDueProbe() {
+	congestion := &l.queue.congestion
+	if !congestion.probeDue() {
 		return
 	}
-	id, now := l.next.Add(1), l.n.now()
-	w.sent(id, now)
-	l.hush.ask(now, time.Duration(l.conn.seen.Load()))
+	id, now := l.nextID.Add(1), l.node.now()
+	congestion.probeSent(id, now)
+	l.silence.callSent(now, time.Duration(l.conn.lastRead.Load()))
 	// The most urgent lane: it goes out right behind what it is to confirm.
-	l.q.push(&item{head: head{kind: alive, id: id}})
-	l.n.rouse()
+	l.queue.push(&queuedFrame{head: head{kind: pingKind, id: id}})
+	l.node.wakeWatch()
 }
 
-// marked takes in a mark's receipt, and tells whether the caller is to write
+// handleProbeResponse takes in a mark's receipt, and tells whether the caller is to write
 // now. The link's lock is held.
-func (l *link) marked(f *frame) bool {
-	w := &l.q.flow
-	if !w.passed(f.id) {
+func (l *link) handleProbeResponse(f *frame) bool {
+	congestion := &l.queue.congestion
+	if !congestion.matchProbe(f.id) {
 		return false
 	}
-	there := time.Duration(0)
-	if f.at > 0 {
-		there = time.Duration(f.at-1)*time.Millisecond + l.conn.said
+	arrived := time.Duration(0)
+	if f.sentAtMS > 0 {
+		arrived = time.Duration(f.sentAtMS-1)*time.Millisecond + l.conn.helloSent
 	}
-	l.track.note(l.n.now(), l.n.now()-w.marks[0].at, l.n.SilenceTimeout, w.marks[0].size)
-	gap := w.acked(l.n.now(), there, l.n.SilenceTimeout, l.q.lane[LaneBulk].first != nil)
-	l.pace()
-	w.rest = w.rest || gap > 0 && l.n.g.Go("bulk-pause", func(ctx context.Context) {
-		l.n.rest(ctx, gap)
+	l.zone.recordAck(l.node.now(), l.node.now()-congestion.probes[0].sentAt, l.node.SilenceTimeout, congestion.probes[0].size)
+	pause := congestion.probeAcked(l.node.now(), arrived, l.node.SilenceTimeout, l.queue.lanes[LaneBulk].first != nil)
+	l.sendDueProbe()
+	congestion.paused = congestion.paused || pause > 0 && l.node.tasks.Go("bulk-pause", func(ctx context.Context) {
+		l.node.sleep(ctx, pause)
 		l.mu.Lock()
-		w.rest = false
-		mine := l.mine()
+		congestion.paused = false
+		claimed := l.claimWriter()
 		l.mu.Unlock()
-		if mine {
+		if claimed {
 			l.flush()
 		}
 	})
-	return l.mine()
+	return l.claimWriter()
 }
 
-// prune drops answers at the head of the bulk that nobody waits for any more:
+// dropExpiredResponses drops answers at the head of the bulk that nobody waits for any more:
 // they would only hold up the others. The link's lock is held.
-func (l *link) prune() {
+func (l *link) dropExpiredResponses() {
 	for {
-		i := l.q.lane[LaneBulk].first
-		if i == nil || i.end == 0 || l.n.now() < i.end {
+		queued := l.queue.lanes[LaneBulk].first
+		if queued == nil || queued.expires == 0 || l.node.now() < queued.expires {
 			return
 		}
-		l.q.drop(i)
-		i.body.free()
-		if i.off > 0 {
-			l.q.push(&item{head: head{lane: LaneControl, part: i.part, rest: -1}, of: i.of})
+		l.queue.remove(queued)
+		queued.body.release()
+		if queued.offset > 0 {
+			l.queue.push(&queuedFrame{head: head{lane: LaneControl, bodyID: queued.bodyID, remaining: -1}, responseTo: queued.responseTo})
 		}
-		l.tell()
-		l.spent()
+		l.reportBacklog()
+		l.passTurnIfIdle()
 	}
 }
 
-// mine makes the caller the one who writes, if something waits and nobody does.
+// claimWriter makes the caller the one who writes, if something waits and nobody does.
 // The link's lock is held.
-func (l *link) mine() bool {
-	if l.busy || l.over || l.q.n == 0 {
+func (l *link) claimWriter() bool {
+	if l.writing || l.ended || l.queue.count == 0 {
 		return false
 	}
-	l.busy = true
+	l.writing = true
 	return true
 }
 
-// came is the call that a taker handles.
-type came struct {
-	l    *link
+// inboundCall is the call that a taker handles.
+type inboundCall struct {
+	link *link
 	lane int
 }
 
-type cameKey struct{}
+type inboundCallKey struct{}
 
 // LaneOf gives the lane of the call that is being handled, or else the one
 // that calls of the context go by.
 func LaneOf(ctx context.Context) int {
-	if c, ok := ctx.Value(cameKey{}).(*came); ok {
-		return c.lane
+	if call, ok := ctx.Value(inboundCallKey{}).(*inboundCall); ok {
+		return call.lane
 	}
-	return laneOf(ctx)
+	return contextLane(ctx)
 }
 
 // ReserveResponse keeps room for the receipt of the bulk call that is being handled, by
 // its expected bytes and the time until it is there. False means that it could
 // not be through in time; then come is when there may be room. The room is
 // held until free is called, right before the receipt goes out.
-func ReserveResponse(ctx context.Context, size int, run time.Duration) (free func(), come time.Duration, ok bool) {
-	free = func() {}
-	c, is := ctx.Value(cameKey{}).(*came)
+func ReserveResponse(ctx context.Context, size int, expected time.Duration) (release func(), retryAfter time.Duration, ok bool) {
+	release = func() {}
+	call, inbound := ctx.Value(inboundCallKey{}).(*inboundCall)
 	// A small one passes the bulk that waits.
-	if !is || c.lane != LaneBulk || size <= start || !c.l.q.flow.on {
-		return free, 0, true
+	if !inbound || call.lane != LaneBulk || size <= initialWindow || !call.link.queue.congestion.enabled {
+		return release, 0, true
 	}
-	l := c.l
+	l := call.link
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	waits := l.q.waits()
+	waiting := l.queue.bulkBytes()
 	// Answers that wait are bounded in bytes like calls that do.
-	ok = waits == 0 || waits+size <= l.n.MaxFrameBytes/4
-	if end, set := ctx.Deadline(); set {
-		ok = ok && l.timely(size, patient(time.Until(end))-run)
+	ok = waiting == 0 || waiting+size <= l.node.MaxFrameBytes/4
+	if end, hasDeadline := ctx.Deadline(); hasDeadline {
+		ok = ok && l.canDeliverWithin(size, bulkTimeBudget(time.Until(end))-expected)
 	}
 	if !ok {
-		return free, l.come(), false
+		return release, l.retryDelay(), false
 	}
-	l.q.flow.booked += size
-	l.tell()
+	l.queue.congestion.reserved += size
+	l.reportBacklog()
 	return func() {
 		l.mu.Lock()
-		l.q.flow.booked -= size
-		l.tell()
+		l.queue.congestion.reserved -= size
+		l.reportBacklog()
 		l.mu.Unlock()
 	}, 0, true
 }
@@ -178,10 +178,10 @@
 // measured on the link to it; 0 when nothing waits there or nothing is known.
 func (n *Node) BulkDelay(addr string, size int) time.Duration {
 	n.mu.Lock()
-	d := n.links[addr]
+	dial := n.dialed[addr]
 	var l *link
-	if d != nil {
-		l = d.l
+	if dial != nil {
+		l = dial.link
 	}
 	n.mu.Unlock()
 	if l == nil {
@@ -189,5 +189,5 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.hope(size)
+	return l.estimatedWait(size)
 }
--- a/internal/transport/brim_test.go
+++ b/internal/transport/brim_test.go
@@ -11,22 +11,22 @@
 func TestBrim(t *testing.T) {
 	const patience, long = 500 * time.Millisecond, 30 * time.Millisecond
 	now := time.Second
-	var s brim
-	s.took(3*piece, now, patience)
-	if n := s.piece(long); n != piece {
+	var s drainRate
+	s.recordWrite(3*maxChunk, now, patience)
+	if n := s.chunkSize(long); n != maxChunk {
 		t.Errorf("a piece of %d before the socket was full", n)
 	}
-	s.fills(now)
+	s.socketFull(now)
 	for _, c := range []struct{ speed, least, most int }{
-		{125_000, 3000, 4500}, {1000, short, short}, {100_000_000, piece, piece}, {125_000, 3000, 4500}, {250_000, 6500, 8000},
+		{125_000, 3000, 4500}, {1000, minStep, minStep}, {100_000_000, maxChunk, maxChunk}, {125_000, 3000, 4500}, {250_000, 6500, 8000},
 	} {
 		// A socket wakes its writer when it has room for some.
 		for range 8 * patience / long {
 			now += long
-			s.fills(now)
-			s.took(int(float64(c.speed)*long.Seconds()), now, patience)
+			s.socketFull(now)
+			s.recordWrite(int(float64(c.speed)*long.Seconds()), now, patience)
 		}
-		if n := s.piece(long); n < c.least || n > c.most {
+		if n := s.chunkSize(long); n < c.least || n > c.most {
 			t.Errorf("at %d bytes a second a piece of %d", c.speed, n)
 		}
 	}
--- a/internal/transport/bye.go
+++ b/internal/transport/bye.go
@@ -7,83 +7,83 @@
 	"puffincrank/internal/task"
 )
 
-const goodbye = "link.bye"
+const goodbyeKind = "link.bye"
 
 // CloseGracefully ends the node's links politely. Fellows are told that this one goes:
 // they send no more calls, what they sent before is answered, and only then
 // may the links be closed. So a planned end leaves no call without an outcome.
-func (n *Node) CloseGracefully(long time.Duration) {
-	ctx, end := context.WithTimeout(n.g.Context(), long)
-	defer end()
-	if n.ear != nil {
-		_ = n.ear.Close()
+func (n *Node) CloseGracefully(timeout time.Duration) {
+	ctx, cancel := context.WithTimeout(n.tasks.Context(), timeout)
+	defer cancel()
+	if n.listener != nil {
+		_ = n.listener.Close()
 	}
-	all := n.standing()
-	told := make(chan struct{}, len(all))
-	for _, l := range all {
-		if !n.g.Go("goodbye", func(context.Context) {
+	links := n.listLinks()
+	acknowledged := make(chan struct{}, len(links))
+	for _, l := range links {
+		if !n.tasks.Go("goodbye", func(context.Context) {
 			// A fellow that knows no goodbye refuses it by name: the links then
 			// end as they always did with it.
-			f, _ := l.call(ctx, goodbye, nil)
-			f.free()
-			told <- struct{}{}
+			f, _ := l.call(ctx, goodbyeKind, nil)
+			f.release()
+			acknowledged <- struct{}{}
 		}) {
 			return
 		}
 	}
-	for range all {
-		<-told
+	for range links {
+		<-acknowledged
 	}
-	for ctx.Err() == nil && n.owes(all) {
+	for ctx.Err() == nil && n.hasPendingWork(links) {
 		task.Sleep(ctx, n.SilenceTimeout/100)
 	}
 }
 
-// owes tells that calls are being handled, or that receipts wait or are on
+// hasPendingWork tells that calls are being handled, or that receipts wait or are on
 // their way out.
-func (n *Node) owes(all []*link) bool {
-	if n.under.Load() > 0 {
+func (n *Node) hasPendingWork(links []*link) bool {
+	if n.activeCalls.Load() > 0 {
 		return true
 	}
-	for _, l := range all {
+	for _, l := range links {
 		l.mu.Lock()
-		owes := (l.busy || l.q.n > 0) && !l.over
+		pending := (l.writing || l.queue.count > 0) && !l.ended
 		l.mu.Unlock()
-		if owes {
+		if pending {
 			return true
 		}
 	}
 	return false
 }
 
-// left takes a fellow's goodbye: no call goes out on this link after the
+// handleGoodbye takes a fellow's goodbye: no call goes out on this link after the
 // receipt of it, which passes all that waits. So calls that still wait are
 // certain not to go out. What was asked before is still answered.
-func (l *link) left(f *frame) {
-	l.n.unlist(l)
+func (l *link) handleGoodbye(f *frame) {
+	l.node.forgetDialed(l)
 	l.mu.Lock()
-	l.gone = true
-	var back []*turn
-	for _, i := range l.q.calls() {
-		l.recall(i.turn)
-		delete(l.wait, i.id)
-		back = append(back, i.turn)
+	l.peerLeaving = true
+	var withdrawn []*pendingCall
+	for _, queued := range l.queue.waitingCalls() {
+		l.withdraw(queued.call)
+		delete(l.pending, queued.id)
+		withdrawn = append(withdrawn, queued.call)
 	}
 	l.mu.Unlock()
-	for _, t := range back {
-		t.back <- &frame{head: head{bad: "unsent", say: "fellow is leaving"}}
+	for _, t := range withdrawn {
+		t.response <- &frame{head: head{errorCode: "unsent", errorText: "fellow is leaving"}}
 	}
-	l.receipt(f.head, goodbye, nil, nil, 0)
-	f.free()
+	l.respond(f.head, goodbyeKind, nil, nil, 0)
+	f.release()
 }
 
-// unlist makes the next call to the fellow dial anew.
-func (n *Node) unlist(l *link) {
+// forgetDialed makes the next call to the fellow dial anew.
+func (n *Node) forgetDialed(l *link) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	for a, d := range n.links {
-		if d.l == l {
-			delete(n.links, a)
+	for addr, dial := range n.dialed {
+		if dial.link == l {
+			delete(n.dialed, addr)
 		}
 	}
 }
--- a/internal/transport/call.go
+++ b/internal/transport/call.go
@@ -12,28 +12,28 @@
 // have been. The call goes by the context's lane.
 func Call[O any](ctx context.Context, n *Node, addr, kind string, in any) (O, error) {
 	var out O
-	body, err := pack(in)
+	body, err := encode(in)
 	if err != nil {
 		return out, fault.Wrap(fault.Unsent, err, kind)
 	}
-	got, err := n.call(ctx, addr, kind, body)
+	response, err := n.call(ctx, addr, kind, body)
 	if err != nil {
 		return out, err
 	}
-	err = Decode(got.body, &out)
-	got.free()
+	err = Decode(response.body, &out)
+	response.release()
 	return out, fault.Wrap(fault.Unknown, err, kind)
 }
 
 // call goes over the link to addr, or over the road where there are no links.
 // The body is let go.
-func (n *Node) call(ctx context.Context, addr, kind string, body *room) (*frame, error) {
-	if n.road != nil {
-		return n.road.drive(ctx, n, addr, kind, body, n.calls.Add(1))
+func (n *Node) call(ctx context.Context, addr, kind string, body *buffer) (*frame, error) {
+	if n.network != nil {
+		return n.network.send(ctx, n, addr, kind, body, n.lastCallID.Add(1))
 	}
-	l, err := n.link(ctx, addr)
+	l, err := n.linkTo(ctx, addr)
 	if err != nil {
-		body.free()
+		body.release()
 		return nil, err
 	}
 	return l.call(ctx, kind, body)
@@ -41,126 +41,126 @@
 
 // Send sends without a receipt; a loss is left to repair.
 func (n *Node) Send(ctx context.Context, addr, kind string, in any) error {
-	body, err := pack(in)
+	body, err := encode(in)
 	if err != nil {
 		return err
 	}
-	if n.road != nil {
-		_, err = n.road.drive(ctx, n, addr, kind, body, 0)
+	if n.network != nil {
+		_, err = n.network.send(ctx, n, addr, kind, body, 0)
 		return err
 	}
-	l, err := n.link(ctx, addr)
+	l, err := n.linkTo(ctx, addr)
 	if err != nil {
-		body.free()
+		body.release()
 		return err
 	}
-	i := &item{head: head{kind: kind, lane: laneOf(ctx)}, body: body}
-	if n.over(i) || !l.post(i, false) {
-		return fault.New(fault.Unsent, "link to %s takes no more", l.hail.Node)
+	queued := &queuedFrame{head: head{kind: kind, lane: contextLane(ctx)}, body: body}
+	if n.exceedsFrameLimit(queued) || !l.enqueue(queued, false) {
+		return fault.New(fault.Unsent, "link to %s takes no more", l.peer.Node)
 	}
 	return nil
 }
 
-// over tells that a frame is over the bound on frames.
-func (n *Node) over(i *item) bool {
-	return i.body.size()+most+len(i.kind)+len(i.say) > n.MaxFrameBytes
+// exceedsFrameLimit tells that a frame is over the bound on frames.
+func (n *Node) exceedsFrameLimit(queued *queuedFrame) bool {
+	return queued.body.size()+maxHeadSize+len(queued.kind)+len(queued.errorText) > n.MaxFrameBytes
 }
 
 // call sends one call and waits for its receipt.
-func (l *link) call(ctx context.Context, kind string, body *room) (*frame, error) {
-	i := &item{head: head{kind: kind, id: l.next.Add(1), lane: laneOf(ctx)}, body: body}
-	if end, ok := ctx.Deadline(); ok {
-		i.left = time.Until(end).Milliseconds()
-		if i.left <= 0 {
-			body.free()
+func (l *link) call(ctx context.Context, kind string, body *buffer) (*frame, error) {
+	queued := &queuedFrame{head: head{kind: kind, id: l.nextID.Add(1), lane: contextLane(ctx)}, body: body}
+	if cancelTimer, ok := ctx.Deadline(); ok {
+		queued.timeoutMS = time.Until(cancelTimer).Milliseconds()
+		if queued.timeoutMS <= 0 {
+			body.release()
 			return nil, fault.New(fault.Unsent, "no time left for %s", kind)
 		}
-		i.at = 1 + (l.n.now() - l.conn.said).Milliseconds()
+		queued.sentAtMS = 1 + (l.node.now() - l.conn.helloSent).Milliseconds()
 	}
-	late, end := i.due(ctx)
-	defer end()
-	if l.n.over(i) {
-		body.free()
+	sendDeadline, cancelTimer := queued.sendDeadline(ctx)
+	defer cancelTimer()
+	if l.node.exceedsFrameLimit(queued) {
+		body.release()
 		return nil, fault.New(fault.Unsent, "%s: frame over the bound", kind)
 	}
-	if i.lane == LaneBulk && body.size() <= start {
+	if queued.lane == LaneBulk && body.size() <= initialWindow {
 		// What is large is its receipt, on the way back.
-		i.lane, i.back = LaneBulk-1, LaneBulk
+		queued.lane, queued.responseLane = LaneBulk-1, LaneBulk
 	}
-	t := l.n.turn()
-	t.out, t.item, i.turn = false, i, t
-	id := i.id
+	call := l.node.newPendingCall()
+	call.written, call.item, queued.call = false, queued, call
+	id := queued.id
 	l.mu.Lock()
-	l.wait[id] = t
-	l.hush.ask(l.n.now(), time.Duration(l.conn.seen.Load()))
+	l.pending[id] = call
+	l.silence.callSent(l.node.now(), time.Duration(l.conn.lastRead.Load()))
 	l.mu.Unlock()
-	l.n.rouse()
-	if !l.post(i, false) {
+	l.node.wakeWatch()
+	if !l.enqueue(queued, false) {
 		l.mu.Lock()
 		defer l.mu.Unlock()
-		delete(l.wait, id)
-		if l.over || l.gone {
-			return nil, fault.New(fault.Unsent, "link to %s is ending", l.hail.Node)
+		delete(l.pending, id)
+		if l.ended || l.peerLeaving {
+			return nil, fault.New(fault.Unsent, "link to %s is ending", l.peer.Node)
 		}
-		return nil, l.stuffed()
+		return nil, l.fullError()
 	}
-	why := "broke during"
+	reason := "broke during"
 wait:
 	for {
 		select {
-		case got := <-t.back:
-			l.n.turns.Put(t)
-			return got.done(kind)
-		case <-l.done:
+		case response := <-call.response:
+			l.node.callPool.Put(call)
+			return response.result(kind)
+		case <-l.closed:
 			break wait
 		case <-ctx.Done():
-			why = "gave no receipt in time of"
+			reason = "gave no receipt in time of"
 			break wait
-		case <-late:
+		case <-sendDeadline:
 			// What has gone out by now may take its time; what has not is taken back.
-			if full := l.overdue(id, t); full != nil {
-				return nil, full
+			if fullErr := l.withdrawOverdue(id, call); fullErr != nil {
+				return nil, fullErr
 			}
-			late = nil
+			sendDeadline = nil
 		}
 	}
 	l.mu.Lock()
-	_, waits := l.wait[id]
-	delete(l.wait, id)
-	certain := waits && l.recall(t)
+	_, waiting := l.pending[id]
+	delete(l.pending, id)
+	unsent := waiting && l.withdraw(call)
 	l.mu.Unlock()
-	if waits && !certain {
-		l.abandons(ctx, kind, id)
+	if waiting && !unsent {
+		l.sendCancel(ctx, kind, id)
 	}
-	if !waits {
+	if !waiting {
 		// The receipt came in this very moment.
-		return (<-t.back).done(kind)
+		return (<-call.response).result(kind)
 	}
-	if certain && laneOf(ctx) == LaneBulk && ctx.Err() != nil {
+	if unsent && contextLane(ctx) == LaneBulk && ctx.Err() != nil {
 		// Nothing is wrong with the fellow: it had to wait for too long.
 		l.mu.Lock()
 		defer l.mu.Unlock()
-		return nil, l.stuffed()
+		return nil, l.fullError()
 	}
-	if certain {
-		return nil, fault.New(fault.Unsent, "link to %s %s %s, which was not written", l.hail.Node, why, kind)
+	if unsent {
+		return nil, fault.New(fault.Unsent, "link to %s %s %s, which was not written", l.peer.Node, reason, kind)
 	}
-	return nil, fault.New(fault.Unknown, "link to %s %s %s", l.hail.Node, why, kind)
+	return nil, fault.New(fault.Unknown, "link to %s %s %s", l.peer.Node, reason, kind)
 }
 
-// done tells what became of a call by its receipt.
-func (f *frame) done(kind string) (*frame, error) {
-	if f.bad == "" {
+// result tells what became of a call by its receipt.
+func (f *frame) result(kind string) (*frame, error) {
+	if f.errorCode == "" {
 		return f, nil
 	}
-	defer f.free()
-	switch f.bad {
+	defer f.release()
+	switch f.errorCode {
 	case "unsent":
-		return nil, fault.New(fault.Unsent, "%s: %s", kind, f.say)
+		return nil, fault.New(fault.Unsent, "%s: %s", kind, f.errorText)
 	case "refused", "unspoken", "full":
-		return nil, fault.New(fault.Refused, "%s: %s", kind, f.say)
+		return nil, fault.New(fault.Refused, "%s: %s", kind, f.errorText)
 	case "stale":
-		return nil, fault.New(fault.Stale, "%s: %s", kind, f.say)
+		return nil, fault.New(fault.Stale, "%s: %s", kind, f.errorText)
 	}
-	return nil, fault.New(fault.Unknown, "%s: %s", kind, f.say)
+	return nil, fault.New(fault.Unknown, "%s: %s", kind, f.errorText)
 }
--- a/internal/transport/cancel.go
+++ b/internal/transport/cancel.go
@@ -5,10 +5,10 @@
 	"errors"
 )
 
-// abandon is a frame that names a call of its sender by its id: nobody waits for
+// cancelKind is a frame that names a call of its sender by its id: nobody waits for
 // its receipt any more. Fellows that don't know the word refuse it by name, and do
 // what they were asked to.
-const abandon = "call.abandon"
+const cancelKind = "call.abandon"
 
 // PropagateCancellation makes calls of a kind end when their askers no longer wait, and lets
 // their takers notify the askers: the
@@ -17,7 +17,7 @@
 // context that ended by its deadline, or was cancelled with a cause of its own
 // (context.WithCancelCause), abandons nothing.
 func PropagateCancellation(n *Node, kind string) {
-	n.takers[kind].ends = true
+	n.handlers[kind].cancellable = true
 }
 
 // CanceledByCaller tells that a context was cancelled by whom the work was for, and not
@@ -26,83 +26,83 @@
 	return errors.Is(ctx.Err(), context.Canceled) && context.Cause(ctx) == context.Canceled
 }
 
-// abandons tells the fellow that nobody waits for a call, if that makes a
+// sendCancel tells the fellow that nobody waits for a call, if that makes a
 // difference there. It is a word of a few bytes on the most urgent lane, and is
 // never turned away for want of room.
-func (l *link) abandons(ctx context.Context, kind string, id uint64) {
-	if t := l.n.takers[kind]; t == nil || !t.ends || !CanceledByCaller(ctx) {
+func (l *link) sendCancel(ctx context.Context, kind string, id uint64) {
+	if target := l.node.handlers[kind]; target == nil || !target.cancellable || !CanceledByCaller(ctx) {
 		return
 	}
 	l.mu.Lock()
-	if l.over {
+	if l.ended {
 		l.mu.Unlock()
 		return
 	}
-	l.q.push(&item{head: head{kind: abandon, id: id}})
-	mine := l.mine()
+	l.queue.push(&queuedFrame{head: head{kind: cancelKind, id: id}})
+	claimed := l.claimWriter()
 	l.mu.Unlock()
-	if mine {
+	if claimed {
 		l.flush()
 	}
 }
 
-// heeds gives the context of a call that may be abandoned. The result is called
+// cancellableContext gives the context of a call that may be abandoned. The result is called
 // when the call is over.
-func (l *link) heeds(id uint64) (ctx context.Context, over func()) {
-	ctx, stop := context.WithCancel(l.n.g.Context())
+func (l *link) cancellableContext(id uint64) (ctx context.Context, over func()) {
+	ctx, cancel := context.WithCancel(l.node.tasks.Context())
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.over {
-		stop()
+	if l.ended {
+		cancel()
 		return ctx, func() {}
 	}
-	if l.under == nil {
-		l.under = map[uint64]context.CancelFunc{}
+	if l.inboundCancels == nil {
+		l.inboundCancels = map[uint64]context.CancelFunc{}
 	}
-	l.under[id] = stop
+	l.inboundCancels[id] = cancel
 	return ctx, func() {
 		l.mu.Lock()
-		delete(l.under, id)
+		delete(l.inboundCancels, id)
 		l.mu.Unlock()
-		stop()
+		cancel()
 	}
 }
 
-// abandoned takes the fellow's word that it waits no more for one of its calls.
-func (l *link) abandoned(id uint64) {
+// handleCancel takes the fellow's word that it waits no more for one of its calls.
+func (l *link) handleCancel(id uint64) {
 	l.mu.Lock()
-	stop := l.under[id]
+	cancel := l.inboundCancels[id]
 	l.mu.Unlock()
-	if stop != nil {
-		stop()
+	if cancel != nil {
+		cancel()
 	}
 }
 
-// abandonAll ends what is under way for a fellow that no receipt can reach.
-func (l *link) abandonAll() {
+// cancelInbound ends what is under way for a fellow that no receipt can reach.
+func (l *link) cancelInbound() {
 	l.mu.Lock()
-	all := l.under
-	l.under = nil
+	cancels := l.inboundCancels
+	l.inboundCancels = nil
 	l.mu.Unlock()
-	for _, stop := range all {
-		stop()
+	for _, cancel := range cancels {
+		cancel()
 	}
 }
 
-// heeds is the same on a road: the context of a call that ends with the asker's.
-func (n *Node) heeds(waits context.Context, from *Node, t *taker) (ctx context.Context, over func()) {
-	ctx, stop := context.WithCancel(n.g.Context())
-	if !t.ends {
-		return ctx, stop
+// cancellableContext is the same on a road: the context of a call that ends with the asker's.
+func (n *Node) cancellableContext(caller context.Context, from *Node, target *handler) (ctx context.Context, over func()) {
+	ctx, cancel := context.WithCancel(n.tasks.Context())
+	if !target.cancellable {
+		return ctx, cancel
 	}
-	ctx = context.WithValue(ctx, askerKey{}, &asker{road: n.road, from: from, here: n})
-	ignore := context.AfterFunc(waits, func() {
-		if CanceledByCaller(waits) {
-			stop()
+	ctx = context.WithValue(ctx, callOriginKey{}, &callOrigin{network: n.network, caller: from, handler: n})
+	unregister := context.AfterFunc(caller, func() {
+		if CanceledByCaller(caller) {
+			cancel()
 		}
 	})
 	return ctx, func() {
-		ignore()
-		stop()
+		unregister()
+		cancel()
 	}
 }
--- a/internal/transport/code_test.go
+++ b/internal/transport/code_test.go
@@ -25,18 +25,18 @@
 		text := rapid.StringOfN(rapid.RuneFrom([]rune("ab.")), 0, 70000, -1)
 		count := rapid.Int64Range(0, 1<<62)
 		body, _ := msgpack.Marshal(map[string]any{"x": rapid.SliceOfN(rapid.Byte(), 0, 300).Draw(t, "body"), "n": rapid.Int64().Draw(t, "n")})
-		h := head{kind: text.Draw(t, "kind"), id: rapid.Uint64().Draw(t, "id"), left: count.Draw(t, "left"), at: count.Draw(t, "at"), bad: text.Draw(t, "bad"),
-			say: text.Draw(t, "say"), lane: rapid.IntRange(0, LaneBulk).Draw(t, "lane"), part: uint64(count.Draw(t, "part")), rest: rapid.Int64Range(-1, 1<<40).Draw(t, "rest")}
+		h := head{kind: text.Draw(t, "kind"), id: rapid.Uint64().Draw(t, "id"), timeoutMS: count.Draw(t, "left"), sentAtMS: count.Draw(t, "at"), errorCode: text.Draw(t, "bad"),
+			errorText: text.Draw(t, "say"), lane: rapid.IntRange(0, LaneBulk).Draw(t, "lane"), bodyID: uint64(count.Draw(t, "part")), remaining: rapid.Int64Range(-1, 1<<40).Draw(t, "rest")}
 		cut := rapid.Bool().Draw(t, "cut")
-		raw := h.write(nil, body, cut)
-		if most := most + len(h.kind) + len(h.bad) + len(h.say) + len(body); len(raw) > most {
+		raw := h.appendTo(nil, body, cut)
+		if most := maxHeadSize + len(h.kind) + len(h.errorCode) + len(h.errorText) + len(body); len(raw) > most {
 			t.Fatalf("%d bytes, over %d", len(raw), most)
 		}
 		var f frame
 		if err := f.parse(raw[4:], func(b []byte) string { return string(b) }); err != nil {
 			t.Fatal(err)
 		}
-		if f.head != h || !bytes.Equal(f.body, body) || f.cut != cut {
+		if f.head != h || !bytes.Equal(f.body, body) || f.chunk != cut {
 			t.Fatalf("%+v was read as %+v", h, f.head)
 		}
 		if cut {
@@ -46,7 +46,7 @@
 		if err := msgpack.Unmarshal(raw[4:], &old); err != nil {
 			t.Fatal(err)
 		}
-		if want := (before{h.kind, h.id, h.left, h.bad, h.say, body}); !reflect.DeepEqual(old, want) {
+		if want := (before{h.kind, h.id, h.timeoutMS, h.errorCode, h.errorText, body}); !reflect.DeepEqual(old, want) {
 			t.Fatalf("version 1 read %+v", old)
 		}
 		raw, _ = msgpack.Marshal(old)
@@ -54,7 +54,7 @@
 		if err := f.parse(raw, func(b []byte) string { return string(b) }); err != nil {
 			t.Fatal(err)
 		}
-		if want := (head{kind: h.kind, id: h.id, left: h.left, bad: h.bad, say: h.say}); f.head != want || !bytes.Equal(f.body, body) {
+		if want := (head{kind: h.kind, id: h.id, timeoutMS: h.timeoutMS, errorCode: h.errorCode, errorText: h.errorText}); f.head != want || !bytes.Equal(f.body, body) {
 			t.Fatalf("of version 1 was read %+v", f.head)
 		}
 	})
@@ -65,7 +65,7 @@
 	raw, _ := msgpack.Marshal(map[string]any{"b": map[string]int{"q": 1}, "later": []any{1, "x", nil, 1.5}, "i": uint64(7), "l": int8(-3), "z": map[string]any{"y": []byte{1}}})
 	for range 20 {
 		var f frame
-		if err := f.parse(raw, func(b []byte) string { return string(b) }); err != nil || f.id != 7 || f.left != -3 {
+		if err := f.parse(raw, func(b []byte) string { return string(b) }); err != nil || f.id != 7 || f.timeoutMS != -3 {
 			t.Fatalf("%+v %v", f.head, err)
 		}
 		var in map[string]int
--- a/internal/transport/few.go
+++ b/internal/transport/few.go
@@ -11,73 +11,73 @@
 func (n *Node) LinkCount() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return len(n.all)
+	return len(n.openLinks)
 }
 
-// spare takes the links of ours that were used least lately off the list, until
+// takeIdleLinks takes the links of ours that were used least lately off the list, until
 // an eighth of the bound is free again, so that not each new link ends one. None
 // that was used within the patience goes: the bound gives way to what is needed.
-func (n *Node) spare() []*link {
+func (n *Node) takeIdleLinks() []*link {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	type old struct {
+	type candidate struct {
 		addr string
 		l    *link
 		used int64
 	}
-	var all []old
-	for a, d := range n.links {
-		if d.l != nil {
-			all = append(all, old{a, d.l, d.l.used.Load()})
+	var candidates []candidate
+	for addr, dial := range n.dialed {
+		if dial.link != nil {
+			candidates = append(candidates, candidate{addr, dial.link, dial.link.lastUsed.Load()})
 		}
 	}
-	many := len(all) - n.MaxIdleLinks*7/8
-	slices.SortFunc(all, func(a, b old) int { return cmp.Compare(a.used, b.used) })
+	excess := len(candidates) - n.MaxIdleLinks*7/8
+	slices.SortFunc(candidates, func(addr, b candidate) int { return cmp.Compare(addr.used, b.used) })
 	var out []*link
-	for _, o := range all[:max(many, 0)] {
-		if n.now()-time.Duration(o.used) < n.SilenceTimeout {
+	for _, idle := range candidates[:max(excess, 0)] {
+		if n.now()-time.Duration(idle.used) < n.SilenceTimeout {
 			break
 		}
-		delete(n.links, o.addr)
-		out = append(out, o.l)
+		delete(n.dialed, idle.addr)
+		out = append(out, idle.l)
 	}
 	return out
 }
 
-// rests tells that nothing is under way on a link of ours. Fellows make no calls
+// isIdle tells that nothing is under way on a link of ours. Fellows make no calls
 // over one that they didn't dial, so that it can be closed without a word.
-func (l *link) rests() bool {
+func (l *link) isIdle() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return len(l.wait) == 0 && l.q.n == 0 && !l.busy && len(l.q.flow.marks) == 0
+	return len(l.pending) == 0 && l.queue.count == 0 && !l.writing && len(l.queue.congestion.probes) == 0
 }
 
-// trim closes links while there are more than the bound. A mesh has more fellows
+// closeIdleLinks closes links while there are more than the bound. A mesh has more fellows
 // than a process has descriptors: whoever is met once, for repair or for one job,
 // must not be kept for good.
-func (n *Node) trim(ctx context.Context) {
-	left := n.spare()
-	for len(left) > 0 && ctx.Err() == nil {
+func (n *Node) closeIdleLinks(ctx context.Context) {
+	idle := n.takeIdleLinks()
+	for len(idle) > 0 && ctx.Err() == nil {
 		// A call that found the link on the list a moment ago is on it by then.
-		n.rest(ctx, n.SilenceTimeout/4)
-		left = slices.DeleteFunc(left, func(l *link) bool {
-			if !l.rests() {
+		n.sleep(ctx, n.SilenceTimeout/4)
+		idle = slices.DeleteFunc(idle, func(l *link) bool {
+			if !l.isIdle() {
 				return false
 			}
-			l.shut(endUnused)
+			l.terminate(endUnused)
 			return true
 		})
 	}
-	n.trims.Store(false)
+	n.trimming.Store(false)
 }
 
-// bounded starts the trimming when there are too many links of ours, unless it is
+// trimIfOverLimit starts the trimming when there are too many links of ours, unless it is
 // under way.
-func (n *Node) bounded() {
+func (n *Node) trimIfOverLimit() {
 	n.mu.Lock()
-	over := n.MaxIdleLinks > 0 && len(n.links) > n.MaxIdleLinks
+	over := n.MaxIdleLinks > 0 && len(n.dialed) > n.MaxIdleLinks
 	n.mu.Unlock()
-	if over && !n.trims.Swap(true) && !n.g.Go("link-trim", n.trim) {
-		n.trims.Store(false)
+	if over && !n.trimming.Swap(true) && !n.tasks.Go("link-trim", n.closeIdleLinks) {
+		n.trimming.Store(false)
 	}
 }
--- a/internal/transport/flow_test.go
+++ b/internal/transport/flow_test.go
@@ -12,26 +12,26 @@
 func TestFlowMoves(t *testing.T) {
 	const patience = 500 * time.Millisecond
 	rapid.Check(t, func(t *rapid.T) {
-		w := flow{on: true, let: true, win: start}
+		w := congestion{enabled: true, hasTurn: true, window: initialWindow}
 		now, id := time.Second, uint64(0)
 		pace := func() {
-			if w.due() {
+			if w.probeDue() {
 				id++
-				w.sent(id, now)
+				w.probeSent(id, now)
 			}
 		}
 		for range rapid.IntRange(1, 300).Draw(t, "steps") {
 			switch rapid.IntRange(0, 3).Draw(t, "step") {
 			case 0:
-				w.wake(now, patience)
+				w.resumeFromIdle(now, patience)
 				pace()
 			case 1:
-				if w.open() {
-					w.went(rapid.IntRange(1, w.cut(piece)+30).Draw(t, "size"))
+				if w.maySend() {
+					w.recordSent(rapid.IntRange(1, w.limitChunk(maxChunk)+30).Draw(t, "size"))
 					pace()
 				}
 			case 2:
-				if len(w.marks) == 0 {
+				if len(w.probes) == 0 {
 					continue
 				}
 				now += time.Duration(rapid.IntRange(0, 2000).Draw(t, "took")) * time.Millisecond
@@ -40,21 +40,21 @@
 					there = now - time.Millisecond
 				}
 				// Now and then a receipt stands for those before it.
-				k := rapid.IntRange(0, len(w.marks)-1).Draw(t, "mark")
-				if w.passed(id+1) || !w.passed(w.marks[k].id) {
+				k := rapid.IntRange(0, len(w.probes)-1).Draw(t, "mark")
+				if w.matchProbe(id+1) || !w.matchProbe(w.probes[k].id) {
 					t.Fatal("a mark isn't known")
 				}
-				if gap := w.acked(now, there, patience, rapid.Bool().Draw(t, "more")); gap > patience {
+				if gap := w.probeAcked(now, there, patience, rapid.Bool().Draw(t, "more")); gap > patience {
 					t.Fatalf("a pause of %v", gap)
 				}
 				pace()
 			case 3:
 				now += time.Duration(rapid.IntRange(0, 9000).Draw(t, "rest")) * time.Millisecond
 			}
-			if !w.open() && len(w.marks) == 0 {
+			if !w.maySend() && len(w.probes) == 0 {
 				t.Fatalf("bulk waits for nothing: %+v", w)
 			}
-			if w.win < least || w.win > widest || w.out < 0 || w.bare < 0 || len(w.marks) == 0 && w.out != w.bare {
+			if w.window < minWindow || w.window > maxWindow || w.inFlight < 0 || w.unprobed < 0 || len(w.probes) == 0 && w.inFlight != w.unprobed {
 				t.Fatalf("%+v", w)
 			}
 		}
@@ -68,18 +68,18 @@
 	for _, tells := range []bool{true, false} {
 		for _, rate := range []int{125_000, 1_000_000, 12_500_000} {
 			for _, long := range []time.Duration{time.Millisecond, 100 * time.Millisecond} {
-				w := flow{on: true, let: true, win: start}
+				w := congestion{enabled: true, hasTurn: true, window: initialWindow}
 				now, free, id := time.Second, time.Second, uint64(0)
 				type due struct{ there, back time.Duration }
 				var back []due
 				for end := now + 20*time.Second; now < end; {
-					if w.open() {
-						n := w.cut(piece)
-						w.went(n)
+					if w.maySend() {
+						n := w.limitChunk(maxChunk)
+						w.recordSent(n)
 						free = max(free, now) + time.Duration(n)*time.Second/time.Duration(rate)
-						if w.due() {
+						if w.probeDue() {
 							id++
-							w.sent(id, now)
+							w.probeSent(id, now)
 							back = append(back, due{free + long/2, free + long})
 						}
 						continue
@@ -90,10 +90,10 @@
 						there = back[0].there - long/2
 					}
 					back = back[1:]
-					w.acked(now, there, patience, true)
+					w.probeAcked(now, there, patience, true)
 				}
 				late := free - now
-				if got := w.gauge.speed; got < float64(rate)*0.7 || late > patience/ease*2 {
+				if got := w.rate.bytesPerSecond; got < float64(rate)*0.7 || late > patience/delayDivisor*2 {
 					t.Errorf("at %d bytes a second over %v, tells %v: %.0f, with a delay of %v", rate, long, tells, got, late)
 				}
 			}
@@ -111,34 +111,34 @@
 		rest        time.Duration
 		win         int
 		least, most float64 // the window afterwards, to what it was
-	}{{stale * patience * 3 / 2, start, 0.9, 1.25}, {stale * patience * 3 / 2, 16 * start, 0.9, 1.25}, {lull * patience, start, 4, 1000}} {
-		w := flow{on: true, let: true, win: c.win}
+	}{{staleTimeouts * patience * 3 / 2, initialWindow, 0.9, 1.25}, {staleTimeouts * patience * 3 / 2, 16 * initialWindow, 0.9, 1.25}, {quietTimeouts * patience, initialWindow, 4, 1000}} {
+		w := congestion{enabled: true, hasTurn: true, window: c.win}
 		now, id := time.Second, uint64(0)
 		round := func(took time.Duration) {
-			for w.open() && !w.due() {
-				w.went(w.cut(piece))
+			for w.maySend() && !w.probeDue() {
+				w.recordSent(w.limitChunk(maxChunk))
 			}
 			id++
-			w.sent(id, now)
+			w.probeSent(id, now)
 			now += took
-			if !w.passed(id) {
+			if !w.matchProbe(id) {
 				t.Fatal("the mark isn't known")
 			}
-			w.acked(now, 0, patience, true)
+			w.probeAcked(now, 0, patience, true)
 		}
 		round(time.Millisecond)
-		for range 2 * often {
-			round(patience / ease * 9 / 10)
+		for range 2 * probesPerWindow {
+			round(patience / delayDivisor * 9 / 10)
 		}
-		was := float64(w.win)
+		was := float64(w.window)
 		now += c.rest
-		if w.wake(now, patience); w.win > start {
-			t.Errorf("a window of %d after a rest", w.win)
+		if w.resumeFromIdle(now, patience); w.window > initialWindow {
+			t.Errorf("a window of %d after a rest", w.window)
 		}
-		for range 8 * often {
+		for range 8 * probesPerWindow {
 			round(time.Millisecond)
 		}
-		if got := float64(w.win) / was; got < c.least || got > c.most {
+		if got := float64(w.window) / was; got < c.least || got > c.most {
 			t.Errorf("after a rest of %v the window came to %.2f of what it was, %.0f", c.rest, got, was)
 		}
 	}
--- a/internal/transport/frame.go
+++ b/internal/transport/frame.go
@@ -15,10 +15,10 @@
 // Low and High are the wire versions that this program speaks. From 2 on
 // large bodies travel in pieces.
 const (
-	MinVersion = 1
-	MaxVersion = 2
-	pieces     = 2
-	mark       = "puffincrank"
+	MinVersion     = 1
+	MaxVersion     = 2
+	chunkedVersion = 2
+	magic          = "puffincrank"
 )
 
 // Hello is the first frame each way.
@@ -36,93 +36,93 @@
 // receipt has only the id, a cast has only the kind. A body over a piece comes
 // in frames with the same part; all but the first have only part, rest and cut.
 type head struct {
-	kind string
-	id   uint64
-	left int64  // ms that the call has
-	at   int64  // when left was counted: ms since the hello, from 1 on
-	bad  string // what became of a call, "" for well
-	say  string
-	lane int
-	back int    // the lane that it tells, where it is another than it goes by; 0: the same
-	part uint64 // from 1 on; 0 for a body in one piece
-	rest int64  // bytes of the body still to come; -1 when they never will
+	kind         string
+	id           uint64
+	timeoutMS    int64  // ms that the call has
+	sentAtMS     int64  // when left was counted: ms since the hello, from 1 on
+	errorCode    string // what became of a call, "" for well
+	errorText    string
+	lane         int
+	responseLane int    // the lane that it tells, where it is another than it goes by; 0: the same
+	bodyID       uint64 // from 1 on; 0 for a body in one piece
+	remaining    int64  // bytes of the body still to come; -1 when they never will
 }
 
 // frame is one message that came in. Its body lies in its room until it is
 // let go.
 type frame struct {
 	head
-	end  time.Duration // when the time of a call is used up here
-	body []byte
-	cut  bool     // the body is a piece
-	cuts []*frame // the pieces that came in of a body, in order
-	room *room
+	deadline time.Duration // when the time of a call is used up here
+	body     []byte
+	chunk    bool     // the body is a piece
+	chunks   []*frame // the pieces that came in of a body, in order
+	buf      *buffer
 }
 
-func (f *frame) free() {
+func (f *frame) release() {
 	if f != nil {
-		f.room.free()
-		f.room, f.body = nil, nil
+		f.buf.release()
+		f.buf, f.body = nil, nil
 	}
 }
 
-// say writes a hello.
-func (h Hello) say(w io.Writer) error {
-	r, err := pack(h)
+// writeTo writes a hello.
+func (h Hello) writeTo(w io.Writer) error {
+	encoded, err := encode(h)
 	if err != nil {
 		return err
 	}
-	defer r.free()
-	_, err = w.Write(append(binary.BigEndian.AppendUint32(nil, uint32(len(r.b))), r.b...))
+	defer encoded.release()
+	_, err = w.Write(append(binary.BigEndian.AppendUint32(nil, uint32(len(encoded.b))), encoded.b...))
 	return err
 }
 
-// hear reads a hello.
-func (h *Hello) hear(r *bufio.Reader) error {
-	got, err := get(r, 4096)
+// readFrom reads a hello.
+func (h *Hello) readFrom(r *bufio.Reader) error {
+	received, err := readFrame(r, 4096)
 	if err != nil {
 		return err
 	}
-	defer got.free()
-	return Decode(got.b, h)
+	defer received.release()
+	return Decode(received.b, h)
 }
 
-// get reads the bytes of one frame.
-func get(r *bufio.Reader, most int) (*room, error) {
+// readFrame reads the bytes of one frame.
+func readFrame(r *bufio.Reader, limit int) (*buffer, error) {
 	head, err := r.Peek(4)
 	if err != nil {
 		return nil, err
 	}
-	n := int(binary.BigEndian.Uint32(head))
+	size := int(binary.BigEndian.Uint32(head))
 	_, _ = r.Discard(4)
 	// The bound is checked before the room is taken.
-	if n > most {
-		return nil, fault.New(fault.Input, "frame of %d bytes is over the bound", n)
+	if size > limit {
+		return nil, fault.New(fault.Input, "frame of %d bytes is over the bound", size)
 	}
-	m := rooms.Get().(*room)
+	buf := buffers.Get().(*buffer)
 	// Room is taken as the bytes come, not as they are promised.
-	for len(m.b) < n {
-		from := len(m.b)
-		m.grow(min(n-from, max(from, small)))
-		if _, err := io.ReadFull(r, m.b[from:]); err != nil {
-			m.free()
+	for len(buf.b) < size {
+		start := len(buf.b)
+		buf.extend(min(size-start, max(start, readIncrement)))
+		if _, err := io.ReadFull(r, buf.b[start:]); err != nil {
+			buf.release()
 			return nil, err
 		}
 	}
-	return m, nil
+	return buf, nil
 }
 
-// agree picks the version of a link, or says why there is none.
-func agree(own, got Hello) (int, error) {
-	if got.Magic != mark {
+// negotiateVersion picks the version of a link, or says why there is none.
+func negotiateVersion(own, peer Hello) (int, error) {
+	if peer.Magic != magic {
 		return 0, fault.New(fault.Input, "not a puffincrank hello")
 	}
-	if got.ClusterID != own.ClusterID {
-		return 0, fault.New(fault.Input, "fellow is of mesh %q, not %q", got.ClusterID, own.ClusterID)
+	if peer.ClusterID != own.ClusterID {
+		return 0, fault.New(fault.Input, "fellow is of mesh %q, not %q", peer.ClusterID, own.ClusterID)
 	}
-	top := min(own.MaxVersion, got.MaxVersion)
-	if top < own.MinVersion || top < got.MinVersion {
+	version := min(own.MaxVersion, peer.MaxVersion)
+	if version < own.MinVersion || version < peer.MinVersion {
 		return 0, fault.New(fault.Input, "no wire version in common")
 	}
-	return top, nil
+	return version, nil
 }
--- a/internal/transport/fuzz_test.go
+++ b/internal/transport/fuzz_test.go
@@ -28,13 +28,13 @@
 // bounds, and an end by a named error or by the end of the bytes.
 func FuzzFrames(f *testing.F) {
 	add := func(frames ...[]byte) { f.Add(bytes.Join(frames, nil)) }
-	h := head{kind: "x", id: 1, left: 5, at: 3}
+	h := head{kind: "x", id: 1, timeoutMS: 5, sentAtMS: 3}
 	body, _ := msgpack.Marshal(deep{Text: "t", List: []string{"a"}, Head: map[string][]string{"h": {"v"}}, Raw: []byte{1}, Any: 1, In: []deep{{}}, Body: []byte{1}})
-	add(h.write(nil, body, false))
-	one, two, gone := head{kind: "x", part: 1, rest: 4}, head{part: 1}, head{part: 1, rest: -1}
-	add(one.write(nil, []byte("abcd"), true), two.write(nil, []byte("efgh"), true))
-	add(one.write(nil, []byte("abcd"), true), gone.write(nil, nil, true))
-	add(one.write(nil, nil, true), one.write(nil, nil, true), one.write(nil, nil, true))
+	add(h.appendTo(nil, body, false))
+	one, two, gone := head{kind: "x", bodyID: 1, remaining: 4}, head{bodyID: 1}, head{bodyID: 1, remaining: -1}
+	add(one.appendTo(nil, []byte("abcd"), true), two.appendTo(nil, []byte("efgh"), true))
+	add(one.appendTo(nil, []byte("abcd"), true), gone.appendTo(nil, nil, true))
+	add(one.appendTo(nil, nil, true), one.appendTo(nil, nil, true), one.appendTo(nil, nil, true))
 	sized := func(b ...byte) []byte { return append(binary.BigEndian.AppendUint32(nil, uint32(len(b))), b...) }
 	add([]byte{0xff, 0xff, 0xff, 0xff}, []byte{0, 0xff, 0xff, 0xff})
 	// Lengths that promise more than there is, and values deep in each other.
@@ -44,30 +44,30 @@
 	add(sized(append([]byte{0x81, 0xa1, 'b', 0x81, 0xa1, 'a'}, bytes.Repeat([]byte{0x91}, 3000)...)...))
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		const bound = 1 << 20
-		n := &Node{MaxFrameBytes: bound, takers: map[string]*taker{"x": {kind: "x"}}}
-		l := &link{n: n, conn: &tap{n: n}, open: map[uint64]*frame{}}
+		n := &Node{MaxFrameBytes: bound, handlers: map[string]*handler{"x": {kind: "x"}}}
+		l := &link{node: n, conn: &trackedConn{node: n}, partial: map[uint64]*frame{}}
 		r := bufio.NewReader(bytes.NewReader(raw))
 		var before, after runtime.MemStats
 		runtime.ReadMemStats(&before)
 		var err error
 		for err == nil {
 			var got *frame
-			if got, err = l.hear(r); got != nil {
+			if got, err = l.receive(r); got != nil {
 				var in deep
 				if err := Decode(got.body, &in); err != nil && !fault.Is(err, fault.Input) {
 					t.Errorf("unpack: %v", err)
 				}
-				got.free()
+				got.release()
 			}
-			if l.held < 0 || l.held > 3*bound+toll {
-				t.Fatalf("%d bytes are held", l.held)
+			if l.partialBytes < 0 || l.partialBytes > 3*bound+frameOverhead {
+				t.Fatalf("%d bytes are held", l.partialBytes)
 			}
 		}
-		for _, o := range l.open {
-			l.close(o)
+		for _, o := range l.partial {
+			l.discardPartial(o)
 		}
-		if l.held != 0 {
-			t.Errorf("%d bytes are held after all", l.held)
+		if l.partialBytes != 0 {
+			t.Errorf("%d bytes are held after all", l.partialBytes)
 		}
 		runtime.ReadMemStats(&after)
 		if took, most := after.TotalAlloc-before.TotalAlloc, uint64(1<<19+1000*len(raw)); took > most {
--- a/internal/transport/hope_test.go
+++ b/internal/transport/hope_test.go
@@ -14,12 +14,12 @@
 		waits, size int
 		in          bool
 	}{{0, 290_000, true}, {0, 310_000, false}, {190_000, 90_000, true}, {210_000, 10_000, false}, {190_000, 120_000, false}} {
-		l := &link{n: &Node{born: time.Now(), SilenceTimeout: time.Second}, track: &track{}}
-		l.q.flow.on = true
-		l.q.flow.gauge = gauge{speed: speed, seen: l.n.now()}
-		l.q.flow.booked = c.waits
-		i := &item{head: head{lane: LaneBulk, left: 6000}, body: &room{b: make([]byte, c.size)}}
-		if got := !l.late(i); got != c.in {
+		l := &link{node: &Node{started: time.Now(), SilenceTimeout: time.Second}, zone: &zoneScheduler{}}
+		l.queue.congestion.enabled = true
+		l.queue.congestion.rate = rateEstimator{bytesPerSecond: speed, lastAck: l.node.now()}
+		l.queue.congestion.reserved = c.waits
+		i := &queuedFrame{head: head{lane: LaneBulk, timeoutMS: 6000}, body: &buffer{b: make([]byte, c.size)}}
+		if got := !l.wouldMissDeadline(i); got != c.in {
 			t.Errorf("%d bytes behind %d at %d bytes a second with 6 s left: let in is %v", c.size, c.waits, speed, got)
 		}
 	}
--- a/internal/transport/lanes_test.go
+++ b/internal/transport/lanes_test.go
@@ -13,17 +13,17 @@
 	rapid.Check(t, func(t *rapid.T) {
 		var q queue
 		size := 0
-		got := map[*item][]byte{}
-		want := map[*item][]byte{}
-		passed := map[int]int{}  // and of lower ones while it is the top
-		since := map[int]int{}   // bytes of others since a lane that waits had its turn
-		count := [lanes]int{}    // how many wait in a lane
-		turns := map[*item]int{} // by which step of its lane it is taken again
-		step := [lanes]int{}
+		got := map[*queuedFrame][]byte{}
+		want := map[*queuedFrame][]byte{}
+		passed := map[int]int{}         // and of lower ones while it is the top
+		since := map[int]int{}          // bytes of others since a lane that waits had its turn
+		count := [laneCount]int{}       // how many wait in a lane
+		turns := map[*queuedFrame]int{} // by which step of its lane it is taken again
+		step := [laneCount]int{}
 		for n := range rapid.IntRange(1, 200).Draw(t, "steps") {
 			if rapid.Bool().Draw(t, "push") {
-				b := bytes.Repeat([]byte{byte(n)}, rapid.IntRange(0, 4*piece).Draw(t, "size"))
-				i := &item{head: head{lane: rapid.IntRange(0, LaneBulk).Draw(t, "lane")}, body: &room{b}}
+				b := bytes.Repeat([]byte{byte(n)}, rapid.IntRange(0, 4*maxChunk).Draw(t, "size"))
+				i := &queuedFrame{head: head{lane: rapid.IntRange(0, LaneBulk).Draw(t, "lane")}, body: &buffer{b}}
 				q.push(i)
 				size += i.cost()
 				want[i] = b
@@ -31,10 +31,10 @@
 				continue
 			}
 			// On a slow link the pieces are smaller, as it is at the time.
-			cut := rapid.IntRange(short, piece).Draw(t, "cut")
-			i, n := q.take(cut)
+			cut := rapid.IntRange(minStep, maxChunk).Draw(t, "cut")
+			i, n := q.takeChunk(cut)
 			if i == nil {
-				if size != 0 || q.size != 0 || q.n != 0 {
+				if size != 0 || q.totalSize != 0 || q.count != 0 {
 					t.Fatalf("nothing is given, but %d wait", size)
 				}
 				continue
@@ -53,17 +53,17 @@
 					since[l], passed[l] = 0, 0
 					continue
 				}
-				since[l] += n + toll
-				if passed[l] += n + toll; !top || l > i.lane {
+				since[l] += n + frameOverhead
+				if passed[l] += n + frameOverhead; !top || l > i.lane {
 					passed[l] = 0
 				}
 				top = false
-				if since[l] > lanes*(share+1)*(piece+toll) || passed[l] > piece+toll {
+				if since[l] > laneCount*(lowerLaneShare+1)*(maxChunk+frameOverhead) || passed[l] > maxChunk+frameOverhead {
 					t.Fatalf("lane %d waited for %d bytes, %d of lower ones", l, since[l], passed[l])
 				}
 			}
-			got[i] = append(got[i], i.body.b[i.off-n:i.off]...)
-			if i.off == len(i.body.b) {
+			got[i] = append(got[i], i.body.b[i.offset-n:i.offset]...)
+			if i.offset == len(i.body.b) {
 				size -= i.cost()
 				count[i.lane]--
 				if !bytes.Equal(got[i], want[i]) {
@@ -77,19 +77,19 @@
 // TestShare: bulk gets its part beside an endless stream of urgent frames, in
 // pieces of any size.
 func TestShare(t *testing.T) {
-	for _, cut := range []int{short, piece / 4, piece} {
+	for _, cut := range []int{minStep, maxChunk / 4, maxChunk} {
 		var q queue
-		q.push(&item{head: head{lane: LaneBulk}, body: &room{make([]byte, 20*piece)}})
+		q.push(&queuedFrame{head: head{lane: LaneBulk}, body: &buffer{make([]byte, 20*maxChunk)}})
 		bulk, all := 0, 0
-		for q.lane[LaneBulk].first != nil && all < 400*piece {
-			q.push(&item{head: head{lane: LaneRequests}, body: &room{make([]byte, 1000)}})
-			i, n := q.take(cut)
+		for q.lanes[LaneBulk].first != nil && all < 400*maxChunk {
+			q.push(&queuedFrame{head: head{lane: LaneRequests}, body: &buffer{make([]byte, 1000)}})
+			i, n := q.takeChunk(cut)
 			all += n
 			if i.lane == LaneBulk {
 				bulk += n
 			}
 		}
-		if part := float64(bulk) / float64(all); q.lane[LaneBulk].first != nil || part < 0.08 || part > 0.2 {
+		if part := float64(bulk) / float64(all); q.lanes[LaneBulk].first != nil || part < 0.08 || part > 0.2 {
 			t.Errorf("bulk in pieces of %d had %.3f of the link", cut, part)
 		}
 	}
@@ -98,11 +98,11 @@
 // TestBound: what is less urgent takes no room from what is more, an empty
 // lane takes one item of any size, and all together are bounded.
 func TestBound(t *testing.T) {
-	const frame = 400 * toll
+	const frame = 400 * frameOverhead
 	fill := func(lane, size int, q *queue) int {
 		n := 0
 		for ; n < 1000; n++ {
-			i := &item{head: head{lane: lane}, body: &room{make([]byte, size)}}
+			i := &queuedFrame{head: head{lane: lane}, body: &buffer{make([]byte, size)}}
 			if !q.fits(i, frame) {
 				break
 			}
@@ -116,8 +116,8 @@
 			t.Errorf("%d in lane %d", n, lane)
 		}
 	}
-	if q.size > 2*frame {
-		t.Errorf("%d wait, with a frame of %d", q.size, frame)
+	if q.totalSize > 2*frame {
+		t.Errorf("%d wait, with a frame of %d", q.totalSize, frame)
 	}
 	q = queue{}
 	fill(LaneControl, 0, &q)
@@ -126,9 +126,9 @@
 	}
 	q = queue{}
 	for lane := LaneBulk; lane >= LaneRequests; lane-- {
-		fill(lane, frame-toll, &q)
+		fill(lane, frame-frameOverhead, &q)
 	}
-	if n := fill(LaneControl, 0, &q); q.size > 2*frame || n < 50 {
-		t.Errorf("%d wait, with a frame of %d; %d urgent ones fitted", q.size, frame, n)
+	if n := fill(LaneControl, 0, &q); q.totalSize > 2*frame || n < 50 {
+		t.Errorf("%d wait, with a frame of %d; %d urgent ones fitted", q.totalSize, frame, n)
 	}
 }
--- a/internal/transport/link.go
+++ b/internal/transport/link.go
@@ -15,178 +15,180 @@
 // link is one connection with a hello done. Both ends may call over it. Its
 // lock is never held over a wait for the network.
 type link struct {
-	n    *Node
-	conn *tap
-	hail Hello // the fellow's
-	far  int   // the version agreed on
-	done chan struct{}
-	once sync.Once
-	next atomic.Uint64
-
-	mu    sync.Mutex
-	wait  map[uint64]*turn
-	under map[uint64]context.CancelFunc // the fellow's calls that end when it waits no more
-	hush  hush
-	q     queue
-	slack sync.Cond    // for receipts that wait for room
-	busy  bool         // somebody writes, and will look again before he ends
-	over  bool         // nothing is written any more
-	gone  bool         // the fellow said goodbye
-	parts uint64       // bodies that went out in pieces
-	track *track       // all that goes to the fellow's area
-	told  [2]int       // what was told to it
-	since atomic.Int64 // when the first of the bulk came
-	haste atomic.Bool  // the fellow goes soon
-	used  atomic.Int64 // when something was posted last, in the node's monotonic time
-	tails []tail       // of the batch that is being written
-	sums  map[string]*Traffic
-
-	open map[uint64]*frame // bodies that come in in pieces; the reader's own
-	held int               // their bytes
+	node      *Node
+	conn      *trackedConn
+	peer      Hello // the fellow's
+	version   int   // the version agreed on
+	closed    chan struct{}
+	closeOnce sync.Once
+	nextID    atomic.Uint64
+
+	mu             sync.Mutex
+	pending        map[uint64]*pendingCall
+	inboundCancels map[uint64]context.CancelFunc // the fellow's calls that end when it waits no more
+	silence        silence
+	queue          queue
+	queueSpace     sync.Cond      // for receipts that wait for room
+	writing        bool           // somebody writes, and will look again before he ends
+	ended          bool           // nothing is written any more
+	peerLeaving    bool           // the fellow said goodbye
+	lastBodyID     uint64         // bodies that went out in pieces
+	zone           *zoneScheduler // all that goes to the fellow's area
+	reported       [2]int         // what was told to it
+	oldestBulk     atomic.Int64   // when the first of the bulk came
+	prioritized    atomic.Bool    // the fellow goes soon
+	lastUsed       atomic.Int64   // when something was posted last, in the node's monotonic time
+	callEnds       []callEnd      // of the batch that is being written
+	traffic        map[string]*Traffic
+
+	partial      map[uint64]*frame // bodies that come in in pieces; the reader's own
+	partialBytes int               // their bytes
 }
 
-// tap notes when bytes came in, in the node's monotonic time. Bytes count, not
+// trackedConn notes when bytes came in, in the node's monotonic time. Bytes count, not
 // whole frames: on a thin link one frame may take long.
-type tap struct {
+type trackedConn struct {
 	net.Conn
-	n     *Node
-	try   func([]byte) (int, error)
-	seen  atomic.Int64
-	said  time.Duration // when the own hello went out
-	heard time.Duration // when the fellow's came in
-	age   age           // the reader's own
+	node          *Node
+	tryWrite      func([]byte) (int, error)
+	lastRead      atomic.Int64
+	helloSent     time.Duration // when the own hello went out
+	helloReceived time.Duration // when the fellow's came in
+	transit       transitDelay  // the reader's own
 }
 
-func (n *Node) tap(c net.Conn) *tap { return &tap{Conn: c, n: n, try: env.NonblockingWriter(c)} }
+func (n *Node) trackConn(c net.Conn) *trackedConn {
+	return &trackedConn{Conn: c, node: n, tryWrite: env.NonblockingWriter(c)}
+}
 
-func (t *tap) Read(b []byte) (int, error) {
+func (t *trackedConn) Read(b []byte) (int, error) {
 	got, err := t.Conn.Read(b)
 	if got > 0 {
-		t.seen.Store(int64(t.n.now()))
+		t.lastRead.Store(int64(t.node.now()))
 	}
 	return got, err
 }
 
-// turn is one call of ours under way. All but the channel is guarded by the
+// pendingCall is one call of ours under way. All but the channel is guarded by the
 // link's lock.
-type turn struct {
-	back chan *frame
-	out  bool  // its frame went out whole, or may have
-	item *item // while it waits to be written
+type pendingCall struct {
+	response chan *frame
+	written  bool         // its frame went out whole, or may have
+	item     *queuedFrame // while it waits to be written
 }
 
-// turn gives a free one. They are kept by node, not for all: a channel belongs
+// newPendingCall gives a free one. They are kept by node, not for all: a channel belongs
 // to the simulated time that it was made in.
-func (n *Node) turn() *turn {
-	if t, ok := n.turns.Get().(*turn); ok {
-		return t
+func (n *Node) newPendingCall() *pendingCall {
+	if call, ok := n.callPool.Get().(*pendingCall); ok {
+		return call
 	}
-	return &turn{back: make(chan *frame, 1)}
+	return &pendingCall{response: make(chan *frame, 1)}
 }
 
-func (n *Node) newLink(conn *tap, hail Hello, far int) *link {
-	l := &link{n: n, conn: conn, hail: hail, far: far, done: make(chan struct{}),
-		wait: map[uint64]*turn{}, sums: map[string]*Traffic{}, open: map[uint64]*frame{}}
-	l.slack.L, l.track = &l.mu, n.track(hail.Zone)
-	l.used.Store(int64(n.now()))
+func (n *Node) newLink(conn *trackedConn, peer Hello, version int) *link {
+	l := &link{node: n, conn: conn, peer: peer, version: version, closed: make(chan struct{}),
+		pending: map[uint64]*pendingCall{}, traffic: map[string]*Traffic{}, partial: map[uint64]*frame{}}
+	l.queueSpace.L, l.zone = &l.mu, n.zone(peer.Zone)
+	l.lastUsed.Store(int64(n.now()))
 	// Fellows of the first version have no pieces to bound.
-	l.q.flow.on, l.q.flow.win = far >= pieces, start
+	l.queue.congestion.enabled, l.queue.congestion.window = version >= chunkedVersion, initialWindow
 	return l
 }
 
-// run starts the reader, which is buffered from the hello on.
-func (l *link) run(r *bufio.Reader) bool {
-	if !l.n.g.Go("link-read", func(context.Context) { l.read(r) }) {
-		l.shut(endStopping)
+// startReader starts the reader, which is buffered from the hello on.
+func (l *link) startReader(r *bufio.Reader) bool {
+	if !l.node.tasks.Go("link-read", func(context.Context) { l.readLoop(r) }) {
+		l.terminate(endStopping)
 		return false
 	}
 	return true
 }
 
-// shut ends the link; why is told when calls are under way on it.
-func (l *link) shut(why endReason) {
-	l.once.Do(func() {
+// terminate ends the link; why is told when calls are under way on it.
+func (l *link) terminate(reason endReason) {
+	l.closeOnce.Do(func() {
 		l.mu.Lock()
-		waiting, serving := len(l.wait), len(l.under)
-		l.over = true
-		l.tell()
-		l.spent()
-		l.slack.Broadcast()
+		waiting, serving := len(l.pending), len(l.inboundCancels)
+		l.ended = true
+		l.reportBacklog()
+		l.passTurnIfIdle()
+		l.queueSpace.Broadcast()
 		l.mu.Unlock()
-		l.noteEnd(why, waiting, serving)
-		close(l.done)
-		l.abandonAll()
+		l.logEnd(reason, waiting, serving)
+		close(l.closed)
+		l.cancelInbound()
 		_ = l.conn.Close()
-		l.n.drop(l)
+		l.node.removeLink(l)
 	})
 }
 
-// settle gives a receipt to the call that waits for it.
-func (l *link) settle(f *frame) {
+// deliverResponse gives a receipt to the call that waits for it.
+func (l *link) deliverResponse(f *frame) {
 	l.mu.Lock()
-	t := l.wait[f.id]
-	delete(l.wait, f.id)
-	mine := l.marked(f)
+	call := l.pending[f.id]
+	delete(l.pending, f.id)
+	claimed := l.handleProbeResponse(f)
 	l.mu.Unlock()
-	if mine {
+	if claimed {
 		l.flush()
 	}
-	if t == nil {
-		f.free()
+	if call == nil {
+		f.release()
 		return
 	}
-	t.back <- f
+	call.response <- f
 }
 
-func (l *link) read(r *bufio.Reader) {
-	why := endReading
-	defer func() { l.shut(why) }()
+func (l *link) readLoop(r *bufio.Reader) {
+	reason := endReading
+	defer func() { l.terminate(reason) }()
 	for {
-		f, err := l.hear(r)
+		f, err := l.receive(r)
 		if err != nil {
 			if fault.Is(err, fault.Input) {
-				why = endFrames
-				l.n.bad(l.hail.Node, err)
+				reason = endFrames
+				l.node.logBadLink(l.peer.Node, err)
 			}
 			return
 		}
 		switch {
 		case f == nil:
 		case f.kind == "":
-			l.settle(f)
-		case f.kind == goodbye:
-			l.left(f)
-		case f.kind == haste:
-			l.haste.Store(true)
-			f.free()
-		case f.kind == abandon:
-			l.abandoned(f.id)
-			f.free()
-		case f.kind == alive:
-			l.here(f)
-			f.free()
+			l.deliverResponse(f)
+		case f.kind == goodbyeKind:
+			l.handleGoodbye(f)
+		case f.kind == priorityKind:
+			l.prioritized.Store(true)
+			f.release()
+		case f.kind == cancelKind:
+			l.handleCancel(f.id)
+			f.release()
+		case f.kind == pingKind:
+			l.answerPing(f)
+			f.release()
 		default:
-			l.n.take(l, f)
+			l.node.dispatch(l, f)
 		}
 	}
 }
 
-// hear reads one frame; nil means that its body isn't whole yet.
-func (l *link) hear(r *bufio.Reader) (*frame, error) {
-	m, err := get(r, l.n.MaxFrameBytes)
+// receive reads one frame; nil means that its body isn't whole yet.
+func (l *link) receive(r *bufio.Reader) (*frame, error) {
+	buf, err := readFrame(r, l.node.MaxFrameBytes)
 	if err != nil {
 		return nil, err
 	}
-	f := &frame{room: m}
-	if err := f.parse(m.b, l.n.known); err != nil {
-		f.free()
+	f := &frame{buf: buf}
+	if err := f.parse(buf.b, l.node.internKind); err != nil {
+		f.release()
 		return nil, err
 	}
-	if f.left > 0 {
-		l.date(f)
+	if f.timeoutMS > 0 {
+		l.setDeadline(f)
 	}
-	if f.part != 0 {
-		return l.join(f)
+	if f.bodyID != 0 {
+		return l.reassemble(f)
 	}
 	return f, nil
 }
--- a/internal/transport/linkend.go
+++ b/internal/transport/linkend.go
@@ -16,16 +16,16 @@
 	endStopping endReason = "this process ends"
 )
 
-// linkEndsPart is, as a divisor of the patience, the span in which one end of a link is
+// endLogDivisor is, as a divisor of the patience, the span in which one end of a link is
 // logged; the next line has a count of the others.
-const linkEndsPart = 16
+const endLogDivisor = 16
 
-// noteEnd tells of a link that ends with calls under way: how many calls of this end
+// logEnd tells of a link that ends with calls under way: how many calls of this end
 // wait for their answers, and how many of the other end, of the kinds that end with
 // their caller, are at work here.
-func (l *link) noteEnd(why endReason, waiting, serving int) {
-	if why == endStopping || waiting+serving == 0 {
+func (l *link) logEnd(reason endReason, waiting, serving int) {
+	if reason == endStopping || waiting+serving == 0 {
 		return
 	}
-	l.n.linkEnds.Emit(l.n.env.Log, event.LinkEnded, "fellow", l.hail.Node, "why", string(why), "waiting", waiting, "serving", serving)
+	l.node.endLog.Emit(l.node.env.Log, event.LinkEnded, "fellow", l.peer.Node, "why", string(reason), "waiting", waiting, "serving", serving)
 }
--- a/internal/transport/node.go
+++ b/internal/transport/node.go
@@ -22,25 +22,25 @@
 	SilenceTimeout time.Duration // how long a link may stay mute under a call
 	MaxIdleLinks   int           // how many links of ours are kept, 0: any number; more while they are in use
 	env            env.Env
-	g              *task.Group
+	tasks          *task.Group
 	pool           *task.Pool
-	born           time.Time
-	takers         map[string]*taker
+	started        time.Time
+	handlers       map[string]*handler
 	mu             sync.Mutex
-	links          map[string]*dial
-	all            map[*link]bool
-	ear            net.Listener
-	tracks         map[string]*track // by area
-	sizes          map[Flow]Traffic  // of links that are no more
-	under          atomic.Int64      // calls being handled
-	stir           chan struct{}     // wakes the watch
-	awake          atomic.Bool       // the watch is at work
-	hasty          atomic.Bool       // this node goes soon
-	linkEnds       *event.Limiter    // of links that ended with calls under way
-	trims          atomic.Bool       // links are being closed for the bound
-	watching       sync.Once
-	turns          sync.Pool
-	side
+	dialed         map[string]*dialAttempt
+	openLinks      map[*link]bool
+	listener       net.Listener
+	zones          map[string]*zoneScheduler // by area
+	closedTraffic  map[Flow]Traffic          // of links that are no more
+	activeCalls    atomic.Int64              // calls being handled
+	wakeWatcher    chan struct{}             // wakes the watch
+	watcherActive  atomic.Bool               // the watch is at work
+	prioritized    atomic.Bool               // this node goes soon
+	endLog         *event.Limiter            // of links that ended with calls under way
+	trimming       atomic.Bool               // links are being closed for the bound
+	startWatcher   sync.Once
+	callPool       sync.Pool
+	localEndpoint
 }
 
 // Flow names a stream of bytes: the kind of message and whether it left the area.
@@ -52,44 +52,44 @@
 // Traffic counts frames and bytes.
 type Traffic struct{ Frames, Bytes int64 }
 
-type dial struct {
-	from time.Duration // when it began, in the node's monotonic time
-	done chan struct{}
-	l    *link
-	err  error
+type dialAttempt struct {
+	started time.Duration // when it began, in the node's monotonic time
+	done    chan struct{}
+	link    *link
+	err     error
 }
 
 // NewNode makes a node; takers are added before Listen.
-func NewNode(self Hello, e env.Env, g *task.Group, most, busy int, patience time.Duration) *Node {
-	self.Magic, self.MinVersion, self.MaxVersion = mark, MinVersion, MaxVersion
-	n := &Node{Self: self, MaxFrameBytes: most, SilenceTimeout: patience, env: e, g: g, pool: task.NewPool(g, "inner-call", busy),
-		born: time.Now(), takers: map[string]*taker{}, links: map[string]*dial{}, all: map[*link]bool{}, sizes: map[Flow]Traffic{}, tracks: map[string]*track{}, stir: make(chan struct{}, 1), linkEnds: event.NewLimiter(patience / linkEndsPart)}
-	if l, ok := e.Net.(*LocalNet); ok {
-		n.road = l.Network
+func NewNode(self Hello, environment env.Env, tasks *task.Group, maxFrameBytes, maxConcurrent int, silenceTimeout time.Duration) *Node {
+	self.Magic, self.MinVersion, self.MaxVersion = magic, MinVersion, MaxVersion
+	node := &Node{Self: self, MaxFrameBytes: maxFrameBytes, SilenceTimeout: silenceTimeout, env: environment, tasks: tasks, pool: task.NewPool(tasks, "inner-call", maxConcurrent),
+		started: time.Now(), handlers: map[string]*handler{}, dialed: map[string]*dialAttempt{}, openLinks: map[*link]bool{}, closedTraffic: map[Flow]Traffic{}, zones: map[string]*zoneScheduler{}, wakeWatcher: make(chan struct{}, 1), endLog: event.NewLimiter(silenceTimeout / endLogDivisor)}
+	if l, ok := environment.Net.(*LocalNet); ok {
+		node.network = l.Network
 	}
-	return n
+	return node
 }
 
 // now is the node's monotonic time.
-func (n *Node) now() time.Duration { return time.Since(n.born) }
+func (n *Node) now() time.Duration { return time.Since(n.started) }
 
 // Listen opens the inner port.
 func (n *Node) Listen(addr string) error {
-	if n.road != nil {
-		return n.road.join(addr, n)
+	if n.network != nil {
+		return n.network.register(addr, n)
 	}
-	ear, err := n.env.Net.Listen(addr)
+	listener, err := n.env.Net.Listen(addr)
 	if err != nil {
 		return fault.Wrap(fault.Closed, err, "listen on "+addr)
 	}
-	n.ear = ear
-	n.g.Go("inner-listen", func(ctx context.Context) {
+	n.listener = listener
+	n.tasks.Go("inner-listen", func(ctx context.Context) {
 		for {
-			conn, err := ear.Accept()
+			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
-			n.g.Go("inner-hello", func(context.Context) { n.welcome(conn) })
+			n.tasks.Go("inner-hello", func(context.Context) { n.accept(conn) })
 		}
 	})
 	return nil
@@ -97,98 +97,98 @@
 
 // Close ends the port and all links.
 func (n *Node) Close() {
-	if n.road != nil {
-		n.road.leave(n)
+	if n.network != nil {
+		n.network.unregister(n)
 	}
-	if n.ear != nil {
-		_ = n.ear.Close()
+	if n.listener != nil {
+		_ = n.listener.Close()
 	}
-	for _, l := range n.standing() {
-		l.shut(endStopping)
+	for _, l := range n.listLinks() {
+		l.terminate(endStopping)
 	}
 }
 
-// standing lists the links of now.
-func (n *Node) standing() []*link {
+// listLinks lists the links of now.
+func (n *Node) listLinks() []*link {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	var all []*link
-	for l := range n.all {
-		all = append(all, l)
+	var links []*link
+	for l := range n.openLinks {
+		links = append(links, l)
 	}
-	return all
+	return links
 }
 
-func (n *Node) bad(who string, err error) {
-	n.env.Log.Emit(event.BadLink, "fellow", who, "why", err.Error())
+func (n *Node) logBadLink(peer string, err error) {
+	n.env.Log.Emit(event.BadLink, "fellow", peer, "why", err.Error())
 }
 
-// hello swaps the first frames on a new connection, within a time, and makes
+// handshake swaps the first frames on a new connection, within a time, and makes
 // a link of it.
-func (n *Node) hello(c net.Conn, first bool, end time.Time) (*link, *bufio.Reader, error) {
-	conn := n.tap(c)
+func (n *Node) handshake(c net.Conn, dialer bool, deadline time.Time) (*link, *bufio.Reader, error) {
+	conn := n.trackConn(c)
 	// The kernel is the slower of the two that give up on a mute link, since
 	// it sees bytes only. Where it can't be told, the node's own watch stands.
-	_ = env.TuneConn(c, 2*n.SilenceTimeout, piece)
-	_ = conn.SetDeadline(end)
+	_ = env.TuneConn(c, 2*n.SilenceTimeout, maxChunk)
+	_ = conn.SetDeadline(deadline)
 	r := bufio.NewReader(conn)
-	var far Hello
-	say := func() error {
+	var peer Hello
+	sendHello := func() error {
 		// Before it goes out: a freeze right here must not make frames look old.
-		conn.said = n.now()
-		return n.Self.say(conn)
+		conn.helloSent = n.now()
+		return n.Self.writeTo(conn)
 	}
-	if first {
-		if err := say(); err != nil {
+	if dialer {
+		if err := sendHello(); err != nil {
 			return nil, nil, err
 		}
 	}
-	if err := far.hear(r); err != nil {
+	if err := peer.readFrom(r); err != nil {
 		return nil, nil, err
 	}
-	conn.heard = time.Duration(conn.seen.Load())
-	if !first {
-		if err := say(); err != nil {
+	conn.helloReceived = time.Duration(conn.lastRead.Load())
+	if !dialer {
+		if err := sendHello(); err != nil {
 			return nil, nil, err
 		}
 	}
-	v, err := agree(n.Self, far)
+	version, err := negotiateVersion(n.Self, peer)
 	if err == nil {
 		err = conn.SetDeadline(time.Time{})
 	}
-	return n.newLink(conn, far, v), r, err
+	return n.newLink(conn, peer, version), r, err
 }
 
-func (n *Node) welcome(c net.Conn) {
-	l, r, err := n.hello(c, false, time.Now().Add(n.SilenceTimeout))
+func (n *Node) accept(c net.Conn) {
+	l, r, err := n.handshake(c, false, time.Now().Add(n.SilenceTimeout))
 	if err != nil {
 		_ = c.Close()
 		if fault.Is(err, fault.Input) {
-			n.bad(c.RemoteAddr().String(), err)
+			n.logBadLink(c.RemoteAddr().String(), err)
 		}
 		return
 	}
-	n.join(l, r)
+	n.addLink(l, r)
 }
 
-func (n *Node) join(l *link, r *bufio.Reader) bool {
+func (n *Node) addLink(l *link, r *bufio.Reader) bool {
 	n.mu.Lock()
-	n.all[l] = true
+	n.openLinks[l] = true
 	n.mu.Unlock()
-	n.watching.Do(func() { n.g.Go("link-watch", n.watch) })
-	ok := l.run(r)
-	if n.hasty.Load() {
-		l.post(&item{head: head{kind: haste}}, false)
+	n.startWatcher.Do(func() { n.tasks.Go("link-watch", n.watchLinks) })
+	ok := l.startReader(r)
+	if n.prioritized.Load() {
+		l.enqueue(&queuedFrame{head: head{kind: priorityKind}}, false)
 	}
 	return ok
 }
 
-func (n *Node) drop(l *link) {
+func (n *Node) removeLink(l *link) {
 	n.mu.Lock()
-	if n.all[l] {
-		l.gather(n.sizes)
+	if n.openLinks[l] {
+		l.addTraffic(n.closedTraffic)
 	}
-	delete(n.all, l)
+	delete(n.openLinks, l)
 	n.mu.Unlock()
-	n.unlist(l)
+	n.forgetDialed(l)
 }
--- a/internal/transport/parse.go
+++ b/internal/transport/parse.go
@@ -6,13 +6,13 @@
 
 // parse reads a frame's bytes. The kind is looked up by known, so that the
 // usual ones need no room of their own.
-func (f *frame) parse(b []byte, known func([]byte) string) error {
-	fields, b, err := span(b, 0x80, 0xde)
+func (f *frame) parse(b []byte, internKind func([]byte) string) error {
+	fields, b, err := mapLength(b, 0x80, 0xde)
 	if err != nil {
 		return err
 	}
 	for i := range fields {
-		key, rest, err := chars(b)
+		key, rest, err := textOrBytes(b)
 		if err != nil {
 			return err
 		}
@@ -27,75 +27,75 @@
 			f.body = b
 			return nil
 		}
-		if b, err = walk(b, deepest); err != nil {
+		if b, err = skipValue(b, maxDepth); err != nil {
 			return err
 		}
-		if err := f.set(name, val[:len(val)-len(b)], known); err != nil {
+		if err := f.setField(name, val[:len(val)-len(b)], internKind); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (f *frame) set(name byte, val []byte, known func([]byte) string) error {
+func (f *frame) setField(name byte, val []byte, internKind func([]byte) string) error {
 	var raw []byte
-	var n int64
+	var number int64
 	var err error
 	switch name {
-	case keyKind, keyBad, keySay, keyCut:
-		raw, _, err = chars(val)
-	case keyID, keyLeft, keyAt, keyLane, keyPart, keyRest:
-		n, err = whole(val)
+	case keyKind, keyErrorCode, keyErrorText, keyChunk:
+		raw, _, err = textOrBytes(val)
+	case keyID, keyTimeout, keySentAt, keyLane, keyBodyID, keyRemaining:
+		number, err = integer(val)
 	}
 	if err != nil {
 		return err
 	}
 	switch name {
 	case keyKind:
-		f.kind = known(raw)
-	case keyBad:
-		f.bad = string(raw)
-	case keySay:
-		f.say = string(raw)
+		f.kind = internKind(raw)
+	case keyErrorCode:
+		f.errorCode = string(raw)
+	case keyErrorText:
+		f.errorText = string(raw)
 	case keyID:
-		f.id = uint64(n)
-	case keyLeft:
-		f.left = n
-	case keyAt:
-		f.at = n
+		f.id = uint64(number)
+	case keyTimeout:
+		f.timeoutMS = number
+	case keySentAt:
+		f.sentAtMS = number
 	case keyLane:
-		f.lane = int(max(0, min(n, LaneBulk)))
-	case keyPart:
-		f.part = uint64(n)
-	case keyRest:
-		f.rest = n
+		f.lane = int(max(0, min(number, LaneBulk)))
+	case keyBodyID:
+		f.bodyID = uint64(number)
+	case keyRemaining:
+		f.remaining = number
 	case keyBody:
 		f.body = val
-	case keyCut:
-		f.body, f.cut = raw, true
+	case keyChunk:
+		f.body, f.chunk = raw, true
 	}
 	return nil
 }
 
-// span reads how many values a map (0x80, 0xde) holds.
-func span(b []byte, fix, code byte) (int, []byte, error) {
+// mapLength reads how many values a map (0x80, 0xde) holds.
+func mapLength(b []byte, fixCode, code byte) (int, []byte, error) {
 	if len(b) == 0 {
-		return 0, nil, errShort
+		return 0, nil, errTruncated
 	}
 	switch c := b[0]; {
-	case c&0xf0 == fix:
+	case c&0xf0 == fixCode:
 		return int(c & 0x0f), b[1:], nil
 	case c == code || c == code+1:
-		n, rest, err := big(b[1:], 2<<(c-code))
+		n, rest, err := bigEndian(b[1:], 2<<(c-code))
 		return int(n), rest, err
 	}
 	return 0, nil, fault.New(fault.Input, "frame is no map")
 }
 
-// chars reads a text or bytes; nothing stands for none.
-func chars(b []byte) ([]byte, []byte, error) {
+// textOrBytes reads a text or bytes; nothing stands for none.
+func textOrBytes(b []byte) ([]byte, []byte, error) {
 	if len(b) == 0 {
-		return nil, nil, errShort
+		return nil, nil, errTruncated
 	}
 	c, b := b[0], b[1:]
 	n := uint64(0)
@@ -105,9 +105,9 @@
 	case c&0xe0 == 0xa0:
 		n = uint64(c & 0x1f)
 	case c >= 0xc4 && c <= 0xc6:
-		n, b, err = big(b, 1<<(c-0xc4))
+		n, b, err = bigEndian(b, 1<<(c-0xc4))
 	case c >= 0xd9 && c <= 0xdb:
-		n, b, err = big(b, 1<<(c-0xd9))
+		n, b, err = bigEndian(b, 1<<(c-0xd9))
 	default:
 		return nil, nil, fault.New(fault.Input, "field is no text")
 	}
@@ -115,15 +115,15 @@
 		return nil, nil, err
 	}
 	if n > uint64(len(b)) {
-		return nil, nil, errShort
+		return nil, nil, errTruncated
 	}
 	return b[:n], b[n:], nil
 }
 
-// whole reads a whole number.
-func whole(b []byte) (int64, error) {
+// integer reads a whole number.
+func integer(b []byte) (int64, error) {
 	if len(b) == 0 {
-		return 0, errShort
+		return 0, errTruncated
 	}
 	c := b[0]
 	switch {
@@ -132,14 +132,14 @@
 	case c == 0xc0:
 		return 0, nil
 	case c >= 0xcc && c <= 0xcf:
-		n, _, err := big(b[1:], 1<<(c-0xcc))
+		n, _, err := bigEndian(b[1:], 1<<(c-0xcc))
 		return int64(n), err
 	case c >= 0xd0 && c <= 0xd3:
 		size := 1 << (c - 0xd0)
-		n, _, err := big(b[1:], size)
+		n, _, err := bigEndian(b[1:], size)
 		// The sign stands in the first of its bytes.
-		gap := 64 - 8*size
-		return int64(n<<gap) >> gap, err
+		shift := 64 - 8*size
+		return int64(n<<shift) >> shift, err
 	}
 	return 0, fault.New(fault.Input, "field is no number")
 }
--- a/internal/transport/room.go
+++ b/internal/transport/room.go
@@ -13,33 +13,33 @@
 // kept is how large a room is kept for the next message; larger ones would be
 // held for nothing. A room begins small.
 const (
-	kept  = 16 * piece
-	small = 4 * piece
+	maxPooledBuffer = 16 * maxChunk
+	readIncrement   = 4 * maxChunk
 )
 
-// room is a buffer that messages are packed in and read into, again and again.
-type room struct{ b []byte }
+// buffer is a buffer that messages are packed in and read into, again and again.
+type buffer struct{ b []byte }
 
-var rooms = sync.Pool{New: func() any { return new(room) }}
+var buffers = sync.Pool{New: func() any { return new(buffer) }}
 
-func (r *room) Write(p []byte) (int, error) {
+func (r *buffer) Write(p []byte) (int, error) {
 	r.b = append(r.b, p...)
 	return len(p), nil
 }
 
 // WriteByte spares the encoder a buffer of its own.
-func (r *room) WriteByte(c byte) error {
+func (r *buffer) WriteByte(c byte) error {
 	r.b = append(r.b, c)
 	return nil
 }
 
-// grow makes the room longer by n bytes.
-func (r *room) grow(n int) {
+// extend makes the room longer by n bytes.
+func (r *buffer) extend(n int) {
 	r.b = slices.Grow(r.b, n)[:len(r.b)+n]
 }
 
 // bytes gives a part of what lies in it.
-func (r *room) bytes(from, n int) []byte {
+func (r *buffer) bytes(from, n int) []byte {
 	if r == nil {
 		return nil
 	}
@@ -47,42 +47,42 @@
 }
 
 // size is 0 for no room.
-func (r *room) size() int {
+func (r *buffer) size() int {
 	if r == nil {
 		return 0
 	}
 	return len(r.b)
 }
 
-func (r *room) free() {
-	if r == nil || cap(r.b) > kept {
+func (r *buffer) release() {
+	if r == nil || cap(r.b) > maxPooledBuffer {
 		return
 	}
 	r.b = r.b[:0]
-	rooms.Put(r)
+	buffers.Put(r)
 }
 
-func pack(v any) (*room, error) {
-	r := rooms.Get().(*room)
-	e := msgpack.GetEncoder()
-	defer msgpack.PutEncoder(e)
-	e.Reset(r)
-	if err := e.Encode(v); err != nil {
-		r.free()
+func encode(v any) (*buffer, error) {
+	buf := buffers.Get().(*buffer)
+	encoder := msgpack.GetEncoder()
+	defer msgpack.PutEncoder(encoder)
+	encoder.Reset(buf)
+	if err := encoder.Encode(v); err != nil {
+		buf.release()
 		return nil, fault.Wrap(fault.Input, err, "pack message")
 	}
-	return r, nil
+	return buf, nil
 }
 
-// desk is a decoder with its reader, used again and again.
-type desk struct {
-	r bytes.Reader
-	d *msgpack.Decoder
+// pooledDecoder is a decoder with its reader, used again and again.
+type pooledDecoder struct {
+	reader  bytes.Reader
+	decoder *msgpack.Decoder
 }
 
-var desks = sync.Pool{New: func() any {
-	k := &desk{}
-	k.d = msgpack.NewDecoder(&k.r)
+var decoders = sync.Pool{New: func() any {
+	k := &pooledDecoder{}
+	k.decoder = msgpack.NewDecoder(&k.reader)
 	return k
 }}
 
@@ -90,21 +90,21 @@
 // bytes is kept. They are walked first, since the decoder takes the room that
 // a length promises, and goes as deep as they say.
 func Decode(b []byte, v any) (err error) {
-	if _, err := walk(b, deepest); err != nil {
+	if _, err := skipValue(b, maxDepth); err != nil {
 		return err
 	}
-	k := desks.Get().(*desk)
+	pooled := decoders.Get().(*pooledDecoder)
 	defer func() {
 		// The decoder stops the process on some bytes, as a field of any kind
 		// that comes twice. Such bytes are a fellow's fault and no end of ours.
-		if p := recover(); p != nil {
-			err = fault.New(fault.Input, "unpack message: %v", p)
+		if panicked := recover(); panicked != nil {
+			err = fault.New(fault.Input, "unpack message: %v", panicked)
 			return
 		}
-		k.r.Reset(nil)
-		desks.Put(k)
+		pooled.reader.Reset(nil)
+		decoders.Put(pooled)
 	}()
-	k.r.Reset(b)
-	k.d.Reset(&k.r)
-	return fault.Wrap(fault.Input, k.d.Decode(v), "unpack message")
+	pooled.reader.Reset(b)
+	pooled.decoder.Reset(&pooled.reader)
+	return fault.Wrap(fault.Input, pooled.decoder.Decode(v), "unpack message")
 }
--- a/internal/transport/turns.go
+++ b/internal/transport/turns.go
@@ -6,103 +6,103 @@
 	"time"
 )
 
-// atOnce is how many links to one area send bulk at the same time. Two, so that
+// maxActiveLinks is how many links to one area send bulk at the same time. Two, so that
 // one goes on while the other waits for a receipt; more would only make all
 // late at once, and more would stand before what is urgent.
-const atOnce = 2
+const maxActiveLinks = 2
 
-// stint is a turn: a link that has it sends its next body; then it is the next
+// activeTurn is a turn: a link that has it sends its next body; then it is the next
 // one's, if others wait.
-type stint struct {
-	l    *link
-	from time.Duration
+type activeTurn struct {
+	link    *link
+	started time.Duration
 }
 
-// claim asks for a turn if bulk waits. The link's lock is held.
-func (l *link) claim() {
-	w, t := &l.q.flow, l.track
-	if !w.on || w.let || w.asks || l.over || l.q.lane[LaneBulk].first == nil {
+// requestTurn asks for a turn if bulk waits. The link's lock is held.
+func (l *link) requestTurn() {
+	congestion, zone := &l.queue.congestion, l.zone
+	if !congestion.enabled || congestion.hasTurn || congestion.awaitingTurn || l.ended || l.queue.lanes[LaneBulk].first == nil {
 		return
 	}
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	if len(t.have) < atOnce {
-		t.have = append(t.have, stint{l, l.n.now()})
-		w.let = true
+	zone.mu.Lock()
+	defer zone.mu.Unlock()
+	if len(zone.active) < maxActiveLinks {
+		zone.active = append(zone.active, activeTurn{l, l.node.now()})
+		congestion.hasTurn = true
 		return
 	}
-	t.line = append(t.line, l)
-	w.asks = l.n.g.Go("bulk-turn", l.stand)
+	zone.waiting = append(zone.waiting, l)
+	congestion.awaitingTurn = l.node.tasks.Go("bulk-turn", l.awaitTurn)
 }
 
-// stand waits for the turn. Whoever has it and makes no progress for two
+// awaitTurn waits for the turn. Whoever has it and makes no progress for two
 // patiences loses it: its fellow is most likely gone, which must not hold up
 // the rest.
-func (l *link) stand(ctx context.Context) {
+func (l *link) awaitTurn(ctx context.Context) {
 	for ctx.Err() == nil {
-		l.n.rest(ctx, l.n.SilenceTimeout)
+		l.node.sleep(ctx, l.node.SilenceTimeout)
 		l.mu.Lock()
-		asks := l.q.flow.asks
+		waiting := l.queue.congestion.awaitingTurn
 		l.mu.Unlock()
-		if !asks {
+		if !waiting {
 			return
 		}
 		var slow []*link
-		l.track.mu.Lock()
-		for _, s := range l.track.have {
-			if l.n.now()-s.from >= 2*l.n.SilenceTimeout {
-				slow = append(slow, s.l)
+		l.zone.mu.Lock()
+		for _, s := range l.zone.active {
+			if l.node.now()-s.started >= 2*l.node.SilenceTimeout {
+				slow = append(slow, s.link)
 			}
 		}
-		l.track.mu.Unlock()
+		l.zone.mu.Unlock()
 		for _, s := range slow {
 			s.mu.Lock()
-			if now := s.n.now(); now-s.q.flow.gauge.seen >= 2*s.n.SilenceTimeout {
-				s.since.Store(int64(now))
-				s.pass()
+			if now := s.node.now(); now-s.queue.congestion.rate.lastAck >= 2*s.node.SilenceTimeout {
+				s.oldestBulk.Store(int64(now))
+				s.passTurn()
 			}
 			s.mu.Unlock()
 		}
 	}
 }
 
-// pass gives the turn on, if there is one and others wait or nothing is left to
+// passTurn gives the turn on, if there is one and others wait or nothing is left to
 // send. The link's lock is held.
-func (l *link) pass() {
-	w, t := &l.q.flow, l.track
-	if !w.let {
+func (l *link) passTurn() {
+	congestion, zone := &l.queue.congestion, l.zone
+	if !congestion.hasTurn {
 		return
 	}
-	t.mu.Lock()
-	idle := l.over || l.q.lane[LaneBulk].first == nil
-	if len(t.line) == 0 && !idle {
-		t.mu.Unlock()
+	zone.mu.Lock()
+	idle := l.ended || l.queue.lanes[LaneBulk].first == nil
+	if len(zone.waiting) == 0 && !idle {
+		zone.mu.Unlock()
 		return
 	}
-	w.let = false
-	t.have = slices.DeleteFunc(t.have, func(s stint) bool { return s.l == l })
+	congestion.hasTurn = false
+	zone.active = slices.DeleteFunc(zone.active, func(s activeTurn) bool { return s.link == l })
 	var next *link
-	if len(t.line) > 0 {
-		next = slices.MinFunc(t.line, sooner)
-		t.line = slices.DeleteFunc(t.line, func(o *link) bool { return o == next })
-		t.have = append(t.have, stint{next, l.n.now()})
+	if len(zone.waiting) > 0 {
+		next = slices.MinFunc(zone.waiting, compareTurns)
+		zone.waiting = slices.DeleteFunc(zone.waiting, func(other *link) bool { return other == next })
+		zone.active = append(zone.active, activeTurn{next, l.node.now()})
 	}
-	t.mu.Unlock()
+	zone.mu.Unlock()
 	if next != nil {
 		// Not here: its lock must not be taken under this one's.
-		l.n.g.Go("bulk-turn", func(context.Context) { next.resume() })
+		l.node.tasks.Go("bulk-turn", func(context.Context) { next.takeTurn() })
 	}
-	l.claim()
+	l.requestTurn()
 }
 
-// resume takes the turn up.
-func (l *link) resume() {
+// takeTurn takes the turn up.
+func (l *link) takeTurn() {
 	l.mu.Lock()
-	l.q.flow.asks, l.q.flow.let = false, true
-	l.spent()
-	mine := l.mine()
+	l.queue.congestion.awaitingTurn, l.queue.congestion.hasTurn = false, true
+	l.passTurnIfIdle()
+	claimed := l.claimWriter()
 	l.mu.Unlock()
-	if mine {
+	if claimed {
 		l.flush()
 	}
 }
@@ -110,9 +110,9 @@
 // QueuedBulkLinks counts the links on which bulk waits: an answer under it has been
 // worked out and must not be lost to a stop.
 func (n *Node) QueuedBulkLinks() (many int64) {
-	for _, l := range n.standing() {
+	for _, l := range n.listLinks() {
 		l.mu.Lock()
-		if !l.over && l.q.lane[LaneBulk].first != nil {
+		if !l.ended && l.queue.lanes[LaneBulk].first != nil {
 			many++
 		}
 		l.mu.Unlock()
@@ -120,9 +120,9 @@
 	return many
 }
 
-// spent gives back a turn when nothing is left to send. The link's lock is held.
-func (l *link) spent() {
-	if l.over || l.q.lane[LaneBulk].first == nil {
-		l.pass()
+// passTurnIfIdle gives back a turn when nothing is left to send. The link's lock is held.
+func (l *link) passTurnIfIdle() {
+	if l.ended || l.queue.lanes[LaneBulk].first == nil {
+		l.passTurn()
 	}
 }
--- a/internal/transport/watch.go
+++ b/internal/transport/watch.go
@@ -9,104 +9,104 @@
 	"puffincrank/internal/task"
 )
 
-// alive is the kind of a ping. A fellow that doesn't know it refuses it by
+// pingKind is the kind of a ping. A fellow that doesn't know it refuses it by
 // name, which says as much as an answer.
-const alive = "link.alive"
+const pingKind = "link.alive"
 
-// hush is what a link knows about its fellow's silence, in the node's
+// silence is what a link knows about its fellow's silence, in the node's
 // monotonic time. Guarded by the link's lock.
-type hush struct {
-	first time.Duration // the first call since bytes last came in
-	ping  time.Duration // the newest ping
-	doubt bool          // no new calls are put on the link
+type silence struct {
+	firstCall time.Duration // the first call since bytes last came in
+	lastPing  time.Duration // the newest ping
+	suspected bool          // no new calls are put on the link
 }
 
 // The steps of a silence under calls.
-type step int
+type silenceAction int
 
 const (
-	still  step = iota // nothing is to be done yet
-	idle               // no call waits: silence says nothing
-	pinged             // send a ping now
-	doubts             // new calls dial anew from now on
-	dead               // end the link now
+	actionNone    silenceAction = iota // nothing is to be done yet
+	actionIdle                         // no call waits: silence says nothing
+	actionPing                         // send a ping now
+	actionSuspect                      // new calls dial anew from now on
+	actionClose                        // end the link now
 )
 
-// ask notes a call going out.
-func (h *hush) ask(now, seen time.Duration) {
-	if h.first <= seen {
+// callSent notes a call going out.
+func (h *silence) callSent(now, lastRead time.Duration) {
+	if h.firstCall <= lastRead {
 		// A moment after what was seen, also within one tick of the clock.
-		h.first = max(now, seen+1)
+		h.firstCall = max(now, lastRead+1)
 	}
 }
 
-// next tells what is to be done now and when to look again. A ping goes out
+// nextAction tells what is to be done now and when to look again. A ping goes out
 // after half of the patience without a byte; if none comes for the patience
 // after it, the link is dead. Half-way there new calls already dial anew.
-func (h *hush) next(now, seen, thaw, patience time.Duration, waits bool) (step, time.Duration) {
-	if !waits && h.first <= seen {
-		h.ping = 0
-		return idle, 0
+func (h *silence) nextAction(now, lastRead, pauseEnd, silenceTimeout time.Duration, callsPending bool) (silenceAction, time.Duration) {
+	if !callsPending && h.firstCall <= lastRead {
+		h.lastPing = 0
+		return actionIdle, 0
 	}
 	// A process that was frozen itself heard nothing for no fault of others.
-	base := max(seen, h.first, thaw)
-	if h.ping <= base {
-		if end := base + patience/2; now < end {
-			return still, end
+	base := max(lastRead, h.firstCall, pauseEnd)
+	if h.lastPing <= base {
+		if due := base + silenceTimeout/2; now < due {
+			return actionNone, due
 		}
-		h.ping = now
-		return pinged, now + patience/2
+		h.lastPing = now
+		return actionPing, now + silenceTimeout/2
 	}
-	switch end := h.ping + patience; {
-	case now >= end:
-		return dead, 0
-	case h.doubt:
-		return still, end
-	case now >= h.ping+patience/2:
-		h.doubt = true
-		return doubts, end
+	switch due := h.lastPing + silenceTimeout; {
+	case now >= due:
+		return actionClose, 0
+	case h.suspected:
+		return actionNone, due
+	case now >= h.lastPing+silenceTimeout/2:
+		h.suspected = true
+		return actionSuspect, due
 	}
-	return still, h.ping + patience/2
+	return actionNone, h.lastPing + silenceTimeout/2
 }
 
-// rouse wakes the watch if it rests. It costs nothing while the watch is at
+// wakeWatch wakes the watch if it rests. It costs nothing while the watch is at
 // work, and the watch rests whenever no link is under calls.
-func (n *Node) rouse() {
-	if n.awake.Load() || n.awake.Swap(true) {
+func (n *Node) wakeWatch() {
+	if n.watcherActive.Load() || n.watcherActive.Swap(true) {
 		return
 	}
 	select {
-	case n.stir <- struct{}{}:
+	case n.wakeWatcher <- struct{}{}:
 	default:
 	}
 }
 
-// watch is the one timer for all links of the node.
-func (n *Node) watch(ctx context.Context) {
-	thaw := time.Duration(0)
+// watchLinks is the one timer for all links of the node.
+func (n *Node) watchLinks(ctx context.Context) {
+	pauseEnd := time.Duration(0)
 	for ctx.Err() == nil {
-		due := n.look(thaw)
+		due := n.checkLinks(pauseEnd)
 		if due == 0 {
 			// Said before the last look, so that no call is missed.
-			n.awake.Store(false)
-			if due = n.look(thaw); due == 0 {
+			n.watcherActive.Store(false)
+			if due = n.checkLinks(pauseEnd); due == 0 {
 				select {
-				case <-n.stir:
+				case <-n.wakeWatcher:
 				case <-ctx.Done():
 				}
 				continue
 			}
-			n.awake.Store(true)
+			n.watcherActive.Store(true)
 		}
-		n.rest(ctx, due-n.now())
+		n.sleep(ctx, due-n.now())
 		if now := n.now(); now-due > n.SilenceTimeout/4 {
-			thaw = now
+			pauseEnd = now
 		}
 	}
 }
 
-// rest waits for a time.
-func (n *Node) rest(ctx context.Context, d time.Duration) {
+// sleep waits for a time.
+func (n *Node) sleep(ctx context.Context, d time.Duration) {
 	if n.env.Sleep == nil {
 		task.Sleep(ctx, d)
 		return
@@ -114,36 +114,36 @@
 	n.env.Sleep(ctx, d)
 }
 
-// look takes the steps that are due and tells when the next is; 0 means that
+// checkLinks takes the steps that are due and tells when the next is; 0 means that
 // no link is under calls.
-func (n *Node) look(thaw time.Duration) time.Duration {
-	first := time.Duration(0)
-	for _, l := range n.standing() {
-		if due := l.look(thaw); due > 0 && (first == 0 || due < first) {
-			first = due
+func (n *Node) checkLinks(pauseEnd time.Duration) time.Duration {
+	earliest := time.Duration(0)
+	for _, l := range n.listLinks() {
+		if due := l.checkSilence(pauseEnd); due > 0 && (earliest == 0 || due < earliest) {
+			earliest = due
 		}
 	}
-	return first
+	return earliest
 }
 
-func (l *link) look(thaw time.Duration) time.Duration {
+func (l *link) checkSilence(pauseEnd time.Duration) time.Duration {
 	l.mu.Lock()
-	s, due := l.hush.next(l.n.now(), time.Duration(l.conn.seen.Load()), thaw, l.n.SilenceTimeout, len(l.wait) > 0 || len(l.q.flow.marks) > 0)
-	spent := s == idle && l.hush.doubt
+	action, due := l.silence.nextAction(l.node.now(), time.Duration(l.conn.lastRead.Load()), pauseEnd, l.node.SilenceTimeout, len(l.pending) > 0 || len(l.queue.congestion.probes) > 0)
+	replaced := action == actionIdle && l.silence.suspected
 	l.mu.Unlock()
-	switch s {
-	case idle:
+	switch action {
+	case actionIdle:
 		// It was doubted and came back to life, but others took its place.
-		if spent {
-			l.shut(endDoubted)
+		if replaced {
+			l.terminate(endDoubted)
 		}
-	case pinged:
+	case actionPing:
 		l.ping()
-	case doubts:
-		l.n.unlist(l)
-	case dead:
-		l.n.env.Log.Emit(event.LinkSilent, "fellow", l.hail.Node)
-		l.sever()
+	case actionSuspect:
+		l.node.forgetDialed(l)
+	case actionClose:
+		l.node.env.Log.Emit(event.LinkSilent, "fellow", l.peer.Node)
+		l.reset()
 	}
 	return due
 }
@@ -151,27 +151,27 @@
 // ping asks for a sign of life. It is no call that must come out: a full queue
 // drops it, and a fellow that said goodbye still gets it.
 func (l *link) ping() {
-	l.post(&item{head: head{kind: alive, id: l.next.Add(1)}}, false)
+	l.enqueue(&queuedFrame{head: head{kind: pingKind, id: l.nextID.Add(1)}}, false)
 }
 
-// here answers a ping, with when it came: by that a fellow tells how long the
+// answerPing answers a ping, with when it came: by that a fellow tells how long the
 // way here was. The clock starts with the fellow's hello, which came the same
 // way.
-func (l *link) here(f *frame) {
-	i := l.n.reply(f.head, alive, nil, nil)
-	i.at = 1 + (l.n.now() - l.conn.heard).Milliseconds()
+func (l *link) answerPing(f *frame) {
+	response := l.node.newResponse(f.head, pingKind, nil, nil)
+	response.sentAtMS = 1 + (l.node.now() - l.conn.helloReceived).Milliseconds()
 	if f.id != 0 {
-		l.post(i, true)
+		l.enqueue(response, true)
 	}
 }
 
-// sever ends a dead link so that bytes held up by a cut are dropped, and not
+// reset ends a dead link so that bytes held up by a cut are dropped, and not
 // delivered late when the cut heals.
-func (l *link) sever() {
-	if c, ok := l.conn.Conn.(interface{ SetLinger(int) error }); ok {
-		_ = c.SetLinger(0)
+func (l *link) reset() {
+	if conn, ok := l.conn.Conn.(interface{ SetLinger(int) error }); ok {
+		_ = conn.SetLinger(0)
 	}
-	l.shut(endSilent)
+	l.terminate(endSilent)
 }
 
 var _ interface{ SetLinger(int) error } = (*net.TCPConn)(nil)
--- a/internal/transport/write.go
+++ b/internal/transport/write.go
@@ -7,37 +7,37 @@
 	"time"
 )
 
-// post queues a frame and writes it at once when nobody else is writing. False
+// enqueue queues a frame and writes it at once when nobody else is writing. False
 // means that it certainly never went out. A receipt waits for room while the
 // link stands, since it must not be lost to a full queue.
-func (l *link) post(i *item, waits bool) bool {
-	if i.lane == LaneControl && i.body.size() > piece {
+func (l *link) enqueue(queued *queuedFrame, wait bool) bool {
+	if queued.lane == LaneControl && queued.body.size() > maxChunk {
 		// Documents and lists of all entries take turns with the jobs: they
 		// pass bulk, and must not hold up what is urgent.
-		i.lane, i.vast = LaneRequests, true
+		queued.lane, queued.largeControl = LaneRequests, true
 	}
-	l.used.Store(int64(l.n.now()))
+	l.lastUsed.Store(int64(l.node.now()))
 	l.mu.Lock()
-	for waits && !l.over && !l.q.fits(i, l.n.MaxFrameBytes) {
-		l.slack.Wait()
+	for wait && !l.ended && !l.queue.fits(queued, l.node.MaxFrameBytes) {
+		l.queueSpace.Wait()
 	}
 	// A fellow that said goodbye gets no more calls and casts of ours.
-	if l.over || l.gone && !waits && i.kind != alive || !l.q.fits(i, l.n.MaxFrameBytes) || !waits && l.late(i) {
+	if l.ended || l.peerLeaving && !wait && queued.kind != pingKind || !l.queue.fits(queued, l.node.MaxFrameBytes) || !wait && l.wouldMissDeadline(queued) {
 		l.mu.Unlock()
-		i.body.free()
+		queued.body.release()
 		return false
 	}
-	if i.lane == LaneBulk {
-		i.born = l.n.now()
-		l.q.flow.wake(i.born, l.n.SilenceTimeout)
+	if queued.lane == LaneBulk {
+		queued.queuedAt = l.node.now()
+		l.queue.congestion.resumeFromIdle(queued.queuedAt, l.node.SilenceTimeout)
 	}
-	l.q.push(i)
-	l.tell()
-	l.claim()
-	l.pace()
-	mine := l.mine()
+	l.queue.push(queued)
+	l.reportBacklog()
+	l.requestTurn()
+	l.sendDueProbe()
+	claimed := l.claimWriter()
 	l.mu.Unlock()
-	if mine {
+	if claimed {
 		l.flush()
 	}
 	return true
@@ -48,180 +48,180 @@
 // so that no caller is held up by others' frames or by a full socket. Until
 // the socket has shown that it takes more, a batch is one piece.
 func (l *link) flush() {
-	size := piece
+	limit := maxChunk
 	for range 2 {
-		b := l.fill(size)
-		if b == nil {
+		batch := l.nextBatch(limit)
+		if batch == nil {
 			return
 		}
-		n, err := l.conn.try(b.b)
+		n, err := l.conn.tryWrite(batch.b)
 		if err != nil {
-			l.broke(n)
+			l.writeFailed(n)
 			return
 		}
-		if n < len(b.b) {
-			l.hand(b, n)
+		if n < len(batch.b) {
+			l.writeInBackground(batch, n)
 			return
 		}
-		if n >= piece {
-			size = batch
+		if n >= maxChunk {
+			limit = maxBatch
 		}
-		b.free()
+		batch.release()
 	}
-	if b := l.fill(piece); b != nil {
-		l.hand(b, 0)
+	if batch := l.nextBatch(maxChunk); batch != nil {
+		l.writeInBackground(batch, 0)
 	}
 }
 
-func (l *link) hand(b *room, off int) {
-	if !l.n.g.Go("link-write", func(context.Context) { l.push(b, off) }) {
-		l.broke(off)
+func (l *link) writeInBackground(batch *buffer, offset int) {
+	if !l.node.tasks.Go("link-write", func(context.Context) { l.writeLoop(batch, offset) }) {
+		l.writeFailed(offset)
 	}
 }
 
-// push writes until nothing waits. While the socket is full a batch is one
+// writeLoop writes until nothing waits. While the socket is full a batch is one
 // piece, so that what is urgent passes the rest as early as it can, and on a
 // slow link a piece is small. A fellow that takes nothing for the patience is
 // given up.
-func (l *link) push(b *room, off int) {
-	var s brim
-	for b != nil {
-		n, err := l.conn.try(b.b[off:])
-		off += n
-		s.took(n, l.n.now(), l.n.SilenceTimeout)
-		next := s.piece(l.n.SilenceTimeout / ease)
-		if n >= piece {
-			next = batch
+func (l *link) writeLoop(batch *buffer, offset int) {
+	var rate drainRate
+	for batch != nil {
+		n, err := l.conn.tryWrite(batch.b[offset:])
+		offset += n
+		rate.recordWrite(n, l.node.now(), l.node.SilenceTimeout)
+		limit := rate.chunkSize(l.node.SilenceTimeout / delayDivisor)
+		if n >= maxChunk {
+			limit = maxBatch
 		}
-		for err == nil && off < len(b.b) {
-			s.fills(l.n.now())
-			_ = l.conn.SetWriteDeadline(time.Now().Add(l.n.SilenceTimeout))
-			n, err = l.conn.Write(b.b[off:min(off+piece, len(b.b))])
+		for err == nil && offset < len(batch.b) {
+			rate.socketFull(l.node.now())
+			_ = l.conn.SetWriteDeadline(time.Now().Add(l.node.SilenceTimeout))
+			n, err = l.conn.Write(batch.b[offset:min(offset+maxChunk, len(batch.b))])
 			_ = l.conn.SetWriteDeadline(time.Time{})
-			off += n
-			s.took(n, l.n.now(), l.n.SilenceTimeout)
-			next = s.piece(l.n.SilenceTimeout / ease)
+			offset += n
+			rate.recordWrite(n, l.node.now(), l.node.SilenceTimeout)
+			limit = rate.chunkSize(l.node.SilenceTimeout / delayDivisor)
 			if n > 0 {
 				// The socket had been full: that it takes more, if only some of
 				// a piece in all that time, is a sign of life.
-				l.conn.seen.Store(int64(l.n.now()))
+				l.conn.lastRead.Store(int64(l.node.now()))
 				if errors.Is(err, os.ErrDeadlineExceeded) {
 					err = nil
 				}
 			}
 		}
 		if err != nil {
-			l.broke(off)
+			l.writeFailed(offset)
 			return
 		}
-		b.free()
-		b, off = l.fill(next), 0
+		batch.release()
+		batch, offset = l.nextBatch(limit), 0
 	}
 }
 
-// tail tells where a call's last byte ends in the batch that is being written.
-type tail struct {
+// callEnd tells where a call's last byte ends in the batch that is being written.
+type callEnd struct {
 	id  uint64
 	end int
 }
 
-// fill packs the next batch, or says that nobody writes any more.
-func (l *link) fill(most int) *room {
+// nextBatch packs the next batch, or says that nobody writes any more.
+func (l *link) nextBatch(limit int) *buffer {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.over || l.q.n == 0 {
-		l.busy = false
+	if l.ended || l.queue.count == 0 {
+		l.writing = false
 		return nil
 	}
-	b := rooms.Get().(*room)
-	l.tails = l.tails[:0]
-	for len(b.b) < most && l.pack(b, min(most, piece)) {
+	batch := buffers.Get().(*buffer)
+	l.callEnds = l.callEnds[:0]
+	for len(batch.b) < limit && l.appendNext(batch, min(limit, maxChunk)) {
 	}
-	l.slack.Broadcast()
-	if len(b.b) == 0 {
+	l.queueSpace.Broadcast()
+	if len(batch.b) == 0 {
 		// Bulk waits for the receipt of its mark, which wakes it.
-		b.free()
-		l.busy = false
+		batch.release()
+		l.writing = false
 		return nil
 	}
-	return b
+	return batch
 }
 
-// pack adds the next frame to a batch; false means that none may go out now.
-func (l *link) pack(b *room, cut int) bool {
-	l.prune()
-	if l.far < pieces {
-		cut = 0
-	}
-	i, n := l.q.take(cut)
-	if i == nil {
+// appendNext adds the next frame to a batch; false means that none may go out now.
+func (l *link) appendNext(batch *buffer, maxSize int) bool {
+	l.dropExpiredResponses()
+	if l.version < chunkedVersion {
+		maxSize = 0
+	}
+	queued, n := l.queue.takeChunk(maxSize)
+	if queued == nil {
 		return false
 	}
-	size, from := i.body.size(), len(b.b)
-	body := i.body.bytes(i.off-n, n)
+	size, start := queued.body.size(), len(batch.b)
+	body := queued.body.bytes(queued.offset-n, n)
 	if n == size {
-		b.b = i.head.write(b.b, body, false)
+		batch.b = queued.head.appendTo(batch.b, body, false)
 	} else {
-		h := head{part: i.part}
-		if i.off == n {
-			l.parts++
-			i.part = l.parts
-			h = i.head
+		header := head{bodyID: queued.bodyID}
+		if queued.offset == n {
+			l.lastBodyID++
+			queued.bodyID = l.lastBodyID
+			header = queued.head
 		}
-		h.rest = int64(size - i.off)
-		b.b = h.write(b.b, body, true)
+		header.remaining = int64(size - queued.offset)
+		batch.b = header.appendTo(batch.b, body, true)
 	}
-	l.count(i.kind+i.of, len(b.b)-from)
-	if i.lane == LaneBulk {
-		l.q.flow.went(len(b.b) - from)
-		l.tell()
-		l.pace()
+	l.countSent(queued.kind+queued.responseTo, len(batch.b)-start)
+	if queued.lane == LaneBulk {
+		l.queue.congestion.recordSent(len(batch.b) - start)
+		l.reportBacklog()
+		l.sendDueProbe()
 	}
-	if i.off < size {
+	if queued.offset < size {
 		return true
 	}
-	if i.lane == LaneBulk {
-		l.pass()
+	if queued.lane == LaneBulk {
+		l.passTurn()
 	}
-	if i.turn != nil {
-		i.turn.out, i.turn.item = true, nil
-		l.tails = append(l.tails, tail{i.id, len(b.b)})
+	if queued.call != nil {
+		queued.call.written, queued.call.item = true, nil
+		l.callEnds = append(l.callEnds, callEnd{queued.id, len(batch.b)})
 	}
-	i.body.free()
-	i.body = nil
+	queued.body.release()
+	queued.body = nil
 	return true
 }
 
-// broke ends the link after a failed write of which n bytes were taken. Calls
+// writeFailed ends the link after a failed write of which n bytes were taken. Calls
 // that end beyond them certainly did not go out.
-func (l *link) broke(n int) {
+func (l *link) writeFailed(written int) {
 	l.mu.Lock()
-	for _, m := range l.tails {
-		if t := l.wait[m.id]; t != nil && m.end > n {
-			t.out = false
+	for _, last := range l.callEnds {
+		if call := l.pending[last.id]; call != nil && last.end > written {
+			call.written = false
 		}
 	}
-	l.over = true
+	l.ended = true
 	l.mu.Unlock()
-	l.shut(endWriting)
+	l.terminate(endWriting)
 }
 
-// recall takes a call of ours back. True means that it certainly did not go
+// withdraw takes a call of ours back. True means that it certainly did not go
 // out whole, and never will. The link's lock is held.
-func (l *link) recall(t *turn) bool {
-	i := t.item
-	if t.item = nil; i == nil || l.over {
-		return !t.out
-	}
-	l.q.drop(i)
-	l.tell()
-	l.spent()
-	l.slack.Broadcast()
-	if i.off > 0 {
+func (l *link) withdraw(call *pendingCall) bool {
+	queued := call.item
+	if call.item = nil; queued == nil || l.ended {
+		return !call.written
+	}
+	l.queue.remove(queued)
+	l.reportBacklog()
+	l.passTurnIfIdle()
+	l.queueSpace.Broadcast()
+	if queued.offset > 0 {
 		// The fellow holds pieces of it.
-		l.q.push(&item{head: head{lane: i.lane, part: i.part, rest: -1}, of: i.kind})
+		l.queue.push(&queuedFrame{head: head{lane: queued.lane, bodyID: queued.bodyID, remaining: -1}, responseTo: queued.kind})
 	}
-	i.body.free()
-	i.body = nil
+	queued.body.release()
+	queued.body = nil
 	return true
 }
