--- a/internal/transport/buffer.go
+++ b/internal/transport/buffer.go
@@ -10,14 +10,15 @@
 	"puffincrank/internal/fault"
 )
 
-// kept is how large a room is kept for the next message; larger ones would be
-// held for nothing. A room begins small.
+// Buffers with a capacity over maxPooledBuffer are not returned to the pool, because they
+// would hold memory that few messages need. A frame is read into a buffer in steps of at
+// least readIncrement bytes.
 const (
 	maxPooledBuffer = 16 * maxChunk
 	readIncrement   = 4 * maxChunk
 )
 
-// buffer is a buffer that messages are packed in and read into, again and again.
+// buffer is a reusable byte buffer into which messages are encoded and frames are read.
 type buffer struct{ b []byte }
 
 var buffers = sync.Pool{New: func() any { return new(buffer) }}
@@ -27,18 +28,19 @@
 	return len(p), nil
 }
 
-// WriteByte spares the encoder a buffer of its own.
+// WriteByte makes buffer an io.ByteWriter, so that the encoder does not allocate a buffer
+// of its own.
 func (r *buffer) WriteByte(c byte) error {
 	r.b = append(r.b, c)
 	return nil
 }
 
-// extend makes the room longer by n bytes.
+// extend lengthens the buffer by n bytes, whose content is undefined.
 func (r *buffer) extend(n int) {
 	r.b = slices.Grow(r.b, n)[:len(r.b)+n]
 }
 
-// bytes gives a part of what lies in it.
+// bytes returns n bytes of the content from an offset on; nil for a nil buffer.
 func (r *buffer) bytes(from, n int) []byte {
 	if r == nil {
 		return nil
@@ -46,7 +48,7 @@
 	return r.b[from : from+n]
 }
 
-// size is 0 for no room.
+// size returns the number of bytes held, 0 for a nil buffer.
 func (r *buffer) size() int {
 	if r == nil {
 		return 0
@@ -74,29 +76,30 @@
 	return buf, nil
 }
 
-// pooledDecoder is a decoder with its reader, used again and again.
+// pooledDecoder is a reusable decoder together with its reader.
 type pooledDecoder struct {
 	reader  bytes.Reader
 	decoder *msgpack.Decoder
 }
 
 var decoders = sync.Pool{New: func() any {
-	k := &pooledDecoder{}
-	k.decoder = msgpack.NewDecoder(&k.reader)
-	return k
+	pooled := &pooledDecoder{}
+	pooled.decoder = msgpack.NewDecoder(&pooled.reader)
+	return pooled
 }}
 
-// Decode reads a message body; unknown fields are passed over. Nothing of the
-// bytes is kept. They are walked first, since the decoder takes the room that
-// a length promises, and goes as deep as they say.
+// Decode decodes a message body; unknown fields are skipped, and the result shares no
+// memory with b. The bytes are validated first, because the decoder allocates whatever a
+// length field claims and recurses as deep as the values are nested.
 func Decode(b []byte, v any) (err error) {
 	if _, err := skipValue(b, maxDepth); err != nil {
 		return err
 	}
 	pooled := decoders.Get().(*pooledDecoder)
 	defer func() {
-		// The decoder stops the process on some bytes, as a field of any kind
-		// that comes twice. Such bytes are a fellow's fault and no end of ours.
+		// The decoder panics on some inputs, such as a field of an interface type
+		// that occurs twice. Such input is an error of the peer and must not end
+		// this process.
 		if panicked := recover(); panicked != nil {
 			err = fault.New(fault.Input, "unpack message: %v", panicked)
 			return
--- a/internal/transport/bulk.go
+++ b/internal/transport/bulk.go
@@ -7,7 +7,7 @@
 	"puffincrank/internal/fault"
 )
 
-// linkFullError says that a link takes no more of a lane.
+// linkFullError means that a link accepts no more frames of a lane for now.
 type linkFullError struct {
 	error
 	retryAfter time.Duration
@@ -15,8 +15,8 @@
 
 func (f *linkFullError) Unwrap() error { return f.error }
 
-// IsLinkFull tells whether a call was not sent for want of room on its link alone,
-// and when there may be some, 0 if that is not known.
+// IsLinkFull reports whether a call was not sent only because its link had no capacity,
+// and after what time there may be some; 0 if that is unknown.
 func IsLinkFull(err error) (time.Duration, bool) {
 	full, ok := err.(*linkFullError)
 	if !ok {
@@ -25,20 +25,20 @@
 	return full.retryAfter, true
 }
 
-// bulkTimeBudget is the part of its time left that may pass until bulk is through; the
-// rest is for what it is sent for.
+// bulkTimeBudget returns how much of a call's remaining time its transfer may take: half,
+// so that the other half is left for the work.
 func bulkTimeBudget(remaining time.Duration) time.Duration { return remaining / 2 }
 
-// canDeliverWithin tells whether bulk of a size would be through in a time, by the speed of
-// now. What waits before it may take two thirds of that: speeds vary by half from
-// second to second where links share a way, and a shorter line keeps it as full.
-// The link's lock is held.
+// canDeliverWithin reports whether bulk of the given size would be delivered within the
+// limit at the current rate. The backlog ahead of it may take at most two thirds of the
+// limit: where links share a bottleneck the rate varies by half from second to second, and
+// a shorter queue keeps the bottleneck just as busy. The link's lock is held.
 func (l *link) canDeliverWithin(size int, limit time.Duration) bool {
 	return l.estimatedWait(size) <= limit && l.estimatedWait(0) <= limit*2/3
 }
 
-// wouldMissDeadline tells that a bulk call would not be through in time. The link's lock is
-// held.
+// wouldMissDeadline reports whether a bulk call could not be delivered in time. The link's
+// lock is held.
 func (l *link) wouldMissDeadline(queued *queuedFrame) bool {
 	if queued.lane != LaneBulk || queued.timeoutMS <= 0 {
 		return false
@@ -50,12 +50,13 @@
 	return !l.canDeliverWithin(queued.cost(), limit)
 }
 
-// fullError is the error of a call without room. The link's lock is held.
+// fullError returns the error of a call that the link has no capacity for. The link's lock
+// is held.
 func (l *link) fullError() error {
 	return &linkFullError{fault.New(fault.Unsent, "link to %s takes no more", l.peer.Node), l.retryDelay()}
 }
 
-// sendDueProbe sends a mark when one is due. The link's lock is held.
+// sendDueProbe queues a probe when one is due. The link's lock is held.
 func (l *link) sendDueProbe() {
 	congestion := &l.queue.congestion
 	if !congestion.probeDue() {
@@ -64,13 +65,14 @@
 	id, now := l.nextID.Add(1), l.node.now()
 	congestion.probeSent(id, now)
 	l.silence.callSent(now, time.Duration(l.conn.lastRead.Load()))
-	// The most urgent lane: it goes out right behind what it is to confirm.
+	// Probes use the most urgent lane, so that each goes out right behind the bytes
+	// that it acknowledges.
 	l.queue.push(&queuedFrame{head: head{kind: pingKind, id: id}})
-	l.node.wakeWatch()
+	l.node.ensureWatching()
 }
 
-// handleProbeResponse takes in a mark's receipt, and tells whether the caller is to write
-// now. The link's lock is held.
+// handleProbeResponse processes the response to a probe and reports whether the caller is
+// to write now. The link's lock is held.
 func (l *link) handleProbeResponse(f *frame) bool {
 	congestion := &l.queue.congestion
 	if !congestion.matchProbe(f.id) {
@@ -96,8 +98,8 @@
 	return l.claimWriter()
 }
 
-// dropExpiredResponses drops answers at the head of the bulk that nobody waits for any more:
-// they would only hold up the others. The link's lock is held.
+// dropExpiredResponses removes bulk responses whose deadline has passed from the head of
+// the queue, where they would only delay the others. The link's lock is held.
 func (l *link) dropExpiredResponses() {
 	for {
 		queued := l.queue.lanes[LaneBulk].first
@@ -114,8 +116,8 @@
 	}
 }
 
-// claimWriter makes the caller the one who writes, if something waits and nobody does.
-// The link's lock is held.
+// claimWriter makes the caller the link's writer if frames are queued and nobody is
+// writing. The link's lock is held.
 func (l *link) claimWriter() bool {
 	if l.writing || l.ended || l.queue.count == 0 {
 		return false
@@ -124,7 +126,7 @@
 	return true
 }
 
-// inboundCall is the call that a taker handles.
+// inboundCall is the call that a handler is processing.
 type inboundCall struct {
 	link *link
 	lane int
@@ -132,8 +134,8 @@
 
 type inboundCallKey struct{}
 
-// LaneOf gives the lane of the call that is being handled, or else the one
-// that calls of the context go by.
+// LaneOf returns the lane of the call that is being handled, or else the lane that calls
+// with this context use.
 func LaneOf(ctx context.Context) int {
 	if call, ok := ctx.Value(inboundCallKey{}).(*inboundCall); ok {
 		return call.lane
@@ -141,14 +143,14 @@
 	return contextLane(ctx)
 }
 
-// ReserveResponse keeps room for the receipt of the bulk call that is being handled, by
-// its expected bytes and the time until it is there. False means that it could
-// not be through in time; then come is when there may be room. The room is
-// held until free is called, right before the receipt goes out.
+// ReserveResponse reserves link capacity for the response of the bulk call that is being
+// handled, given its expected size and the time until it is ready. If the response could
+// not be delivered in time, ok is false and retryAfter says when there may be capacity.
+// The reservation is held until release is called, right before the response is sent.
 func ReserveResponse(ctx context.Context, size int, expected time.Duration) (release func(), retryAfter time.Duration, ok bool) {
 	release = func() {}
 	call, inbound := ctx.Value(inboundCallKey{}).(*inboundCall)
-	// A small one passes the bulk that waits.
+	// Small responses bypass the queued bulk.
 	if !inbound || call.lane != LaneBulk || size <= initialWindow || !call.link.queue.congestion.enabled {
 		return release, 0, true
 	}
@@ -156,7 +158,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	waiting := l.queue.bulkBytes()
-	// Answers that wait are bounded in bytes like calls that do.
+	// Responses in the queue are bounded in bytes, as calls are.
 	ok = waiting == 0 || waiting+size <= l.node.MaxFrameBytes/4
 	if end, hasDeadline := ctx.Deadline(); hasDeadline {
 		ok = ok && l.canDeliverWithin(size, bulkTimeBudget(time.Until(end))-expected)
@@ -174,8 +176,8 @@
 	}, 0, true
 }
 
-// BulkDelay is how long bulk of a size would take to a fellow now, by the speed
-// measured on the link to it; 0 when nothing waits there or nothing is known.
+// BulkDelay returns how long bulk of the given size would take to a peer at the rate
+// measured on its link; 0 if nothing is queued there or the rate is unknown.
 func (n *Node) BulkDelay(addr string, size int) time.Duration {
 	n.mu.Lock()
 	dial := n.dialed[addr]
--- a/internal/transport/call.go
+++ b/internal/transport/call.go
@@ -7,26 +7,26 @@
 	"puffincrank/internal/fault"
 )
 
-// Call calls a fellow and unpacks its receipt. The kinds of error tell what is
-// known: Unsent and Refused mean that nothing was done, Unknown that it may
-// have been. The call goes by the context's lane.
-func Call[O any](ctx context.Context, n *Node, addr, kind string, in any) (O, error) {
-	var out O
-	body, err := encode(in)
+// Call calls a peer and decodes its response. The kind of an error says what is known
+// about the call: with Unsent and Refused it was not executed, with Unknown it may have
+// been. The call uses the lane set in ctx.
+func Call[O any](ctx context.Context, n *Node, addr, kind string, message any) (O, error) {
+	var result O
+	body, err := encode(message)
 	if err != nil {
-		return out, fault.Wrap(fault.Unsent, err, kind)
+		return result, fault.Wrap(fault.Unsent, err, kind)
 	}
 	response, err := n.call(ctx, addr, kind, body)
 	if err != nil {
-		return out, err
+		return result, err
 	}
-	err = Decode(response.body, &out)
+	err = Decode(response.body, &result)
 	response.release()
-	return out, fault.Wrap(fault.Unknown, err, kind)
+	return result, fault.Wrap(fault.Unknown, err, kind)
 }
 
-// call goes over the link to addr, or over the road where there are no links.
-// The body is let go.
+// call sends a call over the link to addr, or over the in-process network if there is one.
+// It takes ownership of the body.
 func (n *Node) call(ctx context.Context, addr, kind string, body *buffer) (*frame, error) {
 	if n.network != nil {
 		return n.network.send(ctx, n, addr, kind, body, n.lastCallID.Add(1))
@@ -39,9 +39,10 @@
 	return l.call(ctx, kind, body)
 }
 
-// Send sends without a receipt; a loss is left to repair.
-func (n *Node) Send(ctx context.Context, addr, kind string, in any) error {
-	body, err := encode(in)
+// Send sends a one-way message, which has no response. A loss is not detected here and is
+// left to anti-entropy repair.
+func (n *Node) Send(ctx context.Context, addr, kind string, message any) error {
+	body, err := encode(message)
 	if err != nil {
 		return err
 	}
@@ -61,16 +62,16 @@
 	return nil
 }
 
-// exceedsFrameLimit tells that a frame is over the bound on frames.
+// exceedsFrameLimit reports whether a message is larger than MaxFrameBytes.
 func (n *Node) exceedsFrameLimit(queued *queuedFrame) bool {
 	return queued.body.size()+maxHeadSize+len(queued.kind)+len(queued.errorText) > n.MaxFrameBytes
 }
 
-// call sends one call and waits for its receipt.
+// call sends one call over the link and waits for its response.
 func (l *link) call(ctx context.Context, kind string, body *buffer) (*frame, error) {
 	queued := &queuedFrame{head: head{kind: kind, id: l.nextID.Add(1), lane: contextLane(ctx)}, body: body}
-	if cancelTimer, ok := ctx.Deadline(); ok {
-		queued.timeoutMS = time.Until(cancelTimer).Milliseconds()
+	if deadline, ok := ctx.Deadline(); ok {
+		queued.timeoutMS = time.Until(deadline).Milliseconds()
 		if queued.timeoutMS <= 0 {
 			body.release()
 			return nil, fault.New(fault.Unsent, "no time left for %s", kind)
@@ -84,17 +85,17 @@
 		return nil, fault.New(fault.Unsent, "%s: frame over the bound", kind)
 	}
 	if queued.lane == LaneBulk && body.size() <= initialWindow {
-		// What is large is its receipt, on the way back.
+		// The call itself is small: only its response travels as bulk.
 		queued.lane, queued.responseLane = LaneBulk-1, LaneBulk
 	}
 	call := l.node.newPendingCall()
-	call.written, call.item, queued.call = false, queued, call
+	call.written, call.queued, queued.call = false, queued, call
 	id := queued.id
 	l.mu.Lock()
 	l.pending[id] = call
 	l.silence.callSent(l.node.now(), time.Duration(l.conn.lastRead.Load()))
 	l.mu.Unlock()
-	l.node.wakeWatch()
+	l.node.ensureWatching()
 	if !l.enqueue(queued, false) {
 		l.mu.Lock()
 		defer l.mu.Unlock()
@@ -117,7 +118,8 @@
 			reason = "gave no receipt in time of"
 			break wait
 		case <-sendDeadline:
-			// What has gone out by now may take its time; what has not is taken back.
+			// A call that was written in full by now may take until its own
+			// deadline; one that was not is withdrawn.
 			if fullErr := l.withdrawOverdue(id, call); fullErr != nil {
 				return nil, fullErr
 			}
@@ -133,11 +135,11 @@
 		l.sendCancel(ctx, kind, id)
 	}
 	if !waiting {
-		// The receipt came in this very moment.
+		// The response arrived at this very moment.
 		return (<-call.response).result(kind)
 	}
 	if unsent && contextLane(ctx) == LaneBulk && ctx.Err() != nil {
-		// Nothing is wrong with the fellow: it had to wait for too long.
+		// The peer is not at fault: the call was queued for too long.
 		l.mu.Lock()
 		defer l.mu.Unlock()
 		return nil, l.fullError()
@@ -148,7 +150,7 @@
 	return nil, fault.New(fault.Unknown, "link to %s %s %s", l.peer.Node, reason, kind)
 }
 
-// result tells what became of a call by its receipt.
+// result returns a response, or the error that it reports.
 func (f *frame) result(kind string) (*frame, error) {
 	if f.errorCode == "" {
 		return f, nil
--- a/internal/transport/cancel.go
+++ b/internal/transport/cancel.go
@@ -5,30 +5,29 @@
 	"errors"
 )
 
-// cancelKind is a frame that names a call of its sender by its id: nobody waits for
-// its receipt any more. Fellows that don't know the word refuse it by name, and do
-// what they were asked to.
+// cancelKind is the kind of a frame that carries the ID of one of the sender's calls:
+// nobody waits for its response any more. Peers that do not know this kind refuse it and
+// go on with the call.
 const cancelKind = "call.abandon"
 
-// PropagateCancellation makes calls of a kind end when their askers no longer wait, and lets
-// their takers notify the askers: the
-// context of the taker is cancelled when the asker's was, or when the link over
-// which the receipt would go has ended. Both sides say so, before Listen. A
-// context that ended by its deadline, or was cancelled with a cause of its own
-// (context.WithCancelCause), abandons nothing.
+// PropagateCancellation makes calls of a kind end when their callers stop waiting, and
+// lets their handlers notify the callers: the handler's context is cancelled when the
+// caller's was, or when the link that the response would use has ended. Both sides have to
+// request this before Listen. A context that ended by its deadline, or was cancelled with
+// a cause of its own (context.WithCancelCause), cancels nothing at the peer.
 func PropagateCancellation(n *Node, kind string) {
 	n.handlers[kind].cancellable = true
 }
 
-// CanceledByCaller tells that a context was cancelled by whom the work was for, and not
-// by time, nor with a cause of its own.
+// CanceledByCaller reports whether a context was cancelled by the caller that the work was
+// for, and neither ended by its deadline nor was cancelled with a cause of its own.
 func CanceledByCaller(ctx context.Context) bool {
 	return errors.Is(ctx.Err(), context.Canceled) && context.Cause(ctx) == context.Canceled
 }
 
-// sendCancel tells the fellow that nobody waits for a call, if that makes a
-// difference there. It is a word of a few bytes on the most urgent lane, and is
-// never turned away for want of room.
+// sendCancel tells the peer that nobody waits for a call any more, if the peer would end
+// the call for that. The frame has a few bytes, uses the most urgent lane and is never
+// rejected for lack of queue capacity.
 func (l *link) sendCancel(ctx context.Context, kind string, id uint64) {
 	if target := l.node.handlers[kind]; target == nil || !target.cancellable || !CanceledByCaller(ctx) {
 		return
@@ -46,9 +45,9 @@
 	}
 }
 
-// cancellableContext gives the context of a call that may be abandoned. The result is called
-// when the call is over.
-func (l *link) cancellableContext(id uint64) (ctx context.Context, over func()) {
+// cancellableContext returns a context for an inbound call that the peer may cancel. The
+// caller calls done when the call is finished.
+func (l *link) cancellableContext(id uint64) (ctx context.Context, done func()) {
 	ctx, cancel := context.WithCancel(l.node.tasks.Context())
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -68,7 +67,7 @@
 	}
 }
 
-// handleCancel takes the fellow's word that it waits no more for one of its calls.
+// handleCancel processes the peer's message that it no longer waits for one of its calls.
 func (l *link) handleCancel(id uint64) {
 	l.mu.Lock()
 	cancel := l.inboundCancels[id]
@@ -78,7 +77,8 @@
 	}
 }
 
-// cancelInbound ends what is under way for a fellow that no receipt can reach.
+// cancelInbound cancels the peer's calls in progress, whose responses can no longer be
+// delivered.
 func (l *link) cancelInbound() {
 	l.mu.Lock()
 	cancels := l.inboundCancels
@@ -89,8 +89,9 @@
 	}
 }
 
-// cancellableContext is the same on a road: the context of a call that ends with the asker's.
-func (n *Node) cancellableContext(caller context.Context, from *Node, target *handler) (ctx context.Context, over func()) {
+// cancellableContext is the counterpart for the in-process network: it returns the context
+// of a call that is cancelled along with the caller's.
+func (n *Node) cancellableContext(caller context.Context, from *Node, target *handler) (ctx context.Context, done func()) {
 	ctx, cancel := context.WithCancel(n.tasks.Context())
 	if !target.cancellable {
 		return ctx, cancel
--- a/internal/transport/decode.go
+++ b/internal/transport/decode.go
@@ -4,8 +4,8 @@
 	"puffincrank/internal/fault"
 )
 
-// parse reads a frame's bytes. The kind is looked up by known, so that the
-// usual ones need no room of their own.
+// parse decodes a frame. internKind maps the bytes of a kind to a string, so that known
+// kinds need no allocation.
 func (f *frame) parse(b []byte, internKind func([]byte) string) error {
 	fields, b, err := mapLength(b, 0x80, 0xde)
 	if err != nil {
@@ -17,7 +17,8 @@
 			return err
 		}
 		b = rest
-		// The names are one letter long; others came later.
+		// All known fields have names of one letter; others are from later
+		// versions and are skipped.
 		name := byte(0)
 		if len(key) == 1 {
 			name = key[0]
@@ -77,7 +78,8 @@
 	return nil
 }
 
-// mapLength reads how many values a map (0x80, 0xde) holds.
+// mapLength decodes the header of a map (fixCode or code) and returns its number of
+// entries.
 func mapLength(b []byte, fixCode, code byte) (int, []byte, error) {
 	if len(b) == 0 {
 		return 0, nil, errTruncated
@@ -89,10 +91,10 @@
 		n, rest, err := bigEndian(b[1:], 2<<(c-code))
 		return int(n), rest, err
 	}
-	return 0, nil, fault.New(fault.Input, "frame is no map")
+	return 0, nil, fault.New(fault.Input, "frame is not a map")
 }
 
-// textOrBytes reads a text or bytes; nothing stands for none.
+// textOrBytes decodes a string or a byte string; nil is read as empty.
 func textOrBytes(b []byte) ([]byte, []byte, error) {
 	if len(b) == 0 {
 		return nil, nil, errTruncated
@@ -109,7 +111,7 @@
 	case c >= 0xd9 && c <= 0xdb:
 		n, b, err = bigEndian(b, 1<<(c-0xd9))
 	default:
-		return nil, nil, fault.New(fault.Input, "field is no text")
+		return nil, nil, fault.New(fault.Input, "frame field is not a string")
 	}
 	if err != nil {
 		return nil, nil, err
@@ -120,7 +122,7 @@
 	return b[:n], b[n:], nil
 }
 
-// integer reads a whole number.
+// integer decodes an integer.
 func integer(b []byte) (int64, error) {
 	if len(b) == 0 {
 		return 0, errTruncated
@@ -137,9 +139,9 @@
 	case c >= 0xd0 && c <= 0xd3:
 		size := 1 << (c - 0xd0)
 		n, _, err := bigEndian(b[1:], size)
-		// The sign stands in the first of its bytes.
+		// Shifting there and back extends the sign.
 		shift := 64 - 8*size
 		return int64(n<<shift) >> shift, err
 	}
-	return 0, fault.New(fault.Input, "field is no number")
+	return 0, fault.New(fault.Input, "frame field is not an integer")
 }
--- a/internal/transport/dial.go
+++ b/internal/transport/dial.go
@@ -8,11 +8,11 @@
 	"puffincrank/internal/fault"
 )
 
-// linkTo gives the standing link to addr or dials one; callers that come
-// together share one dial. A caller waits for half of a dial's time at most: by
-// then the fellow is most likely dark, and others may be asked instead. A dial
-// that outlived its time was frozen with this process: it says nothing of the
-// fellow, so it isn't shared.
+// linkTo returns the open link to addr or dials one; concurrent callers share one dial. A
+// caller waits at most half of the silence timeout: by then the peer is most likely
+// unreachable, and the caller may try others. A dial that is still undecided after its own
+// timeout was stopped by a pause of this process. It says nothing about the peer, so new
+// callers do not share it.
 func (n *Node) linkTo(ctx context.Context, addr string) (*link, error) {
 	n.mu.Lock()
 	dial := n.dialed[addr]
@@ -42,7 +42,7 @@
 	return nil, fault.New(fault.Unsent, "no link to %s in time", addr)
 }
 
-// overdue tells that a dial is undecided after the time at which it ends.
+// overdue reports whether a dial is still undecided after its timeout.
 func (d *dialAttempt) overdue(n *Node) bool {
 	select {
 	case <-d.done:
@@ -75,7 +75,7 @@
 	}
 	n.mu.Lock()
 	dial.link = nil
-	// A failed hello or dial certainly carried no call.
+	// If the dial or the handshake failed, no call was sent.
 	dial.err = fault.Wrap(fault.Unsent, err, "dial "+addr)
 	if n.dialed[addr] == dial {
 		delete(n.dialed, addr)
--- a/internal/transport/drainrate.go
+++ b/internal/transport/drainrate.go
@@ -2,23 +2,23 @@
 
 import "time"
 
-// drainRate measures how fast a full socket takes bytes, from when it was full first.
-// Once begun, a piece can't be passed by what is urgent: on a slow link a whole
-// one would hold that up for as long as all that the socket holds.
+// drainRate measures how fast a socket accepts bytes, starting when its buffer was first
+// full. Urgent frames cannot overtake a chunk that was begun: on a slow link a chunk of
+// full size would delay them as much as everything in the socket's buffer does.
 type drainRate struct {
-	fullSince, windowStart, lastWrite time.Duration // it was full first, and bytes are counted from and until
+	fullSince, windowStart, lastWrite time.Duration // first time that the buffer was full, and the interval in which bytes are counted
 	bytes                             float64
 }
 
-// socketFull notes that the socket is full.
+// socketFull records that the socket's buffer is full.
 func (s *drainRate) socketFull(now time.Duration) {
 	if s.fullSince == 0 {
 		s.fullSince, s.windowStart, s.lastWrite = now, now, now
 	}
 }
 
-// recordWrite notes bytes that were taken. What is older than the patience counts less
-// and less, since others come and go on the way.
+// recordWrite records n accepted bytes. Bytes older than the silence timeout lose weight,
+// because other traffic on the network path comes and goes.
 func (s *drainRate) recordWrite(n int, now, silenceTimeout time.Duration) {
 	if s.fullSince == 0 {
 		return
@@ -29,8 +29,8 @@
 	}
 }
 
-// chunkSize is how much of a body goes at once, so that it takes no longer than a
-// time: a whole piece where that isn't known, the shortest step at the least.
+// chunkSize returns how many bytes of a body to send at once so that they take no longer
+// than limit: maxChunk while the rate is unknown, and at least minStep.
 func (s *drainRate) chunkSize(limit time.Duration) int {
 	if s.lastWrite == s.windowStart {
 		return maxChunk
--- a/internal/transport/encode.go
+++ b/internal/transport/encode.go
@@ -7,23 +7,24 @@
 	"puffincrank/internal/fault"
 )
 
-// The names of a frame's fields. The body is the last one, so that nobody has
-// to look for its end.
+// The field names of a frame. The body comes last, so that a reader does not have to
+// search for its end.
 const (
 	keyKind, keyID, keyTimeout, keySentAt, keyErrorCode, keyErrorText = 'k', 'i', 'l', 't', 'e', 's'
 	keyLane, keyBodyID, keyRemaining, keyBody, keyChunk               = 'g', 'n', 'r', 'b', 'c'
 )
 
-// maxHeadSize is the longest head, but for its texts.
+// maxHeadSize is the longest encoded head without its texts.
 const maxHeadSize = 128
 
-// maxDepth is how deep values may lie in each other.
+// maxDepth is the deepest nesting of values that is accepted.
 const maxDepth = 64
 
-// appendTo adds a frame: its length, its head, and a body or a piece of one.
+// appendTo appends an encoded frame to b: its length, its head, and a body or one chunk of
+// a body.
 func (h *head) appendTo(b, body []byte, chunk bool) []byte {
 	offset := len(b)
-	// The length and the number of fields are known only afterwards.
+	// The length and the number of fields are filled in at the end.
 	b = append(b, 0, 0, 0, 0, 0)
 	fields := byte(0)
 	text := func(key byte, s string) {
@@ -65,7 +66,7 @@
 	return b
 }
 
-// appendLength adds the length of a text (0xd9) or of bytes (0xc4).
+// appendLength appends the length of a string (0xd9) or of a byte string (0xc4).
 func appendLength(b []byte, code byte, n int) []byte {
 	switch {
 	case code == 0xd9 && n < 32:
@@ -94,7 +95,8 @@
 
 var errTruncated = fault.New(fault.Input, "message ends too early")
 
-// bigEndian reads a number of n bytes and gives what follows it.
+// bigEndian decodes an unsigned integer of n bytes and returns it with the remaining
+// input.
 func bigEndian(b []byte, n int) (uint64, []byte, error) {
 	if len(b) < n {
 		return 0, nil, errTruncated
@@ -106,8 +108,8 @@
 	return value, b[n:], nil
 }
 
-// skipValue passes over one value and gives what follows it. Every length in it is
-// held against the bytes that are there.
+// skipValue skips one encoded value and returns the remaining input. It checks every
+// length against the bytes that are present.
 func skipValue(b []byte, depth int) ([]byte, error) {
 	if len(b) == 0 {
 		return nil, errTruncated
--- a/internal/transport/frame.go
+++ b/internal/transport/frame.go
@@ -1,6 +1,7 @@
-// Package transport is what the processes say to each other: TCP, length-prefixed
-// msgpack frames, a hello that agrees on the version, many calls on one link,
-// in lanes and in pieces, so that a large body doesn't hold up a small one.
+// Package transport carries messages between the processes of the mesh: length-prefixed
+// msgpack frames over TCP, a handshake that negotiates the version, and many concurrent
+// calls per link. Frames have priority lanes, and large bodies are sent in chunks, so that
+// a large body does not delay a small one.
 package transport
 
 import (
@@ -12,8 +13,8 @@
 	"puffincrank/internal/fault"
 )
 
-// Low and High are the wire versions that this program speaks. From 2 on
-// large bodies travel in pieces.
+// MinVersion and MaxVersion are the wire versions that this program supports. From version
+// 2 on large bodies are sent in chunks.
 const (
 	MinVersion     = 1
 	MaxVersion     = 2
@@ -21,7 +22,7 @@
 	magic          = "puffincrank"
 )
 
-// Hello is the first frame each way.
+// Hello is the first frame in each direction.
 type Hello struct {
 	Magic      string `msgpack:"mark"`
 	ClusterID  string `msgpack:"mesh"`
@@ -32,30 +33,30 @@
 	Role       string `msgpack:"role"`
 }
 
-// head is what a frame says besides its body. A call has a kind and an id, a
-// receipt has only the id, a cast has only the kind. A body over a piece comes
-// in frames with the same part; all but the first have only part, rest and cut.
+// head holds the fields of a frame besides its body. A call has a kind and an ID, a
+// response has only the ID, a one-way message has only the kind. A body larger than one
+// chunk is sent in several frames with the same bodyID; all but the first of them carry
+// only bodyID, remaining and the chunk.
 type head struct {
 	kind         string
 	id           uint64
-	timeoutMS    int64  // ms that the call has
-	sentAtMS     int64  // when left was counted: ms since the hello, from 1 on
-	errorCode    string // what became of a call, "" for well
+	timeoutMS    int64  // remaining time of the call in ms
+	sentAtMS     int64  // when timeoutMS was computed: ms since the hello, starting at 1
+	errorCode    string // result of a call, "" for success
 	errorText    string
 	lane         int
-	responseLane int    // the lane that it tells, where it is another than it goes by; 0: the same
-	bodyID       uint64 // from 1 on; 0 for a body in one piece
-	remaining    int64  // bytes of the body still to come; -1 when they never will
+	responseLane int    // lane of the response, if it differs from the frame's own; 0: the same
+	bodyID       uint64 // starts at 1; 0 for a body in a single frame
+	remaining    int64  // bytes of the body still to come; -1 if they were withdrawn
 }
 
-// frame is one message that came in. Its body lies in its room until it is
-// let go.
+// frame is a received message. Its body refers to its buffer until the frame is released.
 type frame struct {
 	head
-	deadline time.Duration // when the time of a call is used up here
+	deadline time.Duration // deadline of a call, in the node's monotonic time
 	body     []byte
-	chunk    bool     // the body is a piece
-	chunks   []*frame // the pieces that came in of a body, in order
+	chunk    bool     // the body is a chunk
+	chunks   []*frame // received chunks of a body, in order
 	buf      *buffer
 }
 
@@ -66,7 +67,7 @@
 	}
 }
 
-// writeTo writes a hello.
+// writeTo writes the hello as a frame.
 func (h Hello) writeTo(w io.Writer) error {
 	encoded, err := encode(h)
 	if err != nil {
@@ -95,12 +96,12 @@
 	}
 	size := int(binary.BigEndian.Uint32(head))
 	_, _ = r.Discard(4)
-	// The bound is checked before the room is taken.
+	// The limit is checked before memory is allocated.
 	if size > limit {
 		return nil, fault.New(fault.Input, "frame of %d bytes is over the bound", size)
 	}
 	buf := buffers.Get().(*buffer)
-	// Room is taken as the bytes come, not as they are promised.
+	// Memory is allocated as the bytes arrive, not as the length field claims.
 	for len(buf.b) < size {
 		start := len(buf.b)
 		buf.extend(min(size-start, max(start, readIncrement)))
@@ -112,7 +113,7 @@
 	return buf, nil
 }
 
-// negotiateVersion picks the version of a link, or says why there is none.
+// negotiateVersion selects the version of a link, or returns why there is none.
 func negotiateVersion(own, peer Hello) (int, error) {
 	if peer.Magic != magic {
 		return 0, fault.New(fault.Input, "not a puffincrank hello")
--- a/internal/transport/goodbye.go
+++ b/internal/transport/goodbye.go
@@ -9,9 +9,9 @@
 
 const goodbyeKind = "link.bye"
 
-// CloseGracefully ends the node's links politely. Fellows are told that this one goes:
-// they send no more calls, what they sent before is answered, and only then
-// may the links be closed. So a planned end leaves no call without an outcome.
+// CloseGracefully closes the node's links without loss of calls. It tells the peers that
+// this node leaves: they send no more calls, those sent earlier are answered, and then the
+// links may be closed. So a planned shutdown leaves no call with an unknown outcome.
 func (n *Node) CloseGracefully(timeout time.Duration) {
 	ctx, cancel := context.WithTimeout(n.tasks.Context(), timeout)
 	defer cancel()
@@ -22,8 +22,8 @@
 	acknowledged := make(chan struct{}, len(links))
 	for _, l := range links {
 		if !n.tasks.Go("goodbye", func(context.Context) {
-			// A fellow that knows no goodbye refuses it by name: the links then
-			// end as they always did with it.
+			// A peer that does not know the goodbye message refuses it; links
+			// to it then end as on an ordinary close.
 			f, _ := l.call(ctx, goodbyeKind, nil)
 			f.release()
 			acknowledged <- struct{}{}
@@ -39,8 +39,8 @@
 	}
 }
 
-// hasPendingWork tells that calls are being handled, or that receipts wait or are on
-// their way out.
+// hasPendingWork reports whether calls are being handled, or responses are queued or being
+// written.
 func (n *Node) hasPendingWork(links []*link) bool {
 	if n.activeCalls.Load() > 0 {
 		return true
@@ -56,9 +56,9 @@
 	return false
 }
 
-// handleGoodbye takes a fellow's goodbye: no call goes out on this link after the
-// receipt of it, which passes all that waits. So calls that still wait are
-// certain not to go out. What was asked before is still answered.
+// handleGoodbye processes a peer's goodbye message. No call is sent on this link after its
+// response, which overtakes all queued frames, so the calls still in the queue are
+// withdrawn and known to be unsent. Calls received earlier are still answered.
 func (l *link) handleGoodbye(f *frame) {
 	l.node.forgetDialed(l)
 	l.mu.Lock()
@@ -70,14 +70,14 @@
 		withdrawn = append(withdrawn, queued.call)
 	}
 	l.mu.Unlock()
-	for _, t := range withdrawn {
-		t.response <- &frame{head: head{errorCode: "unsent", errorText: "fellow is leaving"}}
+	for _, call := range withdrawn {
+		call.response <- &frame{head: head{errorCode: "unsent", errorText: "fellow is leaving"}}
 	}
 	l.respond(f.head, goodbyeKind, nil, nil, 0)
 	f.release()
 }
 
-// forgetDialed makes the next call to the fellow dial anew.
+// forgetDialed makes the next call to the peer dial a new link.
 func (n *Node) forgetDialed(l *link) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/transport/handler.go
+++ b/internal/transport/handler.go
@@ -9,26 +9,26 @@
 	"puffincrank/internal/fault"
 )
 
-// handler handles one kind of calls and casts. It lets the body go as soon as it
-// is unpacked.
+// handler handles one kind of calls or one-way messages. It releases the frame as soon as
+// the body is decoded.
 type handler struct {
 	kind        string
-	cancellable bool // with the asker's waiting
+	cancellable bool // calls end when their callers stop waiting
 	run         func(ctx context.Context, from Hello, f *frame) (*buffer, error)
 }
 
-// Handle adds a taker with typed messages. It panics when the kind has one already,
-// as http.ServeMux does: which of the two would answer is a fault of the program.
+// Handle registers a typed handler. Like http.ServeMux it panics if the kind already has
+// one: two handlers for one kind are a programming error.
 func Handle[I, O any](node *Node, kind string, handle func(ctx context.Context, from Hello, message I) (O, error)) {
 	if node.handlers[kind] != nil {
-		panic(fmt.Sprintf("wire: kind %q is registered twice", kind))
+		panic(fmt.Sprintf("transport: kind %q is registered twice", kind))
 	}
 	node.handlers[kind] = &handler{kind: kind, run: func(ctx context.Context, from Hello, received *frame) (*buffer, error) {
 		var message I
 		err := Decode(received.body, &message)
 		received.release()
 		if err != nil {
-			// Nothing was done, so this is a refusal.
+			// Nothing was executed, so the call is refused.
 			return nil, fault.Wrap(fault.Refused, err, kind)
 		}
 		result, err := handle(ctx, from, message)
@@ -40,7 +40,7 @@
 	}}
 }
 
-// internKind spares the usual kinds a text of their own.
+// internKind returns the string of a registered kind without an allocation.
 func (n *Node) internKind(kind []byte) string {
 	if known := n.handlers[string(kind)]; known != nil {
 		return known.kind
@@ -48,7 +48,7 @@
 	return string(kind)
 }
 
-// dispatch runs the taker of one frame on a pool worker.
+// dispatch runs the handler for one frame on a worker of the pool.
 func (n *Node) dispatch(l *link, f *frame) {
 	target, head := n.handlers[f.kind], f.head
 	if target == nil {
@@ -59,7 +59,8 @@
 	}
 	n.activeCalls.Add(1)
 	deadline := f.deadline
-	// Noted before anything else is read from the link.
+	// The context is registered before the next frame is read from the link, which may
+	// cancel the call.
 	ctx, done := n.tasks.Context(), func() {}
 	if target.cancellable && head.id != 0 {
 		ctx, done = l.cancellableContext(head.id)
@@ -73,7 +74,7 @@
 			ctx, cancel = context.WithDeadline(ctx, n.started.Add(deadline))
 			defer cancel()
 		}
-		// Its time ran out on the way here, or while this process stood still.
+		// The deadline passed on the way here, or while this process was paused.
 		if ctx.Err() != nil {
 			f.release()
 			l.respond(head, target.kind, nil, fault.New(fault.Refused, "late"), 0)
@@ -85,10 +86,10 @@
 		if target.cancellable {
 			ctx = context.WithValue(ctx, callOriginKey{}, &callOrigin{link: l})
 		}
-		out, err := target.run(ctx, l.peer, f)
-		l.respond(head, target.kind, out, err, deadline)
+		result, err := target.run(ctx, l.peer, f)
+		l.respond(head, target.kind, result, err, deadline)
 	})
-	// A full pool refuses for certain: the taker never saw the call.
+	// A full pool refuses the call with certainty: the handler never ran.
 	if !ok {
 		f.release()
 		done()
@@ -97,7 +98,7 @@
 	}
 }
 
-// respond answers a call; a cast has none.
+// respond sends the response to a call; a one-way message has none.
 func (l *link) respond(request head, kind string, body *buffer, err error, deadline time.Duration) {
 	if request.id == 0 {
 		body.release()
@@ -108,8 +109,8 @@
 	l.enqueue(response, true)
 }
 
-// newResponse makes the receipt of a call, on the lane that it came by. A small one
-// of bulk, which ends a job that has been done, doesn't wait behind large ones.
+// newResponse builds the response to a call, on the lane of the call. A small bulk
+// response, which completes a finished request, does not wait behind large ones.
 func (n *Node) newResponse(request head, kind string, body *buffer, err error) *queuedFrame {
 	response := &queuedFrame{head: head{id: request.id, lane: request.lane}, responseTo: kind, body: body}
 	if err == nil && n.exceedsFrameLimit(response) {
@@ -132,10 +133,10 @@
 	return response
 }
 
-// truncate keeps the text of an error to a length that fits any frame.
+// truncate limits an error text to a length that fits in any frame.
 func truncate(s string) string { return s[:min(len(s), 4096)] }
 
-// countSent notes a frame that goes out. The link's lock is held.
+// countSent counts a sent frame. The link's lock is held.
 func (l *link) countSent(kind string, size int) {
 	sent := l.traffic[kind]
 	if sent == nil {
@@ -146,7 +147,7 @@
 	sent.Bytes += int64(size)
 }
 
-// addTraffic adds up what a link sent. The node's lock is held.
+// addTraffic adds the traffic sent on this link to totals. The node's lock is held.
 func (l *link) addTraffic(totals map[Flow]Traffic) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -157,7 +158,7 @@
 	}
 }
 
-// BytesSent gives the bytes sent so far by flow.
+// BytesSent returns the traffic sent so far by flow.
 func (n *Node) BytesSent() map[Flow]Traffic {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -171,5 +172,5 @@
 	return totals
 }
 
-// maxTimeout keeps times that a fellow names from running over.
+// maxTimeout keeps timeouts that a peer sends from overflowing.
 const maxTimeout = 1 << 60 * time.Nanosecond
--- a/internal/transport/idlelinks.go
+++ b/internal/transport/idlelinks.go
@@ -7,16 +7,16 @@
 	"time"
 )
 
-// LinkCount counts the links that stand, whoever dialed them.
+// LinkCount returns the number of open links, whichever side dialed them.
 func (n *Node) LinkCount() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return len(n.openLinks)
 }
 
-// takeIdleLinks takes the links of ours that were used least lately off the list, until
-// an eighth of the bound is free again, so that not each new link ends one. None
-// that was used within the patience goes: the bound gives way to what is needed.
+// takeIdleLinks removes the least recently used links that this node dialed from its map,
+// until an eighth of MaxIdleLinks is free again, so that not every new link closes
+// another. Links used within the silence timeout stay: the limit yields to demand.
 func (n *Node) takeIdleLinks() []*link {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -32,33 +32,34 @@
 		}
 	}
 	excess := len(candidates) - n.MaxIdleLinks*7/8
-	slices.SortFunc(candidates, func(addr, b candidate) int { return cmp.Compare(addr.used, b.used) })
-	var out []*link
+	slices.SortFunc(candidates, func(first, second candidate) int { return cmp.Compare(first.used, second.used) })
+	var removed []*link
 	for _, idle := range candidates[:max(excess, 0)] {
 		if n.now()-time.Duration(idle.used) < n.SilenceTimeout {
 			break
 		}
 		delete(n.dialed, idle.addr)
-		out = append(out, idle.l)
+		removed = append(removed, idle.l)
 	}
-	return out
+	return removed
 }
 
-// isIdle tells that nothing is under way on a link of ours. Fellows make no calls
-// over one that they didn't dial, so that it can be closed without a word.
+// isIdle reports whether nothing is in progress on a link that this node dialed. Peers
+// make no calls over links that they did not dial, so it can be closed without notice.
 func (l *link) isIdle() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return len(l.pending) == 0 && l.queue.count == 0 && !l.writing && len(l.queue.congestion.probes) == 0
 }
 
-// closeIdleLinks closes links while there are more than the bound. A mesh has more fellows
-// than a process has descriptors: whoever is met once, for repair or for one job,
-// must not be kept for good.
+// closeIdleLinks closes links while there are more than MaxIdleLinks. A cluster may have
+// more nodes than a process has file descriptors, so a link that was needed once, for
+// repair or for one request, must not stay open for good.
 func (n *Node) closeIdleLinks(ctx context.Context) {
 	idle := n.takeIdleLinks()
 	for len(idle) > 0 && ctx.Err() == nil {
-		// A call that found the link on the list a moment ago is on it by then.
+		// A call that took the link from the map a moment ago is registered on it
+		// after this wait.
 		n.sleep(ctx, n.SilenceTimeout/4)
 		idle = slices.DeleteFunc(idle, func(l *link) bool {
 			if !l.isIdle() {
@@ -71,8 +72,8 @@
 	n.trimming.Store(false)
 }
 
-// trimIfOverLimit starts the trimming when there are too many links of ours, unless it is
-// under way.
+// trimIfOverLimit starts closing idle links if this node has dialed too many, unless that
+// is in progress already.
 func (n *Node) trimIfOverLimit() {
 	n.mu.Lock()
 	over := n.MaxIdleLinks > 0 && len(n.dialed) > n.MaxIdleLinks
--- a/internal/transport/lanes.go
+++ b/internal/transport/lanes.go
@@ -5,25 +5,25 @@
 	"time"
 )
 
-// The lanes of a link, urgent first: what holds the mesh together, jobs by
-// rank, and what may take as long as it takes.
+// The lanes of a link, most urgent first: control traffic of the cluster, requests by
+// rank, and bulk, which has no latency target.
 const (
 	LaneControl  = 0
-	LaneRequests = 1 // the most urgent of the jobs
+	LaneRequests = 1 // the most urgent requests
 	LaneBulk     = 7
 	laneCount    = LaneBulk + 1
 )
 
 const (
-	maxChunk       = 16 << 10     // of a body, on a link that is slow less; another lane waits for one at most
-	maxBatch       = 4 * maxChunk // written at once
+	maxChunk       = 16 << 10     // largest chunk of a body, less on a slow link; another lane waits for one chunk at most
+	maxBatch       = 4 * maxChunk // bytes written at once
 	lowerLaneShare = 8            // one part in so many is kept for the lanes below
-	frameOverhead  = 256          // what a frame takes besides its body
+	frameOverhead  = 256          // bytes of a frame besides its body
 )
 
 type laneKey struct{}
 
-// WithLane makes calls and casts go by a lane; receipts come back on the same.
+// WithLane sets the lane of calls and one-way messages; responses use the same lane.
 func WithLane(ctx context.Context, lane int) context.Context {
 	return context.WithValue(ctx, laneKey{}, max(LaneControl, min(lane, LaneBulk)))
 }
@@ -33,45 +33,45 @@
 	return lane
 }
 
-// queuedFrame is a frame that waits to be written, whole or in pieces.
+// queuedFrame is a frame that waits to be written, whole or in chunks.
 type queuedFrame struct {
 	head
-	responseTo   string // what a receipt answers, for the counts
+	responseTo   string // kind that a response answers, for the traffic counts
 	body         *buffer
-	queuedAt     time.Duration // when it came, if bulk
-	sendWithin   time.Duration // of a call: how long it may wait until it is out; 0: not bounded
+	queuedAt     time.Duration // when it was queued, if bulk
+	sendWithin   time.Duration // of a call: how long it may wait until it is written; 0: no limit
 	offset       int           // bytes of the body that were taken
-	call         *pendingCall  // of a call of ours
-	largeControl bool          // control over a piece, which takes turns with jobs
-	expires      time.Duration // of a receipt: when nobody waits for it any more; 0: not known
+	call         *pendingCall  // set if it is a call of this node
+	largeControl bool          // control message larger than a chunk, scheduled with the requests
+	expires      time.Duration // of a response: when its caller stops waiting; 0: unknown
 	prev, next   *queuedFrame
 }
 
 func (i *queuedFrame) cost() int { return frameOverhead + i.body.size() }
 
-// queue holds what waits on one link: a ring of items for each lane.
+// queue holds the frames that wait on one link, with a list for each lane.
 type queue struct {
 	lanes [laneCount]struct {
 		first, last *queuedFrame
 		size        int
 	}
-	largeControlSize int // the cost of large control
-	totalSize        int // the cost of all that wait
-	count            int // how many
+	largeControlSize int // size of the queued large control messages
+	totalSize        int // size of all queued frames
+	count            int // number of queued frames
 	upperBytes       int // bytes written while lower lanes waited
-	lastLowerLane    int // the lower lane that had its part last
+	lastLowerLane    int // the lower lane that was served last
 	congestion       congestion
 }
 
-// mayTake tells whether something of a lane may go out now.
+// mayTake reports whether a frame of a lane may be sent now.
 func (q *queue) mayTake(lane int) bool {
 	return q.lanes[lane].first != nil && (lane != LaneBulk || q.congestion.maySend())
 }
 
-// fits tells whether an item may wait. What is less urgent doesn't count
-// against it, a lane with nothing in it takes one of any size, and all lanes
-// together stay within twice the bound on a frame. Large control counts for
-// itself: as long as it is on its way jobs must find room.
+// fits reports whether a frame may be queued. Less urgent frames do not count against it,
+// an empty lane accepts one frame of any size, and all lanes together stay within twice
+// the frame limit. Large control messages are counted separately, so that requests find
+// room while one is being sent.
 func (q *queue) fits(queued *queuedFrame, frameLimit int) bool {
 	ahead, empty := queued.cost(), q.lanes[queued.lane].first == nil
 	for _, l := range q.lanes[:queued.lane+1] {
@@ -83,7 +83,7 @@
 	return (ahead <= frameLimit/4 || empty) && q.totalSize+queued.cost() <= frameLimit+frameLimit*(laneCount-queued.lane)/laneCount
 }
 
-// sizeCounter is where the cost of an item is added up.
+// sizeCounter returns the counter that a frame's size is added to.
 func (q *queue) sizeCounter(queued *queuedFrame) *int {
 	if queued.largeControl {
 		return &q.largeControlSize
@@ -123,7 +123,7 @@
 	queued.prev, queued.next = nil, nil
 }
 
-// remove takes an item out for good.
+// remove takes a frame out of the queue for good.
 func (q *queue) remove(queued *queuedFrame) {
 	q.unlink(queued)
 	*q.sizeCounter(queued) -= queued.cost()
@@ -131,11 +131,12 @@
 	q.count--
 }
 
-// takeChunk gives the next item and how many bytes of its body go now; the body's
-// rest waits behind the others of its lane, but bulk goes one body after the
-// other: what was let in by the time that it would take must not be held up by
-// what came later. Urgent lanes go first; while lower ones wait, one part in
-// share is theirs, by turns. No more goes than cut; 0 takes bodies whole.
+// takeChunk returns the next frame and the number of bytes of its body to send now. The
+// rest of the body is queued behind the other frames of its lane. Bulk is sent one body
+// after the other, because later bodies must not delay one that was admitted with an
+// estimated transfer time. Urgent lanes go first; while lower ones wait, one part in
+// lowerLaneShare is theirs, in rotation. A chunk is at most maxSize bytes; with maxSize 0
+// bodies are sent whole.
 func (q *queue) takeChunk(maxSize int) (*queuedFrame, int) {
 	upper, lower := -1, -1
 	for l := range q.lanes {
@@ -153,7 +154,7 @@
 			break
 		}
 	}
-	// Both sides of the share are counted in pieces as they are now.
+	// Both sides of the share are counted in chunks of the current size.
 	chunk := maxChunk
 	if maxSize > 0 {
 		chunk = maxSize
@@ -186,7 +187,7 @@
 	return queued, n
 }
 
-// waitingCalls lists the calls of ours that wait.
+// waitingCalls returns this node's calls that are still in the queue.
 func (q *queue) waitingCalls() []*queuedFrame {
 	var calls []*queuedFrame
 	for _, l := range q.lanes {
--- a/internal/transport/link.go
+++ b/internal/transport/link.go
@@ -12,73 +12,74 @@
 	"puffincrank/internal/fault"
 )
 
-// link is one connection with a hello done. Both ends may call over it. Its
-// lock is never held over a wait for the network.
+// link is one connection after its handshake. Both ends may call over it. Its lock is
+// never held while waiting for the network.
 type link struct {
 	node      *Node
 	conn      *trackedConn
-	peer      Hello // the fellow's
-	version   int   // the version agreed on
+	peer      Hello // the hello that the peer sent
+	version   int   // the negotiated version
 	closed    chan struct{}
 	closeOnce sync.Once
 	nextID    atomic.Uint64
 
 	mu             sync.Mutex
 	pending        map[uint64]*pendingCall
-	inboundCancels map[uint64]context.CancelFunc // the fellow's calls that end when it waits no more
+	inboundCancels map[uint64]context.CancelFunc // ends the peer's calls when it stops waiting
 	silence        silence
 	queue          queue
-	queueSpace     sync.Cond      // for receipts that wait for room
-	writing        bool           // somebody writes, and will look again before he ends
+	queueSpace     sync.Cond      // signals responses that wait for queue capacity
+	writing        bool           // a goroutine is writing, and checks the queue again before it ends
 	ended          bool           // nothing is written any more
-	peerLeaving    bool           // the fellow said goodbye
-	lastBodyID     uint64         // bodies that went out in pieces
-	zone           *zoneScheduler // all that goes to the fellow's area
-	reported       [2]int         // what was told to it
-	oldestBulk     atomic.Int64   // when the first of the bulk came
-	prioritized    atomic.Bool    // the fellow goes soon
-	lastUsed       atomic.Int64   // when something was posted last, in the node's monotonic time
+	peerLeaving    bool           // the peer sent a goodbye message
+	lastBodyID     uint64         // counts the bodies sent in chunks
+	zone           *zoneScheduler // shared by all links to the peer's zone
+	reported       [2]int         // backlog and sendable bytes last reported to the zone
+	oldestBulk     atomic.Int64   // when the first bulk in the queue was queued
+	prioritized    atomic.Bool    // the peer is about to leave
+	lastUsed       atomic.Int64   // when a frame was last queued, in the node's monotonic time
 	callEnds       []callEnd      // of the batch that is being written
 	traffic        map[string]*Traffic
 
-	partial      map[uint64]*frame // bodies that come in in pieces; the reader's own
+	partial      map[uint64]*frame // bodies received in part; used by the reader only
 	partialBytes int               // their bytes
 }
 
-// trackedConn notes when bytes came in, in the node's monotonic time. Bytes count, not
-// whole frames: on a thin link one frame may take long.
+// trackedConn records when bytes arrived, in the node's monotonic time. It counts bytes
+// and not whole frames: on a slow link one frame may take long.
 type trackedConn struct {
 	net.Conn
 	node          *Node
 	tryWrite      func([]byte) (int, error)
 	lastRead      atomic.Int64
-	helloSent     time.Duration // when the own hello went out
-	helloReceived time.Duration // when the fellow's came in
-	transit       transitDelay  // the reader's own
+	helloSent     time.Duration // when this node's hello was sent
+	helloReceived time.Duration // when the peer's hello arrived
+	transit       transitDelay  // used by the reader only
 }
 
-func (n *Node) trackConn(c net.Conn) *trackedConn {
-	return &trackedConn{Conn: c, node: n, tryWrite: env.NonblockingWriter(c)}
+func (n *Node) trackConn(conn net.Conn) *trackedConn {
+	return &trackedConn{Conn: conn, node: n, tryWrite: env.NonblockingWriter(conn)}
 }
 
 func (t *trackedConn) Read(b []byte) (int, error) {
-	got, err := t.Conn.Read(b)
-	if got > 0 {
+	n, err := t.Conn.Read(b)
+	if n > 0 {
 		t.lastRead.Store(int64(t.node.now()))
 	}
-	return got, err
+	return n, err
 }
 
-// pendingCall is one call of ours under way. All but the channel is guarded by the
-// link's lock.
+// pendingCall is a call of this node in progress. All fields but the channel are guarded
+// by the link's lock.
 type pendingCall struct {
 	response chan *frame
-	written  bool         // its frame went out whole, or may have
-	item     *queuedFrame // while it waits to be written
+	written  bool         // its frame was written in full, or may have been
+	queued   *queuedFrame // while it waits to be written
 }
 
-// newPendingCall gives a free one. They are kept by node, not for all: a channel belongs
-// to the simulated time that it was made in.
+// newPendingCall returns an unused pendingCall. The pool belongs to the node and is not
+// global, because a channel belongs to the simulated time (synctest bubble) that it was
+// made in.
 func (n *Node) newPendingCall() *pendingCall {
 	if call, ok := n.callPool.Get().(*pendingCall); ok {
 		return call
@@ -91,12 +92,12 @@
 		pending: map[uint64]*pendingCall{}, traffic: map[string]*Traffic{}, partial: map[uint64]*frame{}}
 	l.queueSpace.L, l.zone = &l.mu, n.zone(peer.Zone)
 	l.lastUsed.Store(int64(n.now()))
-	// Fellows of the first version have no pieces to bound.
+	// Peers of version 1 do not send chunks, so there is nothing to limit.
 	l.queue.congestion.enabled, l.queue.congestion.window = version >= chunkedVersion, initialWindow
 	return l
 }
 
-// startReader starts the reader, which is buffered from the hello on.
+// startReader starts the reader; r may hold bytes that arrived after the hello.
 func (l *link) startReader(r *bufio.Reader) bool {
 	if !l.node.tasks.Go("link-read", func(context.Context) { l.readLoop(r) }) {
 		l.terminate(endStopping)
@@ -105,7 +106,7 @@
 	return true
 }
 
-// terminate ends the link; why is told when calls are under way on it.
+// terminate ends the link; the reason is logged if calls are in progress on it.
 func (l *link) terminate(reason endReason) {
 	l.closeOnce.Do(func() {
 		l.mu.Lock()
@@ -123,7 +124,7 @@
 	})
 }
 
-// deliverResponse gives a receipt to the call that waits for it.
+// deliverResponse passes a response to the call that waits for it.
 func (l *link) deliverResponse(f *frame) {
 	l.mu.Lock()
 	call := l.pending[f.id]
@@ -173,7 +174,7 @@
 	}
 }
 
-// receive reads one frame; nil means that its body isn't whole yet.
+// receive reads one frame; it returns nil while a body is incomplete.
 func (l *link) receive(r *bufio.Reader) (*frame, error) {
 	buf, err := readFrame(r, l.node.MaxFrameBytes)
 	if err != nil {
--- a/internal/transport/linkend.go
+++ b/internal/transport/linkend.go
@@ -2,27 +2,27 @@
 
 import "puffincrank/internal/event"
 
-// endReason tells why this end ended a link.
+// endReason is why this end closed a link.
 type endReason string
 
-// The reasons.
+// The reasons, as they are logged.
 const (
-	endReading  endReason = "the other end closed it, or reading failed"
-	endWriting  endReason = "writing failed"
-	endFrames   endReason = "a frame broke the rules"
-	endSilent   endReason = "nothing came in under calls, not even after a ping"
-	endDoubted  endReason = "it had been silent, and new calls went another way"
-	endUnused   endReason = "more links than the bound, and nothing under way"
-	endStopping endReason = "this process ends"
+	endReading   endReason = "the other end closed it, or reading failed"
+	endWriting   endReason = "writing failed"
+	endFrames    endReason = "a frame broke the rules"
+	endSilent    endReason = "nothing came in under calls, not even after a ping"
+	endSuspected endReason = "it had been silent, and new calls went another way"
+	endUnused    endReason = "more links than the bound, and nothing under way"
+	endStopping  endReason = "this process ends"
 )
 
-// endLogDivisor is, as a divisor of the patience, the span in which one end of a link is
-// logged; the next line has a count of the others.
+// endLogDivisor sets the interval, as a fraction of the silence timeout, in which at most
+// one ended link is logged; the next log line counts those that were left out.
 const endLogDivisor = 16
 
-// logEnd tells of a link that ends with calls under way: how many calls of this end
-// wait for their answers, and how many of the other end, of the kinds that end with
-// their caller, are at work here.
+// logEnd logs a link that ended with calls in progress: how many calls of this node wait
+// for responses, and how many of the peer's calls, of the kinds that are cancelled with
+// their callers, are being handled here.
 func (l *link) logEnd(reason endReason, waiting, serving int) {
 	if reason == endStopping || waiting+serving == 0 {
 		return
--- a/internal/transport/localnetwork.go
+++ b/internal/transport/localnetwork.go
@@ -10,52 +10,50 @@
 	"puffincrank/internal/fault"
 )
 
-// LocalNetwork carries calls and casts between nodes of one process without
-// connections: thousands of nodes in one process can't each have the buffers
-// and goroutines of their links. What travels is packed, measured and unpacked
-// as on a link; only the link itself is not there.
+// LocalNetwork carries messages between nodes of one process without connections: the
+// buffers and goroutines of links would be too many for thousands of nodes. Messages are
+// encoded, counted and decoded as on a link.
 type LocalNetwork struct {
 	mu           sync.RWMutex
 	nodes        map[string]*Node
-	delay        func(from, to string) time.Duration // between two areas, one way
-	partitioned  func(from, to string) bool          // between two areas
-	unresponsive map[string]bool                     // addresses of machines that say nothing
+	delay        func(from, to string) time.Duration // between two zones, one way
+	partitioned  func(from, to string) bool          // between two zones
+	unresponsive map[string]bool                     // addresses of machines that do not answer
 	observe      func(role, kind string, run func())
 }
 
-// localEndpoint is what a node on a road has in place of links.
+// localEndpoint is the state of a node on a LocalNetwork, in place of links.
 type localEndpoint struct {
-	network       *LocalNetwork // nil: over links
+	network       *LocalNetwork // nil: the node uses links
 	lastCallID    atomic.Uint64
 	addr          string
 	contacted     map[string]bool
 	bytesReceived atomic.Int64
 }
 
-// NewLocalNetwork makes a road with its delays.
+// NewLocalNetwork creates a network with the given delay between zones, one way.
 func NewLocalNetwork(delay func(from, to string) time.Duration) *LocalNetwork {
 	return &LocalNetwork{nodes: map[string]*Node{}, unresponsive: map[string]bool{}, delay: delay}
 }
 
-// SetPartition sets which areas can't reach each other; nil: all can.
+// SetPartition sets which zones cannot reach each other; nil: all can.
 func (r *LocalNetwork) SetPartition(partitioned func(from, to string) bool) {
 	r.mu.Lock()
 	r.partitioned = partitioned
 	r.mu.Unlock()
 }
 
-// SetUnresponsive sets whether the machine at an address says nothing, not even that nobody
-// stands there.
+// SetUnresponsive sets whether connections to an address time out instead of being refused.
 func (r *LocalNetwork) SetUnresponsive(addr string, unresponsive bool) {
 	r.mu.Lock()
 	r.unresponsive[addr] = unresponsive
 	r.mu.Unlock()
 }
 
-// SetObserver sets who runs the takers, to measure them; set before any node joins.
-func (r *LocalNetwork) SetObserver(observe func(role, kind string, run func())) { r.observe = observe }
+// SetObserver sets a function that runs and measures all handlers, before any node joins.
+func (r *LocalNetwork) SetObserver(run func(role, kind string, run func())) { r.observe = run }
 
-// LocalNet is the road as one process's network; other ports go over Net.
+// LocalNet is the env.Net of a process on a LocalNetwork; other ports use the inner Net.
 type LocalNet struct {
 	env.Net
 	Network *LocalNetwork
@@ -72,7 +70,7 @@
 	return nil
 }
 
-// Nodes lists who stands on the road.
+// Nodes returns all nodes on the network.
 func (r *LocalNetwork) Nodes() []*Node {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
@@ -83,7 +81,7 @@
 	return nodes
 }
 
-// NodeAt gives who stands at an address, nil for nobody.
+// NodeAt returns the node at an address, nil if there is none.
 func (r *LocalNetwork) NodeAt(addr string) *Node {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
@@ -98,7 +96,7 @@
 	r.mu.Unlock()
 }
 
-// travel waits for as long as a message takes to addr and gives who stands there.
+// travel waits for the one-way delay to addr and returns the node there.
 func (r *LocalNetwork) travel(ctx context.Context, n *Node, addr string) (*Node, error) {
 	r.mu.RLock()
 	peer, partitioned, unresponsive := r.nodes[addr], r.partitioned, r.unresponsive[addr]
@@ -122,11 +120,11 @@
 	return peer, nil
 }
 
-func sleep(ctx context.Context, d time.Duration) bool {
-	t := time.NewTimer(d)
-	defer t.Stop()
+func sleep(ctx context.Context, duration time.Duration) bool {
+	timer := time.NewTimer(duration)
+	defer timer.Stop()
 	select {
-	case <-t.C:
+	case <-timer.C:
 		return true
 	case <-ctx.Done():
 		return false
@@ -142,7 +140,7 @@
 	n.mu.Unlock()
 }
 
-// countTraffic packs a frame as a link would, to count its bytes at both ends.
+// countTraffic encodes a message as a link would, to count its bytes at both ends.
 func (n *Node) countTraffic(queued *queuedFrame, peer *Node) error {
 	if n.exceedsFrameLimit(queued) {
 		queued.body.release()
@@ -174,11 +172,11 @@
 	return nil
 }
 
-// send sends one message over the road; id 0 is a cast.
+// send sends one message over the network; with ID 0 it is a one-way message.
 func (r *LocalNetwork) send(ctx context.Context, n *Node, addr, kind string, body *buffer, id uint64) (*frame, error) {
 	request := &queuedFrame{head: head{kind: kind, id: id, lane: contextLane(ctx)}, body: body}
-	if cancel, ok := ctx.Deadline(); ok && id > 0 {
-		request.timeoutMS = time.Until(cancel).Milliseconds()
+	if deadline, ok := ctx.Deadline(); ok && id > 0 {
+		request.timeoutMS = time.Until(deadline).Milliseconds()
 		if request.timeoutMS <= 0 {
 			body.release()
 			return nil, fault.New(fault.Unsent, "no time left for %s", kind)
@@ -226,7 +224,7 @@
 	if err := peer.countTraffic(response, n); err != nil {
 		return nil, err
 	}
-	// A process that ended meanwhile answers no more.
+	// A process that ended in the meantime does not respond.
 	if peer.tasks.Context().Err() != nil || !sleep(ctx, r.delay(peer.Self.Zone, n.Self.Zone)) {
 		response.body.release()
 		return nil, fault.New(fault.Unknown, "no receipt of %s in time", kind)
@@ -236,12 +234,12 @@
 	return received.result(kind)
 }
 
-// PeerCount counts the fellows that there was a message to or from on the road.
+// PeerCount counts the peers that exchanged messages with this node on the LocalNetwork.
 func (n *Node) PeerCount() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return len(n.contacted)
 }
 
-// BytesReceived gives the bytes that came in over the road.
+// BytesReceived returns the number of bytes received over the LocalNetwork.
 func (n *Node) BytesReceived() int64 { return n.bytesReceived.Load() }
--- a/internal/transport/node.go
+++ b/internal/transport/node.go
@@ -14,13 +14,13 @@
 	"puffincrank/internal/task"
 )
 
-// Node is one process on the inner network: a listener, links to fellows,
-// and the kinds of message that it takes. Lock order: Node.mu before link.mu.
+// Node is one process on the inner network: a listener, links to peers, and handlers for
+// the kinds of messages that it accepts. Lock order: Node.mu before link.mu.
 type Node struct {
 	Self           Hello
-	MaxFrameBytes  int           // bound on a frame
-	SilenceTimeout time.Duration // how long a link may stay mute under a call
-	MaxIdleLinks   int           // how many links of ours are kept, 0: any number; more while they are in use
+	MaxFrameBytes  int
+	SilenceTimeout time.Duration // how long a link may be silent while calls wait on it
+	MaxIdleLinks   int           // how many dialed links are kept, 0: any number; more while they are in use
 	env            env.Env
 	tasks          *task.Group
 	pool           *task.Pool
@@ -30,20 +30,20 @@
 	dialed         map[string]*dialAttempt
 	openLinks      map[*link]bool
 	listener       net.Listener
-	zones          map[string]*zoneScheduler // by area
-	closedTraffic  map[Flow]Traffic          // of links that are no more
+	zones          map[string]*zoneScheduler // by name
+	closedTraffic  map[Flow]Traffic          // of links that have ended
 	activeCalls    atomic.Int64              // calls being handled
-	wakeWatcher    chan struct{}             // wakes the watch
-	watcherActive  atomic.Bool               // the watch is at work
-	prioritized    atomic.Bool               // this node goes soon
-	endLog         *event.Limiter            // of links that ended with calls under way
-	trimming       atomic.Bool               // links are being closed for the bound
+	wakeWatcher    chan struct{}             // wakes watchLinks
+	watcherActive  atomic.Bool               // watchLinks is checking links
+	prioritized    atomic.Bool               // this node is about to leave
+	endLog         *event.Limiter            // of links that ended with calls in progress
+	trimming       atomic.Bool               // idle links are being closed
 	startWatcher   sync.Once
 	callPool       sync.Pool
 	localEndpoint
 }
 
-// Flow names a stream of bytes: the kind of message and whether it left the area.
+// Flow identifies a stream of traffic: the kind of message and whether it left the zone.
 type Flow struct {
 	Kind      string
 	OtherZone bool
@@ -59,7 +59,7 @@
 	err     error
 }
 
-// NewNode makes a node; takers are added before Listen.
+// NewNode creates a node; handlers are registered before Listen.
 func NewNode(self Hello, environment env.Env, tasks *task.Group, maxFrameBytes, maxConcurrent int, silenceTimeout time.Duration) *Node {
 	self.Magic, self.MinVersion, self.MaxVersion = magic, MinVersion, MaxVersion
 	node := &Node{Self: self, MaxFrameBytes: maxFrameBytes, SilenceTimeout: silenceTimeout, env: environment, tasks: tasks, pool: task.NewPool(tasks, "inner-call", maxConcurrent),
@@ -70,7 +70,7 @@
 	return node
 }
 
-// now is the node's monotonic time.
+// now returns the node's monotonic time.
 func (n *Node) now() time.Duration { return time.Since(n.started) }
 
 // Listen opens the inner port.
@@ -95,7 +95,7 @@
 	return nil
 }
 
-// Close ends the port and all links.
+// Close closes the port and all links.
 func (n *Node) Close() {
 	if n.network != nil {
 		n.network.unregister(n)
@@ -108,7 +108,7 @@
 	}
 }
 
-// listLinks lists the links of now.
+// listLinks returns the open links.
 func (n *Node) listLinks() []*link {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -123,20 +123,21 @@
 	n.env.Log.Emit(event.BadLink, "fellow", peer, "why", err.Error())
 }
 
-// handshake swaps the first frames on a new connection, within a time, and makes
-// a link of it.
-func (n *Node) handshake(c net.Conn, dialer bool, deadline time.Time) (*link, *bufio.Reader, error) {
-	conn := n.trackConn(c)
-	// The kernel is the slower of the two that give up on a mute link, since
-	// it sees bytes only. Where it can't be told, the node's own watch stands.
-	_ = env.TuneConn(c, 2*n.SilenceTimeout, maxChunk)
-	_ = conn.SetDeadline(deadline)
-	r := bufio.NewReader(conn)
+// handshake exchanges hellos on a new connection before the deadline and creates a link
+// for it.
+func (n *Node) handshake(conn net.Conn, dialer bool, deadline time.Time) (*link, *bufio.Reader, error) {
+	tracked := n.trackConn(conn)
+	// The kernel's timeout is the longer of the two timeouts, because it only sees acknowledged
+	// bytes. Where it cannot be set, the node's own silence detection remains.
+	_ = env.TuneConn(conn, 2*n.SilenceTimeout, maxChunk)
+	_ = tracked.SetDeadline(deadline)
+	r := bufio.NewReader(tracked)
 	var peer Hello
 	sendHello := func() error {
-		// Before it goes out: a freeze right here must not make frames look old.
-		conn.helloSent = n.now()
-		return n.Self.writeTo(conn)
+		// Recorded before the hello is sent: a pause of the process at this point
+		// must not make later frames look delayed.
+		tracked.helloSent = n.now()
+		return n.Self.writeTo(tracked)
 	}
 	if dialer {
 		if err := sendHello(); err != nil {
@@ -146,7 +147,7 @@
 	if err := peer.readFrom(r); err != nil {
 		return nil, nil, err
 	}
-	conn.helloReceived = time.Duration(conn.lastRead.Load())
+	tracked.helloReceived = time.Duration(tracked.lastRead.Load())
 	if !dialer {
 		if err := sendHello(); err != nil {
 			return nil, nil, err
@@ -154,17 +155,17 @@
 	}
 	version, err := negotiateVersion(n.Self, peer)
 	if err == nil {
-		err = conn.SetDeadline(time.Time{})
+		err = tracked.SetDeadline(time.Time{})
 	}
-	return n.newLink(conn, peer, version), r, err
+	return n.newLink(tracked, peer, version), r, err
 }
 
-func (n *Node) accept(c net.Conn) {
-	l, r, err := n.handshake(c, false, time.Now().Add(n.SilenceTimeout))
+func (n *Node) accept(conn net.Conn) {
+	l, r, err := n.handshake(conn, false, time.Now().Add(n.SilenceTimeout))
 	if err != nil {
-		_ = c.Close()
+		_ = conn.Close()
 		if fault.Is(err, fault.Input) {
-			n.logBadLink(c.RemoteAddr().String(), err)
+			n.logBadLink(conn.RemoteAddr().String(), err)
 		}
 		return
 	}
--- a/internal/transport/notify.go
+++ b/internal/transport/notify.go
@@ -6,20 +6,21 @@
 	"puffincrank/internal/fault"
 )
 
-// callOrigin is where the call comes from that is being handled: a link, or on a road the
-// node itself.
+// callOrigin is where the call that is being handled came from: a link, or a node on the
+// in-process network.
 type callOrigin struct {
 	link    *link
 	network *LocalNetwork
-	caller  *Node // of a call over the road
+	caller  *Node // set if the call came over the in-process network
 	handler *Node
 }
 
 type callOriginKey struct{}
 
-// Notify casts a message to whoever asked for the call that is being handled, ahead of
-// its receipt. It goes over the link that the call came by, so that no other is needed.
-// Who does not know its kind passes over it. A loss is told, but nothing makes up for it.
+// Notify sends a one-way message to the caller of the call that is being handled, ahead of
+// the response. It uses the link of the call, so that no other is needed. A caller that
+// does not know the kind ignores it. A failure to send is returned, but nothing retries
+// the message.
 func Notify(ctx context.Context, kind string, message any) error {
 	origin, ok := ctx.Value(callOriginKey{}).(*callOrigin)
 	if !ok {
--- a/internal/transport/peers.go
+++ b/internal/transport/peers.go
@@ -8,8 +8,8 @@
 	"puffincrank/internal/fault"
 )
 
-// CountActivePeers counts the fellows of a role, of any for none, from whom bytes came
-// in since a moment.
+// CountActivePeers counts the peers of a role, or of any role if it is empty, from which
+// bytes arrived after a moment.
 func (n *Node) CountActivePeers(role string, since time.Time) int {
 	after, peers := since.Sub(n.started), map[string]bool{}
 	for _, l := range n.listLinks() {
@@ -20,8 +20,8 @@
 	return len(peers)
 }
 
-// PingRole pings the fellows of a role that were heard last, so many at most, and
-// tells whether one of them answers before the context ends. No link is dialed.
+// PingRole pings the peers of a role from which bytes arrived most recently, at most limit
+// of them, and reports whether one answers before the context ends. It dials no links.
 func (n *Node) PingRole(ctx context.Context, role string, limit int) bool {
 	links := n.linksByLastRead(role)
 	links = links[:min(limit, len(links))]
@@ -32,7 +32,8 @@
 			if err == nil {
 				f.release()
 			}
-			// One that doesn't know the kind refuses it, which is an answer.
+			// A peer that does not know the kind refuses it, which is an
+			// answer as well.
 			answers <- err == nil || fault.Is(err, fault.Refused)
 		}) {
 			return false
@@ -46,7 +47,8 @@
 	return false
 }
 
-// linksByLastRead lists the links with fellows of a role, that heard last first.
+// linksByLastRead returns the links to peers of a role, the one with the most recent bytes
+// first.
 func (n *Node) linksByLastRead(role string) []*link {
 	var links []*link
 	lastRead := map[*link]int64{}
@@ -55,6 +57,6 @@
 			links, lastRead[l] = append(links, l), l.conn.lastRead.Load()
 		}
 	}
-	sort.Slice(links, func(a, b int) bool { return lastRead[links[a]] > lastRead[links[b]] })
+	sort.Slice(links, func(first, second int) bool { return lastRead[links[first]] > lastRead[links[second]] })
 	return links
 }
--- a/internal/transport/priority.go
+++ b/internal/transport/priority.go
@@ -1,12 +1,12 @@
 package transport
 
-// priorityKind is a cast: its sender will go soon, and what waits for it goes before
-// the rest.
+// priorityKind is the kind of a one-way message: its sender is about to leave, and what is
+// queued for it goes before other bulk.
 const priorityKind = "link.haste"
 
-// PrioritizeBulk tells all fellows that this node goes soon: the bulk that they have for
-// it takes the next turns on their thin links, since it would be lost
-// otherwise. Fellows that don't know the word pass over it.
+// PrioritizeBulk tells all peers that this node is about to leave: the bulk that they have
+// queued for it takes the next turns in their zones' schedules, because it would be lost
+// otherwise. Peers that do not know the message ignore it.
 func (n *Node) PrioritizeBulk() {
 	if n.network != nil || n.prioritized.Swap(true) {
 		return
@@ -16,8 +16,8 @@
 	}
 }
 
-// compareTurns tells which of two links has the next turn: one whose fellow goes soon,
-// else the one on which bulk came first, whatever link it goes by.
+// compareTurns orders links by who gets the next turn: first those whose peer is about to
+// leave, then those whose bulk was queued earliest.
 func compareTurns(a, b *link) int {
 	if first, second := a.prioritized.Load(), b.prioritized.Load(); first != second {
 		if first {
--- a/internal/transport/senddeadline.go
+++ b/internal/transport/senddeadline.go
@@ -7,14 +7,15 @@
 
 type sendDeadlineKey struct{}
 
-// WithSendDeadline makes calls be taken back that have not gone out whole by a time: they
-// certainly were not done then. What has gone out by then goes on to the
-// context's own end.
+// WithSendDeadline sets a deadline for writing calls: a call that was not written in full
+// by then is withdrawn and was certainly not executed. One that was written waits until
+// the context's own deadline.
 func WithSendDeadline(ctx context.Context, deadline time.Time) context.Context {
 	return context.WithValue(ctx, sendDeadlineKey{}, deadline)
 }
 
-// sendDeadline gives what tells that the time has come, nil for a call without one.
+// sendDeadline returns a channel that fires at the send deadline, nil for a call without
+// one.
 func (i *queuedFrame) sendDeadline(ctx context.Context) (<-chan time.Time, func()) {
 	deadline, ok := ctx.Value(sendDeadlineKey{}).(time.Time)
 	if !ok {
@@ -25,12 +26,12 @@
 	return timer.C, func() { timer.Stop() }
 }
 
-// withdrawOverdue takes back a call of ours that has not gone out whole yet; nil when
-// it has.
+// withdrawOverdue withdraws a call that has not been written in full yet; it returns nil
+// if it has been.
 func (l *link) withdrawOverdue(id uint64, call *pendingCall) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if call.item == nil || l.ended {
+	if call.queued == nil || l.ended {
 		return nil
 	}
 	delete(l.pending, id)
--- a/internal/transport/silence.go
+++ b/internal/transport/silence.go
@@ -9,46 +9,47 @@
 	"puffincrank/internal/task"
 )
 
-// pingKind is the kind of a ping. A fellow that doesn't know it refuses it by
-// name, which says as much as an answer.
+// pingKind is the kind of a ping. A peer that does not know it refuses it, which shows as
+// much as an answer that the peer is alive.
 const pingKind = "link.alive"
 
-// silence is what a link knows about its fellow's silence, in the node's
-// monotonic time. Guarded by the link's lock.
+// silence tracks how long a link's peer has been silent, in the node's monotonic time.
+// Guarded by the link's lock.
 type silence struct {
-	firstCall time.Duration // the first call since bytes last came in
-	lastPing  time.Duration // the newest ping
-	suspected bool          // no new calls are put on the link
+	firstCall time.Duration // the first call since bytes last arrived
+	lastPing  time.Duration
+	suspected bool // no new calls are sent on the link
 }
 
-// The steps of a silence under calls.
+// silenceAction is what to do about a link, given how long its peer has been silent.
 type silenceAction int
 
 const (
-	actionNone    silenceAction = iota // nothing is to be done yet
-	actionIdle                         // no call waits: silence says nothing
+	actionNone    silenceAction = iota // nothing to do yet
+	actionIdle                         // no call waits, so that silence means nothing
 	actionPing                         // send a ping now
-	actionSuspect                      // new calls dial anew from now on
+	actionSuspect                      // new calls dial another link from now on
 	actionClose                        // end the link now
 )
 
-// callSent notes a call going out.
+// callSent records that a call is being sent.
 func (h *silence) callSent(now, lastRead time.Duration) {
 	if h.firstCall <= lastRead {
-		// A moment after what was seen, also within one tick of the clock.
+		// It is later than the last bytes, also within one tick of the clock.
 		h.firstCall = max(now, lastRead+1)
 	}
 }
 
-// nextAction tells what is to be done now and when to look again. A ping goes out
-// after half of the patience without a byte; if none comes for the patience
-// after it, the link is dead. Half-way there new calls already dial anew.
+// nextAction returns what to do now and when to check again. A ping is sent after half of
+// the silence timeout without a byte; if none arrives within the full timeout after the
+// ping, the link is dead. Half-way through that time new calls already dial another link.
 func (h *silence) nextAction(now, lastRead, pauseEnd, silenceTimeout time.Duration, callsPending bool) (silenceAction, time.Duration) {
 	if !callsPending && h.firstCall <= lastRead {
 		h.lastPing = 0
 		return actionIdle, 0
 	}
-	// A process that was frozen itself heard nothing for no fault of others.
+	// A process that was paused itself received nothing, without any fault of its
+	// peers.
 	base := max(lastRead, h.firstCall, pauseEnd)
 	if h.lastPing <= base {
 		if due := base + silenceTimeout/2; now < due {
@@ -69,9 +70,9 @@
 	return actionNone, h.lastPing + silenceTimeout/2
 }
 
-// wakeWatch wakes the watch if it rests. It costs nothing while the watch is at
-// work, and the watch rests whenever no link is under calls.
-func (n *Node) wakeWatch() {
+// ensureWatching wakes watchLinks if it sleeps. It is cheap while watchLinks is running;
+// watchLinks sleeps whenever no link has calls waiting.
+func (n *Node) ensureWatching() {
 	if n.watcherActive.Load() || n.watcherActive.Swap(true) {
 		return
 	}
@@ -81,13 +82,13 @@
 	}
 }
 
-// watchLinks is the one timer for all links of the node.
+// watchLinks is the single timer for all links of the node.
 func (n *Node) watchLinks(ctx context.Context) {
 	pauseEnd := time.Duration(0)
 	for ctx.Err() == nil {
 		due := n.checkLinks(pauseEnd)
 		if due == 0 {
-			// Said before the last look, so that no call is missed.
+			// Cleared before the last check, so that no call is missed.
 			n.watcherActive.Store(false)
 			if due = n.checkLinks(pauseEnd); due == 0 {
 				select {
@@ -105,22 +106,22 @@
 	}
 }
 
-// sleep waits for a time.
-func (n *Node) sleep(ctx context.Context, d time.Duration) {
+// sleep waits for the duration or until ctx ends.
+func (n *Node) sleep(ctx context.Context, duration time.Duration) {
 	if n.env.Sleep == nil {
-		task.Sleep(ctx, d)
+		task.Sleep(ctx, duration)
 		return
 	}
-	n.env.Sleep(ctx, d)
+	n.env.Sleep(ctx, duration)
 }
 
-// checkLinks takes the steps that are due and tells when the next is; 0 means that
-// no link is under calls.
+// checkLinks takes the actions that are due and returns when the next is; 0 means that no
+// link has calls waiting.
 func (n *Node) checkLinks(pauseEnd time.Duration) time.Duration {
 	earliest := time.Duration(0)
 	for _, l := range n.listLinks() {
-		if due := l.checkSilence(pauseEnd); due > 0 && (earliest == 0 || due < earliest) {
-			earliest = due
+		if next := l.checkSilence(pauseEnd); next > 0 && (earliest == 0 || next < earliest) {
+			earliest = next
 		}
 	}
 	return earliest
@@ -128,14 +129,14 @@
 
 func (l *link) checkSilence(pauseEnd time.Duration) time.Duration {
 	l.mu.Lock()
-	action, due := l.silence.nextAction(l.node.now(), time.Duration(l.conn.lastRead.Load()), pauseEnd, l.node.SilenceTimeout, len(l.pending) > 0 || len(l.queue.congestion.probes) > 0)
+	action, next := l.silence.nextAction(l.node.now(), time.Duration(l.conn.lastRead.Load()), pauseEnd, l.node.SilenceTimeout, len(l.pending) > 0 || len(l.queue.congestion.probes) > 0)
 	replaced := action == actionIdle && l.silence.suspected
 	l.mu.Unlock()
 	switch action {
 	case actionIdle:
-		// It was doubted and came back to life, but others took its place.
+		// The link was suspected and recovered, but another link has replaced it.
 		if replaced {
-			l.terminate(endDoubted)
+			l.terminate(endSuspected)
 		}
 	case actionPing:
 		l.ping()
@@ -145,18 +146,17 @@
 		l.node.env.Log.Emit(event.LinkSilent, "fellow", l.peer.Node)
 		l.reset()
 	}
-	return due
+	return next
 }
 
-// ping asks for a sign of life. It is no call that must come out: a full queue
-// drops it, and a fellow that said goodbye still gets it.
+// ping asks the peer for a sign of life. It need not be delivered: a full queue drops it.
+// A peer that said goodbye still gets it.
 func (l *link) ping() {
 	l.enqueue(&queuedFrame{head: head{kind: pingKind, id: l.nextID.Add(1)}}, false)
 }
 
-// answerPing answers a ping, with when it came: by that a fellow tells how long the
-// way here was. The clock starts with the fellow's hello, which came the same
-// way.
+// answerPing answers a ping with the time of its arrival, from which the peer computes the
+// one-way delay. That time counts from the peer's hello, which came the same way.
 func (l *link) answerPing(f *frame) {
 	response := l.node.newResponse(f.head, pingKind, nil, nil)
 	response.sentAtMS = 1 + (l.node.now() - l.conn.helloReceived).Milliseconds()
@@ -165,8 +165,8 @@
 	}
 }
 
-// reset ends a dead link so that bytes held up by a cut are dropped, and not
-// delivered late when the cut heals.
+// reset ends a dead link with a TCP reset, so that bytes held up by a partition are
+// dropped and not delivered late when it heals.
 func (l *link) reset() {
 	if conn, ok := l.conn.Conn.(interface{ SetLinger(int) error }); ok {
 		_ = conn.SetLinger(0)
--- a/internal/transport/turns.go
+++ b/internal/transport/turns.go
@@ -6,19 +6,19 @@
 	"time"
 )
 
-// maxActiveLinks is how many links to one area send bulk at the same time. Two, so that
-// one goes on while the other waits for a receipt; more would only make all
-// late at once, and more would stand before what is urgent.
+// maxActiveLinks is how many links to one zone send bulk at the same time. With two, one
+// keeps sending while the other waits for an acknowledgement. More would only make all
+// transfers late together and put more bytes ahead of urgent frames.
 const maxActiveLinks = 2
 
-// activeTurn is a turn: a link that has it sends its next body; then it is the next
-// one's, if others wait.
+// activeTurn is a link's turn to send bulk: it sends its next body, and then the turn
+// passes to the next link that waits.
 type activeTurn struct {
 	link    *link
 	started time.Duration
 }
 
-// requestTurn asks for a turn if bulk waits. The link's lock is held.
+// requestTurn requests a turn if bulk is queued. The link's lock is held.
 func (l *link) requestTurn() {
 	congestion, zone := &l.queue.congestion, l.zone
 	if !congestion.enabled || congestion.hasTurn || congestion.awaitingTurn || l.ended || l.queue.lanes[LaneBulk].first == nil {
@@ -35,9 +35,9 @@
 	congestion.awaitingTurn = l.node.tasks.Go("bulk-turn", l.awaitTurn)
 }
 
-// awaitTurn waits for the turn. Whoever has it and makes no progress for two
-// patiences loses it: its fellow is most likely gone, which must not hold up
-// the rest.
+// awaitTurn waits for the link's turn. A link that holds a turn and makes no progress for
+// two silence timeouts loses it: its peer is most likely unreachable and must not delay
+// the others.
 func (l *link) awaitTurn(ctx context.Context) {
 	for ctx.Err() == nil {
 		l.node.sleep(ctx, l.node.SilenceTimeout)
@@ -66,8 +66,8 @@
 	}
 }
 
-// passTurn gives the turn on, if there is one and others wait or nothing is left to
-// send. The link's lock is held.
+// passTurn passes the turn on, if the link has it and others wait or it has nothing left
+// to send. The link's lock is held.
 func (l *link) passTurn() {
 	congestion, zone := &l.queue.congestion, l.zone
 	if !congestion.hasTurn {
@@ -89,13 +89,14 @@
 	}
 	zone.mu.Unlock()
 	if next != nil {
-		// Not here: its lock must not be taken under this one's.
+		// In a goroutine of its own, because the lock of that link must not be
+		// acquired while this link's lock is held.
 		l.node.tasks.Go("bulk-turn", func(context.Context) { next.takeTurn() })
 	}
 	l.requestTurn()
 }
 
-// takeTurn takes the turn up.
+// takeTurn starts the link's turn.
 func (l *link) takeTurn() {
 	l.mu.Lock()
 	l.queue.congestion.awaitingTurn, l.queue.congestion.hasTurn = false, true
@@ -107,20 +108,21 @@
 	}
 }
 
-// QueuedBulkLinks counts the links on which bulk waits: an answer under it has been
-// worked out and must not be lost to a stop.
-func (n *Node) QueuedBulkLinks() (many int64) {
+// QueuedBulkLinks counts the links with queued bulk: among it are computed responses that
+// must not be lost in a shutdown.
+func (n *Node) QueuedBulkLinks() (count int64) {
 	for _, l := range n.listLinks() {
 		l.mu.Lock()
 		if !l.ended && l.queue.lanes[LaneBulk].first != nil {
-			many++
+			count++
 		}
 		l.mu.Unlock()
 	}
-	return many
+	return count
 }
 
-// passTurnIfIdle gives back a turn when nothing is left to send. The link's lock is held.
+// passTurnIfIdle gives the turn back when nothing is left to send. The link's lock is
+// held.
 func (l *link) passTurnIfIdle() {
 	if l.ended || l.queue.lanes[LaneBulk].first == nil {
 		l.passTurn()
--- a/internal/transport/write.go
+++ b/internal/transport/write.go
@@ -7,13 +7,14 @@
 	"time"
 )
 
-// enqueue queues a frame and writes it at once when nobody else is writing. False
-// means that it certainly never went out. A receipt waits for room while the
-// link stands, since it must not be lost to a full queue.
+// enqueue queues a frame and writes it at once if nobody else is writing. False means that
+// the frame was certainly not sent and never will be. With wait set, as for responses, it
+// waits for queue capacity while the link is open, so that a full queue does not lose the
+// frame.
 func (l *link) enqueue(queued *queuedFrame, wait bool) bool {
 	if queued.lane == LaneControl && queued.body.size() > maxChunk {
-		// Documents and lists of all entries take turns with the jobs: they
-		// pass bulk, and must not hold up what is urgent.
+		// Documents and lists of all entries are scheduled with the requests: they
+		// overtake bulk, but must not delay urgent frames.
 		queued.lane, queued.largeControl = LaneRequests, true
 	}
 	l.lastUsed.Store(int64(l.node.now()))
@@ -21,7 +22,7 @@
 	for wait && !l.ended && !l.queue.fits(queued, l.node.MaxFrameBytes) {
 		l.queueSpace.Wait()
 	}
-	// A fellow that said goodbye gets no more calls and casts of ours.
+	// A peer that said goodbye gets no more calls and one-way messages.
 	if l.ended || l.peerLeaving && !wait && queued.kind != pingKind || !l.queue.fits(queued, l.node.MaxFrameBytes) || !wait && l.wouldMissDeadline(queued) {
 		l.mu.Unlock()
 		queued.body.release()
@@ -43,10 +44,10 @@
 	return true
 }
 
-// flush writes what waits, without waiting for the fellow: the second round
-// takes what came up meanwhile. The rest is left to a goroutine of its own,
-// so that no caller is held up by others' frames or by a full socket. Until
-// the socket has shown that it takes more, a batch is one piece.
+// flush writes queued frames without blocking on the peer; the second round takes what was
+// queued meanwhile. The rest is left to a separate goroutine, so that no caller is delayed
+// by frames of others or by a full socket. Until the socket has accepted a whole chunk, a
+// batch is one chunk.
 func (l *link) flush() {
 	limit := maxChunk
 	for range 2 {
@@ -79,10 +80,9 @@
 	}
 }
 
-// writeLoop writes until nothing waits. While the socket is full a batch is one
-// piece, so that what is urgent passes the rest as early as it can, and on a
-// slow link a piece is small. A fellow that takes nothing for the patience is
-// given up.
+// writeLoop writes until the queue is empty. While the socket is full, a batch is one
+// chunk, so that urgent frames overtake the rest as early as possible, and on a slow link
+// chunks are small. If the peer accepts nothing for the silence timeout, the link ends.
 func (l *link) writeLoop(batch *buffer, offset int) {
 	var rate drainRate
 	for batch != nil {
@@ -102,8 +102,9 @@
 			rate.recordWrite(n, l.node.now(), l.node.SilenceTimeout)
 			limit = rate.chunkSize(l.node.SilenceTimeout / delayDivisor)
 			if n > 0 {
-				// The socket had been full: that it takes more, if only some of
-				// a piece in all that time, is a sign of life.
+				// The socket was full. That it accepts more bytes, even if
+				// only part of a chunk in all that time, is a sign of
+				// life.
 				l.conn.lastRead.Store(int64(l.node.now()))
 				if errors.Is(err, os.ErrDeadlineExceeded) {
 					err = nil
@@ -119,13 +120,14 @@
 	}
 }
 
-// callEnd tells where a call's last byte ends in the batch that is being written.
+// callEnd is the offset at which a call's last byte ends in the batch that is being
+// written.
 type callEnd struct {
 	id  uint64
 	end int
 }
 
-// nextBatch packs the next batch, or says that nobody writes any more.
+// nextBatch encodes the next batch; nil means that nobody is writing any more.
 func (l *link) nextBatch(limit int) *buffer {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -139,7 +141,7 @@
 	}
 	l.queueSpace.Broadcast()
 	if len(batch.b) == 0 {
-		// Bulk waits for the receipt of its mark, which wakes it.
+		// Bulk waits for the response to its probe, which resumes it.
 		batch.release()
 		l.writing = false
 		return nil
@@ -147,7 +149,7 @@
 	return batch
 }
 
-// appendNext adds the next frame to a batch; false means that none may go out now.
+// appendNext appends the next frame to a batch; false means that none may be sent now.
 func (l *link) appendNext(batch *buffer, maxSize int) bool {
 	l.dropExpiredResponses()
 	if l.version < chunkedVersion {
@@ -184,7 +186,7 @@
 		l.passTurn()
 	}
 	if queued.call != nil {
-		queued.call.written, queued.call.item = true, nil
+		queued.call.written, queued.call.queued = true, nil
 		l.callEnds = append(l.callEnds, callEnd{queued.id, len(batch.b)})
 	}
 	queued.body.release()
@@ -192,8 +194,8 @@
 	return true
 }
 
-// writeFailed ends the link after a failed write of which n bytes were taken. Calls
-// that end beyond them certainly did not go out.
+// writeFailed ends the link after a failed write. Calls that end beyond the written bytes
+// were certainly not sent.
 func (l *link) writeFailed(written int) {
 	l.mu.Lock()
 	for _, last := range l.callEnds {
@@ -206,11 +208,11 @@
 	l.terminate(endWriting)
 }
 
-// withdraw takes a call of ours back. True means that it certainly did not go
-// out whole, and never will. The link's lock is held.
+// withdraw takes a call of this node back. True means that it was certainly not written in
+// full and never will be. The link's lock is held.
 func (l *link) withdraw(call *pendingCall) bool {
-	queued := call.item
-	if call.item = nil; queued == nil || l.ended {
+	queued := call.queued
+	if call.queued = nil; queued == nil || l.ended {
 		return !call.written
 	}
 	l.queue.remove(queued)
@@ -218,7 +220,7 @@
 	l.passTurnIfIdle()
 	l.queueSpace.Broadcast()
 	if queued.offset > 0 {
-		// The fellow holds pieces of it.
+		// The peer holds chunks of it, which this frame makes it discard.
 		l.queue.push(&queuedFrame{head: head{lane: queued.lane, bodyID: queued.bodyID, remaining: -1}, responseTo: queued.kind})
 	}
 	queued.body.release()
--- a/internal/transport/zone.go
+++ b/internal/transport/zone.go
@@ -6,16 +6,16 @@
 	"time"
 )
 
-// rateEstimator measures how fast bulk goes while some waits, over round trips or more:
-// receipts of marks may come in bunches.
+// rateEstimator measures the rate of bulk while there is a backlog. It measures over at
+// least one round trip, because acknowledgements may arrive in bursts.
 type rateEstimator struct {
-	windowStart    time.Duration // since when bytes are counted; 0 as long as nothing waits
-	acked          int           // bytes confirmed since then
-	lastAck        time.Duration // when some were confirmed last
-	bytesPerSecond float64       // bytes a second; 0 as long as it's not known
+	windowStart    time.Duration // start of the measurement; 0 while there is no backlog
+	acked          int           // bytes acknowledged since then
+	lastAck        time.Duration // when bytes were last acknowledged
+	bytesPerSecond float64       // 0 while unknown
 }
 
-// record takes in bytes that were confirmed after a time under way.
+// record adds bytes that were acknowledged after a round trip.
 func (g *rateEstimator) record(now, roundTrip, minSpan time.Duration, size int, backlog bool) {
 	g.lastAck = now
 	if g.acked += size; g.windowStart == 0 {
@@ -28,7 +28,8 @@
 		case measured < g.bytesPerSecond:
 			g.bytesPerSecond += (measured - g.bytesPerSecond) / 2
 		default:
-			// What was let in by a speed must be through, so it is believed late.
+			// Transfers admitted by a rate have to be completed in time, so an
+			// increase is adopted slowly.
 			g.bytesPerSecond += (measured - g.bytesPerSecond) / rateSmoothing
 		}
 		g.windowStart, g.acked = now, 0
@@ -38,7 +39,7 @@
 	}
 }
 
-// timeFor is how long bytes take; 0 if the speed isn't known, or isn't of now.
+// timeFor returns how long n bytes take; 0 if the rate is unknown or outdated.
 func (g *rateEstimator) timeFor(n int, now, silenceTimeout time.Duration) time.Duration {
 	if g.bytesPerSecond < 1 || now-g.lastAck > staleTimeouts*silenceTimeout {
 		return 0
@@ -46,17 +47,17 @@
 	return time.Duration(float64(n) / g.bytesPerSecond * float64(time.Second))
 }
 
-// zoneScheduler is all that goes from here to one area. Its links most likely share what
-// is thin, be it the way out of here or between the areas: a transfer that has
-// its link to itself still waits for those of the others. So they send their
-// bulk by turns. Lock order: a link's before this one's.
+// zoneScheduler schedules all bulk from this node to one zone. The links to a zone most
+// likely share a bottleneck, be it this node's uplink or the connection between the zones:
+// a transfer that has its link to itself still competes with those on the other links. So
+// the links send their bulk in turns. Lock order: link.mu before zoneScheduler.mu.
 type zoneScheduler struct {
-	backlog  atomic.Int64 // bytes of bulk, with booked answers
-	sendable atomic.Int64 // without them
+	backlog  atomic.Int64 // bytes of bulk, reserved responses included
+	sendable atomic.Int64 // the same without the reserved ones
 	mu       sync.Mutex
 	rate     rateEstimator
-	active   []activeTurn // the links whose turn it is
-	waiting  []*link      // those that wait for one
+	active   []activeTurn // links whose turn it is
+	waiting  []*link      // links that wait for a turn
 }
 
 func (n *Node) zone(name string) *zoneScheduler {
@@ -90,7 +91,8 @@
 	return s.rate.timeFor(backlog+size, now, silenceTimeout)
 }
 
-// reportBacklog notes what waits on a link. The link's lock is held.
+// reportBacklog updates the zone's totals with the link's queued bulk. The link's lock is
+// held.
 func (l *link) reportBacklog() {
 	waiting, ready := 0, 0
 	if !l.ended {
@@ -105,8 +107,8 @@
 	}
 }
 
-// estimatedWait is when a body of bulk would be through if it came now, 0 if that is not
-// known. The link's lock is held.
+// estimatedWait returns how long a body of bulk of the given size would take if it were
+// queued now; 0 if unknown. The link's lock is held.
 func (l *link) estimatedWait(size int) time.Duration {
 	now, silenceTimeout := l.node.now(), l.node.SilenceTimeout
 	return max(l.queue.congestion.rate.timeFor(l.queue.bulkBytes()+size, now, silenceTimeout), l.zone.timeFor(size, now, silenceTimeout))
