--- a/internal/transport/buffer.go
+++ b/internal/transport/buffer.go
@@ -97,9 +97,8 @@
 	}
 	pooled := decoders.Get().(*pooledDecoder)
 	defer func() {
-		// The decoder panics on some inputs, such as a field of an interface type
-		// that occurs twice. Such input is an error of the peer and must not end
-		// this process.
+		// The decoder panics on some inputs, such as a field of an interface type that
+		// occurs twice. Such input is an error of the peer and must not end this process.
 		if panicked := recover(); panicked != nil {
 			err = fault.New(fault.Input, "unpack message: %v", panicked)
 			return
--- a/internal/transport/bulk.go
+++ b/internal/transport/bulk.go
@@ -65,8 +65,8 @@
 	id, now := l.nextID.Add(1), l.node.now()
 	congestion.probeSent(id, now)
 	l.silence.callSent(now, time.Duration(l.conn.lastRead.Load()))
-	// Probes use the most urgent lane, so that each goes out right behind the bytes
-	// that it acknowledges.
+	// Probes use the most urgent lane, so that each goes out right behind the bytes that it
+	// acknowledges.
 	l.queue.push(&queuedFrame{head: head{kind: pingKind, id: id}})
 	l.node.ensureWatching()
 }
--- a/internal/transport/bulk_test.go
+++ b/internal/transport/bulk_test.go
@@ -11,165 +11,166 @@
 	"puffincrank/internal/transport"
 )
 
-func bulk(p *pair, kind string, in ping, left time.Duration) (ping, error) {
-	ctx, end := context.WithTimeout(transport.WithLane(context.Background(), transport.LaneBulk), left)
-	defer end()
-	return transport.Call[ping](ctx, p.a, "h2:1", kind, in)
+func callBulk(pair *nodePair, kind string, message ping, timeout time.Duration) (ping, error) {
+	ctx, cancel := context.WithTimeout(transport.WithLane(context.Background(), transport.LaneBulk), timeout)
+	defer cancel()
+	return transport.Call[ping](ctx, pair.client, "h2:1", kind, message)
 }
 
-// TestBulkOld: a fellow of the version before, which knows no pieces and gets no
-// marks, takes bulk both ways as ever.
-func TestBulkOld(t *testing.T) {
-	for _, old := range []string{"a", "b"} {
+// TestBulkWithVersion1Peer checks that bulk still works in both directions with a peer of
+// version 1, which neither sends chunks nor gets probes.
+func TestBulkWithVersion1Peer(t *testing.T) {
+	for _, oldSide := range []string{"a", "b"} {
 		synctest.Test(t, func(t *testing.T) {
-			p := newPair(t, "m")
-			defer p.stop()
-			if p.a.Self.MaxVersion = 1; old == "b" {
-				p.a.Self.MaxVersion, p.b.Self.MaxVersion = 2, 1
+			pair := newNodePair(t, "m")
+			defer pair.stop()
+			if pair.client.Self.MaxVersion = 1; oldSide == "b" {
+				pair.client.Self.MaxVersion, pair.server.Self.MaxVersion = 2, 1
 			}
-			p.net.Thin("h1", megabit)
-			p.net.Thin("h2", megabit)
+			pair.net.Thin("h1", megabit)
+			pair.net.Thin("h2", megabit)
 			for i := range 3 {
-				up, err := bulk(p, "ping", ping{N: i, Body: make([]byte, 200_000)}, time.Minute)
-				if err != nil || len(up.Body) != 200_000 {
-					t.Errorf("%d bytes: %v", len(up.Body), err)
+				got, err := callBulk(pair, "ping", ping{N: i, Body: make([]byte, 200_000)}, time.Minute)
+				if err != nil || len(got.Body) != 200_000 {
+					t.Errorf("response of %d bytes: %v", len(got.Body), err)
 				}
 			}
 		})
 	}
 }
 
-// TestBulkLate: bulk that the link can't bring there in its time is not sent at
-// all, and told when there may be room; what was let in is through in its time.
-func TestBulkLate(t *testing.T) {
+// TestBulkRefusedWhenLate checks that bulk which the link cannot deliver in time is not
+// sent, that its caller learns when there may be capacity, and that admitted bulk is
+// delivered in time.
+func TestBulkRefusedWhenLate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p := newPair(t, "m")
-		defer p.stop()
-		p.net.Thin("h1", megabit)
-		if _, err := bulk(p, "swap", ping{Body: make([]byte, 100_000)}, 9*time.Second); err != nil {
+		pair := newNodePair(t, "m")
+		defer pair.stop()
+		pair.net.Thin("h1", megabit)
+		if _, err := callBulk(pair, "swap", ping{Body: make([]byte, 100_000)}, 9*time.Second); err != nil {
 			t.Fatal(err)
 		}
-		ends := make(chan string, 40)
-		for range cap(ends) {
+		outcomes := make(chan string, 40)
+		for range cap(outcomes) {
 			go func() {
-				_, err := bulk(p, "swap", ping{Body: make([]byte, 20_000)}, 2*time.Second)
-				come, full := transport.IsLinkFull(err)
+				_, err := callBulk(pair, "swap", ping{Body: make([]byte, 20_000)}, 2*time.Second)
+				retryAfter, full := transport.IsLinkFull(err)
 				switch {
 				case err == nil:
-					ends <- "done"
-				case full && fault.Is(err, fault.Unsent) && come > 0 && come < 2*time.Second:
-					ends <- "refused"
+					outcomes <- "done"
+				case full && fault.Is(err, fault.Unsent) && retryAfter > 0 && retryAfter < 2*time.Second:
+					outcomes <- "refused"
 				default:
-					ends <- err.Error()
+					outcomes <- err.Error()
 				}
 			}()
 			<-time.After(50 * time.Millisecond)
 		}
-		got := map[string]int{}
-		for range cap(ends) {
-			got[<-ends]++
+		counts := map[string]int{}
+		for range cap(outcomes) {
+			counts[<-outcomes]++
 		}
-		// 400 ms a second are offered of bulk that takes 160 ms each.
-		if got["done"] < 10 || got["refused"] < 15 || got["done"]+got["refused"] != cap(ends) {
-			t.Errorf("they ended as %v", got)
+		// Each second 400 ms worth of bulk is offered, in calls of 160 ms each.
+		if counts["done"] < 10 || counts["refused"] < 15 || counts["done"]+counts["refused"] != cap(outcomes) {
+			t.Errorf("outcomes: %v", counts)
 		}
 	})
 }
 
-// TestBook: an answer for which the way back has no time is refused before
-// anything is done for it; what is let in is through.
-func TestBook(t *testing.T) {
+// TestReserveResponse checks that a call whose response the link cannot deliver in time is
+// refused before its handler does any work, and that admitted calls are answered in time.
+func TestReserveResponse(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p := newPair(t, "m")
-		defer p.stop()
-		ran := 0
-		transport.Handle(p.b, "file", func(ctx context.Context, _ transport.Hello, in ping) (ping, error) {
-			free, come, ok := transport.ReserveResponse(ctx, in.N, 0)
+		pair := newNodePair(t, "m")
+		defer pair.stop()
+		executed := 0
+		transport.Handle(pair.server, "file", func(ctx context.Context, _ transport.Hello, message ping) (ping, error) {
+			release, retryAfter, ok := transport.ReserveResponse(ctx, message.N, 0)
 			if !ok {
-				return ping{}, fault.New(fault.Refused, "come after %v", come > 0)
+				return ping{}, fault.New(fault.Refused, "retry after %v", retryAfter > 0)
 			}
-			defer free()
-			ran++
-			return ping{Body: make([]byte, in.N)}, nil
+			defer release()
+			executed++
+			return ping{Body: make([]byte, message.N)}, nil
 		})
-		p.net.Thin("h2", megabit)
-		if _, err := bulk(p, "file", ping{N: 100_000}, 9*time.Second); err != nil {
+		pair.net.Thin("h2", megabit)
+		if _, err := callBulk(pair, "file", ping{N: 100_000}, 9*time.Second); err != nil {
 			t.Fatal(err)
 		}
-		ends := make(chan string, 40)
-		for range cap(ends) {
+		outcomes := make(chan string, 40)
+		for range cap(outcomes) {
 			go func() {
-				got, err := bulk(p, "file", ping{N: 20_000}, 2*time.Second)
+				got, err := callBulk(pair, "file", ping{N: 20_000}, 2*time.Second)
 				switch {
 				case err == nil && len(got.Body) == 20_000:
-					ends <- "done"
+					outcomes <- "done"
 				case fault.Is(err, fault.Refused):
-					ends <- "refused"
+					outcomes <- "refused"
 				default:
-					ends <- fmt.Sprint(err)
+					outcomes <- fmt.Sprint(err)
 				}
 			}()
 			<-time.After(50 * time.Millisecond)
 		}
 		got := map[string]int{}
-		for range cap(ends) {
-			got[<-ends]++
+		for range cap(outcomes) {
+			got[<-outcomes]++
 		}
-		if got["done"] < 10 || got["refused"] < 15 || got["done"]+got["refused"] != cap(ends) || ran != got["done"]+1 {
-			t.Errorf("%d ran, they ended as %v", ran, got)
+		if got["done"] < 10 || got["refused"] < 15 || got["done"]+got["refused"] != cap(outcomes) || executed != got["done"]+1 {
+			t.Errorf("%d calls ran, outcomes: %v", executed, got)
 		}
 	})
 }
 
-// TestTurns: a fellow that stands still while it has the turn doesn't keep the
-// others of its area from theirs for long.
-func TestTurns(t *testing.T) {
+// TestStalledPeerLosesTurn checks that a peer which stalls while its link has the turn to
+// send bulk does not delay the other links of its zone for long.
+func TestStalledPeerLosesTurn(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p := newPair(t, "m")
-		defer p.stop()
-		var far []*transport.Node
+		pair := newNodePair(t, "m")
+		defer pair.stop()
+		var peers []*transport.Node
 		for i := 3; i < 8; i++ {
-			h := fmt.Sprint("h", i)
-			n := p.node(h, "m")
+			host := fmt.Sprint("h", i)
+			n := pair.newNode(host, "m")
 			transport.Handle(n, "swap", func(context.Context, transport.Hello, ping) (ping, error) { return ping{}, nil })
-			if err := n.Listen(h + ":1"); err != nil {
+			if err := n.Listen(host + ":1"); err != nil {
 				t.Fatal(err)
 			}
 			defer n.Close()
-			far = append(far, n)
+			peers = append(peers, n)
 		}
-		send := func(i int, back chan error) {
-			ctx, end := context.WithTimeout(transport.WithLane(context.Background(), transport.LaneBulk), 9*time.Second)
-			defer end()
-			_, err := transport.Call[ping](ctx, p.a, fmt.Sprintf("h%d:1", i), "swap", ping{Body: make([]byte, 200_000)})
-			back <- err
+		send := func(i int, results chan error) {
+			ctx, cancel := context.WithTimeout(transport.WithLane(context.Background(), transport.LaneBulk), 9*time.Second)
+			defer cancel()
+			_, err := transport.Call[ping](ctx, pair.client, fmt.Sprintf("h%d:1", i), "swap", ping{Body: make([]byte, 200_000)})
+			results <- err
 		}
-		first := make(chan error, 9)
-		for i := range far {
-			send(i+3, first)
+		warmUp := make(chan error, 9)
+		for i := range peers {
+			send(i+3, warmUp)
 		}
-		p.net.Thin("h1", 4*megabit)
-		p.net.Freeze("h3", true)
-		p.net.Freeze("h4", true)
-		dark, rest := make(chan error, 2), make(chan error, 3)
-		go send(3, dark)
-		go send(4, dark)
+		pair.net.Thin("h1", 4*megabit)
+		pair.net.Freeze("h3", true)
+		pair.net.Freeze("h4", true)
+		stalled, others := make(chan error, 2), make(chan error, 3)
+		go send(3, stalled)
+		go send(4, stalled)
 		synctest.Wait()
-		from := time.Now()
+		start := time.Now()
 		for i := 5; i < 8; i++ {
-			go send(i, rest)
+			go send(i, others)
 		}
 		for range 3 {
-			if err := <-rest; err != nil {
+			if err := <-others; err != nil {
 				t.Error(err)
 			}
 		}
-		if took := time.Since(from); took > 5*time.Second {
-			t.Errorf("the others took %v", took)
+		if elapsed := time.Since(start); elapsed > 5*time.Second {
+			t.Errorf("the other links took %v", elapsed)
 		}
-		p.net.Freeze("h3", false)
-		p.net.Freeze("h4", false)
-		<-dark
-		<-dark
+		pair.net.Freeze("h3", false)
+		pair.net.Freeze("h4", false)
+		<-stalled
+		<-stalled
 	})
 }
--- a/internal/transport/call.go
+++ b/internal/transport/call.go
@@ -118,8 +118,8 @@
 			reason = "gave no receipt in time of"
 			break wait
 		case <-sendDeadline:
-			// A call that was written in full by now may take until its own
-			// deadline; one that was not is withdrawn.
+			// A call that was written in full by now may take until its own deadline; one
+			// that was not is withdrawn.
 			if fullErr := l.withdrawOverdue(id, call); fullErr != nil {
 				return nil, fullErr
 			}
--- a/internal/transport/callbench_test.go
+++ b/internal/transport/callbench_test.go
@@ -13,58 +13,58 @@
 	"puffincrank/internal/transport"
 )
 
-// BenchmarkCall measures a round trip over the machine's own loopback.
+// BenchmarkCall measures a round trip over the loopback interface.
 func BenchmarkCall(b *testing.B) {
 	for _, size := range []int{100, 10_000, 200_000} {
-		for _, many := range []int{1, 16} {
-			b.Run(fmt.Sprintf("%dB/%d callers", size, many), func(b *testing.B) { calls(b, size, many) })
+		for _, callers := range []int{1, 16} {
+			b.Run(fmt.Sprintf("%dB/%d callers", size, callers), func(b *testing.B) { benchmarkCalls(b, size, callers) })
 		}
 	}
 }
 
-func calls(b *testing.B, size, many int) {
-	g := task.New(context.Background())
-	mk := func(name string) *transport.Node {
-		return transport.NewNode(transport.Hello{ClusterID: "m", Node: name, Zone: "x"}, env.Real(name), g, 16<<20, 2048, time.Second)
+func benchmarkCalls(b *testing.B, size, callers int) {
+	tasks := task.New(context.Background())
+	newNode := func(name string) *transport.Node {
+		return transport.NewNode(transport.Hello{ClusterID: "m", Node: name, Zone: "x"}, env.Real(name), tasks, 16<<20, 2048, time.Second)
 	}
-	one, two := mk("one"), mk("two")
-	transport.Handle(two, "ping", func(_ context.Context, _ transport.Hello, in ping) (ping, error) { return in, nil })
-	ear, err := net.Listen("tcp", "127.0.0.1:0")
+	client, server := newNode("one"), newNode("two")
+	transport.Handle(server, "ping", func(_ context.Context, _ transport.Hello, message ping) (ping, error) { return message, nil })
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		b.Fatal(err)
 	}
-	at := ear.Addr().String()
-	_ = ear.Close()
-	if err := two.Listen(at); err != nil {
+	addr := listener.Addr().String()
+	_ = listener.Close()
+	if err := server.Listen(addr); err != nil {
 		b.Fatal(err)
 	}
 	defer func() {
-		g.Cancel()
-		one.Close()
-		two.Close()
-		g.Stop()
+		tasks.Cancel()
+		client.Close()
+		server.Close()
+		tasks.Stop()
 	}()
-	in := ping{Body: make([]byte, size)}
-	ask := func() {
-		ctx, end := context.WithTimeout(context.Background(), 5*time.Second)
-		defer end()
-		if _, err := transport.Call[ping](ctx, one, at, "ping", in); err != nil {
+	message := ping{Body: make([]byte, size)}
+	call := func() {
+		ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
+		defer cancel()
+		if _, err := transport.Call[ping](ctx, client, addr, "ping", message); err != nil {
 			b.Error(err)
 		}
 	}
-	ask()
+	call()
 	b.ReportAllocs()
-	b.SetParallelism(max(1, many/runtime.GOMAXPROCS(0)))
+	b.SetParallelism(max(1, callers/runtime.GOMAXPROCS(0)))
 	b.ResetTimer()
-	if many == 1 {
+	if callers == 1 {
 		for range b.N {
-			ask()
+			call()
 		}
 		return
 	}
 	b.RunParallel(func(pb *testing.PB) {
 		for pb.Next() {
-			ask()
+			call()
 		}
 	})
 }
--- a/internal/transport/cancel.go
+++ b/internal/transport/cancel.go
@@ -11,16 +11,16 @@
 const cancelKind = "call.abandon"
 
 // PropagateCancellation makes calls of a kind end when their callers stop waiting, and
-// lets their handlers notify the callers: the handler's context is cancelled when the
+// lets their handlers notify the callers: the handler's context is canceled when the
 // caller's was, or when the link that the response would use has ended. Both sides have to
-// request this before Listen. A context that ended by its deadline, or was cancelled with
+// request this before Listen. A context that ended by its deadline, or was canceled with
 // a cause of its own (context.WithCancelCause), cancels nothing at the peer.
 func PropagateCancellation(n *Node, kind string) {
-	n.handlers[kind].cancellable = true
+	n.handlers[kind].cancelable = true
 }
 
-// CanceledByCaller reports whether a context was cancelled by the caller that the work was
-// for, and neither ended by its deadline nor was cancelled with a cause of its own.
+// CanceledByCaller reports whether a context was canceled by the caller that the work was
+// for, and neither ended by its deadline nor was canceled with a cause of its own.
 func CanceledByCaller(ctx context.Context) bool {
 	return errors.Is(ctx.Err(), context.Canceled) && context.Cause(ctx) == context.Canceled
 }
@@ -29,7 +29,7 @@
 // the call for that. The frame has a few bytes, uses the most urgent lane and is never
 // rejected for lack of queue capacity.
 func (l *link) sendCancel(ctx context.Context, kind string, id uint64) {
-	if target := l.node.handlers[kind]; target == nil || !target.cancellable || !CanceledByCaller(ctx) {
+	if target := l.node.handlers[kind]; target == nil || !target.cancelable || !CanceledByCaller(ctx) {
 		return
 	}
 	l.mu.Lock()
@@ -45,9 +45,9 @@
 	}
 }
 
-// cancellableContext returns a context for an inbound call that the peer may cancel. The
+// cancelableContext returns a context for an inbound call that the peer may cancel. The
 // caller calls done when the call is finished.
-func (l *link) cancellableContext(id uint64) (ctx context.Context, done func()) {
+func (l *link) cancelableContext(id uint64) (ctx context.Context, done func()) {
 	ctx, cancel := context.WithCancel(l.node.tasks.Context())
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -89,11 +89,11 @@
 	}
 }
 
-// cancellableContext is the counterpart for the in-process network: it returns the context
-// of a call that is cancelled along with the caller's.
-func (n *Node) cancellableContext(caller context.Context, from *Node, target *handler) (ctx context.Context, done func()) {
+// cancelableContext is the counterpart for the in-process network: it returns the context
+// of a call that is canceled along with the caller's.
+func (n *Node) cancelableContext(caller context.Context, from *Node, target *handler) (ctx context.Context, done func()) {
 	ctx, cancel := context.WithCancel(n.tasks.Context())
-	if !target.cancellable {
+	if !target.cancelable {
 		return ctx, cancel
 	}
 	ctx = context.WithValue(ctx, callOriginKey{}, &callOrigin{network: n.network, caller: from, handler: n})
--- a/internal/transport/cancel_test.go
+++ b/internal/transport/cancel_test.go
@@ -10,38 +10,39 @@
 	"puffincrank/internal/transport"
 )
 
-// work is a pair whose far side works on a call for as long as its context lasts,
-// and tells how that ended.
-func work(t *testing.T) (p *pair, began chan struct{}, ended chan error) {
-	p = newPair(t, "m")
+// newCancelablePair returns a pair whose handlers run until their contexts end and report
+// how they ended.
+func newCancelablePair(t *testing.T) (pair *nodePair, began chan struct{}, ended chan error) {
+	pair = newNodePair(t, "m")
 	began, ended = make(chan struct{}, 8), make(chan error, 8)
-	for _, n := range []*transport.Node{p.a, p.b} {
-		transport.Handle(n, "work", func(ctx context.Context, _ transport.Hello, in ping) (ping, error) {
+	for _, n := range []*transport.Node{pair.client, pair.server} {
+		transport.Handle(n, "work", func(ctx context.Context, _ transport.Hello, message ping) (ping, error) {
 			began <- struct{}{}
 			<-ctx.Done()
 			ended <- ctx.Err()
-			return in, nil
+			return message, nil
 		})
 		transport.PropagateCancellation(n, "work")
 	}
-	return p, began, ended
+	return pair, began, ended
 }
 
-// TestAbandoned: a call ends at the far side when its asker waits no more, and only
-// then: not by a cancel with a cause of its own, and no other call of the link.
-func TestAbandoned(t *testing.T) {
+// TestCanceledCall checks that a call ends at the server when its caller stops waiting,
+// and only then: not on a cancellation with a cause of its own, and no other call of the
+// link ends.
+func TestCanceledCall(t *testing.T) {
 	for _, cause := range []error{nil, errors.New("its own")} {
 		synctest.Test(t, func(t *testing.T) {
-			p, began, ended := work(t)
-			defer p.stop()
-			other, end := context.WithTimeout(t.Context(), 10*time.Second)
-			defer end()
-			p.g.Go("other", func(context.Context) { _, _ = transport.Call[ping](other, p.a, "h2:1", "work", ping{}) })
+			pair, began, ended := newCancelablePair(t)
+			defer pair.stop()
+			otherCtx, cancelOther := context.WithTimeout(t.Context(), 10*time.Second)
+			defer cancelOther()
+			pair.tasks.Go("other", func(context.Context) { _, _ = transport.Call[ping](otherCtx, pair.client, "h2:1", "work", ping{}) })
 			<-began
-			ctx, stop := context.WithCancelCause(t.Context())
-			p.g.Go("asker", func(context.Context) { _, _ = transport.Call[ping](ctx, p.a, "h2:1", "work", ping{}) })
+			ctx, cancel := context.WithCancelCause(t.Context())
+			pair.tasks.Go("asker", func(context.Context) { _, _ = transport.Call[ping](ctx, pair.client, "h2:1", "work", ping{}) })
 			<-began
-			stop(cause)
+			cancel(cause)
 			<-time.After(100 * time.Millisecond)
 			if got, want := len(ended), map[bool]int{true: 1, false: 0}[cause == nil]; got != want {
 				t.Errorf("cause %v: %d calls ended, want %d", cause, got, want)
@@ -50,19 +51,20 @@
 	}
 }
 
-// TestAbandonedWithLink: what nobody can be told the result of ends with the link.
-func TestAbandonedWithLink(t *testing.T) {
+// TestCallsCanceledWithLink checks that calls end with their link, because their results
+// can no longer be delivered.
+func TestCallsCanceledWithLink(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p, began, ended := work(t)
-		defer p.stop()
-		ctx, end := context.WithTimeout(t.Context(), time.Minute)
-		defer end()
-		p.g.Go("asker", func(context.Context) { _, _ = transport.Call[ping](ctx, p.a, "h2:1", "work", ping{}) })
+		pair, began, ended := newCancelablePair(t)
+		defer pair.stop()
+		ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
+		defer cancel()
+		pair.tasks.Go("asker", func(context.Context) { _, _ = transport.Call[ping](ctx, pair.client, "h2:1", "work", ping{}) })
 		<-began
-		p.a.Close()
+		pair.client.Close()
 		<-time.After(100 * time.Millisecond)
 		if len(ended) != 1 {
-			t.Error("it goes on")
+			t.Error("the call still runs after its link was closed")
 		}
 	})
 }
--- a/internal/transport/congestion.go
+++ b/internal/transport/congestion.go
@@ -117,8 +117,8 @@
 	w.probes = w.probes[1:]
 	roundTrip := max(now-first.sentAt, time.Microsecond)
 	elapsed := min(now-w.rate.lastAck, roundTrip)
-	// The minimum rises slowly; otherwise a link whose network path became longer would
-	// keep a small window.
+	// The minimum rises slowly; otherwise a link whose network path became longer would keep
+	// a small window.
 	if w.minRoundTrip += (now - w.rate.lastAck) / clockDriftDivisor; w.rate.lastAck == 0 || roundTrip < w.minRoundTrip {
 		w.minRoundTrip = roundTrip
 	}
@@ -126,17 +126,17 @@
 	if arrived > 0 {
 		delay = w.oneWay.excess(first.sentAt, arrived)
 	}
-	// Responses that arrive in a burst cause the next chunks to be sent in a burst,
-	// which then queue behind each other. Only the delay that all recent probes met is
-	// caused by other traffic.
+	// Responses that arrive in a burst cause the next chunks to be sent in a burst, which
+	// then queue behind each other. Only the delay that all recent probes met is caused by
+	// other traffic.
 	w.delays[w.delayCount%probesPerWindow] = delay
 	w.delayCount++
 	delay = slices.Min(w.delays[:min(w.delayCount, probesPerWindow)])
 	w.inFlight -= first.size
 	w.rate.record(now, roundTrip, roundTrip, first.size, backlog)
-	// An idle period alone must not lift the threshold: all links that wait for their
-	// turns would double their windows and take the capacity that the active transfers
-	// were admitted with.
+	// An idle period alone must not lift the threshold: all links that wait for their turns
+	// would double their windows and take the capacity that the active transfers were
+	// admitted with.
 	if w.lastDelay == 0 || now-w.lastDelay >= quietTimeouts*silenceTimeout {
 		w.slowStartThreshold = maxWindow
 	}
--- a/internal/transport/congestion_test.go
+++ b/internal/transport/congestion_test.go
@@ -7,139 +7,141 @@
 	"pgregory.net/rapid"
 )
 
-// TestFlowMoves: whatever the marks tell and however long a link rests, bulk
-// that has the turn may go out, or a mark is under way whose receipt wakes it.
-func TestFlowMoves(t *testing.T) {
-	const patience = 500 * time.Millisecond
+// TestBulkNeverStalls checks that a link with the turn can always send bulk or has a probe
+// in flight whose response resumes it, whatever the probes report and however long the
+// link is idle.
+func TestBulkNeverStalls(t *testing.T) {
+	const silenceTimeout = 500 * time.Millisecond
 	rapid.Check(t, func(t *rapid.T) {
-		w := congestion{enabled: true, hasTurn: true, window: initialWindow}
+		control := congestion{enabled: true, hasTurn: true, window: initialWindow}
 		now, id := time.Second, uint64(0)
-		pace := func() {
-			if w.probeDue() {
+		sendDueProbe := func() {
+			if control.probeDue() {
 				id++
-				w.probeSent(id, now)
+				control.probeSent(id, now)
 			}
 		}
 		for range rapid.IntRange(1, 300).Draw(t, "steps") {
 			switch rapid.IntRange(0, 3).Draw(t, "step") {
 			case 0:
-				w.resumeFromIdle(now, patience)
-				pace()
+				control.resumeFromIdle(now, silenceTimeout)
+				sendDueProbe()
 			case 1:
-				if w.maySend() {
-					w.recordSent(rapid.IntRange(1, w.limitChunk(maxChunk)+30).Draw(t, "size"))
-					pace()
+				if control.maySend() {
+					control.recordSent(rapid.IntRange(1, control.limitChunk(maxChunk)+30).Draw(t, "size"))
+					sendDueProbe()
 				}
 			case 2:
-				if len(w.probes) == 0 {
+				if len(control.probes) == 0 {
 					continue
 				}
 				now += time.Duration(rapid.IntRange(0, 2000).Draw(t, "took")) * time.Millisecond
-				there := time.Duration(0)
+				arrived := time.Duration(0)
 				if rapid.Bool().Draw(t, "tells") {
-					there = now - time.Millisecond
+					arrived = now - time.Millisecond
 				}
-				// Now and then a receipt stands for those before it.
-				k := rapid.IntRange(0, len(w.probes)-1).Draw(t, "mark")
-				if w.matchProbe(id+1) || !w.matchProbe(w.probes[k].id) {
-					t.Fatal("a mark isn't known")
+				// Sometimes a response acknowledges earlier probes as well.
+				index := rapid.IntRange(0, len(control.probes)-1).Draw(t, "mark")
+				if control.matchProbe(id+1) || !control.matchProbe(control.probes[index].id) {
+					t.Fatal("the response to a probe was not matched")
 				}
-				if gap := w.probeAcked(now, there, patience, rapid.Bool().Draw(t, "more")); gap > patience {
-					t.Fatalf("a pause of %v", gap)
+				if pause := control.probeAcked(now, arrived, silenceTimeout, rapid.Bool().Draw(t, "more")); pause > silenceTimeout {
+					t.Fatalf("pause of %v exceeds the silence timeout", pause)
 				}
-				pace()
+				sendDueProbe()
 			case 3:
 				now += time.Duration(rapid.IntRange(0, 9000).Draw(t, "rest")) * time.Millisecond
 			}
-			if !w.maySend() && len(w.probes) == 0 {
-				t.Fatalf("bulk waits for nothing: %+v", w)
+			if !control.maySend() && len(control.probes) == 0 {
+				t.Fatalf("bulk waits without a probe in flight: %+v", control)
 			}
-			if w.window < minWindow || w.window > maxWindow || w.inFlight < 0 || w.unprobed < 0 || len(w.probes) == 0 && w.inFlight != w.unprobed {
-				t.Fatalf("%+v", w)
+			if control.window < minWindow || control.window > maxWindow || control.inFlight < 0 || control.unprobed < 0 || len(control.probes) == 0 && control.inFlight != control.unprobed {
+				t.Fatalf("%+v", control)
 			}
 		}
 	})
 }
 
-// TestWindow: the window comes to what fills a link and little more, whatever
-// the link's speed and length are, and whether the fellow tells when marks come.
-func TestWindow(t *testing.T) {
-	const patience = 500 * time.Millisecond
-	for _, tells := range []bool{true, false} {
+// TestWindowConverges checks that the window converges to little more than what fills a link,
+// for various rates and latencies, and whether or not the peer reports when probes arrive.
+func TestWindowConverges(t *testing.T) {
+	const silenceTimeout = 500 * time.Millisecond
+	for _, reports := range []bool{true, false} {
 		for _, rate := range []int{125_000, 1_000_000, 12_500_000} {
-			for _, long := range []time.Duration{time.Millisecond, 100 * time.Millisecond} {
-				w := congestion{enabled: true, hasTurn: true, window: initialWindow}
-				now, free, id := time.Second, time.Second, uint64(0)
-				type due struct{ there, back time.Duration }
-				var back []due
+			for _, latency := range []time.Duration{time.Millisecond, 100 * time.Millisecond} {
+				control := congestion{enabled: true, hasTurn: true, window: initialWindow}
+				now, linkFree, id := time.Second, time.Second, uint64(0)
+				type probeTimes struct{ arrived, acked time.Duration }
+				var responses []probeTimes
 				for end := now + 20*time.Second; now < end; {
-					if w.maySend() {
-						n := w.limitChunk(maxChunk)
-						w.recordSent(n)
-						free = max(free, now) + time.Duration(n)*time.Second/time.Duration(rate)
-						if w.probeDue() {
+					if control.maySend() {
+						n := control.limitChunk(maxChunk)
+						control.recordSent(n)
+						linkFree = max(linkFree, now) + time.Duration(n)*time.Second/time.Duration(rate)
+						if control.probeDue() {
 							id++
-							w.probeSent(id, now)
-							back = append(back, due{free + long/2, free + long})
+							control.probeSent(id, now)
+							responses = append(responses, probeTimes{linkFree + latency/2, linkFree + latency})
 						}
 						continue
 					}
-					now = max(now, back[0].back)
-					there := time.Duration(0)
-					if tells {
-						there = back[0].there - long/2
+					now = max(now, responses[0].acked)
+					arrived := time.Duration(0)
+					if reports {
+						arrived = responses[0].arrived - latency/2
 					}
-					back = back[1:]
-					w.probeAcked(now, there, patience, true)
+					responses = responses[1:]
+					control.probeAcked(now, arrived, silenceTimeout, true)
 				}
-				late := free - now
-				if got := w.rate.bytesPerSecond; got < float64(rate)*0.7 || late > patience/delayDivisor*2 {
-					t.Errorf("at %d bytes a second over %v, tells %v: %.0f, with a delay of %v", rate, long, tells, got, late)
+				delay := linkFree - now
+				if got := control.rate.bytesPerSecond; got < float64(rate)*0.7 || delay > silenceTimeout/delayDivisor*2 {
+					t.Errorf("at %d bytes per second over %v, arrivals reported %v: measured %.0f, delay %v", rate, latency, reports, got, delay)
 				}
 			}
 		}
 	}
 }
 
-// TestRested: a link that met a delay a moment ago doesn't open its window beyond
-// what it was then, though it rested, or those that wait for their turns would
-// each take from the ones that go. Up to there it is as quick as ever, so that a
-// moment's delay costs a wide link nothing, and without one for long beyond it too.
-func TestRested(t *testing.T) {
-	const patience = 500 * time.Millisecond
+// TestWindowAfterIdle guards against a window that grows beyond its old size after an idle
+// period, though a delay was observed recently: links that wait for their turns would take
+// capacity from the active ones. Up to the old size the window grows as fast as ever, so
+// that a short delay costs a fast link nothing, and after a long time without delays it
+// grows beyond.
+func TestWindowAfterIdle(t *testing.T) {
+	const silenceTimeout = 500 * time.Millisecond
 	for _, c := range []struct {
-		rest        time.Duration
-		win         int
-		least, most float64 // the window afterwards, to what it was
-	}{{staleTimeouts * patience * 3 / 2, initialWindow, 0.9, 1.25}, {staleTimeouts * patience * 3 / 2, 16 * initialWindow, 0.9, 1.25}, {quietTimeouts * patience, initialWindow, 4, 1000}} {
-		w := congestion{enabled: true, hasTurn: true, window: c.win}
+		idle             time.Duration
+		window           int
+		minimum, maximum float64 // the window afterwards, relative to the old one
+	}{{staleTimeouts * silenceTimeout * 3 / 2, initialWindow, 0.9, 1.25}, {staleTimeouts * silenceTimeout * 3 / 2, 16 * initialWindow, 0.9, 1.25}, {quietTimeouts * silenceTimeout, initialWindow, 4, 1000}} {
+		control := congestion{enabled: true, hasTurn: true, window: c.window}
 		now, id := time.Second, uint64(0)
-		round := func(took time.Duration) {
-			for w.maySend() && !w.probeDue() {
-				w.recordSent(w.limitChunk(maxChunk))
+		round := func(elapsed time.Duration) {
+			for control.maySend() && !control.probeDue() {
+				control.recordSent(control.limitChunk(maxChunk))
 			}
 			id++
-			w.probeSent(id, now)
-			now += took
-			if !w.matchProbe(id) {
-				t.Fatal("the mark isn't known")
+			control.probeSent(id, now)
+			now += elapsed
+			if !control.matchProbe(id) {
+				t.Fatal("the response to the probe was not matched")
 			}
-			w.probeAcked(now, 0, patience, true)
+			control.probeAcked(now, 0, silenceTimeout, true)
 		}
 		round(time.Millisecond)
 		for range 2 * probesPerWindow {
-			round(patience / delayDivisor * 9 / 10)
+			round(silenceTimeout / delayDivisor * 9 / 10)
 		}
-		was := float64(w.window)
-		now += c.rest
-		if w.resumeFromIdle(now, patience); w.window > initialWindow {
-			t.Errorf("a window of %d after a rest", w.window)
+		oldWindow := float64(control.window)
+		now += c.idle
+		if control.resumeFromIdle(now, silenceTimeout); control.window > initialWindow {
+			t.Errorf("window of %d after an idle period", control.window)
 		}
 		for range 8 * probesPerWindow {
 			round(time.Millisecond)
 		}
-		if got := float64(w.window) / was; got < c.least || got > c.most {
-			t.Errorf("after a rest of %v the window came to %.2f of what it was, %.0f", c.rest, got, was)
+		if got := float64(control.window) / oldWindow; got < c.minimum || got > c.maximum {
+			t.Errorf("after %v of idleness the window grew to %.2f of the old one, %.0f", c.idle, got, oldWindow)
 		}
 	}
 }
--- a/internal/transport/decode.go
+++ b/internal/transport/decode.go
@@ -17,8 +17,8 @@
 			return err
 		}
 		b = rest
-		// All known fields have names of one letter; others are from later
-		// versions and are skipped.
+		// All known fields have names of one letter; others are from later versions and are
+		// skipped.
 		name := byte(0)
 		if len(key) == 1 {
 			name = key[0]
@@ -78,8 +78,7 @@
 	return nil
 }
 
-// mapLength decodes the header of a map (fixCode or code) and returns its number of
-// entries.
+// mapLength decodes the header of a map (fixCode or code) and returns its number of entries.
 func mapLength(b []byte, fixCode, code byte) (int, []byte, error) {
 	if len(b) == 0 {
 		return 0, nil, errTruncated
--- a/internal/transport/drainrate_test.go
+++ b/internal/transport/drainrate_test.go
@@ -5,29 +5,29 @@
 	"time"
 )
 
-// TestBrim: a piece is whole until the socket was full, and on a quick link; on a
-// slow one it takes no longer than is put up with. It follows a link that turns
-// slow or quick within a few patiences.
-func TestBrim(t *testing.T) {
-	const patience, long = 500 * time.Millisecond, 30 * time.Millisecond
+// TestDrainRate checks that chunks have full size until the socket was full, and on a fast
+// link. On a slow link a chunk takes no longer than the limit, and the size follows a
+// change of the rate within a few silence timeouts.
+func TestDrainRate(t *testing.T) {
+	const silenceTimeout, limit = 500 * time.Millisecond, 30 * time.Millisecond
 	now := time.Second
-	var s drainRate
-	s.recordWrite(3*maxChunk, now, patience)
-	if n := s.chunkSize(long); n != maxChunk {
-		t.Errorf("a piece of %d before the socket was full", n)
+	var rate drainRate
+	rate.recordWrite(3*maxChunk, now, silenceTimeout)
+	if n := rate.chunkSize(limit); n != maxChunk {
+		t.Errorf("chunk of %d bytes before the socket was full", n)
 	}
-	s.socketFull(now)
-	for _, c := range []struct{ speed, least, most int }{
+	rate.socketFull(now)
+	for _, c := range []struct{ rate, minimum, maximum int }{
 		{125_000, 3000, 4500}, {1000, minStep, minStep}, {100_000_000, maxChunk, maxChunk}, {125_000, 3000, 4500}, {250_000, 6500, 8000},
 	} {
-		// A socket wakes its writer when it has room for some.
-		for range 8 * patience / long {
-			now += long
-			s.socketFull(now)
-			s.recordWrite(int(float64(c.speed)*long.Seconds()), now, patience)
+		// A socket wakes its writer when it has some space.
+		for range 8 * silenceTimeout / limit {
+			now += limit
+			rate.socketFull(now)
+			rate.recordWrite(int(float64(c.rate)*limit.Seconds()), now, silenceTimeout)
 		}
-		if n := s.chunkSize(long); n < c.least || n > c.most {
-			t.Errorf("at %d bytes a second a piece of %d", c.speed, n)
+		if n := rate.chunkSize(limit); n < c.minimum || n > c.maximum {
+			t.Errorf("at %d bytes per second a chunk of %d bytes", c.rate, n)
 		}
 	}
 }
--- a/internal/transport/encode.go
+++ b/internal/transport/encode.go
@@ -95,8 +95,7 @@
 
 var errTruncated = fault.New(fault.Input, "message ends too early")
 
-// bigEndian decodes an unsigned integer of n bytes and returns it with the remaining
-// input.
+// bigEndian decodes an unsigned integer of n bytes and returns it with the remaining input.
 func bigEndian(b []byte, n int) (uint64, []byte, error) {
 	if len(b) < n {
 		return 0, nil, errTruncated
--- a/internal/transport/goodbye.go
+++ b/internal/transport/goodbye.go
@@ -22,8 +22,8 @@
 	acknowledged := make(chan struct{}, len(links))
 	for _, l := range links {
 		if !n.tasks.Go("goodbye", func(context.Context) {
-			// A peer that does not know the goodbye message refuses it; links
-			// to it then end as on an ordinary close.
+			// A peer that does not know the goodbye message refuses it; links to it then end
+			// as on an ordinary close.
 			f, _ := l.call(ctx, goodbyeKind, nil)
 			f.release()
 			acknowledged <- struct{}{}
--- a/internal/transport/goodbye_test.go
+++ b/internal/transport/goodbye_test.go
@@ -10,39 +10,39 @@
 	"puffincrank/internal/transport"
 )
 
-// TestGoodbye: a node that leaves while a fellow goes on calling leaves no
-// call without an outcome: each is done, or certainly was not.
+// TestGoodbye checks that a node which leaves while a peer keeps calling leaves no call
+// with an unknown outcome: each was executed or was certainly not.
 func TestGoodbye(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		for round := range 20 {
-			p := newPair(t, "m")
-			transport.Handle(p.b, "slow", func(_ context.Context, _ transport.Hello, in ping) (ping, error) {
+			pair := newNodePair(t, "m")
+			transport.Handle(pair.server, "slow", func(_ context.Context, _ transport.Hello, message ping) (ping, error) {
 				<-time.After(7 * time.Millisecond)
-				return in, nil
+				return message, nil
 			})
 			results := make(chan error, 4000)
-			over := make(chan struct{})
+			stop := make(chan struct{})
 			for i := range 6 {
-				p.g.Go("caller", func(context.Context) {
+				pair.tasks.Go("caller", func(context.Context) {
 					for n := 0; ; n++ {
 						select {
-						case <-over:
+						case <-stop:
 							return
 						case <-time.After(time.Duration(100*i+37*round) * time.Microsecond):
 						}
-						_, err := ask(p, []string{"ping", "slow"}[n%2], ping{N: n}, 300*time.Millisecond)
+						_, err := call(pair, []string{"ping", "slow"}[n%2], ping{N: n}, 300*time.Millisecond)
 						results <- err
 					}
 				})
 			}
 			<-time.After(50 * time.Millisecond)
-			from := time.Now()
-			p.b.CloseGracefully(200 * time.Millisecond)
-			took := time.Since(from)
-			p.b.Close()
+			start := time.Now()
+			pair.server.CloseGracefully(200 * time.Millisecond)
+			elapsed := time.Since(start)
+			pair.server.Close()
 			<-time.After(10 * time.Millisecond)
-			close(over)
-			p.stop()
+			close(stop)
+			pair.stop()
 			close(results)
 			done := 0
 			for err := range results {
@@ -50,11 +50,11 @@
 				case err == nil:
 					done++
 				case fault.Is(err, fault.Unknown):
-					t.Errorf("round %d: %v", round, err)
+					t.Errorf("round %d: outcome unknown: %v", round, err)
 				}
 			}
-			if done < 10 || took > 50*time.Millisecond {
-				t.Errorf("round %d: %d calls were done, leaving took %v", round, done, took)
+			if done < 10 || elapsed > 50*time.Millisecond {
+				t.Errorf("round %d: %d calls succeeded, closing took %v", round, done, elapsed)
 			}
 		}
 	})
--- a/internal/transport/handler.go
+++ b/internal/transport/handler.go
@@ -12,9 +12,9 @@
 // handler handles one kind of calls or one-way messages. It releases the frame as soon as
 // the body is decoded.
 type handler struct {
-	kind        string
-	cancellable bool // calls end when their callers stop waiting
-	run         func(ctx context.Context, from Hello, f *frame) (*buffer, error)
+	kind       string
+	cancelable bool // calls end when their callers stop waiting
+	run        func(ctx context.Context, from Hello, f *frame) (*buffer, error)
 }
 
 // Handle registers a typed handler. Like http.ServeMux it panics if the kind already has
@@ -62,8 +62,8 @@
 	// The context is registered before the next frame is read from the link, which may
 	// cancel the call.
 	ctx, done := n.tasks.Context(), func() {}
-	if target.cancellable && head.id != 0 {
-		ctx, done = l.cancellableContext(head.id)
+	if target.cancelable && head.id != 0 {
+		ctx, done = l.cancelableContext(head.id)
 	}
 	ok := n.pool.Do(func(context.Context) {
 		defer n.activeCalls.Add(-1)
@@ -83,7 +83,7 @@
 		if head.lane > LaneControl {
 			ctx = context.WithValue(ctx, inboundCallKey{}, &inboundCall{l, head.lane})
 		}
-		if target.cancellable {
+		if target.cancelable {
 			ctx = context.WithValue(ctx, callOriginKey{}, &callOrigin{link: l})
 		}
 		result, err := target.run(ctx, l.peer, f)
--- a/internal/transport/idlelinks.go
+++ b/internal/transport/idlelinks.go
@@ -58,8 +58,8 @@
 func (n *Node) closeIdleLinks(ctx context.Context) {
 	idle := n.takeIdleLinks()
 	for len(idle) > 0 && ctx.Err() == nil {
-		// A call that took the link from the map a moment ago is registered on it
-		// after this wait.
+		// A call that took the link from the map a moment ago is registered on it after this
+		// wait.
 		n.sleep(ctx, n.SilenceTimeout/4)
 		idle = slices.DeleteFunc(idle, func(l *link) bool {
 			if !l.isIdle() {
--- a/internal/transport/idlelinks_test.go
+++ b/internal/transport/idlelinks_test.go
@@ -13,87 +13,87 @@
 	"puffincrank/internal/transport"
 )
 
-// crowd is many fellows that one node may call.
-func (p *pair) crowd(t *testing.T, many int) (casts *atomic.Int64, all []string) {
-	casts = &atomic.Int64{}
-	for i := range many {
+// addPeers starts nodes that one node may call.
+func (p *nodePair) addPeers(t *testing.T, count int) (received *atomic.Int64, addrs []string) {
+	received = &atomic.Int64{}
+	for i := range count {
 		host := fmt.Sprintf("f%d", i)
-		n := p.node(host, "m")
-		transport.Handle(n, "slow", func(_ context.Context, _ transport.Hello, in ping) (ping, error) {
-			<-time.After(time.Duration(in.N) * time.Millisecond)
-			return in, nil
+		n := p.newNode(host, "m")
+		transport.Handle(n, "slow", func(_ context.Context, _ transport.Hello, message ping) (ping, error) {
+			<-time.After(time.Duration(message.N) * time.Millisecond)
+			return message, nil
 		})
 		transport.Handle(n, "told", func(context.Context, transport.Hello, ping) (struct{}, error) {
-			casts.Add(1)
+			received.Add(1)
 			return struct{}{}, nil
 		})
 		if err := n.Listen(host + ":1"); err != nil {
 			t.Fatal(err)
 		}
-		p.g.Go("end", func(ctx context.Context) { <-ctx.Done(); n.Close() })
-		all = append(all, host+":1")
+		p.tasks.Go("end", func(ctx context.Context) { <-ctx.Done(); n.Close() })
+		addrs = append(addrs, host+":1")
 	}
-	return casts, all
+	return received, addrs
 }
 
-// TestFewLinks: a node that meets more fellows than it may keep links closes those
-// that it used least lately, and loses no call or cast by it, though calls take
-// long and come from many at once.
-func TestFewLinks(t *testing.T) {
+// TestIdleLinkLimit checks that a node with more peers than links it may keep closes the
+// least recently used links, and loses no call or one-way message by that, even with long
+// and concurrent calls.
+func TestIdleLinkLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const bound = 16
-		p := newPair(t, "m")
-		defer p.stop()
-		p.a.MaxIdleLinks = bound
-		casts, all := p.crowd(t, 5*bound)
-		// One after the other, as a repair meets them.
+		pair := newNodePair(t, "m")
+		defer pair.stop()
+		pair.client.MaxIdleLinks = bound
+		received, addrs := pair.addPeers(t, 5*bound)
+		// In sequence, as repair contacts its peers.
 		for round := range 2 {
-			for _, at := range all {
-				if _, err := transport.Call[ping](t.Context(), p.a, at, "slow", ping{N: 1}); err != nil {
-					t.Fatal(round, at, err)
+			for _, addr := range addrs {
+				if _, err := transport.Call[ping](t.Context(), pair.client, addr, "slow", ping{N: 1}); err != nil {
+					t.Fatal(round, addr, err)
 				}
-				<-time.After(p.a.SilenceTimeout / 4)
-				if n := p.a.LinkCount(); n > bound*3/2 {
-					t.Fatalf("%d links stand", n)
+				<-time.After(pair.client.SilenceTimeout / 4)
+				if n := pair.client.LinkCount(); n > bound*3/2 {
+					t.Fatalf("%d links are open", n)
 				}
 			}
 		}
 		var wait sync.WaitGroup
-		told := int64(0)
-		for w := range 4 {
-			rnd := rand.New(rand.NewPCG(7, uint64(w)))
-			told += 300
+		sent := int64(0)
+		for seed := range 4 {
+			rnd := rand.New(rand.NewPCG(7, uint64(seed)))
+			sent += 300
 			wait.Add(1)
-			p.g.Go("caller", func(context.Context) {
+			pair.tasks.Go("caller", func(context.Context) {
 				defer wait.Done()
 				for range 300 {
-					at := all[rnd.IntN(len(all))]
-					if err := p.a.Send(t.Context(), at, "told", ping{}); err != nil {
-						t.Errorf("a cast to %s: %v", at, err)
+					addr := addrs[rnd.IntN(len(addrs))]
+					if err := pair.client.Send(t.Context(), addr, "told", ping{}); err != nil {
+						t.Errorf("one-way message to %s: %v", addr, err)
 					}
-					if _, err := transport.Call[ping](t.Context(), p.a, all[rnd.IntN(len(all))], "slow", ping{N: rnd.IntN(1500)}); err != nil {
-						t.Errorf("a call to %s: %v", at, err)
+					if _, err := transport.Call[ping](t.Context(), pair.client, addrs[rnd.IntN(len(addrs))], "slow", ping{N: rnd.IntN(1500)}); err != nil {
+						t.Errorf("call to %s: %v", addr, err)
 					}
 				}
 			})
 		}
-		most := 0
-		over := make(chan struct{})
+		maxLinks := 0
+		finished := make(chan struct{})
 		go func() {
-			defer close(over)
+			defer close(finished)
 			wait.Wait()
 		}()
-		for end := false; !end; {
+		for done := false; !done; {
 			select {
-			case <-over:
-				end = true
-			case <-time.After(p.a.SilenceTimeout / 4):
-				most = max(most, p.a.LinkCount())
+			case <-finished:
+				done = true
+			case <-time.After(pair.client.SilenceTimeout / 4):
+				maxLinks = max(maxLinks, pair.client.LinkCount())
 			}
 		}
-		t.Logf("%d links at the most, of %d fellows", most, len(all))
-		if most > 2*bound || casts.Load() != told {
-			t.Errorf("%d links stood, %d of %d casts came", most, casts.Load(), told)
+		t.Logf("at most %d links, with %d peers", maxLinks, len(addrs))
+		if maxLinks > 2*bound || received.Load() != sent {
+			t.Errorf("up to %d links were open, %d of %d one-way messages arrived", maxLinks, received.Load(), sent)
 		}
 	})
 }
--- a/internal/transport/link.go
+++ b/internal/transport/link.go
@@ -25,7 +25,7 @@
 
 	mu             sync.Mutex
 	pending        map[uint64]*pendingCall
-	inboundCancels map[uint64]context.CancelFunc // ends the peer's calls when it stops waiting
+	inboundCancels map[uint64]context.CancelFunc // cancels the peer's calls when it stops waiting
 	silence        silence
 	queue          queue
 	queueSpace     sync.Cond      // signals responses that wait for queue capacity
--- a/internal/transport/linkend.go
+++ b/internal/transport/linkend.go
@@ -21,7 +21,7 @@
 const endLogDivisor = 16
 
 // logEnd logs a link that ended with calls in progress: how many calls of this node wait
-// for responses, and how many of the peer's calls, of the kinds that are cancelled with
+// for responses, and how many of the peer's calls, of the kinds that are canceled with
 // their callers, are being handled here.
 func (l *link) logEnd(reason endReason, waiting, serving int) {
 	if reason == endStopping || waiting+serving == 0 {
--- a/internal/transport/localnetwork.go
+++ b/internal/transport/localnetwork.go
@@ -198,7 +198,7 @@
 			return nil, fault.New(fault.Refused, "kind %q is not spoken here", kind)
 		}}
 	}
-	handlerCtx, release := peer.cancellableContext(ctx, n, target)
+	handlerCtx, release := peer.cancelableContext(ctx, n, target)
 	defer release()
 	if request.timeoutMS > 0 {
 		var cancel context.CancelFunc
--- a/internal/transport/node.go
+++ b/internal/transport/node.go
@@ -127,15 +127,15 @@
 // for it.
 func (n *Node) handshake(conn net.Conn, dialer bool, deadline time.Time) (*link, *bufio.Reader, error) {
 	tracked := n.trackConn(conn)
-	// The kernel's timeout is the longer of the two timeouts, because it only sees acknowledged
-	// bytes. Where it cannot be set, the node's own silence detection remains.
+	// The kernel's timeout is the longer of the two timeouts, because it only sees
+	// acknowledged bytes. Where it cannot be set, the node's own silence detection remains.
 	_ = env.TuneConn(conn, 2*n.SilenceTimeout, maxChunk)
 	_ = tracked.SetDeadline(deadline)
 	r := bufio.NewReader(tracked)
 	var peer Hello
 	sendHello := func() error {
-		// Recorded before the hello is sent: a pause of the process at this point
-		// must not make later frames look delayed.
+		// Recorded before the hello is sent: a pause of the process at this point must not
+		// make later frames look delayed.
 		tracked.helloSent = n.now()
 		return n.Self.writeTo(tracked)
 	}
--- a/internal/transport/peers.go
+++ b/internal/transport/peers.go
@@ -32,8 +32,7 @@
 			if err == nil {
 				f.release()
 			}
-			// A peer that does not know the kind refuses it, which is an
-			// answer as well.
+			// A peer that does not know the kind refuses it, which is an answer as well.
 			answers <- err == nil || fault.Is(err, fault.Refused)
 		}) {
 			return false
--- a/internal/transport/rawpeer_test.go
+++ b/internal/transport/rawpeer_test.go
@@ -13,72 +13,72 @@
 	"puffincrank/internal/transport"
 )
 
-// old is a frame as version 1 packs it, with the fields that came later.
-type old struct {
-	Kind string             `msgpack:"k,omitempty"`
-	ID   uint64             `msgpack:"i,omitempty"`
-	Left int64              `msgpack:"l,omitempty"`
-	Bad  string             `msgpack:"e,omitempty"`
-	Say  string             `msgpack:"s,omitempty"`
-	Body msgpack.RawMessage `msgpack:"b,omitempty"`
-	At   int64              `msgpack:"t,omitempty"`
+// rawFrame is a frame as version 1 encodes it, with the fields that came later.
+type rawFrame struct {
+	Kind      string             `msgpack:"k,omitempty"`
+	ID        uint64             `msgpack:"i,omitempty"`
+	TimeoutMS int64              `msgpack:"l,omitempty"`
+	ErrorCode string             `msgpack:"e,omitempty"`
+	ErrorText string             `msgpack:"s,omitempty"`
+	Body      msgpack.RawMessage `msgpack:"b,omitempty"`
+	SentAtMS  int64              `msgpack:"t,omitempty"`
 }
 
-// plain is a fellow made by hand, frame by frame.
-type plain struct {
-	c net.Conn
-	r *bufio.Reader
-	// said is when its hello went out.
-	said time.Time
+// rawPeer is a peer that encodes its frames by itself.
+type rawPeer struct {
+	conn   net.Conn
+	reader *bufio.Reader
+	// helloSent is when its hello was sent.
+	helloSent time.Time
 }
 
-// now is what it calls now in its frames.
-func (f *plain) now() int64 { return 1 + time.Since(f.said).Milliseconds() }
+// now returns the current time as frames carry it.
+func (f *rawPeer) now() int64 { return 1 + time.Since(f.helloSent).Milliseconds() }
 
-// fellow dials p.b by hand as one that speaks up to a version.
-func fellow(t *testing.T, p *pair, high int) *plain {
+// dialRaw connects to the server of a pair as a peer that supports versions up to maxVersion.
+func dialRaw(t *testing.T, pair *nodePair, maxVersion int) *rawPeer {
 	t.Helper()
-	c, err := p.net.Host("h1").Dial(t.Context(), "h2:1")
+	conn, err := pair.net.Host("h1").Dial(t.Context(), "h2:1")
 	if err != nil {
 		t.Fatal(err)
 	}
-	f := &plain{c, bufio.NewReader(c), time.Now()}
-	f.say(t, transport.Hello{Magic: "puffincrank", ClusterID: "m", MinVersion: 1, MaxVersion: high, Node: "plain"})
-	var got transport.Hello
-	f.get(t, &got)
-	return f
+	peer := &rawPeer{conn, bufio.NewReader(conn), time.Now()}
+	peer.write(t, transport.Hello{Magic: "puffincrank", ClusterID: "m", MinVersion: 1, MaxVersion: maxVersion, Node: "plain"})
+	var hello transport.Hello
+	peer.read(t, &hello)
+	return peer
 }
 
-func (f *plain) say(t *testing.T, v any) {
+func (f *rawPeer) write(t *testing.T, message any) {
 	t.Helper()
-	raw, err := msgpack.Marshal(v)
+	encoded, err := msgpack.Marshal(message)
 	if err == nil {
-		_, err = f.c.Write(append(binary.BigEndian.AppendUint32(nil, uint32(len(raw))), raw...))
+		_, err = f.conn.Write(append(binary.BigEndian.AppendUint32(nil, uint32(len(encoded))), encoded...))
 	}
 	if err != nil {
 		t.Fatal(err)
 	}
 }
 
-func (f *plain) get(t *testing.T, v any) {
+func (f *rawPeer) read(t *testing.T, message any) {
 	t.Helper()
-	_ = f.c.SetReadDeadline(time.Now().Add(time.Minute))
+	_ = f.conn.SetReadDeadline(time.Now().Add(time.Minute))
 	head := make([]byte, 4)
-	if _, err := io.ReadFull(f.r, head); err != nil {
+	if _, err := io.ReadFull(f.reader, head); err != nil {
 		t.Fatal(err)
 	}
-	raw := make([]byte, binary.BigEndian.Uint32(head))
-	if _, err := io.ReadFull(f.r, raw); err != nil {
+	encoded := make([]byte, binary.BigEndian.Uint32(head))
+	if _, err := io.ReadFull(f.reader, encoded); err != nil {
 		t.Fatal(err)
 	}
-	if err := msgpack.Unmarshal(raw, v); err != nil {
+	if err := msgpack.Unmarshal(encoded, message); err != nil {
 		t.Fatal(err)
 	}
 }
 
-func (f *plain) hear(t *testing.T) old {
+func (f *rawPeer) readFrame(t *testing.T) rawFrame {
 	t.Helper()
-	var got old
-	f.get(t, &got)
+	var got rawFrame
+	f.read(t, &got)
 	return got
 }
--- a/internal/transport/senddeadline.go
+++ b/internal/transport/senddeadline.go
@@ -14,8 +14,7 @@
 	return context.WithValue(ctx, sendDeadlineKey{}, deadline)
 }
 
-// sendDeadline returns a channel that fires at the send deadline, nil for a call without
-// one.
+// sendDeadline returns a channel that fires at the send deadline, nil for a call without one.
 func (i *queuedFrame) sendDeadline(ctx context.Context) (<-chan time.Time, func()) {
 	deadline, ok := ctx.Value(sendDeadlineKey{}).(time.Time)
 	if !ok {
--- a/internal/transport/senddeadline_test.go
+++ b/internal/transport/senddeadline_test.go
@@ -11,29 +11,29 @@
 	"puffincrank/internal/transport"
 )
 
-// TestDue: a call that waits for a full link is taken back at its time, though
-// it has a minute left, and its fellow never gets it; one that went out by then
-// has its receipt after all, however late.
-func TestDue(t *testing.T) {
+// TestSendDeadline checks that a call queued on a full link is withdrawn at its send
+// deadline, though its context has a minute left, and is never delivered. A call that was
+// sent by then gets its response, however late.
+func TestSendDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p := newPair(t, "m")
-		defer p.stop()
-		var came atomic.Int64
-		transport.Handle(p.b, "keep", func(_ context.Context, _ transport.Hello, in ping) (ping, error) {
-			came.Add(1)
+		pair := newNodePair(t, "m")
+		defer pair.stop()
+		var received atomic.Int64
+		transport.Handle(pair.server, "keep", func(_ context.Context, _ transport.Hello, message ping) (ping, error) {
+			received.Add(1)
 			<-time.After(3 * time.Second)
-			return ping{N: in.N}, nil
+			return ping{N: message.N}, nil
 		})
-		p.net.Thin("h1", megabit)
-		send := func(size int, by time.Duration) (time.Duration, error) {
-			ctx, end := context.WithTimeout(transport.WithLane(context.Background(), transport.LaneBulk), time.Minute)
-			defer end()
-			from := time.Now()
-			_, err := transport.Call[ping](transport.WithSendDeadline(ctx, from.Add(by)), p.a, "h2:1", "keep", ping{Body: make([]byte, size)})
-			return time.Since(from), err
+		pair.net.Thin("h1", megabit)
+		send := func(size int, limit time.Duration) (time.Duration, error) {
+			ctx, cancel := context.WithTimeout(transport.WithLane(context.Background(), transport.LaneBulk), time.Minute)
+			defer cancel()
+			start := time.Now()
+			_, err := transport.Call[ping](transport.WithSendDeadline(ctx, start.Add(limit)), pair.client, "h2:1", "keep", ping{Body: make([]byte, size)})
+			return time.Since(start), err
 		}
-		if took, err := send(100, 500*time.Millisecond); err != nil || took < 3*time.Second {
-			t.Errorf("what had gone out ended after %v: %v", took, err)
+		if elapsed, err := send(100, 500*time.Millisecond); err != nil || elapsed < 3*time.Second {
+			t.Errorf("the call that was sent in time ended after %v: %v", elapsed, err)
 		}
 		first := make(chan error, 1)
 		go func() {
@@ -42,17 +42,17 @@
 		}()
 		<-time.After(100 * time.Millisecond)
 		for range 3 {
-			took, err := send(100_000, time.Second)
-			if come, full := transport.IsLinkFull(err); !full || come <= 0 || !fault.Is(err, fault.Unsent) || took > 1100*time.Millisecond {
-				t.Errorf("what waited ended after %v, to come after %v: %v", took, come, err)
+			elapsed, err := send(100_000, time.Second)
+			if retryAfter, full := transport.IsLinkFull(err); !full || retryAfter <= 0 || !fault.Is(err, fault.Unsent) || elapsed > 1100*time.Millisecond {
+				t.Errorf("the queued call ended after %v, retry after %v: %v", elapsed, retryAfter, err)
 			}
 		}
 		if err := <-first; err != nil {
 			t.Error(err)
 		}
 		<-time.After(10 * time.Second)
-		if n := came.Load(); n != 2 {
-			t.Errorf("%d calls came, want 2", n)
+		if n := received.Load(); n != 2 {
+			t.Errorf("%d calls were received, want 2", n)
 		}
 	})
 }
--- a/internal/transport/silence.go
+++ b/internal/transport/silence.go
@@ -48,8 +48,7 @@
 		h.lastPing = 0
 		return actionIdle, 0
 	}
-	// A process that was paused itself received nothing, without any fault of its
-	// peers.
+	// A process that was paused itself received nothing, without any fault of its peers.
 	base := max(lastRead, h.firstCall, pauseEnd)
 	if h.lastPing <= base {
 		if due := base + silenceTimeout/2; now < due {
--- a/internal/transport/thinlink_test.go
+++ b/internal/transport/thinlink_test.go
@@ -15,75 +15,75 @@
 
 const megabit = 1_000_000 / 8
 
-// TestThin: on a link of one megabit a large body holds up a small urgent call
-// for what the socket holds and a small piece at most, both ways, and comes
-// through meanwhile: bulk both ways about as fast as the link is, and bulk
-// against what is not, to which it gives way, somewhat later.
-func TestThin(t *testing.T) {
-	t.Run("bulk", func(t *testing.T) { thin(t, transport.LaneBulk, 240*time.Millisecond, 8*time.Second) })
-	t.Run("bulk and a large job", func(t *testing.T) { thin(t, transport.LaneBulk-1, 240*time.Millisecond, 13*time.Second) })
+// TestThinLink checks that on a link of one megabit per second a large body delays a small
+// urgent call by at most the socket's buffer and a small chunk in each direction, and that
+// the large body completes meanwhile. Bulk in both directions takes about as long as the
+// link needs; bulk beside a large request, which goes first, takes somewhat longer.
+func TestThinLink(t *testing.T) {
+	t.Run("bulk", func(t *testing.T) { testThinLink(t, transport.LaneBulk, 240*time.Millisecond, 8*time.Second) })
+	t.Run("bulk and a large job", func(t *testing.T) { testThinLink(t, transport.LaneBulk-1, 240*time.Millisecond, 13*time.Second) })
 }
 
-func thin(t *testing.T, other int, quick, whole time.Duration) {
+func testThinLink(t *testing.T, otherLane int, maxUrgent, maxTotal time.Duration) {
 	synctest.Test(t, func(t *testing.T) {
-		p := newPair(t, "m")
-		defer p.stop()
-		p.net.Thin("h1", megabit)
-		p.net.Thin("h2", megabit)
+		pair := newNodePair(t, "m")
+		defer pair.stop()
+		pair.net.Thin("h1", megabit)
+		pair.net.Thin("h2", megabit)
 		const size = 800_000
-		from := time.Now()
+		start := time.Now()
 		done := make(chan time.Duration, 2)
 		for _, n := range []int{0, size} {
-			lane := []int{transport.LaneBulk, other}[n/size]
-			in := ping{N: n, Body: make([]byte, size-n)}
+			lane := []int{transport.LaneBulk, otherLane}[n/size]
+			message := ping{N: n, Body: make([]byte, size-n)}
 			go func() {
-				ctx, end := context.WithTimeout(transport.WithLane(context.Background(), lane), time.Minute)
-				defer end()
-				got, err := transport.Call[ping](ctx, p.a, "h2:1", "swap", in)
+				ctx, cancel := context.WithTimeout(transport.WithLane(context.Background(), lane), time.Minute)
+				defer cancel()
+				got, err := transport.Call[ping](ctx, pair.client, "h2:1", "swap", message)
 				if err != nil || len(got.Body) != n {
-					t.Errorf("the large one: %d bytes, %v", len(got.Body), err)
+					t.Errorf("large call: response of %d bytes, %v", len(got.Body), err)
 				}
-				done <- time.Since(from)
+				done <- time.Since(start)
 			}()
 		}
-		slow, calls := time.Duration(0), 0
+		slowest, calls := time.Duration(0), 0
 		for len(done) < 2 {
-			at := time.Now()
-			if _, err := ask(p, "ping", ping{N: 1}, 2*time.Second); err != nil {
-				t.Fatalf("an urgent call: %v", err)
+			callStart := time.Now()
+			if _, err := call(pair, "ping", ping{N: 1}, 2*time.Second); err != nil {
+				t.Fatalf("urgent call: %v", err)
 			}
-			slow = max(slow, time.Since(at))
+			slowest = max(slowest, time.Since(callStart))
 			calls++
 			<-time.After(50 * time.Millisecond)
 		}
-		// Each way: what the socket holds, and a small piece before it.
-		if slow > quick || calls < 10 {
-			t.Errorf("of %d urgent calls the slowest took %v", calls, slow)
+		// In each direction: the socket's buffer, and a small chunk before it.
+		if slowest > maxUrgent || calls < 10 {
+			t.Errorf("of %d urgent calls the slowest took %v", calls, slowest)
 		}
-		if took := max(<-done, <-done); took > whole {
-			t.Errorf("the large ones took %v", took)
+		if elapsed := max(<-done, <-done); elapsed > maxTotal {
+			t.Errorf("the large calls took %v", elapsed)
 		}
-		t.Logf("%d urgent calls beside, the slowest took %v", calls, slow)
+		t.Logf("%d concurrent urgent calls, the slowest took %v", calls, slowest)
 	})
 }
 
-// TestThinOrder: while a link is full, what is most urgent goes first, whatever
-// came first.
-func TestThinOrder(t *testing.T) {
+// TestThinLinkLaneOrder checks that on a full link the most urgent frames go first,
+// whatever order they came in.
+func TestThinLinkLaneOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p := newPair(t, "m")
-		defer p.stop()
-		_, _ = ask(p, "ping", ping{}, time.Second)
-		p.net.Thin("h1", megabit)
-		ends := make(chan int, 99)
+		pair := newNodePair(t, "m")
+		defer pair.stop()
+		_, _ = call(pair, "ping", ping{}, time.Second)
+		pair.net.Thin("h1", megabit)
+		finished := make(chan int, 99)
 		call := func(lane, size int) {
 			go func() {
-				ctx, end := context.WithTimeout(transport.WithLane(context.Background(), lane), time.Minute)
-				defer end()
-				if _, err := transport.Call[ping](ctx, p.a, "h2:1", "swap", ping{Body: make([]byte, size)}); err != nil {
+				ctx, cancel := context.WithTimeout(transport.WithLane(context.Background(), lane), time.Minute)
+				defer cancel()
+				if _, err := transport.Call[ping](ctx, pair.client, "h2:1", "swap", ping{Body: make([]byte, size)}); err != nil {
 					t.Error(err)
 				}
-				ends <- lane
+				finished <- lane
 			}()
 			synctest.Wait()
 		}
@@ -93,87 +93,88 @@
 		}
 		var order []int
 		for range transport.LaneBulk {
-			order = append(order, <-ends)
+			order = append(order, <-finished)
 		}
 		if !slices.IsSorted(order) {
-			t.Errorf("they ended as %v", order)
+			t.Errorf("calls ended in the order of lanes %v", order)
 		}
 	})
 }
 
-// TestFullQueue: what waits on a link is bounded; a call that finds no room is
-// certain not to have gone out, and so is one that is given up in its pieces.
+// TestFullQueue checks that the queue of a link is bounded, and that a call which finds no
+// capacity, or is given up while its chunks are being sent, is known to be unsent.
 func TestFullQueue(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p := newPair(t, "m")
-		defer p.stop()
-		_, _ = ask(p, "ping", ping{}, time.Second)
-		before := p.seen.Load()
-		p.net.Thin("h1", megabit)
+		pair := newNodePair(t, "m")
+		defer pair.stop()
+		_, _ = call(pair, "ping", ping{}, time.Second)
+		before := pair.handled.Load()
+		pair.net.Thin("h1", megabit)
 		const calls = 30
-		back := make(chan error, calls)
+		results := make(chan error, calls)
 		for i := range calls {
 			go func() {
-				_, err := ask(p, "ping", ping{N: i, Body: make([]byte, 50_000)}, time.Second)
-				back <- err
+				_, err := call(pair, "ping", ping{N: i, Body: make([]byte, 50_000)}, time.Second)
+				results <- err
 			}()
 		}
 		synctest.Wait()
-		full := len(back)
-		kinds := map[string]int{}
+		rejected := len(results)
+		outcomes := map[string]int{}
 		for range calls {
-			switch err := <-back; {
+			switch err := <-results; {
 			case err == nil:
-				kinds["done"]++
+				outcomes["done"]++
 			case fault.Is(err, fault.Unsent):
-				kinds["unsent"]++
+				outcomes["unsent"]++
 			default:
-				kinds["unknown"]++
+				outcomes["unknown"]++
 			}
 		}
-		// 125 kB a second in the one second, and the bound is a quarter of 1 MiB.
-		if full < calls-6 || kinds["done"]+kinds["unknown"] > 3 {
-			t.Errorf("%d found no room; %v", full, kinds)
+		// 125 kB are sent in the one second, and the limit of the queue is a quarter of 1
+		// MiB.
+		if rejected < calls-6 || outcomes["done"]+outcomes["unknown"] > 3 {
+			t.Errorf("%d calls found no capacity; outcomes: %v", rejected, outcomes)
 		}
 		<-time.After(10 * time.Second)
-		if ran := int(p.seen.Load() - before); ran < kinds["done"] || ran > kinds["done"]+kinds["unknown"] {
-			t.Errorf("%d ran, %v", ran, kinds)
+		if executed := int(pair.handled.Load() - before); executed < outcomes["done"] || executed > outcomes["done"]+outcomes["unknown"] {
+			t.Errorf("%d calls ran, outcomes: %v", executed, outcomes)
 		}
-		if _, err := ask(p, "ping", ping{Body: make([]byte, 50_000)}, 5*time.Second); err != nil {
-			t.Errorf("afterwards: %v", err)
+		if _, err := call(pair, "ping", ping{Body: make([]byte, 50_000)}, 5*time.Second); err != nil {
+			t.Errorf("call afterwards: %v", err)
 		}
 	})
 }
 
-// TestVersions: this version and the one before play each against the other.
-// Only where both know pieces are bodies cut; all of them arrive whole.
+// TestVersions runs each combination of this version and the previous one. Bodies are
+// split into chunks only if both ends support it, and all of them arrive whole.
 func TestVersions(t *testing.T) {
-	for one := 1; one <= 2; one++ {
-		for two := 1; two <= 2; two++ {
-			t.Run(fmt.Sprint(one, " calls ", two), func(t *testing.T) {
+	for clientVersion := 1; clientVersion <= 2; clientVersion++ {
+		for serverVersion := 1; serverVersion <= 2; serverVersion++ {
+			t.Run(fmt.Sprint(clientVersion, " calls ", serverVersion), func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
-					p := newPair(t, "m")
-					defer p.stop()
-					p.a.Self.MaxVersion, p.b.Self.MaxVersion = one, two
+					pair := newNodePair(t, "m")
+					defer pair.stop()
+					pair.client.Self.MaxVersion, pair.server.Self.MaxVersion = clientVersion, serverVersion
 					for _, size := range []int{0, 100, 16 << 10, 16<<10 + 1, 300_000, 900_000} {
-						in := ping{N: size, Body: bytes.Repeat([]byte{7}, size)}
-						got, err := ask(p, "ping", in, time.Second)
-						if err != nil || got.N != size+1 || !bytes.Equal(got.Body, in.Body) {
-							t.Errorf("%d bytes: %d bytes, %v", size, len(got.Body), err)
+						message := ping{N: size, Body: bytes.Repeat([]byte{7}, size)}
+						got, err := call(pair, "ping", message, time.Second)
+						if err != nil || got.N != size+1 || !bytes.Equal(got.Body, message.Body) {
+							t.Errorf("body of %d bytes: response of %d bytes, %v", size, len(got.Body), err)
 						}
-						if err := p.a.Send(t.Context(), "h2:1", "ping", in); err != nil {
-							t.Errorf("%d bytes: %v", size, err)
+						if err := pair.client.Send(t.Context(), "h2:1", "ping", message); err != nil {
+							t.Errorf("body of %d bytes: %v", size, err)
 						}
-						// A large one fills the lane for a moment.
+						// A large message fills the lane for a moment.
 						<-time.After(10 * time.Millisecond)
 					}
 					<-time.After(time.Second)
-					if n := p.seen.Load(); n != 12 {
-						t.Errorf("%d of 12 arrived", n)
+					if n := pair.handled.Load(); n != 12 {
+						t.Errorf("%d of 12 messages arrived", n)
 					}
-					frames := p.a.BytesSent()[transport.Flow{Kind: "ping"}].Frames
-					if cut := frames > 12; cut != (one == 2 && two == 2) {
-						t.Errorf("%d frames", frames)
+					frames := pair.client.BytesSent()[transport.Flow{Kind: "ping"}].Frames
+					if chunked := frames > 12; chunked != (clientVersion == 2 && serverVersion == 2) {
+						t.Errorf("bodies were sent in %d frames", frames)
 					}
 				})
 			})
@@ -181,26 +182,26 @@
 	}
 }
 
-// TestPlain: one that speaks only version 1, made by hand, calls with a large
-// body and gets a large receipt, each in one frame.
-func TestPlain(t *testing.T) {
+// TestVersion1Peer checks that a peer which supports only version 1 can send a large body
+// and gets a large response, each in a single frame.
+func TestVersion1Peer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p := newPair(t, "m")
-		defer p.stop()
-		f := fellow(t, p, 1)
+		pair := newNodePair(t, "m")
+		defer pair.stop()
+		peer := dialRaw(t, pair, 1)
 		body := append([]byte{0x82, 0xa1, 'n', 4, 0xa1, 'b', 0xc6, 0, 4, 0, 0}, make([]byte, 4<<16)...)
-		f.say(t, old{Kind: "ping", ID: 9, Left: 5000, Body: body})
+		peer.write(t, rawFrame{Kind: "ping", ID: 9, TimeoutMS: 5000, Body: body})
 		var got struct {
 			ID   uint64 `msgpack:"i"`
 			Body ping   `msgpack:"b"`
 		}
-		f.get(t, &got)
+		peer.read(t, &got)
 		if got.ID != 9 || got.Body.N != 5 || len(got.Body.Body) != 4<<16 {
-			t.Errorf("%d: %d with %d bytes", got.ID, got.Body.N, len(got.Body.Body))
+			t.Errorf("response to call %d: %d with %d bytes", got.ID, got.Body.N, len(got.Body.Body))
 		}
-		// It knows no ping: a refusal by name is a sign of life as well.
-		f.say(t, old{Kind: "link.nonsense", ID: 10})
-		if got := f.hear(t); got.ID != 10 || got.Bad != "refused" {
+		// A kind that is not registered is refused, which is a sign of life as well.
+		peer.write(t, rawFrame{Kind: "link.nonsense", ID: 10})
+		if got := peer.readFrame(t); got.ID != 10 || got.ErrorCode != "refused" {
 			t.Errorf("%+v", got)
 		}
 	})
--- a/internal/transport/turns.go
+++ b/internal/transport/turns.go
@@ -89,8 +89,8 @@
 	}
 	zone.mu.Unlock()
 	if next != nil {
-		// In a goroutine of its own, because the lock of that link must not be
-		// acquired while this link's lock is held.
+		// In a goroutine of its own, because the lock of that link must not be acquired
+		// while this link's lock is held.
 		l.node.tasks.Go("bulk-turn", func(context.Context) { next.takeTurn() })
 	}
 	l.requestTurn()
@@ -121,8 +121,7 @@
 	return count
 }
 
-// passTurnIfIdle gives the turn back when nothing is left to send. The link's lock is
-// held.
+// passTurnIfIdle gives the turn back when nothing is left to send. The link's lock is held.
 func (l *link) passTurnIfIdle() {
 	if l.ended || l.queue.lanes[LaneBulk].first == nil {
 		l.passTurn()
--- a/internal/transport/unreachable_test.go
+++ b/internal/transport/unreachable_test.go
@@ -10,157 +10,157 @@
 	"puffincrank/internal/transport"
 )
 
-const patience = 500 * time.Millisecond // of newPair's nodes
+const silenceTimeout = 500 * time.Millisecond // of the nodes of newNodePair
 
-// TestDark: a fellow goes dark under a call that has long to run. The call
-// ends at the silence's bound, not at its own; new ones fail at once as not
-// sent; what the cut held up is lost when it heals.
-func TestDark(t *testing.T) {
+// TestUnreachablePeer checks what happens when a peer becomes unreachable during a call
+// with a long deadline. The call ends by the silence timeout and not by its own deadline,
+// new calls fail early as unsent, and what the partition held up is dropped when it heals.
+func TestUnreachablePeer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p := newPair(t, "m")
-		defer p.stop()
-		if _, err := ask(p, "ping", ping{}, time.Second); err != nil {
+		pair := newNodePair(t, "m")
+		defer pair.stop()
+		if _, err := call(pair, "ping", ping{}, time.Second); err != nil {
 			t.Fatal(err)
 		}
 		<-time.After(10 * time.Second)
-		p.net.Isolate("h2", true)
-		before, from := p.seen.Load(), time.Now()
-		late := make(chan error)
+		pair.net.Isolate("h2", true)
+		before, start := pair.handled.Load(), time.Now()
+		result := make(chan error)
 		go func() {
-			_, err := ask(p, "ping", ping{}, 12*time.Second)
-			late <- err
+			_, err := call(pair, "ping", ping{}, 12*time.Second)
+			result <- err
 		}()
-		// Between the doubt and the end of the link.
-		<-time.After(patience + patience/5)
-		at := time.Now()
-		if _, err := ask(p, "ping", ping{}, 12*time.Second); !fault.Is(err, fault.Unsent) || time.Since(at) > patience*6/10 {
-			t.Errorf("on a mute link: %v after %v", err, time.Since(at))
+		// Between the suspicion and the end of the link.
+		<-time.After(silenceTimeout + silenceTimeout/5)
+		callStart := time.Now()
+		if _, err := call(pair, "ping", ping{}, 12*time.Second); !fault.Is(err, fault.Unsent) || time.Since(callStart) > silenceTimeout*6/10 {
+			t.Errorf("on a silent link: %v after %v", err, time.Since(callStart))
 		}
-		err := <-late
-		if took := time.Since(from); !fault.Is(err, fault.Unknown) || took < patience || took > 2*patience {
-			t.Errorf("in the dark: %v after %v", err, took)
+		err := <-result
+		if elapsed := time.Since(start); !fault.Is(err, fault.Unknown) || elapsed < silenceTimeout || elapsed > 2*silenceTimeout {
+			t.Errorf("call to the unreachable peer: %v after %v", err, elapsed)
 		}
-		at = time.Now()
-		if _, err := ask(p, "ping", ping{}, 12*time.Second); !fault.Is(err, fault.Unsent) || time.Since(at) > patience*6/10 {
-			t.Errorf("after the link's end: %v after %v", err, time.Since(at))
+		callStart = time.Now()
+		if _, err := call(pair, "ping", ping{}, 12*time.Second); !fault.Is(err, fault.Unsent) || time.Since(callStart) > silenceTimeout*6/10 {
+			t.Errorf("after the link's end: %v after %v", err, time.Since(callStart))
 		}
-		p.net.Isolate("h2", false)
+		pair.net.Isolate("h2", false)
 		<-time.After(time.Second)
-		if n := p.seen.Load(); n != before {
-			t.Errorf("%d calls ran after the cut", n-before)
+		if n := pair.handled.Load(); n != before {
+			t.Errorf("%d calls ran after the partition", n-before)
 		}
-		if _, err := ask(p, "ping", ping{}, time.Second); err != nil {
-			t.Errorf("after the cut: %v", err)
+		if _, err := call(pair, "ping", ping{}, time.Second); err != nil {
+			t.Errorf("call after the partition: %v", err)
 		}
 	})
 }
 
-// TestDarkShortCalls: calls that give up soon, one after the other, add up to
+// TestUnreachablePeerShortCalls checks that consecutive calls with short timeouts count as
 // one silence.
-func TestDarkShortCalls(t *testing.T) {
+func TestUnreachablePeerShortCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p := newPair(t, "m")
-		defer p.stop()
-		_, _ = ask(p, "ping", ping{}, time.Second)
-		p.net.Isolate("h2", true)
-		from := time.Now()
-		for time.Since(from) < 10*patience {
-			_, err := ask(p, "ping", ping{}, patience/3)
+		pair := newNodePair(t, "m")
+		defer pair.stop()
+		_, _ = call(pair, "ping", ping{}, time.Second)
+		pair.net.Isolate("h2", true)
+		start := time.Now()
+		for time.Since(start) < 10*silenceTimeout {
+			_, err := call(pair, "ping", ping{}, silenceTimeout/3)
 			if fault.Is(err, fault.Unsent) {
 				break
 			}
-			<-time.After(patience / 10)
+			<-time.After(silenceTimeout / 10)
 		}
-		if took := time.Since(from); took > 2*patience {
-			t.Errorf("dialled anew after %v only", took)
+		if elapsed := time.Since(start); elapsed > 2*silenceTimeout {
+			t.Errorf("it took %v until a new link was dialed", elapsed)
 		}
 	})
 }
 
-// TestSlowIsNotDark: a taker that needs long, on a link with nothing else on
-// it, is waited for; an idle link carries no byte.
-func TestSlowIsNotDark(t *testing.T) {
+// TestSlowPeerIsNotUnreachable checks that a slow handler is waited for even if nothing
+// else uses the link, and that an idle link carries no bytes.
+func TestSlowPeerIsNotUnreachable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p := newPair(t, "m")
-		defer p.stop()
-		transport.Handle(p.b, "long", func(context.Context, transport.Hello, ping) (ping, error) {
-			<-time.After(20 * patience)
+		pair := newNodePair(t, "m")
+		defer pair.stop()
+		transport.Handle(pair.server, "long", func(context.Context, transport.Hello, ping) (ping, error) {
+			<-time.After(20 * silenceTimeout)
 			return ping{N: 7}, nil
 		})
-		if got, err := ask(p, "long", ping{}, time.Minute); err != nil || got.N != 7 {
-			t.Errorf("a slow taker: %v %v", got, err)
+		if got, err := call(pair, "long", ping{}, time.Minute); err != nil || got.N != 7 {
+			t.Errorf("slow handler: %v %v", got, err)
 		}
-		pings := p.a.BytesSent()[transport.Flow{Kind: "link.alive"}].Frames
+		pings := pair.client.BytesSent()[transport.Flow{Kind: "link.alive"}].Frames
 		if pings < 20 || pings > 41 {
-			t.Errorf("%d pings in 20 times the patience", pings)
+			t.Errorf("%d pings in 20 silence timeouts", pings)
 		}
-		before := p.net.Sum(false)
+		before := pair.net.Sum(false)
 		<-time.After(time.Hour)
-		if n := p.net.Sum(false) - before; n != 0 {
-			t.Errorf("%d bytes on an idle link", n)
+		if sent := pair.net.Sum(false) - before; sent != 0 {
+			t.Errorf("%d bytes on an idle link", sent)
 		}
 	})
 }
 
-// TestFrozenCaller: a process that was frozen itself takes no link for dead:
-// the receipt waits in its socket.
-func TestFrozenCaller(t *testing.T) {
+// TestPausedCaller checks that a process which was paused itself does not take its links
+// for dead: the response waits in its socket.
+func TestPausedCaller(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p := newPair(t, "m")
-		defer p.stop()
-		transport.Handle(p.b, "later", func(context.Context, transport.Hello, ping) (ping, error) {
-			<-time.After(patience)
+		pair := newNodePair(t, "m")
+		defer pair.stop()
+		transport.Handle(pair.server, "later", func(context.Context, transport.Hello, ping) (ping, error) {
+			<-time.After(silenceTimeout)
 			return ping{N: 7}, nil
 		})
-		_, _ = ask(p, "ping", ping{}, time.Second)
-		for _, at := range []time.Duration{patience / 10, patience * 6 / 10} {
-			back := make(chan error)
+		_, _ = call(pair, "ping", ping{}, time.Second)
+		for _, delay := range []time.Duration{silenceTimeout / 10, silenceTimeout * 6 / 10} {
+			result := make(chan error)
 			go func() {
-				_, err := ask(p, "later", ping{}, time.Minute)
-				back <- err
+				_, err := call(pair, "later", ping{}, time.Minute)
+				result <- err
 			}()
-			<-time.After(at)
-			p.net.Freeze("h1", true)
-			<-time.After(10 * patience)
-			p.net.Freeze("h1", false)
-			if err := <-back; err != nil {
-				t.Errorf("frozen after %v: %v", at, err)
+			<-time.After(delay)
+			pair.net.Freeze("h1", true)
+			<-time.After(10 * silenceTimeout)
+			pair.net.Freeze("h1", false)
+			if err := <-result; err != nil {
+				t.Errorf("paused after %v: %v", delay, err)
 			}
 		}
 	})
 }
 
-// TestNeverWritten: a call whose frame never left the queue is certain not to
-// have run, and never runs later.
-func TestNeverWritten(t *testing.T) {
+// TestCallNeverWritten checks that a call whose frame never left the queue is known not to
+// have run and never runs later.
+func TestCallNeverWritten(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p := newPair(t, "m")
-		defer p.stop()
-		_, _ = ask(p, "ping", ping{}, time.Second)
-		before := p.seen.Load()
-		p.net.Freeze("h1", true)
-		back := make(chan error, 3)
+		pair := newNodePair(t, "m")
+		defer pair.stop()
+		_, _ = call(pair, "ping", ping{}, time.Second)
+		before := pair.handled.Load()
+		pair.net.Freeze("h1", true)
+		results := make(chan error, 3)
 		for i := range 3 {
 			go func() {
-				_, err := ask(p, "ping", ping{N: i}, patience/5)
-				back <- err
+				_, err := call(pair, "ping", ping{N: i}, silenceTimeout/5)
+				results <- err
 			}()
 			synctest.Wait()
 		}
 		unsent := 0
 		for range 2 {
-			if fault.Is(<-back, fault.Unsent) {
+			if fault.Is(<-results, fault.Unsent) {
 				unsent++
 			}
 		}
-		// The first one stands still in its write, with the process.
-		p.net.Freeze("h1", false)
-		if err := <-back; err != nil && !fault.Is(err, fault.Unknown) {
-			t.Errorf("the one in its write: %v", err)
+		// The first call is stuck in its write, together with the process.
+		pair.net.Freeze("h1", false)
+		if err := <-results; err != nil && !fault.Is(err, fault.Unknown) {
+			t.Errorf("the call that was being written: %v", err)
 		}
 		<-time.After(time.Second)
-		if ran := p.seen.Load() - before; unsent != 2 || ran > 1 {
-			t.Errorf("%d were certain, %d ran", unsent, ran)
+		if executed := pair.handled.Load() - before; unsent != 2 || executed > 1 {
+			t.Errorf("%d calls were known to be unsent, %d ran", unsent, executed)
 		}
 	})
 }
--- a/internal/transport/write.go
+++ b/internal/transport/write.go
@@ -7,14 +7,13 @@
 	"time"
 )
 
-// enqueue queues a frame and writes it at once if nobody else is writing. False means that
-// the frame was certainly not sent and never will be. With wait set, as for responses, it
-// waits for queue capacity while the link is open, so that a full queue does not lose the
-// frame.
+// enqueue queues a frame and writes it at once if nobody else is writing. False means that the
+// frame was certainly not sent and never will be. With wait set, as for responses, it waits
+// for queue capacity while the link is open, so that a full queue does not lose the frame.
 func (l *link) enqueue(queued *queuedFrame, wait bool) bool {
 	if queued.lane == LaneControl && queued.body.size() > maxChunk {
-		// Documents and lists of all entries are scheduled with the requests: they
-		// overtake bulk, but must not delay urgent frames.
+		// Documents and lists of all entries are scheduled with the requests: they overtake
+		// bulk, but must not delay urgent frames.
 		queued.lane, queued.largeControl = LaneRequests, true
 	}
 	l.lastUsed.Store(int64(l.node.now()))
@@ -102,9 +101,8 @@
 			rate.recordWrite(n, l.node.now(), l.node.SilenceTimeout)
 			limit = rate.chunkSize(l.node.SilenceTimeout / delayDivisor)
 			if n > 0 {
-				// The socket was full. That it accepts more bytes, even if
-				// only part of a chunk in all that time, is a sign of
-				// life.
+				// The socket was full. That it accepts more bytes, even if only part of a
+				// chunk in all that time, is a sign of life.
 				l.conn.lastRead.Store(int64(l.node.now()))
 				if errors.Is(err, os.ErrDeadlineExceeded) {
 					err = nil
@@ -120,8 +118,7 @@
 	}
 }
 
-// callEnd is the offset at which a call's last byte ends in the batch that is being
-// written.
+// callEnd is the offset at which a call's last byte ends in the batch that is being written.
 type callEnd struct {
 	id  uint64
 	end int
--- a/internal/transport/zone.go
+++ b/internal/transport/zone.go
@@ -28,8 +28,8 @@
 		case measured < g.bytesPerSecond:
 			g.bytesPerSecond += (measured - g.bytesPerSecond) / 2
 		default:
-			// Transfers admitted by a rate have to be completed in time, so an
-			// increase is adopted slowly.
+			// Transfers admitted by a rate have to be completed in time, so an increase is
+			// adopted slowly.
 			g.bytesPerSecond += (measured - g.bytesPerSecond) / rateSmoothing
 		}
 		g.windowStart, g.acked = now, 0
