--- a/internal/transport/cancel.go
+++ b/internal/transport/cancel.go
@@ -5,104 +5,105 @@
 	"errors"
 )
 
-// abandon is a frame that names a call of its sender by its id: nobody waits for
-// its receipt any more. Fellows that don't know the word refuse it by name, and do
-// what they were asked to.
-const abandon = "call.abandon"
+// cancelKind is the kind of a frame that carries the ID of one of the sender's calls:
+// nobody waits for its response any more. Peers that do not know this kind refuse it and
+// go on with the call.
+const cancelKind = "call.abandon"
 
-// PropagateCancellation makes calls of a kind end when their askers no longer wait, and lets
-// their takers notify the askers: the
-// context of the taker is cancelled when the asker's was, or when the link over
-// which the receipt would go has ended. Both sides say so, before Listen. A
-// context that ended by its deadline, or was cancelled with a cause of its own
-// (context.WithCancelCause), abandons nothing.
+// PropagateCancellation makes calls of a kind end when their callers stop waiting, and
+// lets their handlers notify the callers: the handler's context is canceled when the
+// caller's was, or when the link that the response would use has ended. Both sides have to
+// request this before Listen. A context that ended by its deadline, or was canceled with
+// a cause of its own (context.WithCancelCause), cancels nothing at the peer.
 func PropagateCancellation(n *Node, kind string) {
-	n.takers[kind].ends = true
+	n.handlers[kind].cancelable = true
 }
 
-// CanceledByCaller tells that a context was cancelled by whom the work was for, and not
-// by time, nor with a cause of its own.
+// CanceledByCaller reports whether a context was canceled by the caller that the work was
+// for, and neither ended by its deadline nor was canceled with a cause of its own.
 func CanceledByCaller(ctx context.Context) bool {
 	return errors.Is(ctx.Err(), context.Canceled) && context.Cause(ctx) == context.Canceled
 }
 
-// abandons tells the fellow that nobody waits for a call, if that makes a
-// difference there. It is a word of a few bytes on the most urgent lane, and is
-// never turned away for want of room.
-func (l *link) abandons(ctx context.Context, kind string, id uint64) {
-	if t := l.n.takers[kind]; t == nil || !t.ends || !CanceledByCaller(ctx) {
+// sendCancel tells the peer that nobody waits for a call any more, if the peer would end
+// the call for that. The frame has a few bytes, uses the most urgent lane and is never
+// rejected for lack of queue capacity.
+func (l *link) sendCancel(ctx context.Context, kind string, id uint64) {
+	if target := l.node.handlers[kind]; target == nil || !target.cancelable || !CanceledByCaller(ctx) {
 		return
 	}
 	l.mu.Lock()
-	if l.over {
+	if l.ended {
 		l.mu.Unlock()
 		return
 	}
-	l.q.push(&item{head: head{kind: abandon, id: id}})
-	mine := l.mine()
+	l.queue.push(&queuedFrame{head: head{kind: cancelKind, id: id}})
+	claimed := l.claimWriter()
 	l.mu.Unlock()
-	if mine {
+	if claimed {
 		l.flush()
 	}
 }
 
-// heeds gives the context of a call that may be abandoned. The result is called
-// when the call is over.
-func (l *link) heeds(id uint64) (ctx context.Context, over func()) {
-	ctx, stop := context.WithCancel(l.n.g.Context())
+// cancelableContext returns a context for an inbound call that the peer may cancel. The
+// caller calls done when the call is finished.
+func (l *link) cancelableContext(id uint64) (ctx context.Context, done func()) {
+	ctx, cancel := context.WithCancel(l.node.tasks.Context())
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.over {
-		stop()
+	if l.ended {
+		cancel()
 		return ctx, func() {}
 	}
-	if l.under == nil {
-		l.under = map[uint64]context.CancelFunc{}
+	if l.inboundCancels == nil {
+		l.inboundCancels = map[uint64]context.CancelFunc{}
 	}
-	l.under[id] = stop
+	l.inboundCancels[id] = cancel
 	return ctx, func() {
 		l.mu.Lock()
-		delete(l.under, id)
+		delete(l.inboundCancels, id)
 		l.mu.Unlock()
-		stop()
+		cancel()
 	}
 }
 
-// abandoned takes the fellow's word that it waits no more for one of its calls.
-func (l *link) abandoned(id uint64) {
+// handleCancel processes the peer's message that it no longer waits for one of its calls.
+func (l *link) handleCancel(id uint64) {
 	l.mu.Lock()
-	stop := l.under[id]
+	cancel := l.inboundCancels[id]
 	l.mu.Unlock()
-	if stop != nil {
-		stop()
+	if cancel != nil {
+		cancel()
 	}
 }
 
-// abandonAll ends what is under way for a fellow that no receipt can reach.
-func (l *link) abandonAll() {
+// cancelInbound cancels the peer's calls in progress, whose responses can no longer be
+// delivered.
+func (l *link) cancelInbound() {
 	l.mu.Lock()
-	all := l.under
-	l.under = nil
+	cancels := l.inboundCancels
+	l.inboundCancels = nil
 	l.mu.Unlock()
-	for _, stop := range all {
-		stop()
+	for _, cancel := range cancels {
+		cancel()
 	}
 }
 
-// heeds is the same on a road: the context of a call that ends with the asker's.
-func (n *Node) heeds(waits context.Context, from *Node, t *taker) (ctx context.Context, over func()) {
-	ctx, stop := context.WithCancel(n.g.Context())
-	if !t.ends {
-		return ctx, stop
+// cancelableContext is the counterpart for the in-process network: it returns the context
+// of a call that is canceled along with the caller's.
+func (n *Node) cancelableContext(caller context.Context, from *Node, target *handler) (ctx context.Context, done func()) {
+	ctx, cancel := context.WithCancel(n.tasks.Context())
+	if !target.cancelable {
+		return ctx, cancel
 	}
-	ctx = context.WithValue(ctx, askerKey{}, &asker{road: n.road, from: from, here: n})
-	ignore := context.AfterFunc(waits, func() {
-		if CanceledByCaller(waits) {
-			stop()
+	ctx = context.WithValue(ctx, callOriginKey{}, &callOrigin{network: n.network, caller: from, handler: n})
+	unregister := context.AfterFunc(caller, func() {
+		if CanceledByCaller(caller) {
+			cancel()
 		}
 	})
 	return ctx, func() {
-		ignore()
-		stop()
+		unregister()
+		cancel()
 	}
 }
--- a/internal/transport/lanes.go
+++ b/internal/transport/lanes.go
@@ -5,196 +5,197 @@
 	"time"
 )
 
-// The lanes of a link, urgent first: what holds the mesh together, jobs by
-// rank, and what may take as long as it takes.
+// The lanes of a link, most urgent first: control traffic of the cluster, requests by
+// rank, and bulk, which has no latency target.
 const (
 	LaneControl  = 0
-	LaneRequests = 1 // the most urgent of the jobs
+	LaneRequests = 1 // the most urgent requests
 	LaneBulk     = 7
-	lanes        = LaneBulk + 1
+	laneCount    = LaneBulk + 1
 )
 
 const (
-	piece = 16 << 10  // of a body, on a link that is slow less; another lane waits for one at most
-	batch = 4 * piece // written at once
-	share = 8         // one part in so many is kept for the lanes below
-	toll  = 256       // what a frame takes besides its body
+	maxChunk       = 16 << 10     // largest chunk of a body, less on a slow link; another lane waits for one chunk at most
+	maxBatch       = 4 * maxChunk // bytes written at once
+	lowerLaneShare = 8            // one part in so many is kept for the lanes below
+	frameOverhead  = 256          // bytes of a frame besides its body
 )
 
 type laneKey struct{}
 
-// WithLane makes calls and casts go by a lane; receipts come back on the same.
+// WithLane sets the lane of calls and one-way messages; responses use the same lane.
 func WithLane(ctx context.Context, lane int) context.Context {
 	return context.WithValue(ctx, laneKey{}, max(LaneControl, min(lane, LaneBulk)))
 }
 
-func laneOf(ctx context.Context) int {
-	n, _ := ctx.Value(laneKey{}).(int)
-	return n
+func contextLane(ctx context.Context) int {
+	lane, _ := ctx.Value(laneKey{}).(int)
+	return lane
 }
 
-// item is a frame that waits to be written, whole or in pieces.
-type item struct {
+// queuedFrame is a frame that waits to be written, whole or in chunks.
+type queuedFrame struct {
 	head
-	of         string // what a receipt answers, for the counts
-	body       *room
-	born       time.Duration // when it came, if bulk
-	soon       time.Duration // of a call: how long it may wait until it is out; 0: not bounded
-	off        int           // bytes of the body that were taken
-	turn       *turn         // of a call of ours
-	vast       bool          // control over a piece, which takes turns with jobs
-	end        time.Duration // of a receipt: when nobody waits for it any more; 0: not known
-	prev, next *item
+	responseTo   string // kind that a response answers, for the traffic counts
+	body         *buffer
+	queuedAt     time.Duration // when it was queued, if bulk
+	sendWithin   time.Duration // of a call: how long it may wait until it is written; 0: no limit
+	offset       int           // bytes of the body that were taken
+	call         *pendingCall  // set if it is a call of this node
+	largeControl bool          // control message larger than a chunk, scheduled with the requests
+	expires      time.Duration // of a response: when its caller stops waiting; 0: unknown
+	prev, next   *queuedFrame
 }
 
-func (i *item) cost() int { return toll + i.body.size() }
+func (i *queuedFrame) cost() int { return frameOverhead + i.body.size() }
 
-// queue holds what waits on one link: a ring of items for each lane.
+// queue holds the frames that wait on one link, with a list for each lane.
 type queue struct {
-	lane [lanes]struct {
-		first, last *item
+	lanes [laneCount]struct {
+		first, last *queuedFrame
 		size        int
 	}
-	vast int // the cost of large control
-	size int // the cost of all that wait
-	n    int // how many
-	debt int // bytes written while lower lanes waited
-	turn int // the lower lane that had its part last
-	flow flow
+	largeControlSize int // size of the queued large control messages
+	totalSize        int // size of all queued frames
+	count            int // number of queued frames
+	upperBytes       int // bytes written while lower lanes waited
+	lastLowerLane    int // the lower lane that was served last
+	congestion       congestion
 }
 
-// ready tells whether something of a lane may go out now.
-func (q *queue) ready(lane int) bool {
-	return q.lane[lane].first != nil && (lane != LaneBulk || q.flow.open())
+// mayTake reports whether a frame of a lane may be sent now.
+func (q *queue) mayTake(lane int) bool {
+	return q.lanes[lane].first != nil && (lane != LaneBulk || q.congestion.maySend())
 }
 
-// fits tells whether an item may wait. What is less urgent doesn't count
-// against it, a lane with nothing in it takes one of any size, and all lanes
-// together stay within twice the bound on a frame. Large control counts for
-// itself: as long as it is on its way jobs must find room.
-func (q *queue) fits(i *item, frame int) bool {
-	before, none := i.cost(), q.lane[i.lane].first == nil
-	for _, l := range q.lane[:i.lane+1] {
-		before += l.size
+// fits reports whether a frame may be queued. Less urgent frames do not count against it,
+// an empty lane accepts one frame of any size, and all lanes together stay within twice
+// the frame limit. Large control messages are counted separately, so that requests find
+// room while one is being sent.
+func (q *queue) fits(queued *queuedFrame, frameLimit int) bool {
+	ahead, empty := queued.cost(), q.lanes[queued.lane].first == nil
+	for _, l := range q.lanes[:queued.lane+1] {
+		ahead += l.size
 	}
-	if i.vast {
-		before, none = i.cost()+q.vast, q.vast == 0
+	if queued.largeControl {
+		ahead, empty = queued.cost()+q.largeControlSize, q.largeControlSize == 0
 	}
-	return (before <= frame/4 || none) && q.size+i.cost() <= frame+frame*(lanes-i.lane)/lanes
+	return (ahead <= frameLimit/4 || empty) && q.totalSize+queued.cost() <= frameLimit+frameLimit*(laneCount-queued.lane)/laneCount
 }
 
-// sum is where the cost of an item is added up.
-func (q *queue) sum(i *item) *int {
-	if i.vast {
-		return &q.vast
+// sizeCounter returns the counter that a frame's size is added to.
+func (q *queue) sizeCounter(queued *queuedFrame) *int {
+	if queued.largeControl {
+		return &q.largeControlSize
 	}
-	return &q.lane[i.lane].size
+	return &q.lanes[queued.lane].size
 }
 
-func (q *queue) push(i *item) {
-	*q.sum(i) += i.cost()
-	q.size += i.cost()
-	q.n++
-	q.append(i)
+func (q *queue) push(queued *queuedFrame) {
+	*q.sizeCounter(queued) += queued.cost()
+	q.totalSize += queued.cost()
+	q.count++
+	q.append(queued)
 }
 
-func (q *queue) append(i *item) {
-	l := &q.lane[i.lane]
-	if i.prev, i.next = l.last, nil; l.last != nil {
-		l.last.next = i
+func (q *queue) append(queued *queuedFrame) {
+	lane := &q.lanes[queued.lane]
+	if queued.prev, queued.next = lane.last, nil; lane.last != nil {
+		lane.last.next = queued
 	} else {
-		l.first = i
+		lane.first = queued
 	}
-	l.last = i
+	lane.last = queued
 }
 
-func (q *queue) unlink(i *item) {
-	l := &q.lane[i.lane]
-	if i.prev != nil {
-		i.prev.next = i.next
+func (q *queue) unlink(queued *queuedFrame) {
+	lane := &q.lanes[queued.lane]
+	if queued.prev != nil {
+		queued.prev.next = queued.next
 	} else {
-		l.first = i.next
+		lane.first = queued.next
 	}
-	if i.next != nil {
-		i.next.prev = i.prev
+	if queued.next != nil {
+		queued.next.prev = queued.prev
 	} else {
-		l.last = i.prev
+		lane.last = queued.prev
 	}
-	i.prev, i.next = nil, nil
+	queued.prev, queued.next = nil, nil
 }
 
-// drop takes an item out for good.
-func (q *queue) drop(i *item) {
-	q.unlink(i)
-	*q.sum(i) -= i.cost()
-	q.size -= i.cost()
-	q.n--
+// remove takes a frame out of the queue for good.
+func (q *queue) remove(queued *queuedFrame) {
+	q.unlink(queued)
+	*q.sizeCounter(queued) -= queued.cost()
+	q.totalSize -= queued.cost()
+	q.count--
 }
 
-// take gives the next item and how many bytes of its body go now; the body's
-// rest waits behind the others of its lane, but bulk goes one body after the
-// other: what was let in by the time that it would take must not be held up by
-// what came later. Urgent lanes go first; while lower ones wait, one part in
-// share is theirs, by turns. No more goes than cut; 0 takes bodies whole.
-func (q *queue) take(cut int) (*item, int) {
-	top, low := -1, -1
-	for l := range q.lane {
-		if q.ready(l) {
-			top = l
+// takeChunk returns the next frame and the number of bytes of its body to send now. The
+// rest of the body is queued behind the other frames of its lane. Bulk is sent one body
+// after the other, because later bodies must not delay one that was admitted with an
+// estimated transfer time. Urgent lanes go first; while lower ones wait, one part in
+// lowerLaneShare is theirs, in rotation. A chunk is at most maxSize bytes; with maxSize 0
+// bodies are sent whole.
+func (q *queue) takeChunk(maxSize int) (*queuedFrame, int) {
+	upper, lower := -1, -1
+	for l := range q.lanes {
+		if q.mayTake(l) {
+			upper = l
 			break
 		}
 	}
-	if top < 0 {
+	if upper < 0 {
 		return nil, 0
 	}
-	for k := 1; k <= lanes; k++ {
-		if l := (q.turn + k) % lanes; l > top && q.ready(l) {
-			low = l
+	for k := 1; k <= laneCount; k++ {
+		if l := (q.lastLowerLane + k) % laneCount; l > upper && q.mayTake(l) {
+			lower = l
 			break
 		}
 	}
-	// Both sides of the share are counted in pieces as they are now.
-	unit := piece
-	if cut > 0 {
-		unit = cut
+	// Both sides of the share are counted in chunks of the current size.
+	chunk := maxChunk
+	if maxSize > 0 {
+		chunk = maxSize
 	}
-	pick := top
+	picked := upper
 	switch {
-	case low < 0:
-		q.debt = 0
-	case q.debt >= (share-1)*unit:
-		pick, q.turn, q.debt = low, low, 0
-	}
-	i := q.lane[pick].first
-	n := i.body.size() - i.off
-	if cut > 0 {
-		n = min(n, cut)
-		if pick == LaneBulk {
-			n = q.flow.cut(n)
+	case lower < 0:
+		q.upperBytes = 0
+	case q.upperBytes >= (lowerLaneShare-1)*chunk:
+		picked, q.lastLowerLane, q.upperBytes = lower, lower, 0
+	}
+	queued := q.lanes[picked].first
+	n := queued.body.size() - queued.offset
+	if maxSize > 0 {
+		n = min(n, maxSize)
+		if picked == LaneBulk {
+			n = q.congestion.limitChunk(n)
 		}
 	}
-	if low >= 0 && pick == top {
-		q.debt += toll + n
+	if lower >= 0 && picked == upper {
+		q.upperBytes += frameOverhead + n
 	}
-	switch i.off += n; {
-	case i.off >= i.body.size():
-		q.drop(i)
-	case pick != LaneBulk:
-		q.unlink(i)
-		q.append(i)
+	switch queued.offset += n; {
+	case queued.offset >= queued.body.size():
+		q.remove(queued)
+	case picked != LaneBulk:
+		q.unlink(queued)
+		q.append(queued)
 	}
-	return i, n
+	return queued, n
 }
 
-// calls lists the calls of ours that wait.
-func (q *queue) calls() []*item {
-	var all []*item
-	for _, l := range q.lane {
+// waitingCalls returns this node's calls that are still in the queue.
+func (q *queue) waitingCalls() []*queuedFrame {
+	var calls []*queuedFrame
+	for _, l := range q.lanes {
 		for i := l.first; i != nil; i = i.next {
-			if i.turn != nil {
-				all = append(all, i)
+			if i.call != nil {
+				calls = append(calls, i)
 			}
 		}
 	}
-	return all
+	return calls
 }
--- a/internal/transport/turns.go
+++ b/internal/transport/turns.go
@@ -6,123 +6,124 @@
 	"time"
 )
 
-// atOnce is how many links to one area send bulk at the same time. Two, so that
-// one goes on while the other waits for a receipt; more would only make all
-// late at once, and more would stand before what is urgent.
-const atOnce = 2
+// maxActiveLinks is how many links to one zone send bulk at the same time. With two, one
+// keeps sending while the other waits for an acknowledgement. More would only make all
+// transfers late together and put more bytes ahead of urgent frames.
+const maxActiveLinks = 2
 
-// stint is a turn: a link that has it sends its next body; then it is the next
-// one's, if others wait.
-type stint struct {
-	l    *link
-	from time.Duration
+// activeTurn is a link's turn to send bulk: it sends its next body, and then the turn
+// passes to the next link that waits.
+type activeTurn struct {
+	link    *link
+	started time.Duration
 }
 
-// claim asks for a turn if bulk waits. The link's lock is held.
-func (l *link) claim() {
-	w, t := &l.q.flow, l.track
-	if !w.on || w.let || w.asks || l.over || l.q.lane[LaneBulk].first == nil {
+// requestTurn requests a turn if bulk is queued. The link's lock is held.
+func (l *link) requestTurn() {
+	congestion, zone := &l.queue.congestion, l.zone
+	if !congestion.enabled || congestion.hasTurn || congestion.awaitingTurn || l.ended || l.queue.lanes[LaneBulk].first == nil {
 		return
 	}
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	if len(t.have) < atOnce {
-		t.have = append(t.have, stint{l, l.n.now()})
-		w.let = true
+	zone.mu.Lock()
+	defer zone.mu.Unlock()
+	if len(zone.active) < maxActiveLinks {
+		zone.active = append(zone.active, activeTurn{l, l.node.now()})
+		congestion.hasTurn = true
 		return
 	}
-	t.line = append(t.line, l)
-	w.asks = l.n.g.Go("bulk-turn", l.stand)
+	zone.waiting = append(zone.waiting, l)
+	congestion.awaitingTurn = l.node.tasks.Go("bulk-turn", l.awaitTurn)
 }
 
-// stand waits for the turn. Whoever has it and makes no progress for two
-// patiences loses it: its fellow is most likely gone, which must not hold up
-// the rest.
-func (l *link) stand(ctx context.Context) {
+// awaitTurn waits for the link's turn. A link that holds a turn and makes no progress for
+// two silence timeouts loses it: its peer is most likely unreachable and must not delay
+// the others.
+func (l *link) awaitTurn(ctx context.Context) {
 	for ctx.Err() == nil {
-		l.n.rest(ctx, l.n.SilenceTimeout)
+		l.node.sleep(ctx, l.node.SilenceTimeout)
 		l.mu.Lock()
-		asks := l.q.flow.asks
+		waiting := l.queue.congestion.awaitingTurn
 		l.mu.Unlock()
-		if !asks {
+		if !waiting {
 			return
 		}
 		var slow []*link
-		l.track.mu.Lock()
-		for _, s := range l.track.have {
-			if l.n.now()-s.from >= 2*l.n.SilenceTimeout {
-				slow = append(slow, s.l)
+		l.zone.mu.Lock()
+		for _, s := range l.zone.active {
+			if l.node.now()-s.started >= 2*l.node.SilenceTimeout {
+				slow = append(slow, s.link)
 			}
 		}
-		l.track.mu.Unlock()
+		l.zone.mu.Unlock()
 		for _, s := range slow {
 			s.mu.Lock()
-			if now := s.n.now(); now-s.q.flow.gauge.seen >= 2*s.n.SilenceTimeout {
-				s.since.Store(int64(now))
-				s.pass()
+			if now := s.node.now(); now-s.queue.congestion.rate.lastAck >= 2*s.node.SilenceTimeout {
+				s.oldestBulk.Store(int64(now))
+				s.passTurn()
 			}
 			s.mu.Unlock()
 		}
 	}
 }
 
-// pass gives the turn on, if there is one and others wait or nothing is left to
-// send. The link's lock is held.
-func (l *link) pass() {
-	w, t := &l.q.flow, l.track
-	if !w.let {
+// passTurn passes the turn on, if the link has it and others wait or it has nothing left
+// to send. The link's lock is held.
+func (l *link) passTurn() {
+	congestion, zone := &l.queue.congestion, l.zone
+	if !congestion.hasTurn {
 		return
 	}
-	t.mu.Lock()
-	idle := l.over || l.q.lane[LaneBulk].first == nil
-	if len(t.line) == 0 && !idle {
-		t.mu.Unlock()
+	zone.mu.Lock()
+	idle := l.ended || l.queue.lanes[LaneBulk].first == nil
+	if len(zone.waiting) == 0 && !idle {
+		zone.mu.Unlock()
 		return
 	}
-	w.let = false
-	t.have = slices.DeleteFunc(t.have, func(s stint) bool { return s.l == l })
+	congestion.hasTurn = false
+	zone.active = slices.DeleteFunc(zone.active, func(s activeTurn) bool { return s.link == l })
 	var next *link
-	if len(t.line) > 0 {
-		next = slices.MinFunc(t.line, sooner)
-		t.line = slices.DeleteFunc(t.line, func(o *link) bool { return o == next })
-		t.have = append(t.have, stint{next, l.n.now()})
+	if len(zone.waiting) > 0 {
+		next = slices.MinFunc(zone.waiting, compareTurns)
+		zone.waiting = slices.DeleteFunc(zone.waiting, func(other *link) bool { return other == next })
+		zone.active = append(zone.active, activeTurn{next, l.node.now()})
 	}
-	t.mu.Unlock()
+	zone.mu.Unlock()
 	if next != nil {
-		// Not here: its lock must not be taken under this one's.
-		l.n.g.Go("bulk-turn", func(context.Context) { next.resume() })
+		// In a goroutine of its own, because the lock of that link must not be acquired
+		// while this link's lock is held.
+		l.node.tasks.Go("bulk-turn", func(context.Context) { next.takeTurn() })
 	}
-	l.claim()
+	l.requestTurn()
 }
 
-// resume takes the turn up.
-func (l *link) resume() {
+// takeTurn starts the link's turn.
+func (l *link) takeTurn() {
 	l.mu.Lock()
-	l.q.flow.asks, l.q.flow.let = false, true
-	l.spent()
-	mine := l.mine()
+	l.queue.congestion.awaitingTurn, l.queue.congestion.hasTurn = false, true
+	l.passTurnIfIdle()
+	claimed := l.claimWriter()
 	l.mu.Unlock()
-	if mine {
+	if claimed {
 		l.flush()
 	}
 }
 
-// QueuedBulkLinks counts the links on which bulk waits: an answer under it has been
-// worked out and must not be lost to a stop.
-func (n *Node) QueuedBulkLinks() (many int64) {
-	for _, l := range n.standing() {
+// QueuedBulkLinks counts the links with queued bulk: among it are computed responses that
+// must not be lost in a shutdown.
+func (n *Node) QueuedBulkLinks() (count int64) {
+	for _, l := range n.listLinks() {
 		l.mu.Lock()
-		if !l.over && l.q.lane[LaneBulk].first != nil {
-			many++
+		if !l.ended && l.queue.lanes[LaneBulk].first != nil {
+			count++
 		}
 		l.mu.Unlock()
 	}
-	return many
+	return count
 }
 
-// spent gives back a turn when nothing is left to send. The link's lock is held.
-func (l *link) spent() {
-	if l.over || l.q.lane[LaneBulk].first == nil {
-		l.pass()
+// passTurnIfIdle gives the turn back when nothing is left to send. The link's lock is held.
+func (l *link) passTurnIfIdle() {
+	if l.ended || l.queue.lanes[LaneBulk].first == nil {
+		l.passTurn()
 	}
 }
