--- a/internal/event/event.go
+++ b/internal/event/event.go
@@ -31,59 +31,59 @@
 
 // Log writes events and keeps the newest ones in a ring.
 type Log struct {
-	h    hclog.Logger
-	node string
-	mu   sync.Mutex
-	seq  uint64
-	ring []Entry
-	tell func(Entry)
+	logger   hclog.Logger
+	node     string
+	mu       sync.Mutex
+	seq      uint64
+	ring     []Entry
+	listener func(Entry)
 }
 
-const keep = 512
+const maxKept = 512
 
 // New makes a log for a node; out nil means that nothing is printed.
-func New(node string, out io.Writer) *Log {
-	h := hclog.NewNullLogger()
-	if out != nil {
-		h = hclog.New(&hclog.LoggerOptions{Name: node, Output: out, Level: hclog.Info, JSONFormat: true})
+func New(node string, output io.Writer) *Log {
+	logger := hclog.NewNullLogger()
+	if output != nil {
+		logger = hclog.New(&hclog.LoggerOptions{Name: node, Output: output, Level: hclog.Info, JSONFormat: true})
 	}
-	return &Log{h: h, node: node}
+	return &Log{logger: logger, node: node}
 }
 
 // SetListener sets a listener; tests use it to see what was logged.
-func (l *Log) SetListener(f func(Entry)) {
+func (l *Log) SetListener(listener func(Entry)) {
 	l.mu.Lock()
-	l.tell = f
+	l.listener = listener
 	l.mu.Unlock()
 }
 
 // Emit logs one event with pairs of name and value.
-func (l *Log) Emit(k Kind, pairs ...any) {
-	say := ""
+func (l *Log) Emit(kind Kind, pairs ...any) {
+	text := ""
 	for i := 0; i+1 < len(pairs); i += 2 {
 		if i > 0 {
-			say += " "
+			text += " "
 		}
-		say += fmt.Sprintf("%v=%v", pairs[i], pairs[i+1])
+		text += fmt.Sprintf("%v=%v", pairs[i], pairs[i+1])
 	}
 	l.mu.Lock()
 	l.seq++
-	e := Entry{Seq: l.seq, Number: k.Number, Name: k.Name, Node: l.node, Time: time.Now(), Text: say}
-	l.ring = append(l.ring, e)
+	entry := Entry{Seq: l.seq, Number: kind.Number, Name: kind.Name, Node: l.node, Time: time.Now(), Text: text}
+	l.ring = append(l.ring, entry)
 	// The ring is cut in halves, so that the copy is rare.
-	if len(l.ring) > 2*keep {
-		l.ring = append([]Entry(nil), l.ring[keep:]...)
+	if len(l.ring) > 2*maxKept {
+		l.ring = append([]Entry(nil), l.ring[maxKept:]...)
 	}
-	tell := l.tell
+	listener := l.listener
 	l.mu.Unlock()
-	args := append([]any{"event", k.Number, "name", k.Name}, pairs...)
-	if k.IsWarning {
-		l.h.Warn(k.Text, args...)
+	args := append([]any{"event", kind.Number, "name", kind.Name}, pairs...)
+	if kind.IsWarning {
+		l.logger.Warn(kind.Text, args...)
 	} else {
-		l.h.Info(k.Text, args...)
+		l.logger.Info(kind.Text, args...)
 	}
-	if tell != nil {
-		tell(e)
+	if listener != nil {
+		listener(entry)
 	}
 }
 
@@ -91,14 +91,14 @@
 func (l *Log) Since(seq uint64) []Entry {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	var out []Entry
-	for _, e := range l.ring {
-		if e.Seq > seq {
-			out = append(out, e)
+	var entries []Entry
+	for _, entry := range l.ring {
+		if entry.Seq > seq {
+			entries = append(entries, entry)
 		}
 	}
-	if len(out) > keep {
-		out = out[len(out)-keep:]
+	if len(entries) > maxKept {
+		entries = entries[len(entries)-maxKept:]
 	}
-	return out
+	return entries
 }
--- a/internal/fault/fault.go
+++ b/internal/fault/fault.go
@@ -8,30 +8,30 @@
 	"github.com/joomcode/errorx"
 )
 
-var space = errorx.NewNamespace("puffin")
+var namespace = errorx.NewNamespace("puffin")
 
 // The kinds of error, as few as callers tell apart.
 var (
-	Input   = space.NewType("input")   // what came in is wrong
-	Disk    = space.NewType("disk")    // a file could not be kept or read
-	Unsent  = space.NewType("unsent")  // certain that nothing went out
-	Unknown = space.NewType("unknown") // it may have been done
-	Refused = space.NewType("refused") // a fellow said no, nothing was done
-	Stale   = space.NewType("stale")   // a lower ballot, version or identity
-	Closed  = space.NewType("closed")  // this process is stopping
+	Input   = namespace.NewType("input")   // what came in is wrong
+	Disk    = namespace.NewType("disk")    // a file could not be kept or read
+	Unsent  = namespace.NewType("unsent")  // certain that nothing went out
+	Unknown = namespace.NewType("unknown") // it may have been done
+	Refused = namespace.NewType("refused") // a fellow said no, nothing was done
+	Stale   = namespace.NewType("stale")   // a lower ballot, version or identity
+	Closed  = namespace.NewType("closed")  // this process is stopping
 )
 
 // Wrap names what was being done when err came up; nil stays nil.
-func Wrap(kind *errorx.Type, err error, what string) error {
+func Wrap(kind *errorx.Type, err error, operation string) error {
 	if err == nil {
 		return nil
 	}
-	return kind.Wrap(err, "%s", what)
+	return kind.Wrap(err, "%s", operation)
 }
 
 // New makes an error of a kind.
-func New(kind *errorx.Type, form string, args ...any) error {
-	return kind.New(form, args...)
+func New(kind *errorx.Type, format string, args ...any) error {
+	return kind.New(format, args...)
 }
 
 // Is tells whether err or what it wraps is of a kind.
--- a/internal/judge/judge.go
+++ b/internal/judge/judge.go
@@ -21,9 +21,9 @@
 	Quantile float64
 }
 
-// looks is over how many looks the risk is split: each look at growing counts
+// evaluations is over how many looks the risk is split: each look at growing counts
 // is a chance to err.
-const looks = 8
+const evaluations = 8
 
 // Arm is one arm's counts over all fronts.
 type Arm struct {
@@ -34,13 +34,13 @@
 
 // Add takes a front's tally in. A refusal is a failure here: a change that
 // sends jobs where nobody takes them must not pass.
-func (a *Arm) Add(t protocol.ArmCounts) {
-	a.Done += t.Done
-	a.Failed += t.Failed + t.Unknown + t.Refused
-	for len(a.LatencyBins) < len(t.LatencyBins) {
+func (a *Arm) Add(counts protocol.ArmCounts) {
+	a.Done += counts.Done
+	a.Failed += counts.Failed + counts.Unknown + counts.Refused
+	for len(a.LatencyBins) < len(counts.LatencyBins) {
 		a.LatencyBins = append(a.LatencyBins, 0)
 	}
-	for i, n := range t.LatencyBins {
+	for i, n := range counts.LatencyBins {
 		a.LatencyBins[i] += n
 	}
 }
@@ -57,102 +57,102 @@
 
 // Facts are the figures that decided.
 type Facts struct {
-	Route    string  `json:"path"`
-	Verdict  string  `json:"word"`
-	Reason   string  `json:"why"`
-	Old      Arm     `json:"old"`
-	New      Arm     `json:"new"`
-	FailOld  float64 `json:"fail_rate_old"`
-	FailNew  float64 `json:"fail_rate_new"`
-	DiffLow  float64 `json:"fail_diff_low"`
-	DiffHigh float64 `json:"fail_diff_high"`
-	SlowOld  float64 `json:"latency_ms_old"`
-	SlowNew  float64 `json:"latency_ms_new"`
-	Ratio    float64 `json:"latency_ratio"`
-	AgeMS    int64   `json:"age_ms"`
+	Route        string  `json:"path"`
+	Verdict      string  `json:"word"`
+	Reason       string  `json:"why"`
+	Old          Arm     `json:"old"`
+	New          Arm     `json:"new"`
+	FailOld      float64 `json:"fail_rate_old"`
+	FailNew      float64 `json:"fail_rate_new"`
+	DiffLow      float64 `json:"fail_diff_low"`
+	DiffHigh     float64 `json:"fail_diff_high"`
+	SlowOld      float64 `json:"latency_ms_old"`
+	SlowNew      float64 `json:"latency_ms_new"`
+	LatencyRatio float64 `json:"latency_ratio"`
+	AgeMS        int64   `json:"age_ms"`
 }
 
 // Evaluate judges one path of a trial.
-func Evaluate(path string, old, now Arm, age time.Duration, b Bounds) Facts {
-	f := Facts{Route: path, Verdict: Wait, Old: old, New: now, AgeMS: age.Milliseconds()}
-	if old.Jobs() > 0 && now.Jobs() > 0 {
-		f.FailOld, f.FailNew = rate(old), rate(now)
-		f.DiffLow, f.DiffHigh = interval(old, now, b.Risk/looks)
-		f.SlowOld, f.SlowNew = quantile(old.LatencyBins, b.Quantile), quantile(now.LatencyBins, b.Quantile)
-		if f.SlowOld > 0 {
-			f.Ratio = f.SlowNew / f.SlowOld
+func Evaluate(route string, oldArm, newArm Arm, age time.Duration, bounds Bounds) Facts {
+	facts := Facts{Route: route, Verdict: Wait, Old: oldArm, New: newArm, AgeMS: age.Milliseconds()}
+	if oldArm.Jobs() > 0 && newArm.Jobs() > 0 {
+		facts.FailOld, facts.FailNew = failureRate(oldArm), failureRate(newArm)
+		facts.DiffLow, facts.DiffHigh = failureDiffInterval(oldArm, newArm, bounds.Risk/evaluations)
+		facts.SlowOld, facts.SlowNew = quantile(oldArm.LatencyBins, bounds.Quantile), quantile(newArm.LatencyBins, bounds.Quantile)
+		if facts.SlowOld > 0 {
+			facts.LatencyRatio = facts.SlowNew / facts.SlowOld
 		}
 	}
-	if age < b.Least || now.Jobs() < b.Jobs || old.Jobs() < b.Jobs {
-		f.Reason = fmt.Sprintf("%d and %d jobs in %v are too few yet", old.Jobs(), now.Jobs(), age.Round(time.Second))
-		if age >= b.Most {
-			f.Verdict, f.Reason = Bad, fmt.Sprintf("too little traffic: %d and %d jobs in %v", old.Jobs(), now.Jobs(), age.Round(time.Second))
+	if age < bounds.Least || newArm.Jobs() < bounds.Jobs || oldArm.Jobs() < bounds.Jobs {
+		facts.Reason = fmt.Sprintf("%d and %d jobs in %v are too few yet", oldArm.Jobs(), newArm.Jobs(), age.Round(time.Second))
+		if age >= bounds.Most {
+			facts.Verdict, facts.Reason = Bad, fmt.Sprintf("too little traffic: %d and %d jobs in %v", oldArm.Jobs(), newArm.Jobs(), age.Round(time.Second))
 		}
-		return f
+		return facts
 	}
-	z := normal(b.Risk / looks)
-	lowNew, highNew := bounds(now.LatencyBins, b.Quantile, z)
-	lowOld, highOld := bounds(old.LatencyBins, b.Quantile, z)
+	z := normalQuantile(bounds.Risk / evaluations)
+	newLow, newHigh := quantileBounds(newArm.LatencyBins, bounds.Quantile, z)
+	oldLow, oldHigh := quantileBounds(oldArm.LatencyBins, bounds.Quantile, z)
 	switch {
-	case f.DiffLow > 0 && f.FailNew-f.FailOld > b.Margin:
-		f.Verdict, f.Reason = Bad, fmt.Sprintf("fails more: %.2f %% against %.2f %%", 100*f.FailNew, 100*f.FailOld)
-	case now.Done > 0 && lowNew > b.Slow*highOld:
-		f.Verdict, f.Reason = Bad, fmt.Sprintf("slower: quantile %.0f ms against %.0f ms", f.SlowNew, f.SlowOld)
-	case f.DiffHigh < b.Margin && now.Done > 0 && highNew <= b.Slow*max(lowOld, 1):
-		f.Verdict, f.Reason = Good, fmt.Sprintf("failure rate %.2f %% against %.2f %%, latency ratio %.2f", 100*f.FailNew, 100*f.FailOld, f.Ratio)
-	case age >= b.Most:
-		f.Verdict, f.Reason = Bad, "undecided by the end of the trial"
+	case facts.DiffLow > 0 && facts.FailNew-facts.FailOld > bounds.Margin:
+		facts.Verdict, facts.Reason = Bad, fmt.Sprintf("fails more: %.2f %% against %.2f %%", 100*facts.FailNew, 100*facts.FailOld)
+	case newArm.Done > 0 && newLow > bounds.Slow*oldHigh:
+		facts.Verdict, facts.Reason = Bad, fmt.Sprintf("slower: quantile %.0f ms against %.0f ms", facts.SlowNew, facts.SlowOld)
+	case facts.DiffHigh < bounds.Margin && newArm.Done > 0 && newHigh <= bounds.Slow*max(oldLow, 1):
+		facts.Verdict, facts.Reason = Good, fmt.Sprintf("failure rate %.2f %% against %.2f %%, latency ratio %.2f", 100*facts.FailNew, 100*facts.FailOld, facts.LatencyRatio)
+	case age >= bounds.Most:
+		facts.Verdict, facts.Reason = Bad, "undecided by the end of the trial"
 	default:
-		f.Reason = "the figures don't decide yet"
+		facts.Reason = "the figures don't decide yet"
 	}
-	return f
+	return facts
 }
 
-func rate(a Arm) float64 { return float64(a.Failed) / float64(a.Jobs()) }
+func failureRate(a Arm) float64 { return float64(a.Failed) / float64(a.Jobs()) }
 
-// interval is the Agresti-Caffo interval for the difference of two failure
+// failureDiffInterval is the Agresti-Caffo interval for the difference of two failure
 // rates, new less old: it holds for the small counts of a slice, where the
 // plain normal test does not.
-func interval(old, now Arm, risk float64) (low, high float64) {
-	part := func(a Arm) (p, v float64) {
+func failureDiffInterval(oldArm, newArm Arm, risk float64) (low, high float64) {
+	estimate := func(a Arm) (p, v float64) {
 		n := float64(a.Jobs()) + 2
 		p = (float64(a.Failed) + 1) / n
 		return p, p * (1 - p) / n
 	}
-	p1, v1 := part(old)
-	p2, v2 := part(now)
-	half := normal(risk) * math.Sqrt(v1+v2)
-	return p2 - p1 - half, p2 - p1 + half
+	p1, v1 := estimate(oldArm)
+	p2, v2 := estimate(newArm)
+	halfWidth := normalQuantile(risk) * math.Sqrt(v1+v2)
+	return p2 - p1 - halfWidth, p2 - p1 + halfWidth
 }
 
-// normal is the one-sided quantile of the normal distribution.
-func normal(risk float64) float64 { return math.Sqrt2 * math.Erfinv(1-2*risk) }
+// normalQuantile is the one-sided quantile of the normal distribution.
+func normalQuantile(risk float64) float64 { return math.Sqrt2 * math.Erfinv(1-2*risk) }
 
-// upto is the upper edge of a bin in ms; it mirrors the fronts' histogram.
-func upto(bin int) float64 { return math.Pow(2, float64(bin)/4) }
+// binUpperEdge is the upper edge of a bin in ms; it mirrors the fronts' histogram.
+func binUpperEdge(bin int) float64 { return math.Pow(2, float64(bin)/4) }
 
 // quantile reads a quantile from a histogram.
-func quantile(bins []uint64, q float64) float64 { return rank(bins, q) }
+func quantile(bins []uint64, q float64) float64 { return edgeAtRank(bins, q) }
 
-func rank(bins []uint64, q float64) float64 {
+func edgeAtRank(bins []uint64, q float64) float64 {
 	total := uint64(0)
 	for _, n := range bins {
 		total += n
 	}
-	want := q * float64(total)
+	target := q * float64(total)
 	sum := 0.0
 	for i, n := range bins {
 		sum += float64(n)
-		if n > 0 && sum >= want {
-			return upto(i)
+		if n > 0 && sum >= target {
+			return binUpperEdge(i)
 		}
 	}
 	return 0
 }
 
-// bounds are the confidence bounds of a quantile, by the binomial spread of
+// quantileBounds are the confidence bounds of a quantile, by the binomial spread of
 // its rank.
-func bounds(bins []uint64, q, z float64) (low, high float64) {
+func quantileBounds(bins []uint64, q, z float64) (low, high float64) {
 	total := 0.0
 	for _, n := range bins {
 		total += float64(n)
@@ -160,9 +160,9 @@
 	if total == 0 {
 		return 0, math.Inf(1)
 	}
-	half := z * math.Sqrt(q*(1-q)/total)
-	if q+half >= 1 {
-		return rank(bins, max(q-half, 0)), rank(bins, 1)
+	halfWidth := z * math.Sqrt(q*(1-q)/total)
+	if q+halfWidth >= 1 {
+		return edgeAtRank(bins, max(q-halfWidth, 0)), edgeAtRank(bins, 1)
 	}
-	return rank(bins, max(q-half, 0)), rank(bins, q+half)
+	return edgeAtRank(bins, max(q-halfWidth, 0)), edgeAtRank(bins, q+halfWidth)
 }
--- a/internal/lifecycle/again.go
+++ b/internal/lifecycle/again.go
@@ -19,110 +19,110 @@
 	Reload(settings.Settings) []string
 }
 
-// watch reads the settings again: at a signal, and when their file has changed
+// settingsWatcher reads the settings again: at a signal, and when their file has changed
 // without one. It has no beat of its own; the program's beats call look.
-type watch struct {
-	name string
-	file string // "" where there is none
-	load func() (settings.Settings, []schema.Problem, error)
-	log  *event.Log
-	mu   sync.Mutex
-	prog Reloader
-	now  settings.Settings
-	seen os.FileInfo // what the file looked like when it was last read
-	next time.Time   // the next look, a change after the last
-	bad  string      // what was wrong at the last reading
+type settingsWatcher struct {
+	name        string
+	file        string // "" where there is none
+	load        func() (settings.Settings, []schema.Problem, error)
+	log         *event.Log
+	mu          sync.Mutex
+	program     Reloader
+	current     settings.Settings
+	lastSeen    os.FileInfo // what the file looked like when it was last read
+	nextCheck   time.Time   // the next look, a change after the last
+	lastProblem string      // what was wrong at the last reading
 }
 
 // stat gives what the file looks like, nil when it can't be seen.
-func (w *watch) stat() os.FileInfo {
+func (w *settingsWatcher) stat() os.FileInfo {
 	if w.file == "" {
 		return nil
 	}
-	i, err := os.Stat(w.file)
+	info, err := os.Stat(w.file)
 	if err != nil {
 		return nil
 	}
-	return i
+	return info
 }
 
-// look reads the settings again if their file has changed since the last time.
-func (w *watch) look() {
+// checkFile reads the settings again if their file has changed since the last time.
+func (w *settingsWatcher) checkFile() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	now := time.Now()
-	if w.file == "" || w.prog == nil || now.Before(w.next) {
+	if w.file == "" || w.program == nil || now.Before(w.nextCheck) {
 		return
 	}
-	w.next = now.Add(w.now.ConfigBound)
-	i := w.stat()
-	if i == nil || w.seen != nil && os.SameFile(i, w.seen) && i.ModTime().Equal(w.seen.ModTime()) && i.Size() == w.seen.Size() {
+	w.nextCheck = now.Add(w.current.ConfigBound)
+	info := w.stat()
+	if info == nil || w.lastSeen != nil && os.SameFile(info, w.lastSeen) && info.ModTime().Equal(w.lastSeen.ModTime()) && info.Size() == w.lastSeen.Size() {
 		return
 	}
-	w.readLocked(i)
+	w.reloadLocked(info)
 }
 
-// read does so in any case.
-func (w *watch) read() {
+// reload does so in any case.
+func (w *settingsWatcher) reload() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.readLocked(w.stat())
+	w.reloadLocked(w.stat())
 }
 
-// readLocked takes what can be taken and names what can't. Settings that can't
+// reloadLocked takes what can be taken and names what can't. Settings that can't
 // be read leave those of before in force, and are looked at again: the file may
 // be half written.
-func (w *watch) readLocked(i os.FileInfo) {
-	p, bad, err := w.load()
-	if err != nil || len(bad) > 0 {
-		why := "unreadable"
+func (w *settingsWatcher) reloadLocked(info os.FileInfo) {
+	loaded, problems, err := w.load()
+	if err != nil || len(problems) > 0 {
+		problem := "unreadable"
 		if err != nil {
-			why = err.Error()
+			problem = err.Error()
 		} else {
-			why = bad[0].Place + ": " + bad[0].Message
+			problem = problems[0].Place + ": " + problems[0].Message
 		}
-		if why != w.bad {
-			w.log.Emit(event.SettingsInvalid, "faults", len(bad), "first", why)
+		if problem != w.lastProblem {
+			w.log.Emit(event.SettingsInvalid, "faults", len(problems), "first", problem)
 		}
-		w.bad = why
+		w.lastProblem = problem
 		return
 	}
-	w.seen, w.bad = i, ""
-	all := settings.Changed(w.name, w.now, p)
-	if len(all) == 0 {
+	w.lastSeen, w.lastProblem = info, ""
+	changed := settings.Changed(w.name, w.current, loaded)
+	if len(changed) == 0 {
 		return
 	}
-	taken := []string{"memory_bytes"}
-	remember(p)
-	if w.prog != nil {
-		taken = append(taken, w.prog.Reload(p)...)
+	reloadable := []string{"memory_bytes"}
+	setMemoryLimit(loaded)
+	if w.program != nil {
+		reloadable = append(reloadable, w.program.Reload(loaded)...)
 	}
-	var now, later []string
-	for _, n := range all {
-		if slices.Contains(taken, n) {
-			now = append(now, n)
+	var applied, deferred []string
+	for _, name := range changed {
+		if slices.Contains(reloadable, name) {
+			applied = append(applied, name)
 		} else {
-			later = append(later, n)
+			deferred = append(deferred, name)
 		}
 	}
-	if len(now) > 0 {
-		w.log.Emit(event.SettingsApplied, "settings", strings.Join(now, " "))
+	if len(applied) > 0 {
+		w.log.Emit(event.SettingsApplied, "settings", strings.Join(applied, " "))
 	}
-	if len(later) > 0 {
-		w.log.Emit(event.SettingsNeedRestart, "settings", strings.Join(later, " "))
+	if len(deferred) > 0 {
+		w.log.Emit(event.SettingsNeedRestart, "settings", strings.Join(deferred, " "))
 	}
-	w.now = p
+	w.current = loaded
 }
 
-// remember sets the collector's limit. A part is kept back for what it does not
+// setMemoryLimit sets the collector's limit. A part is kept back for what it does not
 // count: stacks, the C library and bytes that wait unread.
-func remember(p settings.Settings) {
-	if p.MemoryBytes > 0 {
-		debug.SetMemoryLimit(int64(p.MemoryBytes) * 3 / 4)
+func setMemoryLimit(s settings.Settings) {
+	if s.MemoryBytes > 0 {
+		debug.SetMemoryLimit(int64(s.MemoryBytes) * 3 / 4)
 	}
 }
 
-// fixed is a program that takes none.
-type fixed struct{}
+// notReloadable is a program that takes none.
+type notReloadable struct{}
 
-func (fixed) Reload(settings.Settings) []string { return nil }
+func (notReloadable) Reload(settings.Settings) []string { return nil }
--- a/internal/lifecycle/again_test.go
+++ b/internal/lifecycle/again_test.go
@@ -47,19 +47,19 @@
 		log := event.New("n", nil)
 		log.SetListener(func(e event.Entry) { said = append(said, fmt.Sprint(e.Name, " ", e.Text)) })
 		k := &taker{}
-		w := &watch{name: "proxy", file: settings.File("proxy", []string{"--props", at}), load: load, log: log, prog: k}
-		w.seen = w.stat()
+		w := &settingsWatcher{name: "proxy", file: settings.File("proxy", []string{"--props", at}), load: load, log: log, program: k}
+		w.lastSeen = w.stat()
 		p, bad, err := w.load()
 		if err != nil || len(bad) > 0 {
 			t.Fatal(bad, err)
 		}
-		w.now, reads = p, 0
+		w.current, reads = p, 0
 		// The beats of three changes.
 		beats := func() {
 			said = nil
 			for range 30 {
 				<-time.After(200 * time.Millisecond)
-				w.look()
+				w.checkFile()
 			}
 		}
 		beats()
@@ -80,7 +80,7 @@
 			t.Errorf("a wrong file: taken %d times, told %v", len(k.got), said)
 		}
 		write(`,"seeds":["127.0.0.1:6"],"jobs":64,"leave_ms":2500`)
-		w.read()
+		w.reload()
 		if len(k.got) != 2 || k.got[1].MaxRequests != 64 {
 			t.Errorf("a signal: taken %v", k.got)
 		}
--- a/internal/lifecycle/run.go
+++ b/internal/lifecycle/run.go
@@ -45,11 +45,11 @@
 // file and flags.
 func load(name string, args []string, site Site) (settings.Settings, []schema.Problem, error) {
 	if len(args) == 1 && args[0] == "--site" && site.Settings != nil {
-		in, err := site.Settings(name)
+		values, err := site.Settings(name)
 		if err != nil {
 			return settings.Settings{}, nil, err
 		}
-		return settings.FromValues(name, in)
+		return settings.FromValues(name, values)
 	}
 	return settings.Load(name, args)
 }
@@ -64,16 +64,16 @@
 	// Signals are caught before anything else, so that a stop right after the start
 	// is polite too, and those of each kind by themselves: the order to end must not
 	// be lost because an order to read the settings waits to be taken.
-	ends, again := make(chan os.Signal, 1), make(chan os.Signal, 1)
-	signal.Notify(ends, syscall.SIGTERM, syscall.SIGINT)
-	signal.Notify(again, syscall.SIGHUP)
-	w := &watch{name: name, load: func() (settings.Settings, []schema.Problem, error) { return load(name, args, site) }, file: settings.File(name, args)}
+	stopSignals, reloadSignals := make(chan os.Signal, 1), make(chan os.Signal, 1)
+	signal.Notify(stopSignals, syscall.SIGTERM, syscall.SIGINT)
+	signal.Notify(reloadSignals, syscall.SIGHUP)
+	watcher := &settingsWatcher{name: name, load: func() (settings.Settings, []schema.Problem, error) { return load(name, args, site) }, file: settings.File(name, args)}
 	if len(args) == 1 && args[0] == "--site" && site.File != nil {
-		w.file = site.File()
+		watcher.file = site.File()
 	}
 	// What it looks like is noted before it is read: a change in between is seen.
-	w.seen = w.stat()
-	p, bad, err := w.load()
+	watcher.lastSeen = watcher.stat()
+	loaded, problems, err := watcher.load()
 	if errors.Is(err, arg.ErrHelp) {
 		return 0
 	}
@@ -81,67 +81,67 @@
 		fmt.Fprintf(os.Stderr, "%s: %v\n", name, err)
 		return 2
 	}
-	for _, f := range bad {
-		fmt.Fprintf(os.Stderr, "%s: prop %s: %s\n", name, f.Place, f.Message)
+	for _, problem := range problems {
+		fmt.Fprintf(os.Stderr, "%s: prop %s: %s\n", name, problem.Place, problem.Message)
 	}
-	if len(bad) > 0 {
+	if len(problems) > 0 {
 		return 2
 	}
-	e := env.Real(p.Node)
+	environment := env.Real(loaded.Node)
 	if len(args) == 1 && args[0] == "--site" {
-		e.Dialect = site.Dialect
+		environment.Dialect = site.Dialect
 	}
-	remember(p)
-	w.now, w.log, e.CheckSettings = p, e.Log, w.look
-	if p.DataDir != "" {
-		dir, err := disk.Open(p.DataDir)
+	setMemoryLimit(loaded)
+	watcher.current, watcher.log, environment.CheckSettings = loaded, environment.Log, watcher.checkFile
+	if loaded.DataDir != "" {
+		dir, err := disk.Open(loaded.DataDir)
 		if err != nil {
 			fmt.Fprintf(os.Stderr, "%s: %v\n", name, err)
 			return 1
 		}
-		e.FS = dir
+		environment.FS = dir
 	}
-	prog, err := build(p, e)
+	program, err := build(loaded, environment)
 	if err == nil {
-		err = prog.Start()
+		err = program.Start()
 	}
 	if err != nil {
 		fmt.Fprintf(os.Stderr, "%s: %v\n", name, err)
 		return 1
 	}
-	w.mu.Lock()
-	if w.prog, _ = prog.(Reloader); w.prog == nil {
-		w.prog = fixed{}
+	watcher.mu.Lock()
+	if watcher.program, _ = program.(Reloader); watcher.program == nil {
+		watcher.program = notReloadable{}
 	}
-	w.mu.Unlock()
+	watcher.mu.Unlock()
 	for {
 		select {
-		case <-ends:
-			stop(prog, ends, again, e.Log)
+		case <-stopSignals:
+			stop(program, stopSignals, reloadSignals, environment.Log)
 			return 0
-		case <-again:
-			w.read()
+		case <-reloadSignals:
+			watcher.reload()
 		}
 	}
 }
 
 // stop ends a program politely. Orders that come meanwhile change nothing, since its
 // grace period counts from the first; they are told of.
-func stop(prog Program, ends, again <-chan os.Signal, log *event.Log) {
+func stop(program Program, stopSignals, reloadSignals <-chan os.Signal, log *event.Log) {
 	stopped := make(chan struct{})
-	g := task.New(context.Background())
-	g.Go("stop", func(context.Context) {
-		prog.Stop()
+	group := task.New(context.Background())
+	group.Go("stop", func(context.Context) {
+		program.Stop()
 		close(stopped)
 	})
-	for from := time.Now(); ; {
+	for start := time.Now(); ; {
 		select {
 		case <-stopped:
 			return
-		case s := <-ends:
-			log.Emit(event.SecondStopSignal, "signal", s, "after_ms", time.Since(from).Milliseconds())
-		case s := <-again:
-			log.Emit(event.SecondStopSignal, "signal", s, "after_ms", time.Since(from).Milliseconds())
+		case s := <-stopSignals:
+			log.Emit(event.SecondStopSignal, "signal", s, "after_ms", time.Since(start).Milliseconds())
+		case s := <-reloadSignals:
+			log.Emit(event.SecondStopSignal, "signal", s, "after_ms", time.Since(start).Milliseconds())
 		}
 	}
 }
--- a/internal/patch/held.go
+++ b/internal/patch/held.go
@@ -4,59 +4,59 @@
 
 // Document is the document that a process holds, with the newest steps to it.
 type Document struct {
-	mu      sync.Mutex
-	most    int // steps kept, for those that lag
-	version uint64
-	doc     []byte
-	steps   []Step
-	size    int
+	mu        sync.Mutex
+	maxSteps  int // steps kept, for those that lag
+	version   uint64
+	doc       []byte
+	steps     []Step
+	stepBytes int
 }
 
 // NewDocument holds nothing yet, and later at the most so many steps.
-func NewDocument(most int) *Document { return &Document{most: most} }
+func NewDocument(maxSteps int) *Document { return &Document{maxSteps: maxSteps} }
 
 // Set takes a newer document, and the steps that lead to it from the one held
 // if they are known.
-func (h *Document) Set(version uint64, doc []byte, steps []Step) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	if version <= h.version {
+func (d *Document) Set(version uint64, doc []byte, steps []Step) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if version <= d.version {
 		return
 	}
-	for len(steps) > 0 && steps[0].From < h.version {
+	for len(steps) > 0 && steps[0].From < d.version {
 		steps = steps[1:]
 	}
-	if len(steps) == 0 || steps[0].From != h.version || h.version == 0 {
-		h.steps, h.size = nil, 0
+	if len(steps) == 0 || steps[0].From != d.version || d.version == 0 {
+		d.steps, d.stepBytes = nil, 0
 	} else {
-		h.steps = append(h.steps, steps...)
+		d.steps = append(d.steps, steps...)
 		for _, s := range steps {
-			h.size += s.Size()
+			d.stepBytes += s.Size()
 		}
 	}
-	h.version, h.doc = version, doc
+	d.version, d.doc = version, doc
 	// More steps than make up half of the document are never sent.
-	for len(h.steps) > h.most || h.size > len(doc)/2 && len(h.steps) > 0 {
-		h.size -= h.steps[0].Size()
-		h.steps = append([]Step(nil), h.steps[1:]...)
+	for len(d.steps) > d.maxSteps || d.stepBytes > len(doc)/2 && len(d.steps) > 0 {
+		d.stepBytes -= d.steps[0].Size()
+		d.steps = append([]Step(nil), d.steps[1:]...)
 	}
 }
 
 // Current gives what is held.
-func (h *Document) Current() (uint64, []byte) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	return h.version, h.doc
+func (d *Document) Current() (uint64, []byte) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return d.version, d.doc
 }
 
 // Since gives the steps that lead from a version to the one held; false when
 // they are not known, or not worth it.
-func (h *Document) Since(version uint64) ([]Step, bool) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	for i, s := range h.steps {
+func (d *Document) Since(version uint64) ([]Step, bool) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	for i, s := range d.steps {
 		if s.From == version {
-			return append([]Step(nil), h.steps[i:]...), true
+			return append([]Step(nil), d.steps[i:]...), true
 		}
 	}
 	return nil, false
@@ -64,8 +64,8 @@
 
 // Build makes the document that steps lead to from the one held; steps that
 // went by already are passed over. False means that they do not fit.
-func (h *Document) Build(steps []Step) ([]byte, bool) {
-	version, doc := h.Current()
+func (d *Document) Build(steps []Step) ([]byte, bool) {
+	version, doc := d.Current()
 	for _, s := range steps {
 		if s.To <= version {
 			continue
@@ -73,11 +73,11 @@
 		if s.From != version {
 			return nil, false
 		}
-		next, err := s.Apply(doc)
+		patched, err := s.Apply(doc)
 		if err != nil {
 			return nil, false
 		}
-		version, doc = s.To, next
+		version, doc = s.To, patched
 	}
 	return doc, true
 }
--- a/internal/patch/patch.go
+++ b/internal/patch/patch.go
@@ -35,91 +35,91 @@
 
 // Size is about what a step takes to travel.
 func (s Step) Size() int {
-	n := 64
-	for _, o := range s.Ops {
-		n += 12 + len(o.New)
+	size := 64
+	for _, op := range s.Ops {
+		size += 12 + len(op.New)
 	}
-	return n
+	return size
 }
 
-// rows cuts a document where rows of JSON end, or lines; no row is longer than
+// splitRows cuts a document where rows of JSON end, or lines; no row is longer than
 // long, so that a text without any is cut too.
-func rows(doc []byte) [][]byte {
-	const long = 1024
-	var out [][]byte
+func splitRows(doc []byte) [][]byte {
+	const maxRow = 1024
+	var chunks [][]byte
 	for len(doc) > 0 {
-		n := bytes.IndexAny(doc[:min(len(doc), long)], "}\n") + 1
-		if n == 0 {
-			n = min(len(doc), long)
+		length := bytes.IndexAny(doc[:min(len(doc), maxRow)], "}\n") + 1
+		if length == 0 {
+			length = min(len(doc), maxRow)
 		}
-		out = append(out, doc[:n])
-		doc = doc[n:]
+		chunks = append(chunks, doc[:length])
+		doc = doc[length:]
 	}
-	return out
+	return chunks
 }
 
 // Make works out the step between two documents.
-func Make(from, to uint64, old, now []byte) Step {
-	s := Step{From: from, To: to, Base: digest(old), Digest: digest(now)}
+func Make(from, to uint64, old, updated []byte) Step {
+	step := Step{From: from, To: to, Base: digest(old), Digest: digest(updated)}
 	// What is equal at both ends is most of it, and needs no search.
-	head := 0
-	for head < len(old) && head < len(now) && old[head] == now[head] {
-		head++
+	prefix := 0
+	for prefix < len(old) && prefix < len(updated) && old[prefix] == updated[prefix] {
+		prefix++
 	}
-	tail := 0
-	for tail < len(old)-head && tail < len(now)-head && old[len(old)-1-tail] == now[len(now)-1-tail] {
-		tail++
+	suffix := 0
+	for suffix < len(old)-prefix && suffix < len(updated)-prefix && old[len(old)-1-suffix] == updated[len(updated)-1-suffix] {
+		suffix++
 	}
-	s.take(0, head)
-	at := map[string][]int{}
-	pos := head
-	for _, r := range rows(old[head : len(old)-tail]) {
-		at[string(r)] = append(at[string(r)], pos)
-		pos += len(r)
+	step.copyRange(0, prefix)
+	offsets := map[string][]int{}
+	offset := prefix
+	for _, row := range splitRows(old[prefix : len(old)-suffix]) {
+		offsets[string(row)] = append(offsets[string(row)], offset)
+		offset += len(row)
 	}
-	for _, r := range rows(now[head : len(now)-tail]) {
-		s.row(r, at[string(r)])
+	for _, row := range splitRows(updated[prefix : len(updated)-suffix]) {
+		step.addRow(row, offsets[string(row)])
 	}
-	s.take(len(old)-tail, tail)
-	return s
+	step.copyRange(len(old)-suffix, suffix)
+	return step
 }
 
-// take adds a piece of the old document, to the last one if it goes on there.
-func (s *Step) take(at, long int) {
-	if long == 0 {
+// copyRange adds a piece of the old document, to the last one if it goes on there.
+func (s *Step) copyRange(offset, length int) {
+	if length == 0 {
 		return
 	}
-	if n := len(s.Ops); n > 0 && s.Ops[n-1].New == nil && s.Ops[n-1].At+s.Ops[n-1].Len == at {
-		s.Ops[n-1].Len += long
+	if count := len(s.Ops); count > 0 && s.Ops[count-1].New == nil && s.Ops[count-1].At+s.Ops[count-1].Len == offset {
+		s.Ops[count-1].Len += length
 		return
 	}
-	s.Ops = append(s.Ops, Op{At: at, Len: long})
+	s.Ops = append(s.Ops, Op{At: offset, Len: length})
 }
 
-// row adds a row that stands at some places of the old document, or at none.
-func (s *Step) row(r []byte, at []int) {
-	n := len(s.Ops)
-	for _, a := range at {
+// addRow adds a row that stands at some places of the old document, or at none.
+func (s *Step) addRow(row []byte, offsets []int) {
+	count := len(s.Ops)
+	for _, offset := range offsets {
 		// Where the last piece ended is best: it makes that one longer.
-		if n > 0 && s.Ops[n-1].New == nil && s.Ops[n-1].At+s.Ops[n-1].Len == a {
-			s.take(a, len(r))
+		if count > 0 && s.Ops[count-1].New == nil && s.Ops[count-1].At+s.Ops[count-1].Len == offset {
+			s.copyRange(offset, len(row))
 			return
 		}
 	}
 	// A short row costs less than its place.
-	if len(at) > 0 && len(r) > 16 {
-		s.take(at[0], len(r))
+	if len(offsets) > 0 && len(row) > 16 {
+		s.copyRange(offsets[0], len(row))
 		return
 	}
-	if n > 0 && s.Ops[n-1].New != nil {
-		s.Ops[n-1].New = append(s.Ops[n-1].New, r...)
+	if count > 0 && s.Ops[count-1].New != nil {
+		s.Ops[count-1].New = append(s.Ops[count-1].New, row...)
 		return
 	}
-	s.Ops = append(s.Ops, Op{New: append([]byte(nil), r...)})
+	s.Ops = append(s.Ops, Op{New: append([]byte(nil), row...)})
 }
 
-// most bounds a document that a step may make.
-const most = 64 << 20
+// maxDocumentBytes bounds a document that a step may make.
+const maxDocumentBytes = 64 << 20
 
 // Apply makes the new document from the old one; an error means that the step
 // does not fit it.
@@ -127,19 +127,19 @@
 	if !bytes.Equal(digest(old), s.Base) {
 		return nil, fault.New(fault.Stale, "a step from %d begins at another document", s.From)
 	}
-	var out []byte
-	for _, o := range s.Ops {
-		if o.At < 0 || o.Len < 0 || o.At > len(old) || o.Len > len(old)-o.At || len(out)+o.Len+len(o.New) > most {
+	var result []byte
+	for _, op := range s.Ops {
+		if op.At < 0 || op.Len < 0 || op.At > len(old) || op.Len > len(old)-op.At || len(result)+op.Len+len(op.New) > maxDocumentBytes {
 			return nil, fault.New(fault.Input, "a step to %d is out of bounds", s.To)
 		}
-		if o.New != nil {
-			out = append(out, o.New...)
+		if op.New != nil {
+			result = append(result, op.New...)
 		} else {
-			out = append(out, old[o.At:o.At+o.Len]...)
+			result = append(result, old[op.At:op.At+op.Len]...)
 		}
 	}
-	if !bytes.Equal(digest(out), s.Digest) {
+	if !bytes.Equal(digest(result), s.Digest) {
 		return nil, fault.New(fault.Stale, "a step to %d ends at another document", s.To)
 	}
-	return out, nil
+	return result, nil
 }
--- a/internal/patch/patch_test.go
+++ b/internal/patch/patch_test.go
@@ -124,8 +124,8 @@
 			t.Fatal("steps fit another document of the same version")
 		}
 	}
-	if _, ok := a.Since(1); ok || a.size > len(docs[400])/2 || len(a.steps) > kept {
-		t.Errorf("%d steps of %d bytes are kept", len(a.steps), a.size)
+	if _, ok := a.Since(1); ok || a.stepBytes > len(docs[400])/2 || len(a.steps) > kept {
+		t.Errorf("%d steps of %d bytes are kept", len(a.steps), a.stepBytes)
 	}
 	// A whole document begins a new chain.
 	a.Set(402, docs[1], nil)
--- a/internal/rules/arm.go
+++ b/internal/rules/arm.go
@@ -9,18 +9,18 @@
 
 // Arm is where the jobs of a path go and by which terms.
 type Arm struct {
-	Service    string // empty with a split
-	Split      []WeightedService
-	sum        float64 // of the weights
-	Class      string
-	Rank       int           // 0 matters most
-	Timeout    time.Duration // time that a job starts with
-	Target     time.Duration // time in which an answer is of full use
-	Repeatable bool
-	Bulk       string // "upload", "download" or neither
-	Tries      int
-	Name       string // "old" or "new"
-	Steps      []Step
+	Service     string // empty with a split
+	Split       []WeightedService
+	totalWeight float64 // of the weights
+	Class       string
+	Rank        int           // 0 matters most
+	Timeout     time.Duration // time that a job starts with
+	Target      time.Duration // time in which an answer is of full use
+	Repeatable  bool
+	Bulk        string // "upload", "download" or neither
+	Tries       int
+	Name        string // "old" or "new"
+	Steps       []Step
 }
 
 // WeightedService is one service's part of a path's jobs.
@@ -31,18 +31,18 @@
 
 // ServiceFor is the service of a job. By a hash of its id, so that one job has one
 // service at every front and at every look.
-func (a *Arm) ServiceFor(job string) string {
+func (a *Arm) ServiceFor(requestID string) string {
 	if len(a.Split) == 0 {
 		return a.Service
 	}
-	at := spot("split", job) * a.sum
+	position := hashFraction("split", requestID) * a.totalWeight
 	last := ""
-	for _, p := range a.Split {
-		if p.Weight <= 0 {
+	for _, part := range a.Split {
+		if part.Weight <= 0 {
 			continue
 		}
-		last = p.Service
-		if at -= p.Weight; at < 0 {
+		last = part.Service
+		if position -= part.Weight; position < 0 {
 			break
 		}
 	}
@@ -55,77 +55,77 @@
 	if len(a.Split) == 0 {
 		return a.Service == service
 	}
-	for _, p := range a.Split {
-		if p.Service == service && p.Weight > 0 {
+	for _, part := range a.Split {
+		if part.Service == service && part.Weight > 0 {
 			return true
 		}
 	}
 	return false
 }
 
-// every is the steps of every arm today.
-var every = []Step{StepPick, StepDeliver, StepEvaluate, StepRespond}
+// allSteps is the steps of every arm today.
+var allSteps = []Step{StepPick, StepDeliver, StepEvaluate, StepRespond}
 
-func (r *Rules) arm(at, name string, v schema.Values) (Arm, []schema.Problem) {
-	a := Arm{Name: name, Service: v.Text("service"), Class: v.Text("class"), Rank: int(v.Count("rank")), Tries: int(v.Count("tries")),
-		Timeout: time.Duration(v.Count("left_ms")) * time.Millisecond, Target: time.Duration(v.Count("aim_ms")) * time.Millisecond, Steps: every}
-	if a.Target == 0 {
-		a.Target = a.Timeout / 4
+func (r *Rules) compileArm(place, name string, values schema.Values) (Arm, []schema.Problem) {
+	arm := Arm{Name: name, Service: values.Text("service"), Class: values.Text("class"), Rank: int(values.Count("rank")), Tries: int(values.Count("tries")),
+		Timeout: time.Duration(values.Count("left_ms")) * time.Millisecond, Target: time.Duration(values.Count("aim_ms")) * time.Millisecond, Steps: allSteps}
+	if arm.Target == 0 {
+		arm.Target = arm.Timeout / 4
 	}
-	kind := v.Text("repeat")
-	a.Repeatable = kind == "safe" || kind == "download"
-	if kind == "upload" || kind == "download" {
-		a.Bulk = kind
+	retry := values.Text("repeat")
+	arm.Repeatable = retry == "safe" || retry == "download"
+	if retry == "upload" || retry == "download" {
+		arm.Bulk = retry
 	}
-	var bad []schema.Problem
-	wrong := func(field, f string, args ...any) {
-		bad = append(bad, schema.Problem{Place: at + "." + field, Message: fmt.Sprintf(f, args...)})
+	var problems []schema.Problem
+	report := func(field, format string, args ...any) {
+		problems = append(problems, schema.Problem{Place: place + "." + field, Message: fmt.Sprintf(format, args...)})
 	}
-	if a.Service != "" && !r.Services[a.Service] {
-		wrong("service", "no service %q", a.Service)
+	if arm.Service != "" && !r.Services[arm.Service] {
+		report("service", "no service %q", arm.Service)
 	}
-	_, single := v["service"]
-	if _, split := v["split"]; split {
-		var more []schema.Problem
-		a.Split, a.sum, more = r.split(at+".split", v)
-		bad = append(bad, more...)
-		if single {
-			wrong("split", "a path has a service or a split, not both")
+	_, hasService := values["service"]
+	if _, hasSplit := values["split"]; hasSplit {
+		var found []schema.Problem
+		arm.Split, arm.totalWeight, found = r.compileSplit(place+".split", values)
+		problems = append(problems, found...)
+		if hasService {
+			report("split", "a path has a service or a split, not both")
 		}
-	} else if !single {
-		wrong("service", "missing, and no split in its place")
+	} else if !hasService {
+		report("service", "missing, and no split in its place")
 	}
-	_, known := r.Shares[a.Class]
+	_, known := r.Shares[arm.Class]
 	switch {
-	case r.ranked && a.Class == "":
-		a.Class = fmt.Sprintf("rank-%d", a.Rank)
-	case r.ranked || a.Class != "" && !known:
-		wrong("class", "no class %q", a.Class)
-	case a.Class == "":
-		wrong("class", "missing")
+	case r.derivesClasses && arm.Class == "":
+		arm.Class = fmt.Sprintf("rank-%d", arm.Rank)
+	case r.derivesClasses || arm.Class != "" && !known:
+		report("class", "no class %q", arm.Class)
+	case arm.Class == "":
+		report("class", "missing")
 	}
-	return a, bad
+	return arm, problems
 }
 
-func (r *Rules) split(at string, v schema.Values) (out []WeightedService, sum float64, bad []schema.Problem) {
-	list, _ := v["split"].([]any)
-	for i, e := range list {
-		at := fmt.Sprintf("%s[%d]", at, i)
-		m, ok := e.(map[string]any)
+func (r *Rules) compileSplit(place string, values schema.Values) (parts []WeightedService, totalWeight float64, problems []schema.Problem) {
+	list, _ := values["split"].([]any)
+	for i, element := range list {
+		place := fmt.Sprintf("%s[%d]", place, i)
+		object, ok := element.(map[string]any)
 		if !ok {
-			bad = append(bad, schema.Problem{Place: at, Message: "must be an object"})
+			problems = append(problems, schema.Problem{Place: place, Message: "must be an object"})
 			continue
 		}
-		row, more := r.read(SplitTable, m, at)
-		bad = append(bad, more...)
-		p := WeightedService{row.Text("service"), row.Share("weight")}
-		if p.Service != "" && !r.Services[p.Service] {
-			bad = append(bad, schema.Problem{Place: at + ".service", Message: fmt.Sprintf("no service %q", p.Service)})
+		row, found := r.readObject(SplitTable, object, place)
+		problems = append(problems, found...)
+		part := WeightedService{row.Text("service"), row.Share("weight")}
+		if part.Service != "" && !r.Services[part.Service] {
+			problems = append(problems, schema.Problem{Place: place + ".service", Message: fmt.Sprintf("no service %q", part.Service)})
 		}
-		out, sum = append(out, p), sum+p.Weight
+		parts, totalWeight = append(parts, part), totalWeight+part.Weight
 	}
-	if sum <= 0 && len(bad) == 0 {
-		bad = append(bad, schema.Problem{Place: at, Message: "at least one weight must be over 0"})
+	if totalWeight <= 0 && len(problems) == 0 {
+		problems = append(problems, schema.Problem{Place: place, Message: "at least one weight must be over 0"})
 	}
-	return out, sum, bad
+	return parts, totalWeight, problems
 }
--- a/internal/rules/lanes.go
+++ b/internal/rules/lanes.go
@@ -10,52 +10,52 @@
 // the last one is bulk's.
 const RequestLanes = 7
 
-// haste is what decides how urgent jobs are on a link: the rank, and within it
+// urgency is what decides how urgent jobs are on a link: the rank, and within it
 // the aim, of which only twice as much makes a difference.
-type haste struct{ rank, aim int }
+type urgency struct{ rank, targetClass int }
 
-// hurry spreads the arms over the lanes by rank and aim, the first most urgent.
+// assignLanes spreads the arms over the lanes by rank and aim, the first most urgent.
 // As with the classes only the order of the ranks counts.
-func (r *Rules) hurry() {
+func (r *Rules) assignLanes() {
 	var arms []*Arm
-	r.short, r.lanes = map[int]time.Duration{}, map[haste]int{}
-	add := func(a *Arm) {
-		if a.Bulk != "" {
+	r.shortestTargets, r.laneByUrgency = map[int]time.Duration{}, map[urgency]int{}
+	add := func(arm *Arm) {
+		if arm.Bulk != "" {
 			return
 		}
-		arms = append(arms, a)
-		if s, ok := r.short[a.Rank]; !ok || a.Target < s {
-			r.short[a.Rank] = a.Target
+		arms = append(arms, arm)
+		if shortest, ok := r.shortestTargets[arm.Rank]; !ok || arm.Target < shortest {
+			r.shortestTargets[arm.Rank] = arm.Target
 		}
 	}
-	for _, p := range r.Routes {
-		add(&p.Base)
-		if p.Trial != 0 {
-			add(&p.New)
+	for _, route := range r.Routes {
+		add(&route.Base)
+		if route.Trial != 0 {
+			add(&route.New)
 		}
 	}
-	var all []haste
-	for _, a := range arms {
-		h := r.haste(a)
-		if _, ok := r.lanes[h]; !ok {
-			r.lanes[h] = 0
-			all = append(all, h)
+	var urgencies []urgency
+	for _, arm := range arms {
+		level := r.urgencyOf(arm)
+		if _, ok := r.laneByUrgency[level]; !ok {
+			r.laneByUrgency[level] = 0
+			urgencies = append(urgencies, level)
 		}
 	}
-	slices.SortFunc(all, func(a, b haste) int {
-		if a.rank != b.rank {
-			return a.rank - b.rank
+	slices.SortFunc(urgencies, func(arm, b urgency) int {
+		if arm.rank != b.rank {
+			return arm.rank - b.rank
 		}
-		return a.aim - b.aim
+		return arm.targetClass - b.targetClass
 	})
-	for i, h := range all {
+	for i, level := range urgencies {
 		// More of them than lanes share the lanes evenly.
-		r.lanes[h] = i * (RequestLanes - 1) / max(len(all), RequestLanes-1)
+		r.laneByUrgency[level] = i * (RequestLanes - 1) / max(len(urgencies), RequestLanes-1)
 	}
 }
 
-func (r *Rules) haste(a *Arm) haste {
-	return haste{a.Rank, bits.Len64(uint64(a.Target / max(r.short[a.Rank], 1)))}
+func (r *Rules) urgencyOf(a *Arm) urgency {
+	return urgency{a.Rank, bits.Len64(uint64(a.Target / max(r.shortestTargets[a.Rank], 1)))}
 }
 
 // Lane is the lane of an arm's jobs, 0 goes first. Bulk is last whatever its
@@ -66,5 +66,5 @@
 	if a.Bulk != "" {
 		return RequestLanes - 1
 	}
-	return r.lanes[r.haste(a)]
+	return r.laneByUrgency[r.urgencyOf(a)]
 }
--- a/internal/rules/next_test.go
+++ b/internal/rules/next_test.go
@@ -93,7 +93,7 @@
 				good++
 			}
 			next := *got
-			want.fill, got.fill = nil, nil
+			want.readInto, got.readInto = nil, nil
 			if !reflect.DeepEqual(want, got) {
 				t.Fatalf("%s: %+v compiled whole, else %+v", doc, want, got)
 			}
--- a/internal/rules/paths.go
+++ b/internal/rules/paths.go
@@ -9,82 +9,82 @@
 	"puffincrank/internal/schema"
 )
 
-func (r *Rules) paths(top schema.Values) []schema.Problem {
-	_, numbered := top["version"]
-	r.strange = r.old != nil && (r.ranked != r.old.ranked || numbered != (r.old.Number > 0) || !r.ranked && !maps.Equal(r.Shares, r.old.Shares))
-	list, _ := top["paths"].([]any)
+func (r *Rules) compileRoutes(document schema.Values) []schema.Problem {
+	_, numbered := document["version"]
+	r.reuseInvalid = r.previous != nil && (r.derivesClasses != r.previous.derivesClasses || numbered != (r.previous.Number > 0) || !r.derivesClasses && !maps.Equal(r.Shares, r.previous.Shares))
+	list, _ := document["paths"].([]any)
 	r.Routes = make([]*Route, 0, len(list))
-	return r.each(top, "paths", RouteTable, func(at string, v schema.Values) (any, []schema.Problem) {
-		p := &Route{Name: v.Text("name"), Host: bare(v.Text("host")), Method: v.Text("method"), Prefix: v.Text("prefix")}
-		var bad []schema.Problem
-		p.Base, bad = r.arm(at, "old", v)
-		if t, ok := v["trial"].(map[string]any); ok {
-			tv, more := r.read(TrialTable, t, at+".trial")
-			bad = append(bad, more...)
-			p.Trial, p.Slice = uint64(tv.Count("id")), tv.Share("slice")
-			p.New, more = r.arm(at+".trial", "new", tv)
-			bad = append(bad, more...)
+	return r.readRows(document, "paths", RouteTable, func(place string, values schema.Values) (any, []schema.Problem) {
+		route := &Route{Name: values.Text("name"), Host: normalizeHost(values.Text("host")), Method: values.Text("method"), Prefix: values.Text("prefix")}
+		var problems []schema.Problem
+		route.Base, problems = r.compileArm(place, "old", values)
+		if trial, ok := values["trial"].(map[string]any); ok {
+			trialValues, found := r.readObject(TrialTable, trial, place+".trial")
+			problems = append(problems, found...)
+			route.Trial, route.Slice = uint64(trialValues.Count("id")), trialValues.Share("slice")
+			route.New, found = r.compileArm(place+".trial", "new", trialValues)
+			problems = append(problems, found...)
 		}
-		if p.Prefix != "/" {
-			p.Prefix = strings.TrimRight(p.Prefix, "/")
+		if route.Prefix != "/" {
+			route.Prefix = strings.TrimRight(route.Prefix, "/")
 		}
-		return p, bad
-	}, func(made any) (wrong []string) {
-		p := made.(*Route)
-		r.strange = r.strange || r.old != nil && !r.serves(p)
-		twice := p.Name != "" && r.names[p.Name] != nil
-		r.names[p.Name] = p
-		old := r.put(p)
-		r.Routes = append(r.Routes, p)
-		r.LongestTimeout = max(r.LongestTimeout, p.Base.Timeout, p.New.Timeout)
-		if twice {
-			wrong = append(wrong, fmt.Sprintf("name path %q is there twice", p.Name))
+		return route, problems
+	}, func(compiled any) (problems []string) {
+		route := compiled.(*Route)
+		r.reuseInvalid = r.reuseInvalid || r.previous != nil && !r.servicesExist(route)
+		nameTaken := route.Name != "" && r.routesByName[route.Name] != nil
+		r.routesByName[route.Name] = route
+		replaced := r.addRoute(route)
+		r.Routes = append(r.Routes, route)
+		r.LongestTimeout = max(r.LongestTimeout, route.Base.Timeout, route.New.Timeout)
+		if nameTaken {
+			problems = append(problems, fmt.Sprintf("name path %q is there twice", route.Name))
 		}
-		if old != nil && p.Prefix != "" {
-			wrong = append(wrong, fmt.Sprintf("prefix path %q matches the same", old.Name))
+		if replaced != nil && route.Prefix != "" {
+			problems = append(problems, fmt.Sprintf("prefix path %q matches the same", replaced.Name))
 		}
-		return wrong
+		return problems
 	})
 }
 
-// serves tells whether the services that a path names are all there.
-func (r *Rules) serves(p *Route) bool {
-	for _, a := range []*Arm{&p.Base, &p.New} {
-		if a.Service != "" && !r.Services[a.Service] || slices.ContainsFunc(a.Split, func(s WeightedService) bool { return !r.Services[s.Service] }) {
+// servicesExist tells whether the services that a path names are all there.
+func (r *Rules) servicesExist(route *Route) bool {
+	for _, arm := range []*Arm{&route.Base, &route.New} {
+		if arm.Service != "" && !r.Services[arm.Service] || slices.ContainsFunc(arm.Split, func(part WeightedService) bool { return !r.Services[part.Service] }) {
 			return false
 		}
 	}
 	return true
 }
 
-// put enters a path at its place and gives what stood there.
-func (r *Rules) put(p *Route) *Route {
-	if r.by[p.Host] == nil {
-		r.by[p.Host] = place{}
+// addRoute enters a path at its place and gives what stood there.
+func (r *Rules) addRoute(route *Route) *Route {
+	if r.routesByHost[route.Host] == nil {
+		r.routesByHost[route.Host] = hostRoutes{}
 	}
-	at := r.by[p.Host]
-	if at[p.Method] == nil {
-		room := 0
-		if r.old != nil {
-			room = len(r.old.by[p.Host][p.Method])
+	byMethod := r.routesByHost[route.Host]
+	if byMethod[route.Method] == nil {
+		size := 0
+		if r.previous != nil {
+			size = len(r.previous.routesByHost[route.Host][route.Method])
 		}
-		at[p.Method] = make(map[string]*Route, room)
+		byMethod[route.Method] = make(map[string]*Route, size)
 	}
-	old := at[p.Method][p.Prefix]
-	at[p.Method][p.Prefix] = p
-	return old
+	replaced := byMethod[route.Method][route.Prefix]
+	byMethod[route.Method][route.Prefix] = route
+	return replaced
 }
 
 // Next is Compile for one who holds an earlier document compiled: rows that
 // stand there as they stood are not read again. What comes out is the same.
-func Next(old *Rules, version uint64, doc []byte) (*Rules, []schema.Problem, error) {
-	if old == nil {
+func Next(previous *Rules, version uint64, doc []byte) (*Rules, []schema.Problem, error) {
+	if previous == nil {
 		return Compile(version, doc)
 	}
-	r, bad, err := compile(old, version, doc)
+	compiled, problems, err := compile(previous, version, doc)
 	// Faults are named by reading the whole, as they are elsewhere.
-	if err != nil || len(bad) > 0 || r.strange {
+	if err != nil || len(problems) > 0 || compiled.reuseInvalid {
 		return Compile(version, doc)
 	}
-	return r, nil, nil
+	return compiled, nil, nil
 }
--- a/internal/rules/rules.go
+++ b/internal/rules/rules.go
@@ -38,189 +38,189 @@
 
 // Rules is one compiled version.
 type Rules struct {
-	Version        uint64
-	Number         uint64 // the operator's own; 0 when the document has none
-	Doc            []byte
-	Services       map[string]bool
-	MaxConns       map[string]int    // bound on a worker's connections by service, where one is told
-	HealthPaths    map[string]string // the URL path of a service's health, where one is told
-	Shares         map[string]float64
-	Classes        []string
-	Routes         []*Route
-	by             map[string]place // by host; "" is any
-	names          map[string]*Route
-	RetryRatio     float64
-	RetryAllowance int64
-	QueueRatio     float64
-	MaxHeaderBytes int           // bound on a caller's header
-	MaxBodyBytes   int           // bound on a caller's body; 0: the prop's
-	HeaderTimeout  time.Duration // time to read a header; 0: by props
-	IdleTimeout    time.Duration // time before an idle connection is closed; 0: by props
-	Judge          schema.Values
-	LongestTimeout time.Duration
-	fill           func(schema.Table, schema.Values, map[string]any, string) []schema.Problem
-	short          map[int]time.Duration // by rank, the least aim of what isn't bulk
-	lanes          map[haste]int
-	ranked         bool // classes come from the ranks
-	rows           map[string][]schema.ParsedRow
-	raw            map[string][]string
-	old            *Rules // while this is made: those that rows are taken from
-	strange        bool   // while this is made: a row kept means something else now
+	Version         uint64
+	Number          uint64 // the operator's own; 0 when the document has none
+	Doc             []byte
+	Services        map[string]bool
+	MaxConns        map[string]int    // bound on a worker's connections by service, where one is told
+	HealthPaths     map[string]string // the URL path of a service's health, where one is told
+	Shares          map[string]float64
+	Classes         []string
+	Routes          []*Route
+	routesByHost    map[string]hostRoutes // by host; "" is any
+	routesByName    map[string]*Route
+	RetryRatio      float64
+	RetryAllowance  int64
+	QueueRatio      float64
+	MaxHeaderBytes  int           // bound on a caller's header
+	MaxBodyBytes    int           // bound on a caller's body; 0: the prop's
+	HeaderTimeout   time.Duration // time to read a header; 0: by props
+	IdleTimeout     time.Duration // time before an idle connection is closed; 0: by props
+	Judge           schema.Values
+	LongestTimeout  time.Duration
+	readInto        func(schema.Table, schema.Values, map[string]any, string) []schema.Problem
+	shortestTargets map[int]time.Duration // by rank, the least aim of what isn't bulk
+	laneByUrgency   map[urgency]int
+	derivesClasses  bool // classes come from the ranks
+	parsedRows      map[string][]schema.ParsedRow
+	rawRows         map[string][]string
+	previous        *Rules // while this is made: those that rows are taken from
+	reuseInvalid    bool   // while this is made: a row kept means something else now
 }
 
 // Compile reads a document; every fault is named with its place.
 func Compile(version uint64, doc []byte) (*Rules, []schema.Problem, error) {
-	r, bad, err := compile(nil, version, doc)
-	if err != nil || len(bad) > 0 {
-		return nil, bad, err
+	compiled, problems, err := compile(nil, version, doc)
+	if err != nil || len(problems) > 0 {
+		return nil, problems, err
 	}
-	return r, nil, nil
+	return compiled, nil, nil
 }
 
-func compile(old *Rules, version uint64, doc []byte) (*Rules, []schema.Problem, error) {
-	var kept map[string][]schema.ParsedRow
-	if old != nil {
-		kept = old.rows
+func compile(previous *Rules, version uint64, doc []byte) (*Rules, []schema.Problem, error) {
+	var previousRows map[string][]schema.ParsedRow
+	if previous != nil {
+		previousRows = previous.parsedRows
 	}
-	in, raw, bad, err := schema.ParseRows(doc, kept)
+	document, rawRows, problems, err := schema.ParseRows(doc, previousRows)
 	if err != nil {
 		return nil, nil, err
 	}
-	r := &Rules{Version: version, Doc: doc, Services: make(map[string]bool, len(raw["services"])), MaxConns: map[string]int{}, HealthPaths: map[string]string{},
-		Shares: map[string]float64{}, by: map[string]place{}, names: make(map[string]*Route, len(raw["paths"])), fill: schema.Table.Fill,
-		old: old, raw: raw, rows: map[string][]schema.ParsedRow{}}
+	r := &Rules{Version: version, Doc: doc, Services: make(map[string]bool, len(rawRows["services"])), MaxConns: map[string]int{}, HealthPaths: map[string]string{},
+		Shares: map[string]float64{}, routesByHost: map[string]hostRoutes{}, routesByName: make(map[string]*Route, len(rawRows["paths"])), readInto: schema.Table.ReadInto,
+		previous: previous, rawRows: rawRows, parsedRows: map[string][]schema.ParsedRow{}}
 	// Documents with a number of their own are written by programs that may be
 	// newer than this one: what they say besides is not for us.
-	if _, ok := in["version"]; ok {
-		r.fill = schema.Table.FillKnown
+	if _, ok := document["version"]; ok {
+		r.readInto = schema.Table.ReadKnownInto
 	}
-	_, classes := in["classes"]
-	r.ranked = !classes
-	top, more := r.read(DocumentTable, in, "")
-	bad = append(bad, more...)
-	r.Number = uint64(top.Count("version"))
-	bad = append(bad, r.services(top)...)
-	bad = append(bad, r.classes(top)...)
-	bad = append(bad, r.paths(top)...)
-	if r.ranked {
-		r.ranks()
+	_, classes := document["classes"]
+	r.derivesClasses = !classes
+	values, found := r.readObject(DocumentTable, document, "")
+	problems = append(problems, found...)
+	r.Number = uint64(values.Count("version"))
+	problems = append(problems, r.compileServices(values)...)
+	problems = append(problems, r.compileClasses(values)...)
+	problems = append(problems, r.compileRoutes(values)...)
+	if r.derivesClasses {
+		r.deriveClasses()
 	}
-	r.hurry()
-	lim, _ := top["limits"].(map[string]any)
-	v, more := r.read(LimitsTable, lim, "limits")
-	bad = append(bad, more...)
-	r.RetryRatio, r.RetryAllowance, r.QueueRatio = v.Share("repeat_share"), v.Count("repeat_allowance"), v.Share("queue_share")
-	r.MaxHeaderBytes, r.MaxBodyBytes = int(v.Count("head_bytes")), int(v.Count("body_bytes"))
-	r.HeaderTimeout, r.IdleTimeout = time.Duration(v.Count("head_ms"))*time.Millisecond, time.Duration(v.Count("idle_ms"))*time.Millisecond
-	jud, _ := top["judge"].(map[string]any)
-	r.Judge, more = r.read(JudgeTable, jud, "judge")
-	bad = append(bad, more...)
-	if len(more) == 0 && r.Judge.Count("most_ms") <= r.Judge.Count("least_ms") {
-		bad = append(bad, schema.Problem{Place: "judge.most_ms", Message: "must be over least_ms"})
+	r.assignLanes()
+	limits, _ := values["limits"].(map[string]any)
+	limitValues, found := r.readObject(LimitsTable, limits, "limits")
+	problems = append(problems, found...)
+	r.RetryRatio, r.RetryAllowance, r.QueueRatio = limitValues.Share("repeat_share"), limitValues.Count("repeat_allowance"), limitValues.Share("queue_share")
+	r.MaxHeaderBytes, r.MaxBodyBytes = int(limitValues.Count("head_bytes")), int(limitValues.Count("body_bytes"))
+	r.HeaderTimeout, r.IdleTimeout = time.Duration(limitValues.Count("head_ms"))*time.Millisecond, time.Duration(limitValues.Count("idle_ms"))*time.Millisecond
+	bounds, _ := values["judge"].(map[string]any)
+	r.Judge, found = r.readObject(JudgeTable, bounds, "judge")
+	problems = append(problems, found...)
+	if len(found) == 0 && r.Judge.Count("most_ms") <= r.Judge.Count("least_ms") {
+		problems = append(problems, schema.Problem{Place: "judge.most_ms", Message: "must be over least_ms"})
 	}
-	r.old, r.raw = nil, nil
-	return r, bad, nil
+	r.previous, r.rawRows = nil, nil
+	return r, problems, nil
 }
 
-// read checks one object by a table.
-func (r *Rules) read(tab schema.Table, in map[string]any, at string) (schema.Values, []schema.Problem) {
-	out := schema.Values{}
-	return out, r.fill(tab, out, in, at)
+// readObject checks one object by a table.
+func (r *Rules) readObject(table schema.Table, object map[string]any, place string) (schema.Values, []schema.Problem) {
+	values := schema.Values{}
+	return values, r.readInto(table, values, object, place)
 }
 
-// each runs f over the objects of a list, with their places, which makes of each
+// readRows runs f over the objects of a list, with their places, which makes of each
 // what is entered by put. The values are good only within f. Rows that are kept
 // of an earlier document are entered as they were made then.
-func (r *Rules) each(top schema.Values, name string, tab schema.Table, f func(at string, v schema.Values) (any, []schema.Problem), put func(any) []string) []schema.Problem {
-	list, ok := top[name].([]any)
+func (r *Rules) readRows(document schema.Values, name string, table schema.Table, compileRow func(place string, values schema.Values) (any, []schema.Problem), add func(any) []string) []schema.Problem {
+	list, ok := document[name].([]any)
 	if !ok {
 		return nil
 	}
-	var bad []schema.Problem
+	var problems []schema.Problem
 	// A numbered document may empty the mesh; by hand that is a mistake.
 	if len(list) == 0 && r.Number == 0 {
-		bad = append(bad, schema.Problem{Place: name, Message: "must have at least one"})
+		problems = append(problems, schema.Problem{Place: name, Message: "must have at least one"})
 	}
-	v := make(schema.Values, len(tab.Rows))
+	values := make(schema.Values, len(table.Rows))
 	rows := make([]schema.ParsedRow, 0, len(list))
-	enter := func(i int, made any, at func() string) {
-		rows = append(rows, schema.ParsedRow{Raw: r.raw[name][i], Value: made})
-		for _, wrong := range put(made) {
-			field, what, _ := strings.Cut(wrong, " ")
-			bad = append(bad, schema.Problem{Place: at() + "." + field, Message: what})
+	addRow := func(i int, compiled any, place func() string) {
+		rows = append(rows, schema.ParsedRow{Raw: r.rawRows[name][i], Value: compiled})
+		for _, problem := range add(compiled) {
+			field, message, _ := strings.Cut(problem, " ")
+			problems = append(problems, schema.Problem{Place: place() + "." + field, Message: message})
 		}
 	}
-	defer func() { r.rows[name] = rows }()
-	for i, e := range list {
-		if k, ok := e.(*schema.ParsedRow); ok {
-			enter(i, k.Value, func() string { return name + "[" + strconv.Itoa(i) + "]" })
+	defer func() { r.parsedRows[name] = rows }()
+	for i, element := range list {
+		if parsed, ok := element.(*schema.ParsedRow); ok {
+			addRow(i, parsed.Value, func() string { return name + "[" + strconv.Itoa(i) + "]" })
 			continue
 		}
-		at := name + "[" + strconv.Itoa(i) + "]"
-		m, ok := e.(map[string]any)
+		place := name + "[" + strconv.Itoa(i) + "]"
+		object, ok := element.(map[string]any)
 		if !ok {
-			bad = append(bad, schema.Problem{Place: at, Message: "must be an object"})
+			problems = append(problems, schema.Problem{Place: place, Message: "must be an object"})
 			continue
 		}
-		bad = append(bad, r.fill(tab, v, m, at)...)
+		problems = append(problems, r.readInto(table, values, object, place)...)
 		// References are checked even when other values of the row are wrong,
 		// so that one answer names every fault.
-		made, more := f(at, v)
-		bad = append(bad, more...)
-		enter(i, made, func() string { return at })
+		compiled, found := compileRow(place, values)
+		problems = append(problems, found...)
+		addRow(i, compiled, func() string { return place })
 	}
-	return bad
+	return problems
 }
 
 // service is what one row of the services says.
 type service struct {
-	name, probe string
-	links       int
+	name, healthPath string
+	maxConns         int
 }
 
-func (r *Rules) services(top schema.Values) []schema.Problem {
-	return r.each(top, "services", ServiceTable, func(_ string, v schema.Values) (any, []schema.Problem) {
-		return service{v.Text("name"), v.Text("fitness"), int(v.Count("links"))}, nil
-	}, func(made any) []string {
-		s := made.(service)
+func (r *Rules) compileServices(document schema.Values) []schema.Problem {
+	return r.readRows(document, "services", ServiceTable, func(_ string, values schema.Values) (any, []schema.Problem) {
+		return service{values.Text("name"), values.Text("fitness"), int(values.Count("links"))}, nil
+	}, func(compiled any) []string {
+		s := compiled.(service)
 		if r.Services[s.name] {
 			return []string{fmt.Sprintf("name service %q is there twice", s.name)}
 		}
 		if s.name != "" {
 			r.Services[s.name] = true
 		}
-		if s.links > 0 {
-			r.MaxConns[s.name] = s.links
+		if s.maxConns > 0 {
+			r.MaxConns[s.name] = s.maxConns
 		}
-		if s.probe != "" {
-			r.HealthPaths[s.name] = s.probe
+		if s.healthPath != "" {
+			r.HealthPaths[s.name] = s.healthPath
 		}
 		return nil
 	})
 }
 
-func (r *Rules) classes(top schema.Values) []schema.Problem {
+func (r *Rules) compileClasses(document schema.Values) []schema.Problem {
 	sum := 0.0
-	whole := true
-	bad := r.each(top, "classes", ClassTable, func(at string, v schema.Values) (any, []schema.Problem) {
-		n := v.Text("name")
-		if _, dup := r.Shares[n]; dup {
-			return nil, []schema.Problem{{Place: at + ".name", Message: fmt.Sprintf("class %q is there twice", n)}}
+	complete := true
+	problems := r.readRows(document, "classes", ClassTable, func(place string, values schema.Values) (any, []schema.Problem) {
+		name := values.Text("name")
+		if _, duplicate := r.Shares[name]; duplicate {
+			return nil, []schema.Problem{{Place: place + ".name", Message: fmt.Sprintf("class %q is there twice", name)}}
 		}
-		if _, ok := v["share"]; !ok || n == "" {
-			whole = false
+		if _, ok := values["share"]; !ok || name == "" {
+			complete = false
 		}
-		if n != "" {
-			r.Shares[n] = v.Share("share")
-			r.Classes = append(r.Classes, n)
+		if name != "" {
+			r.Shares[name] = values.Share("share")
+			r.Classes = append(r.Classes, name)
 		}
-		sum += v.Share("share")
+		sum += values.Share("share")
 		return nil, nil
 	}, func(any) []string { return nil })
-	delete(r.rows, "classes")
+	delete(r.parsedRows, "classes")
 	// The sum says nothing when a share could not be read.
-	if whole && len(r.Classes) > 0 && math.Abs(sum-100) > 1e-6 {
-		bad = append(bad, schema.Problem{Place: "classes", Message: fmt.Sprintf("shares add up to %g, not 100", sum)})
+	if complete && len(r.Classes) > 0 && math.Abs(sum-100) > 1e-6 {
+		problems = append(problems, schema.Problem{Place: "classes", Message: fmt.Sprintf("shares add up to %g, not 100", sum)})
 	}
-	return bad
+	return problems
 }
--- a/internal/rules/table.go
+++ b/internal/rules/table.go
@@ -9,38 +9,38 @@
 	"puffincrank/internal/schema"
 )
 
-func prefix(v any) error {
-	s, _ := v.(string)
-	if !strings.HasPrefix(s, "/") || len(s) > 256 || strings.ContainsAny(s, "?# ") || strings.Contains(s, "//") {
+func checkPrefix(value any) error {
+	prefix, _ := value.(string)
+	if !strings.HasPrefix(prefix, "/") || len(prefix) > 256 || strings.ContainsAny(prefix, "?# ") || strings.Contains(prefix, "//") {
 		return errors.New("must begin with / and have no query, space or double slash")
 	}
-	if strings.HasPrefix(s, "/puffin/") || s == "/puffin" {
+	if strings.HasPrefix(prefix, "/puffin/") || prefix == "/puffin" {
 		return errors.New("/puffin is the mesh's own")
 	}
 	return nil
 }
 
-func host(v any) error {
-	s, _ := v.(string)
-	if s == "" || len(s) > 260 || strings.ContainsFunc(s, func(r rune) bool { return r <= ' ' || r == 0x7f || strings.ContainsRune("/?#@\\", r) }) {
+func checkHost(value any) error {
+	host, _ := value.(string)
+	if host == "" || len(host) > 260 || strings.ContainsFunc(host, func(r rune) bool { return r <= ' ' || r == 0x7f || strings.ContainsRune("/?#@\\", r) }) {
 		return errors.New("must be a host name, not empty")
 	}
-	if bare(s) == "" {
+	if normalizeHost(host) == "" {
 		return errors.New("must be a host name before its port")
 	}
 	return nil
 }
 
-func ask(v any) error {
-	s, _ := v.(string)
-	if !strings.HasPrefix(s, "/") || len(s) > 256 || strings.ContainsFunc(s, func(r rune) bool { return r <= ' ' || r == 0x7f || r == '#' }) {
+func checkHealthPath(value any) error {
+	path, _ := value.(string)
+	if !strings.HasPrefix(path, "/") || len(path) > 256 || strings.ContainsFunc(path, func(r rune) bool { return r <= ' ' || r == 0x7f || r == '#' }) {
 		return errors.New("must begin with / and have no space")
 	}
 	return nil
 }
 
-func plain(v any) error {
-	if v != false {
+func checkNoTLS(value any) error {
+	if value != false {
 		return errors.New("TLS to workers is not spoken")
 	}
 	return nil
@@ -53,15 +53,15 @@
 		{Name: "services", Type: schema.Rows, Required: true, Rule: "at least one, unless numbered", Help: "the services, see below"},
 		{Name: "classes", Type: schema.Rows, Rule: "shares add up to 100", Help: "the classes of service, see below; worked out from the ranks when left out"},
 		{Name: "paths", Type: schema.Rows, Required: true, Rule: "at least one, unless numbered; no two alike", Help: "the paths (routes), see below"},
-		{Name: "limits", Type: schema.Row, Rule: "see below", Help: "bounds on repeats and queues"},
-		{Name: "judge", Type: schema.Row, Rule: "see below", Help: "bounds by which trials are judged"},
+		{Name: "limits", Type: schema.Object, Rule: "see below", Help: "bounds on repeats and queues"},
+		{Name: "judge", Type: schema.Object, Rule: "see below", Help: "bounds by which trials are judged"},
 	}}
 	ServiceTable = schema.Table{Name: "services", Rows: []schema.Field{
 		{Name: "name", Type: schema.Text, Required: true, Check: schema.IsName, Rule: "a name, its own", Help: "what workers register under"},
-		{Name: "fitness", Type: schema.Text, Check: ask, Rule: "begins with /", Help: "the URL path where its workers are asked for their health; the mesh's own when left out"},
+		{Name: "fitness", Type: schema.Text, Check: checkHealthPath, Rule: "begins with /", Help: "the URL path where its workers are asked for their health; the mesh's own when left out"},
 		{Name: "links", Type: schema.Count, Default: int64(0), Check: schema.IntRange(0, 1<<30), Rule: "0 or more", Help: "connections that one worker takes from all callers; 0: no bound is told"},
 		{Name: "proto", Type: schema.Text, Default: "h1", Check: schema.OneOf("h1"), Rule: "h1", Help: "what its workers speak: HTTP/1.1"},
-		{Name: "tls", Type: schema.Flag, Default: false, Check: plain, Rule: "false", Help: "TLS to workers is not spoken"},
+		{Name: "tls", Type: schema.Flag, Default: false, Check: checkNoTLS, Rule: "false", Help: "TLS to workers is not spoken"},
 	}}
 	ClassTable = schema.Table{Name: "classes", Rows: []schema.Field{
 		{Name: "name", Type: schema.Text, Required: true, Check: schema.IsName, Rule: "a name, its own", Help: "the class"},
@@ -70,8 +70,8 @@
 	RouteTable = schema.Table{Name: "paths", Rows: []schema.Field{
 		{Name: "name", Type: schema.Text, Required: true, Check: schema.IsName, Rule: "a name, its own", Help: "the path"},
 		{Name: "method", Type: schema.Text, Default: "any", Check: schema.OneOf("any", "GET", "HEAD", "POST", "PUT", "PATCH", "DELETE"), Rule: "any, GET, HEAD, POST, PUT, PATCH or DELETE", Help: "the method matched"},
-		{Name: "host", Type: schema.Text, Check: host, Rule: "a host name", Help: "the host matched, whatever its case and port; any when left out"},
-		{Name: "prefix", Type: schema.Text, Required: true, Check: prefix, Rule: "begins with /, not under /puffin", Help: "the URL path, by whole segments; the longest match wins"},
+		{Name: "host", Type: schema.Text, Check: checkHost, Rule: "a host name", Help: "the host matched, whatever its case and port; any when left out"},
+		{Name: "prefix", Type: schema.Text, Required: true, Check: checkPrefix, Rule: "begins with /, not under /puffin", Help: "the URL path, by whole segments; the longest match wins"},
 		{Name: "service", Type: schema.Text, Check: schema.IsName, Rule: "one of services", Help: "whose workers serve it; this or split"},
 		{Name: "split", Type: schema.Rows, Rule: "one weight over 0", Help: "several services that share its jobs, see below"},
 		{Name: "class", Type: schema.Text, Check: schema.IsName, Rule: "one of classes, required with them", Help: "whose share of the slots it takes"},
@@ -80,7 +80,7 @@
 		{Name: "aim_ms", Type: schema.Span, Check: schema.IntRange(1, 3600_000), Rule: "1 to 3600000", Help: "time within which an answer is of full use; a quarter of left_ms when left out"},
 		{Name: "repeat", Type: schema.Text, Default: "never", Check: schema.OneOf("never", "safe", "upload", "download"), Rule: "never, safe, upload or download", Help: "whether a job may be sent again when it may have run; upload is never with large bodies, download is safe with large answers"},
 		{Name: "tries", Type: schema.Count, Default: int64(3), Check: schema.IntRange(1, 1000), Rule: "1 to 1000", Help: "sends at the most, the first included"},
-		{Name: "trial", Type: schema.Row, Rule: "set by the mesh", Help: "the other arm of a running trial; not for operators"},
+		{Name: "trial", Type: schema.Object, Rule: "set by the mesh", Help: "the other arm of a running trial; not for operators"},
 	}}
 	TrialTable = schema.Table{Name: "trial", Rows: []schema.Field{
 		{Name: "id", Type: schema.Count, Required: true, Check: schema.IntRange(1, 1<<60), Rule: "a number", Help: "the trial"},
--- a/internal/rules/trial.go
+++ b/internal/rules/trial.go
@@ -13,47 +13,47 @@
 // ArmFields are what an arm of a trial may differ in.
 var ArmFields = []string{"service", "split", "class", "rank", "left_ms", "aim_ms", "repeat", "tries"}
 
-// rows opens a document and its paths.
-func rows(doc []byte) (map[string]any, []map[string]any, error) {
-	m, _, err := schema.Parse(doc)
+// parseRoutes opens a document and its paths.
+func parseRoutes(doc []byte) (map[string]any, []map[string]any, error) {
+	document, _, err := schema.Parse(doc)
 	if err != nil {
 		return nil, nil, fault.Wrap(fault.Input, err, "read document")
 	}
-	list, _ := m["paths"].([]any)
-	var out []map[string]any
-	for _, e := range list {
-		if p, ok := e.(map[string]any); ok {
-			out = append(out, p)
+	list, _ := document["paths"].([]any)
+	var routes []map[string]any
+	for _, element := range list {
+		if route, ok := element.(map[string]any); ok {
+			routes = append(routes, route)
 		}
 	}
-	return m, out, nil
+	return document, routes, nil
 }
 
 // EffectiveValue gives a field of a path's arm, defaults included; nil when it has none.
-func EffectiveValue(p map[string]any, field string) any {
-	if v, ok := p[field]; ok {
-		return v
+func EffectiveValue(route map[string]any, field string) any {
+	if value, ok := route[field]; ok {
+		return value
 	}
 	if field == "aim_ms" {
-		if left, ok := plainly(EffectiveValue(p, "left_ms")).(float64); ok {
-			return left / 4
+		if timeout, ok := canonical(EffectiveValue(route, "left_ms")).(float64); ok {
+			return timeout / 4
 		}
 	}
-	for _, s := range RouteTable.Rows {
-		if s.Name == field {
-			return s.Default
+	for _, row := range RouteTable.Rows {
+		if row.Name == field {
+			return row.Default
 		}
 	}
 	return nil
 }
 
-// plainly gives a value in one shape for each meaning: numbers as they may be
+// canonical gives a value in one shape for each meaning: numbers as they may be
 // written and as they come out of a table are the same.
-func plainly(v any) any {
+func canonical(v any) any {
 	switch v := v.(type) {
 	case json.Number:
-		f, _ := v.Float64()
-		return f
+		number, _ := v.Float64()
+		return number
 	case int:
 		return float64(v)
 	case int64:
@@ -63,34 +63,34 @@
 	case []any:
 		out := make([]any, len(v))
 		for i := range v {
-			out[i] = plainly(v[i])
+			out[i] = canonical(v[i])
 		}
 		return out
 	case map[string]any:
 		out := map[string]any{}
-		for n, e := range v {
-			out[n] = plainly(e)
+		for n, element := range v {
+			out[n] = canonical(element)
 		}
 		return out
 	}
 	return v
 }
 
-func same(a, b any) bool { return reflect.DeepEqual(plainly(a), plainly(b)) }
+func equalValues(a, b any) bool { return reflect.DeepEqual(canonical(a), canonical(b)) }
 
-// spotOf is where a path stands: two with the same one can't both be there.
-func spotOf(p map[string]any) [3]string {
-	text := func(n string) string { s, _ := EffectiveValue(p, n).(string); return s }
-	at := text("prefix")
-	if at != "/" {
-		at = strings.TrimRight(at, "/")
-	}
-	return [3]string{bare(text("host")), text("method"), at}
+// matchKey is where a path stands: two with the same one can't both be there.
+func matchKey(route map[string]any) [3]string {
+	text := func(field string) string { value, _ := EffectiveValue(route, field).(string); return value }
+	prefix := text("prefix")
+	if prefix != "/" {
+		prefix = strings.TrimRight(prefix, "/")
+	}
+	return [3]string{normalizeHost(text("host")), text("method"), prefix}
 }
 
-// take copies an arm's field; one that is left out is left out in the copy too,
+// copyField copies an arm's field; one that is left out is left out in the copy too,
 // where it means the same.
-func take(to, from map[string]any, field string) {
+func copyField(to, from map[string]any, field string) {
 	if v, ok := from[field]; ok {
 		to[field] = v
 	} else if v := EffectiveValue(from, field); v != nil && field != "aim_ms" {
@@ -100,30 +100,30 @@
 	}
 }
 
-// changed lays a change over a path: a service takes the place of a split and
+// applyChange lays a change over a path: a service takes the place of a split and
 // the other way round.
-func changed(p, change map[string]any) map[string]any {
-	out := map[string]any{}
-	for _, f := range ArmFields {
-		take(out, p, f)
+func applyChange(route, change map[string]any) map[string]any {
+	arm := map[string]any{}
+	for _, field := range ArmFields {
+		copyField(arm, route, field)
 	}
 	if _, ok := change["service"]; ok {
-		delete(out, "split")
+		delete(arm, "split")
 	}
 	if _, ok := change["split"]; ok {
-		delete(out, "service")
+		delete(arm, "service")
 	}
-	for _, f := range ArmFields {
-		if v, ok := change[f]; ok {
-			out[f] = v
+	for _, field := range ArmFields {
+		if v, ok := change[field]; ok {
+			arm[field] = v
 		}
 	}
-	return out
+	return arm
 }
 
-func alike(a, b map[string]any) bool {
-	for _, f := range ArmFields {
-		if !same(EffectiveValue(a, f), EffectiveValue(b, f)) {
+func equalArms(a, b map[string]any) bool {
+	for _, field := range ArmFields {
+		if !equalValues(EffectiveValue(a, field), EffectiveValue(b, field)) {
 			return false
 		}
 	}
@@ -131,33 +131,33 @@
 }
 
 // StartTrial gives a document in which a path's other arm is tried on a slice.
-func StartTrial(doc []byte, id uint64, path string, change map[string]any, slice float64) ([]byte, error) {
-	m, paths, err := rows(doc)
+func StartTrial(doc []byte, id uint64, routeName string, change map[string]any, slice float64) ([]byte, error) {
+	document, routes, err := parseRoutes(doc)
 	if err != nil {
 		return nil, err
 	}
-	for _, p := range paths {
-		if p["name"] != path {
+	for _, route := range routes {
+		if route["name"] != routeName {
 			continue
 		}
-		t := changed(p, change)
-		t["id"], t["slice"] = id, slice
-		p["trial"] = t
-		out, err := json.Marshal(m)
+		trial := applyChange(route, change)
+		trial["id"], trial["slice"] = id, slice
+		route["trial"] = trial
+		out, err := json.Marshal(document)
 		return out, fault.Wrap(fault.Input, err, "write document")
 	}
-	return nil, fault.New(fault.Input, "no path %q", path)
+	return nil, fault.New(fault.Input, "no path %q", routeName)
 }
 
 // IsNoop tells whether a change would leave a path as it is.
-func IsNoop(doc []byte, path string, change map[string]any) bool {
-	_, paths, err := rows(doc)
+func IsNoop(doc []byte, routeName string, change map[string]any) bool {
+	_, routes, err := parseRoutes(doc)
 	if err != nil {
 		return false
 	}
-	for _, p := range paths {
-		if p["name"] == path {
-			return alike(p, changed(p, change))
+	for _, route := range routes {
+		if route["name"] == routeName {
+			return equalArms(route, applyChange(route, change))
 		}
 	}
 	return false
@@ -165,24 +165,24 @@
 
 // FinishTrial ends a trial in a document: its arm takes the place of the old one,
 // or goes away.
-func FinishTrial(doc []byte, id uint64, good bool) ([]byte, error) {
-	m, paths, err := rows(doc)
+func FinishTrial(doc []byte, id uint64, promote bool) ([]byte, error) {
+	document, routes, err := parseRoutes(doc)
 	if err != nil {
 		return nil, err
 	}
-	for _, p := range paths {
-		t, ok := p["trial"].(map[string]any)
-		if !ok || fmt.Sprint(t["id"]) != fmt.Sprint(id) {
+	for _, route := range routes {
+		trial, ok := route["trial"].(map[string]any)
+		if !ok || fmt.Sprint(trial["id"]) != fmt.Sprint(id) {
 			continue
 		}
-		if good {
-			for _, f := range ArmFields {
-				take(p, t, f)
+		if promote {
+			for _, field := range ArmFields {
+				copyField(route, trial, field)
 			}
 		}
-		delete(p, "trial")
+		delete(route, "trial")
 	}
-	out, err := json.Marshal(m)
+	out, err := json.Marshal(document)
 	return out, fault.Wrap(fault.Input, err, "write document")
 }
 
@@ -190,38 +190,38 @@
 // carry traffic and go elsewhere keep their old arm, with the new one on
 // trial. It names those paths; none means that the new document may stand as
 // it is.
-func PlanTrials(old, now []byte, id uint64, live func(string) bool) (doc []byte, paths []string, err error) {
-	_, was, err := rows(old)
+func PlanTrials(old, updated []byte, id uint64, hasTraffic func(string) bool) (doc []byte, routes []string, err error) {
+	_, oldRoutes, err := parseRoutes(old)
 	if err != nil {
 		return nil, nil, err
 	}
-	m, list, err := rows(now)
+	document, newRoutes, err := parseRoutes(updated)
 	if err != nil {
 		return nil, nil, err
 	}
-	before := map[any]map[string]any{}
-	for _, p := range was {
-		before[p["name"]] = p
+	oldByName := map[any]map[string]any{}
+	for _, route := range oldRoutes {
+		oldByName[route["name"]] = route
 	}
 	slice := JudgeTable.Rows[0].Default
-	if j, ok := m["judge"].(map[string]any); ok && j["slice"] != nil {
-		slice = j["slice"]
+	if judge, ok := document["judge"].(map[string]any); ok && judge["slice"] != nil {
+		slice = judge["slice"]
 	}
-	for _, p := range list {
-		o := before[p["name"]]
-		name, _ := p["name"].(string)
+	for _, route := range newRoutes {
+		oldRoute := oldByName[route["name"]]
+		name, _ := route["name"].(string)
 		// One with another host, prefix or method is a wholly new path.
-		if o == nil || !live(name) || spotOf(o) != spotOf(p) || alike(o, p) {
+		if oldRoute == nil || !hasTraffic(name) || matchKey(oldRoute) != matchKey(route) || equalArms(oldRoute, route) {
 			continue
 		}
-		t := map[string]any{"id": id, "slice": slice}
-		for _, f := range ArmFields {
-			take(t, p, f)
-			take(p, o, f)
+		trial := map[string]any{"id": id, "slice": slice}
+		for _, field := range ArmFields {
+			copyField(trial, route, field)
+			copyField(route, oldRoute, field)
 		}
-		p["trial"] = t
-		paths = append(paths, name)
+		route["trial"] = trial
+		routes = append(routes, name)
 	}
-	doc, err = json.Marshal(m)
-	return doc, paths, fault.Wrap(fault.Input, err, "write document")
+	doc, err = json.Marshal(document)
+	return doc, routes, fault.Wrap(fault.Input, err, "write document")
 }
--- a/internal/schema/cast.go
+++ b/internal/schema/cast.go
@@ -9,7 +9,7 @@
 	"strings"
 )
 
-func cast(t Type, raw any) (any, error) {
+func convert(t Type, raw any) (any, error) {
 	switch t {
 	case Text:
 		// The raw value is passed on as it is: another one of the same would be
@@ -22,7 +22,7 @@
 			if i, err := n.Int64(); err == nil {
 				return i, nil
 			}
-			if i, ok := whole(n); ok {
+			if i, ok := wholeNumber(n); ok {
 				return i, nil
 			}
 		}
@@ -65,7 +65,7 @@
 			return raw, nil
 		}
 		return nil, errors.New("must be a list of objects")
-	case Row:
+	case Object:
 		if _, ok := raw.(map[string]any); ok {
 			return raw, nil
 		}
@@ -74,16 +74,16 @@
 	return nil, errors.New("must be a text")
 }
 
-// whole reads a number written with a fraction that is none, such as 250.0 or
+// wholeNumber reads a number written with a fraction that is none, such as 250.0 or
 // what is left of one after a change of units (550.0000000000001).
-func whole(n json.Number) (int64, bool) {
-	f, err := n.Float64()
-	near := math.Round(f)
+func wholeNumber(n json.Number) (int64, bool) {
+	value, err := n.Float64()
+	rounded := math.Round(value)
 	// Past 2^53 a float no longer tells whole numbers apart.
-	if err != nil || math.Abs(near) > 1<<53 || math.Abs(f-near) > math.Abs(f)*1e-14 {
+	if err != nil || math.Abs(rounded) > 1<<53 || math.Abs(value-rounded) > math.Abs(value)*1e-14 {
 		return 0, false
 	}
-	return int64(near), true
+	return int64(rounded), true
 }
 
 // IsAddr checks an IP number with a port.
@@ -113,7 +113,7 @@
 // IntRange checks that a whole number is within bounds.
 func IntRange(low, high int64) func(any) error {
 	return func(v any) error {
-		if n, ok := v.(int64); !ok || n < low || n > high {
+		if number, ok := v.(int64); !ok || number < low || number > high {
 			return fmt.Errorf("must be from %d to %d", low, high)
 		}
 		return nil
@@ -123,7 +123,7 @@
 // FloatRange checks that a number is within bounds.
 func FloatRange(low, high float64) func(any) error {
 	return func(v any) error {
-		if n, ok := v.(float64); !ok || n < low || n > high {
+		if number, ok := v.(float64); !ok || number < low || number > high {
 			return fmt.Errorf("must be from %g to %g", low, high)
 		}
 		return nil
@@ -131,30 +131,30 @@
 }
 
 // OneOf checks that a text is one of a few.
-func OneOf(all ...string) func(any) error {
+func OneOf(allowed ...string) func(any) error {
 	return func(v any) error {
-		for _, a := range all {
+		for _, a := range allowed {
 			if v == a {
 				return nil
 			}
 		}
-		return fmt.Errorf("must be one of %v", all)
+		return fmt.Errorf("must be one of %v", allowed)
 	}
 }
 
 // FromFlag turns the text of a flag into the raw value of its type.
-func FromFlag(t Type, s string) any {
+func FromFlag(t Type, text string) any {
 	switch t {
 	case Count, Span, Share:
-		return json.Number(s)
+		return json.Number(text)
 	case Flag:
-		return s == "true"
+		return text == "true"
 	case Addrs:
 		list := []any{}
-		for _, a := range strings.Split(s, ",") {
-			list = append(list, strings.TrimSpace(a))
+		for _, address := range strings.Split(text, ",") {
+			list = append(list, strings.TrimSpace(address))
 		}
 		return list
 	}
-	return s
+	return text
 }
--- a/internal/schema/kept.go
+++ b/internal/schema/kept.go
@@ -13,93 +13,93 @@
 // in one of the lists of the document that stands there letter for letter as
 // one of the rows kept under that list's name becomes a pointer to that Kept, unread. Raw
 // gives the texts of all rows of all lists, by their names.
-func ParseRows(data []byte, kept map[string][]ParsedRow) (doc map[string]any, raw map[string][]string, bad []Problem, err error) {
-	p := &parser{text: string(data), kept: kept, raw: map[string][]string{}}
-	doc, bad, err = p.document()
-	return doc, p.raw, bad, err
+func ParseRows(data []byte, previous map[string][]ParsedRow) (doc map[string]any, rawRows map[string][]string, problems []Problem, err error) {
+	p := &parser{text: string(data), previousRows: previous, rawRows: map[string][]string{}}
+	doc, problems, err = p.document()
+	return doc, p.rawRows, problems, err
 }
 
-// spare is how many rows of the old list may be gone at one place without the
+// lookahead is how many rows of the old list may be gone at one place without the
 // search for the next one starting to miss.
-const spare, far = 4, 256
+const lookahead, maxLookahead = 4, 256
 
-// rows is the walk over one list of the document beside the one before it.
-type rows struct {
-	kept  []ParsedRow
-	at    int // the next row there
-	lacks int // rows in a row that were not found
-	found []ParsedRow
+// rowMatcher is the walk over one list of the document beside the one before it.
+type rowMatcher struct {
+	previous []ParsedRow
+	next     int // the next row there
+	misses   int // rows in a row that were not found
+	reused   []ParsedRow
 }
 
-// row reads an element of one of the document's lists.
-func (p *parser) row(w *rows, deep int) (any, error) {
-	p.blank()
-	from := p.at
+// rowValue reads an element of one of the document's lists.
+func (p *parser) rowValue(matcher *rowMatcher, depth int) (any, error) {
+	p.skipSpace()
+	start := p.pos
 	// A row that changed stands in the place of one there, one that is new
 	// before it, and where some are gone those after them follow.
-	for i := w.at; i < min(len(w.kept), w.at+w.lacks+spare, w.at+far); i++ {
+	for i := matcher.next; i < min(len(matcher.previous), matcher.next+matcher.misses+lookahead, matcher.next+maxLookahead); i++ {
 		// What ends with a brace and begins alike is the whole value.
-		if k := w.kept[i]; strings.HasPrefix(p.text[from:], k.Raw) {
-			p.at += len(k.Raw)
-			w.at, w.lacks = i+1, 0
+		if previous := matcher.previous[i]; strings.HasPrefix(p.text[start:], previous.Raw) {
+			p.pos += len(previous.Raw)
+			matcher.next, matcher.misses = i+1, 0
 			// One room for all of them, since there are thousands.
-			w.found = append(w.found, ParsedRow{p.text[from:p.at], k.Value})
-			return &w.found[len(w.found)-1], nil
+			matcher.reused = append(matcher.reused, ParsedRow{p.text[start:p.pos], previous.Value})
+			return &matcher.reused[len(matcher.reused)-1], nil
 		}
 	}
-	w.lacks++
-	v, err := p.value(deep)
-	if err != nil || w.kept == nil {
+	matcher.misses++
+	v, err := p.value(depth)
+	if err != nil || matcher.previous == nil {
 		return v, err
 	}
 	// Its texts are parts of the document, which would be held for as long as
 	// the row stays, each time another one.
-	own := &parser{text: strings.Clone(p.text[from:p.at])}
-	return own.value(deep)
+	copied := &parser{text: strings.Clone(p.text[start:p.pos])}
+	return copied.value(depth)
 }
 
-func (p *parser) list(deep int) (any, error) {
-	out := []any{}
-	if p.sign(']') {
-		return out, nil
+func (p *parser) arrayValue(depth int) (any, error) {
+	array := []any{}
+	if p.accept(']') {
+		return array, nil
 	}
-	p.steps = append(p.steps, step{})
-	last := len(p.steps) - 1
-	var walk *rows
+	p.path = append(p.path, pathElement{})
+	last := len(p.path) - 1
+	var matcher *rowMatcher
 	name := ""
-	if p.raw != nil && last == 1 {
-		name = p.steps[0].name
-		walk = &rows{kept: p.kept[name]}
-		if n := len(walk.kept); n > 0 {
-			walk.found, out = make([]ParsedRow, 0, n), make([]any, 0, n+spare)
+	if p.rawRows != nil && last == 1 {
+		name = p.path[0].name
+		matcher = &rowMatcher{previous: p.previousRows[name]}
+		if n := len(matcher.previous); n > 0 {
+			matcher.reused, array = make([]ParsedRow, 0, n), make([]any, 0, n+lookahead)
 		}
-		p.raw[name] = make([]string, 0, cap(out))
+		p.rawRows[name] = make([]string, 0, cap(array))
 	}
 	for {
-		p.steps[last].num = len(out)
-		p.blank()
-		from := p.at
+		p.path[last].index = len(array)
+		p.skipSpace()
+		start := p.pos
 		var v any
 		var err error
-		if walk != nil {
-			v, err = p.row(walk, deep+1)
+		if matcher != nil {
+			v, err = p.rowValue(matcher, depth+1)
 		} else {
-			v, err = p.value(deep + 1)
+			v, err = p.value(depth + 1)
 		}
 		if err != nil {
 			return nil, err
 		}
-		out = append(out, v)
-		if walk != nil {
-			p.raw[name] = append(p.raw[name], p.text[from:p.at])
+		array = append(array, v)
+		if matcher != nil {
+			p.rawRows[name] = append(p.rawRows[name], p.text[start:p.pos])
 		}
-		if p.sign(',') {
+		if p.accept(',') {
 			continue
 		}
-		if !p.sign(']') {
-			return nil, p.wrong("no , or ]")
+		if !p.accept(']') {
+			return nil, p.syntaxError("no , or ]")
 		}
-		p.steps = p.steps[:last]
-		return out, nil
+		p.path = p.path[:last]
+		return array, nil
 	}
 }
--- a/internal/schema/parse.go
+++ b/internal/schema/parse.go
@@ -8,8 +8,8 @@
 	"unicode/utf8"
 )
 
-// deepest bounds nesting: a hostile document must not use up the stack.
-const deepest = 32
+// maxDepth bounds nesting: a hostile document must not use up the stack.
+const maxDepth = 32
 
 // Parse reads one JSON object whole. Names given twice in one object are
 // faults, since a plain decoder would let the last one win in silence.
@@ -25,199 +25,199 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	if p.blank(); p.at < len(p.text) {
+	if p.skipSpace(); p.pos < len(p.text) {
 		return nil, nil, errors.New("more follows after the document")
 	}
-	m, ok := v.(map[string]any)
+	object, ok := v.(map[string]any)
 	if !ok {
 		return nil, nil, errors.New("the document must be an object")
 	}
-	return m, p.twice, nil
+	return object, p.duplicates, nil
 }
 
 // parser walks over one document. Texts are parts of it, not copies.
 type parser struct {
-	text  string
-	at    int
-	steps []step // where the walk stands
-	twice []Problem
-	kept  map[string][]ParsedRow
-	raw   map[string][]string // nil: nobody asks
+	text         string
+	pos          int
+	path         []pathElement // where the walk stands
+	duplicates   []Problem
+	previousRows map[string][]ParsedRow
+	rawRows      map[string][]string // nil: nobody asks
 }
 
-// step is a name in an object or, without one, a place in a list.
-type step struct {
-	name string
-	num  int
+// pathElement is a name in an object or, without one, a place in a list.
+type pathElement struct {
+	name  string
+	index int
 }
 
 // place writes out where the walk stands; only faults need it.
 func (p *parser) place() string {
 	out := ""
-	for _, s := range p.steps {
-		if s.num >= 0 {
-			out += fmt.Sprintf("[%d]", s.num)
+	for _, s := range p.path {
+		if s.index >= 0 {
+			out += fmt.Sprintf("[%d]", s.index)
 		} else {
-			out = join(out, s.name)
+			out = joinPlace(out, s.name)
 		}
 	}
 	return out
 }
 
-func (p *parser) wrong(what string) error {
-	if p.at >= len(p.text) {
+func (p *parser) syntaxError(problem string) error {
+	if p.pos >= len(p.text) {
 		return errors.New("the document ends too early")
 	}
-	return fmt.Errorf("%s at byte %d", what, p.at)
+	return fmt.Errorf("%s at byte %d", problem, p.pos)
 }
 
-func (p *parser) blank() {
-	for p.at < len(p.text) {
-		switch p.text[p.at] {
+func (p *parser) skipSpace() {
+	for p.pos < len(p.text) {
+		switch p.text[p.pos] {
 		case ' ', '\t', '\n', '\r':
-			p.at++
+			p.pos++
 		default:
 			return
 		}
 	}
 }
 
-// sign passes over one mark, blanks before it too.
-func (p *parser) sign(c byte) bool {
-	p.blank()
-	if p.at < len(p.text) && p.text[p.at] == c {
-		p.at++
+// accept passes over one mark, blanks before it too.
+func (p *parser) accept(c byte) bool {
+	p.skipSpace()
+	if p.pos < len(p.text) && p.text[p.pos] == c {
+		p.pos++
 		return true
 	}
 	return false
 }
 
-func (p *parser) value(deep int) (any, error) {
-	if deep > deepest {
+func (p *parser) value(depth int) (any, error) {
+	if depth > maxDepth {
 		return nil, errors.New("nested too deep")
 	}
-	if p.blank(); p.at >= len(p.text) {
-		return nil, p.wrong("")
+	if p.skipSpace(); p.pos >= len(p.text) {
+		return nil, p.syntaxError("")
 	}
-	switch c := p.text[p.at]; {
+	switch c := p.text[p.pos]; {
 	case c == '{':
-		p.at++
-		return p.object(deep)
+		p.pos++
+		return p.objectValue(depth)
 	case c == '[':
-		p.at++
-		return p.list(deep)
+		p.pos++
+		return p.arrayValue(depth)
 	case c == '"':
-		return p.str()
+		return p.stringValue()
 	case c == '-' || c >= '0' && c <= '9':
-		return p.number()
+		return p.numberValue()
 	}
-	for word, v := range words {
-		if len(p.text)-p.at >= len(word) && p.text[p.at:p.at+len(word)] == word {
-			p.at += len(word)
+	for literal, v := range literals {
+		if len(p.text)-p.pos >= len(literal) && p.text[p.pos:p.pos+len(literal)] == literal {
+			p.pos += len(literal)
 			return v, nil
 		}
 	}
-	return nil, p.wrong("no value")
+	return nil, p.syntaxError("no value")
 }
 
-var words = map[string]any{"true": true, "false": false, "null": nil}
+var literals = map[string]any{"true": true, "false": false, "null": nil}
 
-func (p *parser) object(deep int) (any, error) {
-	out := map[string]any{}
-	if p.sign('}') {
-		return out, nil
+func (p *parser) objectValue(depth int) (any, error) {
+	object := map[string]any{}
+	if p.accept('}') {
+		return object, nil
 	}
-	p.steps = append(p.steps, step{})
-	last := len(p.steps) - 1
+	p.path = append(p.path, pathElement{})
+	last := len(p.path) - 1
 	for {
-		if p.blank(); p.at >= len(p.text) || p.text[p.at] != '"' {
-			return nil, p.wrong("no name")
+		if p.skipSpace(); p.pos >= len(p.text) || p.text[p.pos] != '"' {
+			return nil, p.syntaxError("no name")
 		}
-		name, err := p.str()
+		name, err := p.stringValue()
 		if err != nil {
 			return nil, err
 		}
-		if !p.sign(':') {
-			return nil, p.wrong("no :")
+		if !p.accept(':') {
+			return nil, p.syntaxError("no :")
 		}
-		p.steps[last] = step{name, -1}
-		v, err := p.value(deep + 1)
+		p.path[last] = pathElement{name, -1}
+		v, err := p.value(depth + 1)
 		if err != nil {
 			return nil, err
 		}
-		had := len(out)
-		if out[name] = v; len(out) == had {
-			p.twice = append(p.twice, Problem{p.place(), "given twice"})
+		size := len(object)
+		if object[name] = v; len(object) == size {
+			p.duplicates = append(p.duplicates, Problem{p.place(), "given twice"})
 		}
-		if p.sign(',') {
+		if p.accept(',') {
 			continue
 		}
-		if !p.sign('}') {
-			return nil, p.wrong("no , or }")
+		if !p.accept('}') {
+			return nil, p.syntaxError("no , or }")
 		}
-		p.steps = p.steps[:last]
-		return out, nil
+		p.path = p.path[:last]
+		return object, nil
 	}
 }
 
-// str reads a text. One with escapes or with bytes that are no UTF-8 is left
+// stringValue reads a text. One with escapes or with bytes that are no UTF-8 is left
 // to the library.
-func (p *parser) str() (string, error) {
-	from, odd := p.at, false
-	for p.at++; p.at < len(p.text); p.at++ {
-		switch c := p.text[p.at]; {
+func (p *parser) stringValue() (string, error) {
+	start, needsDecoding := p.pos, false
+	for p.pos++; p.pos < len(p.text); p.pos++ {
+		switch c := p.text[p.pos]; {
 		case c == '"':
-			p.at++
-			in := p.text[from+1 : p.at-1]
-			if !odd || utf8.ValidString(in) && strings.IndexByte(in, '\\') < 0 {
-				return in, nil
+			p.pos++
+			content := p.text[start+1 : p.pos-1]
+			if !needsDecoding || utf8.ValidString(content) && strings.IndexByte(content, '\\') < 0 {
+				return content, nil
 			}
 			var out string
-			err := json.Unmarshal([]byte(p.text[from:p.at]), &out)
+			err := json.Unmarshal([]byte(p.text[start:p.pos]), &out)
 			return out, err
 		case c == '\\':
-			odd = true
-			p.at++
+			needsDecoding = true
+			p.pos++
 		case c < ' ':
-			return "", p.wrong("a bare control byte")
+			return "", p.syntaxError("a bare control byte")
 		case c >= utf8.RuneSelf:
-			odd = true
+			needsDecoding = true
 		}
 	}
-	return "", p.wrong("")
+	return "", p.syntaxError("")
 }
 
-// number keeps the digits as they were written.
-func (p *parser) number() (any, error) {
-	from := p.at
-	if p.text[p.at] == '-' {
-		p.at++
+// numberValue keeps the digits as they were written.
+func (p *parser) numberValue() (any, error) {
+	start := p.pos
+	if p.text[p.pos] == '-' {
+		p.pos++
 	}
-	if p.at < len(p.text) && p.text[p.at] == '0' {
-		p.at++
-	} else if !p.digits() {
-		return nil, p.wrong("no digit")
+	if p.pos < len(p.text) && p.text[p.pos] == '0' {
+		p.pos++
+	} else if !p.skipDigits() {
+		return nil, p.syntaxError("no digit")
 	}
-	if p.at < len(p.text) && p.text[p.at] == '.' {
-		if p.at++; !p.digits() {
-			return nil, p.wrong("no digit")
+	if p.pos < len(p.text) && p.text[p.pos] == '.' {
+		if p.pos++; !p.skipDigits() {
+			return nil, p.syntaxError("no digit")
 		}
 	}
-	if p.at < len(p.text) && (p.text[p.at] == 'e' || p.text[p.at] == 'E') {
-		if p.at++; p.at < len(p.text) && (p.text[p.at] == '+' || p.text[p.at] == '-') {
-			p.at++
+	if p.pos < len(p.text) && (p.text[p.pos] == 'e' || p.text[p.pos] == 'E') {
+		if p.pos++; p.pos < len(p.text) && (p.text[p.pos] == '+' || p.text[p.pos] == '-') {
+			p.pos++
 		}
-		if !p.digits() {
-			return nil, p.wrong("no digit")
+		if !p.skipDigits() {
+			return nil, p.syntaxError("no digit")
 		}
 	}
-	return json.Number(p.text[from:p.at]), nil
+	return json.Number(p.text[start:p.pos]), nil
 }
 
-func (p *parser) digits() bool {
-	from := p.at
-	for p.at < len(p.text) && p.text[p.at] >= '0' && p.text[p.at] <= '9' {
-		p.at++
+func (p *parser) skipDigits() bool {
+	start := p.pos
+	for p.pos < len(p.text) && p.text[p.pos] >= '0' && p.text[p.pos] <= '9' {
+		p.pos++
 	}
-	return p.at > from
+	return p.pos > start
 }
--- a/internal/schema/parse_test.go
+++ b/internal/schema/parse_test.go
@@ -62,7 +62,7 @@
 			return nil, err
 		}
 		name, _ := tok.(string)
-		at := join(place, name)
+		at := joinPlace(place, name)
 		v, err := slowly(d, at, twice, deep+1)
 		if err != nil {
 			return nil, err
@@ -129,7 +129,7 @@
 func TestNumbers(t *testing.T) {
 	for s, want := range map[string]any{"250": int64(250), "250.0": int64(250), "2.5e2": int64(250), "550.0000000000001": int64(550), "67108864.0": int64(67108864),
 		"-3.0": int64(-3), "0.0": int64(0), "1.5": nil, "250.0001": nil, "0.999": nil, "1e300": nil, "1e999": nil, "9223372036854775807": int64(9223372036854775807), "9223372036854775808": nil} {
-		got, err := cast(Count, json.Number(s))
+		got, err := convert(Count, json.Number(s))
 		if got != want || (err == nil) != (want != nil) {
 			t.Errorf("%s: got %v %v, want %v", s, got, err, want)
 		}
--- a/internal/schema/settings.go
+++ b/internal/schema/settings.go
@@ -14,15 +14,15 @@
 
 // The types of value.
 const (
-	Text  Type = "text"  // a string
-	Count Type = "count" // a whole number
-	Share Type = "share" // a number, fractions allowed
-	Span  Type = "span"  // a duration in milliseconds, a whole number
-	Flag  Type = "flag"  // true or false
-	Addr  Type = "addr"  // IP number and port
-	Addrs Type = "addrs" // a list of addr
-	Rows  Type = "rows"  // a list of objects
-	Row   Type = "row"   // one object
+	Text   Type = "text"  // a string
+	Count  Type = "count" // a whole number
+	Share  Type = "share" // a number, fractions allowed
+	Span   Type = "span"  // a duration in milliseconds, a whole number
+	Flag   Type = "flag"  // true or false
+	Addr   Type = "addr"  // IP number and port
+	Addrs  Type = "addrs" // a list of addr
+	Rows   Type = "rows"  // a list of objects
+	Object Type = "row"   // one object
 )
 
 // Field is one row of a table.
@@ -52,91 +52,91 @@
 type Values map[string]any
 
 // Text gives a string value.
-func (v Values) Text(n string) string { s, _ := v[n].(string); return s }
+func (v Values) Text(name string) string { s, _ := v[name].(string); return s }
 
 // Count gives a whole number.
-func (v Values) Count(n string) int64 { s, _ := v[n].(int64); return s }
+func (v Values) Count(name string) int64 { s, _ := v[name].(int64); return s }
 
 // Share gives a number.
-func (v Values) Share(n string) float64 { s, _ := v[n].(float64); return s }
+func (v Values) Share(name string) float64 { s, _ := v[name].(float64); return s }
 
 // Flag gives a truth value.
-func (v Values) Flag(n string) bool { s, _ := v[n].(bool); return s }
+func (v Values) Flag(name string) bool { s, _ := v[name].(bool); return s }
 
 // Texts gives a list of strings.
-func (v Values) Texts(n string) []string { s, _ := v[n].([]string); return s }
+func (v Values) Texts(name string) []string { s, _ := v[name].([]string); return s }
 
 // Read checks one object by the table; every fault is named, an unknown name
 // is one.
-func (t Table) Read(in map[string]any, place string) (Values, []Problem) {
-	out := make(Values, len(t.Rows))
-	return out, t.Fill(out, in, place)
+func (t Table) Read(object map[string]any, place string) (Values, []Problem) {
+	values := make(Values, len(t.Rows))
+	return values, t.ReadInto(values, object, place)
 }
 
-// Fill is Read into values that are used again for each row of a list.
-func (t Table) Fill(out Values, in map[string]any, place string) []Problem {
-	met, bad := t.known(out, in, place)
+// ReadInto is Read into values that are used again for each row of a list.
+func (t Table) ReadInto(values Values, object map[string]any, place string) []Problem {
+	found, problems := t.readFields(values, object, place)
 	// Only an object with more names than were met is searched for the odd.
-	if met == len(in) {
-		return bad
+	if found == len(object) {
+		return problems
 	}
 	known := map[string]bool{}
-	for _, s := range t.Rows {
-		known[s.Name] = true
+	for _, field := range t.Rows {
+		known[field.Name] = true
 	}
-	var odd []string
-	for n := range in {
-		if !known[n] {
-			odd = append(odd, n)
+	var unknown []string
+	for name := range object {
+		if !known[name] {
+			unknown = append(unknown, name)
 		}
 	}
-	sort.Strings(odd)
-	for _, n := range odd {
-		bad = append(bad, Problem{join(place, n), "unknown setting"})
+	sort.Strings(unknown)
+	for _, name := range unknown {
+		problems = append(problems, Problem{joinPlace(place, name), "unknown setting"})
 	}
-	return bad
+	return problems
 }
 
 // ReadKnown checks what the table knows of an object and passes over the rest.
-func (t Table) ReadKnown(in map[string]any, place string) (Values, []Problem) {
-	out := make(Values, len(t.Rows))
-	return out, t.FillKnown(out, in, place)
+func (t Table) ReadKnown(object map[string]any, place string) (Values, []Problem) {
+	values := make(Values, len(t.Rows))
+	return values, t.ReadKnownInto(values, object, place)
 }
 
-// FillKnown is ReadKnown into values that are used again.
-func (t Table) FillKnown(out Values, in map[string]any, place string) []Problem {
-	_, bad := t.known(out, in, place)
-	return bad
+// ReadKnownInto is ReadKnown into values that are used again.
+func (t Table) ReadKnownInto(values Values, object map[string]any, place string) []Problem {
+	_, problems := t.readFields(values, object, place)
+	return problems
 }
 
-// known reads the table's rows and counts those that the object has.
-func (t Table) known(out Values, in map[string]any, place string) (met int, bad []Problem) {
-	clear(out)
-	for _, s := range t.Rows {
-		raw, ok := in[s.Name]
+// readFields reads the table's rows and counts those that the object has.
+func (t Table) readFields(values Values, object map[string]any, place string) (found int, problems []Problem) {
+	clear(values)
+	for _, field := range t.Rows {
+		raw, ok := object[field.Name]
 		if !ok {
-			if s.Required {
-				bad = append(bad, Problem{join(place, s.Name), "missing"})
-			} else if s.Default != nil {
-				out[s.Name] = s.Default
+			if field.Required {
+				problems = append(problems, Problem{joinPlace(place, field.Name), "missing"})
+			} else if field.Default != nil {
+				values[field.Name] = field.Default
 			}
 			continue
 		}
-		met++
-		v, err := cast(s.Type, raw)
-		if err == nil && s.Check != nil {
-			err = s.Check(v)
+		found++
+		value, err := convert(field.Type, raw)
+		if err == nil && field.Check != nil {
+			err = field.Check(value)
 		}
 		if err != nil {
-			bad = append(bad, Problem{join(place, s.Name), err.Error()})
+			problems = append(problems, Problem{joinPlace(place, field.Name), err.Error()})
 			continue
 		}
-		out[s.Name] = v
+		values[field.Name] = value
 	}
-	return met, bad
+	return found, problems
 }
 
-func join(place, name string) string {
+func joinPlace(place, name string) string {
 	if place == "" {
 		return name
 	}
@@ -147,17 +147,17 @@
 func (t Table) Doc() string {
 	var b strings.Builder
 	b.WriteString("| setting | type | default | check | meaning |\n| --- | --- | --- | --- | --- |\n")
-	for _, s := range t.Rows {
-		def := "none"
-		if s.Required {
-			def = "required"
-		} else if s.Default != nil {
-			def = fmt.Sprintf("%v", s.Default)
+	for _, field := range t.Rows {
+		defaultText := "none"
+		if field.Required {
+			defaultText = "required"
+		} else if field.Default != nil {
+			defaultText = fmt.Sprintf("%v", field.Default)
 		}
-		if def == "" {
-			def = "empty"
+		if defaultText == "" {
+			defaultText = "empty"
 		}
-		fmt.Fprintf(&b, "| `%s` | %s | %s | %s | %s |\n", s.Name, s.Type, def, s.Rule, s.Help)
+		fmt.Fprintf(&b, "| `%s` | %s | %s | %s | %s |\n", field.Name, field.Type, defaultText, field.Rule, field.Help)
 	}
 	return b.String()
 }
--- a/internal/settings/changed.go
+++ b/internal/settings/changed.go
@@ -2,8 +2,8 @@
 
 import "reflect"
 
-// names are the props under the names of their settings.
-func (p Settings) names() map[string]any {
+// valuesByName are the props under the names of their settings.
+func (p Settings) valuesByName() map[string]any {
 	return map[string]any{"node": p.Node, "mesh": p.ClusterID, "area": p.Zone, "inner": p.InternalAddr, "outer": p.APIAddr, "traffic": p.TrafficAddr,
 		"seeds": p.Seeds, "stores": p.Stores, "data": p.DataDir, "change_ms": p.ConfigBound, "leave_ms": p.LeaveBound, "window_ms": p.RetryWindow,
 		"return_ms": p.RecoveryBound, "history_ms": p.WatchHistory, "retire_ms": p.RetireAfter, "replace_ms": p.ReplaceAfter, "grace_ms": p.GracePeriod,
@@ -16,13 +16,13 @@
 
 // Changed names the settings of a program that differ between two readings, in
 // the order of its table. One that follows from another is named with it.
-func Changed(program string, was, now Settings) []string {
-	a, b := was.names(), now.names()
-	var out []string
-	for _, s := range Tables[program].Rows {
-		if !reflect.DeepEqual(a[s.Name], b[s.Name]) {
-			out = append(out, s.Name)
+func Changed(program string, before, after Settings) []string {
+	oldValues, newValues := before.valuesByName(), after.valuesByName()
+	var changed []string
+	for _, field := range Tables[program].Rows {
+		if !reflect.DeepEqual(oldValues[field.Name], newValues[field.Name]) {
+			changed = append(changed, field.Name)
 		}
 	}
-	return out
+	return changed
 }
--- a/internal/settings/parts.go
+++ b/internal/settings/parts.go
@@ -13,17 +13,17 @@
 // without a thought to each other; a node that called them at odds and did not
 // start would break all of them.
 func (p Settings) BaseInterval() time.Duration {
-	pace := p.ConfigBound
+	interval := p.ConfigBound
 	// A lost writer is missed and another one won, by the third to stand at the
 	// latest, in two thirds of Touch. A vacant duty is noticed, voted on and taken
 	// up within Return. A replacement, which may have to wait for a new writer,
 	// ends within CatchUp. A bound that is not there yet limits nothing.
-	for _, most := range []time.Duration{p.ContactTime * 4 / 3, p.RecoveryBound * 2 / 5, p.CatchUpBound * 5 / 8} {
-		if most > 0 {
-			pace = min(pace, most)
+	for _, limit := range []time.Duration{p.ContactTime * 4 / 3, p.RecoveryBound * 2 / 5, p.CatchUpBound * 5 / 8} {
+		if limit > 0 {
+			interval = min(interval, limit)
 		}
 	}
-	return pace
+	return interval
 }
 
 // HeartbeatInterval is how often sessions, writers and duties are renewed.
@@ -111,8 +111,8 @@
 // snapshot holds it packed, opened and packed again for the disk, and a disk holds
 // the old one, the new one and the room kept free for the next.
 const (
-	stateBytesUntold = 64 << 20
-	statePart        = 8
+	defaultStateBytes = 64 << 20
+	stateDivisor      = 8
 )
 
 // StateBytes bounds the replicated state, in bytes.
@@ -121,13 +121,13 @@
 		return p.ConfiguredStateBytes
 	}
 	bound := 0
-	for _, told := range []int{p.MemoryBytes, p.DiskBytes} {
-		if told > 0 && (bound == 0 || told/statePart < bound) {
-			bound = told / statePart
+	for _, available := range []int{p.MemoryBytes, p.DiskBytes} {
+		if available > 0 && (bound == 0 || available/stateDivisor < bound) {
+			bound = available / stateDivisor
 		}
 	}
 	if bound == 0 {
-		return stateBytesUntold
+		return defaultStateBytes
 	}
 	return bound
 }
@@ -156,22 +156,24 @@
 	}
 }
 
-func (p Settings) parts() []schema.Problem {
-	var bad []schema.Problem
-	say := func(place, wrong string) { bad = append(bad, schema.Problem{Place: place, Message: wrong}) }
+func (p Settings) checkDerived() []schema.Problem {
+	var problems []schema.Problem
+	report := func(place, message string) {
+		problems = append(problems, schema.Problem{Place: place, Message: message})
+	}
 	if p.WorkerTimeout() > p.RecoveryBound {
-		say("beat_ms", "a beat that is late is missed after more than return_ms")
+		report("beat_ms", "a beat that is late is missed after more than return_ms")
 	}
 	if p.RetireAfter < p.SessionTTL()*2 {
-		say("retire_ms", "must be at least twice the time for which a session stands")
+		report("retire_ms", "must be at least twice the time for which a session stands")
 	}
 	if p.ReplaceAfter < p.Lease()+p.HeartbeatInterval() {
-		say("replace_ms", "must be at least a lease and a beat")
+		report("replace_ms", "must be at least a lease and a beat")
 	}
 	// Out of touch, then swapped by one version, which may have to wait for a
 	// new writer.
 	if p.ReplaceAfter+p.Lease()+p.CallTimeout()*2 > p.CatchUpBound {
-		say("catch_up_ms", "replace_ms, a lease and two calls add up to more than the bound")
+		report("catch_up_ms", "replace_ms, a lease and two calls add up to more than the bound")
 	}
-	return bad
+	return problems
 }
--- a/internal/settings/props.go
+++ b/internal/settings/props.go
@@ -49,85 +49,85 @@
 }
 
 // FromChecked turns checked values into props and checks that the parts add up.
-func FromChecked(v schema.Values) (Settings, []schema.Problem) {
-	ms := func(n string) time.Duration { return time.Duration(v.Count(n)) * time.Millisecond }
-	p := Settings{Node: v.Text("node"), ClusterID: v.Text("mesh"), Zone: v.Text("area"), InternalAddr: v.Text("inner"), APIAddr: v.Text("outer"),
-		TrafficAddr: v.Text("traffic"), Seeds: v.Texts("seeds"), Stores: v.Texts("stores"), DataDir: v.Text("data"),
-		ConfigBound: ms("change_ms"), LeaveBound: ms("leave_ms"), RetryWindow: ms("window_ms"), RecoveryBound: ms("return_ms"), WatchHistory: ms("history_ms"),
-		RetireAfter: ms("retire_ms"), ReplaceAfter: ms("replace_ms"), GracePeriod: ms("grace_ms"),
-		CatchUpBound: ms("catch_up_ms"), ContactTime: ms("touch_ms"), AckBound: ms("ack_ms"), OldConfigBound: ms("back_ms"), LockExpiryBound: ms("free_ms"), ClientTimeout: ms("silence_ms"), ConfiguredHeartbeat: ms("beat_ms"),
-		MaxBodyBytes: int(v.Count("body_bytes")), MaxFrameBytes: int(v.Count("frame_bytes")), MaxRequests: int(v.Count("jobs")),
-		MayFound: v.Flag("founding"), ToleratedMachines: int(v.Count("bear")), ToleratedZones: int(v.Count("bear_areas")), ToleratedRegions: int(v.Count("bear_regions")), Region: v.Text("region"), MemoryBytes: int(v.Count("memory_bytes")), FileLimit: int(v.Count("files")),
-		DiskBytes: int(v.Count("disk_bytes")), ConfiguredStateBytes: int(v.Count("state_bytes")),
-		Service: v.Text("service"), WorkerAddr: v.Text("worker_addr"), ReadyAddr: v.Text("ready"),
-		RetryRatio: v.Share("repeat_share"), RetryAllowance: int(v.Count("repeat_allowance"))}
-	p.derive()
-	return p, p.parts()
+func FromChecked(values schema.Values) (Settings, []schema.Problem) {
+	millis := func(name string) time.Duration { return time.Duration(values.Count(name)) * time.Millisecond }
+	settings := Settings{Node: values.Text("node"), ClusterID: values.Text("mesh"), Zone: values.Text("area"), InternalAddr: values.Text("inner"), APIAddr: values.Text("outer"),
+		TrafficAddr: values.Text("traffic"), Seeds: values.Texts("seeds"), Stores: values.Texts("stores"), DataDir: values.Text("data"),
+		ConfigBound: millis("change_ms"), LeaveBound: millis("leave_ms"), RetryWindow: millis("window_ms"), RecoveryBound: millis("return_ms"), WatchHistory: millis("history_ms"),
+		RetireAfter: millis("retire_ms"), ReplaceAfter: millis("replace_ms"), GracePeriod: millis("grace_ms"),
+		CatchUpBound: millis("catch_up_ms"), ContactTime: millis("touch_ms"), AckBound: millis("ack_ms"), OldConfigBound: millis("back_ms"), LockExpiryBound: millis("free_ms"), ClientTimeout: millis("silence_ms"), ConfiguredHeartbeat: millis("beat_ms"),
+		MaxBodyBytes: int(values.Count("body_bytes")), MaxFrameBytes: int(values.Count("frame_bytes")), MaxRequests: int(values.Count("jobs")),
+		MayFound: values.Flag("founding"), ToleratedMachines: int(values.Count("bear")), ToleratedZones: int(values.Count("bear_areas")), ToleratedRegions: int(values.Count("bear_regions")), Region: values.Text("region"), MemoryBytes: int(values.Count("memory_bytes")), FileLimit: int(values.Count("files")),
+		DiskBytes: int(values.Count("disk_bytes")), ConfiguredStateBytes: int(values.Count("state_bytes")),
+		Service: values.Text("service"), WorkerAddr: values.Text("worker_addr"), ReadyAddr: values.Text("ready"),
+		RetryRatio: values.Share("repeat_share"), RetryAllowance: int(values.Count("repeat_allowance"))}
+	settings.derive()
+	return settings, settings.checkDerived()
 }
 
 // Load reads the props of a program from a file and from flags; flags win.
 func Load(program string, args []string) (Settings, []schema.Problem, error) {
-	tab := Tables[program]
-	file, over, err := flags(tab, args)
+	table := Tables[program]
+	file, overrides, err := parseFlags(table, args)
 	if err != nil {
 		return Settings{}, nil, err
 	}
-	in := map[string]any{}
-	var bad []schema.Problem
+	object := map[string]any{}
+	var problems []schema.Problem
 	if file != "" {
 		data, err := os.ReadFile(file)
 		if err != nil {
 			return Settings{}, nil, fault.Wrap(fault.Input, err, "read props")
 		}
-		if in, bad, err = schema.Parse(data); err != nil {
+		if object, problems, err = schema.Parse(data); err != nil {
 			return Settings{}, nil, fault.Wrap(fault.Input, err, "read props")
 		}
 	}
-	for k, val := range over {
-		in[k] = val
+	for name, value := range overrides {
+		object[name] = value
 	}
-	v, more := tab.Read(in, "")
-	bad = append(bad, more...)
-	if len(bad) > 0 {
-		return Settings{}, bad, nil
+	values, found := table.Read(object, "")
+	problems = append(problems, found...)
+	if len(problems) > 0 {
+		return Settings{}, problems, nil
 	}
-	p, bad := FromChecked(v)
-	return p, bad, nil
+	settings, problems := FromChecked(values)
+	return settings, problems, nil
 }
 
-// flags makes one flag for each row of the table, so that file and flags can
+// parseFlags makes one flag for each row of the table, so that file and flags can
 // never differ in what they know.
-func flags(tab schema.Table, args []string) (string, map[string]any, error) {
+func parseFlags(table schema.Table, args []string) (string, map[string]any, error) {
 	fields := []reflect.StructField{{Name: "Props", Type: reflect.TypeOf(""), Tag: `arg:"--props" help:"settings file (JSON)"`}}
-	for _, s := range tab.Rows {
-		name := strings.ReplaceAll(s.Name, "_", "-")
-		tag := fmt.Sprintf(`arg:"--%s" help:%q`, name, s.Help)
-		fields = append(fields, reflect.StructField{Name: "X" + s.Name, Type: reflect.TypeOf((*string)(nil)), Tag: reflect.StructTag(tag)})
+	for _, field := range table.Rows {
+		name := strings.ReplaceAll(field.Name, "_", "-")
+		tag := fmt.Sprintf(`arg:"--%s" help:%q`, name, field.Help)
+		fields = append(fields, reflect.StructField{Name: "X" + field.Name, Type: reflect.TypeOf((*string)(nil)), Tag: reflect.StructTag(tag)})
 	}
 	dest := reflect.New(reflect.StructOf(fields))
-	p, err := arg.NewParser(arg.Config{Program: tab.Name}, dest.Interface())
+	parser, err := arg.NewParser(arg.Config{Program: table.Name}, dest.Interface())
 	if err != nil {
 		return "", nil, fault.Wrap(fault.Input, err, "flags")
 	}
-	if err := p.Parse(args); err != nil {
+	if err := parser.Parse(args); err != nil {
 		if errors.Is(err, arg.ErrHelp) {
-			p.WriteHelp(os.Stdout)
+			parser.WriteHelp(os.Stdout)
 			return "", nil, err
 		}
 		return "", nil, fault.Wrap(fault.Input, err, "flags")
 	}
-	over := map[string]any{}
-	for i, s := range tab.Rows {
-		if f, _ := dest.Elem().Field(i + 1).Interface().(*string); f != nil {
-			over[s.Name] = schema.FromFlag(s.Type, *f)
+	overrides := map[string]any{}
+	for i, field := range table.Rows {
+		if value, _ := dest.Elem().Field(i + 1).Interface().(*string); value != nil {
+			overrides[field.Name] = schema.FromFlag(field.Type, *value)
 		}
 	}
-	return dest.Elem().Field(0).String(), over, nil
+	return dest.Elem().Field(0).String(), overrides, nil
 }
 
 // File tells from which file Load reads with these arguments; none is "".
 func File(program string, args []string) string {
-	file, _, err := flags(Tables[program], args)
+	file, _, err := parseFlags(Tables[program], args)
 	if err != nil {
 		return ""
 	}
--- a/internal/settings/props_test.go
+++ b/internal/settings/props_test.go
@@ -140,7 +140,7 @@
 func TestChangedNames(t *testing.T) {
 	for program, tab := range Tables {
 		for _, s := range tab.Rows {
-			if _, ok := (Settings{}).names()[s.Name]; !ok {
+			if _, ok := (Settings{}).valuesByName()[s.Name]; !ok {
 				t.Errorf("%s: a change of %s would not be named", program, s.Name)
 			}
 		}
@@ -163,7 +163,7 @@
 		want int
 	}{{[]string{"b:1"}, 1}, {[]string{"b:1", "a:1", "b:1"}, 2}, {many, maxAddresses}} {
 		got := Addresses(c.all)
-		if len(got) != c.want || got[0] != c.all[0] || some(got) != nil {
+		if len(got) != c.want || got[0] != c.all[0] || checkAddressList(got) != nil {
 			t.Errorf("of %v it lists %v", c.all, got)
 		}
 	}
--- a/internal/settings/rows.go
+++ b/internal/settings/rows.go
@@ -13,31 +13,31 @@
 // Addresses lists addresses as a setting takes them: each once, in order, and no
 // more than may be listed.
 func Addresses(all []string) []string {
-	var out []string
-	for _, a := range all {
-		if len(out) < maxAddresses && !slices.Contains(out, a) {
-			out = append(out, a)
+	var unique []string
+	for _, address := range all {
+		if len(unique) < maxAddresses && !slices.Contains(unique, address) {
+			unique = append(unique, address)
 		}
 	}
-	return out
+	return unique
 }
 
-// some checks a list of addresses. One given twice would be counted twice when
+// checkAddressList checks a list of addresses. One given twice would be counted twice when
 // a mesh is founded.
-func some(v any) error {
-	l, ok := v.([]string)
-	if !ok || len(l) < 1 || len(l) > maxAddresses {
+func checkAddressList(value any) error {
+	list, ok := value.([]string)
+	if !ok || len(list) < 1 || len(list) > maxAddresses {
 		return errors.New("must be 1 to 9 addresses")
 	}
-	l = slices.Clone(l)
-	slices.Sort(l)
-	if len(slices.Compact(l)) != len(v.([]string)) {
+	list = slices.Clone(list)
+	slices.Sort(list)
+	if len(slices.Compact(list)) != len(value.([]string)) {
 		return errors.New("names an address twice")
 	}
 	return nil
 }
 
-var common = []schema.Field{
+var commonFields = []schema.Field{
 	{Name: "node", Type: schema.Text, Required: true, Check: schema.IsName, Rule: "a name", Help: "this process's name, its own in the mesh"},
 	{Name: "mesh", Type: schema.Text, Default: "puffin", Check: schema.IsName, Rule: "a name", Help: "the mesh; processes of another mesh are turned away"},
 	{Name: "area", Type: schema.Text, Required: true, Check: schema.IsName, Rule: "a name", Help: "the area (zone) of this machine"},
@@ -64,42 +64,42 @@
 	{Name: "ready", Type: schema.Addr, Rule: "IP number and port", Help: "a further address where readiness is told"},
 }
 
-// within gives the rows of one program: the common ones with its own. Nobody
+// programFields gives the rows of one program: the common ones with its own. Nobody
 // outside calls a store, so its outer address may be left out.
-func within(outer bool, own ...schema.Field) []schema.Field {
-	out := slices.Clone(common)
-	for i := range out {
-		if out[i].Name == "outer" && !outer {
-			out[i].Required, out[i].Help = false, "where readiness is told; nowhere if not given"
+func programFields(outer bool, own ...schema.Field) []schema.Field {
+	fields := slices.Clone(commonFields)
+	for i := range fields {
+		if fields[i].Name == "outer" && !outer {
+			fields[i].Required, fields[i].Help = false, "where readiness is told; nowhere if not given"
 		}
 	}
-	return append(out, own...)
+	return append(fields, own...)
 }
 
-func beats(v any) error {
-	if v == int64(0) {
+func checkHeartbeat(value any) error {
+	if value == int64(0) {
 		return nil
 	}
-	return schema.IntRange(10, 60000)(v)
+	return schema.IntRange(10, 60000)(value)
 }
 
 // Tables are the settings of each program.
 var Tables = map[string]schema.Table{
-	"proxy": {Name: "proxy", Rows: within(true,
-		schema.Field{Name: "seeds", Type: schema.Addrs, Required: true, Check: some, Rule: "1 to 9 addresses", Help: "inner addresses of registries"},
+	"proxy": {Name: "proxy", Rows: programFields(true,
+		schema.Field{Name: "seeds", Type: schema.Addrs, Required: true, Check: checkAddressList, Rule: "1 to 9 addresses", Help: "inner addresses of registries"},
 		schema.Field{Name: "traffic", Type: schema.Addr, Required: true, Rule: "IP number and port", Help: "where callers send their jobs"},
 		schema.Field{Name: "body_bytes", Type: schema.Count, Default: int64(1 << 20), Check: schema.IntRange(1024, 8<<20), Rule: "1 KiB to 8 MiB", Help: "bound on the body of a job and of an answer"},
-		schema.Field{Name: "beat_ms", Type: schema.Span, Default: int64(0), Check: beats, Rule: "0, or 10 to 60000", Help: "how often the own worker beats; 0 means that it does so as it is told"},
+		schema.Field{Name: "beat_ms", Type: schema.Span, Default: int64(0), Check: checkHeartbeat, Rule: "0, or 10 to 60000", Help: "how often the own worker beats; 0 means that it does so as it is told"},
 		schema.Field{Name: "service", Type: schema.Text, Check: schema.IsName, Rule: "a name", Help: "the service of the worker beside this node, if it is known beforehand"},
 		schema.Field{Name: "worker_addr", Type: schema.Addr, Rule: "IP number and port", Help: "the only address that this node's worker may have, if it is known beforehand"},
 		schema.Field{Name: "repeat_share", Type: schema.Share, Default: 0.0, Check: schema.FloatRange(0, 1), Rule: "0 to 1; 0 of both leaves it to the document", Help: "bound: repeats to a service as a part of its first sends, over the window"},
 		schema.Field{Name: "repeat_allowance", Type: schema.Count, Default: int64(0), Check: schema.IntRange(0, 100000), Rule: "0 to 100000; 0 of both leaves it to the document", Help: "bound: repeats besides, mesh-wide, over the window"})},
-	"registry": {Name: "registry", Rows: within(true,
-		schema.Field{Name: "seeds", Type: schema.Addrs, Required: true, Check: some, Rule: "1 to 9 addresses", Help: "inner addresses of registries, this one among them or not"},
-		schema.Field{Name: "stores", Type: schema.Addrs, Required: true, Check: some, Rule: "1 to 9 addresses", Help: "inner addresses of stores, that of the own machine first"},
+	"registry": {Name: "registry", Rows: programFields(true,
+		schema.Field{Name: "seeds", Type: schema.Addrs, Required: true, Check: checkAddressList, Rule: "1 to 9 addresses", Help: "inner addresses of registries, this one among them or not"},
+		schema.Field{Name: "stores", Type: schema.Addrs, Required: true, Check: checkAddressList, Rule: "1 to 9 addresses", Help: "inner addresses of stores, that of the own machine first"},
 		schema.Field{Name: "data", Type: schema.Text, Rule: "a folder", Help: "the data folder, where the registrations outlive the loss of all processes; not kept if not given"})},
-	"store": {Name: "store", Rows: within(false,
-		schema.Field{Name: "seeds", Type: schema.Addrs, Required: true, Check: some, Rule: "1 to 9 addresses", Help: "inner addresses of stores; at the founding all of them are empty"},
+	"store": {Name: "store", Rows: programFields(false,
+		schema.Field{Name: "seeds", Type: schema.Addrs, Required: true, Check: checkAddressList, Rule: "1 to 9 addresses", Help: "inner addresses of stores; at the founding all of them are empty"},
 		schema.Field{Name: "data", Type: schema.Text, Required: true, Rule: "a folder", Help: "the data folder"},
 		schema.Field{Name: "disk_bytes", Type: schema.Count, Default: int64(0), Check: schema.IntRange(0, 1<<50), Rule: "0 or more; 0 when not told", Help: "room that the data folder has"},
 		schema.Field{Name: "state_bytes", Type: schema.Count, Default: int64(0), Check: schema.IntRange(0, 1<<30), Rule: "0 to 1 GiB; 0: an eighth of memory_bytes or of disk_bytes, whichever is less, or 64 MiB", Help: "bound on the replicated state; changes that would make it larger are refused, undone"},
