--- a/internal/rules/arm.go
+++ b/internal/rules/arm.go
@@ -7,30 +7,30 @@
 	"puffincrank/internal/schema"
 )
 
-// Arm is where the jobs of a path go and by which terms.
+// Arm says which service the requests of a route go to, and under which limits.
 type Arm struct {
-	Service     string // empty with a split
+	Service     string // empty when Split is set
 	Split       []WeightedService
-	totalWeight float64 // of the weights
+	totalWeight float64 // of the weights in Split
 	Class       string
-	Rank        int           // 0 matters most
-	Timeout     time.Duration // time that a job starts with
-	Target      time.Duration // time in which an answer is of full use
+	Rank        int           // priority; 0 is the highest
+	Timeout     time.Duration // time that a request has at its start
+	Target      time.Duration // latency within which a response is of full use
 	Repeatable  bool
-	Bulk        string // "upload", "download" or neither
+	Bulk        string // "upload", "download" or empty
 	Tries       int
 	Name        string // "old" or "new"
 	Steps       []Step
 }
 
-// WeightedService is one service's part of a path's jobs.
+// WeightedService is one service's part of a route's requests.
 type WeightedService struct {
 	Service string
 	Weight  float64
 }
 
-// ServiceFor is the service of a job. By a hash of its id, so that one job has one
-// service at every front and at every look.
+// ServiceFor returns the service of a request. It is chosen by a hash of the request ID, so that
+// every ingress and every attempt chooses the same service.
 func (a *Arm) ServiceFor(requestID string) string {
 	if len(a.Split) == 0 {
 		return a.Service
@@ -46,11 +46,11 @@
 			break
 		}
 	}
-	// What rounding leaves over is the last one's.
+	// Rounding may leave a remainder, which goes to the last service.
 	return last
 }
 
-// RoutesTo tells whether jobs of the arm could go to a service.
+// RoutesTo reports whether requests of the arm can go to a service.
 func (a *Arm) RoutesTo(service string) bool {
 	if len(a.Split) == 0 {
 		return a.Service == service
@@ -63,7 +63,7 @@
 	return false
 }
 
-// allSteps is the steps of every arm today.
+// allSteps are the steps that every arm runs.
 var allSteps = []Step{StepPick, StepDeliver, StepEvaluate, StepRespond}
 
 func (r *Rules) compileArm(place, name string, values schema.Values) (Arm, []schema.Problem) {
--- a/internal/rules/classes.go
+++ b/internal/rules/classes.go
@@ -6,11 +6,10 @@
 	"slices"
 )
 
-// deriveClasses works the classes out of the ranks that the arms have: the first rank
-// present has twice the share of the next one, and so on. Only the order of
-// the ranks counts, so that 0, 1, 2 and 0, 10, 20 mean the same. Each gets a
-// share, since one without would starve under load: a rank says what matters
-// more, not what doesn't matter.
+// deriveClasses makes one class for each rank that occurs in the document. Each class has twice the
+// share of the next one. Only the order of the ranks counts, so that 0, 1, 2 and 0, 10, 20 mean the
+// same. Every class gets a share, since one without would starve under load: a low rank means less
+// important, not unimportant.
 func (r *Rules) deriveClasses() {
 	seen := map[int]bool{}
 	for _, route := range r.Routes {
--- a/internal/rules/lanes.go
+++ b/internal/rules/lanes.go
@@ -6,16 +6,16 @@
 	"time"
 )
 
-// RequestLanes is how many ways there are by which jobs pass each other on a link;
-// the last one is bulk's.
+// RequestLanes is the number of priority lanes for requests on a link. The last one is for bulk
+// requests.
 const RequestLanes = 7
 
-// urgency is what decides how urgent jobs are on a link: the rank, and within it
-// the aim, of which only twice as much makes a difference.
+// urgency orders requests on a link: by rank, then by target latency. Targets count as different
+// only when they differ by a factor of two.
 type urgency struct{ rank, targetClass int }
 
-// assignLanes spreads the arms over the lanes by rank and aim, the first most urgent.
-// As with the classes only the order of the ranks counts.
+// assignLanes distributes the arms over the lanes by urgency, the most urgent first. As with the
+// classes, only the order of the ranks counts.
 func (r *Rules) assignLanes() {
 	var arms []*Arm
 	r.shortestTargets, r.laneByUrgency = map[int]time.Duration{}, map[urgency]int{}
@@ -49,7 +49,7 @@
 		return arm.targetClass - b.targetClass
 	})
 	for i, level := range urgencies {
-		// More of them than lanes share the lanes evenly.
+		// When there are more urgency levels than lanes, they are spread evenly over the lanes.
 		r.laneByUrgency[level] = i * (RequestLanes - 1) / max(len(urgencies), RequestLanes-1)
 	}
 }
@@ -58,10 +58,10 @@
 	return urgency{a.Rank, bits.Len64(uint64(a.Target / max(r.shortestTargets[a.Rank], 1)))}
 }
 
-// Lane is the lane of an arm's jobs, 0 goes first. Bulk is last whatever its
-// rank: what takes long by itself can wait, and a piece of it in an urgent lane
-// would hold up many small ones. It depends on the document's other arms, so it
-// isn't kept in the arm, which later documents may share.
+// Lane returns the lane of an arm's requests; lane 0 goes first. Bulk requests use the last lane
+// whatever their rank: they take long anyway, and a chunk of one in an urgent lane would delay many
+// small requests. The lane depends on the other arms of the document, so it is not stored in the
+// arm, which later versions may share.
 func (r *Rules) Lane(a *Arm) int {
 	if a.Bulk != "" {
 		return RequestLanes - 1
--- a/internal/rules/match.go
+++ b/internal/rules/match.go
@@ -5,9 +5,9 @@
 	"strings"
 )
 
-// Match finds the path of a job: one with the job's host before one without,
-// then the longest prefix, then the method by name before any. Its cost grows
-// with the segments of the URL, not with the paths.
+// Match finds the route of a request. A route for the request's host goes before one without a
+// host, then the longest prefix wins, then a route for the method before one for any method. The
+// cost grows with the number of segments of the URL, not with the number of routes.
 func (r *Rules) Match(host, method, url string) *Route {
 	if len(r.routesByHost) > 1 || r.routesByHost[""] == nil {
 		if hostName := normalizeHost(host); hostName != "" {
@@ -19,16 +19,16 @@
 	return r.routesByHost[""].match(method, url)
 }
 
-// normalizeHost is a host without its port and case.
+// normalizeHost returns a host in lower case and without its port.
 func normalizeHost(host string) string {
-	// An IPv6 number has colons of its own, within brackets.
+	// An IPv6 address has colons of its own, inside the brackets.
 	if i := strings.LastIndexByte(host, ':'); i >= 0 && i > strings.LastIndexByte(host, ']') {
 		host = host[:i]
 	}
 	return strings.ToLower(host)
 }
 
-// hostRoutes is the paths of one host: method to prefix to path.
+// hostRoutes holds the routes of one host by method and prefix.
 type hostRoutes map[string]map[string]*Route
 
 func (m hostRoutes) match(method, url string) *Route {
@@ -54,10 +54,10 @@
 	}
 }
 
-// RouteByName finds a path by its name.
+// RouteByName returns the route of that name, or nil.
 func (r *Rules) RouteByName(name string) *Route { return r.routesByName[name] }
 
-// Arm picks the arm of a job by the hash of its id: every front picks alike.
+// Arm picks the arm of a request by a hash of its ID, so that every ingress picks the same one.
 func (p *Route) Arm(requestID string) *Arm {
 	if p.Trial == 0 {
 		return &p.Base
@@ -68,7 +68,8 @@
 	return &p.Base
 }
 
-// hashFraction gives a job's place between 0 and 1, another one for each salt.
+// hashFraction maps a request ID to a number in [0, 1), by FNV-1a with a final mixing step. Each
+// salt gives an independent mapping.
 func hashFraction(salt, requestID string) float64 {
 	const offsetBasis, prime = 0xcbf29ce484222325, 0x100000001b3
 	hash := uint64(offsetBasis)
--- a/internal/rules/routes.go
+++ b/internal/rules/routes.go
@@ -47,7 +47,7 @@
 	})
 }
 
-// servicesExist tells whether the services that a path names are all there.
+// servicesExist reports whether all services that a route names exist.
 func (r *Rules) servicesExist(route *Route) bool {
 	for _, arm := range []*Arm{&route.Base, &route.New} {
 		if arm.Service != "" && !r.Services[arm.Service] || slices.ContainsFunc(arm.Split, func(part WeightedService) bool { return !r.Services[part.Service] }) {
@@ -57,7 +57,7 @@
 	return true
 }
 
-// addRoute enters a path at its place and gives what stood there.
+// addRoute enters a route and returns the one that it replaced, if any.
 func (r *Rules) addRoute(route *Route) *Route {
 	if r.routesByHost[route.Host] == nil {
 		r.routesByHost[route.Host] = hostRoutes{}
@@ -75,14 +75,15 @@
 	return replaced
 }
 
-// Next is Compile for one who holds an earlier document compiled: rows that
-// stand there as they stood are not read again. What comes out is the same.
+// Next compiles a document like Compile, but reuses the rows that are unchanged since the previous
+// version. The result is the same.
 func Next(previous *Rules, version uint64, doc []byte) (*Rules, []schema.Problem, error) {
 	if previous == nil {
 		return Compile(version, doc)
 	}
 	compiled, problems, err := compile(previous, version, doc)
-	// Faults are named by reading the whole, as they are elsewhere.
+	// Problems are always reported by a full compilation, so that they do not depend on the
+	// previous version.
 	if err != nil || len(problems) > 0 || compiled.reuseInvalid {
 		return Compile(version, doc)
 	}
--- a/internal/rules/rules.go
+++ b/internal/rules/rules.go
@@ -10,25 +10,25 @@
 	"puffincrank/internal/schema"
 )
 
-// MaxDocumentBytes bounds a document's size.
+// MaxDocumentBytes is the size limit of a configuration document, in bytes.
 const MaxDocumentBytes = 4 << 20
 
-// Route is one compiled path.
+// Route is one compiled route.
 type Route struct {
 	Name   string
-	Host   string // without port and in small letters; empty for any
+	Host   string // lower case, without port; empty matches any host
 	Method string
 	Prefix string
 	Base   Arm
-	Trial  uint64 // 0 when none runs
+	Trial  uint64 // ID of the running trial; 0 when there is none
 	Slice  float64
 	New    Arm
 }
 
-// Step is one operation of the interpreter.
+// Step is one operation of the request interpreter.
 type Step uint8
 
-// The steps of a job, in the order in which a path runs them.
+// The steps of a request, in the order in which they run.
 const (
 	StepPick Step = iota
 	StepDeliver
@@ -36,39 +36,39 @@
 	StepRespond
 )
 
-// Rules is one compiled version.
+// Rules is one compiled version of the configuration.
 type Rules struct {
 	Version         uint64
-	Number          uint64 // the operator's own; 0 when the document has none
+	Number          uint64 // the operator's own document number; 0 when the document has none
 	Doc             []byte
 	Services        map[string]bool
-	MaxConns        map[string]int    // bound on a worker's connections by service, where one is told
-	HealthPaths     map[string]string // the URL path of a service's health, where one is told
+	MaxConns        map[string]int    // limit on the connections to one worker, for the services that set one
+	HealthPaths     map[string]string // URL path of the health check, for the services that set one
 	Shares          map[string]float64
 	Classes         []string
 	Routes          []*Route
-	routesByHost    map[string]hostRoutes // by host; "" is any
+	routesByHost    map[string]hostRoutes // keyed by host; "" matches any host
 	routesByName    map[string]*Route
 	RetryRatio      float64
 	RetryAllowance  int64
 	QueueRatio      float64
-	MaxHeaderBytes  int           // bound on a caller's header
-	MaxBodyBytes    int           // bound on a caller's body; 0: the prop's
-	HeaderTimeout   time.Duration // time to read a header; 0: by props
-	IdleTimeout     time.Duration // time before an idle connection is closed; 0: by props
+	MaxHeaderBytes  int           // limit on the header of a caller's request
+	MaxBodyBytes    int           // limit on the body of a caller's request; 0: taken from the settings
+	HeaderTimeout   time.Duration // time limit for reading a header; 0: derived from the settings
+	IdleTimeout     time.Duration // time after which an idle connection is closed; 0: derived from the settings
 	Judge           schema.Values
 	LongestTimeout  time.Duration
 	readInto        func(schema.Table, schema.Values, map[string]any, string) []schema.Problem
-	shortestTargets map[int]time.Duration // by rank, the least aim of what isn't bulk
+	shortestTargets map[int]time.Duration // by rank: the shortest target latency of the arms that are not bulk
 	laneByUrgency   map[urgency]int
-	derivesClasses  bool // classes come from the ranks
+	derivesClasses  bool // the document has no classes, so they are derived from the ranks
 	parsedRows      map[string][]schema.ParsedRow
 	rawRows         map[string][]string
-	previous        *Rules // while this is made: those that rows are taken from
-	reuseInvalid    bool   // while this is made: a row kept means something else now
+	previous        *Rules // only during compilation: the rules whose rows are reused
+	reuseInvalid    bool   // only during compilation: a reused row would compile differently now
 }
 
-// Compile reads a document; every fault is named with its place.
+// Compile compiles a document. Every problem is reported with its place in the document.
 func Compile(version uint64, doc []byte) (*Rules, []schema.Problem, error) {
 	compiled, problems, err := compile(nil, version, doc)
 	if err != nil || len(problems) > 0 {
@@ -89,8 +89,8 @@
 	r := &Rules{Version: version, Doc: doc, Services: make(map[string]bool, len(rawRows["services"])), MaxConns: map[string]int{}, HealthPaths: map[string]string{},
 		Shares: map[string]float64{}, routesByHost: map[string]hostRoutes{}, routesByName: make(map[string]*Route, len(rawRows["paths"])), readInto: schema.Table.ReadInto,
 		previous: previous, rawRows: rawRows, parsedRows: map[string][]schema.ParsedRow{}}
-	// Documents with a number of their own are written by programs that may be
-	// newer than this one: what they say besides is not for us.
+	// Numbered documents are written by programs that may be newer than this one, so names that
+	// this version does not know are ignored.
 	if _, ok := document["version"]; ok {
 		r.readInto = schema.Table.ReadKnownInto
 	}
@@ -122,22 +122,24 @@
 	return r, problems, nil
 }
 
-// readObject checks one object by a table.
+// readObject checks one object against a table.
 func (r *Rules) readObject(table schema.Table, object map[string]any, place string) (schema.Values, []schema.Problem) {
 	values := schema.Values{}
 	return values, r.readInto(table, values, object, place)
 }
 
-// readRows runs f over the objects of a list, with their places, which makes of each
-// what is entered by put. The values are good only within f. Rows that are kept
-// of an earlier document are entered as they were made then.
+// readRows checks each object of a list, compiles it with compileRow and enters the result with
+// add. The values passed to compileRow are reused for the next row and must not be kept. Rows
+// reused from an earlier document are entered as they were compiled then. add returns its problems
+// as texts of the form "field message".
 func (r *Rules) readRows(document schema.Values, name string, table schema.Table, compileRow func(place string, values schema.Values) (any, []schema.Problem), add func(any) []string) []schema.Problem {
 	list, ok := document[name].([]any)
 	if !ok {
 		return nil
 	}
 	var problems []schema.Problem
-	// A numbered document may empty the mesh; by hand that is a mistake.
+	// A numbered document may remove every service and route; in an unnumbered one, which is
+	// written by hand, an empty list is taken for a mistake.
 	if len(list) == 0 && r.Number == 0 {
 		problems = append(problems, schema.Problem{Place: name, Message: "must have at least one"})
 	}
@@ -163,8 +165,8 @@
 			continue
 		}
 		problems = append(problems, r.readInto(table, values, object, place)...)
-		// References are checked even when other values of the row are wrong,
-		// so that one answer names every fault.
+		// References are checked even when other values of the row are invalid, so that one
+		// response reports every problem.
 		compiled, found := compileRow(place, values)
 		problems = append(problems, found...)
 		addRow(i, compiled, func() string { return place })
@@ -172,7 +174,7 @@
 	return problems
 }
 
-// service is what one row of the services says.
+// service is a compiled row of the services list.
 type service struct {
 	name, healthPath string
 	maxConns         int
@@ -218,7 +220,7 @@
 		return nil, nil
 	}, func(any) []string { return nil })
 	delete(r.parsedRows, "classes")
-	// The sum says nothing when a share could not be read.
+	// The sum is meaningless when a share could not be read.
 	if complete && len(r.Classes) > 0 && math.Abs(sum-100) > 1e-6 {
 		problems = append(problems, schema.Problem{Place: "classes", Message: fmt.Sprintf("shares add up to %g, not 100", sum)})
 	}
--- a/internal/rules/tables.go
+++ b/internal/rules/tables.go
@@ -1,5 +1,5 @@
-// Package rules reads the operators' configuration by its tables and compiles
-// it once for each version into what the interpreter of jobs runs.
+// Package rules checks the operators' configuration document against its tables and compiles each
+// version once into the form that the request interpreter runs.
 package rules
 
 import (
@@ -46,7 +46,7 @@
 	return nil
 }
 
-// Tables of the document, in the order of the docs.
+// The tables of the document, in the order in which the generated documentation lists them.
 var (
 	DocumentTable = schema.Table{Name: "document", Rows: []schema.Field{
 		{Name: "version", Type: schema.Count, Check: schema.IntRange(1, 1<<60), Rule: "1 or more", Help: "the operator's own number of the document; with it, names that this program doesn't know are passed over"},
@@ -119,5 +119,5 @@
 	}}
 )
 
-// Tables lists the tables for the docs.
+// Tables lists the tables for the generated documentation.
 var Tables = []schema.Table{DocumentTable, ServiceTable, ClassTable, RouteTable, SplitTable, TrialTable, LimitsTable, JudgeTable}
--- a/internal/rules/trial.go
+++ b/internal/rules/trial.go
@@ -10,10 +10,10 @@
 	"puffincrank/internal/schema"
 )
 
-// ArmFields are what an arm of a trial may differ in.
+// ArmFields are the fields in which the two arms of a trial may differ.
 var ArmFields = []string{"service", "split", "class", "rank", "left_ms", "aim_ms", "repeat", "tries"}
 
-// parseRoutes opens a document and its paths.
+// parseRoutes parses a document and returns it together with its routes.
 func parseRoutes(doc []byte) (map[string]any, []map[string]any, error) {
 	document, _, err := schema.Parse(doc)
 	if err != nil {
@@ -29,7 +29,7 @@
 	return document, routes, nil
 }
 
-// EffectiveValue gives a field of a path's arm, defaults included; nil when it has none.
+// EffectiveValue returns a field of a route's arm, with defaults applied; nil when it has none.
 func EffectiveValue(route map[string]any, field string) any {
 	if value, ok := route[field]; ok {
 		return value
@@ -47,8 +47,8 @@
 	return nil
 }
 
-// canonical gives a value in one shape for each meaning: numbers as they may be
-// written and as they come out of a table are the same.
+// canonical converts a value to a form in which equal values compare equal: numbers as written in
+// JSON and numbers from a table's defaults both become float64.
 func canonical(v any) any {
 	switch v := v.(type) {
 	case json.Number:
@@ -78,7 +78,7 @@
 
 func equalValues(a, b any) bool { return reflect.DeepEqual(canonical(a), canonical(b)) }
 
-// matchKey is where a path stands: two with the same one can't both be there.
+// matchKey returns what a route matches. Two routes with the same key cannot be in one document.
 func matchKey(route map[string]any) [3]string {
 	text := func(field string) string { value, _ := EffectiveValue(route, field).(string); return value }
 	prefix := text("prefix")
@@ -88,8 +88,8 @@
 	return [3]string{normalizeHost(text("host")), text("method"), prefix}
 }
 
-// copyField copies an arm's field; one that is left out is left out in the copy too,
-// where it means the same.
+// copyField copies an arm's field. A field that is left out gets its default in the copy, except
+// aim_ms, which stays left out, since its default follows from left_ms.
 func copyField(to, from map[string]any, field string) {
 	if v, ok := from[field]; ok {
 		to[field] = v
@@ -100,8 +100,8 @@
 	}
 }
 
-// applyChange lays a change over a path: a service takes the place of a split and
-// the other way round.
+// applyChange returns the arm that results from a change: a service in the change replaces a split
+// and the other way round.
 func applyChange(route, change map[string]any) map[string]any {
 	arm := map[string]any{}
 	for _, field := range ArmFields {
@@ -130,7 +130,7 @@
 	return true
 }
 
-// StartTrial gives a document in which a path's other arm is tried on a slice.
+// StartTrial returns the document with a trial of a change to a route, for a slice of its requests.
 func StartTrial(doc []byte, id uint64, routeName string, change map[string]any, slice float64) ([]byte, error) {
 	document, routes, err := parseRoutes(doc)
 	if err != nil {
@@ -149,7 +149,7 @@
 	return nil, fault.New(fault.Input, "no path %q", routeName)
 }
 
-// IsNoop tells whether a change would leave a path as it is.
+// IsNoop reports whether a change would leave a route as it is.
 func IsNoop(doc []byte, routeName string, change map[string]any) bool {
 	_, routes, err := parseRoutes(doc)
 	if err != nil {
@@ -163,8 +163,8 @@
 	return false
 }
 
-// FinishTrial ends a trial in a document: its arm takes the place of the old one,
-// or goes away.
+// FinishTrial returns the document without the trial. If it is promoted, its arm replaces the old
+// one.
 func FinishTrial(doc []byte, id uint64, promote bool) ([]byte, error) {
 	document, routes, err := parseRoutes(doc)
 	if err != nil {
@@ -186,10 +186,9 @@
 	return out, fault.Wrap(fault.Input, err, "write document")
 }
 
-// PlanTrials compares a whole new document with the one in force: paths that
-// carry traffic and go elsewhere keep their old arm, with the new one on
-// trial. It names those paths; none means that the new document may stand as
-// it is.
+// PlanTrials compares a whole new document with the one in force. Routes that carry traffic and
+// whose arm changes keep their old arm and get the new one as a trial. It returns the names of
+// those routes; when there are none, the new document can be applied as it is.
 func PlanTrials(old, updated []byte, id uint64, hasTraffic func(string) bool) (doc []byte, routes []string, err error) {
 	_, oldRoutes, err := parseRoutes(old)
 	if err != nil {
@@ -210,7 +209,7 @@
 	for _, route := range newRoutes {
 		oldRoute := oldByName[route["name"]]
 		name, _ := route["name"].(string)
-		// One with another host, prefix or method is a wholly new path.
+		// A route with another host, prefix or method counts as a new route.
 		if oldRoute == nil || !hasTraffic(name) || matchKey(oldRoute) != matchKey(route) || equalArms(oldRoute, route) {
 			continue
 		}
--- a/internal/schema/convert.go
+++ b/internal/schema/convert.go
@@ -12,8 +12,8 @@
 func convert(t Type, raw any) (any, error) {
 	switch t {
 	case Text:
-		// The raw value is passed on as it is: another one of the same would be
-		// one more allocation for each setting of each row.
+		// The interface value is returned as it is: boxing the string again would cost one more
+		// allocation for each setting of each row.
 		if _, ok := raw.(string); ok {
 			return raw, nil
 		}
@@ -74,19 +74,19 @@
 	return nil, errors.New("must be a text")
 }
 
-// wholeNumber reads a number written with a fraction that is none, such as 250.0 or
-// what is left of one after a change of units (550.0000000000001).
+// wholeNumber accepts a number with a fraction that is zero, such as 250.0, or zero up to the
+// rounding error of a unit conversion, such as 550.0000000000001.
 func wholeNumber(n json.Number) (int64, bool) {
 	value, err := n.Float64()
 	rounded := math.Round(value)
-	// Past 2^53 a float no longer tells whole numbers apart.
+	// Beyond 2^53 a float64 cannot represent every whole number.
 	if err != nil || math.Abs(rounded) > 1<<53 || math.Abs(value-rounded) > math.Abs(value)*1e-14 {
 		return 0, false
 	}
 	return int64(rounded), true
 }
 
-// IsAddr checks an IP number with a port.
+// IsAddr checks that a text is an IP address with a port.
 func IsAddr(s string) error {
 	a, err := netip.ParseAddrPort(s)
 	if err != nil || a.Port() == 0 {
@@ -95,7 +95,7 @@
 	return nil
 }
 
-// IsName checks a name.
+// IsName checks that a value is a valid name.
 func IsName(v any) error {
 	s, ok := v.(string)
 	ok = ok && len(s) > 0 && len(s) <= 64
@@ -110,7 +110,7 @@
 	return nil
 }
 
-// IntRange checks that a whole number is within bounds.
+// IntRange returns a check that a whole number is within bounds.
 func IntRange(low, high int64) func(any) error {
 	return func(v any) error {
 		if number, ok := v.(int64); !ok || number < low || number > high {
@@ -120,7 +120,7 @@
 	}
 }
 
-// FloatRange checks that a number is within bounds.
+// FloatRange returns a check that a number is within bounds.
 func FloatRange(low, high float64) func(any) error {
 	return func(v any) error {
 		if number, ok := v.(float64); !ok || number < low || number > high {
@@ -130,7 +130,7 @@
 	}
 }
 
-// OneOf checks that a text is one of a few.
+// OneOf returns a check that a text is one of the allowed ones.
 func OneOf(allowed ...string) func(any) error {
 	return func(v any) error {
 		for _, a := range allowed {
@@ -142,7 +142,7 @@
 	}
 }
 
-// FromFlag turns the text of a flag into the raw value of its type.
+// FromFlag converts the text of a command-line flag into the raw value of its type.
 func FromFlag(t Type, text string) any {
 	switch t {
 	case Count, Span, Share:
--- a/internal/schema/parse.go
+++ b/internal/schema/parse.go
@@ -8,14 +8,14 @@
 	"unicode/utf8"
 )
 
-// maxDepth bounds nesting: a hostile document must not use up the stack.
+// maxDepth bounds the nesting, so that a hostile document cannot exhaust the stack.
 const maxDepth = 32
 
-// Parse reads one JSON object whole. Names given twice in one object are
-// faults, since a plain decoder would let the last one win in silence.
+// Parse reads exactly one JSON object. A name given twice in one object is reported as a problem,
+// since encoding/json would silently keep the last one.
 //
-// Read by hand: every node reads every new document while jobs wait, and the
-// library's tokens cost eight times as much.
+// It does not use encoding/json, because every node reads every new document while requests wait,
+// and that package's tokenizer costs eight times as much.
 func Parse(data []byte) (map[string]any, []Problem, error) {
 	return (&parser{text: string(data)}).document()
 }
@@ -35,23 +35,24 @@
 	return object, p.duplicates, nil
 }
 
-// parser walks over one document. Texts are parts of it, not copies.
+// parser reads one document. The strings that it returns are substrings of the document, not
+// copies.
 type parser struct {
 	text         string
 	pos          int
-	path         []pathElement // where the walk stands
+	path         []pathElement // path from the root to the current value
 	duplicates   []Problem
 	previousRows map[string][]ParsedRow
-	rawRows      map[string][]string // nil: nobody asks
+	rawRows      map[string][]string // nil when the caller does not need the row texts
 }
 
-// pathElement is a name in an object or, without one, a place in a list.
+// pathElement is a name in an object (index is -1) or an index in a list.
 type pathElement struct {
 	name  string
 	index int
 }
 
-// place writes out where the walk stands; only faults need it.
+// place formats the current path; it is needed only for problems.
 func (p *parser) place() string {
 	out := ""
 	for _, s := range p.path {
@@ -82,7 +83,7 @@
 	}
 }
 
-// accept passes over one mark, blanks before it too.
+// accept skips white space and consumes the character c if it comes next.
 func (p *parser) accept(c byte) bool {
 	p.skipSpace()
 	if p.pos < len(p.text) && p.text[p.pos] == c {
@@ -160,8 +161,7 @@
 	}
 }
 
-// stringValue reads a text. One with escapes or with bytes that are no UTF-8 is left
-// to the library.
+// stringValue reads a string. Strings with escapes or invalid UTF-8 are left to encoding/json.
 func (p *parser) stringValue() (string, error) {
 	start, needsDecoding := p.pos, false
 	for p.pos++; p.pos < len(p.text); p.pos++ {
--- a/internal/schema/rows.go
+++ b/internal/schema/rows.go
@@ -2,47 +2,47 @@
 
 import "strings"
 
-// ParsedRow is a row of a document that was read before: its text, and what the
-// reader made of it.
+// ParsedRow is a row of a document that was read earlier: its text and the value that the reader
+// made of it.
 type ParsedRow struct {
 	Raw   string
 	Value any
 }
 
-// ParseRows is Parse for one who has read much of a document before: an object
-// in one of the lists of the document that stands there letter for letter as
-// one of the rows kept under that list's name becomes a pointer to that Kept, unread. Raw
-// gives the texts of all rows of all lists, by their names.
+// ParseRows is an incremental Parse. An object in one of the document's top-level lists that is
+// byte for byte equal to a previous row of that list is not parsed again: it becomes a pointer to a
+// ParsedRow with the previous value. rawRows holds the texts of all rows by the name of their list.
 func ParseRows(data []byte, previous map[string][]ParsedRow) (doc map[string]any, rawRows map[string][]string, problems []Problem, err error) {
 	p := &parser{text: string(data), previousRows: previous, rawRows: map[string][]string{}}
 	doc, problems, err = p.document()
 	return doc, p.rawRows, problems, err
 }
 
-// lookahead is how many rows of the old list may be gone at one place without the
-// search for the next one starting to miss.
+// lookahead is how many rows may have been removed at one place before the search for the next
+// match starts to miss; it widens with each miss. maxLookahead bounds the search.
 const lookahead, maxLookahead = 4, 256
 
-// rowMatcher is the walk over one list of the document beside the one before it.
+// rowMatcher matches one list of the document with the same list of the previous document.
 type rowMatcher struct {
 	previous []ParsedRow
-	next     int // the next row there
-	misses   int // rows in a row that were not found
+	next     int // index of the next candidate in previous
+	misses   int // rows without a match since the last match
 	reused   []ParsedRow
 }
 
-// rowValue reads an element of one of the document's lists.
+// rowValue reads an element of one of the document's top-level lists.
 func (p *parser) rowValue(matcher *rowMatcher, depth int) (any, error) {
 	p.skipSpace()
 	start := p.pos
-	// A row that changed stands in the place of one there, one that is new
-	// before it, and where some are gone those after them follow.
+	// A changed row takes the position of an old one, a new row comes before one, and after removed
+	// rows the following ones move up.
 	for i := matcher.next; i < min(len(matcher.previous), matcher.next+matcher.misses+lookahead, matcher.next+maxLookahead); i++ {
-		// What ends with a brace and begins alike is the whole value.
+		// A text that begins with a whole object, closing brace included, has exactly that object
+		// as its next value.
 		if previous := matcher.previous[i]; strings.HasPrefix(p.text[start:], previous.Raw) {
 			p.pos += len(previous.Raw)
 			matcher.next, matcher.misses = i+1, 0
-			// One room for all of them, since there are thousands.
+			// All reused rows share one allocation, since there can be thousands.
 			matcher.reused = append(matcher.reused, ParsedRow{p.text[start:p.pos], previous.Value})
 			return &matcher.reused[len(matcher.reused)-1], nil
 		}
@@ -52,8 +52,8 @@
 	if err != nil || matcher.previous == nil {
 		return v, err
 	}
-	// Its texts are parts of the document, which would be held for as long as
-	// the row stays, each time another one.
+	// Parsed strings refer to the text of the document. A row is kept over many versions and would
+	// hold each version's whole document in memory, so it is parsed from a copy of its own text.
 	copied := &parser{text: strings.Clone(p.text[start:p.pos])}
 	return copied.value(depth)
 }
--- a/internal/schema/table.go
+++ b/internal/schema/table.go
@@ -1,6 +1,6 @@
-// Package schema reads documents by tables: each row has a name, a type, a
-// default and a check. Operators' configurations and our own props use it,
-// and the docs are made from the same rows.
+// Package schema checks JSON objects against tables. Each row of a table has a name, a type, a
+// default and a check. The operators' configuration and the settings of the processes use it, and
+// their documentation is generated from the same tables.
 package schema
 
 import (
@@ -9,20 +9,20 @@
 	"strings"
 )
 
-// Type is what a value must be.
+// Type is the type of a value.
 type Type string
 
-// The types of value.
+// The types of values.
 const (
-	Text   Type = "text"  // a string
-	Count  Type = "count" // a whole number
-	Share  Type = "share" // a number, fractions allowed
-	Span   Type = "span"  // a duration in milliseconds, a whole number
-	Flag   Type = "flag"  // true or false
-	Addr   Type = "addr"  // IP number and port
-	Addrs  Type = "addrs" // a list of addr
-	Rows   Type = "rows"  // a list of objects
-	Object Type = "row"   // one object
+	Text   Type = "text"
+	Count  Type = "count" // whole number
+	Share  Type = "share" // number, fractions allowed
+	Span   Type = "span"  // duration in milliseconds, a whole number
+	Flag   Type = "flag"
+	Addr   Type = "addr"  // IP address and port
+	Addrs  Type = "addrs" // list of addresses
+	Rows   Type = "rows"  // list of objects
+	Object Type = "row"
 )
 
 // Field is one row of a table.
@@ -32,17 +32,17 @@
 	Required bool
 	Default  any
 	Check    func(v any) error
-	Rule     string // the check in words
+	Rule     string // the check in words, for the documentation
 	Help     string
 }
 
-// Table is the rows of one kind of object.
+// Table describes one kind of object.
 type Table struct {
 	Name string
 	Rows []Field
 }
 
-// Problem is one thing wrong, with its place.
+// Problem is an error in a document, with its place.
 type Problem struct {
 	Place   string `json:"place"`
 	Message string `json:"wrong"`
@@ -51,32 +51,31 @@
 // Values are the checked values of one object.
 type Values map[string]any
 
-// Text gives a string value.
+// Text returns a string value.
 func (v Values) Text(name string) string { s, _ := v[name].(string); return s }
 
-// Count gives a whole number.
+// Count returns a whole number.
 func (v Values) Count(name string) int64 { s, _ := v[name].(int64); return s }
 
-// Share gives a number.
+// Share returns a number.
 func (v Values) Share(name string) float64 { s, _ := v[name].(float64); return s }
 
-// Flag gives a truth value.
+// Flag returns a boolean.
 func (v Values) Flag(name string) bool { s, _ := v[name].(bool); return s }
 
-// Texts gives a list of strings.
+// Texts returns a list of strings.
 func (v Values) Texts(name string) []string { s, _ := v[name].([]string); return s }
 
-// Read checks one object by the table; every fault is named, an unknown name
-// is one.
+// Read checks an object against the table and reports every problem; an unknown name is one.
 func (t Table) Read(object map[string]any, place string) (Values, []Problem) {
 	values := make(Values, len(t.Rows))
 	return values, t.ReadInto(values, object, place)
 }
 
-// ReadInto is Read into values that are used again for each row of a list.
+// ReadInto is Read into a map that the caller reuses for each row of a list.
 func (t Table) ReadInto(values Values, object map[string]any, place string) []Problem {
 	found, problems := t.readFields(values, object, place)
-	// Only an object with more names than were met is searched for the odd.
+	// Unknown names are searched for only when the object has more names than the table matched.
 	if found == len(object) {
 		return problems
 	}
@@ -97,19 +96,19 @@
 	return problems
 }
 
-// ReadKnown checks what the table knows of an object and passes over the rest.
+// ReadKnown checks an object against the table and ignores unknown names.
 func (t Table) ReadKnown(object map[string]any, place string) (Values, []Problem) {
 	values := make(Values, len(t.Rows))
 	return values, t.ReadKnownInto(values, object, place)
 }
 
-// ReadKnownInto is ReadKnown into values that are used again.
+// ReadKnownInto is ReadKnown into a map that the caller reuses.
 func (t Table) ReadKnownInto(values Values, object map[string]any, place string) []Problem {
 	_, problems := t.readFields(values, object, place)
 	return problems
 }
 
-// readFields reads the table's rows and counts those that the object has.
+// readFields reads the fields of the table and counts those that the object has.
 func (t Table) readFields(values Values, object map[string]any, place string) (found int, problems []Problem) {
 	clear(values)
 	for _, field := range t.Rows {
@@ -143,7 +142,7 @@
 	return place + "." + name
 }
 
-// Doc prints the table's rows for the docs.
+// Doc formats the table for the generated documentation.
 func (t Table) Doc() string {
 	var b strings.Builder
 	b.WriteString("| setting | type | default | check | meaning |\n| --- | --- | --- | --- | --- |\n")
