--- a/internal/event/catalogue.go
+++ b/internal/event/catalogue.go
@@ -1,7 +1,7 @@
 package event
 
-// The catalogue. 1xx life of a process, 2xx links, 3xx store, 4xx duties and
-// sessions, 5xx registry, 6xx jobs and workers, 7xx configuration and trials.
+// The catalogue. 1xx process life cycle, 2xx links, 3xx store, 4xx roles and sessions, 5xx
+// registry, 6xx requests and workers, 7xx configuration and trials.
 var (
 	Started             = Kind{101, "started", "process started", false}
 	Ready               = Kind{102, "ready", "process became ready", false}
@@ -69,7 +69,7 @@
 	EmergencyChange     = Kind{707, "emergency", "an operator applied a change without a rehearsal", true}
 )
 
-// Catalogue lists every kind in order.
+// Catalogue lists every kind in the order of the numbers.
 var Catalogue = []Kind{Started, Ready, Unready, Stopping, Stopped, Paused, SettingsApplied, SettingsNeedRestart, SettingsInvalid, SecondStopSignal, BadLink, UnknownMessage, LinkSilent, LinkEnded,
 	Founded, Promised, Damaged, EntriesFetched, SnapshotWritten, DiskFailing, DiskRecovered, Joining, Refilled, Replaced, ForeignData, UnsafeRemoval, TooFewStores, StateLarge, SnapshotBad, StoreLeft, Chosen, Reopened,
 	RoleWon, RoleLost, SessionUp, SessionDown, ControlLost, ControlRegained, ConfigUnconfirmed,
--- a/internal/event/event.go
+++ b/internal/event/event.go
@@ -1,5 +1,5 @@
-// Package event writes numbered events to the log and keeps the newest for
-// the operators. The catalogue is in catalogue.go and in docs/events.md.
+// Package event writes numbered events to the log and keeps the newest ones for the operators. The
+// catalogue is in catalogue.go and in docs/events.md.
 package event
 
 import (
@@ -11,7 +11,7 @@
 	"github.com/hashicorp/go-hclog"
 )
 
-// Kind is one row of the catalogue.
+// Kind is an entry of the catalogue.
 type Kind struct {
 	Number    int
 	Name      string
@@ -19,7 +19,7 @@
 	IsWarning bool
 }
 
-// Entry is one event as the operators see it.
+// Entry is one event as operators see it.
 type Entry struct {
 	Seq    uint64    `json:"seq" msgpack:"s"`
 	Number int       `json:"num" msgpack:"n"`
@@ -29,7 +29,7 @@
 	Text   string    `json:"say" msgpack:"t"`
 }
 
-// Log writes events and keeps the newest ones in a ring.
+// Log writes events and keeps the newest ones in a ring buffer.
 type Log struct {
 	logger   hclog.Logger
 	node     string
@@ -41,7 +41,7 @@
 
 const maxKept = 512
 
-// New makes a log for a node; out nil means that nothing is printed.
+// New creates the log of a node. With a nil output, nothing is printed.
 func New(node string, output io.Writer) *Log {
 	logger := hclog.NewNullLogger()
 	if output != nil {
@@ -50,14 +50,14 @@
 	return &Log{logger: logger, node: node}
 }
 
-// SetListener sets a listener; tests use it to see what was logged.
+// SetListener sets a function that is called with each event; tests use it to observe the log.
 func (l *Log) SetListener(listener func(Entry)) {
 	l.mu.Lock()
 	l.listener = listener
 	l.mu.Unlock()
 }
 
-// Emit logs one event with pairs of name and value.
+// Emit logs one event with attributes given as pairs of name and value.
 func (l *Log) Emit(kind Kind, pairs ...any) {
 	text := ""
 	for i := 0; i+1 < len(pairs); i += 2 {
@@ -70,7 +70,7 @@
 	l.seq++
 	entry := Entry{Seq: l.seq, Number: kind.Number, Name: kind.Name, Node: l.node, Time: time.Now(), Text: text}
 	l.ring = append(l.ring, entry)
-	// The ring is cut in halves, so that the copy is rare.
+	// The buffer is cut to half only when it is full, so that copying is rare.
 	if len(l.ring) > 2*maxKept {
 		l.ring = append([]Entry(nil), l.ring[maxKept:]...)
 	}
@@ -87,7 +87,7 @@
 	}
 }
 
-// Since gives the kept events with a higher number than seq.
+// Since returns the kept events with a sequence number above seq.
 func (l *Log) Since(seq uint64) []Entry {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/event/limiter.go
+++ b/internal/event/limiter.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Limiter bounds how often one kind of event is written: the first within a
-// span is, the others are counted, and the next one written tells how many.
+// Limiter bounds how often one kind of event is written. The first event within an interval is
+// written, the others are counted, and the next one written carries their number.
 type Limiter struct {
 	interval   time.Duration
 	mu         sync.Mutex
@@ -14,11 +14,11 @@
 	suppressed int
 }
 
-// NewLimiter makes a limiter that lets one event of its kind through in a span.
+// NewLimiter creates a limiter that lets one event through in each interval.
 func NewLimiter(interval time.Duration) *Limiter { return &Limiter{interval: interval} }
 
-// Emit writes an event, or counts it where another was written less than a span
-// ago. An event that is written carries the count of those before it as "more".
+// Emit writes an event, or only counts it when another was written less than an interval ago. A
+// written event carries the number of suppressed events before it as "more".
 func (l *Limiter) Emit(log *Log, kind Kind, pairs ...any) {
 	l.mu.Lock()
 	now := time.Now()
--- a/internal/fault/fault.go
+++ b/internal/fault/fault.go
@@ -1,5 +1,4 @@
-// Package fault is the project's helper for errors: every error gets a kind
-// and the name of what was being done, by errorx.
+// Package fault gives every error a kind and the name of the failed operation, using errorx.
 package fault
 
 import (
@@ -10,18 +9,18 @@
 
 var namespace = errorx.NewNamespace("puffin")
 
-// The kinds of error, as few as callers tell apart.
+// The kinds of errors, only as many as callers distinguish.
 var (
-	Input   = namespace.NewType("input")   // what came in is wrong
-	Disk    = namespace.NewType("disk")    // a file could not be kept or read
-	Unsent  = namespace.NewType("unsent")  // certain that nothing went out
-	Unknown = namespace.NewType("unknown") // it may have been done
-	Refused = namespace.NewType("refused") // a fellow said no, nothing was done
+	Input   = namespace.NewType("input")   // invalid input
+	Disk    = namespace.NewType("disk")    // a file could not be written or read
+	Unsent  = namespace.NewType("unsent")  // certain that nothing was sent
+	Unknown = namespace.NewType("unknown") // the operation may have been carried out
+	Refused = namespace.NewType("refused") // a peer refused, nothing was done
 	Stale   = namespace.NewType("stale")   // a lower ballot, version or identity
 	Closed  = namespace.NewType("closed")  // this process is stopping
 )
 
-// Wrap names what was being done when err came up; nil stays nil.
+// Wrap adds a kind and the name of the failed operation to err; nil stays nil.
 func Wrap(kind *errorx.Type, err error, operation string) error {
 	if err == nil {
 		return nil
@@ -29,12 +28,12 @@
 	return kind.Wrap(err, "%s", operation)
 }
 
-// New makes an error of a kind.
+// New creates an error of a kind.
 func New(kind *errorx.Type, format string, args ...any) error {
 	return kind.New(format, args...)
 }
 
-// Is tells whether err or what it wraps is of a kind.
+// Is reports whether err or any error that it wraps is of a kind.
 func Is(err error, kind *errorx.Type) bool {
 	for err != nil {
 		if e := errorx.Cast(err); e != nil && e.IsOfType(kind) {
@@ -45,7 +44,7 @@
 	return false
 }
 
-// Has tells whether err was caused by target, however often it was wrapped.
+// Has reports whether target is in the chain of causes of err.
 func Has(err, target error) bool {
 	for err != nil {
 		if errors.Is(err, target) {
--- a/internal/judge/judge.go
+++ b/internal/judge/judge.go
@@ -1,5 +1,5 @@
-// Package judge compares the two arms of a trial: failure rates by a
-// two-proportion interval, latency by a ratio of quantiles.
+// Package judge compares the two arms of a trial: failure rates by a confidence interval for the
+// difference of two proportions, latency by a ratio of quantiles.
 package judge
 
 import (
@@ -10,30 +10,30 @@
 	"puffincrank/internal/protocol"
 )
 
-// Bounds are the configuration's bounds on a trial.
+// Bounds are the configured limits of a trial.
 type Bounds struct {
-	Jobs     uint64        // jobs of the new arm before a look
-	Least    time.Duration // time before a look
-	Most     time.Duration // time after which it is held back
-	Risk     float64       // chance of a wrong word, over all looks
-	Margin   float64       // failure rate above the old arm's that is put up with
-	Slow     float64       // ratio of latency that is put up with
+	Jobs     uint64        // requests of each arm before the first evaluation
+	Least    time.Duration // age of the trial before the first evaluation
+	Most     time.Duration // age at which an undecided trial is held back
+	Risk     float64       // probability of a wrong verdict over all evaluations
+	Margin   float64       // tolerated increase of the failure rate
+	Slow     float64       // tolerated ratio of the latency quantiles
 	Quantile float64
 }
 
-// evaluations is over how many looks the risk is split: each look at growing counts
-// is a chance to err.
+// evaluations is the number of evaluations over which the risk is split, since a trial is evaluated
+// repeatedly at growing counts and each evaluation can err.
 const evaluations = 8
 
-// Arm is one arm's counts over all fronts.
+// Arm holds the counts of one arm, summed over all ingresses.
 type Arm struct {
 	Done        uint64   `json:"done"`
 	Failed      uint64   `json:"failed"` // failed, unknown and refused together
 	LatencyBins []uint64 `json:"-"`
 }
 
-// Add takes a front's tally in. A refusal is a failure here: a change that
-// sends jobs where nobody takes them must not pass.
+// Add adds the counts of an ingress. A refusal counts as a failure: a change that sends requests
+// where no worker accepts them must not be promoted.
 func (a *Arm) Add(counts protocol.ArmCounts) {
 	a.Done += counts.Done
 	a.Failed += counts.Failed + counts.Unknown + counts.Refused
@@ -45,17 +45,17 @@
 	}
 }
 
-// Jobs is how many the arm had.
+// Jobs returns the number of requests of the arm.
 func (a *Arm) Jobs() uint64 { return a.Done + a.Failed }
 
-// The words of a judgement.
+// The verdicts.
 const (
 	Wait = "wait"
 	Good = "good"
 	Bad  = "bad"
 )
 
-// Facts are the figures that decided.
+// Facts are the verdict and the figures behind it.
 type Facts struct {
 	Route        string  `json:"path"`
 	Verdict      string  `json:"word"`
@@ -72,7 +72,7 @@
 	AgeMS        int64   `json:"age_ms"`
 }
 
-// Evaluate judges one path of a trial.
+// Evaluate compares the arms of one route in a trial.
 func Evaluate(route string, oldArm, newArm Arm, age time.Duration, bounds Bounds) Facts {
 	facts := Facts{Route: route, Verdict: Wait, Old: oldArm, New: newArm, AgeMS: age.Milliseconds()}
 	if oldArm.Jobs() > 0 && newArm.Jobs() > 0 {
@@ -110,9 +110,9 @@
 
 func failureRate(a Arm) float64 { return float64(a.Failed) / float64(a.Jobs()) }
 
-// failureDiffInterval is the Agresti-Caffo interval for the difference of two failure
-// rates, new less old: it holds for the small counts of a slice, where the
-// plain normal test does not.
+// failureDiffInterval is the Agresti-Caffo interval for the difference of two failure rates, new
+// minus old. It holds for the small counts of a trial's slice, where the plain normal approximation
+// does not.
 func failureDiffInterval(oldArm, newArm Arm, risk float64) (low, high float64) {
 	estimate := func(a Arm) (p, v float64) {
 		n := float64(a.Jobs()) + 2
@@ -125,13 +125,14 @@
 	return p2 - p1 - halfWidth, p2 - p1 + halfWidth
 }
 
-// normalQuantile is the one-sided quantile of the normal distribution.
+// normalQuantile is the one-sided quantile of the standard normal distribution.
 func normalQuantile(risk float64) float64 { return math.Sqrt2 * math.Erfinv(1-2*risk) }
 
-// binUpperEdge is the upper edge of a bin in ms; it mirrors the fronts' histogram.
+// binUpperEdge is the upper edge of a histogram bin in ms. It must match the histogram that the
+// ingresses fill.
 func binUpperEdge(bin int) float64 { return math.Pow(2, float64(bin)/4) }
 
-// quantile reads a quantile from a histogram.
+// quantile estimates a quantile from a histogram.
 func quantile(bins []uint64, q float64) float64 { return edgeAtRank(bins, q) }
 
 func edgeAtRank(bins []uint64, q float64) float64 {
@@ -150,8 +151,8 @@
 	return 0
 }
 
-// quantileBounds are the confidence bounds of a quantile, by the binomial spread of
-// its rank.
+// quantileBounds returns the confidence bounds of a quantile, from the binomial variance of its
+// rank.
 func quantileBounds(bins []uint64, q, z float64) (low, high float64) {
 	total := 0.0
 	for _, n := range bins {
--- a/internal/lifecycle/reload.go
+++ b/internal/lifecycle/reload.go
@@ -13,28 +13,28 @@
 	"puffincrank/internal/settings"
 )
 
-// Reloader is a program that takes up changed settings while it runs; it names
-// those that it takes. All others hold for the life of the process.
+// Reloader is a program that applies changed settings while it runs. Reload returns the names of
+// the settings that it applies; all others need a restart.
 type Reloader interface {
 	Reload(settings.Settings) []string
 }
 
-// settingsWatcher reads the settings again: at a signal, and when their file has changed
-// without one. It has no beat of its own; the program's beats call look.
+// settingsWatcher reads the settings again at a signal, and when their file has changed without
+// one. It has no timer of its own; the program's periodic work calls checkFile.
 type settingsWatcher struct {
 	name        string
-	file        string // "" where there is none
+	file        string // empty when there is none
 	load        func() (settings.Settings, []schema.Problem, error)
 	log         *event.Log
 	mu          sync.Mutex
 	program     Reloader
 	current     settings.Settings
-	lastSeen    os.FileInfo // what the file looked like when it was last read
-	nextCheck   time.Time   // the next look, a change after the last
-	lastProblem string      // what was wrong at the last reading
+	lastSeen    os.FileInfo // the file's metadata at the last successful reading
+	nextCheck   time.Time   // earliest time of the next check, ConfigBound after the last one
+	lastProblem string      // the first problem of the last reading
 }
 
-// stat gives what the file looks like, nil when it can't be seen.
+// stat returns the file's metadata, nil when it is not accessible.
 func (w *settingsWatcher) stat() os.FileInfo {
 	if w.file == "" {
 		return nil
@@ -46,7 +46,7 @@
 	return info
 }
 
-// checkFile reads the settings again if their file has changed since the last time.
+// checkFile reads the settings again if their file has changed since the last reading.
 func (w *settingsWatcher) checkFile() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -62,16 +62,16 @@
 	w.reloadLocked(info)
 }
 
-// reload does so in any case.
+// reload reads the settings again in any case.
 func (w *settingsWatcher) reload() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.reloadLocked(w.stat())
 }
 
-// reloadLocked takes what can be taken and names what can't. Settings that can't
-// be read leave those of before in force, and are looked at again: the file may
-// be half written.
+// reloadLocked applies the settings that can change at run time and logs the names of the others.
+// Invalid settings leave the previous ones in force and are read again at the next check, since the
+// file may be half written.
 func (w *settingsWatcher) reloadLocked(info os.FileInfo) {
 	loaded, problems, err := w.load()
 	if err != nil || len(problems) > 0 {
@@ -114,15 +114,15 @@
 	w.current = loaded
 }
 
-// setMemoryLimit sets the collector's limit. A part is kept back for what it does not
-// count: stacks, the C library and bytes that wait unread.
+// setMemoryLimit sets the memory limit of the garbage collector. A quarter is reserved for what it
+// does not count: stacks, the C library and unread bytes in socket buffers.
 func setMemoryLimit(s settings.Settings) {
 	if s.MemoryBytes > 0 {
 		debug.SetMemoryLimit(int64(s.MemoryBytes) * 3 / 4)
 	}
 }
 
-// notReloadable is a program that takes none.
+// notReloadable stands for a program that cannot change its settings at run time.
 type notReloadable struct{}
 
 func (notReloadable) Reload(settings.Settings) []string { return nil }
--- a/internal/lifecycle/run.go
+++ b/internal/lifecycle/run.go
@@ -1,5 +1,5 @@
-// Package lifecycle is the life of a program around its parts: props, signals and
-// the polite stop.
+// Package lifecycle runs a program: it loads the settings, handles signals and shuts the program
+// down gracefully.
 package lifecycle
 
 import (
@@ -11,7 +11,7 @@
 	"syscall"
 	"time"
 
-	// The C library is linked as usual: the platform wants its programs dynamic.
+	// These imports link the C library, since the platform requires dynamically linked programs.
 	_ "os/user"
 	_ "runtime/cgo"
 
@@ -27,22 +27,20 @@
 	"puffincrank/internal/version"
 )
 
-// Program is what a main runs.
+// Program is what Main runs.
 type Program interface {
 	Start() error
 	Stop()
 }
 
-// Site is where a program may find its settings instead of a file of ours, and
-// the tongue that is spoken there.
+// Site provides the settings in place of a settings file, and the dialect that is spoken there.
 type Site struct {
 	Settings func(program string) (map[string]any, error)
-	File     func() string // where they stand
+	File     func() string // where they are stored
 	Dialect  dialect.Dialect
 }
 
-// load reads the props: from the site with the flag --site, or from our own
-// file and flags.
+// load reads the settings: from the site with the flag --site, or from the settings file and flags.
 func load(name string, args []string, site Site) (settings.Settings, []schema.Problem, error) {
 	if len(args) == 1 && args[0] == "--site" && site.Settings != nil {
 		values, err := site.Settings(name)
@@ -54,16 +52,16 @@
 	return settings.Load(name, args)
 }
 
-// Main runs a program until it is told to end; the result is the exit code:
-// 0 after a polite stop, 2 for bad props, 1 for a start that failed.
+// Main runs a program until a stop signal and returns the exit code: 0 after a graceful shutdown, 2
+// for invalid settings, 1 for a failed start.
 func Main(name string, args []string, site Site, build func(settings.Settings, env.Env) (Program, error)) int {
 	if len(args) == 1 && args[0] == "--version" {
 		fmt.Println(version.Line(name))
 		return 0
 	}
-	// Signals are caught before anything else, so that a stop right after the start
-	// is polite too, and those of each kind by themselves: the order to end must not
-	// be lost because an order to read the settings waits to be taken.
+	// Signals are caught before anything else, so that a stop right after the start is graceful
+	// too. Stop and reload signals have a channel each, so that a stop signal is not lost while a
+	// reload signal waits in the buffer.
 	stopSignals, reloadSignals := make(chan os.Signal, 1), make(chan os.Signal, 1)
 	signal.Notify(stopSignals, syscall.SIGTERM, syscall.SIGINT)
 	signal.Notify(reloadSignals, syscall.SIGHUP)
@@ -71,7 +69,7 @@
 	if len(args) == 1 && args[0] == "--site" && site.File != nil {
 		watcher.file = site.File()
 	}
-	// What it looks like is noted before it is read: a change in between is seen.
+	// The metadata is taken before the file is read, so that a change in between is noticed.
 	watcher.lastSeen = watcher.stat()
 	loaded, problems, err := watcher.load()
 	if errors.Is(err, arg.ErrHelp) {
@@ -125,8 +123,8 @@
 	}
 }
 
-// stop ends a program politely. Orders that come meanwhile change nothing, since its
-// grace period counts from the first; they are told of.
+// stop shuts a program down gracefully. Further signals are logged but change nothing, since the
+// grace period counts from the first.
 func stop(program Program, stopSignals, reloadSignals <-chan os.Signal, log *event.Log) {
 	stopped := make(chan struct{})
 	group := task.New(context.Background())
--- a/internal/patch/document.go
+++ b/internal/patch/document.go
@@ -2,21 +2,20 @@
 
 import "sync"
 
-// Document is the document that a process holds, with the newest steps to it.
+// Document is the current version of a document together with the newest steps that lead to it.
 type Document struct {
 	mu        sync.Mutex
-	maxSteps  int // steps kept, for those that lag
+	maxSteps  int // number of steps kept for nodes that are behind
 	version   uint64
 	doc       []byte
 	steps     []Step
 	stepBytes int
 }
 
-// NewDocument holds nothing yet, and later at the most so many steps.
+// NewDocument creates an empty Document that keeps at most maxSteps steps.
 func NewDocument(maxSteps int) *Document { return &Document{maxSteps: maxSteps} }
 
-// Set takes a newer document, and the steps that lead to it from the one held
-// if they are known.
+// Set installs a newer version, with the steps from the current version to it if they are known.
 func (d *Document) Set(version uint64, doc []byte, steps []Step) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -35,22 +34,22 @@
 		}
 	}
 	d.version, d.doc = version, doc
-	// More steps than make up half of the document are never sent.
+	// Steps that add up to more than half of the document are never sent.
 	for len(d.steps) > d.maxSteps || d.stepBytes > len(doc)/2 && len(d.steps) > 0 {
 		d.stepBytes -= d.steps[0].Size()
 		d.steps = append([]Step(nil), d.steps[1:]...)
 	}
 }
 
-// Current gives what is held.
+// Current returns the current version and the document.
 func (d *Document) Current() (uint64, []byte) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.version, d.doc
 }
 
-// Since gives the steps that lead from a version to the one held; false when
-// they are not known, or not worth it.
+// Since returns the steps from a version to the current one. It returns false when they are not
+// known, or when the whole document is the better choice.
 func (d *Document) Since(version uint64) ([]Step, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -62,8 +61,8 @@
 	return nil, false
 }
 
-// Build makes the document that steps lead to from the one held; steps that
-// went by already are passed over. False means that they do not fit.
+// Build applies steps to the current document and returns the result. Steps up to the current
+// version are skipped. False means that the steps do not fit.
 func (d *Document) Build(steps []Step) ([]byte, bool) {
 	version, doc := d.Current()
 	for _, s := range steps {
--- a/internal/patch/patch.go
+++ b/internal/patch/patch.go
@@ -1,6 +1,6 @@
-// Package patch says what differs between two documents, so that a change of
-// one row of a long document travels as that row. Steps are chained by digests:
-// a step fits one document only, and what comes out is the very next one.
+// Package patch computes the difference between two versions of a document, so that a change of one
+// row of a long document is sent as that row. Steps are chained by digests: a step applies to
+// exactly one document and produces exactly the next one.
 package patch
 
 import (
@@ -10,7 +10,7 @@
 	"puffincrank/internal/fault"
 )
 
-// Op is a piece of the new document: taken from the old one, or new.
+// Op is a part of the new document: a range copied from the old one, or new bytes.
 type Op struct {
 	At  int    `msgpack:"a,omitempty"`
 	Len int    `msgpack:"l,omitempty"`
@@ -21,19 +21,19 @@
 type Step struct {
 	From   uint64 `msgpack:"f"`
 	To     uint64 `msgpack:"t"`
-	Base   []byte `msgpack:"b"` // the digest of the old document
-	Digest []byte `msgpack:"s"` // the digest of the new one
+	Base   []byte `msgpack:"b"` // digest of the old document
+	Digest []byte `msgpack:"s"` // digest of the new document
 	Ops    []Op   `msgpack:"o"`
 }
 
-// digest names a document. Half of a SHA-256 is more than chance or a mistake
-// needs; who may send documents may send any document.
+// digest identifies a document. Half of a SHA-256 is enough against accidents, and there is no need
+// to guard against forgery: whoever may send steps may send any document.
 func digest(doc []byte) []byte {
 	d := sha256.Sum256(doc)
 	return d[:16]
 }
 
-// Size is about what a step takes to travel.
+// Size is the approximate encoded size of a step in bytes.
 func (s Step) Size() int {
 	size := 64
 	for _, op := range s.Ops {
@@ -42,8 +42,8 @@
 	return size
 }
 
-// splitRows cuts a document where rows of JSON end, or lines; no row is longer than
-// long, so that a text without any is cut too.
+// splitRows splits a document after each closing brace or newline. No piece is longer than maxRow,
+// so that a text without either is split too.
 func splitRows(doc []byte) [][]byte {
 	const maxRow = 1024
 	var chunks [][]byte
@@ -58,10 +58,10 @@
 	return chunks
 }
 
-// Make works out the step between two documents.
+// Make computes the step between two documents.
 func Make(from, to uint64, old, updated []byte) Step {
 	step := Step{From: from, To: to, Base: digest(old), Digest: digest(updated)}
-	// What is equal at both ends is most of it, and needs no search.
+	// The common prefix and suffix are usually most of the document and need no search.
 	prefix := 0
 	for prefix < len(old) && prefix < len(updated) && old[prefix] == updated[prefix] {
 		prefix++
@@ -84,7 +84,8 @@
 	return step
 }
 
-// copyRange adds a piece of the old document, to the last one if it goes on there.
+// copyRange adds a range of the old document, merged with the previous range if it continues that
+// one.
 func (s *Step) copyRange(offset, length int) {
 	if length == 0 {
 		return
@@ -96,17 +97,18 @@
 	s.Ops = append(s.Ops, Op{At: offset, Len: length})
 }
 
-// addRow adds a row that stands at some places of the old document, or at none.
+// addRow adds a row that occurs at the given offsets of the old document, or nowhere in it.
 func (s *Step) addRow(row []byte, offsets []int) {
 	count := len(s.Ops)
 	for _, offset := range offsets {
-		// Where the last piece ended is best: it makes that one longer.
+		// The offset at which the previous range ends is preferred, since it only extends that
+		// range.
 		if count > 0 && s.Ops[count-1].New == nil && s.Ops[count-1].At+s.Ops[count-1].Len == offset {
 			s.copyRange(offset, len(row))
 			return
 		}
 	}
-	// A short row costs less than its place.
+	// Copying a short row as bytes is smaller than a reference to it.
 	if len(offsets) > 0 && len(row) > 16 {
 		s.copyRange(offsets[0], len(row))
 		return
@@ -118,11 +120,10 @@
 	s.Ops = append(s.Ops, Op{New: append([]byte(nil), row...)})
 }
 
-// maxDocumentBytes bounds a document that a step may make.
+// maxDocumentBytes is the size limit of a document that a step may produce.
 const maxDocumentBytes = 64 << 20
 
-// Apply makes the new document from the old one; an error means that the step
-// does not fit it.
+// Apply returns the new document. An error means that the step does not fit the old one.
 func (s Step) Apply(old []byte) ([]byte, error) {
 	if !bytes.Equal(digest(old), s.Base) {
 		return nil, fault.New(fault.Stale, "a step from %d begins at another document", s.From)
--- a/internal/rules/trial.go
+++ b/internal/rules/trial.go
@@ -88,8 +88,8 @@
 	return [3]string{normalizeHost(text("host")), text("method"), prefix}
 }
 
-// copyField copies an arm's field. A field that is left out gets its default in the copy, except
-// aim_ms, which stays left out, since its default follows from left_ms.
+// copyField copies an arm's field. A field that is left out gets its default in the copy, if it has
+// one. An aim_ms that is left out stays so, since its default follows from left_ms.
 func copyField(to, from map[string]any, field string) {
 	if v, ok := from[field]; ok {
 		to[field] = v
--- a/internal/settings/changed.go
+++ b/internal/settings/changed.go
@@ -2,7 +2,7 @@
 
 import "reflect"
 
-// valuesByName are the props under the names of their settings.
+// valuesByName returns the settings by their outer names.
 func (p Settings) valuesByName() map[string]any {
 	return map[string]any{"node": p.Node, "mesh": p.ClusterID, "area": p.Zone, "inner": p.InternalAddr, "outer": p.APIAddr, "traffic": p.TrafficAddr,
 		"seeds": p.Seeds, "stores": p.Stores, "data": p.DataDir, "change_ms": p.ConfigBound, "leave_ms": p.LeaveBound, "window_ms": p.RetryWindow,
@@ -14,8 +14,8 @@
 		"repeat_share": p.RetryRatio, "repeat_allowance": p.RetryAllowance}
 }
 
-// Changed names the settings of a program that differ between two readings, in
-// the order of its table. One that follows from another is named with it.
+// Changed returns the names of the settings of a program that differ between two readings, in the
+// order of its table. A setting that is derived from a changed one is included.
 func Changed(program string, before, after Settings) []string {
 	oldValues, newValues := before.valuesByName(), after.valuesByName()
 	var changed []string
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,5 +1,5 @@
-// Package settings is the settings of one process: where it stands and the
-// bounds that it keeps. All other times are ratios to these bounds.
+// Package settings holds the settings of one process: its identity, its addresses and the bounds
+// that it keeps. All other times are derived from these bounds.
 package settings
 
 import (
@@ -27,28 +27,29 @@
 	RetireAfter, ReplaceAfter, GracePeriod         time.Duration
 	CatchUpBound, ContactTime, AckBound            time.Duration
 	OldConfigBound, LockExpiryBound, ClientTimeout time.Duration
-	ConfiguredHeartbeat                            time.Duration // how often the own worker beats; 0 for our own ratio
+	ConfiguredHeartbeat                            time.Duration // heartbeat interval of the worker beside this node; 0: derived from the bounds
 	MaxBodyBytes, MaxFrameBytes, MaxRequests       int
 	MayFound                                       bool
-	ToleratedMachines                              int    // machines with a disk that may be lost at once
-	ToleratedZones, ToleratedRegions               int    // areas, or regions, that may be lost at once
-	Region                                         string // of the area, if told
-	MemoryBytes, FileLimit                         int    // bytes and descriptors of this process; 0 when not told
-	DiskBytes                                      int    // bytes of the disk; 0 when not told
-	ConfiguredStateBytes                           int    // bytes that the replicated state may have; 0 when it follows from memory and disk
-	Service, WorkerAddr                            string // the service and address of the worker beside this node, if told
-	ReadyAddr                                      string // a further address where readiness is told
+	ToleratedMachines                              int    // machines with a disk whose loss at once is tolerated
+	ToleratedZones, ToleratedRegions               int    // zones, or regions, whose loss at once is tolerated
+	Region                                         string // of the zone; empty when not given
+	MemoryBytes, FileLimit                         int    // memory and file descriptors of this process; 0 when not given
+	DiskBytes                                      int    // size of the disk; 0 when not given
+	ConfiguredStateBytes                           int    // bound on the replicated state; 0: derived from memory and disk
+	Service, WorkerAddr                            string // service and address of the worker beside this node; empty when not given
+	ReadyAddr                                      string // additional address that serves the readiness check
 	RetryRatio                                     float64
 	RetryAllowance                                 int
 }
 
-// Voters is how many stores must agree so that any Bear of them may be lost, or
-// as many areas or regions, if each holds one.
+// Voters is the number of voting stores needed to tolerate the loss of any ToleratedMachines
+// stores, or of as many zones or regions as configured, provided that each holds one.
 func (p Settings) Voters() int {
 	return 2*max(p.ToleratedMachines, p.ToleratedZones, p.ToleratedRegions) + 1
 }
 
-// FromChecked turns checked values into props and checks that the parts add up.
+// FromChecked converts checked values into settings and checks that the derived times fit into
+// their bounds.
 func FromChecked(values schema.Values) (Settings, []schema.Problem) {
 	millis := func(name string) time.Duration { return time.Duration(values.Count(name)) * time.Millisecond }
 	settings := Settings{Node: values.Text("node"), ClusterID: values.Text("mesh"), Zone: values.Text("area"), InternalAddr: values.Text("inner"), APIAddr: values.Text("outer"),
@@ -65,7 +66,7 @@
 	return settings, settings.checkDerived()
 }
 
-// Load reads the props of a program from a file and from flags; flags win.
+// Load reads the settings of a program from a file and from flags; flags take precedence.
 func Load(program string, args []string) (Settings, []schema.Problem, error) {
 	table := Tables[program]
 	file, overrides, err := parseFlags(table, args)
@@ -77,10 +78,10 @@
 	if file != "" {
 		data, err := os.ReadFile(file)
 		if err != nil {
-			return Settings{}, nil, fault.Wrap(fault.Input, err, "read props")
+			return Settings{}, nil, fault.Wrap(fault.Input, err, "read settings file")
 		}
 		if object, problems, err = schema.Parse(data); err != nil {
-			return Settings{}, nil, fault.Wrap(fault.Input, err, "read props")
+			return Settings{}, nil, fault.Wrap(fault.Input, err, "parse settings file")
 		}
 	}
 	for name, value := range overrides {
@@ -95,8 +96,8 @@
 	return settings, problems, nil
 }
 
-// parseFlags makes one flag for each row of the table, so that file and flags can
-// never differ in what they know.
+// parseFlags defines one flag for each row of the table, so that the file and the flags always
+// accept the same settings. It returns the name of the settings file and the values given as flags.
 func parseFlags(table schema.Table, args []string) (string, map[string]any, error) {
 	fields := []reflect.StructField{{Name: "Props", Type: reflect.TypeOf(""), Tag: `arg:"--props" help:"settings file (JSON)"`}}
 	for _, field := range table.Rows {
@@ -125,7 +126,7 @@
 	return dest.Elem().Field(0).String(), overrides, nil
 }
 
-// File tells from which file Load reads with these arguments; none is "".
+// File returns the name of the file that Load reads with these arguments, or "".
 func File(program string, args []string) string {
 	file, _, err := parseFlags(Tables[program], args)
 	if err != nil {
--- a/internal/settings/tables.go
+++ b/internal/settings/tables.go
@@ -7,11 +7,11 @@
 	"puffincrank/internal/schema"
 )
 
-// maxAddresses is how many addresses a setting may list.
+// maxAddresses is the largest number of addresses in a setting.
 const maxAddresses = 9
 
-// Addresses lists addresses as a setting takes them: each once, in order, and no
-// more than may be listed.
+// Addresses returns a valid list for a setting: without duplicates, in the given order, and at most
+// maxAddresses long.
 func Addresses(all []string) []string {
 	var unique []string
 	for _, address := range all {
@@ -22,8 +22,8 @@
 	return unique
 }
 
-// checkAddressList checks a list of addresses. One given twice would be counted twice when
-// a mesh is founded.
+// checkAddressList checks a list of addresses. A duplicate is refused, since it would be counted
+// twice when a cluster is founded.
 func checkAddressList(value any) error {
 	list, ok := value.([]string)
 	if !ok || len(list) < 1 || len(list) > maxAddresses {
@@ -64,8 +64,8 @@
 	{Name: "ready", Type: schema.Addr, Rule: "IP number and port", Help: "a further address where readiness is told"},
 }
 
-// programFields gives the rows of one program: the common ones with its own. Nobody
-// outside calls a store, so its outer address may be left out.
+// programFields returns the fields of one program: the common ones and its own. Nobody outside the
+// mesh calls a store, so its outer address is optional.
 func programFields(outer bool, own ...schema.Field) []schema.Field {
 	fields := slices.Clone(commonFields)
 	for i := range fields {
--- a/internal/settings/values.go
+++ b/internal/settings/values.go
@@ -7,13 +7,13 @@
 	"puffincrank/internal/schema"
 )
 
-// FromValues reads the props of a program from values that another source gives
-// under our names. Those that the program has no row for are left out.
+// FromValues builds the settings of a program from values that another source provides under the
+// outer names. Values for which the program has no setting are ignored.
 func FromValues(program string, values map[string]any) (Settings, []schema.Problem, error) {
 	table := Tables[program]
 	known := map[string]any{}
 	for _, field := range table.Rows {
-		// Text that was not given there is left to its default.
+		// An empty text means that the setting was not given; its default applies.
 		if checked, ok := values[field.Name]; ok && checked != "" {
 			known[field.Name] = checked
 		}
