--- a/internal/lifecycle/reload_test.go
+++ b/internal/lifecycle/reload_test.go
@@ -14,26 +14,26 @@
 	"puffincrank/internal/settings"
 )
 
-type taker struct{ got []settings.Settings }
+type fakeReloader struct{ applied []settings.Settings }
 
-func (k *taker) Reload(p settings.Settings) []string {
-	k.got = append(k.got, p)
+func (k *fakeReloader) Reload(p settings.Settings) []string {
+	k.applied = append(k.applied, p)
 	return []string{"seeds", "jobs"}
 }
 
-// TestSettingsAgain: a changed file is seen without a signal, within a change,
-// by whatever beat looks; what can be taken is, the rest is named; a wrong or
-// half written file leaves all as it was and is told once.
-func TestSettingsAgain(t *testing.T) {
+// TestReload checks that a changed file is noticed without a signal, within ConfigBound, by the
+// periodic check. Settings that can change at run time are applied, the names of the others are
+// logged. An invalid or half-written file changes nothing and is logged once.
+func TestReload(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		at := filepath.Join(t.TempDir(), "props.json")
-		write := func(more string) {
+		path := filepath.Join(t.TempDir(), "props.json")
+		write := func(extra string) {
 			t.Helper()
-			doc := `{"node":"n","area":"a","inner":"127.0.0.1:1","outer":"127.0.0.1:2","traffic":"127.0.0.1:3","change_ms":2000` + more + `}`
-			if err := os.WriteFile(at+".new", []byte(doc), 0o600); err != nil {
+			doc := `{"node":"n","area":"a","inner":"127.0.0.1:1","outer":"127.0.0.1:2","traffic":"127.0.0.1:3","change_ms":2000` + extra + `}`
+			if err := os.WriteFile(path+".new", []byte(doc), 0o600); err != nil {
 				t.Fatal(err)
 			}
-			if err := os.Rename(at+".new", at); err != nil {
+			if err := os.Rename(path+".new", path); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -41,60 +41,60 @@
 		reads := 0
 		load := func() (settings.Settings, []schema.Problem, error) {
 			reads++
-			return settings.Load("proxy", []string{"--props", at})
+			return settings.Load("proxy", []string{"--props", path})
 		}
-		var said []string
+		var events []string
 		log := event.New("n", nil)
-		log.SetListener(func(e event.Entry) { said = append(said, fmt.Sprint(e.Name, " ", e.Text)) })
-		k := &taker{}
-		w := &settingsWatcher{name: "proxy", file: settings.File("proxy", []string{"--props", at}), load: load, log: log, program: k}
-		w.lastSeen = w.stat()
-		p, bad, err := w.load()
-		if err != nil || len(bad) > 0 {
-			t.Fatal(bad, err)
+		log.SetListener(func(e event.Entry) { events = append(events, fmt.Sprint(e.Name, " ", e.Text)) })
+		program := &fakeReloader{}
+		watcher := &settingsWatcher{name: "proxy", file: settings.File("proxy", []string{"--props", path}), load: load, log: log, program: program}
+		watcher.lastSeen = watcher.stat()
+		loaded, problems, err := watcher.load()
+		if err != nil || len(problems) > 0 {
+			t.Fatal(problems, err)
 		}
-		w.current, reads = p, 0
-		// The beats of three changes.
-		beats := func() {
-			said = nil
+		watcher.current, reads = loaded, 0
+		// The periodic checks of three times ConfigBound.
+		runChecks := func() {
+			events = nil
 			for range 30 {
 				<-time.After(200 * time.Millisecond)
-				w.checkFile()
+				watcher.checkFile()
 			}
 		}
-		beats()
-		if reads != 0 || len(said) > 0 {
-			t.Fatalf("%d readings of a file that did not change, %v", reads, said)
+		runChecks()
+		if reads != 0 || len(events) > 0 {
+			t.Fatalf("an unchanged file was read %d times, events %v", reads, events)
 		}
 		write(`,"seeds":["127.0.0.1:5"],"leave_ms":2500`)
-		beats()
-		if reads != 1 || len(k.got) != 1 || k.got[0].Seeds[0] != "127.0.0.1:5" {
-			t.Fatalf("%d readings, taken %v", reads, k.got)
+		runChecks()
+		if reads != 1 || len(program.applied) != 1 || program.applied[0].Seeds[0] != "127.0.0.1:5" {
+			t.Fatalf("read %d times, applied %v", reads, program.applied)
 		}
-		if all := strings.Join(said, "\n"); !strings.Contains(all, "settings-taken") || !strings.Contains(all, "seeds") || !strings.Contains(all, "settings-later") || !strings.Contains(all, "leave_ms") {
-			t.Errorf("told: %v", said)
+		if all := strings.Join(events, "\n"); !strings.Contains(all, "settings-taken") || !strings.Contains(all, "seeds") || !strings.Contains(all, "settings-later") || !strings.Contains(all, "leave_ms") {
+			t.Errorf("events: %v", events)
 		}
 		write(`,"seeds":["127.0.0.1:6"],"jobs":1`)
-		beats()
-		if len(k.got) != 1 || len(said) != 1 || !strings.Contains(said[0], "settings-bad") {
-			t.Errorf("a wrong file: taken %d times, told %v", len(k.got), said)
+		runChecks()
+		if len(program.applied) != 1 || len(events) != 1 || !strings.Contains(events[0], "settings-bad") {
+			t.Errorf("an invalid file: applied %d times, events %v", len(program.applied), events)
 		}
 		write(`,"seeds":["127.0.0.1:6"],"jobs":64,"leave_ms":2500`)
-		w.reload()
-		if len(k.got) != 2 || k.got[1].MaxRequests != 64 {
-			t.Errorf("a signal: taken %v", k.got)
+		watcher.reload()
+		if len(program.applied) != 2 || program.applied[1].MaxRequests != 64 {
+			t.Errorf("after a signal: applied %v", program.applied)
 		}
 		reads = 0
-		beats()
+		runChecks()
 		if reads != 0 {
-			t.Errorf("%d readings after the signal's", reads)
+			t.Errorf("the file was read %d more times after the signal", reads)
 		}
-		if err := os.Remove(at); err != nil {
+		if err := os.Remove(path); err != nil {
 			t.Fatal(err)
 		}
-		beats()
-		if reads != 0 || len(said) > 0 {
-			t.Errorf("a file that is gone: %d readings, %v", reads, said)
+		runChecks()
+		if reads != 0 || len(events) > 0 {
+			t.Errorf("a deleted file: read %d times, events %v", reads, events)
 		}
 	})
 }
--- a/internal/lifecycle/signals_test.go
+++ b/internal/lifecycle/signals_test.go
@@ -15,33 +15,33 @@
 	"puffincrank/internal/task"
 )
 
-// helper is set in the process that plays a program.
-const helper = "RUN_TEST_PROGRAM"
+// programVariable is the environment variable that is set in a process that runs as a program.
+const programVariable = "RUN_TEST_PROGRAM"
 
-// idle is a program that does nothing until it is told to end.
-type idle struct{}
+// idleProgram does nothing until it is stopped.
+type idleProgram struct{}
 
-func (idle) Start() error { return nil }
-func (idle) Stop()        {}
+func (idleProgram) Start() error { return nil }
+func (idleProgram) Stop()        {}
 
-// TestMain plays a program whose settings take a while to read, where a test starts
-// this binary as one.
+// TestMain runs as a program whose settings take 200 ms to read when a test starts this binary as
+// one.
 func TestMain(m *testing.M) {
-	if os.Getenv(helper) == "" {
+	if os.Getenv(programVariable) == "" {
 		os.Exit(m.Run())
 	}
-	slow := func(string) (map[string]any, error) {
+	slowSettings := func(string) (map[string]any, error) {
 		<-time.After(200 * time.Millisecond)
 		return map[string]any{"node": "n", "area": "a", "inner": "127.0.0.1:1", "outer": "127.0.0.1:2", "traffic": "127.0.0.1:3", "seeds": []string{"127.0.0.1:4"}}, nil
 	}
-	site := Site{Settings: slow, File: func() string { return os.Args[0] }}
-	os.Exit(Main("proxy", []string{"--site"}, site, func(settings.Settings, env.Env) (Program, error) { return idle{}, nil }))
+	site := Site{Settings: slowSettings, File: func() string { return os.Args[0] }}
+	os.Exit(Main("proxy", []string{"--site"}, site, func(settings.Settings, env.Env) (Program, error) { return idleProgram{}, nil }))
 }
 
-// TestEndInSeries: an order to end is taken and obeyed in order, however soon after
-// the start it comes, and however many orders to read the settings came before it
-// and wait while they are read.
-func TestEndInSeries(t *testing.T) {
+// TestStopAfterReloadSignals checks that a stop signal leads to a graceful shutdown however soon
+// after the start it comes, and however many reload signals came before it and wait while the
+// settings are read.
+func TestStopAfterReloadSignals(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		wait time.Duration // from the start to the first signal
@@ -49,7 +49,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			cmd := exec.Command(os.Args[0])
-			cmd.Env = append(os.Environ(), helper+"=1")
+			cmd.Env = append(os.Environ(), programVariable+"=1")
 			if err := cmd.Start(); err != nil {
 				t.Fatal(err)
 			}
@@ -62,42 +62,42 @@
 			}
 			_ = cmd.Process.Signal(syscall.SIGTERM)
 			if err := cmd.Wait(); err != nil {
-				t.Errorf("it ended with %v", err)
+				t.Errorf("the program did not shut down gracefully: %v", err)
 			}
 		})
 	}
 }
 
-// slowStop is a program that takes a while to end.
-type slowStop struct{ told chan struct{} }
+// slowProgram takes a while to stop.
+type slowProgram struct{ mayStop chan struct{} }
 
-func (slowStop) Start() error { return nil }
-func (p slowStop) Stop()      { <-p.told }
+func (slowProgram) Start() error { return nil }
+func (p slowProgram) Stop()      { <-p.mayStop }
 
-// TestToldAgain: signals that come during a stop neither end it nor are lost: each is
-// told of in the log, and the stop goes on.
-func TestToldAgain(t *testing.T) {
-	ends, again := make(chan os.Signal, 1), make(chan os.Signal, 1)
-	var said []string
+// TestSignalsDuringStop checks that signals during a graceful shutdown neither end it nor are lost:
+// each is logged, and the shutdown goes on.
+func TestSignalsDuringStop(t *testing.T) {
+	stopSignals, reloadSignals := make(chan os.Signal, 1), make(chan os.Signal, 1)
+	var events []string
 	log := event.New("n", nil)
-	told := make(chan struct{}, 2)
-	log.SetListener(func(e event.Entry) { said = append(said, e.Name+" "+e.Text); told <- struct{}{} })
-	p := slowStop{make(chan struct{})}
-	over := make(chan struct{})
-	g := task.New(t.Context())
-	g.Go("stop", func(context.Context) { stop(p, ends, again, log); close(over) })
-	ends <- syscall.SIGTERM
-	<-told
-	again <- syscall.SIGHUP
-	<-told
+	emitted := make(chan struct{}, 2)
+	log.SetListener(func(e event.Entry) { events = append(events, e.Name+" "+e.Text); emitted <- struct{}{} })
+	program := slowProgram{make(chan struct{})}
+	stopped := make(chan struct{})
+	group := task.New(t.Context())
+	group.Go("stop", func(context.Context) { stop(program, stopSignals, reloadSignals, log); close(stopped) })
+	stopSignals <- syscall.SIGTERM
+	<-emitted
+	reloadSignals <- syscall.SIGHUP
+	<-emitted
 	select {
-	case <-over:
-		t.Error("it ended before its stop was over")
+	case <-stopped:
+		t.Error("stop returned before the program had stopped")
 	default:
 	}
-	close(p.told)
-	<-over
-	if len(said) != 2 || !strings.HasPrefix(said[0], "told-again signal=terminated after_ms=") || !strings.HasPrefix(said[1], "told-again signal=hangup") {
-		t.Errorf("told: %q", said)
+	close(program.mayStop)
+	<-stopped
+	if len(events) != 2 || !strings.HasPrefix(events[0], "told-again signal=terminated after_ms=") || !strings.HasPrefix(events[1], "told-again signal=hangup") {
+		t.Errorf("events: %q", events)
 	}
 }
--- a/internal/rules/cost_test.go
+++ b/internal/rules/cost_test.go
@@ -8,50 +8,50 @@
 	"time"
 )
 
-// cpu gives the processor time of this process: on a machine that does much else
-// the time on the clock is mostly that of others.
-func cpu(t *testing.T) time.Duration {
-	var u syscall.Rusage
-	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
+// cpuTime returns the CPU time of this process, since on a busy machine the elapsed time mostly
+// depends on other processes.
+func cpuTime(t *testing.T) time.Duration {
+	var usage syscall.Rusage
+	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
 		t.Fatal(err)
 	}
-	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
+	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// TestCostOfPaths: what a match and a new document cost over 10, 100 and 1000
-// paths. A match must not grow with the paths; a document's cost grows with
-// its own size.
-func TestCostOfPaths(t *testing.T) {
-	var match, each []float64
+// TestCostPerRoute measures a match and a compilation with 10, 100 and 1000 routes. The cost of a
+// match must not grow with the number of routes, and that of a compilation only in proportion to
+// it.
+func TestCostPerRoute(t *testing.T) {
+	var matchCost, perRoute []float64
 	for _, n := range []int{10, 100, 1000} {
-		var paths []string
+		var routes []string
 		for i := range n {
-			paths = append(paths, fmt.Sprintf(`{"name":"p%d","prefix":"/a/b/p%d","service":"s","class":"c"}`, i, i))
+			routes = append(routes, fmt.Sprintf(`{"name":"p%d","prefix":"/a/b/p%d","service":"s","class":"c"}`, i, i))
 		}
-		doc := []byte(`{"services":[{"name":"s"}],"classes":[{"name":"c","share":100}],"paths":[` + strings.Join(paths, ",") + `]}`)
-		best, least := time.Hour, time.Hour
+		doc := []byte(`{"services":[{"name":"s"}],"classes":[{"name":"c","share":100}],"paths":[` + strings.Join(routes, ",") + `]}`)
+		bestCompile, bestMatch := time.Hour, time.Hour
 		var r *Rules
-		// The best of several rounds says least of what else the machine does.
+		// The best of several rounds is the least affected by other load on the machine.
 		for range 7 {
-			from := cpu(t)
-			var bad any
-			r, bad, _ = Compile(1, doc)
+			start := cpuTime(t)
+			var problems any
+			r, problems, _ = Compile(1, doc)
 			if r == nil {
-				t.Fatal(bad)
+				t.Fatal(problems)
 			}
-			best = min(best, cpu(t)-from)
-			from = cpu(t)
+			bestCompile = min(bestCompile, cpuTime(t)-start)
+			start = cpuTime(t)
 			for i := range 20000 {
 				if r.Match("", "GET", "/a/b/p7/page/3") == nil {
 					t.Fatal(i)
 				}
 			}
-			least = min(least, (cpu(t)-from)/20000)
+			bestMatch = min(bestMatch, (cpuTime(t)-start)/20000)
 		}
-		match, each = append(match, float64(least)), append(each, float64(best)/float64(n))
+		matchCost, perRoute = append(matchCost, float64(bestMatch)), append(perRoute, float64(bestCompile)/float64(n))
 	}
-	t.Logf("match in ns %.0f; compile in ns for each path %.0f", match, each)
-	if match[2] > 4*match[0] || each[2] > 4*each[0] {
-		t.Error("the cost of a match, or of each path of a document, grows with the paths")
+	t.Logf("match in ns %.0f; compilation in ns per route %.0f", matchCost, perRoute)
+	if matchCost[2] > 4*matchCost[0] || perRoute[2] > 4*perRoute[0] {
+		t.Error("the cost of a match, or of the compilation per route, grows with the number of routes")
 	}
 }
--- a/internal/rules/fields_test.go
+++ b/internal/rules/fields_test.go
@@ -8,13 +8,13 @@
 	"time"
 )
 
-const wide = `{"version":7,"services":[{"name":"a","links":130,"fitness":"/well","proto":"h1","tls":false},{"name":"b"}],
+const numberedDocument = `{"version":7,"services":[{"name":"a","links":130,"fitness":"/well","proto":"h1","tls":false},{"name":"b"}],
 "paths":[{"name":"p","host":"One.Example:80","prefix":"/deep/","split":[{"service":"a","weight":90},{"service":"b","weight":10}],"left_ms":3000.0,"aim_ms":500,"rank":2,"repeat":"download"},
 {"name":"q","host":"two.example","prefix":"/deep/","service":"b","repeat":"upload","tries":1000},
 {"name":"r","prefix":"/deep/er","service":"a","rank":2,"left_ms":3600000}],
 "limits":{"head_bytes":16384,"body_bytes":67108864.0,"head_ms":3000,"idle_ms":15000}}`
 
-func must(t *testing.T, doc string) *Rules {
+func mustCompile(t *testing.T, doc string) *Rules {
 	t.Helper()
 	r, bad, err := Compile(1, []byte(doc))
 	if err != nil || bad != nil {
@@ -23,90 +23,91 @@
 	return r
 }
 
-// TestFields: what a document says is what the rules hold.
+// TestFields checks that the compiled rules hold what the document says.
 func TestFields(t *testing.T) {
-	r := must(t, wide)
-	if r.Number != 7 || r.MaxHeaderBytes != 16384 || r.MaxBodyBytes != 67108864 || r.HeaderTimeout != 3*time.Second || r.IdleTimeout != 15*time.Second {
-		t.Errorf("number and limits: %d %d %d %v %v", r.Number, r.MaxHeaderBytes, r.MaxBodyBytes, r.HeaderTimeout, r.IdleTimeout)
+	rules := mustCompile(t, numberedDocument)
+	if rules.Number != 7 || rules.MaxHeaderBytes != 16384 || rules.MaxBodyBytes != 67108864 || rules.HeaderTimeout != 3*time.Second || rules.IdleTimeout != 15*time.Second {
+		t.Errorf("number and limits: %d %d %d %v %v", rules.Number, rules.MaxHeaderBytes, rules.MaxBodyBytes, rules.HeaderTimeout, rules.IdleTimeout)
 	}
-	if len(r.MaxConns) != 1 || r.MaxConns["a"] != 130 || len(r.HealthPaths) != 1 || r.HealthPaths["a"] != "/well" {
-		t.Errorf("services: %v %v", r.MaxConns, r.HealthPaths)
+	if len(rules.MaxConns) != 1 || rules.MaxConns["a"] != 130 || len(rules.HealthPaths) != 1 || rules.HealthPaths["a"] != "/well" {
+		t.Errorf("services: %v %v", rules.MaxConns, rules.HealthPaths)
 	}
-	p, q, d := r.RouteByName("p").Base, r.RouteByName("q").Base, r.RouteByName("r").Base
+	p, q, long := rules.RouteByName("p").Base, rules.RouteByName("q").Base, rules.RouteByName("r").Base
 	if p.Service != "" || len(p.Split) != 2 || p.Timeout != 3*time.Second || p.Target != 500*time.Millisecond || p.Rank != 2 || !p.Repeatable || p.Bulk != "download" || p.Class != "rank-2" {
 		t.Errorf("p: %+v", p)
 	}
 	if q.Service != "b" || q.Repeatable || q.Bulk != "upload" || q.Tries != 1000 || q.Target != 250*time.Millisecond || q.Class != "rank-0" {
 		t.Errorf("q: %+v", q)
 	}
-	if d.Timeout != time.Hour || r.LongestTimeout != time.Hour {
-		t.Errorf("r: %v, longest %v", d.Timeout, r.LongestTimeout)
+	if long.Timeout != time.Hour || rules.LongestTimeout != time.Hour {
+		t.Errorf("r: %v, longest %v", long.Timeout, rules.LongestTimeout)
 	}
-	old := must(t, good)
-	if old.Number != 0 || old.MaxHeaderBytes != 65536 || old.MaxBodyBytes != 0 || old.HeaderTimeout != 0 || old.IdleTimeout != 0 || len(old.MaxConns)+len(old.HealthPaths) != 0 {
-		t.Errorf("defaults: %+v", old)
+	defaults := mustCompile(t, classesDocument)
+	if defaults.Number != 0 || defaults.MaxHeaderBytes != 65536 || defaults.MaxBodyBytes != 0 || defaults.HeaderTimeout != 0 || defaults.IdleTimeout != 0 || len(defaults.MaxConns)+len(defaults.HealthPaths) != 0 {
+		t.Errorf("defaults: %+v", defaults)
 	}
 }
 
-// TestHosts: a path of the job's host goes before one without, and only then
-// the longer prefix counts.
+// TestHosts checks that a route for the request's host goes before one without a host, and that
+// only then the longer prefix wins.
 func TestHosts(t *testing.T) {
-	r := must(t, wide)
-	for _, c := range []struct{ host, url, want string }{
+	r := mustCompile(t, numberedDocument)
+	for _, tc := range []struct{ host, url, want string }{
 		{"one.example", "/deep/er", "p"}, {"ONE.example:8080", "/deep/x", "p"}, {"two.example", "/deep", "q"},
 		{"three.example", "/deep/er/x", "r"}, {"three.example", "/deep/x", ""}, {"", "/deep/er", "r"},
 		{"one.example", "/deeper", ""}, {"one.example", "/", ""}, {"[::1]:80", "/deep/er", "r"}, {"::", "/deep/er", "r"},
 	} {
 		got := ""
-		if p := r.Match(c.host, "GET", c.url); p != nil {
-			got = p.Name
+		if route := r.Match(tc.host, "GET", tc.url); route != nil {
+			got = route.Name
 		}
-		if got != c.want {
-			t.Errorf("%s %s matched %q, want %q", c.host, c.url, got, c.want)
+		if got != tc.want {
+			t.Errorf("%s %s matched %q, want %q", tc.host, tc.url, got, tc.want)
 		}
 	}
-	six := must(t, strings.Replace(wide, "two.example", "[::1]:99", 1))
-	if p := six.Match("[::1]", "GET", "/deep/x"); p == nil || p.Name != "q" {
-		t.Errorf("an IPv6 host matched %v", p)
+	ipv6 := mustCompile(t, strings.Replace(numberedDocument, "two.example", "[::1]:99", 1))
+	if route := ipv6.Match("[::1]", "GET", "/deep/x"); route == nil || route.Name != "q" {
+		t.Errorf("an IPv6 host matched %v", route)
 	}
 }
 
-// TestSplit: each part has its size, and one job has one service.
-func TestSplit(t *testing.T) {
-	a := must(t, strings.Replace(wide, `{"service":"b","weight":10}`, `{"service":"b","weight":0},{"service":"b","weight":10}`, 1)).RouteByName("p").Base
-	n := 0
+// TestSplitWeights checks that each service of a split gets its part of the requests, and that a
+// request always gets the same service.
+func TestSplitWeights(t *testing.T) {
+	arm := mustCompile(t, strings.Replace(numberedDocument, `{"service":"b","weight":10}`, `{"service":"b","weight":0},{"service":"b","weight":10}`, 1)).RouteByName("p").Base
+	count := 0
 	for i := range 20000 {
 		id := fmt.Sprintf("node1.abc.%d", i)
-		if a.ServiceFor(id) == "b" {
-			n++
+		if arm.ServiceFor(id) == "b" {
+			count++
 		}
-		if first, second := a.ServiceFor(id), a.ServiceFor(id); first != second {
-			t.Fatal("one job has two services")
+		if first, second := arm.ServiceFor(id), arm.ServiceFor(id); first != second {
+			t.Fatal("a request was given two different services")
 		}
 	}
-	if math.Abs(float64(n)/20000-0.1) > 0.01 {
-		t.Errorf("%d of 20000 jobs go to a part of 10 %%", n)
+	if math.Abs(float64(count)/20000-0.1) > 0.01 {
+		t.Errorf("%d of 20000 requests go to a service with a weight of 10 %%", count)
 	}
-	if !a.RoutesTo("a") || !a.RoutesTo("b") || a.RoutesTo("c") || a.RoutesTo("") {
-		t.Error("Sends names other services than the split's")
+	if !arm.RoutesTo("a") || !arm.RoutesTo("b") || arm.RoutesTo("c") || arm.RoutesTo("") {
+		t.Error("RoutesTo does not report exactly the services of the split")
 	}
-	none := must(t, strings.Replace(wide, `"weight":10`, `"weight":0`, 1)).RouteByName("p").Base
-	if none.RoutesTo("b") {
-		t.Error("a part of no weight could get jobs")
+	zeroWeight := mustCompile(t, strings.Replace(numberedDocument, `"weight":10`, `"weight":0`, 1)).RouteByName("p").Base
+	if zeroWeight.RoutesTo("b") {
+		t.Error("RoutesTo reports a service of weight 0")
 	}
 	for i := range 1000 {
-		if got := none.ServiceFor(fmt.Sprint(i)); got != "a" {
-			t.Fatalf("a part of no weight got a job: %q", got)
+		if got := zeroWeight.ServiceFor(fmt.Sprint(i)); got != "a" {
+			t.Fatalf("a service other than the only one with a weight was chosen: %q", got)
 		}
 	}
-	one := must(t, good).RouteByName("p").Base
-	if one.ServiceFor("x") != "a" || !one.RoutesTo("a") || one.RoutesTo("b") || one.RoutesTo("") {
-		t.Error("a single service is not the only one")
+	single := mustCompile(t, classesDocument).RouteByName("p").Base
+	if single.ServiceFor("x") != "a" || !single.RoutesTo("a") || single.RoutesTo("b") || single.RoutesTo("") {
+		t.Error("an arm with a single service does not route to exactly that one")
 	}
 }
 
-// TestRanks: only the order of the ranks counts, each has a share, the shares
-// add up.
+// TestRanks checks that only the order of the ranks counts, that each class has a share, and that
+// the shares add up to 100.
 func TestRanks(t *testing.T) {
 	for _, c := range []struct {
 		ranks []int
@@ -120,7 +121,7 @@
 		for i, n := range c.ranks {
 			rows = append(rows, fmt.Sprintf(`{"name":"p%d","prefix":"/%d","service":"a","rank":%d}`, i, i, n))
 		}
-		r := must(t, `{"services":[{"name":"a"}],"paths":[`+strings.Join(rows, ",")+`]}`)
+		r := mustCompile(t, `{"services":[{"name":"a"}],"paths":[`+strings.Join(rows, ",")+`]}`)
 		if len(r.Shares) != len(c.want) || len(r.Classes) != len(c.want) {
 			t.Errorf("%v: %v %v", c.ranks, r.Shares, r.Classes)
 		}
@@ -132,8 +133,9 @@
 	}
 }
 
-// TestFieldFaults: every fault of the newer settings is named with its place.
-func TestFieldFaults(t *testing.T) {
+// TestFieldProblems checks that every problem of the settings in numberedDocument is reported with
+// its place.
+func TestFieldProblems(t *testing.T) {
 	for _, c := range []struct{ from, to, place, wrong string }{
 		{`"version":7`, `"version":0`, "version", "from 1"},
 		{`"version":7`, `"version":"7"`, "version", "whole number"},
@@ -166,36 +168,36 @@
 		{`"version":7,`, `"version":7,"version":7,`, "version", "given twice"},
 		{`"version":7,`, `"more":7,`, "more", "unknown setting"},
 	} {
-		doc := strings.Replace(wide, c.from, c.to, 1)
-		if doc == wide {
-			t.Fatalf("case %q changes nothing", c.to)
+		doc := strings.Replace(numberedDocument, c.from, c.to, 1)
+		if doc == numberedDocument {
+			t.Fatalf("case %q does not change the document", c.to)
 		}
-		_, bad, err := Compile(1, []byte(doc))
+		_, problems, err := Compile(1, []byte(doc))
 		found := false
-		for _, f := range bad {
-			found = found || (f.Place == c.place && strings.Contains(f.Message, c.wrong))
+		for _, problem := range problems {
+			found = found || (problem.Place == c.place && strings.Contains(problem.Message, c.wrong))
 		}
 		if err != nil || !found {
-			t.Errorf("%s: want %s %q, got %v %v", c.to, c.place, c.wrong, bad, err)
+			t.Errorf("%s: want %s %q, got %v %v", c.to, c.place, c.wrong, problems, err)
 		}
 	}
 }
 
-// TestNumbered: a numbered document may hold names that this program doesn't
-// know, at every level, and may be empty; without a number both are faults.
-func TestNumbered(t *testing.T) {
-	more := strings.NewReplacer(`"services":[`, `"new":[{}],"services":[`, `"name":"b"}`, `"name":"b","new":1}`, `"weight":10`, `"weight":10,"new":{}`,
-		`"rank":2,"repeat"`, `"new":null,"rank":2,"repeat"`, `"head_ms"`, `"new":true,"head_ms"`).Replace(wide)
-	r := must(t, more)
-	if r.RouteByName("p") == nil || len(r.Routes) != 3 {
-		t.Errorf("paths: %v", r.Routes)
-	}
-	_, bad, err := Compile(1, []byte(strings.Replace(more, `"version":7,`, "", 1)))
-	if err != nil || len(bad) != 5 {
-		t.Errorf("without a number: %v %v", bad, err)
-	}
-	must(t, `{"version":8,"services":[],"paths":[]}`)
-	if _, bad, _ = Compile(1, []byte(`{"services":[],"paths":[]}`)); len(bad) != 2 {
-		t.Errorf("empty without a number: %v", bad)
+// TestNumberedDocuments checks that a numbered document may hold unknown names at every level and
+// may be empty, and that an unnumbered one may not.
+func TestNumberedDocuments(t *testing.T) {
+	extended := strings.NewReplacer(`"services":[`, `"new":[{}],"services":[`, `"name":"b"}`, `"name":"b","new":1}`, `"weight":10`, `"weight":10,"new":{}`,
+		`"rank":2,"repeat"`, `"new":null,"rank":2,"repeat"`, `"head_ms"`, `"new":true,"head_ms"`).Replace(numberedDocument)
+	rules := mustCompile(t, extended)
+	if rules.RouteByName("p") == nil || len(rules.Routes) != 3 {
+		t.Errorf("routes: %v", rules.Routes)
+	}
+	_, problems, err := Compile(1, []byte(strings.Replace(extended, `"version":7,`, "", 1)))
+	if err != nil || len(problems) != 5 {
+		t.Errorf("unnumbered with unknown names: %v %v", problems, err)
+	}
+	mustCompile(t, `{"version":8,"services":[],"paths":[]}`)
+	if _, problems, _ = Compile(1, []byte(`{"services":[],"paths":[]}`)); len(problems) != 2 {
+		t.Errorf("empty and unnumbered: %v", problems)
 	}
 }
--- a/internal/rules/fuzz_test.go
+++ b/internal/rules/fuzz_test.go
@@ -12,10 +12,9 @@
 	"puffincrank/internal/schema"
 )
 
-// forbidden reads a document with no table and tells what of it must not
-// stand; empty when nothing is found. It knows less than the tables, but none
-// of it from them.
-func forbidden(doc []byte) string {
+// findInvalid checks a document independently of the tables and returns what must not be accepted,
+// or "" when it finds nothing. It checks less than the tables do.
+func findInvalid(doc []byte) string {
 	type target struct {
 		Service *string
 		Split   *[]struct {
@@ -29,7 +28,7 @@
 		Tries  *float64
 		Repeat *string
 	}
-	var in struct {
+	var document struct {
 		Version  *float64
 		Services []struct {
 			Name   string
@@ -54,25 +53,25 @@
 	if err := json.Unmarshal(doc, &raw); err != nil {
 		return "JSON: " + err.Error()
 	}
-	small, _ := json.Marshal(ours(raw))
-	if err := json.Unmarshal(small, &in); err != nil {
+	known, _ := json.Marshal(dropUnknownNames(raw))
+	if err := json.Unmarshal(known, &document); err != nil {
 		return "type: " + err.Error()
 	}
-	if in.Version == nil && (len(in.Services) == 0 || len(in.Paths) == 0) {
-		return "empty without a number"
+	if document.Version == nil && (len(document.Services) == 0 || len(document.Paths) == 0) {
+		return "empty list in an unnumbered document"
 	}
-	if in.Version != nil && *in.Version < 1 {
+	if document.Version != nil && *document.Version < 1 {
 		return "version"
 	}
-	known, sum := map[string]bool{}, 0.0
-	for _, s := range in.Services {
-		if known[s.Name] || s.Name == "" || s.TLS || s.Links < 0 || s.Proto != nil && *s.Proto != "h1" || s.Health != nil && !strings.HasPrefix(*s.Health, "/") {
-			return "service " + s.Name
+	services, sum := map[string]bool{}, 0.0
+	for _, service := range document.Services {
+		if services[service.Name] || service.Name == "" || service.TLS || service.Links < 0 || service.Proto != nil && *service.Proto != "h1" || service.Health != nil && !strings.HasPrefix(*service.Health, "/") {
+			return "service " + service.Name
 		}
-		known[s.Name] = true
+		services[service.Name] = true
 	}
 	classes := map[string]bool{}
-	for _, c := range in.Classes {
+	for _, c := range document.Classes {
 		if classes[c.Name] || c.Share < 0 {
 			return "class " + c.Name
 		}
@@ -81,18 +80,18 @@
 	if len(classes) > 0 && math.Abs(sum-100) > 1e-5 {
 		return "shares"
 	}
-	out := func(n *float64, low, high float64) bool { return n != nil && (*n < low || *n > high) }
+	outside := func(n *float64, low, high float64) bool { return n != nil && (*n < low || *n > high) }
 	arm := func(a target) string {
-		if (a.Service == nil) == (a.Split == nil) || a.Service != nil && !known[*a.Service] {
+		if (a.Service == nil) == (a.Split == nil) || a.Service != nil && !services[*a.Service] {
 			return "service or split"
 		}
 		if a.Split != nil {
 			sum := 0.0
-			for _, p := range *a.Split {
-				if p.Weight < 0 || !known[p.Service] {
+			for _, part := range *a.Split {
+				if part.Weight < 0 || !services[part.Service] {
 					return "part of a split"
 				}
-				sum += p.Weight
+				sum += part.Weight
 			}
 			if sum <= 0 {
 				return "weights"
@@ -101,7 +100,7 @@
 		if len(classes) > 0 != (a.Class != nil) || a.Class != nil && !classes[*a.Class] {
 			return "class"
 		}
-		if out(a.Left, 1, 3600_000) || out(a.Aim, 1, 3600_000) || out(&a.Rank, 0, 1000) || out(a.Tries, 1, 1000) {
+		if outside(a.Left, 1, 3600_000) || outside(a.Aim, 1, 3600_000) || outside(&a.Rank, 0, 1000) || outside(a.Tries, 1, 1000) {
 			return "a bound"
 		}
 		if a.Repeat != nil && !slices.Contains([]string{"never", "safe", "upload", "download"}, *a.Repeat) {
@@ -110,15 +109,15 @@
 		return ""
 	}
 	names := map[string]bool{}
-	for _, p := range in.Paths {
-		if names[p.Name] || p.Host != nil && *p.Host == "" || !strings.HasPrefix(p.Prefix, "/") {
-			return "path " + p.Name
+	for _, part := range document.Paths {
+		if names[part.Name] || part.Host != nil && *part.Host == "" || !strings.HasPrefix(part.Prefix, "/") {
+			return "path " + part.Name
 		}
-		names[p.Name] = true
-		for _, a := range []*target{&p.target, p.Trial} {
+		names[part.Name] = true
+		for _, a := range []*target{&part.target, part.Trial} {
 			if a != nil {
-				if why := arm(*a); why != "" {
-					return p.Name + ": " + why
+				if reason := arm(*a); reason != "" {
+					return part.Name + ": " + reason
 				}
 			}
 		}
@@ -126,56 +125,58 @@
 	return ""
 }
 
-// ours leaves out names that none of ours is, as the library would take them
-// for ours whatever their case.
-func ours(v any) any {
-	switch v := v.(type) {
+// dropUnknownNames removes names that no table can have. encoding/json would match them to fields
+// without regard to their case.
+func dropUnknownNames(value any) any {
+	switch value := value.(type) {
 	case map[string]any:
-		for n, e := range v {
-			if strings.Trim(n, "abcdefghijklmnopqrstuvwxyz_") != "" {
-				delete(v, n)
+		for name, element := range value {
+			if strings.Trim(name, "abcdefghijklmnopqrstuvwxyz_") != "" {
+				delete(value, name)
 				continue
 			}
-			v[n] = ours(e)
+			value[name] = dropUnknownNames(element)
 		}
 	case []any:
-		for i := range v {
-			v[i] = ours(v[i])
+		for i := range value {
+			value[i] = dropUnknownNames(value[i])
 		}
 	}
-	return v
+	return value
 }
 
-// sound checks what must hold of every document's compiled form.
-func sound(t *testing.T, doc []byte) {
-	r, bad, err := Compile(3, doc)
+// checkDocument checks the properties that hold for every document: it either compiles or has a
+// problem, what compiles passes findInvalid, and its compiled form is consistent and the same after
+// the document is written and compiled again.
+func checkDocument(t *testing.T, doc []byte) {
+	r, problems, err := Compile(3, doc)
 	if r == nil {
-		if err == nil && len(bad) == 0 {
-			t.Fatalf("%s: neither rules nor a fault", doc)
+		if err == nil && len(problems) == 0 {
+			t.Fatalf("%s: neither compiled nor a problem reported", doc)
 		}
 		return
 	}
-	if err != nil || len(bad) > 0 {
-		t.Fatalf("%s: rules, yet %v %v", doc, bad, err)
+	if err != nil || len(problems) > 0 {
+		t.Fatalf("%s: compiled in spite of %v %v", doc, problems, err)
 	}
-	if why := forbidden(doc); why != "" {
-		t.Fatalf("%s: stands, but has a wrong %s", doc, why)
+	if reason := findInvalid(doc); reason != "" {
+		t.Fatalf("%s: compiled, but is invalid: %s", doc, reason)
 	}
-	m, _, err := schema.Parse(doc)
+	parsed, _, err := schema.Parse(doc)
 	if err != nil {
 		t.Fatal(err)
 	}
-	written, err := json.Marshal(m)
+	written, err := json.Marshal(parsed)
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, own := range [][]byte{r.Doc, written} {
-		again, bad, err := Compile(3, own)
+	for _, form := range [][]byte{r.Doc, written} {
+		again, problems, err := Compile(3, form)
 		if again == nil {
-			t.Fatalf("%s: compiled once, then %v %v", own, bad, err)
+			t.Fatalf("%s: compiled before, but now %v %v", form, problems, err)
 		}
 		if !reflect.DeepEqual(again.Routes, r.Routes) || !reflect.DeepEqual(again.Shares, r.Shares) || again.Number != r.Number || !reflect.DeepEqual(again.Judge, r.Judge) {
-			t.Fatalf("%s: compiled again it means something else", own)
+			t.Fatalf("%s: compiled again, the rules differ", form)
 		}
 	}
 	sum := 0.0
@@ -185,42 +186,42 @@
 	if len(r.Shares) > 0 && math.Abs(sum-100) > 1e-5 {
 		t.Fatalf("%s: shares %v", doc, r.Shares)
 	}
-	for _, p := range r.Routes {
-		for _, a := range []*Arm{&p.Base, &p.New} {
-			if a == &p.New && p.Trial == 0 {
+	for _, route := range r.Routes {
+		for _, arm := range []*Arm{&route.Base, &route.New} {
+			if arm == &route.New && route.Trial == 0 {
 				continue
 			}
-			if _, ok := r.Shares[a.Class]; !ok || a.Timeout <= 0 || a.Target <= 0 || a.Tries < 1 {
-				t.Fatalf("%s: arm %+v", doc, a)
+			if _, ok := r.Shares[arm.Class]; !ok || arm.Timeout <= 0 || arm.Target <= 0 || arm.Tries < 1 {
+				t.Fatalf("%s: arm %+v", doc, arm)
 			}
 			for i := range 8 {
-				if to := a.ServiceFor(fmt.Sprint(i)); !r.Services[to] || !a.RoutesTo(to) {
-					t.Fatalf("%s: a job goes to %q", doc, to)
+				if service := arm.ServiceFor(fmt.Sprint(i)); !r.Services[service] || !arm.RoutesTo(service) {
+					t.Fatalf("%s: a request goes to the service %q", doc, service)
 				}
 			}
 		}
-		for _, url := range []string{p.Prefix, p.Prefix + "/x", p.Prefix + "x"} {
-			agrees(t, r, p.Host, p.Method, url)
+		for _, url := range []string{route.Prefix, route.Prefix + "/x", route.Prefix + "x"} {
+			checkMatch(t, r, route.Host, route.Method, url)
 		}
 	}
 }
 
-// TestSound: every token of a document in the place of every other.
-func TestSound(t *testing.T) {
-	for _, doc := range []string{good, wide} {
-		sound(t, []byte(doc))
+// TestTokenSubstitutions replaces every token of two documents by every other.
+func TestTokenSubstitutions(t *testing.T) {
+	for _, doc := range []string{classesDocument, numberedDocument} {
+		checkDocument(t, []byte(doc))
 		tokens := strings.FieldsFunc(doc, func(r rune) bool { return strings.ContainsRune("{}[],:\n", r) })
 		for _, from := range tokens {
 			for _, to := range tokens {
-				sound(t, []byte(strings.Replace(doc, from, to, 1)))
+				checkDocument(t, []byte(strings.Replace(doc, from, to, 1)))
 			}
 		}
 	}
 }
 
 func FuzzCompile(f *testing.F) {
-	f.Add([]byte(good))
-	f.Add([]byte(wide))
-	f.Add([]byte(strings.Replace(good, `"class":"x"}`, `"class":"x","trial":{"id":3,"slice":10,"service":"b","class":"y","left_ms":500,"repeat":"never","tries":1}}`, 1)))
-	f.Fuzz(sound)
+	f.Add([]byte(classesDocument))
+	f.Add([]byte(numberedDocument))
+	f.Add([]byte(strings.Replace(classesDocument, `"class":"x"}`, `"class":"x","trial":{"id":3,"slice":10,"service":"b","class":"y","left_ms":500,"repeat":"never","tries":1}}`, 1)))
+	f.Fuzz(checkDocument)
 }
--- a/internal/rules/match_model_test.go
+++ b/internal/rules/match_model_test.go
@@ -9,19 +9,19 @@
 	"pgregory.net/rapid"
 )
 
-var port = regexp.MustCompile(`:[^:\]]*$`)
+var portSuffix = regexp.MustCompile(`:[^:\]]*$`)
 
-// plainMatch looks at every path: the obvious model of Match.
-func plainMatch(r *Rules, host, method, url string) *Route {
-	host = strings.ToLower(port.ReplaceAllString(host, ""))
+// modelMatch checks every route in turn: the straightforward model of Match.
+func modelMatch(r *Rules, host, method, url string) *Route {
+	host = strings.ToLower(portSuffix.ReplaceAllString(host, ""))
 	url = strings.TrimRight(url, "/")
 	if url == "" {
 		url = "/"
 	}
 	var best *Route
 	for _, p := range r.Routes {
-		fits := url == p.Prefix || strings.HasPrefix(url, strings.TrimRight(p.Prefix, "/")+"/")
-		if !fits || p.Host != "" && p.Host != host || p.Method != "any" && p.Method != method {
+		matches := url == p.Prefix || strings.HasPrefix(url, strings.TrimRight(p.Prefix, "/")+"/")
+		if !matches || p.Host != "" && p.Host != host || p.Method != "any" && p.Method != method {
 			continue
 		}
 		switch {
@@ -42,25 +42,25 @@
 	return best
 }
 
-func agrees(t interface {
+func checkMatch(t interface {
 	Helper()
 	Fatalf(string, ...any)
 }, r *Rules, host, method, url string) {
 	t.Helper()
-	if got, want := r.Match(host, method, url), plainMatch(r, host, method, url); got != want {
+	if got, want := r.Match(host, method, url), modelMatch(r, host, method, url); got != want {
 		t.Fatalf("%q %q %q: matched %v, the model %v", host, method, url, got, want)
 	}
 }
 
-// TestMatchModel: over drawn paths and jobs, the match is the model's.
+// TestMatchModel checks Match against the model over random routes and requests.
 func TestMatchModel(t *testing.T) {
 	hosts := []string{"", "one.example", "ONE.example:80", "two.example", "[::1]", "[::1]:443", "one", "[::2]"}
-	part := rapid.SampledFrom([]string{"a", "b", "ab", "%2F", "a.b", "é"})
+	segment := rapid.SampledFrom([]string{"a", "b", "ab", "%2F", "a.b", "é"})
 	rapid.Check(t, func(t *rapid.T) {
 		url := func() string {
 			out := ""
 			for range rapid.IntRange(0, 4).Draw(t, "deep") {
-				out += "/" + part.Draw(t, "part")
+				out += "/" + segment.Draw(t, "part")
 			}
 			return out
 		}
@@ -68,7 +68,7 @@
 		var rows []string
 		for i := range rapid.IntRange(1, 12).Draw(t, "paths") {
 			host, method, prefix := rapid.SampledFrom(hosts).Draw(t, "host"), rapid.SampledFrom([]string{"any", "GET", "POST"}).Draw(t, "method"), url()
-			if key := fmt.Sprint(strings.ToLower(port.ReplaceAllString(host, "")), method, prefix); seen[key] {
+			if key := fmt.Sprint(strings.ToLower(portSuffix.ReplaceAllString(host, "")), method, prefix); seen[key] {
 				continue
 			} else {
 				seen[key] = true
@@ -83,12 +83,12 @@
 			rows = append(rows, row+"}")
 		}
 		doc := `{"services":[{"name":"a"}],"paths":[` + strings.Join(rows, ",") + `]}`
-		r, bad, err := Compile(1, []byte(doc))
+		r, problems, err := Compile(1, []byte(doc))
 		if r == nil {
-			t.Fatalf("%s: %v %v", doc, bad, err)
+			t.Fatalf("%s: %v %v", doc, problems, err)
 		}
 		for range 20 {
-			agrees(t, r, rapid.SampledFrom(hosts).Draw(t, "to"), rapid.SampledFrom([]string{"GET", "POST", "PUT", "any", ""}).Draw(t, "by"),
+			checkMatch(t, r, rapid.SampledFrom(hosts).Draw(t, "to"), rapid.SampledFrom([]string{"GET", "POST", "PUT", "any", ""}).Draw(t, "by"),
 				url()+rapid.SampledFrom([]string{"", "/", "//", "/x", "//a", "x"}).Draw(t, "end"))
 		}
 	})
@@ -97,14 +97,14 @@
 func FuzzMatch(f *testing.F) {
 	doc := `{"services":[{"name":"a"}],"paths":[{"name":"1","prefix":"/","service":"a"},{"name":"2","prefix":"/a/","service":"a"},{"name":"3","prefix":"/a/b","method":"GET","service":"a"},
 {"name":"4","host":"h","prefix":"/a","service":"a"},{"name":"5","host":"h","prefix":"/a/b/c","method":"POST","service":"a"},{"name":"6","host":"[::1]","prefix":"/","service":"a"},{"name":"7","host":"H.x:1","prefix":"/a/b","service":"a"}]}`
-	r, bad, err := Compile(1, []byte(doc))
+	r, problems, err := Compile(1, []byte(doc))
 	if r == nil {
-		f.Fatal(bad, err)
+		f.Fatal(problems, err)
 	}
 	for _, host := range []string{"", "h", "H:80", "[::1]:8000", "h.X", "h:", ":", "]", "::"} {
 		for _, url := range []string{"", "/", "//", "/a", "/a/", "/a//b", "/a/b/c/d", "/ab", "a", "*", "/a/b?"} {
 			f.Add(host, "GET", url)
 		}
 	}
-	f.Fuzz(func(t *testing.T, host, method, url string) { agrees(t, r, host, method, url) })
+	f.Fuzz(func(t *testing.T, host, method, url string) { checkMatch(t, r, host, method, url) })
 }
--- a/internal/rules/random_edits_test.go
+++ b/internal/rules/random_edits_test.go
@@ -11,61 +11,62 @@
 	"puffincrank/internal/schema"
 )
 
-// object is one of a document, with its table.
-type object struct {
-	at  map[string]any
-	tab schema.Table
+// tableObject is an object of a document, with its table.
+type tableObject struct {
+	values map[string]any
+	table  schema.Table
 }
 
-// objects are all objects of a document, in an order of their own.
-func objects(v any, tab schema.Table) (out []object) {
-	switch v := v.(type) {
+// objects returns all objects of a document for which there is a table, in a fixed order.
+func objects(value any, table schema.Table) (all []tableObject) {
+	switch value := value.(type) {
 	case map[string]any:
-		out = append(out, object{v, tab})
-		for _, n := range slices.Sorted(maps.Keys(v)) {
-			for _, t := range Tables {
-				if t.Name == n {
-					out = append(out, objects(v[n], t)...)
+		all = append(all, tableObject{value, table})
+		for _, name := range slices.Sorted(maps.Keys(value)) {
+			for _, other := range Tables {
+				if other.Name == name {
+					all = append(all, objects(value[name], other)...)
 				}
 			}
 		}
 	case []any:
-		for _, e := range v {
-			out = append(out, objects(e, tab)...)
+		for _, element := range value {
+			all = append(all, objects(element, table)...)
 		}
 	}
-	return out
+	return all
 }
 
-// pool are values for a setting: right ones, wrong ones and those of others.
-func pool(s schema.Field) []any {
-	part := func(name string, w any) any { return map[string]any{"service": name, "weight": w} }
-	out := []any{nil, "", "a", "b", "x", "nobody", 0, 1, -1, 1.5, 100, 1000, 1001, 1e12, true, false, []any{}, map[string]any{}}
-	switch s.Name {
+// candidateValues returns values for a setting: valid ones, invalid ones and those of other
+// settings.
+func candidateValues(field schema.Field) []any {
+	weighted := func(name string, weight any) any { return map[string]any{"service": name, "weight": weight} }
+	candidates := []any{nil, "", "a", "b", "x", "nobody", 0, 1, -1, 1.5, 100, 1000, 1001, 1e12, true, false, []any{}, map[string]any{}}
+	switch field.Name {
 	case "host":
-		out = append(out, "one.example", "ONE.example:1", "[::1]:80", ":80", "a b")
+		candidates = append(candidates, "one.example", "ONE.example:1", "[::1]:80", ":80", "a b")
 	case "prefix", "fitness":
-		out = append(out, "/", "/p", "/p/", "/deep", "//", "/puffin/x", "/a b")
+		candidates = append(candidates, "/", "/p", "/p/", "/deep", "//", "/puffin/x", "/a b")
 	case "repeat":
-		out = append(out, "safe", "never", "upload", "download")
+		candidates = append(candidates, "safe", "never", "upload", "download")
 	case "proto":
-		out = append(out, "h1", "h2")
+		candidates = append(candidates, "h1", "h2")
 	case "split":
-		out = append(out, []any{part("a", 1)}, []any{part("a", 0)}, []any{part("a", 0), part("b", 2.5)}, []any{part("nobody", 1)}, []any{part("a", -1), part("b", 2)})
+		candidates = append(candidates, []any{weighted("a", 1)}, []any{weighted("a", 0)}, []any{weighted("a", 0), weighted("b", 2.5)}, []any{weighted("nobody", 1)}, []any{weighted("a", -1), weighted("b", 2)})
 	case "classes":
-		row := func(n string, s any) any { return map[string]any{"name": n, "share": s} }
-		out = append(out, []any{row("x", 100)}, []any{row("x", 60), row("x", 40)}, []any{row("x", 60), row("y", 50)}, []any{row("x", -1), row("y", 101)})
+		class := func(name string, field any) any { return map[string]any{"name": name, "share": field} }
+		candidates = append(candidates, []any{class("x", 100)}, []any{class("x", 60), class("x", 40)}, []any{class("x", 60), class("y", 50)}, []any{class("x", -1), class("y", 101)})
 	case "trial":
-		out = append(out, map[string]any{"id": 3, "slice": 10, "service": "b", "class": "x", "left_ms": 500, "repeat": "safe", "tries": 2},
-			map[string]any{"id": 3, "slice": 10, "split": []any{part("b", 1)}, "rank": 4, "left_ms": 500, "repeat": "safe", "tries": 2})
+		candidates = append(candidates, map[string]any{"id": 3, "slice": 10, "service": "b", "class": "x", "left_ms": 500, "repeat": "safe", "tries": 2},
+			map[string]any{"id": 3, "slice": 10, "split": []any{weighted("b", 1)}, "rank": 4, "left_ms": 500, "repeat": "safe", "tries": 2})
 	}
-	return out
+	return candidates
 }
 
-// often runs a check of drawn documents as many times with -short as without:
-// with a fifth of them too few may stand for the check to say anything, and
-// one takes less than a millisecond.
-func often(t *testing.T, prop func(*rapid.T)) {
+// checkManyTimes runs a property five times with -short, so that it sees as many documents as
+// without. With fewer, too few of them may be valid for the check to mean anything, and one takes
+// less than a millisecond.
+func checkManyTimes(t *testing.T, prop func(*rapid.T)) {
 	rounds := 1
 	if testing.Short() {
 		rounds = 5
@@ -75,43 +76,43 @@
 	}
 }
 
-// TestEdits: whole documents with a few settings put in, changed or taken out.
-func TestEdits(t *testing.T) {
-	var all []schema.Field
+// TestRandomEdits checks whole documents with a few settings added, changed or removed.
+func TestRandomEdits(t *testing.T) {
+	var allFields []schema.Field
 	for _, tab := range Tables {
-		all = append(all, tab.Rows...)
+		allFields = append(allFields, tab.Rows...)
 	}
-	stood := 0
-	often(t, func(rt *rapid.T) {
-		var m map[string]any
-		doc := rapid.SampledFrom([]string{good, wide}).Draw(rt, "doc")
-		if err := json.Unmarshal([]byte(doc), &m); err != nil {
+	valid := 0
+	checkManyTimes(t, func(rt *rapid.T) {
+		var document map[string]any
+		doc := rapid.SampledFrom([]string{classesDocument, numberedDocument}).Draw(rt, "doc")
+		if err := json.Unmarshal([]byte(doc), &document); err != nil {
 			rt.Fatal(err)
 		}
 		for range rapid.IntRange(1, 3).Draw(rt, "edits") {
-			o := rapid.SampledFrom(objects(m, DocumentTable)).Draw(rt, "object")
-			at, s := o.at, rapid.SampledFrom(o.tab.Rows).Draw(rt, "setting")
-			// Now and then one that belongs elsewhere.
+			target := rapid.SampledFrom(objects(document, DocumentTable)).Draw(rt, "object")
+			values, field := target.values, rapid.SampledFrom(target.table.Rows).Draw(rt, "setting")
+			// One edit in ten uses a setting of another table.
 			if rapid.IntRange(0, 9).Draw(rt, "odd") == 0 {
-				s = rapid.SampledFrom(all).Draw(rt, "other")
+				field = rapid.SampledFrom(allFields).Draw(rt, "other")
 			}
 			if rapid.IntRange(0, 3).Draw(rt, "drop") == 0 {
-				delete(at, s.Name)
+				delete(values, field.Name)
 			} else {
-				at[s.Name] = rapid.SampledFrom(pool(s)).Draw(rt, "value")
+				values[field.Name] = rapid.SampledFrom(candidateValues(field)).Draw(rt, "value")
 			}
 		}
-		raw, err := json.Marshal(m)
+		raw, err := json.Marshal(document)
 		if err != nil {
 			rt.Fatal(err)
 		}
 		if r, _, _ := Compile(1, raw); r != nil {
-			stood++
+			valid++
 		}
-		sound(t, raw)
+		checkDocument(t, raw)
 	})
-	t.Logf("%d edited documents stood", stood)
-	if stood == 0 {
-		t.Error("no edited document stood: nothing was tried")
+	t.Logf("%d edited documents were valid", valid)
+	if valid == 0 {
+		t.Error("no edited document was valid, so nothing was checked")
 	}
 }
--- a/internal/rules/rules_test.go
+++ b/internal/rules/rules_test.go
@@ -11,11 +11,11 @@
 	"puffincrank/internal/schema"
 )
 
-const good = `{"services":[{"name":"a"},{"name":"b"}],"classes":[{"name":"x","share":60},{"name":"y","share":40}],
+const classesDocument = `{"services":[{"name":"a"},{"name":"b"}],"classes":[{"name":"x","share":60},{"name":"y","share":40}],
 "paths":[{"name":"p","method":"GET","prefix":"/p","service":"a","class":"x"},{"name":"q","prefix":"/p/deep","service":"b","class":"y","repeat":"safe"}]}`
 
-// TestFaults: every fault of a document is named with its place.
-func TestFaults(t *testing.T) {
+// TestInvalidDocuments checks that every problem of a document is reported with its place.
+func TestInvalidDocuments(t *testing.T) {
 	for _, c := range []struct{ from, to, place, wrong string }{
 		{`"services":[{"name":"a"},{"name":"b"}],`, ``, "services", "missing"},
 		{`{"name":"b"}`, `{"name":"a"}`, "services[1].name", "twice"},
@@ -40,36 +40,37 @@
 		{`"repeat":"safe"}]`, `"repeat":"safe"}],"limits":7`, "limits", "must be an object"},
 		{`"paths":[`, `"paths":[5,`, "paths[0]", "must be an object"},
 	} {
-		doc := strings.Replace(good, c.from, c.to, 1)
-		if doc == good {
-			t.Fatalf("case %q changes nothing", c.to)
+		doc := strings.Replace(classesDocument, c.from, c.to, 1)
+		if doc == classesDocument {
+			t.Fatalf("case %q does not change the document", c.to)
 		}
-		_, bad, err := Compile(1, []byte(doc))
+		_, problems, err := Compile(1, []byte(doc))
 		found := false
-		for _, f := range bad {
-			found = found || (f.Place == c.place && strings.Contains(f.Message, c.wrong))
+		for _, problem := range problems {
+			found = found || (problem.Place == c.place && strings.Contains(problem.Message, c.wrong))
 		}
 		if err != nil || !found {
-			t.Errorf("%s: want %s %q, got %v %v", c.to, c.place, c.wrong, bad, err)
+			t.Errorf("%s: want %s %q, got %v %v", c.to, c.place, c.wrong, problems, err)
 		}
 	}
-	// Two faults in one document are both named.
-	_, bad, _ := Compile(1, []byte(strings.NewReplacer(`"service":"a"`, `"service":"z"`, `"share":60`, `"share":50`).Replace(good)))
-	if len(bad) != 2 {
-		t.Errorf("want both faults, got %v", bad)
+	// Two problems in one document are both reported.
+	_, problems, _ := Compile(1, []byte(strings.NewReplacer(`"service":"a"`, `"service":"z"`, `"share":60`, `"share":50`).Replace(classesDocument)))
+	if len(problems) != 2 {
+		t.Errorf("want both problems, got %v", problems)
 	}
-	for _, doc := range []string{"", "{", "[]", "7", good + "{}", good[:len(good)-9], strings.Repeat(`{"a":`, 100)} {
-		if r, bad, err := Compile(1, []byte(doc)); err == nil || r != nil || bad != nil {
-			t.Errorf("%.20q is no document but gave %v %v", doc, bad, err)
+	for _, doc := range []string{"", "{", "[]", "7", classesDocument + "{}", classesDocument[:len(classesDocument)-9], strings.Repeat(`{"a":`, 100)} {
+		if r, problems, err := Compile(1, []byte(doc)); err == nil || r != nil || problems != nil {
+			t.Errorf("%.20q is not a document, but gave %v %v", doc, problems, err)
 		}
 	}
 }
 
-// TestMatch: whole segments, longest prefix, the method by name first.
+// TestMatch checks that prefixes match by whole segments, that the longest prefix wins, and that a
+// route for the method goes before one for any method.
 func TestMatch(t *testing.T) {
-	r, bad, err := Compile(1, []byte(good))
-	if err != nil || bad != nil {
-		t.Fatal(bad, err)
+	r, problems, err := Compile(1, []byte(classesDocument))
+	if err != nil || problems != nil {
+		t.Fatal(problems, err)
 	}
 	for _, c := range []struct{ method, url, want string }{
 		{"GET", "/p", "p"}, {"GET", "/p/", "p"}, {"GET", "/p/x/y", "p"}, {"GET", "/pp", ""}, {"POST", "/p", ""},
@@ -88,71 +89,73 @@
 	}
 }
 
-// TestSlice: the slice of a trial has its size, and one job has one arm.
-func TestSlice(t *testing.T) {
-	doc := strings.Replace(good, `"class":"x"}`, `"class":"x","trial":{"id":3,"slice":10,"service":"b","class":"y","left_ms":500,"repeat":"never","tries":1}}`, 1)
-	r, bad, err := Compile(1, []byte(doc))
-	if err != nil || bad != nil {
-		t.Fatal(bad, err)
+// TestSliceSize checks that the slice of a trial has its configured size and that a request always
+// gets the same arm.
+func TestSliceSize(t *testing.T) {
+	doc := strings.Replace(classesDocument, `"class":"x"}`, `"class":"x","trial":{"id":3,"slice":10,"service":"b","class":"y","left_ms":500,"repeat":"never","tries":1}}`, 1)
+	r, problems, err := Compile(1, []byte(doc))
+	if err != nil || problems != nil {
+		t.Fatal(problems, err)
 	}
-	p, n := r.RouteByName("p"), 0
+	route, count := r.RouteByName("p"), 0
 	for i := range 20000 {
 		id := fmt.Sprintf("node1.abc.%d", i)
-		if p.Arm(id).Name == "new" {
-			n++
+		if route.Arm(id).Name == "new" {
+			count++
 		}
-		if first, second := p.Arm(id), p.Arm(id); first != second {
-			t.Fatal("one job in both arms")
+		if first, second := route.Arm(id), route.Arm(id); first != second {
+			t.Fatal("a request was given both arms")
 		}
 	}
-	if math.Abs(float64(n)/20000-0.1) > 0.01 {
-		t.Errorf("%d of 20000 jobs are in a slice of 10 %%", n)
+	if math.Abs(float64(count)/20000-0.1) > 0.01 {
+		t.Errorf("%d of 20000 requests are in a slice of 10 %%", count)
 	}
 }
 
-// TestManyPaths: the work of a match doesn't grow with the paths.
-func TestManyPaths(t *testing.T) {
+// TestMatchCostIndependentOfRoutes checks that the cost of a match does not grow with the number of
+// routes.
+func TestMatchCostIndependentOfRoutes(t *testing.T) {
 	build := func(n int) *Rules {
-		var paths []string
+		var routes []string
 		for i := range n {
-			paths = append(paths, fmt.Sprintf(`{"name":"p%d","prefix":"/p%d","service":"a","class":"x"}`, i, i))
+			routes = append(routes, fmt.Sprintf(`{"name":"p%d","prefix":"/p%d","service":"a","class":"x"}`, i, i))
 		}
-		doc := fmt.Sprintf(`{"services":[{"name":"a"}],"classes":[{"name":"x","share":100}],"paths":[%s]}`, strings.Join(paths, ","))
-		r, bad, err := Compile(1, []byte(doc))
-		if err != nil || bad != nil {
-			t.Fatal(bad, err)
+		doc := fmt.Sprintf(`{"services":[{"name":"a"}],"classes":[{"name":"x","share":100}],"paths":[%s]}`, strings.Join(routes, ","))
+		r, problems, err := Compile(1, []byte(doc))
+		if err != nil || problems != nil {
+			t.Fatal(problems, err)
 		}
 		return r
 	}
 	cost := func(r *Rules) float64 {
-		// The best of a few: the machine may be busy with something else.
+		// The best of a few rounds counts, since the machine may be busy with something else.
 		best := time.Hour
 		for range 7 {
-			from := time.Now()
+			start := time.Now()
 			for range 30_000 {
 				r.Match("", "GET", "/p1/a/b/c")
 			}
-			best = min(best, time.Since(from))
+			best = min(best, time.Since(start))
 		}
 		return float64(best)
 	}
 	small, large := build(2), build(800)
 	cost(small)
-	// Both in one run; the bound is wide, a walk over all paths costs hundreds
-	// of times more.
+	// Both are measured in one run. The bound is wide: a search through all routes would cost
+	// hundreds of times more.
 	if ratio := cost(large) / cost(small); ratio > 8 {
-		t.Errorf("a match among 800 paths costs %.1f times one among 2", ratio)
+		t.Errorf("a match among 800 routes costs %.1f times as much as one among 2", ratio)
 	}
 }
 
-// TestWholeDocument reads back what it was given.
-func TestWholeDocument(t *testing.T) {
-	m, dup, err := schema.Parse([]byte(good))
-	if err != nil || dup != nil {
-		t.Fatal(dup, err)
+// TestRoundTrip checks that a parsed document can be written and compiled again.
+func TestRoundTrip(t *testing.T) {
+	parsed, duplicates, err := schema.Parse([]byte(classesDocument))
+	if err != nil || duplicates != nil {
+		t.Fatal(duplicates, err)
 	}
-	raw, _ := json.Marshal(m)
-	if _, bad, err := Compile(1, raw); err != nil || bad != nil {
-		t.Fatal(bad, err)
+	raw, _ := json.Marshal(parsed)
+	if _, problems, err := Compile(1, raw); err != nil || problems != nil {
+		t.Fatal(problems, err)
 	}
 }
--- a/internal/schema/parse_test.go
+++ b/internal/schema/parse_test.go
@@ -11,72 +11,72 @@
 	"testing"
 )
 
-// slow is Parse by the library's tokens: the obvious model.
-func slow(data []byte) (map[string]any, []Problem, error) {
-	d := json.NewDecoder(bytes.NewReader(data))
-	d.UseNumber()
-	var twice []Problem
-	v, err := slowly(d, "", &twice, 0)
+// modelParse is Parse by the tokens of encoding/json: the straightforward model.
+func modelParse(data []byte) (map[string]any, []Problem, error) {
+	decoder := json.NewDecoder(bytes.NewReader(data))
+	decoder.UseNumber()
+	var duplicates []Problem
+	v, err := modelValue(decoder, "", &duplicates, 0)
 	if err != nil {
 		return nil, nil, err
 	}
-	if _, err := d.Token(); !errors.Is(err, io.EOF) {
+	if _, err := decoder.Token(); !errors.Is(err, io.EOF) {
 		return nil, nil, errors.New("more follows after the document")
 	}
-	m, ok := v.(map[string]any)
+	object, ok := v.(map[string]any)
 	if !ok {
 		return nil, nil, errors.New("the document must be an object")
 	}
-	return m, twice, nil
+	return object, duplicates, nil
 }
 
-func slowly(d *json.Decoder, place string, twice *[]Problem, deep int) (any, error) {
-	// A bound on nesting keeps a hostile document from using up the stack.
-	if deep > 32 {
+func modelValue(decoder *json.Decoder, place string, duplicates *[]Problem, depth int) (any, error) {
+	// The bound on nesting is that of Parse.
+	if depth > 32 {
 		return nil, errors.New("nested too deep")
 	}
-	tok, err := d.Token()
+	token, err := decoder.Token()
 	if err != nil {
 		return nil, err
 	}
-	sign, ok := tok.(json.Delim)
+	delimiter, ok := token.(json.Delim)
 	if !ok {
-		return tok, nil
+		return token, nil
 	}
-	if sign == '[' {
+	if delimiter == '[' {
 		list := []any{}
-		for d.More() {
-			v, err := slowly(d, fmt.Sprintf("%s[%d]", place, len(list)), twice, deep+1)
+		for decoder.More() {
+			v, err := modelValue(decoder, fmt.Sprintf("%s[%d]", place, len(list)), duplicates, depth+1)
 			if err != nil {
 				return nil, err
 			}
 			list = append(list, v)
 		}
-		_, err = d.Token()
+		_, err = decoder.Token()
 		return list, err
 	}
-	m := map[string]any{}
-	for d.More() {
-		tok, err := d.Token()
+	object := map[string]any{}
+	for decoder.More() {
+		token, err := decoder.Token()
 		if err != nil {
 			return nil, err
 		}
-		name, _ := tok.(string)
-		at := joinPlace(place, name)
-		v, err := slowly(d, at, twice, deep+1)
+		name, _ := token.(string)
+		memberPlace := joinPlace(place, name)
+		v, err := modelValue(decoder, memberPlace, duplicates, depth+1)
 		if err != nil {
 			return nil, err
 		}
-		if _, dup := m[name]; dup {
-			*twice = append(*twice, Problem{at, "given twice"})
+		if _, duplicate := object[name]; duplicate {
+			*duplicates = append(*duplicates, Problem{memberPlace, "given twice"})
 		}
-		m[name] = v
+		object[name] = v
 	}
-	_, err = d.Token()
-	return m, err
+	_, err = decoder.Token()
+	return object, err
 }
 
-// seeds are documents whole, broken and odd.
+// seeds returns valid, broken and unusual documents.
 func seeds() []string {
 	return []string{
 		"", "{", "{}", " {\r\n\t} ", "[]", "7", `{"a":1}{}`, `{"a":1,}`, `{"a" 1}`, `{a:1}`, `{"a":}`, `{,}`, `{"a":[1,]}`, `{"a":[1 2]}`, `{"a":[,]}`,
@@ -89,31 +89,31 @@
 	}
 }
 
-// alike wants of Parse what the model gives.
-func alike(t *testing.T, data []byte) {
+// checkParse checks that Parse gives the same result as the model.
+func checkParse(t *testing.T, data []byte) {
 	t.Helper()
-	m, twice, err := Parse(data)
-	sm, stwice, serr := slow(data)
-	if (err == nil) != (serr == nil) {
-		t.Fatalf("%q: got %v, the model %v", data, err, serr)
+	got, gotDuplicates, err := Parse(data)
+	want, wantDuplicates, wantErr := modelParse(data)
+	if (err == nil) != (wantErr == nil) {
+		t.Fatalf("%q: got %v, the model %v", data, err, wantErr)
 	}
-	if err == nil && (!reflect.DeepEqual(m, sm) || !reflect.DeepEqual(twice, stwice)) {
-		t.Fatalf("%q:\n%v %v, the model\n%v %v", data, m, twice, sm, stwice)
+	if err == nil && (!reflect.DeepEqual(got, want) || !reflect.DeepEqual(gotDuplicates, wantDuplicates)) {
+		t.Fatalf("%q:\n%v %v, the model\n%v %v", data, got, gotDuplicates, want, wantDuplicates)
 	}
 }
 
-// TestParse: the reader by hand takes what the library takes, gives the same
-// and names the same names given twice.
+// TestParse checks that the parser accepts what encoding/json accepts, with the same result and the
+// same duplicate names.
 func TestParse(t *testing.T) {
 	for _, s := range seeds() {
-		alike(t, []byte(s))
+		checkParse(t, []byte(s))
 	}
-	// Every cut and every changed byte of a whole document.
+	// A whole document is cut at every byte, and every byte of it is replaced.
 	whole := `{"a":[1,-2.5e3,{"b":"x\u00e9y","b":null}],"c":{"d":true,"e":[]}}`
 	for i := range whole {
-		alike(t, []byte(whole[:i]))
+		checkParse(t, []byte(whole[:i]))
 		for _, c := range "{}[]\":,0-e. \\x\x01é" {
-			alike(t, []byte(whole[:i]+string(c)+whole[i+1:]))
+			checkParse(t, []byte(whole[:i]+string(c)+whole[i+1:]))
 		}
 	}
 }
@@ -122,11 +122,11 @@
 	for _, s := range seeds() {
 		f.Add([]byte(s))
 	}
-	f.Fuzz(alike)
+	f.Fuzz(checkParse)
 }
 
-// TestNumbers: a whole number may be written with a fraction that is none.
-func TestNumbers(t *testing.T) {
+// TestWholeNumbers checks that a whole number may be written with a fraction of zero.
+func TestWholeNumbers(t *testing.T) {
 	for s, want := range map[string]any{"250": int64(250), "250.0": int64(250), "2.5e2": int64(250), "550.0000000000001": int64(550), "67108864.0": int64(67108864),
 		"-3.0": int64(-3), "0.0": int64(0), "1.5": nil, "250.0001": nil, "0.999": nil, "1e300": nil, "1e999": nil, "9223372036854775807": int64(9223372036854775807), "9223372036854775808": nil} {
 		got, err := convert(Count, json.Number(s))
@@ -136,15 +136,15 @@
 	}
 }
 
-// TestWord is the rule for names, byte by byte.
-func TestWord(t *testing.T) {
-	for s, good := range map[string]bool{"a": true, "9a": true, "A.b-c_d": true, "": false, ".a": false, "-a": false, "_a": false, "a b": false, "é": false, "a/": false,
+// TestIsName checks the rule for names byte by byte.
+func TestIsName(t *testing.T) {
+	for s, valid := range map[string]bool{"a": true, "9a": true, "A.b-c_d": true, "": false, ".a": false, "-a": false, "_a": false, "a b": false, "é": false, "a/": false,
 		strings.Repeat("x", 64): true, strings.Repeat("x", 65): false} {
-		if (IsName(s) == nil) != good {
+		if (IsName(s) == nil) != valid {
 			t.Errorf("%q: %v", s, IsName(s))
 		}
 	}
 	if IsName(7) == nil {
-		t.Error("a number is no name")
+		t.Error("a number was accepted as a name")
 	}
 }
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -9,102 +9,102 @@
 	"pgregory.net/rapid"
 )
 
-func read(t *testing.T, program string, more map[string]any) (Settings, int) {
+func readSettings(t *testing.T, program string, overrides map[string]any) (Settings, int) {
 	t.Helper()
-	in := map[string]any{"node": "n", "area": "a", "inner": "10.0.0.1:1", "outer": "10.0.0.1:2", "seeds": []any{"10.0.0.1:1"}}
+	values := map[string]any{"node": "n", "area": "a", "inner": "10.0.0.1:1", "outer": "10.0.0.1:2", "seeds": []any{"10.0.0.1:1"}}
 	switch program {
 	case "proxy":
-		in["traffic"] = "10.0.0.1:3"
+		values["traffic"] = "10.0.0.1:3"
 	case "store":
-		in["data"] = "x"
+		values["data"] = "x"
 	}
-	for k, v := range more {
-		if n, ok := v.(int); ok {
-			v = json.Number(fmt.Sprint(n))
+	for k, value := range overrides {
+		if n, ok := value.(int); ok {
+			value = json.Number(fmt.Sprint(n))
 		}
-		in[k] = v
-		if v == nil {
-			delete(in, k)
+		values[k] = value
+		if value == nil {
+			delete(values, k)
 		}
 	}
-	v, bad := Tables[program].Read(in, "")
-	p, more2 := FromChecked(v)
-	for _, f := range append(bad, more2...) {
-		t.Logf("%s: %s", f.Place, f.Message)
+	value, problems := Tables[program].Read(values, "")
+	settings, derived := FromChecked(value)
+	for _, problem := range append(problems, derived...) {
+		t.Logf("%s: %s", problem.Place, problem.Message)
 	}
-	return p, len(bad) + len(more2)
+	return settings, len(problems) + len(derived)
 }
 
-// TestDefaults: what was not given is as it ever was.
+// TestDefaults checks the values of settings that are not given.
 func TestDefaults(t *testing.T) {
-	p, bad := read(t, "store", map[string]any{"outer": nil})
-	if bad > 0 || p.APIAddr != "" || p.ReplaceAfter != 8*time.Second || p.RetireAfter != 10*time.Second || p.CatchUpBound != 24*time.Second || !p.MayFound || p.Voters() != 3 {
+	p, problems := readSettings(t, "store", map[string]any{"outer": nil})
+	if problems > 0 || p.APIAddr != "" || p.ReplaceAfter != 8*time.Second || p.RetireAfter != 10*time.Second || p.CatchUpBound != 24*time.Second || !p.MayFound || p.Voters() != 3 {
 		t.Errorf("store: %+v", p)
 	}
-	p, bad = read(t, "proxy", nil)
-	if bad > 0 || p.WorkerHeartbeat() != 250*time.Millisecond || p.WorkerTimeout() != 1250*time.Millisecond {
+	p, problems = readSettings(t, "proxy", nil)
+	if problems > 0 || p.WorkerHeartbeat() != 250*time.Millisecond || p.WorkerTimeout() != 1250*time.Millisecond {
 		t.Errorf("proxy: %+v", p)
 	}
-	if _, bad := read(t, "proxy", map[string]any{"outer": nil}); bad != 1 {
-		t.Error("a proxy needs its outer address")
+	if _, problems := readSettings(t, "proxy", map[string]any{"outer": nil}); problems != 1 {
+		t.Error("a proxy without an outer address was accepted")
 	}
 }
 
-// TestTightBounds: the ratios hold for a short time to catch up, and a
-// replacement, its writer's lease included, ends within it.
+// TestTightBounds checks that the derived times fit into a short catch_up_ms, and that a
+// replacement ends within it, the leader's lease included.
 func TestTightBounds(t *testing.T) {
-	for _, catch := range []int{4000, 6000} {
-		b := map[string]any{"change_ms": 2000, "leave_ms": 2000, "window_ms": 10000, "return_ms": 15000, "history_ms": 20000, "grace_ms": 6000, "touch_ms": 3000, "catch_up_ms": catch, "ack_ms": 4000}
-		p, bad := read(t, "store", b)
-		if bad > 0 || p.ReplaceAfter*2+p.Lease() > p.CatchUpBound || p.ReplaceAfter <= p.Lease() || p.RetireAfter < 2*p.SessionTTL() {
-			t.Errorf("catch up %d: %d faults, replace %v, retire %v", catch, bad, p.ReplaceAfter, p.RetireAfter)
+	for _, catchUp := range []int{4000, 6000} {
+		bounds := map[string]any{"change_ms": 2000, "leave_ms": 2000, "window_ms": 10000, "return_ms": 15000, "history_ms": 20000, "grace_ms": 6000, "touch_ms": 3000, "catch_up_ms": catchUp, "ack_ms": 4000}
+		p, problems := readSettings(t, "store", bounds)
+		if problems > 0 || p.ReplaceAfter*2+p.Lease() > p.CatchUpBound || p.ReplaceAfter <= p.Lease() || p.RetireAfter < 2*p.SessionTTL() {
+			t.Errorf("catch_up_ms %d: %d problems, replace after %v, retire after %v", catchUp, problems, p.ReplaceAfter, p.RetireAfter)
 		}
-		b["beat_ms"] = 1500
-		p, bad = read(t, "proxy", b)
-		if bad > 0 || p.WorkerHeartbeat() != 1500*time.Millisecond || p.WorkerTimeout() < 2*p.WorkerHeartbeat()+p.CallTimeout() {
-			t.Errorf("a worker that beats each %v is down after %v (%d faults)", p.WorkerHeartbeat(), p.WorkerTimeout(), bad)
+		bounds["beat_ms"] = 1500
+		p, problems = readSettings(t, "proxy", bounds)
+		if problems > 0 || p.WorkerHeartbeat() != 1500*time.Millisecond || p.WorkerTimeout() < 2*p.WorkerHeartbeat()+p.CallTimeout() {
+			t.Errorf("a worker with a heartbeat every %v is down after %v (%d problems)", p.WorkerHeartbeat(), p.WorkerTimeout(), problems)
 		}
 	}
 }
 
-// TestBoundsAtOdds: whatever the bounds of a deployment are to each other, a
-// node starts, and each time that hangs on a bound fits into it.
-func TestBoundsAtOdds(t *testing.T) {
+// TestIndependentBounds checks that a node starts with any combination of bounds and that each
+// derived time fits into its bound.
+func TestIndependentBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		in := map[string]any{"node": "n", "area": "a", "inner": "10.0.0.1:1", "seeds": []any{"10.0.0.1:1"}, "data": "x"}
+		values := map[string]any{"node": "n", "area": "a", "inner": "10.0.0.1:1", "seeds": []any{"10.0.0.1:1"}, "data": "x"}
 		for _, n := range []string{"change_ms", "leave_ms", "touch_ms", "ack_ms", "return_ms", "catch_up_ms", "back_ms", "free_ms", "grace_ms", "window_ms", "history_ms"} {
 			least := 1000
 			if n == "back_ms" || n == "free_ms" {
 				least = 0
 			}
-			in[n] = json.Number(fmt.Sprint(rapid.IntRange(least, 30000).Draw(t, n)))
+			values[n] = json.Number(fmt.Sprint(rapid.IntRange(least, 30000).Draw(t, n)))
 		}
-		in["return_ms"] = json.Number(fmt.Sprint(rapid.IntRange(4000, 60000).Draw(t, "return")))
-		// The beat of a worker is told to proxies only.
-		beat := json.Number(fmt.Sprint(rapid.IntRange(200, 2400).Draw(t, "beat")))
-		v, bad := Tables["store"].Read(in, "")
-		p, more := FromChecked(v)
-		if bad = append(bad, more...); len(bad) > 0 {
-			t.Fatalf("does not start: %v", bad)
+		values["return_ms"] = json.Number(fmt.Sprint(rapid.IntRange(4000, 60000).Draw(t, "return")))
+		// Only proxies have the setting for the worker's heartbeat.
+		heartbeat := json.Number(fmt.Sprint(rapid.IntRange(200, 2400).Draw(t, "beat")))
+		checked, problems := Tables["store"].Read(values, "")
+		store, derived := FromChecked(checked)
+		if problems = append(problems, derived...); len(problems) > 0 {
+			t.Fatalf("a store does not start: %v", problems)
 		}
-		delete(in, "data")
-		in["traffic"], in["outer"], in["beat_ms"] = "10.0.0.1:3", "10.0.0.1:2", beat
-		v, bad = Tables["proxy"].Read(in, "")
-		x, more := FromChecked(v)
-		if bad = append(bad, more...); len(bad) > 0 {
-			t.Fatalf("a proxy does not start: %v", bad)
+		delete(values, "data")
+		values["traffic"], values["outer"], values["beat_ms"] = "10.0.0.1:3", "10.0.0.1:2", heartbeat
+		checked, problems = Tables["proxy"].Read(values, "")
+		proxy, derived := FromChecked(checked)
+		if problems = append(problems, derived...); len(problems) > 0 {
+			t.Fatalf("a proxy does not start: %v", problems)
 		}
-		if x.WorkerTimeout() > x.RecoveryBound || x.WorkerTimeout() < x.ConfiguredHeartbeat*3/2 {
-			t.Errorf("a worker that beats each %v is down after %v, return %v", x.ConfiguredHeartbeat, x.WorkerTimeout(), x.RecoveryBound)
+		if proxy.WorkerTimeout() > proxy.RecoveryBound || proxy.WorkerTimeout() < proxy.ConfiguredHeartbeat*3/2 {
+			t.Errorf("a worker with a heartbeat every %v is down after %v, recovery bound %v", proxy.ConfiguredHeartbeat, proxy.WorkerTimeout(), proxy.RecoveryBound)
 		}
-		if p.BaseInterval() > p.ConfigBound || p.LeaderTimeout()+p.HeartbeatInterval()*2 > p.ContactTime*2/3 || p.Lease()*3+p.SessionTTL() > p.RecoveryBound || p.ReplaceAfter+p.Lease()+p.CallTimeout()*2 > p.CatchUpBound {
-			t.Errorf("pace %v of %+v", p.BaseInterval(), p)
+		if store.BaseInterval() > store.ConfigBound || store.LeaderTimeout()+store.HeartbeatInterval()*2 > store.ContactTime*2/3 || store.Lease()*3+store.SessionTTL() > store.RecoveryBound || store.ReplaceAfter+store.Lease()+store.CallTimeout()*2 > store.CatchUpBound {
+			t.Errorf("base interval %v of %+v", store.BaseInterval(), store)
 		}
 	})
 }
 
-// TestFaultyProps: each fault is named once.
-func TestFaultyProps(t *testing.T) {
+// TestInvalidSettings checks that each problem is reported once.
+func TestInvalidSettings(t *testing.T) {
 	nine := []any{}
 	for i := range 9 {
 		nine = append(nine, fmt.Sprintf("10.0.0.%d:1", i+1))
@@ -127,32 +127,32 @@
 		{map[string]any{"bear": 101}, 1},
 		{map[string]any{"founding": "no"}, 1},
 	} {
-		if _, bad := read(t, "store", c.more); bad != c.want {
-			t.Errorf("%v: %d faults, want %d", c.more, bad, c.want)
+		if _, problems := readSettings(t, "store", c.more); problems != c.want {
+			t.Errorf("%v: %d problems, want %d", c.more, problems, c.want)
 		}
 	}
-	if _, bad := read(t, "proxy", map[string]any{"beat_ms": 11000}); bad != 1 {
-		t.Error("a worker that beats each 11 s can't be missed within return_ms")
+	if _, problems := readSettings(t, "proxy", map[string]any{"beat_ms": 11000}); problems != 1 {
+		t.Error("a heartbeat every 11 s was accepted, too slow to detect a lost worker within return_ms")
 	}
 }
 
-// TestChangedNames: every setting of every program is named when it changes.
+// TestChangedNames checks that a change of any setting of any program is reported.
 func TestChangedNames(t *testing.T) {
-	for program, tab := range Tables {
-		for _, s := range tab.Rows {
-			if _, ok := (Settings{}).valuesByName()[s.Name]; !ok {
-				t.Errorf("%s: a change of %s would not be named", program, s.Name)
+	for program, table := range Tables {
+		for _, field := range table.Rows {
+			if _, ok := (Settings{}).valuesByName()[field.Name]; !ok {
+				t.Errorf("%s: a change of %s would not be reported", program, field.Name)
 			}
 		}
 	}
-	was, now := Settings{ConfigBound: 1, Seeds: []string{"a"}, MaxRequests: 3}, Settings{ConfigBound: 2, Seeds: []string{"b"}, MaxRequests: 3}
-	if got := Changed("proxy", was, now); len(got) != 2 {
+	before, after := Settings{ConfigBound: 1, Seeds: []string{"a"}, MaxRequests: 3}, Settings{ConfigBound: 2, Seeds: []string{"b"}, MaxRequests: 3}
+	if got := Changed("proxy", before, after); len(got) != 2 {
 		t.Errorf("changed: %v", got)
 	}
 }
 
-// TestAddresses: a list of addresses is made such that the check of a setting takes
-// it, and keeps its order.
+// TestAddresses checks that the returned list is valid for a setting and begins with the first
+// address given.
 func TestAddresses(t *testing.T) {
 	many := make([]string, 20)
 	for i := range many {
@@ -164,7 +164,7 @@
 	}{{[]string{"b:1"}, 1}, {[]string{"b:1", "a:1", "b:1"}, 2}, {many, maxAddresses}} {
 		got := Addresses(c.all)
 		if len(got) != c.want || got[0] != c.all[0] || checkAddressList(got) != nil {
-			t.Errorf("of %v it lists %v", c.all, got)
+			t.Errorf("Addresses of %v returned %v", c.all, got)
 		}
 	}
 }
