--- a/internal/judge/judge_test.go
+++ b/internal/judge/judge_test.go
@@ -26,7 +26,7 @@
 				continue
 			}
 			counts.Done++
-			// Latencies are 20 to 60 ms with a long tail.
+			// Latencies are 20 to 60 ms times the factor; one in 20 takes three times as long.
 			ms := 40 * simulated.latencyFactor * (0.5 + random.Float64())
 			if random.IntN(20) == 0 {
 				ms *= 3
@@ -48,11 +48,11 @@
 func TestErrorRates(t *testing.T) {
 	const trials = 400
 	for _, c := range []struct {
-		name     string
-		old, now simulatedArm
-		rate     float64 // requests per second in the slice
-		good     bool
-		most     float64 // tolerated share of wrong verdicts
+		name           string
+		oldArm, newArm simulatedArm
+		rate           float64 // requests per second in the slice
+		promoted       bool
+		maxWrong       float64 // tolerated share of wrong verdicts
 	}{
 		{"nothing differs, nothing fails", simulatedArm{0, 1}, simulatedArm{0, 1}, 20, true, 0.01},
 		{"nothing differs, 1 % fail", simulatedArm{0.01, 1}, simulatedArm{0.01, 1}, 20, true, 0.02},
@@ -69,15 +69,15 @@
 		random := rand.New(rand.NewPCG(7, 11))
 		wrong, totalAge := 0, int64(0)
 		for range trials {
-			facts := runTrial(random, c.old, c.now, c.rate, defaultBounds)
-			if (facts.Verdict == Good) != c.good {
+			facts := runTrial(random, c.oldArm, c.newArm, c.rate, defaultBounds)
+			if (facts.Verdict == Good) != c.promoted {
 				wrong++
 			}
 			totalAge += facts.AgeMS
 		}
 		t.Logf("%-36s wrong %5.2f %%, decided after %5.1f s", c.name, 100*float64(wrong)/trials, float64(totalAge)/trials/1000)
-		if share := float64(wrong) / trials; share > c.most {
-			t.Errorf("%s: %.3f of the verdicts were wrong, want at most %.3f", c.name, share, c.most)
+		if share := float64(wrong) / trials; share > c.maxWrong {
+			t.Errorf("%s: %.3f of the verdicts were wrong, want at most %.3f", c.name, share, c.maxWrong)
 		}
 	}
 }
--- a/internal/lifecycle/reload_test.go
+++ b/internal/lifecycle/reload_test.go
@@ -16,8 +16,8 @@
 
 type fakeReloader struct{ applied []settings.Settings }
 
-func (k *fakeReloader) Reload(p settings.Settings) []string {
-	k.applied = append(k.applied, p)
+func (r *fakeReloader) Reload(s settings.Settings) []string {
+	r.applied = append(r.applied, s)
 	return []string{"seeds", "jobs"}
 }
 
--- a/internal/rules/fields_test.go
+++ b/internal/rules/fields_test.go
@@ -16,9 +16,9 @@
 
 func mustCompile(t *testing.T, doc string) *Rules {
 	t.Helper()
-	r, bad, err := Compile(1, []byte(doc))
-	if err != nil || bad != nil {
-		t.Fatal(bad, err)
+	r, problems, err := Compile(1, []byte(doc))
+	if err != nil || problems != nil {
+		t.Fatal(problems, err)
 	}
 	return r
 }
--- a/internal/rules/fuzz_test.go
+++ b/internal/rules/fuzz_test.go
@@ -15,7 +15,7 @@
 // findInvalid checks a document independently of the tables and returns what must not be accepted,
 // or "" when it finds nothing. It checks less than the tables do.
 func findInvalid(doc []byte) string {
-	type target struct {
+	type armFields struct {
 		Service *string
 		Split   *[]struct {
 			Service string
@@ -42,11 +42,11 @@
 			Share float64
 		}
 		Paths []struct {
-			target
+			armFields
 			Name   string
 			Host   *string
 			Prefix string
-			Trial  *target
+			Trial  *armFields
 		}
 	}
 	var raw any
@@ -71,17 +71,17 @@
 		services[service.Name] = true
 	}
 	classes := map[string]bool{}
-	for _, c := range document.Classes {
-		if classes[c.Name] || c.Share < 0 {
-			return "class " + c.Name
+	for _, class := range document.Classes {
+		if classes[class.Name] || class.Share < 0 {
+			return "class " + class.Name
 		}
-		classes[c.Name], sum = true, sum+c.Share
+		classes[class.Name], sum = true, sum+class.Share
 	}
 	if len(classes) > 0 && math.Abs(sum-100) > 1e-5 {
 		return "shares"
 	}
 	outside := func(n *float64, low, high float64) bool { return n != nil && (*n < low || *n > high) }
-	arm := func(a target) string {
+	checkArm := func(a armFields) string {
 		if (a.Service == nil) == (a.Split == nil) || a.Service != nil && !services[*a.Service] {
 			return "service or split"
 		}
@@ -109,15 +109,15 @@
 		return ""
 	}
 	names := map[string]bool{}
-	for _, part := range document.Paths {
-		if names[part.Name] || part.Host != nil && *part.Host == "" || !strings.HasPrefix(part.Prefix, "/") {
-			return "path " + part.Name
+	for _, route := range document.Paths {
+		if names[route.Name] || route.Host != nil && *route.Host == "" || !strings.HasPrefix(route.Prefix, "/") {
+			return "path " + route.Name
 		}
-		names[part.Name] = true
-		for _, a := range []*target{&part.target, part.Trial} {
+		names[route.Name] = true
+		for _, a := range []*armFields{&route.armFields, route.Trial} {
 			if a != nil {
-				if reason := arm(*a); reason != "" {
-					return part.Name + ": " + reason
+				if reason := checkArm(*a); reason != "" {
+					return route.Name + ": " + reason
 				}
 			}
 		}
--- a/internal/rules/lanes.go
+++ b/internal/rules/lanes.go
@@ -42,11 +42,11 @@
 			urgencies = append(urgencies, level)
 		}
 	}
-	slices.SortFunc(urgencies, func(arm, b urgency) int {
-		if arm.rank != b.rank {
-			return arm.rank - b.rank
+	slices.SortFunc(urgencies, func(a, b urgency) int {
+		if a.rank != b.rank {
+			return a.rank - b.rank
 		}
-		return arm.targetClass - b.targetClass
+		return a.targetClass - b.targetClass
 	})
 	for i, level := range urgencies {
 		// When there are more urgency levels than lanes, they are spread evenly over the lanes.
--- a/internal/rules/match.go
+++ b/internal/rules/match.go
@@ -58,14 +58,14 @@
 func (r *Rules) RouteByName(name string) *Route { return r.routesByName[name] }
 
 // Arm picks the arm of a request by a hash of its ID, so that every ingress picks the same one.
-func (p *Route) Arm(requestID string) *Arm {
-	if p.Trial == 0 {
-		return &p.Base
+func (r *Route) Arm(requestID string) *Arm {
+	if r.Trial == 0 {
+		return &r.Base
 	}
-	if hashFraction(strconv.FormatUint(p.Trial, 10), requestID)*100 < p.Slice {
-		return &p.New
+	if hashFraction(strconv.FormatUint(r.Trial, 10), requestID)*100 < r.Slice {
+		return &r.New
 	}
-	return &p.Base
+	return &r.Base
 }
 
 // hashFraction maps a request ID to a number in [0, 1), by FNV-1a with a final mixing step. Each
--- a/internal/rules/random_edits_test.go
+++ b/internal/rules/random_edits_test.go
@@ -54,7 +54,7 @@
 	case "split":
 		candidates = append(candidates, []any{weighted("a", 1)}, []any{weighted("a", 0)}, []any{weighted("a", 0), weighted("b", 2.5)}, []any{weighted("nobody", 1)}, []any{weighted("a", -1), weighted("b", 2)})
 	case "classes":
-		class := func(name string, field any) any { return map[string]any{"name": name, "share": field} }
+		class := func(name string, share any) any { return map[string]any{"name": name, "share": share} }
 		candidates = append(candidates, []any{class("x", 100)}, []any{class("x", 60), class("x", 40)}, []any{class("x", 60), class("y", 50)}, []any{class("x", -1), class("y", 101)})
 	case "trial":
 		candidates = append(candidates, map[string]any{"id": 3, "slice": 10, "service": "b", "class": "x", "left_ms": 500, "repeat": "safe", "tries": 2},
@@ -66,21 +66,21 @@
 // checkManyTimes runs a property five times with -short, so that it sees as many documents as
 // without. With fewer, too few of them may be valid for the check to mean anything, and one takes
 // less than a millisecond.
-func checkManyTimes(t *testing.T, prop func(*rapid.T)) {
+func checkManyTimes(t *testing.T, property func(*rapid.T)) {
 	rounds := 1
 	if testing.Short() {
 		rounds = 5
 	}
 	for range rounds {
-		rapid.Check(t, prop)
+		rapid.Check(t, property)
 	}
 }
 
 // TestRandomEdits checks whole documents with a few settings added, changed or removed.
 func TestRandomEdits(t *testing.T) {
 	var allFields []schema.Field
-	for _, tab := range Tables {
-		allFields = append(allFields, tab.Rows...)
+	for _, table := range Tables {
+		allFields = append(allFields, table.Rows...)
 	}
 	valid := 0
 	checkManyTimes(t, func(rt *rapid.T) {
--- a/internal/rules/trial_test.go
+++ b/internal/rules/trial_test.go
@@ -86,20 +86,20 @@
 			if route.Trial != id || !reflect.DeepEqual(withoutName(route.Base), withoutName(wantOld)) || !reflect.DeepEqual(withoutName(route.New), withoutName(wantNew)) {
 				t.Fatalf("%s:\n%+v\n%+v, want\n%+v\n%+v", doc, route.Base, route.New, wantOld, wantNew)
 			}
-			for promote, wantOld := range map[bool]Arm{true: wantNew, false: wantOld} {
+			for promote, want := range map[bool]Arm{true: wantNew, false: wantOld} {
 				finished, err := FinishTrial(doc, id, promote)
 				got := compileSingleRoute(t, finished, err)
-				if got.Trial != 0 || !reflect.DeepEqual(withoutName(got.Base), withoutName(wantOld)) {
-					t.Fatalf("promoted %v: %s:\n%+v, want\n%+v", promote, finished, got.Base, wantOld)
+				if got.Trial != 0 || !reflect.DeepEqual(withoutName(got.Base), withoutName(want)) {
+					t.Fatalf("promoted %v: %s:\n%+v, want\n%+v", promote, finished, got.Base, want)
 				}
 			}
 		}
-		doc, paths, err := PlanTrials(before, after, 3, alwaysTrue)
+		doc, routes, err := PlanTrials(before, after, 3, alwaysTrue)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if differs := !reflect.DeepEqual(withoutName(wantOld), withoutName(wantNew)); differs != (len(paths) == 1) {
-			t.Fatalf("%s to %s: routes on trial %v", before, after, paths)
+		if differs := !reflect.DeepEqual(withoutName(wantOld), withoutName(wantNew)); differs != (len(routes) == 1) {
+			t.Fatalf("%s to %s: routes on trial %v", before, after, routes)
 		} else if differs {
 			check(doc, 3, wantNew)
 		}
@@ -133,19 +133,19 @@
 func TestMovedRoutesNotTried(t *testing.T) {
 	old := []byte(numberedDocument)
 	changed := strings.Replace(numberedDocument, `"prefix":"/deep/","service":"b"`, `"prefix":"/deep/","service":"a"`, 1)
-	if _, paths, err := PlanTrials(old, []byte(changed), 2, alwaysTrue); err != nil || len(paths) != 1 || paths[0] != "q" {
-		t.Fatalf("routes on trial %v %v", paths, err)
+	if _, routes, err := PlanTrials(old, []byte(changed), 2, alwaysTrue); err != nil || len(routes) != 1 || routes[0] != "q" {
+		t.Fatalf("routes on trial %v %v", routes, err)
 	}
-	if _, paths, _ := PlanTrials(old, []byte(changed), 2, func(n string) bool { return n != "q" }); len(paths) != 0 {
-		t.Errorf("a route without traffic is on trial: %v", paths)
+	if _, routes, _ := PlanTrials(old, []byte(changed), 2, func(n string) bool { return n != "q" }); len(routes) != 0 {
+		t.Errorf("a route without traffic is on trial: %v", routes)
 	}
 	for _, replacement := range [][2]string{{`"host":"two.example"`, `"host":"three.example"`}, {`"host":"two.example",`, ``}, {`"/deep/","service":"a"`, `"/deep/est/","service":"a"`}, {`"host":"two.example"`, `"method":"GET","host":"two.example"`}} {
 		doc := strings.Replace(changed, replacement[0], replacement[1], 1)
 		if doc == changed {
 			t.Fatalf("case %q does not change the document", replacement)
 		}
-		if _, paths, err := PlanTrials(old, []byte(doc), 2, alwaysTrue); err != nil || len(paths) != 0 {
-			t.Errorf("%s: routes on trial %v %v", replacement[1], paths, err)
+		if _, routes, err := PlanTrials(old, []byte(doc), 2, alwaysTrue); err != nil || len(routes) != 0 {
+			t.Errorf("%s: routes on trial %v %v", replacement[1], routes, err)
 		}
 	}
 }
--- a/internal/schema/parse.go
+++ b/internal/schema/parse.go
@@ -55,11 +55,11 @@
 // place formats the current path; it is needed only for problems.
 func (p *parser) place() string {
 	out := ""
-	for _, s := range p.path {
-		if s.index >= 0 {
-			out += fmt.Sprintf("[%d]", s.index)
+	for _, element := range p.path {
+		if element.index >= 0 {
+			out += fmt.Sprintf("[%d]", element.index)
 		} else {
-			out = joinPlace(out, s.name)
+			out = joinPlace(out, element.name)
 		}
 	}
 	return out
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -18,17 +18,17 @@
 	case "store":
 		values["data"] = "x"
 	}
-	for k, value := range overrides {
+	for name, value := range overrides {
 		if n, ok := value.(int); ok {
 			value = json.Number(fmt.Sprint(n))
 		}
-		values[k] = value
+		values[name] = value
 		if value == nil {
-			delete(values, k)
+			delete(values, name)
 		}
 	}
-	value, problems := Tables[program].Read(values, "")
-	settings, derived := FromChecked(value)
+	checked, problems := Tables[program].Read(values, "")
+	settings, derived := FromChecked(checked)
 	for _, problem := range append(problems, derived...) {
 		t.Logf("%s: %s", problem.Place, problem.Message)
 	}
@@ -110,8 +110,8 @@
 		nine = append(nine, fmt.Sprintf("10.0.0.%d:1", i+1))
 	}
 	for _, c := range []struct {
-		more map[string]any
-		want int
+		overrides map[string]any
+		want      int
 	}{
 		{map[string]any{"seeds": nine}, 0},
 		{map[string]any{"seeds": append(nine, "10.0.1.1:1")}, 1},
@@ -127,8 +127,8 @@
 		{map[string]any{"bear": 101}, 1},
 		{map[string]any{"founding": "no"}, 1},
 	} {
-		if _, problems := readSettings(t, "store", c.more); problems != c.want {
-			t.Errorf("%v: %d problems, want %d", c.more, problems, c.want)
+		if _, problems := readSettings(t, "store", c.overrides); problems != c.want {
+			t.Errorf("%v: %d problems, want %d", c.overrides, problems, c.want)
 		}
 	}
 	if _, problems := readSettings(t, "proxy", map[string]any{"beat_ms": 11000}); problems != 1 {
--- a/internal/settings/values.go
+++ b/internal/settings/values.go
@@ -14,8 +14,8 @@
 	known := map[string]any{}
 	for _, field := range table.Rows {
 		// An empty text means that the setting was not given; its default applies.
-		if checked, ok := values[field.Name]; ok && checked != "" {
-			known[field.Name] = checked
+		if value, ok := values[field.Name]; ok && value != "" {
+			known[field.Name] = value
 		}
 	}
 	raw, err := json.Marshal(known)
