--- a/internal/event/event.go
+++ b/internal/event/event.go
@@ -1,5 +1,5 @@
-// Package event writes numbered events to the log and keeps the newest for
-// the operators. The catalogue is in catalogue.go and in docs/events.md.
+// Package event writes numbered events to the log and keeps the newest ones for the operators. The
+// catalogue is in catalogue.go and in docs/events.md.
 package event
 
 import (
@@ -11,7 +11,7 @@
 	"github.com/hashicorp/go-hclog"
 )
 
-// Kind is one row of the catalogue.
+// Kind is an entry of the catalogue.
 type Kind struct {
 	Number    int
 	Name      string
@@ -19,7 +19,7 @@
 	IsWarning bool
 }
 
-// Entry is one event as the operators see it.
+// Entry is one event as operators see it.
 type Entry struct {
 	Seq    uint64    `json:"seq" msgpack:"s"`
 	Number int       `json:"num" msgpack:"n"`
@@ -29,76 +29,76 @@
 	Text   string    `json:"say" msgpack:"t"`
 }
 
-// Log writes events and keeps the newest ones in a ring.
+// Log writes events and keeps the newest ones in a ring buffer.
 type Log struct {
-	h    hclog.Logger
-	node string
-	mu   sync.Mutex
-	seq  uint64
-	ring []Entry
-	tell func(Entry)
+	logger   hclog.Logger
+	node     string
+	mu       sync.Mutex
+	seq      uint64
+	ring     []Entry
+	listener func(Entry)
 }
 
-const keep = 512
+const maxKept = 512
 
-// New makes a log for a node; out nil means that nothing is printed.
-func New(node string, out io.Writer) *Log {
-	h := hclog.NewNullLogger()
-	if out != nil {
-		h = hclog.New(&hclog.LoggerOptions{Name: node, Output: out, Level: hclog.Info, JSONFormat: true})
+// New creates the log of a node. With a nil output, nothing is printed.
+func New(node string, output io.Writer) *Log {
+	logger := hclog.NewNullLogger()
+	if output != nil {
+		logger = hclog.New(&hclog.LoggerOptions{Name: node, Output: output, Level: hclog.Info, JSONFormat: true})
 	}
-	return &Log{h: h, node: node}
+	return &Log{logger: logger, node: node}
 }
 
-// SetListener sets a listener; tests use it to see what was logged.
-func (l *Log) SetListener(f func(Entry)) {
+// SetListener sets a function that is called with each event; tests use it to observe the log.
+func (l *Log) SetListener(listener func(Entry)) {
 	l.mu.Lock()
-	l.tell = f
+	l.listener = listener
 	l.mu.Unlock()
 }
 
-// Emit logs one event with pairs of name and value.
-func (l *Log) Emit(k Kind, pairs ...any) {
-	say := ""
+// Emit logs one event with attributes given as pairs of name and value.
+func (l *Log) Emit(kind Kind, pairs ...any) {
+	text := ""
 	for i := 0; i+1 < len(pairs); i += 2 {
 		if i > 0 {
-			say += " "
+			text += " "
 		}
-		say += fmt.Sprintf("%v=%v", pairs[i], pairs[i+1])
+		text += fmt.Sprintf("%v=%v", pairs[i], pairs[i+1])
 	}
 	l.mu.Lock()
 	l.seq++
-	e := Entry{Seq: l.seq, Number: k.Number, Name: k.Name, Node: l.node, Time: time.Now(), Text: say}
-	l.ring = append(l.ring, e)
-	// The ring is cut in halves, so that the copy is rare.
-	if len(l.ring) > 2*keep {
-		l.ring = append([]Entry(nil), l.ring[keep:]...)
+	entry := Entry{Seq: l.seq, Number: kind.Number, Name: kind.Name, Node: l.node, Time: time.Now(), Text: text}
+	l.ring = append(l.ring, entry)
+	// The buffer is cut to half only when it is full, so that copying is rare.
+	if len(l.ring) > 2*maxKept {
+		l.ring = append([]Entry(nil), l.ring[maxKept:]...)
 	}
-	tell := l.tell
+	listener := l.listener
 	l.mu.Unlock()
-	args := append([]any{"event", k.Number, "name", k.Name}, pairs...)
-	if k.IsWarning {
-		l.h.Warn(k.Text, args...)
+	args := append([]any{"event", kind.Number, "name", kind.Name}, pairs...)
+	if kind.IsWarning {
+		l.logger.Warn(kind.Text, args...)
 	} else {
-		l.h.Info(k.Text, args...)
+		l.logger.Info(kind.Text, args...)
 	}
-	if tell != nil {
-		tell(e)
+	if listener != nil {
+		listener(entry)
 	}
 }
 
-// Since gives the kept events with a higher number than seq.
+// Since returns the kept events with a sequence number above seq.
 func (l *Log) Since(seq uint64) []Entry {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	var out []Entry
-	for _, e := range l.ring {
-		if e.Seq > seq {
-			out = append(out, e)
+	var entries []Entry
+	for _, entry := range l.ring {
+		if entry.Seq > seq {
+			entries = append(entries, entry)
 		}
 	}
-	if len(out) > keep {
-		out = out[len(out)-keep:]
+	if len(entries) > maxKept {
+		entries = entries[len(entries)-maxKept:]
 	}
-	return out
+	return entries
 }
--- a/internal/lifecycle/run.go
+++ b/internal/lifecycle/run.go
@@ -1,5 +1,5 @@
-// Package lifecycle is the life of a program around its parts: props, signals and
-// the polite stop.
+// Package lifecycle runs a program: it loads the settings, handles signals and shuts the program
+// down gracefully.
 package lifecycle
 
 import (
@@ -11,7 +11,7 @@
 	"syscall"
 	"time"
 
-	// The C library is linked as usual: the platform wants its programs dynamic.
+	// These imports link the C library, since the platform requires dynamically linked programs.
 	_ "os/user"
 	_ "runtime/cgo"
 
@@ -27,53 +27,51 @@
 	"puffincrank/internal/version"
 )
 
-// Program is what a main runs.
+// Program is what Main runs.
 type Program interface {
 	Start() error
 	Stop()
 }
 
-// Site is where a program may find its settings instead of a file of ours, and
-// the tongue that is spoken there.
+// Site provides the settings in place of a settings file, and the dialect that is spoken there.
 type Site struct {
 	Settings func(program string) (map[string]any, error)
-	File     func() string // where they stand
+	File     func() string // where they are stored
 	Dialect  dialect.Dialect
 }
 
-// load reads the props: from the site with the flag --site, or from our own
-// file and flags.
+// load reads the settings: from the site with the flag --site, or from the settings file and flags.
 func load(name string, args []string, site Site) (settings.Settings, []schema.Problem, error) {
 	if len(args) == 1 && args[0] == "--site" && site.Settings != nil {
-		in, err := site.Settings(name)
+		values, err := site.Settings(name)
 		if err != nil {
 			return settings.Settings{}, nil, err
 		}
-		return settings.FromValues(name, in)
+		return settings.FromValues(name, values)
 	}
 	return settings.Load(name, args)
 }
 
-// Main runs a program until it is told to end; the result is the exit code:
-// 0 after a polite stop, 2 for bad props, 1 for a start that failed.
+// Main runs a program until a stop signal and returns the exit code: 0 after a graceful shutdown, 2
+// for invalid settings, 1 for a failed start.
 func Main(name string, args []string, site Site, build func(settings.Settings, env.Env) (Program, error)) int {
 	if len(args) == 1 && args[0] == "--version" {
 		fmt.Println(version.Line(name))
 		return 0
 	}
-	// Signals are caught before anything else, so that a stop right after the start
-	// is polite too, and those of each kind by themselves: the order to end must not
-	// be lost because an order to read the settings waits to be taken.
-	ends, again := make(chan os.Signal, 1), make(chan os.Signal, 1)
-	signal.Notify(ends, syscall.SIGTERM, syscall.SIGINT)
-	signal.Notify(again, syscall.SIGHUP)
-	w := &watch{name: name, load: func() (settings.Settings, []schema.Problem, error) { return load(name, args, site) }, file: settings.File(name, args)}
+	// Signals are caught before anything else, so that a stop right after the start is graceful
+	// too. Stop and reload signals have a channel each, so that a stop signal is not lost while a
+	// reload signal waits in the buffer.
+	stopSignals, reloadSignals := make(chan os.Signal, 1), make(chan os.Signal, 1)
+	signal.Notify(stopSignals, syscall.SIGTERM, syscall.SIGINT)
+	signal.Notify(reloadSignals, syscall.SIGHUP)
+	watcher := &settingsWatcher{name: name, load: func() (settings.Settings, []schema.Problem, error) { return load(name, args, site) }, file: settings.File(name, args)}
 	if len(args) == 1 && args[0] == "--site" && site.File != nil {
-		w.file = site.File()
+		watcher.file = site.File()
 	}
-	// What it looks like is noted before it is read: a change in between is seen.
-	w.seen = w.stat()
-	p, bad, err := w.load()
+	// The metadata is taken before the file is read, so that a change in between is noticed.
+	watcher.lastSeen = watcher.stat()
+	loaded, problems, err := watcher.load()
 	if errors.Is(err, arg.ErrHelp) {
 		return 0
 	}
@@ -81,67 +79,67 @@
 		fmt.Fprintf(os.Stderr, "%s: %v\n", name, err)
 		return 2
 	}
-	for _, f := range bad {
-		fmt.Fprintf(os.Stderr, "%s: prop %s: %s\n", name, f.Place, f.Message)
+	for _, problem := range problems {
+		fmt.Fprintf(os.Stderr, "%s: prop %s: %s\n", name, problem.Place, problem.Message)
 	}
-	if len(bad) > 0 {
+	if len(problems) > 0 {
 		return 2
 	}
-	e := env.Real(p.Node)
+	environment := env.Real(loaded.Node)
 	if len(args) == 1 && args[0] == "--site" {
-		e.Dialect = site.Dialect
+		environment.Dialect = site.Dialect
 	}
-	remember(p)
-	w.now, w.log, e.CheckSettings = p, e.Log, w.look
-	if p.DataDir != "" {
-		dir, err := disk.Open(p.DataDir)
+	setMemoryLimit(loaded)
+	watcher.current, watcher.log, environment.CheckSettings = loaded, environment.Log, watcher.checkFile
+	if loaded.DataDir != "" {
+		dir, err := disk.Open(loaded.DataDir)
 		if err != nil {
 			fmt.Fprintf(os.Stderr, "%s: %v\n", name, err)
 			return 1
 		}
-		e.FS = dir
+		environment.FS = dir
 	}
-	prog, err := build(p, e)
+	program, err := build(loaded, environment)
 	if err == nil {
-		err = prog.Start()
+		err = program.Start()
 	}
 	if err != nil {
 		fmt.Fprintf(os.Stderr, "%s: %v\n", name, err)
 		return 1
 	}
-	w.mu.Lock()
-	if w.prog, _ = prog.(Reloader); w.prog == nil {
-		w.prog = fixed{}
+	watcher.mu.Lock()
+	if watcher.program, _ = program.(Reloader); watcher.program == nil {
+		watcher.program = notReloadable{}
 	}
-	w.mu.Unlock()
+	watcher.mu.Unlock()
 	for {
 		select {
-		case <-ends:
-			stop(prog, ends, again, e.Log)
+		case <-stopSignals:
+			stop(program, stopSignals, reloadSignals, environment.Log)
 			return 0
-		case <-again:
-			w.read()
+		case <-reloadSignals:
+			watcher.reload()
 		}
 	}
 }
 
-// stop ends a program politely. Orders that come meanwhile change nothing, since its
-// grace period counts from the first; they are told of.
-func stop(prog Program, ends, again <-chan os.Signal, log *event.Log) {
+// stop shuts a program down gracefully. Further signals are logged but change nothing, since the
+// grace period counts from the first.
+func stop(program Program, stopSignals, reloadSignals <-chan os.Signal, log *event.Log) {
 	stopped := make(chan struct{})
-	g := task.New(context.Background())
-	g.Go("stop", func(context.Context) {
-		prog.Stop()
+	group := task.New(context.Background())
+	group.Go("stop", func(context.Context) {
+		program.Stop()
 		close(stopped)
 	})
-	for from := time.Now(); ; {
+	for start := time.Now(); ; {
 		select {
 		case <-stopped:
 			return
-		case s := <-ends:
-			log.Emit(event.SecondStopSignal, "signal", s, "after_ms", time.Since(from).Milliseconds())
-		case s := <-again:
-			log.Emit(event.SecondStopSignal, "signal", s, "after_ms", time.Since(from).Milliseconds())
+		case s := <-stopSignals:
+			log.Emit(event.SecondStopSignal, "signal", s, "after_ms", time.Since(start).Milliseconds())
+		case s := <-reloadSignals:
+			log.Emit(event.SecondStopSignal, "signal", s, "after_ms", time.Since(start).Milliseconds())
 		}
 	}
 }
--- a/internal/patch/patch.go
+++ b/internal/patch/patch.go
@@ -1,6 +1,6 @@
-// Package patch says what differs between two documents, so that a change of
-// one row of a long document travels as that row. Steps are chained by digests:
-// a step fits one document only, and what comes out is the very next one.
+// Package patch computes the difference between two versions of a document, so that a change of one
+// row of a long document is sent as that row. Steps are chained by digests: a step applies to
+// exactly one document and produces exactly the next one.
 package patch
 
 import (
@@ -10,7 +10,7 @@
 	"puffincrank/internal/fault"
 )
 
-// Op is a piece of the new document: taken from the old one, or new.
+// Op is a part of the new document: a range copied from the old one, or new bytes.
 type Op struct {
 	At  int    `msgpack:"a,omitempty"`
 	Len int    `msgpack:"l,omitempty"`
@@ -21,125 +21,126 @@
 type Step struct {
 	From   uint64 `msgpack:"f"`
 	To     uint64 `msgpack:"t"`
-	Base   []byte `msgpack:"b"` // the digest of the old document
-	Digest []byte `msgpack:"s"` // the digest of the new one
+	Base   []byte `msgpack:"b"` // digest of the old document
+	Digest []byte `msgpack:"s"` // digest of the new document
 	Ops    []Op   `msgpack:"o"`
 }
 
-// digest names a document. Half of a SHA-256 is more than chance or a mistake
-// needs; who may send documents may send any document.
+// digest identifies a document. Half of a SHA-256 is enough against accidents, and there is no need
+// to guard against forgery: whoever may send steps may send any document.
 func digest(doc []byte) []byte {
 	d := sha256.Sum256(doc)
 	return d[:16]
 }
 
-// Size is about what a step takes to travel.
+// Size is the approximate encoded size of a step in bytes.
 func (s Step) Size() int {
-	n := 64
-	for _, o := range s.Ops {
-		n += 12 + len(o.New)
+	size := 64
+	for _, op := range s.Ops {
+		size += 12 + len(op.New)
 	}
-	return n
+	return size
 }
 
-// rows cuts a document where rows of JSON end, or lines; no row is longer than
-// long, so that a text without any is cut too.
-func rows(doc []byte) [][]byte {
-	const long = 1024
-	var out [][]byte
+// splitRows splits a document after each closing brace or newline. No piece is longer than maxRow,
+// so that a text without either is split too.
+func splitRows(doc []byte) [][]byte {
+	const maxRow = 1024
+	var chunks [][]byte
 	for len(doc) > 0 {
-		n := bytes.IndexAny(doc[:min(len(doc), long)], "}\n") + 1
-		if n == 0 {
-			n = min(len(doc), long)
+		length := bytes.IndexAny(doc[:min(len(doc), maxRow)], "}\n") + 1
+		if length == 0 {
+			length = min(len(doc), maxRow)
 		}
-		out = append(out, doc[:n])
-		doc = doc[n:]
+		chunks = append(chunks, doc[:length])
+		doc = doc[length:]
 	}
-	return out
+	return chunks
 }
 
-// Make works out the step between two documents.
-func Make(from, to uint64, old, now []byte) Step {
-	s := Step{From: from, To: to, Base: digest(old), Digest: digest(now)}
-	// What is equal at both ends is most of it, and needs no search.
-	head := 0
-	for head < len(old) && head < len(now) && old[head] == now[head] {
-		head++
+// Make computes the step between two documents.
+func Make(from, to uint64, old, updated []byte) Step {
+	step := Step{From: from, To: to, Base: digest(old), Digest: digest(updated)}
+	// The common prefix and suffix are usually most of the document and need no search.
+	prefix := 0
+	for prefix < len(old) && prefix < len(updated) && old[prefix] == updated[prefix] {
+		prefix++
 	}
-	tail := 0
-	for tail < len(old)-head && tail < len(now)-head && old[len(old)-1-tail] == now[len(now)-1-tail] {
-		tail++
+	suffix := 0
+	for suffix < len(old)-prefix && suffix < len(updated)-prefix && old[len(old)-1-suffix] == updated[len(updated)-1-suffix] {
+		suffix++
 	}
-	s.take(0, head)
-	at := map[string][]int{}
-	pos := head
-	for _, r := range rows(old[head : len(old)-tail]) {
-		at[string(r)] = append(at[string(r)], pos)
-		pos += len(r)
+	step.copyRange(0, prefix)
+	offsets := map[string][]int{}
+	offset := prefix
+	for _, row := range splitRows(old[prefix : len(old)-suffix]) {
+		offsets[string(row)] = append(offsets[string(row)], offset)
+		offset += len(row)
 	}
-	for _, r := range rows(now[head : len(now)-tail]) {
-		s.row(r, at[string(r)])
+	for _, row := range splitRows(updated[prefix : len(updated)-suffix]) {
+		step.addRow(row, offsets[string(row)])
 	}
-	s.take(len(old)-tail, tail)
-	return s
+	step.copyRange(len(old)-suffix, suffix)
+	return step
 }
 
-// take adds a piece of the old document, to the last one if it goes on there.
-func (s *Step) take(at, long int) {
-	if long == 0 {
+// copyRange adds a range of the old document, merged with the previous range if it continues that
+// one.
+func (s *Step) copyRange(offset, length int) {
+	if length == 0 {
 		return
 	}
-	if n := len(s.Ops); n > 0 && s.Ops[n-1].New == nil && s.Ops[n-1].At+s.Ops[n-1].Len == at {
-		s.Ops[n-1].Len += long
+	if count := len(s.Ops); count > 0 && s.Ops[count-1].New == nil && s.Ops[count-1].At+s.Ops[count-1].Len == offset {
+		s.Ops[count-1].Len += length
 		return
 	}
-	s.Ops = append(s.Ops, Op{At: at, Len: long})
+	s.Ops = append(s.Ops, Op{At: offset, Len: length})
 }
 
-// row adds a row that stands at some places of the old document, or at none.
-func (s *Step) row(r []byte, at []int) {
-	n := len(s.Ops)
-	for _, a := range at {
-		// Where the last piece ended is best: it makes that one longer.
-		if n > 0 && s.Ops[n-1].New == nil && s.Ops[n-1].At+s.Ops[n-1].Len == a {
-			s.take(a, len(r))
+// addRow adds a row that occurs at the given offsets of the old document, or nowhere in it.
+func (s *Step) addRow(row []byte, offsets []int) {
+	count := len(s.Ops)
+	for _, offset := range offsets {
+		// The offset at which the previous range ends is preferred, since it only extends that
+		// range.
+		if count > 0 && s.Ops[count-1].New == nil && s.Ops[count-1].At+s.Ops[count-1].Len == offset {
+			s.copyRange(offset, len(row))
 			return
 		}
 	}
-	// A short row costs less than its place.
-	if len(at) > 0 && len(r) > 16 {
-		s.take(at[0], len(r))
+	// Copying a short row as bytes is smaller than a reference to it.
+	if len(offsets) > 0 && len(row) > 16 {
+		s.copyRange(offsets[0], len(row))
 		return
 	}
-	if n > 0 && s.Ops[n-1].New != nil {
-		s.Ops[n-1].New = append(s.Ops[n-1].New, r...)
+	if count > 0 && s.Ops[count-1].New != nil {
+		s.Ops[count-1].New = append(s.Ops[count-1].New, row...)
 		return
 	}
-	s.Ops = append(s.Ops, Op{New: append([]byte(nil), r...)})
+	s.Ops = append(s.Ops, Op{New: append([]byte(nil), row...)})
 }
 
-// most bounds a document that a step may make.
-const most = 64 << 20
+// maxDocumentBytes is the size limit of a document that a step may produce.
+const maxDocumentBytes = 64 << 20
 
-// Apply makes the new document from the old one; an error means that the step
-// does not fit it.
+// Apply returns the new document. An error means that the step does not fit the old one.
 func (s Step) Apply(old []byte) ([]byte, error) {
 	if !bytes.Equal(digest(old), s.Base) {
 		return nil, fault.New(fault.Stale, "a step from %d begins at another document", s.From)
 	}
-	var out []byte
-	for _, o := range s.Ops {
-		if o.At < 0 || o.Len < 0 || o.At > len(old) || o.Len > len(old)-o.At || len(out)+o.Len+len(o.New) > most {
+	var result []byte
+	for _, op := range s.Ops {
+		if op.At < 0 || op.Len < 0 || op.At > len(old) || op.Len > len(old)-op.At || len(result)+op.Len+len(op.New) > maxDocumentBytes {
 			return nil, fault.New(fault.Input, "a step to %d is out of bounds", s.To)
 		}
-		if o.New != nil {
-			out = append(out, o.New...)
+		if op.New != nil {
+			result = append(result, op.New...)
 		} else {
-			out = append(out, old[o.At:o.At+o.Len]...)
+			result = append(result, old[op.At:op.At+op.Len]...)
 		}
 	}
-	if !bytes.Equal(digest(out), s.Digest) {
+	if !bytes.Equal(digest(result), s.Digest) {
 		return nil, fault.New(fault.Stale, "a step to %d ends at another document", s.To)
 	}
-	return out, nil
+	return result, nil
 }
--- a/internal/rules/lanes.go
+++ b/internal/rules/lanes.go
@@ -6,65 +6,65 @@
 	"time"
 )
 
-// RequestLanes is how many ways there are by which jobs pass each other on a link;
-// the last one is bulk's.
+// RequestLanes is the number of priority lanes for requests on a link. The last one is for bulk
+// requests.
 const RequestLanes = 7
 
-// haste is what decides how urgent jobs are on a link: the rank, and within it
-// the aim, of which only twice as much makes a difference.
-type haste struct{ rank, aim int }
+// urgency orders requests on a link: by rank, then by target latency. Targets count as different
+// only when they differ by a factor of two.
+type urgency struct{ rank, targetClass int }
 
-// hurry spreads the arms over the lanes by rank and aim, the first most urgent.
-// As with the classes only the order of the ranks counts.
-func (r *Rules) hurry() {
+// assignLanes distributes the arms over the lanes by urgency, the most urgent first. As with the
+// classes, only the order of the ranks counts.
+func (r *Rules) assignLanes() {
 	var arms []*Arm
-	r.short, r.lanes = map[int]time.Duration{}, map[haste]int{}
-	add := func(a *Arm) {
-		if a.Bulk != "" {
+	r.shortestTargets, r.laneByUrgency = map[int]time.Duration{}, map[urgency]int{}
+	add := func(arm *Arm) {
+		if arm.Bulk != "" {
 			return
 		}
-		arms = append(arms, a)
-		if s, ok := r.short[a.Rank]; !ok || a.Target < s {
-			r.short[a.Rank] = a.Target
+		arms = append(arms, arm)
+		if shortest, ok := r.shortestTargets[arm.Rank]; !ok || arm.Target < shortest {
+			r.shortestTargets[arm.Rank] = arm.Target
 		}
 	}
-	for _, p := range r.Routes {
-		add(&p.Base)
-		if p.Trial != 0 {
-			add(&p.New)
+	for _, route := range r.Routes {
+		add(&route.Base)
+		if route.Trial != 0 {
+			add(&route.New)
 		}
 	}
-	var all []haste
-	for _, a := range arms {
-		h := r.haste(a)
-		if _, ok := r.lanes[h]; !ok {
-			r.lanes[h] = 0
-			all = append(all, h)
+	var urgencies []urgency
+	for _, arm := range arms {
+		level := r.urgencyOf(arm)
+		if _, ok := r.laneByUrgency[level]; !ok {
+			r.laneByUrgency[level] = 0
+			urgencies = append(urgencies, level)
 		}
 	}
-	slices.SortFunc(all, func(a, b haste) int {
+	slices.SortFunc(urgencies, func(a, b urgency) int {
 		if a.rank != b.rank {
 			return a.rank - b.rank
 		}
-		return a.aim - b.aim
+		return a.targetClass - b.targetClass
 	})
-	for i, h := range all {
-		// More of them than lanes share the lanes evenly.
-		r.lanes[h] = i * (RequestLanes - 1) / max(len(all), RequestLanes-1)
+	for i, level := range urgencies {
+		// When there are more urgency levels than lanes, they are spread evenly over the lanes.
+		r.laneByUrgency[level] = i * (RequestLanes - 1) / max(len(urgencies), RequestLanes-1)
 	}
 }
 
-func (r *Rules) haste(a *Arm) haste {
-	return haste{a.Rank, bits.Len64(uint64(a.Target / max(r.short[a.Rank], 1)))}
+func (r *Rules) urgencyOf(a *Arm) urgency {
+	return urgency{a.Rank, bits.Len64(uint64(a.Target / max(r.shortestTargets[a.Rank], 1)))}
 }
 
-// Lane is the lane of an arm's jobs, 0 goes first. Bulk is last whatever its
-// rank: what takes long by itself can wait, and a piece of it in an urgent lane
-// would hold up many small ones. It depends on the document's other arms, so it
-// isn't kept in the arm, which later documents may share.
+// Lane returns the lane of an arm's requests; lane 0 goes first. Bulk requests use the last lane
+// whatever their rank: they take long anyway, and a chunk of one in an urgent lane would delay many
+// small requests. The lane depends on the other arms of the document, so it is not stored in the
+// arm, which later versions may share.
 func (r *Rules) Lane(a *Arm) int {
 	if a.Bulk != "" {
 		return RequestLanes - 1
 	}
-	return r.lanes[r.haste(a)]
+	return r.laneByUrgency[r.urgencyOf(a)]
 }
--- a/internal/schema/cast.go
+++ b/internal/schema/convert.go
@@ -9,11 +9,11 @@
 	"strings"
 )
 
-func cast(t Type, raw any) (any, error) {
+func convert(t Type, raw any) (any, error) {
 	switch t {
 	case Text:
-		// The raw value is passed on as it is: another one of the same would be
-		// one more allocation for each setting of each row.
+		// The interface value is returned as it is: boxing the string again would cost one more
+		// allocation for each setting of each row.
 		if _, ok := raw.(string); ok {
 			return raw, nil
 		}
@@ -22,7 +22,7 @@
 			if i, err := n.Int64(); err == nil {
 				return i, nil
 			}
-			if i, ok := whole(n); ok {
+			if i, ok := wholeNumber(n); ok {
 				return i, nil
 			}
 		}
@@ -65,7 +65,7 @@
 			return raw, nil
 		}
 		return nil, errors.New("must be a list of objects")
-	case Row:
+	case Object:
 		if _, ok := raw.(map[string]any); ok {
 			return raw, nil
 		}
@@ -74,19 +74,19 @@
 	return nil, errors.New("must be a text")
 }
 
-// whole reads a number written with a fraction that is none, such as 250.0 or
-// what is left of one after a change of units (550.0000000000001).
-func whole(n json.Number) (int64, bool) {
-	f, err := n.Float64()
-	near := math.Round(f)
-	// Past 2^53 a float no longer tells whole numbers apart.
-	if err != nil || math.Abs(near) > 1<<53 || math.Abs(f-near) > math.Abs(f)*1e-14 {
+// wholeNumber accepts a number with a fraction that is zero, such as 250.0, or zero up to the
+// rounding error of a unit conversion, such as 550.0000000000001.
+func wholeNumber(n json.Number) (int64, bool) {
+	value, err := n.Float64()
+	rounded := math.Round(value)
+	// Beyond 2^53 a float64 cannot represent every whole number.
+	if err != nil || math.Abs(rounded) > 1<<53 || math.Abs(value-rounded) > math.Abs(value)*1e-14 {
 		return 0, false
 	}
-	return int64(near), true
+	return int64(rounded), true
 }
 
-// IsAddr checks an IP number with a port.
+// IsAddr checks that a text is an IP address with a port.
 func IsAddr(s string) error {
 	a, err := netip.ParseAddrPort(s)
 	if err != nil || a.Port() == 0 {
@@ -95,7 +95,7 @@
 	return nil
 }
 
-// IsName checks a name.
+// IsName checks that a value is a valid name.
 func IsName(v any) error {
 	s, ok := v.(string)
 	ok = ok && len(s) > 0 && len(s) <= 64
@@ -110,51 +110,51 @@
 	return nil
 }
 
-// IntRange checks that a whole number is within bounds.
+// IntRange returns a check that a whole number is within bounds.
 func IntRange(low, high int64) func(any) error {
 	return func(v any) error {
-		if n, ok := v.(int64); !ok || n < low || n > high {
+		if number, ok := v.(int64); !ok || number < low || number > high {
 			return fmt.Errorf("must be from %d to %d", low, high)
 		}
 		return nil
 	}
 }
 
-// FloatRange checks that a number is within bounds.
+// FloatRange returns a check that a number is within bounds.
 func FloatRange(low, high float64) func(any) error {
 	return func(v any) error {
-		if n, ok := v.(float64); !ok || n < low || n > high {
+		if number, ok := v.(float64); !ok || number < low || number > high {
 			return fmt.Errorf("must be from %g to %g", low, high)
 		}
 		return nil
 	}
 }
 
-// OneOf checks that a text is one of a few.
-func OneOf(all ...string) func(any) error {
+// OneOf returns a check that a text is one of the allowed ones.
+func OneOf(allowed ...string) func(any) error {
 	return func(v any) error {
-		for _, a := range all {
+		for _, a := range allowed {
 			if v == a {
 				return nil
 			}
 		}
-		return fmt.Errorf("must be one of %v", all)
+		return fmt.Errorf("must be one of %v", allowed)
 	}
 }
 
-// FromFlag turns the text of a flag into the raw value of its type.
-func FromFlag(t Type, s string) any {
+// FromFlag converts the text of a command-line flag into the raw value of its type.
+func FromFlag(t Type, text string) any {
 	switch t {
 	case Count, Span, Share:
-		return json.Number(s)
+		return json.Number(text)
 	case Flag:
-		return s == "true"
+		return text == "true"
 	case Addrs:
 		list := []any{}
-		for _, a := range strings.Split(s, ",") {
-			list = append(list, strings.TrimSpace(a))
+		for _, address := range strings.Split(text, ",") {
+			list = append(list, strings.TrimSpace(address))
 		}
 		return list
 	}
-	return s
+	return text
 }
