--- a/internal/repocheck/wire_test.go
+++ b/internal/repocheck/wire_test.go
@@ -80,6 +80,7 @@
 	"ormap.Grave":       "ormap.Tombstone",
 	"proxy.DrainAsk":    "proxy.DrainRequest",
 	"proxy.StatusAsk":   "proxy.StatusRequest",
+	"proxy.counts":      "proxy.requestCounts",
 	"session.Back":      "protocol.AttemptResult",
 	"session.Beat":      "protocol.Heartbeat",
 	"session.Hand":      "protocol.AttemptRequest",
@@ -101,7 +102,7 @@
 }
 
 // qualifiedType finds the types that a recorded line names with their packages.
-var qualifiedType = regexp.MustCompile(`\b[a-z]+\.[A-Z]\w*`)
+var qualifiedType = regexp.MustCompile(`\b[a-z]+\.[A-Za-z]\w*`)
 
 // ofNow is a recorded line with the names of now.
 func ofNow(line string) string {
