--- a/internal/admission/crowd_test.go
+++ b/internal/admission/crowd_test.go
@@ -12,127 +12,129 @@
 	"puffincrank/internal/task"
 )
 
-// comer is one job of a crowd.
-type comer struct {
-	kind int
-	at   time.Duration
-	took time.Duration
+// arrival is one job of a crowd.
+type arrival struct {
+	classIndex int
+	at         time.Duration
+	runTime    time.Duration
 }
 
 // The kinds of a crowd: the first rank's aim is the tightest.
 var (
-	crowdClass = []string{"rank-0", "rank-1", "rank-2"}
-	crowdShare = map[string]float64{"rank-0": 57, "rank-1": 29, "rank-2": 14}
-	crowdAim   = []time.Duration{300 * time.Millisecond, 600 * time.Millisecond, 1200 * time.Millisecond}
+	overloadClasses = []string{"rank-0", "rank-1", "rank-2"}
+	overloadShares  = map[string]float64{"rank-0": 57, "rank-1": 29, "rank-2": 14}
+	overloadTargets = []time.Duration{300 * time.Millisecond, 600 * time.Millisecond, 1200 * time.Millisecond}
 )
 
 const (
-	crowdSlots = 12
-	crowdMid   = 100 * time.Millisecond
-	crowdLong  = 30 * time.Second
+	overloadSlots       = 12
+	overloadMeanRunTime = 100 * time.Millisecond
+	overloadDuration    = 30 * time.Second
 )
 
-// drawCrowd draws jobs that ask for so many times the room.
-func drawCrowd(seed uint64, times float64) (out []comer) {
-	r := rand.New(rand.NewPCG(seed, 71))
-	gap := float64(crowdMid) / crowdSlots / times
-	for at := 0.0; at < float64(crowdLong); at += r.ExpFloat64() * gap {
-		kind := []int{0, 0, 0, 0, 0, 1, 1, 1, 2, 2}[r.IntN(10)]
-		out = append(out, comer{kind, time.Duration(at), crowdMid/2 + time.Duration(r.Int64N(int64(crowdMid)))})
+// drawArrivals draws jobs that ask for so many times the room.
+func drawArrivals(seed uint64, factor float64) (arrivals []arrival) {
+	random := rand.New(rand.NewPCG(seed, 71))
+	meanGap := float64(overloadMeanRunTime) / overloadSlots / factor
+	for at := 0.0; at < float64(overloadDuration); at += random.ExpFloat64() * meanGap {
+		classIndex := []int{0, 0, 0, 0, 0, 1, 1, 1, 2, 2}[random.IntN(10)]
+		arrivals = append(arrivals, arrival{classIndex, time.Duration(at), overloadMeanRunTime/2 + time.Duration(random.Int64N(int64(overloadMeanRunTime)))})
 	}
-	return out
+	return arrivals
 }
 
-// good is the room that ended in answers inside the aim, by kind.
-type good [3]time.Duration
+// goodput is the room that ended in answers inside the aim, by kind.
+type goodput [3]time.Duration
 
-func (g *good) add(c comer, end time.Duration) {
-	if end-c.at <= crowdAim[c.kind] {
-		g[c.kind] += c.took
+func (g *goodput) add(served arrival, end time.Duration) {
+	if end-served.at <= overloadTargets[served.classIndex] {
+		g[served.classIndex] += served.runTime
 	}
 }
 
-func (g *good) share() float64 { return float64(g[0]+g[1]+g[2]) / float64(crowdSlots*crowdLong) }
+func (g *goodput) total() float64 {
+	return float64(g[0]+g[1]+g[2]) / float64(overloadSlots*overloadDuration)
+}
 
-// inOrder serves a crowd first come first served: each waits until its caller
+// serveFIFO serves a crowd first come first served: each waits until its caller
 // gives up, at four times its aim. At most so many wait; 0 is no bound.
-func inOrder(all []comer, most int) (g good) {
-	var free [crowdSlots]time.Duration // when each slot's last job ends
-	var begins []time.Duration         // when those who wait get their turn
-	for _, c := range all {
-		soon := 0
-		for i, f := range free {
-			if f < free[soon] {
-				soon = i
+func serveFIFO(arrivals []arrival, queueLimit int) (result goodput) {
+	var freeAt [overloadSlots]time.Duration // when each slot's last job ends
+	var starts []time.Duration              // when those who wait get their turn
+	for _, arrived := range arrivals {
+		earliest := 0
+		for i, f := range freeAt {
+			if f < freeAt[earliest] {
+				earliest = i
 			}
 		}
-		for len(begins) > 0 && begins[0] <= c.at {
-			begins = begins[1:]
+		for len(starts) > 0 && starts[0] <= arrived.at {
+			starts = starts[1:]
 		}
-		from := max(free[soon], c.at)
-		if from > c.at+4*crowdAim[c.kind] || most > 0 && from > c.at && len(begins) >= most {
+		start := max(freeAt[earliest], arrived.at)
+		if start > arrived.at+4*overloadTargets[arrived.classIndex] || queueLimit > 0 && start > arrived.at && len(starts) >= queueLimit {
 			continue
 		}
-		if from > c.at {
-			begins = append(begins, from)
+		if start > arrived.at {
+			starts = append(starts, start)
 		}
-		free[soon] = from + c.took
-		g.add(c, free[soon])
+		freeAt[earliest] = start + arrived.runTime
+		result.add(arrived, freeAt[earliest])
 	}
-	return g
+	return result
 }
 
-// byRoom serves it by a Room, with the bounds that an owner asks for.
-func byRoom(t *testing.T, all []comer) (g good) {
+// serveWithController serves it by a Room, with the bounds that an owner asks for.
+func serveWithController(t *testing.T, arrivals []arrival) (result goodput) {
 	synctest.Test(t, func(t *testing.T) {
-		r := New()
-		r.Configure(crowdSlots, crowdShare, crowdSlots)
+		controller := New()
+		controller.Configure(overloadSlots, overloadShares, overloadSlots)
 		start := time.Now()
 		var mu sync.Mutex
-		var over sync.WaitGroup
+		var pending sync.WaitGroup
 		group := task.New(context.Background())
-		for _, c := range all {
-			task.Sleep(t.Context(), c.at-time.Since(start))
-			over.Add(1)
+		for _, arrived := range arrivals {
+			task.Sleep(t.Context(), arrived.at-time.Since(start))
+			pending.Add(1)
 			group.Go("job", func(ctx context.Context) {
-				defer over.Done()
-				aim := crowdAim[c.kind]
-				a := Request{Class: crowdClass[c.kind], MaxWait: min(2*aim, aim-crowdMid), Target: aim}
-				if r.Acquire(ctx, a) != Admitted {
+				defer pending.Done()
+				target := overloadTargets[arrived.classIndex]
+				request := Request{Class: overloadClasses[arrived.classIndex], MaxWait: min(2*target, target-overloadMeanRunTime), Target: target}
+				if controller.Acquire(ctx, request) != Admitted {
 					return
 				}
-				task.Sleep(ctx, c.took)
-				r.Release(a, c.took)
+				task.Sleep(ctx, arrived.runTime)
+				controller.Release(request, arrived.runTime)
 				mu.Lock()
-				g.add(c, time.Since(start))
+				result.add(arrived, time.Since(start))
 				mu.Unlock()
 			})
 		}
-		over.Wait()
+		pending.Wait()
 		group.Stop()
 	})
-	return g
+	return result
 }
 
-// TestCrowdAgainstOrder: in a crowd of twice and four times the room, the part
+// TestOverloadGoodputAgainstFIFO: in a crowd of twice and four times the room, the part
 // of it that ends in answers inside the aim, against first come first served
 // with the same jobs, and against that with a queue as long as ours.
-func TestCrowdAgainstOrder(t *testing.T) {
-	for _, times := range []float64{2, 4} {
-		t.Run(fmt.Sprint(times, " times the room"), func(t *testing.T) {
-			all := drawCrowd(uint64(times), times)
-			ours, plain, short := byRoom(t, all), inOrder(all, 0), inOrder(all, crowdSlots)
-			t.Logf("of the room inside the aim: ours %.3f, first come first served %.3f, with a queue of %d %.3f", ours.share(), plain.share(), crowdSlots, short.share())
-			part := func(g good, k int) float64 { return float64(g[k]) / float64(crowdSlots*crowdLong) }
-			for k, n := range crowdClass {
-				t.Logf("%s: ours %.3f, in order %.3f, with a short queue %.3f", n, part(ours, k), part(plain, k), part(short, k))
+func TestOverloadGoodputAgainstFIFO(t *testing.T) {
+	for _, factor := range []float64{2, 4} {
+		t.Run(fmt.Sprint(factor, " times the room"), func(t *testing.T) {
+			arrivals := drawArrivals(uint64(factor), factor)
+			controlled, fifo, shortQueue := serveWithController(t, arrivals), serveFIFO(arrivals, 0), serveFIFO(arrivals, overloadSlots)
+			t.Logf("of the room inside the aim: ours %.3f, first come first served %.3f, with a queue of %d %.3f", controlled.total(), fifo.total(), overloadSlots, shortQueue.total())
+			classShare := func(g goodput, k int) float64 { return float64(g[k]) / float64(overloadSlots*overloadDuration) }
+			for k, class := range overloadClasses {
+				t.Logf("%s: ours %.3f, in order %.3f, with a short queue %.3f", class, classShare(controlled, k), classShare(fifo, k), classShare(shortQueue, k))
 			}
 			// A short queue alone fills the room as well; ranks are what it can't give.
-			if ours.share() < 0.97 || ours.share() < 5*plain.share() || ours.share() < short.share()-0.01 {
-				t.Errorf("%.3f of the room inside the aim; in order %.3f and %.3f", ours.share(), plain.share(), short.share())
+			if controlled.total() < 0.97 || controlled.total() < 5*fifo.total() || controlled.total() < shortQueue.total()-0.01 {
+				t.Errorf("%.3f of the room inside the aim; in order %.3f and %.3f", controlled.total(), fifo.total(), shortQueue.total())
 			}
-			if part(ours, 0) < part(short, 0)*1.1 {
-				t.Errorf("the first rank has %.3f, in order with a short queue %.3f", part(ours, 0), part(short, 0))
+			if classShare(controlled, 0) < classShare(shortQueue, 0)*1.1 {
+				t.Errorf("the first rank has %.3f, in order with a short queue %.3f", classShare(controlled, 0), classShare(shortQueue, 0))
 			}
 		})
 	}
--- a/internal/admission/floors.go
+++ b/internal/admission/floors.go
@@ -5,50 +5,50 @@
 	"sort"
 )
 
-// Floors rounds shares to whole slots by the largest remainder. A class with a
+// GuaranteedSlots rounds shares to whole slots by the largest remainder. A class with a
 // positive share gets one slot at least, as far as the slots reach.
-func Floors(slots int, shares map[string]float64) map[string]int {
-	type part struct {
+func GuaranteedSlots(slots int, shares map[string]float64) map[string]int {
+	type fraction struct {
 		name string
 		rest float64
 	}
-	var parts []part
-	out := map[string]int{}
-	left := slots
-	for n, s := range shares {
-		exact := float64(slots) * s / 100
-		out[n] = int(math.Floor(exact + 1e-9))
-		left -= out[n]
-		parts = append(parts, part{n, exact - float64(out[n])})
+	var fractions []fraction
+	guaranteed := map[string]int{}
+	remaining := slots
+	for class, share := range shares {
+		exact := float64(slots) * share / 100
+		guaranteed[class] = int(math.Floor(exact + 1e-9))
+		remaining -= guaranteed[class]
+		fractions = append(fractions, fraction{class, exact - float64(guaranteed[class])})
 	}
-	sort.Slice(parts, func(i, j int) bool {
-		if parts[i].rest != parts[j].rest {
-			return parts[i].rest > parts[j].rest
+	sort.Slice(fractions, func(i, j int) bool {
+		if fractions[i].rest != fractions[j].rest {
+			return fractions[i].rest > fractions[j].rest
 		}
-		return parts[i].name < parts[j].name
+		return fractions[i].name < fractions[j].name
 	})
-	for i := 0; i < len(parts) && left > 0; i++ {
-		if shares[parts[i].name] > 0 {
-			out[parts[i].name]++
-			left--
+	for i := 0; i < len(fractions) && remaining > 0; i++ {
+		if shares[fractions[i].name] > 0 {
+			guaranteed[fractions[i].name]++
+			remaining--
 		}
 	}
 	// No positive share may round to nothing: the richest class gives one up.
-	for _, p := range parts {
-		if shares[p.name] <= 0 || out[p.name] > 0 {
+	for _, p := range fractions {
+		if shares[p.name] <= 0 || guaranteed[p.name] > 0 {
 			continue
 		}
-		rich := ""
-		for _, q := range parts {
-			if out[q.name] > 1 && (rich == "" || out[q.name] > out[rich]) {
-				rich = q.name
+		richest := ""
+		for _, q := range fractions {
+			if guaranteed[q.name] > 1 && (richest == "" || guaranteed[q.name] > guaranteed[richest]) {
+				richest = q.name
 			}
 		}
-		if rich == "" {
+		if richest == "" {
 			continue
 		}
-		out[rich]--
-		out[p.name]++
+		guaranteed[richest]--
+		guaranteed[p.name]++
 	}
-	return out
+	return guaranteed
 }
--- a/internal/admission/queue.go
+++ b/internal/admission/queue.go
@@ -4,95 +4,95 @@
 
 // waiter is one job that waits for a slot.
 type waiter struct {
-	go_         chan struct{}
-	in          bool
-	inner       bool
-	rank        int // those of a lower one go first
-	line        *line
-	due         time.Time // when its wait is over
-	prev, later *waiter
+	admitted   chan struct{}
+	hasSlot    bool
+	nested     bool
+	priority   int // those of a lower one go first
+	queue      *waitQueue
+	deadline   time.Time // when its wait is over
+	prev, next *waiter
 }
 
-// line is waiters in the order in which their waits end: whoever can wait least
+// waitQueue is waiters in the order in which their waits end: whoever can wait least
 // goes first, and among equals whoever came first. Those of a
 // higher rank go after all of a lower one, however long they waited: a slot
 // serves one job either way. One that gives up leaves from wherever it stands,
 // without a walk over the others.
-type line struct {
+type waitQueue struct {
 	first, last *waiter
-	long        int
+	length      int
 }
 
-func (l *line) add(w *waiter) {
-	at := l.last
-	for at != nil && at.behind(w.rank, w.due) {
-		at = at.prev
+func (q *waitQueue) add(added *waiter) {
+	before := q.last
+	for before != nil && before.comesAfter(added.priority, added.deadline) {
+		before = before.prev
 	}
-	w.line, w.prev = l, at
-	if at != nil {
-		w.later, at.later = at.later, w
+	added.queue, added.prev = q, before
+	if before != nil {
+		added.next, before.next = before.next, added
 	} else {
-		w.later, l.first = l.first, w
+		added.next, q.first = q.first, added
 	}
-	if w.later != nil {
-		w.later.prev = w
+	if added.next != nil {
+		added.next.prev = added
 	} else {
-		l.last = w
+		q.last = added
 	}
-	l.long++
+	q.length++
 }
 
-// behind tells whether a waiter goes after a new one.
-func (w *waiter) behind(rank int, due time.Time) bool {
-	if w.rank != rank {
-		return w.rank > rank
+// comesAfter tells whether a waiter goes after a new one.
+func (w *waiter) comesAfter(priority int, deadline time.Time) bool {
+	if w.priority != priority {
+		return w.priority > priority
 	}
-	return w.due.After(due)
+	return w.deadline.After(deadline)
 }
 
-// before counts the waiters that go before one whose wait ends at a time.
-func (l *line) before(rank int, due time.Time) int {
-	n := l.long
-	for at := l.last; at != nil && at.behind(rank, due); at = at.prev {
-		n--
+// countBefore counts the waiters that go before one whose wait ends at a time.
+func (q *waitQueue) countBefore(priority int, deadline time.Time) int {
+	count := q.length
+	for current := q.last; current != nil && current.comesAfter(priority, deadline); current = current.prev {
+		count--
 	}
-	return n
+	return count
 }
 
-func (l *line) drop(w *waiter) {
-	if w.prev != nil {
-		w.prev.later = w.later
+func (q *waitQueue) remove(removed *waiter) {
+	if removed.prev != nil {
+		removed.prev.next = removed.next
 	} else {
-		l.first = w.later
+		q.first = removed.next
 	}
-	if w.later != nil {
-		w.later.prev = w.prev
+	if removed.next != nil {
+		removed.next.prev = removed.prev
 	} else {
-		l.last = w.prev
+		q.last = removed.prev
 	}
-	w.prev, w.later, w.line = nil, nil, nil
-	l.long--
+	removed.prev, removed.next, removed.queue = nil, nil, nil
+	q.length--
 }
 
-// lot is what one class has in a room.
-type lot struct {
-	floor  int
-	known  bool // the rules have the class
-	used   int
-	inner  line // calls of jobs that hold a slot elsewhere go first
-	outer  line
-	no     int64
-	did    int64
-	pace   pace
-	starts int64 // sum of the starts of the jobs inside, in us since the room's birth
+// classState is what one class has in a room.
+type classState struct {
+	guaranteed int
+	configured bool // the rules have the class
+	used       int
+	nested     waitQueue // calls of jobs that hold a slot elsewhere go first
+	direct     waitQueue
+	refused    int64
+	served     int64
+	holdTime   holdTime
+	startSum   int64 // sum of the starts of the jobs inside, in us since the room's birth
 }
 
-func (l *lot) waits() int { return l.inner.long + l.outer.long }
+func (s *classState) waiting() int { return s.nested.length + s.direct.length }
 
-// next is the waiter whose turn it is.
-func (l *lot) next() *waiter {
-	if l.inner.first != nil {
-		return l.inner.first
+// nextWaiter is the waiter whose turn it is.
+func (s *classState) nextWaiter() *waiter {
+	if s.nested.first != nil {
+		return s.nested.first
 	}
-	return l.outer.first
+	return s.direct.first
 }
--- a/internal/admission/room.go
+++ b/internal/admission/room.go
@@ -13,60 +13,60 @@
 
 // Controller is the slots of one worker.
 type Controller struct {
-	mu     sync.Mutex
-	born   time.Time
-	slots  int
-	queue  int
-	total  int
-	lots   map[string]*lot
-	guests float64 // part of the jobs that are inner ones, smoothed
-	inside int     // inner jobs with a slot
-	shut   bool
-	closed chan struct{}
-	dice   func() float64
+	mu           sync.Mutex
+	created      time.Time
+	slots        int
+	queueLimit   int
+	inUse        int
+	classes      map[string]*classState
+	nestedShare  float64 // part of the jobs that are inner ones, smoothed
+	nestedInUse  int     // inner jobs with a slot
+	draining     bool
+	drainStarted chan struct{}
+	random       func() float64
 }
 
 // New makes a room; Shape sets its size.
 func New() *Controller {
-	return &Controller{born: time.Now(), lots: map[string]*lot{}, closed: make(chan struct{}), dice: rand.Float64}
+	return &Controller{created: time.Now(), classes: map[string]*classState{}, drainStarted: make(chan struct{}), random: rand.Float64}
 }
 
-// now is the time since the room's birth in us: sums of it over all slots stay
+// nowMicros is the time since the room's birth in us: sums of it over all slots stay
 // far below the greatest whole number.
-func (r *Controller) now() int64 { return time.Since(r.born).Microseconds() }
+func (c *Controller) nowMicros() int64 { return time.Since(c.created).Microseconds() }
 
-// lot finds a class's lot or makes it.
-func (r *Controller) lot(class string) *lot {
-	l := r.lots[class]
-	if l == nil {
-		l = &lot{}
-		r.lots[class] = l
+// stateOf finds a class's lot or makes it.
+func (c *Controller) stateOf(class string) *classState {
+	state := c.classes[class]
+	if state == nil {
+		state = &classState{}
+		c.classes[class] = state
 	}
-	return l
+	return state
 }
 
 // Configure sets the slots, the shares and the bound on each queue. Jobs that run
 // stay; what waits is looked at anew.
-func (r *Controller) Configure(slots int, shares map[string]float64, queue int) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.slots, r.queue = slots, queue
-	floors := Floors(slots, shares)
-	for n, l := range r.lots {
-		if _, ok := floors[n]; ok {
+func (c *Controller) Configure(slots int, shares map[string]float64, queueLimit int) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.slots, c.queueLimit = slots, queueLimit
+	guaranteed := GuaranteedSlots(slots, shares)
+	for class, state := range c.classes {
+		if _, ok := guaranteed[class]; ok {
 			continue
 		}
-		l.floor, l.known = 0, false
+		state.guaranteed, state.configured = 0, false
 		// A class that went out of the rules goes with its last job.
-		if l.used == 0 && l.waits() == 0 {
-			delete(r.lots, n)
+		if state.used == 0 && state.waiting() == 0 {
+			delete(c.classes, class)
 		}
 	}
-	for n, f := range floors {
-		l := r.lot(n)
-		l.floor, l.known = f, true
+	for class, count := range guaranteed {
+		state := c.stateOf(class)
+		state.guaranteed, state.configured = count, true
 	}
-	r.next()
+	c.dispatch()
 }
 
 // The outcomes of Enter.
@@ -87,161 +87,161 @@
 	Priority int           // those of a lower one go first in its line
 }
 
-// bound is how long a job may wait. One that is turned away later than a
+// waitLimit is how long a job may wait. One that is turned away later than a
 // quarter of its aim has too little left to be served in time elsewhere.
-func (a Request) bound() time.Duration {
-	if a.Target > 0 {
-		return min(a.MaxWait, a.Target/4)
+func (r Request) waitLimit() time.Duration {
+	if r.Target > 0 {
+		return min(r.MaxWait, r.Target/4)
 	}
-	return a.MaxWait
+	return r.MaxWait
 }
 
 // Acquire takes a slot, waiting for one within the ask's bounds. Any other
 // outcome than In means that the job got none. Leave wants the same ask.
-func (r *Controller) Acquire(ctx context.Context, a Request) string {
-	r.mu.Lock()
-	if r.shut {
-		r.mu.Unlock()
+func (c *Controller) Acquire(ctx context.Context, request Request) string {
+	c.mu.Lock()
+	if c.draining {
+		c.mu.Unlock()
 		return Draining
 	}
-	l := r.lots[a.Class]
-	if l == nil || !l.known {
-		r.mu.Unlock()
+	state := c.classes[request.Class]
+	if state == nil || !state.configured {
+		c.mu.Unlock()
 		return UnknownClass
 	}
-	r.meet(a.Nested)
+	c.recordArrival(request.Nested)
 	// Fewer slots kept back may be a turn for one who waits.
-	if r.total < r.slots {
-		r.next()
+	if c.inUse < c.slots {
+		c.dispatch()
 	}
-	q, ahead, most := &l.outer, l.waits(), r.queue
-	if a.Nested {
+	queue, ahead, limit := &state.direct, state.waiting(), c.queueLimit
+	if request.Nested {
 		// A slot stands still elsewhere as long as an inner job waits, so its
 		// queue is a little longer.
-		q, ahead, most = &l.inner, l.inner.long, r.queue+max(r.queue/4, 1)
+		queue, ahead, limit = &state.nested, state.nested.length, c.queueLimit+max(c.queueLimit/4, 1)
 	}
-	if ahead == 0 && r.free(l, a.Nested) {
-		r.give(l, a.Nested)
-		r.mu.Unlock()
+	if ahead == 0 && c.canAdmit(state, request.Nested) {
+		c.admit(state, request.Nested)
+		c.mu.Unlock()
 		return Admitted
 	}
 	// A job that can't hope for a slot in its time is told so at once. Only those
 	// that go before it are in its way; the queue as a whole is bounded besides.
-	wait := a.bound()
-	due := time.Now().Add(wait)
-	first := ahead - q.long + q.before(a.Priority, due)
-	if first >= most || ahead >= 4*most || r.fear(l, first) > wait {
-		l.no++
-		r.mu.Unlock()
+	wait := request.waitLimit()
+	deadline := time.Now().Add(wait)
+	before := ahead - queue.length + queue.countBefore(request.Priority, deadline)
+	if before >= limit || ahead >= 4*limit || c.estimateWaitWithMargin(state, before) > wait {
+		state.refused++
+		c.mu.Unlock()
 		return QueueFull
 	}
-	w := &waiter{inner: a.Nested, rank: a.Priority, due: due, go_: make(chan struct{})}
-	q.add(w)
-	closed := r.closed
-	r.mu.Unlock()
-	t := time.NewTimer(wait)
-	defer t.Stop()
-	why := NoTimeLeft
+	queued := &waiter{nested: request.Nested, priority: request.Priority, deadline: deadline, admitted: make(chan struct{})}
+	queue.add(queued)
+	drainStarted := c.drainStarted
+	c.mu.Unlock()
+	timer := time.NewTimer(wait)
+	defer timer.Stop()
+	outcome := NoTimeLeft
 	select {
-	case <-w.go_:
+	case <-queued.admitted:
 		return Admitted
-	case <-closed:
-		why = Draining
-	case <-t.C:
+	case <-drainStarted:
+		outcome = Draining
+	case <-timer.C:
 	case <-ctx.Done():
 	}
-	r.mu.Lock()
-	defer r.mu.Unlock()
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	// The slot may have come just now; then it is taken after all.
-	if w.in {
+	if queued.hasSlot {
 		return Admitted
 	}
-	w.line.drop(w)
-	l.no++
-	return why
+	queued.queue.remove(queued)
+	state.refused++
+	return outcome
 }
 
-// meet notes what part of the jobs are inner ones.
-func (r *Controller) meet(inner bool) {
-	hit := 0.0
-	if inner {
-		hit = 1
+// recordArrival notes what part of the jobs are inner ones.
+func (c *Controller) recordArrival(nested bool) {
+	value := 0.0
+	if nested {
+		value = 1
 	}
-	r.guests += (hit - r.guests) / (2 * memory)
+	c.nestedShare += (value - c.nestedShare) / (2 * holdTimeSamples)
 }
 
-// kept is how many free slots are kept back for inner jobs: as many as come
+// reservedForNested is how many free slots are kept back for inner jobs: as many as come
 // usually and are not inside, an eighth of the slots at the most.
-func (r *Controller) kept() int {
-	return max(min(int(math.Round(r.guests*float64(r.slots))), r.slots/8)-r.inside, 0)
+func (c *Controller) reservedForNested() int {
+	return max(min(int(math.Round(c.nestedShare*float64(c.slots))), c.slots/8)-c.nestedInUse, 0)
 }
 
-// free tells whether a class's job may have a slot now. What is kept back is
+// canAdmit tells whether a class's job may have a slot now. What is kept back is
 // kept from those who would borrow it, never from a class below its share.
-func (r *Controller) free(l *lot, inner bool) bool {
-	left := r.slots - r.total
-	if !inner && l.used >= l.floor {
-		left -= r.kept()
+func (c *Controller) canAdmit(state *classState, nested bool) bool {
+	available := c.slots - c.inUse
+	if !nested && state.used >= state.guaranteed {
+		available -= c.reservedForNested()
 	}
-	return left > 0
+	return available > 0
 }
 
-func (r *Controller) give(l *lot, inner bool) {
-	l.used++
-	r.total++
-	l.starts += r.now()
-	if inner {
-		r.inside++
+func (c *Controller) admit(state *classState, nested bool) {
+	state.used++
+	c.inUse++
+	state.startSum += c.nowMicros()
+	if nested {
+		c.nestedInUse++
 	}
 }
 
 // Release gives a slot back after a job that took some time.
-func (r *Controller) Release(a Request, took time.Duration) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	l := r.lot(a.Class)
-	l.used--
-	r.total--
-	if a.Nested {
-		r.inside--
-	}
-	l.did++
-	l.starts -= r.now() - took.Microseconds()
-	if l.used == 0 {
-		l.starts = 0
-	}
-	l.pace.note(took)
-	r.next()
+func (c *Controller) Release(request Request, held time.Duration) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	state := c.stateOf(request.Class)
+	state.used--
+	c.inUse--
+	if request.Nested {
+		c.nestedInUse--
+	}
+	state.served++
+	state.startSum -= c.nowMicros() - held.Microseconds()
+	if state.used == 0 {
+		state.startSum = 0
+	}
+	state.holdTime.add(held)
+	c.dispatch()
 }
 
-// next hands free slots to waiters: first to the class that is furthest below
+// dispatch hands free slots to waiters: first to the class that is furthest below
 // its share, then to the one that has borrowed least.
-func (r *Controller) next() {
-	for r.total < r.slots {
-		var best *lot
-		name, rank := "", math.Inf(1)
-		for c, l := range r.lots {
-			w := l.next()
-			if w == nil || !r.free(l, w.inner) {
+func (c *Controller) dispatch() {
+	for c.inUse < c.slots {
+		var best *classState
+		bestClass, lowestUsage := "", math.Inf(1)
+		for class, state := range c.classes {
+			waiting := state.nextWaiter()
+			if waiting == nil || !c.canAdmit(state, waiting.nested) {
 				continue
 			}
 			// Below its share the rank is under 1; a class without a share
 			// comes after all the others.
-			n := math.MaxFloat64
-			if l.floor > 0 {
-				n = float64(l.used) / float64(l.floor)
+			usage := math.MaxFloat64
+			if state.guaranteed > 0 {
+				usage = float64(state.used) / float64(state.guaranteed)
 			}
-			if n < rank || (n == rank && (best == nil || c < name)) {
-				best, name, rank = l, c, n
+			if usage < lowestUsage || (usage == lowestUsage && (best == nil || class < bestClass)) {
+				best, bestClass, lowestUsage = state, class, usage
 			}
 		}
 		if best == nil {
 			return
 		}
-		w := best.next()
-		w.line.drop(w)
-		w.in = true
-		r.give(best, w.inner)
-		close(w.go_)
+		waiting := best.nextWaiter()
+		waiting.queue.remove(waiting)
+		waiting.hasSlot = true
+		c.admit(best, waiting.nested)
+		close(waiting.admitted)
 	}
 }
--- a/internal/admission/room_test.go
+++ b/internal/admission/room_test.go
@@ -10,93 +10,93 @@
 	"pgregory.net/rapid"
 )
 
-// TestFloors: whole slots add up, no positive share starves, and no class is
+// TestGuaranteedSlots: whole slots add up, no positive share starves, and no class is
 // more than one slot off its exact share unless it had to give one up.
-func TestFloors(t *testing.T) {
+func TestGuaranteedSlots(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		slots := rapid.IntRange(3, 40).Draw(t, "slots")
-		n := rapid.IntRange(1, 4).Draw(t, "classes")
-		left := 100
+		classes := rapid.IntRange(1, 4).Draw(t, "classes")
+		remaining := 100
 		shares := map[string]float64{}
-		for i := range n {
-			s := left
-			if i < n-1 {
-				s = rapid.IntRange(0, left).Draw(t, "share")
+		for i := range classes {
+			share := remaining
+			if i < classes-1 {
+				share = rapid.IntRange(0, remaining).Draw(t, "share")
 			}
-			shares[fmt.Sprint("c", i)] = float64(s)
-			left -= s
+			shares[fmt.Sprint("c", i)] = float64(share)
+			remaining -= share
 		}
-		got := Floors(slots, shares)
+		guaranteed := GuaranteedSlots(slots, shares)
 		sum, positive := 0, 0
-		for c, s := range shares {
-			sum += got[c]
-			if s > 0 {
+		for c, share := range shares {
+			sum += guaranteed[c]
+			if share > 0 {
 				positive++
 			}
-			if s == 0 && got[c] != 0 {
-				t.Fatalf("class without a share has %d", got[c])
+			if share == 0 && guaranteed[c] != 0 {
+				t.Fatalf("class without a share has %d", guaranteed[c])
 			}
 		}
 		if sum != slots {
-			t.Fatalf("floors %v add up to %d of %d", got, sum, slots)
+			t.Fatalf("floors %v add up to %d of %d", guaranteed, sum, slots)
 		}
-		for c, s := range shares {
-			if s > 0 && got[c] == 0 && slots >= positive {
-				t.Fatalf("class %s of share %v starves: %v", c, s, got)
+		for c, share := range shares {
+			if share > 0 && guaranteed[c] == 0 && slots >= positive {
+				t.Fatalf("class %s of share %v starves: %v", c, share, guaranteed)
 			}
 		}
 	})
 }
 
-// TestModel plays a room against a plain model of its rule: whoever waits gets
+// TestControllerAgainstModel plays a room against a plain model of its rule: whoever waits gets
 // a freed slot by least used ÷ share, and no slot is idle while anyone waits.
-func TestModel(t *testing.T) {
+func TestControllerAgainstModel(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		synctest.Test(t, func(t *testing.T) {
 			shares := map[string]float64{"a": 50, "b": 30, "c": 20}
 			slots := rapid.IntRange(3, 18).Draw(rt, "slots")
-			floor := Floors(slots, shares)
-			r := New()
-			r.Configure(slots, shares, 1000)
-			used, wait, total := map[string]int{}, map[string]int{}, 0
+			guaranteed := GuaranteedSlots(slots, shares)
+			controller := New()
+			controller.Configure(slots, shares, 1000)
+			used, waiting, inUse := map[string]int{}, map[string]int{}, 0
 			ctx, stop := context.WithCancel(t.Context())
 			defer synctest.Wait()
 			defer stop()
-			ins := make(chan string, 1000)
+			admitted := make(chan string, 1000)
 			for range rapid.IntRange(1, 80).Draw(rt, "steps") {
-				c := rapid.SampledFrom([]string{"a", "b", "c"}).Draw(rt, "class")
+				class := rapid.SampledFrom([]string{"a", "b", "c"}).Draw(rt, "class")
 				if rapid.Bool().Draw(rt, "enter") {
 					go func() {
-						if r.Acquire(ctx, Request{Class: c, MaxWait: time.Hour}) == Admitted {
-							ins <- c
+						if controller.Acquire(ctx, Request{Class: class, MaxWait: time.Hour}) == Admitted {
+							admitted <- class
 						}
 					}()
-					if total < slots {
-						used[c]++
-						total++
+					if inUse < slots {
+						used[class]++
+						inUse++
 					} else {
-						wait[c]++
+						waiting[class]++
 					}
-				} else if used[c] > 0 {
-					r.Release(Request{Class: c}, 0)
-					used[c]--
-					total--
+				} else if used[class] > 0 {
+					controller.Release(Request{Class: class}, 0)
+					used[class]--
+					inUse--
 					best := ""
 					for _, k := range []string{"a", "b", "c"} {
-						if wait[k] > 0 && (best == "" || used[k]*floor[best] < used[best]*floor[k]) {
+						if waiting[k] > 0 && (best == "" || used[k]*guaranteed[best] < used[best]*guaranteed[k]) {
 							best = k
 						}
 					}
 					if best != "" {
-						wait[best]--
+						waiting[best]--
 						used[best]++
-						total++
+						inUse++
 					}
 				}
 				synctest.Wait()
-				for k, u := range r.Usage() {
-					if u.Used != used[k] || u.Waiting != wait[k] {
-						rt.Fatalf("class %s has %d used and %d waiting, the model %d and %d", k, u.Used, u.Waiting, used[k], wait[k])
+				for k, u := range controller.Usage() {
+					if u.Used != used[k] || u.Waiting != waiting[k] {
+						rt.Fatalf("class %s has %d used and %d waiting, the model %d and %d", k, u.Used, u.Waiting, used[k], waiting[k])
 					}
 				}
 			}
@@ -104,60 +104,60 @@
 	})
 }
 
-// TestBorrowed: an idle share is lent whole, and a pressed class has its share
+// TestBorrowedSlotsReturned: an idle share is lent whole, and a pressed class has its share
 // back after as many ends of jobs as it lacks slots. No running job is cut.
-func TestBorrowed(t *testing.T) {
+func TestBorrowedSlotsReturned(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := New()
-		r.Configure(12, map[string]float64{"reading": 50, "desk": 30, "upload": 20}, 100)
+		controller := New()
+		controller.Configure(12, map[string]float64{"reading": 50, "desk": 30, "upload": 20}, 100)
 		for range 12 {
-			if why := r.Acquire(t.Context(), Request{Class: "reading", MaxWait: time.Second}); why != Admitted {
-				t.Fatalf("an idle share was not lent: %s", why)
+			if outcome := controller.Acquire(t.Context(), Request{Class: "reading", MaxWait: time.Second}); outcome != Admitted {
+				t.Fatalf("an idle share was not lent: %s", outcome)
 			}
 		}
-		need := r.Usage()["desk"].Share
-		var in int
+		guaranteed := controller.Usage()["desk"].Share
+		var regained int
 		done := make(chan string, 100)
-		for range need {
-			go func() { done <- r.Acquire(t.Context(), Request{Class: "desk", MaxWait: time.Minute}) }()
+		for range guaranteed {
+			go func() { done <- controller.Acquire(t.Context(), Request{Class: "desk", MaxWait: time.Minute}) }()
 		}
 		for range 20 {
-			go func() { done <- r.Acquire(t.Context(), Request{Class: "reading", MaxWait: time.Minute}) }()
+			go func() { done <- controller.Acquire(t.Context(), Request{Class: "reading", MaxWait: time.Minute}) }()
 		}
 		synctest.Wait()
 		freed := 0
-		for in < need {
-			r.Release(Request{Class: "reading"}, time.Millisecond)
+		for regained < guaranteed {
+			controller.Release(Request{Class: "reading"}, time.Millisecond)
 			freed++
 			synctest.Wait()
-			in = r.Usage()["desk"].Used
+			regained = controller.Usage()["desk"].Used
 		}
-		if freed != need {
-			t.Errorf("%d slots were freed until the pressed class had its %d", freed, need)
+		if freed != guaranteed {
+			t.Errorf("%d slots were freed until the pressed class had its %d", freed, guaranteed)
 		}
-		r.Close()
-		for range need + 20 {
+		controller.Close()
+		for range guaranteed + 20 {
 			<-done
 		}
 	})
 }
 
-// TestFullIsToldAtOnce: a job without hope is refused now, not near its end.
-func TestFullIsToldAtOnce(t *testing.T) {
+// TestFullQueueRefusesAtOnce: a job without hope is refused now, not near its end.
+func TestFullQueueRefusesAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := New()
-		r.Configure(1, map[string]float64{"a": 100}, 1)
-		r.Acquire(t.Context(), Request{Class: "a", MaxWait: time.Second})
-		go r.Acquire(t.Context(), Request{Class: "a", MaxWait: time.Minute})
+		controller := New()
+		controller.Configure(1, map[string]float64{"a": 100}, 1)
+		controller.Acquire(t.Context(), Request{Class: "a", MaxWait: time.Second})
+		go controller.Acquire(t.Context(), Request{Class: "a", MaxWait: time.Minute})
 		synctest.Wait()
-		from := time.Now()
-		if why := r.Acquire(t.Context(), Request{Class: "a", MaxWait: time.Minute}); why != QueueFull || time.Since(from) != 0 {
-			t.Errorf("got %q after %v", why, time.Since(from))
+		start := time.Now()
+		if outcome := controller.Acquire(t.Context(), Request{Class: "a", MaxWait: time.Minute}); outcome != QueueFull || time.Since(start) != 0 {
+			t.Errorf("got %q after %v", outcome, time.Since(start))
 		}
-		if why := r.Acquire(t.Context(), Request{Class: "nobody", MaxWait: time.Minute}); why != UnknownClass {
-			t.Errorf("unknown class got %q", why)
+		if outcome := controller.Acquire(t.Context(), Request{Class: "nobody", MaxWait: time.Minute}); outcome != UnknownClass {
+			t.Errorf("unknown class got %q", outcome)
 		}
-		r.Release(Request{Class: "a"}, 0)
+		controller.Release(Request{Class: "a"}, 0)
 		synctest.Wait()
 	})
 }
--- a/internal/admission/use.go
+++ b/internal/admission/use.go
@@ -13,58 +13,58 @@
 
 // Close shuts the room at once: nobody enters any more, those who wait are
 // turned away, those inside go on.
-func (r *Controller) Close() {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if !r.shut {
-		r.shut = true
-		close(r.closed)
+func (c *Controller) Close() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if !c.draining {
+		c.draining = true
+		close(c.drainStarted)
 	}
 }
 
 // Open lets jobs in again.
-func (r *Controller) Open() {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if r.shut {
-		r.shut = false
-		r.closed = make(chan struct{})
+func (c *Controller) Open() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.draining {
+		c.draining = false
+		c.drainStarted = make(chan struct{})
 	}
 }
 
 // Load gives the slots taken, the jobs waiting and the size.
-func (r *Controller) Load() (used, waiting, slots int) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	for _, l := range r.lots {
-		waiting += l.waits()
+func (c *Controller) Load() (used, waiting, slots int) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for _, state := range c.classes {
+		waiting += state.waiting()
 	}
-	return r.total, waiting, r.slots
+	return c.inUse, waiting, c.slots
 }
 
 // Usage tells what each class has.
-func (r *Controller) Usage() map[string]ClassUsage {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	out := map[string]ClassUsage{}
-	for c, l := range r.lots {
-		if !l.known {
+func (c *Controller) Usage() map[string]ClassUsage {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	usages := map[string]ClassUsage{}
+	for class, state := range c.classes {
+		if !state.configured {
 			continue
 		}
-		u := ClassUsage{Share: l.floor, Used: l.used, Waiting: l.waits(), Refused: l.no, Served: l.did}
-		u.Borrowed = max(u.Used-l.floor, 0)
-		out[c] = u
+		usage := ClassUsage{Share: state.guaranteed, Used: state.used, Waiting: state.waiting(), Refused: state.refused, Served: state.served}
+		usage.Borrowed = max(usage.Used-state.guaranteed, 0)
+		usages[class] = usage
 	}
 	// What is lent is what others hold above their shares, taken from the
 	// classes that leave theirs idle.
 	borrowed := 0
-	for _, u := range out {
-		borrowed += u.Borrowed
+	for _, usage := range usages {
+		borrowed += usage.Borrowed
 	}
-	for c, u := range out {
-		idle := max(u.Share-u.Used, 0)
-		u.Lent = min(idle, borrowed)
-		out[c] = u
+	for class, usage := range usages {
+		idle := max(usage.Share-usage.Used, 0)
+		usage.Lent = min(idle, borrowed)
+		usages[class] = usage
 	}
-	return out
+	return usages
 }
--- a/internal/balancer/field_test.go
+++ b/internal/balancer/field_test.go
@@ -13,232 +13,232 @@
 // A field is a mesh of fronts and workers of one service in virtual time: each
 // worker has its slots, its speed, a queue, and an owner that measures it and
 // tells all fronts of its doubts.
-type field struct {
-	dice    *rand.Rand
-	fronts  []*Balancer
-	all     []ormap.Entry
-	hands   []*hand
-	todo    events
-	aim     time.Duration
-	work    time.Duration
-	rate    float64 // jobs a second
-	safe    float64 // part of the jobs that may be sent again
-	blind   bool    // workers are chosen by mere chance, to compare with
-	counts  map[string]int
-	open    map[*job]bool
-	rushes  int // how often a job goes on rather than waits
-	rushed  int // hand-overs of jobs that did
-	far     int // jobs that went to another area
-	told    int // entries that were told anew
-	started time.Time
+type simulation struct {
+	random          *rand.Rand
+	ingresses       []*Balancer
+	entries         []ormap.Entry
+	workers         []*simWorker
+	pending         eventQueue
+	target          time.Duration
+	runTime         time.Duration
+	rate            float64 // jobs a second
+	repeatable      float64 // part of the jobs that may be sent again
+	randomPick      bool    // workers are chosen by mere chance, to compare with
+	counts          map[string]int
+	inFlight        map[*simRequest]bool
+	maxRedirects    int // how often a job goes on rather than waits
+	redirects       int // hand-overs of jobs that did
+	crossZone       int // jobs that went to another area
+	registryUpdates int // entries that were told anew
+	started         time.Time
 }
 
-// hand is one worker and its owner's measure.
-type hand struct {
-	at          int
-	slots, now  int
-	wait        []*job
-	speed       float64
-	ill         func(now time.Duration) (how string, x float64)
-	own         *WorkerStats
-	told        int
-	got, failed map[int]int // by second
+// simWorker is one worker and its owner's measure.
+type simWorker struct {
+	index            int
+	slots, busy      int
+	queue            []*simRequest
+	runTimeFactor    float64
+	failure          func(now time.Duration) (how string, x float64)
+	stats            *WorkerStats
+	published        int
+	received, failed map[int]int // by second
 }
 
-type job struct {
-	front int
-	hand  *hand
-	from  time.Time
-	safe  bool
-	run   *ActiveRun
-	tried map[string]bool
-	rush  int
-	shed  bool // turned away by the worker
+type simRequest struct {
+	ingress    int
+	worker     *simWorker
+	arrived    time.Time
+	repeatable bool
+	run        *ActiveRun
+	tried      map[string]bool
+	redirects  int
+	rejected   bool // turned away by the worker
 }
 
-func (f *field) in(d time.Duration, do func()) {
-	heap.Push(&f.todo, happen{time.Now().Add(d), do})
+func (s *simulation) after(delay time.Duration, action func()) {
+	heap.Push(&s.pending, event{time.Now().Add(delay), action})
 }
 
 const window = 10 * time.Second
 
-func newField(fronts, workers, areas int, seed uint64) *field {
-	f := &field{dice: rand.New(rand.NewPCG(seed, 7)), aim: time.Second, work: 270 * time.Millisecond, safe: 1, counts: map[string]int{}, open: map[*job]bool{}, started: time.Now()}
-	for i := range fronts {
-		f.fronts = append(f.fronts, New(strconv.Itoa(i%areas), 200*time.Millisecond, window, nil))
+func newSimulation(ingresses, workers, zones int, seed uint64) *simulation {
+	sim := &simulation{random: rand.New(rand.NewPCG(seed, 7)), target: time.Second, runTime: 270 * time.Millisecond, repeatable: 1, counts: map[string]int{}, inFlight: map[*simRequest]bool{}, started: time.Now()}
+	for i := range ingresses {
+		sim.ingresses = append(sim.ingresses, New(strconv.Itoa(i%zones), 200*time.Millisecond, window, nil))
 	}
 	speeds := []float64{1, 1, 1.5, 0.5, 1}
 	for i := range workers {
-		f.hands = append(f.hands, &hand{at: i, slots: 12, speed: speeds[i/areas%len(speeds)], own: NewWorkerStats(window), got: map[int]int{}, failed: map[int]int{}})
-		f.all = append(f.all, entry(fmt.Sprint("w", i), strconv.Itoa(i%areas)))
-		f.all[i].Meta["slots"] = "12"
+		sim.workers = append(sim.workers, &simWorker{index: i, slots: 12, runTimeFactor: speeds[i/zones%len(speeds)], stats: NewWorkerStats(window), received: map[int]int{}, failed: map[int]int{}})
+		sim.entries = append(sim.entries, entry(fmt.Sprint("w", i), strconv.Itoa(i%zones)))
+		sim.entries[i].Meta["slots"] = "12"
 	}
 	// Six tenths of the slots are busy.
-	f.rate = 0.6 * float64(workers*12) / f.work.Seconds()
-	return f
+	sim.rate = 0.6 * float64(workers*12) / sim.runTime.Seconds()
+	return sim
 }
 
-// doubt tells all fronts what the owner thinks, as a new entry.
-func (h *hand) doubt(f *field) {
-	d := h.own.Suspicion(f.fronts[h.at].FailureRate("s"))
-	if d == h.told {
+// publishSuspicion tells all fronts what the owner thinks, as a new entry.
+func (w *simWorker) publishSuspicion(sim *simulation) {
+	level := w.stats.Suspicion(sim.ingresses[w.index].FailureRate("s"))
+	if level == w.published {
 		return
 	}
-	h.told = d
-	f.told++
-	f.in(50*time.Millisecond, func() {
-		f.all = append([]ormap.Entry(nil), f.all...)
+	w.published = level
+	sim.registryUpdates++
+	sim.after(50*time.Millisecond, func() {
+		sim.entries = append([]ormap.Entry(nil), sim.entries...)
 		meta := map[string]string{"slots": "12", "state": "up"}
-		if h.told > 0 {
-			meta["doubts"] = strconv.Itoa(h.told)
+		if w.published > 0 {
+			meta["doubts"] = strconv.Itoa(w.published)
 		}
-		f.all[h.at].Meta = meta
+		sim.entries[w.index].Meta = meta
 	})
 }
 
-func (f *field) play(long time.Duration) {
-	end := time.Now().Add(long)
-	var come func()
-	come = func() {
-		f.in(time.Duration(f.dice.ExpFloat64()/f.rate*float64(time.Second)), come)
-		f.send(&job{front: f.dice.IntN(len(f.fronts)), from: time.Now(), safe: f.dice.Float64() < f.safe, tried: map[string]bool{}})
+func (s *simulation) run(duration time.Duration) {
+	end := time.Now().Add(duration)
+	var arrive func()
+	arrive = func() {
+		s.after(time.Duration(s.random.ExpFloat64()/s.rate*float64(time.Second)), arrive)
+		s.dispatch(&simRequest{ingress: s.random.IntN(len(s.ingresses)), arrived: time.Now(), repeatable: s.random.Float64() < s.repeatable, tried: map[string]bool{}})
 	}
-	if len(f.todo) == 0 {
-		f.in(0, come)
+	if len(s.pending) == 0 {
+		s.after(0, arrive)
 	}
-	for f.todo[0].at.Before(end) {
-		e := heap.Pop(&f.todo).(happen)
-		t := time.NewTimer(time.Until(e.at))
-		<-t.C
-		e.do()
+	for s.pending[0].at.Before(end) {
+		next := heap.Pop(&s.pending).(event)
+		timer := time.NewTimer(time.Until(next.at))
+		<-timer.C
+		next.action()
 	}
 }
 
-func (f *field) send(k *job) {
-	e, ok := ormap.Entry{}, true
-	if f.blind {
-		e = f.all[f.dice.IntN(len(f.all))]
+func (s *simulation) dispatch(request *simRequest) {
+	entry, ok := ormap.Entry{}, true
+	if s.randomPick {
+		entry = s.entries[s.random.IntN(len(s.entries))]
 	} else {
-		e, ok = f.fronts[k.front].Pick(f.all, PickRequest{Route: "p", Target: f.aim - time.Since(k.from), Repeatable: k.safe, Tried: k.tried})
+		entry, ok = s.ingresses[request.ingress].Pick(s.entries, PickRequest{Route: "p", Target: s.target - time.Since(request.arrived), Repeatable: request.repeatable, Tried: request.tried})
 	}
 	if !ok {
-		f.counts["nobody"]++
+		s.counts["nobody"]++
 		return
 	}
-	at, _ := strconv.Atoi(e.Worker[1:])
-	h := f.hands[at]
-	if !f.blind && k.rush < f.rushes && h.now >= h.slots && f.fronts[k.front].HasFreeSlots("s") {
-		f.fronts[k.front].RecordOutcome(Outcome{Worker: e.Worker, Service: "s", UsedSlots: h.now + len(h.wait)})
-		k.tried[e.Worker] = true
-		f.rushed++
-		if k.rush++; k.rush == f.rushes || len(k.tried) == len(f.all) {
-			k.rush = f.rushes
-			clear(k.tried)
+	index, _ := strconv.Atoi(entry.Worker[1:])
+	worker := s.workers[index]
+	if !s.randomPick && request.redirects < s.maxRedirects && worker.busy >= worker.slots && s.ingresses[request.ingress].HasFreeSlots("s") {
+		s.ingresses[request.ingress].RecordOutcome(Outcome{Worker: entry.Worker, Service: "s", UsedSlots: worker.busy + len(worker.queue)})
+		request.tried[entry.Worker] = true
+		s.redirects++
+		if request.redirects++; request.redirects == s.maxRedirects || len(request.tried) == len(s.entries) {
+			request.redirects = s.maxRedirects
+			clear(request.tried)
 		}
-		f.in(2*time.Millisecond, func() { f.send(k) })
+		s.after(2*time.Millisecond, func() { s.dispatch(request) })
 		return
 	}
-	k.hand = h
-	f.open[k] = true
-	if e.Zone != f.fronts[k.front].area {
-		f.far++
+	request.worker = worker
+	s.inFlight[request] = true
+	if entry.Zone != s.ingresses[request.ingress].zone {
+		s.crossZone++
 	}
-	k.tried[e.Worker] = true
-	h.got[f.second()]++
-	h.doubt(f)
-	h.wait = append(h.wait, k)
-	h.next(f)
+	request.tried[entry.Worker] = true
+	worker.received[s.currentSecond()]++
+	worker.publishSuspicion(s)
+	worker.queue = append(worker.queue, request)
+	worker.startQueued(s)
 }
 
-func (f *field) second() int { return int(time.Since(f.started) / time.Second) }
+func (s *simulation) currentSecond() int { return int(time.Since(s.started) / time.Second) }
 
-func (h *hand) next(f *field) {
-	for h.now < h.slots && len(h.wait) > 0 {
-		k := h.wait[0]
-		h.wait = h.wait[1:]
-		h.now++
-		k.run = h.own.RunStarted(f.fronts[h.at].UsualRunMS("p"))
-		took := time.Duration(float64(f.work) * h.speed * (0.5 + f.dice.Float64()))
+func (w *simWorker) startQueued(sim *simulation) {
+	for w.busy < w.slots && len(w.queue) > 0 {
+		request := w.queue[0]
+		w.queue = w.queue[1:]
+		w.busy++
+		request.run = w.stats.RunStarted(sim.ingresses[w.index].UsualRunMS("p"))
+		runTime := time.Duration(float64(sim.runTime) * w.runTimeFactor * (0.5 + sim.random.Float64()))
 		ok := true
-		how, x := "", 0.0
-		if h.ill != nil {
-			how, x = h.ill(time.Since(f.started))
+		kind, severity := "", 0.0
+		if w.failure != nil {
+			kind, severity = w.failure(time.Since(sim.started))
 		}
 		switch {
-		case how == "slow":
-			took = time.Duration(float64(took) * x)
-		case how == "errors" && f.dice.Float64() < x:
-			took, ok = 5*time.Millisecond, false
-		case how == "shed" && f.dice.Float64() < x:
-			took, ok, k.shed = 2*time.Millisecond, false, true
-		case how == "hang" && f.dice.Float64() < x:
-			took, ok = 3*time.Second, false
-		case how == "down":
-			took, ok = time.Millisecond, false
+		case kind == "slow":
+			runTime = time.Duration(float64(runTime) * severity)
+		case kind == "errors" && sim.random.Float64() < severity:
+			runTime, ok = 5*time.Millisecond, false
+		case kind == "shed" && sim.random.Float64() < severity:
+			runTime, ok, request.rejected = 2*time.Millisecond, false, true
+		case kind == "hang" && sim.random.Float64() < severity:
+			runTime, ok = 3*time.Second, false
+		case kind == "down":
+			runTime, ok = time.Millisecond, false
 		}
-		f.in(took, func() { h.done(f, k, ok) })
+		sim.after(runTime, func() { w.finish(sim, request, ok) })
 	}
 }
 
-func (h *hand) done(f *field, k *job, ok bool) {
-	h.now--
-	delete(f.open, k)
-	ms := h.own.RunEnded(k.run)
+func (w *simWorker) finish(sim *simulation, request *simRequest, ok bool) {
+	w.busy--
+	delete(sim.inFlight, request)
+	ms := w.stats.RunEnded(request.run)
 	if ok {
-		h.own.RecordRun("p", ms, f.fronts[h.at].UsualRunMS("p"))
+		w.stats.RecordRun("p", ms, sim.ingresses[w.index].UsualRunMS("p"))
 	} else {
-		h.own.RecordFailures(1)
-		h.failed[f.second()]++
+		w.stats.RecordFailures(1)
+		w.failed[sim.currentSecond()]++
 	}
-	h.doubt(f)
-	late := time.Since(k.from) > f.aim
-	if !f.blind {
-		f.fronts[k.front].RecordOutcome(Outcome{Worker: f.all[h.at].Worker, Service: "s", Route: "p", UsedSlots: h.now + len(h.wait), RoundTrip: time.Since(k.from),
-			RunTime: time.Duration(ms * float64(time.Millisecond)), MissedTarget: late, OK: ok, AboutWorker: !k.shed, Report: h.own.Report()})
+	w.publishSuspicion(sim)
+	late := time.Since(request.arrived) > sim.target
+	if !sim.randomPick {
+		sim.ingresses[request.ingress].RecordOutcome(Outcome{Worker: sim.entries[w.index].Worker, Service: "s", Route: "p", UsedSlots: w.busy + len(w.queue), RoundTrip: time.Since(request.arrived),
+			RunTime: time.Duration(ms * float64(time.Millisecond)), MissedTarget: late, OK: ok, AboutWorker: !request.rejected, Report: w.stats.Report()})
 	}
-	f.count(k, !ok || late)
-	h.next(f)
+	sim.record(request, !ok || late)
+	w.startQueued(sim)
 }
 
-// count takes in how a job ended, or that it is over its aim.
-func (f *field) count(k *job, bad bool) {
-	f.counts["all"]++
+// record takes in how a job ended, or that it is over its aim.
+func (s *simulation) record(request *simRequest, bad bool) {
+	s.counts["all"]++
 	if bad {
-		f.counts["bad"]++
+		s.counts["bad"]++
 	}
-	if k.safe {
+	if request.repeatable {
 		return
 	}
-	f.counts["once"]++
+	s.counts["once"]++
 	if bad {
-		f.counts["bad once"]++
+		s.counts["bad once"]++
 	}
 }
 
-// overdue takes in those under way that are over their aim already.
-func (f *field) overdue() {
-	for k := range f.open {
-		if time.Since(k.from) > f.aim {
-			f.count(k, true)
+// recordOverdue takes in those under way that are over their aim already.
+func (s *simulation) recordOverdue() {
+	for request := range s.inFlight {
+		if time.Since(request.arrived) > s.target {
+			s.record(request, true)
 		}
 	}
 }
 
-// part is what part of all jobs of some seconds some workers had, against what
+// loadShare is what part of all jobs of some seconds some workers had, against what
 // they would have of an even share.
-func (f *field) part(from, to int, of func(h *hand) bool) float64 {
-	mine, all, many := 0, 0, 0
-	for _, h := range f.hands {
-		is := of(h)
-		if is {
-			many++
+func (s *simulation) loadShare(from, to int, inGroup func(worker *simWorker) bool) float64 {
+	groupTotal, total, groupSize := 0, 0, 0
+	for _, worker := range s.workers {
+		member := inGroup(worker)
+		if member {
+			groupSize++
 		}
-		for s := from; s < to; s++ {
-			all += h.got[s]
-			if is {
-				mine += h.got[s]
+		for second := from; second < to; second++ {
+			total += worker.received[second]
+			if member {
+				groupTotal += worker.received[second]
 			}
 		}
 	}
-	return float64(mine) / float64(all) / (float64(many) / float64(len(f.hands)))
+	return float64(groupTotal) / float64(total) / (float64(groupSize) / float64(len(s.workers)))
 }
--- a/internal/balancer/pick.go
+++ b/internal/balancer/pick.go
@@ -22,8 +22,8 @@
 // The advance of the own area: how much more of a chance to miss the aim is put
 // up with there. Bytes between areas are dear, those of bulk all the more.
 const (
-	advance     = 0.5
-	advanceBulk = 1.5
+	zonePreference     = 0.5
+	zonePreferenceBulk = 1.5
 )
 
 // probes is one of how many jobs that look at a doubtful worker goes there
@@ -32,98 +32,98 @@
 // its owner doubts it but a little: a doubled cost alone wins nothing while others
 // have room, and what shows that it is well would come as slowly as at the worst.
 const (
-	probes = 32
-	keen   = 3
+	probeInterval   = 32
+	mildProbeFactor = 3
 )
 
 // Pick nominates one of the entries, leaving out those tried and those that
 // drain. It takes a place in the count, which Done gives back. The list must
 // be one that is replaced when entries change, not changed itself.
-func (n *Balancer) Pick(all []ormap.Entry, w PickRequest) (ormap.Entry, bool) {
-	if len(all) == 0 {
+func (b *Balancer) Pick(entries []ormap.Entry, request PickRequest) (ormap.Entry, bool) {
+	if len(entries) == 0 {
 		return ormap.Entry{}, false
 	}
-	n.mu.Lock()
-	defer n.mu.Unlock()
+	b.mu.Lock()
+	defer b.mu.Unlock()
 	now := time.Now()
-	r := n.roster(all)
-	var room [2 * looks]*seat
-	got := n.draw(room[:0], r.near, &w, now)
-	nigh := len(got)
-	got = n.draw(got, r.far, &w, now)
-	if len(got) == 0 {
-		s := n.last(r, &w, now)
-		if s == nil {
+	set := b.candidateSetOf(entries)
+	var buffer [2 * samplesPerZone]*candidate
+	workers := b.sample(buffer[:0], set.sameZone, &request, now)
+	sameZone := len(workers)
+	workers = b.sample(workers, set.otherZones, &request, now)
+	if len(workers) == 0 {
+		worker := b.fallback(set, &request, now)
+		if worker == nil {
 			return ormap.Entry{}, false
 		}
-		return s.give(), true
+		return worker.reserve(), true
 	}
-	few := len(got)
-	if nigh > 0 {
-		few = nigh
+	probeable := len(workers)
+	if sameZone > 0 {
+		probeable = sameZone
 	}
-	mid := n.middle(r, now)
-	gain := advance
-	if w.Bulk {
-		gain = advanceBulk
+	median := b.median(set, now)
+	preference := zonePreference
+	if request.Bulk {
+		preference = zonePreferenceBulk
 	}
-	var best *seat
-	low := math.Inf(1)
-	for i, s := range got {
-		c, doubt := n.cost(r, s, &w, mid, now)
+	var best *candidate
+	lowest := math.Inf(1)
+	for i, worker := range workers {
+		cost, doubtful := b.cost(set, worker, &request, median, now)
 		// What can be sent again is a probe by which the doubtful can regain
 		// their weight; of those far away only where there are none near.
-		if doubt && w.Repeatable && !w.Bulk && (i < nigh || nigh == 0) && rand.IntN(probes*few) < looks*s.keen {
-			return s.give(), true
+		if doubtful && request.Repeatable && !request.Bulk && (i < sameZone || sameZone == 0) && rand.IntN(probeInterval*probeable) < samplesPerZone*worker.probeFactor {
+			return worker.reserve(), true
 		}
-		if i >= nigh {
-			c += gain
+		if i >= sameZone {
+			cost += preference
 		}
 		// What waits on the way misses the aim as what waits there does.
-		if w.Delay != nil && w.Target > 0 {
-			c += min(float64(w.Delay(s.e))/float64(w.Target), 4)
+		if request.Delay != nil && request.Target > 0 {
+			cost += min(float64(request.Delay(worker.entry))/float64(request.Target), 4)
 		}
-		if c < low {
-			best, low = s, c
+		if cost < lowest {
+			best, lowest = worker, cost
 		}
 	}
-	return best.give(), true
+	return best.reserve(), true
 }
 
-func (s *seat) give() ormap.Entry {
-	s.m.out++
-	return s.e
+func (c *candidate) reserve() ormap.Entry {
+	c.state.inFlight++
+	return c.entry
 }
 
 // cost weighs one worker for a job: a quarter of the part of the aim that it is
 // expected to take, the part of its jobs that missed theirs, and its load, most
 // of all when its last slots are being taken, over its fitness. It also tells
 // whether the worker is in doubt, or hardly known.
-func (n *Balancer) cost(r *roster, s *seat, w *PickRequest, mid float64, now time.Time) (float64, bool) {
-	m := s.m
-	load := n.load(r, s, now) + 1/s.slots
-	faint := n.faint(m, now)
-	pace := 1.0
-	if m.pace != 0 {
-		pace += (m.pace - 1) * faint
-	}
-	took := n.paths[w.Route].ms * pace
+func (b *Balancer) cost(set *candidateSet, worker *candidate, request *PickRequest, median float64, now time.Time) (float64, bool) {
+	state := worker.state
+	load := b.load(set, worker, now) + 1/worker.slots
+	decay := b.decay(state, now)
+	runTimeRatio := 1.0
+	if state.runTimeRatio != 0 {
+		runTimeRatio += (state.runTimeRatio - 1) * decay
+	}
+	expectedMS := b.routeRunTimes[request.Route].ms * runTimeRatio
 	// Beyond its slots each job waits for its turn.
-	took *= 1 + max(load-1, 0)
-	part := 1.0
-	if w.Target > 0 {
-		part = min(took/float64(w.Target.Milliseconds()+1), 2)
-	}
-	late := m.late * faint
-	fit, share := n.weight(m, mid, faint, !w.Repeatable), r.share(s, !w.Repeatable)
-	c := (part/4 + late + load/16 + max(load-0.75, 0)) / (fit * share)
-	return c, share < 1 || fit < unfit || late > 0.25 || m.count < least
+	expectedMS *= 1 + max(load-1, 0)
+	targetUse := 1.0
+	if request.Target > 0 {
+		targetUse = min(expectedMS/float64(request.Target.Milliseconds()+1), 2)
+	}
+	missRate := state.missRate * decay
+	weight, suspicionFactor := b.weight(state, median, decay, !request.Repeatable), set.suspicionFactor(worker, !request.Repeatable)
+	cost := (targetUse/4 + missRate + load/16 + max(load-0.75, 0)) / (weight * suspicionFactor)
+	return cost, suspicionFactor < 1 || weight < unhealthyBelow || missRate > 0.25 || state.samples < minSamples
 }
 
 // A worker is unfit from this weight on, and fit again from twice that or so.
 const (
-	unfit = 0.4
-	fit   = 0.7
+	unhealthyBelow = 0.4
+	healthyFrom    = 0.7
 )
 
 // Outcome is how a send ended.
@@ -140,100 +140,100 @@
 }
 
 // RecordOutcome takes in how a send ended.
-func (n *Balancer) RecordOutcome(d Outcome) {
-	n.mu.Lock()
-	m := n.mate(d.Worker)
-	m.out = max(m.out-1, 0)
+func (b *Balancer) RecordOutcome(outcome Outcome) {
+	b.mu.Lock()
+	state := b.workerState(outcome.Worker)
+	state.inFlight = max(state.inFlight-1, 0)
 	now := time.Now()
-	if d.UsedSlots >= 0 {
-		m.used, m.when = d.UsedSlots, now
-		if r := n.lists[d.Service]; r != nil && m.slots > 0 {
-			r.load += (float64(d.UsedSlots)/m.slots - r.load) / 32
+	if outcome.UsedSlots >= 0 {
+		state.usedSlots, state.reportedAt = outcome.UsedSlots, now
+		if set := b.candidateSets[outcome.Service]; set != nil && state.slots > 0 {
+			set.load += (float64(outcome.UsedSlots)/state.slots - set.load) / 32
 		}
 	}
-	if d.AboutWorker || d.Report.Pace > 0 {
-		n.settle(m, now)
+	if outcome.AboutWorker || outcome.Report.Pace > 0 {
+		b.decayEvidence(state, now)
 	}
-	bad := 0.0
-	if !d.OK {
-		bad = 1
+	failed := 0.0
+	if !outcome.OK {
+		failed = 1
 	}
-	if d.AboutWorker {
+	if outcome.AboutWorker {
 		// The first answers weigh more, so that the average starts near truth.
-		k := max(1/float64(m.count+1), 0.1)
-		m.count++
-		m.fail += (bad - m.fail) * k
-		m.slow += (float64(d.RoundTrip)/float64(time.Millisecond) - m.slow) * k
-		late := 0.0
-		if d.MissedTarget {
-			late = 1
+		gain := max(1/float64(state.samples+1), 0.1)
+		state.samples++
+		state.failRate += (failed - state.failRate) * gain
+		state.latencyMS += (float64(outcome.RoundTrip)/float64(time.Millisecond) - state.latencyMS) * gain
+		missed := 0.0
+		if outcome.MissedTarget {
+			missed = 1
 		}
-		m.late += (late - m.late) * max(1/float64(m.count+16), 0.02)
-		if d.OK && d.RunTime > 0 {
-			n.ran(m, d)
+		state.missRate += (missed - state.missRate) * max(1/float64(state.samples+16), 0.02)
+		if outcome.OK && outcome.RunTime > 0 {
+			b.recordRunTime(state, outcome)
 		}
-		if len(n.fails) >= 4096 {
-			clear(n.fails)
+		if len(b.failRates) >= 4096 {
+			clear(b.failRates)
 		}
-		n.fails[d.Service] += (bad - n.fails[d.Service]) / 32
+		b.failRates[outcome.Service] += (failed - b.failRates[outcome.Service]) / 32
 	}
-	if d.Report.Pace > 0 {
+	if outcome.Report.Pace > 0 {
 		// It saw all jobs there, this front some: its word goes first.
-		m.fail = d.Report.failing()
-		m.pace = d.Report.pace()
-		m.count = max(m.count, least)
-		if m.slow == 0 {
-			m.slow = float64(d.RoundTrip) / float64(time.Millisecond)
+		state.failRate = outcome.Report.failRate()
+		state.runTimeRatio = outcome.Report.runTimeRatio()
+		state.samples = max(state.samples, minSamples)
+		if state.latencyMS == 0 {
+			state.latencyMS = float64(outcome.RoundTrip) / float64(time.Millisecond)
 		}
 	}
-	was := m.unfit
-	if r := n.lists[d.Service]; r != nil {
-		w := n.weight(m, n.middle(r, now), 1, false)
-		m.unfit = w < unfit || (was && w < fit)
+	wasUnhealthy := state.unhealthy
+	if set := b.candidateSets[outcome.Service]; set != nil {
+		weight := b.weight(state, b.median(set, now), 1, false)
+		state.unhealthy = weight < unhealthyBelow || (wasUnhealthy && weight < healthyFrom)
 	}
-	turned := m.unfit
-	if turned && !was {
+	unhealthy := state.unhealthy
+	if unhealthy && !wasUnhealthy {
 		// One that falls again and again is let back more slowly each time.
-		if m.falls++; now.Sub(m.fell) > 4*n.window {
-			m.falls = 0
+		if state.relapses++; now.Sub(state.turnedUnhealthy) > 4*b.window {
+			state.relapses = 0
 		}
-		m.falls, m.fell = min(m.falls, 3), now
+		state.relapses, state.turnedUnhealthy = min(state.relapses, 3), now
 	}
-	n.mu.Unlock()
-	if was != turned && n.tell != nil {
-		n.tell(d.Worker, !turned)
+	b.mu.Unlock()
+	if wasUnhealthy != unhealthy && b.notifyHealth != nil {
+		b.notifyHealth(outcome.Worker, !unhealthy)
 	}
 }
 
-// settle lets older marks fade before new ones are made.
-func (n *Balancer) settle(m *mate, now time.Time) {
-	f := n.faint(m, now)
-	m.fail *= f
-	m.late *= f
-	if m.pace != 0 {
-		m.pace = 1 + (m.pace-1)*f
-	}
-	m.seen = now
+// decayEvidence lets older marks fade before new ones are made.
+func (b *Balancer) decayEvidence(state *workerState, now time.Time) {
+	decay := b.decay(state, now)
+	state.failRate *= decay
+	state.missRate *= decay
+	if state.runTimeRatio != 0 {
+		state.runTimeRatio = 1 + (state.runTimeRatio-1)*decay
+	}
+	state.lastOutcome = now
 }
 
-// ran takes in how long a job ran at the worker.
-func (n *Balancer) ran(m *mate, d Outcome) {
-	ms := float64(d.RunTime) / float64(time.Millisecond)
-	p, ok := n.paths[d.Route]
+// recordRunTime takes in how long a job ran at the worker.
+func (b *Balancer) recordRunTime(state *workerState, outcome Outcome) {
+	ms := float64(outcome.RunTime) / float64(time.Millisecond)
+	mean, ok := b.routeRunTimes[outcome.Route]
 	// Paths of older configurations must not pile up.
-	if !ok && len(n.paths) >= 4096 {
-		clear(n.paths)
+	if !ok && len(b.routeRunTimes) >= 4096 {
+		clear(b.routeRunTimes)
 	}
-	was := p.ms
-	p.add(ms, 4, 32)
-	n.paths[d.Route] = p
-	if was <= 0 {
+	previousMS := mean.ms
+	mean.add(ms, 4, 32)
+	b.routeRunTimes[outcome.Route] = mean
+	if previousMS <= 0 {
 		return
 	}
 	// One long job says little of its worker.
-	ratio := min(ms/was, 4)
-	if m.pace == 0 {
-		m.pace = 1
+	ratio := min(ms/previousMS, 4)
+	if state.runTimeRatio == 0 {
+		state.runTimeRatio = 1
 	}
-	m.pace += (ratio - m.pace) / 24
+	state.runTimeRatio += (ratio - state.runTimeRatio) / 24
 }
--- a/internal/balancer/roster.go
+++ b/internal/balancer/roster.go
@@ -8,185 +8,185 @@
 	"puffincrank/internal/ormap"
 )
 
-// roster is a service's workers by area, made anew when its entries change. A
+// candidateSet is a service's workers by area, made anew when its entries change. A
 // job draws from it by place, so that it costs the same at any size.
-type roster struct {
-	first     *ormap.Entry // of the list that it was made from, which is never changed
-	size      int
-	near, far []seat
-	ill       int // whose owners doubt them
-	mid       float64
-	load      float64   // of its workers, smoothed over receipts
-	till      time.Time // how long the middle counts
+type candidateSet struct {
+	firstEntry           *ormap.Entry // of the list that it was made from, which is never changed
+	size                 int
+	sameZone, otherZones []candidate
+	suspected            int // whose owners doubt them
+	medianMS             float64
+	load                 float64   // of its workers, smoothed over receipts
+	medianUntil          time.Time // how long the middle counts
 }
 
-// seat is one worker in a roster.
-type seat struct {
-	e      ormap.Entry
-	m      *mate
-	slots  float64
-	doubts int // its owner's, from 0 to Worst
-	keen   int // how many times as often it is probed
+// candidate is one worker in a roster.
+type candidate struct {
+	entry       ormap.Entry
+	state       *workerState
+	slots       float64
+	suspicion   int // its owner's, from 0 to Worst
+	probeFactor int // how many times as often it is probed
 }
 
-// roster finds the lists of a service, and makes them if its entries changed.
-func (n *Balancer) roster(all []ormap.Entry) *roster {
-	r := n.lists[all[0].Service]
-	if r != nil && r.first == &all[0] && r.size == len(all) {
-		return r
-	}
-	old := r
-	r = &roster{first: &all[0], size: len(all)}
-	if old != nil {
-		r.load = old.load
-	}
-	was := map[string]int{}
-	if old != nil {
-		for _, list := range [][]seat{old.near, old.far} {
-			for _, s := range list {
-				was[s.e.Worker] = s.doubts
+// candidateSetOf finds the lists of a service, and makes them if its entries changed.
+func (b *Balancer) candidateSetOf(entries []ormap.Entry) *candidateSet {
+	set := b.candidateSets[entries[0].Service]
+	if set != nil && set.firstEntry == &entries[0] && set.size == len(entries) {
+		return set
+	}
+	previous := set
+	set = &candidateSet{firstEntry: &entries[0], size: len(entries)}
+	if previous != nil {
+		set.load = previous.load
+	}
+	lastSuspicion := map[string]int{}
+	if previous != nil {
+		for _, list := range [][]candidate{previous.sameZone, previous.otherZones} {
+			for _, worker := range list {
+				lastSuspicion[worker.entry.Worker] = worker.suspicion
 			}
 		}
 	}
-	for _, e := range all {
+	for _, e := range entries {
 		if e.Meta["state"] == "draining" {
 			continue
 		}
-		s := seat{e: e, m: n.mate(e.Worker), slots: float64(Slots(e)), doubts: SuspicionLevel(e), keen: 1}
-		s.m.slots = s.slots
+		worker := candidate{entry: e, state: b.workerState(e.Worker), slots: float64(Slots(e)), suspicion: SuspicionLevel(e), probeFactor: 1}
+		worker.state.slots = worker.slots
 		// One that is cold will be well in its time, whatever probes show.
-		if s.doubts == 1 && e.Meta["cold"] == "" {
-			s.keen = keen
+		if worker.suspicion == 1 && e.Meta["cold"] == "" {
+			worker.probeFactor = mildProbeFactor
 		}
-		if s.doubts > 0 {
-			r.ill++
-		} else if was[e.Worker] > 0 {
+		if worker.suspicion > 0 {
+			set.suspected++
+		} else if lastSuspicion[e.Worker] > 0 {
 			// Its owner sees all its jobs and found it well: older marks against
 			// it here would only be taken back one probe at a time.
-			s.m.fail, s.m.late, s.m.pace, s.m.slow, s.m.count = 0, 0, 0, 0, 0
+			worker.state.failRate, worker.state.missRate, worker.state.runTimeRatio, worker.state.latencyMS, worker.state.samples = 0, 0, 0, 0, 0
 		}
-		if e.Zone == n.area {
-			r.near = append(r.near, s)
+		if e.Zone == b.zone {
+			set.sameZone = append(set.sameZone, worker)
 		} else {
-			r.far = append(r.far, s)
+			set.otherZones = append(set.otherZones, worker)
 		}
 	}
 	// Services of older configurations must not pile up.
-	if len(n.lists) >= 4096 {
-		clear(n.lists)
+	if len(b.candidateSets) >= 4096 {
+		clear(b.candidateSets)
 	}
-	n.lists[all[0].Service] = r
-	return r
+	b.candidateSets[entries[0].Service] = set
+	return set
 }
 
-// share is what is left of a seat's weight by its owner's doubts. Where more
+// suspicionFactor is what is left of a seat's weight by its owner's doubts. Where more
 // than a quarter of a service is doubted, it isn't the workers, and the others
 // could not take the jobs of so many.
-func (r *roster) share(s *seat, once bool) float64 {
-	if s.doubts == 0 || r.ill > max(r.size/4, 1) {
+func (s *candidateSet) suspicionFactor(worker *candidate, noRetry bool) float64 {
+	if worker.suspicion == 0 || s.suspected > max(s.size/4, 1) {
 		return 1
 	}
-	w := 0.5
-	if s.doubts >= MaxSuspicion {
-		w = 0.1
+	factor := 0.5
+	if worker.suspicion >= MaxSuspicion {
+		factor = 0.1
 	}
-	if once {
-		w *= w
+	if noRetry {
+		factor *= factor
 	}
-	return w
+	return factor
 }
 
-// sampled is how many workers a middle is taken of, at the most.
-const sampled = 32
+// medianSamples is how many workers a middle is taken of, at the most.
+const medianSamples = 32
 
-// middle is the median latency of a service's workers, worked out anew a few
+// median is the median latency of a service's workers, worked out anew a few
 // times in a beat, over so many of them as say enough.
-func (n *Balancer) middle(r *roster, now time.Time) float64 {
-	if r.till.After(now) {
-		return r.mid
+func (b *Balancer) median(set *candidateSet, now time.Time) float64 {
+	if set.medianUntil.After(now) {
+		return set.medianMS
 	}
-	var l []float64
-	for _, list := range [][]seat{r.near, r.far} {
-		step := max(len(list)/sampled, 1)
+	var latencies []float64
+	for _, list := range [][]candidate{set.sameZone, set.otherZones} {
+		step := max(len(list)/medianSamples, 1)
 		for i := rand.IntN(step); i < len(list); i += step {
-			if m := list[i].m; m.count >= least {
-				l = append(l, m.slow)
+			if state := list[i].state; state.samples >= minSamples {
+				latencies = append(latencies, state.latencyMS)
 			}
 		}
 	}
-	r.mid = 0
-	if len(l) > 0 {
-		sort.Float64s(l)
-		r.mid = l[(len(l)-1)/2]
+	set.medianMS = 0
+	if len(latencies) > 0 {
+		sort.Float64s(latencies)
+		set.medianMS = latencies[(len(latencies)-1)/2]
 	}
-	r.till = now.Add(n.fresh / 4)
-	return r.mid
+	set.medianUntil = now.Add(b.loadTTL / 4)
+	return set.medianMS
 }
 
-// looks is how many workers of an area are weighed for one job. All of a small
+// samplesPerZone is how many workers of an area are weighed for one job. All of a small
 // service; of a large one two at random already avoid the crowded.
-const looks = 3
+const samplesPerZone = 3
 
-// draw takes a few of a list by place, those that can be asked; in a list with
+// sample takes a few of a list by place, those that can be asked; in a list with
 // many that can't, fewer or none.
-func (n *Balancer) draw(got []*seat, list []seat, w *PickRequest, now time.Time) []*seat {
-	size, want := len(list), len(got)+looks
+func (b *Balancer) sample(chosen []*candidate, pool []candidate, request *PickRequest, now time.Time) []*candidate {
+	size, want := len(pool), len(chosen)+samplesPerZone
 	if size == 0 {
-		return got
+		return chosen
 	}
-	if size <= 2*looks {
+	if size <= 2*samplesPerZone {
 		// All of a small one, from a random place on.
-		for i, at := 0, rand.IntN(size); i < size && len(got) < want; i++ {
-			if s := &list[(at+i)%size]; n.asked(s, w, now) {
-				got = append(got, s)
+		for i, position := 0, rand.IntN(size); i < size && len(chosen) < want; i++ {
+			if worker := &pool[(position+i)%size]; b.eligible(worker, request, now) {
+				chosen = append(chosen, worker)
 			}
 		}
-		return got
+		return chosen
 	}
-	var been [4 * looks]int
-	for i := 0; i < len(been) && len(got) < want; i++ {
-		at, again := rand.IntN(size), false
-		for _, o := range been[:i] {
-			again = again || o == at+1
+	var visited [4 * samplesPerZone]int
+	for i := 0; i < len(visited) && len(chosen) < want; i++ {
+		position, repeated := rand.IntN(size), false
+		for _, earlier := range visited[:i] {
+			repeated = repeated || earlier == position+1
 		}
-		been[i] = at + 1
-		if s := &list[at]; !again && n.asked(s, w, now) {
-			got = append(got, s)
+		visited[i] = position + 1
+		if worker := &pool[position]; !repeated && b.eligible(worker, request, now) {
+			chosen = append(chosen, worker)
 		}
 	}
-	return got
+	return chosen
 }
 
-// asked tells whether a worker may be asked: not tried yet, and its owner within
+// eligible tells whether a worker may be asked: not tried yet, and its owner within
 // reach. Of others the entries stay until they are retired, and each try would
 // cost a repeat.
-func (n *Balancer) asked(s *seat, w *PickRequest, now time.Time) bool {
-	if w.Tried[s.e.Worker] {
+func (b *Balancer) eligible(worker *candidate, request *PickRequest, now time.Time) bool {
+	if request.Tried[worker.entry.Worker] {
 		return false
 	}
-	if len(n.shun) > 0 && now.Before(n.shun[s.e.Owner]) {
+	if len(b.excluded) > 0 && now.Before(b.excluded[worker.entry.Owner]) {
 		return false
 	}
-	return n.here == nil || n.here(s.e.Owner)
+	return b.hasSession == nil || b.hasSession(worker.entry.Owner)
 }
 
-// last looks through all, for when a draw found nobody: one that can be asked,
+// fallback looks through all, for when a draw found nobody: one that can be asked,
 // else one that is out of reach.
-func (n *Balancer) last(r *roster, w *PickRequest, now time.Time) *seat {
-	var lost *seat
-	for _, list := range [][]seat{r.near, r.far} {
+func (b *Balancer) fallback(set *candidateSet, request *PickRequest, now time.Time) *candidate {
+	var unreachable *candidate
+	for _, list := range [][]candidate{set.sameZone, set.otherZones} {
 		if len(list) == 0 {
 			continue
 		}
-		for i, at := 0, rand.IntN(len(list)); i < len(list); i++ {
-			s := &list[(at+i)%len(list)]
-			if n.asked(s, w, now) {
-				return s
+		for i, start := 0, rand.IntN(len(list)); i < len(list); i++ {
+			worker := &list[(start+i)%len(list)]
+			if b.eligible(worker, request, now) {
+				return worker
 			}
-			if lost == nil && !w.Tried[s.e.Worker] {
-				lost = s
+			if unreachable == nil && !request.Tried[worker.entry.Worker] {
+				unreachable = worker
 			}
 		}
 	}
-	return lost
+	return unreachable
 }
--- a/internal/retrybudget/repeats.go
+++ b/internal/retrybudget/repeats.go
@@ -12,57 +12,57 @@
 	"time"
 )
 
-type row struct {
-	first, second tape
-	lent          tape    // the part of second that calls of repeated runs are
-	held          float64 // calls to come of repeated runs under way
+type serviceCounts struct {
+	first, retries sendLog
+	nestedRetries  sendLog // the part of second that calls of repeated runs are
+	reserved       float64 // calls to come of repeated runs under way
 }
 
 // Budget is one front's count for each service.
 type Budget struct {
-	mu      sync.Mutex
-	window  time.Duration
-	share   float64
-	allow   float64
-	nodes   int
-	born    time.Time
-	rows    map[string]*row
-	Denied  int64 // repeats that were not allowed
-	Allowed int64
+	mu        sync.Mutex
+	window    time.Duration
+	ratio     float64
+	allowance float64
+	proxies   int
+	created   time.Time
+	services  map[string]*serviceCounts
+	Denied    int64 // repeats that were not allowed
+	Allowed   int64
 }
 
 // New makes a budget over a window.
 func New(window time.Duration) *Budget {
-	return &Budget{window: window, born: time.Now(), rows: map[string]*row{}}
+	return &Budget{window: window, created: time.Now(), services: map[string]*serviceCounts{}}
 }
 
 // SetLimits sets the ratio and the mesh-wide allowance.
-func (b *Budget) SetLimits(share float64, allow int64) {
+func (b *Budget) SetLimits(ratio float64, allowance int64) {
 	b.mu.Lock()
-	b.share, b.allow = share, float64(allow)
+	b.ratio, b.allowance = ratio, float64(allowance)
 	b.mu.Unlock()
 }
 
 // SetProxyCount tells how many fronts share the allowance. The part never grows: a
 // front that loses sight of others must not take theirs. Until the first word
 // it has no part at all.
-func (b *Budget) SetProxyCount(n int) {
+func (b *Budget) SetProxyCount(count int) {
 	b.mu.Lock()
-	b.nodes = max(b.nodes, n)
+	b.proxies = max(b.proxies, count)
 	b.mu.Unlock()
 }
 
-func (b *Budget) at(service string, now time.Time) *row {
-	r := b.rows[service]
-	if r == nil {
-		r = &row{}
-		b.rows[service] = r
+func (b *Budget) countsFor(service string, now time.Time) *serviceCounts {
+	counts := b.services[service]
+	if counts == nil {
+		counts = &serviceCounts{}
+		b.services[service] = counts
 	}
-	from := now.Add(-b.window)
-	r.first.cut(from)
-	r.second.cut(from)
-	r.lent.cut(from)
-	return r
+	start := now.Add(-b.window)
+	counts.first.dropUntil(start)
+	counts.retries.dropUntil(start)
+	counts.nestedRetries.dropUntil(start)
+	return counts
 }
 
 // RecordFirst counts a first send.
@@ -71,43 +71,43 @@
 // RecordNestedCall counts a first send that is, for a part between 0 and 1, the call of a
 // repeated run: that part counts as a repeat. It is not refused here, since the
 // run that needs it is under way; its room was held.
-func (b *Budget) RecordNestedCall(service string, part float64) {
+func (b *Budget) RecordNestedCall(service string, retryShare float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := time.Now()
-	r := b.at(service, now)
-	r.first.add(now, 1-part)
-	if part > 0 {
-		r.second.add(now, part)
-		r.lent.add(now, part)
+	counts := b.countsFor(service, now)
+	counts.first.add(now, 1-retryShare)
+	if retryShare > 0 {
+		counts.retries.add(now, retryShare)
+		counts.nestedRetries.add(now, retryShare)
 	}
 }
 
 // RecordUndelivered takes back a first send that is not known to have come to a worker. It
 // is missing for a whole window from now on, so that the bound errs to the safe
 // side, and what was counted as a repeat stays so.
-func (b *Budget) RecordUndelivered(service string, part float64) {
+func (b *Budget) RecordUndelivered(service string, retryShare float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := time.Now()
-	b.at(service, now).first.add(now, part-1)
+	b.countsFor(service, now).first.add(now, retryShare-1)
 }
 
 // ReserveNested asks for room for the calls that a repeated run is expected to make, by
 // service, and keeps it until Free. Without room for all it keeps none, and
 // names the service that has none, unless the run must be.
-func (b *Budget) ReserveNested(calls map[string]float64, must bool) (lacks string, ok bool) {
+func (b *Budget) ReserveNested(calls map[string]float64, force bool) (lacking string, ok bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := time.Now()
-	for s, n := range calls {
-		if r := b.at(s, now); !must && !b.may(r, now, n) {
+	for service, count := range calls {
+		if counts := b.countsFor(service, now); !force && !b.hasRoom(counts, now, count) {
 			b.Denied++
-			return s, false
+			return service, false
 		}
 	}
-	for s, n := range calls {
-		b.rows[s].held += n
+	for service, count := range calls {
+		b.services[service].reserved += count
 	}
 	return "", true
 }
@@ -116,9 +116,9 @@
 func (b *Budget) ReleaseNested(calls map[string]float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	for s, n := range calls {
-		if r := b.rows[s]; r != nil {
-			r.held = max(r.held-n, 0)
+	for service, count := range calls {
+		if counts := b.services[service]; counts != nil {
+			counts.reserved = max(counts.reserved-count, 0)
 		}
 	}
 }
@@ -128,12 +128,12 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := time.Now()
-	r := b.at(service, now)
-	if !b.may(r, now, 1) {
+	counts := b.countsFor(service, now)
+	if !b.hasRoom(counts, now, 1) {
 		b.Denied++
 		return false
 	}
-	r.second.add(now, 1)
+	counts.retries.add(now, 1)
 	b.Allowed++
 	return true
 }
@@ -143,8 +143,8 @@
 func (b *Budget) MostlyUnused(service string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	r := b.at(service, time.Now())
-	return 4*(r.second.all()+r.held+1) <= b.share*r.first.all()
+	counts := b.countsFor(service, time.Now())
+	return 4*(counts.retries.total()+counts.reserved+1) <= b.ratio*counts.first.total()
 }
 
 // WouldAllow tells whether a repeat would be allowed just now.
@@ -152,29 +152,29 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := time.Now()
-	return b.may(b.at(service, now), now, 1)
+	return b.hasRoom(b.countsFor(service, now), now, 1)
 }
 
-// may tells whether more repeats have room now.
-func (b *Budget) may(r *row, now time.Time, more float64) bool {
-	part := 0.0
+// hasRoom tells whether more repeats have room now.
+func (b *Budget) hasRoom(counts *serviceCounts, now time.Time, additional float64) bool {
+	allowanceShare := 0.0
 	// Nor for the first window: what an earlier start of this front used of
 	// its part may still count.
-	if b.nodes > 0 && now.Sub(b.born) >= b.window {
-		part = b.allow / float64(b.nodes)
+	if b.proxies > 0 && now.Sub(b.created) >= b.window {
+		allowanceShare = b.allowance / float64(b.proxies)
 	}
 	// Calls of repeated runs are counted by what runs make on the mean: two
 	// deviations of such a count are kept back besides.
-	if lent := r.lent.all() + r.held; lent > 0 {
-		more += 2 * math.Sqrt(lent)
+	if nested := counts.nestedRetries.total() + counts.reserved; nested > 0 {
+		additional += 2 * math.Sqrt(nested)
 	}
-	more += r.held
+	additional += counts.reserved
 	// A tenth is kept back: between two repeats of one front the first sends
 	// of the others pass out of the window. The short window keeps a burst of
 	// repeats from standing alone when traffic falls off right after it.
-	short := now.Add(-b.window / 5)
-	return r.second.all()+more <= 0.9*b.share*r.first.all()+part &&
-		r.second.since(short)+more <= 1.5*b.share*r.first.since(short)+max(part, 1)
+	shortStart := now.Add(-b.window / 5)
+	return counts.retries.total()+additional <= 0.9*b.ratio*counts.first.total()+allowanceShare &&
+		counts.retries.since(shortStart)+additional <= 1.5*b.ratio*counts.first.since(shortStart)+max(allowanceShare, 1)
 }
 
 // EstimateWait guesses how long until a repeat may be allowed: until the oldest one
@@ -183,27 +183,27 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := time.Now()
-	r := b.at(service, now)
-	if b.may(r, now, 1) {
+	counts := b.countsFor(service, now)
+	if b.hasRoom(counts, now, 1) {
 		return 0
 	}
 	// Without repeats in the window it is first sends that lack.
 	wait := b.window / 5
-	if l := r.second.marks; len(l) > 0 {
-		wait = l[0].at.Add(b.window).Sub(now)
-		if i := r.second.past(now.Add(-b.window / 5)); i < len(l) {
-			wait = l[i].at.Add(b.window / 5).Sub(now)
+	if retries := counts.retries.sends; len(retries) > 0 {
+		wait = retries[0].at.Add(b.window).Sub(now)
+		if index := counts.retries.firstAfter(now.Add(-b.window / 5)); index < len(retries) {
+			wait = retries[index].at.Add(b.window / 5).Sub(now)
 		}
 	}
 	return wait
 }
 
 // Counts gives the first and second sends within the window.
-func (b *Budget) Counts(service string) (first, second int) {
+func (b *Budget) Counts(service string) (first, retries int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	r := b.at(service, time.Now())
-	return int(r.first.all() + 0.5), int(r.second.all() + 0.5)
+	counts := b.countsFor(service, time.Now())
+	return int(counts.first.total() + 0.5), int(counts.retries.total() + 0.5)
 }
 
 // RequestedCount counts the repeats that were asked for, allowed or not.
--- a/internal/retrybudget/tape.go
+++ b/internal/retrybudget/tape.go
@@ -5,52 +5,54 @@
 	"time"
 )
 
-// mark is one send, with the sum of all weights up to it.
-type mark struct {
-	at  time.Time
-	sum float64
+// send is one send, with the sum of all weights up to it.
+type send struct {
+	at         time.Time
+	cumulative float64
 }
 
-// tape is the sends of one kind within the window, oldest first. A send may
+// sendLog is the sends of one kind within the window, oldest first. A send may
 // count in part, when it is not certain of which kind it is.
-type tape struct {
-	marks []mark
+type sendLog struct {
+	sends []send
 	base  float64 // the sum of what left the window
 }
 
 // add puts a weight at the end.
-func (l *tape) add(at time.Time, w float64) { l.marks = append(l.marks, mark{at, l.sum() + w}) }
+func (l *sendLog) add(at time.Time, weight float64) {
+	l.sends = append(l.sends, send{at, l.cumulative() + weight})
+}
 
-func (l *tape) sum() float64 {
-	if n := len(l.marks); n > 0 {
-		return l.marks[n-1].sum
+func (l *sendLog) cumulative() float64 {
+	if count := len(l.sends); count > 0 {
+		return l.sends[count-1].cumulative
 	}
 	return l.base
 }
 
-// past finds the first mark after a moment.
-func (l *tape) past(at time.Time) int {
-	return sort.Search(len(l.marks), func(i int) bool { return l.marks[i].at.After(at) })
+// firstAfter finds the first mark after a moment.
+func (l *sendLog) firstAfter(at time.Time) int {
+	return sort.Search(len(l.sends), func(i int) bool { return l.sends[i].at.After(at) })
 }
 
-// cut lets go of what was sent up to a moment.
-func (l *tape) cut(from time.Time) {
-	if n := l.past(from); n > 0 {
-		l.base, l.marks = l.marks[n-1].sum, l.marks[n:]
+// dropUntil lets go of what was sent up to a moment.
+func (l *sendLog) dropUntil(until time.Time) {
+	if index := l.firstAfter(until); index > 0 {
+		l.base, l.sends = l.sends[index-1].cumulative, l.sends[index:]
 	}
 	// An empty tape begins anew, so that sums never grow too large to be exact.
-	if len(l.marks) == 0 {
+	if len(l.sends) == 0 {
 		l.base = 0
 	}
 }
 
-// all is the weight of the window.
-func (l *tape) all() float64 { return l.sum() - l.base }
+// total is the weight of the window.
+func (l *sendLog) total() float64 { return l.cumulative() - l.base }
 
 // since is the weight after a moment.
-func (l *tape) since(at time.Time) float64 {
-	if n := l.past(at); n > 0 {
-		return l.sum() - l.marks[n-1].sum
+func (l *sendLog) since(at time.Time) float64 {
+	if index := l.firstAfter(at); index > 0 {
+		return l.cumulative() - l.sends[index-1].cumulative
 	}
-	return l.all()
+	return l.total()
 }
--- a/internal/shutdown/late.go
+++ b/internal/shutdown/late.go
@@ -11,27 +11,27 @@
 
 // Cutoff ends what a stop can't wait for any longer.
 type Cutoff struct {
-	ctx  context.Context
-	over context.CancelFunc
+	ctx    context.Context
+	cancel context.CancelFunc
 }
 
 // NewCutoff makes one of a process whose own context is given.
-func NewCutoff(process context.Context) *Cutoff {
-	l := &Cutoff{}
-	l.ctx, l.over = context.WithCancel(process)
-	return l
+func NewCutoff(processContext context.Context) *Cutoff {
+	cutoff := &Cutoff{}
+	cutoff.ctx, cutoff.cancel = context.WithCancel(processContext)
+	return cutoff
 }
 
 // Trigger ends all bound contexts, and those that are bound from now on.
-func (l *Cutoff) Trigger() { l.over() }
+func (c *Cutoff) Trigger() { c.cancel() }
 
 // Bind gives a context that ends with another one, or with ErrLate as its cause.
 // The result is called when the work is over.
-func (l *Cutoff) Bind(of context.Context) (ctx context.Context, stop func()) {
-	ctx, cancel := context.WithCancelCause(of)
-	ignore := context.AfterFunc(l.ctx, func() { cancel(ErrCutoff) })
+func (c *Cutoff) Bind(parent context.Context) (ctx context.Context, stop func()) {
+	ctx, cancel := context.WithCancelCause(parent)
+	unregister := context.AfterFunc(c.ctx, func() { cancel(ErrCutoff) })
 	return ctx, func() {
-		ignore()
+		unregister()
 		cancel(nil)
 	}
 }
