--- a/internal/balancer/balancer.go
+++ b/internal/balancer/balancer.go
@@ -1,7 +1,7 @@
-// Package balancer picks the worker of a job: the one that costs least, by the
-// time that jobs of its path are expected to take there against the job's aim,
-// by how many missed it lately, by load and by fitness. Workers of the own area
-// are given an advance, since bytes between areas are dear.
+// Package balancer picks the worker for a request: the one with the lowest cost,
+// computed from the run time expected there relative to the request's target
+// latency, the worker's rate of missed targets, its load and its health. Workers in
+// the ingress's own zone are preferred, since traffic between zones is expensive.
 package balancer
 
 import (
@@ -13,31 +13,31 @@
 	"puffincrank/internal/ormap"
 )
 
-// workerState is what this front knows of one worker.
+// workerState is what this ingress knows about one worker.
 type workerState struct {
-	inFlight        int // own jobs under way there
+	inFlight        int // requests of this ingress that run there
 	slots           float64
-	usedSlots       int       // what the owner's last receipt said
-	reportedAt      time.Time // when it said so
-	failRate        float64   // smoothed rate of failures
-	latencyMS       float64   // smoothed latency in ms
+	usedSlots       int       // as last reported by the owner
+	reportedAt      time.Time // when usedSlots was reported
+	failRate        float64   // smoothed
+	latencyMS       float64   // smoothed
 	samples         int
 	unhealthy       bool
-	runTimeRatio    float64   // how long its jobs run, as a ratio to all jobs of their paths; 0: not known
-	missRate        float64   // part of its jobs that missed their aim, smoothed
-	lastOutcome     time.Time // when a job last said something of it
-	relapses        int       // how often it turned unfit lately
-	turnedUnhealthy time.Time // when it did so last
+	runTimeRatio    float64   // run time relative to the mean of the same routes at all workers; 0: unknown
+	missRate        float64   // smoothed fraction of its requests that missed their target
+	lastOutcome     time.Time // when an outcome or report last told something about it
+	relapses        int       // how often it turned unhealthy recently
+	turnedUnhealthy time.Time // when it last turned unhealthy
 }
 
-// runningMean is a smoothed time in ms.
+// runningMean is a smoothed time in milliseconds.
 type runningMean struct {
 	ms    float64
 	count int
 }
 
-// add takes in one more, which counts for most times the mean at the most; the
-// first ones make up a plain mean, later ones weigh one in long.
+// add records one value, capped at maxRatio times the mean. The first maxCount
+// values form a plain mean; from then on each new value has a weight of 1/maxCount.
 func (m *runningMean) add(ms, maxRatio float64, maxCount int) {
 	if m.count < maxCount {
 		m.count++
@@ -48,25 +48,27 @@
 	m.ms += (ms - m.ms) / float64(m.count)
 }
 
-// Balancer is one front's choice of workers.
+// Balancer picks workers for one ingress. mu guards what changes.
 type Balancer struct {
-	mu            sync.Mutex
-	zone          string
-	loadTTL       time.Duration // how long a receipt's word on load counts
-	window        time.Duration // in a ratio of which doubts fade
-	workers       map[string]*workerState
-	excluded      map[string]time.Time // owners that could not be reached, until when
-	hasSession    func(string) bool    // whether a node has a session; nil: not known
-	notifyHealth  func(worker string, fit bool)
-	candidateSets map[string]*candidateSet // by service
-	routeRunTimes map[string]runningMean   // by path, ms that a job runs, smoothed over all workers
-	failRates     map[string]float64       // by service, part of its jobs that failed, smoothed
-}
-
-// New makes a nominator for a front in an area; fresh is how long a receipt's
-// word on load counts, window the time in whose ratio doubts fade.
-func New(zone string, loadTTL, window time.Duration, notifyHealth func(string, bool)) *Balancer {
-	return &Balancer{zone: zone, loadTTL: loadTTL, window: window, workers: map[string]*workerState{}, routeRunTimes: map[string]runningMean{}, failRates: map[string]float64{},
+	mu              sync.Mutex
+	zone            string
+	refreshInterval time.Duration // the median latency of a service is recomputed four times per interval
+	window          time.Duration // evidence against a worker decays in proportion to it
+	workers         map[string]*workerState
+	excluded        map[string]time.Time // owners that could not be reached, and until when they are left out
+	hasSession      func(string) bool    // whether a node has a session with a control node; nil: unknown
+	notifyHealth    func(worker string, healthy bool)
+	candidateSets   map[string]*candidateSet // by service
+	routeRunTimes   map[string]runningMean   // by route: mean run time at all workers
+	failRates       map[string]float64       // by service: smoothed fraction of its requests that failed
+}
+
+// New returns a Balancer for an ingress in the given zone. Median latencies are
+// recomputed four times per refreshInterval. The window sets how fast evidence
+// against a worker decays. notifyHealth, which may be nil, is called when a worker
+// turns healthy or unhealthy.
+func New(zone string, refreshInterval, window time.Duration, notifyHealth func(string, bool)) *Balancer {
+	return &Balancer{zone: zone, refreshInterval: refreshInterval, window: window, workers: map[string]*workerState{}, routeRunTimes: map[string]runningMean{}, failRates: map[string]float64{},
 		candidateSets: map[string]*candidateSet{}, excluded: map[string]time.Time{}, notifyHealth: notifyHealth}
 }
 
@@ -79,7 +81,8 @@
 	return state
 }
 
-// Slots reads a worker's slots from its entry.
+// Slots returns the number of slots that a worker's entry states, 1 if it states
+// none.
 func Slots(e ormap.Entry) int {
 	slots, err := strconv.Atoi(e.Meta["slots"])
 	if err != nil || slots < 1 {
@@ -88,10 +91,11 @@
 	return slots
 }
 
-// load is the part of a worker's slots that is taken, as far as is known. What
-// a receipt said turns by and by into what is usual for the service: with many
-// fronts each gets one in a while, and what made a worker crowded (it is slow,
-// or has many callers near) lasts for longer than that.
+// load estimates the fraction of a worker's slots that is in use. The value that
+// the owner last reported decays towards the usual load of the service. It decays
+// slowly, over the window: with many ingresses each one hears from an owner only
+// rarely, and what overloads a worker (it is slow, or many callers are near) lasts
+// longer than that.
 func (b *Balancer) load(set *candidateSet, worker *candidate, now time.Time) float64 {
 	load := set.load
 	if !worker.state.reportedAt.IsZero() {
@@ -101,12 +105,14 @@
 	return max(load, float64(worker.state.inFlight)/worker.slots)
 }
 
-const minSamples = 8 // answers before a worker is judged
+const minSamples = 8 // outcomes needed before a worker is judged
 
-// decay is what is left of a doubt about a worker that nothing was heard of
-// for a while. Who fell often of late is doubted for longer, though for a window
-// and a half at the most: from then on others should have shown that it is ill.
-// Without that end a doubt that halves by and by keeps jobs away for three windows.
+// decay returns what fraction of the evidence against a worker still counts, given
+// the time since anything was observed about it. Evidence against a worker that
+// turned unhealthy repeatedly decays more slowly, but is gone after a window and a
+// half in any case: by then others should have shown whether it still fails.
+// Without this limit the exponential decay would keep requests away for three
+// windows.
 func (b *Balancer) decay(state *workerState, now time.Time) float64 {
 	if state.lastOutcome.IsZero() || b.window <= 0 {
 		return 1
@@ -115,8 +121,9 @@
 	return math.Exp(-age/min(0.5*float64(int(1)<<state.relapses), 1)) * max(1-age/1.5, 0)
 }
 
-// weight is a worker's fitness from 0.01 to 1, against its peers. A job that
-// may not be sent again shies away twice as much.
+// weight is a worker's health between 0.01 and 1, relative to its peers. For a
+// request that may not be retried failures count twice as much (the exponent is
+// doubled) and the minimum is lower.
 func (b *Balancer) weight(state *workerState, median, decay float64, noRetry bool) float64 {
 	if state.samples < minSamples {
 		return 1
@@ -126,7 +133,7 @@
 		minWeight, exponent = 0.01, 8
 	}
 	weight := math.Pow(1-state.failRate*decay, exponent)
-	// Up to twice the peers' middle is the noise of ordinary days.
+	// Latencies up to twice the median of the peers are normal variation.
 	if latency := state.latencyMS; median > 0 && latency > 2*median {
 		latency = 2*median + (latency-2*median)*decay
 		weight *= 2 * median / latency
@@ -134,14 +141,16 @@
 	return max(weight, minWeight)
 }
 
-// SetSessionCheck tells how to find out whether a node has a session with a control node.
+// SetSessionCheck sets the function that reports whether a node has a session with
+// a control node.
 func (b *Balancer) SetSessionCheck(hasSession func(node string) bool) {
 	b.mu.Lock()
 	b.hasSession = hasSession
 	b.mu.Unlock()
 }
 
-// Exclude leaves an owner out for a while: it could not be reached.
+// Exclude leaves out the workers of an owner that could not be reached, for the
+// given duration. It also removes exclusions that have expired.
 func (b *Balancer) Exclude(owner string, duration time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -154,14 +163,15 @@
 	b.excluded[owner] = now.Add(duration)
 }
 
-// Forget drops a worker that is gone.
+// Forget drops the state of a worker that no longer exists.
 func (b *Balancer) Forget(worker string) {
 	b.mu.Lock()
 	delete(b.workers, worker)
 	b.mu.Unlock()
 }
 
-// Weights gives the weight of every known worker of a service that was asked for.
+// Weights returns the current weight of every worker of the services that this
+// ingress has sent requests to.
 func (b *Balancer) Weights() map[string]float64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -177,8 +187,8 @@
 	return weights
 }
 
-// HasFreeSlots tells whether there are free slots somewhere in a service, by what its
-// owners' receipts said.
+// HasFreeSlots reports whether some worker of a service has free slots, judging by
+// the load that its owners reported.
 func (b *Balancer) HasFreeSlots(service string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -186,15 +196,16 @@
 	return set != nil && set.load < 1
 }
 
-// UsualRunMS is how long a job of a path runs at a worker, in ms over all workers
-// that this front sends to; 0 when not known.
+// UsualRunMS returns the mean run time of a route's requests in milliseconds, over
+// all workers that this ingress sends to; 0 if unknown.
 func (b *Balancer) UsualRunMS(route string) float64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.routeRunTimes[route].ms
 }
 
-// FailureRate is the part of a service's jobs that fails at any worker.
+// FailureRate returns the smoothed fraction of a service's requests that fails, at
+// whichever worker.
 func (b *Balancer) FailureRate(service string) float64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/balancer/candidates.go
+++ b/internal/balancer/candidates.go
@@ -8,28 +8,30 @@
 	"puffincrank/internal/ormap"
 )
 
-// candidateSet is a service's workers by area, made anew when its entries change. A
-// job draws from it by place, so that it costs the same at any size.
+// candidateSet holds the workers of a service by zone. It is rebuilt when the
+// service's entries change. Requests sample it by index, so that the cost of a pick
+// does not depend on the number of workers.
 type candidateSet struct {
-	firstEntry           *ormap.Entry // of the list that it was made from, which is never changed
+	firstEntry           *ormap.Entry // identifies the entry list it was built from; such lists are immutable
 	size                 int
 	sameZone, otherZones []candidate
-	suspected            int // whose owners doubt them
+	suspected            int // workers whose owners suspect them
 	medianMS             float64
-	load                 float64   // of its workers, smoothed over receipts
-	medianUntil          time.Time // how long the middle counts
+	load                 float64   // usual fraction of slots in use, smoothed over reports
+	medianUntil          time.Time // when medianMS has to be recomputed
 }
 
-// candidate is one worker in a roster.
+// candidate is one worker in a candidateSet.
 type candidate struct {
 	entry       ormap.Entry
 	state       *workerState
 	slots       float64
-	suspicion   int // its owner's, from 0 to Worst
-	probeFactor int // how many times as often it is probed
+	suspicion   int // level given by its owner, 0 to MaxSuspicion
+	probeFactor int // multiple of the normal probe rate
 }
 
-// candidateSetOf finds the lists of a service, and makes them if its entries changed.
+// candidateSetOf returns the candidate set of a service, rebuilt if its entries
+// changed. mu is held.
 func (b *Balancer) candidateSetOf(entries []ormap.Entry) *candidateSet {
 	set := b.candidateSets[entries[0].Service]
 	if set != nil && set.firstEntry == &entries[0] && set.size == len(entries) {
@@ -54,15 +56,17 @@
 		}
 		worker := candidate{entry: e, state: b.workerState(e.Worker), slots: float64(Slots(e)), suspicion: SuspicionLevel(e), probeFactor: 1}
 		worker.state.slots = worker.slots
-		// One that is cold will be well in its time, whatever probes show.
+		// A worker that is warming up recovers with time, whatever probes show, so
+		// it is not probed more often.
 		if worker.suspicion == 1 && e.Meta["cold"] == "" {
 			worker.probeFactor = mildProbeFactor
 		}
 		if worker.suspicion > 0 {
 			set.suspected++
 		} else if lastSuspicion[e.Worker] > 0 {
-			// Its owner sees all its jobs and found it well: older marks against
-			// it here would only be taken back one probe at a time.
+			// The owner sees all requests of its worker and no longer suspects it.
+			// Older evidence held here would only be corrected one probe at a time,
+			// so it is dropped.
 			worker.state.failRate, worker.state.missRate, worker.state.runTimeRatio, worker.state.latencyMS, worker.state.samples = 0, 0, 0, 0, 0
 		}
 		if e.Zone == b.zone {
@@ -71,7 +75,7 @@
 			set.otherZones = append(set.otherZones, worker)
 		}
 	}
-	// Services of older configurations must not pile up.
+	// Bounds the memory held for services of older configurations.
 	if len(b.candidateSets) >= 4096 {
 		clear(b.candidateSets)
 	}
@@ -79,9 +83,9 @@
 	return set
 }
 
-// suspicionFactor is what is left of a seat's weight by its owner's doubts. Where more
-// than a quarter of a service is doubted, it isn't the workers, and the others
-// could not take the jobs of so many.
+// suspicionFactor reduces the weight of a worker that its owner suspects. If more
+// than a quarter of a service is suspected, the factor is 1: the cause is then
+// unlikely to be the workers, and the rest could not take over that many requests.
 func (s *candidateSet) suspicionFactor(worker *candidate, noRetry bool) float64 {
 	if worker.suspicion == 0 || s.suspected > max(s.size/4, 1) {
 		return 1
@@ -96,11 +100,12 @@
 	return factor
 }
 
-// medianSamples is how many workers a middle is taken of, at the most.
+// medianSamples limits the number of workers per zone list that go into a median.
 const medianSamples = 32
 
-// median is the median latency of a service's workers, worked out anew a few
-// times in a beat, over so many of them as say enough.
+// median returns the median latency in milliseconds of a service's workers, over a
+// sample of those with enough outcomes. It is recomputed four times per
+// refreshInterval. mu is held.
 func (b *Balancer) median(set *candidateSet, now time.Time) float64 {
 	if set.medianUntil.After(now) {
 		return set.medianMS
@@ -119,23 +124,24 @@
 		sort.Float64s(latencies)
 		set.medianMS = latencies[(len(latencies)-1)/2]
 	}
-	set.medianUntil = now.Add(b.loadTTL / 4)
+	set.medianUntil = now.Add(b.refreshInterval / 4)
 	return set.medianMS
 }
 
-// samplesPerZone is how many workers of an area are weighed for one job. All of a small
-// service; of a large one two at random already avoid the crowded.
+// samplesPerZone is how many workers of the own zone, and how many of all other
+// zones, are compared for one request. This covers a small service; in a large one
+// two random choices are already enough to avoid overloaded workers.
 const samplesPerZone = 3
 
-// sample takes a few of a list by place, those that can be asked; in a list with
-// many that can't, fewer or none.
+// sample appends up to samplesPerZone random eligible workers of the pool to
+// chosen. If many workers of the pool are not eligible, it may find fewer or none.
 func (b *Balancer) sample(chosen []*candidate, pool []candidate, request *PickRequest, now time.Time) []*candidate {
 	size, want := len(pool), len(chosen)+samplesPerZone
 	if size == 0 {
 		return chosen
 	}
 	if size <= 2*samplesPerZone {
-		// All of a small one, from a random place on.
+		// A small pool is scanned in full, starting at a random position.
 		for i, position := 0, rand.IntN(size); i < size && len(chosen) < want; i++ {
 			if worker := &pool[(position+i)%size]; b.eligible(worker, request, now) {
 				chosen = append(chosen, worker)
@@ -157,9 +163,9 @@
 	return chosen
 }
 
-// eligible tells whether a worker may be asked: not tried yet, and its owner within
-// reach. Of others the entries stay until they are retired, and each try would
-// cost a repeat.
+// eligible reports whether a worker may be picked: it was not tried yet, and its
+// owner is reachable. Entries of unreachable owners stay in the registry until they
+// are retired, and each attempt there would cost a retry.
 func (b *Balancer) eligible(worker *candidate, request *PickRequest, now time.Time) bool {
 	if request.Tried[worker.entry.Worker] {
 		return false
@@ -170,8 +176,8 @@
 	return b.hasSession == nil || b.hasSession(worker.entry.Owner)
 }
 
-// fallback looks through all, for when a draw found nobody: one that can be asked,
-// else one that is out of reach.
+// fallback scans all workers when sampling found none. It returns an eligible
+// worker, or else one that was not tried but is unreachable, or nil.
 func (b *Balancer) fallback(set *candidateSet, request *PickRequest, now time.Time) *candidate {
 	var unreachable *candidate
 	for _, list := range [][]candidate{set.sameZone, set.otherZones} {
--- a/internal/balancer/eventqueue_test.go
+++ b/internal/balancer/eventqueue_test.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// event is something to come in a field.
+// event is an action scheduled in a simulation.
 type event struct {
 	at     time.Time
 	action func()
--- a/internal/balancer/failingworkers_test.go
+++ b/internal/balancer/failingworkers_test.go
@@ -7,11 +7,12 @@
 	"time"
 )
 
-// failureMode is one way for a worker to be ill, from 10 s to 17 s of a field.
+// failureMode is a way in which a worker fails, from second 10 to second 17 of a
+// simulation.
 type failureMode struct {
 	name        string
 	severity    float64
-	maxBadRatio float64 // what the jobs that fail or are late may be, as a part of those under mere chance
+	maxBadRatio float64 // the most failed or late requests, relative to random picks
 }
 
 func (m failureMode) active(now time.Duration) (string, float64) {
@@ -26,16 +27,17 @@
 	return "down", 1
 }
 
-// TestFailingWorkersAvoided plays services of several sizes with a seventh of the workers ill in
-// each manner: jobs keep away, those that may not be sent again most of all, and
-// come back within the window; against workers chosen by mere chance.
+// TestFailingWorkersAvoided simulates services of several sizes in which a seventh
+// of the workers fails, in each failure mode. Requests must avoid these workers,
+// those that may not be retried most of all, and must return within the window. The
+// baseline picks workers at random.
 func TestFailingWorkersAvoided(t *testing.T) {
-	for _, size := range []struct{ fronts, workers, areas int }{{12, 4, 3}, {12, 12, 3}, {78, 39, 4}} {
+	for _, size := range []struct{ ingresses, workers, zones int }{{12, 4, 3}, {12, 12, 3}, {78, 39, 4}} {
 		for _, mode := range []failureMode{{"slow", 5.4, 0.6}, {"errors", 0.44, 0.35}, {"errors", 1, 0.2}, {"shed", 0.45, 0.35}, {"hang", 0.4, 0.6}, {"flap", 1, 0.35}} {
 			t.Run(fmt.Sprint(size, mode.name, mode.severity), func(t *testing.T) {
-				// One worker alone has its probes by chance, and so the time of its
-				// return: a single field's part has a deviation of 0.17, the mean of
-				// six less than half of that.
+				// A single faulty worker is probed, and so readmitted, at random
+				// times: its load share has a standard deviation of 0.17 in one
+				// run, and less than half of that in the mean of six.
 				faulty, runs := max(size.workers/7, 1), 1
 				if faulty == 1 {
 					runs = 6
@@ -45,7 +47,7 @@
 					duringFault, after5s, after10s := 0.0, 0.0, 0.0
 					for seed := range runs {
 						synctest.Test(t, func(t *testing.T) {
-							sim := newSimulation(size.fronts, size.workers, size.areas, uint64(3+seed))
+							sim := newSimulation(size.ingresses, size.workers, size.zones, uint64(3+seed))
 							sim.randomPick, sim.repeatable = randomPick, 0.7
 							isFaulty := func(worker *simWorker) bool { return worker.index < faulty }
 							for _, worker := range sim.workers[:faulty] {
@@ -62,11 +64,11 @@
 							after5s += sim.loadShare(22, 27, isFaulty) / float64(runs)
 							after10s += sim.loadShare(27, 32, isFaulty) / float64(runs)
 							if sim.registryUpdates > 16*faulty && !randomPick {
-								t.Errorf("%d words for %d workers", sim.registryUpdates, faulty)
+								t.Errorf("%d registry updates for %d workers", sim.registryUpdates, faulty)
 							}
 						})
 					}
-					t.Logf("by chance %v: of an even part %.2f while ill, %.2f and %.2f from 5 and 10 s after; failed or late %.4f, of those sent once %.4f",
+					t.Logf("random picks %v: load share %.2f during the fault, %.2f and %.2f from 5 and 10 s after it; failed or late %.4f, of those without retry %.4f",
 						randomPick, duringFault, after5s, after10s, badRatio[randomPick], badOnceRatio[randomPick])
 					if randomPick {
 						continue
@@ -76,19 +78,19 @@
 						maxDuringFault, minAfter10s = 0.2, 0.45
 					}
 					if duringFault > maxDuringFault || after10s < minAfter10s || after5s < minAfter5s {
-						t.Error("jobs do not follow the worker's fitness")
+						t.Error("requests do not follow the health of the workers")
 					}
 				}
 				if badRatio[false] > mode.maxBadRatio*badRatio[true] || badOnceRatio[false] > mode.maxBadRatio*badOnceRatio[true] {
-					t.Errorf("bad %v, sent once %v", badRatio, badOnceRatio)
+					t.Errorf("failed or late (by random picks): all %v, without retry %v", badRatio, badOnceRatio)
 				}
 			})
 		}
 	}
 }
 
-// TestAllWorkersFailing: when all workers of a service fail alike, none of them is left out,
-// and nobody is told of doubts that say nothing.
+// TestAllWorkersFailing: when all workers of a service fail alike, none of them is
+// avoided.
 func TestAllWorkersFailing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		sim := newSimulation(12, 12, 3, 5)
@@ -103,14 +105,15 @@
 		sim.run(20 * time.Second)
 		for _, worker := range sim.workers {
 			if share := sim.loadShare(12, 20, func(other *simWorker) bool { return other == worker }); share < 0.2 {
-				t.Errorf("worker %d has %.2f of an even part", worker.index, share)
+				t.Errorf("worker %d has %.2f of an even share", worker.index, share)
 			}
 		}
 	})
 }
 
-// TestOwnerReportOverridesLocalSample: what one front met by chance weighs little once the owner says
-// what it saw, and is forgotten with time where nothing more is heard.
+// TestOwnerReportOverridesLocalSample: a few random failures that one ingress saw
+// count little once the owner reports what it saw, and decay with time if nothing
+// more is observed.
 func TestOwnerReportOverridesLocalSample(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		balancer := New("a", time.Second, window, nil)
@@ -123,37 +126,37 @@
 		}
 		balancer.Pick(entries, PickRequest{Route: "p"})
 		if weight := recordFailures(WorkerReport{}); weight > 0.1 {
-			t.Errorf("8 failures in a row leave %.2f", weight)
+			t.Errorf("weight of %.2f after 8 failures in a row", weight)
 		}
 		if weight := recordFailures(WorkerReport{Pace: 8, Fail: 1}); weight < 0.9 {
-			t.Errorf("its owner says that one in 64 fails: %.2f", weight)
+			t.Errorf("weight of %.2f although the owner reports that one in 64 fails", weight)
 		}
 		recordFailures(WorkerReport{})
 		<-time.After(window * 2)
 		if weight := balancer.Weights()["one"]; weight < 0.7 {
-			t.Errorf("after two windows without a word there is %.2f", weight)
+			t.Errorf("weight of %.2f after two windows without outcomes", weight)
 		}
 	})
 }
 
-// TestWarmupSuspicion: a worker is doubted a little as long as it says that it is cold, and
-// no longer.
+// TestWarmupSuspicion: a worker is at suspicion level 1 while it announces that it
+// is warming up, and no longer.
 func TestWarmupSuspicion(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		stats := NewWorkerStats(window)
 		stats.SetWarmup(3 * time.Second)
 		if level := stats.Suspicion(0); level != 1 {
-			t.Errorf("doubts of %d while cold", level)
+			t.Errorf("suspicion level %d while warming up", level)
 		}
 		<-time.After(4 * time.Second)
 		if level := stats.Suspicion(0); level != 0 {
-			t.Errorf("doubts of %d when warm", level)
+			t.Errorf("suspicion level %d after the warm-up", level)
 		}
 	})
 }
 
-// TestRelapsesProlongSuspicion: a worker whose doubts come again and again is let back more slowly
-// each time, and one that nobody asks is let back with time alone.
+// TestRelapsesProlongSuspicion: a worker that is suspected repeatedly is readmitted
+// more slowly each time, and one without requests is readmitted after a time.
 func TestRelapsesProlongSuspicion(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		stats := NewWorkerStats(window)
@@ -164,7 +167,7 @@
 			}
 			stats.RecordFailures(40)
 			if stats.Suspicion(0) != MaxSuspicion {
-				t.Fatal("40 failures and no doubt")
+				t.Fatal("not suspected after 40 failures")
 			}
 			start := time.Now()
 			for stats.Suspicion(0) > 0 {
@@ -175,25 +178,25 @@
 		}
 		for i := 1; i < len(durations); i++ {
 			if durations[i]+window/50 < durations[i-1] {
-				t.Errorf("let back after %v", durations)
+				t.Errorf("readmitted after %v", durations)
 			}
 		}
 		if durations[0] > window/2 || durations[3] < 2*durations[0] {
-			t.Errorf("let back after %v", durations)
+			t.Errorf("readmitted after %v", durations)
 		}
 		idle := NewWorkerStats(window)
-		// However often it fell, it is asked again within a window.
+		// However often it relapsed, it is tried again within one window.
 		for range 4 {
 			idle.RecordFailures(40)
 			if idle.Suspicion(0) != MaxSuspicion {
-				t.Fatal("no doubt")
+				t.Fatal("not suspected after 40 failures")
 			}
 			start := time.Now()
 			for idle.Suspicion(0) > 0 && time.Since(start) < 9*window {
 				<-time.After(window / 100)
 			}
 			if duration := time.Since(start); duration > window+window/20 {
-				t.Errorf("doubts of one that nobody asks stay for %v", duration)
+				t.Errorf("a worker without requests stays suspected for %v", duration)
 			}
 		}
 	})
--- a/internal/balancer/pick.go
+++ b/internal/balancer/pick.go
@@ -8,37 +8,39 @@
 	"puffincrank/internal/ormap"
 )
 
-// PickRequest is a job that needs a worker.
+// PickRequest describes a request that needs a worker.
 type PickRequest struct {
 	Route      string
-	Target     time.Duration   // what is left of its aim
+	Target     time.Duration   // time left until its target latency is missed
 	Bulk       bool            // its bodies are large
-	Repeatable bool            // it may be sent again
+	Repeatable bool            // it may be retried
 	Tried      map[string]bool // workers to leave out
 
-	Delay func(ormap.Entry) time.Duration // of bulk: until it would be there, as measured; nil: at once
+	Delay func(ormap.Entry) time.Duration // for bulk: measured time until its body would arrive there; nil: none
 }
 
-// The advance of the own area: how much more of a chance to miss the aim is put
-// up with there. Bytes between areas are dear, those of bulk all the more.
+// Preference for the own zone, as the extra cost added to workers in other zones.
+// Traffic between zones is expensive, and bulk bodies most of all.
 const (
 	zonePreference     = 0.5
 	zonePreferenceBulk = 1.5
 )
 
-// probes is one of how many jobs that look at a doubtful worker goes there
-// whatever it costs; of a few workers in an area as many more as there are
-// fewer. This is a tenth of its fair part at any size, and keen times that once
-// its owner doubts it but a little: a doubled cost alone wins nothing while others
-// have room, and what shows that it is well would come as slowly as at the worst.
+// One in probeInterval requests that consider a doubtful worker is sent there
+// regardless of its cost; in a zone of few workers the rate is higher in
+// proportion. The worker thus gets about a tenth of its fair share at any service
+// size. At suspicion level 1 it is probed mildProbeFactor times as often: its cost
+// is only doubled, but it would still get no requests while others have free slots,
+// and evidence of its recovery would arrive as slowly as at the highest level.
 const (
 	probeInterval   = 32
 	mildProbeFactor = 3
 )
 
-// Pick nominates one of the entries, leaving out those tried and those that
-// drain. It takes a place in the count, which Done gives back. The list must
-// be one that is replaced when entries change, not changed itself.
+// Pick selects one of the entries, leaving out workers that were tried or are
+// draining. The request counts as in flight at that worker until RecordOutcome. The
+// slice must not be modified afterwards: when entries change, a new one has to be
+// passed.
 func (b *Balancer) Pick(entries []ormap.Entry, request PickRequest) (ormap.Entry, bool) {
 	if len(entries) == 0 {
 		return ormap.Entry{}, false
@@ -71,15 +73,16 @@
 	lowest := math.Inf(1)
 	for i, worker := range workers {
 		cost, doubtful := b.cost(set, worker, &request, median, now)
-		// What can be sent again is a probe by which the doubtful can regain
-		// their weight; of those far away only where there are none near.
+		// Repeatable requests serve as probes through which a doubtful worker can
+		// regain its weight. Workers in other zones are probed only if none of the
+		// own zone was sampled.
 		if doubtful && request.Repeatable && !request.Bulk && (i < sameZone || sameZone == 0) && rand.IntN(probeInterval*probeable) < samplesPerZone*worker.probeFactor {
 			return worker.reserve(), true
 		}
 		if i >= sameZone {
 			cost += preference
 		}
-		// What waits on the way misses the aim as what waits there does.
+		// A delay on the way counts against the target like a wait at the worker.
 		if request.Delay != nil && request.Target > 0 {
 			cost += min(float64(request.Delay(worker.entry))/float64(request.Target), 4)
 		}
@@ -95,10 +98,11 @@
 	return c.entry
 }
 
-// cost weighs one worker for a job: a quarter of the part of the aim that it is
-// expected to take, the part of its jobs that missed theirs, and its load, most
-// of all when its last slots are being taken, over its fitness. It also tells
-// whether the worker is in doubt, or hardly known.
+// cost rates a worker for a request: a quarter of the fraction of the target that
+// the request is expected to take, plus the worker's rate of missed targets, plus
+// its load, which counts most when the last slots are being taken, all divided by
+// its weight. The second result reports whether the worker is doubtful or hardly
+// known.
 func (b *Balancer) cost(set *candidateSet, worker *candidate, request *PickRequest, median float64, now time.Time) (float64, bool) {
 	state := worker.state
 	load := b.load(set, worker, now) + 1/worker.slots
@@ -108,7 +112,7 @@
 		runTimeRatio += (state.runTimeRatio - 1) * decay
 	}
 	expectedMS := b.routeRunTimes[request.Route].ms * runTimeRatio
-	// Beyond its slots each job waits for its turn.
+	// Requests beyond the number of slots wait for each other.
 	expectedMS *= 1 + max(load-1, 0)
 	targetUse := 1.0
 	if request.Target > 0 {
@@ -120,26 +124,28 @@
 	return cost, suspicionFactor < 1 || weight < unhealthyBelow || missRate > 0.25 || state.samples < minSamples
 }
 
-// A worker is unfit from this weight on, and fit again from twice that or so.
+// A worker becomes unhealthy when its weight falls below the first value, and
+// healthy again only at the second, so that its state does not flap.
 const (
 	unhealthyBelow = 0.4
 	healthyFrom    = 0.7
 )
 
-// Outcome is how a send ended.
+// Outcome describes how an attempt ended.
 type Outcome struct {
 	Worker, Service string
 	Route           string
-	UsedSlots       int           // slots in use there, -1 when not known
-	RoundTrip       time.Duration // from here and back
-	RunTime         time.Duration // at the worker alone; 0 when not known
-	MissedTarget    bool          // the job's aim was missed
+	UsedSlots       int           // slots in use at the worker, -1 if unknown
+	RoundTrip       time.Duration // measured at the ingress
+	RunTime         time.Duration // at the worker alone; 0 if unknown
+	MissedTarget    bool          // the request missed its target latency
 	OK              bool
-	AboutWorker     bool         // it says something of the worker: a refusal doesn't
-	Report          WorkerReport // its owner's, if any came
+	AboutWorker     bool         // the outcome says something about the worker; a refusal does not
+	Report          WorkerReport // the owner's report, if one came
 }
 
-// RecordOutcome takes in how a send ended.
+// RecordOutcome records how an attempt ended and notifies about a change of the
+// worker's health.
 func (b *Balancer) RecordOutcome(outcome Outcome) {
 	b.mu.Lock()
 	state := b.workerState(outcome.Worker)
@@ -159,7 +165,8 @@
 		failed = 1
 	}
 	if outcome.AboutWorker {
-		// The first answers weigh more, so that the average starts near truth.
+		// The first outcomes weigh more, so that the averages soon approach the
+		// true values.
 		gain := max(1/float64(state.samples+1), 0.1)
 		state.samples++
 		state.failRate += (failed - state.failRate) * gain
@@ -178,7 +185,8 @@
 		b.failRates[outcome.Service] += (failed - b.failRates[outcome.Service]) / 32
 	}
 	if outcome.Report.Pace > 0 {
-		// It saw all jobs there, this front some: its word goes first.
+		// The owner sees all requests of its worker, this ingress only some, so the
+		// owner's report replaces the local averages.
 		state.failRate = outcome.Report.failRate()
 		state.runTimeRatio = outcome.Report.runTimeRatio()
 		state.samples = max(state.samples, minSamples)
@@ -193,7 +201,8 @@
 	}
 	unhealthy := state.unhealthy
 	if unhealthy && !wasUnhealthy {
-		// One that falls again and again is let back more slowly each time.
+		// A worker that relapses within four windows is readmitted more slowly each
+		// time.
 		if state.relapses++; now.Sub(state.turnedUnhealthy) > 4*b.window {
 			state.relapses = 0
 		}
@@ -205,7 +214,8 @@
 	}
 }
 
-// decayEvidence lets older marks fade before new ones are made.
+// decayEvidence applies the decay since the last outcome, before new evidence is
+// added.
 func (b *Balancer) decayEvidence(state *workerState, now time.Time) {
 	decay := b.decay(state, now)
 	state.failRate *= decay
@@ -216,11 +226,11 @@
 	state.lastOutcome = now
 }
 
-// recordRunTime takes in how long a job ran at the worker.
+// recordRunTime records how long a request ran at the worker.
 func (b *Balancer) recordRunTime(state *workerState, outcome Outcome) {
 	ms := float64(outcome.RunTime) / float64(time.Millisecond)
 	mean, ok := b.routeRunTimes[outcome.Route]
-	// Paths of older configurations must not pile up.
+	// Bounds the memory held for routes of older configurations.
 	if !ok && len(b.routeRunTimes) >= 4096 {
 		clear(b.routeRunTimes)
 	}
@@ -230,7 +240,7 @@
 	if previousMS <= 0 {
 		return
 	}
-	// One long job says little of its worker.
+	// A single long run says little about the worker, so its ratio is capped at 4.
 	ratio := min(ms/previousMS, 4)
 	if state.runTimeRatio == 0 {
 		state.runTimeRatio = 1
--- a/internal/balancer/pick_test.go
+++ b/internal/balancer/pick_test.go
@@ -12,8 +12,8 @@
 	return ormap.Entry{Service: "s", Worker: worker, Owner: "n-" + worker, Zone: zone, Meta: map[string]string{"slots": "8", "state": "up"}}
 }
 
-// pickMany sends jobs one after the other and counts who got them; each worker
-// takes its own time and the job's aim is 100 ms.
+// pickMany sends requests one after the other, with a target of 100 ms, and counts
+// which workers got them. Each worker has its own run time.
 func pickMany(balancer *Balancer, entries []ormap.Entry, count int, bulk bool, runTimes map[string]time.Duration) map[string]int {
 	counts := map[string]int{}
 	for range count {
@@ -28,8 +28,8 @@
 	return counts
 }
 
-// TestSameZonePreferred: the own area's worker gets the jobs although another is quicker,
-// as long as it does not miss their aim.
+// TestSameZonePreferred: the worker of the own zone gets the requests although
+// another one is faster, as long as it does not miss their target.
 func TestSameZonePreferred(t *testing.T) {
 	entries := []ormap.Entry{entry("near", "a"), entry("far", "b")}
 	balancer := New("a", time.Second, 10*time.Second, nil)
@@ -39,17 +39,18 @@
 	balancer = New("a", time.Second, 10*time.Second, nil)
 	counts := pickMany(balancer, entries, 400, false, map[string]time.Duration{"near": 160 * time.Millisecond, "far": 60 * time.Millisecond})
 	if counts["far"] < 300 {
-		t.Errorf("the near one misses the aim: %v", counts)
+		t.Errorf("the worker in the own zone misses the target: %v", counts)
 	}
-	// What is large stays near even then: it costs many times as much to move.
+	// Bulk requests stay in the zone even then: moving them costs many times as
+	// much.
 	balancer = New("a", time.Second, 10*time.Second, nil)
 	if counts := pickMany(balancer, entries, 400, true, map[string]time.Duration{"near": 160 * time.Millisecond, "far": 60 * time.Millisecond}); counts["near"] < 350 {
 		t.Errorf("bulk: %v", counts)
 	}
 }
 
-// TestFastWorkerPreferred: of workers of one area the quick one gets most, a failing one
-// next to nothing but its probes.
+// TestFastWorkerPreferred: of the workers of one zone the fastest gets most
+// requests, and a failing one little more than its probes.
 func TestFastWorkerPreferred(t *testing.T) {
 	entries := []ormap.Entry{entry("quick", "a"), entry("slow", "a"), entry("sick", "a")}
 	balancer := New("a", time.Second, 10*time.Second, nil)
@@ -59,8 +60,8 @@
 	}
 }
 
-// TestInFlightRequestsCount: jobs under way count; the last slots of a near worker are left to
-// those that come while others are free elsewhere.
+// TestInFlightRequestsCount: requests in flight count as load, so the last slots of
+// the worker in the own zone stay free while there are free slots elsewhere.
 func TestInFlightRequestsCount(t *testing.T) {
 	entries := []ormap.Entry{entry("near", "a"), entry("far", "b")}
 	balancer := New("a", time.Second, 10*time.Second, nil)
@@ -74,18 +75,18 @@
 	}
 }
 
-// TestIneligibleWorkersSkipped: draining, tried and unknown nodes' workers are left out; those
-// out of touch are asked only when there is nobody else.
+// TestIneligibleWorkersSkipped: workers that are draining or were tried are left
+// out; unreachable ones are picked only if there is no other.
 func TestIneligibleWorkersSkipped(t *testing.T) {
 	entries := []ormap.Entry{entry("one", "a"), entry("two", "a")}
 	entries[0].Meta["state"] = "draining"
 	balancer := New("a", time.Second, 10*time.Second, nil)
 	if _, ok := balancer.Pick(entries, PickRequest{Tried: map[string]bool{"two": true}}); ok {
-		t.Error("nobody is left")
+		t.Error("picked a worker although none is left")
 	}
 	balancer.Exclude("n-two", time.Hour)
 	if picked, ok := balancer.Pick(entries, PickRequest{}); !ok || picked.Worker != "two" {
-		t.Errorf("%v %v: better one out of touch than none", picked.Worker, ok)
+		t.Errorf("%v %v: want the unreachable worker rather than none", picked.Worker, ok)
 	}
 	entries = append(entries, entry("three", "b"))
 	for range 200 {
@@ -99,8 +100,8 @@
 	return []ormap.Entry{entry("one", "a"), entry("two", "a"), entry("three", "a")}
 }
 
-// TestSamplingLargeService: of a large service each worker is drawn, those that can't be asked
-// never are, and one that alone can be is found.
+// TestSamplingLargeService: in a large service every worker of the zone gets
+// requests, ineligible ones never do, and a single eligible one is found.
 func TestSamplingLargeService(t *testing.T) {
 	var entries []ormap.Entry
 	for i := range 300 {
@@ -114,10 +115,10 @@
 		counts[picked.Worker]++
 	}
 	if counts["3"]+counts["6"] > 0 {
-		t.Errorf("%d jobs to one out of touch, %d to one tried", counts["3"], counts["6"])
+		t.Errorf("%d requests to an unreachable worker, %d to a tried one", counts["3"], counts["6"])
 	}
 	if len(counts) < 98 {
-		t.Errorf("only %d of 300 were drawn", len(counts))
+		t.Errorf("only %d of 300 were picked", len(counts))
 	}
 	balancer.SetSessionCheck(func(node string) bool { return node == "n-299" })
 	for range 50 {
@@ -127,7 +128,7 @@
 	}
 }
 
-// BenchmarkPick: the cost of one nomination, by the service's workers.
+// BenchmarkPick measures one pick by the number of the service's workers.
 func BenchmarkPick(b *testing.B) {
 	for _, size := range []int{5, 40, 300} {
 		var entries []ormap.Entry
--- a/internal/balancer/probe_test.go
+++ b/internal/balancer/probe_test.go
@@ -6,15 +6,15 @@
 	"time"
 )
 
-// TestProbeRate: of jobs that may be sent again a worker that its owner doubts gets
-// a tenth of an even part, and thrice as many when the doubts are small; not one
-// that is merely cold. Other jobs look at none.
+// TestProbeRate: of repeatable requests, a worker at the highest suspicion level
+// gets a tenth of an even share, and three times as much at level 1, unless it is
+// merely warming up. Requests that may not be retried do not probe.
 func TestProbeRate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		for _, c := range []struct {
-			doubts, cold string
-			safe         bool
-			least, most  float64
+			suspicion, warmup  string
+			repeatable         bool
+			minShare, maxShare float64
 		}{{"2", "", true, 0.06, 0.13}, {"1", "", true, 0.21, 0.36}, {"1", "1", true, 0.06, 0.13}, {"1", "", false, 0, 0.02}} {
 			balancer := New("a", time.Second, window, nil)
 			var picked []string
@@ -22,9 +22,9 @@
 			for _, name := range []string{"four", "five", "six", "seven", "eight"} {
 				entries = append(entries, entry(name, "a"))
 			}
-			entries[0].Meta["doubts"], entries[0].Meta["cold"] = c.doubts, c.cold
+			entries[0].Meta["doubts"], entries[0].Meta["cold"] = c.suspicion, c.warmup
 			for range 16000 {
-				entry, _ := balancer.Pick(entries, PickRequest{Route: "p", Repeatable: c.safe})
+				entry, _ := balancer.Pick(entries, PickRequest{Route: "p", Repeatable: c.repeatable})
 				picked = append(picked, entry.Worker)
 				balancer.RecordOutcome(Outcome{Worker: entry.Worker, Service: "s", Route: "p", UsedSlots: -1, RoundTrip: 100 * time.Millisecond, RunTime: 100 * time.Millisecond, OK: true, AboutWorker: true})
 			}
@@ -34,16 +34,17 @@
 					count++
 				}
 			}
-			if share := float64(count*len(entries)) / float64(len(picked)); share < c.least || share > c.most {
-				t.Errorf("%+v: %.3f of an even part", c, share)
+			if share := float64(count*len(entries)) / float64(len(picked)); share < c.minShare || share > c.maxShare {
+				t.Errorf("%+v: %.3f of an even share", c, share)
 			}
 		}
 	})
 }
 
-// TestRecoveredWorkerReadmitted: a worker that failed all its jobs, one of 36 that get 14 a second
-// each, is let back when its probes showed that it is well: some seconds after
-// on average, over sixteen fields.
+// TestRecoveredWorkerReadmitted: one of 36 workers, which get 14 requests per
+// second each, fails all its requests for six seconds. Its probes must show its
+// recovery, so that it is readmitted within a few seconds, on average over sixteen
+// runs.
 func TestRecoveredWorkerReadmitted(t *testing.T) {
 	const runs = 16
 	delay, share := 0.0, 0.0
@@ -66,8 +67,8 @@
 			delay += (time.Since(sim.started) - window).Seconds() / runs
 		})
 	}
-	t.Logf("of an even part %.2f while ill, let back after %.1f s", share, delay)
+	t.Logf("%.2f of an even share during the fault, readmitted after %.1f s", share, delay)
 	if share > 0.2 || delay > 8 {
-		t.Error("it is not let back by what its probes show")
+		t.Error("too many requests during the fault, or readmitted too slowly")
 	}
 }
--- a/internal/balancer/readmission_test.go
+++ b/internal/balancer/readmission_test.go
@@ -6,9 +6,10 @@
 	"time"
 )
 
-// TestUnhealthyWorkerRetriedWithoutReports: a worker that turned unfit again and again and missed every aim,
-// and of which nothing is heard since because its jobs may not be sent again, is
-// nominated once more within a window and a half.
+// TestUnhealthyWorkerRetriedWithoutReports: a worker turned unhealthy repeatedly
+// and missed every target. Since its requests may not be retried it is not probed,
+// and nothing more is observed about it. It must be picked again within a window
+// and a half.
 func TestUnhealthyWorkerRetriedWithoutReports(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		balancer := New("a", time.Second, window, nil)
@@ -24,7 +25,7 @@
 				record("three", true)
 			}
 			if weight := balancer.Weights()["one"]; weight > 0.1 {
-				t.Fatalf("fitness of %.2f after 40 failures", weight)
+				t.Fatalf("weight of %.2f after 40 failures", weight)
 			}
 			for range 40 {
 				record("one", true)
@@ -44,9 +45,9 @@
 			}
 			record(picked.Worker, true)
 		}
-		t.Logf("back after %v", recovery)
+		t.Logf("picked again after %v", recovery)
 		if recovery < window/4 || recovery > window*3/2+window/10 {
-			t.Errorf("back after %v, a window is %v", recovery, window)
+			t.Errorf("picked again after %v, the window is %v", recovery, window)
 		}
 	})
 }
--- a/internal/balancer/simulation_test.go
+++ b/internal/balancer/simulation_test.go
@@ -10,9 +10,9 @@
 	"puffincrank/internal/ormap"
 )
 
-// A field is a mesh of fronts and workers of one service in virtual time: each
-// worker has its slots, its speed, a queue, and an owner that measures it and
-// tells all fronts of its doubts.
+// simulation runs the ingresses and workers of one service in virtual time. Each
+// worker has slots, a speed, a queue, and an owner that measures it and publishes
+// its suspicion to all ingresses.
 type simulation struct {
 	random          *rand.Rand
 	ingresses       []*Balancer
@@ -21,25 +21,25 @@
 	pending         eventQueue
 	target          time.Duration
 	runTime         time.Duration
-	rate            float64 // jobs a second
-	repeatable      float64 // part of the jobs that may be sent again
-	randomPick      bool    // workers are chosen by mere chance, to compare with
+	rate            float64 // requests per second
+	repeatable      float64 // fraction of the requests that may be retried
+	randomPick      bool    // workers are picked at random, as the baseline
 	counts          map[string]int
 	inFlight        map[*simRequest]bool
-	maxRedirects    int // how often a job goes on rather than waits
-	redirects       int // hand-overs of jobs that did
-	crossZone       int // jobs that went to another area
-	registryUpdates int // entries that were told anew
+	maxRedirects    int // how often a request may move on instead of queueing
+	redirects       int // attempts that moved on to another worker
+	crossZone       int // requests sent to another zone
+	registryUpdates int // registry entries that were published anew
 	started         time.Time
 }
 
-// simWorker is one worker and its owner's measure.
+// simWorker is one worker with its owner's record of it.
 type simWorker struct {
 	index            int
 	slots, busy      int
 	queue            []*simRequest
 	runTimeFactor    float64
-	failure          func(now time.Duration) (how string, x float64)
+	failure          func(now time.Duration) (kind string, severity float64)
 	stats            *WorkerStats
 	published        int
 	received, failed map[int]int // by second
@@ -53,7 +53,7 @@
 	run        *ActiveRun
 	tried      map[string]bool
 	redirects  int
-	rejected   bool // turned away by the worker
+	rejected   bool // refused by the worker
 }
 
 func (s *simulation) after(delay time.Duration, action func()) {
@@ -73,12 +73,13 @@
 		sim.entries = append(sim.entries, entry(fmt.Sprint("w", i), strconv.Itoa(i%zones)))
 		sim.entries[i].Meta["slots"] = "12"
 	}
-	// Six tenths of the slots are busy.
+	// Six tenths of the slots are in use on average.
 	sim.rate = 0.6 * float64(workers*12) / sim.runTime.Seconds()
 	return sim
 }
 
-// publishSuspicion tells all fronts what the owner thinks, as a new entry.
+// publishSuspicion sends a changed suspicion level to all ingresses, as a new
+// registry entry.
 func (w *simWorker) publishSuspicion(sim *simulation) {
 	level := w.stats.Suspicion(sim.ingresses[w.index].FailureRate("s"))
 	if level == w.published {
@@ -200,7 +201,8 @@
 	w.startQueued(sim)
 }
 
-// record takes in how a job ended, or that it is over its aim.
+// record counts the result of a request; bad means that it failed or missed its
+// target.
 func (s *simulation) record(request *simRequest, bad bool) {
 	s.counts["all"]++
 	if bad {
@@ -215,7 +217,7 @@
 	}
 }
 
-// recordOverdue takes in those under way that are over their aim already.
+// recordOverdue counts requests in flight that have already missed their target.
 func (s *simulation) recordOverdue() {
 	for request := range s.inFlight {
 		if time.Since(request.arrived) > s.target {
@@ -224,8 +226,8 @@
 	}
 }
 
-// loadShare is what part of all jobs of some seconds some workers had, against what
-// they would have of an even share.
+// loadShare is the fraction of the requests of some seconds that a group of workers
+// received, relative to an even distribution.
 func (s *simulation) loadShare(from, to int, inGroup func(worker *simWorker) bool) float64 {
 	groupTotal, total, groupSize := 0, 0, 0
 	for _, worker := range s.workers {
--- a/internal/balancer/workerstats.go
+++ b/internal/balancer/workerstats.go
@@ -9,10 +9,11 @@
 	"puffincrank/internal/ormap"
 )
 
-// MaxSuspicion is the greatest of an owner's doubts about its worker; 0 is none.
+// MaxSuspicion is the highest level at which an owner suspects its worker; 0 means
+// that it does not.
 const MaxSuspicion = 2
 
-// SuspicionLevel reads an owner's doubts about its worker from its entry.
+// SuspicionLevel returns the owner's suspicion level from a worker's entry.
 func SuspicionLevel(e ormap.Entry) int {
 	level, err := strconv.Atoi(e.Meta["doubts"])
 	if err != nil {
@@ -21,59 +22,63 @@
 	return min(max(level, 0), MaxSuspicion)
 }
 
-// WorkerReport is what an owner's receipt says of its worker, coarsely, to cost few
-// bytes: Pace in eighths, 0 when nothing is said; Fail in 64ths of its jobs.
+// WorkerReport is the coarse summary of a worker that an owner adds to its
+// responses, kept to a few bytes: Pace is the ratio of its run times to those of
+// all workers in eighths, 0 if there is no report; Fail is the fraction of its
+// requests that failed, in 64ths.
 type WorkerReport struct{ Pace, Fail uint8 }
 
 func (w WorkerReport) runTimeRatio() float64 { return float64(w.Pace) / 8 }
 func (w WorkerReport) failRate() float64     { return float64(w.Fail) / 64 }
 
-// WorkerStats is an owner's measure of its worker, which sees all of its jobs.
+// WorkerStats is an owner's record of its worker, all of whose requests it sees. mu
+// guards all fields.
 type WorkerStats struct {
 	mu             sync.Mutex
 	window         time.Duration
-	failRate       float64                // part of the last jobs that failed, smoothed
-	runTimeRatio   float64                // how long jobs run against those of its like
-	slowdown       float64                // how long jobs run against the longer of its like and its own past
-	ownRunTimes    map[string]runningMean // by path, ms that a job ran here over a long time
+	failRate       float64                // smoothed fraction of its requests that failed
+	runTimeRatio   float64                // run time relative to all workers on the same route
+	slowdown       float64                // run time relative to the larger of the usual time at all workers and its own long-term mean
+	ownRunTimes    map[string]runningMean // by route: long-term mean run time here
 	samples        int
 	suspicion      int
-	suspicionSince time.Time // of the last change of the doubts
-	lastRun        time.Time // of the last job
-	suspectedAt    time.Time // when the doubts last came up
-	relapses       int       // how often they did of late
-	warmupUntil    time.Time // until when the worker said that it is slow
+	suspicionSince time.Time // when the level last changed
+	lastRun        time.Time // when a run last ended, or was last found hanging
+	suspectedAt    time.Time // when the level last rose from 0
+	relapses       int       // how often that happened recently
+	warmupUntil    time.Time // end of the warm-up period that the worker announced
 	activeRuns     map[*ActiveRun]bool
 }
 
-// NewWorkerStats makes the measure of a worker; window is the time in whose ratio a
-// worker is let back.
+// NewWorkerStats returns an empty record. How long suspicion of a worker lasts is
+// proportional to the window.
 func NewWorkerStats(window time.Duration) *WorkerStats {
 	return &WorkerStats{window: window, runTimeRatio: 1, slowdown: 1, ownRunTimes: map[string]runningMean{}, activeRuns: map[*ActiveRun]bool{}}
 }
 
-// SetWarmup notes how much longer the worker says to be slow from its start.
+// SetWarmup records for how much longer the worker expects to be slow after its
+// start.
 func (s *WorkerStats) SetWarmup(remaining time.Duration) {
 	s.mu.Lock()
 	s.warmupUntil = time.Now().Add(remaining)
 	s.mu.Unlock()
 }
 
-// WarmingUp tells whether the worker says that it is still slow from its start.
+// WarmingUp reports whether the worker is still in its announced warm-up period.
 func (s *WorkerStats) WarmingUp() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return time.Now().Before(s.warmupUntil)
 }
 
-// ActiveRun is a job under way at the worker.
+// ActiveRun is a request in progress at the worker.
 type ActiveRun struct {
 	started time.Time
 	usualMS float64
 }
 
-// RunStarted notes that a job goes to the worker; usual is what its like takes at
-// all workers, in ms, 0 when that isn't known.
+// RunStarted records that a request is sent to the worker. usualMS is the mean run
+// time of its route at all workers in milliseconds, 0 if unknown.
 func (s *WorkerStats) RunStarted(usualMS float64) *ActiveRun {
 	run := &ActiveRun{time.Now(), usualMS}
 	s.mu.Lock()
@@ -82,7 +87,8 @@
 	return run
 }
 
-// RunEnded notes that a job is no longer under way, and gives how long it was, in ms.
+// RunEnded records that a request is no longer in progress and returns how long it
+// ran, in milliseconds.
 func (s *WorkerStats) RunEnded(run *ActiveRun) float64 {
 	s.mu.Lock()
 	delete(s.activeRuns, run)
@@ -90,8 +96,8 @@
 	return float64(time.Since(run.started)) / float64(time.Millisecond)
 }
 
-// mostlyHung tells that half of the jobs under way, and more than one, run for so
-// long that they may never end. mu is held.
+// mostlyHung reports whether at least half of the active runs, and more than one,
+// have taken over four times their usual time and so may never end. mu is held.
 func (s *WorkerStats) mostlyHung(now time.Time) bool {
 	hung := 0
 	for run := range s.activeRuns {
@@ -102,11 +108,12 @@
 	return hung > 1 && 2*hung >= len(s.activeRuns)
 }
 
-// sampleWeight is how much one job counts: the more the fewer there are, since a
-// doubted worker gets but a few. mu is held.
+// sampleWeight is the weight of one outcome in the averages. It grows with the
+// suspicion level, since a suspected worker gets only few requests. mu is held.
 func (s *WorkerStats) sampleWeight() float64 { return 1 / float64(int(16)>>s.suspicion) }
 
-// RecordFailures takes in failures, as many as the event is worth.
+// RecordFailures records a failure that counts as the given number of failed
+// requests.
 func (s *WorkerStats) RecordFailures(count int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -115,8 +122,9 @@
 	s.lastRun = time.Now()
 }
 
-// RecordRun takes in a job that ended well, or that did not end in ms; usual is what
-// jobs of its path take at all workers, in ms, 0 when that isn't known.
+// RecordRun records a request that succeeded, or that was still running after ms
+// milliseconds. usualMS is the mean run time of its route at all workers in
+// milliseconds, 0 if unknown.
 func (s *WorkerStats) RecordRun(route string, ms, usualMS float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -128,12 +136,13 @@
 	if !ok && len(s.ownRunTimes) >= 1024 {
 		clear(s.ownRunTimes)
 	}
-	// Its past moves slowly, so that some seconds of slowness do not become it.
+	// The worker's own mean moves slowly, so that a few seconds of slowness do not
+	// become its norm.
 	mean.add(ms, 2, 1024)
 	s.ownRunTimes[route] = mean
 	ownMS := mean.ms
-	// Where its peers aren't known it isn't judged: jobs that wait for another
-	// service take longer at all of them.
+	// Without the peers' run time a run is not judged: requests that wait for
+	// another service take longer at all workers.
 	if usualMS <= 0 || ownMS <= 0 {
 		return
 	}
@@ -141,7 +150,7 @@
 	s.slowdown += (min(ms/max(usualMS, ownMS), 4) - s.slowdown) * weight
 }
 
-// Report is what the next receipt says.
+// Report returns the summary for the next response.
 func (s *WorkerStats) Report() WorkerReport {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -151,20 +160,21 @@
 	return WorkerReport{Pace: uint8(min(max(math.Round(s.runTimeRatio*8), 1), 64)), Fail: uint8(math.Round(s.failRate * 64))}
 }
 
-// Suspicion is what all fronts should know of the worker: large changes only. The
-// part of failures counts beyond what fails at its peers too, which common is.
-// Doubts come by what enough jobs showed, and go by that or with time.
+// Suspicion updates and returns the suspicion level that all ingresses should know.
+// It changes only on large changes in the worker's behavior. Failures count as far
+// as they exceed commonFailRate, the rate at which the service fails at any worker.
+// The level rises on enough evidence, and falls on evidence or with time.
 func (s *WorkerStats) Suspicion(commonFailRate float64) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
 	excessFailRate := max(s.failRate-commonFailRate, 0) / max(1-commonFailRate, 0.1)
-	raiseTo, lowerTo := 0, 0 // doubts that come by the figures, and those that stay
+	raiseTo, lowerTo := 0, 0 // levels the figures call for: to rise to, and to fall back to
 	if s.samples >= minSamples {
 		raiseTo = suspicionFor(excessFailRate, s.slowdown, 0.15, 0.3, 2.2, 3)
 		lowerTo = suspicionFor(excessFailRate, s.slowdown, 0.07, 0.2, 1.6, 2.5)
 	}
-	// Those that hang tell nothing until their time is over.
+	// Hanging runs report nothing until they time out, so they count at once.
 	if s.mostlyHung(now) {
 		raiseTo, lowerTo, s.lastRun = MaxSuspicion, MaxSuspicion, now
 	}
@@ -172,8 +182,11 @@
 		raiseTo, lowerTo = max(raiseTo, 1), max(lowerTo, 1)
 	}
 	minDuration := s.window / 16 << s.relapses
-	// What nobody asks shows nothing: within a window it is asked again, however
-	// often it fell. Of one that failed always doubts go in three steps.
+	// A worker without requests produces no evidence, so its level falls after a
+	// period of silence. A third of the window bounds the period, so that the
+	// worker is tried again within one window however often it relapsed. The
+	// averages of a worker that always failed take three such steps to reach level
+	// 0.
 	maxSilence := min(4*minDuration, s.window/3)
 	switch {
 	case raiseTo > s.suspicion:
@@ -187,14 +200,15 @@
 	case lowerTo < s.suspicion && now.Sub(s.suspicionSince) > minDuration:
 		s.suspicion, s.suspicionSince = lowerTo, now
 	case s.suspicion > 0 && now.Sub(s.lastRun) > maxSilence && now.Sub(s.suspicionSince) > maxSilence && !now.Before(s.warmupUntil):
-		// Nobody asks it any more, as where no job may be sent again.
+		// The worker gets no requests any more, as when no request of its service
+		// may be retried.
 		s.suspicion, s.suspicionSince = s.suspicion-1, now
 		s.failRate, s.slowdown, s.runTimeRatio = s.failRate/2, 1+(s.slowdown-1)/2, 1+(s.runTimeRatio-1)/2
 	}
 	return s.suspicion
 }
 
-// suspicionFor turns failures and slowness into doubts.
+// suspicionFor returns the suspicion level for a failure rate and a slowdown.
 func suspicionFor(failRate, slowdown, mildFailRate, severeFailRate, mildSlowdown, severeSlowdown float64) int {
 	switch {
 	case failRate >= severeFailRate || slowdown >= severeSlowdown:
