--- a/internal/admission/controller.go
+++ b/internal/admission/controller.go
@@ -1,6 +1,6 @@
-// Package admission admits jobs to one worker's slots. A class below its share
-// always gets the next free slot; an idle share is lent to whoever waits; a
-// lent slot comes back when its job ends, never by cutting it.
+// Package admission admits requests to the slots of one worker. A class below its
+// share always gets the next free slot; an idle share is lent to other classes; a
+// lent slot comes back when its request ends, never by aborting it.
 package admission
 
 import (
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// Controller is the slots of one worker.
+// Controller manages the slots of one worker. mu guards what changes.
 type Controller struct {
 	mu           sync.Mutex
 	created      time.Time
@@ -19,23 +19,23 @@
 	queueLimit   int
 	inUse        int
 	classes      map[string]*classState
-	nestedShare  float64 // part of the jobs that are inner ones, smoothed
-	nestedInUse  int     // inner jobs with a slot
+	nestedShare  float64 // smoothed fraction of the requests that are nested
+	nestedInUse  int     // slots held by nested requests
 	draining     bool
 	drainStarted chan struct{}
 	random       func() float64
 }
 
-// New makes a room; Shape sets its size.
+// New returns a Controller without slots; Configure sets them.
 func New() *Controller {
 	return &Controller{created: time.Now(), classes: map[string]*classState{}, drainStarted: make(chan struct{}), random: rand.Float64}
 }
 
-// nowMicros is the time since the room's birth in us: sums of it over all slots stay
-// far below the greatest whole number.
+// nowMicros is the time since the controller was created, in microseconds, so that
+// sums of it over all slots are far from overflowing.
 func (c *Controller) nowMicros() int64 { return time.Since(c.created).Microseconds() }
 
-// stateOf finds a class's lot or makes it.
+// stateOf returns the state of a class, and creates it if necessary.
 func (c *Controller) stateOf(class string) *classState {
 	state := c.classes[class]
 	if state == nil {
@@ -45,8 +45,8 @@
 	return state
 }
 
-// Configure sets the slots, the shares and the bound on each queue. Jobs that run
-// stay; what waits is looked at anew.
+// Configure sets the slots, the percentage share of each class, and the limit on
+// each queue. Running requests keep their slots; waiting ones are reconsidered.
 func (c *Controller) Configure(slots int, shares map[string]float64, queueLimit int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -57,7 +57,8 @@
 			continue
 		}
 		state.guaranteed, state.configured = 0, false
-		// A class that went out of the rules goes with its last job.
+		// A class that is no longer configured is kept until its last request has
+		// ended.
 		if state.used == 0 && state.waiting() == 0 {
 			delete(c.classes, class)
 		}
@@ -69,7 +70,7 @@
 	c.dispatch()
 }
 
-// The outcomes of Enter.
+// The outcomes of Acquire.
 const (
 	Admitted     = ""
 	QueueFull    = "queue full"
@@ -78,17 +79,17 @@
 	UnknownClass = "no such class"
 )
 
-// Request is what a job asks a room for.
+// Request describes a request that needs a slot.
 type Request struct {
 	Class    string
-	MaxWait  time.Duration // the longest that it may wait
-	Target   time.Duration // until its aim is missed; it waits a quarter of that at the most. 0 or less: no aim
-	Nested   bool          // the caller is a job that holds a slot elsewhere
-	Priority int           // those of a lower one go first in its line
+	MaxWait  time.Duration // the longest time that it may wait for a slot
+	Target   time.Duration // time until its target is missed, a quarter of which it may wait; 0 or less: no target
+	Nested   bool          // the caller itself is a request that holds a slot elsewhere
+	Priority int           // lower values go first in a queue
 }
 
-// waitLimit is how long a job may wait. One that is turned away later than a
-// quarter of its aim has too little left to be served in time elsewhere.
+// waitLimit is how long a request may wait. If it were refused later than after a
+// quarter of its target, too little time would remain to serve it elsewhere.
 func (r Request) waitLimit() time.Duration {
 	if r.Target > 0 {
 		return min(r.MaxWait, r.Target/4)
@@ -96,8 +97,8 @@
 	return r.MaxWait
 }
 
-// Acquire takes a slot, waiting for one within the ask's bounds. Any other
-// outcome than In means that the job got none. Leave wants the same ask.
+// Acquire takes a slot, waiting within the limits of the request. After any outcome
+// but Admitted the request has no slot. Release needs the same Request.
 func (c *Controller) Acquire(ctx context.Context, request Request) string {
 	c.mu.Lock()
 	if c.draining {
@@ -110,14 +111,14 @@
 		return UnknownClass
 	}
 	c.recordArrival(request.Nested)
-	// Fewer slots kept back may be a turn for one who waits.
+	// With the arrival recorded, fewer slots may be reserved than before.
 	if c.inUse < c.slots {
 		c.dispatch()
 	}
 	queue, ahead, limit := &state.direct, state.waiting(), c.queueLimit
 	if request.Nested {
-		// A slot stands still elsewhere as long as an inner job waits, so its
-		// queue is a little longer.
+		// While a nested request waits, a slot is blocked elsewhere, so its queue
+		// may be a little longer.
 		queue, ahead, limit = &state.nested, state.nested.length, c.queueLimit+max(c.queueLimit/4, 1)
 	}
 	if ahead == 0 && c.canAdmit(state, request.Nested) {
@@ -125,8 +126,8 @@
 		c.mu.Unlock()
 		return Admitted
 	}
-	// A job that can't hope for a slot in its time is told so at once. Only those
-	// that go before it are in its way; the queue as a whole is bounded besides.
+	// A request that is not expected to get a slot in time is refused at once. Only
+	// those queued before it delay it; the whole queue is limited separately.
 	wait := request.waitLimit()
 	deadline := time.Now().Add(wait)
 	before := ahead - queue.length + queue.countBefore(request.Priority, deadline)
@@ -152,7 +153,7 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	// The slot may have come just now; then it is taken after all.
+	// A slot that was assigned in the meantime is kept.
 	if queued.hasSlot {
 		return Admitted
 	}
@@ -161,7 +162,7 @@
 	return outcome
 }
 
-// recordArrival notes what part of the jobs are inner ones.
+// recordArrival updates the fraction of nested requests.
 func (c *Controller) recordArrival(nested bool) {
 	value := 0.0
 	if nested {
@@ -170,14 +171,14 @@
 	c.nestedShare += (value - c.nestedShare) / (2 * holdTimeSamples)
 }
 
-// reservedForNested is how many free slots are kept back for inner jobs: as many as come
-// usually and are not inside, an eighth of the slots at the most.
+// reservedForNested is the number of free slots reserved for nested requests: their
+// usual number less those running, up to an eighth of all slots.
 func (c *Controller) reservedForNested() int {
 	return max(min(int(math.Round(c.nestedShare*float64(c.slots))), c.slots/8)-c.nestedInUse, 0)
 }
 
-// canAdmit tells whether a class's job may have a slot now. What is kept back is
-// kept from those who would borrow it, never from a class below its share.
+// canAdmit reports whether a request of a class may have a slot now. Reserved slots
+// are withheld from borrowers, never from a class below its share.
 func (c *Controller) canAdmit(state *classState, nested bool) bool {
 	available := c.slots - c.inUse
 	if !nested && state.used >= state.guaranteed {
@@ -195,7 +196,7 @@
 	}
 }
 
-// Release gives a slot back after a job that took some time.
+// Release returns the slot of a request that held it for the given time.
 func (c *Controller) Release(request Request, held time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -214,8 +215,8 @@
 	c.dispatch()
 }
 
-// dispatch hands free slots to waiters: first to the class that is furthest below
-// its share, then to the one that has borrowed least.
+// dispatch assigns free slots to waiting requests: first of the class that is
+// furthest below its share, then of the one that has borrowed least. mu is held.
 func (c *Controller) dispatch() {
 	for c.inUse < c.slots {
 		var best *classState
@@ -225,8 +226,8 @@
 			if waiting == nil || !c.canAdmit(state, waiting.nested) {
 				continue
 			}
-			// Below its share the rank is under 1; a class without a share
-			// comes after all the others.
+			// The ratio is below 1 for a class below its share. A class without a
+			// share comes last.
 			usage := math.MaxFloat64
 			if state.guaranteed > 0 {
 				usage = float64(state.used) / float64(state.guaranteed)
--- a/internal/admission/controller_test.go
+++ b/internal/admission/controller_test.go
@@ -10,8 +10,9 @@
 	"pgregory.net/rapid"
 )
 
-// TestGuaranteedSlots: whole slots add up, no positive share starves, and no class is
-// more than one slot off its exact share unless it had to give one up.
+// TestGuaranteedSlots: the guaranteed slots add up to all slots, a class without a
+// share gets none, and no class with a positive share is left without one while
+// there are enough.
 func TestGuaranteedSlots(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		slots := rapid.IntRange(3, 40).Draw(t, "slots")
@@ -28,28 +29,29 @@
 		}
 		guaranteed := GuaranteedSlots(slots, shares)
 		sum, positive := 0, 0
-		for c, share := range shares {
-			sum += guaranteed[c]
+		for class, share := range shares {
+			sum += guaranteed[class]
 			if share > 0 {
 				positive++
 			}
-			if share == 0 && guaranteed[c] != 0 {
-				t.Fatalf("class without a share has %d", guaranteed[c])
+			if share == 0 && guaranteed[class] != 0 {
+				t.Fatalf("class without a share has %d slots", guaranteed[class])
 			}
 		}
 		if sum != slots {
-			t.Fatalf("floors %v add up to %d of %d", guaranteed, sum, slots)
+			t.Fatalf("guaranteed slots %v add up to %d of %d", guaranteed, sum, slots)
 		}
-		for c, share := range shares {
-			if share > 0 && guaranteed[c] == 0 && slots >= positive {
-				t.Fatalf("class %s of share %v starves: %v", c, share, guaranteed)
+		for class, share := range shares {
+			if share > 0 && guaranteed[class] == 0 && slots >= positive {
+				t.Fatalf("class %s with share %v has no slot: %v", class, share, guaranteed)
 			}
 		}
 	})
 }
 
-// TestControllerAgainstModel plays a room against a plain model of its rule: whoever waits gets
-// a freed slot by least used ÷ share, and no slot is idle while anyone waits.
+// TestControllerAgainstModel compares the controller with a simple model of its
+// rule: a released slot goes to the waiting class with the lowest ratio of used
+// slots to its share, and no slot is idle while a request waits.
 func TestControllerAgainstModel(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		synctest.Test(t, func(t *testing.T) {
@@ -82,9 +84,9 @@
 					used[class]--
 					inUse--
 					best := ""
-					for _, k := range []string{"a", "b", "c"} {
-						if waiting[k] > 0 && (best == "" || used[k]*guaranteed[best] < used[best]*guaranteed[k]) {
-							best = k
+					for _, other := range []string{"a", "b", "c"} {
+						if waiting[other] > 0 && (best == "" || used[other]*guaranteed[best] < used[best]*guaranteed[other]) {
+							best = other
 						}
 					}
 					if best != "" {
@@ -94,9 +96,9 @@
 					}
 				}
 				synctest.Wait()
-				for k, u := range controller.Usage() {
-					if u.Used != used[k] || u.Waiting != waiting[k] {
-						rt.Fatalf("class %s has %d used and %d waiting, the model %d and %d", k, u.Used, u.Waiting, used[k], waiting[k])
+				for other, usage := range controller.Usage() {
+					if usage.Used != used[other] || usage.Waiting != waiting[other] {
+						rt.Fatalf("class %s has %d used and %d waiting, the model %d and %d", other, usage.Used, usage.Waiting, used[other], waiting[other])
 					}
 				}
 			}
@@ -104,8 +106,9 @@
 	})
 }
 
-// TestBorrowedSlotsReturned: an idle share is lent whole, and a pressed class has its share
-// back after as many ends of jobs as it lacks slots. No running job is cut.
+// TestBorrowedSlotsReturned: an idle share is lent completely, and a class that
+// needs it back has it after as many requests have ended as it lacks slots. No
+// running request is aborted.
 func TestBorrowedSlotsReturned(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		controller := New()
@@ -133,7 +136,7 @@
 			regained = controller.Usage()["desk"].Used
 		}
 		if freed != guaranteed {
-			t.Errorf("%d slots were freed until the pressed class had its %d", freed, guaranteed)
+			t.Errorf("%d slots were released before the class got back its %d", freed, guaranteed)
 		}
 		controller.Close()
 		for range guaranteed + 20 {
@@ -142,7 +145,8 @@
 	})
 }
 
-// TestFullQueueRefusesAtOnce: a job without hope is refused now, not near its end.
+// TestFullQueueRefusesAtOnce: a request that finds a full queue is refused at once,
+// not when its time is over.
 func TestFullQueueRefusesAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		controller := New()
--- a/internal/admission/guaranteedslots.go
+++ b/internal/admission/guaranteedslots.go
@@ -5,12 +5,13 @@
 	"sort"
 )
 
-// GuaranteedSlots rounds shares to whole slots by the largest remainder. A class with a
-// positive share gets one slot at least, as far as the slots reach.
+// GuaranteedSlots rounds percentage shares to whole slots by the largest remainder
+// method. A class with a positive share gets at least one slot, as long as there
+// are enough slots.
 func GuaranteedSlots(slots int, shares map[string]float64) map[string]int {
 	type fraction struct {
-		name string
-		rest float64
+		name      string
+		remainder float64
 	}
 	var fractions []fraction
 	guaranteed := map[string]int{}
@@ -22,8 +23,8 @@
 		fractions = append(fractions, fraction{class, exact - float64(guaranteed[class])})
 	}
 	sort.Slice(fractions, func(i, j int) bool {
-		if fractions[i].rest != fractions[j].rest {
-			return fractions[i].rest > fractions[j].rest
+		if fractions[i].remainder != fractions[j].remainder {
+			return fractions[i].remainder > fractions[j].remainder
 		}
 		return fractions[i].name < fractions[j].name
 	})
@@ -33,7 +34,8 @@
 			remaining--
 		}
 	}
-	// No positive share may round to nothing: the richest class gives one up.
+	// A positive share must not round to zero: the class with the most slots gives
+	// one up.
 	for _, p := range fractions {
 		if shares[p.name] <= 0 || guaranteed[p.name] > 0 {
 			continue
--- a/internal/admission/order_test.go
+++ b/internal/admission/order_test.go
@@ -11,25 +11,25 @@
 	"puffincrank/internal/task"
 )
 
-// testRequest is one job of a played room.
+// testRequest is one request of a random history.
 type testRequest struct {
-	request  Request
+	args     Request
 	cancel   context.CancelFunc
 	outcome  chan string
 	sequence int
 	deadline time.Time
 }
 
-// precedes tells whether a guest of the same right goes before another: its rank is
-// lower, or its wait ends earlier, or it came earlier and waits as long.
+// precedes reports whether a request goes before another equally nested one: by
+// lower priority value, then earlier deadline, then earlier arrival.
 func (r *testRequest) precedes(other *testRequest) bool {
-	if r.request.Priority != other.request.Priority {
-		return r.request.Priority < other.request.Priority
+	if r.args.Priority != other.args.Priority {
+		return r.args.Priority < other.args.Priority
 	}
 	return r.deadline.Before(other.deadline) || r.deadline.Equal(other.deadline) && r.sequence < other.sequence
 }
 
-// harness is a room and who is in it, as seen from outside.
+// harness holds a controller and the requests sent to it, as seen by their callers.
 type harness struct {
 	controller *Controller
 	slots      int
@@ -41,14 +41,14 @@
 
 func (h *harness) used(class string) (count int) {
 	for _, request := range h.admitted {
-		if request.request.Class == class {
+		if request.args.Class == class {
 			count++
 		}
 	}
 	return count
 }
 
-// collect moves the waiters whose wait has ended and gives those who came in.
+// collect removes the requests whose wait has ended and returns those admitted.
 func (h *harness) collect(t *rapid.T) (admitted []*testRequest) {
 	synctest.Wait()
 	var waiting []*testRequest
@@ -64,11 +64,11 @@
 	}
 	h.waiting = waiting
 	for _, request := range admitted {
-		// Whoever is of a lower rank, or has less time, or as much and came earlier, with the same
-		// right, was not passed over, and inner jobs go first within a class.
+		// No request of the same class may pass another one that precedes it, and
+		// nested requests go first within a class.
 		for _, waiter := range h.waiting {
-			if waiter.request.Class == request.request.Class && (waiter.request.Nested == request.request.Nested && waiter.precedes(request) || waiter.request.Nested && !request.request.Nested) {
-				t.Fatalf("job %d (inner %v) of %s passed job %d (inner %v)", request.sequence, request.request.Nested, request.request.Class, waiter.sequence, waiter.request.Nested)
+			if waiter.args.Class == request.args.Class && (waiter.args.Nested == request.args.Nested && waiter.precedes(request) || waiter.args.Nested && !request.args.Nested) {
+				t.Fatalf("request %d (nested %v) of %s passed request %d (nested %v)", request.sequence, request.args.Nested, request.args.Class, waiter.sequence, waiter.args.Nested)
 			}
 		}
 	}
@@ -76,33 +76,34 @@
 	return admitted
 }
 
-// check checks what must hold whenever all is quiet.
+// check verifies the invariants that hold whenever all goroutines are blocked.
 func (h *harness) check(t *rapid.T, grew bool) {
 	if grew && len(h.admitted) > h.slots {
-		t.Fatalf("%d jobs have one of %d slots", len(h.admitted), h.slots)
+		t.Fatalf("%d requests admitted to %d slots", len(h.admitted), h.slots)
 	}
 	free := h.slots - len(h.admitted)
 	for _, waiter := range h.waiting {
-		class := waiter.request.Class
-		if free > 0 && (waiter.request.Nested || h.used(class) < h.guaranteed[class] || free > h.slots/8) {
-			t.Fatalf("%d slots are free, yet a job of %s waits (inner %v, %d of %d used)", free, class, waiter.request.Nested, h.used(class), h.guaranteed[class])
+		class := waiter.args.Class
+		if free > 0 && (waiter.args.Nested || h.used(class) < h.guaranteed[class] || free > h.slots/8) {
+			t.Fatalf("%d slots are free, yet a request of %s waits (nested %v, %d of %d used)", free, class, waiter.args.Nested, h.used(class), h.guaranteed[class])
 		}
 	}
 	usages := h.controller.Usage()
 	waiting := map[string]int{}
 	for _, waiter := range h.waiting {
-		waiting[waiter.request.Class]++
+		waiting[waiter.args.Class]++
 	}
 	for class, usage := range usages {
 		if usage.Used != h.used(class) || usage.Waiting != waiting[class] {
-			t.Fatalf("%s says %d used and %d waiting, there are %d and %d", class, usage.Used, usage.Waiting, h.used(class), waiting[class])
+			t.Fatalf("class %s reports %d used and %d waiting, want %d and %d", class, usage.Used, usage.Waiting, h.used(class), waiting[class])
 		}
 	}
 }
 
-// TestAdmissionOrder: through entries, ends, people who give up, waits that run out and
-// new shapes: never more jobs than slots, no slot idle that a waiter may have,
-// a class below its share gets the next free slot, each class in its order.
+// TestAdmissionOrder runs random histories of arrivals, ends, cancellations,
+// timeouts and configuration changes. There must never be more requests admitted
+// than slots, no slot idle that a waiting request may have, a class below its share
+// gets the next free slot, and each class is served in order.
 func TestAdmissionOrder(t *testing.T) {
 	shareSets := []map[string]float64{{"a": 50, "b": 30, "c": 20}, {"a": 10, "b": 10, "c": 80}, {"a": 100, "b": 0, "c": 0}}
 	rapid.Check(t, func(rt *rapid.T) {
@@ -121,7 +122,7 @@
 						request.cancel()
 					}
 					if len(h.admitted) > 0 {
-						h.controller.Release(h.admitted[0].request, 0)
+						h.controller.Release(h.admitted[0].args, 0)
 						h.admitted = h.admitted[1:]
 					}
 					h.collect(rt)
@@ -134,11 +135,11 @@
 				case "enter":
 					ctx, cancel := context.WithCancel(t.Context())
 					h.seq++
-					request := &testRequest{cancel: cancel, outcome: make(chan string, 1), sequence: h.seq, request: Request{Class: rapid.SampledFrom([]string{"a", "b", "c"}).Draw(rt, "class"),
+					request := &testRequest{cancel: cancel, outcome: make(chan string, 1), sequence: h.seq, args: Request{Class: rapid.SampledFrom([]string{"a", "b", "c"}).Draw(rt, "class"),
 						MaxWait: time.Duration(rapid.SampledFrom([]int{1, 5, 1000}).Draw(rt, "wait")) * time.Second, Nested: rapid.IntRange(0, 3).Draw(rt, "inner") == 0, Priority: rapid.IntRange(0, 2).Draw(rt, "rank")}}
-					request.deadline = time.Now().Add(request.request.MaxWait)
+					request.deadline = time.Now().Add(request.args.MaxWait)
 					h.waiting = append(h.waiting, request)
-					go func() { request.outcome <- h.controller.Acquire(ctx, request.request) }()
+					go func() { request.outcome <- h.controller.Acquire(ctx, request.args) }()
 				case "leave":
 					if len(h.admitted) == 0 {
 						continue
@@ -148,14 +149,14 @@
 					h.admitted = append(h.admitted[:index:index], h.admitted[index+1:]...)
 					belowGuarantee := map[string]bool{}
 					for _, waiter := range h.waiting {
-						belowGuarantee[waiter.request.Class] = h.used(waiter.request.Class) < h.guaranteed[waiter.request.Class]
+						belowGuarantee[waiter.args.Class] = h.used(waiter.args.Class) < h.guaranteed[waiter.args.Class]
 					}
 					wasFull := len(h.admitted) == h.slots-1
-					h.controller.Release(request.request, time.Millisecond)
+					h.controller.Release(request.args, time.Millisecond)
 					for _, admitted := range h.collect(rt) {
-						for c, wasBelow := range belowGuarantee {
-							if wasFull && wasBelow && !belowGuarantee[admitted.request.Class] {
-								t.Fatalf("%s lacked a slot, and %s got it", c, admitted.request.Class)
+						for class, wasBelow := range belowGuarantee {
+							if wasFull && wasBelow && !belowGuarantee[admitted.args.Class] {
+								t.Fatalf("%s was below its share, but %s got the slot", class, admitted.args.Class)
 							}
 						}
 					}
@@ -175,9 +176,9 @@
 	})
 }
 
-// TestSlotsReservedForNested: where inner jobs are usual, some slots are kept from those who
-// would borrow them, never from a class below its share; without inner jobs
-// nothing is kept back.
+// TestSlotsReservedForNested: where nested requests are common, some slots are
+// withheld from classes that would borrow them, but never from a class below its
+// share. Without nested requests no slot is reserved.
 func TestSlotsReservedForNested(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		controller := New()
@@ -204,7 +205,7 @@
 		}
 		lent := fillSlots()
 		if lent != 16 {
-			t.Fatalf("without inner jobs %d of 16 slots were lent", lent)
+			t.Fatalf("without nested requests %d of 16 slots were lent", lent)
 		}
 		releaseSlots(lent)
 		nested := Request{Class: "a", MaxWait: time.Second, Nested: true}
@@ -214,19 +215,19 @@
 		}
 		lent = fillSlots()
 		if lent != 14 {
-			t.Fatalf("with inner jobs %d of 16 slots were lent", lent)
+			t.Fatalf("with nested requests %d of 16 slots were lent", lent)
 		}
 		if outcome := controller.Acquire(t.Context(), nested); outcome != Admitted {
-			t.Errorf("an inner job got no kept slot: %s", outcome)
+			t.Errorf("a nested request got no reserved slot: %s", outcome)
 		}
 		if outcome := controller.Acquire(t.Context(), Request{Class: "b", MaxWait: time.Second}); outcome != Admitted {
-			t.Errorf("a class below its share got no kept slot: %s", outcome)
+			t.Errorf("a class below its share got no reserved slot: %s", outcome)
 		}
 	})
 }
 
-// TestWaitBoundedByTarget: a job waits a quarter of its aim at the most, however long its
-// caller would, and one that can't hope for a slot in it is told so at once.
+// TestWaitBoundedByTarget: a request waits for at most a quarter of its target, and
+// is refused at once if no slot is expected to become free in that time.
 func TestWaitBoundedByTarget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		controller := New()
@@ -242,7 +243,7 @@
 		controller.Acquire(t.Context(), request)
 		start = time.Now()
 		if outcome := controller.Acquire(t.Context(), request); outcome != QueueFull || time.Since(start) != 0 {
-			t.Errorf("without hope: %q after %v", outcome, time.Since(start))
+			t.Errorf("no slot expected in time: got %q after %v", outcome, time.Since(start))
 		}
 		controller.Release(request, time.Millisecond)
 	})
--- a/internal/admission/overload_test.go
+++ b/internal/admission/overload_test.go
@@ -12,14 +12,14 @@
 	"puffincrank/internal/task"
 )
 
-// arrival is one job of a crowd.
+// arrival is one request of an overload.
 type arrival struct {
 	classIndex int
 	at         time.Duration
 	runTime    time.Duration
 }
 
-// The kinds of a crowd: the first rank's aim is the tightest.
+// The classes of the overload; the first one has the tightest target.
 var (
 	overloadClasses = []string{"rank-0", "rank-1", "rank-2"}
 	overloadShares  = map[string]float64{"rank-0": 57, "rank-1": 29, "rank-2": 14}
@@ -32,7 +32,7 @@
 	overloadDuration    = 30 * time.Second
 )
 
-// drawArrivals draws jobs that ask for so many times the room.
+// drawArrivals draws random requests that need the given multiple of the capacity.
 func drawArrivals(seed uint64, factor float64) (arrivals []arrival) {
 	random := rand.New(rand.NewPCG(seed, 71))
 	meanGap := float64(overloadMeanRunTime) / overloadSlots / factor
@@ -43,7 +43,8 @@
 	return arrivals
 }
 
-// goodput is the room that ended in answers inside the aim, by kind.
+// goodput is the slot time, by class, of the requests that were answered within
+// their target.
 type goodput [3]time.Duration
 
 func (g *goodput) add(served arrival, end time.Duration) {
@@ -56,11 +57,11 @@
 	return float64(g[0]+g[1]+g[2]) / float64(overloadSlots*overloadDuration)
 }
 
-// serveFIFO serves a crowd first come first served: each waits until its caller
-// gives up, at four times its aim. At most so many wait; 0 is no bound.
+// serveFIFO serves requests in order of arrival. Each waits until its caller gives
+// up, at four times its target. At most queueLimit requests wait; 0 means no limit.
 func serveFIFO(arrivals []arrival, queueLimit int) (result goodput) {
-	var freeAt [overloadSlots]time.Duration // when each slot's last job ends
-	var starts []time.Duration              // when those who wait get their turn
+	var freeAt [overloadSlots]time.Duration // when each slot becomes free
+	var starts []time.Duration              // when the waiting requests start
 	for _, arrived := range arrivals {
 		earliest := 0
 		for i, f := range freeAt {
@@ -84,7 +85,8 @@
 	return result
 }
 
-// serveWithController serves it by a Room, with the bounds that an owner asks for.
+// serveWithController serves requests through a Controller, with the limits that an
+// owner sets.
 func serveWithController(t *testing.T, arrivals []arrival) (result goodput) {
 	synctest.Test(t, func(t *testing.T) {
 		controller := New()
@@ -116,25 +118,26 @@
 	return result
 }
 
-// TestOverloadGoodputAgainstFIFO: in a crowd of twice and four times the room, the part
-// of it that ends in answers inside the aim, against first come first served
-// with the same jobs, and against that with a queue as long as ours.
+// TestOverloadGoodputAgainstFIFO: at two and four times the capacity, the goodput
+// of a Controller must exceed that of serving the same requests in order of
+// arrival, and must not fall below that of a FIFO queue of the same length.
 func TestOverloadGoodputAgainstFIFO(t *testing.T) {
 	for _, factor := range []float64{2, 4} {
-		t.Run(fmt.Sprint(factor, " times the room"), func(t *testing.T) {
+		t.Run(fmt.Sprint(factor, " times the capacity"), func(t *testing.T) {
 			arrivals := drawArrivals(uint64(factor), factor)
 			controlled, fifo, shortQueue := serveWithController(t, arrivals), serveFIFO(arrivals, 0), serveFIFO(arrivals, overloadSlots)
-			t.Logf("of the room inside the aim: ours %.3f, first come first served %.3f, with a queue of %d %.3f", controlled.total(), fifo.total(), overloadSlots, shortQueue.total())
+			t.Logf("goodput: controller %.3f, FIFO %.3f, FIFO with a queue of %d %.3f", controlled.total(), fifo.total(), overloadSlots, shortQueue.total())
 			classShare := func(g goodput, k int) float64 { return float64(g[k]) / float64(overloadSlots*overloadDuration) }
 			for k, class := range overloadClasses {
-				t.Logf("%s: ours %.3f, in order %.3f, with a short queue %.3f", class, classShare(controlled, k), classShare(fifo, k), classShare(shortQueue, k))
+				t.Logf("%s: controller %.3f, FIFO %.3f, FIFO with a short queue %.3f", class, classShare(controlled, k), classShare(fifo, k), classShare(shortQueue, k))
 			}
-			// A short queue alone fills the room as well; ranks are what it can't give.
+			// A short queue alone keeps the slots as busy, but cannot favor the
+			// class with the tightest target.
 			if controlled.total() < 0.97 || controlled.total() < 5*fifo.total() || controlled.total() < shortQueue.total()-0.01 {
-				t.Errorf("%.3f of the room inside the aim; in order %.3f and %.3f", controlled.total(), fifo.total(), shortQueue.total())
+				t.Errorf("goodput of %.3f; FIFO %.3f, FIFO with a short queue %.3f", controlled.total(), fifo.total(), shortQueue.total())
 			}
 			if classShare(controlled, 0) < classShare(shortQueue, 0)*1.1 {
-				t.Errorf("the first rank has %.3f, in order with a short queue %.3f", classShare(controlled, 0), classShare(shortQueue, 0))
+				t.Errorf("goodput of the first class %.3f, FIFO with a short queue %.3f", classShare(controlled, 0), classShare(shortQueue, 0))
 			}
 		})
 	}
--- a/internal/admission/queue.go
+++ b/internal/admission/queue.go
@@ -2,22 +2,21 @@
 
 import "time"
 
-// waiter is one job that waits for a slot.
+// waiter is a request that waits for a slot.
 type waiter struct {
 	admitted   chan struct{}
 	hasSlot    bool
 	nested     bool
-	priority   int // those of a lower one go first
+	priority   int // lower values go first
 	queue      *waitQueue
-	deadline   time.Time // when its wait is over
+	deadline   time.Time // when it stops waiting
 	prev, next *waiter
 }
 
-// waitQueue is waiters in the order in which their waits end: whoever can wait least
-// goes first, and among equals whoever came first. Those of a
-// higher rank go after all of a lower one, however long they waited: a slot
-// serves one job either way. One that gives up leaves from wherever it stands,
-// without a walk over the others.
+// waitQueue orders waiters by priority, lower values first, however long the others
+// have waited. Within a priority the one with the earliest deadline goes first, and
+// among equal deadlines the one that came first: a slot serves one request either
+// way. A waiter that gives up is unlinked without a search.
 type waitQueue struct {
 	first, last *waiter
 	length      int
@@ -42,7 +41,7 @@
 	q.length++
 }
 
-// comesAfter tells whether a waiter goes after a new one.
+// comesAfter reports whether a waiter goes after a new one.
 func (w *waiter) comesAfter(priority int, deadline time.Time) bool {
 	if w.priority != priority {
 		return w.priority > priority
@@ -50,7 +49,7 @@
 	return w.deadline.After(deadline)
 }
 
-// countBefore counts the waiters that go before one whose wait ends at a time.
+// countBefore returns the number of waiters that go before a new one.
 func (q *waitQueue) countBefore(priority int, deadline time.Time) int {
 	count := q.length
 	for current := q.last; current != nil && current.comesAfter(priority, deadline); current = current.prev {
@@ -74,22 +73,22 @@
 	q.length--
 }
 
-// classState is what one class has in a room.
+// classState is the state of one class.
 type classState struct {
 	guaranteed int
-	configured bool // the rules have the class
+	configured bool // the class is part of the current configuration
 	used       int
-	nested     waitQueue // calls of jobs that hold a slot elsewhere go first
+	nested     waitQueue // requests whose callers hold a slot elsewhere; they go first
 	direct     waitQueue
 	refused    int64
 	served     int64
 	holdTime   holdTime
-	startSum   int64 // sum of the starts of the jobs inside, in us since the room's birth
+	startSum   int64 // sum of the start times of running requests, in microseconds
 }
 
 func (s *classState) waiting() int { return s.nested.length + s.direct.length }
 
-// nextWaiter is the waiter whose turn it is.
+// nextWaiter returns the waiter that gets the class's next slot, or nil.
 func (s *classState) nextWaiter() *waiter {
 	if s.nested.first != nil {
 		return s.nested.first
--- a/internal/admission/usage.go
+++ b/internal/admission/usage.go
@@ -1,6 +1,6 @@
 package admission
 
-// ClassUsage is what one class has of a worker.
+// ClassUsage is the use that one class makes of a worker's slots.
 type ClassUsage struct {
 	Share    int   `json:"share" msgpack:"s"`
 	Used     int   `json:"used" msgpack:"u"`
@@ -11,8 +11,8 @@
 	Served   int64 `json:"served" msgpack:"d"`
 }
 
-// Close shuts the room at once: nobody enters any more, those who wait are
-// turned away, those inside go on.
+// Close stops admission at once: new and waiting requests are refused with
+// Draining, running ones continue.
 func (c *Controller) Close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -22,7 +22,7 @@
 	}
 }
 
-// Open lets jobs in again.
+// Open resumes admission after Close.
 func (c *Controller) Open() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -32,7 +32,7 @@
 	}
 }
 
-// Load gives the slots taken, the jobs waiting and the size.
+// Load returns the numbers of used slots, of waiting requests and of all slots.
 func (c *Controller) Load() (used, waiting, slots int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -42,7 +42,7 @@
 	return c.inUse, waiting, c.slots
 }
 
-// Usage tells what each class has.
+// Usage returns the usage of each configured class.
 func (c *Controller) Usage() map[string]ClassUsage {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -55,8 +55,8 @@
 		usage.Borrowed = max(usage.Used-state.guaranteed, 0)
 		usages[class] = usage
 	}
-	// What is lent is what others hold above their shares, taken from the
-	// classes that leave theirs idle.
+	// Slots that classes hold above their shares are lent by the classes that leave
+	// theirs idle.
 	borrowed := 0
 	for _, usage := range usages {
 		borrowed += usage.Borrowed
--- a/internal/admission/waitestimate.go
+++ b/internal/admission/waitestimate.go
@@ -5,15 +5,16 @@
 	"time"
 )
 
-// holdTimeSamples is over how many ended jobs a pace is smoothed: enough that one long
-// job among short ones doesn't look like a slow worker, few enough that a
-// worker's new speed shows within two or three rounds of its slots.
+// holdTimeSamples is the number of requests over which hold times are smoothed:
+// enough that one long request among short ones does not look like a slow worker,
+// and few enough that a change of the worker's speed shows after two or three
+// rounds through its slots.
 const holdTimeSamples = 32
 
-// holdTime is how long a class's jobs hold a slot, smoothed.
+// holdTime is the smoothed time for which a class's requests hold a slot.
 type holdTime struct {
-	meanMicros float64 // us
-	samples    float64 // jobs, memory at the most
+	meanMicros float64
+	samples    float64 // at most holdTimeSamples
 }
 
 func (h *holdTime) add(held time.Duration) {
@@ -21,9 +22,9 @@
 	h.meanMicros += (float64(held.Microseconds()) - h.meanMicros) / h.samples
 }
 
-// holdMicros is the time in us that a job of a lot holds a slot, as far as is known
-// at a moment. Ended jobs alone would say nothing of a worker that has come to
-// a stop, so jobs inside count too once they are older than usual.
+// holdMicros estimates how long a request of the class holds a slot, in
+// microseconds. Ended requests alone do not reveal a worker that has stalled, so
+// running requests count as well once they are older than usual.
 func (s *classState) holdMicros(nowMicros int64) float64 {
 	if s.used == 0 {
 		return s.holdTime.meanMicros
@@ -32,16 +33,18 @@
 	if s.holdTime.samples == 0 {
 		return age
 	}
-	// Of jobs of any one length the ages inside are half of it, of mixed ones
-	// as much as the mean and more: only twice the mean is a sign.
+	// The mean age of running requests is half their hold time if all take equally
+	// long, and up to the mean hold time or more if they vary. Only an age beyond
+	// twice the mean is therefore a sign of a stall.
 	if excess := age - 2*s.holdTime.meanMicros; excess > 0 {
 		return s.holdTime.meanMicros + excess*float64(s.used)/s.holdTime.samples
 	}
 	return s.holdTime.meanMicros
 }
 
-// estimateWait guesses how long it takes until a class's waiter with so many ahead of
-// it has a slot: the turns that must come, by the pace at which they come.
+// estimateWait estimates how long a class's waiter with so many others ahead of it
+// waits for a slot: the number of slots that must be assigned first, times the
+// interval at which slots become free.
 func (c *Controller) estimateWait(state *classState, ahead int) time.Duration {
 	nowMicros := c.nowMicros()
 	holdMicros := state.holdMicros(nowMicros)
@@ -52,8 +55,8 @@
 		return 0
 	}
 	turns := float64(ahead + 1)
-	// Up to its share a class has whatever slot comes free; it divides those
-	// only with others that lack as well.
+	// Up to its share a class gets every slot that becomes free, and competes only
+	// with other waiting classes below their shares.
 	deficit, othersDeficit, releaseRate := state.guaranteed-state.used, 0, 0.0
 	guaranteedSum, settledUse := 0, 0
 	for _, other := range c.classes {
@@ -78,8 +81,8 @@
 		turns -= guaranteedTurns
 	}
 	if turns > 0 {
-		// Beyond that it has its part of what those who don't wait leave over,
-		// and its own jobs' ends bring its turns.
+		// Beyond its share it has a proportional part of the slots that classes
+		// without waiters do not use, and gets a slot as its own requests end.
 		slotShare := float64(c.slots - settledUse)
 		if guaranteedSum > 0 {
 			slotShare *= float64(state.guaranteed) / float64(guaranteedSum)
@@ -89,14 +92,15 @@
 	return time.Duration(min(waitMicros*1e3, float64(time.Hour)))
 }
 
-// estimateWaitWithMargin is a hope with a margin. In a full room each one let in is the last that
-// just fits, so by the mean alone every second one could be too late; the
-// fewer turns there are, the further off is the mean of them.
+// estimateWaitWithMargin adds a safety margin to estimateWait. At saturation every
+// admitted request is one that just fits, so by the mean alone every second one
+// could be too late. The relative error of the mean grows as the number of slots to
+// wait for falls, and so does the margin.
 func (c *Controller) estimateWaitWithMargin(state *classState, ahead int) time.Duration {
 	return time.Duration(float64(c.estimateWait(state, ahead)) * (1 + 0.25/math.Sqrt(float64(ahead+1))))
 }
 
-// meanHoldMicros is the pace of the whole room, for a class that has none yet.
+// meanHoldMicros is the mean hold time of all classes, for a class without samples.
 func (c *Controller) meanHoldMicros(nowMicros int64) float64 {
 	sum, weights := 0.0, 0.0
 	for _, state := range c.classes {
@@ -109,8 +113,8 @@
 	return sum / weights
 }
 
-// EstimateWait guesses how long a new job of a class would wait now; 0 with a slot
-// free or nothing known.
+// EstimateWait estimates how long a new request of a class would wait now. It
+// returns 0 if a slot is free or nothing is known.
 func (c *Controller) EstimateWait(class string) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -121,9 +125,10 @@
 	return c.estimateWait(state, state.waiting())
 }
 
-// EstimateDrain guesses when a class's queue will have let in all who wait now and one
-// more, spread by a quarter to either side at random: a crowd that was turned away
-// together must not come back as one.
+// EstimateDrain estimates when everyone now waiting in a class's queue, and one
+// more, will have been admitted. The value is spread at random by up to a quarter
+// in both directions, so that requests that were refused together are not retried
+// together.
 func (c *Controller) EstimateDrain(class string) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/retrybudget/budget.go
+++ b/internal/retrybudget/budget.go
@@ -1,9 +1,10 @@
-// Package retrybudget keeps the bound on second sends: over any window a front's
-// repeats to a service stay within a ratio to its own first sends plus its
-// part of the mesh-wide allowance. The sum over the fronts then holds for the
-// whole mesh at every moment, without a word between them. The calls that a
-// repeated run makes count too: their room is held while it runs, at the front
-// beside its worker, through which they come.
+// Package retrybudget limits retries. Over any window, the retries that an ingress
+// sends to a service stay within a ratio of its own first attempts plus its part of
+// a cluster-wide allowance. The sum over all ingresses then holds for the whole
+// cluster at every moment, without any communication between them. Nested calls
+// made by a retried request count as retries too. They pass through the proxy
+// beside the worker that runs it, which reserves budget for them while the request
+// runs.
 package retrybudget
 
 import (
@@ -13,12 +14,12 @@
 )
 
 type serviceCounts struct {
-	first, retries sendLog
-	nestedRetries  sendLog // the part of second that calls of repeated runs are
-	reserved       float64 // calls to come of repeated runs under way
+	first, retries attemptLog
+	nestedRetries  attemptLog // the part of retries that are nested calls of retried requests
+	reserved       float64    // expected nested calls of retried requests that are running
 }
 
-// Budget is one front's count for each service.
+// Budget counts the attempts of one ingress by service. mu guards what changes.
 type Budget struct {
 	mu        sync.Mutex
 	window    time.Duration
@@ -27,25 +28,25 @@
 	proxies   int
 	created   time.Time
 	services  map[string]*serviceCounts
-	Denied    int64 // repeats that were not allowed
+	Denied    int64 // retries that were not allowed
 	Allowed   int64
 }
 
-// New makes a budget over a window.
+// New returns a Budget that counts over the given window.
 func New(window time.Duration) *Budget {
 	return &Budget{window: window, created: time.Now(), services: map[string]*serviceCounts{}}
 }
 
-// SetLimits sets the ratio and the mesh-wide allowance.
+// SetLimits sets the ratio and the cluster-wide allowance.
 func (b *Budget) SetLimits(ratio float64, allowance int64) {
 	b.mu.Lock()
 	b.ratio, b.allowance = ratio, float64(allowance)
 	b.mu.Unlock()
 }
 
-// SetProxyCount tells how many fronts share the allowance. The part never grows: a
-// front that loses sight of others must not take theirs. Until the first word
-// it has no part at all.
+// SetProxyCount sets how many ingresses share the allowance. The number never
+// falls, so the part of this ingress never grows: one that loses sight of others
+// must not take theirs. Until the first call it has no part at all.
 func (b *Budget) SetProxyCount(count int) {
 	b.mu.Lock()
 	b.proxies = max(b.proxies, count)
@@ -65,12 +66,13 @@
 	return counts
 }
 
-// RecordFirst counts a first send.
+// RecordFirst counts a first attempt.
 func (b *Budget) RecordFirst(service string) { b.RecordNestedCall(service, 0) }
 
-// RecordNestedCall counts a first send that is, for a part between 0 and 1, the call of a
-// repeated run: that part counts as a repeat. It is not refused here, since the
-// run that needs it is under way; its room was held.
+// RecordNestedCall counts a first attempt that, with a probability of retryShare,
+// is a nested call of a retried request; that fraction counts as a retry. It is not
+// refused here, since the request that needs it is already running and budget was
+// reserved for it.
 func (b *Budget) RecordNestedCall(service string, retryShare float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -83,9 +85,9 @@
 	}
 }
 
-// RecordUndelivered takes back a first send that is not known to have come to a worker. It
-// is missing for a whole window from now on, so that the bound errs to the safe
-// side, and what was counted as a repeat stays so.
+// RecordUndelivered takes back a first attempt that is not known to have reached a
+// worker. The deduction lasts for a whole window from now on, so that the limit
+// errs on the safe side. The fraction that was counted as a retry stays counted.
 func (b *Budget) RecordUndelivered(service string, retryShare float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -93,9 +95,10 @@
 	b.countsFor(service, now).first.add(now, retryShare-1)
 }
 
-// ReserveNested asks for room for the calls that a repeated run is expected to make, by
-// service, and keeps it until Free. Without room for all it keeps none, and
-// names the service that has none, unless the run must be.
+// ReserveNested reserves budget for the nested calls that a retried request is
+// expected to make, by service, until ReleaseNested. If a service has too little
+// budget nothing is reserved and that service is returned, unless force is set
+// because the request has to run.
 func (b *Budget) ReserveNested(calls map[string]float64, force bool) (lacking string, ok bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -112,7 +115,8 @@
 	return "", true
 }
 
-// ReleaseNested gives back what a run held that has ended; what it called was counted.
+// ReleaseNested returns the reservation of a request that has ended; the calls that
+// it made were counted when they were made.
 func (b *Budget) ReleaseNested(calls map[string]float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -123,7 +127,7 @@
 	}
 }
 
-// Allow asks for a repeat and counts it if it is allowed.
+// Allow asks for a retry, and counts it if it is allowed.
 func (b *Budget) Allow(service string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -138,8 +142,9 @@
 	return true
 }
 
-// MostlyUnused tells whether no more than a quarter of what is allowed was taken: for
-// repeats that would be good to have, but not at the cost of those that must be.
+// MostlyUnused reports whether one more retry would leave at least three quarters
+// of the ratio unused. It is meant for retries that are useful but must not
+// displace necessary ones.
 func (b *Budget) MostlyUnused(service string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -147,7 +152,7 @@
 	return 4*(counts.retries.total()+counts.reserved+1) <= b.ratio*counts.first.total()
 }
 
-// WouldAllow tells whether a repeat would be allowed just now.
+// WouldAllow reports whether a retry would be allowed now, without counting it.
 func (b *Budget) WouldAllow(service string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -155,30 +160,31 @@
 	return b.hasRoom(b.countsFor(service, now), now, 1)
 }
 
-// hasRoom tells whether more repeats have room now.
+// hasRoom reports whether additional retries are within the limits now.
 func (b *Budget) hasRoom(counts *serviceCounts, now time.Time, additional float64) bool {
 	allowanceShare := 0.0
-	// Nor for the first window: what an earlier start of this front used of
-	// its part may still count.
+	// There is no part of the allowance during the first window either: what this
+	// ingress used of it before a restart may still count.
 	if b.proxies > 0 && now.Sub(b.created) >= b.window {
 		allowanceShare = b.allowance / float64(b.proxies)
 	}
-	// Calls of repeated runs are counted by what runs make on the mean: two
-	// deviations of such a count are kept back besides.
+	// Nested calls of retried requests are counted by their expected number, so two
+	// standard deviations of such a count are held back.
 	if nested := counts.nestedRetries.total() + counts.reserved; nested > 0 {
 		additional += 2 * math.Sqrt(nested)
 	}
 	additional += counts.reserved
-	// A tenth is kept back: between two repeats of one front the first sends
-	// of the others pass out of the window. The short window keeps a burst of
-	// repeats from standing alone when traffic falls off right after it.
+	// A tenth of the ratio is held back, because between two retries of one ingress
+	// first attempts of the others leave the window. The limit over a fifth of the
+	// window prevents a burst of retries that would exceed the ratio if traffic
+	// fell off right after it.
 	shortStart := now.Add(-b.window / 5)
 	return counts.retries.total()+additional <= 0.9*b.ratio*counts.first.total()+allowanceShare &&
 		counts.retries.since(shortStart)+additional <= 1.5*b.ratio*counts.first.since(shortStart)+max(allowanceShare, 1)
 }
 
-// EstimateWait guesses how long until a repeat may be allowed: until the oldest one
-// that counts leaves its window.
+// EstimateWait estimates how long it takes until a retry may be allowed: until the
+// oldest one that counts leaves its window.
 func (b *Budget) EstimateWait(service string) time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -187,9 +193,9 @@
 	if b.hasRoom(counts, now, 1) {
 		return 0
 	}
-	// Without repeats in the window it is first sends that lack.
+	// Without retries in the window there are too few first attempts.
 	wait := b.window / 5
-	if retries := counts.retries.sends; len(retries) > 0 {
+	if retries := counts.retries.attempts; len(retries) > 0 {
 		wait = retries[0].at.Add(b.window).Sub(now)
 		if index := counts.retries.firstAfter(now.Add(-b.window / 5)); index < len(retries) {
 			wait = retries[index].at.Add(b.window / 5).Sub(now)
@@ -198,7 +204,7 @@
 	return wait
 }
 
-// Counts gives the first and second sends within the window.
+// Counts returns the numbers of first attempts and of retries within the window.
 func (b *Budget) Counts(service string) (first, retries int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -206,14 +212,14 @@
 	return int(counts.first.total() + 0.5), int(counts.retries.total() + 0.5)
 }
 
-// RequestedCount counts the repeats that were asked for, allowed or not.
+// RequestedCount returns the number of retries that were asked for, allowed or not.
 func (b *Budget) RequestedCount() int64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.Allowed + b.Denied
 }
 
-// AllowedCount counts the repeats that were allowed.
+// AllowedCount returns the number of retries that were allowed.
 func (b *Budget) AllowedCount() int64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/retrybudget/budget_test.go
+++ b/internal/retrybudget/budget_test.go
@@ -7,9 +7,10 @@
 	"time"
 )
 
-// TestClusterWideBound: whatever the fronts try, the mesh-wide sum stays within the bound
-// at every repeat, also when fronts lose sight of each other; at a high rate,
-// where the ratio counts, and at a low one, where the allowance does.
+// TestClusterWideBound: whatever the ingresses attempt, the cluster-wide sum stays
+// within the limit at every retry, also when they lose sight of each other. It is
+// run at a high rate, where the ratio is what counts, and at a low one, where the
+// allowance does.
 func TestClusterWideBound(t *testing.T) {
 	t.Run("high", func(t *testing.T) { checkClusterWideBound(t, 4, 20000) })
 	t.Run("low", func(t *testing.T) { checkClusterWideBound(t, 600, 4000) })
@@ -25,7 +26,7 @@
 			budget.SetProxyCount(proxies)
 			budgets = append(budgets, budget)
 		}
-		budgets[3].SetProxyCount(1) // a cut: it sees nobody else
+		budgets[3].SetProxyCount(1) // as in a network partition: it sees no others
 		random := rand.New(rand.NewPCG(3, 4))
 		var firstSends, retries []time.Time
 		allowed, requested := 0, 0
@@ -48,35 +49,35 @@
 						firstCount++
 					}
 					if float64(retryCount) > 0.2*float64(firstCount)+allowance {
-						t.Fatalf("%d repeats to %d first sends", retryCount, firstCount)
+						t.Fatalf("%d retries for %d first attempts", retryCount, firstCount)
 					}
 				}
 			}
 		}
 		if allowed == 0 || allowed == requested {
-			t.Fatalf("%d of %d were given: the test shows nothing", allowed, requested)
+			t.Fatalf("%d of %d retries were allowed: the test shows nothing", allowed, requested)
 		}
 	})
 }
 
-// TestNoAllowanceAfterStart: a front that just started has no part of the
-// allowance until it knows how many share it and a window has passed, since
-// its earlier start may have used its part.
+// TestNoAllowanceAfterStart: an ingress that has just started has no part of the
+// allowance until it knows how many share it and a window has passed, since it may
+// have used its part before the restart.
 func TestNoAllowanceAfterStart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		budget := New(10 * time.Second)
 		budget.SetLimits(0.2, 10)
 		budget.RecordFirst("s")
 		if budget.Allow("s") {
-			t.Fatal("a repeat was given without knowing the others")
+			t.Fatal("a retry was allowed before the number of proxies was known")
 		}
 		budget.SetProxyCount(10)
 		if budget.Allow("s") {
-			t.Fatal("the part was given again within the window of a restart")
+			t.Fatal("the allowance was granted within a window of the restart")
 		}
 		<-time.After(10 * time.Second)
 		if !budget.Allow("s") {
-			t.Fatal("the part of the allowance was not given")
+			t.Fatal("the allowance was not granted after a window")
 		}
 	})
 }
--- a/internal/retrybudget/reservation_test.go
+++ b/internal/retrybudget/reservation_test.go
@@ -6,8 +6,9 @@
 	"time"
 )
 
-// TestNestedReservation: what is held counts at once, is given back when the run ends, and
-// calls of repeated runs count as repeats and not as first sends.
+// TestNestedReservation: a reservation counts at once and is returned when the
+// request ends. Nested calls of retried requests count as retries, not as first
+// attempts.
 func TestNestedReservation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		budget := New(10 * time.Second)
@@ -17,7 +18,8 @@
 		for range 100 {
 			budget.RecordFirst("s")
 		}
-		// 18 have room; two deviations are kept back once any is held.
+		// 18 are within the ratio, but two standard deviations are held back once
+		// any is reserved.
 		calls := map[string]float64{"s": 1}
 		reserved := 0
 		for {
@@ -27,37 +29,37 @@
 			reserved++
 		}
 		if reserved < 8 || reserved > 18 {
-			t.Fatalf("%d were held", reserved)
+			t.Fatalf("%d reservations were granted", reserved)
 		}
 		if budget.Allow("s") {
-			t.Fatal("a repeat had room that is held")
+			t.Fatal("a retry was allowed from reserved budget")
 		}
 		if lacking, ok := budget.ReserveNested(map[string]float64{"other": 1, "s": 1}, false); ok || lacking == "" {
-			t.Fatal("held without room")
+			t.Fatal("a reservation was granted without budget")
 		}
-		// One that must run holds its room before others.
+		// A forced reservation succeeds even without budget.
 		if _, ok := budget.ReserveNested(calls, true); !ok {
-			t.Fatal("one that must be held was not")
+			t.Fatal("a forced reservation was refused")
 		}
 		budget.ReleaseNested(calls)
 		for range reserved {
 			budget.ReleaseNested(calls)
 		}
 		if !budget.Allow("s") {
-			t.Fatal("what was held is not given back")
+			t.Fatal("the released reservations are not available again")
 		}
 		for range 40 {
 			budget.RecordNestedCall("s", 0.5)
 		}
 		if first, retries := budget.Counts("s"); first != 120 || retries != 21 {
-			t.Fatalf("%d first and %d second sends", first, retries)
+			t.Fatalf("%d first attempts and %d retries", first, retries)
 		}
 		if budget.Allow("s") {
-			t.Fatal("calls of repeated runs took no room")
+			t.Fatal("nested calls of retried requests used no budget")
 		}
 		<-time.After(11 * time.Second)
 		if first, retries := budget.Counts("s"); first != 0 || retries != 0 {
-			t.Fatalf("%d and %d after the window", first, retries)
+			t.Fatalf("%d first attempts and %d retries after the window", first, retries)
 		}
 	})
 }
--- a/internal/retrybudget/sendlog.go
+++ b/internal/retrybudget/sendlog.go
@@ -5,54 +5,55 @@
 	"time"
 )
 
-// send is one send, with the sum of all weights up to it.
-type send struct {
+// attempt is the time of one attempt, and the sum of all weights up to it.
+type attempt struct {
 	at         time.Time
 	cumulative float64
 }
 
-// sendLog is the sends of one kind within the window, oldest first. A send may
-// count in part, when it is not certain of which kind it is.
-type sendLog struct {
-	sends []send
-	base  float64 // the sum of what left the window
+// attemptLog holds the attempts of one kind within the window, oldest first. An
+// attempt has a weight below 1 if it is uncertain of which kind it is.
+type attemptLog struct {
+	attempts []attempt
+	base     float64 // sum of the weights that have left the window
 }
 
-// add puts a weight at the end.
-func (l *sendLog) add(at time.Time, weight float64) {
-	l.sends = append(l.sends, send{at, l.cumulative() + weight})
+// add appends an attempt with the given weight.
+func (l *attemptLog) add(at time.Time, weight float64) {
+	l.attempts = append(l.attempts, attempt{at, l.cumulative() + weight})
 }
 
-func (l *sendLog) cumulative() float64 {
-	if count := len(l.sends); count > 0 {
-		return l.sends[count-1].cumulative
+func (l *attemptLog) cumulative() float64 {
+	if count := len(l.attempts); count > 0 {
+		return l.attempts[count-1].cumulative
 	}
 	return l.base
 }
 
-// firstAfter finds the first mark after a moment.
-func (l *sendLog) firstAfter(at time.Time) int {
-	return sort.Search(len(l.sends), func(i int) bool { return l.sends[i].at.After(at) })
+// firstAfter returns the index of the first attempt after a time.
+func (l *attemptLog) firstAfter(at time.Time) int {
+	return sort.Search(len(l.attempts), func(i int) bool { return l.attempts[i].at.After(at) })
 }
 
-// dropUntil lets go of what was sent up to a moment.
-func (l *sendLog) dropUntil(until time.Time) {
+// dropUntil removes the attempts up to a time.
+func (l *attemptLog) dropUntil(until time.Time) {
 	if index := l.firstAfter(until); index > 0 {
-		l.base, l.sends = l.sends[index-1].cumulative, l.sends[index:]
+		l.base, l.attempts = l.attempts[index-1].cumulative, l.attempts[index:]
 	}
-	// An empty tape begins anew, so that sums never grow too large to be exact.
-	if len(l.sends) == 0 {
+	// An empty log restarts its sums at 0, so that they never grow too large to be
+	// exact.
+	if len(l.attempts) == 0 {
 		l.base = 0
 	}
 }
 
-// total is the weight of the window.
-func (l *sendLog) total() float64 { return l.cumulative() - l.base }
+// total is the weight of all attempts in the log.
+func (l *attemptLog) total() float64 { return l.cumulative() - l.base }
 
-// since is the weight after a moment.
-func (l *sendLog) since(at time.Time) float64 {
+// since is the weight of the attempts after a time.
+func (l *attemptLog) since(at time.Time) float64 {
 	if index := l.firstAfter(at); index > 0 {
-		return l.cumulative() - l.sends[index-1].cumulative
+		return l.cumulative() - l.attempts[index-1].cumulative
 	}
 	return l.total()
 }
--- a/internal/retrybudget/undelivered_test.go
+++ b/internal/retrybudget/undelivered_test.go
@@ -6,9 +6,10 @@
 	"time"
 )
 
-// TestUndeliveredSends: first sends that came to nobody allow no repeats, not even right
-// after they have left the window, and what was a repeat in part stays one.
-func TestUndeliveredSends(t *testing.T) {
+// TestUndeliveredAttempts: first attempts that reached no worker allow no retries,
+// not even right after they have left the window, and the fraction that counted as
+// a retry stays counted.
+func TestUndeliveredAttempts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		budget := New(10 * time.Second)
 		budget.SetLimits(0.2, 0)
@@ -18,34 +19,34 @@
 			budget.RecordFirst("s")
 		}
 		if !budget.WouldAllow("s") {
-			t.Fatal("traffic allows no repeat")
+			t.Fatal("no retry is allowed despite first attempts")
 		}
 		<-time.After(3 * time.Second)
 		for range 99 {
 			budget.RecordUndelivered("s", 0)
 		}
 		if first, _ := budget.Counts("s"); first != 1 || budget.WouldAllow("s") {
-			t.Fatalf("%d first sends count, a repeat is allowed: %v", first, budget.WouldAllow("s"))
+			t.Fatalf("%d first attempts count, a retry is allowed: %v", first, budget.WouldAllow("s"))
 		}
-		// The sends are out of the window, the missing ones not yet.
+		// The attempts have left the window, the deductions have not.
 		<-time.After(8 * time.Second)
 		for range 50 {
 			budget.RecordFirst("s")
 		}
 		if budget.WouldAllow("s") {
-			t.Fatal("what was missed is forgotten with the sends")
+			t.Fatal("deductions ended together with the attempts")
 		}
 		<-time.After(3 * time.Second)
 		for range 20 {
 			budget.RecordFirst("s")
 		}
 		if !budget.WouldAllow("s") {
-			t.Fatal("what was missed counts beyond its window")
+			t.Fatal("deductions last longer than a window")
 		}
 		budget.RecordNestedCall("s", 0.5)
 		budget.RecordUndelivered("s", 0.5)
 		if first, retries := budget.Counts("s"); first != 70 || retries != 1 {
-			t.Fatalf("%d first and %d second sends", first, retries)
+			t.Fatalf("%d first attempts and %d retries", first, retries)
 		}
 	})
 }
--- a/internal/shutdown/cutoff.go
+++ b/internal/shutdown/cutoff.go
@@ -5,28 +5,29 @@
 	"errors"
 )
 
-// ErrCutoff is the cause with which contexts end when a stop can wait no longer.
-// Whoever asked is still there, so nothing is abandoned by it.
-var ErrCutoff = errors.New("the node is ending")
+// ErrCutoff is the cause of contexts that are canceled because a shutdown can wait
+// no longer. The caller is still there, so the request was not abandoned.
+var ErrCutoff = errors.New("shutdown cannot wait any longer for this request")
 
-// Cutoff ends what a stop can't wait for any longer.
+// Cutoff cancels work that a shutdown cannot wait for any longer.
 type Cutoff struct {
 	ctx    context.Context
 	cancel context.CancelFunc
 }
 
-// NewCutoff makes one of a process whose own context is given.
+// NewCutoff returns a Cutoff that also triggers when the process's own context
+// ends.
 func NewCutoff(processContext context.Context) *Cutoff {
 	cutoff := &Cutoff{}
 	cutoff.ctx, cutoff.cancel = context.WithCancel(processContext)
 	return cutoff
 }
 
-// Trigger ends all bound contexts, and those that are bound from now on.
+// Trigger cancels all bound contexts, and those that are bound from now on.
 func (c *Cutoff) Trigger() { c.cancel() }
 
-// Bind gives a context that ends with another one, or with ErrLate as its cause.
-// The result is called when the work is over.
+// Bind returns a context that ends with its parent, or with ErrCutoff as its cause
+// when the Cutoff triggers. stop must be called when the work is over.
 func (c *Cutoff) Bind(parent context.Context) (ctx context.Context, stop func()) {
 	ctx, cancel := context.WithCancelCause(parent)
 	unregister := context.AfterFunc(c.ctx, func() { cancel(ErrCutoff) })
@@ -36,5 +37,5 @@
 	}
 }
 
-// IsCutoff tells that a context ended since a stop could wait no longer.
+// IsCutoff reports whether a context ended because a shutdown could wait no longer.
 func IsCutoff(ctx context.Context) bool { return errors.Is(context.Cause(ctx), ErrCutoff) }
