--- a/internal/admission/controller.go
+++ b/internal/admission/controller.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// Controller manages the slots of one worker. mu guards what changes.
+// Controller manages the slots of one worker. mu guards all mutable fields.
 type Controller struct {
 	mu           sync.Mutex
 	created      time.Time
--- a/internal/admission/waitestimate_test.go
+++ b/internal/admission/waitestimate_test.go
@@ -78,11 +78,11 @@
 
 // mixedRunTime draws nine short requests for each long one.
 func mixedRunTime(short, long time.Duration) func(*rand.Rand) time.Duration {
-	return func(g *rand.Rand) time.Duration {
-		if g.IntN(10) == 0 {
+	return func(random *rand.Rand) time.Duration {
+		if random.IntN(10) == 0 {
 			return long
 		}
-		return time.Duration(g.ExpFloat64() * float64(short))
+		return time.Duration(random.ExpFloat64() * float64(short))
 	}
 }
 
--- a/internal/balancer/balancer.go
+++ b/internal/balancer/balancer.go
@@ -25,8 +25,8 @@
 	unhealthy       bool
 	runTimeRatio    float64   // run time relative to the mean of the same routes at all workers; 0: unknown
 	missRate        float64   // smoothed fraction of its requests that missed their target
-	lastOutcome     time.Time // when an outcome or report last told something about it
-	relapses        int       // how often it turned unhealthy recently
+	lastOutcome     time.Time // when an outcome or report last gave evidence about it
+	relapses        int       // how often it turned unhealthy within four windows of the last time, at most 3
 	turnedUnhealthy time.Time // when it last turned unhealthy
 }
 
@@ -48,12 +48,12 @@
 	m.ms += (ms - m.ms) / float64(m.count)
 }
 
-// Balancer picks workers for one ingress. mu guards what changes.
+// Balancer picks workers for one ingress. mu guards all mutable fields.
 type Balancer struct {
 	mu              sync.Mutex
 	zone            string
 	refreshInterval time.Duration // the median latency of a service is recomputed four times per interval
-	window          time.Duration // evidence against a worker decays in proportion to it
+	window          time.Duration // time scale on which evidence against a worker decays
 	workers         map[string]*workerState
 	excluded        map[string]time.Time // owners that could not be reached, and until when they are left out
 	hasSession      func(string) bool    // whether a node has a session with a control node; nil: unknown
--- a/internal/balancer/workerstats.go
+++ b/internal/balancer/workerstats.go
@@ -31,8 +31,8 @@
 func (w WorkerReport) runTimeRatio() float64 { return float64(w.Pace) / 8 }
 func (w WorkerReport) failRate() float64     { return float64(w.Fail) / 64 }
 
-// WorkerStats is an owner's record of its worker, all of whose requests it sees. mu
-// guards all fields.
+// WorkerStats is an owner's record of its worker, all of whose requests it sees.
+// mu guards all mutable fields.
 type WorkerStats struct {
 	mu             sync.Mutex
 	window         time.Duration
@@ -45,7 +45,7 @@
 	suspicionSince time.Time // when the level last changed
 	lastRun        time.Time // when a run last ended, or was last found hanging
 	suspectedAt    time.Time // when the level last rose from 0
-	relapses       int       // how often that happened recently
+	relapses       int       // how often it rose within four windows of the last time, at most 3
 	warmupUntil    time.Time // end of the warm-up period that the worker announced
 	activeRuns     map[*ActiveRun]bool
 }
--- a/internal/retrybudget/budget.go
+++ b/internal/retrybudget/budget.go
@@ -19,7 +19,7 @@
 	reserved       float64    // expected nested calls of retried requests that are running
 }
 
-// Budget counts the attempts of one ingress by service. mu guards what changes.
+// Budget counts the attempts of one ingress by service. mu guards all mutable fields.
 type Budget struct {
 	mu        sync.Mutex
 	window    time.Duration
@@ -45,8 +45,8 @@
 }
 
 // SetProxyCount sets how many ingresses share the allowance. The number never
-// falls, so the part of this ingress never grows: one that loses sight of others
-// must not take theirs. Until the first call it has no part at all.
+// falls, so the part of this ingress never grows: one that loses contact with
+// others must not take theirs. Until the first call it has no part at all.
 func (b *Budget) SetProxyCount(count int) {
 	b.mu.Lock()
 	b.proxies = max(b.proxies, count)
--- a/internal/retrybudget/budget_test.go
+++ b/internal/retrybudget/budget_test.go
@@ -8,7 +8,7 @@
 )
 
 // TestClusterWideBound: whatever the ingresses attempt, the cluster-wide sum stays
-// within the limit at every retry, also when they lose sight of each other. It is
+// within the limit at every retry, also when they lose contact with each other. It is
 // run at a high rate, where the ratio is what counts, and at a low one, where the
 // allowance does.
 func TestClusterWideBound(t *testing.T) {
--- a/internal/shutdown/cutoff.go
+++ b/internal/shutdown/cutoff.go
@@ -7,7 +7,7 @@
 
 // ErrCutoff is the cause of contexts that are canceled because a shutdown can wait
 // no longer. The caller is still there, so the request was not abandoned.
-var ErrCutoff = errors.New("shutdown cannot wait any longer for this request")
+var ErrCutoff = errors.New("shutdown cannot wait any longer")
 
 // Cutoff cancels work that a shutdown cannot wait for any longer.
 type Cutoff struct {
