--- a/internal/admission/order_test.go
+++ b/internal/admission/order_test.go
@@ -36,7 +36,7 @@
 	guaranteed map[string]int
 	admitted   []*testRequest
 	waiting    []*testRequest
-	seq        int
+	sequence   int
 }
 
 func (h *harness) used(class string) (count int) {
@@ -134,8 +134,8 @@
 				switch rapid.SampledFrom([]string{"enter", "enter", "enter", "leave", "leave", "stop", "sleep", "shape"}).Draw(rt, "step") {
 				case "enter":
 					ctx, cancel := context.WithCancel(t.Context())
-					h.seq++
-					request := &testRequest{cancel: cancel, outcome: make(chan string, 1), sequence: h.seq, args: Request{Class: rapid.SampledFrom([]string{"a", "b", "c"}).Draw(rt, "class"),
+					h.sequence++
+					request := &testRequest{cancel: cancel, outcome: make(chan string, 1), sequence: h.sequence, args: Request{Class: rapid.SampledFrom([]string{"a", "b", "c"}).Draw(rt, "class"),
 						MaxWait: time.Duration(rapid.SampledFrom([]int{1, 5, 1000}).Draw(rt, "wait")) * time.Second, Nested: rapid.IntRange(0, 3).Draw(rt, "inner") == 0, Priority: rapid.IntRange(0, 2).Draw(rt, "rank")}}
 					request.deadline = time.Now().Add(request.args.MaxWait)
 					h.waiting = append(h.waiting, request)
--- a/internal/balancer/candidates.go
+++ b/internal/balancer/candidates.go
@@ -100,7 +100,8 @@
 	return factor
 }
 
-// medianSamples limits the number of workers per zone list that go into a median.
+// medianSamples is how many workers per zone list go into a median. Larger lists
+// are sampled at a regular step, which takes between one and two times as many.
 const medianSamples = 32
 
 // median returns the median latency in milliseconds of a service's workers, over a
