--- a/internal/fsm/state.go
+++ b/internal/fsm/state.go
@@ -14,40 +14,40 @@
 
 // Machine is a set of states with a listener for each change.
 type Machine struct {
-	mu sync.Mutex
-	m  *stateless.StateMachine
+	mu      sync.Mutex
+	machine *stateless.StateMachine
 }
 
 // New makes a machine; heed is told of each change that was made.
-func New(first string, heed func(from, by, to string), moves ...Move) *Machine {
-	m := stateless.NewStateMachineWithMode(first, stateless.FiringImmediate)
-	for _, v := range moves {
-		m.Configure(v.From).Permit(v.By, v.To)
+func New(initial string, onTransition func(from, by, to string), moves ...Move) *Machine {
+	machine := stateless.NewStateMachineWithMode(initial, stateless.FiringImmediate)
+	for _, move := range moves {
+		machine.Configure(move.From).Permit(move.By, move.To)
 	}
-	if heed != nil {
-		m.OnTransitioned(func(_ context.Context, t stateless.Transition) {
-			heed(t.Source.(string), t.Trigger.(string), t.Destination.(string))
+	if onTransition != nil {
+		machine.OnTransitioned(func(_ context.Context, t stateless.Transition) {
+			onTransition(t.Source.(string), t.Trigger.(string), t.Destination.(string))
 		})
 	}
-	return &Machine{m: m}
+	return &Machine{machine: machine}
 }
 
 // Fire is the one way to change the state; false means that the trigger has
 // no meaning in the state that stands, and nothing changed.
-func (s *Machine) Fire(by string) bool {
+func (s *Machine) Fire(trigger string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if ok, err := s.m.CanFire(by); err != nil || !ok {
+	if ok, err := s.machine.CanFire(trigger); err != nil || !ok {
 		return false
 	}
-	return s.m.Fire(by) == nil
+	return s.machine.Fire(trigger) == nil
 }
 
 // Is tells whether a state stands.
 func (s *Machine) Is(names ...string) bool {
-	now := s.Current()
-	for _, n := range names {
-		if now == n {
+	current := s.Current()
+	for _, name := range names {
+		if current == name {
 			return true
 		}
 	}
@@ -58,5 +58,5 @@
 func (s *Machine) Current() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.m.MustState().(string)
+	return s.machine.MustState().(string)
 }
--- a/internal/membership/book.go
+++ b/internal/membership/book.go
@@ -8,58 +8,58 @@
 // List is one state of the list of members. It never changes; With makes the
 // next one, which shares the fellows that stay.
 type List struct {
-	all    []*Member // by name
-	hash   uint64
-	fronts int
-	once   sync.Once
-	rings  map[string]*ring
+	members []*Member // by name
+	hash    uint64
+	proxies int
+	once    sync.Once
+	rings   map[string]*ring
 }
 
 // NewList makes a book of a list.
-func NewList(all []Member) *List { return (&List{}).Apply(all, nil) }
+func NewList(members []Member) *List { return (&List{}).Apply(members, nil) }
 
 // Apply gives the book after some fellows came, in place of what they were
 // before, and others went.
-func (b *List) Apply(come []Member, gone []string) *List {
-	out := map[string]*Member{}
+func (b *List) Apply(added []Member, removed []string) *List {
+	changes := map[string]*Member{}
 	var names []string
-	note := func(n string, f *Member) {
-		if _, ok := out[n]; !ok {
-			names = append(names, n)
+	record := func(name string, member *Member) {
+		if _, ok := changes[name]; !ok {
+			names = append(names, name)
 		}
-		out[n] = f
+		changes[name] = member
 	}
-	for _, n := range gone {
-		note(n, nil)
+	for _, name := range removed {
+		record(name, nil)
 	}
-	for i := range come {
-		f := come[i]
-		note(f.Node, &f)
+	for i := range added {
+		member := added[i]
+		record(member.Node, &member)
 	}
 	sort.Strings(names)
-	next := &List{all: make([]*Member, 0, len(b.all)+len(come)), hash: b.hash, fronts: b.fronts}
-	at := 0
-	for _, n := range names {
-		to := at + sort.Search(len(b.all)-at, func(i int) bool { return b.all[at+i].Node >= n })
-		next.all = append(next.all, b.all[at:to]...)
-		at = to
-		if at < len(b.all) && b.all[at].Node == n {
-			next.count(b.all[at], -1)
-			at++
+	next := &List{members: make([]*Member, 0, len(b.members)+len(added)), hash: b.hash, proxies: b.proxies}
+	position := 0
+	for _, name := range names {
+		end := position + sort.Search(len(b.members)-position, func(i int) bool { return b.members[position+i].Node >= name })
+		next.members = append(next.members, b.members[position:end]...)
+		position = end
+		if position < len(b.members) && b.members[position].Node == name {
+			next.account(b.members[position], -1)
+			position++
 		}
-		if f := out[n]; f != nil {
-			next.all = append(next.all, f)
-			next.count(f, 1)
+		if member := changes[name]; member != nil {
+			next.members = append(next.members, member)
+			next.account(member, 1)
 		}
 	}
-	next.all = append(next.all, b.all[at:]...)
+	next.members = append(next.members, b.members[position:]...)
 	return next
 }
 
-func (b *List) count(f *Member, by int) {
-	b.hash ^= sign(f)
-	if f.Role == "proxy" {
-		b.fronts += by
+func (b *List) account(member *Member, delta int) {
+	b.hash ^= memberHash(member)
+	if member.Role == "proxy" {
+		b.proxies += delta
 	}
 }
 
@@ -67,25 +67,25 @@
 func (b *List) Hash() uint64 { return b.hash }
 
 // Len counts the members.
-func (b *List) Len() int { return len(b.all) }
+func (b *List) Len() int { return len(b.members) }
 
 // ProxyCount counts the members that take callers' requests.
-func (b *List) ProxyCount() int { return b.fronts }
+func (b *List) ProxyCount() int { return b.proxies }
 
 // Get finds a member by name, nil when it isn't one.
 func (b *List) Get(node string) *Member {
-	i := sort.Search(len(b.all), func(i int) bool { return b.all[i].Node >= node })
-	if i < len(b.all) && b.all[i].Node == node {
-		return b.all[i]
+	i := sort.Search(len(b.members), func(i int) bool { return b.members[i].Node >= node })
+	if i < len(b.members) && b.members[i].Node == node {
+		return b.members[i]
 	}
 	return nil
 }
 
 // ByAddr finds a member by its inner address, nil when nobody has it.
-func (b *List) ByAddr(inner string) *Member {
-	for _, f := range b.all {
-		if f.InternalAddr == inner {
-			return f
+func (b *List) ByAddr(internalAddr string) *Member {
+	for _, member := range b.members {
+		if member.InternalAddr == internalAddr {
+			return member
 		}
 	}
 	return nil
@@ -96,38 +96,38 @@
 
 // Members copies the members out, by name.
 func (b *List) Members() []Member {
-	out := make([]Member, len(b.all))
-	for i, f := range b.all {
-		out[i] = *f
+	out := make([]Member, len(b.members))
+	for i, member := range b.members {
+		out[i] = *member
 	}
 	return out
 }
 
 // Random gives the member that a random number picks, of one area or of all.
-func (b *List) Random(area string, intn func(int) int) *Member {
-	if area == "" {
-		if len(b.all) == 0 {
+func (b *List) Random(zone string, intn func(int) int) *Member {
+	if zone == "" {
+		if len(b.members) == 0 {
 			return nil
 		}
-		return b.all[intn(len(b.all))]
+		return b.members[intn(len(b.members))]
 	}
-	if r := b.ringsOf()[area]; r != nil {
-		return r.all[intn(len(r.all))].f
+	if r := b.zoneRings()[zone]; r != nil {
+		return r.points[intn(len(r.points))].member
 	}
 	return nil
 }
 
-// bucket is the part of n that a node's entry is in.
-func bucket(node string, n int) int { return int(mix(node) >> 32 % uint64(n)) }
+// partOf is the part of n that a node's entry is in.
+func partOf(node string, n int) int { return int(hashStrings(node) >> 32 % uint64(n)) }
 
 // PartCount is into how many parts a book is best cut to find what differs: the
 // list of digests is then about as long as one part.
-func (b *List) PartCount() int { return PartCount(len(b.all)) }
+func (b *List) PartCount() int { return PartCount(len(b.members)) }
 
 // PartCount is the same for a list of some length.
-func PartCount(long int) int {
+func PartCount(length int) int {
 	n := 16
-	for n*n < long {
+	for n*n < length {
 		n *= 2
 	}
 	return n
@@ -136,8 +136,8 @@
 // Digests sums up each of n parts.
 func (b *List) Digests(n int) []uint64 {
 	out := make([]uint64, n)
-	for _, f := range b.all {
-		out[bucket(f.Node, n)] ^= sign(f)
+	for _, member := range b.members {
+		out[partOf(member.Node, n)] ^= memberHash(member)
 	}
 	return out
 }
@@ -145,40 +145,40 @@
 // DifferingParts gives the parts that differ from the digests, and their fellows here:
 // as many parts as have at most most fellows together, one at the least. More
 // tells that others differ too.
-func (b *List) DifferingParts(theirs []uint64, most int) (parts []int, list []Member, more bool) {
-	n := len(theirs)
-	in := make([][]*Member, n)
-	for _, f := range b.all {
-		k := bucket(f.Node, n)
-		in[k] = append(in[k], f)
-	}
-	for i, d := range b.Digests(n) {
-		if d == theirs[i] {
+func (b *List) DifferingParts(remoteDigests []uint64, limit int) (parts []int, members []Member, more bool) {
+	n := len(remoteDigests)
+	byPart := make([][]*Member, n)
+	for _, member := range b.members {
+		part := partOf(member.Node, n)
+		byPart[part] = append(byPart[part], member)
+	}
+	for i, digest := range b.Digests(n) {
+		if digest == remoteDigests[i] {
 			continue
 		}
-		if len(parts) > 0 && len(list)+len(in[i]) > most {
+		if len(parts) > 0 && len(members)+len(byPart[i]) > limit {
 			more = true
 			continue
 		}
 		parts = append(parts, i)
-		for _, f := range in[i] {
-			list = append(list, *f)
+		for _, member := range byPart[i] {
+			members = append(members, *member)
 		}
 	}
-	return parts, list, more
+	return parts, members, more
 }
 
 // ReplaceParts takes the fellows of some of n parts in the place of what was there.
-func (b *List) ReplaceParts(n int, parts []int, list []Member) *List {
-	in := map[int]bool{}
-	for _, p := range parts {
-		in[p] = true
-	}
-	var gone []string
-	for _, f := range b.all {
-		if in[bucket(f.Node, n)] {
-			gone = append(gone, f.Node)
+func (b *List) ReplaceParts(n int, parts []int, members []Member) *List {
+	replaced := map[int]bool{}
+	for _, part := range parts {
+		replaced[part] = true
+	}
+	var removed []string
+	for _, member := range b.members {
+		if replaced[partOf(member.Node, n)] {
+			removed = append(removed, member.Node)
 		}
 	}
-	return b.Apply(list, gone)
+	return b.Apply(members, removed)
 }
--- a/internal/membership/member.go
+++ b/internal/membership/member.go
@@ -19,12 +19,12 @@
 }
 
 // Sort orders a list by name.
-func Sort(all []Member) []Member {
-	sort.Slice(all, func(i, j int) bool { return all[i].Node < all[j].Node })
-	return all
+func Sort(members []Member) []Member {
+	sort.Slice(members, func(i, j int) bool { return members[i].Node < members[j].Node })
+	return members
 }
 
-func mix(words ...string) uint64 {
+func hashStrings(words ...string) uint64 {
 	h := fnv.New64a()
 	for _, s := range words {
 		_, _ = h.Write([]byte(s))
@@ -37,17 +37,17 @@
 	return x ^ x>>29
 }
 
-// sign names one fellow as it is; the hash of a list is the signs of all over
+// memberHash names one fellow as it is; the hash of a list is the signs of all over
 // each other, so that a change of one is reckoned from that one alone.
-func sign(f *Member) uint64 {
-	return mix(f.Node, f.Incarnation, f.Role, f.Zone, f.InternalAddr, f.APIAddr, f.TrafficAddr)
+func memberHash(member *Member) uint64 {
+	return hashStrings(member.Node, member.Incarnation, member.Role, member.Zone, member.InternalAddr, member.APIAddr, member.TrafficAddr)
 }
 
 // HashNames is the hash of a set of names, in whatever order.
-func HashNames(all []string) uint64 {
+func HashNames(names []string) uint64 {
 	var h uint64
-	for _, n := range all {
-		h ^= mix(n)
+	for _, n := range names {
+		h ^= hashStrings(n)
 	}
 	return h
 }
--- a/internal/membership/overlay.go
+++ b/internal/membership/overlay.go
@@ -7,66 +7,66 @@
 
 // point is a member at its place on the ring of its area.
 type point struct {
-	at uint64
-	f  *Member
+	position uint64
+	member   *Member
 }
 
 // ring is the members of one area, by place. A place comes from the name, so a
 // node that comes or goes moves nobody else.
-type ring struct{ all []point }
+type ring struct{ points []point }
 
-// ringsOf sorts the members into areas, once for each book.
-func (b *List) ringsOf() map[string]*ring {
+// zoneRings sorts the members into areas, once for each book.
+func (b *List) zoneRings() map[string]*ring {
 	b.once.Do(func() {
 		b.rings = map[string]*ring{}
-		for _, f := range b.all {
-			r := b.rings[f.Zone]
-			if r == nil {
-				r = &ring{}
-				b.rings[f.Zone] = r
+		for _, member := range b.members {
+			zoneRing := b.rings[member.Zone]
+			if zoneRing == nil {
+				zoneRing = &ring{}
+				b.rings[member.Zone] = zoneRing
 			}
-			r.all = append(r.all, point{mix("place", f.Node), f})
+			zoneRing.points = append(zoneRing.points, point{hashStrings("place", member.Node), member})
 		}
-		for _, r := range b.rings {
-			sort.Slice(r.all, func(i, j int) bool { return r.all[i].at < r.all[j].at })
+		for _, zoneRing := range b.rings {
+			sort.Slice(zoneRing.points, func(i, j int) bool { return zoneRing.points[i].position < zoneRing.points[j].position })
 		}
 	})
 	return b.rings
 }
 
-// next finds the first point at or after a place, around the ring.
-func (r *ring) next(at uint64) int {
-	i := sort.Search(len(r.all), func(i int) bool { return r.all[i].at >= at })
-	return i % len(r.all)
+// successor finds the first point at or after a place, around the ring.
+func (r *ring) successor(position uint64) int {
+	i := sort.Search(len(r.points), func(i int) bool { return r.points[i].position >= position })
+	return i % len(r.points)
 }
 
-// find gives the index of a member.
-func (r *ring) find(node string) int { return r.next(mix("place", node)) }
+// indexOf gives the index of a member.
+func (r *ring) indexOf(node string) int { return r.successor(hashStrings("place", node)) }
 
-// power is the ratio of the chords' lengths. Two would halve the hops and
+// chordRatio is the ratio of the chords' lengths. Two would halve the hops and
 // double the links, and it is links that cost while nothing happens.
-const power = 4
+const chordRatio = 4
 
-// near gives the neighbours within the ring: two each way, so that it stays
+// visitNeighbors gives the neighbours within the ring: two each way, so that it stays
 // whole when one node falls out, and chords to the points a quarter, a
 // sixteenth and so on of the ring away, in both directions: the hops grow as
 // the logarithm of the nodes, and so do the links.
-func (r *ring) near(self int, pick func(*Member)) {
-	n := len(r.all)
+func (r *ring) visitNeighbors(self int, visit func(*Member)) {
+	n := len(r.points)
 	for _, step := range []int{1, 2, n - 1, n - 2} {
 		if step > 0 {
-			pick(r.all[(self+step)%n].f)
+			visit(r.points[(self+step)%n].member)
 		}
 	}
-	own := r.all[self].at
-	before := r.all[(self+n-1)%n].at
-	for long, left := uint64(math.MaxUint64)/power+1, n/power; left > 1; long, left = long/power, left/power {
-		pick(r.all[r.next(own+long)].f)
+	own := r.points[self].position
+	predecessor := r.points[(self+n-1)%n].position
+	for distance, remaining := uint64(math.MaxUint64)/chordRatio+1, n/chordRatio; remaining > 1; distance, remaining = distance/chordRatio, remaining/chordRatio {
+		visit(r.points[r.successor(own+distance)].member)
 		// Those whose chord ends here: their places are as far back, after that
 		// of the one before. All differences are around the ring.
-		for i := r.next(before + 1 - long); r.all[i].at-(before+1-long) <= own-(before+1); i = (i + 1) % n {
-			pick(r.all[i].f)
-			if (i+1)%n == r.next(before+1-long) {
+		for i := r.successor(predecessor + 1 - distance); r.points[i].position-(predecessor+1-distance) <= own-(predecessor+1); i = (i + 1) % n {
+			visit(r.points[i].member)
+			if (i+1)%n == r.successor(predecessor+1-distance) {
 				break
 			}
 		}
@@ -77,38 +77,38 @@
 // area, and between each two areas a few links, since bytes between areas are
 // dear. All nodes with the same list work out the same overlay.
 func (b *List) Neighbors(self string) []Member {
-	me := b.Get(self)
-	if me == nil {
+	member := b.Get(self)
+	if member == nil {
 		return nil
 	}
-	areas := b.ringsOf()
-	own := areas[me.Zone]
-	pick := map[string]*Member{}
-	own.near(own.find(self), func(f *Member) { pick[f.Node] = f })
-	delete(pick, self)
-	for area, far := range areas {
-		if area == me.Zone {
+	rings := b.zoneRings()
+	ownRing := rings[member.Zone]
+	neighbors := map[string]*Member{}
+	ownRing.visitNeighbors(ownRing.indexOf(self), func(peer *Member) { neighbors[peer.Node] = peer })
+	delete(neighbors, self)
+	for zone, otherRing := range rings {
+		if zone == member.Zone {
 			continue
 		}
 		// The k-th bridge of the one meets the k-th of the other; two such pairs
 		// keep the areas joined when one node dies.
-		for k := range across {
-			if own.bridge(area, k).Node == self {
-				n := far.bridge(me.Zone, k)
-				pick[n.Node] = n
+		for k := range bridgesPerZonePair {
+			if ownRing.bridge(zone, k).Node == self {
+				peer := otherRing.bridge(member.Zone, k)
+				neighbors[peer.Node] = peer
 			}
 		}
 	}
 	var out []Member
-	for _, f := range pick {
-		out = append(out, *f)
+	for _, peer := range neighbors {
+		out = append(out, *peer)
 	}
 	return Sort(out)
 }
 
-const across = 2
+const bridgesPerZonePair = 2
 
 // bridge picks the k-th bridge towards another area.
-func (r *ring) bridge(area string, k int) *Member {
-	return r.all[(r.next(mix("bridge", area))+k)%len(r.all)].f
+func (r *ring) bridge(zone string, k int) *Member {
+	return r.points[(r.successor(hashStrings("bridge", zone))+k)%len(r.points)].member
 }
--- a/internal/membership/overlay_bench_test.go
+++ b/internal/membership/overlay_bench_test.go
@@ -15,23 +15,23 @@
 			for i := range n {
 				all = append(all, Member{Node: fmt.Sprintf("node-%05d", i), Role: "proxy", Zone: fmt.Sprintf("r%dz%d", i%25%8, i%25/8)})
 			}
-			book := NewList(all)
+			list := NewList(all)
 			links := map[string][]string{}
 			sum, most := 0, 0
 			for _, f := range all {
-				for _, to := range book.Neighbors(f.Node) {
+				for _, to := range list.Neighbors(f.Node) {
 					links[f.Node] = append(links[f.Node], to.Node)
 				}
 				sum, most = sum+len(links[f.Node]), max(most, len(links[f.Node]))
 			}
 			hops := 0
 			for i := range 32 {
-				hops = max(hops, depth(b, links, all[i*n/32].Node, n))
+				hops = max(hops, maxDistance(b, links, all[i*n/32].Node, n))
 			}
 			i := 0
 			for b.Loop() {
 				i++
-				book.Neighbors(all[i%n].Node)
+				list.Neighbors(all[i%n].Node)
 			}
 			b.ReportMetric(float64(hops), "hops")
 			b.ReportMetric(float64(sum)/float64(n), "links")
@@ -40,8 +40,8 @@
 	}
 }
 
-// depth is the hops from a node to the furthest one.
-func depth(t testing.TB, links map[string][]string, from string, n int) int {
+// maxDistance is the hops from a node to the furthest one.
+func maxDistance(t testing.TB, links map[string][]string, from string, n int) int {
 	seen, now, hops := map[string]bool{from: true}, []string{from}, 0
 	for {
 		var next []string
--- a/internal/membership/overlay_test.go
+++ b/internal/membership/overlay_test.go
@@ -7,41 +7,41 @@
 	"testing"
 )
 
-// town makes a book of n nodes in some areas.
-func town(n, areas int) *List {
-	var all []Member
+// testList makes a book of n nodes in some areas.
+func testList(n, zones int) *List {
+	var members []Member
 	for i := range n {
-		all = append(all, Member{Node: fmt.Sprintf("node-%05d", i), Role: "proxy", Zone: fmt.Sprint("a", i%areas)})
+		members = append(members, Member{Node: fmt.Sprintf("node-%05d", i), Role: "proxy", Zone: fmt.Sprint("a", i%zones)})
 	}
-	return NewList(all)
+	return NewList(members)
 }
 
-// wires gives the links of all nodes, and checks that they go both ways.
-func wires(t *testing.T, b *List) map[string][]string {
+// neighborMap gives the links of all nodes, and checks that they go both ways.
+func neighborMap(t *testing.T, b *List) map[string][]string {
 	t.Helper()
-	out := map[string][]string{}
-	in := map[[2]string]bool{}
-	for _, f := range b.all {
+	links := map[string][]string{}
+	directed := map[[2]string]bool{}
+	for _, f := range b.members {
 		for _, o := range b.Neighbors(f.Node) {
-			out[f.Node] = append(out[f.Node], o.Node)
-			in[[2]string{f.Node, o.Node}] = true
+			links[f.Node] = append(links[f.Node], o.Node)
+			directed[[2]string{f.Node, o.Node}] = true
 		}
 	}
-	for k := range in {
-		if k[0] == k[1] || !in[[2]string{k[1], k[0]}] {
+	for k := range directed {
+		if k[0] == k[1] || !directed[[2]string{k[1], k[0]}] {
 			t.Fatalf("%v goes one way only", k)
 		}
 	}
-	return out
+	return links
 }
 
-// hops gives how far the furthest node is from one, and how many are reached
+// reach gives how far the furthest node is from one, and how many are reached
 // without those that are gone.
-func hops(links map[string][]string, from string, gone map[string]bool) (far, reached int) {
+func reach(links map[string][]string, from string, gone map[string]bool) (far, reached int) {
 	seen := map[string]bool{from: true}
-	for ring := []string{from}; len(ring) > 0; far++ {
+	for frontier := []string{from}; len(frontier) > 0; far++ {
 		var next []string
-		for _, n := range ring {
+		for _, n := range frontier {
 			for _, o := range links[n] {
 				if !seen[o] && !gone[o] {
 					seen[o] = true
@@ -49,7 +49,7 @@
 				}
 			}
 		}
-		ring = next
+		frontier = next
 	}
 	return far - 1, len(seen)
 }
@@ -58,14 +58,14 @@
 // nodes. With steps of one and two only, the hops were a quarter of them.
 func TestOverlayGrowth(t *testing.T) {
 	for _, n := range []int{2, 3, 5, 8, 24, 60, 240, 960, 3000} {
-		links := wires(t, town(n, 1))
+		links := neighborMap(t, testList(n, 1))
 		most, sum := 0, 0
 		for _, l := range links {
 			most, sum = max(most, len(l)), sum+len(l)
 		}
 		far := 0
 		for i := range min(n, 20) {
-			h, all := hops(links, fmt.Sprintf("node-%05d", i*n/20%n), nil)
+			h, all := reach(links, fmt.Sprintf("node-%05d", i*n/20%n), nil)
 			if all != n {
 				t.Fatalf("%d of %d are reached", all, n)
 			}
@@ -79,18 +79,18 @@
 	}
 }
 
-// TestOverlayWhole: areas stay joined, and all that are left stay together when
+// TestOverlayConnected: areas stay joined, and all that are left stay together when
 // any one node falls out, and nearly all when a tenth do at once.
-func TestOverlayWhole(t *testing.T) {
-	b := town(300, 10)
-	links := wires(t, b)
-	if far, all := hops(links, "node-00000", nil); all != 300 || far > 12 {
+func TestOverlayConnected(t *testing.T) {
+	b := testList(300, 10)
+	links := neighborMap(t, b)
+	if far, all := reach(links, "node-00000", nil); all != 300 || far > 12 {
 		t.Errorf("%d reached after %d hops", all, far)
 	}
 	for i := range 300 {
-		out := fmt.Sprintf("node-%05d", i)
-		if _, all := hops(links, fmt.Sprintf("node-%05d", (i+1)%300), map[string]bool{out: true}); all != 299 {
-			t.Errorf("without %s only %d are reached", out, all)
+		failed := fmt.Sprintf("node-%05d", i)
+		if _, all := reach(links, fmt.Sprintf("node-%05d", (i+1)%300), map[string]bool{failed: true}); all != 299 {
+			t.Errorf("without %s only %d are reached", failed, all)
 		}
 	}
 	rnd := rand.New(rand.NewPCG(5, 6))
@@ -99,24 +99,24 @@
 		for len(gone) < 30 {
 			gone[fmt.Sprintf("node-%05d", 1+rnd.IntN(299))] = true
 		}
-		if _, all := hops(links, "node-00000", gone); all < 270*95/100 {
+		if _, all := reach(links, "node-00000", gone); all < 270*95/100 {
 			t.Errorf("%d of 270 are reached when a tenth is gone", all)
 		}
 	}
 }
 
-// TestOverlayCalm: one node that goes changes the links of few others.
-func TestOverlayCalm(t *testing.T) {
-	b := town(960, 1)
-	was := wires(t, b)
+// TestOverlayStability: one node that goes changes the links of few others.
+func TestOverlayStability(t *testing.T) {
+	b := testList(960, 1)
+	linksBefore := neighborMap(t, b)
 	most, sum := 0, 0
 	for i := range 40 {
-		out := fmt.Sprintf("node-%05d", i*24)
-		now := wires(t, b.Apply(nil, []string{out}))
+		removed := fmt.Sprintf("node-%05d", i*24)
+		now := neighborMap(t, b.Apply(nil, []string{removed}))
 		n := 0
 		for a, l := range now {
 			had := map[string]bool{}
-			for _, o := range was[a] {
+			for _, o := range linksBefore[a] {
 				had[o] = true
 			}
 			for _, o := range l {
--- a/internal/membership/pack.go
+++ b/internal/membership/pack.go
@@ -7,59 +7,59 @@
 	"puffincrank/internal/fault"
 )
 
-// wide is the columns of packed members: the fields of a fellow in the order of
+// columnCount is the columns of packed members: the fields of a fellow in the order of
 // their declaration, after a sign of whether it came or went.
-const wide = 8
+const columnCount = 8
 
-// host stands for an address's host where that is the inner address's.
-const host = "\x01"
+// sameHostMark stands for an address's host where that is the inner address's.
+const sameHostMark = "\x01"
 
 // Encode gives what came and went in a short form.
 func (d Diff) Encode() []byte {
-	cols := make([][]string, wide)
-	put := func(row ...string) {
+	columns := make([][]string, columnCount)
+	addRow := func(row ...string) {
 		for i, s := range row {
-			cols[i] = append(cols[i], s)
+			columns[i] = append(columns[i], s)
 		}
 	}
-	for _, f := range d.Added {
-		in, _, _ := strings.Cut(f.InternalAddr, ":")
-		near := func(addr string) string {
-			if in != "" && strings.HasPrefix(addr, in+":") {
-				return host + addr[len(in):]
+	for _, member := range d.Added {
+		internalHost, _, _ := strings.Cut(member.InternalAddr, ":")
+		shortAddr := func(addr string) string {
+			if internalHost != "" && strings.HasPrefix(addr, internalHost+":") {
+				return sameHostMark + addr[len(internalHost):]
 			}
 			return addr
 		}
-		put("+", f.Node, f.Incarnation, f.Role, f.Zone, f.InternalAddr, near(f.APIAddr), near(f.TrafficAddr))
+		addRow("+", member.Node, member.Incarnation, member.Role, member.Zone, member.InternalAddr, shortAddr(member.APIAddr), shortAddr(member.TrafficAddr))
 	}
 	for _, n := range d.Removed {
-		put("-", n, "", "", "", "", "", "")
+		addRow("-", n, "", "", "", "", "", "")
 	}
-	return compression.EncodeColumns(cols)
+	return compression.EncodeColumns(columns)
 }
 
 // DecodeDiff reads the short form; the error is of the kind fault.Input.
-func DecodeDiff(b []byte) (Diff, error) {
-	cols, err := compression.DecodeColumns(b, wide)
+func DecodeDiff(encoded []byte) (Diff, error) {
+	columns, err := compression.DecodeColumns(encoded, columnCount)
 	if err != nil {
 		return Diff{}, err
 	}
 	var d Diff
-	for i, sign := range cols[0] {
-		in, _, _ := strings.Cut(cols[5][i], ":")
-		full := func(addr string) string {
-			if strings.HasPrefix(addr, host) {
-				return in + addr[len(host):]
+	for i, mark := range columns[0] {
+		internalHost, _, _ := strings.Cut(columns[5][i], ":")
+		fullAddr := func(addr string) string {
+			if strings.HasPrefix(addr, sameHostMark) {
+				return internalHost + addr[len(sameHostMark):]
 			}
 			return addr
 		}
-		switch sign {
+		switch mark {
 		case "+":
-			d.Added = append(d.Added, Member{Node: cols[1][i], Incarnation: cols[2][i], Role: cols[3][i], Zone: cols[4][i], InternalAddr: cols[5][i], APIAddr: full(cols[6][i]), TrafficAddr: full(cols[7][i])})
+			d.Added = append(d.Added, Member{Node: columns[1][i], Incarnation: columns[2][i], Role: columns[3][i], Zone: columns[4][i], InternalAddr: columns[5][i], APIAddr: fullAddr(columns[6][i]), TrafficAddr: fullAddr(columns[7][i])})
 		case "-":
-			d.Removed = append(d.Removed, cols[1][i])
+			d.Removed = append(d.Removed, columns[1][i])
 		default:
-			return Diff{}, fault.New(fault.Input, "a packed member marked %q", sign)
+			return Diff{}, fault.New(fault.Input, "a packed member marked %q", mark)
 		}
 	}
 	return d, nil
--- a/internal/membership/pack_test.go
+++ b/internal/membership/pack_test.go
@@ -9,8 +9,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestDiffPack: whatever came and went, the short form opens to the same.
-func TestDiffPack(t *testing.T) {
+// TestDiffEncodeDecode: whatever came and went, the short form opens to the same.
+func TestDiffEncodeDecode(t *testing.T) {
 	addr := rapid.SampledFrom([]string{"", "10.0.0.1:1", "10.0.0.1:2", "10.0.0.2:1", ":1", "h"})
 	rapid.Check(t, func(t *rapid.T) {
 		var d Diff
@@ -31,14 +31,14 @@
 	}
 }
 
-// BenchmarkPack is a whole list of members packed, with drawn starts.
-func BenchmarkPack(b *testing.B) {
+// BenchmarkDiffEncode is a whole list of members packed, with drawn starts.
+func BenchmarkDiffEncode(b *testing.B) {
 	for _, n := range []int{1000, 3000, 10000, 24000} {
 		var d Diff
 		for i := range n {
-			at := fmt.Sprintf("10.1.%d.%d", i/200, i%200+1)
+			host := fmt.Sprintf("10.1.%d.%d", i/200, i%200+1)
 			d.Added = append(d.Added, Member{Node: fmt.Sprintf("node-%05d", i), Incarnation: fmt.Sprintf("%012x", rand.Uint64()>>16), Role: "proxy",
-				Zone: fmt.Sprintf("r%dz%d", i%25%8, i%25/8), InternalAddr: at + ":7002", APIAddr: at + ":7003", TrafficAddr: at + ":8000"})
+				Zone: fmt.Sprintf("r%dz%d", i%25%8, i%25/8), InternalAddr: host + ":7002", APIAddr: host + ":7003", TrafficAddr: host + ":8000"})
 		}
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			long := 0
--- a/internal/membership/roll.go
+++ b/internal/membership/roll.go
@@ -2,37 +2,37 @@
 
 // claim is one source's word on a node.
 type claim struct {
-	from string
-	f    *Member
-	seq  uint64
+	source string
+	member *Member
+	seq    uint64
 }
 
 // Tracker is the list that a control node makes of its own sessions and of what
 // the others say of theirs. Each change costs what it is, not what the list is.
 type Tracker struct {
-	own   string // the source that goes before the others
-	by    map[string][]claim
-	of    map[string]map[string]bool // source to the nodes that it has
-	seq   uint64
-	hash  uint64
-	count int // fronts
-	log   *History
-	book  *List
-	stale map[string]bool // nodes that changed since the book was made
+	ownSource     string // the source that goes before the others
+	claims        map[string][]claim
+	nodesBySource map[string]map[string]bool // source to the nodes that it has
+	seq           uint64
+	hash          uint64
+	proxies       int // fronts
+	history       *History
+	list          *List
+	changed       map[string]bool // nodes that changed since the book was made
 }
 
 // NewTracker makes an empty list whose log keeps most changes.
-func NewTracker(own string, most int) *Tracker {
-	return &Tracker{own: own, by: map[string][]claim{}, of: map[string]map[string]bool{}, log: NewHistory(most), book: &List{}, stale: map[string]bool{}}
+func NewTracker(ownSource string, limit int) *Tracker {
+	return &Tracker{ownSource: ownSource, claims: map[string][]claim{}, nodesBySource: map[string]map[string]bool{}, history: NewHistory(limit), list: &List{}, changed: map[string]bool{}}
 }
 
-// now gives what counts of a node: the own session, else the newest word.
-func (r *Tracker) now(node string) *Member {
+// current gives what counts of a node: the own session, else the newest word.
+func (r *Tracker) current(node string) *Member {
 	var best *claim
-	for i := range r.by[node] {
-		c := &r.by[node][i]
-		if c.from == r.own {
-			return c.f
+	for i := range r.claims[node] {
+		c := &r.claims[node][i]
+		if c.source == r.ownSource {
+			return c.member
 		}
 		if best == nil || c.seq > best.seq {
 			best = c
@@ -41,84 +41,84 @@
 	if best == nil {
 		return nil
 	}
-	return best.f
+	return best.member
 }
 
-func (r *Tracker) set(from, node string, f *Member) {
-	was := r.now(node)
-	list := r.by[node]
-	at := -1
-	for i := range list {
-		if list[i].from == from {
-			at = i
+func (r *Tracker) set(source, node string, member *Member) {
+	before := r.current(node)
+	claims := r.claims[node]
+	index := -1
+	for i := range claims {
+		if claims[i].source == source {
+			index = i
 		}
 	}
 	r.seq++
 	switch {
-	case f != nil && at >= 0:
-		list[at].f, list[at].seq = f, r.seq
-	case f != nil:
-		r.by[node] = append(list, claim{from, f, r.seq})
-		if r.of[from] == nil {
-			r.of[from] = map[string]bool{}
+	case member != nil && index >= 0:
+		claims[index].member, claims[index].seq = member, r.seq
+	case member != nil:
+		r.claims[node] = append(claims, claim{source, member, r.seq})
+		if r.nodesBySource[source] == nil {
+			r.nodesBySource[source] = map[string]bool{}
 		}
-		r.of[from][node] = true
-	case at >= 0:
-		r.by[node] = append(list[:at], list[at+1:]...)
-		delete(r.of[from], node)
-		if len(r.by[node]) == 0 {
-			delete(r.by, node)
+		r.nodesBySource[source][node] = true
+	case index >= 0:
+		r.claims[node] = append(claims[:index], claims[index+1:]...)
+		delete(r.nodesBySource[source], node)
+		if len(r.claims[node]) == 0 {
+			delete(r.claims, node)
 		}
 	}
-	is := r.now(node)
-	if was == is || was != nil && is != nil && *was == *is {
+	after := r.current(node)
+	if before == after || before != nil && after != nil && *before == *after {
 		return
 	}
-	from0 := r.hash
-	if was != nil {
-		r.weigh(was, -1)
+	hashBefore := r.hash
+	if before != nil {
+		r.account(before, -1)
 	}
-	if is != nil {
-		r.weigh(is, 1)
+	if after != nil {
+		r.account(after, 1)
 	}
-	r.log.note(from0, node, is)
-	r.stale[node] = true
+	r.history.record(hashBefore, node, after)
+	r.changed[node] = true
 }
 
-func (r *Tracker) weigh(f *Member, by int) {
-	r.hash ^= sign(f)
-	if f.Role == "proxy" {
-		r.count += by
+func (r *Tracker) account(member *Member, delta int) {
+	r.hash ^= memberHash(member)
+	if member.Role == "proxy" {
+		r.proxies += delta
 	}
 }
 
 // ProxyCount counts the members that take callers' jobs.
-func (r *Tracker) ProxyCount() int { return r.count }
+func (r *Tracker) ProxyCount() int { return r.proxies }
 
 // Set takes a source's word that a node is there.
-func (r *Tracker) Set(from string, f Member) { r.set(from, f.Node, &f) }
+func (r *Tracker) Set(source string, member Member) { r.set(source, member.Node, &member) }
 
 // Remove takes its word that a node is gone.
-func (r *Tracker) Remove(from, node string) { r.set(from, node, nil) }
+func (r *Tracker) Remove(source, node string) { r.set(source, node, nil) }
 
 // RemoveSource forgets a source.
-func (r *Tracker) RemoveSource(from string) {
-	for n := range r.of[from] {
-		r.set(from, n, nil)
+func (r *Tracker) RemoveSource(source string) {
+	for n := range r.nodesBySource[source] {
+		r.set(source, n, nil)
 	}
-	delete(r.of, from)
+	delete(r.nodesBySource, source)
 }
 
 // Replace takes a source's whole list.
-func (r *Tracker) Replace(from string, list []Member) {
-	here := map[string]bool{}
-	for _, f := range list {
-		here[f.Node] = true
-		r.Set(from, f)
+func (r *Tracker) Replace(source string, members []Member) {
+	present := map[string]bool{}
+	for _, member := range members {
+		present[member.Node] = true
+		r.Set(source, member)
 	}
-	for n := range r.of[from] {
-		if !here[n] {
-			r.set(from, n, nil)
+	for n := range r.nodesBySource[source] {
+		if !present[n] {
+			r.set(source, n, nil)
 		}
 	}
 }
@@ -127,23 +127,23 @@
 func (r *Tracker) Hash() uint64 { return r.hash }
 
 // Since gives what differs from the list with a hash.
-func (r *Tracker) Since(hash uint64) (Diff, bool) { return r.log.Since(hash) }
+func (r *Tracker) Since(hash uint64) (Diff, bool) { return r.history.Since(hash) }
 
 // List gives the list of now; it is made anew only when something changed.
 func (r *Tracker) List() *List {
-	if len(r.stale) == 0 {
-		return r.book
+	if len(r.changed) == 0 {
+		return r.list
 	}
-	var come []Member
-	var gone []string
-	for n := range r.stale {
-		if f := r.now(n); f != nil {
-			come = append(come, *f)
+	var added []Member
+	var removed []string
+	for n := range r.changed {
+		if member := r.current(n); member != nil {
+			added = append(added, *member)
 		} else {
-			gone = append(gone, n)
+			removed = append(removed, n)
 		}
 	}
-	clear(r.stale)
-	r.book = r.book.Apply(come, gone)
-	return r.book
+	clear(r.changed)
+	r.list = r.list.Apply(added, removed)
+	return r.list
 }
--- a/internal/ormap/departed.go
+++ b/internal/ormap/departed.go
@@ -2,23 +2,23 @@
 
 import "slices"
 
-// grave gives the tombstone of a dead dot. mu is held.
-func (m *Map) grave(d Dot) Tombstone {
-	g := m.dead[d]
-	return Tombstone{Dot: d, Reason: g.why, Worker: g.worker}
+// tombstone gives the tombstone of a dead dot. mu is held.
+func (m *Map) tombstone(d Dot) Tombstone {
+	record := m.tombstones[d]
+	return Tombstone{Dot: d, Reason: record.reason, Worker: record.worker}
 }
 
-// forget drops one dot that told that a worker is gone for good. mu is held.
-func (m *Map) forget(worker string, d Dot) {
+// forgetDeparture drops one dot that told that a worker is gone for good. mu is held.
+func (m *Map) forgetDeparture(worker string, d Dot) {
 	if worker == "" {
 		return
 	}
-	left := slices.DeleteFunc(m.gone[worker], func(o Dot) bool { return o == d })
-	if len(left) == 0 {
-		delete(m.gone, worker)
+	remaining := slices.DeleteFunc(m.departed[worker], func(other Dot) bool { return other == d })
+	if len(remaining) == 0 {
+		delete(m.departed, worker)
 		return
 	}
-	m.gone[worker] = left
+	m.departed[worker] = remaining
 }
 
 // Departed tells whether a worker is known to be gone for good: it signed off, or
@@ -26,7 +26,7 @@
 func (m *Map) Departed(worker string) bool {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
-	return len(m.gone[worker]) > 0
+	return len(m.departed[worker]) > 0
 }
 
 // Departures gives the tombstones that tell of workers that are gone for good, of
@@ -35,12 +35,12 @@
 	m.mu.RLock()
 	defer m.mu.RUnlock()
 	var out []Tombstone
-	for name, dots := range m.gone {
+	for name, dots := range m.departed {
 		if worker != "" && name != worker {
 			continue
 		}
 		for _, d := range dots {
-			out = append(out, m.grave(d))
+			out = append(out, m.tombstone(d))
 		}
 	}
 	slices.SortFunc(out, func(a, b Tombstone) int { return a.Dot.Compare(b.Dot) })
@@ -49,8 +49,8 @@
 
 // DepartureDelta makes the delta that removes the observed entries of a worker that pick
 // selects, and tells that the worker is gone for good.
-func (m *Map) DepartureDelta(worker, why string, pick func(Entry) bool) Delta {
-	d := m.RemovalDelta(why, func(e Entry) bool { return e.Worker == worker && pick(e) })
+func (m *Map) DepartureDelta(worker, reason string, pick func(Entry) bool) Delta {
+	d := m.RemovalDelta(reason, func(e Entry) bool { return e.Worker == worker && pick(e) })
 	for i := range d.Tombstones {
 		d.Tombstones[i].Worker = worker
 	}
--- a/internal/ormap/mend.go
+++ b/internal/ormap/mend.go
@@ -6,16 +6,16 @@
 func (m *Map) Digests() []uint64 {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
-	return append([]uint64(nil), m.sum[:]...)
+	return append([]uint64(nil), m.digests[:]...)
 }
 
 // CombineDigests folds digests into one.
-func CombineDigests(all []uint64) uint64 {
-	var t uint64
-	for i, d := range all {
-		t ^= d * uint64(2*i+1)
+func CombineDigests(digests []uint64) uint64 {
+	var combined uint64
+	for i, d := range digests {
+		combined ^= d * uint64(2*i+1)
 	}
-	return t
+	return combined
 }
 
 // RangeDelta gives the given ranges whole, tombstones too.
@@ -28,13 +28,13 @@
 	defer m.mu.RUnlock()
 	var d Delta
 	for dot, e := range m.live {
-		if want[bucket(hash(dot))] {
+		if want[rangeIndex(hash(dot))] {
 			d.Adds = append(d.Adds, *e)
 		}
 	}
-	for dot := range m.dead {
-		if want[bucket(hash(dot))] {
-			d.Tombstones = append(d.Tombstones, m.grave(dot))
+	for dot := range m.tombstones {
+		if want[rangeIndex(hash(dot))] {
+			d.Tombstones = append(d.Tombstones, m.tombstone(dot))
 		}
 	}
 	return d
@@ -42,45 +42,45 @@
 
 // All gives the whole replica.
 func (m *Map) All() Delta {
-	all := make([]int, Ranges)
-	for i := range all {
-		all[i] = i
+	ranges := make([]int, Ranges)
+	for i := range ranges {
+		ranges[i] = i
 	}
-	return m.RangeDelta(all)
+	return m.RangeDelta(ranges)
 }
 
 // Hashes names the live dots of the given ranges.
 func (m *Map) Hashes(ranges []int) []uint64 {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
-	var out []uint64
+	var hashes []uint64
 	for _, r := range ranges {
 		if r < 0 || r >= Ranges {
 			continue
 		}
-		for h := range m.in[r] {
-			out = append(out, h)
+		for h := range m.liveByRange[r] {
+			hashes = append(hashes, h)
 		}
 	}
-	return out
+	return hashes
 }
 
 // Compare sets the live dots of some ranges against another replica's: want is
 // what that has and this one doesn't know, give is what it lacks, and the
 // graves of what it has and here is dead.
-func (m *Map) Compare(ranges []int, theirs []uint64) (want []uint64, give Delta) {
+func (m *Map) Compare(ranges []int, remoteHashes []uint64) (want []uint64, give Delta) {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
-	has := make(map[uint64]bool, len(theirs))
-	for _, h := range theirs {
-		has[h] = true
+	remote := make(map[uint64]bool, len(remoteHashes))
+	for _, h := range remoteHashes {
+		remote[h] = true
 	}
-	for _, h := range theirs {
-		if _, ok := m.in[bucket(h)][h]; ok {
+	for _, h := range remoteHashes {
+		if _, ok := m.liveByRange[rangeIndex(h)][h]; ok {
 			continue
 		}
-		if d, ok := m.tomb[h]; ok {
-			give.Tombstones = append(give.Tombstones, m.grave(d))
+		if d, ok := m.tombstonedHashes[h]; ok {
+			give.Tombstones = append(give.Tombstones, m.tombstone(d))
 		} else {
 			want = append(want, h)
 		}
@@ -89,8 +89,8 @@
 		if r < 0 || r >= Ranges {
 			continue
 		}
-		for h, e := range m.in[r] {
-			if !has[h] {
+		for h, e := range m.liveByRange[r] {
+			if !remote[h] {
 				give.Adds = append(give.Adds, *e)
 			}
 		}
@@ -99,11 +99,11 @@
 }
 
 // Knows tells whether a dot of that hash is live or dead here.
-func (m *Map) Knows(h uint64) (live, dead bool) {
+func (m *Map) Knows(hash uint64) (live, dead bool) {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
-	_, live = m.in[bucket(h)][h]
-	_, dead = m.tomb[h]
+	_, live = m.liveByRange[rangeIndex(hash)][hash]
+	_, dead = m.tombstonedHashes[hash]
 	return live, dead
 }
 
@@ -114,18 +114,18 @@
 	defer m.mu.RUnlock()
 	var out Delta
 	for _, h := range want {
-		if e, ok := m.in[bucket(h)][h]; ok {
+		if e, ok := m.liveByRange[rangeIndex(h)][h]; ok {
 			out.Adds = append(out.Adds, *e)
 			continue
 		}
 		// It may have died since its hash was named.
-		if d, ok := m.tomb[h]; ok {
-			out.Tombstones = append(out.Tombstones, m.grave(d))
+		if d, ok := m.tombstonedHashes[h]; ok {
+			out.Tombstones = append(out.Tombstones, m.tombstone(d))
 		}
 	}
 	for _, e := range given {
-		if _, ok := m.dead[e.Dot]; ok {
-			out.Tombstones = append(out.Tombstones, m.grave(e.Dot))
+		if _, ok := m.tombstones[e.Dot]; ok {
+			out.Tombstones = append(out.Tombstones, m.tombstone(e.Dot))
 		}
 	}
 	return out
--- a/internal/ormap/ormap.go
+++ b/internal/ormap/ormap.go
@@ -56,94 +56,94 @@
 // Ranges is into how many parts a replica is cut for digests.
 const Ranges = 64
 
-type grave struct {
-	why    string
-	worker string    // that is gone for good
-	when   time.Time // learned here, by the monotonic clock
+type tombstoneRecord struct {
+	reason     string
+	worker     string    // that is gone for good
+	recordedAt time.Time // learned here, by the monotonic clock
 }
 
 // Map is one replica.
 type Map struct {
-	mu   sync.RWMutex
-	live map[Dot]*Entry // what one points to is never changed
-	dead map[Dot]grave
-	in   [Ranges]map[uint64]*Entry // the same of each range by their hash
-	sum  [Ranges]uint64            // their digest, kept as they change
-	tomb map[uint64]Dot            // the dead dots by their hash
-	gone map[string][]Dot          // workers that are gone for good, with the dots that tell so
-	pool *Pool
+	mu               sync.RWMutex
+	live             map[Dot]*Entry // what one points to is never changed
+	tombstones       map[Dot]tombstoneRecord
+	liveByRange      [Ranges]map[uint64]*Entry // the same of each range by their hash
+	digests          [Ranges]uint64            // their digest, kept as they change
+	tombstonedHashes map[uint64]Dot            // the dead dots by their hash
+	departed         map[string][]Dot          // workers that are gone for good, with the dots that tell so
+	pool             *Pool
 }
 
 // New makes an empty replica.
 func New() *Map {
-	m := &Map{live: map[Dot]*Entry{}, dead: map[Dot]grave{}, tomb: map[uint64]Dot{}, gone: map[string][]Dot{}}
-	for i := range m.in {
-		m.in[i] = map[uint64]*Entry{}
+	m := &Map{live: map[Dot]*Entry{}, tombstones: map[Dot]tombstoneRecord{}, tombstonedHashes: map[uint64]Dot{}, departed: map[string][]Dot{}}
+	for i := range m.liveByRange {
+		m.liveByRange[i] = map[uint64]*Entry{}
 	}
 	return m
 }
 
-// put and drop keep what is worked out from the live entries; mu is held.
-func (m *Map) put(e Entry) *Entry {
+// insert and drop keep what is worked out from the live entries; mu is held.
+func (m *Map) insert(e Entry) *Entry {
 	h := hash(e.Dot)
-	p := m.pool.one(e)
-	m.live[p.Dot] = p
-	m.in[bucket(h)][h] = p
-	m.sum[bucket(h)] ^= h
-	return p
+	stored := m.pool.intern(e)
+	m.live[stored.Dot] = stored
+	m.liveByRange[rangeIndex(h)][h] = stored
+	m.digests[rangeIndex(h)] ^= h
+	return stored
 }
 
-func (m *Map) drop(d Dot) {
+func (m *Map) remove(d Dot) {
 	h := hash(d)
 	delete(m.live, d)
-	delete(m.in[bucket(h)], h)
-	m.sum[bucket(h)] ^= h
+	delete(m.liveByRange[rangeIndex(h)], h)
+	m.digests[rangeIndex(h)] ^= h
 }
 
 // Merge takes a delta in and gives what was new here. Added and removed are
 // the entries as subscribers should hear of them.
-func (m *Map) Merge(d Delta) (news Delta, added, removed []Entry) {
+func (m *Map) Merge(d Delta) (fresh Delta, added, removed []Entry) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	now := time.Now()
 	// Removes go first: an entry that comes with its own remove never shows.
-	for _, g := range d.Tombstones {
-		if _, ok := m.dead[g.Dot]; ok {
+	for _, tombstone := range d.Tombstones {
+		if _, ok := m.tombstones[tombstone.Dot]; ok {
 			continue
 		}
-		m.dead[g.Dot] = grave{g.Reason, g.Worker, now}
-		if g.Worker != "" {
-			m.gone[g.Worker] = append(m.gone[g.Worker], g.Dot)
+		m.tombstones[tombstone.Dot] = tombstoneRecord{tombstone.Reason, tombstone.Worker, now}
+		if tombstone.Worker != "" {
+			m.departed[tombstone.Worker] = append(m.departed[tombstone.Worker], tombstone.Dot)
 		}
-		m.tomb[hash(g.Dot)] = g.Dot
-		news.Tombstones = append(news.Tombstones, g)
-		if e, ok := m.live[g.Dot]; ok {
-			m.drop(g.Dot)
+		m.tombstonedHashes[hash(tombstone.Dot)] = tombstone.Dot
+		fresh.Tombstones = append(fresh.Tombstones, tombstone)
+		if e, ok := m.live[tombstone.Dot]; ok {
+			m.remove(tombstone.Dot)
 			removed = append(removed, *e)
 		}
 	}
 	for _, e := range d.Adds {
-		if _, ok := m.dead[e.Dot]; ok {
+		if _, ok := m.tombstones[e.Dot]; ok {
 			continue
 		}
 		if _, ok := m.live[e.Dot]; ok {
 			continue
 		}
-		p := m.put(e)
-		news.Adds = append(news.Adds, *p)
-		added = append(added, *p)
+		stored := m.insert(e)
+		fresh.Adds = append(fresh.Adds, *stored)
+		added = append(added, *stored)
 	}
-	return news, added, removed
+	return fresh, added, removed
 }
 
 // RemovalDelta makes the delta that removes the observed entries that pick selects.
-func (m *Map) RemovalDelta(why string, pick func(Entry) bool) Delta {
+func (m *Map) RemovalDelta(reason string, pick func(Entry) bool) Delta {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
 	var d Delta
 	for dot, e := range m.live {
 		if pick(*e) {
-			d.Tombstones = append(d.Tombstones, Tombstone{Dot: dot, Reason: why})
+			d.Tombstones = append(d.Tombstones, Tombstone{Dot: dot, Reason: reason})
 		}
 	}
 	sort.Slice(d.Tombstones, func(i, j int) bool { return less(d.Tombstones[i].Dot, d.Tombstones[j].Dot) })
@@ -183,7 +183,7 @@
 func (m *Map) IsTombstoned(d Dot) bool {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
-	_, ok := m.dead[d]
+	_, ok := m.tombstones[d]
 	return ok
 }
 
@@ -191,34 +191,34 @@
 func (m *Map) Size() (live, dead int) {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
-	return len(m.live), len(m.dead)
+	return len(m.live), len(m.tombstones)
 }
 
 // Collect drops the tombstones that are older than keep.
-func (m *Map) Collect(keep time.Duration) int {
+func (m *Map) Collect(maxAge time.Duration) int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	n := 0
-	for d, g := range m.dead {
-		if time.Since(g.when) > keep {
-			delete(m.dead, d)
-			delete(m.tomb, hash(d))
-			m.forget(g.worker, d)
-			n++
+	count := 0
+	for d, record := range m.tombstones {
+		if time.Since(record.recordedAt) > maxAge {
+			delete(m.tombstones, d)
+			delete(m.tombstonedHashes, hash(d))
+			m.forgetDeparture(record.worker, d)
+			count++
 		}
 	}
-	return n
+	return count
 }
 
 // Clear drops all entries but those that stay selects, and all tombstones: a
 // replica that was away for too long must be refilled, not merged.
-func (m *Map) Clear(stay func(Entry) bool) {
+func (m *Map) Clear(keep func(Entry) bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.dead, m.tomb, m.gone = map[Dot]grave{}, map[uint64]Dot{}, map[string][]Dot{}
+	m.tombstones, m.tombstonedHashes, m.departed = map[Dot]tombstoneRecord{}, map[uint64]Dot{}, map[string][]Dot{}
 	for d, e := range m.live {
-		if !stay(*e) {
-			m.drop(d)
+		if !keep(*e) {
+			m.remove(d)
 		}
 	}
 }
@@ -239,4 +239,4 @@
 	return x ^ x>>29
 }
 
-func bucket(h uint64) int { return int(h >> 32 % Ranges) }
+func rangeIndex(h uint64) int { return int(h >> 32 % Ranges) }
--- a/internal/ormap/ormap_test.go
+++ b/internal/ormap/ormap_test.go
@@ -13,20 +13,20 @@
 // op draws one step of a history at one of three nodes: an add with a fresh
 // dot, or a remove of what that node has observed of a service.
 type history struct {
-	maps  []*Map
-	logs  [][]Delta // deltas that each node made
-	count int64
-	model []map[Dot]bool // dots added and removed, per node: the plain model
-	gone  []map[Dot]bool
+	maps    []*Map
+	deltas  [][]Delta // deltas that each node made
+	count   int64
+	added   []map[Dot]bool // dots added and removed, per node: the plain model
+	removed []map[Dot]bool
 }
 
 func newHistory(n int) *history {
 	h := &history{}
 	for range n {
 		h.maps = append(h.maps, New())
-		h.logs = append(h.logs, nil)
-		h.model = append(h.model, map[Dot]bool{})
-		h.gone = append(h.gone, map[Dot]bool{})
+		h.deltas = append(h.deltas, nil)
+		h.added = append(h.added, map[Dot]bool{})
+		h.removed = append(h.removed, map[Dot]bool{})
 	}
 	return h
 }
@@ -35,31 +35,31 @@
 	h.count++
 	d := Delta{Adds: []Entry{{Dot: Dot{Node: fmt.Sprint("n", at), Stamp: hlc.Stamp{Wall: h.count}}, Service: service}}}
 	h.maps[at].Merge(d)
-	h.model[at][d.Adds[0].Dot] = true
-	h.logs[at] = append(h.logs[at], d)
+	h.added[at][d.Adds[0].Dot] = true
+	h.deltas[at] = append(h.deltas[at], d)
 }
 
 func (h *history) remove(at int, service string) {
 	d := h.maps[at].RemovalDelta("x", func(e Entry) bool { return e.Service == service })
 	h.maps[at].Merge(d)
 	for _, g := range d.Tombstones {
-		h.gone[at][g.Dot] = true
+		h.removed[at][g.Dot] = true
 	}
-	h.logs[at] = append(h.logs[at], d)
+	h.deltas[at] = append(h.deltas[at], d)
 }
 
-func (h *history) send(from, to, k int) {
-	d := h.logs[from][k]
+func (h *history) deliver(from, to, k int) {
+	d := h.deltas[from][k]
 	h.maps[to].Merge(d)
 	for _, e := range d.Adds {
-		h.model[to][e.Dot] = true
+		h.added[to][e.Dot] = true
 	}
 	for _, g := range d.Tombstones {
-		h.gone[to][g.Dot] = true
+		h.removed[to][g.Dot] = true
 	}
 }
 
-func dots(m *Map) map[Dot]bool {
+func liveDots(m *Map) map[Dot]bool {
 	out := map[Dot]bool{}
 	for _, e := range m.Live(nil) {
 		out[e.Dot] = true
@@ -81,32 +81,32 @@
 			case 2:
 				h.remove(at, service)
 			case 3:
-				if n := len(h.logs[at]); n > 0 {
-					h.send(at, rapid.IntRange(0, 2).Draw(t, "to"), rapid.IntRange(0, n-1).Draw(t, "which"))
+				if n := len(h.deltas[at]); n > 0 {
+					h.deliver(at, rapid.IntRange(0, 2).Draw(t, "to"), rapid.IntRange(0, n-1).Draw(t, "which"))
 				}
 			}
 			for i, m := range h.maps {
 				want := map[Dot]bool{}
-				for d := range h.model[i] {
-					if !h.gone[i][d] {
+				for d := range h.added[i] {
+					if !h.removed[i][d] {
 						want[d] = true
 					}
 				}
-				if got := dots(m); !reflect.DeepEqual(got, want) {
+				if got := liveDots(m); !reflect.DeepEqual(got, want) {
 					t.Fatalf("node %d has %v, the model %v", i, got, want)
 				}
 			}
 		}
 		for from := range 3 {
-			order := rapid.Permutation(indexes(len(h.logs[from]))).Draw(t, "order")
+			order := rapid.Permutation(indexes(len(h.deltas[from]))).Draw(t, "order")
 			for to := range 3 {
 				for _, k := range order {
-					h.send(from, to, k)
+					h.deliver(from, to, k)
 				}
 			}
 		}
 		for i := range 2 {
-			if !reflect.DeepEqual(h.maps[i].Digests(), h.maps[i+1].Digests()) || !reflect.DeepEqual(dots(h.maps[i]), dots(h.maps[i+1])) {
+			if !reflect.DeepEqual(h.maps[i].Digests(), h.maps[i+1].Digests()) || !reflect.DeepEqual(liveDots(h.maps[i]), liveDots(h.maps[i+1])) {
 				t.Fatalf("replicas %d and %d differ after all deltas", i, i+1)
 			}
 		}
@@ -121,8 +121,8 @@
 	return out
 }
 
-// TestLaws: merge is commutative, associative and idempotent.
-func TestLaws(t *testing.T) {
+// TestMergeProperties: merge is commutative, associative and idempotent.
+func TestMergeProperties(t *testing.T) {
 	delta := rapid.Custom(func(t *rapid.T) Delta {
 		var d Delta
 		for range rapid.IntRange(0, 6).Draw(t, "n") {
@@ -143,7 +143,7 @@
 		return m
 	}
 	same := func(a, b *Map) bool {
-		return reflect.DeepEqual(dots(a), dots(b)) && reflect.DeepEqual(a.dead2(), b.dead2())
+		return reflect.DeepEqual(liveDots(a), liveDots(b)) && reflect.DeepEqual(a.tombstonedDots(), b.tombstonedDots())
 	}
 	rapid.Check(t, func(t *rapid.T) {
 		a, b, c := delta.Draw(t, "a"), delta.Draw(t, "b"), delta.Draw(t, "c")
@@ -159,16 +159,16 @@
 	})
 }
 
-func (m *Map) dead2() map[Dot]bool {
+func (m *Map) tombstonedDots() map[Dot]bool {
 	out := map[Dot]bool{}
-	for d := range m.dead {
+	for d := range m.tombstones {
 		out[d] = true
 	}
 	return out
 }
 
-// TestRanges: mending the ranges whose digests differ makes replicas equal.
-func TestRanges(t *testing.T) {
+// TestRangeRepair: mending the ranges whose digests differ makes replicas equal.
+func TestRangeRepair(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		h := newHistory(2)
 		for range rapid.IntRange(0, 40).Draw(t, "n") {
@@ -190,20 +190,20 @@
 		c, d := New(), New()
 		c.Merge(a.All())
 		d.Merge(b.All())
-		pa, pb := a.RangeDelta(differ), b.RangeDelta(differ)
-		a.Merge(pb)
-		b.Merge(pa)
-		if !reflect.DeepEqual(dots(a), dots(b)) {
+		fromA, fromB := a.RangeDelta(differ), b.RangeDelta(differ)
+		a.Merge(fromB)
+		b.Merge(fromA)
+		if !reflect.DeepEqual(liveDots(a), liveDots(b)) {
 			t.Fatal("mended replicas differ")
 		}
 		want, give := c.Compare(differ, d.Hashes(differ))
 		back := d.Answer(want, give.Adds)
 		d.Merge(give)
 		c.Merge(back)
-		if !reflect.DeepEqual(dots(c), dots(a)) || !reflect.DeepEqual(dots(d), dots(a)) {
-			t.Fatalf("by name: %v and %v, by parts: %v", dots(c), dots(d), dots(a))
+		if !reflect.DeepEqual(liveDots(c), liveDots(a)) || !reflect.DeepEqual(liveDots(d), liveDots(a)) {
+			t.Fatalf("by name: %v and %v, by parts: %v", liveDots(c), liveDots(d), liveDots(a))
 		}
-		if len(give.Adds)+len(back.Adds) > len(pa.Adds)+len(pb.Adds) {
+		if len(give.Adds)+len(back.Adds) > len(fromA.Adds)+len(fromB.Adds) {
 			t.Fatal("more travelled than by parts")
 		}
 	})
@@ -222,9 +222,9 @@
 			if rapid.IntRange(0, 9).Draw(t, "clear") == 0 {
 				h.maps[0].Clear(func(e Entry) bool { return e.Service == "a" })
 			}
-			again := New()
-			again.Merge(h.maps[0].All())
-			if !reflect.DeepEqual(again.Digests(), h.maps[0].Digests()) {
+			rebuilt := New()
+			rebuilt.Merge(h.maps[0].All())
+			if !reflect.DeepEqual(rebuilt.Digests(), h.maps[0].Digests()) {
 				t.Fatal("digests are not those of the entries")
 			}
 		}
--- a/internal/ormap/pack.go
+++ b/internal/ormap/pack.go
@@ -10,10 +10,10 @@
 	"puffincrank/internal/hlc"
 )
 
-// wide is the columns of a packed delta. Entries and graves share the table; a
+// columnCount is the columns of a packed delta. Entries and graves share the table; a
 // grave has its reason where an entry has its service, the worker if that is gone
 // for good, and no owner.
-const wide = 8
+const columnCount = 8
 
 // Encode gives the delta in its short form, which travels in the place of the
 // long one to those who take it.
@@ -21,34 +21,34 @@
 	if d.Empty() || len(d.Compact) > 0 {
 		return d
 	}
-	cols := make([][]string, wide)
-	put := func(row ...string) {
-		for i, s := range row {
-			cols[i] = append(cols[i], s)
+	columns := make([][]string, columnCount)
+	addRow := func(row ...string) {
+		for i, value := range row {
+			columns[i] = append(columns[i], value)
 		}
 	}
-	last := int64(0)
+	lastWall := int64(0)
 	// A stamp by its distance from the one before.
-	stamp := func(s hlc.Stamp) string {
-		by := s.Wall - last
-		last = s.Wall
-		text := strconv.FormatInt(by, 36)
-		if s.Count > 0 {
-			text += "." + strconv.FormatUint(uint64(s.Count), 36)
+	encodeStamp := func(value hlc.Stamp) string {
+		difference := value.Wall - lastWall
+		lastWall = value.Wall
+		text := strconv.FormatInt(difference, 36)
+		if value.Count > 0 {
+			text += "." + strconv.FormatUint(uint64(value.Count), 36)
 		}
 		return text
 	}
 	adds := append([]Entry(nil), d.Adds...)
 	sort.SliceStable(adds, func(i, j int) bool { return less(adds[i].Dot, adds[j].Dot) })
 	for _, e := range adds {
-		put("+"+after(e.Dot.Node, e.Owner), stamp(e.Dot.Stamp), e.Owner, e.Service, after(e.Worker, e.Owner), e.InternalAddr, e.Zone, meta(e.Meta, e.InternalAddr))
+		addRow("+"+trimSharedPrefix(e.Dot.Node, e.Owner), encodeStamp(e.Dot.Stamp), e.Owner, e.Service, trimSharedPrefix(e.Worker, e.Owner), e.InternalAddr, e.Zone, encodeMeta(e.Meta, e.InternalAddr))
 	}
-	dead := append([]Tombstone(nil), d.Tombstones...)
-	sort.SliceStable(dead, func(i, j int) bool { return less(dead[i].Dot, dead[j].Dot) })
-	for _, g := range dead {
-		put("-"+g.Dot.Node, stamp(g.Dot.Stamp), "", g.Reason, g.Worker, "", "", "")
+	tombstones := append([]Tombstone(nil), d.Tombstones...)
+	sort.SliceStable(tombstones, func(i, j int) bool { return less(tombstones[i].Dot, tombstones[j].Dot) })
+	for _, tombstone := range tombstones {
+		addRow("-"+tombstone.Dot.Node, encodeStamp(tombstone.Dot.Stamp), "", tombstone.Reason, tombstone.Worker, "", "", "")
 	}
-	return Delta{Compact: compression.EncodeColumns(cols)}
+	return Delta{Compact: compression.EncodeColumns(columns)}
 }
 
 // Decode gives the long form of a delta. The error is of the kind fault.Input.
@@ -56,95 +56,95 @@
 	if len(d.Compact) == 0 {
 		return d, nil
 	}
-	cols, err := compression.DecodeColumns(d.Compact, wide)
+	columns, err := compression.DecodeColumns(d.Compact, columnCount)
 	if err != nil {
 		return Delta{}, err
 	}
 	out := Delta{Adds: d.Adds, Tombstones: d.Tombstones}
-	last := int64(0)
-	for i, node := range cols[0] {
-		by, count, _ := strings.Cut(cols[1][i], ".")
-		step, err := strconv.ParseInt(by, 36, 64)
-		last += step
-		at := hlc.Stamp{Wall: last}
+	lastWall := int64(0)
+	for i, node := range columns[0] {
+		difference, count, _ := strings.Cut(columns[1][i], ".")
+		parsed, err := strconv.ParseInt(difference, 36, 64)
+		lastWall += parsed
+		stamp := hlc.Stamp{Wall: lastWall}
 		if err == nil && count != "" {
 			var n uint64
 			n, err = strconv.ParseUint(count, 36, 32)
-			at.Count = uint32(n)
+			stamp.Count = uint32(n)
 		}
-		owner := cols[2][i]
+		owner := columns[2][i]
 		switch {
 		case err != nil || node == "":
-			return Delta{}, fault.New(fault.Input, "a packed dot %q %q", node, cols[1][i])
+			return Delta{}, fault.New(fault.Input, "a packed dot %q %q", node, columns[1][i])
 		case node[0] == '-':
-			out.Tombstones = append(out.Tombstones, Tombstone{Dot: Dot{node[1:], at}, Reason: cols[3][i], Worker: cols[4][i]})
+			out.Tombstones = append(out.Tombstones, Tombstone{Dot: Dot{node[1:], stamp}, Reason: columns[3][i], Worker: columns[4][i]})
 		default:
-			out.Adds = append(out.Adds, Entry{Dot: Dot{before(node[1:], owner), at}, Owner: owner, Service: cols[3][i],
-				Worker: before(cols[4][i], owner), InternalAddr: cols[5][i], Zone: cols[6][i], Meta: unmeta(cols[7][i], cols[5][i])})
+			out.Adds = append(out.Adds, Entry{Dot: Dot{addSharedPrefix(node[1:], owner), stamp}, Owner: owner, Service: columns[3][i],
+				Worker: addSharedPrefix(columns[4][i], owner), InternalAddr: columns[5][i], Zone: columns[6][i], Meta: decodeMeta(columns[7][i], columns[5][i])})
 		}
 	}
 	return out, nil
 }
 
-// same stands for what a text begins with that stands in the row already; as is
+// prefixMark stands for what a text begins with that stands in the row already; as is
 // goes before a text that begins like one of the two.
-const same, asIs = "\x01", "\x02"
+const prefixMark, literalMark = "\x01", "\x02"
 
-func after(text, head string) string {
-	if head != "" && strings.HasPrefix(text, head) {
-		return same + text[len(head):]
+func trimSharedPrefix(text, prefix string) string {
+	if prefix != "" && strings.HasPrefix(text, prefix) {
+		return prefixMark + text[len(prefix):]
 	}
-	if strings.HasPrefix(text, same) || strings.HasPrefix(text, asIs) {
-		return asIs + text
+	if strings.HasPrefix(text, prefixMark) || strings.HasPrefix(text, literalMark) {
+		return literalMark + text
 	}
 	return text
 }
 
-func before(text, head string) string {
-	if strings.HasPrefix(text, same) {
-		return head + text[len(same):]
+func addSharedPrefix(text, prefix string) string {
+	if strings.HasPrefix(text, prefixMark) {
+		return prefix + text[len(prefixMark):]
 	}
-	return strings.TrimPrefix(text, asIs)
+	return strings.TrimPrefix(text, literalMark)
 }
 
 // host is an address without its port.
 func host(addr string) string { h, _, _ := strings.Cut(addr, ":"); return h }
 
-// meta writes a registration's words by their names.
-func meta(m map[string]string, inner string) string {
-	if m == nil {
+// encodeMeta writes a registration's words by their names.
+func encodeMeta(values map[string]string, internalAddr string) string {
+	if values == nil {
 		return ""
 	}
 	var names []string
-	for k := range m {
+	for k := range values {
 		names = append(names, k)
 	}
 	sort.Strings(names)
-	b := same
+	encoded := prefixMark
 	for _, k := range names {
-		b += strconv.Quote(k) + strconv.Quote(after(m[k], host(inner)))
+		encoded += strconv.Quote(k) + strconv.Quote(trimSharedPrefix(values[k], host(internalAddr)))
 	}
-	return b
+	return encoded
 }
 
-func unmeta(s, inner string) map[string]string {
-	if !strings.HasPrefix(s, same) {
+func decodeMeta(encoded, internalAddr string) map[string]string {
+	if !strings.HasPrefix(encoded, prefixMark) {
 		return nil
 	}
-	out := map[string]string{}
+	values := map[string]string{}
 	next := func() string {
-		q, err := strconv.QuotedPrefix(s)
+		quoted, err := strconv.QuotedPrefix(encoded)
 		if err != nil {
-			s = ""
+			encoded = ""
 			return ""
 		}
-		s = s[len(q):]
-		text, _ := strconv.Unquote(q)
+		encoded = encoded[len(quoted):]
+		text, _ := strconv.Unquote(quoted)
 		return text
 	}
-	for s = s[len(same):]; s != ""; {
+	for encoded = encoded[len(prefixMark):]; encoded != ""; {
 		k := next()
-		out[k] = before(next(), host(inner))
+		values[k] = addSharedPrefix(next(), host(internalAddr))
 	}
-	return out
+	return values
 }
--- a/internal/ormap/pack_test.go
+++ b/internal/ormap/pack_test.go
@@ -12,8 +12,8 @@
 	"puffincrank/internal/hlc"
 )
 
-// TestPack: whatever a delta holds, its short form opens to the same.
-func TestPack(t *testing.T) {
+// TestEncodeDecode: whatever a delta holds, its short form opens to the same.
+func TestEncodeDecode(t *testing.T) {
 	text := rapid.OneOf(rapid.String(), rapid.SampledFrom([]string{"", "a", "a#b", "\x01", "\x01a", "10.0.0.1:7"}))
 	rapid.Check(t, func(t *rapid.T) {
 		dot := func() Dot {
@@ -30,45 +30,45 @@
 		for range rapid.IntRange(0, 5).Draw(t, "dead") {
 			d.Tombstones = append(d.Tombstones, Tombstone{Dot: dot(), Reason: text.Draw(t, "why"), Worker: text.Draw(t, "gone")})
 		}
-		got, err := d.Encode().Decode()
+		roundTrip, err := d.Encode().Decode()
 		if err != nil {
 			t.Fatal(err)
 		}
-		want, is := New(), New()
-		want.Merge(d)
-		is.Merge(got)
-		if len(got.Adds) != len(d.Adds) || len(got.Tombstones) != len(d.Tombstones) || !reflect.DeepEqual(want.live, is.live) || !reflect.DeepEqual(want.tomb, is.tomb) {
-			t.Fatalf("%v came back as %v", d, got)
+		original, decoded := New(), New()
+		original.Merge(d)
+		decoded.Merge(roundTrip)
+		if len(roundTrip.Adds) != len(d.Adds) || len(roundTrip.Tombstones) != len(d.Tombstones) || !reflect.DeepEqual(original.live, decoded.live) || !reflect.DeepEqual(original.tombstonedHashes, decoded.tombstonedHashes) {
+			t.Fatalf("%v came back as %v", d, roundTrip)
 		}
 	})
 }
 
-// TestPackBroken: what is no short form is refused.
-func TestPackBroken(t *testing.T) {
-	whole := Delta{Adds: []Entry{{Dot: Dot{"n#s", hlc.Stamp{Wall: 5}}}}}.Encode().Compact
-	for i := range whole {
-		if d, err := (Delta{Compact: whole[:i]}).Decode(); i > 0 && err == nil {
+// TestDecodeTruncated: what is no short form is refused.
+func TestDecodeTruncated(t *testing.T) {
+	encoded := Delta{Adds: []Entry{{Dot: Dot{"n#s", hlc.Stamp{Wall: 5}}}}}.Encode().Compact
+	for i := range encoded {
+		if d, err := (Delta{Compact: encoded[:i]}).Decode(); i > 0 && err == nil {
 			t.Errorf("cut at %d it gave %v", i, d)
 		}
 	}
 }
 
-// drawn is a mesh's entries with names and addresses as nodes have them, their
+// randomDelta is a mesh's entries with names and addresses as nodes have them, their
 // starts and times drawn.
-func drawn(n int) Delta {
+func randomDelta(n int) Delta {
 	var d Delta
 	for i := range n {
-		own := fmt.Sprintf("node-%05d", i)
-		d.Adds = append(d.Adds, Entry{Dot: Dot{fmt.Sprintf("%s#%012x", own, rand.Uint64()>>16), hlc.Stamp{Wall: 1786000000000 + rand.Int64N(86400000)}},
-			Service: fmt.Sprintf("service-%04d", i/5), Worker: own + "-w", Owner: own, InternalAddr: fmt.Sprintf("10.1.%d.%d:7002", i/200, i%200+1),
+		node := fmt.Sprintf("node-%05d", i)
+		d.Adds = append(d.Adds, Entry{Dot: Dot{fmt.Sprintf("%s#%012x", node, rand.Uint64()>>16), hlc.Stamp{Wall: 1786000000000 + rand.Int64N(86400000)}},
+			Service: fmt.Sprintf("service-%04d", i/5), Worker: node + "-w", Owner: node, InternalAddr: fmt.Sprintf("10.1.%d.%d:7002", i/200, i%200+1),
 			Zone: fmt.Sprintf("r%dz%d", i%8, i%3), Meta: map[string]string{"slots": "8", "state": "up", "addr": fmt.Sprintf("10.1.%d.%d:8000", i/200, i%200+1)}})
 	}
 	return d
 }
 
-// TestPackSize: an entry takes a quarter of its long form at the most.
-func TestPackSize(t *testing.T) {
-	d := drawn(2000)
+// TestEncodedSize: an entry takes a quarter of its long form at the most.
+func TestEncodedSize(t *testing.T) {
+	d := randomDelta(2000)
 	long, _ := msgpack.Marshal(d)
 	short, _ := msgpack.Marshal(d.Encode())
 	t.Logf("%d and %d B for an entry", len(long)/2000, len(short)/2000)
@@ -77,10 +77,10 @@
 	}
 }
 
-// BenchmarkPack is a whole map packed, and opened, at several sizes.
-func BenchmarkPack(b *testing.B) {
+// BenchmarkEncodeDecode is a whole map packed, and opened, at several sizes.
+func BenchmarkEncodeDecode(b *testing.B) {
 	for _, n := range []int{1000, 3000, 10000, 24000} {
-		d := drawn(n)
+		d := randomDelta(n)
 		short := d.Encode()
 		b.Run(fmt.Sprint("pack", n), func(b *testing.B) {
 			for b.Loop() {
--- a/internal/pausedetect/pulse.go
+++ b/internal/pausedetect/pulse.go
@@ -11,48 +11,48 @@
 
 // Detector is one process's watch over its own ticks.
 type Detector struct {
-	mu   sync.Mutex
-	beat time.Duration
-	gap  time.Duration
-	last time.Time
-	woke time.Time
-	tell func(gap time.Duration)
+	mu        sync.Mutex
+	interval  time.Duration
+	tolerance time.Duration
+	lastTick  time.Time
+	pauseEnd  time.Time
+	onPause   func(gap time.Duration)
 }
 
 // New makes a pulse that ticks at each beat; a pause longer than the beat and
 // the gap counts as a freeze, and tell hears of it once.
-func New(beat, gap time.Duration, tell func(time.Duration)) *Detector {
-	return &Detector{beat: beat, gap: gap, last: time.Now(), tell: tell}
+func New(interval, tolerance time.Duration, onPause func(time.Duration)) *Detector {
+	return &Detector{interval: interval, tolerance: tolerance, lastTick: time.Now(), onPause: onPause}
 }
 
 // Run is the loop of ticks.
-func (p *Detector) Run(ctx context.Context, pause func(context.Context, time.Duration)) {
+func (d *Detector) Run(ctx context.Context, sleep func(context.Context, time.Duration)) {
 	for ctx.Err() == nil {
-		pause(ctx, p.beat)
-		p.look(true)
+		sleep(ctx, d.interval)
+		d.check(true)
 	}
 }
 
 // LastPauseEnd gives the end of the newest freeze, zero when there was none. The
 // first to look after a freeze finds it, be it the tick or a job.
-func (p *Detector) LastPauseEnd() time.Time { return p.look(false) }
+func (d *Detector) LastPauseEnd() time.Time { return d.check(false) }
 
-func (p *Detector) look(tick bool) time.Time {
-	p.mu.Lock()
+func (d *Detector) check(tick bool) time.Time {
+	d.mu.Lock()
 	now := time.Now()
-	gap := now.Sub(p.last)
-	froze := gap > p.beat+p.gap
-	if froze {
-		p.woke = now
+	elapsed := now.Sub(d.lastTick)
+	paused := elapsed > d.interval+d.tolerance
+	if paused {
+		d.pauseEnd = now
 	}
 	// Only a tick is a sign of life: questions come at any time.
-	if tick || froze {
-		p.last = now
+	if tick || paused {
+		d.lastTick = now
 	}
-	woke := p.woke
-	p.mu.Unlock()
-	if froze && p.tell != nil {
-		p.tell(gap)
+	pauseEnd := d.pauseEnd
+	d.mu.Unlock()
+	if paused && d.onPause != nil {
+		d.onPause(elapsed)
 	}
-	return woke
+	return pauseEnd
 }
--- a/internal/plumtree/bulk.go
+++ b/internal/plumtree/bulk.go
@@ -35,115 +35,115 @@
 }
 
 // SetBatching sets how many pieces are carried at once; before the first message.
-func (t *Tree) SetBatching(b Batching) { t.bulk = b }
+func (t *Tree) SetBatching(batching Batching) { t.batching = batching }
 
-// crowd tells whether one more piece is over what goes whole before the next
+// exceedsBurst tells whether one more piece is over what goes whole before the next
 // tick; mu is held.
-func (t *Tree) crowd() bool {
-	t.fresh++
-	return t.bulk.RequestFlush != nil && t.fresh > MaxEagerBurst
+func (t *Tree) exceedsBurst() bool {
+	t.itemsSinceTick++
+	return t.batching.RequestFlush != nil && t.itemsSinceTick > MaxEagerBurst
 }
 
-// later has a piece wait for the next flush as a name; mu is held, and
+// announceBurst has a piece wait for the next flush as a name; mu is held, and
 // Soon must not come back into the tree.
-func (t *Tree) later(id string, but ...string) {
-	t.name(id, but...)
-	t.busy = true
-	t.hurry()
+func (t *Tree) announceBurst(id string, except ...string) {
+	t.announce(id, except...)
+	t.burst = true
+	t.scheduleFlush()
 }
 
-// hurry has the names that wait sent before the next tick; mu is held.
-func (t *Tree) hurry() {
-	if t.bulk.RequestFlush != nil && !t.due {
-		t.due = true
-		t.bulk.RequestFlush()
+// scheduleFlush has the names that wait sent before the next tick; mu is held.
+func (t *Tree) scheduleFlush() {
+	if t.batching.RequestFlush != nil && !t.flushScheduled {
+		t.flushScheduled = true
+		t.batching.RequestFlush()
 	}
 }
 
 // Flush sends the names that wait.
 func (t *Tree) Flush() {
 	t.mu.Lock()
-	t.due = false
-	all := t.called()
+	t.flushScheduled = false
+	messages := t.takeAnnouncements()
 	t.mu.Unlock()
-	t.flush(all)
+	t.sendAll(messages)
 }
 
-// called makes the messages of all names that wait; mu is held.
-func (t *Tree) called() []out {
-	var all []out
-	for a, ids := range t.names {
-		m := Message{Kind: "ihave", From: t.self, NothingComesWhole: t.busy}
+// takeAnnouncements makes the messages of all names that wait; mu is held.
+func (t *Tree) takeAnnouncements() []outgoing {
+	var messages []outgoing
+	for link, ids := range t.announcements {
+		message := Message{Kind: "ihave", From: t.self, LazyOnly: t.burst}
 		for id := range ids {
-			if t.busy {
-				id = short(id)
+			if t.burst {
+				id = compactID(id)
 			}
-			m.IDs = append(m.IDs, id)
+			message.IDs = append(message.IDs, id)
 		}
-		m.Round = t.hops(ids)
+		message.Round = t.announcedHops(ids)
 		// Those who go through two lists of one order ask for the same.
-		slices.Sort(m.IDs)
-		if len(m.IDs) > 0 {
-			all = append(all, out{a, m})
+		slices.Sort(message.IDs)
+		if len(message.IDs) > 0 {
+			messages = append(messages, outgoing{link, message})
 		}
-		delete(t.names, a)
+		delete(t.announcements, link)
 	}
-	return all
+	return messages
 }
 
-// bundle answers a pull; mu is not held.
-func (t *Tree) bundle(m Message) []out {
+// answerPull answers a pull; mu is not held.
+func (t *Tree) answerPull(pull Message) []outgoing {
 	var ids []string
 	var bodies [][]byte
 	t.mu.Lock()
-	for _, id := range m.IDs {
-		id = long(id)
-		ids, bodies = append(ids, id), append(bodies, t.had[id].body)
+	for _, id := range pull.IDs {
+		id = expandID(id)
+		ids, bodies = append(ids, id), append(bodies, t.items[id].body)
 	}
 	t.mu.Unlock()
-	if t.bulk.Encode == nil || len(ids) == 0 {
+	if t.batching.Encode == nil || len(ids) == 0 {
 		return nil
 	}
-	return []out{{m.From, Message{Kind: "many", From: t.self, Body: t.bulk.Encode(ids, bodies)}}}
+	return []outgoing{{pull.From, Message{Kind: "many", From: t.self, Body: t.batching.Encode(ids, bodies)}}}
 }
 
-// many takes in a bundle and names its news to the neighbours.
-func (t *Tree) many(m Message) {
-	if t.bulk.Decode == nil {
+// receiveBundle takes in a bundle and names its news to the neighbours.
+func (t *Tree) receiveBundle(message Message) {
+	if t.batching.Decode == nil {
 		return
 	}
-	news := t.bulk.Decode(m.Body)
+	items := t.batching.Decode(message.Body)
 	now := time.Now()
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for _, p := range news {
-		if _, ok := t.had[p.ID]; ok {
+	for _, item := range items {
+		if _, ok := t.items[item.ID]; ok {
 			continue
 		}
 		// What the host can make anew it knows: it need not stand here too, once
 		// for each of many thousands.
-		if p.Body != nil {
-			t.had[p.ID] = kept{body: p.Body, at: now, loose: true}
+		if item.Body != nil {
+			t.items[item.ID] = cachedItem{body: item.Body, storedAt: now, batched: true}
 		}
-		delete(t.gap, p.ID)
-		t.later(p.ID, m.From)
+		delete(t.missing, item.ID)
+		t.announceBurst(item.ID, message.From)
 	}
 }
 
-// short is a name as it travels among many: the number as it is, not as text.
-func short(id string) string {
+// compactID is a name as it travels among many: the number as it is, not as text.
+func compactID(id string) string {
 	if len(id) < 2 || id[0] != 'a' && id[0] != 'd' {
 		return id
 	}
-	n, err := strconv.ParseUint(id[1:], 36, 64)
-	if err != nil || strconv.FormatUint(n, 36) != id[1:] {
+	number, err := strconv.ParseUint(id[1:], 36, 64)
+	if err != nil || strconv.FormatUint(number, 36) != id[1:] {
 		return id
 	}
-	return string(binary.BigEndian.AppendUint64([]byte{id[0] &^ 0x20}, n))
+	return string(binary.BigEndian.AppendUint64([]byte{id[0] &^ 0x20}, number))
 }
 
-// long is the name that a short one stands for.
-func long(id string) string {
+// expandID is the name that a short one stands for.
+func expandID(id string) string {
 	if len(id) != 9 || id[0] != 'A' && id[0] != 'D' {
 		return id
 	}
--- a/internal/plumtree/links.go
+++ b/internal/plumtree/links.go
@@ -3,29 +3,29 @@
 import "slices"
 
 // SetNeighbors sets the overlay neighbours. A new one starts eager.
-func (t *Tree) SetNeighbors(all []string) {
+func (t *Tree) SetNeighbors(neighbors []string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	now := map[string]bool{}
-	for _, a := range all {
-		if a == t.self {
+	current := map[string]bool{}
+	for _, link := range neighbors {
+		if link == t.self {
 			continue
 		}
-		now[a] = true
-		if !t.eager[a] && !t.lazy[a] {
-			t.eager[a] = true
+		current[link] = true
+		if !t.eager[link] && !t.lazy[link] {
+			t.eager[link] = true
 		}
 	}
-	for a := range t.eager {
-		if !now[a] {
-			delete(t.eager, a)
-			delete(t.names, a)
+	for link := range t.eager {
+		if !current[link] {
+			delete(t.eager, link)
+			delete(t.announcements, link)
 		}
 	}
-	for a := range t.lazy {
-		if !now[a] {
-			delete(t.lazy, a)
-			delete(t.names, a)
+	for link := range t.lazy {
+		if !current[link] {
+			delete(t.lazy, link)
+			delete(t.announcements, link)
 		}
 	}
 }
@@ -41,17 +41,17 @@
 func (t *Tree) MaxHops() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	d := t.deep
-	t.deep = 0
-	return d
+	hops := t.maxHops
+	t.maxHops = 0
+	return hops
 }
 
-// name lets the neighbours know of a piece by its name, at the next tick.
-func (t *Tree) name(id string, but ...string) {
-	for _, set := range []map[string]bool{t.eager, t.lazy} {
-		for a := range set {
-			if !slices.Contains(but, a) {
-				t.call(a, id)
+// announce lets the neighbours know of a piece by its name, at the next tick.
+func (t *Tree) announce(id string, except ...string) {
+	for _, links := range []map[string]bool{t.eager, t.lazy} {
+		for link := range links {
+			if !slices.Contains(except, link) {
+				t.queueAnnouncement(link, id)
 			}
 		}
 	}
@@ -60,15 +60,15 @@
 // Announce lets the neighbours know of a piece that was cast before there were any.
 func (t *Tree) Announce(id string) {
 	t.mu.Lock()
-	t.name(id)
-	t.hurry()
+	t.announce(id)
+	t.scheduleFlush()
 	t.mu.Unlock()
 }
 
-// warm makes a known link eager.
-func (t *Tree) warm(a string) {
-	if t.lazy[a] {
-		delete(t.lazy, a)
-		t.eager[a] = true
+// makeEager makes a known link eager.
+func (t *Tree) makeEager(link string) {
+	if t.lazy[link] {
+		delete(t.lazy, link)
+		t.eager[link] = true
 	}
 }
--- a/internal/plumtree/name_test.go
+++ b/internal/plumtree/name_test.go
@@ -5,28 +5,28 @@
 	"time"
 )
 
-// TestName: a piece that was cast while there was nobody to tell is named to the
+// TestAnnounce: a piece that was cast while there was nobody to tell is named to the
 // neighbours later, who get it when they ask; it is not cast twice.
-func TestName(t *testing.T) {
+func TestAnnounce(t *testing.T) {
 	var sent []Message
-	x := New("a", time.Second, time.Minute, func(to string, m Message) {
+	tree := New("a", time.Second, time.Minute, func(to string, m Message) {
 		if to != "b" {
 			t.Errorf("%s to %s", m.Kind, to)
 		}
 		sent = append(sent, m)
 	}, func([]byte) bool { return true }, func(string) bool { return false })
-	x.Broadcast("x", []byte("body"))
-	x.SetNeighbors([]string{"b"})
-	x.Broadcast("x", []byte("body"))
+	tree.Broadcast("x", []byte("body"))
+	tree.SetNeighbors([]string{"b"})
+	tree.Broadcast("x", []byte("body"))
 	if len(sent) != 0 {
 		t.Fatal(sent)
 	}
-	x.Announce("x")
-	x.Flush()
+	tree.Announce("x")
+	tree.Flush()
 	if len(sent) != 1 || sent[0].Kind != "ihave" || len(sent[0].IDs) != 1 || sent[0].IDs[0] != "x" {
 		t.Fatal(sent)
 	}
-	x.Receive(Message{Kind: "graft", From: "b", IDs: []string{"x"}})
+	tree.Receive(Message{Kind: "graft", From: "b", IDs: []string{"x"}})
 	if len(sent) != 2 || sent[1].Kind != "gossip" || string(sent[1].Body) != "body" {
 		t.Error(sent)
 	}
--- a/internal/plumtree/plumtree_test.go
+++ b/internal/plumtree/plumtree_test.go
@@ -8,24 +8,24 @@
 	"time"
 )
 
-// mesh is a set of trees joined by a lossy queue.
-type mesh struct {
-	trees map[string]*Tree
-	got   map[string]map[string]int
-	old   map[string]bool // pieces that all know from elsewhere
-	q     []out
-	lose  func(from, to string) bool
-	last  Message // that lose is asked about
+// cluster is a set of trees joined by a lossy queue.
+type cluster struct {
+	trees    map[string]*Tree
+	received map[string]map[string]int
+	known    map[string]bool // pieces that all know from elsewhere
+	queue    []outgoing
+	drop     func(from, to string) bool
+	last     Message // that lose is asked about
 }
 
-func newMesh(n, step int) *mesh {
-	m := &mesh{trees: map[string]*Tree{}, got: map[string]map[string]int{}, old: map[string]bool{}}
+func newCluster(n, step int) *cluster {
+	m := &cluster{trees: map[string]*Tree{}, received: map[string]map[string]int{}, known: map[string]bool{}}
 	for i := range n {
 		name := fmt.Sprint(i)
-		m.got[name] = map[string]int{}
-		m.trees[name] = New(name, time.Second, time.Minute, func(to string, msg Message) { m.q = append(m.q, out{to, msg}) },
-			func(body []byte) bool { m.got[name][string(body)]++; return !m.old[string(body)] },
-			func(id string) bool { return m.old[id] })
+		m.received[name] = map[string]int{}
+		m.trees[name] = New(name, time.Second, time.Minute, func(to string, msg Message) { m.queue = append(m.queue, outgoing{to, msg}) },
+			func(body []byte) bool { m.received[name][string(body)]++; return !m.known[string(body)] },
+			func(id string) bool { return m.known[id] })
 		var links []string
 		for _, d := range []int{1, step, n - 1, n - step} {
 			links = append(links, fmt.Sprint((i+d)%n))
@@ -35,13 +35,13 @@
 	return m
 }
 
-func (m *mesh) settle() {
-	for len(m.q) > 0 {
-		o := m.q[0]
-		m.q = m.q[1:]
-		m.last = o.m
-		if m.lose == nil || !m.lose(o.m.From, o.to) {
-			m.trees[o.to].Receive(o.m)
+func (m *cluster) settle() {
+	for len(m.queue) > 0 {
+		o := m.queue[0]
+		m.queue = m.queue[1:]
+		m.last = o.message
+		if m.drop == nil || !m.drop(o.message.From, o.to) {
+			m.trees[o.to].Receive(o.message)
 		}
 	}
 }
@@ -49,7 +49,7 @@
 // TestTree: after some rounds the news goes over about one link a node, and
 // everybody has each piece once.
 func TestTree(t *testing.T) {
-	m := newMesh(15, 4)
+	m := newCluster(15, 4)
 	for k := range 30 {
 		m.trees[fmt.Sprint(k%15)].Broadcast(fmt.Sprint("x", k), []byte(fmt.Sprint("x", k)))
 		m.settle()
@@ -69,7 +69,7 @@
 	if per := float64(after-before) / 10; per > 16 {
 		t.Errorf("%.1f eager sends for each piece, want about 14", per)
 	}
-	for n, got := range m.got {
+	for n, got := range m.received {
 		if len(got) != 40 && n != "3" && len(got) < 37 {
 			t.Errorf("node %s has %d pieces", n, len(got))
 		}
@@ -81,10 +81,10 @@
 	}
 }
 
-// TestSameNews: what many learn at the same time by another way and send out
+// TestSameItemFromManySources: what many learn at the same time by another way and send out
 // each goes over the tree once, as if one had sent it.
-func TestSameNews(t *testing.T) {
-	m := newMesh(15, 4)
+func TestSameItemFromManySources(t *testing.T) {
+	m := newCluster(15, 4)
 	for k := range 30 {
 		m.trees[fmt.Sprint(k%15)].Broadcast(fmt.Sprint("x", k), []byte(fmt.Sprint("x", k)))
 		m.settle()
@@ -108,19 +108,19 @@
 	if n := sends() - before; n > 30 {
 		t.Errorf("%d sends of one piece of news", n)
 	}
-	for n, got := range m.got {
+	for n, got := range m.received {
 		if got["same"] > 0 {
 			t.Errorf("node %s, which had it, was told", n)
 		}
 	}
 }
 
-// TestOldNews: what all others know already ends at the neighbours of who casts
+// TestKnownItemStopsAtNeighbors: what all others know already ends at the neighbours of who casts
 // it, also for those that only hear its name.
-func TestOldNews(t *testing.T) {
+func TestKnownItemStopsAtNeighbors(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		m := newMesh(40, 7)
-		m.old["o"] = true
+		m := newCluster(40, 7)
+		m.known["o"] = true
 		m.trees["0"].Broadcast("o", []byte("o"))
 		m.settle()
 		for range 10 {
@@ -132,7 +132,7 @@
 		}
 		n, grafts := 0, int64(0)
 		for name, x := range m.trees {
-			n += m.got[name]["o"]
+			n += m.received[name]["o"]
 			grafts += x.Count.Graft
 		}
 		if n != 4 || grafts != 0 {
@@ -144,13 +144,13 @@
 // TestGraft: what is lost on the eager links is found by name and grafted.
 func TestGraft(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		m := newMesh(12, 3)
+		m := newCluster(12, 3)
 		for k := range 24 {
 			m.trees[fmt.Sprint(k%12)].Broadcast(fmt.Sprint("x", k), []byte(fmt.Sprint("x", k)))
 			m.settle()
 		}
 		rnd := rand.New(rand.NewPCG(1, 2))
-		m.lose = func(string, string) bool { return rnd.IntN(3) == 0 }
+		m.drop = func(string, string) bool { return rnd.IntN(3) == 0 }
 		for k := range 20 {
 			m.trees["0"].Broadcast(fmt.Sprint("z", k), []byte(fmt.Sprint("z", k)))
 			m.settle()
@@ -158,7 +158,7 @@
 		lost := 0
 		for n := range m.trees {
 			for k := range 20 {
-				if n != "0" && m.got[n][fmt.Sprint("z", k)] == 0 {
+				if n != "0" && m.received[n][fmt.Sprint("z", k)] == 0 {
 					lost++
 				}
 			}
@@ -166,7 +166,7 @@
 		if lost == 0 {
 			t.Fatal("nothing was lost: the test shows nothing")
 		}
-		m.lose = nil
+		m.drop = nil
 		for range 10 {
 			<-time.After(1100 * time.Millisecond)
 			for _, x := range m.trees {
@@ -174,17 +174,17 @@
 			}
 			m.settle()
 		}
-		left := 0
+		notGrafted := 0
 		for n := range m.trees {
 			for k := range 20 {
-				if n != "0" && m.got[n][fmt.Sprint("z", k)] == 0 {
-					left++
+				if n != "0" && m.received[n][fmt.Sprint("z", k)] == 0 {
+					notGrafted++
 				}
 			}
 		}
 		// Pieces whose names were lost as well are left to repair by digests.
-		if left > lost/4 {
-			t.Errorf("%d of %d lost pieces were not grafted", left, lost)
+		if notGrafted > lost/4 {
+			t.Errorf("%d of %d lost pieces were not grafted", notGrafted, lost)
 		}
 	})
 }
--- a/internal/plumtree/tick.go
+++ b/internal/plumtree/tick.go
@@ -5,29 +5,29 @@
 // Tick sends the waiting names, grafts what is missing for too long and
 // forgets what is old.
 func (t *Tree) Tick() {
-	var all []out
+	var messages []outgoing
 	now := time.Now()
 	t.mu.Lock()
-	t.moved = false
-	all = t.called()
+	t.linkSwapped = false
+	messages = t.takeAnnouncements()
 	// It is over when no more came than go whole. Pieces of many sources at once
 	// prune each other's links, up to the last: the tree grows anew.
-	was := t.busy
-	if t.busy, t.fresh = t.fresh > MaxEagerBurst, 0; was && !t.busy {
-		for a := range t.lazy {
-			t.warm(a)
+	burstBefore := t.burst
+	if t.burst, t.itemsSinceTick = t.itemsSinceTick > MaxEagerBurst, 0; burstBefore && !t.burst {
+		for link := range t.lazy {
+			t.makeEager(link)
 		}
 	}
-	all = append(all, t.grafts(now)...)
-	for id, k := range t.had {
-		if now.Sub(k.at) > t.keep {
-			delete(t.had, id)
+	messages = append(messages, t.takeGrafts(now)...)
+	for id, item := range t.items {
+		if now.Sub(item.storedAt) > t.retention {
+			delete(t.items, id)
 		}
 	}
 	// A table keeps the room of the most that it held.
-	if t.most = max(t.most, len(t.had), len(t.gap)); len(t.had)+len(t.gap) == 0 && t.most > 16*MaxEagerBurst {
-		t.had, t.gap, t.most = map[string]kept{}, map[string]*missing{}, 0
+	if t.peakItems = max(t.peakItems, len(t.items), len(t.missing)); len(t.items)+len(t.missing) == 0 && t.peakItems > 16*MaxEagerBurst {
+		t.items, t.missing, t.peakItems = map[string]cachedItem{}, map[string]*missingItem{}, 0
 	}
 	t.mu.Unlock()
-	t.flush(all)
+	t.sendAll(messages)
 }
--- a/internal/replica/lookup.go
+++ b/internal/replica/lookup.go
@@ -13,7 +13,7 @@
 // Local gives the entries of a service that this node owns.
 func (r *Replica) Local(service string) []ormap.Entry {
 	var out []ormap.Entry
-	for _, e := range r.list(service) {
+	for _, e := range r.entriesOfService(service) {
 		if e.Owner == r.self.Node {
 			out = append(out, e)
 		}
@@ -22,81 +22,81 @@
 }
 
 // Lookup gives every entry of a service that this replica knows.
-func (r *Replica) Lookup(service string) []ormap.Entry { return r.list(service) }
+func (r *Replica) Lookup(service string) []ormap.Entry { return r.entriesOfService(service) }
 
 // Find gives the single best match: an own one, then one of the own area,
 // then any. It tries again with a short backoff, which covers the time that a
 // fresh registration takes to get here.
 func (r *Replica) Find(ctx context.Context, service string, retries int) (ormap.Entry, bool) {
-	for try := 0; ; try++ {
-		all := r.list(service)
-		best, rank := ormap.Entry{}, 0
-		for _, e := range all {
-			n := 1
+	for attempt := 0; ; attempt++ {
+		entries := r.entriesOfService(service)
+		best, bestScore := ormap.Entry{}, 0
+		for _, e := range entries {
+			score := 1
 			if e.Owner == r.self.Node {
-				n = 3
+				score = 3
 			} else if e.Zone == r.self.Zone {
-				n = 2
+				score = 2
 			}
-			if n > rank {
-				best, rank = e, n
+			if score > bestScore {
+				best, bestScore = e, score
 			}
 		}
-		if rank > 0 || try >= retries || !r.Backoff(ctx, try) {
-			return best, rank > 0
+		if bestScore > 0 || attempt >= retries || !r.Backoff(ctx, attempt) {
+			return best, bestScore > 0
 		}
 	}
 }
 
 // Backoff is the backoff before the lookup is tried again; false means that the
 // time left is over.
-func (r *Replica) Backoff(ctx context.Context, try int) bool {
-	t := time.NewTimer(r.beat / 8 << min(try, 4))
-	defer t.Stop()
+func (r *Replica) Backoff(ctx context.Context, attempt int) bool {
+	timer := time.NewTimer(r.heartbeat / 8 << min(attempt, 4))
+	defer timer.Stop()
 	select {
 	case <-ctx.Done():
 		return false
-	case <-t.C:
+	case <-timer.C:
 		return true
 	}
 }
 
 // ReplaceRemote puts what a refill brought in the place of all that others said.
-func (r *Replica) ReplaceRemote(all ormap.Delta) {
+func (r *Replica) ReplaceRemote(state ormap.Delta) {
 	r.mu.Lock()
-	r.m.Clear(func(e ormap.Entry) bool { return e.Dot.Node == r.dot })
+	r.entries.Clear(func(e ormap.Entry) bool { return e.Dot.Node == r.dotNode })
 	clear(r.index)
-	r.indexed(r.m.Live(nil), nil)
+	r.updateIndex(r.entries.Live(nil), nil)
 	r.mu.Unlock()
-	r.take(all, false)
+	r.apply(state, false)
 }
 
 // Restore adds what was known in an earlier life, and tells nobody: all whose
 // replicas are empty are refilled from here.
-func (r *Replica) Restore(all ormap.Delta) {
-	r.take(all, false)
+func (r *Replica) Restore(state ormap.Delta) {
+	r.apply(state, false)
 	// Whoever asks from now on is given it, not what was packed just before.
-	r.full.Lock()
-	r.full.at = time.Time{}
-	r.full.Unlock()
+	r.stateCache.Lock()
+	r.stateCache.at = time.Time{}
+	r.stateCache.Unlock()
 }
 
 // OwnRemoved tells whether an own entry was found removed by somebody else.
-func (r *Replica) OwnRemoved(d ormap.Dot) bool { return r.m.IsTombstoned(d) }
+func (r *Replica) OwnRemoved(d ormap.Dot) bool { return r.entries.IsTombstoned(d) }
 
 // Dot is the node part of this node's dots.
-func (r *Replica) Dot() string { return r.dot }
+func (r *Replica) Dot() string { return r.dotNode }
 
 // SetRefillPending tells whether a refill is to come: until then the replica is not
 // compared with any.
-func (r *Replica) SetRefillPending(on bool) {
+func (r *Replica) SetRefillPending(pending bool) {
 	r.mu.Lock()
-	r.await = on
+	r.refillPending = pending
 	r.mu.Unlock()
 }
 
-func (r *Replica) awaits() bool {
+func (r *Replica) isRefillPending() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.await
+	return r.refillPending
 }
--- a/internal/replica/mend.go
+++ b/internal/replica/mend.go
@@ -10,75 +10,75 @@
 	"puffincrank/internal/transport"
 )
 
-type digestAsk struct {
-	Total uint64   `msgpack:"t"`
-	All   []uint64 `msgpack:"a,omitempty"`
-	Fine  bool     `msgpack:"f,omitempty"` // the hashes of what is in the ranges, not the entries
+type digestRequest struct {
+	Combined   uint64   `msgpack:"t"`
+	Ranges     []uint64 `msgpack:"a,omitempty"`
+	HashesOnly bool     `msgpack:"f,omitempty"` // the hashes of what is in the ranges, not the entries
 }
 
-type digestGot struct {
-	Same   bool        `msgpack:"s"`
-	Differ []int       `msgpack:"d"`
-	Part   ormap.Delta `msgpack:"p"`
-	Fine   bool        `msgpack:"f,omitempty"`
-	Dots   []uint64    `msgpack:"h,omitempty"`
-	Busy   bool        `msgpack:"b,omitempty"` // with Same: more was handed out than there is room for, ask another
+type digestResponse struct {
+	Same       bool        `msgpack:"s"`
+	Differ     []int       `msgpack:"d"`
+	Delta      ormap.Delta `msgpack:"p"`
+	HashesOnly bool        `msgpack:"f,omitempty"`
+	Hashes     []uint64    `msgpack:"h,omitempty"`
+	Busy       bool        `msgpack:"b,omitempty"` // with Same: more was handed out than there is room for, ask another
 }
 
-// word is about the bytes of one hash as it travels.
-const word = 9
+// encodedHashBytes is about the bytes of one hash as it travels.
+const encodedHashBytes = 9
 
 // errBusy says that a fellow has handed out all that it may in this beat.
 var errBusy = fault.New(fault.Refused, "more was asked for than is handed out in a beat")
 
-// swapAsk gives a fellow what it lacks and asks for what is lacking here.
-type swapAsk struct {
-	Want  []uint64    `msgpack:"w"`
-	Give  ormap.Delta `msgpack:"g"`
-	Short bool        `msgpack:"z,omitempty"` // it takes the answer in its short form
+// exchangeRequest gives a fellow what it lacks and asks for what is lacking here.
+type exchangeRequest struct {
+	Want           []uint64    `msgpack:"w"`
+	Give           ormap.Delta `msgpack:"g"`
+	AcceptsCompact bool        `msgpack:"z,omitempty"` // it takes the answer in its short form
 }
 
-func (r *Replica) onDigest(_ context.Context, _ transport.Hello, in digestAsk) (digestGot, error) {
-	own := r.m.Digests()
+func (r *Replica) handleDigest(_ context.Context, _ transport.Hello, request digestRequest) (digestResponse, error) {
+	own := r.entries.Digests()
 	// Who waits for its refill lacks all, and would be given it by each fellow.
-	if ormap.CombineDigests(own) == in.Total || r.awaits() {
-		return digestGot{Same: true}, nil
+	if ormap.CombineDigests(own) == request.Combined || r.isRefillPending() {
+		return digestResponse{Same: true}, nil
 	}
 	// Without the ranges the asker only wanted to know whether all is equal.
-	if len(in.All) != ormap.Ranges {
-		return digestGot{}, nil
+	if len(request.Ranges) != ormap.Ranges {
+		return digestResponse{}, nil
 	}
 	// Many that start would each be told nearly all by the same one.
-	if !r.pace.room(time.Now()) {
-		return digestGot{Same: true, Busy: true}, nil
+	if !r.budget.hasCapacity(time.Now()) {
+		return digestResponse{Same: true, Busy: true}, nil
 	}
-	var got digestGot
+	var response digestResponse
 	for i := range own {
-		if own[i] != in.All[i] {
-			got.Differ = append(got.Differ, i)
+		if own[i] != request.Ranges[i] {
+			response.Differ = append(response.Differ, i)
 		}
 	}
-	if in.Fine {
-		got.Fine, got.Dots = true, r.m.Hashes(got.Differ)
-		r.pace.spend(word * len(got.Dots))
+	if request.HashesOnly {
+		response.HashesOnly, response.Hashes = true, r.entries.Hashes(response.Differ)
+		r.budget.spend(encodedHashBytes * len(response.Hashes))
 	} else {
-		got.Part = r.m.RangeDelta(got.Differ)
+		response.Delta = r.entries.RangeDelta(response.Differ)
 	}
-	return got, nil
+	return response, nil
 }
 
-func (r *Replica) onSwap(_ context.Context, _ transport.Hello, in swapAsk) (ormap.Delta, error) {
-	give, err := in.Give.Decode()
+func (r *Replica) handleExchange(_ context.Context, _ transport.Hello, request exchangeRequest) (ormap.Delta, error) {
+	received, err := request.Give.Decode()
 	if err != nil {
 		return ormap.Delta{}, err
 	}
-	back := r.m.Answer(in.Want, give.Adds)
-	r.take(give, true)
-	if in.Short {
-		back = back.Encode()
-		r.pace.spend(len(back.Compact))
+	reply := r.entries.Answer(request.Want, received.Adds)
+	r.apply(received, true)
+	if request.AcceptsCompact {
+		reply = reply.Encode()
+		r.budget.spend(len(reply.Compact))
 	}
-	return back, nil
+	return reply, nil
 }
 
 // repair compares digests with one fellow at a time: mostly one of the own
@@ -86,18 +86,18 @@
 func (r *Replica) repair(ctx context.Context) {
 	r.Collect()
 	r.mu.Lock()
-	r.turn++
-	area, peers := r.self.Zone, r.peers
-	if r.turn%3 == 0 {
-		area = ""
+	r.repairRound++
+	zone, peers := r.self.Zone, r.peers
+	if r.repairRound%3 == 0 {
+		zone = ""
 	}
 	r.mu.Unlock()
 	// One that draws itself in a small area draws again.
 	for range 4 {
-		if f := peers.Random(area, rand.IntN); f != nil && f.Node != r.self.Node {
-			ctx, end := context.WithTimeout(ctx, 5*r.beat)
-			defer end()
-			_ = r.Repair(ctx, f.InternalAddr)
+		if peer := peers.Random(zone, rand.IntN); peer != nil && peer.Node != r.self.Node {
+			ctx, cancel := context.WithTimeout(ctx, 5*r.heartbeat)
+			defer cancel()
+			_ = r.Repair(ctx, peer.InternalAddr)
 			return
 		}
 	}
@@ -107,44 +107,44 @@
 // all, then of the ranges, then the names of what is in those that differ, and
 // only what one of the two lacks travels whole.
 func (r *Replica) Repair(ctx context.Context, addr string) error {
-	if r.awaits() {
+	if r.isRefillPending() {
 		return nil
 	}
-	own := r.m.Digests()
-	total := ormap.CombineDigests(own)
-	got, err := transport.Call[digestGot](ctx, r.n, addr, "replica.digest", digestAsk{Total: total})
-	if err != nil || got.Same {
+	own := r.entries.Digests()
+	combined := ormap.CombineDigests(own)
+	response, err := transport.Call[digestResponse](ctx, r.node, addr, "replica.digest", digestRequest{Combined: combined})
+	if err != nil || response.Same {
 		return err
 	}
-	got, err = transport.Call[digestGot](ctx, r.n, addr, "replica.digest", digestAsk{Total: total, All: own, Fine: true})
-	if err == nil && got.Busy {
+	response, err = transport.Call[digestResponse](ctx, r.node, addr, "replica.digest", digestRequest{Combined: combined, Ranges: own, HashesOnly: true})
+	if err == nil && response.Busy {
 		err = errBusy
 	}
-	if err != nil || got.Same {
+	if err != nil || response.Same {
 		return err
 	}
 	r.mu.Lock()
 	r.RepairCount++
 	r.mu.Unlock()
-	if !got.Fine {
+	if !response.HashesOnly {
 		// A fellow of an earlier version sends the ranges whole.
-		back := r.m.RangeDelta(got.Differ)
-		r.take(got.Part, true)
-		_, err = transport.Call[struct{}](ctx, r.n, addr, "replica.mend", back)
+		reply := r.entries.RangeDelta(response.Differ)
+		r.apply(response.Delta, true)
+		_, err = transport.Call[struct{}](ctx, r.node, addr, "replica.mend", reply)
 		return err
 	}
-	var in swapAsk
-	in.Want, in.Give = r.m.Compare(got.Differ, got.Dots)
-	if len(in.Want) == 0 && in.Give.Empty() {
+	var request exchangeRequest
+	request.Want, request.Give = r.entries.Compare(response.Differ, response.Hashes)
+	if len(request.Want) == 0 && request.Give.Empty() {
 		return nil
 	}
-	in.Short = true
-	back, err := transport.Call[ormap.Delta](ctx, r.n, addr, "replica.swap", in)
+	request.AcceptsCompact = true
+	reply, err := transport.Call[ormap.Delta](ctx, r.node, addr, "replica.swap", request)
 	if err == nil {
-		back, err = back.Decode()
+		reply, err = reply.Decode()
 	}
 	if err == nil {
-		r.take(back, true)
+		r.apply(reply, true)
 	}
 	return err
 }
--- a/internal/replica/pace.go
+++ b/internal/replica/pace.go
@@ -9,106 +9,106 @@
 // the bound on a frame: a control node stands on a machine of its own, a proxy's
 // links carry jobs.
 const (
-	coreShare = 16
-	sideShare = 64
+	registryShare = 16
+	proxyShare    = 64
 )
 
-// longest is after how many beats who is put off comes again at the latest.
-const longest = 8
+// maxRetryHeartbeats is after how many beats who is put off comes again at the latest.
+const maxRetryHeartbeats = 8
 
-// tips is how many fellows that were filled here lately are named to who is put off.
-const tips = 4
+// maxAlternatives is how many fellows that were filled here lately are named to who is put off.
+const maxAlternatives = 4
 
-// pace bounds what one replica hands out in refills and to those who compare. One that came too soon is
+// transferBudget bounds what one replica hands out in refills and to those who compare. One that came too soon is
 // told when to come again, and who else was filled meanwhile: those fill others
 // in turn, so that all of a crowd are filled in as many beats as it takes to
 // double often enough, and no link is filled by it.
-type pace struct {
-	mu    sync.Mutex
-	beat  time.Duration
-	most  float64 // bytes within a beat
-	left  float64 // of them; below zero what was handed out ahead
-	at    time.Time
-	off   int // refills put off since a beat began
-	since time.Time
-	given []given // the newest last
+type transferBudget struct {
+	mu            sync.Mutex
+	heartbeat     time.Duration
+	limit         float64 // bytes within a beat
+	available     float64 // of them; below zero what was handed out ahead
+	updatedAt     time.Time
+	deferred      int // refills put off since a beat began
+	deferredSince time.Time
+	recipients    []recipient // the newest last
 }
 
-// given is a fellow that was filled here.
-type given struct{ addr, area string }
+// recipient is a fellow that was filled here.
+type recipient struct{ addr, zone string }
 
-func newPace(role string, frame int, beat time.Duration) *pace {
-	p := &pace{beat: beat, most: float64(frame / sideShare)}
+func newTransferBudget(role string, maxFrameBytes int, heartbeat time.Duration) *transferBudget {
+	budget := &transferBudget{heartbeat: heartbeat, limit: float64(maxFrameBytes / proxyShare)}
 	if role == "registry" {
-		p.most = float64(frame / coreShare)
+		budget.limit = float64(maxFrameBytes / registryShare)
 	}
-	p.left = p.most
-	return p
+	budget.available = budget.limit
+	return budget
 }
 
-// fresh lets what time has passed count; mu is held.
-func (p *pace) fresh(now time.Time) {
-	if !p.at.IsZero() {
-		p.left = min(p.most, p.left+p.most*float64(now.Sub(p.at))/float64(p.beat))
+// replenish lets what time has passed count; mu is held.
+func (p *transferBudget) replenish(now time.Time) {
+	if !p.updatedAt.IsZero() {
+		p.available = min(p.limit, p.available+p.limit*float64(now.Sub(p.updatedAt))/float64(p.heartbeat))
 	}
-	p.at = now
-	if now.Sub(p.since) > p.beat {
-		p.since, p.off = now, 0
+	p.updatedAt = now
+	if now.Sub(p.deferredSince) > p.heartbeat {
+		p.deferredSince, p.deferred = now, 0
 	}
 }
 
-// ask tells whether a refill of some bytes may go out now, and else after how
+// reserve tells whether a refill of some bytes may go out now, and else after how
 // long to come again. The last tells that there is no room for another.
-func (p *pace) ask(size int, now time.Time) (ok bool, again time.Duration, many bool) {
+func (p *transferBudget) reserve(size int, now time.Time) (ok bool, retryAfter time.Duration, limited bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.fresh(now)
-	if p.left > 0 {
-		p.left -= float64(size)
-		return true, 0, p.left <= 0
+	p.replenish(now)
+	if p.available > 0 {
+		p.available -= float64(size)
+		return true, 0, p.available <= 0
 	}
 	// Behind those who were put off before it.
-	due := time.Duration((float64(p.off*size) - p.left) / p.most * float64(p.beat))
-	p.off++
-	return false, min(max(due, p.beat), longest*p.beat), true
+	wait := time.Duration((float64(p.deferred*size) - p.available) / p.limit * float64(p.heartbeat))
+	p.deferred++
+	return false, min(max(wait, p.heartbeat), maxRetryHeartbeats*p.heartbeat), true
 }
 
-// room tells whether there is any now, spend takes bytes of it.
-func (p *pace) room(now time.Time) bool {
+// hasCapacity tells whether there is any now, spend takes bytes of it.
+func (p *transferBudget) hasCapacity(now time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.fresh(now)
-	return p.left > 0
+	p.replenish(now)
+	return p.available > 0
 }
 
-func (p *pace) spend(size int) {
+func (p *transferBudget) spend(size int) {
 	p.mu.Lock()
-	p.left -= float64(size)
+	p.available -= float64(size)
 	p.mu.Unlock()
 }
 
-// gave notes who was filled.
-func (p *pace) gave(addr, area string) {
+// recordRecipient notes who was filled.
+func (p *transferBudget) recordRecipient(addr, zone string) {
 	if addr == "" {
 		return
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.given = append(p.given, given{addr, area})
-	if len(p.given) > 16*tips {
-		p.given = append([]given(nil), p.given[8*tips:]...)
+	p.recipients = append(p.recipients, recipient{addr, zone})
+	if len(p.recipients) > 16*maxAlternatives {
+		p.recipients = append([]recipient(nil), p.recipients[8*maxAlternatives:]...)
 	}
 }
 
-// name gives fellows that were filled here lately, those of an area first.
-func (p *pace) name(area, but string) []string {
+// recentRecipients gives fellows that were filled here lately, those of an area first.
+func (p *transferBudget) recentRecipients(zone, except string) []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var out []string
-	for _, own := range []bool{true, false} {
-		for i := len(p.given) - 1; i >= 0 && len(out) < tips; i-- {
-			if g := p.given[i]; (g.area == area) == own && g.addr != but {
-				out = append(out, g.addr)
+	for _, sameZone := range []bool{true, false} {
+		for i := len(p.recipients) - 1; i >= 0 && len(out) < maxAlternatives; i-- {
+			if candidate := p.recipients[i]; (candidate.zone == zone) == sameZone && candidate.addr != except {
+				out = append(out, candidate.addr)
 			}
 		}
 	}
--- a/internal/replica/refill.go
+++ b/internal/replica/refill.go
@@ -11,23 +11,23 @@
 	"puffincrank/internal/transport"
 )
 
-// allAsk asks for the whole replica, whoever else does.
-type allAsk struct {
-	Short bool `msgpack:"z,omitempty"` // it takes it in its short form
+// stateRequest asks for the whole replica, whoever else does.
+type stateRequest struct {
+	AcceptsCompact bool `msgpack:"z,omitempty"` // it takes it in its short form
 }
 
-// fillAsk asks for the whole replica in its turn.
-type fillAsk struct {
-	From string `msgpack:"f"` // the asker's inner address, to be named to others
+// refillRequest asks for the whole replica in its turn.
+type refillRequest struct {
+	InternalAddr string `msgpack:"f"` // the asker's inner address, to be named to others
 }
 
-// fillGot brings it, or tells when to come again and who may have it too.
-type fillGot struct {
-	All   ormap.Delta `msgpack:"a"`
-	No    bool        `msgpack:"n,omitempty"`
-	Later int64       `msgpack:"l,omitempty"` // ms, of a No; 0: there is nothing to be had here now
-	Try   []string    `msgpack:"t,omitempty"`
-	Many  bool        `msgpack:"m,omitempty"` // there is no room for another
+// refillResponse brings it, or tells when to come again and who may have it too.
+type refillResponse struct {
+	State        ormap.Delta `msgpack:"a"`
+	Denied       bool        `msgpack:"n,omitempty"`
+	RetryAfterMS int64       `msgpack:"l,omitempty"` // ms, of a No; 0: there is nothing to be had here now
+	Alternatives []string    `msgpack:"t,omitempty"`
+	Limited      bool        `msgpack:"m,omitempty"` // there is no room for another
 }
 
 // Refill is what came of one.
@@ -38,104 +38,106 @@
 	Limited      bool          // no more is handed out there in this beat
 }
 
-// packed gives the whole in its short form. It is packed once for all that come
+// encodedState gives the whole in its short form. It is packed once for all that come
 // at nearly the same time, as after a loss of power: what is news since is no
 // older than gossip on its way, and each compares right after its refill.
-func (r *Replica) packed() ormap.Delta {
-	r.full.Lock()
-	defer r.full.Unlock()
-	if r.full.at.IsZero() || time.Since(r.full.at) > r.beat/4 {
-		r.full.at = time.Now()
-		r.full.all = r.m.All().Encode()
+func (r *Replica) encodedState() ormap.Delta {
+	r.stateCache.Lock()
+	defer r.stateCache.Unlock()
+	if r.stateCache.at.IsZero() || time.Since(r.stateCache.at) > r.heartbeat/4 {
+		r.stateCache.at = time.Now()
+		r.stateCache.all = r.entries.All().Encode()
 	}
-	return r.full.all
+	return r.stateCache.all
 }
 
-func (r *Replica) onAll(_ context.Context, _ transport.Hello, in allAsk) (ormap.Delta, error) {
-	if !in.Short {
-		return r.m.All(), nil
+func (r *Replica) handleState(_ context.Context, _ transport.Hello, request stateRequest) (ormap.Delta, error) {
+	if !request.AcceptsCompact {
+		return r.entries.All(), nil
 	}
-	return r.packed(), nil
+	return r.encodedState(), nil
 }
 
-// onFill hands out the whole replica, so many bytes in a beat. Who waits for it
+// handleRefill hands out the whole replica, so many bytes in a beat. Who waits for it
 // too, or has no session that stands, has none to give: it may be older than
 // what graves are kept for.
-func (r *Replica) onFill(_ context.Context, from transport.Hello, in fillAsk) (fillGot, error) {
-	if r.awaits() || !r.sound() {
-		return fillGot{No: true}, nil
+func (r *Replica) handleRefill(_ context.Context, from transport.Hello, request refillRequest) (refillResponse, error) {
+	if r.isRefillPending() || !r.isComplete() {
+		return refillResponse{Denied: true}, nil
 	}
-	all := r.packed()
-	ok, again, many := r.pace.ask(len(all.Compact), time.Now())
+	state := r.encodedState()
+	ok, retryAfter, limited := r.budget.reserve(len(state.Compact), time.Now())
 	if !ok {
-		return fillGot{No: true, Later: again.Milliseconds() + 1, Try: r.pace.name(from.Zone, in.From), Many: many}, nil
+		return refillResponse{Denied: true, RetryAfterMS: retryAfter.Milliseconds() + 1, Alternatives: r.budget.recentRecipients(from.Zone, request.InternalAddr), Limited: limited}, nil
 	}
-	r.pace.gave(in.From, from.Zone)
-	return fillGot{All: all, Many: many}, nil
+	r.budget.recordRecipient(request.InternalAddr, from.Zone)
+	return refillResponse{State: state, Limited: limited}, nil
 }
 
 // SetCompleteUntil says that until a time this replica is in touch with the mesh, and may
 // fill others.
 func (r *Replica) SetCompleteUntil(until time.Time) {
 	r.mu.Lock()
-	r.good = until
+	r.completeUntil = until
 	r.mu.Unlock()
 }
 
-func (r *Replica) sound() bool {
+func (r *Replica) isComplete() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return time.Now().Before(r.good)
+	return time.Now().Before(r.completeUntil)
 }
 
 // Refill drops what others said long ago and pulls all from a fellow, if it is
 // this node's turn there. Own entries stay.
 func (r *Replica) Refill(ctx context.Context, addr string) (Refill, error) {
-	got, err := transport.Call[fillGot](ctx, r.n, addr, "replica.fill", fillAsk{From: r.self.InternalAddr})
+	response, err := transport.Call[refillResponse](ctx, r.node, addr, "replica.fill", refillRequest{InternalAddr: r.self.InternalAddr})
 	if fault.Is(err, fault.Refused) {
 		// One of an earlier version has no turns.
-		got = fillGot{}
-		got.All, err = transport.Call[ormap.Delta](ctx, r.n, addr, "replica.all", allAsk{Short: true})
+		response = refillResponse{}
+		response.State, err = transport.Call[ormap.Delta](ctx, r.node, addr, "replica.all", stateRequest{AcceptsCompact: true})
 	}
 	if err != nil {
 		return Refill{}, fault.Wrap(fault.Refused, err, "refill")
 	}
-	out := Refill{RetryAfter: time.Duration(got.Later) * time.Millisecond, Alternatives: got.Try, Limited: got.Many}
-	if got.No {
-		return out, nil
+	result := Refill{RetryAfter: time.Duration(response.RetryAfterMS) * time.Millisecond, Alternatives: response.Alternatives, Limited: response.Limited}
+	if response.Denied {
+		return result, nil
 	}
-	all, err := got.All.Decode()
+	state, err := response.State.Decode()
 	if err != nil {
 		return Refill{}, fault.Wrap(fault.Refused, err, "refill")
 	}
-	r.ReplaceRemote(all)
+	r.ReplaceRemote(state)
 	r.SetRefillPending(false)
-	r.log.Emit(event.Refilled, "from", addr, "entries", len(all.Adds))
-	out.Done = true
-	return out, nil
+	r.log.Emit(event.Refilled, "from", addr, "entries", len(state.Adds))
+	result.Done = true
+	return result, nil
 }
 
 // HasRefillCapacity tells whether this node may hand out more in this beat.
-func (r *Replica) HasRefillCapacity() bool { return r.pace.room(time.Now()) }
+func (r *Replica) HasRefillCapacity() bool { return r.budget.hasCapacity(time.Now()) }
 
 // RecordRefillBytes notes how many bytes it handed out.
-func (r *Replica) RecordRefillBytes(size int) { r.pace.spend(size) }
+func (r *Replica) RecordRefillBytes(size int) { r.budget.spend(size) }
 
 // RecordRefill notes whom it handed a refill, and in which area.
-func (r *Replica) RecordRefill(at, area string) { r.pace.gave(at, area) }
+func (r *Replica) RecordRefill(addr, zone string) { r.budget.recordRecipient(addr, zone) }
 
 // RefilledNodes names who was given what others still wait for, those of an area first.
-func (r *Replica) RefilledNodes(area, but string) []string { return r.pace.name(area, but) }
+func (r *Replica) RefilledNodes(zone, except string) []string {
+	return r.budget.recentRecipients(zone, except)
+}
 
 // RandomProxy draws a proxy of an area, of any without one; empty when the draws
 // found none.
-func (r *Replica) RandomProxy(area string) string {
+func (r *Replica) RandomProxy(zone string) string {
 	r.mu.Lock()
 	peers := r.peers
 	r.mu.Unlock()
 	for range 4 {
-		if f := peers.Random(area, rand.IntN); f != nil && f.Node != r.self.Node && f.Role == "proxy" {
-			return f.InternalAddr
+		if peer := peers.Random(zone, rand.IntN); peer != nil && peer.Node != r.self.Node && peer.Role == "proxy" {
+			return peer.InternalAddr
 		}
 	}
 	return ""
--- a/internal/replica/refill_test.go
+++ b/internal/replica/refill_test.go
@@ -17,144 +17,144 @@
 	"puffincrank/internal/transport"
 )
 
-const tick = 200 * time.Millisecond
+const testHeartbeat = 200 * time.Millisecond
 
-// fleet makes replicas on a network; the first is a control node's.
-func fleet(t *testing.T, g *task.Group, n, frame int) (out []*Replica) {
-	road := &transport.LocalNet{Network: transport.NewLocalNetwork(func(string, string) time.Duration { return time.Millisecond })}
+// newReplicas makes replicas on a network; the first is a control node's.
+func newReplicas(t *testing.T, g *task.Group, n, frame int) (replicas []*Replica) {
+	network := &transport.LocalNet{Network: transport.NewLocalNetwork(func(string, string) time.Duration { return time.Millisecond })}
 	for i := range n {
-		h, role, area := fmt.Sprintf("h%d", i), "proxy", "x"
+		host, role, zone := fmt.Sprintf("h%d", i), "proxy", "x"
 		if i == 0 {
 			role = "registry"
 		}
 		if i%2 == 1 {
-			area = "y"
+			zone = "y"
 		}
-		e := env.Env{Net: road, Log: event.New(h, nil), Wall: time.Now}
-		w := transport.NewNode(transport.Hello{ClusterID: "m", Node: h, Zone: area, Role: role}, e, g, frame, 64, 5*tick)
-		r := New(membership.Member{Node: h, Incarnation: "s", Role: role, Zone: area, InternalAddr: h + ":1"}, w, g, e.Log, hlc.New(time.Now, time.Minute), tick, time.Hour, time.Minute)
-		if err := w.Listen(h + ":1"); err != nil {
+		e := env.Env{Net: network, Log: event.New(host, nil), Wall: time.Now}
+		node := transport.NewNode(transport.Hello{ClusterID: "m", Node: host, Zone: zone, Role: role}, e, g, frame, 64, 5*testHeartbeat)
+		r := New(membership.Member{Node: host, Incarnation: "s", Role: role, Zone: zone, InternalAddr: host + ":1"}, node, g, e.Log, hlc.New(time.Now, time.Minute), testHeartbeat, time.Hour, time.Minute)
+		if err := node.Listen(host + ":1"); err != nil {
 			t.Fatal(err)
 		}
-		t.Cleanup(w.Close)
-		out = append(out, r)
+		t.Cleanup(node.Close)
+		replicas = append(replicas, r)
 	}
-	return out
+	return replicas
 }
 
-// TestRefillTurns: a replica hands out its part of the frame's bound in a beat and
+// TestRefillBudget: a replica hands out its part of the frame's bound in a beat and
 // no more, however many ask: the rest are told when to come again, each later
 // than those before, and who was filled meanwhile, the own area first; those fill
 // them. Who waits itself, or isn't in touch, fills nobody.
-func TestRefillTurns(t *testing.T) {
+func TestRefillBudget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const frame, n = 64 << 10, 16
 		g := task.New(context.Background())
 		defer g.Stop()
-		all := fleet(t, g, n, frame)
-		core := all[0]
+		replicas := newReplicas(t, g, n, frame)
+		registry := replicas[0]
 		for i := range 200 {
-			core.Register(fmt.Sprint("service-", i), fmt.Sprint("w", i*7919), map[string]string{"slots": "8"})
+			registry.Register(fmt.Sprint("service-", i), fmt.Sprint("w", i*7919), map[string]string{"slots": "8"})
 		}
-		task.Sleep(t.Context(), tick)
-		ask := func(i int, at string) Refill {
-			got, err := all[i].Refill(t.Context(), at)
+		task.Sleep(t.Context(), testHeartbeat)
+		requestRefill := func(i int, addr string) Refill {
+			got, err := replicas[i].Refill(t.Context(), addr)
 			if err != nil {
-				t.Fatal(i, at, err)
+				t.Fatal(i, addr, err)
 			}
 			return got
 		}
-		if got := ask(1, "h0:1"); got.Done {
+		if got := requestRefill(1, "h0:1"); got.Done {
 			t.Error("filled by one that isn't in touch")
 		}
-		sound := func(r *Replica) { r.SetCompleteUntil(time.Now().Add(time.Minute)) }
-		sound(core)
-		core.SetRefillPending(true)
-		if got := ask(1, "h0:1"); got.Done {
+		markComplete := func(r *Replica) { r.SetCompleteUntil(time.Now().Add(time.Minute)) }
+		markComplete(registry)
+		registry.SetRefillPending(true)
+		if got := requestRefill(1, "h0:1"); got.Done {
 			t.Error("filled by one that waits for its refill")
 		}
-		core.SetRefillPending(false)
-		one := len(core.packed().Compact)
-		var done []string
-		var off []int
-		var last time.Duration
+		registry.SetRefillPending(false)
+		stateBytes := len(registry.encodedState().Compact)
+		var refilled []string
+		var deferred []int
+		var lastRetry time.Duration
 		for i := 1; i < n; i++ {
-			got := ask(i, "h0:1")
+			got := requestRefill(i, "h0:1")
 			if got.Done {
-				done = append(done, all[i].self.InternalAddr)
-				sound(all[i])
+				refilled = append(refilled, replicas[i].self.InternalAddr)
+				markComplete(replicas[i])
 				continue
 			}
-			off = append(off, i)
-			if got.RetryAfter < tick || got.RetryAfter > longest*tick+time.Millisecond || got.RetryAfter < last {
-				t.Errorf("%d comes again after %v, the one before after %v", i, got.RetryAfter, last)
+			deferred = append(deferred, i)
+			if got.RetryAfter < testHeartbeat || got.RetryAfter > maxRetryHeartbeats*testHeartbeat+time.Millisecond || got.RetryAfter < lastRetry {
+				t.Errorf("%d comes again after %v, the one before after %v", i, got.RetryAfter, lastRetry)
 			}
-			last = got.RetryAfter
-			for k, at := range got.Alternatives {
-				if !slices.Contains(done, at) || k > 0 && all[at[1]-'0'].self.Zone == all[i].self.Zone && all[got.Alternatives[k-1][1]-'0'].self.Zone != all[i].self.Zone {
-					t.Errorf("%d of %s is told to try %v, filled were %v", i, all[i].self.Zone, got.Alternatives, done)
+			lastRetry = got.RetryAfter
+			for k, addr := range got.Alternatives {
+				if !slices.Contains(refilled, addr) || k > 0 && replicas[addr[1]-'0'].self.Zone == replicas[i].self.Zone && replicas[got.Alternatives[k-1][1]-'0'].self.Zone != replicas[i].self.Zone {
+					t.Errorf("%d of %s is told to try %v, filled were %v", i, replicas[i].self.Zone, got.Alternatives, refilled)
 				}
 			}
 			if len(got.Alternatives) == 0 {
 				t.Error("told of nobody")
 			}
 		}
-		if sum := len(done) * one; len(done) == 0 || sum > frame/coreShare+one || len(off) == 0 {
-			t.Fatalf("%d of %d filled at once, %d bytes of %d", len(done), n-1, sum, frame/coreShare)
+		if sum := len(refilled) * stateBytes; len(refilled) == 0 || sum > frame/registryShare+stateBytes || len(deferred) == 0 {
+			t.Fatalf("%d of %d filled at once, %d bytes of %d", len(refilled), n-1, sum, frame/registryShare)
 		}
-		if got := ask(off[0], done[0]); !got.Done || len(all[off[0]].m.Live(nil)) != 200 {
+		if got := requestRefill(deferred[0], refilled[0]); !got.Done || len(replicas[deferred[0]].entries.Live(nil)) != 200 {
 			t.Errorf("not filled by one that was: %+v", got)
 		}
 		// In its turn each comes through.
-		for _, i := range off[1:] {
-			for try := 0; !ask(i, "h0:1").Done; try++ {
+		for _, i := range deferred[1:] {
+			for try := 0; !requestRefill(i, "h0:1").Done; try++ {
 				if try > n {
 					t.Fatalf("%d is put off for ever", i)
 				}
-				task.Sleep(t.Context(), tick)
+				task.Sleep(t.Context(), testHeartbeat)
 			}
 		}
 	})
 }
 
-// TestBusyMend: who has handed out its part in this beat is not compared with,
+// TestBusyRepair: who has handed out its part in this beat is not compared with,
 // and says so; a beat later it is.
-func TestBusyMend(t *testing.T) {
+func TestBusyRepair(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := task.New(context.Background())
 		defer g.Stop()
-		all := fleet(t, g, 2, 64<<10)
-		all[0].Register("s", "w", nil)
-		all[0].RecordRefillBytes(64 << 10 / coreShare)
-		if err := all[1].Repair(t.Context(), "h0:1"); err != errBusy {
+		replicas := newReplicas(t, g, 2, 64<<10)
+		replicas[0].Register("s", "w", nil)
+		replicas[0].RecordRefillBytes(64 << 10 / registryShare)
+		if err := replicas[1].Repair(t.Context(), "h0:1"); err != errBusy {
 			t.Error(err)
 		}
-		task.Sleep(t.Context(), tick)
-		if err := all[1].Repair(t.Context(), "h0:1"); err != nil || len(all[1].Lookup("s")) != 1 {
-			t.Error(err, all[1].Lookup("s"))
+		task.Sleep(t.Context(), testHeartbeat)
+		if err := replicas[1].Repair(t.Context(), "h0:1"); err != nil || len(replicas[1].Lookup("s")) != 1 {
+			t.Error(err, replicas[1].Lookup("s"))
 		}
 	})
 }
 
-// TestRefillFromBefore: one of an earlier version, which knows no turns, fills.
-func TestRefillFromBefore(t *testing.T) {
+// TestRefillFromOlderVersion: one of an earlier version, which knows no turns, fills.
+func TestRefillFromOlderVersion(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := task.New(context.Background())
 		defer g.Stop()
-		road := &transport.LocalNet{Network: transport.NewLocalNetwork(func(string, string) time.Duration { return time.Millisecond })}
+		network := &transport.LocalNet{Network: transport.NewLocalNetwork(func(string, string) time.Duration { return time.Millisecond })}
 		node := func(h string) *transport.Node {
-			w := transport.NewNode(transport.Hello{ClusterID: "m", Node: h, Zone: "x"}, env.Env{Net: road, Log: event.New(h, nil), Wall: time.Now}, g, 1<<20, 8, 5*tick)
-			if err := w.Listen(h + ":1"); err != nil {
+			transportNode := transport.NewNode(transport.Hello{ClusterID: "m", Node: h, Zone: "x"}, env.Env{Net: network, Log: event.New(h, nil), Wall: time.Now}, g, 1<<20, 8, 5*testHeartbeat)
+			if err := transportNode.Listen(h + ":1"); err != nil {
 				t.Fatal(err)
 			}
-			t.Cleanup(w.Close)
-			return w
+			t.Cleanup(transportNode.Close)
+			return transportNode
 		}
-		old := node("old")
-		transport.Handle(old, "replica.all", func(context.Context, transport.Hello, allAsk) (ormap.Delta, error) {
+		olderNode := node("old")
+		transport.Handle(olderNode, "replica.all", func(context.Context, transport.Hello, stateRequest) (ormap.Delta, error) {
 			return ormap.Delta{Adds: []ormap.Entry{{Dot: ormap.Dot{Node: "o#1"}, Service: "s", Worker: "w", Owner: "o"}}}, nil
 		})
-		r := New(membership.Member{Node: "n", InternalAddr: "n:1"}, node("n"), g, event.New("n", nil), hlc.New(time.Now, time.Minute), tick, time.Hour, time.Minute)
+		r := New(membership.Member{Node: "n", InternalAddr: "n:1"}, node("n"), g, event.New("n", nil), hlc.New(time.Now, time.Minute), testHeartbeat, time.Hour, time.Minute)
 		if got, err := r.Refill(t.Context(), "old:1"); err != nil || !got.Done || len(r.Lookup("s")) != 1 {
 			t.Error(got, err, r.Lookup("s"))
 		}
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -26,88 +26,88 @@
 
 // Replica is one node's copy. Lock order: mu before the map's own lock.
 type Replica struct {
-	self  membership.Member
-	n     *transport.Node
-	g     *task.Group
-	log   *event.Log
-	clock *hlc.Clock
-	m     *ormap.Map
-	tree  *plumtree.Tree
-	dot   string
-	beat  time.Duration
-	bury  time.Duration
-	reg   sync.Mutex // one registration at a time; taken before mu
-	mu    sync.Mutex
-	subs  []func(Event)
-	peers *membership.List
-	links map[string]bool          // the fellows of the overlay, with their starts
-	index map[string][]ormap.Entry // service to its entries by dot; a slice is never changed
-	turn  int
-	full  struct {
+	self         membership.Member
+	node         *transport.Node
+	tasks        *task.Group
+	log          *event.Log
+	clock        *hlc.Clock
+	entries      *ormap.Map
+	tree         *plumtree.Tree
+	dotNode      string
+	heartbeat    time.Duration
+	tombstoneTTL time.Duration
+	registerMu   sync.Mutex // one registration at a time; taken before mu
+	mu           sync.Mutex
+	subscribers  []func(Event)
+	peers        *membership.List
+	neighbors    map[string]bool          // the fellows of the overlay, with their starts
+	index        map[string][]ormap.Entry // service to its entries by dot; a slice is never changed
+	repairRound  int
+	stateCache   struct {
 		sync.Mutex
 		at  time.Time
 		all ormap.Delta // all of the map then, packed
 	}
-	await       bool      // the refill has not come yet
-	good        time.Time // until when it is in touch with the mesh, for certain
-	pace        *pace
-	RepairCount int64
+	refillPending bool      // the refill has not come yet
+	completeUntil time.Time // until when it is in touch with the mesh, for certain
+	budget        *transferBudget
+	RepairCount   int64
 }
 
 // New makes an empty replica; Start opens it to the fellows.
-func New(self membership.Member, n *transport.Node, g *task.Group, log *event.Log, clock *hlc.Clock, beat, repair, bury time.Duration) *Replica {
-	r := &Replica{self: self, n: n, g: g, log: log, clock: clock, m: ormap.New(), dot: self.Node + "#" + self.Incarnation, beat: beat, bury: bury, index: map[string][]ormap.Entry{}, peers: &membership.List{}}
-	r.pace = newPace(self.Role, n.MaxFrameBytes, beat)
-	r.tree = plumtree.New(self.InternalAddr, beat, 50*beat, r.send, r.hear, r.knows)
-	r.tree.SetBatching(plumtree.Batching{RequestFlush: r.soon, RequestGraft: r.late, Encode: r.give, Decode: r.got, Rebuild: r.find})
-	transport.Handle(n, "gossip", func(_ context.Context, _ transport.Hello, m plumtree.Message) (struct{}, error) {
+func New(self membership.Member, node *transport.Node, tasks *task.Group, log *event.Log, clock *hlc.Clock, heartbeat, repairInterval, tombstoneTTL time.Duration) *Replica {
+	r := &Replica{self: self, node: node, tasks: tasks, log: log, clock: clock, entries: ormap.New(), dotNode: self.Node + "#" + self.Incarnation, heartbeat: heartbeat, tombstoneTTL: tombstoneTTL, index: map[string][]ormap.Entry{}, peers: &membership.List{}}
+	r.budget = newTransferBudget(self.Role, node.MaxFrameBytes, heartbeat)
+	r.tree = plumtree.New(self.InternalAddr, heartbeat, 50*heartbeat, r.sendGossip, r.receiveGossip, r.knowsItem)
+	r.tree.SetBatching(plumtree.Batching{RequestFlush: r.scheduleFlush, RequestGraft: r.scheduleGraft, Encode: r.encodeItems, Decode: r.decodeItems, Rebuild: r.rebuildItem})
+	transport.Handle(node, "gossip", func(_ context.Context, _ transport.Hello, m plumtree.Message) (struct{}, error) {
 		r.tree.Receive(m)
 		return struct{}{}, nil
 	})
-	transport.Handle(n, "replica.all", r.onAll)
-	transport.Handle(n, "replica.fill", r.onFill)
-	transport.Handle(n, "replica.digest", r.onDigest)
-	transport.Handle(n, "replica.swap", r.onSwap)
-	transport.Handle(n, "replica.mend", func(_ context.Context, _ transport.Hello, d ormap.Delta) (struct{}, error) {
-		r.take(d, true)
+	transport.Handle(node, "replica.all", r.handleState)
+	transport.Handle(node, "replica.fill", r.handleRefill)
+	transport.Handle(node, "replica.digest", r.handleDigest)
+	transport.Handle(node, "replica.swap", r.handleExchange)
+	transport.Handle(node, "replica.mend", func(_ context.Context, _ transport.Hello, d ormap.Delta) (struct{}, error) {
+		r.apply(d, true)
 		return struct{}{}, nil
 	})
-	g.Every("gossip-tick", beat, func(context.Context) { r.tree.Tick() })
-	g.Every("repair", repair, r.repair)
+	tasks.Every("gossip-tick", heartbeat, func(context.Context) { r.tree.Tick() })
+	tasks.Every("repair", repairInterval, r.repair)
 	return r
 }
 
-func (r *Replica) send(to string, m plumtree.Message) {
+func (r *Replica) sendGossip(to string, message plumtree.Message) {
 	// From its own goroutine: a dial to a dead fellow must not hold up the rest.
-	r.g.Go("gossip-send", func(ctx context.Context) {
-		ctx, end := context.WithTimeout(ctx, 5*r.beat)
-		defer end()
-		_ = r.n.Send(ctx, to, "gossip", m)
+	r.tasks.Go("gossip-send", func(ctx context.Context) {
+		ctx, cancel := context.WithTimeout(ctx, 5*r.heartbeat)
+		defer cancel()
+		_ = r.node.Send(ctx, to, "gossip", message)
 	})
 }
 
-func (r *Replica) hear(body []byte) bool {
+func (r *Replica) receiveGossip(body []byte) bool {
 	var d ormap.Delta
-	return transport.Decode(body, &d) == nil && r.take(d, false)
+	return transport.Decode(body, &d) == nil && r.apply(d, false)
 }
 
-// take merges a delta, tells the subscribers, and gossips on what came by
+// apply merges a delta, tells the subscribers, and gossips on what came by
 // another way than the tree; false means that nothing of it was new.
-func (r *Replica) take(d ormap.Delta, spread bool) bool {
-	news, removed := r.merge(d)
-	if spread {
-		r.spread(news, removed)
+func (r *Replica) apply(d ormap.Delta, broadcast bool) bool {
+	fresh, removed := r.merge(d)
+	if broadcast {
+		r.broadcast(fresh, removed)
 	}
-	return !news.Empty()
+	return !fresh.Empty()
 }
 
 // merge takes in a delta and tells the subscribers; given back are what was new
 // and the entries that are removed by it.
 func (r *Replica) merge(d ormap.Delta) (ormap.Delta, []ormap.Entry) {
-	why := map[ormap.Dot]string{}
-	for _, g := range d.Tombstones {
-		why[g.Dot] = g.Reason
-		r.clock.Observe(g.Dot.Stamp)
+	reasons := map[ormap.Dot]string{}
+	for _, tombstone := range d.Tombstones {
+		reasons[tombstone.Dot] = tombstone.Reason
+		r.clock.Observe(tombstone.Dot.Stamp)
 	}
 	for _, e := range d.Adds {
 		r.clock.Observe(e.Dot.Stamp)
@@ -115,33 +115,33 @@
 	// Both at once: the index must not see two merges in another order than
 	// the map did.
 	r.mu.Lock()
-	news, added, removed := r.m.Merge(d)
-	r.indexed(added, removed)
-	subs := r.subs
+	fresh, added, removed := r.entries.Merge(d)
+	r.updateIndex(added, removed)
+	subscribers := r.subscribers
 	r.mu.Unlock()
 	for _, e := range added {
-		r.tell(subs, Event{"registered", e, ""})
+		r.notify(subscribers, Event{"registered", e, ""})
 	}
 	for _, e := range removed {
 		kind := "unregistered"
-		if why[e.Dot] == "down" || why[e.Dot] == "retired" {
+		if reasons[e.Dot] == "down" || reasons[e.Dot] == "retired" {
 			kind = "down"
 		}
-		r.tell(subs, Event{kind, e, why[e.Dot]})
+		r.notify(subscribers, Event{kind, e, reasons[e.Dot]})
 	}
-	return news, removed
+	return fresh, removed
 }
 
-func (r *Replica) tell(subs []func(Event), n Event) {
-	for _, f := range subs {
-		f(n)
+func (r *Replica) notify(subscribers []func(Event), event Event) {
+	for _, subscriber := range subscribers {
+		subscriber(event)
 	}
 }
 
 // Subscribe adds a listener of events.
-func (r *Replica) Subscribe(f func(Event)) {
+func (r *Replica) Subscribe(subscriber func(Event)) {
 	r.mu.Lock()
-	r.subs = append(r.subs, f)
+	r.subscribers = append(r.subscribers, subscriber)
 	r.mu.Unlock()
 }
 
@@ -149,87 +149,87 @@
 // the same worker that were observed here go in the same delta. Two at once
 // would not observe each other and leave two entries, so they take turns.
 func (r *Replica) Register(service, worker string, meta map[string]string) ormap.Entry {
-	r.reg.Lock()
-	defer r.reg.Unlock()
-	e := ormap.Entry{Dot: ormap.Dot{Node: r.dot, Stamp: r.clock.Now()}, Service: service, Worker: worker,
+	r.registerMu.Lock()
+	defer r.registerMu.Unlock()
+	e := ormap.Entry{Dot: ormap.Dot{Node: r.dotNode, Stamp: r.clock.Now()}, Service: service, Worker: worker,
 		Owner: r.self.Node, InternalAddr: r.self.InternalAddr, Zone: r.self.Zone, Meta: meta}
-	d := r.m.RemovalDelta("again", func(o ormap.Entry) bool { return o.Worker == worker && o.Owner == r.self.Node })
+	d := r.entries.RemovalDelta("again", func(other ormap.Entry) bool { return other.Worker == worker && other.Owner == r.self.Node })
 	d.Adds = []ormap.Entry{e}
-	r.take(d, true)
+	r.apply(d, true)
 	return e
 }
 
 // Remove buries the observed entries of a worker of this node.
-func (r *Replica) Remove(worker, why string) {
-	r.take(r.m.RemovalDelta(why, func(e ormap.Entry) bool { return e.Worker == worker && e.Owner == r.self.Node }), true)
+func (r *Replica) Remove(worker, reason string) {
+	r.apply(r.entries.RemovalDelta(reason, func(e ormap.Entry) bool { return e.Worker == worker && e.Owner == r.self.Node }), true)
 }
 
 // SignOffWorker removes a worker's registrations of this node and tells all that the
 // worker is gone for good. Where none is known there is nothing to tell by; false
 // means that.
-func (r *Replica) SignOffWorker(worker, why string) bool {
-	d := r.m.DepartureDelta(worker, why, func(e ormap.Entry) bool { return e.Owner == r.self.Node })
-	r.take(d, true)
+func (r *Replica) SignOffWorker(worker, reason string) bool {
+	d := r.entries.DepartureDelta(worker, reason, func(e ormap.Entry) bool { return e.Owner == r.self.Node })
+	r.apply(d, true)
 	return len(d.Tombstones) > 0
 }
 
 // EntriesOf gives what is known of a worker of this node: its registrations, and
 // that it is gone for good.
 func (r *Replica) EntriesOf(worker string) ormap.Delta {
-	live := r.m.Live(func(e ormap.Entry) bool { return e.Worker == worker && e.Owner == r.self.Node })
-	return ormap.Delta{Adds: live, Tombstones: r.m.Departures(worker)}
+	live := r.entries.Live(func(e ormap.Entry) bool { return e.Worker == worker && e.Owner == r.self.Node })
+	return ormap.Delta{Adds: live, Tombstones: r.entries.Departures(worker)}
 }
 
 // Accept takes in what a node says of its worker, and spreads what was news.
-func (r *Replica) Accept(d ormap.Delta) { r.take(d, true) }
+func (r *Replica) Accept(d ormap.Delta) { r.apply(d, true) }
 
 // RetireNode buries the observed entries of a dead node; the count is given back.
 func (r *Replica) RetireNode(node string, pick func(ormap.Entry) bool) int {
-	d := r.m.RemovalDelta("retired", func(e ormap.Entry) bool { return e.Owner == node && pick(e) })
-	r.take(d, true)
+	d := r.entries.RemovalDelta("retired", func(e ormap.Entry) bool { return e.Owner == node && pick(e) })
+	r.apply(d, true)
 	return len(d.Tombstones)
 }
 
 // SetMembers sets the mesh's nodes.
-func (r *Replica) SetMembers(all *membership.List) {
-	links := all.Neighbors(r.self.Node)
+func (r *Replica) SetMembers(members *membership.List) {
+	neighbors := members.Neighbors(r.self.Node)
 	r.mu.Lock()
 	// Many that come at once are still telling of themselves: what is on its
 	// way would be found to differ over each link.
-	crowd := all.Len()-r.peers.Len() > plumtree.MaxEagerBurst
-	r.peers = all
-	was := r.links
-	r.links = map[string]bool{}
-	var to, fresh []string
-	for _, f := range links {
-		to = append(to, f.InternalAddr)
-		mark := f.Node + "#" + f.Incarnation
-		r.links[mark] = true
+	burst := members.Len()-r.peers.Len() > plumtree.MaxEagerBurst
+	r.peers = members
+	previous := r.neighbors
+	r.neighbors = map[string]bool{}
+	var addrs, added []string
+	for _, peer := range neighbors {
+		addrs = append(addrs, peer.InternalAddr)
+		key := peer.Node + "#" + peer.Incarnation
+		r.neighbors[key] = true
 		// One of the two is enough.
-		if !was[mark] && r.self.Node < f.Node {
-			fresh = append(fresh, f.InternalAddr)
+		if !previous[key] && r.self.Node < peer.Node {
+			added = append(added, peer.InternalAddr)
 		}
 	}
 	r.mu.Unlock()
-	r.tree.SetNeighbors(to)
+	r.tree.SetNeighbors(addrs)
 	// What was told before a link stood did not go over it.
-	for _, a := range fresh {
-		r.g.Go("mend-link", func(ctx context.Context) {
-			if crowd {
-				task.Sleep(ctx, 3*r.beat)
+	for _, addr := range added {
+		r.tasks.Go("mend-link", func(ctx context.Context) {
+			if burst {
+				task.Sleep(ctx, 3*r.heartbeat)
 			}
-			ctx, end := context.WithTimeout(ctx, 5*r.beat)
-			defer end()
-			_ = r.Repair(ctx, a)
+			ctx, cancel := context.WithTimeout(ctx, 5*r.heartbeat)
+			defer cancel()
+			_ = r.Repair(ctx, addr)
 		})
 	}
 }
 
 // Collect drops old tombstones.
-func (r *Replica) Collect() int { return r.m.Collect(r.bury) }
+func (r *Replica) Collect() int { return r.entries.Collect(r.tombstoneTTL) }
 
 // Map gives the replica itself, to read.
-func (r *Replica) Map() *ormap.Map { return r.m }
+func (r *Replica) Map() *ormap.Map { return r.entries }
 
 // Tree gives the gossip tree, to read its counts.
 func (r *Replica) Tree() *plumtree.Tree { return r.tree }
@@ -237,13 +237,13 @@
 // Services lists the names that have entries.
 func (r *Replica) Services() []string {
 	seen := map[string]bool{}
-	var out []string
-	for _, e := range r.m.Live(nil) {
+	var names []string
+	for _, e := range r.entries.Live(nil) {
 		if !seen[e.Service] {
 			seen[e.Service] = true
-			out = append(out, e.Service)
+			names = append(names, e.Service)
 		}
 	}
-	sort.Strings(out)
-	return out
+	sort.Strings(names)
+	return names
 }
--- a/internal/replica/spread.go
+++ b/internal/replica/spread.go
@@ -12,141 +12,141 @@
 	"puffincrank/internal/transport"
 )
 
-// piece is one piece of news and its name.
-type piece struct {
-	id   string
-	what ormap.Delta
+// gossipItem is one piece of news and its name.
+type gossipItem struct {
+	id    string
+	delta ormap.Delta
 }
 
-func named(kind string, d ormap.Dot) string { return kind + strconv.FormatUint(d.Hash(), 36) }
+func itemID(kind string, dot ormap.Dot) string { return kind + strconv.FormatUint(dot.Hash(), 36) }
 
-// pieces cuts news up for the gossip, each entry and each grave by itself and
+// splitItems cuts news up for the gossip, each entry and each grave by itself and
 // under a name made of its dot: however many nodes learn of one at the same
 // time by repair, as all do after a cut, it goes over the tree once. The grave
 // of an entry that a worker's newer one replaces goes with that, so that the
 // worker is never out of the list between the two. A grave of what was not
 // known here stays here: it stands in for an add that may still come.
-func pieces(news ormap.Delta, removed []ormap.Entry) []piece {
-	graves := map[ormap.Dot]ormap.Tombstone{}
-	for _, g := range news.Tombstones {
-		graves[g.Dot] = g
+func splitItems(fresh ormap.Delta, removed []ormap.Entry) []gossipItem {
+	tombstones := map[ormap.Dot]ormap.Tombstone{}
+	for _, tombstone := range fresh.Tombstones {
+		tombstones[tombstone.Dot] = tombstone
 	}
-	of := map[string][]ormap.Tombstone{}
-	for _, e := range removed {
-		if g, ok := graves[e.Dot]; ok {
-			of[e.Worker] = append(of[e.Worker], g)
+	byWorker := map[string][]ormap.Tombstone{}
+	for _, entry := range removed {
+		if tombstone, ok := tombstones[entry.Dot]; ok {
+			byWorker[entry.Worker] = append(byWorker[entry.Worker], tombstone)
 		}
 	}
-	var out []piece
-	for _, e := range news.Adds {
-		out = append(out, piece{named("a", e.Dot), ormap.Delta{Adds: []ormap.Entry{e}, Tombstones: of[e.Worker]}})
-		delete(of, e.Worker)
+	var items []gossipItem
+	for _, entry := range fresh.Adds {
+		items = append(items, gossipItem{itemID("a", entry.Dot), ormap.Delta{Adds: []ormap.Entry{entry}, Tombstones: byWorker[entry.Worker]}})
+		delete(byWorker, entry.Worker)
 	}
-	for _, list := range of {
-		for _, g := range list {
-			out = append(out, piece{named("d", g.Dot), ormap.Delta{Tombstones: []ormap.Tombstone{g}}})
+	for _, remaining := range byWorker {
+		for _, tombstone := range remaining {
+			items = append(items, gossipItem{itemID("d", tombstone.Dot), ormap.Delta{Tombstones: []ormap.Tombstone{tombstone}}})
 		}
 	}
-	return out
+	return items
 }
 
-func (r *Replica) spread(news ormap.Delta, removed []ormap.Entry) {
-	for _, p := range pieces(news, removed) {
-		if body, err := msgpack.Marshal(p.what); err == nil {
-			r.tree.Broadcast(p.id, body)
+func (r *Replica) broadcast(fresh ormap.Delta, removed []ormap.Entry) {
+	for _, item := range splitItems(fresh, removed) {
+		if body, err := msgpack.Marshal(item.delta); err == nil {
+			r.tree.Broadcast(item.id, body)
 		}
 	}
 }
 
 // AnnounceOwn names the own entries to the neighbours.
 func (r *Replica) AnnounceOwn() {
-	for _, e := range r.m.Live(func(e ormap.Entry) bool { return e.Dot.Node == r.dot }) {
-		r.tree.Announce(named("a", e.Dot))
+	for _, e := range r.entries.Live(func(e ormap.Entry) bool { return e.Dot.Node == r.dotNode }) {
+		r.tree.Announce(itemID("a", e.Dot))
 	}
 }
 
-// soon sends the names of many pieces that came at once a part of a beat later,
+// scheduleFlush sends the names of many pieces that came at once a part of a beat later,
 // with those that come meanwhile.
-func (r *Replica) soon() {
-	r.g.Go("gossip-soon", func(ctx context.Context) {
-		task.Sleep(ctx, r.beat/8)
+func (r *Replica) scheduleFlush() {
+	r.tasks.Go("gossip-soon", func(ctx context.Context) {
+		task.Sleep(ctx, r.heartbeat/8)
 		r.tree.Flush()
 	})
 }
 
-// late has the tree ask for what is missing before its next tick.
-func (r *Replica) late() {
-	r.g.Go("gossip-late", func(ctx context.Context) {
-		task.Sleep(ctx, r.beat/2)
+// scheduleGraft has the tree ask for what is missing before its next tick.
+func (r *Replica) scheduleGraft() {
+	r.tasks.Go("gossip-late", func(ctx context.Context) {
+		task.Sleep(ctx, r.heartbeat/2)
 		r.tree.Graft()
 	})
 }
 
-// give bundles pieces for a fellow that named them.
-func (r *Replica) give(ids []string, bodies [][]byte) []byte {
-	var all ormap.Delta
-	var want []uint64
+// encodeItems bundles pieces for a fellow that named them.
+func (r *Replica) encodeItems(ids []string, bodies [][]byte) []byte {
+	var combined ormap.Delta
+	var missing []uint64
 	for i, id := range ids {
-		var d ormap.Delta
-		if bodies[i] != nil && transport.Decode(bodies[i], &d) == nil {
-			all.Adds, all.Tombstones = append(all.Adds, d.Adds...), append(all.Tombstones, d.Tombstones...)
-		} else if h, ok := number(id); ok {
-			want = append(want, h)
+		var delta ormap.Delta
+		if bodies[i] != nil && transport.Decode(bodies[i], &delta) == nil {
+			combined.Adds, combined.Tombstones = append(combined.Adds, delta.Adds...), append(combined.Tombstones, delta.Tombstones...)
+		} else if hash, ok := hashOfItem(id); ok {
+			missing = append(missing, hash)
 		}
 	}
-	d := r.m.Answer(want, nil)
-	all.Adds, all.Tombstones = append(all.Adds, d.Adds...), append(all.Tombstones, d.Tombstones...)
-	return all.Encode().Compact
+	delta := r.entries.Answer(missing, nil)
+	combined.Adds, combined.Tombstones = append(combined.Adds, delta.Adds...), append(combined.Tombstones, delta.Tombstones...)
+	return combined.Encode().Compact
 }
 
-// got takes in a bundle. Only what replaces another entry is kept as it came;
+// decodeItems takes in a bundle. Only what replaces another entry is kept as it came;
 // anything else is made anew from the map when a fellow asks for it.
-func (r *Replica) got(bundle []byte) []plumtree.Item {
-	d, err := ormap.Delta{Compact: bundle}.Decode()
+func (r *Replica) decodeItems(bundle []byte) []plumtree.Item {
+	delta, err := ormap.Delta{Compact: bundle}.Decode()
 	if err != nil {
 		return nil
 	}
-	var out []plumtree.Item
-	for _, p := range pieces(r.merge(d)) {
+	var items []plumtree.Item
+	for _, item := range splitItems(r.merge(delta)) {
 		var body []byte
-		if len(p.what.Adds) > 0 && len(p.what.Tombstones) > 0 {
-			body, _ = msgpack.Marshal(p.what)
+		if len(item.delta.Adds) > 0 && len(item.delta.Tombstones) > 0 {
+			body, _ = msgpack.Marshal(item.delta)
 		}
-		out = append(out, plumtree.Item{ID: p.id, Body: body})
+		items = append(items, plumtree.Item{ID: item.id, Body: body})
 	}
-	return out
+	return items
 }
 
-// find makes a piece anew, nil when nothing is known of it.
-func (r *Replica) find(id string) []byte {
-	h, ok := number(id)
+// rebuildItem makes a piece anew, nil when nothing is known of it.
+func (r *Replica) rebuildItem(id string) []byte {
+	hash, ok := hashOfItem(id)
 	if !ok {
 		return nil
 	}
-	d := r.m.Answer([]uint64{h}, nil)
-	if d.Empty() {
+	delta := r.entries.Answer([]uint64{hash}, nil)
+	if delta.Empty() {
 		return nil
 	}
-	body, _ := msgpack.Marshal(d)
+	body, _ := msgpack.Marshal(delta)
 	return body
 }
 
-// number is the hash of the dot that a piece is named by.
-func number(id string) (uint64, bool) {
+// hashOfItem is the hash of the dot that a piece is named by.
+func hashOfItem(id string) (uint64, bool) {
 	if len(id) < 2 {
 		return 0, false
 	}
-	h, err := strconv.ParseUint(id[1:], 36, 64)
-	return h, err == nil
+	hash, err := strconv.ParseUint(id[1:], 36, 64)
+	return hash, err == nil
 }
 
-// knows tells whether a piece of gossip is in the replica, by its name: an
+// knowsItem tells whether a piece of gossip is in the replica, by its name: an
 // entry that is there or was, a grave that is there.
-func (r *Replica) knows(id string) bool {
-	h, ok := number(id)
+func (r *Replica) knowsItem(id string) bool {
+	hash, ok := hashOfItem(id)
 	if !ok {
 		return false
 	}
-	live, dead := r.m.Knows(h)
+	live, dead := r.entries.Knows(hash)
 	return dead || live && id[0] == 'a'
 }
