--- a/internal/replica/index_test.go
+++ b/internal/replica/index_test.go
@@ -22,13 +22,13 @@
 	synctest.Test(t, func(t *testing.T) {
 		net := sim.NewNet(4, time.Millisecond, time.Millisecond)
 		g := task.New(context.Background())
-		n := row(t, net, g, []string{"h1", "h2", "h3"}, []string{"x", "x", "y"})
-		defer stop(g, n)
+		nodes := startNodes(t, net, g, []string{"h1", "h2", "h3"}, []string{"x", "x", "y"})
+		defer stopNodes(g, nodes)
 		rnd := rand.New(rand.NewPCG(8, 9))
 		services := []string{"a", "b", "c"}
-		var was, then []ormap.Entry
+		var handedOut, copied []ormap.Entry
 		for step := range 300 {
-			r := n[rnd.IntN(3)].rep
+			r := nodes[rnd.IntN(3)].rep
 			worker := fmt.Sprint("w", rnd.IntN(8))
 			if rnd.IntN(3) == 0 {
 				r.Remove(worker, "down")
@@ -40,12 +40,12 @@
 			}
 			<-time.After(beat)
 			if step%100 == 0 {
-				n[0].rep.SetCompleteUntil(time.Now().Add(beat))
-				if got, err := n[1].rep.Refill(t.Context(), "h1:1"); err != nil || !got.Done {
+				nodes[0].rep.SetCompleteUntil(time.Now().Add(beat))
+				if got, err := nodes[1].rep.Refill(t.Context(), "h1:1"); err != nil || !got.Done {
 					t.Fatal(got, err)
 				}
 			}
-			for i, x := range n {
+			for i, x := range nodes {
 				for _, s := range services {
 					want := x.rep.Map().Live(func(e ormap.Entry) bool { return e.Service == s })
 					sort.Slice(want, func(i, j int) bool { return want[i].Dot.Compare(want[j].Dot) < 0 })
@@ -54,13 +54,13 @@
 					}
 				}
 			}
-			if !reflect.DeepEqual(was, then) {
+			if !reflect.DeepEqual(handedOut, copied) {
 				t.Fatal("a list that was handed out has changed")
 			}
-			was = n[0].rep.Lookup("a")
-			then = append([]ormap.Entry(nil), was...)
+			handedOut = nodes[0].rep.Lookup("a")
+			copied = append([]ormap.Entry(nil), handedOut...)
 		}
-		if len(was) == 0 {
+		if len(handedOut) == 0 {
 			t.Fatal("nothing was looked up")
 		}
 	})
--- a/internal/replica/replica_test.go
+++ b/internal/replica/replica_test.go
@@ -22,73 +22,73 @@
 const beat = 200 * time.Millisecond
 
 type node struct {
-	w    *transport.Node
-	rep  *replica.Replica
-	mu   sync.Mutex
-	news []string
+	transportNode *transport.Node
+	rep           *replica.Replica
+	mu            sync.Mutex
+	events        []string
 }
 
-func (n *node) heard() []string {
+func (n *node) eventsSeen() []string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return append([]string(nil), n.news...)
+	return append([]string(nil), n.events...)
 }
 
-// row brings up replicas on hosts of a network, all knowing each other.
-func row(t *testing.T, net *sim.Net, g *task.Group, hosts, areas []string) []*node {
-	var all []membership.Member
-	var out []*node
-	for i, h := range hosts {
-		net.Place(h, areas[i])
-		f := membership.Member{Node: h, Incarnation: "s", Role: "proxy", Zone: areas[i], InternalAddr: h + ":1"}
-		all = append(all, f)
-		e := env.Env{Net: net.Host(h), Log: event.New(h, nil), Wall: time.Now}
-		w := transport.NewNode(transport.Hello{ClusterID: "m", Node: h, Zone: areas[i]}, e, g, 1<<20, 64, beat)
-		n := &node{w: w, rep: replica.New(f, w, g, e.Log, hlc.New(time.Now, time.Minute), beat, 3*time.Second, time.Minute)}
-		n.rep.Subscribe(func(x replica.Event) {
+// startNodes brings up replicas on hosts of a network, all knowing each other.
+func startNodes(t *testing.T, net *sim.Net, g *task.Group, hosts, zones []string) []*node {
+	var members []membership.Member
+	var nodes []*node
+	for i, host := range hosts {
+		net.Place(host, zones[i])
+		member := membership.Member{Node: host, Incarnation: "s", Role: "proxy", Zone: zones[i], InternalAddr: host + ":1"}
+		members = append(members, member)
+		e := env.Env{Net: net.Host(host), Log: event.New(host, nil), Wall: time.Now}
+		transportNode := transport.NewNode(transport.Hello{ClusterID: "m", Node: host, Zone: zones[i]}, e, g, 1<<20, 64, beat)
+		n := &node{transportNode: transportNode, rep: replica.New(member, transportNode, g, e.Log, hlc.New(time.Now, time.Minute), beat, 3*time.Second, time.Minute)}
+		n.rep.Subscribe(func(event replica.Event) {
 			n.mu.Lock()
-			n.news = append(n.news, x.Kind+" "+x.Entry.Worker)
+			n.events = append(n.events, event.Kind+" "+event.Entry.Worker)
 			n.mu.Unlock()
 		})
-		if err := w.Listen(f.InternalAddr); err != nil {
+		if err := transportNode.Listen(member.InternalAddr); err != nil {
 			t.Fatal(err)
 		}
-		out = append(out, n)
+		nodes = append(nodes, n)
 	}
-	for _, n := range out {
-		n.rep.SetMembers(membership.NewList(all))
+	for _, n := range nodes {
+		n.rep.SetMembers(membership.NewList(members))
 	}
-	return out
+	return nodes
 }
 
-func stop(g *task.Group, all []*node) {
+func stopNodes(g *task.Group, all []*node) {
 	g.Cancel()
 	for _, n := range all {
-		n.w.Close()
+		n.transportNode.Close()
 	}
 	g.Stop()
 }
 
-// TestDotOfAStart: a node that is restarted with its clock at the very moment
+// TestDotsUniqueAcrossRestarts: a node that is restarted with its clock at the very moment
 // of an earlier registration never gives that one's dot again, so what was
 // buried then stays buried and what is new lives.
-func TestDotOfAStart(t *testing.T) {
+func TestDotsUniqueAcrossRestarts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := task.New(context.Background())
 		defer g.Stop()
-		at := time.Now()
+		clockTime := time.Now()
 		seen := map[ormap.Dot]bool{}
 		for start := range 4 {
-			f := membership.Member{Node: "a", Incarnation: fmt.Sprint(start), Role: "proxy", Zone: "x", InternalAddr: "h:1"}
+			member := membership.Member{Node: "a", Incarnation: fmt.Sprint(start), Role: "proxy", Zone: "x", InternalAddr: "h:1"}
 			e := env.Env{Net: sim.NewNet(1, 0, 0).Host("h"), Log: event.New("a", nil), Wall: time.Now}
-			w := transport.NewNode(transport.Hello{ClusterID: "m", Node: "a", Zone: "x"}, e, g, 1<<20, 4, beat)
-			r := replica.New(f, w, g, e.Log, hlc.New(func() time.Time { return at }, time.Minute), beat, 3*time.Second, time.Minute)
+			transportNode := transport.NewNode(transport.Hello{ClusterID: "m", Node: "a", Zone: "x"}, e, g, 1<<20, 4, beat)
+			r := replica.New(member, transportNode, g, e.Log, hlc.New(func() time.Time { return clockTime }, time.Minute), beat, 3*time.Second, time.Minute)
 			for range 3 {
-				d := r.Register("s", "w", nil).Dot
-				if seen[d] {
-					t.Errorf("start %d gave %v again", start, d)
+				dot := r.Register("s", "w", nil).Dot
+				if seen[dot] {
+					t.Errorf("start %d gave %v again", start, dot)
 				}
-				seen[d] = true
+				seen[dot] = true
 			}
 		}
 	})
@@ -101,45 +101,45 @@
 	synctest.Test(t, func(t *testing.T) {
 		net := sim.NewNet(1, time.Millisecond, 5*time.Millisecond)
 		g := task.New(context.Background())
-		n := row(t, net, g, []string{"h1", "h2", "h3"}, []string{"x", "x", "y"})
-		defer stop(g, n)
-		if _, ok := n[0].rep.Find(t.Context(), "s", 0); ok {
+		nodes := startNodes(t, net, g, []string{"h1", "h2", "h3"}, []string{"x", "x", "y"})
+		defer stopNodes(g, nodes)
+		if _, ok := nodes[0].rep.Find(t.Context(), "s", 0); ok {
 			t.Error("found a service that nobody serves")
 		}
 		from := time.Now()
-		if _, ok := n[0].rep.Find(t.Context(), "s", replica.DefaultRetries); ok || time.Since(from) > beat {
+		if _, ok := nodes[0].rep.Find(t.Context(), "s", replica.DefaultRetries); ok || time.Since(from) > beat {
 			t.Errorf("gave up after %v", time.Since(from))
 		}
 		// Registered far away a moment ago: without retries it is not there yet.
-		n[2].rep.Register("s", "far", map[string]string{"slots": "1"})
-		if _, ok := n[0].rep.Find(t.Context(), "s", 0); ok {
+		nodes[2].rep.Register("s", "far", map[string]string{"slots": "1"})
+		if _, ok := nodes[0].rep.Find(t.Context(), "s", 0); ok {
 			t.Error("the delta was faster than the network")
 		}
-		if e, ok := n[0].rep.Find(t.Context(), "s", replica.DefaultRetries); !ok || e.Worker != "far" {
+		if e, ok := nodes[0].rep.Find(t.Context(), "s", replica.DefaultRetries); !ok || e.Worker != "far" {
 			t.Errorf("retries did not find it: %v %v", e, ok)
 		}
-		n[1].rep.Register("s", "near", nil)
+		nodes[1].rep.Register("s", "near", nil)
 		<-time.After(beat)
-		if e, _ := n[0].rep.Find(t.Context(), "s", 0); e.Worker != "near" {
+		if e, _ := nodes[0].rep.Find(t.Context(), "s", 0); e.Worker != "near" {
 			t.Errorf("the own area is not preferred: %v", e)
 		}
-		n[0].rep.Register("s", "own", nil)
-		if e, _ := n[0].rep.Find(t.Context(), "s", 0); e.Worker != "own" {
+		nodes[0].rep.Register("s", "own", nil)
+		if e, _ := nodes[0].rep.Find(t.Context(), "s", 0); e.Worker != "own" {
 			t.Errorf("the own node is not preferred: %v", e)
 		}
-		if l := n[0].rep.Local("s"); len(l) != 1 || l[0].Worker != "own" {
-			t.Errorf("local entries: %v", l)
+		if entries := nodes[0].rep.Local("s"); len(entries) != 1 || entries[0].Worker != "own" {
+			t.Errorf("local entries: %v", entries)
 		}
 		<-time.After(beat)
-		if l := n[2].rep.Lookup("s"); len(l) != 3 {
-			t.Errorf("all entries: %v", l)
+		if entries := nodes[2].rep.Lookup("s"); len(entries) != 3 {
+			t.Errorf("all entries: %v", entries)
 		}
-		n[1].rep.Remove("near", "signed off")
+		nodes[1].rep.Remove("near", "signed off")
 		<-time.After(beat)
-		n[2].rep.Remove("far", "down")
+		nodes[2].rep.Remove("far", "down")
 		<-time.After(beat)
 		want := []string{"registered far", "registered near", "registered own", "unregistered near", "down far"}
-		if got := n[0].heard(); len(got) != len(want) {
+		if got := nodes[0].eventsSeen(); len(got) != len(want) {
 			t.Errorf("heard %v, want %v", got, want)
 		} else {
 			for i := range want {
@@ -158,29 +158,29 @@
 	synctest.Test(t, func(t *testing.T) {
 		net := sim.NewNet(2, time.Millisecond, time.Millisecond)
 		g := task.New(context.Background())
-		n := row(t, net, g, []string{"h1", "h2", "h3"}, []string{"x", "x", "x"})
-		defer stop(g, n)
-		one := n[0].rep.Register("s", "w", nil)
+		nodes := startNodes(t, net, g, []string{"h1", "h2", "h3"}, []string{"x", "x", "x"})
+		defer stopNodes(g, nodes)
+		first := nodes[0].rep.Register("s", "w", nil)
 		<-time.After(beat)
 		net.Isolate("h3", true)
-		two := n[0].rep.Register("s", "w", map[string]string{"state": "draining"})
-		if one.Dot == two.Dot || !one.Dot.Stamp.Less(two.Dot.Stamp) {
-			t.Errorf("the dot is not fresh: %v %v", one.Dot, two.Dot)
+		second := nodes[0].rep.Register("s", "w", map[string]string{"state": "draining"})
+		if first.Dot == second.Dot || !first.Dot.Stamp.Less(second.Dot.Stamp) {
+			t.Errorf("the dot is not fresh: %v %v", first.Dot, second.Dot)
 		}
-		n[2].rep.Register("s", "lone", nil)
+		nodes[2].rep.Register("s", "lone", nil)
 		<-time.After(20 * time.Second)
-		if l := n[2].rep.Lookup("s"); len(l) != 2 || l[0].Meta["state"] == "draining" {
-			t.Errorf("the cut did not cut: %v", l)
+		if entries := nodes[2].rep.Lookup("s"); len(entries) != 2 || entries[0].Meta["state"] == "draining" {
+			t.Errorf("the cut did not cut: %v", entries)
 		}
 		net.Isolate("h3", false)
 		<-time.After(20 * time.Second)
-		for i, x := range n {
-			l := x.rep.Lookup("s")
-			if len(l) != 2 {
-				t.Errorf("node %d has %v after repair", i, l)
+		for i, x := range nodes {
+			entries := x.rep.Lookup("s")
+			if len(entries) != 2 {
+				t.Errorf("node %d has %v after repair", i, entries)
 			}
-			for _, e := range l {
-				if e.Worker == "w" && e.Dot != two.Dot {
+			for _, e := range entries {
+				if e.Worker == "w" && e.Dot != second.Dot {
 					t.Errorf("node %d holds an old dot of w", i)
 				}
 			}
@@ -188,24 +188,24 @@
 	})
 }
 
-// TestRegisterAtOnce: registrations of one worker that come at the same time,
+// TestConcurrentRegister: registrations of one worker that come at the same time,
 // as by a beat and by a node that finds its dots removed, leave one entry.
-func TestRegisterAtOnce(t *testing.T) {
+func TestConcurrentRegister(t *testing.T) {
 	g := task.New(context.Background())
-	n := row(t, sim.NewNet(3, time.Millisecond, time.Millisecond), g, []string{"h1"}, []string{"x"})
-	defer stop(g, n)
+	nodes := startNodes(t, sim.NewNet(3, time.Millisecond, time.Millisecond), g, []string{"h1"}, []string{"x"})
+	defer stopNodes(g, nodes)
 	for round := range 300 {
 		var wait sync.WaitGroup
 		for range 4 {
 			wait.Add(1)
 			go func() {
 				defer wait.Done()
-				n[0].rep.Register("s", "w", nil)
+				nodes[0].rep.Register("s", "w", nil)
 			}()
 		}
 		wait.Wait()
-		if l := n[0].rep.Lookup("s"); len(l) != 1 {
-			t.Fatalf("round %d: %d entries of one worker", round, len(l))
+		if entries := nodes[0].rep.Lookup("s"); len(entries) != 1 {
+			t.Fatalf("round %d: %d entries of one worker", round, len(entries))
 		}
 	}
 }
