--- a/internal/fsm/machine.go
+++ b/internal/fsm/machine.go
@@ -1,5 +1,5 @@
-// Package fsm wraps the state machines of the project: explicit states and
-// one function, Fire, for every change of state.
+// Package fsm provides finite state machines with explicit states, whose state
+// changes only through Fire.
 package fsm
 
 import (
@@ -9,16 +9,17 @@
 	"github.com/qmuntal/stateless"
 )
 
-// Move is one allowed change: from a state, by a trigger, to a state.
+// Move is an allowed transition from one state to another on a trigger.
 type Move struct{ From, By, To string }
 
-// Machine is a set of states with a listener for each change.
+// Machine is a finite state machine. It is safe for concurrent use.
 type Machine struct {
 	mu      sync.Mutex
 	machine *stateless.StateMachine
 }
 
-// New makes a machine; heed is told of each change that was made.
+// New creates a machine in its initial state. If onTransition is not nil, it is called
+// after each transition, with the machine locked: it must not call the machine.
 func New(initial string, onTransition func(from, by, to string), moves ...Move) *Machine {
 	machine := stateless.NewStateMachineWithMode(initial, stateless.FiringImmediate)
 	for _, move := range moves {
@@ -32,8 +33,8 @@
 	return &Machine{machine: machine}
 }
 
-// Fire is the one way to change the state; false means that the trigger has
-// no meaning in the state that stands, and nothing changed.
+// Fire applies a trigger. It returns false, and leaves the state as it is, if the
+// current state has no transition for the trigger.
 func (s *Machine) Fire(trigger string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -43,7 +44,7 @@
 	return s.machine.Fire(trigger) == nil
 }
 
-// Is tells whether a state stands.
+// Is reports whether the current state is one of the given names.
 func (s *Machine) Is(names ...string) bool {
 	current := s.Current()
 	for _, name := range names {
@@ -54,7 +55,7 @@
 	return false
 }
 
-// Current gives the state that stands.
+// Current returns the current state.
 func (s *Machine) Current() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/pausedetect/detector.go
+++ b/internal/pausedetect/detector.go
@@ -1,6 +1,7 @@
-// Package pausedetect tells a process that it was frozen: its own ticks on the
-// monotonic clock have a gap. Whoever acts on what it heard before asks here
-// first, since the tick itself may be late to notice.
+// Package pausedetect detects that the process was paused, by a gap between its
+// periodic ticks on the monotonic clock. Code that relies on information received
+// earlier must call LastPauseEnd first, because the tick itself may run late after
+// a pause.
 package pausedetect
 
 import (
@@ -9,7 +10,7 @@
 	"time"
 )
 
-// Detector is one process's watch over its own ticks.
+// Detector detects pauses of the process that it runs in.
 type Detector struct {
 	mu        sync.Mutex
 	interval  time.Duration
@@ -19,13 +20,13 @@
 	onPause   func(gap time.Duration)
 }
 
-// New makes a pulse that ticks at each beat; a pause longer than the beat and
-// the gap counts as a freeze, and tell hears of it once.
+// New creates a detector that ticks once per interval. A gap longer than interval
+// plus tolerance counts as a pause; onPause, if not nil, is called once for each.
 func New(interval, tolerance time.Duration, onPause func(time.Duration)) *Detector {
 	return &Detector{interval: interval, tolerance: tolerance, lastTick: time.Now(), onPause: onPause}
 }
 
-// Run is the loop of ticks.
+// Run ticks until the context ends; sleep waits for one interval.
 func (d *Detector) Run(ctx context.Context, sleep func(context.Context, time.Duration)) {
 	for ctx.Err() == nil {
 		sleep(ctx, d.interval)
@@ -33,8 +34,9 @@
 	}
 }
 
-// LastPauseEnd gives the end of the newest freeze, zero when there was none. The
-// first to look after a freeze finds it, be it the tick or a job.
+// LastPauseEnd returns the end of the most recent pause, or the zero time if there
+// was none. The first check after a pause detects it, whether that is the tick or
+// this call.
 func (d *Detector) LastPauseEnd() time.Time { return d.check(false) }
 
 func (d *Detector) check(tick bool) time.Time {
@@ -45,7 +47,7 @@
 	if paused {
 		d.pauseEnd = now
 	}
-	// Only a tick is a sign of life: questions come at any time.
+	// Calls of LastPauseEnd come at arbitrary times, so only ticks mark progress.
 	if tick || paused {
 		d.lastTick = now
 	}
--- a/internal/replica/budget.go
+++ b/internal/replica/budget.go
@@ -5,36 +5,37 @@
 	"time"
 )
 
-// A replica hands out as many bytes in refills within a beat as these parts of
-// the bound on a frame: a control node stands on a machine of its own, a proxy's
-// links carry jobs.
+// The number of bytes that a replica sends in refills per heartbeat is the maximum frame
+// size divided by one of these. Control-plane nodes send more, because they run on
+// machines of their own; the links of a proxy also carry requests.
 const (
 	registryShare = 16
 	proxyShare    = 64
 )
 
-// maxRetryHeartbeats is after how many beats who is put off comes again at the latest.
+// maxRetryHeartbeats limits, in heartbeats, the retry delay given to a deferred node.
 const maxRetryHeartbeats = 8
 
-// maxAlternatives is how many fellows that were filled here lately are named to who is put off.
+// maxAlternatives is the maximum number of recently refilled nodes that a deferred node
+// is referred to.
 const maxAlternatives = 4
 
-// transferBudget bounds what one replica hands out in refills and to those who compare. One that came too soon is
-// told when to come again, and who else was filled meanwhile: those fill others
-// in turn, so that all of a crowd are filled in as many beats as it takes to
-// double often enough, and no link is filled by it.
+// transferBudget limits the bytes that one replica sends in refills and repairs. A node
+// that asks while the budget is exhausted is told when to retry and which nodes were
+// refilled meanwhile. Those serve refills in turn, so the number of refilled nodes can
+// double each heartbeat, and many starting nodes do not saturate any link.
 type transferBudget struct {
 	mu            sync.Mutex
 	heartbeat     time.Duration
-	limit         float64 // bytes within a beat
-	available     float64 // of them; below zero what was handed out ahead
+	limit         float64 // bytes per heartbeat
+	available     float64 // bytes left; negative if the last transfer exceeded them
 	updatedAt     time.Time
-	deferred      int // refills put off since a beat began
+	deferred      int // refills deferred since deferredSince
 	deferredSince time.Time
-	recipients    []recipient // the newest last
+	recipients    []recipient // most recent last
 }
 
-// recipient is a fellow that was filled here.
+// recipient is a node that was refilled by this replica.
 type recipient struct{ addr, zone string }
 
 func newTransferBudget(role string, maxFrameBytes int, heartbeat time.Duration) *transferBudget {
@@ -46,68 +47,72 @@
 	return budget
 }
 
-// replenish lets what time has passed count; mu is held.
-func (p *transferBudget) replenish(now time.Time) {
-	if !p.updatedAt.IsZero() {
-		p.available = min(p.limit, p.available+p.limit*float64(now.Sub(p.updatedAt))/float64(p.heartbeat))
+// replenish adds the budget for the time since the last update, up to the limit, and
+// resets the count of deferred refills after each heartbeat. The caller holds mu.
+func (b *transferBudget) replenish(now time.Time) {
+	if !b.updatedAt.IsZero() {
+		b.available = min(b.limit, b.available+b.limit*float64(now.Sub(b.updatedAt))/float64(b.heartbeat))
 	}
-	p.updatedAt = now
-	if now.Sub(p.deferredSince) > p.heartbeat {
-		p.deferredSince, p.deferred = now, 0
+	b.updatedAt = now
+	if now.Sub(b.deferredSince) > b.heartbeat {
+		b.deferredSince, b.deferred = now, 0
 	}
 }
 
-// reserve tells whether a refill of some bytes may go out now, and else after how
-// long to come again. The last tells that there is no room for another.
-func (p *transferBudget) reserve(size int, now time.Time) (ok bool, retryAfter time.Duration, limited bool) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.replenish(now)
-	if p.available > 0 {
-		p.available -= float64(size)
-		return true, 0, p.available <= 0
+// reserve takes the bytes of one refill from the budget if any of it is left. Otherwise
+// it returns the time after which to retry. limited reports that no further refill can be
+// served now.
+func (b *transferBudget) reserve(size int, now time.Time) (ok bool, retryAfter time.Duration, limited bool) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.replenish(now)
+	if b.available > 0 {
+		b.available -= float64(size)
+		return true, 0, b.available <= 0
 	}
-	// Behind those who were put off before it.
-	wait := time.Duration((float64(p.deferred*size) - p.available) / p.limit * float64(p.heartbeat))
-	p.deferred++
-	return false, min(max(wait, p.heartbeat), maxRetryHeartbeats*p.heartbeat), true
+	// Queue this node behind those that were deferred before it.
+	wait := time.Duration((float64(b.deferred*size) - b.available) / b.limit * float64(b.heartbeat))
+	b.deferred++
+	return false, min(max(wait, b.heartbeat), maxRetryHeartbeats*b.heartbeat), true
 }
 
-// hasCapacity tells whether there is any now, spend takes bytes of it.
-func (p *transferBudget) hasCapacity(now time.Time) bool {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.replenish(now)
-	return p.available > 0
+// hasCapacity reports whether any of the budget is left.
+func (b *transferBudget) hasCapacity(now time.Time) bool {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.replenish(now)
+	return b.available > 0
 }
 
-func (p *transferBudget) spend(size int) {
-	p.mu.Lock()
-	p.available -= float64(size)
-	p.mu.Unlock()
+// spend subtracts bytes that were sent.
+func (b *transferBudget) spend(size int) {
+	b.mu.Lock()
+	b.available -= float64(size)
+	b.mu.Unlock()
 }
 
-// recordRecipient notes who was filled.
-func (p *transferBudget) recordRecipient(addr, zone string) {
+// recordRecipient records a refilled node. At most 16*maxAlternatives are kept.
+func (b *transferBudget) recordRecipient(addr, zone string) {
 	if addr == "" {
 		return
 	}
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.recipients = append(p.recipients, recipient{addr, zone})
-	if len(p.recipients) > 16*maxAlternatives {
-		p.recipients = append([]recipient(nil), p.recipients[8*maxAlternatives:]...)
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.recipients = append(b.recipients, recipient{addr, zone})
+	if len(b.recipients) > 16*maxAlternatives {
+		b.recipients = append([]recipient(nil), b.recipients[8*maxAlternatives:]...)
 	}
 }
 
-// recentRecipients gives fellows that were filled here lately, those of an area first.
-func (p *transferBudget) recentRecipients(zone, except string) []string {
-	p.mu.Lock()
-	defer p.mu.Unlock()
+// recentRecipients returns up to maxAlternatives addresses of recently refilled nodes,
+// those of the given zone first.
+func (b *transferBudget) recentRecipients(zone, except string) []string {
+	b.mu.Lock()
+	defer b.mu.Unlock()
 	var out []string
 	for _, sameZone := range []bool{true, false} {
-		for i := len(p.recipients) - 1; i >= 0 && len(out) < maxAlternatives; i-- {
-			if candidate := p.recipients[i]; (candidate.zone == zone) == sameZone && candidate.addr != except {
+		for i := len(b.recipients) - 1; i >= 0 && len(out) < maxAlternatives; i-- {
+			if candidate := b.recipients[i]; (candidate.zone == zone) == sameZone && candidate.addr != except {
 				out = append(out, candidate.addr)
 			}
 		}
--- a/internal/replica/gossip.go
+++ b/internal/replica/gossip.go
@@ -12,20 +12,22 @@
 	"puffincrank/internal/transport"
 )
 
-// gossipItem is one piece of news and its name.
+// gossipItem is one item of gossip: a delta and its ID.
 type gossipItem struct {
 	id    string
 	delta ormap.Delta
 }
 
+// itemID returns the ID of a gossip item: its kind, "a" for an add or "d" for a tombstone,
+// followed by the hash of the dot in base 36.
 func itemID(kind string, dot ormap.Dot) string { return kind + strconv.FormatUint(dot.Hash(), 36) }
 
-// splitItems cuts news up for the gossip, each entry and each grave by itself and
-// under a name made of its dot: however many nodes learn of one at the same
-// time by repair, as all do after a cut, it goes over the tree once. The grave
-// of an entry that a worker's newer one replaces goes with that, so that the
-// worker is never out of the list between the two. A grave of what was not
-// known here stays here: it stands in for an add that may still come.
+// splitItems splits new state into gossip items, one for each entry and each tombstone.
+// Their IDs derive from the dots, so an item that many nodes learn by repair at the same
+// time, as after a network partition, is gossiped once. The tombstone of an entry that a
+// newer one of the same worker replaces is part of the newer item, so that the worker is
+// never absent in between. A tombstone of an entry unknown here is not gossiped; it only
+// blocks an add that may still arrive.
 func splitItems(fresh ormap.Delta, removed []ormap.Entry) []gossipItem {
 	tombstones := map[ormap.Dot]ormap.Tombstone{}
 	for _, tombstone := range fresh.Tombstones {
@@ -58,15 +60,15 @@
 	}
 }
 
-// AnnounceOwn names the own entries to the neighbours.
+// AnnounceOwn announces the IDs of this node's entries to the neighbors.
 func (r *Replica) AnnounceOwn() {
 	for _, e := range r.entries.Live(func(e ormap.Entry) bool { return e.Dot.Node == r.dotNode }) {
 		r.tree.Announce(itemID("a", e.Dot))
 	}
 }
 
-// scheduleFlush sends the names of many pieces that came at once a part of a beat later,
-// with those that come meanwhile.
+// scheduleFlush flushes queued announcements after an eighth of a heartbeat, together
+// with those queued meanwhile.
 func (r *Replica) scheduleFlush() {
 	r.tasks.Go("gossip-soon", func(ctx context.Context) {
 		task.Sleep(ctx, r.heartbeat/8)
@@ -74,7 +76,8 @@
 	})
 }
 
-// scheduleGraft has the tree ask for what is missing before its next tick.
+// scheduleGraft has the tree request missing items after half a heartbeat, which is before
+// its next tick.
 func (r *Replica) scheduleGraft() {
 	r.tasks.Go("gossip-late", func(ctx context.Context) {
 		task.Sleep(ctx, r.heartbeat/2)
@@ -82,7 +85,8 @@
 	})
 }
 
-// encodeItems bundles pieces for a fellow that named them.
+// encodeItems encodes the items that a peer requested. Items without a body are read from
+// the map.
 func (r *Replica) encodeItems(ids []string, bodies [][]byte) []byte {
 	var combined ormap.Delta
 	var missing []uint64
@@ -99,8 +103,9 @@
 	return combined.Encode().Compact
 }
 
-// decodeItems takes in a bundle. Only what replaces another entry is kept as it came;
-// anything else is made anew from the map when a fellow asks for it.
+// decodeItems merges a batch of items and returns those that were new. It returns bodies
+// only for items that replace an entry; others are rebuilt from the map when a peer
+// requests them.
 func (r *Replica) decodeItems(bundle []byte) []plumtree.Item {
 	delta, err := ormap.Delta{Compact: bundle}.Decode()
 	if err != nil {
@@ -117,7 +122,7 @@
 	return items
 }
 
-// rebuildItem makes a piece anew, nil when nothing is known of it.
+// rebuildItem encodes an item from the map; it returns nil if its dot is unknown.
 func (r *Replica) rebuildItem(id string) []byte {
 	hash, ok := hashOfItem(id)
 	if !ok {
@@ -131,7 +136,7 @@
 	return body
 }
 
-// hashOfItem is the hash of the dot that a piece is named by.
+// hashOfItem returns the hash of the dot that an item ID contains.
 func hashOfItem(id string) (uint64, bool) {
 	if len(id) < 2 {
 		return 0, false
@@ -140,8 +145,8 @@
 	return hash, err == nil
 }
 
-// knowsItem tells whether a piece of gossip is in the replica, by its name: an
-// entry that is there or was, a grave that is there.
+// knowsItem reports whether the replica already contains an item: for an add, its live
+// entry or its tombstone; for a removal, the tombstone.
 func (r *Replica) knowsItem(id string) bool {
 	hash, ok := hashOfItem(id)
 	if !ok {
--- a/internal/replica/index.go
+++ b/internal/replica/index.go
@@ -6,10 +6,9 @@
 	"puffincrank/internal/ormap"
 )
 
-// updateIndex keeps the index of services as entries come and go: what a change
-// costs is the length of its own service's list, whatever else there is. The
-// slices are replaced, never changed, so that lookups hand them out as they
-// are. mu is held.
+// updateIndex updates the index of entries by service. The cost of a change depends
+// only on the number of entries of its own service. Slices are replaced and never
+// modified, so that lookups can return them without a copy. The caller holds mu.
 func (r *Replica) updateIndex(added, removed []ormap.Entry) {
 	for _, e := range removed {
 		old := r.index[e.Service]
@@ -34,7 +33,8 @@
 	}
 }
 
-// entriesOfService gives the entries of a service, by their dots; not to be changed.
+// entriesOfService returns the entries of a service in the order of their dots. The
+// caller must not modify the slice.
 func (r *Replica) entriesOfService(service string) []ormap.Entry {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/replica/lookup.go
+++ b/internal/replica/lookup.go
@@ -7,10 +7,10 @@
 	"puffincrank/internal/ormap"
 )
 
-// DefaultRetries is how often a lookup that found nothing is tried again at first.
+// DefaultRetries is the default number of retries of a lookup that found nothing.
 const DefaultRetries = 3
 
-// Local gives the entries of a service that this node owns.
+// Local returns the entries of a service that this node owns.
 func (r *Replica) Local(service string) []ormap.Entry {
 	var out []ormap.Entry
 	for _, e := range r.entriesOfService(service) {
@@ -21,12 +21,12 @@
 	return out
 }
 
-// Lookup gives every entry of a service that this replica knows.
+// Lookup returns all known entries of a service. The caller must not modify the slice.
 func (r *Replica) Lookup(service string) []ormap.Entry { return r.entriesOfService(service) }
 
-// Find gives the single best match: an own one, then one of the own area,
-// then any. It tries again with a short backoff, which covers the time that a
-// fresh registration takes to get here.
+// Find returns the best entry of a service: one of this node if there is any, else one
+// of its zone, else any. If there is none, it retries with a short backoff, which
+// covers the time that a new registration takes to reach this replica.
 func (r *Replica) Find(ctx context.Context, service string, retries int) (ormap.Entry, bool) {
 	for attempt := 0; ; attempt++ {
 		entries := r.entriesOfService(service)
@@ -48,8 +48,8 @@
 	}
 }
 
-// Backoff is the backoff before the lookup is tried again; false means that the
-// time left is over.
+// Backoff waits before the next attempt of a lookup, with exponentially growing delays
+// from an eighth of a heartbeat to two heartbeats. It returns false if ctx ends first.
 func (r *Replica) Backoff(ctx context.Context, attempt int) bool {
 	timer := time.NewTimer(r.heartbeat / 8 << min(attempt, 4))
 	defer timer.Stop()
@@ -61,7 +61,7 @@
 	}
 }
 
-// ReplaceRemote puts what a refill brought in the place of all that others said.
+// ReplaceRemote replaces all entries of other nodes with the state from a refill.
 func (r *Replica) ReplaceRemote(state ormap.Delta) {
 	r.mu.Lock()
 	r.entries.Clear(func(e ormap.Entry) bool { return e.Dot.Node == r.dotNode })
@@ -71,24 +71,24 @@
 	r.apply(state, false)
 }
 
-// Restore adds what was known in an earlier life, and tells nobody: all whose
-// replicas are empty are refilled from here.
+// Restore merges the state saved by an earlier run of this node. It does not gossip the
+// entries: nodes with an empty replica get them by a refill.
 func (r *Replica) Restore(state ormap.Delta) {
 	r.apply(state, false)
-	// Whoever asks from now on is given it, not what was packed just before.
+	// Discard the cached encoding, so that later requests include the restored state.
 	r.stateCache.Lock()
-	r.stateCache.at = time.Time{}
+	r.stateCache.encodedAt = time.Time{}
 	r.stateCache.Unlock()
 }
 
-// OwnRemoved tells whether an own entry was found removed by somebody else.
+// OwnRemoved reports whether an entry of this node was removed by another node.
 func (r *Replica) OwnRemoved(d ormap.Dot) bool { return r.entries.IsTombstoned(d) }
 
-// Dot is the node part of this node's dots.
+// Dot returns the node part of this node's dots: its name and incarnation.
 func (r *Replica) Dot() string { return r.dotNode }
 
-// SetRefillPending tells whether a refill is to come: until then the replica is not
-// compared with any.
+// SetRefillPending sets whether the replica still waits for a refill. While it does, it
+// takes no part in repair and serves no refills.
 func (r *Replica) SetRefillPending(pending bool) {
 	r.mu.Lock()
 	r.refillPending = pending
--- a/internal/replica/refill.go
+++ b/internal/replica/refill.go
@@ -11,44 +11,45 @@
 	"puffincrank/internal/transport"
 )
 
-// stateRequest asks for the whole replica, whoever else does.
+// stateRequest requests the full state, without regard to the transfer budget.
 type stateRequest struct {
-	AcceptsCompact bool `msgpack:"z,omitempty"` // it takes it in its short form
+	AcceptsCompact bool `msgpack:"z,omitempty"` // the reply may be in compact form
 }
 
-// refillRequest asks for the whole replica in its turn.
+// refillRequest requests the full state, subject to the transfer budget.
 type refillRequest struct {
-	InternalAddr string `msgpack:"f"` // the asker's inner address, to be named to others
+	InternalAddr string `msgpack:"f"` // address of the requesting node, to which others can be referred
 }
 
-// refillResponse brings it, or tells when to come again and who may have it too.
+// refillResponse holds the full state, or the time to retry and nodes to try instead.
 type refillResponse struct {
 	State        ormap.Delta `msgpack:"a"`
 	Denied       bool        `msgpack:"n,omitempty"`
-	RetryAfterMS int64       `msgpack:"l,omitempty"` // ms, of a No; 0: there is nothing to be had here now
+	RetryAfterMS int64       `msgpack:"l,omitempty"` // milliseconds, set if Denied; 0: this node cannot serve a refill now
 	Alternatives []string    `msgpack:"t,omitempty"`
-	Limited      bool        `msgpack:"m,omitempty"` // there is no room for another
+	Limited      bool        `msgpack:"m,omitempty"` // no further refill can be served now
 }
 
-// Refill is what came of one.
+// Refill is the result of a refill attempt.
 type Refill struct {
 	Done         bool
-	RetryAfter   time.Duration // when to ask there again, if it wasn't
-	Alternatives []string      // fellows that were filled there
-	Limited      bool          // no more is handed out there in this beat
+	RetryAfter   time.Duration // if not Done: when to ask the same node again
+	Alternatives []string      // nodes that were refilled by the asked node
+	Limited      bool          // the asked node serves no more refills in this heartbeat
 }
 
-// encodedState gives the whole in its short form. It is packed once for all that come
-// at nearly the same time, as after a loss of power: what is news since is no
-// older than gossip on its way, and each compares right after its refill.
+// encodedState returns the full state in compact form. The encoding is cached for a
+// quarter of a heartbeat, so that it is computed once for requests that arrive together,
+// as after a power loss. Updates missing from the cached state are no older than gossip
+// in flight, and each node runs a repair right after its refill.
 func (r *Replica) encodedState() ormap.Delta {
 	r.stateCache.Lock()
 	defer r.stateCache.Unlock()
-	if r.stateCache.at.IsZero() || time.Since(r.stateCache.at) > r.heartbeat/4 {
-		r.stateCache.at = time.Now()
-		r.stateCache.all = r.entries.All().Encode()
+	if r.stateCache.encodedAt.IsZero() || time.Since(r.stateCache.encodedAt) > r.heartbeat/4 {
+		r.stateCache.encodedAt = time.Now()
+		r.stateCache.delta = r.entries.All().Encode()
 	}
-	return r.stateCache.all
+	return r.stateCache.delta
 }
 
 func (r *Replica) handleState(_ context.Context, _ transport.Hello, request stateRequest) (ormap.Delta, error) {
@@ -58,9 +59,9 @@
 	return r.encodedState(), nil
 }
 
-// handleRefill hands out the whole replica, so many bytes in a beat. Who waits for it
-// too, or has no session that stands, has none to give: it may be older than
-// what graves are kept for.
+// handleRefill serves the full state within the transfer budget. A replica that waits for
+// a refill itself, or whose node has no valid session, serves none: its state may be older
+// than the tombstone TTL.
 func (r *Replica) handleRefill(_ context.Context, from transport.Hello, request refillRequest) (refillResponse, error) {
 	if r.isRefillPending() || !r.isComplete() {
 		return refillResponse{Denied: true}, nil
@@ -74,8 +75,8 @@
 	return refillResponse{State: state, Limited: limited}, nil
 }
 
-// SetCompleteUntil says that until a time this replica is in touch with the mesh, and may
-// fill others.
+// SetCompleteUntil sets the time until which this replica counts as connected to the
+// cluster and may serve refills.
 func (r *Replica) SetCompleteUntil(until time.Time) {
 	r.mu.Lock()
 	r.completeUntil = until
@@ -88,12 +89,12 @@
 	return time.Now().Before(r.completeUntil)
 }
 
-// Refill drops what others said long ago and pulls all from a fellow, if it is
-// this node's turn there. Own entries stay.
+// Refill fetches the full state from a peer and replaces the entries of other nodes with
+// it, if the transfer budget of the peer allows. Entries of this node are kept.
 func (r *Replica) Refill(ctx context.Context, addr string) (Refill, error) {
 	response, err := transport.Call[refillResponse](ctx, r.node, addr, "replica.fill", refillRequest{InternalAddr: r.self.InternalAddr})
 	if fault.Is(err, fault.Refused) {
-		// One of an earlier version has no turns.
+		// Peers of an earlier version have no transfer budget.
 		response = refillResponse{}
 		response.State, err = transport.Call[ormap.Delta](ctx, r.node, addr, "replica.all", stateRequest{AcceptsCompact: true})
 	}
@@ -115,22 +116,22 @@
 	return result, nil
 }
 
-// HasRefillCapacity tells whether this node may hand out more in this beat.
+// HasRefillCapacity reports whether any of the transfer budget is left.
 func (r *Replica) HasRefillCapacity() bool { return r.budget.hasCapacity(time.Now()) }
 
-// RecordRefillBytes notes how many bytes it handed out.
+// RecordRefillBytes subtracts bytes sent by the caller from the transfer budget.
 func (r *Replica) RecordRefillBytes(size int) { r.budget.spend(size) }
 
-// RecordRefill notes whom it handed a refill, and in which area.
+// RecordRefill records a node that the caller refilled, and its zone.
 func (r *Replica) RecordRefill(addr, zone string) { r.budget.recordRecipient(addr, zone) }
 
-// RefilledNodes names who was given what others still wait for, those of an area first.
+// RefilledNodes returns addresses of recently refilled nodes, those of the zone first.
 func (r *Replica) RefilledNodes(zone, except string) []string {
 	return r.budget.recentRecipients(zone, except)
 }
 
-// RandomProxy draws a proxy of an area, of any without one; empty when the draws
-// found none.
+// RandomProxy returns the address of a random proxy in a zone, or in any zone for "". It
+// returns "" if four draws found none.
 func (r *Replica) RandomProxy(zone string) string {
 	r.mu.Lock()
 	peers := r.peers
--- a/internal/replica/repair.go
+++ b/internal/replica/repair.go
@@ -13,7 +13,7 @@
 type digestRequest struct {
 	Combined   uint64   `msgpack:"t"`
 	Ranges     []uint64 `msgpack:"a,omitempty"`
-	HashesOnly bool     `msgpack:"f,omitempty"` // the hashes of what is in the ranges, not the entries
+	HashesOnly bool     `msgpack:"f,omitempty"` // return the hashes of the entries in the ranges, not the entries
 }
 
 type digestResponse struct {
@@ -22,33 +22,33 @@
 	Delta      ormap.Delta `msgpack:"p"`
 	HashesOnly bool        `msgpack:"f,omitempty"`
 	Hashes     []uint64    `msgpack:"h,omitempty"`
-	Busy       bool        `msgpack:"b,omitempty"` // with Same: more was handed out than there is room for, ask another
+	Busy       bool        `msgpack:"b,omitempty"` // set with Same: the transfer budget is exhausted, ask another peer
 }
 
-// encodedHashBytes is about the bytes of one hash as it travels.
+// encodedHashBytes is the approximate size of one hash on the wire.
 const encodedHashBytes = 9
 
-// errBusy says that a fellow has handed out all that it may in this beat.
-var errBusy = fault.New(fault.Refused, "more was asked for than is handed out in a beat")
+// errBusy is returned by Repair if the transfer budget of the peer is exhausted.
+var errBusy = fault.New(fault.Refused, "the peer has exhausted its transfer budget for this heartbeat")
 
-// exchangeRequest gives a fellow what it lacks and asks for what is lacking here.
+// exchangeRequest sends the entries that the peer lacks and requests those missing here.
 type exchangeRequest struct {
 	Want           []uint64    `msgpack:"w"`
 	Give           ormap.Delta `msgpack:"g"`
-	AcceptsCompact bool        `msgpack:"z,omitempty"` // it takes the answer in its short form
+	AcceptsCompact bool        `msgpack:"z,omitempty"` // the reply may be in compact form
 }
 
 func (r *Replica) handleDigest(_ context.Context, _ transport.Hello, request digestRequest) (digestResponse, error) {
 	own := r.entries.Digests()
-	// Who waits for its refill lacks all, and would be given it by each fellow.
+	// A replica that waits for a refill differs in everything; each peer would send it all.
 	if ormap.CombineDigests(own) == request.Combined || r.isRefillPending() {
 		return digestResponse{Same: true}, nil
 	}
-	// Without the ranges the asker only wanted to know whether all is equal.
+	// Without range digests the peer only asks whether the replicas are equal.
 	if len(request.Ranges) != ormap.Ranges {
 		return digestResponse{}, nil
 	}
-	// Many that start would each be told nearly all by the same one.
+	// When many nodes start at once, each would fetch nearly everything from this replica.
 	if !r.budget.hasCapacity(time.Now()) {
 		return digestResponse{Same: true, Busy: true}, nil
 	}
@@ -81,8 +81,8 @@
 	return reply, nil
 }
 
-// repair compares digests with one fellow at a time: mostly one of the own
-// area, now and then any, since bytes between areas are dear.
+// repair runs anti-entropy with one random peer. Two of three rounds choose a peer of the
+// own zone, since traffic between zones is expensive; every third round chooses any.
 func (r *Replica) repair(ctx context.Context) {
 	r.Collect()
 	r.mu.Lock()
@@ -92,7 +92,7 @@
 		zone = ""
 	}
 	r.mu.Unlock()
-	// One that draws itself in a small area draws again.
+	// Draw again if the draw hits this node, as is likely in a small zone.
 	for range 4 {
 		if peer := peers.Random(zone, rand.IntN); peer != nil && peer.Node != r.self.Node {
 			ctx, cancel := context.WithTimeout(ctx, 5*r.heartbeat)
@@ -103,9 +103,9 @@
 	}
 }
 
-// Repair compares with one fellow and merges what differs, both ways: digests of
-// all, then of the ranges, then the names of what is in those that differ, and
-// only what one of the two lacks travels whole.
+// Repair synchronizes this replica with one peer in both directions. It compares the
+// combined digest, then the digests of the ranges, then the hashes of the entries in the
+// ranges that differ; only entries that one side lacks are transferred.
 func (r *Replica) Repair(ctx context.Context, addr string) error {
 	if r.isRefillPending() {
 		return nil
@@ -127,7 +127,7 @@
 	r.RepairCount++
 	r.mu.Unlock()
 	if !response.HashesOnly {
-		// A fellow of an earlier version sends the ranges whole.
+		// Peers of an earlier version send all entries of the ranges.
 		reply := r.entries.RangeDelta(response.Differ)
 		r.apply(response.Delta, true)
 		_, err = transport.Call[struct{}](ctx, r.node, addr, "replica.mend", reply)
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -1,5 +1,5 @@
-// Package replica is the service registry that runs inside every node: its
-// OR-Map, the deltas over the gossip tree, the lookups, the events, and repair.
+// Package replica is each node's copy of the service registry: its OR-Map, gossip of
+// deltas, lookups, change events, refill of an empty copy, and anti-entropy repair.
 package replica
 
 import (
@@ -17,14 +17,14 @@
 	"puffincrank/internal/transport"
 )
 
-// Event is what subscribers hear: registered, unregistered or down.
+// Event is a change of an entry; its kind is registered, unregistered or down.
 type Event struct {
 	Kind   string
 	Entry  ormap.Entry
 	Reason string
 }
 
-// Replica is one node's copy. Lock order: mu before the map's own lock.
+// Replica is one node's copy of the registry. Lock order: registerMu, mu, the map's lock.
 type Replica struct {
 	self         membership.Member
 	node         *transport.Node
@@ -40,21 +40,21 @@
 	mu           sync.Mutex
 	subscribers  []func(Event)
 	peers        *membership.List
-	neighbors    map[string]bool          // the fellows of the overlay, with their starts
-	index        map[string][]ormap.Entry // service to its entries by dot; a slice is never changed
+	neighbors    map[string]bool          // overlay neighbors as node#incarnation
+	index        map[string][]ormap.Entry // service to its entries by dot; slices are never modified
 	repairRound  int
 	stateCache   struct {
 		sync.Mutex
-		at  time.Time
-		all ormap.Delta // all of the map then, packed
+		encodedAt time.Time
+		delta     ormap.Delta // the full state at encodedAt, in compact form
 	}
-	refillPending bool      // the refill has not come yet
-	completeUntil time.Time // until when it is in touch with the mesh, for certain
+	refillPending bool      // no refill has completed yet
+	completeUntil time.Time // time until which the node certainly counts as connected
 	budget        *transferBudget
 	RepairCount   int64
 }
 
-// New makes an empty replica; Start opens it to the fellows.
+// New creates an empty replica and registers its message handlers and periodic tasks.
 func New(self membership.Member, node *transport.Node, tasks *task.Group, log *event.Log, clock *hlc.Clock, heartbeat, repairInterval, tombstoneTTL time.Duration) *Replica {
 	r := &Replica{self: self, node: node, tasks: tasks, log: log, clock: clock, entries: ormap.New(), dotNode: self.Node + "#" + self.Incarnation, heartbeat: heartbeat, tombstoneTTL: tombstoneTTL, index: map[string][]ormap.Entry{}, peers: &membership.List{}}
 	r.budget = newTransferBudget(self.Role, node.MaxFrameBytes, heartbeat)
@@ -78,7 +78,7 @@
 }
 
 func (r *Replica) sendGossip(to string, message plumtree.Message) {
-	// From its own goroutine: a dial to a dead fellow must not hold up the rest.
+	// In its own goroutine: a dial to a dead peer must not delay other messages.
 	r.tasks.Go("gossip-send", func(ctx context.Context) {
 		ctx, cancel := context.WithTimeout(ctx, 5*r.heartbeat)
 		defer cancel()
@@ -91,8 +91,9 @@
 	return transport.Decode(body, &d) == nil && r.apply(d, false)
 }
 
-// apply merges a delta, tells the subscribers, and gossips on what came by
-// another way than the tree; false means that nothing of it was new.
+// apply merges a delta and notifies the subscribers. With broadcast set, it also gossips
+// what was new, as needed for deltas that did not arrive by gossip. It returns false if
+// nothing was new.
 func (r *Replica) apply(d ormap.Delta, broadcast bool) bool {
 	fresh, removed := r.merge(d)
 	if broadcast {
@@ -101,8 +102,8 @@
 	return !fresh.Empty()
 }
 
-// merge takes in a delta and tells the subscribers; given back are what was new
-// and the entries that are removed by it.
+// merge merges a delta and notifies the subscribers. It returns what was new and the
+// entries that were removed.
 func (r *Replica) merge(d ormap.Delta) (ormap.Delta, []ormap.Entry) {
 	reasons := map[ormap.Dot]string{}
 	for _, tombstone := range d.Tombstones {
@@ -112,8 +113,7 @@
 	for _, e := range d.Adds {
 		r.clock.Observe(e.Dot.Stamp)
 	}
-	// Both at once: the index must not see two merges in another order than
-	// the map did.
+	// Under one lock, so that the index sees concurrent merges in the map's order.
 	r.mu.Lock()
 	fresh, added, removed := r.entries.Merge(d)
 	r.updateIndex(added, removed)
@@ -138,16 +138,16 @@
 	}
 }
 
-// Subscribe adds a listener of events.
+// Subscribe adds a function to call with each event.
 func (r *Replica) Subscribe(subscriber func(Event)) {
 	r.mu.Lock()
 	r.subscribers = append(r.subscribers, subscriber)
 	r.mu.Unlock()
 }
 
-// Register inserts an entry of this node with a fresh dot. Older entries of
-// the same worker that were observed here go in the same delta. Two at once
-// would not observe each other and leave two entries, so they take turns.
+// Register adds an entry of this node with a new dot and removes older observed entries
+// of the worker in the same delta. Registrations are serialized: concurrent ones would
+// not observe each other and leave two entries.
 func (r *Replica) Register(service, worker string, meta map[string]string) ormap.Entry {
 	r.registerMu.Lock()
 	defer r.registerMu.Unlock()
@@ -159,43 +159,43 @@
 	return e
 }
 
-// Remove buries the observed entries of a worker of this node.
+// Remove tombstones the observed entries of a worker of this node.
 func (r *Replica) Remove(worker, reason string) {
 	r.apply(r.entries.RemovalDelta(reason, func(e ormap.Entry) bool { return e.Worker == worker && e.Owner == r.self.Node }), true)
 }
 
-// SignOffWorker removes a worker's registrations of this node and tells all that the
-// worker is gone for good. Where none is known there is nothing to tell by; false
-// means that.
+// SignOffWorker removes a worker's registrations at this node and announces that the
+// worker has left for good. It returns false if no registration is known, since then
+// there is no tombstone to announce it with.
 func (r *Replica) SignOffWorker(worker, reason string) bool {
 	d := r.entries.DepartureDelta(worker, reason, func(e ormap.Entry) bool { return e.Owner == r.self.Node })
 	r.apply(d, true)
 	return len(d.Tombstones) > 0
 }
 
-// EntriesOf gives what is known of a worker of this node: its registrations, and
-// that it is gone for good.
+// EntriesOf returns the registrations of a worker at this node, and the tombstones that
+// mark the worker as gone for good.
 func (r *Replica) EntriesOf(worker string) ormap.Delta {
 	live := r.entries.Live(func(e ormap.Entry) bool { return e.Worker == worker && e.Owner == r.self.Node })
 	return ormap.Delta{Adds: live, Tombstones: r.entries.Departures(worker)}
 }
 
-// Accept takes in what a node says of its worker, and spreads what was news.
+// Accept merges a delta that a node sent about its worker, and gossips what was new.
 func (r *Replica) Accept(d ormap.Delta) { r.apply(d, true) }
 
-// RetireNode buries the observed entries of a dead node; the count is given back.
+// RetireNode tombstones the selected entries of a dead node and returns their number.
 func (r *Replica) RetireNode(node string, pick func(ormap.Entry) bool) int {
 	d := r.entries.RemovalDelta("retired", func(e ormap.Entry) bool { return e.Owner == node && pick(e) })
 	r.apply(d, true)
 	return len(d.Tombstones)
 }
 
-// SetMembers sets the mesh's nodes.
+// SetMembers sets the members of the cluster.
 func (r *Replica) SetMembers(members *membership.List) {
 	neighbors := members.Neighbors(r.self.Node)
 	r.mu.Lock()
-	// Many that come at once are still telling of themselves: what is on its
-	// way would be found to differ over each link.
+	// Many nodes that join at once are still announcing their entries; an immediate
+	// repair would transfer entries in flight over each link again.
 	burst := members.Len()-r.peers.Len() > plumtree.MaxEagerBurst
 	r.peers = members
 	previous := r.neighbors
@@ -205,14 +205,14 @@
 		addrs = append(addrs, peer.InternalAddr)
 		key := peer.Node + "#" + peer.Incarnation
 		r.neighbors[key] = true
-		// One of the two is enough.
+		// One end of a new link starts the repair.
 		if !previous[key] && r.self.Node < peer.Node {
 			added = append(added, peer.InternalAddr)
 		}
 	}
 	r.mu.Unlock()
 	r.tree.SetNeighbors(addrs)
-	// What was told before a link stood did not go over it.
+	// Items gossiped before a link existed were not sent over it.
 	for _, addr := range added {
 		r.tasks.Go("mend-link", func(ctx context.Context) {
 			if burst {
@@ -225,16 +225,16 @@
 	}
 }
 
-// Collect drops old tombstones.
+// Collect drops tombstones older than the tombstone TTL and returns their number.
 func (r *Replica) Collect() int { return r.entries.Collect(r.tombstoneTTL) }
 
-// Map gives the replica itself, to read.
+// Map returns the underlying map, for reading.
 func (r *Replica) Map() *ormap.Map { return r.entries }
 
-// Tree gives the gossip tree, to read its counts.
+// Tree returns the gossip tree, for reading its counters.
 func (r *Replica) Tree() *plumtree.Tree { return r.tree }
 
-// Services lists the names that have entries.
+// Services returns the sorted names of the services that have entries.
 func (r *Replica) Services() []string {
 	seen := map[string]bool{}
 	var names []string
