--- a/internal/membership/encode_test.go
+++ b/internal/membership/encode_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-// TestDiffEncodeDecode: whatever came and went, the short form opens to the same.
+// TestDiffEncodeDecode checks that decoding an encoded difference returns the same.
 func TestDiffEncodeDecode(t *testing.T) {
 	addr := rapid.SampledFrom([]string{"", "10.0.0.1:1", "10.0.0.1:2", "10.0.0.2:1", ":1", "h"})
 	rapid.Check(t, func(t *rapid.T) {
@@ -27,11 +27,11 @@
 		}
 	})
 	if _, err := DecodeDiff([]byte("no")); err == nil {
-		t.Error("what is no short form was opened")
+		t.Error("malformed input was decoded")
 	}
 }
 
-// BenchmarkDiffEncode is a whole list of members packed, with drawn starts.
+// BenchmarkDiffEncode measures the encoding of full member lists with random incarnations.
 func BenchmarkDiffEncode(b *testing.B) {
 	for _, n := range []int{1000, 3000, 10000, 24000} {
 		var d Diff
--- a/internal/membership/overlay_test.go
+++ b/internal/membership/overlay_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// testList makes a book of n nodes in some areas.
+// testList creates a list of n nodes, evenly divided into zones.
 func testList(n, zones int) *List {
 	var members []Member
 	for i := range n {
@@ -16,119 +16,119 @@
 	return NewList(members)
 }
 
-// neighborMap gives the links of all nodes, and checks that they go both ways.
-func neighborMap(t *testing.T, b *List) map[string][]string {
+// neighborMap returns the links of all nodes, and checks that they are bidirectional.
+func neighborMap(t *testing.T, list *List) map[string][]string {
 	t.Helper()
 	links := map[string][]string{}
 	directed := map[[2]string]bool{}
-	for _, f := range b.members {
-		for _, o := range b.Neighbors(f.Node) {
-			links[f.Node] = append(links[f.Node], o.Node)
-			directed[[2]string{f.Node, o.Node}] = true
+	for _, member := range list.members {
+		for _, peer := range list.Neighbors(member.Node) {
+			links[member.Node] = append(links[member.Node], peer.Node)
+			directed[[2]string{member.Node, peer.Node}] = true
 		}
 	}
 	for k := range directed {
 		if k[0] == k[1] || !directed[[2]string{k[1], k[0]}] {
-			t.Fatalf("%v goes one way only", k)
+			t.Fatalf("link %v is not bidirectional", k)
 		}
 	}
 	return links
 }
 
-// reach gives how far the furthest node is from one, and how many are reached
-// without those that are gone.
-func reach(links map[string][]string, from string, gone map[string]bool) (far, reached int) {
+// reach returns the distance from a node to the farthest one, and the number of nodes that
+// are reached without passing through failed ones.
+func reach(links map[string][]string, from string, failed map[string]bool) (distance, reached int) {
 	seen := map[string]bool{from: true}
-	for frontier := []string{from}; len(frontier) > 0; far++ {
+	for frontier := []string{from}; len(frontier) > 0; distance++ {
 		var next []string
-		for _, n := range frontier {
-			for _, o := range links[n] {
-				if !seen[o] && !gone[o] {
-					seen[o] = true
-					next = append(next, o)
+		for _, node := range frontier {
+			for _, peer := range links[node] {
+				if !seen[peer] && !failed[peer] {
+					seen[peer] = true
+					next = append(next, peer)
 				}
 			}
 		}
 		frontier = next
 	}
-	return far - 1, len(seen)
+	return distance - 1, len(seen)
 }
 
-// TestOverlayGrowth: within an area hops and links grow as the logarithm of the
-// nodes. With steps of one and two only, the hops were a quarter of them.
+// TestOverlayGrowth checks that hops and links within a zone grow with the logarithm of the
+// number of nodes. Without chords, the hops would grow to a quarter of that number.
 func TestOverlayGrowth(t *testing.T) {
 	for _, n := range []int{2, 3, 5, 8, 24, 60, 240, 960, 3000} {
 		links := neighborMap(t, testList(n, 1))
-		most, sum := 0, 0
-		for _, l := range links {
-			most, sum = max(most, len(l)), sum+len(l)
+		maxLinks, totalLinks := 0, 0
+		for _, neighbors := range links {
+			maxLinks, totalLinks = max(maxLinks, len(neighbors)), totalLinks+len(neighbors)
 		}
-		far := 0
+		farthest := 0
 		for i := range min(n, 20) {
-			h, all := reach(links, fmt.Sprintf("node-%05d", i*n/20%n), nil)
-			if all != n {
-				t.Fatalf("%d of %d are reached", all, n)
+			distance, reached := reach(links, fmt.Sprintf("node-%05d", i*n/20%n), nil)
+			if reached != n {
+				t.Fatalf("%d of %d nodes are reached", reached, n)
 			}
-			far = max(far, h)
+			farthest = max(farthest, distance)
 		}
 		log := math.Log2(float64(n))
-		t.Logf("%5d nodes: %2d hops, links %.1f in the mean, %d at the most", n, far, float64(sum)/float64(n), most)
-		if float64(far) > 1+1.2*log || float64(sum)/float64(n) > 4+1.2*log || float64(most) > 8+4*log {
+		t.Logf("%5d nodes: %2d hops, %.1f links on average, %d at most", n, farthest, float64(totalLinks)/float64(n), maxLinks)
+		if float64(farthest) > 1+1.2*log || float64(totalLinks)/float64(n) > 4+1.2*log || float64(maxLinks) > 8+4*log {
 			t.Errorf("%d nodes: hops or links grow faster than the logarithm", n)
 		}
 	}
 }
 
-// TestOverlayConnected: areas stay joined, and all that are left stay together when
-// any one node falls out, and nearly all when a tenth do at once.
+// TestOverlayConnected checks that the overlay connects all zones, that it stays connected
+// when any one node fails, and nearly so when a tenth of the nodes fail at once.
 func TestOverlayConnected(t *testing.T) {
-	b := testList(300, 10)
-	links := neighborMap(t, b)
-	if far, all := reach(links, "node-00000", nil); all != 300 || far > 12 {
-		t.Errorf("%d reached after %d hops", all, far)
+	list := testList(300, 10)
+	links := neighborMap(t, list)
+	if distance, reached := reach(links, "node-00000", nil); reached != 300 || distance > 12 {
+		t.Errorf("%d nodes reached after %d hops", reached, distance)
 	}
 	for i := range 300 {
 		failed := fmt.Sprintf("node-%05d", i)
-		if _, all := reach(links, fmt.Sprintf("node-%05d", (i+1)%300), map[string]bool{failed: true}); all != 299 {
-			t.Errorf("without %s only %d are reached", failed, all)
+		if _, reached := reach(links, fmt.Sprintf("node-%05d", (i+1)%300), map[string]bool{failed: true}); reached != 299 {
+			t.Errorf("without %s only %d nodes are reached", failed, reached)
 		}
 	}
 	rnd := rand.New(rand.NewPCG(5, 6))
 	for range 50 {
-		gone := map[string]bool{}
-		for len(gone) < 30 {
-			gone[fmt.Sprintf("node-%05d", 1+rnd.IntN(299))] = true
+		failedNodes := map[string]bool{}
+		for len(failedNodes) < 30 {
+			failedNodes[fmt.Sprintf("node-%05d", 1+rnd.IntN(299))] = true
 		}
-		if _, all := reach(links, "node-00000", gone); all < 270*95/100 {
-			t.Errorf("%d of 270 are reached when a tenth is gone", all)
+		if _, reached := reach(links, "node-00000", failedNodes); reached < 270*95/100 {
+			t.Errorf("%d of 270 nodes are reached when a tenth has failed", reached)
 		}
 	}
 }
 
-// TestOverlayStability: one node that goes changes the links of few others.
+// TestOverlayStability checks that the removal of one node adds few links between others.
 func TestOverlayStability(t *testing.T) {
-	b := testList(960, 1)
-	linksBefore := neighborMap(t, b)
-	most, sum := 0, 0
+	list := testList(960, 1)
+	linksBefore := neighborMap(t, list)
+	maxNewLinks, totalNewLinks := 0, 0
 	for i := range 40 {
 		removed := fmt.Sprintf("node-%05d", i*24)
-		now := neighborMap(t, b.Apply(nil, []string{removed}))
-		n := 0
-		for a, l := range now {
-			had := map[string]bool{}
-			for _, o := range linksBefore[a] {
-				had[o] = true
+		links := neighborMap(t, list.Apply(nil, []string{removed}))
+		newLinks := 0
+		for node, neighbors := range links {
+			previous := map[string]bool{}
+			for _, peer := range linksBefore[node] {
+				previous[peer] = true
 			}
-			for _, o := range l {
-				if !had[o] {
-					n++
+			for _, peer := range neighbors {
+				if !previous[peer] {
+					newLinks++
 				}
 			}
 		}
-		most, sum = max(most, n/2), sum+n/2
+		maxNewLinks, totalNewLinks = max(maxNewLinks, newLinks/2), totalNewLinks+newLinks/2
 	}
-	t.Logf("new links for a node that goes: %.1f in the mean, %d at the most", float64(sum)/40, most)
-	if most > 40 {
-		t.Errorf("%d new links for one node that went", most)
+	t.Logf("new links after the removal of a node: %.1f on average, %d at most", float64(totalNewLinks)/40, maxNewLinks)
+	if maxNewLinks > 40 {
+		t.Errorf("%d new links after the removal of one node", maxNewLinks)
 	}
 }
--- a/internal/ormap/compact_test.go
+++ b/internal/ormap/compact_test.go
@@ -12,7 +12,7 @@
 	"puffincrank/internal/hlc"
 )
 
-// TestEncodeDecode: whatever a delta holds, its short form opens to the same.
+// TestEncodeDecode checks that decoding an encoded delta returns the same contents.
 func TestEncodeDecode(t *testing.T) {
 	text := rapid.OneOf(rapid.String(), rapid.SampledFrom([]string{"", "a", "a#b", "\x01", "\x01a", "10.0.0.1:7"}))
 	rapid.Check(t, func(t *rapid.T) {
@@ -43,18 +43,18 @@
 	})
 }
 
-// TestDecodeTruncated: what is no short form is refused.
+// TestDecodeTruncated checks that a truncated encoding is rejected.
 func TestDecodeTruncated(t *testing.T) {
 	encoded := Delta{Adds: []Entry{{Dot: Dot{"n#s", hlc.Stamp{Wall: 5}}}}}.Encode().Compact
 	for i := range encoded {
 		if d, err := (Delta{Compact: encoded[:i]}).Decode(); i > 0 && err == nil {
-			t.Errorf("cut at %d it gave %v", i, d)
+			t.Errorf("truncated to %d bytes it decoded to %v", i, d)
 		}
 	}
 }
 
-// randomDelta is a mesh's entries with names and addresses as nodes have them, their
-// starts and times drawn.
+// randomDelta returns the entries of a cluster of n nodes, with typical names and addresses
+// and random incarnations and times.
 func randomDelta(n int) Delta {
 	var d Delta
 	for i := range n {
@@ -66,31 +66,31 @@
 	return d
 }
 
-// TestEncodedSize: an entry takes a quarter of its long form at the most.
+// TestEncodedSize checks that the compact form is at most a quarter of the full size.
 func TestEncodedSize(t *testing.T) {
 	d := randomDelta(2000)
-	long, _ := msgpack.Marshal(d)
-	short, _ := msgpack.Marshal(d.Encode())
-	t.Logf("%d and %d B for an entry", len(long)/2000, len(short)/2000)
-	if 4*len(short) > len(long) {
-		t.Errorf("%d B of %d", len(short), len(long))
+	full, _ := msgpack.Marshal(d)
+	compact, _ := msgpack.Marshal(d.Encode())
+	t.Logf("%d B per entry in full, %d B in compact form", len(full)/2000, len(compact)/2000)
+	if 4*len(compact) > len(full) {
+		t.Errorf("compact form has %d B, full form %d B", len(compact), len(full))
 	}
 }
 
-// BenchmarkEncodeDecode is a whole map packed, and opened, at several sizes.
+// BenchmarkEncodeDecode measures encoding and decoding of full maps of several sizes.
 func BenchmarkEncodeDecode(b *testing.B) {
 	for _, n := range []int{1000, 3000, 10000, 24000} {
 		d := randomDelta(n)
-		short := d.Encode()
+		compact := d.Encode()
 		b.Run(fmt.Sprint("pack", n), func(b *testing.B) {
 			for b.Loop() {
 				d.Encode()
 			}
-			b.ReportMetric(float64(len(short.Compact))/float64(n), "B/entry")
+			b.ReportMetric(float64(len(compact.Compact))/float64(n), "B/entry")
 		})
 		b.Run(fmt.Sprint("open", n), func(b *testing.B) {
 			for b.Loop() {
-				if _, err := short.Decode(); err != nil {
+				if _, err := compact.Decode(); err != nil {
 					b.Fatal(err)
 				}
 			}
--- a/internal/ormap/ormap_test.go
+++ b/internal/ormap/ormap_test.go
@@ -10,13 +10,13 @@
 	"puffincrank/internal/hlc"
 )
 
-// op draws one step of a history at one of three nodes: an add with a fresh
-// dot, or a remove of what that node has observed of a service.
+// history runs operations on several replicas together with a plain model. An operation
+// is an add with a new dot, or a remove of the entries of a service that the node observed.
 type history struct {
 	maps    []*Map
-	deltas  [][]Delta // deltas that each node made
+	deltas  [][]Delta // deltas created by each node
 	count   int64
-	added   []map[Dot]bool // dots added and removed, per node: the plain model
+	added   []map[Dot]bool // the model: dots added and removed, by node
 	removed []map[Dot]bool
 }
 
@@ -31,31 +31,31 @@
 	return h
 }
 
-func (h *history) add(at int, service string) {
+func (h *history) add(node int, service string) {
 	h.count++
-	d := Delta{Adds: []Entry{{Dot: Dot{Node: fmt.Sprint("n", at), Stamp: hlc.Stamp{Wall: h.count}}, Service: service}}}
-	h.maps[at].Merge(d)
-	h.added[at][d.Adds[0].Dot] = true
-	h.deltas[at] = append(h.deltas[at], d)
+	d := Delta{Adds: []Entry{{Dot: Dot{Node: fmt.Sprint("n", node), Stamp: hlc.Stamp{Wall: h.count}}, Service: service}}}
+	h.maps[node].Merge(d)
+	h.added[node][d.Adds[0].Dot] = true
+	h.deltas[node] = append(h.deltas[node], d)
 }
 
-func (h *history) remove(at int, service string) {
-	d := h.maps[at].RemovalDelta("x", func(e Entry) bool { return e.Service == service })
-	h.maps[at].Merge(d)
-	for _, g := range d.Tombstones {
-		h.removed[at][g.Dot] = true
+func (h *history) remove(node int, service string) {
+	d := h.maps[node].RemovalDelta("x", func(e Entry) bool { return e.Service == service })
+	h.maps[node].Merge(d)
+	for _, tombstone := range d.Tombstones {
+		h.removed[node][tombstone.Dot] = true
 	}
-	h.deltas[at] = append(h.deltas[at], d)
+	h.deltas[node] = append(h.deltas[node], d)
 }
 
-func (h *history) deliver(from, to, k int) {
-	d := h.deltas[from][k]
+func (h *history) deliver(from, to, index int) {
+	d := h.deltas[from][index]
 	h.maps[to].Merge(d)
 	for _, e := range d.Adds {
 		h.added[to][e.Dot] = true
 	}
-	for _, g := range d.Tombstones {
-		h.removed[to][g.Dot] = true
+	for _, tombstone := range d.Tombstones {
+		h.removed[to][tombstone.Dot] = true
 	}
 }
 
@@ -67,22 +67,22 @@
 	return out
 }
 
-// TestModel plays histories against a plain model, with deltas delivered in
-// any order and more than once; at the end all replicas are equal.
+// TestModel compares replicas with a plain model, with deltas delivered in any order and
+// more than once. After all deltas are delivered, all replicas are equal.
 func TestModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		h := newHistory(3)
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
-			at := rapid.IntRange(0, 2).Draw(t, "at")
+			node := rapid.IntRange(0, 2).Draw(t, "at")
 			service := rapid.SampledFrom([]string{"a", "b"}).Draw(t, "service")
 			switch rapid.IntRange(0, 3).Draw(t, "op") {
 			case 0, 1:
-				h.add(at, service)
+				h.add(node, service)
 			case 2:
-				h.remove(at, service)
+				h.remove(node, service)
 			case 3:
-				if n := len(h.deltas[at]); n > 0 {
-					h.deliver(at, rapid.IntRange(0, 2).Draw(t, "to"), rapid.IntRange(0, n-1).Draw(t, "which"))
+				if n := len(h.deltas[node]); n > 0 {
+					h.deliver(node, rapid.IntRange(0, 2).Draw(t, "to"), rapid.IntRange(0, n-1).Draw(t, "which"))
 				}
 			}
 			for i, m := range h.maps {
@@ -100,8 +100,8 @@
 		for from := range 3 {
 			order := rapid.Permutation(indexes(len(h.deltas[from]))).Draw(t, "order")
 			for to := range 3 {
-				for _, k := range order {
-					h.deliver(from, to, k)
+				for _, index := range order {
+					h.deliver(from, to, index)
 				}
 			}
 		}
@@ -121,7 +121,7 @@
 	return out
 }
 
-// TestMergeProperties: merge is commutative, associative and idempotent.
+// TestMergeProperties checks that merge is commutative, associative and idempotent.
 func TestMergeProperties(t *testing.T) {
 	delta := rapid.Custom(func(t *rapid.T) Delta {
 		var d Delta
@@ -167,16 +167,16 @@
 	return out
 }
 
-// TestRangeRepair: mending the ranges whose digests differ makes replicas equal.
+// TestRangeRepair checks that repairing the ranges whose digests differ makes replicas equal.
 func TestRangeRepair(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		h := newHistory(2)
 		for range rapid.IntRange(0, 40).Draw(t, "n") {
-			at := rapid.IntRange(0, 1).Draw(t, "at")
+			node := rapid.IntRange(0, 1).Draw(t, "at")
 			if rapid.Bool().Draw(t, "add") {
-				h.add(at, "s")
+				h.add(node, "s")
 			} else {
-				h.remove(at, "s")
+				h.remove(node, "s")
 			}
 		}
 		a, b := h.maps[0], h.maps[1]
@@ -186,7 +186,7 @@
 				differ = append(differ, i)
 			}
 		}
-		// Both ways of mending, on replicas that were equal to these.
+		// Test both repair methods: full ranges on a and b, hashes on the equal c and d.
 		c, d := New(), New()
 		c.Merge(a.All())
 		d.Merge(b.All())
@@ -194,22 +194,23 @@
 		a.Merge(fromB)
 		b.Merge(fromA)
 		if !reflect.DeepEqual(liveDots(a), liveDots(b)) {
-			t.Fatal("mended replicas differ")
+			t.Fatal("repaired replicas differ")
 		}
 		want, give := c.Compare(differ, d.Hashes(differ))
-		back := d.Answer(want, give.Adds)
+		reply := d.Answer(want, give.Adds)
 		d.Merge(give)
-		c.Merge(back)
+		c.Merge(reply)
 		if !reflect.DeepEqual(liveDots(c), liveDots(a)) || !reflect.DeepEqual(liveDots(d), liveDots(a)) {
-			t.Fatalf("by name: %v and %v, by parts: %v", liveDots(c), liveDots(d), liveDots(a))
+			t.Fatalf("repaired by hashes: %v and %v, by full ranges: %v", liveDots(c), liveDots(d), liveDots(a))
 		}
-		if len(give.Adds)+len(back.Adds) > len(fromA.Adds)+len(fromB.Adds) {
-			t.Fatal("more travelled than by parts")
+		if len(give.Adds)+len(reply.Adds) > len(fromA.Adds)+len(fromB.Adds) {
+			t.Fatal("repair by hashes transferred more entries than full ranges")
 		}
 	})
 }
 
-// TestDigests: the digests kept are those of the entries, whatever came and went.
+// TestDigests checks that the incrementally updated digests match the live entries after any
+// changes.
 func TestDigests(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		h := newHistory(1)
@@ -225,7 +226,7 @@
 			rebuilt := New()
 			rebuilt.Merge(h.maps[0].All())
 			if !reflect.DeepEqual(rebuilt.Digests(), h.maps[0].Digests()) {
-				t.Fatal("digests are not those of the entries")
+				t.Fatal("digests do not match the entries")
 			}
 		}
 	})
--- a/internal/plumtree/announce_test.go
+++ b/internal/plumtree/announce_test.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// TestAnnounce: a piece that was cast while there was nobody to tell is named to the
-// neighbours later, who get it when they ask; it is not cast twice.
+// TestAnnounce checks that an item broadcast before there were neighbors can be announced to
+// them later, that they get it on request, and that a repeated broadcast sends nothing.
 func TestAnnounce(t *testing.T) {
 	var sent []Message
 	tree := New("a", time.Second, time.Minute, func(to string, m Message) {
 		if to != "b" {
-			t.Errorf("%s to %s", m.Kind, to)
+			t.Errorf("unexpected %s message to %s", m.Kind, to)
 		}
 		sent = append(sent, m)
 	}, func([]byte) bool { return true }, func(string) bool { return false })
--- a/internal/plumtree/optimize_test.go
+++ b/internal/plumtree/optimize_test.go
@@ -8,84 +8,86 @@
 	"time"
 )
 
-// measureTree plays 180 pieces of news from anywhere in a mesh of rings with chords and
-// gives the most hops of the last 30, the mean of eager sends for a piece and how
-// many did not come at once. An older version says nothing of hops.
-func measureTree(t *testing.T, olderVersion bool) (maxHops int, sends float64, late int) {
+// measureTree broadcasts 180 items from random nodes of a cluster whose links form a ring
+// with chords. It returns the most hops and the mean number of eager sends per item of the
+// last 30, and how many deliveries of any item needed a tick. Nodes of an older version
+// send no hop counts.
+func measureTree(t *testing.T, olderVersion bool) (maxHops int, sends float64, undelivered int) {
 	synctest.Test(t, func(t *testing.T) {
 		const n = 150
-		m := newCluster(n, 1)
+		c := newCluster(n, 1)
 		for i := range n {
 			var links []string
 			for _, d := range []int{1, 5, 25} {
 				links = append(links, fmt.Sprint((i+d)%n), fmt.Sprint((i+n-d)%n))
 			}
-			m.trees[fmt.Sprint(i)].SetNeighbors(links)
-			m.trees[fmt.Sprint(i)].SetBatching(Batching{})
+			c.trees[fmt.Sprint(i)].SetNeighbors(links)
+			c.trees[fmt.Sprint(i)].SetBatching(Batching{})
 		}
 		rnd := rand.New(rand.NewPCG(5, 8))
-		// What was sent last comes first, as where some links are much longer than others.
+		// Prefer recently sent messages, as if some links were much slower than others.
 		settle := func() {
-			for len(m.queue) > 0 {
-				i := len(m.queue) - 1 - rnd.IntN(min(len(m.queue), 8))
-				message := m.queue[i]
-				m.queue = append(m.queue[:i], m.queue[i+1:]...)
-				if olderVersion && message.message.Kind == "ihave" {
-					message.message.Round = 0
+			for len(c.queue) > 0 {
+				i := len(c.queue) - 1 - rnd.IntN(min(len(c.queue), 8))
+				next := c.queue[i]
+				c.queue = append(c.queue[:i], c.queue[i+1:]...)
+				if olderVersion && next.message.Kind == "ihave" {
+					next.message.Round = 0
 				}
-				m.trees[message.to].Receive(message.message)
+				c.trees[next.to].Receive(next.message)
 			}
 		}
 		var sentBefore int64
 		for k := range 180 {
 			if k == 150 {
-				for _, tree := range m.trees {
+				for _, tree := range c.trees {
 					tree.MaxHops()
 					sentBefore += tree.Count.Eager
 				}
 			}
 			id := fmt.Sprint("x", k)
-			m.trees[fmt.Sprint(rnd.IntN(n))].Broadcast(id, []byte(id))
+			c.trees[fmt.Sprint(rnd.IntN(n))].Broadcast(id, []byte(id))
 			settle()
-			late-- // its source
-			for _, got := range m.received {
+			undelivered-- // its source has it
+			for _, got := range c.received {
 				if got[id] == 0 {
-					late++
+					undelivered++
 				}
 			}
 			<-time.After(700 * time.Millisecond)
-			for _, tree := range m.trees {
+			for _, tree := range c.trees {
 				tree.Tick()
 			}
 			settle()
 		}
-		for name, tree := range m.trees {
+		for name, tree := range c.trees {
 			maxHops = max(maxHops, tree.MaxHops())
 			sends += float64(tree.Count.Eager)
 			for k := range 180 {
-				if m.received[name][fmt.Sprint("x", k)] > 1 {
-					t.Errorf("%s had piece %d twice", name, k)
+				if c.received[name][fmt.Sprint("x", k)] > 1 {
+					t.Errorf("node %s got item %d twice", name, k)
 				}
 			}
 		}
 		sends = (sends - float64(sentBefore)) / 30
 	})
-	return maxHops, sends, late
+	return maxHops, sends, undelivered
 }
 
-// TestOptimizedTree: with hops told along with names the tree turns shallow, costs no
-// more sends, and all pieces come at once; against a version that tells none.
+// TestOptimizedTree compares trees with and without hop counts in announcements. With them
+// the tree is shallower, needs no more sends, and delivers all items without a tick.
 func TestOptimizedTree(t *testing.T) {
 	hopsBefore, sendsBefore, _ := measureTree(t, true)
-	hops, sends, late := measureTree(t, false)
-	t.Logf("%d hops and %.1f sends a piece, before %d and %.1f", hops, sends, hopsBefore, sendsBefore)
-	if hops*3 > hopsBefore*2 || sends > sendsBefore*1.05 || late > 0 {
-		t.Errorf("%d hops of %d, %.1f sends of %.1f, %d late", hops, hopsBefore, sends, sendsBefore, late)
+	hops, sends, undelivered := measureTree(t, false)
+	t.Logf("%d hops and %.1f sends per item, without hop counts %d and %.1f", hops, sends, hopsBefore, sendsBefore)
+	if hops*3 > hopsBefore*2 || sends > sendsBefore*1.05 || undelivered > 0 {
+		t.Errorf("%d hops, without hop counts %d; %.1f sends, without %.1f; %d not delivered at once", hops, hopsBefore, sends, sendsBefore, undelivered)
 	}
 }
 
-// TestOptimizeAnnouncedFirst: a name that comes before its piece counts as well, and who
-// named the piece isn't sent it, which would undo the exchange.
+// TestOptimizeAnnouncedFirst checks that an announcement that arrives before the item also
+// leads to a link swap, and that the item is not sent to the peer that announced it, which
+// would prune the new link.
 func TestOptimizeAnnouncedFirst(t *testing.T) {
 	var sent []outgoing
 	tree := New("me", time.Second, time.Minute, func(to string, m Message) { sent = append(sent, outgoing{to, m}) },
@@ -97,7 +99,7 @@
 		announcedHops, round int
 		want                 string
 	}{
-		// An older node names without hops; two hops more are borne.
+		// Nodes of an older version send no hops; two more hops are tolerated.
 		{"a", 0, 9, "gossip to child"}, {"b", 4, 6, "gossip to child"},
 		{"c", 4, 7, "graft to near, prune to far, gossip to child"},
 	} {
@@ -115,7 +117,7 @@
 			t.Errorf("%s: %s, want %s", c.id, got, c.want)
 		}
 	}
-	// One link only is exchanged between two ticks.
+	// At most one link is swapped between two ticks.
 	sent = nil
 	tree.Receive(Message{Kind: "ihave", From: "far", IDs: []string{"d"}, Round: 1})
 	tree.Receive(Message{Kind: "gossip", From: "near", ID: "d", Round: 9, Body: []byte("d")})
--- a/internal/plumtree/plumtree_test.go
+++ b/internal/plumtree/plumtree_test.go
@@ -8,157 +8,157 @@
 	"time"
 )
 
-// cluster is a set of trees joined by a lossy queue.
+// cluster is a set of trees connected by a message queue that can drop messages.
 type cluster struct {
-	trees    map[string]*Tree
-	received map[string]map[string]int
-	known    map[string]bool // pieces that all know from elsewhere
-	queue    []outgoing
-	drop     func(from, to string) bool
-	last     Message // that lose is asked about
+	trees       map[string]*Tree
+	received    map[string]map[string]int
+	known       map[string]bool // items that all nodes know from another source
+	queue       []outgoing
+	drop        func(from, to string) bool
+	lastMessage Message // the message that drop decides on
 }
 
 func newCluster(n, step int) *cluster {
-	m := &cluster{trees: map[string]*Tree{}, received: map[string]map[string]int{}, known: map[string]bool{}}
+	c := &cluster{trees: map[string]*Tree{}, received: map[string]map[string]int{}, known: map[string]bool{}}
 	for i := range n {
 		name := fmt.Sprint(i)
-		m.received[name] = map[string]int{}
-		m.trees[name] = New(name, time.Second, time.Minute, func(to string, msg Message) { m.queue = append(m.queue, outgoing{to, msg}) },
-			func(body []byte) bool { m.received[name][string(body)]++; return !m.known[string(body)] },
-			func(id string) bool { return m.known[id] })
+		c.received[name] = map[string]int{}
+		c.trees[name] = New(name, time.Second, time.Minute, func(to string, msg Message) { c.queue = append(c.queue, outgoing{to, msg}) },
+			func(body []byte) bool { c.received[name][string(body)]++; return !c.known[string(body)] },
+			func(id string) bool { return c.known[id] })
 		var links []string
 		for _, d := range []int{1, step, n - 1, n - step} {
 			links = append(links, fmt.Sprint((i+d)%n))
 		}
-		m.trees[name].SetNeighbors(links)
+		c.trees[name].SetNeighbors(links)
 	}
-	return m
+	return c
 }
 
-func (m *cluster) settle() {
-	for len(m.queue) > 0 {
-		o := m.queue[0]
-		m.queue = m.queue[1:]
-		m.last = o.message
-		if m.drop == nil || !m.drop(o.message.From, o.to) {
-			m.trees[o.to].Receive(o.message)
+func (c *cluster) settle() {
+	for len(c.queue) > 0 {
+		next := c.queue[0]
+		c.queue = c.queue[1:]
+		c.lastMessage = next.message
+		if c.drop == nil || !c.drop(next.message.From, next.to) {
+			c.trees[next.to].Receive(next.message)
 		}
 	}
 }
 
-// TestTree: after some rounds the news goes over about one link a node, and
-// everybody has each piece once.
+// TestTree checks that after some broadcasts each item is sent over about one link per node,
+// and that every node gets each item once.
 func TestTree(t *testing.T) {
-	m := newCluster(15, 4)
+	c := newCluster(15, 4)
 	for k := range 30 {
-		m.trees[fmt.Sprint(k%15)].Broadcast(fmt.Sprint("x", k), []byte(fmt.Sprint("x", k)))
-		m.settle()
+		c.trees[fmt.Sprint(k%15)].Broadcast(fmt.Sprint("x", k), []byte(fmt.Sprint("x", k)))
+		c.settle()
 	}
 	var before, after int64
-	for _, x := range m.trees {
-		before += x.Count.Eager
+	for _, tree := range c.trees {
+		before += tree.Count.Eager
 	}
 	for k := range 10 {
-		m.trees["3"].Broadcast(fmt.Sprint("y", k), []byte(fmt.Sprint("y", k)))
-		m.settle()
+		c.trees["3"].Broadcast(fmt.Sprint("y", k), []byte(fmt.Sprint("y", k)))
+		c.settle()
 	}
-	for _, x := range m.trees {
-		after += x.Count.Eager
+	for _, tree := range c.trees {
+		after += tree.Count.Eager
 	}
-	// A tree of 15 nodes has 14 links; the flood had up to 60.
-	if per := float64(after-before) / 10; per > 16 {
-		t.Errorf("%.1f eager sends for each piece, want about 14", per)
+	// A tree of 15 nodes has 14 links; flooding needs up to 60 sends.
+	if sendsPerItem := float64(after-before) / 10; sendsPerItem > 16 {
+		t.Errorf("%.1f eager sends per item, want about 14", sendsPerItem)
 	}
-	for n, got := range m.received {
-		if len(got) != 40 && n != "3" && len(got) < 37 {
-			t.Errorf("node %s has %d pieces", n, len(got))
+	for name, got := range c.received {
+		if len(got) != 40 && name != "3" && len(got) < 37 {
+			t.Errorf("node %s has %d items", name, len(got))
 		}
-		for piece, times := range got {
+		for id, times := range got {
 			if times != 1 {
-				t.Errorf("node %s had %s %d times", n, piece, times)
+				t.Errorf("node %s got item %s %d times", name, id, times)
 			}
 		}
 	}
 }
 
-// TestSameItemFromManySources: what many learn at the same time by another way and send out
-// each goes over the tree once, as if one had sent it.
+// TestSameItemFromManySources checks that an item that many nodes learn by other means at the
+// same time, and all broadcast, is gossiped about once, as if from one source.
 func TestSameItemFromManySources(t *testing.T) {
-	m := newCluster(15, 4)
+	c := newCluster(15, 4)
 	for k := range 30 {
-		m.trees[fmt.Sprint(k%15)].Broadcast(fmt.Sprint("x", k), []byte(fmt.Sprint("x", k)))
-		m.settle()
+		c.trees[fmt.Sprint(k%15)].Broadcast(fmt.Sprint("x", k), []byte(fmt.Sprint("x", k)))
+		c.settle()
 	}
 	sends := func() (n int64) {
-		for _, x := range m.trees {
-			n += x.Count.Eager
+		for _, tree := range c.trees {
+			n += tree.Count.Eager
 		}
 		return n
 	}
 	before := sends()
-	for n := range m.trees {
-		m.trees[n].Broadcast("same", []byte("same"))
+	for n := range c.trees {
+		c.trees[n].Broadcast("same", []byte("same"))
 	}
-	m.settle()
-	for n := range m.trees {
-		m.trees[n].Broadcast("same", []byte("same"))
+	c.settle()
+	for n := range c.trees {
+		c.trees[n].Broadcast("same", []byte("same"))
 	}
-	m.settle()
-	// Each of the 15 may have sent to all of its few eager links before it heard.
+	c.settle()
+	// Each of the 15 may send over its few eager links before it gets the item from a peer.
 	if n := sends() - before; n > 30 {
-		t.Errorf("%d sends of one piece of news", n)
+		t.Errorf("%d sends of one item", n)
 	}
-	for n, got := range m.received {
+	for n, got := range c.received {
 		if got["same"] > 0 {
-			t.Errorf("node %s, which had it, was told", n)
+			t.Errorf("the item was delivered to node %s, which had it", n)
 		}
 	}
 }
 
-// TestKnownItemStopsAtNeighbors: what all others know already ends at the neighbours of who casts
-// it, also for those that only hear its name.
+// TestKnownItemStopsAtNeighbors checks that an item that all other nodes already know is not
+// forwarded beyond the neighbors of its sender, nor requested after an announcement.
 func TestKnownItemStopsAtNeighbors(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		m := newCluster(40, 7)
-		m.known["o"] = true
-		m.trees["0"].Broadcast("o", []byte("o"))
-		m.settle()
+		c := newCluster(40, 7)
+		c.known["o"] = true
+		c.trees["0"].Broadcast("o", []byte("o"))
+		c.settle()
 		for range 10 {
 			<-time.After(1100 * time.Millisecond)
-			for _, x := range m.trees {
-				x.Tick()
+			for _, tree := range c.trees {
+				tree.Tick()
 			}
-			m.settle()
+			c.settle()
 		}
 		n, grafts := 0, int64(0)
-		for name, x := range m.trees {
-			n += m.received[name]["o"]
-			grafts += x.Count.Graft
+		for name, tree := range c.trees {
+			n += c.received[name]["o"]
+			grafts += tree.Count.Graft
 		}
 		if n != 4 || grafts != 0 {
-			t.Errorf("old news reached %d nodes, %d asked for it", n, grafts)
+			t.Errorf("a known item reached %d nodes, %d grafts were sent", n, grafts)
 		}
 	})
 }
 
-// TestGraft: what is lost on the eager links is found by name and grafted.
+// TestGraft checks that items lost on eager links are found by announcements and grafted.
 func TestGraft(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		m := newCluster(12, 3)
+		c := newCluster(12, 3)
 		for k := range 24 {
-			m.trees[fmt.Sprint(k%12)].Broadcast(fmt.Sprint("x", k), []byte(fmt.Sprint("x", k)))
-			m.settle()
+			c.trees[fmt.Sprint(k%12)].Broadcast(fmt.Sprint("x", k), []byte(fmt.Sprint("x", k)))
+			c.settle()
 		}
 		rnd := rand.New(rand.NewPCG(1, 2))
-		m.drop = func(string, string) bool { return rnd.IntN(3) == 0 }
+		c.drop = func(string, string) bool { return rnd.IntN(3) == 0 }
 		for k := range 20 {
-			m.trees["0"].Broadcast(fmt.Sprint("z", k), []byte(fmt.Sprint("z", k)))
-			m.settle()
+			c.trees["0"].Broadcast(fmt.Sprint("z", k), []byte(fmt.Sprint("z", k)))
+			c.settle()
 		}
 		lost := 0
-		for n := range m.trees {
+		for n := range c.trees {
 			for k := range 20 {
-				if n != "0" && m.received[n][fmt.Sprint("z", k)] == 0 {
+				if n != "0" && c.received[n][fmt.Sprint("z", k)] == 0 {
 					lost++
 				}
 			}
@@ -166,25 +166,25 @@
 		if lost == 0 {
 			t.Fatal("nothing was lost: the test shows nothing")
 		}
-		m.drop = nil
+		c.drop = nil
 		for range 10 {
 			<-time.After(1100 * time.Millisecond)
-			for _, x := range m.trees {
-				x.Tick()
+			for _, tree := range c.trees {
+				tree.Tick()
 			}
-			m.settle()
+			c.settle()
 		}
 		notGrafted := 0
-		for n := range m.trees {
+		for n := range c.trees {
 			for k := range 20 {
-				if n != "0" && m.received[n][fmt.Sprint("z", k)] == 0 {
+				if n != "0" && c.received[n][fmt.Sprint("z", k)] == 0 {
 					notGrafted++
 				}
 			}
 		}
-		// Pieces whose names were lost as well are left to repair by digests.
+		// Items whose announcements were lost as well are left to anti-entropy repair.
 		if notGrafted > lost/4 {
-			t.Errorf("%d of %d lost pieces were not grafted", notGrafted, lost)
+			t.Errorf("%d of %d lost items were not grafted", notGrafted, lost)
 		}
 	})
 }
--- a/internal/replica/index_test.go
+++ b/internal/replica/index_test.go
@@ -15,9 +15,9 @@
 	"puffincrank/internal/task"
 )
 
-// TestIndex: what a lookup gives is the live entries of that service and of no
-// other, whatever came and went, at every node and after a refill; a list that
-// was handed out never changes.
+// TestIndex checks that a lookup returns exactly the live entries of the service, at every
+// node, after any sequence of changes and after a refill. A list that was returned is
+// never modified.
 func TestIndex(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		net := sim.NewNet(4, time.Millisecond, time.Millisecond)
@@ -28,7 +28,7 @@
 		services := []string{"a", "b", "c"}
 		var handedOut, copied []ormap.Entry
 		for step := range 300 {
-			r := nodes[rnd.IntN(3)].rep
+			r := nodes[rnd.IntN(3)].replica
 			worker := fmt.Sprint("w", rnd.IntN(8))
 			if rnd.IntN(3) == 0 {
 				r.Remove(worker, "down")
@@ -38,30 +38,30 @@
 			if step%20 != 0 {
 				continue
 			}
-			<-time.After(beat)
+			<-time.After(heartbeat)
 			if step%100 == 0 {
-				nodes[0].rep.SetCompleteUntil(time.Now().Add(beat))
-				if got, err := nodes[1].rep.Refill(t.Context(), "h1:1"); err != nil || !got.Done {
+				nodes[0].replica.SetCompleteUntil(time.Now().Add(heartbeat))
+				if got, err := nodes[1].replica.Refill(t.Context(), "h1:1"); err != nil || !got.Done {
 					t.Fatal(got, err)
 				}
 			}
-			for i, x := range nodes {
-				for _, s := range services {
-					want := x.rep.Map().Live(func(e ormap.Entry) bool { return e.Service == s })
+			for i, n := range nodes {
+				for _, service := range services {
+					want := n.replica.Map().Live(func(e ormap.Entry) bool { return e.Service == service })
 					sort.Slice(want, func(i, j int) bool { return want[i].Dot.Compare(want[j].Dot) < 0 })
-					if got := x.rep.Lookup(s); len(got)+len(want) > 0 && !reflect.DeepEqual(got, want) {
-						t.Fatalf("step %d, node %d: lookup of %s gives %v, live are %v", step, i, s, got, want)
+					if got := n.replica.Lookup(service); len(got)+len(want) > 0 && !reflect.DeepEqual(got, want) {
+						t.Fatalf("step %d, node %d: lookup of %s gives %v, live are %v", step, i, service, got, want)
 					}
 				}
 			}
 			if !reflect.DeepEqual(handedOut, copied) {
-				t.Fatal("a list that was handed out has changed")
+				t.Fatal("a list returned by an earlier lookup was modified")
 			}
-			handedOut = nodes[0].rep.Lookup("a")
+			handedOut = nodes[0].replica.Lookup("a")
 			copied = append([]ormap.Entry(nil), handedOut...)
 		}
 		if len(handedOut) == 0 {
-			t.Fatal("nothing was looked up")
+			t.Fatal("all lookups were empty: the test shows nothing")
 		}
 	})
 }
--- a/internal/replica/refill_test.go
+++ b/internal/replica/refill_test.go
@@ -19,10 +19,11 @@
 
 const testHeartbeat = 200 * time.Millisecond
 
-// newReplicas makes replicas on a network; the first is a control node's.
-func newReplicas(t *testing.T, g *task.Group, n, frame int) (replicas []*Replica) {
+// newReplicas creates connected replicas. The first belongs to a control-plane node, and
+// those with odd numbers are in another zone.
+func newReplicas(t *testing.T, g *task.Group, count, maxFrameBytes int) (replicas []*Replica) {
 	network := &transport.LocalNet{Network: transport.NewLocalNetwork(func(string, string) time.Duration { return time.Millisecond })}
-	for i := range n {
+	for i := range count {
 		host, role, zone := fmt.Sprintf("h%d", i), "proxy", "x"
 		if i == 0 {
 			role = "registry"
@@ -31,7 +32,7 @@
 			zone = "y"
 		}
 		e := env.Env{Net: network, Log: event.New(host, nil), Wall: time.Now}
-		node := transport.NewNode(transport.Hello{ClusterID: "m", Node: host, Zone: zone, Role: role}, e, g, frame, 64, 5*testHeartbeat)
+		node := transport.NewNode(transport.Hello{ClusterID: "m", Node: host, Zone: zone, Role: role}, e, g, maxFrameBytes, 64, 5*testHeartbeat)
 		r := New(membership.Member{Node: host, Incarnation: "s", Role: role, Zone: zone, InternalAddr: host + ":1"}, node, g, e.Log, hlc.New(time.Now, time.Minute), testHeartbeat, time.Hour, time.Minute)
 		if err := node.Listen(host + ":1"); err != nil {
 			t.Fatal(err)
@@ -42,16 +43,16 @@
 	return replicas
 }
 
-// TestRefillBudget: a replica hands out its part of the frame's bound in a beat and
-// no more, however many ask: the rest are told when to come again, each later
-// than those before, and who was filled meanwhile, the own area first; those fill
-// them. Who waits itself, or isn't in touch, fills nobody.
+// TestRefillBudget checks that a replica serves refills only up to its transfer budget per
+// heartbeat, however many nodes ask. The other nodes get a retry delay, each a longer one
+// than those before, and refilled nodes to ask instead, those of their zone first. A
+// replica that waits for a refill, or is not connected to the cluster, serves none.
 func TestRefillBudget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		const frame, n = 64 << 10, 16
+		const maxFrameBytes, n = 64 << 10, 16
 		g := task.New(context.Background())
 		defer g.Stop()
-		replicas := newReplicas(t, g, n, frame)
+		replicas := newReplicas(t, g, n, maxFrameBytes)
 		registry := replicas[0]
 		for i := range 200 {
 			registry.Register(fmt.Sprint("service-", i), fmt.Sprint("w", i*7919), map[string]string{"slots": "8"})
@@ -65,13 +66,13 @@
 			return got
 		}
 		if got := requestRefill(1, "h0:1"); got.Done {
-			t.Error("filled by one that isn't in touch")
+			t.Error("refilled by a replica that is not connected to the cluster")
 		}
 		markComplete := func(r *Replica) { r.SetCompleteUntil(time.Now().Add(time.Minute)) }
 		markComplete(registry)
 		registry.SetRefillPending(true)
 		if got := requestRefill(1, "h0:1"); got.Done {
-			t.Error("filled by one that waits for its refill")
+			t.Error("refilled by a replica that waits for its own refill")
 		}
 		registry.SetRefillPending(false)
 		stateBytes := len(registry.encodedState().Compact)
@@ -87,29 +88,29 @@
 			}
 			deferred = append(deferred, i)
 			if got.RetryAfter < testHeartbeat || got.RetryAfter > maxRetryHeartbeats*testHeartbeat+time.Millisecond || got.RetryAfter < lastRetry {
-				t.Errorf("%d comes again after %v, the one before after %v", i, got.RetryAfter, lastRetry)
+				t.Errorf("node %d is to retry after %v, the one before it after %v", i, got.RetryAfter, lastRetry)
 			}
 			lastRetry = got.RetryAfter
 			for k, addr := range got.Alternatives {
 				if !slices.Contains(refilled, addr) || k > 0 && replicas[addr[1]-'0'].self.Zone == replicas[i].self.Zone && replicas[got.Alternatives[k-1][1]-'0'].self.Zone != replicas[i].self.Zone {
-					t.Errorf("%d of %s is told to try %v, filled were %v", i, replicas[i].self.Zone, got.Alternatives, refilled)
+					t.Errorf("node %d of zone %s is referred to %v, refilled were %v", i, replicas[i].self.Zone, got.Alternatives, refilled)
 				}
 			}
 			if len(got.Alternatives) == 0 {
-				t.Error("told of nobody")
+				t.Error("a deferred node got no alternatives")
 			}
 		}
-		if sum := len(refilled) * stateBytes; len(refilled) == 0 || sum > frame/registryShare+stateBytes || len(deferred) == 0 {
-			t.Fatalf("%d of %d filled at once, %d bytes of %d", len(refilled), n-1, sum, frame/registryShare)
+		if sum := len(refilled) * stateBytes; len(refilled) == 0 || sum > maxFrameBytes/registryShare+stateBytes || len(deferred) == 0 {
+			t.Fatalf("%d of %d nodes refilled at once, %d bytes of %d", len(refilled), n-1, sum, maxFrameBytes/registryShare)
 		}
 		if got := requestRefill(deferred[0], refilled[0]); !got.Done || len(replicas[deferred[0]].entries.Live(nil)) != 200 {
-			t.Errorf("not filled by one that was: %+v", got)
+			t.Errorf("not refilled by a node that was refilled before: %+v", got)
 		}
-		// In its turn each comes through.
+		// Every deferred node is served in the end.
 		for _, i := range deferred[1:] {
-			for try := 0; !requestRefill(i, "h0:1").Done; try++ {
-				if try > n {
-					t.Fatalf("%d is put off for ever", i)
+			for attempt := 0; !requestRefill(i, "h0:1").Done; attempt++ {
+				if attempt > n {
+					t.Fatalf("node %d is deferred without end", i)
 				}
 				task.Sleep(t.Context(), testHeartbeat)
 			}
@@ -117,8 +118,8 @@
 	})
 }
 
-// TestBusyRepair: who has handed out its part in this beat is not compared with,
-// and says so; a beat later it is.
+// TestBusyRepair checks that a repair with a peer whose transfer budget is exhausted fails
+// with errBusy, and succeeds one heartbeat later.
 func TestBusyRepair(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := task.New(context.Background())
@@ -136,25 +137,26 @@
 	})
 }
 
-// TestRefillFromOlderVersion: one of an earlier version, which knows no turns, fills.
+// TestRefillFromOlderVersion checks a refill from a peer of an earlier version, which only
+// knows the request for the full state without a transfer budget.
 func TestRefillFromOlderVersion(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := task.New(context.Background())
 		defer g.Stop()
 		network := &transport.LocalNet{Network: transport.NewLocalNetwork(func(string, string) time.Duration { return time.Millisecond })}
-		node := func(h string) *transport.Node {
-			transportNode := transport.NewNode(transport.Hello{ClusterID: "m", Node: h, Zone: "x"}, env.Env{Net: network, Log: event.New(h, nil), Wall: time.Now}, g, 1<<20, 8, 5*testHeartbeat)
-			if err := transportNode.Listen(h + ":1"); err != nil {
+		newNode := func(host string) *transport.Node {
+			transportNode := transport.NewNode(transport.Hello{ClusterID: "m", Node: host, Zone: "x"}, env.Env{Net: network, Log: event.New(host, nil), Wall: time.Now}, g, 1<<20, 8, 5*testHeartbeat)
+			if err := transportNode.Listen(host + ":1"); err != nil {
 				t.Fatal(err)
 			}
 			t.Cleanup(transportNode.Close)
 			return transportNode
 		}
-		olderNode := node("old")
+		olderNode := newNode("old")
 		transport.Handle(olderNode, "replica.all", func(context.Context, transport.Hello, stateRequest) (ormap.Delta, error) {
 			return ormap.Delta{Adds: []ormap.Entry{{Dot: ormap.Dot{Node: "o#1"}, Service: "s", Worker: "w", Owner: "o"}}}, nil
 		})
-		r := New(membership.Member{Node: "n", InternalAddr: "n:1"}, node("n"), g, event.New("n", nil), hlc.New(time.Now, time.Minute), testHeartbeat, time.Hour, time.Minute)
+		r := New(membership.Member{Node: "n", InternalAddr: "n:1"}, newNode("n"), g, event.New("n", nil), hlc.New(time.Now, time.Minute), testHeartbeat, time.Hour, time.Minute)
 		if got, err := r.Refill(t.Context(), "old:1"); err != nil || !got.Done || len(r.Lookup("s")) != 1 {
 			t.Error(got, err, r.Lookup("s"))
 		}
--- a/internal/replica/statecache_test.go
+++ b/internal/replica/statecache_test.go
@@ -15,8 +15,8 @@
 	"puffincrank/internal/transport"
 )
 
-// TestRefillEncodedOnce: refills that are asked for at the same time are packed
-// once, and one that is asked for later holds what is new.
+// TestRefillEncodedOnce checks that the state is encoded once for requests that arrive
+// together, and that a later request gets the newer entries.
 func TestRefillEncodedOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const heartbeat = 200 * time.Millisecond
@@ -33,17 +33,17 @@
 			return d
 		}
 		r.Register("s", "w", nil)
-		one := requestState()
+		first := requestState()
 		r.Register("s", "v", nil)
-		if two := requestState(); &one.Compact[0] != &two.Compact[0] {
-			t.Error("packed again at the same time")
+		if second := requestState(); &first.Compact[0] != &second.Compact[0] {
+			t.Error("encoded again for a request at the same time")
 		}
 		task.Sleep(t.Context(), heartbeat/2)
 		if d, err := requestState().Decode(); err != nil || len(d.Adds) != 2 {
 			t.Error(d, err)
 		}
 		if d, _ := r.handleState(t.Context(), transport.Hello{}, stateRequest{}); len(d.Adds) != 2 {
-			t.Error("an earlier version gets", d)
+			t.Error("a node of an earlier version gets", d)
 		}
 	})
 }
