--- a/internal/membership/encode.go
+++ b/internal/membership/encode.go
@@ -18,8 +18,8 @@
 func (d Diff) Encode() []byte {
 	columns := make([][]string, columnCount)
 	addRow := func(row ...string) {
-		for i, s := range row {
-			columns[i] = append(columns[i], s)
+		for i, value := range row {
+			columns[i] = append(columns[i], value)
 		}
 	}
 	for _, member := range d.Added {
@@ -32,8 +32,8 @@
 		}
 		addRow("+", member.Node, member.Incarnation, member.Role, member.Zone, member.InternalAddr, shortAddr(member.APIAddr), shortAddr(member.TrafficAddr))
 	}
-	for _, n := range d.Removed {
-		addRow("-", n, "", "", "", "", "", "")
+	for _, node := range d.Removed {
+		addRow("-", node, "", "", "", "", "", "")
 	}
 	return compression.EncodeColumns(columns)
 }
@@ -44,7 +44,7 @@
 	if err != nil {
 		return Diff{}, err
 	}
-	var d Diff
+	var diff Diff
 	for i, mark := range columns[0] {
 		internalHost, _, _ := strings.Cut(columns[5][i], ":")
 		fullAddr := func(addr string) string {
@@ -55,12 +55,12 @@
 		}
 		switch mark {
 		case "+":
-			d.Added = append(d.Added, Member{Node: columns[1][i], Incarnation: columns[2][i], Role: columns[3][i], Zone: columns[4][i], InternalAddr: columns[5][i], APIAddr: fullAddr(columns[6][i]), TrafficAddr: fullAddr(columns[7][i])})
+			diff.Added = append(diff.Added, Member{Node: columns[1][i], Incarnation: columns[2][i], Role: columns[3][i], Zone: columns[4][i], InternalAddr: columns[5][i], APIAddr: fullAddr(columns[6][i]), TrafficAddr: fullAddr(columns[7][i])})
 		case "-":
-			d.Removed = append(d.Removed, columns[1][i])
+			diff.Removed = append(diff.Removed, columns[1][i])
 		default:
-			return Diff{}, fault.New(fault.Input, "invalid member list: row marked %q", mark)
+			return Diff{}, fault.New(fault.Input, "a packed member marked %q", mark)
 		}
 	}
-	return d, nil
+	return diff, nil
 }
--- a/internal/membership/history.go
+++ b/internal/membership/history.go
@@ -32,9 +32,9 @@
 	h.changes = append(h.changes, change{fromHash, node, member})
 	// Drop half at a time, so that copies are rare.
 	if len(h.changes) > 2*h.limit {
-		for i, s := range h.changes[:h.limit] {
-			if h.latestFrom[s.fromHash] == h.base+uint64(i) {
-				delete(h.latestFrom, s.fromHash)
+		for i, dropped := range h.changes[:h.limit] {
+			if h.latestFrom[dropped.fromHash] == h.base+uint64(i) {
+				delete(h.latestFrom, dropped.fromHash)
 			}
 		}
 		h.base += uint64(h.limit)
@@ -51,19 +51,19 @@
 	}
 	latest := map[string]*Member{}
 	var order []string
-	for _, s := range h.changes[first-h.base:] {
-		if _, ok := latest[s.node]; !ok {
-			order = append(order, s.node)
+	for _, change := range h.changes[first-h.base:] {
+		if _, ok := latest[change.node]; !ok {
+			order = append(order, change.node)
 		}
-		latest[s.node] = s.member
+		latest[change.node] = change.member
 	}
-	var d Diff
-	for _, n := range order {
-		if member := latest[n]; member != nil {
-			d.Added = append(d.Added, *member)
+	var diff Diff
+	for _, node := range order {
+		if member := latest[node]; member != nil {
+			diff.Added = append(diff.Added, *member)
 		} else {
-			d.Removed = append(d.Removed, n)
+			diff.Removed = append(diff.Removed, node)
 		}
 	}
-	return d, true
+	return diff, true
 }
--- a/internal/membership/member.go
+++ b/internal/membership/member.go
@@ -24,10 +24,10 @@
 	return members
 }
 
-func hashStrings(words ...string) uint64 {
+func hashStrings(values ...string) uint64 {
 	h := fnv.New64a()
-	for _, s := range words {
-		_, _ = h.Write([]byte(s))
+	for _, value := range values {
+		_, _ = h.Write([]byte(value))
 		_, _ = h.Write([]byte{0})
 	}
 	// The high bits of FNV vary little for short inputs, so they are mixed.
@@ -46,8 +46,8 @@
 // HashNames returns a hash of a set of names, independent of their order.
 func HashNames(names []string) uint64 {
 	var h uint64
-	for _, n := range names {
-		h ^= hashStrings(n)
+	for _, name := range names {
+		h ^= hashStrings(name)
 	}
 	return h
 }
--- a/internal/membership/tracker.go
+++ b/internal/membership/tracker.go
@@ -32,12 +32,12 @@
 func (t *Tracker) current(node string) *Member {
 	var best *claim
 	for i := range t.claims[node] {
-		c := &t.claims[node][i]
-		if c.source == t.ownSource {
-			return c.member
+		candidate := &t.claims[node][i]
+		if candidate.source == t.ownSource {
+			return candidate.member
 		}
-		if best == nil || c.seq > best.seq {
-			best = c
+		if best == nil || candidate.seq > best.seq {
+			best = candidate
 		}
 	}
 	if best == nil {
@@ -108,8 +108,8 @@
 
 // RemoveSource drops a source and all its reports.
 func (t *Tracker) RemoveSource(source string) {
-	for n := range t.nodesBySource[source] {
-		t.set(source, n, nil)
+	for node := range t.nodesBySource[source] {
+		t.set(source, node, nil)
 	}
 	delete(t.nodesBySource, source)
 }
@@ -121,9 +121,9 @@
 		present[member.Node] = true
 		t.Set(source, member)
 	}
-	for n := range t.nodesBySource[source] {
-		if !present[n] {
-			t.set(source, n, nil)
+	for node := range t.nodesBySource[source] {
+		if !present[node] {
+			t.set(source, node, nil)
 		}
 	}
 }
@@ -142,11 +142,11 @@
 	}
 	var added []Member
 	var removed []string
-	for n := range t.changed {
-		if member := t.current(n); member != nil {
+	for node := range t.changed {
+		if member := t.current(node); member != nil {
 			added = append(added, *member)
 		} else {
-			removed = append(removed, n)
+			removed = append(removed, node)
 		}
 	}
 	clear(t.changed)
--- a/internal/ormap/compact.go
+++ b/internal/ormap/compact.go
@@ -118,13 +118,13 @@
 		return ""
 	}
 	var names []string
-	for k := range values {
-		names = append(names, k)
+	for key := range values {
+		names = append(names, key)
 	}
 	sort.Strings(names)
 	encoded := prefixMark
-	for _, k := range names {
-		encoded += strconv.Quote(k) + strconv.Quote(trimSharedPrefix(values[k], host(internalAddr)))
+	for _, key := range names {
+		encoded += strconv.Quote(key) + strconv.Quote(trimSharedPrefix(values[key], host(internalAddr)))
 	}
 	return encoded
 }
@@ -146,8 +146,8 @@
 		return text
 	}
 	for encoded = encoded[len(prefixMark):]; encoded != ""; {
-		k := next()
-		values[k] = addSharedPrefix(next(), host(internalAddr))
+		key := next()
+		values[key] = addSharedPrefix(next(), host(internalAddr))
 	}
 	return values
 }
--- a/internal/ormap/digest.go
+++ b/internal/ormap/digest.go
@@ -12,8 +12,8 @@
 // CombineDigests combines the digests of all ranges into one.
 func CombineDigests(digests []uint64) uint64 {
 	var combined uint64
-	for i, d := range digests {
-		combined ^= d * uint64(2*i+1)
+	for i, digest := range digests {
+		combined ^= digest * uint64(2*i+1)
 	}
 	return combined
 }
--- a/internal/ormap/ormap.go
+++ b/internal/ormap/ormap.go
@@ -152,13 +152,13 @@
 func less(a, b Dot) bool { return a.Compare(b) < 0 }
 
 // Compare orders dots, by node and then by stamp.
-func (d Dot) Compare(o Dot) int {
+func (d Dot) Compare(other Dot) int {
 	switch {
-	case d.Node != o.Node:
-		return strings.Compare(d.Node, o.Node)
-	case d.Stamp.Less(o.Stamp):
+	case d.Node != other.Node:
+		return strings.Compare(d.Node, other.Node)
+	case d.Stamp.Less(other.Stamp):
 		return -1
-	case o.Stamp.Less(d.Stamp):
+	case other.Stamp.Less(d.Stamp):
 		return 1
 	}
 	return 0
--- a/internal/plumtree/batch.go
+++ b/internal/plumtree/batch.go
@@ -83,7 +83,7 @@
 			message.IDs = append(message.IDs, id)
 		}
 		message.Round = t.announcedHops(ids)
-		// Sorted, so that the announcements of two nodes list the same items in the same order.
+		// Sorted, so that nodes that receive the same IDs request them in the same order.
 		slices.Sort(message.IDs)
 		if len(message.IDs) > 0 {
 			messages = append(messages, outgoing{link, message})
--- a/internal/plumtree/batch_test.go
+++ b/internal/plumtree/batch_test.go
@@ -146,7 +146,7 @@
 
 // TestPromptAnnouncements checks that a node whose links are all pruned announces its items
 // by a scheduled flush and not only at the next tick. A node beyond a gap in the tree waits
-// for the announcement, and then for the graft timeout before it requests the item.
+// for the announcement, and then for up to a graft timeout before it requests the item.
 func TestPromptAnnouncements(t *testing.T) {
 	c := newBatchCluster(6, 2, func(string) bool { return false })
 	for link := range c.trees["0"].eager {
--- a/internal/plumtree/graft.go
+++ b/internal/plumtree/graft.go
@@ -49,7 +49,7 @@
 	}
 	for link, ids := range requests {
 		t.makeEager(link)
-		t.Count.Graft++
+		t.Stats.Graft++
 		messages = append(messages, outgoing{link, Message{Kind: "graft", From: t.self, IDs: ids}})
 	}
 	return messages
--- a/internal/plumtree/optimize.go
+++ b/internal/plumtree/optimize.go
@@ -32,7 +32,7 @@
 		return nil
 	}
 	t.linkSwapped = true
-	t.Count.Optimized++
+	t.Stats.Optimized++
 	delete(t.eager, item.via)
 	t.lazy[item.via] = true
 	t.makeEager(announcement.From)
--- a/internal/plumtree/optimize_test.go
+++ b/internal/plumtree/optimize_test.go
@@ -42,7 +42,7 @@
 			if k == 150 {
 				for _, tree := range c.trees {
 					tree.MaxHops()
-					sentBefore += tree.Count.Eager
+					sentBefore += tree.Stats.Eager
 				}
 			}
 			id := fmt.Sprint("x", k)
@@ -62,7 +62,7 @@
 		}
 		for name, tree := range c.trees {
 			maxHops = max(maxHops, tree.MaxHops())
-			sends += float64(tree.Count.Eager)
+			sends += float64(tree.Stats.Eager)
 			for k := range 180 {
 				if c.received[name][fmt.Sprint("x", k)] > 1 {
 					t.Errorf("node %s got item %d twice", name, k)
--- a/internal/plumtree/plumtree.go
+++ b/internal/plumtree/plumtree.go
@@ -52,12 +52,12 @@
 	send           func(to string, m Message)
 	deliver        func(body []byte) bool
 	known          func(id string) bool
-	Count          struct{ Eager, Duplicate, Graft, Prune, Optimized int64 }
+	Stats          struct{ Eager, Duplicate, Graft, Prune, Optimized int64 }
 	maxHops        int // most hops of an item received since the last MaxHops call
 	batching       Batching
 	peakItems      int  // most entries in items or missing since they were allocated
 	itemsSinceTick int  // items since the last tick
-	burst          bool // over MaxEagerBurst items between two ticks; more are only announced
+	burst          bool // more than MaxEagerBurst items since a tick: further ones are only announced
 	flushScheduled bool // Flush was requested
 	linkSwapped    bool // optimizeLink swapped a link since the last tick
 	graftScheduled bool // Graft was requested
@@ -109,7 +109,7 @@
 	for link := range t.eager {
 		if !slices.Contains(except, link) {
 			messages = append(messages, outgoing{link, Message{Kind: "gossip", From: t.self, ID: id, Round: round + 1, Body: body}})
-			t.Count.Eager++
+			t.Stats.Eager++
 		}
 	}
 	for link := range t.lazy {
@@ -146,12 +146,12 @@
 	switch message.Kind {
 	case "gossip":
 		if _, ok := t.items[message.ID]; ok {
-			t.Count.Duplicate++
+			t.Stats.Duplicate++
 			// A duplicate: prune the link.
 			if t.eager[message.From] {
 				delete(t.eager, message.From)
 				t.lazy[message.From] = true
-				t.Count.Prune++
+				t.Stats.Prune++
 				messages = append(messages, outgoing{message.From, Message{Kind: "prune", From: t.self}})
 			}
 			break
--- a/internal/plumtree/plumtree_test.go
+++ b/internal/plumtree/plumtree_test.go
@@ -56,14 +56,14 @@
 	}
 	var before, after int64
 	for _, tree := range c.trees {
-		before += tree.Count.Eager
+		before += tree.Stats.Eager
 	}
 	for k := range 10 {
 		c.trees["3"].Broadcast(fmt.Sprint("y", k), []byte(fmt.Sprint("y", k)))
 		c.settle()
 	}
 	for _, tree := range c.trees {
-		after += tree.Count.Eager
+		after += tree.Stats.Eager
 	}
 	// A tree of 15 nodes has 14 links; flooding needs up to 60 sends.
 	if sendsPerItem := float64(after-before) / 10; sendsPerItem > 16 {
@@ -91,7 +91,7 @@
 	}
 	sends := func() (n int64) {
 		for _, tree := range c.trees {
-			n += tree.Count.Eager
+			n += tree.Stats.Eager
 		}
 		return n
 	}
@@ -133,7 +133,7 @@
 		n, grafts := 0, int64(0)
 		for name, tree := range c.trees {
 			n += c.received[name]["o"]
-			grafts += tree.Count.Graft
+			grafts += tree.Stats.Graft
 		}
 		if n != 4 || grafts != 0 {
 			t.Errorf("a known item reached %d nodes, %d grafts were sent", n, grafts)
--- a/internal/replica/gossip.go
+++ b/internal/replica/gossip.go
@@ -44,8 +44,8 @@
 		items = append(items, gossipItem{itemID("a", entry.Dot), ormap.Delta{Adds: []ormap.Entry{entry}, Tombstones: byWorker[entry.Worker]}})
 		delete(byWorker, entry.Worker)
 	}
-	for _, remaining := range byWorker {
-		for _, tombstone := range remaining {
+	for _, unpaired := range byWorker {
+		for _, tombstone := range unpaired {
 			items = append(items, gossipItem{itemID("d", tombstone.Dot), ormap.Delta{Tombstones: []ormap.Tombstone{tombstone}}})
 		}
 	}
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -51,7 +51,7 @@
 	refillPending bool      // no refill has completed yet
 	completeUntil time.Time // time until which the node certainly counts as connected
 	budget        *transferBudget
-	RepairCount   int64
+	RepairCount   int64 // repairs that found differences; guarded by mu
 }
 
 // New creates an empty replica and registers its message handlers and periodic tasks.
