--- a/internal/compression/squeeze.go
+++ b/internal/compression/squeeze.go
@@ -20,14 +20,14 @@
 // The room of a packer and an opener is large against a message, so they are
 // used again.
 var (
-	packers = sync.Pool{New: func() any {
+	writers = sync.Pool{New: func() any {
 		w, err := flate.NewWriter(nil, flate.DefaultCompression)
 		if err != nil {
 			panic(err)
 		}
 		return w
 	}}
-	openers = sync.Pool{New: func() any { return flate.NewReader(nil) }}
+	readers = sync.Pool{New: func() any { return flate.NewReader(nil) }}
 )
 
 // EncodeColumns writes columns.
@@ -42,19 +42,19 @@
 
 // Compress compresses bytes.
 func Compress(plain []byte) []byte {
-	var b bytes.Buffer
-	w := packers.Get().(*flate.Writer)
-	defer packers.Put(w)
-	w.Reset(&b)
-	_, _ = w.Write(plain)
-	_ = w.Close()
-	return b.Bytes()
+	var buffer bytes.Buffer
+	writer := writers.Get().(*flate.Writer)
+	defer writers.Put(writer)
+	writer.Reset(&buffer)
+	_, _ = writer.Write(plain)
+	_ = writer.Close()
+	return buffer.Bytes()
 }
 
 // DecodeColumns reads columns; there must be wide of them, all of one length. The error
 // is of the kind fault.Input.
-func DecodeColumns(b []byte, wide int) ([][]string, error) {
-	plain, err := Decompress(b)
+func DecodeColumns(packed []byte, columns int) ([][]string, error) {
+	plain, err := Decompress(packed)
 	if err != nil {
 		return nil, err
 	}
@@ -62,8 +62,8 @@
 	if err := msgpack.Unmarshal(plain, &cols); err != nil {
 		return nil, fault.Wrap(fault.Input, err, "a packed table")
 	}
-	if len(cols) != wide {
-		return nil, fault.New(fault.Input, "a packed table of %d columns, not %d", len(cols), wide)
+	if len(cols) != columns {
+		return nil, fault.New(fault.Input, "a packed table of %d columns, not %d", len(cols), columns)
 	}
 	for _, c := range cols {
 		if len(c) != len(cols[0]) {
@@ -74,11 +74,11 @@
 }
 
 // Decompress gives the bytes that were shrunk; the error is of the kind fault.Input.
-func Decompress(b []byte) ([]byte, error) {
-	r := openers.Get().(io.ReadCloser)
-	defer openers.Put(r)
-	_ = r.(flate.Resetter).Reset(bytes.NewReader(b), nil)
-	plain, err := io.ReadAll(io.LimitReader(r, MaxTableBytes+1))
+func Decompress(compressed []byte) ([]byte, error) {
+	reader := readers.Get().(io.ReadCloser)
+	defer readers.Put(reader)
+	_ = reader.(flate.Resetter).Reset(bytes.NewReader(compressed), nil)
+	plain, err := io.ReadAll(io.LimitReader(reader, MaxTableBytes+1))
 	if err == nil && len(plain) > MaxTableBytes {
 		err = fault.New(fault.Input, "over %d bytes", MaxTableBytes)
 	}
--- a/internal/compression/squeeze_test.go
+++ b/internal/compression/squeeze_test.go
@@ -10,24 +10,24 @@
 	"puffincrank/internal/fault"
 )
 
-// TestOpen: what was packed opens to the same, and what is cut off, of another
+// TestDecodeColumns: what was packed opens to the same, and what is cut off, of another
 // shape or larger than it may be is refused by kind.
-func TestOpen(t *testing.T) {
+func TestDecodeColumns(t *testing.T) {
 	cols := [][]string{{"a", "b"}, {"", "\x00\xff"}}
-	b := EncodeColumns(cols)
-	if got, err := DecodeColumns(b, 2); err != nil || !reflect.DeepEqual(got, cols) {
-		t.Fatal(got, err)
+	packed := EncodeColumns(cols)
+	if decoded, err := DecodeColumns(packed, 2); err != nil || !reflect.DeepEqual(decoded, cols) {
+		t.Fatal(decoded, err)
 	}
-	var big bytes.Buffer
-	w, _ := flate.NewWriter(&big, flate.BestSpeed)
-	room := make([]byte, 1<<20)
-	for range MaxTableBytes/len(room) + 1 {
-		_, _ = w.Write(room)
+	var tooLarge bytes.Buffer
+	writer, _ := flate.NewWriter(&tooLarge, flate.BestSpeed)
+	zeros := make([]byte, 1<<20)
+	for range MaxTableBytes/len(zeros) + 1 {
+		_, _ = writer.Write(zeros)
 	}
-	_ = w.Close()
-	for name, in := range map[string][]byte{"cut": b[:len(b)-2], "nothing": nil, "uneven": EncodeColumns([][]string{{"a"}, {}}), "other": EncodeColumns([][]string{{"a"}}), "big": big.Bytes()} {
-		if got, err := DecodeColumns(in, 2); !fault.Is(err, fault.Input) {
-			t.Errorf("%s: %v, %v", name, got, err)
+	_ = writer.Close()
+	for name, input := range map[string][]byte{"cut": packed[:len(packed)-2], "nothing": nil, "uneven": EncodeColumns([][]string{{"a"}, {}}), "other": EncodeColumns([][]string{{"a"}}), "big": tooLarge.Bytes()} {
+		if decoded, err := DecodeColumns(input, 2); !fault.Is(err, fault.Input) {
+			t.Errorf("%s: %v, %v", name, decoded, err)
 		}
 	}
 }
--- a/internal/dialect/tongue.go
+++ b/internal/dialect/tongue.go
@@ -30,8 +30,8 @@
 }
 
 // APIPath gives the path of our own call for one of the tongue's.
-func (t Dialect) APIPath(path string) string {
-	for from, to := range t.APIPaths {
+func (d Dialect) APIPath(path string) string {
+	for from, to := range d.APIPaths {
 		if rest, ok := strings.CutPrefix(path, from); ok {
 			return to + rest
 		}
--- a/internal/disk/disk.go
+++ b/internal/disk/disk.go
@@ -55,32 +55,32 @@
 // are kept; else any of them may be, and none is to be counted on.
 func SaveAll(fs FS, files []NamedFile) error {
 	for _, f := range files {
-		if err := write(fs, f.Name, f.Data); err != nil {
+		if err := writeFile(fs, f.Name, f.Data); err != nil {
 			return fault.Wrap(fault.Disk, err, "keep "+f.Name)
 		}
 	}
 	return fault.Wrap(fault.Disk, fs.SyncDir(), "keep names in folder")
 }
 
-// write makes a file aside, syncs it and gives it its name, which lasts once the
+// writeFile makes a file aside, syncs it and gives it its name, which lasts once the
 // folder is synced.
-func write(fs FS, name string, data []byte) error {
-	sum := sha256.Sum256(data)
-	head := append(append([]byte(nil), magic...), sum[:]...)
-	head = binary.BigEndian.AppendUint32(head, uint32(len(data)))
-	f, err := fs.Create(name + temporarySuffix)
+func writeFile(fs FS, name string, data []byte) error {
+	checksum := sha256.Sum256(data)
+	header := append(append([]byte(nil), magic...), checksum[:]...)
+	header = binary.BigEndian.AppendUint32(header, uint32(len(data)))
+	file, err := fs.Create(name + temporarySuffix)
 	if err != nil {
 		return err
 	}
 	// In two writes: a copy of the data, which may be large, is spared.
-	if _, err = f.Write(head); err == nil {
-		_, err = f.Write(data)
+	if _, err = file.Write(header); err == nil {
+		_, err = file.Write(data)
 	}
 	if err == nil {
-		err = f.Sync()
+		err = file.Sync()
 	}
-	if end := f.Close(); err == nil {
-		err = end
+	if closeErr := file.Close(); err == nil {
+		err = closeErr
 	}
 	if err == nil {
 		err = fs.Rename(name+temporarySuffix, name)
@@ -103,13 +103,13 @@
 	if err != nil {
 		return nil, fault.Wrap(fault.Disk, err, "read "+name)
 	}
-	at := len(magic) + sha256.Size + 4
-	if len(raw) < at || !bytes.Equal(raw[:len(magic)], magic) {
+	dataOffset := len(magic) + sha256.Size + 4
+	if len(raw) < dataOffset || !bytes.Equal(raw[:len(magic)], magic) {
 		return nil, fault.New(fault.Stale, "file %s has a bad head", name)
 	}
-	data := raw[at:]
-	sum := sha256.Sum256(data)
-	if int(binary.BigEndian.Uint32(raw[at-4:at])) != len(data) || !bytes.Equal(sum[:], raw[len(magic):at-4]) {
+	data := raw[dataOffset:]
+	checksum := sha256.Sum256(data)
+	if int(binary.BigEndian.Uint32(raw[dataOffset-4:dataOffset])) != len(data) || !bytes.Equal(checksum[:], raw[len(magic):dataOffset-4]) {
 		return nil, fault.New(fault.Stale, "file %s fails its checksum", name)
 	}
 	return data, nil
@@ -119,25 +119,25 @@
 // Programs up to v0.1 counted a file as kept before its folder was synced. One whose
 // name another file has was never the one that counted.
 func AdoptUnrenamed(fs FS, prefix string) error {
-	all, err := fs.List()
+	names, err := fs.List()
 	if err != nil {
 		return fault.Wrap(fault.Disk, err, "list folder")
 	}
-	took := false
-	for _, n := range all {
-		name, ok := strings.CutSuffix(n, temporarySuffix)
-		if !ok || !strings.HasPrefix(name, prefix) || slices.Contains(all, name) {
+	adopted := false
+	for _, temporary := range names {
+		name, ok := strings.CutSuffix(temporary, temporarySuffix)
+		if !ok || !strings.HasPrefix(name, prefix) || slices.Contains(names, name) {
 			continue
 		}
-		if _, err := Load(fs, n); err != nil {
+		if _, err := Load(fs, temporary); err != nil {
 			continue
 		}
-		if err := fs.Rename(n, name); err != nil {
+		if err := fs.Rename(temporary, name); err != nil {
 			return fault.Wrap(fault.Disk, err, "adopt "+name)
 		}
-		took = true
+		adopted = true
 	}
-	if !took {
+	if !adopted {
 		return nil
 	}
 	return fault.Wrap(fault.Disk, fs.SyncDir(), "adopt files")
@@ -145,22 +145,22 @@
 
 // Names lists the whole files of a prefix in order; left-overs are removed.
 func Names(fs FS, prefix string) ([]string, error) {
-	all, err := fs.List()
+	files, err := fs.List()
 	if err != nil {
 		return nil, fault.Wrap(fault.Disk, err, "list folder")
 	}
-	var out []string
-	for _, n := range all {
-		if strings.HasSuffix(n, temporarySuffix) {
-			_ = fs.Remove(n)
+	var names []string
+	for _, file := range files {
+		if strings.HasSuffix(file, temporarySuffix) {
+			_ = fs.Remove(file)
 			continue
 		}
-		if strings.HasPrefix(n, prefix) {
-			out = append(out, n)
+		if strings.HasPrefix(file, prefix) {
+			names = append(names, file)
 		}
 	}
-	sort.Strings(out)
-	return out, nil
+	sort.Strings(names)
+	return names, nil
 }
 
 // Dir is a folder of the real disk.
@@ -174,44 +174,44 @@
 	return &Dir{root: root}, nil
 }
 
-func (d *Dir) at(name string) string { return filepath.Join(d.root, name) }
+func (d *Dir) path(name string) string { return filepath.Join(d.root, name) }
 
 // Create opens a new file for writing.
-func (d *Dir) Create(name string) (File, error) { return os.Create(d.at(name)) }
+func (d *Dir) Create(name string) (File, error) { return os.Create(d.path(name)) }
 
 // Rename moves a file over another.
-func (d *Dir) Rename(from, to string) error { return os.Rename(d.at(from), d.at(to)) }
+func (d *Dir) Rename(from, to string) error { return os.Rename(d.path(from), d.path(to)) }
 
 // Remove drops a file.
-func (d *Dir) Remove(name string) error { return os.Remove(d.at(name)) }
+func (d *Dir) Remove(name string) error { return os.Remove(d.path(name)) }
 
 // Read reads a whole file.
-func (d *Dir) Read(name string) ([]byte, error) { return os.ReadFile(d.at(name)) }
+func (d *Dir) Read(name string) ([]byte, error) { return os.ReadFile(d.path(name)) }
 
 // SyncDir makes renames last.
 func (d *Dir) SyncDir() error {
-	f, err := os.Open(d.root)
+	dir, err := os.Open(d.root)
 	if err != nil {
 		return err
 	}
-	err = f.Sync()
-	if end := f.Close(); err == nil {
-		err = end
+	err = dir.Sync()
+	if closeErr := dir.Close(); err == nil {
+		err = closeErr
 	}
 	return err
 }
 
 // List gives the names in the folder.
 func (d *Dir) List() ([]string, error) {
-	all, err := os.ReadDir(d.root)
+	entries, err := os.ReadDir(d.root)
 	if err != nil {
 		return nil, err
 	}
-	var out []string
-	for _, e := range all {
-		if !e.IsDir() {
-			out = append(out, e.Name())
+	var names []string
+	for _, entry := range entries {
+		if !entry.IsDir() {
+			names = append(names, entry.Name())
 		}
 	}
-	return out, nil
+	return names, nil
 }
--- a/internal/env/env.go
+++ b/internal/env/env.go
@@ -46,14 +46,14 @@
 	}
 }
 
-type real struct{ d net.Dialer }
+type systemNet struct{ dialer net.Dialer }
 
-func (r *real) Listen(addr string) (net.Listener, error) { return net.Listen("tcp", addr) }
-func (r *real) Dial(ctx context.Context, addr string) (net.Conn, error) {
-	return r.d.DialContext(ctx, "tcp", addr)
+func (r *systemNet) Listen(addr string) (net.Listener, error) { return net.Listen("tcp", addr) }
+func (r *systemNet) Dial(ctx context.Context, addr string) (net.Conn, error) {
+	return r.dialer.DialContext(ctx, "tcp", addr)
 }
 
 // Real is the machine's own network and clock; the folder is set by who has one.
 func Real(node string) Env {
-	return Env{Net: &real{}, Wall: time.Now, Sleep: task.Sleep, Log: event.New(node, os.Stderr)}
+	return Env{Net: &systemNet{}, Wall: time.Now, Sleep: task.Sleep, Log: event.New(node, os.Stderr)}
 }
--- a/internal/env/steer.go
+++ b/internal/env/steer.go
@@ -16,24 +16,24 @@
 // that isn't the kernel's own is left as it is.
 // The kernel also takes no more than some bytes before they can go out: what is
 // in its buffer passes all that comes later, however urgent.
-func TuneConn(c net.Conn, long time.Duration, unsent int) error {
-	s, ok := c.(syscall.Conn)
+func TuneConn(conn net.Conn, userTimeout time.Duration, maxUnsent int) error {
+	sysConn, ok := conn.(syscall.Conn)
 	if !ok {
 		return nil
 	}
-	raw, err := s.SyscallConn()
+	raw, err := sysConn.SyscallConn()
 	if err != nil {
 		return fault.Wrap(fault.Closed, err, "steer a connection")
 	}
-	var bad error
+	var optErr error
 	err = raw.Control(func(fd uintptr) {
-		bad = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(long.Milliseconds()))
-		if bad == nil {
-			bad = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_NOTSENT_LOWAT, unsent)
+		optErr = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(userTimeout.Milliseconds()))
+		if optErr == nil {
+			optErr = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_NOTSENT_LOWAT, maxUnsent)
 		}
 	})
 	if err == nil {
-		err = bad
+		err = optErr
 	}
 	return fault.Wrap(fault.Closed, err, "steer a connection")
 }
--- a/internal/env/steer_test.go
+++ b/internal/env/steer_test.go
@@ -9,28 +9,28 @@
 	"golang.org/x/sys/unix"
 )
 
-// TestSteer: both ends of a real connection carry the bound, and a connection
+// TestTuneConn: both ends of a real connection carry the bound, and a connection
 // of another kind is left alone.
-func TestSteer(t *testing.T) {
-	n := Real("x").Net
-	ear, err := n.Listen("127.0.0.1:0")
+func TestTuneConn(t *testing.T) {
+	network := Real("x").Net
+	listener, err := network.Listen("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer func() { _ = ear.Close() }()
-	one, err := n.Dial(context.Background(), ear.Addr().String())
+	defer func() { _ = listener.Close() }()
+	client, err := network.Dial(context.Background(), listener.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
-	two, err := ear.Accept()
+	server, err := listener.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, c := range []net.Conn{one, two} {
-		if err := TuneConn(c, 1500*time.Millisecond, 9000); err != nil {
+	for _, conn := range []net.Conn{client, server} {
+		if err := TuneConn(conn, 1500*time.Millisecond, 9000); err != nil {
 			t.Fatal(err)
 		}
-		raw, err := c.(*net.TCPConn).SyscallConn()
+		raw, err := conn.(*net.TCPConn).SyscallConn()
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -42,13 +42,13 @@
 				t.Errorf("it takes %d bytes: %v", got, err)
 			}
 		})
-		_ = c.Close()
+		_ = conn.Close()
 	}
-	if TuneConn(one, time.Second, 1) == nil {
+	if TuneConn(client, time.Second, 1) == nil {
 		t.Error("a closed connection was steered")
 	}
-	a, _ := net.Pipe()
-	if err := TuneConn(a, time.Second, 1); err != nil {
+	pipe, _ := net.Pipe()
+	if err := TuneConn(pipe, time.Second, 1); err != nil {
 		t.Error(err)
 	}
 }
--- a/internal/env/still_test.go
+++ b/internal/env/still_test.go
@@ -7,44 +7,44 @@
 	"testing"
 )
 
-// TestStill: a quiet connection is still, one with a byte waiting or an end is
+// TestIsQuiet: a quiet connection is still, one with a byte waiting or an end is
 // not; looking takes no byte away.
-func TestStill(t *testing.T) {
-	ear, err := net.Listen("tcp", "127.0.0.1:0")
+func TestIsQuiet(t *testing.T) {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer ear.Close()
-	c, err := Real("n").Net.Dial(context.Background(), ear.Addr().String())
+	defer listener.Close()
+	conn, err := Real("n").Net.Dial(context.Background(), listener.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
-	far, err := ear.Accept()
+	remote, err := listener.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
-	if still, known := IsQuiet(c); !still || !known {
+	if quiet, known := IsQuiet(conn); !quiet || !known {
 		t.Error("a quiet connection is not still")
 	}
-	if _, err := far.Write([]byte("x")); err != nil {
+	if _, err := remote.Write([]byte("x")); err != nil {
 		t.Fatal(err)
 	}
-	for still := true; still; still, _ = IsQuiet(c) {
+	for quiet := true; quiet; quiet, _ = IsQuiet(conn) {
 	}
-	b := make([]byte, 1)
-	if _, err := io.ReadFull(c, b); err != nil || b[0] != 'x' {
-		t.Errorf("%v %q", err, b)
+	received := make([]byte, 1)
+	if _, err := io.ReadFull(conn, received); err != nil || received[0] != 'x' {
+		t.Errorf("%v %q", err, received)
 	}
-	if still, _ := IsQuiet(c); !still {
+	if quiet, _ := IsQuiet(conn); !quiet {
 		t.Error("read empty, it is not still")
 	}
-	_ = far.Close()
-	for still := true; still; still, _ = IsQuiet(c) {
+	_ = remote.Close()
+	for quiet := true; quiet; quiet, _ = IsQuiet(conn) {
 	}
-	a, z := net.Pipe()
-	defer a.Close()
-	defer z.Close()
-	if _, known := IsQuiet(a); known {
+	pipeA, pipeB := net.Pipe()
+	defer pipeA.Close()
+	defer pipeB.Close()
+	if _, known := IsQuiet(pipeA); known {
 		t.Error("a pipe can't be looked at")
 	}
 }
--- a/internal/env/try.go
+++ b/internal/env/try.go
@@ -8,55 +8,55 @@
 // NonblockingWriter gives a way to write what a connection takes at once, without waiting
 // for the far end. It must not be used by two at the same time. A connection
 // that knows no such way takes nothing.
-func NonblockingWriter(c net.Conn) func([]byte) (int, error) {
-	if t, ok := c.(interface{ Try([]byte) (int, error) }); ok {
-		return t.Try
+func NonblockingWriter(conn net.Conn) func([]byte) (int, error) {
+	if writer, ok := conn.(interface{ Try([]byte) (int, error) }); ok {
+		return writer.Try
 	}
-	s, ok := c.(syscall.Conn)
+	sysConn, ok := conn.(syscall.Conn)
 	if !ok {
-		return none
+		return writeNothing
 	}
-	raw, err := s.SyscallConn()
+	raw, err := sysConn.SyscallConn()
 	if err != nil {
-		return none
+		return writeNothing
 	}
-	t := &try{raw: raw}
+	writer := &nonblockingWriter{raw: raw}
 	// Made once: a closure for each write would be garbage each time.
-	t.f = t.once
-	return t.write
+	writer.attempt = writer.writeOnce
+	return writer.write
 }
 
-func none([]byte) (int, error) { return 0, nil }
+func writeNothing([]byte) (int, error) { return 0, nil }
 
-type try struct {
-	raw syscall.RawConn
-	f   func(uintptr) bool
-	b   []byte
-	n   int
-	err error
+type nonblockingWriter struct {
+	raw     syscall.RawConn
+	attempt func(uintptr) bool
+	data    []byte
+	written int
+	err     error
 }
 
-func (t *try) write(b []byte) (int, error) {
-	t.b, t.n, t.err = b, 0, nil
-	err := t.raw.Write(t.f)
-	t.b = nil
+func (w *nonblockingWriter) write(b []byte) (int, error) {
+	w.data, w.written, w.err = b, 0, nil
+	err := w.raw.Write(w.attempt)
+	w.data = nil
 	if err == nil {
-		err = t.err
+		err = w.err
 	}
-	return t.n, err
+	return w.written, err
 }
 
-// once writes what the socket takes; true means that nobody waits for more.
-func (t *try) once(fd uintptr) bool {
+// writeOnce writes what the socket takes; true means that nobody waits for more.
+func (w *nonblockingWriter) writeOnce(fd uintptr) bool {
 	for {
-		n, err := syscall.Write(int(fd), t.b)
+		n, err := syscall.Write(int(fd), w.data)
 		switch {
 		case err == syscall.EINTR:
 			continue
 		case err == nil:
-			t.n = n
+			w.written = n
 		case err != syscall.EAGAIN:
-			t.err = err
+			w.err = err
 		}
 		return true
 	}
--- a/internal/hlc/hlc.go
+++ b/internal/hlc/hlc.go
@@ -14,34 +14,34 @@
 }
 
 // Less orders two stamps.
-func (s Stamp) Less(o Stamp) bool {
-	if s.Wall != o.Wall {
-		return s.Wall < o.Wall
+func (s Stamp) Less(other Stamp) bool {
+	if s.Wall != other.Wall {
+		return s.Wall < other.Wall
 	}
-	return s.Count < o.Count
+	return s.Count < other.Count
 }
 
 // Clock gives rising stamps.
 type Clock struct {
-	mu   sync.Mutex
-	wall func() time.Time
-	last Stamp
-	far  time.Duration
+	mu       sync.Mutex
+	wall     func() time.Time
+	last     Stamp
+	maxAhead time.Duration
 }
 
 // New makes a clock over a wall clock. A stamp seen from further ahead than
 // far is not followed: one node's jump must not drag all the others along.
-func New(wall func() time.Time, far time.Duration) *Clock {
-	return &Clock{wall: wall, far: far}
+func New(wall func() time.Time, maxAhead time.Duration) *Clock {
+	return &Clock{wall: wall, maxAhead: maxAhead}
 }
 
 // Now gives a stamp above all that this clock gave or saw.
 func (c *Clock) Now() Stamp {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	w := c.wall().UnixMilli()
-	if w > c.last.Wall {
-		c.last = Stamp{Wall: w}
+	wall := c.wall().UnixMilli()
+	if wall > c.last.Wall {
+		c.last = Stamp{Wall: wall}
 	} else {
 		// The wall stood still or went back: the count goes on.
 		c.last.Count++
@@ -53,7 +53,7 @@
 func (c *Clock) Observe(s Stamp) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if s.Wall-c.wall().UnixMilli() > c.far.Milliseconds() {
+	if s.Wall-c.wall().UnixMilli() > c.maxAhead.Milliseconds() {
 		return
 	}
 	if c.last.Less(s) {
--- a/internal/httpapi/door.go
+++ b/internal/httpapi/door.go
@@ -15,153 +15,153 @@
 // It can be changed while connections stand; one that idles keeps the time that
 // it had when it began to, since its caller may have been told of that.
 type ConnLimits struct {
-	head, idle atomic.Int64
-	most, open atomic.Int64 // connections: the bound, 0 for none, and how many there are
-	active     atomic.Int64 // of them, those whose request has begun to come and isn't answered
+	headerTimeout, idleTimeout atomic.Int64
+	maxConns, openConns        atomic.Int64 // connections: the bound, 0 for none, and how many there are
+	activeConns                atomic.Int64 // of them, those whose request has begun to come and isn't answered
 }
 
 // SetMaxConns sets how many connections there may be at once; 0 sets no bound.
-func (s *ConnLimits) SetMaxConns(most int) { s.most.Store(int64(most)) }
+func (s *ConnLimits) SetMaxConns(maxConns int) { s.maxConns.Store(int64(maxConns)) }
 
 // OpenConns tells how many there are.
-func (s *ConnLimits) OpenConns() int64 { return s.open.Load() }
+func (s *ConnLimits) OpenConns() int64 { return s.openConns.Load() }
 
 // ActiveConns tells on how many connections a request has begun to come whose answer is
 // not written to its end.
-func (s *ConnLimits) ActiveConns() int64 { return s.active.Load() }
+func (s *ConnLimits) ActiveConns() int64 { return s.activeConns.Load() }
 
 // NearLimit tells that three quarters of the bound are reached: answers should
 // end their connections then, before new ones have to be turned away.
 func (s *ConnLimits) NearLimit() bool {
-	most := s.most.Load()
-	return most > 0 && 4*s.open.Load() > 3*most
+	maxConns := s.maxConns.Load()
+	return maxConns > 0 && 4*s.openConns.Load() > 3*maxConns
 }
 
 // Set changes both.
-func (s *ConnLimits) Set(head, idle time.Duration) {
-	s.head.Store(int64(head))
-	s.idle.Store(int64(idle))
+func (s *ConnLimits) Set(headerTimeout, idleTimeout time.Duration) {
+	s.headerTimeout.Store(int64(headerTimeout))
+	s.idleTimeout.Store(int64(idleTimeout))
 }
 
 // IdleTimeout is how long a connection may idle from now on.
-func (s *ConnLimits) IdleTimeout() time.Duration { return time.Duration(s.idle.Load()) }
+func (s *ConnLimits) IdleTimeout() time.Duration { return time.Duration(s.idleTimeout.Load()) }
 
 // ServeCallers opens a port whose connections go by limits that may change. The
 // server reads its own limits without a lock, so they stay as they are, and the
 // deadlines that it sets on a connection are moved on their way. most bounds a
 // header in bytes, whatever is told later.
-func ServeCallers(g *task.Group, e env.Env, addr string, h http.Handler, head time.Duration, most int, stay *ConnLimits) (*http.Server, error) {
-	return open(g, e, addr, h, head, func(srv *http.Server, ear net.Listener) net.Listener {
-		srv.MaxHeaderBytes = most
-		srv.ConnState = func(c net.Conn, now http.ConnState) {
-			if k, ok := c.(*caller); ok {
-				k.becomes(now)
+func ServeCallers(group *task.Group, environment env.Env, addr string, handler http.Handler, headerTimeout time.Duration, maxHeaderBytes int, limits *ConnLimits) (*http.Server, error) {
+	return startServer(group, environment, addr, handler, headerTimeout, func(server *http.Server, listener net.Listener) net.Listener {
+		server.MaxHeaderBytes = maxHeaderBytes
+		server.ConnState = func(conn net.Conn, state http.ConnState) {
+			if caller, ok := conn.(*callerConn); ok {
+				caller.stateChanged(state)
 			}
 		}
-		srv.ConnContext = withFrame
-		return &hall{Listener: ear, stay: stay, head: head}
+		server.ConnContext = withConn
+		return &callerListener{Listener: listener, limits: limits, serverHeaderTimeout: headerTimeout}
 	})
 }
 
-// hall gives out callers' connections.
-type hall struct {
+// callerListener gives out callers' connections.
+type callerListener struct {
 	net.Listener
-	stay *ConnLimits
-	head time.Duration // the server's own
+	limits              *ConnLimits
+	serverHeaderTimeout time.Duration // the server's own
 }
 
-func (l *hall) Accept() (net.Conn, error) {
+func (l *callerListener) Accept() (net.Conn, error) {
 	for {
-		c, err := l.Listener.Accept()
+		conn, err := l.Listener.Accept()
 		if err != nil {
 			return nil, err
 		}
 		// One too many ends unread, so that descriptors are left for fellows and
 		// the worker; its caller knows that nothing was taken.
-		if n, most := l.stay.open.Add(1), l.stay.most.Load(); most > 0 && n > most {
-			l.stay.open.Add(-1)
-			_ = c.Close()
+		if n, maxConns := l.limits.openConns.Add(1), l.limits.maxConns.Load(); maxConns > 0 && n > maxConns {
+			l.limits.openConns.Add(-1)
+			_ = conn.Close()
 			continue
 		}
-		k := &caller{Conn: c, l: l}
-		k.head.start()
-		return k, nil
+		caller := &callerConn{Conn: conn, listener: l}
+		caller.scanner.start()
+		return caller, nil
 	}
 }
 
 // What the next deadline of a connection is for. The server sets them in this
 // order: for the header, for the whole request, and for the rest after it.
 const (
-	forHead = iota
-	forWhole
-	forNone
-	forRest
+	headerDeadline = iota
+	requestDeadline
+	noDeadline
+	idleDeadline
 )
 
-// caller is one connection of a caller.
-type caller struct {
+// callerConn is one connection of a caller.
+type callerConn struct {
 	net.Conn
-	l    *hall
-	mu   sync.Mutex
-	next int
-	more time.Duration // by how much the header's time was moved
-	once sync.Once
-	head headLook
-	busy atomic.Bool // a request on it is not answered to its end
+	listener        *callerListener
+	mu              sync.Mutex
+	nextDeadline    int
+	headerExtension time.Duration // by how much the header's time was moved
+	closeOnce       sync.Once
+	scanner         headScanner
+	active          atomic.Bool // a request on it is not answered to its end
 }
 
-// becomes notes what the server says of the connection.
-func (k *caller) becomes(now http.ConnState) {
-	active := now == http.StateActive
-	if k.busy.Swap(active) != active {
+// stateChanged notes what the server says of the connection.
+func (c *callerConn) stateChanged(state http.ConnState) {
+	active := state == http.StateActive
+	if c.active.Swap(active) != active {
 		if active {
-			k.l.stay.active.Add(1)
+			c.listener.limits.activeConns.Add(1)
 		} else {
-			k.l.stay.active.Add(-1)
+			c.listener.limits.activeConns.Add(-1)
 		}
 	}
-	if now == http.StateIdle {
-		k.rests()
+	if state == http.StateIdle {
+		c.startIdle()
 	}
 }
 
 // Close ends the connection, which then no longer counts.
-func (k *caller) Close() error {
-	k.once.Do(func() { k.l.stay.open.Add(-1) })
-	return k.Conn.Close()
+func (c *callerConn) Close() error {
+	c.closeOnce.Do(func() { c.listener.limits.openConns.Add(-1) })
+	return c.Conn.Close()
 }
 
-// rests notes that a request has ended and the connection idles.
-func (k *caller) rests() {
-	k.mu.Lock()
-	k.next = forRest
-	k.head = headLook{}
-	k.mu.Unlock()
+// startIdle notes that a request has ended and the connection idles.
+func (c *callerConn) startIdle() {
+	c.mu.Lock()
+	c.nextDeadline = idleDeadline
+	c.scanner = headScanner{}
+	c.mu.Unlock()
 }
 
 // Read ends the connection when a header takes too long. The server itself
 // would take the part of a line that came for a whole one, and answer that it
 // is malformed.
-func (k *caller) Read(b []byte) (int, error) {
-	k.mu.Lock()
+func (c *callerConn) Read(b []byte) (int, error) {
+	c.mu.Lock()
 	// Read while it idles: nothing of the next head has been buffered, but for
 	// the few bytes that the server looked at to see that there is one.
-	if k.next == forHead && !k.head.seen {
-		k.head.start()
+	if c.nextDeadline == headerDeadline && !c.scanner.started {
+		c.scanner.start()
 	}
-	k.mu.Unlock()
-	n, err := k.Conn.Read(b)
+	c.mu.Unlock()
+	n, err := c.Conn.Read(b)
 	if n > 0 {
-		k.mu.Lock()
-		k.head.heed(b[:n])
-		k.mu.Unlock()
+		c.mu.Lock()
+		c.scanner.scan(b[:n])
+		c.mu.Unlock()
 	}
-	if late, ok := err.(net.Error); ok && late.Timeout() {
-		k.mu.Lock()
-		head := k.next == forWhole
-		k.mu.Unlock()
-		if head {
-			_ = k.Conn.Close()
+	if netErr, ok := err.(net.Error); ok && netErr.Timeout() {
+		c.mu.Lock()
+		inHeader := c.nextDeadline == requestDeadline
+		c.mu.Unlock()
+		if inHeader {
+			_ = c.Conn.Close()
 		}
 	}
 	return n, err
@@ -169,29 +169,29 @@
 
 // SetReadDeadline moves a deadline that the server sets to what holds now.
 // Those in the past and none at all are its way to end a read or let it go on.
-func (k *caller) SetReadDeadline(t time.Time) error {
-	if now := time.Now(); t.After(now) {
-		k.mu.Lock()
-		switch k.next {
-		case forHead:
-			head := time.Duration(k.l.stay.head.Load())
-			k.more, t, k.next = head-k.l.head, now.Add(head), forWhole
-		case forWhole:
+func (c *callerConn) SetReadDeadline(deadline time.Time) error {
+	if now := time.Now(); deadline.After(now) {
+		c.mu.Lock()
+		switch c.nextDeadline {
+		case headerDeadline:
+			headerTimeout := time.Duration(c.listener.limits.headerTimeout.Load())
+			c.headerExtension, deadline, c.nextDeadline = headerTimeout-c.listener.serverHeaderTimeout, now.Add(headerTimeout), requestDeadline
+		case requestDeadline:
 			// A longer time for the header doesn't shorten that of the body.
-			t, k.next = t.Add(max(k.more, 0)), forNone
-		case forRest:
-			t, k.next = now.Add(k.l.stay.IdleTimeout()), forHead
+			deadline, c.nextDeadline = deadline.Add(max(c.headerExtension, 0)), noDeadline
+		case idleDeadline:
+			deadline, c.nextDeadline = now.Add(c.listener.limits.IdleTimeout()), headerDeadline
 		}
-		k.mu.Unlock()
+		c.mu.Unlock()
 	}
-	return k.Conn.SetReadDeadline(t)
+	return c.Conn.SetReadDeadline(deadline)
 }
 
 // CloseWrite lets the server end its side first where a request was not read
 // whole, so that the answer isn't lost.
-func (k *caller) CloseWrite() error {
-	if c, ok := k.Conn.(interface{ CloseWrite() error }); ok {
-		return c.CloseWrite()
+func (c *callerConn) CloseWrite() error {
+	if conn, ok := c.Conn.(interface{ CloseWrite() error }); ok {
+		return conn.CloseWrite()
 	}
 	return nil
 }
--- a/internal/httpapi/frame.go
+++ b/internal/httpapi/frame.go
@@ -20,89 +20,89 @@
 	FramingBareLF                   // a line that ends without its return
 )
 
-type frameKey struct{}
+type connKey struct{}
 
 // FramingOf tells how the head of a caller's request was framed.
 func FramingOf(ctx context.Context) Framing {
-	k, ok := ctx.Value(frameKey{}).(*caller)
+	conn, ok := ctx.Value(connKey{}).(*callerConn)
 	if !ok {
 		return FramingPlain
 	}
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.head.verdict()
+	conn.mu.Lock()
+	defer conn.mu.Unlock()
+	return conn.scanner.framing()
 }
 
-// withFrame lets handlers ask.
-func withFrame(ctx context.Context, c net.Conn) context.Context {
-	return context.WithValue(ctx, frameKey{}, c)
+// withConn lets handlers ask.
+func withConn(ctx context.Context, conn net.Conn) context.Context {
+	return context.WithValue(ctx, connKey{}, conn)
 }
 
-// headLook follows the bytes of one head as they are read.
-type headLook struct {
-	seen  bool // it was followed from its first line on
-	on    bool // and its end has not come
-	size  bool // it gives a length
-	parts bool // it gives an encoding
-	bare  bool
-	rest  []byte // the last bytes of the read before, when it ended within a line
+// headScanner follows the bytes of one head as they are read.
+type headScanner struct {
+	started     bool // it was followed from its first line on
+	inHead      bool // and its end has not come
+	hasLength   bool // it gives a length
+	hasEncoding bool // it gives an encoding
+	hasBareLF   bool
+	partialLine []byte // the last bytes of the read before, when it ended within a line
 }
 
-func (h *headLook) verdict() Framing {
+func (s *headScanner) framing() Framing {
 	switch {
-	case !h.seen:
+	case !s.started:
 		return FramingUnknown
-	case h.bare:
+	case s.hasBareLF:
 		return FramingBareLF
-	case h.size && h.parts:
+	case s.hasLength && s.hasEncoding:
 		return FramingAmbiguous
 	}
 	return FramingPlain
 }
 
 // start begins with a new head.
-func (h *headLook) start() { *h = headLook{seen: true, on: true} }
+func (s *headScanner) start() { *s = headScanner{started: true, inHead: true} }
 
-// heed takes in bytes; those after the head's empty line are a body's.
-func (h *headLook) heed(b []byte) {
-	for h.on && len(b) > 0 {
+// scan takes in bytes; those after the head's empty line are a body's.
+func (s *headScanner) scan(b []byte) {
+	for s.inHead && len(b) > 0 {
 		end := bytes.IndexByte(b, '\n')
 		if end < 0 {
-			h.keep(b)
+			s.appendPartial(b)
 			return
 		}
 		line := b[:end]
-		if len(h.rest) > 0 {
-			h.keep(line)
-			line = h.rest
+		if len(s.partialLine) > 0 {
+			s.appendPartial(line)
+			line = s.partialLine
 		}
-		h.line(line)
-		h.rest, b = h.rest[:0], b[end+1:]
+		s.scanLine(line)
+		s.partialLine, b = s.partialLine[:0], b[end+1:]
 	}
 }
 
-// keep adds to a line that has not ended. Its beginning and its end are enough.
-func (h *headLook) keep(b []byte) {
-	const most = 64
-	h.rest = append(h.rest, b[:min(len(b), max(most-len(h.rest), 0))]...)
-	if len(b) > 0 && len(h.rest) == most {
-		h.rest[most-1] = b[len(b)-1]
+// appendPartial adds to a line that has not ended. Its beginning and its end are enough.
+func (s *headScanner) appendPartial(b []byte) {
+	const maxBytes = 64
+	s.partialLine = append(s.partialLine, b[:min(len(b), max(maxBytes-len(s.partialLine), 0))]...)
+	if len(b) > 0 && len(s.partialLine) == maxBytes {
+		s.partialLine[maxBytes-1] = b[len(b)-1]
 	}
 }
 
-func (h *headLook) line(b []byte) {
-	if len(b) == 0 || b[len(b)-1] != '\r' {
-		h.bare, h.on = true, false
+func (s *headScanner) scanLine(line []byte) {
+	if len(line) == 0 || line[len(line)-1] != '\r' {
+		s.hasBareLF, s.inHead = true, false
 		return
 	}
-	if len(b) == 1 {
-		h.on = false
+	if len(line) == 1 {
+		s.inHead = false
 		return
 	}
-	h.size = h.size || named(b, "content-length")
-	h.parts = h.parts || named(b, "transfer-encoding")
+	s.hasLength = s.hasLength || isHeader(line, "content-length")
+	s.hasEncoding = s.hasEncoding || isHeader(line, "transfer-encoding")
 }
 
-func named(line []byte, name string) bool {
+func isHeader(line []byte, name string) bool {
 	return len(line) > len(name) && line[len(name)] == ':' && bytes.EqualFold(line[:len(name)], []byte(name))
 }
--- a/internal/httpapi/frame_test.go
+++ b/internal/httpapi/frame_test.go
@@ -5,14 +5,14 @@
 	"testing"
 )
 
-// seen follows a text that comes in parts of a size.
-func seen(text string, size int) Framing {
-	var h headLook
-	h.start()
+// framingInParts follows a text that comes in parts of a size.
+func framingInParts(text string, size int) Framing {
+	var scanner headScanner
+	scanner.start()
 	for i := 0; i < len(text); i += size {
-		h.heed([]byte(text[i:min(i+size, len(text))]))
+		scanner.scan([]byte(text[i:min(i+size, len(text))]))
 	}
-	return h.verdict()
+	return scanner.framing()
 }
 
 // TestFraming: a head that frames a request in two ways is seen however its
@@ -35,13 +35,13 @@
 		"GET /" + strings.Repeat("x", 58) + "\r\nTransfer-Encoding: chunked\r\nContent-Length: 1\r\n\r\n": FramingAmbiguous,
 	} {
 		for size := 1; size <= len(text); size++ {
-			if got := seen(text, size); got != want {
+			if got := framingInParts(text, size); got != want {
 				t.Errorf("%q in parts of %d: %d, want %d", text, size, got, want)
 			}
 		}
 	}
-	var h headLook
-	if h.heed([]byte("GET / HTTP/1.1\r\n\r\n")); h.verdict() != FramingUnknown {
+	var scanner headScanner
+	if scanner.scan([]byte("GET / HTTP/1.1\r\n\r\n")); scanner.framing() != FramingUnknown {
 		t.Error("one that was not followed is known")
 	}
 }
@@ -52,7 +52,7 @@
 	f.Add("GET / HTTP/1.1\nHost: a\r\n\r\n", 1)
 	f.Fuzz(func(t *testing.T, text string, size int) {
 		size = max(size%97, 1)
-		if whole, parts := seen(text, len(text)+1), seen(text, size); whole != parts {
+		if whole, parts := framingInParts(text, len(text)+1), framingInParts(text, size); whole != parts {
 			t.Errorf("%q: %d whole, %d in parts of %d", text, whole, parts, size)
 		}
 	})
--- a/internal/responsedigest/seal.go
+++ b/internal/responsedigest/seal.go
@@ -23,16 +23,16 @@
 // Of works out the seal. The parts are counted, so that none can run over
 // into the next.
 func Of(attempt, worker string, status int, body []byte) string {
-	var room [256]byte
-	b := room[:0]
+	var buffer [256]byte
+	input := buffer[:0]
 	for _, s := range [...]string{attempt, worker} {
-		b = strconv.AppendInt(b, int64(len(s)), 10)
-		b = append(append(append(b, ':'), s...), ',')
+		input = strconv.AppendInt(input, int64(len(s)), 10)
+		input = append(append(append(input, ':'), s...), ',')
 	}
-	b = append(strconv.AppendInt(b, int64(status), 10), ',')
-	b = append(strconv.AppendInt(b, int64(len(body)), 10), ':')
-	h := sha256.New()
-	h.Write(b)
-	h.Write(body)
-	return hex.EncodeToString(h.Sum(room[:0]))
+	input = append(strconv.AppendInt(input, int64(status), 10), ',')
+	input = append(strconv.AppendInt(input, int64(len(body)), 10), ':')
+	hash := sha256.New()
+	hash.Write(input)
+	hash.Write(body)
+	return hex.EncodeToString(hash.Sum(buffer[:0]))
 }
--- a/internal/task/task.go
+++ b/internal/task/task.go
@@ -10,26 +10,26 @@
 
 // Group holds the goroutines of one process or of one part of it.
 type Group struct {
-	ctx  context.Context
-	stop context.CancelFunc
-	wg   sync.WaitGroup
-	mu   sync.Mutex
-	shut bool
-	live map[string]int
+	ctx     context.Context
+	cancel  context.CancelFunc
+	wg      sync.WaitGroup
+	mu      sync.Mutex
+	stopped bool
+	running map[string]int
 	// pause is how Every waits, Pause if nothing else was said.
-	pause func(context.Context, time.Duration)
+	sleep func(context.Context, time.Duration)
 }
 
 // New makes a Group whose goroutines end with root.
-func New(root context.Context) *Group {
-	ctx, stop := context.WithCancel(root)
-	return &Group{ctx: ctx, stop: stop, live: map[string]int{}, pause: Sleep}
+func New(parent context.Context) *Group {
+	ctx, cancel := context.WithCancel(parent)
+	return &Group{ctx: ctx, cancel: cancel, running: map[string]int{}, sleep: Sleep}
 }
 
 // SetSleep sets how Every waits between two beats.
-func (g *Group) SetSleep(pause func(context.Context, time.Duration)) *Group {
-	if pause != nil {
-		g.pause = pause
+func (g *Group) SetSleep(sleep func(context.Context, time.Duration)) *Group {
+	if sleep != nil {
+		g.sleep = sleep
 	}
 	return g
 }
@@ -38,42 +38,42 @@
 func (g *Group) Context() context.Context { return g.ctx }
 
 // Go starts f under a name. It returns false when the group has been stopped.
-func (g *Group) Go(name string, f func(context.Context)) bool {
+func (g *Group) Go(name string, run func(context.Context)) bool {
 	g.mu.Lock()
 	// A start after the stop would outlive the wait, so it is turned away.
-	if g.shut {
+	if g.stopped {
 		g.mu.Unlock()
 		return false
 	}
-	g.live[name]++
+	g.running[name]++
 	g.wg.Add(1)
 	g.mu.Unlock()
 	go func() {
 		defer g.done(name)
-		f(g.ctx)
+		run(g.ctx)
 	}()
 	return true
 }
 
 func (g *Group) done(name string) {
 	g.mu.Lock()
-	g.live[name]--
-	if g.live[name] == 0 {
-		delete(g.live, name)
+	g.running[name]--
+	if g.running[name] == 0 {
+		delete(g.running, name)
 	}
 	g.mu.Unlock()
 	g.wg.Done()
 }
 
 // Every runs f at each beat until the group stops.
-func (g *Group) Every(name string, beat time.Duration, f func(context.Context)) bool {
+func (g *Group) Every(name string, interval time.Duration, run func(context.Context)) bool {
 	return g.Go(name, func(ctx context.Context) {
 		for {
-			g.pause(ctx, beat)
+			g.sleep(ctx, interval)
 			if ctx.Err() != nil {
 				return
 			}
-			f(ctx)
+			run(ctx)
 		}
 	})
 }
@@ -82,19 +82,19 @@
 func (g *Group) Live() map[string]int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	out := make(map[string]int, len(g.live))
-	for k, v := range g.live {
-		out[k] = v
+	counts := make(map[string]int, len(g.running))
+	for name, count := range g.running {
+		counts[name] = count
 	}
-	return out
+	return counts
 }
 
 // Cancel tells all to end, without the wait.
 func (g *Group) Cancel() {
 	g.mu.Lock()
-	g.shut = true
+	g.stopped = true
 	g.mu.Unlock()
-	g.stop()
+	g.cancel()
 }
 
 // Stop tells all to end and waits for them.
@@ -105,10 +105,10 @@
 
 // Sleep waits for a time, or until the context ends.
 func Sleep(ctx context.Context, d time.Duration) {
-	t := time.NewTimer(d)
-	defer t.Stop()
+	timer := time.NewTimer(d)
+	defer timer.Stop()
 	select {
-	case <-t.C:
+	case <-timer.C:
 	case <-ctx.Done():
 	}
 }
--- a/internal/workerconn/pool.go
+++ b/internal/workerconn/pool.go
@@ -16,99 +16,99 @@
 
 // Pool keeps idle connections by worker.
 type Pool struct {
-	net         env.Net
-	group       *task.Group
-	idleMost    time.Duration // how long a connection may idle and be used again
-	answerBytes int64         // bound on one answer, head and body
-	identifies  bool          // asks who is there, on each new connection
+	network          env.Net
+	group            *task.Group
+	maxIdle          time.Duration // how long a connection may idle and be used again
+	maxResponseBytes int64         // bound on one answer, head and body
+	verifyIdentity   bool          // asks who is there, on each new connection
 
-	mu     sync.Mutex
-	idle   map[string][]*Conn // by worker
-	all    map[*Conn]bool
-	limits map[string]idleLimit // by worker
+	mu         sync.Mutex
+	idle       map[string][]*Conn // by worker
+	conns      map[*Conn]bool
+	idleLimits map[string]idleLimit // by worker
 }
 
 // NewPool makes a pool. A connection may idle for idleMost, and an answer have
 // answerBytes, head and body. With identifies each new connection is asked for the
 // worker's name first.
-func NewPool(net env.Net, group *task.Group, idleMost time.Duration, answerBytes int64, identifies bool) *Pool {
-	return &Pool{net: net, group: group, idleMost: idleMost, answerBytes: answerBytes, identifies: identifies,
-		idle: map[string][]*Conn{}, all: map[*Conn]bool{}, limits: map[string]idleLimit{}}
+func NewPool(network env.Net, group *task.Group, maxIdle time.Duration, maxResponseBytes int64, verifyIdentity bool) *Pool {
+	return &Pool{network: network, group: group, maxIdle: maxIdle, maxResponseBytes: maxResponseBytes, verifyIdentity: verifyIdentity,
+		idle: map[string][]*Conn{}, conns: map[*Conn]bool{}, idleLimits: map[string]idleLimit{}}
 }
 
 // Acquire gives a connection to a worker: a kept one that was good a moment ago, or a
 // new one. An error means that no request can have been sent.
 func (p *Pool) Acquire(ctx context.Context, worker, addr string) (*Conn, error) {
 	for {
-		c, idleMost := p.pop(worker)
-		if c == nil {
+		conn, maxIdle := p.popIdle(worker)
+		if conn == nil {
 			return p.Open(ctx, worker, addr)
 		}
-		c.idled = time.Since(c.since)
-		if c.usable() && c.idled < min(c.idleMost, idleMost) {
-			return c, nil
+		conn.idleDuration = time.Since(conn.releasedAt)
+		if conn.usable() && conn.idleDuration < min(conn.maxIdle, maxIdle) {
+			return conn, nil
 		}
-		p.Discard(c)
+		p.Discard(conn)
 	}
 }
 
-// pop takes the idle connection that was used last, nil if there is none, and tells
+// popIdle takes the idle connection that was used last, nil if there is none, and tells
 // for how long one of its worker may have idled.
-func (p *Pool) pop(worker string) (c *Conn, idleMost time.Duration) {
+func (p *Pool) popIdle(worker string) (conn *Conn, maxIdle time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	idleMost = p.idleLimit(worker)
+	maxIdle = p.currentIdleLimit(worker)
 	idle := p.idle[worker]
 	if n := len(idle); n > 0 {
-		c = idle[n-1]
+		conn = idle[n-1]
 		p.idle[worker] = idle[:n-1]
 	}
-	return c, idleMost
+	return conn, maxIdle
 }
 
 // Release puts a connection by. Where it can't be looked at before its next request, a
 // watch reads on it meanwhile.
-func (p *Pool) Release(c *Conn) {
-	c.since = time.Now()
-	c.limited.N = 1
-	_ = c.conn.SetDeadline(time.Time{})
-	if _, known := env.IsQuiet(c.conn); !known && !p.group.Go("idle-watch", func(context.Context) { p.watch(c) }) {
-		p.Discard(c)
+func (p *Pool) Release(conn *Conn) {
+	conn.releasedAt = time.Now()
+	conn.limitedReader.N = 1
+	_ = conn.netConn.SetDeadline(time.Time{})
+	if _, known := env.IsQuiet(conn.netConn); !known && !p.group.Go("idle-watch", func(context.Context) { p.watchIdle(conn) }) {
+		p.Discard(conn)
 		return
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.idle[c.worker] = append(p.idle[c.worker], c)
+	p.idle[conn.worker] = append(p.idle[conn.worker], conn)
 }
 
-// watch reads on an idle connection until it is told to end, and drops it if anything
+// watchIdle reads on an idle connection until it is told to end, and drops it if anything
 // came, or its end.
-func (p *Pool) watch(c *Conn) {
-	good := c.stillIdle()
-	c.woke <- good
-	if !good {
-		p.forget(c)
+func (p *Pool) watchIdle(conn *Conn) {
+	quiet := conn.waitWhileQuiet()
+	conn.watchResult <- quiet
+	if !quiet {
+		p.dropIdle(conn)
 	}
 }
 
-// forget drops a connection that died while it idled.
-func (p *Pool) forget(c *Conn) {
+// dropIdle drops a connection that died while it idled.
+func (p *Pool) dropIdle(conn *Conn) {
 	p.mu.Lock()
-	for i, o := range p.idle[c.worker] {
-		if o == c {
-			p.idle[c.worker] = append(p.idle[c.worker][:i:i], p.idle[c.worker][i+1:]...)
+	for i, other := range p.idle[conn.worker] {
+		if other == conn {
+			p.idle[conn.worker] = append(p.idle[conn.worker][:i:i], p.idle[conn.worker][i+1:]...)
 			break
 		}
 	}
 	p.mu.Unlock()
-	p.Discard(c)
+	p.Discard(conn)
 }
 
 // Discard ends a connection for good.
-func (p *Pool) Discard(c *Conn) {
-	_ = c.conn.Close()
+func (p *Pool) Discard(conn *Conn) {
+	_ = conn.netConn.Close()
 	p.mu.Lock()
-	delete(p.all, c)
+	delete(p.conns, conn)
 	p.mu.Unlock()
 }
 
@@ -118,14 +118,14 @@
 	defer p.mu.Unlock()
 	for worker, idle := range p.idle {
 		var kept []*Conn
-		for _, c := range idle {
-			if time.Since(c.since) < c.idleMost {
-				kept = append(kept, c)
+		for _, conn := range idle {
+			if time.Since(conn.releasedAt) < conn.maxIdle {
+				kept = append(kept, conn)
 				continue
 			}
 			// Its watch, if any, sees the end and drops it.
-			_ = c.conn.Close()
-			delete(p.all, c)
+			_ = conn.netConn.Close()
+			delete(p.conns, conn)
 		}
 		if len(kept) == 0 {
 			delete(p.idle, worker)
@@ -139,7 +139,7 @@
 func (p *Pool) Close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for c := range p.all {
-		_ = c.conn.Close()
+	for conn := range p.conns {
+		_ = conn.netConn.Close()
 	}
 }
