--- a/internal/compression/compression.go
+++ b/internal/compression/compression.go
@@ -1,5 +1,5 @@
-// Package compression packs tables of texts: column after column, since what stands
-// below each other is alike, and then compressed.
+// Package compression encodes tables of strings column by column, since the values of one
+// column resemble each other, and compresses the result with DEFLATE.
 package compression
 
 import (
@@ -13,12 +13,12 @@
 	"puffincrank/internal/fault"
 )
 
-// MaxTableBytes is how long a table may be when it is opened, in bytes: what claims more
-// is refused before room is made for it.
+// MaxTableBytes is the largest decompressed size. Decompress rejects input that
+// decompresses to more without reading the rest of it, so memory stays bounded.
 const MaxTableBytes = 64 << 20
 
-// The room of a packer and an opener is large against a message, so they are
-// used again.
+// The buffers of a flate writer or reader are large compared with a message, so both are
+// reused.
 var (
 	writers = sync.Pool{New: func() any {
 		w, err := flate.NewWriter(nil, flate.DefaultCompression)
@@ -30,17 +30,17 @@
 	readers = sync.Pool{New: func() any { return flate.NewReader(nil) }}
 )
 
-// EncodeColumns writes columns.
+// EncodeColumns encodes and compresses the columns of a table.
 func EncodeColumns(cols [][]string) []byte {
 	plain, err := msgpack.Marshal(cols)
 	if err != nil {
-		// Texts can't fail to be written to memory.
+		// Encoding strings to memory can't fail.
 		panic(err)
 	}
 	return Compress(plain)
 }
 
-// Compress compresses bytes.
+// Compress compresses bytes with DEFLATE.
 func Compress(plain []byte) []byte {
 	var buffer bytes.Buffer
 	writer := writers.Get().(*flate.Writer)
@@ -51,8 +51,8 @@
 	return buffer.Bytes()
 }
 
-// DecodeColumns reads columns; there must be wide of them, all of one length. The error
-// is of the kind fault.Input.
+// DecodeColumns decodes a table of exactly the given number of columns, all of the same
+// length. Errors are of the kind fault.Input.
 func DecodeColumns(packed []byte, columns int) ([][]string, error) {
 	plain, err := Decompress(packed)
 	if err != nil {
@@ -60,10 +60,10 @@
 	}
 	var cols [][]string
 	if err := msgpack.Unmarshal(plain, &cols); err != nil {
-		return nil, fault.Wrap(fault.Input, err, "a packed table")
+		return nil, fault.Wrap(fault.Input, err, "compressed table")
 	}
 	if len(cols) != columns {
-		return nil, fault.New(fault.Input, "a packed table of %d columns, not %d", len(cols), columns)
+		return nil, fault.New(fault.Input, "compressed table has %d columns, want %d", len(cols), columns)
 	}
 	for _, c := range cols {
 		if len(c) != len(cols[0]) {
@@ -73,17 +73,17 @@
 	return cols, nil
 }
 
-// Decompress gives the bytes that were shrunk; the error is of the kind fault.Input.
+// Decompress reverses Compress. Errors are of the kind fault.Input.
 func Decompress(compressed []byte) ([]byte, error) {
 	reader := readers.Get().(io.ReadCloser)
 	defer readers.Put(reader)
 	_ = reader.(flate.Resetter).Reset(bytes.NewReader(compressed), nil)
 	plain, err := io.ReadAll(io.LimitReader(reader, MaxTableBytes+1))
 	if err == nil && len(plain) > MaxTableBytes {
-		err = fault.New(fault.Input, "over %d bytes", MaxTableBytes)
+		err = fault.New(fault.Input, "decompressed size is over %d bytes", MaxTableBytes)
 	}
 	if err != nil {
-		return nil, fault.Wrap(fault.Input, err, "packed bytes")
+		return nil, fault.Wrap(fault.Input, err, "compressed data")
 	}
 	return plain, nil
 }
--- a/internal/compression/compression_test.go
+++ b/internal/compression/compression_test.go
@@ -10,8 +10,9 @@
 	"puffincrank/internal/fault"
 )
 
-// TestDecodeColumns: what was packed opens to the same, and what is cut off, of another
-// shape or larger than it may be is refused by kind.
+// TestDecodeColumns checks that an encoded table decodes to the same columns, and that
+// truncated, empty, wrongly shaped and oversized input gives an error of the kind
+// fault.Input.
 func TestDecodeColumns(t *testing.T) {
 	cols := [][]string{{"a", "b"}, {"", "\x00\xff"}}
 	packed := EncodeColumns(cols)
--- a/internal/disk/disk.go
+++ b/internal/disk/disk.go
@@ -1,5 +1,6 @@
-// Package disk keeps whole files: written aside, synced, renamed, and the
-// folder synced, before the write counts. Every file carries a checksum.
+// Package disk stores whole files atomically: each is written under a temporary name,
+// synced and renamed, and its folder is synced, before the write counts as durable. Every
+// file carries a checksum.
 package disk
 
 import (
@@ -16,8 +17,8 @@
 	"puffincrank/internal/fault"
 )
 
-// FS is what a folder must do. The real one is Dir; tests have one in memory
-// that loses unsynced bytes.
+// FS is the operations on one folder. Dir is the real one; tests use one in memory that
+// loses unsynced bytes.
 type FS interface {
 	Create(name string) (File, error)
 	Rename(from, to string) error
@@ -38,32 +39,32 @@
 
 var magic = []byte("PUFFIN1\n")
 
-// Save keeps data under name; when it returns nil the bytes are synced, and so is the
-// folder: a name whose folder isn't may be lost with power, whatever was synced of
-// the file.
+// Save stores data under name. When it returns nil, both the file and its folder are
+// synced: without the folder, a power failure could lose the name even though the file's
+// bytes were synced.
 func Save(fs FS, name string, data []byte) error {
 	return SaveAll(fs, []NamedFile{{name, data}})
 }
 
-// NamedFile is the content of a file and its name.
+// NamedFile is a file's name and content.
 type NamedFile struct {
 	Name string
 	Data []byte
 }
 
-// SaveAll keeps several files with one sync of their folder. When it returns nil all
-// are kept; else any of them may be, and none is to be counted on.
+// SaveAll stores several files with a single sync of their folder. When it returns nil, all
+// are durable; on an error any of them may have been stored, and none is guaranteed.
 func SaveAll(fs FS, files []NamedFile) error {
 	for _, f := range files {
 		if err := writeFile(fs, f.Name, f.Data); err != nil {
-			return fault.Wrap(fault.Disk, err, "keep "+f.Name)
+			return fault.Wrap(fault.Disk, err, "save "+f.Name)
 		}
 	}
-	return fault.Wrap(fault.Disk, fs.SyncDir(), "keep names in folder")
+	return fault.Wrap(fault.Disk, fs.SyncDir(), "sync folder")
 }
 
-// writeFile makes a file aside, syncs it and gives it its name, which lasts once the
-// folder is synced.
+// writeFile writes a file under a temporary name, syncs it and renames it. The new name is
+// durable once the folder is synced.
 func writeFile(fs FS, name string, data []byte) error {
 	checksum := sha256.Sum256(data)
 	header := append(append([]byte(nil), magic...), checksum[:]...)
@@ -72,7 +73,7 @@
 	if err != nil {
 		return err
 	}
-	// In two writes: a copy of the data, which may be large, is spared.
+	// Two writes save a copy of the data, which may be large.
 	if _, err = file.Write(header); err == nil {
 		_, err = file.Write(data)
 	}
@@ -86,18 +87,18 @@
 		err = fs.Rename(name+temporarySuffix, name)
 	}
 	if err != nil {
-		// A left-over must not eat the room of the next try.
+		// A leftover file must not take disk space from the next attempt.
 		_ = fs.Remove(name + temporarySuffix)
 	}
 	return err
 }
 
-// IsFull tells that a write was refused for want of room.
+// IsFull reports whether a write failed because the disk or the quota was full.
 func IsFull(err error) bool {
 	return fault.Has(err, syscall.ENOSPC) || fault.Has(err, syscall.EDQUOT)
 }
 
-// Load reads a kept file and checks it whole.
+// Load reads a stored file and verifies its header, length and checksum.
 func Load(fs FS, name string) ([]byte, error) {
 	raw, err := fs.Read(name)
 	if err != nil {
@@ -105,7 +106,7 @@
 	}
 	dataOffset := len(magic) + sha256.Size + 4
 	if len(raw) < dataOffset || !bytes.Equal(raw[:len(magic)], magic) {
-		return nil, fault.New(fault.Stale, "file %s has a bad head", name)
+		return nil, fault.New(fault.Stale, "file %s has a bad header", name)
 	}
 	data := raw[dataOffset:]
 	checksum := sha256.Sum256(data)
@@ -115,9 +116,10 @@
 	return data, nil
 }
 
-// AdoptUnrenamed names the whole files of a prefix that were added when power was lost.
-// Programs up to v0.1 counted a file as kept before its folder was synced. One whose
-// name another file has was never the one that counted.
+// AdoptUnrenamed completes the rename of intact temporary files whose names begin with a
+// prefix. Programs up to v0.1 counted a file as durable before its folder was synced, so
+// a power failure could undo the rename of such a file. A temporary file beside one of
+// the final name never counted and is left alone.
 func AdoptUnrenamed(fs FS, prefix string) error {
 	names, err := fs.List()
 	if err != nil {
@@ -143,7 +145,8 @@
 	return fault.Wrap(fault.Disk, fs.SyncDir(), "adopt files")
 }
 
-// Names lists the whole files of a prefix in order; left-overs are removed.
+// Names returns the sorted names of the files that begin with a prefix. It removes all
+// leftover temporary files.
 func Names(fs FS, prefix string) ([]string, error) {
 	files, err := fs.List()
 	if err != nil {
@@ -163,32 +166,32 @@
 	return names, nil
 }
 
-// Dir is a folder of the real disk.
+// Dir is a folder on a real disk.
 type Dir struct{ root string }
 
-// Open makes the folder if need be.
+// Open opens a folder and creates it if need be.
 func Open(root string) (*Dir, error) {
 	if err := os.MkdirAll(root, 0o755); err != nil {
-		return nil, fault.Wrap(fault.Disk, err, "make data folder")
+		return nil, fault.Wrap(fault.Disk, err, "create data folder")
 	}
 	return &Dir{root: root}, nil
 }
 
 func (d *Dir) path(name string) string { return filepath.Join(d.root, name) }
 
-// Create opens a new file for writing.
+// Create creates a file for writing.
 func (d *Dir) Create(name string) (File, error) { return os.Create(d.path(name)) }
 
-// Rename moves a file over another.
+// Rename renames a file, replacing any of the new name.
 func (d *Dir) Rename(from, to string) error { return os.Rename(d.path(from), d.path(to)) }
 
-// Remove drops a file.
+// Remove deletes a file.
 func (d *Dir) Remove(name string) error { return os.Remove(d.path(name)) }
 
 // Read reads a whole file.
 func (d *Dir) Read(name string) ([]byte, error) { return os.ReadFile(d.path(name)) }
 
-// SyncDir makes renames last.
+// SyncDir makes preceding renames durable.
 func (d *Dir) SyncDir() error {
 	dir, err := os.Open(d.root)
 	if err != nil {
@@ -201,7 +204,7 @@
 	return err
 }
 
-// List gives the names in the folder.
+// List returns the names of the files in the folder.
 func (d *Dir) List() ([]string, error) {
 	entries, err := os.ReadDir(d.root)
 	if err != nil {
--- a/internal/env/env.go
+++ b/internal/env/env.go
@@ -1,5 +1,5 @@
-// Package env is what a process gets from outside: network, folder, wall
-// clock and log. Tests hand in ones made of memory.
+// Package env defines what a process gets from its environment: network, data folder,
+// wall clock and log. Tests supply in-memory ones.
 package env
 
 import (
@@ -15,31 +15,31 @@
 	"puffincrank/internal/trace"
 )
 
-// Net opens and takes connections.
+// Net listens and dials.
 type Net interface {
 	Listen(addr string) (net.Listener, error)
 	Dial(ctx context.Context, addr string) (net.Conn, error)
 }
 
-// Env is the outside of one process.
+// Env is the environment of one process.
 type Env struct {
 	Net  Net
 	FS   disk.FS
 	Wall func() time.Time
-	// Pause waits for a time, or until the context ends; whoever was frozen
-	// wakes late from it.
+	// Sleep waits for a time, or until the context ends. In a process that was paused
+	// it returns late.
 	Sleep func(ctx context.Context, d time.Duration)
 	Log   *event.Log
-	// Say is the tongue towards callers and workers; unset, the product's own.
+	// Dialect is the one used towards callers and workers; if unset, dialect.Default.
 	Dialect dialect.Dialect
-	// Look looks whether the settings have changed; it is cheap, and called by
-	// beats that there are anyhow. Unset, nothing is looked at.
+	// CheckSettings checks whether the settings have changed. It is cheap and is called
+	// from existing periodic tasks. If unset, changes are not noticed.
 	CheckSettings func()
-	// Trace is told of the steps of the agreement. Unset but in the simulator.
+	// Trace observes the steps of the consensus protocol. Set only by the simulator.
 	Trace trace.Observer
 }
 
-// PollSettings calls Look where it is set.
+// PollSettings calls CheckSettings if it is set.
 func (e Env) PollSettings() {
 	if e.CheckSettings != nil {
 		e.CheckSettings()
@@ -53,7 +53,8 @@
 	return r.dialer.DialContext(ctx, "tcp", addr)
 }
 
-// Real is the machine's own network and clock; the folder is set by who has one.
+// Real returns the machine's own network and clock. FS is left unset; programs that have a
+// data folder set it.
 func Real(node string) Env {
 	return Env{Net: &systemNet{}, Wall: time.Now, Sleep: task.Sleep, Log: event.New(node, os.Stderr)}
 }
--- a/internal/env/nonblocking.go
+++ b/internal/env/nonblocking.go
@@ -5,9 +5,9 @@
 	"syscall"
 )
 
-// NonblockingWriter gives a way to write what a connection takes at once, without waiting
-// for the far end. It must not be used by two at the same time. A connection
-// that knows no such way takes nothing.
+// NonblockingWriter returns a function that writes as much as a connection accepts without
+// blocking, and returns the number of bytes written. The function must not be called
+// concurrently. For connections that can't write without blocking it writes nothing.
 func NonblockingWriter(conn net.Conn) func([]byte) (int, error) {
 	if writer, ok := conn.(interface{ Try([]byte) (int, error) }); ok {
 		return writer.Try
@@ -21,13 +21,15 @@
 		return writeNothing
 	}
 	writer := &nonblockingWriter{raw: raw}
-	// Made once: a closure for each write would be garbage each time.
+	// Made once, since a closure for each write would allocate.
 	writer.attempt = writer.writeOnce
 	return writer.write
 }
 
 func writeNothing([]byte) (int, error) { return 0, nil }
 
+// nonblockingWriter writes to a socket without blocking. data, written and err belong to
+// the write in progress.
 type nonblockingWriter struct {
 	raw     syscall.RawConn
 	attempt func(uintptr) bool
@@ -46,7 +48,8 @@
 	return w.written, err
 }
 
-// writeOnce writes what the socket takes; true means that nobody waits for more.
+// writeOnce writes what the socket accepts. It always returns true, so that RawConn.Write
+// doesn't wait for the socket to become writable.
 func (w *nonblockingWriter) writeOnce(fd uintptr) bool {
 	for {
 		n, err := syscall.Write(int(fd), w.data)
--- a/internal/env/quiet.go
+++ b/internal/env/quiet.go
@@ -5,12 +5,11 @@
 	"syscall"
 )
 
-// quietChecker is a connection that can be looked at without the system's help.
-type quietChecker interface{ Still() (still, known bool) }
+// quietChecker is a connection, such as a simulated one, that checks itself for IsQuiet.
+type quietChecker interface{ Still() (quiet, known bool) }
 
-// IsQuiet tells whether a connection that nothing is due on is open and has no
-// byte waiting. known is false where the connection can't be looked at without
-// reading from it.
+// IsQuiet reports whether an idle connection is open and has no unread bytes. known is
+// false if that can't be found out without consuming bytes.
 func IsQuiet(conn net.Conn) (quiet, known bool) {
 	if checker, ok := conn.(quietChecker); ok {
 		return checker.Still()
@@ -25,7 +24,7 @@
 	}
 	var buffer [1]byte
 	err = raw.Read(func(fd uintptr) bool {
-		// Nothing to read and no end: the one answer that is hoped for.
+		// EAGAIN: the connection is open and there is nothing to read.
 		_, _, errno := syscall.Recvfrom(int(fd), buffer[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 		quiet = errno == syscall.EAGAIN
 		return true
--- a/internal/env/quiet_test.go
+++ b/internal/env/quiet_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// TestIsQuiet: a quiet connection is still, one with a byte waiting or an end is
-// not; looking takes no byte away.
+// TestIsQuiet checks that an idle connection is reported as quiet, that one with an unread
+// byte or a closed peer is not, and that the check consumes no byte.
 func TestIsQuiet(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -24,7 +24,7 @@
 		t.Fatal(err)
 	}
 	if quiet, known := IsQuiet(conn); !quiet || !known {
-		t.Error("a quiet connection is not still")
+		t.Error("an idle connection is not quiet")
 	}
 	if _, err := remote.Write([]byte("x")); err != nil {
 		t.Fatal(err)
@@ -36,7 +36,7 @@
 		t.Errorf("%v %q", err, received)
 	}
 	if quiet, _ := IsQuiet(conn); !quiet {
-		t.Error("read empty, it is not still")
+		t.Error("the connection is not quiet after its byte was read")
 	}
 	_ = remote.Close()
 	for quiet := true; quiet; quiet, _ = IsQuiet(conn) {
@@ -45,6 +45,6 @@
 	defer pipeA.Close()
 	defer pipeB.Close()
 	if _, known := IsQuiet(pipeA); known {
-		t.Error("a pipe can't be looked at")
+		t.Error("the state of a pipe can't be known")
 	}
 }
--- a/internal/env/tuneconn.go
+++ b/internal/env/tuneconn.go
@@ -10,12 +10,12 @@
 	"puffincrank/internal/fault"
 )
 
-// TuneConn makes the kernel give up on a connection whose bytes nobody confirmed
-// for a time. Without it a machine that lost its power, or stands behind a
-// cut, holds what is written to it for a quarter of an hour. A connection
-// that isn't the kernel's own is left as it is.
-// The kernel also takes no more than some bytes before they can go out: what is
-// in its buffer passes all that comes later, however urgent.
+// TuneConn makes the kernel close a connection on which sent bytes stay unacknowledged for
+// userTimeout. Without it, a connection to a machine that lost power or is cut off keeps
+// what is written to it for a quarter of an hour before it fails. The kernel also buffers
+// no more than maxUnsent bytes that can't be sent yet, since what is in its buffer goes
+// out before everything written later, however urgent. A connection without a socket,
+// such as a simulated one, is left unchanged.
 func TuneConn(conn net.Conn, userTimeout time.Duration, maxUnsent int) error {
 	sysConn, ok := conn.(syscall.Conn)
 	if !ok {
@@ -23,7 +23,7 @@
 	}
 	raw, err := sysConn.SyscallConn()
 	if err != nil {
-		return fault.Wrap(fault.Closed, err, "steer a connection")
+		return fault.Wrap(fault.Closed, err, "set TCP options")
 	}
 	var optErr error
 	err = raw.Control(func(fd uintptr) {
@@ -35,5 +35,5 @@
 	if err == nil {
 		err = optErr
 	}
-	return fault.Wrap(fault.Closed, err, "steer a connection")
+	return fault.Wrap(fault.Closed, err, "set TCP options")
 }
--- a/internal/env/tuneconn_test.go
+++ b/internal/env/tuneconn_test.go
@@ -9,8 +9,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// TestTuneConn: both ends of a real connection carry the bound, and a connection
-// of another kind is left alone.
+// TestTuneConn checks that the options are set on both ends of a TCP connection, that a
+// closed one gives an error, and that a connection without a socket is left unchanged.
 func TestTuneConn(t *testing.T) {
 	network := Real("x").Net
 	listener, err := network.Listen("127.0.0.1:0")
@@ -36,16 +36,16 @@
 		}
 		_ = raw.Control(func(fd uintptr) {
 			if got, err := unix.GetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT); got != 1500 || err != nil {
-				t.Errorf("the bound is %d: %v", got, err)
+				t.Errorf("TCP_USER_TIMEOUT is %d: %v", got, err)
 			}
 			if got, err := unix.GetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_NOTSENT_LOWAT); got != 9000 || err != nil {
-				t.Errorf("it takes %d bytes: %v", got, err)
+				t.Errorf("TCP_NOTSENT_LOWAT is %d: %v", got, err)
 			}
 		})
 		_ = conn.Close()
 	}
 	if TuneConn(client, time.Second, 1) == nil {
-		t.Error("a closed connection was steered")
+		t.Error("options were set on a closed connection")
 	}
 	pipe, _ := net.Pipe()
 	if err := TuneConn(pipe, time.Second, 1); err != nil {
--- a/internal/hlc/hlc.go
+++ b/internal/hlc/hlc.go
@@ -1,5 +1,5 @@
-// Package hlc is the hybrid logical clock: stamps that rise at each node
-// whatever its wall clock does, and that follow what other nodes sent.
+// Package hlc is a hybrid logical clock: its timestamps increase strictly at each node,
+// whatever the wall clock does, and exceed the timestamps received from other nodes.
 package hlc
 
 import (
@@ -7,13 +7,13 @@
 	"time"
 )
 
-// Stamp orders events: the wall part in milliseconds, then a count.
+// Stamp is a timestamp, ordered by wall time in milliseconds, then by a counter.
 type Stamp struct {
 	Wall  int64  `msgpack:"w" json:"wall"`
 	Count uint32 `msgpack:"c" json:"count"`
 }
 
-// Less orders two stamps.
+// Less reports whether s is before other.
 func (s Stamp) Less(other Stamp) bool {
 	if s.Wall != other.Wall {
 		return s.Wall < other.Wall
@@ -21,7 +21,7 @@
 	return s.Count < other.Count
 }
 
-// Clock gives rising stamps.
+// Clock issues strictly increasing timestamps.
 type Clock struct {
 	mu       sync.Mutex
 	wall     func() time.Time
@@ -29,13 +29,13 @@
 	maxAhead time.Duration
 }
 
-// New makes a clock over a wall clock. A stamp seen from further ahead than
-// far is not followed: one node's jump must not drag all the others along.
+// New makes a clock over a wall clock. A received timestamp that is more than maxAhead in
+// the future is ignored, so that a clock jump at one node doesn't spread to the others.
 func New(wall func() time.Time, maxAhead time.Duration) *Clock {
 	return &Clock{wall: wall, maxAhead: maxAhead}
 }
 
-// Now gives a stamp above all that this clock gave or saw.
+// Now returns a timestamp above all that this clock has issued or accepted in Observe.
 func (c *Clock) Now() Stamp {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -43,13 +43,13 @@
 	if wall > c.last.Wall {
 		c.last = Stamp{Wall: wall}
 	} else {
-		// The wall stood still or went back: the count goes on.
+		// The wall clock stood still or went back.
 		c.last.Count++
 	}
 	return c.last
 }
 
-// Observe follows a stamp that came from another node.
+// Observe advances the clock to a timestamp received from another node.
 func (c *Clock) Observe(s Stamp) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/hlc/hlc_test.go
+++ b/internal/hlc/hlc_test.go
@@ -7,8 +7,9 @@
 	"pgregory.net/rapid"
 )
 
-// TestTimestampsIncrease: stamps rise whatever the wall clock does and whatever is seen,
-// and a stamp from far ahead doesn't drag the clock along.
+// TestTimestampsIncrease checks that timestamps increase strictly whatever the wall clock
+// does and whatever is observed, and that they exceed observed timestamps that are no
+// more than the limit ahead.
 func TestTimestampsIncrease(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.UnixMilli(1_000_000)
@@ -21,21 +22,23 @@
 			clock.Observe(seen)
 			got := clock.Now()
 			if !last.Less(got) {
-				t.Fatalf("%v after %v", got, last)
+				t.Fatalf("%v was issued after %v", got, last)
 			}
 			if ahead > 0 && ahead <= 60_000 && !seen.Less(got) {
-				t.Fatalf("%v does not follow %v", got, seen)
+				t.Fatalf("%v is not above the observed %v", got, seen)
 			}
 			last = got
 		}
 	})
 }
 
+// TestFarAheadTimestampIgnored checks that a timestamp beyond the limit doesn't advance the
+// clock.
 func TestFarAheadTimestampIgnored(t *testing.T) {
 	now := time.UnixMilli(1_000_000)
 	clock := New(func() time.Time { return now }, time.Minute)
 	clock.Observe(Stamp{Wall: now.UnixMilli() + 3600_000})
 	if got := clock.Now(); got.Wall != now.UnixMilli() {
-		t.Fatalf("clock was dragged to %v", got)
+		t.Fatalf("the clock advanced to %v", got)
 	}
 }
--- a/internal/httpapi/callerconn.go
+++ b/internal/httpapi/callerconn.go
@@ -11,45 +11,45 @@
 	"puffincrank/internal/task"
 )
 
-// ConnLimits is how long callers' connections may take over a header and may idle.
-// It can be changed while connections stand; one that idles keeps the time that
-// it had when it began to, since its caller may have been told of that.
+// ConnLimits holds the header timeout, the idle timeout and the maximum number of
+// callers' connections. It can be changed while connections are open. A connection that
+// is already idle keeps its idle timeout, which its caller may know from a response.
 type ConnLimits struct {
 	headerTimeout, idleTimeout atomic.Int64
-	maxConns, openConns        atomic.Int64 // connections: the bound, 0 for none, and how many there are
-	activeConns                atomic.Int64 // of them, those whose request has begun to come and isn't answered
+	maxConns, openConns        atomic.Int64 // maxConns 0: no limit
+	activeConns                atomic.Int64 // connections with a request that isn't fully answered yet
 }
 
-// SetMaxConns sets how many connections there may be at once; 0 sets no bound.
+// SetMaxConns sets the maximum number of open connections; 0 means no limit.
 func (s *ConnLimits) SetMaxConns(maxConns int) { s.maxConns.Store(int64(maxConns)) }
 
-// OpenConns tells how many there are.
+// OpenConns returns the number of open connections.
 func (s *ConnLimits) OpenConns() int64 { return s.openConns.Load() }
 
-// ActiveConns tells on how many connections a request has begun to come whose answer is
-// not written to its end.
+// ActiveConns returns the number of connections on which a request has begun to arrive and
+// its response isn't completely written.
 func (s *ConnLimits) ActiveConns() int64 { return s.activeConns.Load() }
 
-// NearLimit tells that three quarters of the bound are reached: answers should
-// end their connections then, before new ones have to be turned away.
+// NearLimit reports whether more than three quarters of the maximum are open. Responses
+// should then close their connections, before new ones have to be rejected.
 func (s *ConnLimits) NearLimit() bool {
 	maxConns := s.maxConns.Load()
 	return maxConns > 0 && 4*s.openConns.Load() > 3*maxConns
 }
 
-// Set changes both.
+// Set changes both timeouts.
 func (s *ConnLimits) Set(headerTimeout, idleTimeout time.Duration) {
 	s.headerTimeout.Store(int64(headerTimeout))
 	s.idleTimeout.Store(int64(idleTimeout))
 }
 
-// IdleTimeout is how long a connection may idle from now on.
+// IdleTimeout is the timeout of connections that become idle from now on.
 func (s *ConnLimits) IdleTimeout() time.Duration { return time.Duration(s.idleTimeout.Load()) }
 
-// ServeCallers opens a port whose connections go by limits that may change. The
-// server reads its own limits without a lock, so they stay as they are, and the
-// deadlines that it sets on a connection are moved on their way. most bounds a
-// header in bytes, whatever is told later.
+// ServeCallers serves a port whose connections follow limits that may change. The
+// http.Server reads its own timeouts without a lock, so they can't be changed while it
+// runs; callerConn adjusts the deadlines that the server sets on each connection instead.
+// maxHeaderBytes bounds a header and can't be changed later.
 func ServeCallers(group *task.Group, environment env.Env, addr string, handler http.Handler, headerTimeout time.Duration, maxHeaderBytes int, limits *ConnLimits) (*http.Server, error) {
 	return startServer(group, environment, addr, handler, headerTimeout, func(server *http.Server, listener net.Listener) net.Listener {
 		server.MaxHeaderBytes = maxHeaderBytes
@@ -63,11 +63,11 @@
 	})
 }
 
-// callerListener gives out callers' connections.
+// callerListener wraps each accepted connection in a callerConn and enforces maxConns.
 type callerListener struct {
 	net.Listener
 	limits              *ConnLimits
-	serverHeaderTimeout time.Duration // the server's own
+	serverHeaderTimeout time.Duration // as set in the http.Server
 }
 
 func (l *callerListener) Accept() (net.Conn, error) {
@@ -76,8 +76,8 @@
 		if err != nil {
 			return nil, err
 		}
-		// One too many ends unread, so that descriptors are left for fellows and
-		// the worker; its caller knows that nothing was taken.
+		// Connections over the limit are closed unread, to keep descriptors for peers
+		// and the worker. Their callers know that no request was accepted.
 		if n, maxConns := l.limits.openConns.Add(1), l.limits.maxConns.Load(); maxConns > 0 && n > maxConns {
 			l.limits.openConns.Add(-1)
 			_ = conn.Close()
@@ -89,28 +89,29 @@
 	}
 }
 
-// What the next deadline of a connection is for. The server sets them in this
-// order: for the header, for the whole request, and for the rest after it.
+// What the server's next read deadline on a connection is for. The server sets them in
+// this order: for the header, for the whole request, and for the idle time after it.
 const (
 	headerDeadline = iota
 	requestDeadline
-	noDeadline
+	noDeadline // deadlines set until the request ends pass unchanged
 	idleDeadline
 )
 
-// callerConn is one connection of a caller.
+// callerConn is one connection of a caller. mu guards nextDeadline, headerExtension and
+// scanner.
 type callerConn struct {
 	net.Conn
 	listener        *callerListener
 	mu              sync.Mutex
 	nextDeadline    int
-	headerExtension time.Duration // by how much the header's time was moved
+	headerExtension time.Duration // by how much the current header timeout exceeds the server's
 	closeOnce       sync.Once
 	scanner         headScanner
-	active          atomic.Bool // a request on it is not answered to its end
+	active          atomic.Bool // a request on it isn't fully answered yet
 }
 
-// stateChanged notes what the server says of the connection.
+// stateChanged is the server's ConnState hook: it counts active connections.
 func (c *callerConn) stateChanged(state http.ConnState) {
 	active := state == http.StateActive
 	if c.active.Swap(active) != active {
@@ -125,13 +126,13 @@
 	}
 }
 
-// Close ends the connection, which then no longer counts.
+// Close closes the connection and removes it from the count of open ones.
 func (c *callerConn) Close() error {
 	c.closeOnce.Do(func() { c.listener.limits.openConns.Add(-1) })
 	return c.Conn.Close()
 }
 
-// startIdle notes that a request has ended and the connection idles.
+// startIdle prepares for the idle deadline and the next head after a request has ended.
 func (c *callerConn) startIdle() {
 	c.mu.Lock()
 	c.nextDeadline = idleDeadline
@@ -139,13 +140,12 @@
 	c.mu.Unlock()
 }
 
-// Read ends the connection when a header takes too long. The server itself
-// would take the part of a line that came for a whole one, and answer that it
-// is malformed.
+// Read closes the connection when a header takes too long. Otherwise the server would
+// parse the incomplete line received so far and answer that the request is malformed.
 func (c *callerConn) Read(b []byte) (int, error) {
 	c.mu.Lock()
-	// Read while it idles: nothing of the next head has been buffered, but for
-	// the few bytes that the server looked at to see that there is one.
+	// The connection was idle, so the server has buffered nothing of the next head
+	// except the few bytes that it peeked at to detect a request.
 	if c.nextDeadline == headerDeadline && !c.scanner.started {
 		c.scanner.start()
 	}
@@ -167,8 +167,9 @@
 	return n, err
 }
 
-// SetReadDeadline moves a deadline that the server sets to what holds now.
-// Those in the past and none at all are its way to end a read or let it go on.
+// SetReadDeadline adjusts a deadline set by the server to the current limits.
+// Deadlines in the past and the zero time pass unchanged: the server uses them to
+// interrupt a read or to clear a deadline.
 func (c *callerConn) SetReadDeadline(deadline time.Time) error {
 	if now := time.Now(); deadline.After(now) {
 		c.mu.Lock()
@@ -177,7 +178,7 @@
 			headerTimeout := time.Duration(c.listener.limits.headerTimeout.Load())
 			c.headerExtension, deadline, c.nextDeadline = headerTimeout-c.listener.serverHeaderTimeout, now.Add(headerTimeout), requestDeadline
 		case requestDeadline:
-			// A longer time for the header doesn't shorten that of the body.
+			// A longer header timeout must not shorten the time for the body.
 			deadline, c.nextDeadline = deadline.Add(max(c.headerExtension, 0)), noDeadline
 		case idleDeadline:
 			deadline, c.nextDeadline = now.Add(c.listener.limits.IdleTimeout()), headerDeadline
@@ -187,8 +188,8 @@
 	return c.Conn.SetReadDeadline(deadline)
 }
 
-// CloseWrite lets the server end its side first where a request was not read
-// whole, so that the answer isn't lost.
+// CloseWrite lets the server close its sending side first when a request wasn't read
+// completely, so that a reset doesn't discard the response.
 func (c *callerConn) CloseWrite() error {
 	if conn, ok := c.Conn.(interface{ CloseWrite() error }); ok {
 		return conn.CloseWrite()
--- a/internal/httpapi/framing.go
+++ b/internal/httpapi/framing.go
@@ -6,23 +6,24 @@
 	"net"
 )
 
-// Framing is what is known of how a request's head frames it, beyond what the
-// server tells: it takes a bare line feed for the end of a line, and chunks over
-// a length that stands beside them. Others on a request's way may not, and then
-// what one takes for a body is a request to the other.
+// Framing tells how a request's head delimits its body, where net/http is too lenient to
+// show it: the server accepts a bare line feed as the end of a line, and prefers chunked
+// encoding to a Content-Length beside it. Other servers on a request's way may decide
+// differently, and then one takes for a second request what the other takes for a body
+// (request smuggling).
 type Framing int
 
-// What a head was seen to be.
+// The kinds of framing.
 const (
-	FramingUnknown   Framing = iota // it came together with an earlier request
-	FramingPlain                    // framed in one way
-	FramingAmbiguous                // a length and chunks
-	FramingBareLF                   // a line that ends without its return
+	FramingUnknown   Framing = iota // the head was received together with an earlier request
+	FramingPlain                    // unambiguous
+	FramingAmbiguous                // Content-Length and Transfer-Encoding
+	FramingBareLF                   // a line that ends in LF without CR
 )
 
 type connKey struct{}
 
-// FramingOf tells how the head of a caller's request was framed.
+// FramingOf returns the framing of a caller's request, by the request's context.
 func FramingOf(ctx context.Context) Framing {
 	conn, ok := ctx.Value(connKey{}).(*callerConn)
 	if !ok {
@@ -33,19 +34,19 @@
 	return conn.scanner.framing()
 }
 
-// withConn lets handlers ask.
+// withConn stores the connection in the context for FramingOf.
 func withConn(ctx context.Context, conn net.Conn) context.Context {
 	return context.WithValue(ctx, connKey{}, conn)
 }
 
-// headScanner follows the bytes of one head as they are read.
+// headScanner examines the bytes of one request head as they are read.
 type headScanner struct {
-	started     bool // it was followed from its first line on
-	inHead      bool // and its end has not come
-	hasLength   bool // it gives a length
-	hasEncoding bool // it gives an encoding
+	started     bool // the head was scanned from its first byte
+	inHead      bool // and its end has not been reached
+	hasLength   bool // it has a Content-Length
+	hasEncoding bool // it has a Transfer-Encoding
 	hasBareLF   bool
-	partialLine []byte // the last bytes of the read before, when it ended within a line
+	partialLine []byte // of a line whose end has not been read, see appendPartial
 }
 
 func (s *headScanner) framing() Framing {
@@ -60,10 +61,11 @@
 	return FramingPlain
 }
 
-// start begins with a new head.
+// start resets the scanner for a new head.
 func (s *headScanner) start() { *s = headScanner{started: true, inHead: true} }
 
-// scan takes in bytes; those after the head's empty line are a body's.
+// scan processes the next bytes read. Those after the head's empty line belong to the body
+// and are ignored.
 func (s *headScanner) scan(b []byte) {
 	for s.inHead && len(b) > 0 {
 		end := bytes.IndexByte(b, '\n')
@@ -81,7 +83,8 @@
 	}
 }
 
-// appendPartial adds to a line that has not ended. Its beginning and its end are enough.
+// appendPartial adds bytes to an incomplete line. Only the first 63 bytes and the last one
+// are kept: enough for the header name and for the CR before the LF.
 func (s *headScanner) appendPartial(b []byte) {
 	const maxBytes = 64
 	s.partialLine = append(s.partialLine, b[:min(len(b), max(maxBytes-len(s.partialLine), 0))]...)
@@ -103,6 +106,7 @@
 	s.hasEncoding = s.hasEncoding || isHeader(line, "transfer-encoding")
 }
 
+// isHeader reports whether a line is a header of the given name, in upper or lower case.
 func isHeader(line []byte, name string) bool {
 	return len(line) > len(name) && line[len(name)] == ':' && bytes.EqualFold(line[:len(name)], []byte(name))
 }
--- a/internal/httpapi/framing_test.go
+++ b/internal/httpapi/framing_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// framingInParts follows a text that comes in parts of a size.
+// framingInParts scans a text that is read in parts of the given size.
 func framingInParts(text string, size int) Framing {
 	var scanner headScanner
 	scanner.start()
@@ -15,8 +15,8 @@
 	return scanner.framing()
 }
 
-// TestFraming: a head that frames a request in two ways is seen however its
-// bytes come, and what stands in a body or in a value is no header.
+// TestFraming checks that an ambiguous head is detected however its bytes are split into
+// reads, and that text in a body or in a header's value isn't taken for a header.
 func TestFraming(t *testing.T) {
 	for text, want := range map[string]Framing{
 		"GET / HTTP/1.1\r\nHost: a\r\n\r\n":                                                               FramingPlain,
@@ -42,11 +42,11 @@
 	}
 	var scanner headScanner
 	if scanner.scan([]byte("GET / HTTP/1.1\r\n\r\n")); scanner.framing() != FramingUnknown {
-		t.Error("one that was not followed is known")
+		t.Error("the framing of a head that was not scanned is known")
 	}
 }
 
-// FuzzFraming: the verdict is the same however the bytes come.
+// FuzzFraming checks that the result doesn't depend on how the bytes are split into reads.
 func FuzzFraming(f *testing.F) {
 	f.Add("POST / HTTP/1.1\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\nabc", 7)
 	f.Add("GET / HTTP/1.1\nHost: a\r\n\r\n", 1)
--- a/internal/httpapi/httpapi.go
+++ b/internal/httpapi/httpapi.go
@@ -1,5 +1,5 @@
-// Package httpapi is the HTTP side that all programs share: serving a port and
-// writing JSON.
+// Package httpapi holds the HTTP server code that all programs share: serving a port,
+// reading bodies and writing JSON responses.
 package httpapi
 
 import (
@@ -19,13 +19,15 @@
 	"puffincrank/internal/task"
 )
 
-// Serve runs a handler on a port until the group ends.
+// Serve serves a port until the group stops. The read and idle timeouts are multiples of
+// headerTimeout.
 func Serve(group *task.Group, environment env.Env, addr string, handler http.Handler, headerTimeout time.Duration) error {
 	_, err := startServer(group, environment, addr, handler, headerTimeout, func(_ *http.Server, listener net.Listener) net.Listener { return listener })
 	return err
 }
 
-// startServer does the same and gives the server, which may be changed before it runs.
+// startServer does the same and returns the server. configure may change the server before
+// it runs and replace its listener.
 func startServer(group *task.Group, environment env.Env, addr string, handler http.Handler, headerTimeout time.Duration, configure func(*http.Server, net.Listener) net.Listener) (*http.Server, error) {
 	listener, err := environment.Net.Listen(addr)
 	if err != nil {
@@ -41,8 +43,8 @@
 	return server, nil
 }
 
-// TranslateCalls gives a handler the tongue's calls as our own. Never for jobs, whose
-// paths are not ours to read.
+// TranslateCalls rewrites a dialect's API paths to the native ones. It must not be used for
+// callers' requests, whose paths belong to the application.
 func TranslateCalls(apiDialect dialect.Dialect, handler http.Handler) http.Handler {
 	if len(apiDialect.APIPaths) == 0 {
 		return handler
@@ -53,14 +55,14 @@
 	})
 }
 
-// WriteJSON writes a value with a status.
+// WriteJSON writes a JSON response with the given status code.
 func WriteJSON(w http.ResponseWriter, code int, value any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(code)
 	_ = json.NewEncoder(w).Encode(value)
 }
 
-// ErrorBody is the body of every answer that isn't a success.
+// ErrorBody is the body of every error response.
 type ErrorBody struct {
 	Message string `json:"wrong"`
 	Version uint64 `json:"version,omitempty"`
@@ -69,9 +71,9 @@
 	Faults  any    `json:"faults,omitempty"`
 }
 
-// WriteBusy answers that nothing was done and never will be, and tells when to come
-// back: after the time that what was lacking needs.
-// Retry-After is in whole seconds, or in fractions where the tongue has them.
+// WriteBusy responds with 503: the request was not and will not be executed, and may be
+// retried after wait, when the missing resource is expected to be available. Retry-After
+// is in whole seconds, rounded up, or with fractions if the dialect allows them.
 func WriteBusy(w http.ResponseWriter, reason string, wait time.Duration, fractional ...bool) {
 	waitMS := max(wait.Milliseconds(), 1)
 	retryAfter := strconv.FormatInt((waitMS+999)/1000, 10)
@@ -82,10 +84,11 @@
 	WriteJSON(w, http.StatusServiceUnavailable, ErrorBody{Message: reason, Ran: "no", RetryMS: waitMS})
 }
 
-// ReadBody reads a bounded body; the status tells what is wrong with it.
+// ReadBody reads a request body of at most maxBytes. The status is 0 on success, otherwise
+// the one to respond with.
 func ReadBody(w http.ResponseWriter, r *http.Request, maxBytes int64) ([]byte, int) {
-	// One of a known length is read into room of its size: growing by steps
-	// would take several times as much.
+	// A body of known length is read into a buffer of that size: growing a buffer
+	// would allocate several times as much.
 	if length := r.ContentLength; length >= 0 && length <= maxBytes {
 		body := make([]byte, length)
 		if _, err := io.ReadFull(r.Body, body); err != nil {
--- a/internal/responsedigest/digest.go
+++ b/internal/responsedigest/digest.go
@@ -1,5 +1,5 @@
-// Package responsedigest is what makes a worker's answer whole and its own: a SHA-256
-// over attempt, worker identity, status and body.
+// Package responsedigest computes the digest that protects a worker's response against
+// truncation and mix-up: a SHA-256 over attempt ID, worker ID, status and body.
 package responsedigest
 
 import (
@@ -8,20 +8,20 @@
 	"strconv"
 )
 
-// The headers between the mesh and its workers and callers.
+// The headers used between the mesh and its workers and callers.
 const (
-	RequestIDHeader     = "Puffin-Job"     // a job's id
-	AttemptIDHeader     = "Puffin-Attempt" // the id of one send
-	WorkerHeader        = "Puffin-Worker"  // the worker's identity
-	TimeoutHeader       = "Puffin-Left"    // time left in milliseconds
-	DigestHeader        = "Puffin-Seal"    // the seal
-	RanHeader           = "Puffin-Ran"     // no, or unknown
-	ReasonHeader        = "Puffin-Why"     // the reason in words
-	ConfigVersionHeader = "Puffin-Version" // the configuration that matched the job
+	RequestIDHeader     = "Puffin-Job"     // the request ID
+	AttemptIDHeader     = "Puffin-Attempt" // the ID of one delivery attempt
+	WorkerHeader        = "Puffin-Worker"  // the worker ID
+	TimeoutHeader       = "Puffin-Left"    // the remaining time in milliseconds
+	DigestHeader        = "Puffin-Seal"    // the response digest
+	RanHeader           = "Puffin-Ran"     // whether the request was executed: no or unknown
+	ReasonHeader        = "Puffin-Why"     // the reason as text
+	ConfigVersionHeader = "Puffin-Version" // the configuration version by which the request was routed
 )
 
-// Of works out the seal. The parts are counted, so that none can run over
-// into the next.
+// Of computes the digest of a response, in hex. Each part is prefixed with its length, so
+// that different parts can't yield the same input.
 func Of(attempt, worker string, status int, body []byte) string {
 	var buffer [256]byte
 	input := buffer[:0]
--- a/internal/task/pool.go
+++ b/internal/task/pool.go
@@ -2,8 +2,8 @@
 
 import "context"
 
-// Pool is a bounded set of workers of one Group. Idle workers are used again;
-// a new one is started only while fewer than the bound are alive.
+// Pool is a bounded set of worker goroutines of one Group. Idle workers are reused; a new
+// one is started only while fewer than the maximum are alive.
 type Pool struct {
 	group *Group
 	name  string
@@ -11,15 +11,15 @@
 	slots chan struct{}
 }
 
-// NewPool makes a pool of at most most workers.
+// NewPool makes a pool of at most maxWorkers goroutines, which run under name.
 func NewPool(group *Group, name string, maxWorkers int) *Pool {
 	return &Pool{group: group, name: name, work: make(chan func(context.Context)), slots: make(chan struct{}, maxWorkers)}
 }
 
-// Do hands f to a worker. It returns false at once when all are busy, so that
-// the caller can refuse the work for certain.
+// Do has a worker call run. If all workers are busy, it immediately returns false and run
+// will not be called, so the caller can reject the work.
 func (p *Pool) Do(run func(context.Context)) bool {
-	// An idle worker is preferred: it costs no start.
+	// An idle worker is preferred, since it saves starting a goroutine.
 	select {
 	case p.work <- run:
 		return true
@@ -48,5 +48,5 @@
 	return ok
 }
 
-// Busy tells how many workers are alive.
-func (p *Pool) Busy() int { return len(p.slots) }
+// Size returns the number of live workers, including idle ones.
+func (p *Pool) Size() int { return len(p.slots) }
--- a/internal/task/task.go
+++ b/internal/task/task.go
@@ -1,5 +1,5 @@
-// Package task is the one place where goroutines start. Each has a name, and
-// a Group ends all that it started and waits for them.
+// Package task is the only place that starts goroutines. Each has a name, and a Group
+// cancels all goroutines that it started and waits for them.
 package task
 
 import (
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// Group holds the goroutines of one process or of one part of it.
+// Group holds the goroutines of one process or of one component of it.
 type Group struct {
 	ctx     context.Context
 	cancel  context.CancelFunc
@@ -16,17 +16,17 @@
 	mu      sync.Mutex
 	stopped bool
 	running map[string]int
-	// pause is how Every waits, Pause if nothing else was said.
+	// sleep is how Every waits; Sleep by default.
 	sleep func(context.Context, time.Duration)
 }
 
-// New makes a Group whose goroutines end with root.
+// New makes a Group whose context is derived from parent.
 func New(parent context.Context) *Group {
 	ctx, cancel := context.WithCancel(parent)
 	return &Group{ctx: ctx, cancel: cancel, running: map[string]int{}, sleep: Sleep}
 }
 
-// SetSleep sets how Every waits between two beats.
+// SetSleep sets how Every waits between two runs.
 func (g *Group) SetSleep(sleep func(context.Context, time.Duration)) *Group {
 	if sleep != nil {
 		g.sleep = sleep
@@ -34,13 +34,14 @@
 	return g
 }
 
-// Context ends when the group is stopped.
+// Context returns the group's context, which ends when the group is stopped.
 func (g *Group) Context() context.Context { return g.ctx }
 
-// Go starts f under a name. It returns false when the group has been stopped.
+// Go runs a function in a new goroutine with a name. It returns false and starts nothing
+// if the group has been stopped.
 func (g *Group) Go(name string, run func(context.Context)) bool {
 	g.mu.Lock()
-	// A start after the stop would outlive the wait, so it is turned away.
+	// A goroutine started after Stop could outlive its wait.
 	if g.stopped {
 		g.mu.Unlock()
 		return false
@@ -65,7 +66,8 @@
 	g.wg.Done()
 }
 
-// Every runs f at each beat until the group stops.
+// Every calls run after each interval until the group stops. It returns false if the group
+// has been stopped.
 func (g *Group) Every(name string, interval time.Duration, run func(context.Context)) bool {
 	return g.Go(name, func(ctx context.Context) {
 		for {
@@ -78,7 +80,7 @@
 	})
 }
 
-// Live counts the running goroutines by name.
+// Live returns the number of running goroutines by name.
 func (g *Group) Live() map[string]int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -89,7 +91,7 @@
 	return counts
 }
 
-// Cancel tells all to end, without the wait.
+// Cancel ends the group's context without waiting for the goroutines.
 func (g *Group) Cancel() {
 	g.mu.Lock()
 	g.stopped = true
@@ -97,13 +99,13 @@
 	g.cancel()
 }
 
-// Stop tells all to end and waits for them.
+// Stop ends the group's context and waits for all goroutines.
 func (g *Group) Stop() {
 	g.Cancel()
 	g.wg.Wait()
 }
 
-// Sleep waits for a time, or until the context ends.
+// Sleep waits for d, or until the context ends.
 func Sleep(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/internal/version/version.go
+++ b/internal/version/version.go
@@ -1,4 +1,5 @@
-// Package version says what a program is and what it speaks.
+// Package version holds the product's version and describes what a program is compatible
+// with.
 package version
 
 import (
@@ -8,12 +9,12 @@
 	"puffincrank/internal/transport"
 )
 
-// Number is the product's own version.
+// Number is the version of the product.
 const Number = "v0.2.0"
 
-// Line is what a program prints when it is asked for its version: two programs
-// can be mixed in a roll when their wire versions overlap, and one can read a
-// folder whose format is not above its own.
+// Line is what a program prints for its version. Two programs can run together in a
+// rolling upgrade if their wire version ranges overlap, and a program can read a data
+// folder whose format isn't newer than its own.
 func Line(program string) string {
 	return fmt.Sprintf("%s %s, wire %d to %d, files %d", program, Number, transport.MinVersion, transport.MaxVersion, paxos.Format)
 }
--- a/internal/workerconn/conn.go
+++ b/internal/workerconn/conn.go
@@ -14,17 +14,17 @@
 	"puffincrank/internal/fault"
 )
 
-// Conn is one connection to a worker. It is used by one request at a time.
+// Conn is one connection to a worker. It carries one request at a time.
 type Conn struct {
 	netConn       net.Conn
 	worker, addr  string
 	limitedReader io.LimitedReader
 	reader        *bufio.Reader
 	writer        *bufio.Writer
-	releasedAt    time.Time     // when it was released last
-	idleDuration  time.Duration // before its newest request; 0: it is new
-	maxIdle       time.Duration // how long it may idle
-	watchResult   chan bool     // the idle watch's last word: still good
+	releasedAt    time.Time     // when it was last returned to the pool
+	idleDuration  time.Duration // how long it idled before its latest request; 0 for a new connection
+	maxIdle       time.Duration // how long it may idle and still be reused
+	watchResult   chan bool     // from watchIdle when it ends: whether nothing arrived
 }
 
 func (p *Pool) newConn(netConn net.Conn, worker, addr string) *Conn {
@@ -37,32 +37,32 @@
 	return conn
 }
 
-// Close ends the connection, and with it the run of the request that is on it.
+// Close closes the connection, which also aborts the request in flight on it.
 func (c *Conn) Close() error { return c.netConn.Close() }
 
-// usable tells whether the worker kept still while the connection idled: one that
-// closed it, or said something that nobody asked for, gets no request on it.
+// usable reports whether an idle connection can carry another request: the worker
+// has neither closed it nor sent unsolicited bytes.
 func (c *Conn) usable() bool {
 	if quiet, known := env.IsQuiet(c.netConn); known {
 		return quiet
 	}
-	// The watch is told to end, and says.
+	// A read deadline in the past ends watchIdle, which then sends its result.
 	_ = c.netConn.SetReadDeadline(time.Unix(1, 0))
 	return <-c.watchResult
 }
 
-// waitWhileQuiet waits until the watch on an idle connection is told to end, and tells
-// whether nothing came by then.
+// waitWhileQuiet blocks until the worker sends a byte or closes the connection, or until
+// the read deadline expires. It reports whether nothing arrived before the deadline.
 func (c *Conn) waitWhileQuiet() bool {
 	_, err := c.reader.Peek(1)
 	var netErr net.Error
 	return errors.As(err, &netErr) && netErr.Timeout()
 }
 
-// RoundTrip writes a request once and reads the answer whole, within the time. The
-// answer is nil when anything at all went wrong. An answer that is a surplus one is
-// passed over, once. The connection is kept or ended afterwards; it is in use until
-// release is called, and false of that means that it was ended meanwhile.
+// RoundTrip writes a request once and reads the whole response before the deadline. The
+// response is nil on any error. One response for which isSurplus returns true is skipped.
+// Afterwards the connection goes back to the pool or is closed. It is in use until
+// RoundTrip calls release, which returns false if the connection was closed meanwhile.
 func (p *Pool) RoundTrip(conn *Conn, req *http.Request, deadline time.Time, isSurplus func(*http.Response) bool, release func() bool) (*http.Response, []byte, error) {
 	reusable := false
 	defer func() {
@@ -80,7 +80,7 @@
 	}
 	resp, body, err := conn.readResponse(req)
 	if err == nil && isSurplus != nil && isSurplus(resp) {
-		// What follows it is ours, or nothing whole is.
+		// The next response answers this request, or reading it fails.
 		resp, body, err = conn.readResponse(req)
 	}
 	if err != nil {
@@ -91,7 +91,6 @@
 	return resp, body, nil
 }
 
-// writeRequest sends a request.
 func (c *Conn) writeRequest(req *http.Request) error {
 	if err := req.Write(c.writer); err != nil {
 		return err
@@ -99,9 +98,9 @@
 	return c.writer.Flush()
 }
 
-// keepAliveTimeout is how long a connection may idle and be used again: three quarters of what
-// the worker told, since both clocks start at different times; what it didn't tell is
-// taken to be short.
+// keepAliveTimeout returns how long a connection may idle and still be reused: three
+// quarters of the timeout in the worker's Keep-Alive header, since the two sides start
+// counting at different times. Without such a header it is the pool's maximum.
 func (p *Pool) keepAliveTimeout(keepAlive string) time.Duration {
 	for _, field := range strings.Split(keepAlive, ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(field), "=")
@@ -112,10 +111,10 @@
 	return p.maxIdle
 }
 
-// errNoStatus says that an answer can't be passed on.
+// errNoStatus means that a response has no valid status and can't be forwarded.
 var errNoStatus = fault.New(fault.Unknown, "an answer without a status")
 
-// readResponse reads one answer whole.
+// readResponse reads one response with its whole body, skipping 1xx responses.
 func (c *Conn) readResponse(req *http.Request) (*http.Response, []byte, error) {
 	resp, err := http.ReadResponse(c.reader, req)
 	for err == nil && resp.StatusCode >= 100 && resp.StatusCode < 200 {
--- a/internal/workerconn/open.go
+++ b/internal/workerconn/open.go
@@ -10,24 +10,25 @@
 	"puffincrank/internal/responsedigest"
 )
 
-// ErrWrongWorker says that somebody else than the worker stands at its address.
-var ErrWrongWorker = fault.New(fault.Refused, "another stands at the address")
+// ErrWrongWorker means that another process than the worker answers at its address.
+var ErrWrongWorker = fault.New(fault.Refused, "another process answered at the address of the worker")
 
-// maxIdentityBytes bounds the answer of a worker that is asked for its name.
+// maxIdentityBytes bounds the response to an identity check.
 const maxIdentityBytes = 64 << 10
 
-// dialTimeoutDivisor is, as a divisor of the longest idle time, how long a connection may take
-// to come about.
+// dialTimeoutDivisor gives the dial timeout as a fraction of Pool.maxIdle.
 const dialTimeoutDivisor = 4
 
-// Open makes a new connection to a worker. A connection belongs to one process: whoever
-// took it is asked for its name before any request goes over it, unless each request
-// names whom it is meant for and a stranger leaves it unrun.
+// Open makes a new connection to a worker. A connection leads to one process, so it is
+// enough to verify the worker's identity once, before the first request. The check is
+// left out (Pool.verifyIdentity) where each request names the worker that it is meant
+// for and any other worker refuses to run it.
 func (p *Pool) Open(ctx context.Context, worker, addr string) (*Conn, error) {
 	for reusable := true; ; {
 		conn, err := p.dial(ctx, worker, addr)
-		// The one exception: a worker that keeps no connection was asked just now on
-		// one of its own; its request goes out on the next.
+		// The second pass: the worker closes each connection after one response, and
+		// its identity was verified a moment ago on the previous one. The request goes
+		// out on this one, unverified.
 		if err != nil || !reusable || !p.verifyIdentity {
 			return conn, err
 		}
@@ -43,8 +44,8 @@
 	}
 }
 
-// dial makes a connection. A machine that is dark says nothing: that none came about
-// within a part of the bound is word enough, and nothing was sent.
+// dial connects with a short timeout of its own: a machine without power never answers,
+// not even with a refusal. When dial fails, nothing of a request has been sent.
 func (p *Pool) dial(ctx context.Context, worker, addr string) (*Conn, error) {
 	dialCtx, cancel := context.WithTimeout(ctx, p.maxIdle/dialTimeoutDivisor)
 	defer cancel()
@@ -55,8 +56,8 @@
 	return p.newConn(conn, worker, addr), nil
 }
 
-// checkIdentity checks that the worker is at the other end, and tells whether it keeps the
-// connection.
+// checkIdentity verifies that the worker is at the other end, and reports whether it keeps
+// the connection open.
 func (p *Pool) checkIdentity(ctx context.Context, conn *Conn) (reusable bool, err error) {
 	deadline, ok := ctx.Deadline()
 	if !ok {
@@ -69,8 +70,8 @@
 	return reusable, err
 }
 
-// requestIdentity finds out who is at the other end of a connection, which stays open only if
-// the worker keeps it.
+// requestIdentity asks the process at the other end for its worker ID. The connection can
+// be used afterwards only if reusable is true.
 func (c *Conn) requestIdentity(deadline time.Time) (workerID string, reusable bool, err error) {
 	_ = c.netConn.SetDeadline(deadline)
 	c.limitedReader.N = maxIdentityBytes
@@ -89,7 +90,7 @@
 	_, err = io.Copy(io.Discard, resp.Body)
 	_ = resp.Body.Close()
 	if err != nil || resp.StatusCode >= 500 {
-		return "", false, fault.New(fault.Refused, "the worker says that it isn't well")
+		return "", false, fault.New(fault.Refused, "the worker reports that it is unhealthy")
 	}
 	return resp.Header.Get(responsedigest.WorkerHeader), !resp.Close && resp.ProtoAtLeast(1, 1) && c.reader.Buffered() == 0, nil
 }
--- a/internal/workerconn/pool.go
+++ b/internal/workerconn/pool.go
@@ -1,8 +1,8 @@
-// Package workerconn keeps the connections of a node to the workers beside it. A
-// request is written once, on one connection: net/http's Transport isn't used, since it
-// sends a request again in silence when a kept connection turns out dead.
+// Package workerconn is the pool of a node's connections to its local workers. Each
+// request is written once, on one connection. net/http's Transport isn't used, since it
+// silently resends a request when a reused connection turns out to be closed.
 //
-// Lock order: Pool.mu is held over no call of another package.
+// Lock order: Pool.mu is not held during calls into other packages.
 package workerconn
 
 import (
@@ -14,30 +14,30 @@
 	"puffincrank/internal/task"
 )
 
-// Pool keeps idle connections by worker.
+// Pool holds the idle connections to each worker.
 type Pool struct {
 	network          env.Net
 	group            *task.Group
-	maxIdle          time.Duration // how long a connection may idle and be used again
-	maxResponseBytes int64         // bound on one answer, head and body
-	verifyIdentity   bool          // asks who is there, on each new connection
+	maxIdle          time.Duration // how long a connection may idle and still be reused
+	maxResponseBytes int64         // bound on one response, head and body
+	verifyIdentity   bool          // verify the worker's identity on each new connection
 
 	mu         sync.Mutex
-	idle       map[string][]*Conn // by worker
-	conns      map[*Conn]bool
+	idle       map[string][]*Conn   // by worker, the last used at the end
+	conns      map[*Conn]bool       // all open ones
 	idleLimits map[string]idleLimit // by worker
 }
 
-// NewPool makes a pool. A connection may idle for idleMost, and an answer have
-// answerBytes, head and body. With identifies each new connection is asked for the
-// worker's name first.
+// NewPool makes a pool. A connection may idle for maxIdle, and a response may have
+// maxResponseBytes, head and body together. With verifyIdentity, the pool checks which
+// worker is at the other end of each new connection before it is used.
 func NewPool(network env.Net, group *task.Group, maxIdle time.Duration, maxResponseBytes int64, verifyIdentity bool) *Pool {
 	return &Pool{network: network, group: group, maxIdle: maxIdle, maxResponseBytes: maxResponseBytes, verifyIdentity: verifyIdentity,
 		idle: map[string][]*Conn{}, conns: map[*Conn]bool{}, idleLimits: map[string]idleLimit{}}
 }
 
-// Acquire gives a connection to a worker: a kept one that was good a moment ago, or a
-// new one. An error means that no request can have been sent.
+// Acquire returns a connection to a worker: an idle one that was still usable just now, or
+// a new one. An error means that nothing of a request has been sent.
 func (p *Pool) Acquire(ctx context.Context, worker, addr string) (*Conn, error) {
 	for {
 		conn, maxIdle := p.popIdle(worker)
@@ -52,8 +52,8 @@
 	}
 }
 
-// popIdle takes the idle connection that was used last, nil if there is none, and tells
-// for how long one of its worker may have idled.
+// popIdle takes the most recently used idle connection, nil if there is none, and returns
+// how long a connection to the worker may have idled.
 func (p *Pool) popIdle(worker string) (conn *Conn, maxIdle time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -66,8 +66,8 @@
 	return conn, maxIdle
 }
 
-// Release puts a connection by. Where it can't be looked at before its next request, a
-// watch reads on it meanwhile.
+// Release returns a connection to the pool. If its state can't be checked without reading
+// from it, a goroutine reads from it while it idles, to notice bytes or a close.
 func (p *Pool) Release(conn *Conn) {
 	conn.releasedAt = time.Now()
 	conn.limitedReader.N = 1
@@ -81,8 +81,8 @@
 	p.idle[conn.worker] = append(p.idle[conn.worker], conn)
 }
 
-// watchIdle reads on an idle connection until it is told to end, and drops it if anything
-// came, or its end.
+// watchIdle reads from an idle connection until usable stops it, and drops the connection
+// if the worker sends anything or closes it.
 func (p *Pool) watchIdle(conn *Conn) {
 	quiet := conn.waitWhileQuiet()
 	conn.watchResult <- quiet
@@ -91,7 +91,7 @@
 	}
 }
 
-// dropIdle drops a connection that died while it idled.
+// dropIdle removes a connection that became unusable while it idled.
 func (p *Pool) dropIdle(conn *Conn) {
 	p.mu.Lock()
 	for i, other := range p.idle[conn.worker] {
@@ -104,7 +104,7 @@
 	p.Discard(conn)
 }
 
-// Discard ends a connection for good.
+// Discard closes a connection and removes it from the pool.
 func (p *Pool) Discard(conn *Conn) {
 	_ = conn.netConn.Close()
 	p.mu.Lock()
@@ -112,7 +112,7 @@
 	p.mu.Unlock()
 }
 
-// CloseIdle ends connections that idled for too long.
+// CloseIdle closes connections that have idled for too long.
 func (p *Pool) CloseIdle() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -123,7 +123,7 @@
 				kept = append(kept, conn)
 				continue
 			}
-			// Its watch, if any, sees the end and drops it.
+			// watchIdle, if it runs on this connection, notices the close and ends.
 			_ = conn.netConn.Close()
 			delete(p.conns, conn)
 		}
@@ -135,7 +135,7 @@
 	}
 }
 
-// Close ends all connections, those in use as well.
+// Close closes all connections, including those in use.
 func (p *Pool) Close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/workerconn/pool_test.go
+++ b/internal/workerconn/pool_test.go
@@ -14,8 +14,8 @@
 	"puffincrank/internal/task"
 )
 
-// fakeWorker is a network on which one worker answers each request, on as many connections
-// as are dialed.
+// fakeWorker is a network with one worker, which answers each request on every connection
+// that is dialed.
 type fakeWorker struct {
 	env.Net
 	workerBehavior
@@ -23,11 +23,11 @@
 	dials atomic.Int64
 }
 
-// workerBehavior are a worker's ways.
+// workerBehavior is how a worker responds and when it closes connections.
 type workerBehavior struct {
-	response    string        // its answer
-	unsolicited string        // what it says unasked, right after that
-	idleTimeout time.Duration // it closes a connection that idled for longer; 0: never
+	response    string        // written for each request
+	unsolicited string        // unsolicited bytes, written right after the response
+	idleTimeout time.Duration // it closes a connection that idles for longer; 0: never
 }
 
 func (w *fakeWorker) Dial(context.Context, string) (net.Conn, error) {
@@ -54,7 +54,7 @@
 	return client, nil
 }
 
-// roundTrip sends one request and gives its error.
+// roundTrip sends one request and returns its error.
 func roundTrip(t *testing.T, pool *Pool, release func() bool) error {
 	t.Helper()
 	conn, err := pool.Acquire(t.Context(), "w", "10.0.0.1:1")
@@ -66,28 +66,28 @@
 	return err
 }
 
-// TestConnReuse: a connection is used again as long as it has not idled for too long, nor
-// been closed, nor told to be, nor had a byte that nobody asked for, nor been ended from
-// here; else the next request has a new one.
+// TestConnReuse checks that a connection is reused unless it has idled for too long, was
+// closed by either side, was announced to be closed, or received unsolicited bytes. In
+// these cases the next request goes out on a new connection.
 func TestConnReuse(t *testing.T) {
 	const okResponse = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 	keep := func() bool { return true }
 	for _, test := range []struct {
 		name    string
 		worker  workerBehavior
-		rest    time.Duration
+		idle    time.Duration
 		release func() bool
 		dials   int64
 	}{
-		{"at once", workerBehavior{response: okResponse}, time.Millisecond, keep, 1},
-		{"before the longest rest", workerBehavior{response: okResponse}, 9 * time.Second, keep, 1},
-		{"after the longest rest", workerBehavior{response: okResponse}, 11 * time.Second, keep, 2},
-		{"within three quarters of what the worker tells", workerBehavior{response: "HTTP/1.1 200 OK\r\nKeep-Alive: timeout=20\r\nContent-Length: 0\r\n\r\n"}, 14 * time.Second, keep, 1},
-		{"after three quarters of what the worker tells", workerBehavior{response: "HTTP/1.1 200 OK\r\nKeep-Alive: timeout=4\r\nContent-Length: 0\r\n\r\n"}, 3100 * time.Millisecond, keep, 2},
-		{"the worker says that it closes", workerBehavior{response: "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"}, time.Millisecond, keep, 2},
-		{"the worker has closed it", workerBehavior{response: okResponse, idleTimeout: time.Second}, 2 * time.Second, keep, 2},
-		{"bytes that nobody asked for", workerBehavior{response: okResponse, unsolicited: "HTTP/1.1 200 OK\r\n"}, time.Second, keep, 2},
-		{"ended from here", workerBehavior{response: okResponse}, time.Millisecond, func() bool { return false }, 2},
+		{"reused immediately", workerBehavior{response: okResponse}, time.Millisecond, keep, 1},
+		{"idle for less than the maximum", workerBehavior{response: okResponse}, 9 * time.Second, keep, 1},
+		{"idle for more than the maximum", workerBehavior{response: okResponse}, 11 * time.Second, keep, 2},
+		{"idle for less than three quarters of the Keep-Alive timeout", workerBehavior{response: "HTTP/1.1 200 OK\r\nKeep-Alive: timeout=20\r\nContent-Length: 0\r\n\r\n"}, 14 * time.Second, keep, 1},
+		{"idle for more than three quarters of the Keep-Alive timeout", workerBehavior{response: "HTTP/1.1 200 OK\r\nKeep-Alive: timeout=4\r\nContent-Length: 0\r\n\r\n"}, 3100 * time.Millisecond, keep, 2},
+		{"worker announces that it closes the connection", workerBehavior{response: "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"}, time.Millisecond, keep, 2},
+		{"worker closed the idle connection", workerBehavior{response: okResponse, idleTimeout: time.Second}, 2 * time.Second, keep, 2},
+		{"unsolicited bytes from the worker", workerBehavior{response: okResponse, unsolicited: "HTTP/1.1 200 OK\r\n"}, time.Second, keep, 2},
+		{"closed by this side", workerBehavior{response: okResponse}, time.Millisecond, func() bool { return false }, 2},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -98,7 +98,7 @@
 					if err := roundTrip(t, pool, test.release); err != nil {
 						t.Fatal(err)
 					}
-					<-time.After(test.rest)
+					<-time.After(test.idle)
 				}
 				if n := worker.dials.Load(); n != test.dials {
 					t.Errorf("%d connections, want %d", n, test.dials)
@@ -108,7 +108,8 @@
 	}
 }
 
-// TestCloseIdle: connections that idled for too long are ended and forgotten.
+// TestCloseIdle checks that connections that have idled for too long are closed and removed
+// from the pool.
 func TestCloseIdle(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		worker := &fakeWorker{workerBehavior: workerBehavior{response: "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"}, group: task.New(context.Background())}
@@ -126,7 +127,7 @@
 		}
 		synctest.Wait()
 		if len(pool.conns) != 0 {
-			t.Errorf("%d connections are not forgotten", len(pool.conns))
+			t.Errorf("%d connections are still in the pool", len(pool.conns))
 		}
 	})
 }
