--- a/internal/dialect/dialect.go
+++ b/internal/dialect/dialect.go
@@ -16,7 +16,7 @@
 	WorkerID       string // from the worker: its ID
 	ResponseDigest string // from the worker: the digest of a complete response
 	NotExecuted    string // from the worker: it did not execute the request
-	CallerService  string // towards the worker: the service that made the original request
+	CallerService  string // towards the worker: the service beside the ingress, from which the request came
 
 	NotExecutedValue     string // the value that NotExecuted must have; empty: any
 	VerifiesDigest       bool   // the digest is computed by responsedigest.Of and checked; otherwise it is opaque
--- a/internal/httpapi/framing.go
+++ b/internal/httpapi/framing.go
@@ -42,7 +42,7 @@
 // headScanner examines the bytes of one request head as they are read.
 type headScanner struct {
 	started     bool // the head was scanned from its first byte
-	inHead      bool // and its end has not been reached
+	inHead      bool // the end of the head has not been reached
 	hasLength   bool // it has a Content-Length
 	hasEncoding bool // it has a Transfer-Encoding
 	hasBareLF   bool
--- a/internal/task/pool.go
+++ b/internal/task/pool.go
@@ -8,7 +8,7 @@
 	group *Group
 	name  string
 	work  chan func(context.Context)
-	slots chan struct{}
+	slots chan struct{} // holds one element for each live worker
 }
 
 // NewPool makes a pool of at most maxWorkers goroutines, which run under name.
--- a/internal/workerconn/open.go
+++ b/internal/workerconn/open.go
@@ -16,7 +16,7 @@
 // maxIdentityBytes bounds the response to an identity check.
 const maxIdentityBytes = 64 << 10
 
-// dialTimeoutDivisor gives the dial timeout as a fraction of Pool.maxIdle.
+// dialTimeoutDivisor sets the dial timeout: Pool.maxIdle divided by this.
 const dialTimeoutDivisor = 4
 
 // Open makes a new connection to a worker. A connection leads to one process, so it is
