--- a/internal/hlc/hlc.go
+++ b/internal/hlc/hlc.go
@@ -1,5 +1,5 @@
-// Package hlc is the hybrid logical clock: stamps that rise at each node
-// whatever its wall clock does, and that follow what other nodes sent.
+// Package hlc is a hybrid logical clock: its timestamps increase strictly at each node,
+// whatever the wall clock does, and exceed the timestamps received from other nodes.
 package hlc
 
 import (
@@ -7,53 +7,53 @@
 	"time"
 )
 
-// Stamp orders events: the wall part in milliseconds, then a count.
+// Stamp is a timestamp, ordered by wall time in milliseconds, then by a counter.
 type Stamp struct {
 	Wall  int64  `msgpack:"w" json:"wall"`
 	Count uint32 `msgpack:"c" json:"count"`
 }
 
-// Less orders two stamps.
-func (s Stamp) Less(o Stamp) bool {
-	if s.Wall != o.Wall {
-		return s.Wall < o.Wall
+// Less reports whether s is before other.
+func (s Stamp) Less(other Stamp) bool {
+	if s.Wall != other.Wall {
+		return s.Wall < other.Wall
 	}
-	return s.Count < o.Count
+	return s.Count < other.Count
 }
 
-// Clock gives rising stamps.
+// Clock issues strictly increasing timestamps.
 type Clock struct {
-	mu   sync.Mutex
-	wall func() time.Time
-	last Stamp
-	far  time.Duration
+	mu       sync.Mutex
+	wall     func() time.Time
+	last     Stamp
+	maxAhead time.Duration
 }
 
-// New makes a clock over a wall clock. A stamp seen from further ahead than
-// far is not followed: one node's jump must not drag all the others along.
-func New(wall func() time.Time, far time.Duration) *Clock {
-	return &Clock{wall: wall, far: far}
+// New makes a clock over a wall clock. A received timestamp that is more than maxAhead in
+// the future is ignored, so that a clock jump at one node doesn't spread to the others.
+func New(wall func() time.Time, maxAhead time.Duration) *Clock {
+	return &Clock{wall: wall, maxAhead: maxAhead}
 }
 
-// Now gives a stamp above all that this clock gave or saw.
+// Now returns a timestamp above all that this clock has issued or accepted in Observe.
 func (c *Clock) Now() Stamp {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	w := c.wall().UnixMilli()
-	if w > c.last.Wall {
-		c.last = Stamp{Wall: w}
+	wall := c.wall().UnixMilli()
+	if wall > c.last.Wall {
+		c.last = Stamp{Wall: wall}
 	} else {
-		// The wall stood still or went back: the count goes on.
+		// The wall clock stood still or went back.
 		c.last.Count++
 	}
 	return c.last
 }
 
-// Observe follows a stamp that came from another node.
+// Observe advances the clock to a timestamp received from another node.
 func (c *Clock) Observe(s Stamp) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if s.Wall-c.wall().UnixMilli() > c.far.Milliseconds() {
+	if s.Wall-c.wall().UnixMilli() > c.maxAhead.Milliseconds() {
 		return
 	}
 	if c.last.Less(s) {
--- a/internal/httpapi/frame_test.go
+++ b/internal/httpapi/framing_test.go
@@ -5,18 +5,18 @@
 	"testing"
 )
 
-// seen follows a text that comes in parts of a size.
-func seen(text string, size int) Framing {
-	var h headLook
-	h.start()
+// framingInParts scans a text that is read in parts of the given size.
+func framingInParts(text string, size int) Framing {
+	var scanner headScanner
+	scanner.start()
 	for i := 0; i < len(text); i += size {
-		h.heed([]byte(text[i:min(i+size, len(text))]))
+		scanner.scan([]byte(text[i:min(i+size, len(text))]))
 	}
-	return h.verdict()
+	return scanner.framing()
 }
 
-// TestFraming: a head that frames a request in two ways is seen however its
-// bytes come, and what stands in a body or in a value is no header.
+// TestFraming checks that an ambiguous head is detected however its bytes are split into
+// reads, and that text in a body or in a header's value isn't taken for a header.
 func TestFraming(t *testing.T) {
 	for text, want := range map[string]Framing{
 		"GET / HTTP/1.1\r\nHost: a\r\n\r\n":                                                               FramingPlain,
@@ -35,24 +35,24 @@
 		"GET /" + strings.Repeat("x", 58) + "\r\nTransfer-Encoding: chunked\r\nContent-Length: 1\r\n\r\n": FramingAmbiguous,
 	} {
 		for size := 1; size <= len(text); size++ {
-			if got := seen(text, size); got != want {
+			if got := framingInParts(text, size); got != want {
 				t.Errorf("%q in parts of %d: %d, want %d", text, size, got, want)
 			}
 		}
 	}
-	var h headLook
-	if h.heed([]byte("GET / HTTP/1.1\r\n\r\n")); h.verdict() != FramingUnknown {
-		t.Error("one that was not followed is known")
+	var scanner headScanner
+	if scanner.scan([]byte("GET / HTTP/1.1\r\n\r\n")); scanner.framing() != FramingUnknown {
+		t.Error("the framing of a head that was not scanned is known")
 	}
 }
 
-// FuzzFraming: the verdict is the same however the bytes come.
+// FuzzFraming checks that the result doesn't depend on how the bytes are split into reads.
 func FuzzFraming(f *testing.F) {
 	f.Add("POST / HTTP/1.1\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\nabc", 7)
 	f.Add("GET / HTTP/1.1\nHost: a\r\n\r\n", 1)
 	f.Fuzz(func(t *testing.T, text string, size int) {
 		size = max(size%97, 1)
-		if whole, parts := seen(text, len(text)+1), seen(text, size); whole != parts {
+		if whole, parts := framingInParts(text, len(text)+1), framingInParts(text, size); whole != parts {
 			t.Errorf("%q: %d whole, %d in parts of %d", text, whole, parts, size)
 		}
 	})
--- a/internal/task/lock.go
+++ b/internal/task/lock.go
@@ -1,22 +1,23 @@
 package task
 
-// Lock is a lock that may be held over a wait for disk or network. It is made
-// of a channel, so that virtual time goes on while somebody waits for it.
-type Lock struct{ c chan struct{} }
+// Lock is a lock that may be held while waiting for disk or network. It is a channel
+// rather than a sync.Mutex, so that a goroutine waiting for it is durably blocked and
+// the virtual time of testing/synctest advances.
+type Lock struct{ token chan struct{} }
 
-// NewLock makes a free lock.
+// NewLock makes an unlocked lock.
 func NewLock() Lock { return Lock{make(chan struct{}, 1)} }
 
-// Lock takes it.
-func (l Lock) Lock() { l.c <- struct{}{} }
+// Lock acquires the lock, waiting for it if need be.
+func (l Lock) Lock() { l.token <- struct{}{} }
 
-// Unlock gives it back.
-func (l Lock) Unlock() { <-l.c }
+// Unlock releases the lock.
+func (l Lock) Unlock() { <-l.token }
 
-// TryLock takes it if it is free.
+// TryLock acquires the lock if it is free, and reports whether it did.
 func (l Lock) TryLock() bool {
 	select {
-	case l.c <- struct{}{}:
+	case l.token <- struct{}{}:
 		return true
 	default:
 		return false
--- a/internal/workerconn/pool_test.go
+++ b/internal/workerconn/pool_test.go
@@ -14,119 +14,120 @@
 	"puffincrank/internal/task"
 )
 
-// worker is a network on which one worker answers each request, on as many connections
-// as are dialed.
-type worker struct {
+// fakeWorker is a network with one worker, which answers each request on every connection
+// that is dialed.
+type fakeWorker struct {
 	env.Net
-	manners
+	workerBehavior
 	group *task.Group
 	dials atomic.Int64
 }
 
-// manners are a worker's ways.
-type manners struct {
-	say   string        // its answer
-	more  string        // what it says unasked, right after that
-	idles time.Duration // it closes a connection that idled for longer; 0: never
+// workerBehavior is how a worker responds and when it closes connections.
+type workerBehavior struct {
+	response    string        // written for each request
+	unsolicited string        // unsolicited bytes, written right after the response
+	idleTimeout time.Duration // it closes a connection that idles for longer; 0: never
 }
 
-func (w *worker) Dial(context.Context, string) (net.Conn, error) {
+func (w *fakeWorker) Dial(context.Context, string) (net.Conn, error) {
 	w.dials.Add(1)
-	ours, its := net.Pipe()
+	client, server := net.Pipe()
 	w.group.Go("worker", func(context.Context) {
-		defer func() { _ = its.Close() }()
-		reader := bufio.NewReader(its)
+		defer func() { _ = server.Close() }()
+		reader := bufio.NewReader(server)
 		for {
-			if w.idles > 0 {
-				_ = its.SetReadDeadline(time.Now().Add(w.idles))
+			if w.idleTimeout > 0 {
+				_ = server.SetReadDeadline(time.Now().Add(w.idleTimeout))
 			}
 			if _, err := http.ReadRequest(reader); err != nil {
 				return
 			}
-			if _, err := its.Write([]byte(w.say)); err != nil {
+			if _, err := server.Write([]byte(w.response)); err != nil {
 				return
 			}
-			if w.more != "" {
-				_, _ = its.Write([]byte(w.more))
+			if w.unsolicited != "" {
+				_, _ = server.Write([]byte(w.unsolicited))
 			}
 		}
 	})
-	return ours, nil
+	return client, nil
 }
 
-// trip sends one request and gives its error.
-func trip(t *testing.T, p *Pool, release func() bool) error {
+// roundTrip sends one request and returns its error.
+func roundTrip(t *testing.T, pool *Pool, release func() bool) error {
 	t.Helper()
-	c, err := p.Acquire(t.Context(), "w", "10.0.0.1:1")
+	conn, err := pool.Acquire(t.Context(), "w", "10.0.0.1:1")
 	if err != nil {
 		t.Fatal(err)
 	}
-	r, _ := http.NewRequest(http.MethodGet, "http://10.0.0.1:1/x", nil)
-	_, _, err = p.RoundTrip(c, r, time.Now().Add(time.Minute), nil, release)
+	req, _ := http.NewRequest(http.MethodGet, "http://10.0.0.1:1/x", nil)
+	_, _, err = pool.RoundTrip(conn, req, time.Now().Add(time.Minute), nil, release)
 	return err
 }
 
-// TestReuse: a connection is used again as long as it has not idled for too long, nor
-// been closed, nor told to be, nor had a byte that nobody asked for, nor been ended from
-// here; else the next request has a new one.
-func TestReuse(t *testing.T) {
-	const well = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
-	kept := func() bool { return true }
-	for _, c := range []struct {
+// TestConnReuse checks that a connection is reused unless it has idled for too long, was
+// closed by either side, was announced to be closed, or received unsolicited bytes. In
+// these cases the next request goes out on a new connection.
+func TestConnReuse(t *testing.T) {
+	const okResponse = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
+	keep := func() bool { return true }
+	for _, test := range []struct {
 		name    string
-		worker  manners
-		rest    time.Duration
+		worker  workerBehavior
+		idle    time.Duration
 		release func() bool
 		dials   int64
 	}{
-		{"at once", manners{say: well}, time.Millisecond, kept, 1},
-		{"before the longest rest", manners{say: well}, 9 * time.Second, kept, 1},
-		{"after the longest rest", manners{say: well}, 11 * time.Second, kept, 2},
-		{"within three quarters of what the worker tells", manners{say: "HTTP/1.1 200 OK\r\nKeep-Alive: timeout=20\r\nContent-Length: 0\r\n\r\n"}, 14 * time.Second, kept, 1},
-		{"after three quarters of what the worker tells", manners{say: "HTTP/1.1 200 OK\r\nKeep-Alive: timeout=4\r\nContent-Length: 0\r\n\r\n"}, 3100 * time.Millisecond, kept, 2},
-		{"the worker says that it closes", manners{say: "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"}, time.Millisecond, kept, 2},
-		{"the worker has closed it", manners{say: well, idles: time.Second}, 2 * time.Second, kept, 2},
-		{"bytes that nobody asked for", manners{say: well, more: "HTTP/1.1 200 OK\r\n"}, time.Second, kept, 2},
-		{"ended from here", manners{say: well}, time.Millisecond, func() bool { return false }, 2},
+		{"reused immediately", workerBehavior{response: okResponse}, time.Millisecond, keep, 1},
+		{"idle for less than the maximum", workerBehavior{response: okResponse}, 9 * time.Second, keep, 1},
+		{"idle for more than the maximum", workerBehavior{response: okResponse}, 11 * time.Second, keep, 2},
+		{"idle for less than three quarters of the Keep-Alive timeout", workerBehavior{response: "HTTP/1.1 200 OK\r\nKeep-Alive: timeout=20\r\nContent-Length: 0\r\n\r\n"}, 14 * time.Second, keep, 1},
+		{"idle for more than three quarters of the Keep-Alive timeout", workerBehavior{response: "HTTP/1.1 200 OK\r\nKeep-Alive: timeout=4\r\nContent-Length: 0\r\n\r\n"}, 3100 * time.Millisecond, keep, 2},
+		{"worker announces that it closes the connection", workerBehavior{response: "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"}, time.Millisecond, keep, 2},
+		{"worker closed the idle connection", workerBehavior{response: okResponse, idleTimeout: time.Second}, 2 * time.Second, keep, 2},
+		{"unsolicited bytes from the worker", workerBehavior{response: okResponse, unsolicited: "HTTP/1.1 200 OK\r\n"}, time.Second, keep, 2},
+		{"closed by this side", workerBehavior{response: okResponse}, time.Millisecond, func() bool { return false }, 2},
 	} {
-		t.Run(c.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				w := &worker{manners: c.worker, group: task.New(context.Background())}
-				p := NewPool(w, w.group, 10*time.Second, 4096, false)
-				defer func() { p.Close(); w.group.Cancel(); w.group.Stop() }()
+				worker := &fakeWorker{workerBehavior: test.worker, group: task.New(context.Background())}
+				pool := NewPool(worker, worker.group, 10*time.Second, 4096, false)
+				defer func() { pool.Close(); worker.group.Cancel(); worker.group.Stop() }()
 				for range 2 {
-					if err := trip(t, p, c.release); err != nil {
+					if err := roundTrip(t, pool, test.release); err != nil {
 						t.Fatal(err)
 					}
-					<-time.After(c.rest)
+					<-time.After(test.idle)
 				}
-				if n := w.dials.Load(); n != c.dials {
-					t.Errorf("%d connections, want %d", n, c.dials)
+				if n := worker.dials.Load(); n != test.dials {
+					t.Errorf("%d connections, want %d", n, test.dials)
 				}
 			})
 		})
 	}
 }
 
-// TestCloseIdle: connections that idled for too long are ended and forgotten.
+// TestCloseIdle checks that connections that have idled for too long are closed and removed
+// from the pool.
 func TestCloseIdle(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := &worker{manners: manners{say: "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"}, group: task.New(context.Background())}
-		p := NewPool(w, w.group, 10*time.Second, 4096, false)
-		defer func() { p.Close(); w.group.Cancel(); w.group.Stop() }()
-		if err := trip(t, p, func() bool { return true }); err != nil {
+		worker := &fakeWorker{workerBehavior: workerBehavior{response: "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"}, group: task.New(context.Background())}
+		pool := NewPool(worker, worker.group, 10*time.Second, 4096, false)
+		defer func() { pool.Close(); worker.group.Cancel(); worker.group.Stop() }()
+		if err := roundTrip(t, pool, func() bool { return true }); err != nil {
 			t.Fatal(err)
 		}
 		for _, left := range []int{1, 0} {
-			p.CloseIdle()
-			if n := len(p.idle["w"]); n != left {
+			pool.CloseIdle()
+			if n := len(pool.idle["w"]); n != left {
 				t.Errorf("%d idle connections, want %d", n, left)
 			}
 			<-time.After(11 * time.Second)
 		}
 		synctest.Wait()
-		if len(p.all) != 0 {
-			t.Errorf("%d connections are not forgotten", len(p.all))
+		if len(pool.conns) != 0 {
+			t.Errorf("%d connections are still in the pool", len(pool.conns))
 		}
 	})
 }
