--- a/internal/ballot/ballot.go
+++ b/internal/ballot/ballot.go
@@ -19,11 +19,11 @@
 }
 
 // Less orders two numbers.
-func (n Number) Less(o Number) bool {
-	if n.Round != o.Round {
-		return n.Round < o.Round
+func (n Number) Less(other Number) bool {
+	if n.Round != other.Round {
+		return n.Round < other.Round
 	}
-	return n.Candidate < o.Candidate
+	return n.Candidate < other.Candidate
 }
 
 // String prints a number.
@@ -37,7 +37,7 @@
 	mu          sync.Mutex // the fields below, never held over a write
 	promised    Number
 	lastContact time.Time
-	resigned    Number // whose holder gave the role up: what it still had under way is no sign of life
+	steppedDown Number // whose holder gave the role up: what it still had under way is no sign of life
 	lease       time.Duration
 	save        func(Number) error
 }
@@ -46,95 +46,95 @@
 // may have heard the holder right before, so it counts as heard now. What save
 // refuses as fault.Stale is below a promise that was made durable elsewhere.
 func NewVoter(promised Number, lease time.Duration, save func(Number) error) *Voter {
-	v := &Voter{writeLock: task.NewLock(), promised: promised, lease: lease, save: save}
+	voter := &Voter{writeLock: task.NewLock(), promised: promised, lease: lease, save: save}
 	if promised.Round > 0 {
-		v.lastContact = time.Now()
+		voter.lastContact = time.Now()
 	}
-	return v
+	return voter
 }
 
 // mayPromise tells whether a number may be promised, and what was promised so far. A
 // role is voted on only when vacant: a node that was cut off must not unseat a
 // holder whom this voter still hears.
-func (v *Voter) mayPromise(n Number) (bool, Number) {
+func (v *Voter) mayPromise(number Number) (bool, Number) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if n.Candidate != v.promised.Candidate && !v.lastContact.IsZero() && time.Since(v.lastContact) < v.lease {
+	if number.Candidate != v.promised.Candidate && !v.lastContact.IsZero() && time.Since(v.lastContact) < v.lease {
 		return false, v.promised
 	}
-	return v.promised.Less(n), v.promised
+	return v.promised.Less(number), v.promised
 }
 
 // Vote votes on a number. It tells what was promised so far.
-func (v *Voter) Vote(n Number) (bool, Number, error) {
+func (v *Voter) Vote(number Number) (bool, Number, error) {
 	v.writeLock.Lock()
 	defer v.writeLock.Unlock()
-	if ok, promised := v.mayPromise(n); !ok {
+	if ok, promised := v.mayPromise(number); !ok {
 		return false, promised, nil
 	}
 	// The one just voted for gets time to take up the role.
-	return v.promise(n)
+	return v.promise(number)
 }
 
 // promise makes a number durable; io is held. Another that rose meanwhile wins.
-func (v *Voter) promise(n Number) (bool, Number, error) {
-	err := v.save(n)
+func (v *Voter) promise(number Number) (bool, Number, error) {
+	err := v.save(number)
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	switch {
-	case fault.Is(err, fault.Stale), err == nil && n.Less(v.promised):
+	case fault.Is(err, fault.Stale), err == nil && number.Less(v.promised):
 		return false, v.promised, nil
 	case err != nil:
 		return false, v.promised, err
 	}
-	v.promised, v.lastContact = n, time.Now()
-	return true, n, nil
+	v.promised, v.lastContact = number, time.Now()
+	return true, number, nil
 }
 
 // Heartbeat hears the holder; false means that a higher number was promised.
-func (v *Voter) Heartbeat(n Number) (bool, Number, error) {
-	if ok, promised := v.recordHeartbeat(n); ok || n.Less(promised) {
+func (v *Voter) Heartbeat(number Number) (bool, Number, error) {
+	if ok, promised := v.recordHeartbeat(number); ok || number.Less(promised) {
 		return ok, promised, nil
 	}
 	// Following a higher number is a promise too.
 	v.writeLock.Lock()
 	defer v.writeLock.Unlock()
-	if ok, promised := v.recordHeartbeat(n); ok || n.Less(promised) {
+	if ok, promised := v.recordHeartbeat(number); ok || number.Less(promised) {
 		return ok, promised, nil
 	}
-	return v.promise(n)
+	return v.promise(number)
 }
 
 // recordHeartbeat notes a beat of the one who was promised the role.
-func (v *Voter) recordHeartbeat(n Number) (bool, Number) {
+func (v *Voter) recordHeartbeat(number Number) (bool, Number) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if n != v.promised {
+	if number != v.promised {
 		return false, v.promised
 	}
-	if n != v.resigned {
+	if number != v.steppedDown {
 		v.lastContact = time.Now()
 	}
-	return true, n
+	return true, number
 }
 
 // RaisePromise notes a promise that was made durable elsewhere, as by an accepted entry.
-func (v *Voter) RaisePromise(n Number) {
+func (v *Voter) RaisePromise(number Number) {
 	v.mu.Lock()
-	if v.promised.Less(n) {
-		v.promised = n
+	if v.promised.Less(number) {
+		v.promised = number
 	}
-	if n != v.resigned {
+	if number != v.steppedDown {
 		v.lastContact = time.Now()
 	}
 	v.mu.Unlock()
 }
 
 // Vacate is the holder's own word that the role is free.
-func (v *Voter) Vacate(n Number) {
+func (v *Voter) Vacate(number Number) {
 	v.mu.Lock()
-	if !n.Less(v.promised) {
-		v.lastContact, v.resigned = time.Time{}, n
+	if !number.Less(v.promised) {
+		v.lastContact, v.steppedDown = time.Time{}, number
 	}
 	v.mu.Unlock()
 }
@@ -151,26 +151,26 @@
 
 // Poll asks all voters at once and hands each answer to take, in one
 // goroutine, until take says that it has enough or all have answered.
-func Poll[T any](ctx context.Context, g *task.Group, voters []string, ask func(context.Context, string) (T, error), take func(string, T, error) bool) {
-	type back struct {
-		who string
-		val T
-		err error
-	}
-	c := make(chan back, len(voters))
-	for _, who := range voters {
-		if !g.Go("poll", func(context.Context) {
-			val, err := ask(ctx, who)
-			c <- back{who, val, err}
+func Poll[T any](ctx context.Context, group *task.Group, voters []string, request func(context.Context, string) (T, error), handle func(string, T, error) bool) {
+	type response struct {
+		voter string
+		value T
+		err   error
+	}
+	responses := make(chan response, len(voters))
+	for _, voter := range voters {
+		if !group.Go("poll", func(context.Context) {
+			value, err := request(ctx, voter)
+			responses <- response{voter, value, err}
 		}) {
-			var none T
-			c <- back{who, none, context.Canceled}
+			var zero T
+			responses <- response{voter, zero, context.Canceled}
 		}
 	}
 	for range voters {
 		select {
-		case b := <-c:
-			if take(b.who, b.val, b.err) {
+		case answer := <-responses:
+			if handle(answer.voter, answer.value, answer.err) {
 				return
 			}
 		case <-ctx.Done():
@@ -182,6 +182,6 @@
 // Reset forgets everything: the voter is a new one under a new identity.
 func (v *Voter) Reset() {
 	v.mu.Lock()
-	v.promised, v.lastContact, v.resigned = Number{}, time.Time{}, Number{}
+	v.promised, v.lastContact, v.steppedDown = Number{}, time.Time{}, Number{}
 	v.mu.Unlock()
 }
--- a/internal/paxos/acceptor.go
+++ b/internal/paxos/acceptor.go
@@ -33,11 +33,11 @@
 
 // Digest is the identity of the value, whatever ballot it was accepted by.
 func (e *Entry) Digest() []byte {
-	h := sha256.New()
-	_ = binary.Write(h, binary.BigEndian, e.Index)
-	h.Write(e.Previous)
-	h.Write(e.Batch)
-	return h.Sum(nil)
+	hasher := sha256.New()
+	_ = binary.Write(hasher, binary.BigEndian, e.Index)
+	hasher.Write(e.Previous)
+	hasher.Write(e.Batch)
+	return hasher.Sum(nil)
 }
 
 // Identity names a replica: lost with its disk, never given again.
@@ -57,19 +57,19 @@
 
 // Acceptor holds the files of one replica.
 type Acceptor struct {
-	fs            disk.FS
-	snapshotLock  task.Lock  // one snapshot at a time; taken before writeLock
-	writeLock     task.Lock  // one promise or entry at a time; taken before mu
-	mu            sync.Mutex // the fields below, never held over a write
-	entries       map[uint64]*Entry
-	sums          map[uint64][]byte
-	compactedTo   uint64 // the highest index that was compacted
-	identity      Identity
-	promised      ballot.Number
-	latest        *Snapshot // without its state, which stays on the disk
-	reservedBytes int       // bytes that are kept free for a snapshot, as far as known
-	damagedUpTo   uint64    // the highest index whose file was damaged
-	DamagedFiles  []string  // what was found damaged at start
+	fs             disk.FS
+	snapshotLock   task.Lock  // one snapshot at a time; taken before writeLock
+	writeLock      task.Lock  // one promise or entry at a time; taken before mu
+	mu             sync.Mutex // the fields below, never held over a write
+	entries        map[uint64]*Entry
+	digests        map[uint64][]byte
+	compactedTo    uint64 // the highest index that was compacted
+	identity       Identity
+	promised       ballot.Number
+	latestSnapshot *Snapshot // without its state, which stays on the disk
+	reservedBytes  int       // bytes that are kept free for a snapshot, as far as known
+	damagedUpTo    uint64    // the highest index whose file was damaged
+	DamagedFiles   []string  // what was found damaged at start
 	// Observe is told of each promise and each accepted entry once it is durable.
 	Observe trace.Observer
 }
@@ -77,7 +77,7 @@
 // Open reads the folder of a replica. A damaged identity, promise or only
 // snapshot makes the replica empty: its old votes must not be lent again.
 func Open(fs disk.FS) (*Acceptor, error) {
-	a := &Acceptor{fs: fs, snapshotLock: task.NewLock(), writeLock: task.NewLock(), entries: map[uint64]*Entry{}, sums: map[uint64][]byte{}}
+	acceptor := &Acceptor{fs: fs, snapshotLock: task.NewLock(), writeLock: task.NewLock(), entries: map[uint64]*Entry{}, digests: map[uint64][]byte{}}
 	if err := disk.AdoptUnrenamed(fs, "v-"); err != nil {
 		return nil, err
 	}
@@ -85,49 +85,49 @@
 	if err != nil {
 		return nil, err
 	}
-	lost := false
+	unusable := false
 	for _, name := range names {
-		vital, err := a.load(name)
+		essential, err := acceptor.load(name)
 		if err != nil {
 			return nil, err
 		}
-		lost = lost || vital
+		unusable = unusable || essential
 	}
 	// What was put aside must not come back under a name that is used anew.
-	if len(a.DamagedFiles) > 0 {
+	if len(acceptor.DamagedFiles) > 0 {
 		if err := fs.SyncDir(); err != nil {
 			return nil, fault.Wrap(fault.Disk, err, "put aside")
 		}
 	}
-	if a.latest == nil && (len(a.entries) > 0 || len(a.DamagedFiles) > 0) {
-		lost = true
+	if acceptor.latestSnapshot == nil && (len(acceptor.entries) > 0 || len(acceptor.DamagedFiles) > 0) {
+		unusable = true
 	}
-	if lost {
-		a.forgetAll()
-		return a, nil
+	if unusable {
+		acceptor.reset()
+		return acceptor, nil
 	}
-	a.settle()
-	return a, nil
+	acceptor.deriveState()
+	return acceptor, nil
 }
 
 // load takes up one file of the folder. A damaged one is put aside; lost tells
 // that the replica can't do without it.
-func (a *Acceptor) load(name string) (lost bool, err error) {
+func (a *Acceptor) load(name string) (essential bool, err error) {
 	if len(name) < 2 || name[1] != '-' {
 		return false, nil
 	}
-	var e Entry
-	var c Snapshot
-	var into any
+	var entry Entry
+	var snapshot Snapshot
+	var target any
 	switch name[0] {
 	case 'i':
-		into = &a.identity
+		target = &a.identity
 	case 'p':
-		into = &a.promised
+		target = &a.promised
 	case 'v':
-		into = &e
+		target = &entry
 	case 'c':
-		into = &c
+		target = &snapshot
 	default:
 		return false, nil
 	}
@@ -136,26 +136,26 @@
 		return false, err
 	}
 	if err == nil {
-		err = msgpack.Unmarshal(data, into)
+		err = msgpack.Unmarshal(data, target)
 	}
 	if err != nil {
-		return a.putAside(name), nil
+		return a.quarantine(name), nil
 	}
-	if f := max(e.Format, c.Format, a.identity.Format); f > Format {
-		return false, fault.New(fault.Input, "file %s is of format %d, newer than %d", name, f, Format)
+	if format := max(entry.Format, snapshot.Format, a.identity.Format); format > Format {
+		return false, fault.New(fault.Input, "file %s is of format %d, newer than %d", name, format, Format)
 	}
 	if name[0] == 'v' {
-		a.entries[e.Index], a.sums[e.Index] = &e, e.Digest()
+		a.entries[entry.Index], a.digests[entry.Index] = &entry, entry.Digest()
 	}
-	if name[0] == 'c' && (a.latest == nil || c.Index > a.latest.Index) {
-		a.latest = c.withoutState()
+	if name[0] == 'c' && (a.latestSnapshot == nil || snapshot.Index > a.latestSnapshot.Index) {
+		a.latestSnapshot = snapshot.withoutState()
 	}
 	return false, nil
 }
 
-// putAside renames a damaged file, and tells whether the replica can't do without
+// quarantine renames a damaged file, and tells whether the replica can't do without
 // it: it can without an entry, which others hold, or one of several snapshots.
-func (a *Acceptor) putAside(name string) (lost bool) {
+func (a *Acceptor) quarantine(name string) (essential bool) {
 	a.DamagedFiles = append(a.DamagedFiles, name)
 	_ = a.fs.Rename(name, "bad-"+name)
 	if name[0] != 'v' {
@@ -167,23 +167,23 @@
 	return false
 }
 
-// settle works out what follows from all the files together.
-func (a *Acceptor) settle() {
+// deriveState works out what follows from all the files together.
+func (a *Acceptor) deriveState() {
 	for _, e := range a.entries {
 		if a.promised.Less(e.Ballot) {
 			a.promised = e.Ballot
 		}
 	}
-	if a.latest == nil {
+	if a.latestSnapshot == nil {
 		return
 	}
-	a.compactedTo = a.latest.Index
-	for index := a.latest.Index; a.entries[index] != nil; index-- {
+	a.compactedTo = a.latestSnapshot.Index
+	for index := a.latestSnapshot.Index; a.entries[index] != nil; index-- {
 		a.compactedTo = index - 1
 	}
 }
 
-func (a *Acceptor) forgetAll() {
+func (a *Acceptor) reset() {
 	names, _ := disk.Names(a.fs, "")
 	for _, n := range names {
 		if len(n) > 2 && n[1] == '-' {
@@ -192,16 +192,16 @@
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.entries, a.sums = map[uint64]*Entry{}, map[uint64][]byte{}
-	a.identity, a.promised, a.latest, a.damagedUpTo, a.compactedTo, a.reservedBytes = Identity{}, ballot.Number{}, nil, 0, 0, 0
+	a.entries, a.digests = map[uint64]*Entry{}, map[uint64][]byte{}
+	a.identity, a.promised, a.latestSnapshot, a.damagedUpTo, a.compactedTo, a.reservedBytes = Identity{}, ballot.Number{}, nil, 0, 0, 0
 }
 
-func (a *Acceptor) save(name string, v any) error {
-	b, err := msgpack.Marshal(v)
+func (a *Acceptor) save(name string, value any) error {
+	encoded, err := msgpack.Marshal(value)
 	if err != nil {
 		return fault.Wrap(fault.Input, err, "pack "+name)
 	}
-	return disk.Save(a.fs, name, b)
+	return disk.Save(a.fs, name, encoded)
 }
 
 // SetIdentity keeps the identity.
@@ -236,7 +236,7 @@
 func (a *Acceptor) LatestSnapshot() *Snapshot {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.latest
+	return a.latestSnapshot
 }
 
 // DamagedUpTo gives the highest index whose file was found damaged.
--- a/internal/paxos/chosen.go
+++ b/internal/paxos/chosen.go
@@ -10,40 +10,40 @@
 // Chain gives the entries from the one after index up to top, if the value of
 // top has the identity sum and each one names the one before it back to prev.
 // Every entry in such a chain is chosen when top is.
-func (a *Acceptor) Chain(index uint64, prev []byte, top uint64, sum []byte) []Entry {
+func (a *Acceptor) Chain(index uint64, previous []byte, top uint64, digest []byte) []Entry {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if top <= index {
 		return nil
 	}
-	out := make([]Entry, top-index)
-	for s := top; s > index; s-- {
-		e := a.entries[s]
-		if e == nil || !bytes.Equal(a.sums[s], sum) {
+	chain := make([]Entry, top-index)
+	for i := top; i > index; i-- {
+		entry := a.entries[i]
+		if entry == nil || !bytes.Equal(a.digests[i], digest) {
 			return nil
 		}
-		out[s-index-1] = *e
-		sum = e.Previous
+		chain[i-index-1] = *entry
+		digest = entry.Previous
 	}
-	if !bytes.Equal(sum, prev) {
+	if !bytes.Equal(digest, previous) {
 		return nil
 	}
-	return out
+	return chain
 }
 
 // ProvenChosen gives the entries above index that the stored files alone prove to be
 // chosen: all but the newest of an unbroken chain.
-func (a *Acceptor) ProvenChosen(index uint64, prev []byte) []Entry {
+func (a *Acceptor) ProvenChosen(index uint64, previous []byte) []Entry {
 	top := a.Top()
-	for t := top; t > index+1; t-- {
+	for i := top; i > index+1; i-- {
 		a.mu.Lock()
-		e := a.entries[t]
+		entry := a.entries[i]
 		a.mu.Unlock()
-		if e == nil {
+		if entry == nil {
 			continue
 		}
-		if got := a.Chain(index, prev, t-1, e.Previous); got != nil {
-			return got
+		if chain := a.Chain(index, previous, i-1, entry.Previous); chain != nil {
+			return chain
 		}
 	}
 	return nil
@@ -65,9 +65,9 @@
 	var files []string
 	for index := range a.entries {
 		if index > chosen {
-			files = append(files, entryName(index))
+			files = append(files, entryFile(index))
 			delete(a.entries, index)
-			delete(a.sums, index)
+			delete(a.digests, index)
 		}
 	}
 	a.promised, a.damagedUpTo = ballot.Number{}, 0
--- a/internal/paxos/log.go
+++ b/internal/paxos/log.go
@@ -15,79 +15,79 @@
 // promisePrefix begins the names of the files of promises.
 const promisePrefix = "p-"
 
-// promiseName is the file of the promise of a round.
-func promiseName(round uint64) string { return fmt.Sprintf("%s%016x", promisePrefix, round) }
+// promiseFile is the file of the promise of a round.
+func promiseFile(round uint64) string { return fmt.Sprintf("%s%016x", promisePrefix, round) }
 
-// entryName is the file of a log entry.
-func entryName(index uint64) string { return fmt.Sprintf("v-%016x", index) }
+// entryFile is the file of a log entry.
+func entryFile(index uint64) string { return fmt.Sprintf("v-%016x", index) }
 
 // Promise keeps a ballot number; the file of the one before goes away. One
 // below a promise that an accepted entry made meanwhile is refused as stale.
-func (a *Acceptor) Promise(n ballot.Number) error {
+func (a *Acceptor) Promise(number ballot.Number) error {
 	a.writeLock.Lock()
 	defer a.writeLock.Unlock()
-	return a.promise(n)
+	return a.promise(number)
 }
 
-func (a *Acceptor) promise(n ballot.Number) error {
-	if promised := a.Promised(); n.Less(promised) {
-		return fault.New(fault.Stale, "ballot %s is below the promise %s", n, promised)
+func (a *Acceptor) promise(number ballot.Number) error {
+	if promised := a.Promised(); number.Less(promised) {
+		return fault.New(fault.Stale, "ballot %s is below the promise %s", number, promised)
 	}
-	if err := a.save(promiseName(n.Round), &n); err != nil {
+	if err := a.save(promiseFile(number.Round), &number); err != nil {
 		return err
 	}
 	a.mu.Lock()
-	old := a.promised
-	a.promised = n
-	me := a.identity.ID
+	previous := a.promised
+	a.promised = number
+	replica := a.identity.ID
 	a.mu.Unlock()
-	a.Observe.Notify(trace.Promised{Replica: me, Ballot: n})
-	if old.Round != n.Round {
-		_ = a.fs.Remove(promiseName(old.Round))
+	a.Observe.Notify(trace.Promised{Replica: replica, Ballot: number})
+	if previous.Round != number.Round {
+		_ = a.fs.Remove(promiseFile(previous.Round))
 	}
 	return nil
 }
 
 // Accept keeps an entry; when it returns nil it is synced.
-func (a *Acceptor) Accept(e Entry) error {
+func (a *Acceptor) Accept(entry Entry) error {
 	a.writeLock.Lock()
 	defer a.writeLock.Unlock()
 	promised := a.Promised()
-	if e.Ballot.Less(promised) {
-		return fault.New(fault.Stale, "ballot %s is below the promise %s", e.Ballot, promised)
+	if entry.Ballot.Less(promised) {
+		return fault.New(fault.Stale, "ballot %s is below the promise %s", entry.Ballot, promised)
 	}
 	// The promise gets its own file, so that damage to an entry never
 	// lowers it.
-	if promised.Less(e.Ballot) {
-		if err := a.promise(e.Ballot); err != nil {
+	if promised.Less(entry.Ballot) {
+		if err := a.promise(entry.Ballot); err != nil {
 			return err
 		}
 	}
-	if err := a.writeEntry(e); err != nil {
+	if err := a.writeEntry(entry); err != nil {
 		return err
 	}
-	a.Observe.Notify(trace.Accepted{Replica: a.Identity().ID, Ballot: e.Ballot, Index: e.Index, Digest: string(e.Digest())})
+	a.Observe.Notify(trace.Accepted{Replica: a.Identity().ID, Ballot: entry.Ballot, Index: entry.Index, Digest: string(entry.Digest())})
 	return nil
 }
 
-func (a *Acceptor) writeEntry(e Entry) error { return a.writeEntries([]Entry{e}) }
+func (a *Acceptor) writeEntry(entry Entry) error { return a.writeEntries([]Entry{entry}) }
 
 // writeEntries keeps entries that aren't kept yet, with one sync of the folder: a disk
 // may lose the name of a synced file.
-func (a *Acceptor) writeEntries(all []Entry) error {
-	var fresh []Entry
+func (a *Acceptor) writeEntries(entries []Entry) error {
+	var added []Entry
 	var files []disk.NamedFile
-	for _, e := range all {
+	for _, e := range entries {
 		e.Format = Format
-		if a.keeps(&e) {
+		if a.isStored(&e) {
 			continue
 		}
 		data, err := msgpack.Marshal(&e)
 		if err != nil {
-			return fault.Wrap(fault.Input, err, "pack "+entryName(e.Index))
+			return fault.Wrap(fault.Input, err, "pack "+entryFile(e.Index))
 		}
-		fresh = append(fresh, e)
-		files = append(files, disk.NamedFile{Name: entryName(e.Index), Data: data})
+		added = append(added, e)
+		files = append(files, disk.NamedFile{Name: entryFile(e.Index), Data: data})
 	}
 	if len(files) == 0 {
 		return nil
@@ -97,8 +97,8 @@
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	for _, e := range fresh {
-		a.entries[e.Index], a.sums[e.Index] = &e, e.Digest()
+	for _, e := range added {
+		a.entries[e.Index], a.digests[e.Index] = &e, e.Digest()
 		if a.promised.Less(e.Ballot) {
 			a.promised = e.Ballot
 		}
@@ -106,57 +106,57 @@
 	return nil
 }
 
-// keeps tells whether an entry is kept already, under the same ballot.
-func (a *Acceptor) keeps(e *Entry) bool {
+// isStored tells whether an entry is kept already, under the same ballot.
+func (a *Acceptor) isStored(entry *Entry) bool {
 	a.mu.Lock()
-	old, sum := a.entries[e.Index], a.sums[e.Index]
+	stored, digest := a.entries[entry.Index], a.digests[entry.Index]
 	a.mu.Unlock()
-	return old != nil && old.Ballot == e.Ballot && bytes.Equal(sum, e.Digest())
+	return stored != nil && stored.Ballot == entry.Ballot && bytes.Equal(digest, entry.Digest())
 }
 
 // Learn keeps entries that are known to be chosen.
-func (a *Acceptor) Learn(all ...Entry) error {
+func (a *Acceptor) Learn(entries ...Entry) error {
 	a.writeLock.Lock()
 	defer a.writeLock.Unlock()
-	var kept []Entry
+	var learned []Entry
 	a.mu.Lock()
-	for _, e := range all {
+	for _, e := range entries {
 		// The ballot of an own acceptance is never lowered.
-		if old := a.entries[e.Index]; old != nil && e.Ballot.Less(old.Ballot) {
-			e.Ballot = old.Ballot
+		if stored := a.entries[e.Index]; stored != nil && e.Ballot.Less(stored.Ballot) {
+			e.Ballot = stored.Ballot
 		}
-		kept = append(kept, e)
+		learned = append(learned, e)
 	}
 	a.mu.Unlock()
-	return a.writeEntries(kept)
+	return a.writeEntries(learned)
 }
 
 // Top gives the highest accepted index.
 func (a *Acceptor) Top() uint64 {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.top()
+	return a.highest()
 }
 
-func (a *Acceptor) top() uint64 {
-	var top uint64
-	for s := range a.entries {
-		top = max(top, s)
+func (a *Acceptor) highest() uint64 {
+	var highest uint64
+	for index := range a.entries {
+		highest = max(highest, index)
 	}
-	return top
+	return highest
 }
 
 // After gives the accepted entries above an index, in order, at most most.
-func (a *Acceptor) After(index uint64, most int) []Entry {
+func (a *Acceptor) After(index uint64, limit int) []Entry {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	var out []Entry
-	for s, top := index+1, a.top(); s <= top && len(out) < most; s++ {
-		if e := a.entries[s]; e != nil {
-			out = append(out, *e)
+	var entries []Entry
+	for i, highest := index+1, a.highest(); i <= highest && len(entries) < limit; i++ {
+		if entry := a.entries[i]; entry != nil {
+			entries = append(entries, *entry)
 		}
 	}
-	return out
+	return entries
 }
 
 // HoldsAfter tells whether every entry above an index is still kept here.
--- a/internal/statemachine/command.go
+++ b/internal/statemachine/command.go
@@ -80,25 +80,25 @@
 }
 
 // Pack readies a command for travel.
-func Pack(kind string, c Command) (Packed, error) {
-	b, err := msgpack.Marshal(c)
-	return Packed{kind, b}, fault.Wrap(fault.Input, err, "pack "+kind)
+func Pack(kind string, command Command) (Packed, error) {
+	body, err := msgpack.Marshal(command)
+	return Packed{kind, body}, fault.Wrap(fault.Input, err, "pack "+kind)
 }
 
 // Open reads a command back; an unknown kind is an error by name.
 func (p Packed) Open() (Command, error) {
-	make := commandKinds[p.Kind]
-	if make == nil {
+	newCommand := commandKinds[p.Kind]
+	if newCommand == nil {
 		return nil, fault.New(fault.Input, "command %q is not known here", p.Kind)
 	}
-	c := make()
-	if err := msgpack.Unmarshal(p.Body, c); err != nil {
+	command := newCommand()
+	if err := msgpack.Unmarshal(p.Body, command); err != nil {
 		return nil, fault.Wrap(fault.Input, err, "read "+p.Kind)
 	}
-	if request, ok := c.(*Request); ok {
-		return c, request.open()
+	if request, ok := command.(*Request); ok {
+		return command, request.unpack()
 	}
-	return c, nil
+	return command, nil
 }
 
 // Batch is the commands of one version.
@@ -106,38 +106,38 @@
 
 // Pack writes a batch.
 func (b Batch) Pack() ([]byte, error) {
-	out, err := msgpack.Marshal(b)
-	return out, fault.Wrap(fault.Input, err, "pack batch")
+	encoded, err := msgpack.Marshal(b)
+	return encoded, fault.Wrap(fault.Input, err, "pack batch")
 }
 
 // Apply runs a stored batch. A command that this program does not know would
 // let replicas drift apart, so it is an error that stops the replica.
 func (s *State) Apply(raw []byte) ([]Command, []Result, error) {
-	var b Batch
-	if err := msgpack.Unmarshal(raw, &b); err != nil {
+	var batch Batch
+	if err := msgpack.Unmarshal(raw, &batch); err != nil {
 		return nil, nil, fault.Wrap(fault.Input, err, "read batch")
 	}
-	cmds := make([]Command, len(b))
-	for i, p := range b {
-		c, err := p.Open()
+	commands := make([]Command, len(batch))
+	for i, p := range batch {
+		command, err := p.Open()
 		if err != nil {
 			return nil, nil, err
 		}
-		cmds[i] = c
+		commands[i] = command
 	}
-	out := make([]Result, len(b))
-	for i, c := range cmds {
-		out[i] = c.Apply(s)
+	results := make([]Result, len(batch))
+	for i, command := range commands {
+		results[i] = command.Apply(s)
 	}
-	return cmds, out, nil
+	return commands, results, nil
 }
 
-func packed(v any) ([]byte, error) {
-	var b bytes.Buffer
-	e := msgpack.NewEncoder(&b)
-	e.SetSortMapKeys(true)
-	err := e.Encode(v)
-	return b.Bytes(), err
+func encodeSorted(value any) ([]byte, error) {
+	var buffer bytes.Buffer
+	encoder := msgpack.NewEncoder(&buffer)
+	encoder.SetSortMapKeys(true)
+	err := encoder.Encode(value)
+	return buffer.Bytes(), err
 }
 
 // Noop changes nothing; a new leader begins with one.
@@ -148,9 +148,9 @@
 
 // Kinds gives an empty command of each kind by name.
 func Kinds() map[string]Command {
-	out := map[string]Command{}
-	for n, f := range commandKinds {
-		out[n] = f()
+	commands := map[string]Command{}
+	for name, newCommand := range commandKinds {
+		commands[name] = newCommand()
 	}
-	return out
+	return commands
 }
--- a/internal/statemachine/config.go
+++ b/internal/statemachine/config.go
@@ -18,29 +18,29 @@
 // Apply sets the configuration if its base is what stands. Running trials end
 // with an emergency: they compared paths of a document that is gone.
 func (c *SetConfig) Apply(s *State) Result {
-	now := s.Config()
-	if c.Base != now.Version {
-		return Result{Code: Conflict, Version: now.Version, Message: fmt.Sprintf("based on version %d, but %d stands", c.Base, now.Version)}
+	current := s.Config()
+	if c.Base != current.Version {
+		return Result{Code: Conflict, Version: current.Version, Message: fmt.Sprintf("based on version %d, but %d stands", c.Base, current.Version)}
 	}
 	for _, t := range s.Trials {
 		if t.State == Running && !c.Now {
-			return Result{Code: Conflict, Version: now.Version, Message: fmt.Sprintf("trial %d runs: wait, abort it, or apply as an emergency", t.ID)}
+			return Result{Code: Conflict, Version: current.Version, Message: fmt.Sprintf("trial %d runs: wait, abort it, or apply as an emergency", t.ID)}
 		}
 	}
-	return s.setWhole(Config{Version: now.Version + 1, Doc: c.Doc, Who: c.Who, Why: c.Why})
+	return s.replaceConfig(Config{Version: current.Version + 1, Doc: c.Doc, Who: c.Who, Why: c.Why})
 }
 
-// setWhole puts a document in force as it was sent; running trials end.
-func (s *State) setWhole(c Config) Result {
-	c.Sent = true
-	s.putConfig(c)
+// replaceConfig puts a document in force as it was sent; running trials end.
+func (s *State) replaceConfig(config Config) Result {
+	config.Submitted = true
+	s.appendConfig(config)
 	for i := range s.Trials {
 		if s.Trials[i].State == Running {
 			s.Trials[i].State, s.Trials[i].Why = Dropped, "a whole configuration took its place"
-			s.Trials[i].End = c.Version
+			s.Trials[i].End = config.Version
 		}
 	}
-	return Result{Code: OK, Version: c.Version}
+	return Result{Code: OK, Version: config.Version}
 }
 
 // SetNumberedConfig puts a whole configuration in force under the operator's own
@@ -55,10 +55,10 @@
 // Apply sets the configuration if its number is the highest. One that is not
 // is acknowledged all the same: it is overtaken, or was sent again.
 func (c *SetNumberedConfig) Apply(s *State) Result {
-	if now := s.Config().Version; c.Number <= now {
-		return Result{Code: OK, Version: now, Message: "not above the version that stands"}
+	if current := s.Config().Version; c.Number <= current {
+		return Result{Code: OK, Version: current, Message: "not above the version that stands"}
 	}
-	return s.setWhole(Config{Version: c.Number, Doc: c.Doc, Who: c.Who, Why: c.Why})
+	return s.replaceConfig(Config{Version: c.Number, Doc: c.Doc, Who: c.Who, Why: c.Why})
 }
 
 // The states of a trial.
@@ -98,32 +98,32 @@
 
 // Apply begins the trial as a new version.
 func (c *Propose) Apply(s *State) Result {
-	now := s.Config()
-	if c.Base != now.Version {
-		return Result{Code: Conflict, Version: now.Version, Message: fmt.Sprintf("based on version %d, but %d stands", c.Base, now.Version)}
+	current := s.Config()
+	if c.Base != current.Version {
+		return Result{Code: Conflict, Version: current.Version, Message: fmt.Sprintf("based on version %d, but %d stands", c.Base, current.Version)}
 	}
 	for _, t := range s.Trials {
 		if t.State == Running && overlap(t.Routes, c.Routes) {
-			return Result{Code: Conflict, Version: now.Version, Message: fmt.Sprintf("trial %d runs on the same path", t.ID)}
+			return Result{Code: Conflict, Version: current.Version, Message: fmt.Sprintf("trial %d runs on the same path", t.ID)}
 		}
 	}
 	// The document names the trial, so it must be the next one.
 	if c.ID != s.TrialsBegun+1 {
-		return Result{Code: Conflict, Version: now.Version, Message: "another trial was proposed"}
+		return Result{Code: Conflict, Version: current.Version, Message: "another trial was proposed"}
 	}
 	s.TrialsBegun++
-	got := s.setConfig(c.Doc, c.Who, fmt.Sprintf("trial %d proposed", s.TrialsBegun))
+	config := s.setNextConfig(c.Doc, c.Who, fmt.Sprintf("trial %d proposed", s.TrialsBegun))
 	s.Trials = append(s.Trials, Trial{ID: s.TrialsBegun, State: Running, Routes: c.Routes, Slice: c.Slice,
-		Begin: got.Version, Who: c.Who, Next: c.Next})
+		Begin: config.Version, Who: c.Who, Next: c.Next})
 	if len(s.Trials) > maxConfigs {
 		s.Trials = append([]Trial(nil), s.Trials[len(s.Trials)-maxConfigs:]...)
 	}
-	return Result{Code: OK, Version: got.Version, Number: s.TrialsBegun}
+	return Result{Code: OK, Version: config.Version, Number: s.TrialsBegun}
 }
 
-func overlap(a, b []string) bool {
-	for _, x := range a {
-		for _, y := range b {
+func overlap(first, second []string) bool {
+	for _, x := range first {
+		for _, y := range second {
 			if x == y {
 				return true
 			}
@@ -148,25 +148,25 @@
 func (c *Decide) Apply(s *State) Result {
 	// An operator's abort carries no ballot and is not fenced.
 	if c.Ballot.Round > 0 {
-		if r := s.fenceRole("judge", c.Ballot); r.Code != OK {
-			return r
+		if fenced := s.fenceRole("judge", c.Ballot); fenced.Code != OK {
+			return fenced
 		}
 	}
-	now := s.Config()
-	if c.Base != now.Version {
-		return Result{Code: Conflict, Version: now.Version, Message: "another version stands"}
+	current := s.Config()
+	if c.Base != current.Version {
+		return Result{Code: Conflict, Version: current.Version, Message: "another version stands"}
 	}
 	for i := range s.Trials {
-		t := &s.Trials[i]
-		if t.ID != c.ID {
+		trial := &s.Trials[i]
+		if trial.ID != c.ID {
 			continue
 		}
-		if t.State != Running {
-			return Result{Code: Conflict, Version: now.Version, Message: "the trial has ended: " + t.State}
+		if trial.State != Running {
+			return Result{Code: Conflict, Version: current.Version, Message: "the trial has ended: " + trial.State}
 		}
-		got := s.setConfig(c.Doc, c.Who, fmt.Sprintf("trial %d %s: %s", c.ID, c.State, c.Why))
-		t.State, t.Why, t.Facts, t.End = c.State, c.Why, c.Facts, got.Version
-		return Result{Code: OK, Version: got.Version}
+		config := s.setNextConfig(c.Doc, c.Who, fmt.Sprintf("trial %d %s: %s", c.ID, c.State, c.Why))
+		trial.State, trial.Why, trial.Facts, trial.End = c.State, c.Why, c.Facts, config.Version
+		return Result{Code: OK, Version: config.Version}
 	}
 	return Result{Code: NotFound, Message: "no such trial"}
 }
--- a/internal/statemachine/groupkeys.go
+++ b/internal/statemachine/groupkeys.go
@@ -28,26 +28,26 @@
 // snapshot. Beyond it a put is turned away rather than one forgotten early.
 const maxPutBytes = 4 << 20
 
-// weight is what a put counts for, its bookkeeping included.
-func (p Put) weight() int { return len(p.Name) + len(p.Value) + 64 }
+// storedBytes is what a put counts for, its bookkeeping included.
+func (p Put) storedBytes() int { return len(p.Name) + len(p.Value) + 64 }
 
 // GroupOf names the group of a key: all up to and including its first dot,
 // the whole name when it has none.
 func GroupOf(name string) string {
-	if i := strings.IndexByte(name, '.'); i >= 0 {
-		return name[:i+1]
+	if dot := strings.IndexByte(name, '.'); dot >= 0 {
+		return name[:dot+1]
 	}
 	return name
 }
 
 func putID(name string, value []byte) string { return name + "\x00" + string(value) }
 
-// index takes a kept put into what is worked out from the puts.
-func (s *State) index(p Put) {
-	g := GroupOf(p.Name)
-	s.putsByGroup[g] = append(s.putsByGroup[g], p)
-	s.firstRevisions[putID(p.Name, p.Value)] = p.Revision
-	s.size += p.weight()
+// indexPut takes a kept put into what is worked out from the puts.
+func (s *State) indexPut(put Put) {
+	group := GroupOf(put.Name)
+	s.putsByGroup[group] = append(s.putsByGroup[group], put)
+	s.firstRevisions[putID(put.Name, put.Value)] = put.Revision
+	s.putBytes += put.storedBytes()
 }
 
 // PutGroupKey sets a key of a group. With If set, only when its revision is Rev;
@@ -63,29 +63,29 @@
 // sent again: it gets the revision that it had, whatever was put since, and
 // before anything is compared, since its own first arrival moved the key on.
 func (c *PutGroupKey) Apply(s *State) Result {
-	now, held := s.GroupKeys[c.Name]
-	if held && string(now.Value) == string(c.Value) {
-		return Result{Code: OK, Revision: now.Revision}
+	current, exists := s.GroupKeys[c.Name]
+	if exists && string(current.Value) == string(c.Value) {
+		return Result{Code: OK, Revision: current.Revision}
 	}
-	if rev := s.firstRevisions[putID(c.Name, c.Value)]; rev > 0 {
-		return Result{Code: OK, Revision: rev}
+	if revision := s.firstRevisions[putID(c.Name, c.Value)]; revision > 0 {
+		return Result{Code: OK, Revision: revision}
 	}
-	if c.If && now.Revision != c.Revision {
-		return Result{Code: Conflict, Revision: now.Revision, Message: "the key's revision is another"}
+	if c.If && current.Revision != c.Revision {
+		return Result{Code: Conflict, Revision: current.Revision, Message: "the key's revision is another"}
 	}
-	name := GroupOf(c.Name)
-	g := s.Groups[name]
-	p := Put{Name: c.Name, Value: c.Value, Revision: g.Revision + 1}
-	if s.size+p.weight() > maxPutBytes {
+	groupName := GroupOf(c.Name)
+	group := s.Groups[groupName]
+	put := Put{Name: c.Name, Value: c.Value, Revision: group.Revision + 1}
+	if s.putBytes+put.storedBytes() > maxPutBytes {
 		return Result{Code: Full, Message: "too much was put lately"}
 	}
-	g.Revision = p.Revision
-	g.Oldest = max(g.Oldest, 1)
-	s.Groups[name] = g
-	s.GroupKeys[c.Name] = GroupKey{Value: c.Value, Revision: p.Revision}
-	s.Puts = append(s.Puts, p)
-	s.index(p)
-	return Result{Code: OK, Revision: p.Revision}
+	group.Revision = put.Revision
+	group.Oldest = max(group.Oldest, 1)
+	s.Groups[groupName] = group
+	s.GroupKeys[c.Name] = GroupKey{Value: c.Value, Revision: put.Revision}
+	s.Puts = append(s.Puts, put)
+	s.indexPut(put)
+	return Result{Code: OK, Revision: put.Revision}
 }
 
 // TotalPuts counts the puts that were ever taken, of all groups.
@@ -99,39 +99,39 @@
 
 // Apply forgets them. What a key holds now stays known as its value.
 func (c *CompactPuts) Apply(s *State) Result {
-	n := 0
-	for n < len(s.Puts) && s.CompactedPuts < c.To {
-		p := s.Puts[n]
-		name := GroupOf(p.Name)
-		g := s.Groups[name]
-		g.Oldest = p.Revision + 1
-		s.Groups[name] = g
-		if s.putsByGroup[name] = s.putsByGroup[name][1:]; len(s.putsByGroup[name]) == 0 {
-			delete(s.putsByGroup, name)
+	compacted := 0
+	for compacted < len(s.Puts) && s.CompactedPuts < c.To {
+		put := s.Puts[compacted]
+		groupName := GroupOf(put.Name)
+		group := s.Groups[groupName]
+		group.Oldest = put.Revision + 1
+		s.Groups[groupName] = group
+		if s.putsByGroup[groupName] = s.putsByGroup[groupName][1:]; len(s.putsByGroup[groupName]) == 0 {
+			delete(s.putsByGroup, groupName)
 		}
-		delete(s.firstRevisions, putID(p.Name, p.Value))
-		s.size -= p.weight()
+		delete(s.firstRevisions, putID(put.Name, put.Value))
+		s.putBytes -= put.storedBytes()
 		s.CompactedPuts++
-		n++
+		compacted++
 	}
-	if n > 0 {
-		s.Puts = append([]Put(nil), s.Puts[n:]...)
+	if compacted > 0 {
+		s.Puts = append([]Put(nil), s.Puts[compacted:]...)
 	}
 	return Result{Code: OK}
 }
 
 // After gives the puts of a group above a revision and the group's revision.
 // False means that the history no longer reaches back so far.
-func (s *State) After(group string, after uint64) ([]Change, uint64, bool) {
-	g := s.Groups[group]
-	if after+1 < g.Oldest {
-		return nil, g.Revision, false
+func (s *State) After(groupName string, after uint64) ([]Change, uint64, bool) {
+	group := s.Groups[groupName]
+	if after+1 < group.Oldest {
+		return nil, group.Revision, false
 	}
-	row := s.putsByGroup[group]
-	at := sort.Search(len(row), func(i int) bool { return row[i].Revision > after })
-	var out []Change
-	for _, p := range row[at:] {
-		out = append(out, Change{Revision: p.Revision, Name: p.Name, Value: p.Value})
+	puts := s.putsByGroup[groupName]
+	start := sort.Search(len(puts), func(i int) bool { return puts[i].Revision > after })
+	var changes []Change
+	for _, p := range puts[start:] {
+		changes = append(changes, Change{Revision: p.Revision, Name: p.Name, Value: p.Value})
 	}
-	return out, g.Revision, true
+	return changes, group.Revision, true
 }
--- a/internal/statemachine/groupkeys_test.go
+++ b/internal/statemachine/groupkeys_test.go
@@ -147,7 +147,7 @@
 			if got.Code != OK || got.Version != top || s.Config().Version != top {
 				t.Fatalf("%d sent, %d stands: %v", n, top, got)
 			}
-			if c, ok := s.NewestSent(); !ok || string(c.Doc) != doc {
+			if c, ok := s.NewestSubmitted(); !ok || string(c.Doc) != doc {
 				t.Fatal("what was sent is not what is kept")
 			}
 			size := 0
@@ -168,7 +168,7 @@
 	if r := (&Propose{ID: 1, Base: 10, Doc: []byte("b"), Routes: []string{"p"}}).Apply(s); r.Version != 11 {
 		t.Fatal(r)
 	}
-	if c, _ := s.NewestSent(); string(c.Doc) != "a" {
+	if c, _ := s.NewestSubmitted(); string(c.Doc) != "a" {
 		t.Errorf("sent is %q while a trial runs", c.Doc)
 	}
 	if r := (&SetNumberedConfig{Number: 20, Doc: []byte("c")}).Apply(s); r.Version != 20 || s.Trials[0].State != Dropped || s.Trials[0].End != 20 {
--- a/internal/statemachine/keys.go
+++ b/internal/statemachine/keys.go
@@ -13,11 +13,11 @@
 
 // Apply sets the key.
 func (c *PutKey) Apply(s *State) Result {
-	k := s.Keys[c.Name]
-	if c.If && k.Revision != c.Revision {
-		return Result{Code: Conflict, Revision: k.Revision, Message: "the key's revision is another"}
+	key := s.Keys[c.Name]
+	if c.If && key.Revision != c.Revision {
+		return Result{Code: Conflict, Revision: key.Revision, Message: "the key's revision is another"}
 	}
-	s.change(c.Name, c.Value, false)
+	s.recordChange(c.Name, c.Value, false)
 	return Result{Code: OK, Revision: s.Revision}
 }
 
@@ -30,14 +30,14 @@
 
 // Apply removes the key.
 func (c *DeleteKey) Apply(s *State) Result {
-	k, ok := s.Keys[c.Name]
-	if !ok {
+	key, exists := s.Keys[c.Name]
+	if !exists {
 		return Result{Code: NotFound, Revision: s.Revision, Message: "no such key"}
 	}
-	if c.If && k.Revision != c.Revision {
-		return Result{Code: Conflict, Revision: k.Revision, Message: "the key's revision is another"}
+	if c.If && key.Revision != c.Revision {
+		return Result{Code: Conflict, Revision: key.Revision, Message: "the key's revision is another"}
 	}
-	s.change(c.Name, nil, true)
+	s.recordChange(c.Name, nil, true)
 	return Result{Code: OK, Revision: s.Revision}
 }
 
@@ -80,24 +80,24 @@
 
 // Apply takes the lock if it is free or the owner's own.
 func (c *AcquireLock) Apply(s *State) Result {
-	l, held := s.Locks[c.Name]
-	if held && l.Owner != c.Owner {
-		return Result{Code: Conflict, Lock: &l, Message: "held by another"}
+	lock, held := s.Locks[c.Name]
+	if held && lock.Owner != c.Owner {
+		return Result{Code: Conflict, Lock: &lock, Message: "held by another"}
 	}
 	// A renewal never takes a lock anew: the owner must learn that it lost it.
-	if c.Renew && (!held || l.Fence != c.Fence) {
+	if c.Renew && (!held || lock.Fence != c.Fence) {
 		return Result{Code: NotFound, Message: "the lock is not held under that fence"}
 	}
 	if !held {
 		s.Fence++
-		l = Lock{Owner: c.Owner, Fence: s.Fence}
+		lock = Lock{Owner: c.Owner, Fence: s.Fence}
 	}
 	// A renewal never takes time away: its outcome may be unknown to the owner,
 	// who then goes by the time that it had before.
-	l.TTL = max(l.TTL, c.TTL)
-	l.Renewals++
-	s.Locks[c.Name] = l
-	return Result{Code: OK, Lock: &l}
+	lock.TTL = max(lock.TTL, c.TTL)
+	lock.Renewals++
+	s.Locks[c.Name] = lock
+	return Result{Code: OK, Lock: &lock}
 }
 
 // ReleaseLock gives a lock back.
@@ -109,12 +109,12 @@
 
 // Apply frees the lock if the owner and the fence are right.
 func (c *ReleaseLock) Apply(s *State) Result {
-	l, held := s.Locks[c.Name]
+	lock, held := s.Locks[c.Name]
 	if !held {
 		return Result{Code: NotFound, Message: "not held"}
 	}
-	if l.Owner != c.Owner || (c.Fence != 0 && l.Fence != c.Fence) {
-		return Result{Code: Conflict, Lock: &l, Message: "held by another"}
+	if lock.Owner != c.Owner || (c.Fence != 0 && lock.Fence != c.Fence) {
+		return Result{Code: Conflict, Lock: &lock, Message: "held by another"}
 	}
 	delete(s.Locks, c.Name)
 	return Result{Code: OK}
@@ -129,8 +129,8 @@
 
 // Apply ends the lock unless it was renewed in between.
 func (c *ExpireLock) Apply(s *State) Result {
-	l, held := s.Locks[c.Name]
-	if !held || l.Fence != c.Fence || l.Renewals != c.Renew {
+	lock, held := s.Locks[c.Name]
+	if !held || lock.Fence != c.Fence || lock.Renewals != c.Renew {
 		return Result{Code: Conflict}
 	}
 	delete(s.Locks, c.Name)
@@ -147,10 +147,10 @@
 // Apply raises the fence.
 func (c *FenceRole) Apply(s *State) Result { return s.fenceRole(c.Role, c.Ballot) }
 
-func (s *State) fenceRole(duty string, n ballot.Number) Result {
-	if n.Less(s.Roles[duty]) {
-		return Result{Code: Fenced, Message: "the duty " + duty + " has passed to " + s.Roles[duty].Candidate}
+func (s *State) fenceRole(role string, number ballot.Number) Result {
+	if number.Less(s.Roles[role]) {
+		return Result{Code: Fenced, Message: "the duty " + role + " has passed to " + s.Roles[role].Candidate}
 	}
-	s.Roles[duty] = n
+	s.Roles[role] = number
 	return Result{Code: OK}
 }
--- a/internal/statemachine/members.go
+++ b/internal/statemachine/members.go
@@ -37,19 +37,19 @@
 
 // Apply takes the member out, unless too few would stay.
 func (c *RemoveMember) Apply(s *State) Result {
-	var stay []Member
+	var remaining []Member
 	for _, m := range s.Members {
 		if m.ID != c.ID {
-			stay = append(stay, m)
+			remaining = append(remaining, m)
 		}
 	}
-	if len(stay) == len(s.Members) {
+	if len(remaining) == len(s.Members) {
 		return Result{Code: NotFound, Message: "no such member"}
 	}
-	if len(stay) < 2 {
+	if len(remaining) < 2 {
 		return Result{Code: Conflict, Message: "the stores that stay would be without a majority"}
 	}
-	s.Members = stay
+	s.Members = remaining
 	return Result{Code: OK}
 }
 
--- a/internal/statemachine/patchconfig.go
+++ b/internal/statemachine/patchconfig.go
@@ -24,38 +24,38 @@
 
 // AsPatch gives the command that does the same as c from the configuration that
 // stands, if that is much shorter; nil when it isn't, or c sets no document.
-func AsPatch(c Command, now Config) *PatchConfig {
-	var out PatchConfig
+func AsPatch(command Command, current Config) *PatchConfig {
+	var patched PatchConfig
 	var doc []byte
-	to := now.Version + 1
-	switch c := c.(type) {
+	newVersion := current.Version + 1
+	switch command := command.(type) {
 	case *SetConfig:
-		doc, out = c.Doc, PatchConfig{Base: c.Base, Now: c.Now, Who: c.Who, Why: c.Why}
+		doc, patched = command.Doc, PatchConfig{Base: command.Base, Now: command.Now, Who: command.Who, Why: command.Why}
 	case *SetNumberedConfig:
-		doc, out = c.Doc, PatchConfig{Number: c.Number, Who: c.Who, Why: c.Why}
-		to = c.Number
+		doc, patched = command.Doc, PatchConfig{Number: command.Number, Who: command.Who, Why: command.Why}
+		newVersion = command.Number
 	default:
 		return nil
 	}
-	if now.Version == 0 || to <= now.Version {
+	if current.Version == 0 || newVersion <= current.Version {
 		return nil
 	}
-	if out.Step = patch.Make(now.Version, to, now.Doc, doc); out.Step.Size() > len(doc)/2 {
+	if patched.Step = patch.Make(current.Version, newVersion, current.Doc, doc); patched.Step.Size() > len(doc)/2 {
 		return nil
 	}
-	return &out
+	return &patched
 }
 
 // Apply sets the configuration. A step that does not begin at the document that
 // stands, or does not end where it says, changes nothing: at every replica, as
 // all hold the same.
 func (c *PatchConfig) Apply(s *State) Result {
-	now := s.Config()
-	doc, err := c.Step.Apply(now.Doc)
+	current := s.Config()
+	doc, err := c.Step.Apply(current.Doc)
 	// What would be turned away or passed over as a whole is so as a step.
-	old := c.Number > 0 && c.Number <= now.Version || c.Number == 0 && c.Base != now.Version
-	if err != nil && !old {
-		return Result{Code: Conflict, Version: now.Version, Message: fmt.Sprintf("a step does not fit version %d: %v", now.Version, err)}
+	stale := c.Number > 0 && c.Number <= current.Version || c.Number == 0 && c.Base != current.Version
+	if err != nil && !stale {
+		return Result{Code: Conflict, Version: current.Version, Message: fmt.Sprintf("a step does not fit version %d: %v", current.Version, err)}
 	}
 	if c.Number > 0 {
 		return (&SetNumberedConfig{Number: c.Number, Doc: doc, Who: c.Who, Why: c.Why}).Apply(s)
--- a/internal/statemachine/read.go
+++ b/internal/statemachine/read.go
@@ -3,14 +3,14 @@
 import "maps"
 
 // Read answers a query from the state; the caller has confirmed it.
-func (s *State) Read(what, name string, from uint64) Result {
-	switch what {
+func (s *State) Read(query, name string, version uint64) Result {
+	switch query {
 	case "key":
-		k, ok := s.Keys[name]
+		key, ok := s.Keys[name]
 		if !ok {
 			return Result{Code: NotFound, Revision: s.Revision, Message: "no such key"}
 		}
-		return Result{Code: OK, Revision: s.Revision, Key: &k}
+		return Result{Code: OK, Revision: s.Revision, Key: &key}
 	case "cell":
 		c, ok := s.GroupKeys[name]
 		if !ok {
@@ -18,7 +18,7 @@
 		}
 		return Result{Code: OK, Revision: c.Revision, Key: &Key{Value: c.Value, Revision: c.Revision}}
 	case "sent":
-		c, ok := s.NewestSent()
+		c, ok := s.NewestSubmitted()
 		if !ok {
 			return Result{Code: NotFound, Message: "none was sent yet"}
 		}
@@ -26,40 +26,40 @@
 	case "keys":
 		return Result{Code: OK, Revision: s.Revision, Names: s.Names(name)}
 	case "lock":
-		l, ok := s.Locks[name]
+		lock, ok := s.Locks[name]
 		if !ok {
 			return Result{Code: NotFound, Message: "not held"}
 		}
-		return Result{Code: OK, Lock: &l}
+		return Result{Code: OK, Lock: &lock}
 	case "locks":
 		return Result{Code: OK, Locks: maps.Clone(s.Locks)}
 	case "number":
 		return Result{Code: OK, Number: s.Numbers[name]}
 	case "config":
 		c := s.Config()
-		r := Result{Code: OK, Version: c.Version, Trials: s.Trials, Number: s.TrialsBegun}
+		result := Result{Code: OK, Version: c.Version, Trials: s.Trials, Number: s.TrialsBegun}
 		// The document travels only when the asker lacks it.
-		if c.Version > from {
-			r.Doc = c.Doc
+		if c.Version > version {
+			result.Doc = c.Doc
 		}
-		return r
+		return result
 	case "request":
-		a, ok := s.Answered(name)
+		answered, ok := s.FindRequest(name)
 		if !ok {
 			return Result{Code: NotFound, Version: s.Config().Version, Message: "no such request is known"}
 		}
-		return Result{Code: OK, Version: s.Config().Version, Earlier: &a}
+		return Result{Code: OK, Version: s.Config().Version, Earlier: &answered}
 	case "history":
-		var out []Config
+		var configs []Config
 		for _, c := range s.Configs {
-			if from == 0 || c.Version == from {
-				if from == 0 {
+			if version == 0 || c.Version == version {
+				if version == 0 {
 					c.Doc = nil
 				}
-				out = append(out, c)
+				configs = append(configs, c)
 			}
 		}
-		return Result{Code: OK, Version: s.Config().Version, Configs: out}
+		return Result{Code: OK, Version: s.Config().Version, Configs: configs}
 	}
-	return Result{Code: Invalid, Message: "unknown read " + what}
+	return Result{Code: Invalid, Message: "unknown read " + query}
 }
--- a/internal/statemachine/request.go
+++ b/internal/statemachine/request.go
@@ -33,8 +33,8 @@
 	inner Command // Cmd, opened
 }
 
-// open readies the command inside. A request in a request is refused.
-func (c *Request) open() error {
+// unpack readies the command inside. A request in a request is refused.
+func (c *Request) unpack() error {
 	if c.Cmd.Kind == KindRequest {
 		return fault.New(fault.Input, "a request can't hold another")
 	}
@@ -50,17 +50,17 @@
 // was done is remembered: what was turned away left no trace, so it may be
 // tried again when the reason has gone.
 func (c *Request) Apply(s *State) Result {
-	if old, ok := s.Answered(c.ID); ok {
-		return old.Repeat(c.Digest)
+	if earlier, ok := s.FindRequest(c.ID); ok {
+		return earlier.Repeat(c.Digest)
 	}
-	if c.Number > 0 && s.otherUnder(c.Number, c.Digest) {
+	if c.Number > 0 && s.numberHasOtherContent(c.Number, c.Digest) {
 		return Result{Code: Reused, Version: s.Config().Version, Message: fmt.Sprintf("version %d stands with another content", c.Number)}
 	}
-	got := c.inner.Apply(s)
-	if got.Code == OK {
-		s.remember(AnsweredRequest{ID: c.ID, Digest: c.Digest, Result: got})
+	result := c.inner.Apply(s)
+	if result.Code == OK {
+		s.recordAnswer(AnsweredRequest{ID: c.ID, Digest: c.Digest, Result: result})
 	}
-	return got
+	return result
 }
 
 // Repeat gives the first answer again to whoever sends the same content.
@@ -71,40 +71,40 @@
 	return Result{Code: Reused, Version: a.Result.Version, Message: "another content was taken under this request id or number"}
 }
 
-// otherUnder tells whether the configuration that stands has this very number
+// numberHasOtherContent tells whether the configuration that stands has this very number
 // and another content. It covers what stood before requests were remembered,
 // and what has been forgotten since.
-func (s *State) otherUnder(number uint64, digest []byte) bool {
-	now := s.Config()
-	return now.Version == number && !bytes.Equal(DocumentDigest(now.Doc), digest)
+func (s *State) numberHasOtherContent(number uint64, digest []byte) bool {
+	current := s.Config()
+	return current.Version == number && !bytes.Equal(DocumentDigest(current.Doc), digest)
 }
 
-// Answered gives the answered request of an id.
-func (s *State) Answered(id string) (AnsweredRequest, bool) {
-	at, ok := s.answers[id]
+// FindRequest gives the answered request of an id.
+func (s *State) FindRequest(id string) (AnsweredRequest, bool) {
+	position, ok := s.answerPositions[id]
 	if !ok {
 		return AnsweredRequest{}, false
 	}
-	return s.Requests[at-s.Forgotten], true
+	return s.Requests[position-s.Forgotten], true
 }
 
-// remember adds an answered request, and forgets the oldest beyond the bound.
-func (s *State) remember(a AnsweredRequest) {
-	s.answers[a.ID] = s.Forgotten + uint64(len(s.Requests))
-	s.Requests = append(s.Requests, a)
+// recordAnswer adds an answered request, and forgets the oldest beyond the bound.
+func (s *State) recordAnswer(answered AnsweredRequest) {
+	s.answerPositions[answered.ID] = s.Forgotten + uint64(len(s.Requests))
+	s.Requests = append(s.Requests, answered)
 	if len(s.Requests) > MaxRequests {
-		s.forget(s.Forgotten + 1)
+		s.compactRequests(s.Forgotten + 1)
 	}
 }
 
-// forget drops the answered requests before a place in the row of all.
-func (s *State) forget(to uint64) {
-	n := 0
-	for ; n < len(s.Requests) && s.Forgotten < to; n++ {
-		delete(s.answers, s.Requests[n].ID)
+// compactRequests drops the answered requests before a place in the row of all.
+func (s *State) compactRequests(to uint64) {
+	dropped := 0
+	for ; dropped < len(s.Requests) && s.Forgotten < to; dropped++ {
+		delete(s.answerPositions, s.Requests[dropped].ID)
 		s.Forgotten++
 	}
-	s.Requests = append([]AnsweredRequest(nil), s.Requests[n:]...)
+	s.Requests = append([]AnsweredRequest(nil), s.Requests[dropped:]...)
 }
 
 // TotalRequests counts the requests that were ever answered.
@@ -118,7 +118,7 @@
 
 // Apply forgets them.
 func (c *CompactRequests) Apply(s *State) Result {
-	s.forget(c.To)
+	s.compactRequests(c.To)
 	return Result{Code: OK}
 }
 
@@ -130,15 +130,15 @@
 // and its white space don't count. One that is not JSON is identified by its
 // bytes.
 func DocumentDigest(doc []byte) []byte {
-	plain := doc
-	read := json.NewDecoder(bytes.NewReader(doc))
-	read.UseNumber()
-	var v any
-	if read.Decode(&v) == nil {
-		if b, err := json.Marshal(v); err == nil {
-			plain = b
+	canonical := doc
+	decoder := json.NewDecoder(bytes.NewReader(doc))
+	decoder.UseNumber()
+	var value any
+	if decoder.Decode(&value) == nil {
+		if encoded, err := json.Marshal(value); err == nil {
+			canonical = encoded
 		}
 	}
-	sum := sha256.Sum256(plain)
+	sum := sha256.Sum256(canonical)
 	return sum[:]
 }
--- a/internal/statemachine/request_test.go
+++ b/internal/statemachine/request_test.go
@@ -118,15 +118,15 @@
 		t.Errorf("%d requests are kept, %d were counted", len(s.Requests), s.TotalRequests())
 	}
 	s = reload(t, s)
-	if _, ok := s.Answered("held"); ok {
+	if _, ok := s.FindRequest("held"); ok {
 		t.Error("the oldest is still known")
 	}
 	newest := fmt.Sprint("r", statemachine.MaxRequests+9)
-	if a, ok := s.Answered(newest); !ok || a.ID != newest {
+	if a, ok := s.FindRequest(newest); !ok || a.ID != newest {
 		t.Errorf("the newest is %+v, %v", a, ok)
 	}
 	take(t, s, "request.trim", &statemachine.CompactRequests{To: s.TotalRequests() - 1})
-	if a, ok := s.Answered(newest); !ok || a.ID != newest || len(s.Requests) != 1 {
+	if a, ok := s.FindRequest(newest); !ok || a.ID != newest || len(s.Requests) != 1 {
 		t.Errorf("after a trim: %+v, %v, %d kept", a, ok, len(s.Requests))
 	}
 }
--- a/internal/statemachine/state.go
+++ b/internal/statemachine/state.go
@@ -22,11 +22,11 @@
 
 // Config is one version of the configuration and why it stands.
 type Config struct {
-	Version uint64 `msgpack:"v" json:"version"`
-	Doc     []byte `msgpack:"d" json:"-"`
-	Who     string `msgpack:"w" json:"who"`
-	Why     string `msgpack:"y" json:"why"`
-	Sent    bool   `msgpack:"s,omitempty" json:"-"` // the document stands as an operator sent it
+	Version   uint64 `msgpack:"v" json:"version"`
+	Doc       []byte `msgpack:"d" json:"-"`
+	Who       string `msgpack:"w" json:"who"`
+	Why       string `msgpack:"y" json:"why"`
+	Submitted bool   `msgpack:"s,omitempty" json:"-"` // the document stands as an operator sent it
 }
 
 // Key is one small key.
@@ -77,10 +77,10 @@
 	Forgotten uint64            `msgpack:"forgotten,omitempty"` // answered requests that are no longer kept
 	Level     int               `msgpack:"level,omitempty"`     // of commands, that every member has known once
 
-	answers        map[string]uint64 // request id to its place in the row of all answered ones
-	size           int               // bytes of the puts that are kept
-	firstRevisions map[string]uint64 // key and value to the revision that it first got, of the puts kept
-	putsByGroup    map[string][]Put  // the puts kept, by group
+	answerPositions map[string]uint64 // request id to its place in the row of all answered ones
+	putBytes        int               // bytes of the puts that are kept
+	firstRevisions  map[string]uint64 // key and value to the revision that it first got, of the puts kept
+	putsByGroup     map[string][]Put  // the puts kept, by group
 }
 
 // maxConfigs bounds how many configurations are kept, and maxConfigBytes how many bytes
@@ -92,36 +92,36 @@
 )
 
 // New makes the state of a cluster that was just founded.
-func New(mesh string, members []Member) *State {
-	return &State{ClusterID: mesh, Members: members, OldestRevision: 1, Keys: map[string]Key{}, Locks: map[string]Lock{},
+func New(clusterID string, members []Member) *State {
+	return &State{ClusterID: clusterID, Members: members, OldestRevision: 1, Keys: map[string]Key{}, Locks: map[string]Lock{},
 		Numbers: map[string]uint64{}, Roles: map[string]ballot.Number{}, GroupKeys: map[string]GroupKey{}, Groups: map[string]Group{},
-		firstRevisions: map[string]uint64{}, putsByGroup: map[string][]Put{}, answers: map[string]uint64{}}
+		firstRevisions: map[string]uint64{}, putsByGroup: map[string][]Put{}, answerPositions: map[string]uint64{}}
 }
 
 // Load reads a state from a snapshot. One that was raised to a level of commands
 // that this program does not know is refused: it may hold what would be lost here.
-func Load(b []byte) (*State, error) {
-	s := New("", nil)
-	if err := msgpack.Unmarshal(b, s); err != nil {
+func Load(encoded []byte) (*State, error) {
+	state := New("", nil)
+	if err := msgpack.Unmarshal(encoded, state); err != nil {
 		return nil, fault.Wrap(fault.Stale, err, "read checkpoint")
 	}
-	if s.Level > Level {
-		return nil, fault.New(fault.Input, "the state needs a program of level %d, this one is of %d", s.Level, Level)
+	if state.Level > Level {
+		return nil, fault.New(fault.Input, "the state needs a program of level %d, this one is of %d", state.Level, Level)
 	}
-	for _, p := range s.Puts {
-		s.index(p)
+	for _, p := range state.Puts {
+		state.indexPut(p)
 	}
-	for i, a := range s.Requests {
-		s.answers[a.ID] = s.Forgotten + uint64(i)
+	for i, a := range state.Requests {
+		state.answerPositions[a.ID] = state.Forgotten + uint64(i)
 	}
-	return s, nil
+	return state, nil
 }
 
 // Pack writes the state for a snapshot; maps are sorted, so that equal
 // states give equal bytes.
 func (s *State) Pack() ([]byte, error) {
-	b, err := packed(s)
-	return b, fault.Wrap(fault.Input, err, "pack checkpoint")
+	encoded, err := encodeSorted(s)
+	return encoded, fault.Wrap(fault.Input, err, "pack checkpoint")
 }
 
 // Config gives the configuration in force; version 0 means none yet.
@@ -132,81 +132,81 @@
 	return s.Configs[len(s.Configs)-1]
 }
 
-func (s *State) setConfig(doc []byte, who, why string) Config {
-	return s.putConfig(Config{Version: s.Config().Version + 1, Doc: doc, Who: who, Why: why})
+func (s *State) setNextConfig(doc []byte, who, why string) Config {
+	return s.appendConfig(Config{Version: s.Config().Version + 1, Doc: doc, Who: who, Why: why})
 }
 
-// putConfig adds a version and drops the oldest that there is no room for.
-func (s *State) putConfig(c Config) Config {
-	s.Configs = append(s.Configs, c)
-	var keep []Config
-	size, sent := 0, false
+// appendConfig adds a version and drops the oldest that there is no room for.
+func (s *State) appendConfig(config Config) Config {
+	s.Configs = append(s.Configs, config)
+	var kept []Config
+	bytes, foundSubmitted := 0, false
 	for i := len(s.Configs) - 1; i >= 0; i-- {
-		c := s.Configs[i]
-		size += len(c.Doc)
-		need := i == len(s.Configs)-1 || c.Sent && !sent
-		if need || size <= maxConfigBytes && len(keep) < maxConfigs {
-			keep = append(keep, c)
+		config := s.Configs[i]
+		bytes += len(config.Doc)
+		required := i == len(s.Configs)-1 || config.Submitted && !foundSubmitted
+		if required || bytes <= maxConfigBytes && len(kept) < maxConfigs {
+			kept = append(kept, config)
 		}
-		sent = sent || c.Sent
+		foundSubmitted = foundSubmitted || config.Submitted
 	}
-	slices.Reverse(keep)
-	s.Configs = keep
-	return c
+	slices.Reverse(kept)
+	s.Configs = kept
+	return config
 }
 
-// NewestSent gives the newest document that an operator sent, false when there is none.
-func (s *State) NewestSent() (Config, bool) {
+// NewestSubmitted gives the newest document that an operator sent, false when there is none.
+func (s *State) NewestSubmitted() (Config, bool) {
 	for i := len(s.Configs) - 1; i >= 0; i-- {
-		if s.Configs[i].Sent {
+		if s.Configs[i].Submitted {
 			return s.Configs[i], true
 		}
 	}
 	return Config{}, false
 }
 
-func (s *State) change(name string, value []byte, gone bool) {
+func (s *State) recordChange(name string, value []byte, deleted bool) {
 	s.Revision++
-	s.Changes = append(s.Changes, Change{Revision: s.Revision, Name: name, Value: value, Deleted: gone})
-	if gone {
+	s.Changes = append(s.Changes, Change{Revision: s.Revision, Name: name, Value: value, Deleted: deleted})
+	if deleted {
 		delete(s.Keys, name)
 		return
 	}
-	k := s.Keys[name]
-	if k.CreatedRevision == 0 {
-		k.CreatedRevision = s.Revision
+	key := s.Keys[name]
+	if key.CreatedRevision == 0 {
+		key.CreatedRevision = s.Revision
 	}
-	k.Value, k.Revision = value, s.Revision
-	s.Keys[name] = k
+	key.Value, key.Revision = value, s.Revision
+	s.Keys[name] = key
 }
 
 // Since gives the changes of a prefix from a revision on, at most most; false
 // means that the history no longer reaches back so far.
-func (s *State) Since(prefix string, from uint64, most int) ([]Change, bool) {
+func (s *State) Since(prefix string, from uint64, limit int) ([]Change, bool) {
 	if from < s.OldestRevision {
 		return nil, false
 	}
-	var out []Change
-	at := sort.Search(len(s.Changes), func(i int) bool { return s.Changes[i].Revision >= from })
-	for _, c := range s.Changes[at:] {
+	var changes []Change
+	start := sort.Search(len(s.Changes), func(i int) bool { return s.Changes[i].Revision >= from })
+	for _, c := range s.Changes[start:] {
 		if len(c.Name) >= len(prefix) && c.Name[:len(prefix)] == prefix {
-			out = append(out, c)
-			if len(out) == most {
+			changes = append(changes, c)
+			if len(changes) == limit {
 				break
 			}
 		}
 	}
-	return out, true
+	return changes, true
 }
 
 // Names lists the keys of a prefix in order.
 func (s *State) Names(prefix string) []string {
-	var out []string
+	var names []string
 	for k := range s.Keys {
 		if len(k) >= len(prefix) && k[:len(prefix)] == prefix {
-			out = append(out, k)
+			names = append(names, k)
 		}
 	}
-	sort.Strings(out)
-	return out
+	sort.Strings(names)
+	return names
 }
