--- a/internal/statemachine/command.go
+++ b/internal/statemachine/command.go
@@ -9,9 +9,9 @@
 	"puffincrank/internal/patch"
 )
 
-// Result is what a command or a read gives back.
+// Result is the outcome of a command or a read.
 type Result struct {
-	Code     string       `msgpack:"c"` // ok, or why nothing changed
+	Code     string       `msgpack:"c"` // OK, or the reason why nothing changed
 	Message  string       `msgpack:"s,omitempty"`
 	Version  uint64       `msgpack:"v,omitempty"`
 	Revision uint64       `msgpack:"r,omitempty"`
@@ -22,31 +22,32 @@
 	Names    []string     `msgpack:"a,omitempty"`
 	Changes  []Change     `msgpack:"h,omitempty"`
 	Configs  []Config     `msgpack:"g,omitempty"`
-	Steps    []patch.Step `msgpack:"p,omitempty"` // in the place of Doc, from the version that the asker has
+	Steps    []patch.Step `msgpack:"p,omitempty"` // sent instead of Doc: the patches from the requester's version to Version
 	Trials   []Trial      `msgpack:"t,omitempty"`
 	Locks    map[string]Lock
-	Earlier  *AnsweredRequest `msgpack:"q,omitempty"` // an answered request
+	Earlier  *AnsweredRequest `msgpack:"q,omitempty"` // the recorded request that a "request" read asked for
 }
 
-// The codes of a result.
+// The codes of a Result.
 const (
 	OK        = "ok"
-	Conflict  = "conflict" // the base, revision or owner is not what stands
+	Conflict  = "conflict" // the expected version, revision or owner is not the current one
 	NotFound  = "absent"
-	Fenced    = "fenced" // the leader's ballot is below one already seen
-	Compacted = "gone"   // the history does not reach back so far
-	Invalid   = "wrong"
-	Full      = "full"   // nothing was done for want of room
-	Reused    = "reused" // another content was taken under the request's id or number
+	Fenced    = "fenced" // the ballot is lower than the one already recorded for the role
+	Compacted = "gone"   // the requested part of the history has been compacted
+	Invalid   = "wrong"  // the command or read is malformed
+	Full      = "full"   // rejected without effect because a size limit is reached
+	Reused    = "reused" // the request ID or number was already used with different content
 )
 
-// Command changes the state.
+// Command is a deterministic change of the state.
 type Command interface{ Apply(s *State) Result }
 
-// KindRequest is the stored name of a Request.
+// KindRequest is the name under which a Request is encoded.
 const KindRequest = "request.once"
 
-// commandKinds names every command for the stored batch. A name is never re-used.
+// commandKinds maps the encoded name of every command to its constructor. Names
+// are stored in the log, so a name is never reused for another command.
 var commandKinds = map[string]func() Command{
 	KindRequest:     func() Command { return &Request{} },
 	"level.raise":   func() Command { return &RaiseLevel{} },
@@ -73,19 +74,19 @@
 	"trial.decide":  func() Command { return &Decide{} },
 }
 
-// Packed is a command as it travels and is stored.
+// Packed is the encoded form of a command, both on the wire and in the log.
 type Packed struct {
 	Kind string             `msgpack:"k"`
 	Body msgpack.RawMessage `msgpack:"b"`
 }
 
-// Pack readies a command for travel.
+// Pack encodes a command under the name of its kind.
 func Pack(kind string, command Command) (Packed, error) {
 	body, err := msgpack.Marshal(command)
-	return Packed{kind, body}, fault.Wrap(fault.Input, err, "pack "+kind)
+	return Packed{kind, body}, fault.Wrap(fault.Input, err, "encode "+kind)
 }
 
-// Open reads a command back; an unknown kind is an error by name.
+// Open decodes the command. The error for an unknown kind names the kind.
 func (p Packed) Open() (Command, error) {
 	newCommand := commandKinds[p.Kind]
 	if newCommand == nil {
@@ -93,7 +94,7 @@
 	}
 	command := newCommand()
 	if err := msgpack.Unmarshal(p.Body, command); err != nil {
-		return nil, fault.Wrap(fault.Input, err, "read "+p.Kind)
+		return nil, fault.Wrap(fault.Input, err, "decode "+p.Kind)
 	}
 	if request, ok := command.(*Request); ok {
 		return command, request.unpack()
@@ -101,21 +102,22 @@
 	return command, nil
 }
 
-// Batch is the commands of one version.
+// Batch holds the commands of one log entry.
 type Batch []Packed
 
-// Pack writes a batch.
+// Pack encodes the batch.
 func (b Batch) Pack() ([]byte, error) {
 	encoded, err := msgpack.Marshal(b)
-	return encoded, fault.Wrap(fault.Input, err, "pack batch")
+	return encoded, fault.Wrap(fault.Input, err, "encode batch")
 }
 
-// Apply runs a stored batch. A command that this program does not know would
-// let replicas drift apart, so it is an error that stops the replica.
+// Apply decodes and applies an encoded batch and returns its commands with their
+// results. All commands are decoded before the first is applied. An unknown command
+// is an error, and the replica must stop: skipping it would let replicas diverge.
 func (s *State) Apply(raw []byte) ([]Command, []Result, error) {
 	var batch Batch
 	if err := msgpack.Unmarshal(raw, &batch); err != nil {
-		return nil, nil, fault.Wrap(fault.Input, err, "read batch")
+		return nil, nil, fault.Wrap(fault.Input, err, "decode batch")
 	}
 	commands := make([]Command, len(batch))
 	for i, p := range batch {
@@ -132,6 +134,7 @@
 	return commands, results, nil
 }
 
+// encodeSorted encodes with sorted map keys, so that equal values give equal bytes.
 func encodeSorted(value any) ([]byte, error) {
 	var buffer bytes.Buffer
 	encoder := msgpack.NewEncoder(&buffer)
@@ -140,13 +143,13 @@
 	return buffer.Bytes(), err
 }
 
-// Noop changes nothing; a new leader begins with one.
+// Noop changes nothing. A new leader proposes one first.
 type Noop struct{}
 
-// Apply does nothing.
+// Apply implements Command.
 func (*Noop) Apply(*State) Result { return Result{Code: OK} }
 
-// Kinds gives an empty command of each kind by name.
+// Kinds returns an empty command of each kind, keyed by its encoded name.
 func Kinds() map[string]Command {
 	commands := map[string]Command{}
 	for name, newCommand := range commandKinds {
--- a/internal/statemachine/config.go
+++ b/internal/statemachine/config.go
@@ -6,17 +6,18 @@
 	"puffincrank/internal/ballot"
 )
 
-// SetConfig puts a whole new configuration in force.
+// SetConfig replaces the configuration with a complete document.
 type SetConfig struct {
 	Base uint64 `msgpack:"b"`
-	Now  bool   `msgpack:"n"` // an emergency: running trials end with it
+	Now  bool   `msgpack:"n"` // emergency: accepted while trials run, and drops them
 	Doc  []byte `msgpack:"d"`
 	Who  string `msgpack:"w"`
 	Why  string `msgpack:"y"`
 }
 
-// Apply sets the configuration if its base is what stands. Running trials end
-// with an emergency: they compared paths of a document that is gone.
+// Apply sets the configuration if Base is the current version. While a trial runs,
+// only an emergency change is accepted; it drops the running trials, because they
+// compare routes of a document that is no longer in force.
 func (c *SetConfig) Apply(s *State) Result {
 	current := s.Config()
 	if c.Base != current.Version {
@@ -30,7 +31,8 @@
 	return s.replaceConfig(Config{Version: current.Version + 1, Doc: c.Doc, Who: c.Who, Why: c.Why})
 }
 
-// replaceConfig puts a document in force as it was sent; running trials end.
+// replaceConfig makes a submitted document the current configuration and drops all
+// running trials.
 func (s *State) replaceConfig(config Config) Result {
 	config.Submitted = true
 	s.appendConfig(config)
@@ -43,8 +45,8 @@
 	return Result{Code: OK, Version: config.Version}
 }
 
-// SetNumberedConfig puts a whole configuration in force under the operator's own
-// number, if that is above the version that stands.
+// SetNumberedConfig replaces the configuration with a complete document, whose
+// version is a number chosen by the operator.
 type SetNumberedConfig struct {
 	Number uint64 `msgpack:"n"`
 	Doc    []byte `msgpack:"d"`
@@ -52,8 +54,9 @@
 	Why    string `msgpack:"y"`
 }
 
-// Apply sets the configuration if its number is the highest. One that is not
-// is acknowledged all the same: it is overtaken, or was sent again.
+// Apply sets the configuration if its number is higher than the current version. A
+// lower or equal number is acknowledged without effect: the document has been
+// superseded, or the request is a retry.
 func (c *SetNumberedConfig) Apply(s *State) Result {
 	if current := s.Config().Version; c.Number <= current {
 		return Result{Code: OK, Version: current, Message: "not above the version that stands"}
@@ -69,8 +72,8 @@
 	Dropped  = "dropped"
 )
 
-// Trial is a change of paths that is tried on a slice of the traffic. Its
-// paths stand beside the old ones in the configuration in force.
+// Trial is a change of routes that is tested on a slice of the traffic. While it
+// runs, the current configuration contains both the old and the new routes.
 type Trial struct {
 	ID     uint64   `msgpack:"i" json:"id"`
 	State  string   `msgpack:"s" json:"state"`
@@ -81,11 +84,11 @@
 	Who    string   `msgpack:"w" json:"who"`
 	Why    string   `msgpack:"y" json:"why,omitempty"`
 	Facts  []byte   `msgpack:"f" json:"-"`
-	Next   []byte   `msgpack:"n" json:"-"` // the document if it is promoted
+	Next   []byte   `msgpack:"n" json:"-"` // the document that takes effect on promotion
 }
 
-// Propose begins a trial: Doc is the configuration with both arms in it, and
-// names the trial by ID.
+// Propose starts a trial. Doc is the configuration with both arms and refers to the
+// trial by ID.
 type Propose struct {
 	ID     uint64   `msgpack:"i"`
 	Base   uint64   `msgpack:"b"`
@@ -96,7 +99,8 @@
 	Next   []byte   `msgpack:"n"`
 }
 
-// Apply begins the trial as a new version.
+// Apply starts the trial and makes Doc the next configuration version. It is refused
+// while a running trial covers one of the same routes.
 func (c *Propose) Apply(s *State) Result {
 	current := s.Config()
 	if c.Base != current.Version {
@@ -107,7 +111,7 @@
 			return Result{Code: Conflict, Version: current.Version, Message: fmt.Sprintf("trial %d runs on the same path", t.ID)}
 		}
 	}
-	// The document names the trial, so it must be the next one.
+	// Doc already contains the trial ID, so it must be the next free one.
 	if c.ID != s.TrialsBegun+1 {
 		return Result{Code: Conflict, Version: current.Version, Message: "another trial was proposed"}
 	}
@@ -132,7 +136,8 @@
 	return false
 }
 
-// Decide ends a trial by the judge's word: Doc is the configuration after it.
+// Decide ends a trial with the decision of the judge or an operator's abort. Doc is
+// the configuration without the trial.
 type Decide struct {
 	ID     uint64        `msgpack:"i"`
 	Ballot ballot.Number `msgpack:"n"`
@@ -144,7 +149,7 @@
 	Facts  []byte        `msgpack:"f"`
 }
 
-// Apply ends the trial once; a second decision finds it ended.
+// Apply ends the trial. A second decision on the same trial is a conflict.
 func (c *Decide) Apply(s *State) Result {
 	// An operator's abort carries no ballot and is not fenced.
 	if c.Ballot.Round > 0 {
--- a/internal/statemachine/groupkeys.go
+++ b/internal/statemachine/groupkeys.go
@@ -5,34 +5,35 @@
 	"strings"
 )
 
-// GroupKey is one small key of a group.
+// GroupKey is a key that belongs to a group, see GroupOf.
 type GroupKey struct {
 	Value    []byte `msgpack:"v"`
 	Revision uint64 `msgpack:"r"`
 }
 
-// Group is the count of revisions that the keys of a group share.
+// Group holds the revision counter that all keys of a group share.
 type Group struct {
 	Revision uint64 `msgpack:"r"`
-	Oldest   uint64 `msgpack:"o"` // the first revision whose put is kept
+	Oldest   uint64 `msgpack:"o"` // the lowest revision whose put is retained
 }
 
-// Put is one step in the history of a group.
+// Put is one update in the history of a group.
 type Put struct {
 	Name     string `msgpack:"n"`
 	Value    []byte `msgpack:"v"`
 	Revision uint64 `msgpack:"r"`
 }
 
-// maxPutBytes bounds the bytes of the puts that are kept: they are part of every
-// snapshot. Beyond it a put is turned away rather than one forgotten early.
+// maxPutBytes bounds the size of the retained puts, which are part of every
+// snapshot. A put beyond the bound is refused; no earlier put is dropped before its
+// time.
 const maxPutBytes = 4 << 20
 
-// storedBytes is what a put counts for, its bookkeeping included.
+// storedBytes is the size of a put against maxPutBytes, with 64 bytes of overhead.
 func (p Put) storedBytes() int { return len(p.Name) + len(p.Value) + 64 }
 
-// GroupOf names the group of a key: all up to and including its first dot,
-// the whole name when it has none.
+// GroupOf returns the group of a key: its name up to and including the first dot,
+// or the whole name if there is no dot.
 func GroupOf(name string) string {
 	if dot := strings.IndexByte(name, '.'); dot >= 0 {
 		return name[:dot+1]
@@ -40,9 +41,10 @@
 	return name
 }
 
+// putID identifies a put by its key and value.
 func putID(name string, value []byte) string { return name + "\x00" + string(value) }
 
-// indexPut takes a kept put into what is worked out from the puts.
+// indexPut adds a retained put to the indexes that are derived from Puts.
 func (s *State) indexPut(put Put) {
 	group := GroupOf(put.Name)
 	s.putsByGroup[group] = append(s.putsByGroup[group], put)
@@ -50,8 +52,8 @@
 	s.putBytes += put.storedBytes()
 }
 
-// PutGroupKey sets a key of a group. With If set, only when its revision is Rev;
-// 0 means that the key must not be there.
+// PutGroupKey sets a key of a group. If If is set, the key's current revision must
+// equal Revision, where 0 means that the key must not exist.
 type PutGroupKey struct {
 	Name     string `msgpack:"n"`
 	Value    []byte `msgpack:"v"`
@@ -59,9 +61,10 @@
 	Revision uint64 `msgpack:"r"`
 }
 
-// Apply sets the key. A value that the key was given before is the same put
-// sent again: it gets the revision that it had, whatever was put since, and
-// before anything is compared, since its own first arrival moved the key on.
+// Apply sets the key. A value that the key has or had before, as far as puts are
+// retained, counts as a retry of the same put: the result is the revision it was
+// given first, whatever was put since. This is checked before the condition, because
+// the first arrival of the put has itself changed the key's revision.
 func (c *PutGroupKey) Apply(s *State) Result {
 	current, exists := s.GroupKeys[c.Name]
 	if exists && string(current.Value) == string(c.Value) {
@@ -88,16 +91,16 @@
 	return Result{Code: OK, Revision: put.Revision}
 }
 
-// TotalPuts counts the puts that were ever taken, of all groups.
+// TotalPuts returns the number of puts ever applied in all groups.
 func (s *State) TotalPuts() uint64 { return s.CompactedPuts + uint64(len(s.Puts)) }
 
-// CompactPuts forgets the oldest puts. The leader proposes it from its own count
-// of time, so that Apply needs no clock.
+// CompactPuts drops the oldest puts from the history. The leader decides by its own
+// clock which puts are old enough, so that Apply needs no clock.
 type CompactPuts struct {
-	To uint64 `msgpack:"t"` // how many puts, counted from the first ever, are old enough
+	To uint64 `msgpack:"t"` // the number of puts to drop, counted from the first ever applied
 }
 
-// Apply forgets them. What a key holds now stays known as its value.
+// Apply drops the puts. The current value of a key is not affected.
 func (c *CompactPuts) Apply(s *State) Result {
 	compacted := 0
 	for compacted < len(s.Puts) && s.CompactedPuts < c.To {
@@ -120,8 +123,8 @@
 	return Result{Code: OK}
 }
 
-// After gives the puts of a group above a revision and the group's revision.
-// False means that the history no longer reaches back so far.
+// After returns the puts of a group above a revision, and the group's current
+// revision. It returns false if some of these puts have been compacted.
 func (s *State) After(groupName string, after uint64) ([]Change, uint64, bool) {
 	group := s.Groups[groupName]
 	if after+1 < group.Oldest {
--- a/internal/statemachine/keys.go
+++ b/internal/statemachine/keys.go
@@ -2,8 +2,8 @@
 
 import "puffincrank/internal/ballot"
 
-// PutKey sets a key. With If set, only when its revision is Rev; 0 means that
-// the key must not be there.
+// PutKey sets a key. If If is set, the key's current revision must equal Revision,
+// where 0 means that the key must not exist.
 type PutKey struct {
 	Name     string `msgpack:"n"`
 	Value    []byte `msgpack:"v"`
@@ -11,7 +11,7 @@
 	Revision uint64 `msgpack:"r"`
 }
 
-// Apply sets the key.
+// Apply implements Command.
 func (c *PutKey) Apply(s *State) Result {
 	key := s.Keys[c.Name]
 	if c.If && key.Revision != c.Revision {
@@ -21,14 +21,14 @@
 	return Result{Code: OK, Revision: s.Revision}
 }
 
-// DeleteKey removes a key, with the same compare.
+// DeleteKey removes a key, under the same optional condition as PutKey.
 type DeleteKey struct {
 	Name     string `msgpack:"n"`
 	If       bool   `msgpack:"i"`
 	Revision uint64 `msgpack:"r"`
 }
 
-// Apply removes the key.
+// Apply implements Command.
 func (c *DeleteKey) Apply(s *State) Result {
 	key, exists := s.Keys[c.Name]
 	if !exists {
@@ -41,13 +41,14 @@
 	return Result{Code: OK, Revision: s.Revision}
 }
 
-// CompactChanges drops the history up to a revision. The leader proposes it from
-// its own count of time, so that Apply needs no clock.
+// CompactChanges drops the history of keys up to and including a revision. The
+// leader decides by its own clock which changes are old enough, so that Apply needs
+// no clock.
 type CompactChanges struct {
 	To uint64 `msgpack:"t"`
 }
 
-// Apply drops the old changes.
+// Apply implements Command.
 func (c *CompactChanges) Apply(s *State) Result {
 	for len(s.Changes) > 0 && s.Changes[0].Revision <= c.To {
 		s.Changes = s.Changes[1:]
@@ -57,34 +58,34 @@
 	return Result{Code: OK}
 }
 
-// NextNumber gives the next of a row of rising numbers.
+// NextNumber increments a named counter and returns its new value.
 type NextNumber struct {
 	Name string `msgpack:"n"`
 }
 
-// Apply counts up.
+// Apply implements Command.
 func (c *NextNumber) Apply(s *State) Result {
 	s.Numbers[c.Name]++
 	return Result{Code: OK, Number: s.Numbers[c.Name]}
 }
 
-// AcquireLock takes or renews a lock.
+// AcquireLock acquires or renews a lock.
 type AcquireLock struct {
 	Name  string `msgpack:"n"`
 	Owner string `msgpack:"o"`
 	TTL   int64  `msgpack:"t"`
-	Renew bool   `msgpack:"r"` // only renew, with Fence
+	Renew bool   `msgpack:"r"` // only renew the acquisition that has the token Fence
 	Fence uint64 `msgpack:"f"`
-	Same  bool   `msgpack:"s,omitempty"` // the owner's own acquisition keeps its fence
+	Same  bool   `msgpack:"s,omitempty"` // a repeated acquisition by the owner keeps the fencing token
 }
 
-// Apply takes the lock if it is free or the owner's own.
+// Apply acquires the lock if it is free, and renews it if Owner already holds it.
 func (c *AcquireLock) Apply(s *State) Result {
 	lock, held := s.Locks[c.Name]
 	if held && lock.Owner != c.Owner {
 		return Result{Code: Conflict, Lock: &lock, Message: "held by another"}
 	}
-	// A renewal never takes a lock anew: the owner must learn that it lost it.
+	// A renewal never acquires the lock again: the owner must learn that it lost it.
 	if c.Renew && (!held || lock.Fence != c.Fence) {
 		return Result{Code: NotFound, Message: "the lock is not held under that fence"}
 	}
@@ -92,22 +93,22 @@
 		s.Fence++
 		lock = Lock{Owner: c.Owner, Fence: s.Fence}
 	}
-	// A renewal never takes time away: its outcome may be unknown to the owner,
-	// who then goes by the time that it had before.
+	// A renewal never shortens the lease: an owner that does not learn the outcome
+	// relies on the time to live that it had before.
 	lock.TTL = max(lock.TTL, c.TTL)
 	lock.Renewals++
 	s.Locks[c.Name] = lock
 	return Result{Code: OK, Lock: &lock}
 }
 
-// ReleaseLock gives a lock back.
+// ReleaseLock releases a lock. Fence 0 releases it whatever its fencing token is.
 type ReleaseLock struct {
 	Name  string `msgpack:"n"`
 	Owner string `msgpack:"o"`
 	Fence uint64 `msgpack:"f"`
 }
 
-// Apply frees the lock if the owner and the fence are right.
+// Apply releases the lock if the owner and the fencing token match.
 func (c *ReleaseLock) Apply(s *State) Result {
 	lock, held := s.Locks[c.Name]
 	if !held {
@@ -120,14 +121,15 @@
 	return Result{Code: OK}
 }
 
-// ExpireLock ends a lock whose time to live the leader saw run out.
+// ExpireLock releases a lock whose time to live has expired by the leader's clock.
 type ExpireLock struct {
 	Name  string `msgpack:"n"`
 	Fence uint64 `msgpack:"f"`
 	Renew uint64 `msgpack:"r"`
 }
 
-// Apply ends the lock unless it was renewed in between.
+// Apply releases the lock unless it has been renewed or acquired again since the
+// leader proposed the command.
 func (c *ExpireLock) Apply(s *State) Result {
 	lock, held := s.Locks[c.Name]
 	if !held || lock.Fence != c.Fence || lock.Renewals != c.Renew {
@@ -137,16 +139,18 @@
 	return Result{Code: OK}
 }
 
-// FenceRole notes the ballot of a role's new holder; lower ones are refused
-// from then on.
+// FenceRole records the ballot of a role's new holder. Commands that carry a lower
+// ballot for that role are refused from then on.
 type FenceRole struct {
 	Role   string        `msgpack:"d"`
 	Ballot ballot.Number `msgpack:"n"`
 }
 
-// Apply raises the fence.
+// Apply implements Command.
 func (c *FenceRole) Apply(s *State) Result { return s.fenceRole(c.Role, c.Ballot) }
 
+// fenceRole refuses a ballot lower than the one recorded for the role, and records it
+// otherwise.
 func (s *State) fenceRole(role string, number ballot.Number) Result {
 	if number.Less(s.Roles[role]) {
 		return Result{Code: Fenced, Message: "the duty " + role + " has passed to " + s.Roles[role].Candidate}
--- a/internal/statemachine/level.go
+++ b/internal/statemachine/level.go
@@ -1,22 +1,22 @@
 package statemachine
 
-// Level is what this program understands of the commands, told with each ack; a
-// program that tells none has 0. A command of a level is proposed only when all
-// members, and those who stand by, are known to be of it.
+// Level is the command level that this program supports. It is reported with every
+// acknowledgement; a program that reports none has level 0. A command of a level is
+// proposed only when all members and learners are known to support that level.
 const Level = LevelRequests
 
-// LevelRequests is the level from which on a program knows Request, TrimRequests
-// and RaiseLevel.
+// LevelRequests is the lowest level that supports Request, CompactRequests and
+// RaiseLevel.
 const LevelRequests = 2
 
-// RaiseLevel notes that every member knows a level of commands. From then on the
-// commands of that level are used whoever can be heard, and a program that does
-// not know them gets no place.
+// RaiseLevel records that every member supports a command level. From then on the
+// commands of that level are used even when some members are unreachable, and a
+// program that does not support them is not admitted as a member.
 type RaiseLevel struct {
 	To int `msgpack:"t"`
 }
 
-// Apply raises the level; it never falls.
+// Apply raises the level. The level never decreases.
 func (c *RaiseLevel) Apply(s *State) Result {
 	s.Level = max(s.Level, c.To)
 	return Result{Code: OK}
--- a/internal/statemachine/members.go
+++ b/internal/statemachine/members.go
@@ -1,13 +1,13 @@
 package statemachine
 
-// ReplaceMember puts a joiner in place of a member, or beside the others when
-// Old is empty and a place is free.
+// ReplaceMember replaces the member Old with New. If Old is empty, New is added, as
+// long as there are fewer than three members.
 type ReplaceMember struct {
 	Old string `msgpack:"o"`
 	New Member `msgpack:"n"`
 }
 
-// Apply swaps the member.
+// Apply implements Command.
 func (c *ReplaceMember) Apply(s *State) Result {
 	for _, m := range s.Members {
 		if m.ID == c.New.ID {
@@ -15,8 +15,8 @@
 		}
 	}
 	if c.Old == "" && len(s.Members) < 3 {
-		// This kind never grows a core beyond three: every version of the program
-		// applies it alike. AddStore does.
+		// This command never grows the membership beyond three, so that every version
+		// of the program applies it identically. AddMember can.
 		s.Members = append(append([]Member(nil), s.Members...), c.New)
 		return Result{Code: OK}
 	}
@@ -30,12 +30,12 @@
 	return Result{Code: NotFound, Message: "no such member"}
 }
 
-// RemoveMember takes a member out.
+// RemoveMember removes a member.
 type RemoveMember struct {
 	ID string `msgpack:"i"`
 }
 
-// Apply takes the member out, unless too few would stay.
+// Apply removes the member, unless fewer than two would remain.
 func (c *RemoveMember) Apply(s *State) Result {
 	var remaining []Member
 	for _, m := range s.Members {
@@ -53,12 +53,12 @@
 	return Result{Code: OK}
 }
 
-// AddMember puts a joiner beside the others, up to the wanted number.
+// AddMember adds a member, up to the configured number of voters.
 type AddMember struct {
 	New Member `msgpack:"n"`
 }
 
-// Apply adds the member, if a place is free.
+// Apply implements Command.
 func (c *AddMember) Apply(s *State) Result {
 	for _, m := range s.Members {
 		if m.ID == c.New.ID {
@@ -72,13 +72,13 @@
 	return Result{Code: OK}
 }
 
-// SetVoterCount sets how many stores shall vote.
+// SetVoterCount sets the target number of voting stores.
 type SetVoterCount struct {
 	Count int `msgpack:"c"`
 }
 
-// Apply sets the wanted number. Members that are too many stay until they are
-// taken out one by one.
+// Apply sets the target. Surplus members remain until they are removed one at a
+// time.
 func (c *SetVoterCount) Apply(s *State) Result {
 	if c.Count < 1 || c.Count > 9 || c.Count%2 == 0 {
 		return Result{Code: Invalid, Message: "an odd number from 1 to 9 may vote"}
@@ -87,8 +87,8 @@
 	return Result{Code: OK}
 }
 
-// VoterCount is how many stores shall vote: three in a cluster that was founded
-// before the number was agreed on.
+// VoterCount returns the target number of voting stores. It is three in a cluster
+// that was founded before this number became part of the state.
 func (s *State) VoterCount() int {
 	if s.WantedMembers == 0 {
 		return 3
--- a/internal/statemachine/patchconfig.go
+++ b/internal/statemachine/patchconfig.go
@@ -6,24 +6,25 @@
 	"puffincrank/internal/patch"
 )
 
-// LevelSteps is the level from which on a program knows StepConfig.
+// LevelSteps is the lowest level that supports PatchConfig.
 const LevelSteps = 1
 
-// PatchConfig puts in force what a step makes of the document that stands: the
-// same as a SetConfig or, with a number, a NumberConfig with the whole of it.
-// Versions are applied in order from a snapshot, which holds the whole, so
-// none is needed between them.
+// PatchConfig applies a patch to the current configuration document. Its effect is
+// that of a SetConfig with the resulting document or, if Number is set, of a
+// SetNumberedConfig. Log entries are applied in order from a snapshot, which contains
+// the complete document, so no entry needs to contain it again.
 type PatchConfig struct {
 	Step   patch.Step `msgpack:"s"`
 	Base   uint64     `msgpack:"b,omitempty"`
-	Number uint64     `msgpack:"n,omitempty"` // the operator's own; 0: the next one
-	Now    bool       `msgpack:"e,omitempty"`
+	Number uint64     `msgpack:"n,omitempty"` // the operator's number, or 0 for the next version
+	Now    bool       `msgpack:"e,omitempty"` // emergency, see SetConfig
 	Who    string     `msgpack:"w"`
 	Why    string     `msgpack:"y"`
 }
 
-// AsPatch gives the command that does the same as c from the configuration that
-// stands, if that is much shorter; nil when it isn't, or c sets no document.
+// AsPatch returns a PatchConfig with the same effect as command on the current
+// configuration. It returns nil if the patch would be longer than half of the
+// document, if command sets no document, or if there is no older version to patch.
 func AsPatch(command Command, current Config) *PatchConfig {
 	var patched PatchConfig
 	var doc []byte
@@ -46,13 +47,14 @@
 	return &patched
 }
 
-// Apply sets the configuration. A step that does not begin at the document that
-// stands, or does not end where it says, changes nothing: at every replica, as
-// all hold the same.
+// Apply sets the configuration. A patch that does not apply to the current document,
+// or whose result does not match its digest, changes nothing. All replicas hold the
+// same document, so this happens on all of them or on none.
 func (c *PatchConfig) Apply(s *State) Result {
 	current := s.Config()
 	doc, err := c.Step.Apply(current.Doc)
-	// What would be turned away or passed over as a whole is so as a step.
+	// A command that is superseded or based on another version gets the same result
+	// as with the complete document, even if the patch does not apply.
 	stale := c.Number > 0 && c.Number <= current.Version || c.Number == 0 && c.Base != current.Version
 	if err != nil && !stale {
 		return Result{Code: Conflict, Version: current.Version, Message: fmt.Sprintf("a step does not fit version %d: %v", current.Version, err)}
--- a/internal/statemachine/read.go
+++ b/internal/statemachine/read.go
@@ -2,7 +2,9 @@
 
 import "maps"
 
-// Read answers a query from the state; the caller has confirmed it.
+// Read answers a query from the local state. The caller must have confirmed that the
+// state is current. The meaning of version depends on the query: the version that the
+// requester has, or the one that it wants.
 func (s *State) Read(query, name string, version uint64) Result {
 	switch query {
 	case "key":
@@ -12,17 +14,17 @@
 		}
 		return Result{Code: OK, Revision: s.Revision, Key: &key}
 	case "cell":
-		c, ok := s.GroupKeys[name]
+		groupKey, ok := s.GroupKeys[name]
 		if !ok {
 			return Result{Code: NotFound, Message: "no such key"}
 		}
-		return Result{Code: OK, Revision: c.Revision, Key: &Key{Value: c.Value, Revision: c.Revision}}
+		return Result{Code: OK, Revision: groupKey.Revision, Key: &Key{Value: groupKey.Value, Revision: groupKey.Revision}}
 	case "sent":
-		c, ok := s.NewestSubmitted()
+		config, ok := s.NewestSubmitted()
 		if !ok {
 			return Result{Code: NotFound, Message: "none was sent yet"}
 		}
-		return Result{Code: OK, Version: c.Version, Doc: c.Doc}
+		return Result{Code: OK, Version: config.Version, Doc: config.Doc}
 	case "keys":
 		return Result{Code: OK, Revision: s.Revision, Names: s.Names(name)}
 	case "lock":
@@ -36,11 +38,11 @@
 	case "number":
 		return Result{Code: OK, Number: s.Numbers[name]}
 	case "config":
-		c := s.Config()
-		result := Result{Code: OK, Version: c.Version, Trials: s.Trials, Number: s.TrialsBegun}
-		// The document travels only when the asker lacks it.
-		if c.Version > version {
-			result.Doc = c.Doc
+		config := s.Config()
+		result := Result{Code: OK, Version: config.Version, Trials: s.Trials, Number: s.TrialsBegun}
+		// The document is included only if the requester has an older version.
+		if config.Version > version {
+			result.Doc = config.Doc
 		}
 		return result
 	case "request":
--- a/internal/statemachine/request.go
+++ b/internal/statemachine/request.go
@@ -9,46 +9,46 @@
 	"puffincrank/internal/fault"
 )
 
-// MaxRequests bounds how many answered requests are remembered: the oldest is
-// forgotten first. Each is part of every snapshot, with 100 bytes or so.
+// MaxRequests bounds the number of retained requests; the oldest is dropped first.
+// Each takes about 100 bytes in every snapshot.
 const MaxRequests = 2048
 
-// AnsweredRequest is an operator's request that was taken, with its first answer.
+// AnsweredRequest is an operator's request that took effect, with its result.
 type AnsweredRequest struct {
 	ID     string `msgpack:"i"`
-	Digest []byte `msgpack:"d"` // of the content that was sent under the id
+	Digest []byte `msgpack:"d"` // of the content that was sent under the request ID
 	Result Result `msgpack:"r"`
 }
 
-// Request is a command that its sender may send again after a lost answer: the
-// first that is taken under an id is done once, and whoever sends the same
-// content under that id later gets its answer. Other content under the same id
-// is turned away.
+// Request wraps a command so that its sender can safely retry it after losing the
+// response. The first request accepted under an ID is applied once. A later request
+// with the same ID and content gets the recorded result; one with the same ID and
+// different content is refused.
 type Request struct {
 	ID     string `msgpack:"i"`
 	Digest []byte `msgpack:"d"`
-	Number uint64 `msgpack:"n,omitempty"` // the operator's own number of a configuration
+	Number uint64 `msgpack:"n,omitempty"` // the operator's number of a configuration, 0 if none
 	Cmd    Packed `msgpack:"c"`
 
-	inner Command // Cmd, opened
+	inner Command // Cmd, decoded
 }
 
-// unpack readies the command inside. A request in a request is refused.
+// unpack decodes the wrapped command. A nested Request is refused.
 func (c *Request) unpack() error {
 	if c.Cmd.Kind == KindRequest {
-		return fault.New(fault.Input, "a request can't hold another")
+		return fault.New(fault.Input, "a request cannot contain another request")
 	}
 	inner, err := c.Cmd.Open()
 	c.inner = inner
 	return err
 }
 
-// Inner gives the command inside, nil when it was not opened.
+// Inner returns the wrapped command, or nil if it has not been decoded.
 func (c *Request) Inner() Command { return c.inner }
 
-// Apply runs the command inside, unless its answer is known already. Only what
-// was done is remembered: what was turned away left no trace, so it may be
-// tried again when the reason has gone.
+// Apply applies the wrapped command, unless a result is already recorded under the
+// ID. Only successful results are recorded: a refused command changed nothing, so it
+// may be retried once the reason for the refusal is gone.
 func (c *Request) Apply(s *State) Result {
 	if earlier, ok := s.FindRequest(c.ID); ok {
 		return earlier.Repeat(c.Digest)
@@ -63,7 +63,8 @@
 	return result
 }
 
-// Repeat gives the first answer again to whoever sends the same content.
+// Repeat returns the recorded result if a retry has the same content, and refuses it
+// otherwise.
 func (a AnsweredRequest) Repeat(digest []byte) Result {
 	if bytes.Equal(a.Digest, digest) {
 		return a.Result
@@ -71,15 +72,15 @@
 	return Result{Code: Reused, Version: a.Result.Version, Message: "another content was taken under this request id or number"}
 }
 
-// numberHasOtherContent tells whether the configuration that stands has this very number
-// and another content. It covers what stood before requests were remembered,
-// and what has been forgotten since.
+// numberHasOtherContent reports whether the current configuration has this number and
+// different content. It covers a configuration whose request is not retained: it was
+// compacted, or the configuration predates the recording of requests.
 func (s *State) numberHasOtherContent(number uint64, digest []byte) bool {
 	current := s.Config()
 	return current.Version == number && !bytes.Equal(DocumentDigest(current.Doc), digest)
 }
 
-// FindRequest gives the answered request of an id.
+// FindRequest returns the recorded request with this ID.
 func (s *State) FindRequest(id string) (AnsweredRequest, bool) {
 	position, ok := s.answerPositions[id]
 	if !ok {
@@ -88,7 +89,7 @@
 	return s.Requests[position-s.Forgotten], true
 }
 
-// recordAnswer adds an answered request, and forgets the oldest beyond the bound.
+// recordAnswer adds an answered request and drops the oldest one beyond MaxRequests.
 func (s *State) recordAnswer(answered AnsweredRequest) {
 	s.answerPositions[answered.ID] = s.Forgotten + uint64(len(s.Requests))
 	s.Requests = append(s.Requests, answered)
@@ -97,7 +98,8 @@
 	}
 }
 
-// compactRequests drops the answered requests before a place in the row of all.
+// compactRequests drops recorded requests until to of all that were ever recorded are
+// dropped.
 func (s *State) compactRequests(to uint64) {
 	dropped := 0
 	for ; dropped < len(s.Requests) && s.Forgotten < to; dropped++ {
@@ -107,28 +109,27 @@
 	s.Requests = append([]AnsweredRequest(nil), s.Requests[dropped:]...)
 }
 
-// TotalRequests counts the requests that were ever answered.
+// TotalRequests returns the number of requests ever recorded.
 func (s *State) TotalRequests() uint64 { return s.Forgotten + uint64(len(s.Requests)) }
 
-// CompactRequests forgets the oldest answered requests. The leader proposes it
-// from its own count of time, so that Apply needs no clock.
+// CompactRequests drops the oldest recorded requests. The leader decides by its own
+// clock which requests are old enough, so that Apply needs no clock.
 type CompactRequests struct {
-	To uint64 `msgpack:"t"` // how many requests, counted from the first ever, are old enough
+	To uint64 `msgpack:"t"` // the number of requests to drop, counted from the first ever recorded
 }
 
-// Apply forgets them.
+// Apply implements Command.
 func (c *CompactRequests) Apply(s *State) Result {
 	s.compactRequests(c.To)
 	return Result{Code: OK}
 }
 
-// NumberRequestID is the request id of a configuration under the operator's own
-// number: one number stands for one content.
+// NumberRequestID returns the request ID for a configuration with an operator's
+// number. It depends on the number alone, so each number has one content.
 func NumberRequestID(number uint64) string { return fmt.Sprintf("number/%d", number) }
 
-// DocumentDigest identifies a document by its meaning: the order of its fields
-// and its white space don't count. One that is not JSON is identified by its
-// bytes.
+// DocumentDigest identifies a document by its content, independently of field order
+// and white space. A document that is not JSON is identified by its bytes.
 func DocumentDigest(doc []byte) []byte {
 	canonical := doc
 	decoder := json.NewDecoder(bytes.NewReader(doc))
--- a/internal/statemachine/state.go
+++ b/internal/statemachine/state.go
@@ -1,5 +1,6 @@
-// Package statemachine is the state that the stores agree on, and the commands that
-// change it. Commands are types with Apply: deterministic, without clocks.
+// Package statemachine is the replicated state machine of the control plane's stores:
+// the state and the commands that change it. Applying a command is deterministic and
+// uses no clock.
 package statemachine
 
 import (
@@ -12,31 +13,31 @@
 	"puffincrank/internal/fault"
 )
 
-// Member is one store that votes.
+// Member is a voting store.
 type Member struct {
 	ID     string `msgpack:"i" json:"id"`
 	Addr   string `msgpack:"a" json:"addr"`
 	Zone   string `msgpack:"z,omitempty" json:"area,omitempty"`
-	Region string `msgpack:"l,omitempty" json:"region,omitempty"` // the region of the area
+	Region string `msgpack:"l,omitempty" json:"region,omitempty"` // the region of the zone
 }
 
-// Config is one version of the configuration and why it stands.
+// Config is one version of the configuration, with who set it and why.
 type Config struct {
 	Version   uint64 `msgpack:"v" json:"version"`
 	Doc       []byte `msgpack:"d" json:"-"`
 	Who       string `msgpack:"w" json:"who"`
 	Why       string `msgpack:"y" json:"why"`
-	Submitted bool   `msgpack:"s,omitempty" json:"-"` // the document stands as an operator sent it
+	Submitted bool   `msgpack:"s,omitempty" json:"-"` // an operator submitted this document as it is
 }
 
-// Key is one small key.
+// Key is a key of an application, with the revisions that created and last changed it.
 type Key struct {
 	Value           []byte `msgpack:"v" json:"value"`
 	CreatedRevision uint64 `msgpack:"m" json:"made"`
 	Revision        uint64 `msgpack:"r" json:"rev"`
 }
 
-// Change is one step in the history of keys, as watches see it.
+// Change is one update in the history of keys, as reported to watches.
 type Change struct {
 	Revision uint64 `msgpack:"r" json:"rev"`
 	Name     string `msgpack:"n" json:"key"`
@@ -44,15 +45,15 @@
 	Deleted  bool   `msgpack:"g" json:"gone,omitempty"`
 }
 
-// Lock is one lock that is held.
+// Lock is a held lock.
 type Lock struct {
 	Owner    string `msgpack:"o" json:"owner"`
 	Fence    uint64 `msgpack:"f" json:"fence"`
-	TTL      int64  `msgpack:"t" json:"ttl_ms"`
+	TTL      int64  `msgpack:"t" json:"ttl_ms"` // in milliseconds
 	Renewals uint64 `msgpack:"r" json:"renewals"`
 }
 
-// State is all that the stores agree on.
+// State is the complete replicated state.
 type State struct {
 	ClusterID      string                   `msgpack:"mesh"`
 	Members        []Member                 `msgpack:"members"`
@@ -60,46 +61,46 @@
 	Revision       uint64                   `msgpack:"rev"`
 	Keys           map[string]Key           `msgpack:"keys"`
 	Changes        []Change                 `msgpack:"past"`
-	OldestRevision uint64                   `msgpack:"oldest"` // the first revision whose change is kept
+	OldestRevision uint64                   `msgpack:"oldest"` // the lowest revision whose change is retained
 	Locks          map[string]Lock          `msgpack:"locks"`
 	Fence          uint64                   `msgpack:"fence"`
 	Numbers        map[string]uint64        `msgpack:"numbers"`
 	Roles          map[string]ballot.Number `msgpack:"duties"`
 	Trials         []Trial                  `msgpack:"trials"`
 	TrialsBegun    uint64                   `msgpack:"tries"`
-	WantedMembers  int                      `msgpack:"want,omitempty"` // stores that shall vote; 0 for three
+	WantedMembers  int                      `msgpack:"want,omitempty"` // the target number of voters, see VoterCount
 	GroupKeys      map[string]GroupKey      `msgpack:"cells"`
 	Groups         map[string]Group         `msgpack:"groups"`
 	Puts           []Put                    `msgpack:"puts"`
-	CompactedPuts  uint64                   `msgpack:"trimmed"` // puts that are no longer kept
+	CompactedPuts  uint64                   `msgpack:"trimmed"` // the number of puts that are no longer retained
 
-	Requests  []AnsweredRequest `msgpack:"requests,omitempty"`  // operators' requests that were taken, the oldest first
-	Forgotten uint64            `msgpack:"forgotten,omitempty"` // answered requests that are no longer kept
-	Level     int               `msgpack:"level,omitempty"`     // of commands, that every member has known once
+	Requests  []AnsweredRequest `msgpack:"requests,omitempty"`  // operators' requests that took effect, oldest first
+	Forgotten uint64            `msgpack:"forgotten,omitempty"` // the number of answered requests that are no longer retained
+	Level     int               `msgpack:"level,omitempty"`     // the command level in use, see RaiseLevel
 
-	answerPositions map[string]uint64 // request id to its place in the row of all answered ones
-	putBytes        int               // bytes of the puts that are kept
-	firstRevisions  map[string]uint64 // key and value to the revision that it first got, of the puts kept
-	putsByGroup     map[string][]Put  // the puts kept, by group
+	answerPositions map[string]uint64 // request ID to its position among all requests ever recorded
+	putBytes        int               // the size of the retained puts
+	firstRevisions  map[string]uint64 // putID to the revision of that put, for retained puts
+	putsByGroup     map[string][]Put  // the retained puts by group
 }
 
-// maxConfigs bounds how many configurations are kept, and maxConfigBytes how many bytes
-// they may have together: every snapshot holds them whole. The newest one,
-// and the newest that an operator sent, are kept whatever their size.
+// maxConfigs bounds the number of retained configurations, and maxConfigBytes their
+// total size, because every snapshot contains them in full. The newest one and the
+// newest that an operator submitted are retained whatever their size.
 const (
 	maxConfigs     = 64
 	maxConfigBytes = 1 << 20
 )
 
-// New makes the state of a cluster that was just founded.
+// New returns the initial state of a newly founded cluster.
 func New(clusterID string, members []Member) *State {
 	return &State{ClusterID: clusterID, Members: members, OldestRevision: 1, Keys: map[string]Key{}, Locks: map[string]Lock{},
 		Numbers: map[string]uint64{}, Roles: map[string]ballot.Number{}, GroupKeys: map[string]GroupKey{}, Groups: map[string]Group{},
 		firstRevisions: map[string]uint64{}, putsByGroup: map[string][]Put{}, answerPositions: map[string]uint64{}}
 }
 
-// Load reads a state from a snapshot. One that was raised to a level of commands
-// that this program does not know is refused: it may hold what would be lost here.
+// Load decodes the state from a snapshot. It refuses a state whose command level this
+// program does not support, because it may contain data that would be lost here.
 func Load(encoded []byte) (*State, error) {
 	state := New("", nil)
 	if err := msgpack.Unmarshal(encoded, state); err != nil {
@@ -117,14 +118,14 @@
 	return state, nil
 }
 
-// Pack writes the state for a snapshot; maps are sorted, so that equal
-// states give equal bytes.
+// Pack encodes the state for a snapshot. Map keys are sorted, so that equal states
+// give equal bytes.
 func (s *State) Pack() ([]byte, error) {
 	encoded, err := encodeSorted(s)
-	return encoded, fault.Wrap(fault.Input, err, "pack checkpoint")
+	return encoded, fault.Wrap(fault.Input, err, "encode snapshot")
 }
 
-// Config gives the configuration in force; version 0 means none yet.
+// Config returns the current configuration. Version 0 means that there is none yet.
 func (s *State) Config() Config {
 	if len(s.Configs) == 0 {
 		return Config{}
@@ -132,11 +133,13 @@
 	return s.Configs[len(s.Configs)-1]
 }
 
+// setNextConfig makes a document the current configuration under the next version.
 func (s *State) setNextConfig(doc []byte, who, why string) Config {
 	return s.appendConfig(Config{Version: s.Config().Version + 1, Doc: doc, Who: who, Why: why})
 }
 
-// appendConfig adds a version and drops the oldest that there is no room for.
+// appendConfig adds a configuration and drops the oldest ones beyond maxConfigs and
+// maxConfigBytes.
 func (s *State) appendConfig(config Config) Config {
 	s.Configs = append(s.Configs, config)
 	var kept []Config
@@ -155,7 +158,8 @@
 	return config
 }
 
-// NewestSubmitted gives the newest document that an operator sent, false when there is none.
+// NewestSubmitted returns the newest configuration that an operator submitted, or
+// false if there is none.
 func (s *State) NewestSubmitted() (Config, bool) {
 	for i := len(s.Configs) - 1; i >= 0; i-- {
 		if s.Configs[i].Submitted {
@@ -165,6 +169,8 @@
 	return Config{}, false
 }
 
+// recordChange updates or deletes a key under the next revision and adds the change to
+// the history.
 func (s *State) recordChange(name string, value []byte, deleted bool) {
 	s.Revision++
 	s.Changes = append(s.Changes, Change{Revision: s.Revision, Name: name, Value: value, Deleted: deleted})
@@ -180,8 +186,8 @@
 	s.Keys[name] = key
 }
 
-// Since gives the changes of a prefix from a revision on, at most most; false
-// means that the history no longer reaches back so far.
+// Since returns at most limit changes of keys with a prefix, starting at revision from.
+// It returns false if the change at that revision has been compacted.
 func (s *State) Since(prefix string, from uint64, limit int) ([]Change, bool) {
 	if from < s.OldestRevision {
 		return nil, false
@@ -199,7 +205,7 @@
 	return changes, true
 }
 
-// Names lists the keys of a prefix in order.
+// Names returns the sorted names of all keys with a prefix.
 func (s *State) Names(prefix string) []string {
 	var names []string
 	for k := range s.Keys {
