--- a/internal/ballot/ballot.go
+++ b/internal/ballot/ballot.go
@@ -1,5 +1,6 @@
-// Package ballot is the round of ballots by which a role is won when it falls
-// vacant. Voters promise durably; the winner's number fences what it writes.
+// Package ballot elects the holder of a vacant role, with the promise phase of Paxos.
+// Voters promise durably; the winner's ballot number then serves as the fencing token
+// of its writes.
 package ballot
 
 import (
@@ -12,13 +13,13 @@
 	"puffincrank/internal/task"
 )
 
-// Number orders ballots: by round, then by candidate.
+// Number is a ballot number. It is ordered by round, then by candidate.
 type Number struct {
 	Round     uint64 `msgpack:"r" json:"round"`
 	Candidate string `msgpack:"w" json:"who"`
 }
 
-// Less orders two numbers.
+// Less reports whether n is ordered before other.
 func (n Number) Less(other Number) bool {
 	if n.Round != other.Round {
 		return n.Round < other.Round
@@ -26,25 +27,26 @@
 	return n.Candidate < other.Candidate
 }
 
-// String prints a number.
+// String formats n as round/candidate.
 func (n Number) String() string { return fmt.Sprintf("%d/%s", n.Round, n.Candidate) }
 
-// Voter is one voter's durable promise for one role, and when it last heard
-// the holder. Only a new promise waits for the disk: a beat of the holder, and
-// whoever asks what was promised, never does.
+// Voter holds one voter's durable promise for one role, and the time of its last
+// contact with the holder. Only a new promise waits for the disk; heartbeats of the
+// holder and queries for the current promise never do.
 type Voter struct {
-	writeLock   task.Lock  // held over the write of a promise; taken before mu
-	mu          sync.Mutex // the fields below, never held over a write
+	writeLock   task.Lock  // held while a promise is written; taken before mu
+	mu          sync.Mutex // guards the fields below; never held during a write
 	promised    Number
 	lastContact time.Time
-	steppedDown Number // whose holder gave the role up: what it still had under way is no sign of life
+	steppedDown Number // the ballot whose holder stepped down: its messages still in flight don't count as contact
 	lease       time.Duration
 	save        func(Number) error
 }
 
-// NewVoter makes a voter from its stored promise. A voter that just started
-// may have heard the holder right before, so it counts as heard now. What save
-// refuses as fault.Stale is below a promise that was made durable elsewhere.
+// NewVoter returns a voter with its stored promise. A voter that restarts may have
+// had contact with the holder just before, so it counts as in contact now. save makes
+// a promise durable; it returns fault.Stale if a higher promise was made durable by
+// other means, see RaisePromise.
 func NewVoter(promised Number, lease time.Duration, save func(Number) error) *Voter {
 	voter := &Voter{writeLock: task.NewLock(), promised: promised, lease: lease, save: save}
 	if promised.Round > 0 {
@@ -53,9 +55,9 @@
 	return voter
 }
 
-// mayPromise tells whether a number may be promised, and what was promised so far. A
-// role is voted on only when vacant: a node that was cut off must not unseat a
-// holder whom this voter still hears.
+// mayPromise reports whether a number may be promised, and returns the current
+// promise. It refuses other candidates while the holder's lease runs: a node that was
+// partitioned must not displace a holder that this voter is still in contact with.
 func (v *Voter) mayPromise(number Number) (bool, Number) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -65,18 +67,21 @@
 	return v.promised.Less(number), v.promised
 }
 
-// Vote votes on a number. It tells what was promised so far.
+// Vote promises a number if allowed. It reports whether it did, and returns the
+// highest promise.
 func (v *Voter) Vote(number Number) (bool, Number, error) {
 	v.writeLock.Lock()
 	defer v.writeLock.Unlock()
 	if ok, promised := v.mayPromise(number); !ok {
 		return false, promised, nil
 	}
-	// The one just voted for gets time to take up the role.
+	// A promise also counts as contact, which gives the candidate time to take up the
+	// role.
 	return v.promise(number)
 }
 
-// promise makes a number durable; io is held. Another that rose meanwhile wins.
+// promise makes a number durable; writeLock is held. It fails if a higher number was
+// promised meanwhile.
 func (v *Voter) promise(number Number) (bool, Number, error) {
 	err := v.save(number)
 	v.mu.Lock()
@@ -91,12 +96,14 @@
 	return true, number, nil
 }
 
-// Heartbeat hears the holder; false means that a higher number was promised.
+// Heartbeat records a heartbeat of the holder. It returns false and the highest promise
+// if a higher number was promised.
 func (v *Voter) Heartbeat(number Number) (bool, Number, error) {
 	if ok, promised := v.recordHeartbeat(number); ok || number.Less(promised) {
 		return ok, promised, nil
 	}
-	// Following a higher number is a promise too.
+	// A heartbeat with a higher number is accepted like a vote for it, and needs a
+	// durable promise.
 	v.writeLock.Lock()
 	defer v.writeLock.Unlock()
 	if ok, promised := v.recordHeartbeat(number); ok || number.Less(promised) {
@@ -105,7 +112,8 @@
 	return v.promise(number)
 }
 
-// recordHeartbeat notes a beat of the one who was promised the role.
+// recordHeartbeat records contact if the number is the promised one, and reports
+// whether it is. After a step-down the heartbeat is accepted but is no contact.
 func (v *Voter) recordHeartbeat(number Number) (bool, Number) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -118,7 +126,8 @@
 	return true, number
 }
 
-// RaisePromise notes a promise that was made durable elsewhere, as by an accepted entry.
+// RaisePromise records contact and a promise that was made durable by other means, such
+// as an accepted entry.
 func (v *Voter) RaisePromise(number Number) {
 	v.mu.Lock()
 	if v.promised.Less(number) {
@@ -130,7 +139,7 @@
 	v.mu.Unlock()
 }
 
-// Vacate is the holder's own word that the role is free.
+// Vacate records that the holder with this number has stepped down.
 func (v *Voter) Vacate(number Number) {
 	v.mu.Lock()
 	if !number.Less(v.promised) {
@@ -139,7 +148,8 @@
 	v.mu.Unlock()
 }
 
-// Promised gives the highest promise and how long ago the holder was heard.
+// Promised returns the highest promise and the time since the last contact with the
+// holder, which is an hour if there was none.
 func (v *Voter) Promised() (Number, time.Duration) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -149,8 +159,9 @@
 	return v.promised, time.Since(v.lastContact)
 }
 
-// Poll asks all voters at once and hands each answer to take, in one
-// goroutine, until take says that it has enough or all have answered.
+// Poll sends a request to all voters concurrently and passes each response to handle,
+// in the caller's goroutine, until handle returns true, all voters have responded or
+// ctx is done.
 func Poll[T any](ctx context.Context, group *task.Group, voters []string, request func(context.Context, string) (T, error), handle func(string, T, error) bool) {
 	type response struct {
 		voter string
@@ -179,7 +190,7 @@
 	}
 }
 
-// Reset forgets everything: the voter is a new one under a new identity.
+// Reset clears the promise and the contact time when the replica gets a new identity.
 func (v *Voter) Reset() {
 	v.mu.Lock()
 	v.promised, v.lastContact, v.steppedDown = Number{}, time.Time{}, Number{}
--- a/internal/paxos/acceptor.go
+++ b/internal/paxos/acceptor.go
@@ -1,7 +1,7 @@
-// Package paxos is the durable part of multi-decree Paxos: promises, accepted
-// entries and snapshots, each one file, and the rule by which an entry is
-// known to be chosen. One index is decided at a time, so an entry accepted at
-// index n says that index n-1 was chosen; its Previous names which value that was.
+// Package paxos is the durable acceptor of multi-decree Paxos: promises, accepted
+// entries and snapshots, each in its own file, and the rule by which an entry is known
+// to be chosen. Indexes are decided one at a time, so an entry accepted at index n
+// proves that index n-1 was decided; its Previous is the digest of the chosen value.
 package paxos
 
 import (
@@ -31,7 +31,7 @@
 	Ballot   ballot.Number `msgpack:"n"`
 }
 
-// Digest is the identity of the value, whatever ballot it was accepted by.
+// Digest identifies the value of an entry, independently of its ballot.
 func (e *Entry) Digest() []byte {
 	hasher := sha256.New()
 	_ = binary.Write(hasher, binary.BigEndian, e.Index)
@@ -40,14 +40,14 @@
 	return hasher.Sum(nil)
 }
 
-// Identity names a replica: lost with its disk, never given again.
+// Identity identifies a replica. It is lost with the replica's disk and never reused.
 type Identity struct {
 	Format    int    `msgpack:"f"`
 	ID        string `msgpack:"i"`
 	ClusterID string `msgpack:"m"`
 }
 
-// Snapshot is the state after an index.
+// Snapshot is the state after the entry at Index, whose digest is Digest.
 type Snapshot struct {
 	Format int    `msgpack:"f"`
 	Index  uint64 `msgpack:"s"`
@@ -55,27 +55,27 @@
 	State  []byte `msgpack:"d"`
 }
 
-// Acceptor holds the files of one replica.
+// Acceptor manages the files of one replica.
 type Acceptor struct {
 	fs             disk.FS
-	snapshotLock   task.Lock  // one snapshot at a time; taken before writeLock
-	writeLock      task.Lock  // one promise or entry at a time; taken before mu
-	mu             sync.Mutex // the fields below, never held over a write
+	snapshotLock   task.Lock  // serializes snapshots; taken before writeLock
+	writeLock      task.Lock  // serializes writes of promises and entries; taken before mu
+	mu             sync.Mutex // guards the fields below; never held during a write
 	entries        map[uint64]*Entry
 	digests        map[uint64][]byte
-	compactedTo    uint64 // the highest index that was compacted
+	compactedTo    uint64 // the highest index whose entry is not retained
 	identity       Identity
 	promised       ballot.Number
-	latestSnapshot *Snapshot // without its state, which stays on the disk
-	reservedBytes  int       // bytes that are kept free for a snapshot, as far as known
-	damagedUpTo    uint64    // the highest index whose file was damaged
-	DamagedFiles   []string  // what was found damaged at start
-	// Observe is told of each promise and each accepted entry once it is durable.
+	latestSnapshot *Snapshot // without its state, which is only on disk
+	reservedBytes  int       // size of the reserve file, 0 if not known
+	damagedUpTo    uint64    // the highest index whose entry file was damaged
+	DamagedFiles   []string  // the names of the files found damaged by Open
+	// Observe is notified of each promise and accepted entry once it is durable.
 	Observe trace.Observer
 }
 
-// Open reads the folder of a replica. A damaged identity, promise or only
-// snapshot makes the replica empty: its old votes must not be lent again.
+// Open reads the folder of a replica. If the identity, a promise or the only snapshot is
+// damaged, the replica becomes empty: its old votes are lost and must not count again.
 func Open(fs disk.FS) (*Acceptor, error) {
 	acceptor := &Acceptor{fs: fs, snapshotLock: task.NewLock(), writeLock: task.NewLock(), entries: map[uint64]*Entry{}, digests: map[uint64][]byte{}}
 	if err := disk.AdoptUnrenamed(fs, "v-"); err != nil {
@@ -93,7 +93,7 @@
 		}
 		unusable = unusable || essential
 	}
-	// What was put aside must not come back under a name that is used anew.
+	// The renames must be durable: a damaged file must not reappear under a reused name.
 	if len(acceptor.DamagedFiles) > 0 {
 		if err := fs.SyncDir(); err != nil {
 			return nil, fault.Wrap(fault.Disk, err, "put aside")
@@ -110,8 +110,7 @@
 	return acceptor, nil
 }
 
-// load takes up one file of the folder. A damaged one is put aside; lost tells
-// that the replica can't do without it.
+// load reads one file. A damaged one is quarantined; essential is what that reports.
 func (a *Acceptor) load(name string) (essential bool, err error) {
 	if len(name) < 2 || name[1] != '-' {
 		return false, nil
@@ -153,8 +152,8 @@
 	return false, nil
 }
 
-// quarantine renames a damaged file, and tells whether the replica can't do without
-// it: it can without an entry, which others hold, or one of several snapshots.
+// quarantine renames a damaged file and reports whether it is essential. An entry is
+// not, as peers hold it too, and neither is a snapshot as long as there is another.
 func (a *Acceptor) quarantine(name string) (essential bool) {
 	a.DamagedFiles = append(a.DamagedFiles, name)
 	_ = a.fs.Rename(name, "bad-"+name)
@@ -167,7 +166,7 @@
 	return false
 }
 
-// deriveState works out what follows from all the files together.
+// deriveState sets the fields that depend on all files together.
 func (a *Acceptor) deriveState() {
 	for _, e := range a.entries {
 		if a.promised.Less(e.Ballot) {
@@ -183,6 +182,7 @@
 	}
 }
 
+// reset removes all files of the replica and makes it empty.
 func (a *Acceptor) reset() {
 	names, _ := disk.Names(a.fs, "")
 	for _, n := range names {
@@ -199,12 +199,12 @@
 func (a *Acceptor) save(name string, value any) error {
 	encoded, err := msgpack.Marshal(value)
 	if err != nil {
-		return fault.Wrap(fault.Input, err, "pack "+name)
+		return fault.Wrap(fault.Input, err, "encode "+name)
 	}
 	return disk.Save(a.fs, name, encoded)
 }
 
-// SetIdentity keeps the identity.
+// SetIdentity stores the identity durably.
 func (a *Acceptor) SetIdentity(id Identity) error {
 	id.Format = Format
 	a.writeLock.Lock()
@@ -218,28 +218,28 @@
 	return nil
 }
 
-// Identity gives the identity.
+// Identity returns the replica's identity, empty if it has none.
 func (a *Acceptor) Identity() Identity {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.identity
 }
 
-// Promised gives the highest promise.
+// Promised returns the highest promised ballot.
 func (a *Acceptor) Promised() ballot.Number {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.promised
 }
 
-// LatestSnapshot gives the newest snapshot without its state, or nil.
+// LatestSnapshot returns the newest snapshot without its state, or nil.
 func (a *Acceptor) LatestSnapshot() *Snapshot {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.latestSnapshot
 }
 
-// DamagedUpTo gives the highest index whose file was found damaged.
+// DamagedUpTo returns the highest index whose entry file was found damaged, or 0.
 func (a *Acceptor) DamagedUpTo() uint64 {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/paxos/chosen.go
+++ b/internal/paxos/chosen.go
@@ -7,9 +7,10 @@
 	"puffincrank/internal/disk"
 )
 
-// Chain gives the entries from the one after index up to top, if the value of
-// top has the identity sum and each one names the one before it back to prev.
-// Every entry in such a chain is chosen when top is.
+// Chain returns the entries from index+1 to top if they form a hash chain: the entry
+// at top has this digest, each Previous is the digest of the entry before it, and the
+// first Previous is previous. Otherwise it returns nil. If the entry at top is chosen,
+// so is every entry of the chain.
 func (a *Acceptor) Chain(index uint64, previous []byte, top uint64, digest []byte) []Entry {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -31,8 +32,8 @@
 	return chain
 }
 
-// ProvenChosen gives the entries above index that the stored files alone prove to be
-// chosen: all but the newest of an unbroken chain.
+// ProvenChosen returns the entries above index that the stored files alone prove to be
+// chosen: all of an unbroken chain except its newest entry.
 func (a *Acceptor) ProvenChosen(index uint64, previous []byte) []Entry {
 	top := a.Top()
 	for i := top; i > index+1; i-- {
@@ -49,10 +50,10 @@
 	return nil
 }
 
-// Rename gives the replica a new identity: what it promised and accepted under
-// the old one is forgotten, what is chosen up to an index is kept. The new identity
-// is durable before anything is forgotten, so a loss of power in between leaves
-// an identity that never voted with promises that bind it more than they need.
+// Rename gives the replica a new identity. It drops the promises, and the entries
+// above the index chosen, that were accepted under the old identity. The new identity
+// is durable before anything is dropped: a power loss in between leaves an identity
+// that never voted with promises that bind it more than necessary, which is safe.
 func (a *Acceptor) Rename(id Identity, chosen uint64) error {
 	a.snapshotLock.Lock()
 	defer a.snapshotLock.Unlock()
--- a/internal/paxos/log.go
+++ b/internal/paxos/log.go
@@ -12,23 +12,25 @@
 	"puffincrank/internal/trace"
 )
 
-// promisePrefix begins the names of the files of promises.
+// promisePrefix is the prefix of the names of promise files.
 const promisePrefix = "p-"
 
-// promiseFile is the file of the promise of a round.
+// promiseFile returns the name of the file for a promise in a round.
 func promiseFile(round uint64) string { return fmt.Sprintf("%s%016x", promisePrefix, round) }
 
-// entryFile is the file of a log entry.
+// entryFile returns the name of the file for the entry at an index.
 func entryFile(index uint64) string { return fmt.Sprintf("v-%016x", index) }
 
-// Promise keeps a ballot number; the file of the one before goes away. One
-// below a promise that an accepted entry made meanwhile is refused as stale.
+// Promise stores a promised ballot durably and then removes the file of the previous
+// one. A ballot below the current promise, which an accepted entry may have raised
+// meanwhile, is refused with fault.Stale.
 func (a *Acceptor) Promise(number ballot.Number) error {
 	a.writeLock.Lock()
 	defer a.writeLock.Unlock()
 	return a.promise(number)
 }
 
+// promise is Promise without locking; writeLock is held.
 func (a *Acceptor) promise(number ballot.Number) error {
 	if promised := a.Promised(); number.Less(promised) {
 		return fault.New(fault.Stale, "ballot %s is below the promise %s", number, promised)
@@ -48,7 +50,8 @@
 	return nil
 }
 
-// Accept keeps an entry; when it returns nil it is synced.
+// Accept stores an entry; when it returns nil, the entry is durable. An entry whose
+// ballot is below the current promise is refused with fault.Stale.
 func (a *Acceptor) Accept(entry Entry) error {
 	a.writeLock.Lock()
 	defer a.writeLock.Unlock()
@@ -56,8 +59,7 @@
 	if entry.Ballot.Less(promised) {
 		return fault.New(fault.Stale, "ballot %s is below the promise %s", entry.Ballot, promised)
 	}
-	// The promise gets its own file, so that damage to an entry never
-	// lowers it.
+	// The promise is stored in its own file, so that a damaged entry never lowers it.
 	if promised.Less(entry.Ballot) {
 		if err := a.promise(entry.Ballot); err != nil {
 			return err
@@ -72,8 +74,9 @@
 
 func (a *Acceptor) writeEntry(entry Entry) error { return a.writeEntries([]Entry{entry}) }
 
-// writeEntries keeps entries that aren't kept yet, with one sync of the folder: a disk
-// may lose the name of a synced file.
+// writeEntries stores the entries that are not stored yet, with one sync of the folder
+// for all. The folder must be synced too, because a disk may lose the name of a synced
+// file. writeLock is held.
 func (a *Acceptor) writeEntries(entries []Entry) error {
 	var added []Entry
 	var files []disk.NamedFile
@@ -84,7 +87,7 @@
 		}
 		data, err := msgpack.Marshal(&e)
 		if err != nil {
-			return fault.Wrap(fault.Input, err, "pack "+entryFile(e.Index))
+			return fault.Wrap(fault.Input, err, "encode "+entryFile(e.Index))
 		}
 		added = append(added, e)
 		files = append(files, disk.NamedFile{Name: entryFile(e.Index), Data: data})
@@ -106,7 +109,7 @@
 	return nil
 }
 
-// isStored tells whether an entry is kept already, under the same ballot.
+// isStored reports whether the same value is already stored under the same ballot.
 func (a *Acceptor) isStored(entry *Entry) bool {
 	a.mu.Lock()
 	stored, digest := a.entries[entry.Index], a.digests[entry.Index]
@@ -114,14 +117,14 @@
 	return stored != nil && stored.Ballot == entry.Ballot && bytes.Equal(digest, entry.Digest())
 }
 
-// Learn keeps entries that are known to be chosen.
+// Learn stores entries that are known to be chosen.
 func (a *Acceptor) Learn(entries ...Entry) error {
 	a.writeLock.Lock()
 	defer a.writeLock.Unlock()
 	var learned []Entry
 	a.mu.Lock()
 	for _, e := range entries {
-		// The ballot of an own acceptance is never lowered.
+		// An entry that was accepted here under a higher ballot keeps that ballot.
 		if stored := a.entries[e.Index]; stored != nil && e.Ballot.Less(stored.Ballot) {
 			e.Ballot = stored.Ballot
 		}
@@ -131,13 +134,14 @@
 	return a.writeEntries(learned)
 }
 
-// Top gives the highest accepted index.
+// Top returns the highest accepted index, or 0.
 func (a *Acceptor) Top() uint64 {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.highest()
 }
 
+// highest is Top without locking; mu is held.
 func (a *Acceptor) highest() uint64 {
 	var highest uint64
 	for index := range a.entries {
@@ -146,7 +150,7 @@
 	return highest
 }
 
-// After gives the accepted entries above an index, in order, at most most.
+// After returns at most limit accepted entries above an index, in order.
 func (a *Acceptor) After(index uint64, limit int) []Entry {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -159,7 +163,7 @@
 	return entries
 }
 
-// HoldsAfter tells whether every entry above an index is still kept here.
+// HoldsAfter reports whether no entry above an index has been compacted.
 func (a *Acceptor) HoldsAfter(index uint64) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/paxos/snapshot.go
+++ b/internal/paxos/snapshot.go
@@ -9,13 +9,13 @@
 	"puffincrank/internal/fault"
 )
 
-// withoutState is the snapshot without its state.
+// withoutState returns a copy of the snapshot without its state.
 func (s *Snapshot) withoutState() *Snapshot {
 	return &Snapshot{Format: s.Format, Index: s.Index, Digest: s.Digest}
 }
 
-// ReadSnapshot reads the newest snapshot whole from the disk; nil when there is
-// none. No other snapshot is written meanwhile.
+// ReadSnapshot reads the newest snapshot with its state from disk. It returns nil if
+// there is none. No snapshot is written while it reads.
 func (a *Acceptor) ReadSnapshot() (*Snapshot, error) {
 	a.snapshotLock.Lock()
 	defer a.snapshotLock.Unlock()
@@ -29,19 +29,19 @@
 	}
 	var snapshot Snapshot
 	if err := msgpack.Unmarshal(data, &snapshot); err != nil {
-		return nil, fault.Wrap(fault.Stale, err, "read snapshot")
+		return nil, fault.Wrap(fault.Stale, err, "decode snapshot")
 	}
 	return &snapshot, nil
 }
 
-// snapshotFile is the file of the snapshot after an index.
+// snapshotFile returns the name of the file for the snapshot after an index.
 func snapshotFile(index uint64) string { return fmt.Sprintf("c-%016x", index) }
 
-// SaveSnapshot writes a snapshot and drops the files that it makes needless, but
-// for the spare newest entries, which slow peers may still want. It holds up
-// no promise and no entry: who is the identity that the state belongs to, and
-// one that is older than what stands, or of a replica that lost its place
-// meanwhile, is passed over.
+// SaveSnapshot writes a snapshot and removes the files that it supersedes, except the
+// newest retained entries up to its index, which slow peers may still request. Promises
+// and entries can be written meanwhile. replicaID is the identity under which the state
+// was captured: a snapshot is ignored if the replica has since got another identity, or
+// if a newer snapshot exists.
 func (a *Acceptor) SaveSnapshot(replicaID string, snapshot Snapshot, retained uint64) error {
 	a.snapshotLock.Lock()
 	defer a.snapshotLock.Unlock()
@@ -54,12 +54,12 @@
 	return a.writeSnapshot(snapshot, retained)
 }
 
-// writeSnapshot keeps a snapshot; snapshotLock is held.
+// writeSnapshot stores a snapshot and compacts the log; snapshotLock is held.
 func (a *Acceptor) writeSnapshot(snapshot Snapshot, retained uint64) error {
 	snapshot.Format = Format
 	name := snapshotFile(snapshot.Index)
 	if err := a.save(name, &snapshot); err != nil {
-		// Room was kept free for just this: give it back and try once more.
+		// The reserve exists for a full disk: remove it and retry once.
 		if !disk.IsFull(err) || a.fs.Remove(reserveFile) != nil {
 			return err
 		}
@@ -85,7 +85,8 @@
 	return nil
 }
 
-// compact forgets entries and names their files; mu is held.
+// compact drops the entries up to an index from memory and returns the names of their
+// files; mu is held.
 func (a *Acceptor) compact(upTo uint64) (files []string) {
 	for index := range a.entries {
 		if index <= upTo {
@@ -98,14 +99,16 @@
 	return files
 }
 
-// removeFiles removes files that are needless; one that comes back changes nothing.
+// removeFiles removes superseded files. Errors are ignored, since a file that remains
+// or reappears after a power loss does no harm.
 func (a *Acceptor) removeFiles(files []string) {
 	for _, n := range files {
 		_ = a.fs.Remove(n)
 	}
 }
 
-// InstallSnapshot puts a snapshot from a peer in place of all that is here.
+// InstallSnapshot replaces the local snapshot and all entries up to its index with a
+// snapshot from a peer.
 func (a *Acceptor) InstallSnapshot(snapshot Snapshot) error {
 	a.snapshotLock.Lock()
 	defer a.snapshotLock.Unlock()
@@ -118,11 +121,12 @@
 	return nil
 }
 
-// reserveFile is the file that keeps room for a snapshot on a full disk.
+// reserveFile is the file that reserves disk space for a snapshot.
 const reserveFile = "r-reserve"
 
-// Reserve keeps room for a snapshot of so many bytes, so that a full disk can
-// be freed by one. It is written anew only when it is too small.
+// Reserve reserves disk space for a snapshot of size bytes, so that a snapshot can
+// still be written on a full disk and compact the log to free space. The reserve is
+// rewritten only when it is too small.
 func (a *Acceptor) Reserve(size int) error {
 	a.snapshotLock.Lock()
 	defer a.snapshotLock.Unlock()
--- a/internal/statemachine/keys.go
+++ b/internal/statemachine/keys.go
@@ -69,14 +69,16 @@
 	return Result{Code: OK, Number: s.Numbers[c.Name]}
 }
 
-// AcquireLock acquires or renews a lock.
+// AcquireLock acquires or renews a lock. If the owner acquires a lock that it already
+// holds, the leader first releases it, so that the owner gets a new fencing token; with
+// Same, the acquisition is a renewal that keeps the token.
 type AcquireLock struct {
 	Name  string `msgpack:"n"`
 	Owner string `msgpack:"o"`
 	TTL   int64  `msgpack:"t"`
 	Renew bool   `msgpack:"r"` // only renew the acquisition that has the token Fence
 	Fence uint64 `msgpack:"f"`
-	Same  bool   `msgpack:"s,omitempty"` // a repeated acquisition by the owner keeps the fencing token
+	Same  bool   `msgpack:"s,omitempty"`
 }
 
 // Apply acquires the lock if it is free, and renews it if Owner already holds it.
