--- a/internal/ballot/ballot_test.go
+++ b/internal/ballot/ballot_test.go
@@ -11,63 +11,65 @@
 	"puffincrank/internal/task"
 )
 
-// TestVacated: what a holder still had under way when it gave the role up is no
-// sign of life: the role stays vacant until another number is promised.
-func TestVacated(t *testing.T) {
+// TestHeartbeatAfterVacate checks that messages which the holder sent before it stepped
+// down and which arrive late do not count as contact: the role stays vacant until
+// another number is promised.
+func TestHeartbeatAfterVacate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		v := ballot.NewVoter(ballot.Number{}, time.Second, func(ballot.Number) error { return nil })
-		a, b := ballot.Number{Round: 1, Candidate: "a"}, ballot.Number{Round: 2, Candidate: "b"}
-		if ok, _, _ := v.Vote(a); !ok {
-			t.Fatal("the first is turned away")
+		voter := ballot.NewVoter(ballot.Number{}, time.Second, func(ballot.Number) error { return nil })
+		first, second := ballot.Number{Round: 1, Candidate: "a"}, ballot.Number{Round: 2, Candidate: "b"}
+		if ok, _, _ := voter.Vote(first); !ok {
+			t.Fatal("the first candidate is refused")
 		}
-		if ok, _, _ := v.Vote(b); ok {
-			t.Fatal("one is promised while the holder is heard")
+		if ok, _, _ := voter.Vote(second); ok {
+			t.Fatal("another candidate is promised while the holder's lease runs")
 		}
-		v.Vacate(a)
-		if ok, _, _ := v.Heartbeat(a); !ok {
-			t.Error("its ballot still is the highest")
+		voter.Vacate(first)
+		if ok, _, _ := voter.Heartbeat(first); !ok {
+			t.Error("a heartbeat with the highest ballot is refused")
 		}
-		v.RaisePromise(a)
-		if _, quiet := v.Promised(); quiet < time.Second {
-			t.Errorf("heard %v ago", quiet)
+		voter.RaisePromise(first)
+		if _, silence := voter.Promised(); silence < time.Second {
+			t.Errorf("last contact %v ago, want at least the lease", silence)
 		}
-		if ok, _, _ := v.Vote(b); !ok {
-			t.Error("the duty is not vacant")
+		if ok, _, _ := voter.Vote(second); !ok {
+			t.Error("the role is not vacant")
 		}
-		if ok, _, _ := v.Heartbeat(b); !ok {
-			t.Error("the new holder is turned away")
+		if ok, _, _ := voter.Heartbeat(second); !ok {
+			t.Error("the new holder's heartbeat is refused")
 		}
-		if _, quiet := v.Promised(); quiet > time.Second {
-			t.Error("the new holder is not heard")
+		if _, silence := voter.Promised(); silence > time.Second {
+			t.Error("the new holder's heartbeat is not recorded")
 		}
 	})
 }
 
-// TestHangingPromise: while a promise waits for the disk, the holder is heard
-// and the promise told; one that was overtaken meanwhile is not given.
-func TestHangingPromise(t *testing.T) {
+// TestVoterDuringSlowSave checks that a voter still accepts heartbeats and reports its
+// promise while a new promise waits for the disk, and that a promise which a higher one
+// superseded meanwhile is not given.
+func TestVoterDuringSlowSave(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		disk := make(chan error)
-		v := ballot.NewVoter(ballot.Number{Round: 1, Candidate: "a"}, time.Second, func(ballot.Number) error { return <-disk })
-		g := task.New(t.Context())
-		defer g.Stop()
-		wait := time.NewTimer(2 * time.Second)
-		<-wait.C
-		got := make(chan bool, 1)
-		g.Go("ask", func(context.Context) {
-			ok, _, _ := v.Vote(ballot.Number{Round: 2, Candidate: "b"})
-			got <- ok
+		saveResults := make(chan error)
+		voter := ballot.NewVoter(ballot.Number{Round: 1, Candidate: "a"}, time.Second, func(ballot.Number) error { return <-saveResults })
+		group := task.New(t.Context())
+		defer group.Stop()
+		timer := time.NewTimer(2 * time.Second)
+		<-timer.C
+		granted := make(chan bool, 1)
+		group.Go("ask", func(context.Context) {
+			ok, _, _ := voter.Vote(ballot.Number{Round: 2, Candidate: "b"})
+			granted <- ok
 		})
 		synctest.Wait()
-		if ok, _, _ := v.Heartbeat(ballot.Number{Round: 1, Candidate: "a"}); !ok {
-			t.Error("the holder is turned away before another is promised")
+		if ok, _, _ := voter.Heartbeat(ballot.Number{Round: 1, Candidate: "a"}); !ok {
+			t.Error("the holder's heartbeat is refused before another number is promised")
 		}
-		if promised, _ := v.Promised(); promised.Round != 1 {
-			t.Errorf("promised %v before it is kept", promised)
+		if promised, _ := voter.Promised(); promised.Round != 1 {
+			t.Errorf("promised %v before it is durable", promised)
 		}
-		disk <- fault.New(fault.Stale, "a version of a higher ballot was accepted")
-		if <-got {
-			t.Error("an overtaken promise was given")
+		saveResults <- fault.New(fault.Stale, "an entry of a higher ballot was accepted")
+		if <-granted {
+			t.Error("a superseded promise was given")
 		}
 	})
 }
--- a/internal/paxos/paxos_test.go
+++ b/internal/paxos/paxos_test.go
@@ -13,179 +13,183 @@
 	"puffincrank/internal/sim"
 )
 
-func open(t *testing.T, d *sim.Disk) *paxos.Acceptor {
+func openAcceptor(t *testing.T, simDisk *sim.Disk) *paxos.Acceptor {
 	t.Helper()
-	a, err := paxos.Open(d)
+	acceptor, err := paxos.Open(simDisk)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return a
+	return acceptor
 }
 
-// row fills an acceptor with a snapshot at 0 and n chained entries.
-func row(t *testing.T, d *sim.Disk, n int) *paxos.Acceptor {
+// acceptorWithEntries returns an acceptor with a snapshot at index 0 and count chained
+// entries after it.
+func acceptorWithEntries(t *testing.T, simDisk *sim.Disk, count int) *paxos.Acceptor {
 	t.Helper()
-	a := open(t, d)
-	_ = a.SetIdentity(paxos.Identity{ID: "r1", ClusterID: "m"})
-	if err := a.InstallSnapshot(paxos.Snapshot{Digest: []byte("zero"), State: []byte("s")}); err != nil {
+	acceptor := openAcceptor(t, simDisk)
+	_ = acceptor.SetIdentity(paxos.Identity{ID: "r1", ClusterID: "m"})
+	if err := acceptor.InstallSnapshot(paxos.Snapshot{Digest: []byte("zero"), State: []byte("s")}); err != nil {
 		t.Fatal(err)
 	}
-	prev := []byte("zero")
-	for i := range n {
-		e := paxos.Entry{Index: uint64(i + 1), Previous: prev, Batch: []byte(fmt.Sprint(i)), Ballot: ballot.Number{Round: 1, Candidate: "w"}}
-		if err := a.Accept(e); err != nil {
+	previous := []byte("zero")
+	for i := range count {
+		entry := paxos.Entry{Index: uint64(i + 1), Previous: previous, Batch: []byte(fmt.Sprint(i)), Ballot: ballot.Number{Round: 1, Candidate: "w"}}
+		if err := acceptor.Accept(entry); err != nil {
 			t.Fatal(err)
 		}
-		prev = e.Digest()
+		previous = entry.Digest()
 	}
-	return a
+	return acceptor
 }
 
-// TestPower: what was acknowledged is there after power is lost, whatever was
-// half written.
-func TestPower(t *testing.T) {
-	d := sim.NewDisk()
-	row(t, d, 5)
-	f, _ := d.Create("v-0000000000000006.aside")
-	_, _ = f.Write([]byte("half"))
-	d.Power()
-	a := open(t, d)
-	if a.Top() != 5 || a.Identity().ID != "r1" || a.Promised().Round != 1 {
-		t.Fatalf("after power loss: top %d, %v, %v", a.Top(), a.Identity(), a.Promised())
-	}
-	// All but the newest are proved chosen by the chain alone.
-	if got := a.ProvenChosen(0, []byte("zero")); len(got) != 4 {
-		t.Fatalf("%d versions are sure, want 4", len(got))
+// TestPowerLoss checks that acknowledged entries survive a power loss during an
+// unfinished write.
+func TestPowerLoss(t *testing.T) {
+	simDisk := sim.NewDisk()
+	acceptorWithEntries(t, simDisk, 5)
+	file, _ := simDisk.Create("v-0000000000000006.aside")
+	_, _ = file.Write([]byte("half"))
+	simDisk.Power()
+	acceptor := openAcceptor(t, simDisk)
+	if acceptor.Top() != 5 || acceptor.Identity().ID != "r1" || acceptor.Promised().Round != 1 {
+		t.Fatalf("after power loss: top %d, %v, %v", acceptor.Top(), acceptor.Identity(), acceptor.Promised())
+	}
+	// The chain alone proves all entries but the newest to be chosen.
+	if got := acceptor.ProvenChosen(0, []byte("zero")); len(got) != 4 {
+		t.Fatalf("%d entries are proven chosen, want 4", len(got))
 	}
 }
 
-// TestNoSyncNoWord: a save that skips the folder's sync would be caught.
-func TestNoSyncNoWord(t *testing.T) {
-	d := sim.NewDisk()
-	f, _ := d.Create("a")
-	_, _ = f.Write([]byte("x"))
-	_ = f.Sync()
-	_ = d.Rename("a", "b")
-	d.Power()
-	if _, err := d.Read("b"); err == nil {
-		t.Fatal("the disk stand-in keeps a rename that was not synced: it would catch nothing")
-	}
-	if err := disk.Save(d, "b", []byte("x")); err != nil {
+// TestRenameLostWithoutSync checks that the simulated disk loses a rename whose folder
+// was not synced, so that the other tests detect a save that skips that sync.
+func TestRenameLostWithoutSync(t *testing.T) {
+	simDisk := sim.NewDisk()
+	file, _ := simDisk.Create("a")
+	_, _ = file.Write([]byte("x"))
+	_ = file.Sync()
+	_ = simDisk.Rename("a", "b")
+	simDisk.Power()
+	if _, err := simDisk.Read("b"); err == nil {
+		t.Fatal("the simulated disk keeps a rename whose folder was not synced: a missing sync would not be detected")
+	}
+	if err := disk.Save(simDisk, "b", []byte("x")); err != nil {
 		t.Fatal(err)
 	}
-	d.Power()
-	if got, err := disk.Load(d, "b"); err != nil || string(got) != "x" {
+	simDisk.Power()
+	if got, err := disk.Load(simDisk, "b"); err != nil || string(got) != "x" {
 		t.Fatalf("saved file after power loss: %q %v", got, err)
 	}
 }
 
-// TestDamage: a damaged or torn entry is found at start, put aside, and the
-// replica knows that it must not vote until it is mended; a damaged promise
-// or identity makes the replica empty under a new name.
-func TestDamage(t *testing.T) {
+// TestDamagedFiles checks that a damaged or torn entry is detected and quarantined when
+// the folder is opened, and is reported by DamagedUpTo, so that the replica does not
+// vote until it is repaired. A damaged promise, identity or only snapshot leaves the
+// replica empty and without an identity.
+func TestDamagedFiles(t *testing.T) {
 	for _, torn := range []bool{false, true} {
-		d := sim.NewDisk()
-		row(t, d, 5)
-		if !d.Harm("v-0000000000000003", torn) {
+		simDisk := sim.NewDisk()
+		acceptorWithEntries(t, simDisk, 5)
+		if !simDisk.Harm("v-0000000000000003", torn) {
 			t.Fatal("no such file")
 		}
-		a := open(t, d)
-		if a.DamagedUpTo() != 3 || len(a.DamagedFiles) != 1 {
-			t.Errorf("torn %v: harmed %d, notes %v", torn, a.DamagedUpTo(), a.DamagedFiles)
+		acceptor := openAcceptor(t, simDisk)
+		if acceptor.DamagedUpTo() != 3 || len(acceptor.DamagedFiles) != 1 {
+			t.Errorf("torn %v: damaged up to %d, damaged files %v", torn, acceptor.DamagedUpTo(), acceptor.DamagedFiles)
 		}
-		if a.Promised().Round != 1 {
-			t.Error("the promise was lost with the version")
+		if acceptor.Promised().Round != 1 {
+			t.Error("the promise was lost with the entry")
 		}
 		for _, name := range []string{"p-0000000000000001", "i-identity", "c-0000000000000000"} {
-			d := sim.NewDisk()
-			row(t, d, 5)
-			if !d.Harm(name, torn) {
+			simDisk := sim.NewDisk()
+			acceptorWithEntries(t, simDisk, 5)
+			if !simDisk.Harm(name, torn) {
 				t.Fatalf("no file %s", name)
 			}
-			if a := open(t, d); a.Identity().ID != "" || a.LatestSnapshot() != nil || a.Top() != 0 {
-				t.Errorf("%s damaged, torn %v: the old votes are still lent", name, torn)
+			if acceptor := openAcceptor(t, simDisk); acceptor.Identity().ID != "" || acceptor.LatestSnapshot() != nil || acceptor.Top() != 0 {
+				t.Errorf("%s damaged, torn %v: the replica is not empty", name, torn)
 			}
 		}
 	}
 }
 
-// TestNewerFormat: files of a later entry are refused, and nothing changes.
+// TestNewerFormat checks that Open refuses a file of a newer format and leaves it in
+// place.
 func TestNewerFormat(t *testing.T) {
-	d := sim.NewDisk()
+	simDisk := sim.NewDisk()
 	raw := []byte{0x82, 0xa1, 'f', 9, 0xa1, 'i', 0xa1, 'x'}
-	if err := disk.Save(d, "i-identity", raw); err != nil {
+	if err := disk.Save(simDisk, "i-identity", raw); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := paxos.Open(d); !fault.Is(err, fault.Input) {
-		t.Fatalf("a newer format: %v", err)
+	if _, err := paxos.Open(simDisk); !fault.Is(err, fault.Input) {
+		t.Fatalf("file of a newer format: %v", err)
 	}
-	if _, err := d.Read("i-identity"); err != nil {
-		t.Fatal("the file is gone")
+	if _, err := simDisk.Read("i-identity"); err != nil {
+		t.Fatal("the file was removed")
 	}
 }
 
-// TestFull: a full disk acknowledges nothing, and a snapshot still fits in
-// the room that was kept free for it.
-func TestFull(t *testing.T) {
-	d := sim.NewDisk()
-	a := row(t, d, 3)
-	if err := a.Reserve(10_000); err != nil {
+// TestFullDisk checks that no entry is accepted on a full disk, and that a snapshot
+// still fits into the reserved space.
+func TestFullDisk(t *testing.T) {
+	simDisk := sim.NewDisk()
+	acceptor := acceptorWithEntries(t, simDisk, 3)
+	if err := acceptor.Reserve(10_000); err != nil {
 		t.Fatal(err)
 	}
-	d.Room(20)
-	e := paxos.Entry{Index: 4, Previous: []byte("p"), Batch: make([]byte, 100), Ballot: ballot.Number{Round: 1, Candidate: "w"}}
-	if err := a.Accept(e); err == nil {
+	simDisk.Room(20)
+	entry := paxos.Entry{Index: 4, Previous: []byte("p"), Batch: make([]byte, 100), Ballot: ballot.Number{Round: 1, Candidate: "w"}}
+	if err := acceptor.Accept(entry); err == nil {
 		t.Fatal("accepted on a full disk")
 	}
-	if a.Top() != 3 {
-		t.Fatalf("top %d after a refused write", a.Top())
+	if acceptor.Top() != 3 {
+		t.Fatalf("top %d after a refused write", acceptor.Top())
 	}
-	if err := a.SaveSnapshot(a.Identity().ID, paxos.Snapshot{Index: 3, Digest: []byte("x"), State: make([]byte, 5000)}, 0); err != nil {
-		t.Fatalf("no checkpoint on a full disk: %v", err)
+	if err := acceptor.SaveSnapshot(acceptor.Identity().ID, paxos.Snapshot{Index: 3, Digest: []byte("x"), State: make([]byte, 5000)}, 0); err != nil {
+		t.Fatalf("no snapshot on a full disk: %v", err)
 	}
-	if err := a.Accept(e); err != nil {
-		t.Fatalf("after the checkpoint freed room: %v", err)
+	if err := acceptor.Accept(entry); err != nil {
+		t.Fatalf("after the snapshot freed space: %v", err)
 	}
 }
 
-// TestPromises plays asks and accepts: no promise is ever broken, across
-// restarts with power loss.
-func TestPromises(t *testing.T) {
+// TestPromisesNeverBroken checks that no sequence of promises, accepts and power losses
+// breaks a promise.
+func TestPromisesNeverBroken(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		d := sim.NewDisk()
-		a, err := paxos.Open(d)
+		simDisk := sim.NewDisk()
+		acceptor, err := paxos.Open(simDisk)
 		if err != nil {
 			t.Fatal(err)
 		}
-		_ = a.SetIdentity(paxos.Identity{ID: "r"})
-		_ = a.InstallSnapshot(paxos.Snapshot{Digest: []byte("z")})
+		_ = acceptor.SetIdentity(paxos.Identity{ID: "r"})
+		_ = acceptor.InstallSnapshot(paxos.Snapshot{Digest: []byte("z")})
 		var promised ballot.Number
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
-			n := ballot.Number{Round: rapid.Uint64Range(1, 8).Draw(t, "round"), Candidate: rapid.SampledFrom([]string{"a", "b"}).Draw(t, "who")}
+			number := ballot.Number{Round: rapid.Uint64Range(1, 8).Draw(t, "round"), Candidate: rapid.SampledFrom([]string{"a", "b"}).Draw(t, "who")}
 			switch rapid.IntRange(0, 2).Draw(t, "op") {
 			case 0:
-				err := a.Promise(n)
-				if (err == nil) != !n.Less(promised) {
-					t.Fatalf("promise %v under promise %v: %v", n, promised, err)
+				err := acceptor.Promise(number)
+				if (err == nil) != !number.Less(promised) {
+					t.Fatalf("promise of %v after promise %v: %v", number, promised, err)
 				}
 				if err == nil {
-					promised = n
+					promised = number
 				}
 			case 1:
-				err := a.Accept(paxos.Entry{Index: 1, Batch: []byte(n.String()), Ballot: n})
-				if (err == nil) != !n.Less(promised) {
-					t.Fatalf("accept %v under promise %v: %v", n, promised, err)
+				err := acceptor.Accept(paxos.Entry{Index: 1, Batch: []byte(number.String()), Ballot: number})
+				if (err == nil) != !number.Less(promised) {
+					t.Fatalf("accept of %v after promise %v: %v", number, promised, err)
 				}
 				if err == nil {
-					promised = n
+					promised = number
 				}
 			case 2:
-				d.Power()
-				if a, err = paxos.Open(d); err != nil {
+				simDisk.Power()
+				if acceptor, err = paxos.Open(simDisk); err != nil {
 					t.Fatal(err)
 				}
-				if a.Promised() != promised {
-					t.Fatalf("after power loss the promise is %v, not %v", a.Promised(), promised)
+				if acceptor.Promised() != promised {
+					t.Fatalf("after power loss the promise is %v, want %v", acceptor.Promised(), promised)
 				}
 			}
 		}
--- a/internal/statemachine/groupkeys_test.go
+++ b/internal/statemachine/groupkeys_test.go
@@ -7,39 +7,38 @@
 	"pgregory.net/rapid"
 )
 
-// TestGroupOf: all up to and including the first dot, or the whole name.
 func TestGroupOf(t *testing.T) {
-	for name, want := range map[string]string{"g1.2d": "g1.", "g.a.b": "g.", "plain": "plain", ".x": ".", "a.": "a."} {
-		if got := GroupOf(name); got != want {
-			t.Errorf("group of %q is %q, want %q", name, got, want)
+	for name, group := range map[string]string{"g1.2d": "g1.", "g.a.b": "g.", "plain": "plain", ".x": ".", "a.": "a."} {
+		if got := GroupOf(name); got != group {
+			t.Errorf("group of %q is %q, want %q", name, got, group)
 		}
 	}
 }
 
-// TestCells plays puts, resent puts, conditions, trims and refills against a
-// plain model: revisions of a group rise by one, a value keeps its first
-// revision, a condition holds or nothing is done, and a history that is kept
-// has no gap.
-func TestCells(t *testing.T) {
+// TestGroupKeysAgainstModel compares puts, retried puts, conditional puts, compactions
+// and snapshot reloads with a simple model: the revision of a group rises by one with
+// each put, a retried value gets its first revision, a put whose condition does not
+// hold changes nothing, and the retained history has no gap.
+func TestGroupKeysAgainstModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := New("m", nil)
 		type put struct {
 			name, value string
-			rev         uint64
+			revision    uint64
 		}
-		var all []put                // all that were taken, in order
-		revs := map[string]uint64{}  // group to its revision
-		now := map[string]put{}      // key to what it holds
-		given := map[string]uint64{} // key and value to the first revision
-		var sent []PutGroupKey       // what may be sent again
-		trimmed := 0
+		var applied []put                     // all puts that took effect, in order
+		revisions := map[string]uint64{}      // group to its revision
+		current := map[string]put{}           // key to its current value
+		firstRevisions := map[string]uint64{} // putID to its first revision
+		var sent []PutGroupKey                // may be retried
+		compacted := 0
 		for i := range rapid.IntRange(1, 60).Draw(t, "steps") {
-			var c PutGroupKey
+			var command PutGroupKey
 			switch op := rapid.IntRange(0, 9).Draw(t, "op"); {
 			case op == 0:
-				n := rapid.IntRange(0, len(all)).Draw(t, "to")
-				(&CompactPuts{To: uint64(n)}).Apply(s)
-				trimmed = max(trimmed, n)
+				count := rapid.IntRange(0, len(applied)).Draw(t, "to")
+				(&CompactPuts{To: uint64(count)}).Apply(s)
+				compacted = max(compacted, count)
 				continue
 			case op == 1:
 				raw, err := s.Pack()
@@ -51,61 +50,61 @@
 				}
 				continue
 			case op < 5 && len(sent) > 0:
-				c = sent[rapid.IntRange(0, len(sent)-1).Draw(t, "again")]
+				command = sent[rapid.IntRange(0, len(sent)-1).Draw(t, "again")]
 			default:
-				c = PutGroupKey{Name: rapid.SampledFrom([]string{"a.1", "a.2", "b.1", "c"}).Draw(t, "name"), Value: fmt.Append(nil, "v", i)}
-				if c.If = rapid.Bool().Draw(t, "if"); c.If {
-					c.Revision = rapid.Uint64Range(0, 6).Draw(t, "rev")
+				command = PutGroupKey{Name: rapid.SampledFrom([]string{"a.1", "a.2", "b.1", "c"}).Draw(t, "name"), Value: fmt.Append(nil, "v", i)}
+				if command.If = rapid.Bool().Draw(t, "if"); command.If {
+					command.Revision = rapid.Uint64Range(0, 6).Draw(t, "rev")
 				}
-				sent = append(sent, c)
+				sent = append(sent, command)
 			}
-			id, g := putID(c.Name, c.Value), GroupOf(c.Name)
-			old, had := now[c.Name]
-			got := c.Apply(s)
-			// A value that was trimmed and holds no longer may count as new.
-			lost := false
-			for _, p := range all[:trimmed] {
-				lost = lost || p.name == c.Name && p.rev == given[id] && old.rev != p.rev
+			id, group := putID(command.Name, command.Value), GroupOf(command.Name)
+			previous, existed := current[command.Name]
+			got := command.Apply(s)
+			// A put that was compacted and is not the current value counts as new.
+			forgotten := false
+			for _, p := range applied[:compacted] {
+				forgotten = forgotten || p.name == command.Name && p.revision == firstRevisions[id] && previous.revision != p.revision
 			}
-			switch first := given[id]; {
-			case first > 0 && !lost:
+			switch first := firstRevisions[id]; {
+			case first > 0 && !forgotten:
 				if got.Code != OK || got.Revision != first {
-					t.Fatalf("sent again: %v, first at %d", got, first)
+					t.Fatalf("retried put: got %v, want first revision %d", got, first)
 				}
-			case c.If && old.rev != c.Revision:
-				if got.Code != Conflict || got.Revision != old.rev || (got.Revision == 0) == had {
-					t.Fatalf("condition on %d, but it is at %d: %v", c.Revision, old.rev, got)
+			case command.If && previous.revision != command.Revision:
+				if got.Code != Conflict || got.Revision != previous.revision || (got.Revision == 0) == existed {
+					t.Fatalf("put on condition of revision %d, current revision is %d: %v", command.Revision, previous.revision, got)
 				}
 			default:
-				if got.Code != OK || got.Revision != revs[g]+1 {
-					t.Fatalf("%v after %d", got, revs[g])
+				if got.Code != OK || got.Revision != revisions[group]+1 {
+					t.Fatalf("got %v, revision before the put is %d", got, revisions[group])
 				}
-				revs[g] = got.Revision
-				p := put{c.Name, string(c.Value), got.Revision}
-				now[c.Name], given[id] = p, got.Revision
-				all = append(all, p)
+				revisions[group] = got.Revision
+				p := put{command.Name, string(command.Value), got.Revision}
+				current[command.Name], firstRevisions[id] = p, got.Revision
+				applied = append(applied, p)
 			}
-			if k := s.Read("cell", c.Name, 0); now[c.Name].rev > 0 && (k.Revision != now[c.Name].rev || string(k.Key.Value) != now[c.Name].value) {
-				t.Fatalf("%s reads %v, want %v", c.Name, k, now[c.Name])
+			if read := s.Read("cell", command.Name, 0); current[command.Name].revision > 0 && (read.Revision != current[command.Name].revision || string(read.Key.Value) != current[command.Name].value) {
+				t.Fatalf("%s reads %v, want %v", command.Name, read, current[command.Name])
 			}
 		}
-		for g, rev := range revs {
-			for after := uint64(0); after <= rev; after++ {
+		for group, revision := range revisions {
+			for after := uint64(0); after <= revision; after++ {
 				var want []put
-				whole := true
-				for i, p := range all {
-					if GroupOf(p.name) == g && p.rev > after {
+				retained := true
+				for i, p := range applied {
+					if GroupOf(p.name) == group && p.revision > after {
 						want = append(want, p)
-						whole = whole && i >= trimmed
+						retained = retained && i >= compacted
 					}
 				}
-				got, m, ok := s.After(g, after)
-				if ok != whole || m != rev || ok && len(got) != len(want) {
-					t.Fatalf("%s after %d: %v %d %v, want %v", g, after, got, m, ok, want)
+				got, groupRevision, ok := s.After(group, after)
+				if ok != retained || groupRevision != revision || ok && len(got) != len(want) {
+					t.Fatalf("%s after %d: %v %d %v, want %v", group, after, got, groupRevision, ok, want)
 				}
 				for i := range got {
-					if got[i].Revision != want[i].rev || got[i].Name != want[i].name || string(got[i].Value) != want[i].value {
-						t.Fatalf("%s after %d: %v, want %v", g, after, got, want)
+					if got[i].Revision != want[i].revision || got[i].Name != want[i].name || string(got[i].Value) != want[i].value {
+						t.Fatalf("%s after %d: %v, want %v", group, after, got, want)
 					}
 				}
 			}
@@ -113,65 +112,67 @@
 	})
 }
 
-// TestFull: a put that there is no room for does nothing, and trimming makes room.
-func TestFull(t *testing.T) {
+// TestPutHistoryFull checks that a put beyond maxPutBytes changes nothing, and that
+// compaction makes room for further puts.
+func TestPutHistoryFull(t *testing.T) {
 	s := New("m", nil)
-	n := 0
-	for ; n < 1000; n++ {
-		if r := (&PutGroupKey{Name: "g.k", Value: fmt.Appendf(make([]byte, 64<<10), "%d", n)}).Apply(s); r.Code == Full {
+	puts := 0
+	for ; puts < 1000; puts++ {
+		if result := (&PutGroupKey{Name: "g.k", Value: fmt.Appendf(make([]byte, 64<<10), "%d", puts)}).Apply(s); result.Code == Full {
 			break
 		}
 	}
-	if n < 32 || n >= 1000 || s.Groups["g."].Revision != uint64(n) {
-		t.Fatalf("full after %d puts, at %v", n, s.Groups["g."])
+	if puts < 32 || puts >= 1000 || s.Groups["g."].Revision != uint64(puts) {
+		t.Fatalf("history full after %d puts, group is %v", puts, s.Groups["g."])
 	}
 	(&CompactPuts{To: 5}).Apply(s)
-	if r := (&PutGroupKey{Name: "g.k", Value: []byte("x")}).Apply(s); r.Code != OK || r.Revision != uint64(n+1) {
-		t.Error(r)
+	if result := (&PutGroupKey{Name: "g.k", Value: []byte("x")}).Apply(s); result.Code != OK || result.Revision != uint64(puts+1) {
+		t.Error(result)
 	}
 }
 
-// TestNumberConfig: the highest number holds, in any order of arrival; what
-// is kept of older documents is bounded by bytes.
-func TestNumberConfig(t *testing.T) {
+// TestHighestNumberWins checks that the configuration with the highest number is
+// current, whatever the order of arrival, and that the retained older documents are
+// bounded in number and size.
+func TestHighestNumberWins(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := New("m", nil)
-		top, doc := uint64(0), ""
+		highest, newest := uint64(0), ""
 		for i := range rapid.IntRange(1, 15).Draw(t, "steps") {
-			n := rapid.Uint64Range(1, 200).Draw(t, "number")
-			d := fmt.Sprint("d", i, string(make([]byte, rapid.SampledFrom([]int{0, 1000, maxConfigBytes / 3, 2 * maxConfigBytes}).Draw(t, "size"))))
-			got := (&SetNumberedConfig{Number: n, Doc: []byte(d)}).Apply(s)
-			if n > top {
-				top, doc = n, d
+			number := rapid.Uint64Range(1, 200).Draw(t, "number")
+			document := fmt.Sprint("d", i, string(make([]byte, rapid.SampledFrom([]int{0, 1000, maxConfigBytes / 3, 2 * maxConfigBytes}).Draw(t, "size"))))
+			got := (&SetNumberedConfig{Number: number, Doc: []byte(document)}).Apply(s)
+			if number > highest {
+				highest, newest = number, document
 			}
-			if got.Code != OK || got.Version != top || s.Config().Version != top {
-				t.Fatalf("%d sent, %d stands: %v", n, top, got)
+			if got.Code != OK || got.Version != highest || s.Config().Version != highest {
+				t.Fatalf("submitted number %d, highest is %d: %v", number, highest, got)
 			}
-			if c, ok := s.NewestSubmitted(); !ok || string(c.Doc) != doc {
-				t.Fatal("what was sent is not what is kept")
+			if config, ok := s.NewestSubmitted(); !ok || string(config.Doc) != newest {
+				t.Fatal("the newest submitted document is not retained")
 			}
 			size := 0
-			for _, c := range s.Configs[:len(s.Configs)-1] {
-				size += len(c.Doc)
+			for _, config := range s.Configs[:len(s.Configs)-1] {
+				size += len(config.Doc)
 			}
 			if size > maxConfigBytes || len(s.Configs) > maxConfigs {
-				t.Fatalf("%d bytes in %d older documents", size, len(s.Configs)-1)
+				t.Fatalf("%d bytes retained in %d older documents", size, len(s.Configs)-1)
 			}
 		}
 	})
 }
 
-// TestNumberEndsTrials: a document by number ends what runs.
-func TestNumberEndsTrials(t *testing.T) {
+// TestNumberedConfigDropsTrials checks that a numbered document drops a running trial.
+func TestNumberedConfigDropsTrials(t *testing.T) {
 	s := New("m", nil)
 	(&SetNumberedConfig{Number: 10, Doc: []byte("a")}).Apply(s)
-	if r := (&Propose{ID: 1, Base: 10, Doc: []byte("b"), Routes: []string{"p"}}).Apply(s); r.Version != 11 {
-		t.Fatal(r)
+	if result := (&Propose{ID: 1, Base: 10, Doc: []byte("b"), Routes: []string{"p"}}).Apply(s); result.Version != 11 {
+		t.Fatal(result)
 	}
-	if c, _ := s.NewestSubmitted(); string(c.Doc) != "a" {
-		t.Errorf("sent is %q while a trial runs", c.Doc)
+	if config, _ := s.NewestSubmitted(); string(config.Doc) != "a" {
+		t.Errorf("newest submitted document is %q while a trial runs", config.Doc)
 	}
-	if r := (&SetNumberedConfig{Number: 20, Doc: []byte("c")}).Apply(s); r.Version != 20 || s.Trials[0].State != Dropped || s.Trials[0].End != 20 {
-		t.Errorf("%v, %v", r, s.Trials)
+	if result := (&SetNumberedConfig{Number: 20, Doc: []byte("c")}).Apply(s); result.Version != 20 || s.Trials[0].State != Dropped || s.Trials[0].End != 20 {
+		t.Errorf("%v, %v", result, s.Trials)
 	}
 }
--- a/internal/statemachine/keys_test.go
+++ b/internal/statemachine/keys_test.go
@@ -2,19 +2,19 @@
 
 import "testing"
 
-// TestExpireAfterRenewal: an end of time that the leader proposed before a
-// renewal was applied ends nothing.
+// TestExpireAfterRenewal checks that an ExpireLock proposed before a renewal, but
+// applied after it, does not release the lock.
 func TestExpireAfterRenewal(t *testing.T) {
 	s := New("m", nil)
 	got := (&AcquireLock{Name: "l", Owner: "a", TTL: 1000}).Apply(s)
-	late := &ExpireLock{Name: "l", Fence: got.Lock.Fence, Renew: got.Lock.Renewals}
-	if r := (&AcquireLock{Name: "l", Owner: "a", TTL: 1000, Renew: true, Fence: got.Lock.Fence}).Apply(s); r.Code != OK {
-		t.Fatal(r)
+	expire := &ExpireLock{Name: "l", Fence: got.Lock.Fence, Renew: got.Lock.Renewals}
+	if result := (&AcquireLock{Name: "l", Owner: "a", TTL: 1000, Renew: true, Fence: got.Lock.Fence}).Apply(s); result.Code != OK {
+		t.Fatal(result)
 	}
-	if r := late.Apply(s); r.Code != Conflict || s.Locks["l"].Owner != "a" {
-		t.Errorf("%v, held by %q", r, s.Locks["l"].Owner)
+	if result := expire.Apply(s); result.Code != Conflict || s.Locks["l"].Owner != "a" {
+		t.Errorf("expiry after a renewal: %v, lock held by %q", result, s.Locks["l"].Owner)
 	}
-	if r := (&AcquireLock{Name: "l", Owner: "b", TTL: 1000}).Apply(s); r.Code != Conflict {
-		t.Errorf("taken by another: %v", r)
+	if result := (&AcquireLock{Name: "l", Owner: "b", TTL: 1000}).Apply(s); result.Code != Conflict {
+		t.Errorf("acquired by another owner: %v", result)
 	}
 }
--- a/internal/statemachine/request_test.go
+++ b/internal/statemachine/request_test.go
@@ -8,34 +8,35 @@
 	"puffincrank/internal/statemachine"
 )
 
-// take runs one command as the batch of a log entry.
-func take(t *testing.T, s *statemachine.State, kind string, c statemachine.Command) statemachine.Result {
+// apply applies one command as the batch of a log entry.
+func apply(t *testing.T, s *statemachine.State, kind string, command statemachine.Command) statemachine.Result {
 	t.Helper()
-	p, err := statemachine.Pack(kind, c)
+	packed, err := statemachine.Pack(kind, command)
 	if err != nil {
 		t.Fatal(err)
 	}
-	raw, err := statemachine.Batch{p}.Pack()
+	raw, err := statemachine.Batch{packed}.Pack()
 	if err != nil {
 		t.Fatal(err)
 	}
-	_, out, err := s.Apply(raw)
+	_, results, err := s.Apply(raw)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return out[0]
+	return results[0]
 }
 
-// numbered is the request of a configuration under the operator's own number.
-func numbered(t *testing.T, number uint64, doc string) *statemachine.Request {
+// numberedRequest returns the request for a configuration with an operator's number.
+func numberedRequest(t *testing.T, number uint64, doc string) *statemachine.Request {
 	t.Helper()
-	p, err := statemachine.Pack("config.number", &statemachine.SetNumberedConfig{Number: number, Doc: []byte(doc)})
+	packed, err := statemachine.Pack("config.number", &statemachine.SetNumberedConfig{Number: number, Doc: []byte(doc)})
 	if err != nil {
 		t.Fatal(err)
 	}
-	return &statemachine.Request{ID: statemachine.NumberRequestID(number), Digest: statemachine.DocumentDigest([]byte(doc)), Number: number, Cmd: p}
+	return &statemachine.Request{ID: statemachine.NumberRequestID(number), Digest: statemachine.DocumentDigest([]byte(doc)), Number: number, Cmd: packed}
 }
 
+// reload encodes the state and loads it again, as a snapshot would.
 func reload(t *testing.T, s *statemachine.State) *statemachine.State {
 	t.Helper()
 	raw, err := s.Pack()
@@ -49,92 +50,92 @@
 	return s
 }
 
-// TestOneNumberOneContent: the content that was taken under a number is
-// acknowledged as often as it comes, another never, also when the number has
-// been overtaken and after a snapshot.
+// TestOneNumberOneContent checks that the content accepted under a number is
+// acknowledged on every retry and that different content never is. This also holds
+// after a higher number took effect and after the state was reloaded from a snapshot.
 func TestOneNumberOneContent(t *testing.T) {
 	s := statemachine.New("m", nil)
 	steps := []struct {
-		number uint64
-		doc    string
-		code   string
-		stands uint64
+		number  uint64
+		doc     string
+		code    string
+		current uint64
 	}{
 		{5, `{"a":1}`, statemachine.OK, 5},
-		{5, `{ "a": 1 }`, statemachine.OK, 5},  // the same, sent again
-		{5, `{"a":2}`, statemachine.Reused, 5}, // another operator's
-		{9, `{"a":3}`, statemachine.OK, 9},     // overtakes
-		{5, `{"a":1}`, statemachine.OK, 9},     // the answer was lost
-		{5, `{"a":2}`, statemachine.Reused, 9}, // still not his
-		{7, `{"a":4}`, statemachine.OK, 9},     // overtaken before it came: changes nothing
-		{7, `{"a":5}`, statemachine.Reused, 9}, // that number has its content now
+		{5, `{ "a": 1 }`, statemachine.OK, 5},  // a retry
+		{5, `{"a":2}`, statemachine.Reused, 5}, // another operator's document
+		{9, `{"a":3}`, statemachine.OK, 9},     // supersedes number 5
+		{5, `{"a":1}`, statemachine.OK, 9},     // a retry after the response was lost
+		{5, `{"a":2}`, statemachine.Reused, 9}, // still different content
+		{7, `{"a":4}`, statemachine.OK, 9},     // superseded before it arrived: changes nothing
+		{7, `{"a":5}`, statemachine.Reused, 9}, // number 7 is now bound to its content
 		{9, `{"a":3,"b":0}`, statemachine.Reused, 9},
 	}
 	for i, step := range steps {
-		got := take(t, s, statemachine.KindRequest, numbered(t, step.number, step.doc))
-		if got.Code != step.code || s.Config().Version != step.stands {
-			t.Errorf("step %d: %+v, version %d stands", i, got, s.Config().Version)
+		got := apply(t, s, statemachine.KindRequest, numberedRequest(t, step.number, step.doc))
+		if got.Code != step.code || s.Config().Version != step.current {
+			t.Errorf("step %d: %+v, current version is %d", i, got, s.Config().Version)
 		}
 		s = reload(t, s)
 	}
 	if !bytes.Equal(s.Config().Doc, []byte(`{"a":3}`)) {
-		t.Errorf("in force: %s", s.Config().Doc)
+		t.Errorf("current document is %s", s.Config().Doc)
 	}
 }
 
-// TestOtherUnderHeldNumber: what stands under a number counts although no
-// request of it is remembered.
-func TestOtherUnderHeldNumber(t *testing.T) {
+// TestCurrentNumberRejectsOtherContent checks that the current configuration binds its
+// number to its content even when no request for it is recorded.
+func TestCurrentNumberRejectsOtherContent(t *testing.T) {
 	s := statemachine.New("m", nil)
-	take(t, s, "config.number", &statemachine.SetNumberedConfig{Number: 4, Doc: []byte(`{"a":1}`)})
-	if got := take(t, s, statemachine.KindRequest, numbered(t, 4, `{"a":2}`)); got.Code != statemachine.Reused {
-		t.Errorf("another content: %+v", got)
+	apply(t, s, "config.number", &statemachine.SetNumberedConfig{Number: 4, Doc: []byte(`{"a":1}`)})
+	if got := apply(t, s, statemachine.KindRequest, numberedRequest(t, 4, `{"a":2}`)); got.Code != statemachine.Reused {
+		t.Errorf("different content: %+v", got)
 	}
-	if got := take(t, s, statemachine.KindRequest, numbered(t, 4, `{"a":1}`)); got.Code != statemachine.OK {
+	if got := apply(t, s, statemachine.KindRequest, numberedRequest(t, 4, `{"a":1}`)); got.Code != statemachine.OK {
 		t.Errorf("the same content: %+v", got)
 	}
 }
 
-// TestRequestsBounded: the memory of requests is bounded by count and by what
-// the leader trims, and what is turned away is not remembered.
+// TestRequestsBounded checks that recorded requests are bounded by MaxRequests and by
+// CompactRequests, and that a refused request is not recorded.
 func TestRequestsBounded(t *testing.T) {
 	s := statemachine.New("m", nil)
-	next := func(id, owner string) statemachine.Result {
-		p, _ := statemachine.Pack("lock.take", &statemachine.AcquireLock{Name: id, Owner: owner, TTL: 1000})
-		return take(t, s, statemachine.KindRequest, &statemachine.Request{ID: id, Digest: []byte(owner), Cmd: p})
+	acquire := func(id, owner string) statemachine.Result {
+		packed, _ := statemachine.Pack("lock.take", &statemachine.AcquireLock{Name: id, Owner: owner, TTL: 1000})
+		return apply(t, s, statemachine.KindRequest, &statemachine.Request{ID: id, Digest: []byte(owner), Cmd: packed})
 	}
-	take(t, s, "lock.take", &statemachine.AcquireLock{Name: "held", Owner: "x", TTL: 1000})
-	if got := next("held", "y"); got.Code != statemachine.Conflict {
-		t.Fatalf("held by another: %+v", got)
+	apply(t, s, "lock.take", &statemachine.AcquireLock{Name: "held", Owner: "x", TTL: 1000})
+	if got := acquire("held", "y"); got.Code != statemachine.Conflict {
+		t.Fatalf("lock held by another owner: %+v", got)
 	}
-	take(t, s, "lock.free", &statemachine.ReleaseLock{Name: "held", Owner: "x"})
-	if got := next("held", "y"); got.Code != statemachine.OK {
-		t.Errorf("what was turned away can't be tried again: %+v", got)
+	apply(t, s, "lock.free", &statemachine.ReleaseLock{Name: "held", Owner: "x"})
+	if got := acquire("held", "y"); got.Code != statemachine.OK {
+		t.Errorf("a refused request cannot be retried: %+v", got)
 	}
 	for i := range statemachine.MaxRequests + 10 {
-		next(fmt.Sprint("r", i), "o")
+		acquire(fmt.Sprint("r", i), "o")
 	}
 	if len(s.Requests) != statemachine.MaxRequests || s.TotalRequests() != statemachine.MaxRequests+11 {
-		t.Errorf("%d requests are kept, %d were counted", len(s.Requests), s.TotalRequests())
+		t.Errorf("%d requests are retained, %d were counted", len(s.Requests), s.TotalRequests())
 	}
 	s = reload(t, s)
 	if _, ok := s.FindRequest("held"); ok {
-		t.Error("the oldest is still known")
+		t.Error("the oldest request is still recorded")
 	}
 	newest := fmt.Sprint("r", statemachine.MaxRequests+9)
-	if a, ok := s.FindRequest(newest); !ok || a.ID != newest {
-		t.Errorf("the newest is %+v, %v", a, ok)
+	if answered, ok := s.FindRequest(newest); !ok || answered.ID != newest {
+		t.Errorf("the newest request is %+v, %v", answered, ok)
 	}
-	take(t, s, "request.trim", &statemachine.CompactRequests{To: s.TotalRequests() - 1})
-	if a, ok := s.FindRequest(newest); !ok || a.ID != newest || len(s.Requests) != 1 {
-		t.Errorf("after a trim: %+v, %v, %d kept", a, ok, len(s.Requests))
+	apply(t, s, "request.trim", &statemachine.CompactRequests{To: s.TotalRequests() - 1})
+	if answered, ok := s.FindRequest(newest); !ok || answered.ID != newest || len(s.Requests) != 1 {
+		t.Errorf("after compaction: %+v, %v, %d retained", answered, ok, len(s.Requests))
 	}
 }
 
-// TestNestedRequest: a request in a request can't be read, so it never reaches
-// the log.
+// TestNestedRequest checks that a request inside a request cannot be decoded, so that
+// it never reaches the log.
 func TestNestedRequest(t *testing.T) {
-	inner, err := statemachine.Pack(statemachine.KindRequest, numbered(t, 1, "{}"))
+	inner, err := statemachine.Pack(statemachine.KindRequest, numberedRequest(t, 1, "{}"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -143,6 +144,6 @@
 		t.Fatal(err)
 	}
 	if _, err := outer.Open(); err == nil {
-		t.Error("it was opened")
+		t.Error("a nested request was decoded")
 	}
 }
