--- a/internal/paxos/acceptor.go
+++ b/internal/paxos/acceptor.go
@@ -110,7 +110,7 @@
 	return acceptor, nil
 }
 
-// load reads one file. A damaged one is quarantined; essential is what that reports.
+// load reads one file. A damaged one is quarantined, see there for essential.
 func (a *Acceptor) load(name string) (essential bool, err error) {
 	if len(name) < 2 || name[1] != '-' {
 		return false, nil
--- a/internal/paxos/chosen.go
+++ b/internal/paxos/chosen.go
@@ -50,10 +50,11 @@
 	return nil
 }
 
-// Rename gives the replica a new identity. It drops the promises, and the entries
-// above the index chosen, that were accepted under the old identity. The new identity
-// is durable before anything is dropped: a power loss in between leaves an identity
-// that never voted with promises that bind it more than necessary, which is safe.
+// Rename gives the replica a new identity. It drops what was promised and accepted
+// under the old one, except the entries up to the index chosen, which are known to be
+// chosen. The new identity is durable before anything is dropped: a power loss in
+// between leaves an identity that never voted with promises that bind it more than
+// necessary, which is safe.
 func (a *Acceptor) Rename(id Identity, chosen uint64) error {
 	a.snapshotLock.Lock()
 	defer a.snapshotLock.Unlock()
--- a/internal/statemachine/command.go
+++ b/internal/statemachine/command.go
@@ -46,9 +46,9 @@
 // KindRequest is the name under which a Request is encoded.
 const KindRequest = "request.once"
 
-// commandKinds maps the encoded name of every command to its constructor. Names
+// commandConstructors maps the encoded name of every command to its constructor. Names
 // are stored in the log, so a name is never reused for another command.
-var commandKinds = map[string]func() Command{
+var commandConstructors = map[string]func() Command{
 	KindRequest:     func() Command { return &Request{} },
 	"level.raise":   func() Command { return &RaiseLevel{} },
 	"request.trim":  func() Command { return &CompactRequests{} },
@@ -88,7 +88,7 @@
 
 // Open decodes the command. The error for an unknown kind names the kind.
 func (p Packed) Open() (Command, error) {
-	newCommand := commandKinds[p.Kind]
+	newCommand := commandConstructors[p.Kind]
 	if newCommand == nil {
 		return nil, fault.New(fault.Input, "command %q is not known here", p.Kind)
 	}
@@ -152,7 +152,7 @@
 // Kinds returns an empty command of each kind, keyed by its encoded name.
 func Kinds() map[string]Command {
 	commands := map[string]Command{}
-	for name, newCommand := range commandKinds {
+	for name, newCommand := range commandConstructors {
 		commands[name] = newCommand()
 	}
 	return commands
--- a/internal/statemachine/patchconfig.go
+++ b/internal/statemachine/patchconfig.go
@@ -14,12 +14,12 @@
 // SetNumberedConfig. Log entries are applied in order from a snapshot, which contains
 // the complete document, so no entry needs to contain it again.
 type PatchConfig struct {
-	Step   patch.Step `msgpack:"s"`
-	Base   uint64     `msgpack:"b,omitempty"`
-	Number uint64     `msgpack:"n,omitempty"` // the operator's number, or 0 for the next version
-	Now    bool       `msgpack:"e,omitempty"` // emergency, see SetConfig
-	Who    string     `msgpack:"w"`
-	Why    string     `msgpack:"y"`
+	Patch     patch.Step `msgpack:"s"`
+	Base      uint64     `msgpack:"b,omitempty"`
+	Number    uint64     `msgpack:"n,omitempty"` // the operator's number, or 0 for the next version
+	Emergency bool       `msgpack:"e,omitempty"` // see SetConfig
+	Who       string     `msgpack:"w"`
+	Why       string     `msgpack:"y"`
 }
 
 // AsPatch returns a PatchConfig with the same effect as command on the current
@@ -31,7 +31,7 @@
 	newVersion := current.Version + 1
 	switch command := command.(type) {
 	case *SetConfig:
-		doc, patched = command.Doc, PatchConfig{Base: command.Base, Now: command.Now, Who: command.Who, Why: command.Why}
+		doc, patched = command.Doc, PatchConfig{Base: command.Base, Emergency: command.Now, Who: command.Who, Why: command.Why}
 	case *SetNumberedConfig:
 		doc, patched = command.Doc, PatchConfig{Number: command.Number, Who: command.Who, Why: command.Why}
 		newVersion = command.Number
@@ -41,7 +41,7 @@
 	if current.Version == 0 || newVersion <= current.Version {
 		return nil
 	}
-	if patched.Step = patch.Make(current.Version, newVersion, current.Doc, doc); patched.Step.Size() > len(doc)/2 {
+	if patched.Patch = patch.Make(current.Version, newVersion, current.Doc, doc); patched.Patch.Size() > len(doc)/2 {
 		return nil
 	}
 	return &patched
@@ -52,7 +52,7 @@
 // same document, so this happens on all of them or on none.
 func (c *PatchConfig) Apply(s *State) Result {
 	current := s.Config()
-	doc, err := c.Step.Apply(current.Doc)
+	doc, err := c.Patch.Apply(current.Doc)
 	// A command that is superseded or based on another version gets the same result
 	// as with the complete document, even if the patch does not apply.
 	stale := c.Number > 0 && c.Number <= current.Version || c.Number == 0 && c.Base != current.Version
@@ -62,5 +62,5 @@
 	if c.Number > 0 {
 		return (&SetNumberedConfig{Number: c.Number, Doc: doc, Who: c.Who, Why: c.Why}).Apply(s)
 	}
-	return (&SetConfig{Base: c.Base, Now: c.Now, Doc: doc, Who: c.Who, Why: c.Why}).Apply(s)
+	return (&SetConfig{Base: c.Base, Now: c.Emergency, Doc: doc, Who: c.Who, Why: c.Why}).Apply(s)
 }
--- a/internal/statemachine/patchconfig_test.go
+++ b/internal/statemachine/patchconfig_test.go
@@ -66,7 +66,7 @@
 		t.Errorf("patch from another document: %+v", result)
 	}
 	patch = AsPatch(&SetNumberedConfig{Number: 9, Doc: doc(2)}, s.Config())
-	patch.Step.Digest[0]++
+	patch.Patch.Digest[0]++
 	if result := patch.Apply(s); result.Code != Conflict {
 		t.Errorf("patch with another digest: %+v", result)
 	}
--- a/internal/statemachine/request.go
+++ b/internal/statemachine/request.go
@@ -98,8 +98,8 @@
 	}
 }
 
-// compactRequests drops recorded requests until to of all that were ever recorded are
-// dropped.
+// compactRequests drops those retained requests that are among the first to of all ever
+// recorded.
 func (s *State) compactRequests(to uint64) {
 	dropped := 0
 	for ; dropped < len(s.Requests) && s.Forgotten < to; dropped++ {
--- a/internal/statemachine/state.go
+++ b/internal/statemachine/state.go
@@ -143,12 +143,12 @@
 func (s *State) appendConfig(config Config) Config {
 	s.Configs = append(s.Configs, config)
 	var kept []Config
-	bytes, foundSubmitted := 0, false
+	totalBytes, foundSubmitted := 0, false
 	for i := len(s.Configs) - 1; i >= 0; i-- {
 		config := s.Configs[i]
-		bytes += len(config.Doc)
+		totalBytes += len(config.Doc)
 		required := i == len(s.Configs)-1 || config.Submitted && !foundSubmitted
-		if required || bytes <= maxConfigBytes && len(kept) < maxConfigs {
+		if required || totalBytes <= maxConfigBytes && len(kept) < maxConfigs {
 			kept = append(kept, config)
 		}
 		foundSubmitted = foundSubmitted || config.Submitted
