--- a/internal/paxos/chosen.go
+++ b/internal/paxos/chosen.go
@@ -7,52 +7,54 @@
 	"puffincrank/internal/disk"
 )
 
-// Chain gives the entries from the one after index up to top, if the value of
-// top has the identity sum and each one names the one before it back to prev.
-// Every entry in such a chain is chosen when top is.
-func (a *Acceptor) Chain(index uint64, prev []byte, top uint64, sum []byte) []Entry {
+// Chain returns the entries from index+1 to top if they form a hash chain: the entry
+// at top has this digest, each Previous is the digest of the entry before it, and the
+// first Previous is previous. Otherwise it returns nil. If the entry at top is chosen,
+// so is every entry of the chain.
+func (a *Acceptor) Chain(index uint64, previous []byte, top uint64, digest []byte) []Entry {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if top <= index {
 		return nil
 	}
-	out := make([]Entry, top-index)
-	for s := top; s > index; s-- {
-		e := a.entries[s]
-		if e == nil || !bytes.Equal(a.sums[s], sum) {
+	chain := make([]Entry, top-index)
+	for i := top; i > index; i-- {
+		entry := a.entries[i]
+		if entry == nil || !bytes.Equal(a.digests[i], digest) {
 			return nil
 		}
-		out[s-index-1] = *e
-		sum = e.Previous
+		chain[i-index-1] = *entry
+		digest = entry.Previous
 	}
-	if !bytes.Equal(sum, prev) {
+	if !bytes.Equal(digest, previous) {
 		return nil
 	}
-	return out
+	return chain
 }
 
-// ProvenChosen gives the entries above index that the stored files alone prove to be
-// chosen: all but the newest of an unbroken chain.
-func (a *Acceptor) ProvenChosen(index uint64, prev []byte) []Entry {
+// ProvenChosen returns the entries above index that the stored files alone prove to be
+// chosen: all of an unbroken chain except its newest entry.
+func (a *Acceptor) ProvenChosen(index uint64, previous []byte) []Entry {
 	top := a.Top()
-	for t := top; t > index+1; t-- {
+	for i := top; i > index+1; i-- {
 		a.mu.Lock()
-		e := a.entries[t]
+		entry := a.entries[i]
 		a.mu.Unlock()
-		if e == nil {
+		if entry == nil {
 			continue
 		}
-		if got := a.Chain(index, prev, t-1, e.Previous); got != nil {
-			return got
+		if chain := a.Chain(index, previous, i-1, entry.Previous); chain != nil {
+			return chain
 		}
 	}
 	return nil
 }
 
-// Rename gives the replica a new identity: what it promised and accepted under
-// the old one is forgotten, what is chosen up to an index is kept. The new identity
-// is durable before anything is forgotten, so a loss of power in between leaves
-// an identity that never voted with promises that bind it more than they need.
+// Rename gives the replica a new identity. It drops what was promised and accepted
+// under the old one, except the entries up to the index chosen, which are known to be
+// chosen. The new identity is durable before anything is dropped: a power loss in
+// between leaves an identity that never voted with promises that bind it more than
+// necessary, which is safe.
 func (a *Acceptor) Rename(id Identity, chosen uint64) error {
 	a.snapshotLock.Lock()
 	defer a.snapshotLock.Unlock()
@@ -65,9 +67,9 @@
 	var files []string
 	for index := range a.entries {
 		if index > chosen {
-			files = append(files, entryName(index))
+			files = append(files, entryFile(index))
 			delete(a.entries, index)
-			delete(a.sums, index)
+			delete(a.digests, index)
 		}
 	}
 	a.promised, a.damagedUpTo = ballot.Number{}, 0
--- a/internal/statemachine/config.go
+++ b/internal/statemachine/config.go
@@ -6,45 +6,47 @@
 	"puffincrank/internal/ballot"
 )
 
-// SetConfig puts a whole new configuration in force.
+// SetConfig replaces the configuration with a complete document.
 type SetConfig struct {
 	Base uint64 `msgpack:"b"`
-	Now  bool   `msgpack:"n"` // an emergency: running trials end with it
+	Now  bool   `msgpack:"n"` // emergency: accepted while trials run, and drops them
 	Doc  []byte `msgpack:"d"`
 	Who  string `msgpack:"w"`
 	Why  string `msgpack:"y"`
 }
 
-// Apply sets the configuration if its base is what stands. Running trials end
-// with an emergency: they compared paths of a document that is gone.
+// Apply sets the configuration if Base is the current version. While a trial runs,
+// only an emergency change is accepted; it drops the running trials, because they
+// compare routes of a document that is no longer in force.
 func (c *SetConfig) Apply(s *State) Result {
-	now := s.Config()
-	if c.Base != now.Version {
-		return Result{Code: Conflict, Version: now.Version, Message: fmt.Sprintf("based on version %d, but %d stands", c.Base, now.Version)}
+	current := s.Config()
+	if c.Base != current.Version {
+		return Result{Code: Conflict, Version: current.Version, Message: fmt.Sprintf("based on version %d, but %d stands", c.Base, current.Version)}
 	}
 	for _, t := range s.Trials {
 		if t.State == Running && !c.Now {
-			return Result{Code: Conflict, Version: now.Version, Message: fmt.Sprintf("trial %d runs: wait, abort it, or apply as an emergency", t.ID)}
+			return Result{Code: Conflict, Version: current.Version, Message: fmt.Sprintf("trial %d runs: wait, abort it, or apply as an emergency", t.ID)}
 		}
 	}
-	return s.setWhole(Config{Version: now.Version + 1, Doc: c.Doc, Who: c.Who, Why: c.Why})
+	return s.replaceConfig(Config{Version: current.Version + 1, Doc: c.Doc, Who: c.Who, Why: c.Why})
 }
 
-// setWhole puts a document in force as it was sent; running trials end.
-func (s *State) setWhole(c Config) Result {
-	c.Sent = true
-	s.putConfig(c)
+// replaceConfig makes a submitted document the current configuration and drops all
+// running trials.
+func (s *State) replaceConfig(config Config) Result {
+	config.Submitted = true
+	s.appendConfig(config)
 	for i := range s.Trials {
 		if s.Trials[i].State == Running {
 			s.Trials[i].State, s.Trials[i].Why = Dropped, "a whole configuration took its place"
-			s.Trials[i].End = c.Version
+			s.Trials[i].End = config.Version
 		}
 	}
-	return Result{Code: OK, Version: c.Version}
+	return Result{Code: OK, Version: config.Version}
 }
 
-// SetNumberedConfig puts a whole configuration in force under the operator's own
-// number, if that is above the version that stands.
+// SetNumberedConfig replaces the configuration with a complete document, whose
+// version is a number chosen by the operator.
 type SetNumberedConfig struct {
 	Number uint64 `msgpack:"n"`
 	Doc    []byte `msgpack:"d"`
@@ -52,13 +54,14 @@
 	Why    string `msgpack:"y"`
 }
 
-// Apply sets the configuration if its number is the highest. One that is not
-// is acknowledged all the same: it is overtaken, or was sent again.
+// Apply sets the configuration if its number is higher than the current version. A
+// lower or equal number is acknowledged without effect: the document has been
+// superseded, or the request is a retry.
 func (c *SetNumberedConfig) Apply(s *State) Result {
-	if now := s.Config().Version; c.Number <= now {
-		return Result{Code: OK, Version: now, Message: "not above the version that stands"}
+	if current := s.Config().Version; c.Number <= current {
+		return Result{Code: OK, Version: current, Message: "not above the version that stands"}
 	}
-	return s.setWhole(Config{Version: c.Number, Doc: c.Doc, Who: c.Who, Why: c.Why})
+	return s.replaceConfig(Config{Version: c.Number, Doc: c.Doc, Who: c.Who, Why: c.Why})
 }
 
 // The states of a trial.
@@ -69,8 +72,8 @@
 	Dropped  = "dropped"
 )
 
-// Trial is a change of paths that is tried on a slice of the traffic. Its
-// paths stand beside the old ones in the configuration in force.
+// Trial is a change of routes that is tested on a slice of the traffic. While it
+// runs, the current configuration contains both the old and the new routes.
 type Trial struct {
 	ID     uint64   `msgpack:"i" json:"id"`
 	State  string   `msgpack:"s" json:"state"`
@@ -81,11 +84,11 @@
 	Who    string   `msgpack:"w" json:"who"`
 	Why    string   `msgpack:"y" json:"why,omitempty"`
 	Facts  []byte   `msgpack:"f" json:"-"`
-	Next   []byte   `msgpack:"n" json:"-"` // the document if it is promoted
+	Next   []byte   `msgpack:"n" json:"-"` // the document that takes effect on promotion
 }
 
-// Propose begins a trial: Doc is the configuration with both arms in it, and
-// names the trial by ID.
+// Propose starts a trial. Doc is the configuration with both arms and refers to the
+// trial by ID.
 type Propose struct {
 	ID     uint64   `msgpack:"i"`
 	Base   uint64   `msgpack:"b"`
@@ -96,34 +99,35 @@
 	Next   []byte   `msgpack:"n"`
 }
 
-// Apply begins the trial as a new version.
+// Apply starts the trial and makes Doc the next configuration version. It is refused
+// while a running trial covers one of the same routes.
 func (c *Propose) Apply(s *State) Result {
-	now := s.Config()
-	if c.Base != now.Version {
-		return Result{Code: Conflict, Version: now.Version, Message: fmt.Sprintf("based on version %d, but %d stands", c.Base, now.Version)}
+	current := s.Config()
+	if c.Base != current.Version {
+		return Result{Code: Conflict, Version: current.Version, Message: fmt.Sprintf("based on version %d, but %d stands", c.Base, current.Version)}
 	}
 	for _, t := range s.Trials {
 		if t.State == Running && overlap(t.Routes, c.Routes) {
-			return Result{Code: Conflict, Version: now.Version, Message: fmt.Sprintf("trial %d runs on the same path", t.ID)}
+			return Result{Code: Conflict, Version: current.Version, Message: fmt.Sprintf("trial %d runs on the same path", t.ID)}
 		}
 	}
-	// The document names the trial, so it must be the next one.
+	// Doc already contains the trial ID, so it must be the next free one.
 	if c.ID != s.TrialsBegun+1 {
-		return Result{Code: Conflict, Version: now.Version, Message: "another trial was proposed"}
+		return Result{Code: Conflict, Version: current.Version, Message: "another trial was proposed"}
 	}
 	s.TrialsBegun++
-	got := s.setConfig(c.Doc, c.Who, fmt.Sprintf("trial %d proposed", s.TrialsBegun))
+	config := s.setNextConfig(c.Doc, c.Who, fmt.Sprintf("trial %d proposed", s.TrialsBegun))
 	s.Trials = append(s.Trials, Trial{ID: s.TrialsBegun, State: Running, Routes: c.Routes, Slice: c.Slice,
-		Begin: got.Version, Who: c.Who, Next: c.Next})
+		Begin: config.Version, Who: c.Who, Next: c.Next})
 	if len(s.Trials) > maxConfigs {
 		s.Trials = append([]Trial(nil), s.Trials[len(s.Trials)-maxConfigs:]...)
 	}
-	return Result{Code: OK, Version: got.Version, Number: s.TrialsBegun}
+	return Result{Code: OK, Version: config.Version, Number: s.TrialsBegun}
 }
 
-func overlap(a, b []string) bool {
-	for _, x := range a {
-		for _, y := range b {
+func overlap(first, second []string) bool {
+	for _, x := range first {
+		for _, y := range second {
 			if x == y {
 				return true
 			}
@@ -132,7 +136,8 @@
 	return false
 }
 
-// Decide ends a trial by the judge's word: Doc is the configuration after it.
+// Decide ends a trial with the decision of the judge or an operator's abort. Doc is
+// the configuration without the trial.
 type Decide struct {
 	ID     uint64        `msgpack:"i"`
 	Ballot ballot.Number `msgpack:"n"`
@@ -144,29 +149,29 @@
 	Facts  []byte        `msgpack:"f"`
 }
 
-// Apply ends the trial once; a second decision finds it ended.
+// Apply ends the trial. A second decision on the same trial is a conflict.
 func (c *Decide) Apply(s *State) Result {
 	// An operator's abort carries no ballot and is not fenced.
 	if c.Ballot.Round > 0 {
-		if r := s.fenceRole("judge", c.Ballot); r.Code != OK {
-			return r
+		if fenced := s.fenceRole("judge", c.Ballot); fenced.Code != OK {
+			return fenced
 		}
 	}
-	now := s.Config()
-	if c.Base != now.Version {
-		return Result{Code: Conflict, Version: now.Version, Message: "another version stands"}
+	current := s.Config()
+	if c.Base != current.Version {
+		return Result{Code: Conflict, Version: current.Version, Message: "another version stands"}
 	}
 	for i := range s.Trials {
-		t := &s.Trials[i]
-		if t.ID != c.ID {
+		trial := &s.Trials[i]
+		if trial.ID != c.ID {
 			continue
 		}
-		if t.State != Running {
-			return Result{Code: Conflict, Version: now.Version, Message: "the trial has ended: " + t.State}
+		if trial.State != Running {
+			return Result{Code: Conflict, Version: current.Version, Message: "the trial has ended: " + trial.State}
 		}
-		got := s.setConfig(c.Doc, c.Who, fmt.Sprintf("trial %d %s: %s", c.ID, c.State, c.Why))
-		t.State, t.Why, t.Facts, t.End = c.State, c.Why, c.Facts, got.Version
-		return Result{Code: OK, Version: got.Version}
+		config := s.setNextConfig(c.Doc, c.Who, fmt.Sprintf("trial %d %s: %s", c.ID, c.State, c.Why))
+		trial.State, trial.Why, trial.Facts, trial.End = c.State, c.Why, c.Facts, config.Version
+		return Result{Code: OK, Version: config.Version}
 	}
 	return Result{Code: NotFound, Message: "no such trial"}
 }
