--- a/internal/mutant/list.go
+++ b/internal/mutant/list.go
@@ -18,17 +18,17 @@
 
 	{"seal-not-compared", Whole, "internal/proxy/checkresponse.go",
 		" || headerValue(result, x.dialect.ResponseDigest) != responsedigest.Of(attempt.req.AttemptID, attempt.req.Worker, result.Status, result.Body) {", " || responsedigest.Of(\"\", \"\", 0, nil) == \"\" {", "sim", "TestBadWorkers"},
-	{"seal-without-body", Whole, "internal/responsedigest/seal.go", "	h.Write(body)\n", "	_ = body\n", "sim", "TestBadWorkers"},
-	{"answers-swapped", Whole, "internal/workerconn/conn.go", "	good = !w.Close && w.ProtoAtLeast(1, 1) && c.reader.Buffered() == 0", "	good = !w.Close && w.ProtoAtLeast(1, 1)\n	if len(body) > 40 {\n		body = body[:len(body)-1]\n	}", "sim", "TestWholePath"},
+	{"seal-without-body", Whole, "internal/responsedigest/digest.go", "	hash.Write(body)\n", "	_ = body\n", "sim", "TestBadWorkers"},
+	{"answers-swapped", Whole, "internal/workerconn/conn.go", "	reusable = !resp.Close && resp.ProtoAtLeast(1, 1) && conn.reader.Buffered() == 0", "	reusable = !resp.Close && resp.ProtoAtLeast(1, 1)\n	if len(body) > 40 {\n		body = body[:len(body)-1]\n	}", "sim", "TestWholePath"},
 
-	{"nobody-asked", Stranger, "internal/workerconn/open.go", "	if err == nil && named != c.worker {", "	if err == nil && named == \"\" {", "sim", "TestPassedAddress"},
+	{"nobody-asked", Stranger, "internal/workerconn/open.go", "	if err == nil && workerID != conn.worker {", "	if err == nil && workerID == \"\" {", "sim", "TestPassedAddress"},
 	{"any-service", Stranger, "internal/replica/index.go", "	return r.index[service]", "	var all []ormap.Entry\n	for _, l := range r.index {\n		all = append(all, l...)\n	}\n	return all", "replica", "TestIndex"},
 
 	{"gate-not-asked", Leaving, "internal/proxy/localworker.go", "	if !local.lastUp.After(pauseEnd) || time.Since(local.lastUp) > x.Settings.WorkerTimeout() {", "	if local.lastUp.IsZero() && pauseEnd.IsZero() {", "sim", "TestFrozenOwner"},
 	{"draining-ignored", Leaving, "internal/proxy/heartbeat.go", "	case \"draining\":\n		x.drainWorker(local)", "	case \"draining\":\n		x.recordContact(local, true)", "sim", "TestDrain"},
 
 	{"sign-off-forgotten", Leaving, "internal/proxy/workercall.go", "	if call.state != stateGone && (outdated || x.hasDeparted(call.worker)) {", "	if call.state != stateGone && outdated {", "sim", "TestLateBeatAfterSignOff"},
-	{"departure-untold", Leaving, "internal/replica/replica.go", "	d := r.m.DepartureDelta(worker, why, func(e ormap.Entry) bool { return e.Owner == r.self.Node })", "	d := r.m.RemovalDelta(why, func(e ormap.Entry) bool { return e.Worker == worker && e.Owner == r.self.Node })", "sim", "TestLeaveOutlivesNode"},
+	{"departure-untold", Leaving, "internal/replica/replica.go", "	d := r.entries.DepartureDelta(worker, reason, func(e ormap.Entry) bool { return e.Owner == r.self.Node })", "	d := r.entries.RemovalDelta(reason, func(e ormap.Entry) bool { return e.Worker == worker && e.Owner == r.self.Node })", "sim", "TestLeaveOutlivesNode"},
 	{"leave-not-kept", Leaving, "internal/proxy/acknowledge.go", "	if state != stateUp && !x.leaveRecorded(r.Context(), worker, state) {", "	if !x.leaveRecorded(r.Context(), worker, state) && state == stateUp {", "sim", "TestLeaveUnheard"},
 	{"older-call-taken", Leaving, "internal/proxy/workercall.go", "	outdated := call.number != 0 && call.number <= newest.number", "	outdated := call.number != 0 && call.number == newest.number", "proxy", "TestOutOfOrderCalls"},
 
@@ -47,12 +47,12 @@
 	{"repeats-not-asked", Repeats, "internal/proxy/steps.go", "	paid := req.reached == 0 || x.retryBudget.Allow(req.service)\n", "	paid := req.reached == 0 || x.retryBudget.Allow(req.service) || req.attempts <= 5\n", "sim", "TestStorms"},
 	{"repeat-not-paid", Repeats, "internal/proxy/callrates.go", "	if attempt.req.NeedsRetryBudget && !x.retryBudget.Allow(attempt.req.Service) {", "	if attempt.req.NeedsRetryBudget && attempt.req.Worker == \"\" {", "sim", "TestRepeatsOfOthers"},
 	{"never-borrows", Repeats, "internal/proxy/steps.go", "req.needsRetryBudget = !paid && req.mayBorrowRetry;", "req.needsRetryBudget = !paid && req.mayBorrowRetry && req.attempts < 0;", "sim", "TestRepeatsOfOthers"},
-	{"missed-still-counts", Repeats, "internal/retrybudget/repeats.go", "	b.at(service, now).first.add(now, part-1)\n", "	b.at(service, now).first.add(now, 0)\n", "retrybudget", "TestMissed"},
-	{"part-of-others", Repeats, "internal/retrybudget/repeats.go", "		part = b.allow / float64(b.nodes)", "		part = b.allow", "retrybudget", "."},
-	{"repeat-not-counted", Repeats, "internal/retrybudget/repeats.go", "	r.second.add(now, 1)\n", "	r.first.add(now, 1)\n", "retrybudget", "."},
-	{"calls-not-held", Repeats, "internal/retrybudget/repeats.go", "		b.rows[s].held += n\n", "		b.rows[s].held += 0 * n\n", "retrybudget", "TestHold"},
+	{"missed-still-counts", Repeats, "internal/retrybudget/budget.go", "	b.countsFor(service, now).first.add(now, retryShare-1)\n", "	b.countsFor(service, now).first.add(now, 0)\n", "retrybudget", "TestUndeliveredAttempts"},
+	{"part-of-others", Repeats, "internal/retrybudget/budget.go", "		allowanceShare = b.allowance / float64(b.proxies)", "		allowanceShare = b.allowance", "retrybudget", "."},
+	{"repeat-not-counted", Repeats, "internal/retrybudget/budget.go", "	counts.retries.add(now, 1)\n", "	counts.first.add(now, 1)\n", "retrybudget", "."},
+	{"calls-not-held", Repeats, "internal/retrybudget/budget.go", "		b.services[service].reserved += count\n", "		b.services[service].reserved += 0 * count\n", "retrybudget", "TestNestedReservation"},
 
-	{"folder-not-synced", Kept, "internal/disk/disk.go", "	return fault.Wrap(fault.Disk, fs.SyncDir(), \"keep names in folder\")", "	return nil", "paxos", "TestNamesByThemselves"},
+	{"folder-not-synced", Kept, "internal/disk/disk.go", "	return fault.Wrap(fault.Disk, fs.SyncDir(), \"sync folder\")", "	return nil", "paxos", "TestPowerLossPerName"},
 	{"own-runs-not-ended", Planned, "internal/proxy/callerleft.go", "		if released || !nodeEnding && !transport.CanceledByCaller(ctx) {", "		if released || !transport.CanceledByCaller(ctx) {", "sim", "TestAnswersInStop"},
 	{"late-work-begun", Planned, "internal/proxy/stop.go", "	if schedule == nil || req.receivedAt.Before(schedule.LongWorkDeadline()) ||", "	if schedule == nil || req.receivedAt.Before(schedule.End()) ||", "sim", "TestAnswersInStop"},
 	{"end-not-told", Planned, "internal/proxy/stop.go", "	x.notifyRunEnds(schedule)\n", "", "sim", "TestRunsOutlastTheirNode"},
@@ -63,9 +63,9 @@
 	{"failure-ends-first", Planned, "internal/proxy/hedge.go", "	case second.request.answered():\n", "	case second.request.result.Outcome == protocol.Done:\n", "sim", "TestRunsOutlastTheirNode"},
 	{"second-run-forgotten", Busy, "internal/proxy/hedge.go", "		req.lost = second.lost\n", "", "proxy", "TestMerge"},
 	{"own-stop-unseen", Planned, "internal/proxy/queuewait.go", "	local := schedule.RemainingWait() - 2*needed\n", "	local := schedule.RemainingWait()\n", "sim", "TestAnswersInStop"},
-	{"ends-before-last-sixth", Planned, "internal/shutdown/grace.go", "return s.AnswerDeadline().Add(-s.length / answerPart) }", "return s.AnswerDeadline().Add(-s.length / answerPart * 2) }", "shutdown", "TestSchedule"},
+	{"ends-before-last-sixth", Planned, "internal/shutdown/schedule.go", "return s.AnswerDeadline().Add(-s.gracePeriod / answerDivisor)\n}", "return s.AnswerDeadline().Add(-s.gracePeriod / answerDivisor * 2) }", "shutdown", "TestSchedule"},
 	{"jobs-not-awaited", Planned, "internal/proxy/stop.go", "	for active() > 0 && ctx.Err() == nil {", "	for active() > 1<<40 && ctx.Err() == nil {", "sim", "TestLongStop"},
-	{"shut-at-once", Planned, "internal/proxy/stop.go", "	task.Sleep(ctx, x.Settings.LeaveBound*3/4)\n	x.workersLeaving.Store(true)\n	x.drainWorkers()\n	task.Sleep(ctx, x.Settings.LeaveBound/2)\n", "	x.workersLeaving.Store(true)\n	x.drainWorkers()\n", "sim", "TestRoll"},
+	{"shut-at-once", Planned, "internal/proxy/stop.go", "	task.Sleep(ctx, x.Settings.LeaveBound*3/4)\n	x.workersLeaving.Store(true)\n	x.drainWorkers()\n	task.Sleep(ctx, x.Settings.LeaveBound/2)\n", "	x.workersLeaving.Store(true)\n	x.drainWorkers()\n", "sim", "TestTracker"},
 	{"no-goodbye", Planned, "internal/transport/goodbye.go", "func (n *Node) CloseGracefully(timeout time.Duration) {\n", "func (n *Node) CloseGracefully(timeout time.Duration) {\n	if timeout > 0 {\n		return\n	}\n", "transport", "TestGoodbye"},
 
 	{"one-lane", Passing, "internal/proxy/steps.go", "x.beginAttempt(transport.WithLane(ctx, x.requestLane(req)), req, out.AttemptID)", "x.beginAttempt(transport.WithLane(ctx, transport.LaneRequests), req, out.AttemptID)", "sim", "TestThinLinks"},
--- a/internal/mutant/mutant_test.go
+++ b/internal/mutant/mutant_test.go
@@ -65,7 +65,7 @@
 	if _, err := Named([]string{"step-back", "no-such"}); err == nil || !strings.Contains(err.Error(), "no-such") {
 		t.Errorf("an unknown name: %v", err)
 	}
-	m := Mutant{Name: "old", File: "internal/responsedigest/seal.go", Old: "text that went away", New: "x", Pkg: "responsedigest", Test: "."}
+	m := Mutant{Name: "old", File: "internal/responsedigest/digest.go", Old: "text that went away", New: "x", Pkg: "responsedigest", Test: "."}
 	if r := m.Try(t.Context(), root, t.TempDir()); r.Caught || !strings.Contains(r.Say, "stands 0 times") {
 		t.Errorf("one that no longer applies: %+v", r)
 	}
