--- a/internal/balancer/failingworkers_test.go
+++ b/internal/balancer/failingworkers_test.go
@@ -128,7 +128,7 @@
 		if weight := recordFailures(WorkerReport{}); weight > 0.1 {
 			t.Errorf("weight of %.2f after 8 failures in a row", weight)
 		}
-		if weight := recordFailures(WorkerReport{Pace: 8, Fail: 1}); weight < 0.9 {
+		if weight := recordFailures(WorkerReport{PaceEighths: 8, FailedPer64: 1}); weight < 0.9 {
 			t.Errorf("weight of %.2f although the owner reports that one in 64 fails", weight)
 		}
 		recordFailures(WorkerReport{})
--- a/internal/balancer/pick.go
+++ b/internal/balancer/pick.go
@@ -157,7 +157,7 @@
 			set.load += (float64(outcome.UsedSlots)/state.slots - set.load) / 32
 		}
 	}
-	if outcome.AboutWorker || outcome.Report.Pace > 0 {
+	if outcome.AboutWorker || outcome.Report.PaceEighths > 0 {
 		b.decayEvidence(state, now)
 	}
 	failed := 0.0
@@ -184,7 +184,7 @@
 		}
 		b.failRates[outcome.Service] += (failed - b.failRates[outcome.Service]) / 32
 	}
-	if outcome.Report.Pace > 0 {
+	if outcome.Report.PaceEighths > 0 {
 		// The owner sees all requests of its worker, this ingress only some, so the
 		// owner's report replaces the local averages.
 		state.failRate = outcome.Report.failRate()
--- a/internal/balancer/workerstats.go
+++ b/internal/balancer/workerstats.go
@@ -26,10 +26,10 @@
 // responses, kept to a few bytes: Pace is the ratio of its run times to those of
 // all workers in eighths, 0 if there is no report; Fail is the fraction of its
 // requests that failed, in 64ths.
-type WorkerReport struct{ Pace, Fail uint8 }
+type WorkerReport struct{ PaceEighths, FailedPer64 uint8 }
 
-func (w WorkerReport) runTimeRatio() float64 { return float64(w.Pace) / 8 }
-func (w WorkerReport) failRate() float64     { return float64(w.Fail) / 64 }
+func (w WorkerReport) runTimeRatio() float64 { return float64(w.PaceEighths) / 8 }
+func (w WorkerReport) failRate() float64     { return float64(w.FailedPer64) / 64 }
 
 // WorkerStats is an owner's record of its worker, all of whose requests it sees.
 // mu guards all mutable fields.
@@ -157,7 +157,7 @@
 	if s.samples < minSamples {
 		return WorkerReport{}
 	}
-	return WorkerReport{Pace: uint8(min(max(math.Round(s.runTimeRatio*8), 1), 64)), Fail: uint8(math.Round(s.failRate * 64))}
+	return WorkerReport{PaceEighths: uint8(min(max(math.Round(s.runTimeRatio*8), 1), 64)), FailedPer64: uint8(math.Round(s.failRate * 64))}
 }
 
 // Suspicion updates and returns the suspicion level that all ingresses should know.
--- a/internal/controlclient/document.go
+++ b/internal/controlclient/document.go
@@ -14,7 +14,7 @@
 
 // ApplyConfig puts a newer configuration in force, received whole or as patches from the
 // version held. It returns false if that is not possible.
-func (c *Client) ApplyConfig(version uint64, doc []byte, steps []patch.Step) bool {
+func (c *Client) ApplyConfig(version uint64, doc []byte, steps []patch.Patch) bool {
 	if c.host.Version() >= version {
 		return true
 	}
@@ -38,7 +38,7 @@
 // RegisterHandlers registers the handlers for configuration pushes and for peers' requests.
 func (c *Client) RegisterHandlers() {
 	push := func(_ context.Context, _ transport.Hello, request protocol.ConfigPush) (protocol.ConfigPushResponse, error) {
-		c.ApplyConfig(request.Version, request.Document, request.Steps)
+		c.ApplyConfig(request.Version, request.Document, request.Patches)
 		return protocol.ConfigPushResponse{Version: c.host.Version()}, nil
 	}
 	// Patches have a message kind of their own, which earlier versions refuse as unknown.
@@ -55,7 +55,7 @@
 		return protocol.ConfigPush{}, nil
 	}
 	if steps, ok := c.document.Since(request.Version); ok && request.AcceptsPatch {
-		return protocol.ConfigPush{Version: version, Steps: steps}, nil
+		return protocol.ConfigPush{Version: version, Patches: steps}, nil
 	}
 	return protocol.ConfigPush{Version: version, Document: doc}, nil
 }
@@ -68,7 +68,7 @@
 		if err != nil || push.Version <= heldVersion {
 			return false
 		}
-		if c.ApplyConfig(push.Version, push.Document, push.Steps) {
+		if c.ApplyConfig(push.Version, push.Document, push.Patches) {
 			return true
 		}
 	}
@@ -85,7 +85,7 @@
 		if !ok {
 			break
 		}
-		response, err := transport.Call[protocol.ConfigPushResponse](ctx, node, addr, "config.step", protocol.ConfigPush{Version: version, Steps: steps})
+		response, err := transport.Call[protocol.ConfigPushResponse](ctx, node, addr, "config.step", protocol.ConfigPush{Version: version, Patches: steps})
 		if err != nil && !fault.Is(err, fault.Refused) {
 			return 0, err
 		}
--- a/internal/controlclient/heartbeat.go
+++ b/internal/controlclient/heartbeat.go
@@ -29,7 +29,7 @@
 		// A document that can't be decompressed is handled like patches that don't fit.
 		response.Document, _ = compression.Decompress(response.CompressedDocument)
 	}
-	if response.ConfigVersion > c.host.Version() && !c.ApplyConfig(response.ConfigVersion, response.Document, response.Steps) {
+	if response.ConfigVersion > c.host.Version() && !c.ApplyConfig(response.ConfigVersion, response.Document, response.Patches) {
 		// If patches did not fit, the whole document is requested at once. If the whole
 		// document is invalid, requesting it again is pointless.
 		if !heartbeat.AcceptsPatch || response.Document != nil {
@@ -116,7 +116,7 @@
 	if addr == "" {
 		return
 	}
-	ctx, cancel := context.WithTimeout(c.deps.Group.Context(), c.deps.Settings.FarewellTimeout())
+	ctx, cancel := context.WithTimeout(c.deps.Group.Context(), c.deps.Settings.GoodbyeTimeout())
 	defer cancel()
 	_, _ = transport.Call[protocol.HeartbeatResponse](ctx, c.deps.Node, addr, "session.beat", protocol.Heartbeat{Member: c.deps.Self, Leaving: true})
 }
--- a/internal/controlclient/memberlist_test.go
+++ b/internal/controlclient/memberlist_test.go
@@ -28,7 +28,7 @@
 		nodeSettings := settings.Settings{ConfigBound: 2 * time.Second, RecoveryBound: 15 * time.Second, RetireAfter: 10 * time.Second}
 		network := &transport.LocalNet{Network: transport.NewLocalNetwork(func(string, string) time.Duration { return time.Millisecond })}
 		newClient := func(name string) *Client {
-			environment := env.Env{Net: network, Log: event.New(name, nil), Wall: time.Now}
+			environment := env.Env{Net: network, Log: event.New(name, nil), WallClock: time.Now}
 			transportNode := transport.NewNode(transport.Hello{ClusterID: "m", Node: name, Zone: "x"}, environment, group, 1<<20, 8, nodeSettings.CallTimeout())
 			self := membership.Member{Node: name, Role: "proxy", Zone: "x", InternalAddr: name + ":1"}
 			nodeReplica := replica.New(self, transportNode, group, environment.Log, hlc.New(time.Now, time.Minute), nodeSettings.HeartbeatInterval(), time.Hour, time.Hour)
@@ -46,7 +46,7 @@
 		}
 		newest, older := membership.NewList(members), membership.NewList(members[:590])
 		peer, node := newClient("fellow"), newClient("node")
-		controlNode := transport.NewNode(transport.Hello{ClusterID: "m", Node: "core", Zone: "x"}, env.Env{Net: network, Log: event.New("core", nil), Wall: time.Now}, group, 1<<20, 8, nodeSettings.CallTimeout())
+		controlNode := transport.NewNode(transport.Hello{ClusterID: "m", Node: "core", Zone: "x"}, env.Env{Net: network, Log: event.New("core", nil), WallClock: time.Now}, group, 1<<20, 8, nodeSettings.CallTimeout())
 		transport.Handle(controlNode, "session.members", func(context.Context, transport.Hello, protocol.MemberListRequest) (protocol.MemberListResponse, error) {
 			return protocol.MemberListResponse{Hash: newest.Hash(), Busy: true, Alternatives: []string{"fellow:1"}}, nil
 		})
--- a/internal/disk/disk.go
+++ b/internal/disk/disk.go
@@ -95,7 +95,7 @@
 
 // IsFull reports whether a write failed because the disk or the quota was full.
 func IsFull(err error) bool {
-	return fault.Has(err, syscall.ENOSPC) || fault.Has(err, syscall.EDQUOT)
+	return fault.CausedBy(err, syscall.ENOSPC) || fault.CausedBy(err, syscall.EDQUOT)
 }
 
 // Load reads a stored file and verifies its header, length and checksum.
--- a/internal/env/env.go
+++ b/internal/env/env.go
@@ -23,9 +23,9 @@
 
 // Env is the environment of one process.
 type Env struct {
-	Net  Net
-	FS   disk.FS
-	Wall func() time.Time
+	Net       Net
+	FS        disk.FS
+	WallClock func() time.Time
 	// Sleep waits for a time, or until the context ends. In a process that was paused
 	// it returns late.
 	Sleep func(ctx context.Context, d time.Duration)
@@ -56,5 +56,5 @@
 // Real returns the machine's own network and clock. FS is left unset; programs that have a
 // data folder set it.
 func Real(node string) Env {
-	return Env{Net: &systemNet{}, Wall: time.Now, Sleep: task.Sleep, Log: event.New(node, os.Stderr)}
+	return Env{Net: &systemNet{}, WallClock: time.Now, Sleep: task.Sleep, Log: event.New(node, os.Stderr)}
 }
--- a/internal/env/quiet.go
+++ b/internal/env/quiet.go
@@ -6,13 +6,13 @@
 )
 
 // quietChecker is a connection, such as a simulated one, that checks itself for IsQuiet.
-type quietChecker interface{ Still() (quiet, known bool) }
+type quietChecker interface{ IsQuiet() (quiet, known bool) }
 
 // IsQuiet reports whether an idle connection is open and has no unread bytes. known is
 // false if that can't be found out without consuming bytes.
 func IsQuiet(conn net.Conn) (quiet, known bool) {
 	if checker, ok := conn.(quietChecker); ok {
-		return checker.Still()
+		return checker.IsQuiet()
 	}
 	sysConn, ok := conn.(syscall.Conn)
 	if !ok {
--- a/internal/fault/fault.go
+++ b/internal/fault/fault.go
@@ -44,8 +44,8 @@
 	return false
 }
 
-// Has reports whether target is in the chain of causes of err.
-func Has(err, target error) bool {
+// CausedBy reports whether target is in the chain of causes of err.
+func CausedBy(err, target error) bool {
 	for err != nil {
 		if errors.Is(err, target) {
 			return true
--- a/internal/fsm/machine.go
+++ b/internal/fsm/machine.go
@@ -9,8 +9,8 @@
 	"github.com/qmuntal/stateless"
 )
 
-// Move is an allowed transition from one state to another on a trigger.
-type Move struct{ From, By, To string }
+// Transition is an allowed transition from one state to another on a trigger.
+type Transition struct{ From, Trigger, To string }
 
 // Machine is a finite state machine. It is safe for concurrent use.
 type Machine struct {
@@ -20,10 +20,10 @@
 
 // New creates a machine in its initial state. If onTransition is not nil, it is called
 // after each transition, with the machine locked: it must not call the machine.
-func New(initial string, onTransition func(from, by, to string), moves ...Move) *Machine {
+func New(initial string, onTransition func(from, by, to string), moves ...Transition) *Machine {
 	machine := stateless.NewStateMachineWithMode(initial, stateless.FiringImmediate)
 	for _, move := range moves {
-		machine.Configure(move.From).Permit(move.By, move.To)
+		machine.Configure(move.From).Permit(move.Trigger, move.To)
 	}
 	if onTransition != nil {
 		machine.OnTransitioned(func(_ context.Context, t stateless.Transition) {
--- a/internal/hlc/hlc.go
+++ b/internal/hlc/hlc.go
@@ -7,14 +7,14 @@
 	"time"
 )
 
-// Stamp is a timestamp, ordered by wall time in milliseconds, then by a counter.
-type Stamp struct {
+// Timestamp is a timestamp, ordered by wall time in milliseconds, then by a counter.
+type Timestamp struct {
 	Wall  int64  `msgpack:"w" json:"wall"`
 	Count uint32 `msgpack:"c" json:"count"`
 }
 
 // Less reports whether s is before other.
-func (s Stamp) Less(other Stamp) bool {
+func (s Timestamp) Less(other Timestamp) bool {
 	if s.Wall != other.Wall {
 		return s.Wall < other.Wall
 	}
@@ -25,7 +25,7 @@
 type Clock struct {
 	mu       sync.Mutex
 	wall     func() time.Time
-	last     Stamp
+	last     Timestamp
 	maxAhead time.Duration
 }
 
@@ -36,12 +36,12 @@
 }
 
 // Now returns a timestamp above all that this clock has issued or accepted in Observe.
-func (c *Clock) Now() Stamp {
+func (c *Clock) Now() Timestamp {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	wall := c.wall().UnixMilli()
 	if wall > c.last.Wall {
-		c.last = Stamp{Wall: wall}
+		c.last = Timestamp{Wall: wall}
 	} else {
 		// The wall clock stood still or went back.
 		c.last.Count++
@@ -50,7 +50,7 @@
 }
 
 // Observe advances the clock to a timestamp received from another node.
-func (c *Clock) Observe(s Stamp) {
+func (c *Clock) Observe(s Timestamp) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if s.Wall-c.wall().UnixMilli() > c.maxAhead.Milliseconds() {
--- a/internal/hlc/hlc_test.go
+++ b/internal/hlc/hlc_test.go
@@ -18,7 +18,7 @@
 		for range rapid.IntRange(1, 50).Draw(t, "n") {
 			now = now.Add(time.Duration(rapid.Int64Range(-7200_000, 7200_000).Draw(t, "jump")) * time.Millisecond)
 			ahead := rapid.Int64Range(-100_000, 100_000).Draw(t, "seen")
-			seen := Stamp{Wall: now.UnixMilli() + ahead}
+			seen := Timestamp{Wall: now.UnixMilli() + ahead}
 			clock.Observe(seen)
 			got := clock.Now()
 			if !last.Less(got) {
@@ -37,7 +37,7 @@
 func TestFarAheadTimestampIgnored(t *testing.T) {
 	now := time.UnixMilli(1_000_000)
 	clock := New(func() time.Time { return now }, time.Minute)
-	clock.Observe(Stamp{Wall: now.UnixMilli() + 3600_000})
+	clock.Observe(Timestamp{Wall: now.UnixMilli() + 3600_000})
 	if got := clock.Now(); got.Wall != now.UnixMilli() {
 		t.Fatalf("the clock advanced to %v", got)
 	}
--- a/internal/httpapi/callerconn.go
+++ b/internal/httpapi/callerconn.go
@@ -49,10 +49,10 @@
 // ServeCallers serves a port whose connections follow limits that may change. The
 // http.Server reads its own timeouts without a lock, so they can't be changed while it
 // runs; callerConn adjusts the deadlines that the server sets on each connection instead.
-// maxHeaderBytes bounds a header and can't be changed later.
-func ServeCallers(group *task.Group, environment env.Env, addr string, handler http.Handler, headerTimeout time.Duration, maxHeaderBytes int, limits *ConnLimits) (*http.Server, error) {
+// headerBytesLimit bounds a header and can't be changed later.
+func ServeCallers(group *task.Group, environment env.Env, addr string, handler http.Handler, headerTimeout time.Duration, headerBytesLimit int, limits *ConnLimits) (*http.Server, error) {
 	return startServer(group, environment, addr, handler, headerTimeout, func(server *http.Server, listener net.Listener) net.Listener {
-		server.MaxHeaderBytes = maxHeaderBytes
+		server.MaxHeaderBytes = headerBytesLimit
 		server.ConnState = func(conn net.Conn, state http.ConnState) {
 			if caller, ok := conn.(*callerConn); ok {
 				caller.stateChanged(state)
--- a/internal/httpapi/httpapi.go
+++ b/internal/httpapi/httpapi.go
@@ -64,11 +64,11 @@
 
 // ErrorBody is the body of every error response.
 type ErrorBody struct {
-	Message string `json:"wrong"`
-	Version uint64 `json:"version,omitempty"`
-	Ran     string `json:"ran,omitempty"`
-	RetryMS int64  `json:"retry_ms,omitempty"`
-	Faults  any    `json:"faults,omitempty"`
+	Message  string `json:"wrong"`
+	Version  uint64 `json:"version,omitempty"`
+	Executed string `json:"ran,omitempty"`
+	RetryMS  int64  `json:"retry_ms,omitempty"`
+	Faults   any    `json:"faults,omitempty"`
 }
 
 // WriteBusy responds with 503: the request was not and will not be executed, and may be
@@ -81,7 +81,7 @@
 		retryAfter = strconv.FormatFloat(float64(waitMS)/1000, 'f', 3, 64)
 	}
 	w.Header().Set("Retry-After", retryAfter)
-	WriteJSON(w, http.StatusServiceUnavailable, ErrorBody{Message: reason, Ran: "no", RetryMS: waitMS})
+	WriteJSON(w, http.StatusServiceUnavailable, ErrorBody{Message: reason, Executed: "no", RetryMS: waitMS})
 }
 
 // ReadBody reads a request body of at most maxBytes. The status is 0 on success, otherwise
--- a/internal/judge/judge.go
+++ b/internal/judge/judge.go
@@ -12,13 +12,13 @@
 
 // Bounds are the configured limits of a trial.
 type Bounds struct {
-	Jobs     uint64        // requests of each arm before the first evaluation
-	Least    time.Duration // age of the trial before the first evaluation
-	Most     time.Duration // age at which an undecided trial is held back
-	Risk     float64       // probability of a wrong verdict over all evaluations
-	Margin   float64       // tolerated increase of the failure rate
-	Slow     float64       // tolerated ratio of the latency quantiles
-	Quantile float64
+	MinRequests        uint64        // requests of each arm before the first evaluation
+	MinAge             time.Duration // age of the trial before the first evaluation
+	MaxAge             time.Duration // age at which an undecided trial is held back
+	Risk               float64       // probability of a wrong verdict over all evaluations
+	MaxFailureIncrease float64       // tolerated increase of the failure rate
+	MaxLatencyRatio    float64       // tolerated ratio of the latency quantiles
+	Quantile           float64
 }
 
 // evaluations is the number of evaluations over which the risk is split, since a trial is evaluated
@@ -45,48 +45,48 @@
 	}
 }
 
-// Jobs returns the number of requests of the arm.
-func (a *Arm) Jobs() uint64 { return a.Done + a.Failed }
+// Total returns the number of requests of the arm.
+func (a *Arm) Total() uint64 { return a.Done + a.Failed }
 
 // The verdicts.
 const (
-	Wait = "wait"
-	Good = "good"
-	Bad  = "bad"
+	Wait     = "wait"
+	Promote  = "good"
+	HoldBack = "bad"
 )
 
 // Facts are the verdict and the figures behind it.
 type Facts struct {
-	Route        string  `json:"path"`
-	Verdict      string  `json:"word"`
-	Reason       string  `json:"why"`
-	Old          Arm     `json:"old"`
-	New          Arm     `json:"new"`
-	FailOld      float64 `json:"fail_rate_old"`
-	FailNew      float64 `json:"fail_rate_new"`
-	DiffLow      float64 `json:"fail_diff_low"`
-	DiffHigh     float64 `json:"fail_diff_high"`
-	SlowOld      float64 `json:"latency_ms_old"`
-	SlowNew      float64 `json:"latency_ms_new"`
-	LatencyRatio float64 `json:"latency_ratio"`
-	AgeMS        int64   `json:"age_ms"`
+	Route          string  `json:"path"`
+	Verdict        string  `json:"word"`
+	Reason         string  `json:"why"`
+	Old            Arm     `json:"old"`
+	New            Arm     `json:"new"`
+	FailureRateOld float64 `json:"fail_rate_old"`
+	FailureRateNew float64 `json:"fail_rate_new"`
+	DiffLow        float64 `json:"fail_diff_low"`
+	DiffHigh       float64 `json:"fail_diff_high"`
+	LatencyOld     float64 `json:"latency_ms_old"`
+	LatencyNew     float64 `json:"latency_ms_new"`
+	LatencyRatio   float64 `json:"latency_ratio"`
+	AgeMS          int64   `json:"age_ms"`
 }
 
 // Evaluate compares the arms of one route in a trial.
 func Evaluate(route string, oldArm, newArm Arm, age time.Duration, bounds Bounds) Facts {
 	facts := Facts{Route: route, Verdict: Wait, Old: oldArm, New: newArm, AgeMS: age.Milliseconds()}
-	if oldArm.Jobs() > 0 && newArm.Jobs() > 0 {
-		facts.FailOld, facts.FailNew = failureRate(oldArm), failureRate(newArm)
+	if oldArm.Total() > 0 && newArm.Total() > 0 {
+		facts.FailureRateOld, facts.FailureRateNew = failureRate(oldArm), failureRate(newArm)
 		facts.DiffLow, facts.DiffHigh = failureDiffInterval(oldArm, newArm, bounds.Risk/evaluations)
-		facts.SlowOld, facts.SlowNew = quantile(oldArm.LatencyBins, bounds.Quantile), quantile(newArm.LatencyBins, bounds.Quantile)
-		if facts.SlowOld > 0 {
-			facts.LatencyRatio = facts.SlowNew / facts.SlowOld
+		facts.LatencyOld, facts.LatencyNew = quantile(oldArm.LatencyBins, bounds.Quantile), quantile(newArm.LatencyBins, bounds.Quantile)
+		if facts.LatencyOld > 0 {
+			facts.LatencyRatio = facts.LatencyNew / facts.LatencyOld
 		}
 	}
-	if age < bounds.Least || newArm.Jobs() < bounds.Jobs || oldArm.Jobs() < bounds.Jobs {
-		facts.Reason = fmt.Sprintf("%d and %d jobs in %v are too few yet", oldArm.Jobs(), newArm.Jobs(), age.Round(time.Second))
-		if age >= bounds.Most {
-			facts.Verdict, facts.Reason = Bad, fmt.Sprintf("too little traffic: %d and %d jobs in %v", oldArm.Jobs(), newArm.Jobs(), age.Round(time.Second))
+	if age < bounds.MinAge || newArm.Total() < bounds.MinRequests || oldArm.Total() < bounds.MinRequests {
+		facts.Reason = fmt.Sprintf("%d and %d jobs in %v are too few yet", oldArm.Total(), newArm.Total(), age.Round(time.Second))
+		if age >= bounds.MaxAge {
+			facts.Verdict, facts.Reason = HoldBack, fmt.Sprintf("too little traffic: %d and %d jobs in %v", oldArm.Total(), newArm.Total(), age.Round(time.Second))
 		}
 		return facts
 	}
@@ -94,28 +94,28 @@
 	newLow, newHigh := quantileBounds(newArm.LatencyBins, bounds.Quantile, z)
 	oldLow, oldHigh := quantileBounds(oldArm.LatencyBins, bounds.Quantile, z)
 	switch {
-	case facts.DiffLow > 0 && facts.FailNew-facts.FailOld > bounds.Margin:
-		facts.Verdict, facts.Reason = Bad, fmt.Sprintf("fails more: %.2f %% against %.2f %%", 100*facts.FailNew, 100*facts.FailOld)
-	case newArm.Done > 0 && newLow > bounds.Slow*oldHigh:
-		facts.Verdict, facts.Reason = Bad, fmt.Sprintf("slower: quantile %.0f ms against %.0f ms", facts.SlowNew, facts.SlowOld)
-	case facts.DiffHigh < bounds.Margin && newArm.Done > 0 && newHigh <= bounds.Slow*max(oldLow, 1):
-		facts.Verdict, facts.Reason = Good, fmt.Sprintf("failure rate %.2f %% against %.2f %%, latency ratio %.2f", 100*facts.FailNew, 100*facts.FailOld, facts.LatencyRatio)
-	case age >= bounds.Most:
-		facts.Verdict, facts.Reason = Bad, "undecided by the end of the trial"
+	case facts.DiffLow > 0 && facts.FailureRateNew-facts.FailureRateOld > bounds.MaxFailureIncrease:
+		facts.Verdict, facts.Reason = HoldBack, fmt.Sprintf("fails more: %.2f %% against %.2f %%", 100*facts.FailureRateNew, 100*facts.FailureRateOld)
+	case newArm.Done > 0 && newLow > bounds.MaxLatencyRatio*oldHigh:
+		facts.Verdict, facts.Reason = HoldBack, fmt.Sprintf("slower: quantile %.0f ms against %.0f ms", facts.LatencyNew, facts.LatencyOld)
+	case facts.DiffHigh < bounds.MaxFailureIncrease && newArm.Done > 0 && newHigh <= bounds.MaxLatencyRatio*max(oldLow, 1):
+		facts.Verdict, facts.Reason = Promote, fmt.Sprintf("failure rate %.2f %% against %.2f %%, latency ratio %.2f", 100*facts.FailureRateNew, 100*facts.FailureRateOld, facts.LatencyRatio)
+	case age >= bounds.MaxAge:
+		facts.Verdict, facts.Reason = HoldBack, "undecided by the end of the trial"
 	default:
 		facts.Reason = "the figures don't decide yet"
 	}
 	return facts
 }
 
-func failureRate(a Arm) float64 { return float64(a.Failed) / float64(a.Jobs()) }
+func failureRate(a Arm) float64 { return float64(a.Failed) / float64(a.Total()) }
 
 // failureDiffInterval is the Agresti-Caffo interval for the difference of two failure rates, new
 // minus old. It holds for the small counts of a trial's slice, where the plain normal approximation
 // does not.
 func failureDiffInterval(oldArm, newArm Arm, risk float64) (low, high float64) {
 	estimate := func(a Arm) (p, v float64) {
-		n := float64(a.Jobs()) + 2
+		n := float64(a.Total()) + 2
 		p = (float64(a.Failed) + 1) / n
 		return p, p * (1 - p) / n
 	}
--- a/internal/judge/judge_test.go
+++ b/internal/judge/judge_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-var defaultBounds = Bounds{Jobs: 100, Least: 5 * time.Second, Most: 120 * time.Second, Risk: 0.01, Margin: 0.02, Slow: 1.5, Quantile: 0.9}
+var defaultBounds = Bounds{MinRequests: 100, MinAge: 5 * time.Second, MaxAge: 120 * time.Second, Risk: 0.01, MaxFailureIncrease: 0.02, MaxLatencyRatio: 1.5, Quantile: 0.9}
 
 // simulatedArm says how the requests of one arm of a simulated trial end.
 type simulatedArm struct {
@@ -70,7 +70,7 @@
 		wrong, totalAge := 0, int64(0)
 		for range trials {
 			facts := runTrial(random, c.oldArm, c.newArm, c.rate, defaultBounds)
-			if (facts.Verdict == Good) != c.promoted {
+			if (facts.Verdict == Promote) != c.promoted {
 				wrong++
 			}
 			totalAge += facts.AgeMS
@@ -87,7 +87,7 @@
 	oldArm := Arm{Done: 900, LatencyBins: make([]uint64, 72)}
 	oldArm.LatencyBins[20] = 900
 	newArm := Arm{Failed: 100, LatencyBins: make([]uint64, 72)}
-	if facts := Evaluate("p", oldArm, newArm, 6*time.Second, defaultBounds); facts.Verdict != Bad {
+	if facts := Evaluate("p", oldArm, newArm, 6*time.Second, defaultBounds); facts.Verdict != HoldBack {
 		t.Errorf("got %+v", facts)
 	}
 }
--- a/internal/ormap/compact.go
+++ b/internal/ormap/compact.go
@@ -28,7 +28,7 @@
 	}
 	lastWall := int64(0)
 	// A timestamp is encoded as the difference from the previous one.
-	encodeStamp := func(value hlc.Stamp) string {
+	encodeStamp := func(value hlc.Timestamp) string {
 		difference := value.Wall - lastWall
 		lastWall = value.Wall
 		text := strconv.FormatInt(difference, 36)
@@ -65,7 +65,7 @@
 		difference, count, _ := strings.Cut(columns[1][i], ".")
 		parsed, err := strconv.ParseInt(difference, 36, 64)
 		lastWall += parsed
-		stamp := hlc.Stamp{Wall: lastWall}
+		stamp := hlc.Timestamp{Wall: lastWall}
 		if err == nil && count != "" {
 			var n uint64
 			n, err = strconv.ParseUint(count, 36, 32)
--- a/internal/ormap/ormap.go
+++ b/internal/ormap/ormap.go
@@ -17,8 +17,8 @@
 // Dot identifies one registration uniquely. Node holds the node's name and the random
 // incarnation of its start, so that a clock that was set back can't produce a dot twice.
 type Dot struct {
-	Node  string    `msgpack:"n" json:"node"`
-	Stamp hlc.Stamp `msgpack:"a" json:"at"`
+	Node  string        `msgpack:"n" json:"node"`
+	Stamp hlc.Timestamp `msgpack:"a" json:"at"`
 }
 
 // Entry is one registration.
--- a/internal/patch/document.go
+++ b/internal/patch/document.go
@@ -8,7 +8,7 @@
 	maxSteps  int // number of steps kept for nodes that are behind
 	version   uint64
 	doc       []byte
-	steps     []Step
+	steps     []Patch
 	stepBytes int
 }
 
@@ -16,7 +16,7 @@
 func NewDocument(maxSteps int) *Document { return &Document{maxSteps: maxSteps} }
 
 // Set installs a newer version, with the steps from the current version to it if they are known.
-func (d *Document) Set(version uint64, doc []byte, steps []Step) {
+func (d *Document) Set(version uint64, doc []byte, steps []Patch) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if version <= d.version {
@@ -37,7 +37,7 @@
 	// Steps that add up to more than half of the document are never sent.
 	for len(d.steps) > d.maxSteps || d.stepBytes > len(doc)/2 && len(d.steps) > 0 {
 		d.stepBytes -= d.steps[0].Size()
-		d.steps = append([]Step(nil), d.steps[1:]...)
+		d.steps = append([]Patch(nil), d.steps[1:]...)
 	}
 }
 
@@ -50,12 +50,12 @@
 
 // Since returns the steps from a version to the current one. It returns false when they are not
 // known, or when the whole document is the better choice.
-func (d *Document) Since(version uint64) ([]Step, bool) {
+func (d *Document) Since(version uint64) ([]Patch, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for i, s := range d.steps {
 		if s.From == version {
-			return append([]Step(nil), d.steps[i:]...), true
+			return append([]Patch(nil), d.steps[i:]...), true
 		}
 	}
 	return nil, false
@@ -63,7 +63,7 @@
 
 // Build applies steps to the current document and returns the result. Steps up to the current
 // version are skipped. False means that the steps do not fit.
-func (d *Document) Build(steps []Step) ([]byte, bool) {
+func (d *Document) Build(steps []Patch) ([]byte, bool) {
 	version, doc := d.Current()
 	for _, s := range steps {
 		if s.To <= version {
--- a/internal/patch/patch.go
+++ b/internal/patch/patch.go
@@ -17,8 +17,8 @@
 	New []byte `msgpack:"n,omitempty"`
 }
 
-// Step leads from one version to a later one.
-type Step struct {
+// Patch leads from one version to a later one.
+type Patch struct {
 	From   uint64 `msgpack:"f"`
 	To     uint64 `msgpack:"t"`
 	Base   []byte `msgpack:"b"` // digest of the old document
@@ -34,7 +34,7 @@
 }
 
 // Size is the approximate encoded size of a step in bytes.
-func (s Step) Size() int {
+func (s Patch) Size() int {
 	size := 64
 	for _, op := range s.Ops {
 		size += 12 + len(op.New)
@@ -59,8 +59,8 @@
 }
 
 // Make computes the step between two documents.
-func Make(from, to uint64, old, updated []byte) Step {
-	step := Step{From: from, To: to, Base: digest(old), Digest: digest(updated)}
+func Make(from, to uint64, old, updated []byte) Patch {
+	step := Patch{From: from, To: to, Base: digest(old), Digest: digest(updated)}
 	// The common prefix and suffix are usually most of the document and need no search.
 	prefix := 0
 	for prefix < len(old) && prefix < len(updated) && old[prefix] == updated[prefix] {
@@ -86,7 +86,7 @@
 
 // copyRange adds a range of the old document, merged with the previous range if it continues that
 // one.
-func (s *Step) copyRange(offset, length int) {
+func (s *Patch) copyRange(offset, length int) {
 	if length == 0 {
 		return
 	}
@@ -98,7 +98,7 @@
 }
 
 // addRow adds a row that occurs at the given offsets of the old document, or nowhere in it.
-func (s *Step) addRow(row []byte, offsets []int) {
+func (s *Patch) addRow(row []byte, offsets []int) {
 	count := len(s.Ops)
 	for _, offset := range offsets {
 		// The offset at which the previous range ends is preferred, since it only extends that
@@ -124,7 +124,7 @@
 const maxDocumentBytes = 64 << 20
 
 // Apply returns the new document. An error means that the step does not fit the old one.
-func (s Step) Apply(old []byte) ([]byte, error) {
+func (s Patch) Apply(old []byte) ([]byte, error) {
 	if !bytes.Equal(digest(old), s.Base) {
 		return nil, fault.New(fault.Stale, "a step from %d begins at another document", s.From)
 	}
--- a/internal/patch/patch_test.go
+++ b/internal/patch/patch_test.go
@@ -83,9 +83,9 @@
 	docs := map[uint64][]byte{}
 	for version := uint64(1); version <= 400; version++ {
 		docs[version] = routesDocument(600, int(version))
-		var steps []Step
+		var steps []Patch
 		if version > 1 {
-			steps = []Step{Make(version-1, version, docs[version-1], docs[version])}
+			steps = []Patch{Make(version-1, version, docs[version-1], docs[version])}
 		}
 		current.Set(version, docs[version], steps)
 	}
--- a/internal/paxos/chosen.go
+++ b/internal/paxos/chosen.go
@@ -35,7 +35,7 @@
 // ProvenChosen returns the entries above index that the stored files alone prove to be
 // chosen: all of an unbroken chain except its newest entry.
 func (a *Acceptor) ProvenChosen(index uint64, previous []byte) []Entry {
-	top := a.Top()
+	top := a.HighestIndex()
 	for i := top; i > index+1; i-- {
 		a.mu.Lock()
 		entry := a.entries[i]
@@ -50,12 +50,12 @@
 	return nil
 }
 
-// Rename gives the replica a new identity. It drops what was promised and accepted
+// ReplaceIdentity gives the replica a new identity. It drops what was promised and accepted
 // under the old one, except the entries up to the index chosen, which are known to be
 // chosen. The new identity is durable before anything is dropped: a power loss in
 // between leaves an identity that never voted with promises that bind it more than
 // necessary, which is safe.
-func (a *Acceptor) Rename(id Identity, chosen uint64) error {
+func (a *Acceptor) ReplaceIdentity(id Identity, chosen uint64) error {
 	a.snapshotLock.Lock()
 	defer a.snapshotLock.Unlock()
 	if err := a.SetIdentity(id); err != nil {
--- a/internal/paxos/durability_test.go
+++ b/internal/paxos/durability_test.go
@@ -75,7 +75,7 @@
 				simDisk.Room(-1)
 			}
 			stored := map[uint64]ballot.Number{}
-			for _, e := range acceptor.After(compacted, 1000) {
+			for _, e := range acceptor.EntriesAfter(compacted, 1000) {
 				stored[e.Index] = e.Ballot
 			}
 			for index := compacted + 1; index <= highest; index++ {
@@ -136,8 +136,8 @@
 	if err := simDisk.Rename("v-0000000000000005", "v-0000000000000005.aside"); err != nil {
 		t.Fatal(err)
 	}
-	if acceptor := openAcceptor(t, simDisk); acceptor.Top() != 5 {
-		t.Errorf("the highest entry is %d of 5", acceptor.Top())
+	if acceptor := openAcceptor(t, simDisk); acceptor.HighestIndex() != 5 {
+		t.Errorf("the highest entry is %d of 5", acceptor.HighestIndex())
 	}
 }
 
@@ -162,8 +162,8 @@
 		}
 		simDisk.PowerByNames(random)
 		acceptor = openAcceptor(t, simDisk)
-		if acceptor.Top() != uint64(entries) || acceptor.Identity().ID != "r1" || acceptor.Promised().Round != 1 || acceptor.DamagedUpTo() > 0 {
-			t.Errorf("seed %d: of %d entries the highest is %d, replica %q, promise %v, damaged up to %d", seed, entries, acceptor.Top(), acceptor.Identity().ID, acceptor.Promised(), acceptor.DamagedUpTo())
+		if acceptor.HighestIndex() != uint64(entries) || acceptor.Identity().ID != "r1" || acceptor.Promised().Round != 1 || acceptor.DamagedUpTo() > 0 {
+			t.Errorf("seed %d: of %d entries the highest is %d, replica %q, promise %v, damaged up to %d", seed, entries, acceptor.HighestIndex(), acceptor.Identity().ID, acceptor.Promised(), acceptor.DamagedUpTo())
 		}
 	}
 }
--- a/internal/paxos/log.go
+++ b/internal/paxos/log.go
@@ -134,8 +134,8 @@
 	return a.writeEntries(learned)
 }
 
-// Top returns the highest accepted index, or 0.
-func (a *Acceptor) Top() uint64 {
+// HighestIndex returns the highest accepted index, or 0.
+func (a *Acceptor) HighestIndex() uint64 {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.highest()
@@ -150,8 +150,8 @@
 	return highest
 }
 
-// After returns at most limit accepted entries above an index, in order.
-func (a *Acceptor) After(index uint64, limit int) []Entry {
+// EntriesAfter returns at most limit accepted entries above an index, in order.
+func (a *Acceptor) EntriesAfter(index uint64, limit int) []Entry {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	var entries []Entry
--- a/internal/paxos/paxos_test.go
+++ b/internal/paxos/paxos_test.go
@@ -51,8 +51,8 @@
 	_, _ = file.Write([]byte("half"))
 	simDisk.Power()
 	acceptor := openAcceptor(t, simDisk)
-	if acceptor.Top() != 5 || acceptor.Identity().ID != "r1" || acceptor.Promised().Round != 1 {
-		t.Fatalf("after power loss: top %d, %v, %v", acceptor.Top(), acceptor.Identity(), acceptor.Promised())
+	if acceptor.HighestIndex() != 5 || acceptor.Identity().ID != "r1" || acceptor.Promised().Round != 1 {
+		t.Fatalf("after power loss: top %d, %v, %v", acceptor.HighestIndex(), acceptor.Identity(), acceptor.Promised())
 	}
 	// The chain alone proves all entries but the newest to be chosen.
 	if got := acceptor.ProvenChosen(0, []byte("zero")); len(got) != 4 {
@@ -105,7 +105,7 @@
 			if !simDisk.Harm(name, torn) {
 				t.Fatalf("no file %s", name)
 			}
-			if acceptor := openAcceptor(t, simDisk); acceptor.Identity().ID != "" || acceptor.LatestSnapshot() != nil || acceptor.Top() != 0 {
+			if acceptor := openAcceptor(t, simDisk); acceptor.Identity().ID != "" || acceptor.LatestSnapshot() != nil || acceptor.HighestIndex() != 0 {
 				t.Errorf("%s damaged, torn %v: the replica is not empty", name, torn)
 			}
 		}
@@ -133,7 +133,7 @@
 func TestFullDisk(t *testing.T) {
 	simDisk := sim.NewDisk()
 	acceptor := acceptorWithEntries(t, simDisk, 3)
-	if err := acceptor.Reserve(10_000); err != nil {
+	if err := acceptor.ReserveSpace(10_000); err != nil {
 		t.Fatal(err)
 	}
 	simDisk.Room(20)
@@ -141,8 +141,8 @@
 	if err := acceptor.Accept(entry); err == nil {
 		t.Fatal("accepted on a full disk")
 	}
-	if acceptor.Top() != 3 {
-		t.Fatalf("top %d after a refused write", acceptor.Top())
+	if acceptor.HighestIndex() != 3 {
+		t.Fatalf("top %d after a refused write", acceptor.HighestIndex())
 	}
 	if err := acceptor.SaveSnapshot(acceptor.Identity().ID, paxos.Snapshot{Index: 3, Digest: []byte("x"), State: make([]byte, 5000)}, 0); err != nil {
 		t.Fatalf("no snapshot on a full disk: %v", err)
--- a/internal/paxos/snapshot.go
+++ b/internal/paxos/snapshot.go
@@ -124,10 +124,10 @@
 // reserveFile is the file that reserves disk space for a snapshot.
 const reserveFile = "r-reserve"
 
-// Reserve reserves disk space for a snapshot of size bytes, so that a snapshot can
+// ReserveSpace reserves disk space for a snapshot of size bytes, so that a snapshot can
 // still be written on a full disk and compact the log to free space. The reserve is
 // rewritten only when it is too small.
-func (a *Acceptor) Reserve(size int) error {
+func (a *Acceptor) ReserveSpace(size int) error {
 	a.snapshotLock.Lock()
 	defer a.snapshotLock.Unlock()
 	a.mu.Lock()
--- a/internal/protocol/messages.go
+++ b/internal/protocol/messages.go
@@ -46,7 +46,7 @@
 	IsDiff             bool                `msgpack:"f,omitempty"` // Added and Removed lead from the heartbeat's list to MembersHash
 	Added              []membership.Member `msgpack:"w,omitempty"`
 	Removed            []string            `msgpack:"g,omitempty"`
-	Steps              []patch.Step        `msgpack:"s,omitempty"` // from the heartbeat's version to ConfigVersion, instead of Document
+	Patches            []patch.Patch       `msgpack:"s,omitempty"` // from the heartbeat's version to ConfigVersion, instead of Document
 	CompactDiff        []byte              `msgpack:"z,omitempty"` // Added and Removed in the compact encoding
 	CompressedDocument []byte              `msgpack:"u,omitempty"` // the compressed document, instead of Document
 }
@@ -71,10 +71,10 @@
 // ConfigPush sends a new configuration at once: as patches to a peer that is likely to hold
 // the version they start from, or else whole.
 type ConfigPush struct {
-	Version      uint64       `msgpack:"v"`
-	Document     []byte       `msgpack:"d"`
-	Steps        []patch.Step `msgpack:"s,omitempty"`
-	AcceptsPatch bool         `msgpack:"p,omitempty"` // in a request: patches are accepted
+	Version      uint64        `msgpack:"v"`
+	Document     []byte        `msgpack:"d"`
+	Patches      []patch.Patch `msgpack:"s,omitempty"`
+	AcceptsPatch bool          `msgpack:"p,omitempty"` // in a request: patches are accepted
 }
 
 // ConfigPushResponse returns the version that the peer holds after a push.
@@ -170,7 +170,7 @@
 	CallerService      string              `msgpack:"c2,omitempty"` // the service of the node at which the request entered
 	TargetMS           int64               `msgpack:"i,omitempty"`  // remaining target latency in ms
 	NoQueue            bool                `msgpack:"ru,omitempty"` // it goes to another worker rather than wait for a slot
-	SentAgainByCaller  bool                `msgpack:"sn,omitempty"` // the caller sent the request again
+	ResentByCaller     bool                `msgpack:"sn,omitempty"` // the caller sent the request again
 	Retry              bool                `msgpack:"g,omitempty"`  // not the first attempt of the request
 	NestedRetryShare   float64             `msgpack:"pt,omitempty"` // for a first attempt: the share of it, 0 to 1, that was caused by a retried run of its caller
 	Confidence         Confidence          `msgpack:"x,omitempty"`  // the ingress's confidence in ConfigVersion, determined after it read the request
@@ -180,8 +180,8 @@
 	UsualRunMS         int64               `msgpack:"us,omitempty"` // usual run time of such requests at a worker in ms, as the ingress knows it; 0: unknown
 	NeedsRetryBudget   bool                `msgpack:"up,omitempty"` // the ingress's retry budget is exhausted: the owner's share of the budget pays, or it refuses
 	AllowUnfinishedRun bool                `msgpack:"la,omitempty"` // another run of the request is or will be lost: one that may not finish in time is better than none
-	AllowEndingNode    bool                `msgpack:"an,omitempty"` // with AllowUnfinishedRun: no other worker took it, so one whose node is stopping is better than none
-	FrontWaitMS        int64               `msgpack:"re,omitempty"` // ms until an ingress that was told to stop no longer waits for answers; 0: not told to stop
+	AllowStoppingNode  bool                `msgpack:"an,omitempty"` // with AllowUnfinishedRun: no other worker took it, so one whose node is stopping is better than none
+	IngressWaitMS      int64               `msgpack:"re,omitempty"` // ms until an ingress that was told to stop no longer waits for answers; 0: not told to stop
 }
 
 // RunEndNoticeKind is the message kind of a RunEndNotice. An owner that was told to stop
--- a/internal/proxy/api.go
+++ b/internal/proxy/api.go
@@ -94,7 +94,7 @@
 		}
 		// A read may be sent again; a change that may have been applied may not.
 		if !fault.Is(err, fault.Unsent) && !fault.Is(err, fault.Refused) && r.Method != http.MethodGet {
-			httpapi.WriteJSON(w, http.StatusGatewayTimeout, httpapi.ErrorBody{Message: "outcome unknown: the control node gave no receipt", Ran: "unknown"})
+			httpapi.WriteJSON(w, http.StatusGatewayTimeout, httpapi.ErrorBody{Message: "outcome unknown: the control node gave no receipt", Executed: "unknown"})
 			return
 		}
 	}
--- a/internal/proxy/callworker.go
+++ b/internal/proxy/callworker.go
@@ -86,7 +86,7 @@
 		return attempt.outcomeUnknown(attempt.cutReason)
 	}
 	if err != nil {
-		attempt.connForgotten = errors.Is(err, workerconn.ErrConnectionForgotten)
+		attempt.connForgotten = errors.Is(err, workerconn.ErrStaleConnection)
 		return attempt.outcomeUnknown("no whole answer from the worker: " + withoutAddresses(err))
 	}
 	if int64(len(body)) > x.maxResponseBody() {
--- a/internal/proxy/controlhost.go
+++ b/internal/proxy/controlhost.go
@@ -53,7 +53,7 @@
 
 // retireOldEntries replaces registry entries of earlier starts of this node by tombstones.
 func (x *Proxy) retireOldEntries() {
-	x.replica.RetireNode(x.Settings.Node, func(e ormap.Entry) bool { return e.Dot.Node != x.replica.Dot() })
+	x.replica.RetireNode(x.Settings.Node, func(e ormap.Entry) bool { return e.Dot.Node != x.replica.DotNode() })
 }
 
 func (h controlHost) SessionRenewed() {
--- a/internal/proxy/evaluate.go
+++ b/internal/proxy/evaluate.go
@@ -19,7 +19,7 @@
 	}
 	// The route's limit counts workers. Owners without capacity may be tried besides, but only
 	// a few.
-	canRetry := req.reached < req.arm.Tries && req.attempts-req.noQueueAttempts < req.arm.Tries+extraAttempts && ctx.Err() == nil && time.Now().Before(req.deadline) && !x.isEnding()
+	canRetry := req.reached < req.arm.MaxAttempts && req.attempts-req.noQueueAttempts < req.arm.MaxAttempts+extraAttempts && ctx.Err() == nil && time.Now().Before(req.deadline) && !x.isEnding()
 	switch req.result.Outcome {
 	case protocol.Done:
 		// Only this worker may have failed; its response is kept in case no other worker does
--- a/internal/proxy/hedge.go
+++ b/internal/proxy/hedge.go
@@ -50,7 +50,7 @@
 // beginAttempt registers an attempt and returns its context. The attempt is nil if it can't be
 // hedged: the request is not repeatable, or has no other worker or no attempts left.
 func (x *Proxy) beginAttempt(ctx context.Context, req *request, id string) (*ingressAttempt, context.Context) {
-	if !req.arm.Repeatable || req.reached+1 >= req.arm.Tries || req.workerCount <= len(req.tried) {
+	if !req.arm.Repeatable || req.reached+1 >= req.arm.MaxAttempts || req.workerCount <= len(req.tried) {
 		return nil, ctx
 	}
 	attemptCtx, cancel := context.WithCancel(ctx)
--- a/internal/proxy/hedge_test.go
+++ b/internal/proxy/hedge_test.go
@@ -44,7 +44,7 @@
 	x := &Proxy{Settings: settings.Settings{GracePeriod: 6 * time.Second, ConfigBound: 2 * time.Second}}
 	x.ingressAttempts.byID = map[string]*ingressAttempt{}
 	x.balancer = balancer.New("a", time.Second, 10*time.Second, func(string, bool) {})
-	return x, &request{route: &rules.Route{Name: "p"}, arm: &rules.Arm{Repeatable: true, Tries: 2}, service: "s", tried: map[string]bool{"w": true}, attempts: 1, workerCount: 3, deadline: time.Now().Add(time.Second)}
+	return x, &request{route: &rules.Route{Name: "p"}, arm: &rules.Arm{Repeatable: true, MaxAttempts: 2}, service: "s", tried: map[string]bool{"w": true}, attempts: 1, workerCount: 3, deadline: time.Now().Add(time.Second)}
 }
 
 // simulateRun records a run of the route at a worker, as the ingress sees it.
--- a/internal/proxy/owner.go
+++ b/internal/proxy/owner.go
@@ -53,8 +53,8 @@
 		defer cancel()
 	}
 	// Counted from when the ingress sent it, like its timeout.
-	if in.FrontWaitMS > 0 {
-		attempt.ingressDeadline = attempt.deadline.Add(time.Duration(in.FrontWaitMS-in.TimeoutMS) * time.Millisecond)
+	if in.IngressWaitMS > 0 {
+		attempt.ingressDeadline = attempt.deadline.Add(time.Duration(in.IngressWaitMS-in.TimeoutMS) * time.Millisecond)
 	}
 	x.activeAttempts.Add(1)
 	defer x.activeAttempts.Add(-1)
@@ -88,7 +88,7 @@
 		used, waiting, _ := attempt.worker.admission.Load()
 		attempt.result.UsedSlots = used + waiting
 		report := attempt.worker.stats.Report()
-		attempt.result.PaceEighths, attempt.result.FailedPer64 = report.Pace, report.Fail
+		attempt.result.PaceEighths, attempt.result.FailedPer64 = report.PaceEighths, report.FailedPer64
 	}
 	return attempt.result
 }
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -105,7 +105,7 @@
 	x.self = membership.Member{Node: conf.Node, Incarnation: x.incarnation, Role: "proxy", Zone: conf.Zone, InternalAddr: conf.InternalAddr, APIAddr: conf.APIAddr, TrafficAddr: conf.TrafficAddr}
 	x.node = transport.NewNode(transport.Hello{ClusterID: conf.ClusterID, Node: conf.Node, Zone: conf.Zone, Role: "proxy"}, environ, group, conf.MaxFrameBytes, conf.MaxRequests, conf.CallTimeout())
 	x.node.MaxIdleLinks = conf.MaxIdleLinks()
-	x.replica = replica.New(x.self, x.node, group, environ.Log, hlc.New(environ.Wall, 2*conf.RecoveryBound), conf.HeartbeatInterval(), conf.RepairInterval(), conf.TombstoneTTL())
+	x.replica = replica.New(x.self, x.node, group, environ.Log, hlc.New(environ.WallClock, 2*conf.RecoveryBound), conf.HeartbeatInterval(), conf.RepairInterval(), conf.TombstoneTTL())
 	x.balancer = balancer.New(conf.Zone, conf.HeartbeatInterval(), conf.RetryWindow, x.onHealthChange)
 	x.retryBudget = retrybudget.New(conf.RetryWindow)
 	x.nested = newNestedRoutes()
@@ -121,11 +121,11 @@
 	x.control = newControlClient(x)
 	x.workerConns = workerconn.NewPool(environ.Net, group, conf.ConfigBound, int64(max(conf.MaxBodyBytes, conf.MaxFrameBytes/2))+64<<10, x.dialect.IdentifiesConns)
 	x.lifecycle = fsm.New("starting", nil,
-		fsm.Move{From: "starting", By: "filled", To: "ready"},
-		fsm.Move{From: "starting", By: "stop", To: "leaving"},
-		fsm.Move{From: "ready", By: "stop", To: "leaving"},
-		fsm.Move{From: "leaving", By: "shut", To: "shut"},
-		fsm.Move{From: "shut", By: "end", To: "ended"})
+		fsm.Transition{From: "starting", Trigger: "filled", To: "ready"},
+		fsm.Transition{From: "starting", Trigger: "stop", To: "leaving"},
+		fsm.Transition{From: "ready", Trigger: "stop", To: "leaving"},
+		fsm.Transition{From: "leaving", Trigger: "shut", To: "shut"},
+		fsm.Transition{From: "shut", Trigger: "end", To: "ended"})
 	x.replica.Subscribe(x.onRegistryEvent)
 	return x
 }
--- a/internal/proxy/queuewait.go
+++ b/internal/proxy/queuewait.go
@@ -16,7 +16,7 @@
 func (x *Proxy) maxQueueWait() time.Duration {
 	limit := x.Settings.GracePeriod * 6 / 10
 	if schedule := x.stopSchedule.Load(); schedule != nil {
-		limit = min(limit, schedule.RemainingWait()-x.Settings.FarewellTimeout())
+		limit = min(limit, schedule.RemainingWait()-x.Settings.GoodbyeTimeout())
 	}
 	return max(limit, time.Millisecond)
 }
@@ -100,7 +100,7 @@
 // mayFinish tells whether an attempt has some time, even if less than usually needed, before
 // its ingress or this node ends.
 func (x *Proxy) mayFinish(attempt *ownerAttempt) bool {
-	return x.remainingBeforeEnd(attempt) > x.Settings.FarewellTimeout()
+	return x.remainingBeforeEnd(attempt) > x.Settings.GoodbyeTimeout()
 }
 
 // remainingBeforeEnd is how long the attempt of a request with a lost run has until its ingress
@@ -112,7 +112,7 @@
 		remaining = time.Until(attempt.ingressDeadline)
 	}
 	if schedule := x.stopSchedule.Load(); schedule != nil {
-		if !attempt.req.AllowEndingNode {
+		if !attempt.req.AllowStoppingNode {
 			return 0
 		}
 		remaining = min(remaining, schedule.RemainingWait())
@@ -153,7 +153,7 @@
 		return -1 // a run of it is lost
 	case time.Duration(a.req.TargetMS)*time.Millisecond <= a.worker.timeNeeded(a.req.Route, remaining/4)*2/3:
 		return 2 // it will be late, judging by the usual run time of its route here
-	case a.req.SentAgainByCaller:
+	case a.req.ResentByCaller:
 		return 1 // a part of its target latency is lost
 	}
 	return 0
@@ -180,7 +180,7 @@
 // for requests that lost a run after this node got the stop signal: the caller can't come back
 // here, and workers that are full now may have a free slot before this node ends.
 func (x *Proxy) keepsTrying(ctx context.Context, req *request) bool {
-	if req.lost == nil || req.isHedge || !req.arm.Repeatable || req.result.Outcome == protocol.Done || req.reached >= req.arm.Tries || x.stopSchedule.Load() == nil || x.isEnding() {
+	if req.lost == nil || req.isHedge || !req.arm.Repeatable || req.result.Outcome == protocol.Done || req.reached >= req.arm.MaxAttempts || x.stopSchedule.Load() == nil || x.isEnding() {
 		return false
 	}
 	if req.result.ConfigMismatch {
--- a/internal/proxy/requeue_test.go
+++ b/internal/proxy/requeue_test.go
@@ -13,7 +13,7 @@
 // refusal, or of the one before if the last named none.
 func TestRetryAfterOfLastRefusal(t *testing.T) {
 	x := &Proxy{}
-	req := &request{arm: &rules.Arm{Tries: 1}, deadline: time.Now().Add(time.Hour)}
+	req := &request{arm: &rules.Arm{MaxAttempts: 1}, deadline: time.Now().Add(time.Hour)}
 	for _, c := range []struct{ retryAfterMS, wantMS int64 }{{4000, 4000}, {2500, 2500}, {0, 2500}, {3000, 3000}} {
 		req.result = protocol.AttemptResult{Outcome: protocol.Refused, Reason: "queue full", RetryAfterMS: c.retryAfterMS}
 		x.evaluate(context.Background(), req)
--- a/internal/proxy/respond.go
+++ b/internal/proxy/respond.go
@@ -12,8 +12,8 @@
 
 // reject answers a request that can't be accepted as it is; it was not run.
 func (x *Proxy) reject(w http.ResponseWriter, code int, message string) {
-	x.setOwnHeader(w, responsedigest.RanHeader, "no")
-	httpapi.WriteJSON(w, code, httpapi.ErrorBody{Message: message, Ran: "no"})
+	x.setOwnHeader(w, responsedigest.ExecutedHeader, "no")
+	httpapi.WriteJSON(w, code, httpapi.ErrorBody{Message: message, Executed: "no"})
 }
 
 // setOwnHeader sets one of the mesh's own headers, if the dialect has them.
@@ -25,7 +25,7 @@
 
 // respondBusy sends the busy response: the request was not run and never will be.
 func (x *Proxy) respondBusy(w http.ResponseWriter, reason string, retryAfter time.Duration) {
-	x.setOwnHeader(w, responsedigest.RanHeader, "no")
+	x.setOwnHeader(w, responsedigest.ExecutedHeader, "no")
 	x.setOwnHeader(w, responsedigest.ReasonHeader, reason)
 	// The caller gets a retry-after time instead of being held here.
 	httpapi.WriteBusy(w, "busy, try later: "+reason, retryAfter, x.dialect.FractionalRetryAfter)
@@ -59,8 +59,8 @@
 		if req.lost.TimedOut {
 			code = http.StatusGatewayTimeout
 		}
-		x.setOwnHeader(w, responsedigest.RanHeader, "unknown")
-		httpapi.WriteJSON(w, code, httpapi.ErrorBody{Message: "outcome unknown: " + req.lost.Reason, Ran: "unknown"})
+		x.setOwnHeader(w, responsedigest.ExecutedHeader, "unknown")
+		httpapi.WriteJSON(w, code, httpapi.ErrorBody{Message: "outcome unknown: " + req.lost.Reason, Executed: "unknown"})
 	default:
 		x.respondBusy(w, req.reason, x.callerRetryAfter(req))
 	}
--- a/internal/proxy/start.go
+++ b/internal/proxy/start.go
@@ -116,7 +116,7 @@
 		if current != nil && current.Version >= version {
 			return true
 		}
-		compiled, problems, err := rules.Next(current, version, doc)
+		compiled, problems, err := rules.Recompile(current, version, doc)
 		if err != nil || len(problems) > 0 {
 			x.env.Log.Emit(event.ConfigRefused, "version", version, "faults", len(problems))
 			return false
--- a/internal/proxy/steps.go
+++ b/internal/proxy/steps.go
@@ -132,8 +132,8 @@
 	out := protocol.AttemptRequest{RequestID: req.id, AttemptID: fmt.Sprintf("%s.%d", req.id, req.attempts), Route: req.route.Name, Arm: req.arm.Name,
 		ConfigVersion: req.rules.Version, Service: req.service, Class: req.arm.Class, Worker: req.entry.Worker,
 		Host: req.httpReq.Host, Method: req.httpReq.Method, URI: req.httpReq.URL.RequestURI(), Header: x.forwardedHeaders(req.httpReq.Header), Body: req.body, TimeoutMS: remaining.Milliseconds(),
-		WorkerAttemptID: req.callerAttemptID, CallerService: x.currentSettings().Service, Retry: req.reached > 0, NestedRetryShare: req.retryShare, Confidence: req.confidence, MaxQueueMS: x.maxQueueWait().Milliseconds(), FrontWaitMS: x.remainingWaitMS(), Repeatable: req.arm.Repeatable, UsualRunMS: x.usualRunTime(req.route.Name).Milliseconds(), AllowUnfinishedRun: req.isHedge || req.lost != nil, AllowEndingNode: req.allowEndingNode, NeedsRetryBudget: req.needsRetryBudget,
-		TargetMS: time.Until(req.firstSeen.Add(req.arm.Target)).Milliseconds(), SentAgainByCaller: req.firstSeen.Before(req.receivedAt)}
+		WorkerAttemptID: req.callerAttemptID, CallerService: x.currentSettings().Service, Retry: req.reached > 0, NestedRetryShare: req.retryShare, Confidence: req.confidence, MaxQueueMS: x.maxQueueWait().Milliseconds(), IngressWaitMS: x.remainingWaitMS(), Repeatable: req.arm.Repeatable, UsualRunMS: x.usualRunTime(req.route.Name).Milliseconds(), AllowUnfinishedRun: req.isHedge || req.lost != nil, AllowStoppingNode: req.allowEndingNode, NeedsRetryBudget: req.needsRetryBudget,
+		TargetMS: time.Until(req.firstSeen.Add(req.arm.Target)).Milliseconds(), ResentByCaller: req.firstSeen.Before(req.receivedAt)}
 	if x.dialect.KeepsAttemptID {
 		out.URI = requestTarget(req.httpReq)
 	}
@@ -177,7 +177,7 @@
 	aboutWorker := req.result.Outcome != protocol.Refused && !transport.CanceledByCaller(ctx)
 	ok := req.result.Outcome == protocol.Done && req.result.Status < 500
 	x.balancer.RecordOutcome(balancer.Outcome{Worker: req.entry.Worker, Service: req.service, Route: req.route.Name, UsedSlots: req.result.UsedSlots,
-		Report: balancer.WorkerReport{Pace: req.result.PaceEighths, Fail: req.result.FailedPer64}, RoundTrip: time.Since(sentAt),
+		Report: balancer.WorkerReport{PaceEighths: req.result.PaceEighths, FailedPer64: req.result.FailedPer64}, RoundTrip: time.Since(sentAt),
 		RunTime: time.Duration(req.result.RunMicros) * time.Microsecond, MissedTarget: time.Since(req.receivedAt) > req.arm.Target, OK: ok, AboutWorker: aboutWorker})
 	return proceed
 }
--- a/internal/proxy/stop.go
+++ b/internal/proxy/stop.go
@@ -16,7 +16,7 @@
 	if !x.lifecycle.Fire("stop") {
 		return
 	}
-	schedule := shutdown.Begin(x.Settings.GracePeriod, x.Settings.FarewellTimeout())
+	schedule := shutdown.Begin(x.Settings.GracePeriod, x.Settings.GoodbyeTimeout())
 	x.stopSchedule.Store(schedule)
 	// Large responses that wait at peers for a slow link to this node are sent first from now
 	// on.
@@ -44,7 +44,7 @@
 	x.answerRemaining(schedule)
 	x.removeWorkers()
 	x.control.Close()
-	x.node.CloseGracefully(x.Settings.FarewellTimeout())
+	x.node.CloseGracefully(x.Settings.GoodbyeTimeout())
 	x.lifecycle.Fire("end")
 	x.Kill()
 	x.env.Log.Emit(event.Stopped, "program", "proxy", "after_ms", schedule.Elapsed().Milliseconds())
--- a/internal/proxy/worker.go
+++ b/internal/proxy/worker.go
@@ -13,14 +13,14 @@
 
 // WorkerTable describes the fields of a worker's own resource. The worker's ID stands in the
 // URL path, and each call has an increasing number.
-var WorkerTable = schema.Table{Name: "worker", Rows: []schema.Field{
+var WorkerTable = schema.Table{Name: "worker", Fields: []schema.Field{
 	{Name: "service", Type: schema.Text, Required: true, Check: schema.IsName, Rule: "a name", Help: "the service it serves"},
 	{Name: "addr", Type: schema.Addr, Required: true, Rule: "IP number and port", Help: "where it takes jobs"},
 	{Name: "area", Type: schema.Text, Rule: "a name", Help: "where it stands"},
 	{Name: "version", Type: schema.Text, Rule: "a text", Help: "of its software"},
 	{Name: "slots", Type: schema.Count, Required: true, Check: schema.IntRange(1, 1024), Rule: "1 to 1024", Help: "jobs that it runs at once"},
 	{Name: "state", Type: schema.Text, Required: true, Check: schema.OneOf("up", "draining"), Rule: "up or draining", Help: "alive or leaving"},
-	{Name: "cold_ms", Type: schema.Share, Default: 0.0, Check: schema.FloatRange(0, 3600_000), Rule: "0 to 3600000", Help: "how much longer it is slow from its start"},
+	{Name: "cold_ms", Type: schema.Number, Default: 0.0, Check: schema.FloatRange(0, 3600_000), Rule: "0 to 3600000", Help: "how much longer it is slow from its start"},
 	{Name: "seq", Type: schema.Count, Default: int64(0), Check: schema.IntRange(0, 1<<62), Rule: "a number", Help: "grows with each call; a late one is known by it"},
 }}
 
@@ -51,7 +51,7 @@
 		return
 	}
 	x.handleCall(workerCall{worker: id, service: values.Text("service"), addr: values.Text("addr"), slots: int(values.Count("slots")), state: values.Text("state"),
-		warmup: time.Duration(values.Share("cold_ms")) * time.Millisecond, number: values.Count("seq")})
+		warmup: time.Duration(values.Number("cold_ms")) * time.Millisecond, number: values.Count("seq")})
 	x.acknowledge(w, r, id, values.Text("state"), struct{}{})
 }
 
--- a/internal/proxy/workercall.go
+++ b/internal/proxy/workercall.go
@@ -116,7 +116,7 @@
 		return
 	}
 	earlier := x.replica.Map().Live(func(e ormap.Entry) bool {
-		return e.Owner == x.Settings.Node && e.Dot.Node != x.replica.Dot() && e.Meta["addr"] == conf.WorkerAddr && e.Service == conf.Service
+		return e.Owner == x.Settings.Node && e.Dot.Node != x.replica.DotNode() && e.Meta["addr"] == conf.WorkerAddr && e.Service == conf.Service
 	})
 	if len(earlier) == 0 || len(x.allWorkers()) > 0 {
 		return
--- a/internal/registry/app.go
+++ b/internal/registry/app.go
@@ -114,7 +114,7 @@
 }
 
 // ttlMillis returns the time to live in milliseconds, rounded up.
-func ttlMillis(fields schema.Values) int64 { return int64(math.Ceil(fields.Share("ttl_ms"))) }
+func ttlMillis(fields schema.Values) int64 { return int64(math.Ceil(fields.Number("ttl_ms"))) }
 
 func fenceResponse(result statemachine.Result) map[string]any {
 	if result.Code == statemachine.OK && result.Lock != nil {
@@ -131,7 +131,7 @@
 // extends the time to live.
 func (r *Registry) acquireAppLock(w http.ResponseWriter, req *http.Request) {
 	if call, ok := r.readAppCall(w, req, AcquireLockTable); ok {
-		command := &statemachine.AcquireLock{Name: call.name, Owner: call.fields.Text("owner"), TTL: ttlMillis(call.fields), Same: true}
+		command := &statemachine.AcquireLock{Name: call.name, Owner: call.fields.Text("owner"), TTL: ttlMillis(call.fields), KeepFence: true}
 		r.proposeAppChange(w, req, call, "lock.take", command, map[string]int{statemachine.Conflict: http.StatusConflict}, fenceResponse)
 	}
 }
--- a/internal/registry/appschema.go
+++ b/internal/registry/appschema.go
@@ -8,14 +8,14 @@
 
 // The schemas of the bodies of applications' calls.
 var (
-	AcquireLockTable = schema.Table{Name: "app lock, POST", Rows: []schema.Field{ownerField, ttlField}}
-	RenewLockTable   = schema.Table{Name: "app lock, PUT", Rows: []schema.Field{ownerField, ttlField, fenceField}}
-	ReleaseLockTable = schema.Table{Name: "app lock, DELETE", Rows: []schema.Field{ownerField, fenceField}}
+	AcquireLockTable = schema.Table{Name: "app lock, POST", Fields: []schema.Field{ownerField, ttlField}}
+	RenewLockTable   = schema.Table{Name: "app lock, PUT", Fields: []schema.Field{ownerField, ttlField, fenceField}}
+	ReleaseLockTable = schema.Table{Name: "app lock, DELETE", Fields: []schema.Field{ownerField, fenceField}}
 	NextNumberTable  = schema.Table{Name: "app number, POST"}
-	PutGroupKeyTable = schema.Table{Name: "app key, PUT", Rows: KeyTable.Rows}
+	PutGroupKeyTable = schema.Table{Name: "app key, PUT", Fields: KeyTable.Fields}
 
 	ownerField = schema.Field{Name: "owner", Type: schema.Text, Required: true, Check: checkAppName, Rule: "a name", Help: "who holds it"}
-	ttlField   = schema.Field{Name: "ttl_ms", Type: schema.Share, Required: true, Check: schema.FloatRange(0.001, 86400000), Rule: "over 0, to 86400000", Help: "how long it stands without a renewal"}
+	ttlField   = schema.Field{Name: "ttl_ms", Type: schema.Number, Required: true, Check: schema.FloatRange(0.001, 86400000), Rule: "over 0, to 86400000", Help: "how long it stands without a renewal"}
 	fenceField = schema.Field{Name: "fence", Type: schema.Count, Required: true, Check: schema.IntRange(1, 1<<62), Rule: "a number", Help: "the fence got when it was taken"}
 )
 
--- a/internal/registry/config.go
+++ b/internal/registry/config.go
@@ -56,7 +56,7 @@
 	if emergency {
 		reason = "applied whole as an emergency"
 	}
-	result, err := r.stores.proposeOnce(ctx, "config.set", &statemachine.SetConfig{Base: base, Doc: raw, Who: operatorOf(req), Why: reason, Now: emergency}, key)
+	result, err := r.stores.proposeOnce(ctx, "config.set", &statemachine.SetConfig{Base: base, Doc: raw, Who: operatorOf(req), Why: reason, Emergency: emergency}, key)
 	if err != nil {
 		r.writeStoreError(w, err)
 		return
@@ -88,7 +88,7 @@
 		writeInvalid(w, "a path with traffic is rehearsed first, and its old arm needs what the document drops; keep that until the trial ends, or apply as an emergency", problems)
 		return true
 	}
-	r.startTrial(ctx, w, req, key, &statemachine.Propose{ID: current.Number + 1, Base: current.Version, Doc: doc, Routes: routes, Slice: compiled.Judge.Share("slice"), Who: operatorOf(req)})
+	r.startTrial(ctx, w, req, key, &statemachine.Propose{ID: current.Number + 1, Base: current.Version, Doc: doc, Routes: routes, Slice: compiled.JudgeLimits.Number("slice"), Who: operatorOf(req)})
 	return true
 }
 
--- a/internal/registry/configpoll.go
+++ b/internal/registry/configpoll.go
@@ -60,7 +60,7 @@
 		// A majority can't have confirmed a version below the one held here.
 		return result.Version == heldVersion
 	}
-	steps := result.Steps
+	steps := result.Patches
 	if result.Doc == nil {
 		doc, ok := r.document.Build(steps)
 		// If the patches don't fit, the next poll fetches the full document.
@@ -69,10 +69,10 @@
 		}
 		result.Doc = doc
 	} else if _, previous := r.document.Current(); heldVersion > 0 {
-		steps = []patch.Step{patch.Make(heldVersion, result.Version, previous, result.Doc)}
+		steps = []patch.Patch{patch.Make(heldVersion, result.Version, previous, result.Doc)}
 		r.needFullDocument = false
 	}
-	compiled, problems, err := rules.Next(previous, result.Version, result.Doc)
+	compiled, problems, err := rules.Recompile(previous, result.Version, result.Doc)
 	if err != nil || len(problems) > 0 {
 		r.env.Log.Emit(event.ConfigRefused, "version", result.Version, "faults", len(problems))
 		return false
--- a/internal/registry/fuzz_test.go
+++ b/internal/registry/fuzz_test.go
@@ -28,7 +28,7 @@
 			if len(problems) > 0 {
 				continue
 			}
-			for _, field := range table.Rows {
+			for _, field := range table.Fields {
 				value, present := fields[field.Name]
 				if !present && field.Required {
 					t.Errorf("%s: %s is missing", table.Name, field.Name)
--- a/internal/registry/judge.go
+++ b/internal/registry/judge.go
@@ -61,8 +61,8 @@
 // judgeBounds reads the judge's bounds from the configuration.
 func judgeBounds(fields schema.Values) judge.Bounds {
 	millis := func(name string) time.Duration { return time.Duration(fields.Count(name)) * time.Millisecond }
-	return judge.Bounds{Jobs: uint64(fields.Count("least_jobs")), Least: millis("least_ms"), Most: millis("most_ms"),
-		Risk: fields.Share("risk"), Margin: fields.Share("fail_margin"), Slow: fields.Share("slow_ratio"), Quantile: fields.Share("quantile")}
+	return judge.Bounds{MinRequests: uint64(fields.Count("least_jobs")), MinAge: millis("least_ms"), MaxAge: millis("most_ms"),
+		Risk: fields.Number("risk"), MaxFailureIncrease: fields.Number("fail_margin"), MaxLatencyRatio: fields.Number("slow_ratio"), Quantile: fields.Number("quantile")}
 }
 
 // evaluateTrial sums up the reports for one trial and evaluates each of its routes.
@@ -136,7 +136,7 @@
 	r.latestReports = newest
 	r.mu.Unlock()
 	for _, trial := range running {
-		r.decideTrial(ctx, trial, r.evaluateTrial(trial, reports, judgeBounds(compiled.Judge)), number, compiled)
+		r.decideTrial(ctx, trial, r.evaluateTrial(trial, reports, judgeBounds(compiled.JudgeLimits)), number, compiled)
 	}
 }
 
@@ -152,10 +152,10 @@
 // judge's ballot and the version it is based on, so it is committed at most once, even when
 // several nodes try.
 func (r *Registry) decideTrial(ctx context.Context, trial statemachine.Trial, facts []judge.Facts, number ballot.Number, compiled *rules.Rules) {
-	verdict, reason := judge.Good, "every path of the change is good"
+	verdict, reason := judge.Promote, "every path of the change is good"
 	for _, f := range facts {
-		if f.Verdict == judge.Bad {
-			verdict, reason = judge.Bad, f.Route+": "+f.Reason
+		if f.Verdict == judge.HoldBack {
+			verdict, reason = judge.HoldBack, f.Route+": "+f.Reason
 			break
 		}
 		if f.Verdict == judge.Wait {
@@ -165,11 +165,11 @@
 	if verdict == judge.Wait {
 		return
 	}
-	if verdict == judge.Good && len(facts) == 1 {
+	if verdict == judge.Promote && len(facts) == 1 {
 		reason = facts[0].Reason
 	}
 	state := statemachine.Promoted
-	if verdict == judge.Bad {
+	if verdict == judge.HoldBack {
 		state = statemachine.HeldBack
 	}
 	doc, err := rules.FinishTrial(compiled.Doc, trial.ID, state == statemachine.Promoted)
@@ -182,7 +182,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, r.Settings.ConfigBound)
 	defer cancel()
-	result, err := r.stores.propose(ctx, "trial.decide", &statemachine.Decide{ID: trial.ID, Ballot: number, Base: compiled.Version, Doc: doc, State: state, Why: reason, Who: "judge", Facts: raw})
+	result, err := r.stores.propose(ctx, "trial.decide", &statemachine.Decide{ID: trial.ID, Ballot: number, Base: compiled.Version, Doc: doc, State: state, Why: reason, Who: "judge", Statistics: raw})
 	if err != nil || result.Code != statemachine.OK {
 		// The next heartbeat evaluates the trial again, on the version then in force.
 		return
--- a/internal/registry/numberedconfig.go
+++ b/internal/registry/numberedconfig.go
@@ -34,18 +34,18 @@
 	if compiled == nil {
 		return
 	}
-	key := numberKey(compiled.Number, raw)
+	key := numberKey(compiled.DocumentNumber, raw)
 	ctx, cancel := r.withDeadline(req)
 	defer cancel()
 	result, known, err := r.earlierNumberedResult(ctx, key)
 	if err == nil && !known {
-		result, err = r.stores.proposeOnce(ctx, "config.number", &statemachine.SetNumberedConfig{Number: compiled.Number, Doc: raw, Who: operatorOf(req), Why: "applied whole by its number"}, key)
+		result, err = r.stores.proposeOnce(ctx, "config.number", &statemachine.SetNumberedConfig{Number: compiled.DocumentNumber, Doc: raw, Who: operatorOf(req), Why: "applied whole by its number"}, key)
 	}
 	if err != nil {
 		r.writeStoreError(w, err)
 		return
 	}
-	if result.Code == statemachine.OK && result.Version == compiled.Number && !known && result.Message == "" {
+	if result.Code == statemachine.OK && result.Version == compiled.DocumentNumber && !known && result.Message == "" {
 		r.env.Log.Emit(event.ConfigAcknowledged, "version", result.Version, "who", operatorOf(req))
 	}
 	writeConfigResult(w, result, nil)
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -101,19 +101,19 @@
 	registry.members.Set(nodeSettings.Node, registry.self)
 	registry.node = transport.NewNode(transport.Hello{ClusterID: nodeSettings.ClusterID, Node: nodeSettings.Node, Zone: nodeSettings.Zone, Role: "registry"}, environment, group, nodeSettings.MaxFrameBytes, nodeSettings.MaxRequests, nodeSettings.CallTimeout())
 	registry.node.MaxIdleLinks = nodeSettings.MaxIdleLinks()
-	registry.replica = replica.New(registry.self, registry.node, group, environment.Log, hlc.New(environment.Wall, 2*nodeSettings.RecoveryBound), nodeSettings.HeartbeatInterval(), nodeSettings.RepairInterval(), nodeSettings.TombstoneTTL())
+	registry.replica = replica.New(registry.self, registry.node, group, environment.Log, hlc.New(environment.WallClock, 2*nodeSettings.RecoveryBound), nodeSettings.HeartbeatInterval(), nodeSettings.RepairInterval(), nodeSettings.TombstoneTTL())
 	registry.document = patch.NewDocument(memberChangesKept / 16)
 	registry.replica.SetRefillPending(true)
 	registry.stores = newStoreClient(registry.node, nodeSettings.Stores, nodeSettings.CallTimeout(), nodeSettings.HeartbeatInterval()/4)
 	registry.pauseDetector = pausedetect.New(nodeSettings.HeartbeatInterval(), nodeSettings.UnnoticedPause(), nil)
 	registry.lifecycle = fsm.New("starting", nil,
-		fsm.Move{From: "starting", By: "filled", To: "ready"},
-		fsm.Move{From: "ready", By: "lost", To: "lost"},
-		fsm.Move{From: "lost", By: "filled", To: "ready"},
-		fsm.Move{From: "starting", By: "stop", To: "leaving"},
-		fsm.Move{From: "lost", By: "stop", To: "leaving"},
-		fsm.Move{From: "ready", By: "stop", To: "leaving"},
-		fsm.Move{From: "leaving", By: "shut", To: "shut"})
+		fsm.Transition{From: "starting", Trigger: "filled", To: "ready"},
+		fsm.Transition{From: "ready", Trigger: "lost", To: "lost"},
+		fsm.Transition{From: "lost", Trigger: "filled", To: "ready"},
+		fsm.Transition{From: "starting", Trigger: "stop", To: "leaving"},
+		fsm.Transition{From: "lost", Trigger: "stop", To: "leaving"},
+		fsm.Transition{From: "ready", Trigger: "stop", To: "leaving"},
+		fsm.Transition{From: "leaving", Trigger: "shut", To: "shut"})
 	registry.elections = []*roleElection{newRoleElection(registry, "steward", registry.retireNodes), newRoleElection(registry, "judge", registry.judgeTrials)}
 	registry.replica.Subscribe(func(change replica.Event) {
 		kind := map[string]event.Kind{"registered": event.Registered, "unregistered": event.Unregistered, "down": event.WorkerDown}[change.Kind]
@@ -210,7 +210,7 @@
 	// API clients learn of the shutdown from the readiness endpoint, which the platform
 	// polls. Until then they are served, and calls in progress get their answers. Whatever
 	// the bounds are set to, the process exits before its grace period ends.
-	plan := shutdown.Begin(r.Settings.GracePeriod, r.Settings.FarewellTimeout())
+	plan := shutdown.Begin(r.Settings.GracePeriod, r.Settings.GoodbyeTimeout())
 	task.Sleep(r.group.Context(), min(r.Settings.LeaveBound, r.Settings.GracePeriod/2))
 	r.lifecycle.Fire("shut")
 	for r.activeCalls.Load() > 0 && plan.RemainingWait() > 0 {
@@ -221,7 +221,7 @@
 	for r.activeCalls.Load() > 0 && time.Now().Before(plan.AnswerDeadline()) {
 		task.Sleep(r.group.Context(), r.Settings.HeartbeatInterval()/10)
 	}
-	r.node.CloseGracefully(r.Settings.FarewellTimeout())
+	r.node.CloseGracefully(r.Settings.GoodbyeTimeout())
 	r.Kill()
 	r.env.Log.Emit(event.Stopped, "program", "registry", "after_ms", plan.Elapsed().Milliseconds())
 }
--- a/internal/registry/requestkey.go
+++ b/internal/registry/requestkey.go
@@ -54,10 +54,10 @@
 // majority confirms that the request is known, or that it is not.
 func (r *Registry) earlierResult(ctx context.Context, key *store.RequestKey) (result statemachine.Result, known bool, err error) {
 	result, err = r.stores.read(ctx, store.ReadRequest{Kind: "request", Name: key.ID})
-	if err != nil || result.Code != statemachine.OK || result.Earlier == nil {
+	if err != nil || result.Code != statemachine.OK || result.Recorded == nil {
 		return statemachine.Result{}, false, err
 	}
-	return result.Earlier.Repeat(key.Digest), true, nil
+	return result.Recorded.ResultForRetry(key.Digest), true, nil
 }
 
 // writeConfigResult answers a request that puts a version in force or starts a trial.
--- a/internal/registry/savedworkers_test.go
+++ b/internal/registry/savedworkers_test.go
@@ -24,7 +24,7 @@
 	}
 	nodeSettings := settings.Settings{Node: "c", ClusterID: "m", Zone: "a", InternalAddr: "10.0.0.1:1", ConfigBound: 2 * time.Second, LeaveBound: 2 * time.Second, RetryWindow: 10 * time.Second,
 		RecoveryBound: 15 * time.Second, RetireAfter: 10 * time.Second, MaxFrameBytes: 1 << 20, MaxRequests: 16, Seeds: []string{"10.0.0.1:1"}}
-	registry := New(nodeSettings, env.Env{Wall: time.Now, Sleep: task.Sleep, Log: event.New("c", io.Discard), FS: fs})
+	registry := New(nodeSettings, env.Env{WallClock: time.Now, Sleep: task.Sleep, Log: event.New("c", io.Discard), FS: fs})
 	t.Cleanup(registry.Kill)
 	return registry
 }
--- a/internal/registry/sessions.go
+++ b/internal/registry/sessions.go
@@ -88,7 +88,7 @@
 	version, doc := r.document.Current()
 	response.ConfigVersion = version
 	if steps, ok := r.document.Since(heartbeat.ConfigVersion); ok && heartbeat.AcceptsPatch {
-		response.Steps = steps
+		response.Patches = steps
 	} else if heartbeat.AcceptsCompact {
 		// Compressed once for all nodes that need it.
 		if r.compressed.version != version {
--- a/internal/registry/trials.go
+++ b/internal/registry/trials.go
@@ -21,15 +21,15 @@
 )
 
 // ProposalTable is the schema of a proposal's body.
-var ProposalTable = schema.Table{Name: "propose", Rows: []schema.Field{
+var ProposalTable = schema.Table{Name: "propose", Fields: []schema.Field{
 	{Name: "path", Type: schema.Text, Required: true, Check: schema.IsName, Rule: "a path in force", Help: "the path to change"},
-	{Name: "slice", Type: schema.Share, Check: schema.FloatRange(0.1, 50), Rule: "0.1 to 50", Help: "percent of its jobs; the judge's slice when left out"},
+	{Name: "slice", Type: schema.Number, Check: schema.FloatRange(0.1, 50), Rule: "0.1 to 50", Help: "percent of its jobs; the judge's slice when left out"},
 	{Name: "service", Type: schema.Text, Check: schema.IsName, Rule: "one of services", Help: "the new service, in place of a split too"},
-	{Name: "split", Type: schema.Rows, Rule: "one weight over 0", Help: "the new split, in place of a service too"},
+	{Name: "split", Type: schema.Objects, Rule: "one weight over 0", Help: "the new split, in place of a service too"},
 	{Name: "class", Type: schema.Text, Check: schema.IsName, Rule: "one of classes", Help: "the new class"},
 	{Name: "rank", Type: schema.Count, Check: schema.IntRange(0, 1000), Rule: "0 to 1000", Help: "the new rank"},
-	{Name: "left_ms", Type: schema.Span, Check: schema.IntRange(1, 3600_000), Rule: "1 to 3600000", Help: "the new time left"},
-	{Name: "aim_ms", Type: schema.Span, Check: schema.IntRange(1, 3600_000), Rule: "1 to 3600000", Help: "the new aim"},
+	{Name: "left_ms", Type: schema.Duration, Check: schema.IntRange(1, 3600_000), Rule: "1 to 3600000", Help: "the new time left"},
+	{Name: "aim_ms", Type: schema.Duration, Check: schema.IntRange(1, 3600_000), Rule: "1 to 3600000", Help: "the new aim"},
 	{Name: "repeat", Type: schema.Text, Check: schema.OneOf("never", "safe", "upload", "download"), Rule: "never, safe, upload or download", Help: "the new word on repeats"},
 	{Name: "tries", Type: schema.Count, Check: schema.IntRange(1, 1000), Rule: "1 to 1000", Help: "the new sends at the most"},
 }}
@@ -101,7 +101,7 @@
 			}
 		}
 	}
-	slice := compiled.Judge.Share("slice")
+	slice := compiled.JudgeLimits.Number("slice")
 	if value, ok := fields["slice"]; ok {
 		slice = value.(float64)
 	}
@@ -137,13 +137,13 @@
 	response := map[string]any{"trial": trial}
 	if trial.State != statemachine.Running {
 		var facts any
-		if json.Unmarshal(trial.Facts, &facts) == nil {
+		if json.Unmarshal(trial.Statistics, &facts) == nil {
 			response["figures"] = facts
 		}
 		return response
 	}
 	if compiled, _, _ := rules.Compile(version, doc); compiled != nil {
-		response["figures"] = r.evaluateTrial(trial, r.collectReports(ctx), judgeBounds(compiled.Judge))
+		response["figures"] = r.evaluateTrial(trial, r.collectReports(ctx), judgeBounds(compiled.JudgeLimits))
 	}
 	return response
 }
--- a/internal/replica/lookup.go
+++ b/internal/replica/lookup.go
@@ -84,8 +84,8 @@
 // OwnRemoved reports whether an entry of this node was removed by another node.
 func (r *Replica) OwnRemoved(d ormap.Dot) bool { return r.entries.IsTombstoned(d) }
 
-// Dot returns the node part of this node's dots: its name and incarnation.
-func (r *Replica) Dot() string { return r.dotNode }
+// DotNode returns the node part of this node's dots: its name and incarnation.
+func (r *Replica) DotNode() string { return r.dotNode }
 
 // SetRefillPending sets whether the replica still waits for a refill. While it does, it
 // takes no part in repair and serves no refills.
--- a/internal/replica/refill_test.go
+++ b/internal/replica/refill_test.go
@@ -31,7 +31,7 @@
 		if i%2 == 1 {
 			zone = "y"
 		}
-		e := env.Env{Net: network, Log: event.New(host, nil), Wall: time.Now}
+		e := env.Env{Net: network, Log: event.New(host, nil), WallClock: time.Now}
 		node := transport.NewNode(transport.Hello{ClusterID: "m", Node: host, Zone: zone, Role: role}, e, g, maxFrameBytes, 64, 5*testHeartbeat)
 		r := New(membership.Member{Node: host, Incarnation: "s", Role: role, Zone: zone, InternalAddr: host + ":1"}, node, g, e.Log, hlc.New(time.Now, time.Minute), testHeartbeat, time.Hour, time.Minute)
 		if err := node.Listen(host + ":1"); err != nil {
@@ -145,7 +145,7 @@
 		defer g.Stop()
 		network := &transport.LocalNet{Network: transport.NewLocalNetwork(func(string, string) time.Duration { return time.Millisecond })}
 		newNode := func(host string) *transport.Node {
-			transportNode := transport.NewNode(transport.Hello{ClusterID: "m", Node: host, Zone: "x"}, env.Env{Net: network, Log: event.New(host, nil), Wall: time.Now}, g, 1<<20, 8, 5*testHeartbeat)
+			transportNode := transport.NewNode(transport.Hello{ClusterID: "m", Node: host, Zone: "x"}, env.Env{Net: network, Log: event.New(host, nil), WallClock: time.Now}, g, 1<<20, 8, 5*testHeartbeat)
 			if err := transportNode.Listen(host + ":1"); err != nil {
 				t.Fatal(err)
 			}
--- a/internal/replica/replica_test.go
+++ b/internal/replica/replica_test.go
@@ -42,7 +42,7 @@
 		net.Place(host, zones[i])
 		member := membership.Member{Node: host, Incarnation: "s", Role: "proxy", Zone: zones[i], InternalAddr: host + ":1"}
 		members = append(members, member)
-		e := env.Env{Net: net.Host(host), Log: event.New(host, nil), Wall: time.Now}
+		e := env.Env{Net: net.Host(host), Log: event.New(host, nil), WallClock: time.Now}
 		transportNode := transport.NewNode(transport.Hello{ClusterID: "m", Node: host, Zone: zones[i]}, e, g, 1<<20, 64, heartbeat)
 		n := &node{transportNode: transportNode, replica: replica.New(member, transportNode, g, e.Log, hlc.New(time.Now, time.Minute), heartbeat, 3*time.Second, time.Minute)}
 		n.replica.Subscribe(func(event replica.Event) {
@@ -80,7 +80,7 @@
 		seen := map[ormap.Dot]bool{}
 		for start := range 4 {
 			member := membership.Member{Node: "a", Incarnation: fmt.Sprint(start), Role: "proxy", Zone: "x", InternalAddr: "h:1"}
-			e := env.Env{Net: sim.NewNet(1, 0, 0).Host("h"), Log: event.New("a", nil), Wall: time.Now}
+			e := env.Env{Net: sim.NewNet(1, 0, 0).Host("h"), Log: event.New("a", nil), WallClock: time.Now}
 			transportNode := transport.NewNode(transport.Hello{ClusterID: "m", Node: "a", Zone: "x"}, e, g, 1<<20, 4, heartbeat)
 			r := replica.New(member, transportNode, g, e.Log, hlc.New(func() time.Time { return clockTime }, time.Minute), heartbeat, 3*time.Second, time.Minute)
 			for range 3 {
--- a/internal/replica/statecache_test.go
+++ b/internal/replica/statecache_test.go
@@ -22,7 +22,7 @@
 		const heartbeat = 200 * time.Millisecond
 		g := task.New(context.Background())
 		defer g.Stop()
-		e := env.Env{Log: event.New("a", nil), Wall: time.Now}
+		e := env.Env{Log: event.New("a", nil), WallClock: time.Now}
 		transportNode := transport.NewNode(transport.Hello{ClusterID: "m", Node: "a", Zone: "x"}, e, g, 1<<20, 4, heartbeat)
 		r := New(membership.Member{Node: "a", InternalAddr: "h:1"}, transportNode, g, e.Log, hlc.New(time.Now, time.Minute), heartbeat, 3*time.Second, time.Minute)
 		requestState := func() ormap.Delta {
--- a/internal/responsedigest/digest.go
+++ b/internal/responsedigest/digest.go
@@ -15,7 +15,7 @@
 	WorkerHeader        = "Puffin-Worker"  // the worker ID
 	TimeoutHeader       = "Puffin-Left"    // the remaining time in milliseconds
 	DigestHeader        = "Puffin-Seal"    // the response digest
-	RanHeader           = "Puffin-Ran"     // whether the request was executed: no or unknown
+	ExecutedHeader      = "Puffin-Ran"     // whether the request was executed: no or unknown
 	ReasonHeader        = "Puffin-Why"     // the reason as text
 	ConfigVersionHeader = "Puffin-Version" // the configuration version by which the request was routed
 )
--- a/internal/rules/arm.go
+++ b/internal/rules/arm.go
@@ -18,7 +18,7 @@
 	Target      time.Duration // latency within which a response is of full use
 	Repeatable  bool
 	Bulk        string // "upload", "download" or empty
-	Tries       int
+	MaxAttempts int
 	Name        string // "old" or "new"
 	Steps       []Step
 }
@@ -67,7 +67,7 @@
 var allSteps = []Step{StepPick, StepDeliver, StepEvaluate, StepRespond}
 
 func (r *Rules) compileArm(place, name string, values schema.Values) (Arm, []schema.Problem) {
-	arm := Arm{Name: name, Service: values.Text("service"), Class: values.Text("class"), Rank: int(values.Count("rank")), Tries: int(values.Count("tries")),
+	arm := Arm{Name: name, Service: values.Text("service"), Class: values.Text("class"), Rank: int(values.Count("rank")), MaxAttempts: int(values.Count("tries")),
 		Timeout: time.Duration(values.Count("left_ms")) * time.Millisecond, Target: time.Duration(values.Count("aim_ms")) * time.Millisecond, Steps: allSteps}
 	if arm.Target == 0 {
 		arm.Target = arm.Timeout / 4
@@ -118,7 +118,7 @@
 		}
 		row, found := r.readObject(SplitTable, object, place)
 		problems = append(problems, found...)
-		part := WeightedService{row.Text("service"), row.Share("weight")}
+		part := WeightedService{row.Text("service"), row.Number("weight")}
 		if part.Service != "" && !r.Services[part.Service] {
 			problems = append(problems, schema.Problem{Place: place + ".service", Message: fmt.Sprintf("no service %q", part.Service)})
 		}
--- a/internal/rules/bench_test.go
+++ b/internal/rules/bench_test.go
@@ -39,7 +39,7 @@
 		b.Run(fmt.Sprint("row", n), func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
-				if compiled, problems, err := Next(previous, 2, next); compiled == nil {
+				if compiled, problems, err := Recompile(previous, 2, next); compiled == nil {
 					b.Fatal(problems, err)
 				}
 			}
--- a/internal/rules/fields_test.go
+++ b/internal/rules/fields_test.go
@@ -26,8 +26,8 @@
 // TestFields checks that the compiled rules hold what the document says.
 func TestFields(t *testing.T) {
 	rules := mustCompile(t, numberedDocument)
-	if rules.Number != 7 || rules.MaxHeaderBytes != 16384 || rules.MaxBodyBytes != 67108864 || rules.HeaderTimeout != 3*time.Second || rules.IdleTimeout != 15*time.Second {
-		t.Errorf("number and limits: %d %d %d %v %v", rules.Number, rules.MaxHeaderBytes, rules.MaxBodyBytes, rules.HeaderTimeout, rules.IdleTimeout)
+	if rules.DocumentNumber != 7 || rules.MaxHeaderBytes != 16384 || rules.MaxBodyBytes != 67108864 || rules.HeaderTimeout != 3*time.Second || rules.IdleTimeout != 15*time.Second {
+		t.Errorf("number and limits: %d %d %d %v %v", rules.DocumentNumber, rules.MaxHeaderBytes, rules.MaxBodyBytes, rules.HeaderTimeout, rules.IdleTimeout)
 	}
 	if len(rules.MaxConns) != 1 || rules.MaxConns["a"] != 130 || len(rules.HealthPaths) != 1 || rules.HealthPaths["a"] != "/well" {
 		t.Errorf("services: %v %v", rules.MaxConns, rules.HealthPaths)
@@ -36,14 +36,14 @@
 	if p.Service != "" || len(p.Split) != 2 || p.Timeout != 3*time.Second || p.Target != 500*time.Millisecond || p.Rank != 2 || !p.Repeatable || p.Bulk != "download" || p.Class != "rank-2" {
 		t.Errorf("p: %+v", p)
 	}
-	if q.Service != "b" || q.Repeatable || q.Bulk != "upload" || q.Tries != 1000 || q.Target != 250*time.Millisecond || q.Class != "rank-0" {
+	if q.Service != "b" || q.Repeatable || q.Bulk != "upload" || q.MaxAttempts != 1000 || q.Target != 250*time.Millisecond || q.Class != "rank-0" {
 		t.Errorf("q: %+v", q)
 	}
 	if long.Timeout != time.Hour || rules.LongestTimeout != time.Hour {
 		t.Errorf("r: %v, longest %v", long.Timeout, rules.LongestTimeout)
 	}
 	defaults := mustCompile(t, classesDocument)
-	if defaults.Number != 0 || defaults.MaxHeaderBytes != 65536 || defaults.MaxBodyBytes != 0 || defaults.HeaderTimeout != 0 || defaults.IdleTimeout != 0 || len(defaults.MaxConns)+len(defaults.HealthPaths) != 0 {
+	if defaults.DocumentNumber != 0 || defaults.MaxHeaderBytes != 65536 || defaults.MaxBodyBytes != 0 || defaults.HeaderTimeout != 0 || defaults.IdleTimeout != 0 || len(defaults.MaxConns)+len(defaults.HealthPaths) != 0 {
 		t.Errorf("defaults: %+v", defaults)
 	}
 }
--- a/internal/rules/fuzz_test.go
+++ b/internal/rules/fuzz_test.go
@@ -175,7 +175,7 @@
 		if again == nil {
 			t.Fatalf("%s: compiled before, but now %v %v", form, problems, err)
 		}
-		if !reflect.DeepEqual(again.Routes, r.Routes) || !reflect.DeepEqual(again.Shares, r.Shares) || again.Number != r.Number || !reflect.DeepEqual(again.Judge, r.Judge) {
+		if !reflect.DeepEqual(again.Routes, r.Routes) || !reflect.DeepEqual(again.Shares, r.Shares) || again.DocumentNumber != r.DocumentNumber || !reflect.DeepEqual(again.JudgeLimits, r.JudgeLimits) {
 			t.Fatalf("%s: compiled again, the rules differ", form)
 		}
 	}
@@ -191,7 +191,7 @@
 			if arm == &route.New && route.Trial == 0 {
 				continue
 			}
-			if _, ok := r.Shares[arm.Class]; !ok || arm.Timeout <= 0 || arm.Target <= 0 || arm.Tries < 1 {
+			if _, ok := r.Shares[arm.Class]; !ok || arm.Timeout <= 0 || arm.Target <= 0 || arm.MaxAttempts < 1 {
 				t.Fatalf("%s: arm %+v", doc, arm)
 			}
 			for i := range 8 {
--- a/internal/rules/incremental_test.go
+++ b/internal/rules/incremental_test.go
@@ -79,7 +79,7 @@
 			}
 			doc := document.join(rapid.SampledFrom([]string{"", "", "", " \n", "\n", "]"}).Draw(t, "gap"))
 			want, problems, err := Compile(uint64(v+2), doc)
-			got, gotProblems, gotErr := Next(previous, uint64(v+2), doc)
+			got, gotProblems, gotErr := Recompile(previous, uint64(v+2), doc)
 			if !reflect.DeepEqual(problems, gotProblems) || !reflect.DeepEqual(err, gotErr) {
 				t.Fatalf("%s: Compile gave %v, %v, but Next gave %v, %v", doc, problems, err, gotProblems, gotErr)
 			}
@@ -112,12 +112,12 @@
 	previous, _, _ := Compile(1, []byte(doc))
 	full := testing.AllocsPerRun(3, func() { _, _, _ = Compile(2, []byte(doc)) })
 	changed := strings.Replace(doc, `"left_ms":3000`, `"left_ms":4000`, 1)
-	incremental := testing.AllocsPerRun(3, func() { _, _, _ = Next(previous, 2, []byte(changed)) })
+	incremental := testing.AllocsPerRun(3, func() { _, _, _ = Recompile(previous, 2, []byte(changed)) })
 	t.Logf("%.0f allocations for the whole document, %.0f for one changed row", full, incremental)
 	if 10*incremental > full {
 		t.Errorf("%.0f allocations for one changed row, %.0f for the whole document", incremental, full)
 	}
-	compiled, _, _ := Next(previous, 2, []byte(changed))
+	compiled, _, _ := Recompile(previous, 2, []byte(changed))
 	if compiled.Routes[0] == previous.Routes[0] || compiled.Routes[1999] != previous.Routes[1999] {
 		t.Error("not exactly the changed row was compiled again")
 	}
--- a/internal/rules/random_edits_test.go
+++ b/internal/rules/random_edits_test.go
@@ -80,7 +80,7 @@
 func TestRandomEdits(t *testing.T) {
 	var allFields []schema.Field
 	for _, table := range Tables {
-		allFields = append(allFields, table.Rows...)
+		allFields = append(allFields, table.Fields...)
 	}
 	valid := 0
 	checkManyTimes(t, func(rt *rapid.T) {
@@ -91,7 +91,7 @@
 		}
 		for range rapid.IntRange(1, 3).Draw(rt, "edits") {
 			target := rapid.SampledFrom(objects(document, DocumentTable)).Draw(rt, "object")
-			values, field := target.values, rapid.SampledFrom(target.table.Rows).Draw(rt, "setting")
+			values, field := target.values, rapid.SampledFrom(target.table.Fields).Draw(rt, "setting")
 			// One edit in ten uses a setting of another table.
 			if rapid.IntRange(0, 9).Draw(rt, "odd") == 0 {
 				field = rapid.SampledFrom(allFields).Draw(rt, "other")
--- a/internal/rules/routes.go
+++ b/internal/rules/routes.go
@@ -11,7 +11,7 @@
 
 func (r *Rules) compileRoutes(document schema.Values) []schema.Problem {
 	_, numbered := document["version"]
-	r.reuseInvalid = r.previous != nil && (r.derivesClasses != r.previous.derivesClasses || numbered != (r.previous.Number > 0) || !r.derivesClasses && !maps.Equal(r.Shares, r.previous.Shares))
+	r.reuseInvalid = r.previous != nil && (r.derivesClasses != r.previous.derivesClasses || numbered != (r.previous.DocumentNumber > 0) || !r.derivesClasses && !maps.Equal(r.Shares, r.previous.Shares))
 	list, _ := document["paths"].([]any)
 	r.Routes = make([]*Route, 0, len(list))
 	return r.readRows(document, "paths", RouteTable, func(place string, values schema.Values) (any, []schema.Problem) {
@@ -21,7 +21,7 @@
 		if trial, ok := values["trial"].(map[string]any); ok {
 			trialValues, found := r.readObject(TrialTable, trial, place+".trial")
 			problems = append(problems, found...)
-			route.Trial, route.Slice = uint64(trialValues.Count("id")), trialValues.Share("slice")
+			route.Trial, route.Slice = uint64(trialValues.Count("id")), trialValues.Number("slice")
 			route.New, found = r.compileArm(place+".trial", "new", trialValues)
 			problems = append(problems, found...)
 		}
@@ -75,9 +75,9 @@
 	return replaced
 }
 
-// Next compiles a document like Compile, but reuses the rows that are unchanged since the previous
+// Recompile compiles a document like Compile, but reuses the rows that are unchanged since the previous
 // version. The result is the same.
-func Next(previous *Rules, version uint64, doc []byte) (*Rules, []schema.Problem, error) {
+func Recompile(previous *Rules, version uint64, doc []byte) (*Rules, []schema.Problem, error) {
 	if previous == nil {
 		return Compile(version, doc)
 	}
--- a/internal/rules/rules.go
+++ b/internal/rules/rules.go
@@ -39,7 +39,7 @@
 // Rules is one compiled version of the configuration.
 type Rules struct {
 	Version         uint64
-	Number          uint64 // the operator's own document number; 0 when the document has none
+	DocumentNumber  uint64 // the operator's own document number; 0 when the document has none
 	Doc             []byte
 	Services        map[string]bool
 	MaxConns        map[string]int    // limit on the connections to one worker, for the services that set one
@@ -56,7 +56,7 @@
 	MaxBodyBytes    int           // limit on the body of a caller's request; 0: taken from the settings
 	HeaderTimeout   time.Duration // time limit for reading a header; 0: derived from the settings
 	IdleTimeout     time.Duration // time after which an idle connection is closed; 0: derived from the settings
-	Judge           schema.Values
+	JudgeLimits     schema.Values
 	LongestTimeout  time.Duration
 	readInto        func(schema.Table, schema.Values, map[string]any, string) []schema.Problem
 	shortestTargets map[int]time.Duration // by rank: the shortest target latency of the arms that are not bulk
@@ -98,7 +98,7 @@
 	r.derivesClasses = !classes
 	values, found := r.readObject(DocumentTable, document, "")
 	problems = append(problems, found...)
-	r.Number = uint64(values.Count("version"))
+	r.DocumentNumber = uint64(values.Count("version"))
 	problems = append(problems, r.compileServices(values)...)
 	problems = append(problems, r.compileClasses(values)...)
 	problems = append(problems, r.compileRoutes(values)...)
@@ -109,13 +109,13 @@
 	limits, _ := values["limits"].(map[string]any)
 	limitValues, found := r.readObject(LimitsTable, limits, "limits")
 	problems = append(problems, found...)
-	r.RetryRatio, r.RetryAllowance, r.QueueRatio = limitValues.Share("repeat_share"), limitValues.Count("repeat_allowance"), limitValues.Share("queue_share")
+	r.RetryRatio, r.RetryAllowance, r.QueueRatio = limitValues.Number("repeat_share"), limitValues.Count("repeat_allowance"), limitValues.Number("queue_share")
 	r.MaxHeaderBytes, r.MaxBodyBytes = int(limitValues.Count("head_bytes")), int(limitValues.Count("body_bytes"))
 	r.HeaderTimeout, r.IdleTimeout = time.Duration(limitValues.Count("head_ms"))*time.Millisecond, time.Duration(limitValues.Count("idle_ms"))*time.Millisecond
 	bounds, _ := values["judge"].(map[string]any)
-	r.Judge, found = r.readObject(JudgeTable, bounds, "judge")
+	r.JudgeLimits, found = r.readObject(JudgeTable, bounds, "judge")
 	problems = append(problems, found...)
-	if len(found) == 0 && r.Judge.Count("most_ms") <= r.Judge.Count("least_ms") {
+	if len(found) == 0 && r.JudgeLimits.Count("most_ms") <= r.JudgeLimits.Count("least_ms") {
 		problems = append(problems, schema.Problem{Place: "judge.most_ms", Message: "must be over least_ms"})
 	}
 	r.previous, r.rawRows = nil, nil
@@ -140,10 +140,10 @@
 	var problems []schema.Problem
 	// A numbered document may remove every service and route; in an unnumbered one, which is
 	// written by hand, an empty list is taken for a mistake.
-	if len(list) == 0 && r.Number == 0 {
+	if len(list) == 0 && r.DocumentNumber == 0 {
 		problems = append(problems, schema.Problem{Place: name, Message: "must have at least one"})
 	}
-	values := make(schema.Values, len(table.Rows))
+	values := make(schema.Values, len(table.Fields))
 	rows := make([]schema.ParsedRow, 0, len(list))
 	addRow := func(i int, compiled any, place func() string) {
 		rows = append(rows, schema.ParsedRow{Raw: r.rawRows[name][i], Value: compiled})
@@ -213,10 +213,10 @@
 			complete = false
 		}
 		if name != "" {
-			r.Shares[name] = values.Share("share")
+			r.Shares[name] = values.Number("share")
 			r.Classes = append(r.Classes, name)
 		}
-		sum += values.Share("share")
+		sum += values.Number("share")
 		return nil, nil
 	}, func(any) []string { return nil })
 	delete(r.parsedRows, "classes")
--- a/internal/rules/trial.go
+++ b/internal/rules/trial.go
@@ -39,7 +39,7 @@
 			return timeout / 4
 		}
 	}
-	for _, row := range RouteTable.Rows {
+	for _, row := range RouteTable.Fields {
 		if row.Name == field {
 			return row.Default
 		}
@@ -202,7 +202,7 @@
 	for _, route := range oldRoutes {
 		oldByName[route["name"]] = route
 	}
-	slice := JudgeTable.Rows[0].Default
+	slice := JudgeTable.Fields[0].Default
 	if judge, ok := document["judge"].(map[string]any); ok && judge["slice"] != nil {
 		slice = judge["slice"]
 	}
--- a/internal/schema/table.go
+++ b/internal/schema/table.go
@@ -14,15 +14,15 @@
 
 // The types of values.
 const (
-	Text   Type = "text"
-	Count  Type = "count" // whole number
-	Share  Type = "share" // number, fractions allowed
-	Span   Type = "span"  // duration in milliseconds, a whole number
-	Flag   Type = "flag"
-	Addr   Type = "addr"  // IP address and port
-	Addrs  Type = "addrs" // list of addresses
-	Rows   Type = "rows"  // list of objects
-	Object Type = "row"
+	Text     Type = "text"
+	Count    Type = "count" // whole number
+	Number   Type = "share" // number, fractions allowed
+	Duration Type = "span"  // duration in milliseconds, a whole number
+	Flag     Type = "flag"
+	Addr     Type = "addr"  // IP address and port
+	Addrs    Type = "addrs" // list of addresses
+	Objects  Type = "rows"  // list of objects
+	Object   Type = "row"
 )
 
 // Field is one row of a table.
@@ -38,8 +38,8 @@
 
 // Table describes one kind of object.
 type Table struct {
-	Name string
-	Rows []Field
+	Name   string
+	Fields []Field
 }
 
 // Problem is an error in a document, with its place.
@@ -57,8 +57,8 @@
 // Count returns a whole number.
 func (v Values) Count(name string) int64 { s, _ := v[name].(int64); return s }
 
-// Share returns a number.
-func (v Values) Share(name string) float64 { s, _ := v[name].(float64); return s }
+// Number returns a number.
+func (v Values) Number(name string) float64 { s, _ := v[name].(float64); return s }
 
 // Flag returns a boolean.
 func (v Values) Flag(name string) bool { s, _ := v[name].(bool); return s }
@@ -68,7 +68,7 @@
 
 // Read checks an object against the table and reports every problem; an unknown name is one.
 func (t Table) Read(object map[string]any, place string) (Values, []Problem) {
-	values := make(Values, len(t.Rows))
+	values := make(Values, len(t.Fields))
 	return values, t.ReadInto(values, object, place)
 }
 
@@ -80,7 +80,7 @@
 		return problems
 	}
 	known := map[string]bool{}
-	for _, field := range t.Rows {
+	for _, field := range t.Fields {
 		known[field.Name] = true
 	}
 	var unknown []string
@@ -98,7 +98,7 @@
 
 // ReadKnown checks an object against the table and ignores unknown names.
 func (t Table) ReadKnown(object map[string]any, place string) (Values, []Problem) {
-	values := make(Values, len(t.Rows))
+	values := make(Values, len(t.Fields))
 	return values, t.ReadKnownInto(values, object, place)
 }
 
@@ -111,7 +111,7 @@
 // readFields reads the fields of the table and counts those that the object has.
 func (t Table) readFields(values Values, object map[string]any, place string) (found int, problems []Problem) {
 	clear(values)
-	for _, field := range t.Rows {
+	for _, field := range t.Fields {
 		raw, ok := object[field.Name]
 		if !ok {
 			if field.Required {
@@ -146,7 +146,7 @@
 func (t Table) Doc() string {
 	var b strings.Builder
 	b.WriteString("| setting | type | default | check | meaning |\n| --- | --- | --- | --- | --- |\n")
-	for _, field := range t.Rows {
+	for _, field := range t.Fields {
 		defaultText := "none"
 		if field.Required {
 			defaultText = "required"
--- a/internal/settings/changed.go
+++ b/internal/settings/changed.go
@@ -19,7 +19,7 @@
 func Changed(program string, before, after Settings) []string {
 	oldValues, newValues := before.valuesByName(), after.valuesByName()
 	var changed []string
-	for _, field := range Tables[program].Rows {
+	for _, field := range Tables[program].Fields {
 		if !reflect.DeepEqual(oldValues[field.Name], newValues[field.Name]) {
 			changed = append(changed, field.Name)
 		}
--- a/internal/settings/derived.go
+++ b/internal/settings/derived.go
@@ -30,10 +30,10 @@
 // HeartbeatInterval is the interval at which sessions, leaders and roles are renewed.
 func (p Settings) HeartbeatInterval() time.Duration { return p.BaseInterval() / 10 }
 
-// FarewellTimeout is how long one goodbye message may take at the end of a graceful shutdown: a
+// GoodbyeTimeout is how long one goodbye message may take at the end of a graceful shutdown: a
 // heartbeat interval, but at most a thirtieth of the grace period, so that two of them leave most
 // of it.
-func (p Settings) FarewellTimeout() time.Duration {
+func (p Settings) GoodbyeTimeout() time.Duration {
 	return min(p.HeartbeatInterval(), p.GracePeriod/30)
 }
 
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -61,7 +61,7 @@
 		MayFound: values.Flag("founding"), ToleratedMachines: int(values.Count("bear")), ToleratedZones: int(values.Count("bear_areas")), ToleratedRegions: int(values.Count("bear_regions")), Region: values.Text("region"), MemoryBytes: int(values.Count("memory_bytes")), FileLimit: int(values.Count("files")),
 		DiskBytes: int(values.Count("disk_bytes")), ConfiguredStateBytes: int(values.Count("state_bytes")),
 		Service: values.Text("service"), WorkerAddr: values.Text("worker_addr"), ReadyAddr: values.Text("ready"),
-		RetryRatio: values.Share("repeat_share"), RetryAllowance: int(values.Count("repeat_allowance"))}
+		RetryRatio: values.Number("repeat_share"), RetryAllowance: int(values.Count("repeat_allowance"))}
 	settings.derive()
 	return settings, settings.checkDerived()
 }
@@ -100,7 +100,7 @@
 // accept the same settings. It returns the name of the settings file and the values given as flags.
 func parseFlags(table schema.Table, args []string) (string, map[string]any, error) {
 	fields := []reflect.StructField{{Name: "Props", Type: reflect.TypeOf(""), Tag: `arg:"--props" help:"settings file (JSON)"`}}
-	for _, field := range table.Rows {
+	for _, field := range table.Fields {
 		name := strings.ReplaceAll(field.Name, "_", "-")
 		tag := fmt.Sprintf(`arg:"--%s" help:%q`, name, field.Help)
 		fields = append(fields, reflect.StructField{Name: "X" + field.Name, Type: reflect.TypeOf((*string)(nil)), Tag: reflect.StructTag(tag)})
@@ -118,7 +118,7 @@
 		return "", nil, fault.Wrap(fault.Input, err, "flags")
 	}
 	overrides := map[string]any{}
-	for i, field := range table.Rows {
+	for i, field := range table.Fields {
 		if value, _ := dest.Elem().Field(i + 1).Interface().(*string); value != nil {
 			overrides[field.Name] = schema.FromFlag(field.Type, *value)
 		}
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -139,7 +139,7 @@
 // TestChangedNames checks that a change of any setting of any program is reported.
 func TestChangedNames(t *testing.T) {
 	for program, table := range Tables {
-		for _, field := range table.Rows {
+		for _, field := range table.Fields {
 			if _, ok := (Settings{}).valuesByName()[field.Name]; !ok {
 				t.Errorf("%s: a change of %s would not be reported", program, field.Name)
 			}
--- a/internal/settings/values.go
+++ b/internal/settings/values.go
@@ -12,7 +12,7 @@
 func FromValues(program string, values map[string]any) (Settings, []schema.Problem, error) {
 	table := Tables[program]
 	known := map[string]any{}
-	for _, field := range table.Rows {
+	for _, field := range table.Fields {
 		// An empty text means that the setting was not given; its default applies.
 		if value, ok := values[field.Name]; ok && value != "" {
 			known[field.Name] = value
--- a/internal/sim/pipe.go
+++ b/internal/sim/pipe.go
@@ -210,9 +210,9 @@
 	n.mu.Unlock()
 }
 
-// Still tells whether nothing has arrived here, no end either; of every other
+// IsQuiet tells whether nothing has arrived here, no end either; of every other
 // connection it is not known.
-func (p *pipe) Still() (still, known bool) {
+func (p *pipe) IsQuiet() (still, known bool) {
 	p.in.mu.Lock()
 	defer p.in.mu.Unlock()
 	came := len(p.in.q) > 0 && !time.Now().Before(p.in.q[0].due) && p.net.open(p.to, p.from)
--- a/internal/statemachine/command.go
+++ b/internal/statemachine/command.go
@@ -11,21 +11,21 @@
 
 // Result is the outcome of a command or a read.
 type Result struct {
-	Code     string       `msgpack:"c"` // OK, or the reason why nothing changed
-	Message  string       `msgpack:"s,omitempty"`
-	Version  uint64       `msgpack:"v,omitempty"`
-	Revision uint64       `msgpack:"r,omitempty"`
-	Number   uint64       `msgpack:"n,omitempty"`
-	Key      *Key         `msgpack:"k,omitempty"`
-	Lock     *Lock        `msgpack:"l,omitempty"`
-	Doc      []byte       `msgpack:"d,omitempty"`
-	Names    []string     `msgpack:"a,omitempty"`
-	Changes  []Change     `msgpack:"h,omitempty"`
-	Configs  []Config     `msgpack:"g,omitempty"`
-	Steps    []patch.Step `msgpack:"p,omitempty"` // sent instead of Doc: the patches from the requester's version to Version
-	Trials   []Trial      `msgpack:"t,omitempty"`
+	Code     string        `msgpack:"c"` // OK, or the reason why nothing changed
+	Message  string        `msgpack:"s,omitempty"`
+	Version  uint64        `msgpack:"v,omitempty"`
+	Revision uint64        `msgpack:"r,omitempty"`
+	Number   uint64        `msgpack:"n,omitempty"`
+	Key      *Key          `msgpack:"k,omitempty"`
+	Lock     *Lock         `msgpack:"l,omitempty"`
+	Doc      []byte        `msgpack:"d,omitempty"`
+	Names    []string      `msgpack:"a,omitempty"`
+	Changes  []Change      `msgpack:"h,omitempty"`
+	Configs  []Config      `msgpack:"g,omitempty"`
+	Patches  []patch.Patch `msgpack:"p,omitempty"` // sent instead of Doc: the patches from the requester's version to Version
+	Trials   []Trial       `msgpack:"t,omitempty"`
 	Locks    map[string]Lock
-	Earlier  *AnsweredRequest `msgpack:"q,omitempty"` // the recorded request that a "request" read asked for
+	Recorded *AnsweredRequest `msgpack:"q,omitempty"` // the recorded request that a "request" read asked for
 }
 
 // The codes of a Result.
@@ -86,8 +86,8 @@
 	return Packed{kind, body}, fault.Wrap(fault.Input, err, "encode "+kind)
 }
 
-// Open decodes the command. The error for an unknown kind names the kind.
-func (p Packed) Open() (Command, error) {
+// Unpack decodes the command. The error for an unknown kind names the kind.
+func (p Packed) Unpack() (Command, error) {
 	newCommand := commandConstructors[p.Kind]
 	if newCommand == nil {
 		return nil, fault.New(fault.Input, "command %q is not known here", p.Kind)
@@ -121,7 +121,7 @@
 	}
 	commands := make([]Command, len(batch))
 	for i, p := range batch {
-		command, err := p.Open()
+		command, err := p.Unpack()
 		if err != nil {
 			return nil, nil, err
 		}
--- a/internal/statemachine/config.go
+++ b/internal/statemachine/config.go
@@ -8,11 +8,11 @@
 
 // SetConfig replaces the configuration with a complete document.
 type SetConfig struct {
-	Base uint64 `msgpack:"b"`
-	Now  bool   `msgpack:"n"` // emergency: accepted while trials run, and drops them
-	Doc  []byte `msgpack:"d"`
-	Who  string `msgpack:"w"`
-	Why  string `msgpack:"y"`
+	Base      uint64 `msgpack:"b"`
+	Emergency bool   `msgpack:"n"` // emergency: accepted while trials run, and drops them
+	Doc       []byte `msgpack:"d"`
+	Who       string `msgpack:"w"`
+	Why       string `msgpack:"y"`
 }
 
 // Apply sets the configuration if Base is the current version. While a trial runs,
@@ -24,7 +24,7 @@
 		return Result{Code: Conflict, Version: current.Version, Message: fmt.Sprintf("based on version %d, but %d stands", c.Base, current.Version)}
 	}
 	for _, t := range s.Trials {
-		if t.State == Running && !c.Now {
+		if t.State == Running && !c.Emergency {
 			return Result{Code: Conflict, Version: current.Version, Message: fmt.Sprintf("trial %d runs: wait, abort it, or apply as an emergency", t.ID)}
 		}
 	}
@@ -75,28 +75,28 @@
 // Trial is a change of routes that is tested on a slice of the traffic. While it
 // runs, the current configuration contains both the old and the new routes.
 type Trial struct {
-	ID     uint64   `msgpack:"i" json:"id"`
-	State  string   `msgpack:"s" json:"state"`
-	Routes []string `msgpack:"p" json:"paths"`
-	Slice  float64  `msgpack:"l" json:"slice"`
-	Begin  uint64   `msgpack:"b" json:"begin_version"`
-	End    uint64   `msgpack:"e" json:"end_version,omitempty"`
-	Who    string   `msgpack:"w" json:"who"`
-	Why    string   `msgpack:"y" json:"why,omitempty"`
-	Facts  []byte   `msgpack:"f" json:"-"`
-	Next   []byte   `msgpack:"n" json:"-"` // the document that takes effect on promotion
+	ID          uint64   `msgpack:"i" json:"id"`
+	State       string   `msgpack:"s" json:"state"`
+	Routes      []string `msgpack:"p" json:"paths"`
+	Slice       float64  `msgpack:"l" json:"slice"`
+	Begin       uint64   `msgpack:"b" json:"begin_version"`
+	End         uint64   `msgpack:"e" json:"end_version,omitempty"`
+	Who         string   `msgpack:"w" json:"who"`
+	Why         string   `msgpack:"y" json:"why,omitempty"`
+	Statistics  []byte   `msgpack:"f" json:"-"`
+	PromotedDoc []byte   `msgpack:"n" json:"-"` // the document that takes effect on promotion
 }
 
 // Propose starts a trial. Doc is the configuration with both arms and refers to the
 // trial by ID.
 type Propose struct {
-	ID     uint64   `msgpack:"i"`
-	Base   uint64   `msgpack:"b"`
-	Doc    []byte   `msgpack:"d"`
-	Routes []string `msgpack:"p"`
-	Slice  float64  `msgpack:"l"`
-	Who    string   `msgpack:"w"`
-	Next   []byte   `msgpack:"n"`
+	ID          uint64   `msgpack:"i"`
+	Base        uint64   `msgpack:"b"`
+	Doc         []byte   `msgpack:"d"`
+	Routes      []string `msgpack:"p"`
+	Slice       float64  `msgpack:"l"`
+	Who         string   `msgpack:"w"`
+	PromotedDoc []byte   `msgpack:"n"`
 }
 
 // Apply starts the trial and makes Doc the next configuration version. It is refused
@@ -118,7 +118,7 @@
 	s.TrialsBegun++
 	config := s.setNextConfig(c.Doc, c.Who, fmt.Sprintf("trial %d proposed", s.TrialsBegun))
 	s.Trials = append(s.Trials, Trial{ID: s.TrialsBegun, State: Running, Routes: c.Routes, Slice: c.Slice,
-		Begin: config.Version, Who: c.Who, Next: c.Next})
+		Begin: config.Version, Who: c.Who, PromotedDoc: c.PromotedDoc})
 	if len(s.Trials) > maxConfigs {
 		s.Trials = append([]Trial(nil), s.Trials[len(s.Trials)-maxConfigs:]...)
 	}
@@ -139,14 +139,14 @@
 // Decide ends a trial with the decision of the judge or an operator's abort. Doc is
 // the configuration without the trial.
 type Decide struct {
-	ID     uint64        `msgpack:"i"`
-	Ballot ballot.Number `msgpack:"n"`
-	Base   uint64        `msgpack:"b"`
-	Doc    []byte        `msgpack:"d"`
-	State  string        `msgpack:"s"`
-	Why    string        `msgpack:"y"`
-	Who    string        `msgpack:"w"`
-	Facts  []byte        `msgpack:"f"`
+	ID         uint64        `msgpack:"i"`
+	Ballot     ballot.Number `msgpack:"n"`
+	Base       uint64        `msgpack:"b"`
+	Doc        []byte        `msgpack:"d"`
+	State      string        `msgpack:"s"`
+	Why        string        `msgpack:"y"`
+	Who        string        `msgpack:"w"`
+	Statistics []byte        `msgpack:"f"`
 }
 
 // Apply ends the trial. A second decision on the same trial is a conflict.
@@ -170,7 +170,7 @@
 			return Result{Code: Conflict, Version: current.Version, Message: "the trial has ended: " + trial.State}
 		}
 		config := s.setNextConfig(c.Doc, c.Who, fmt.Sprintf("trial %d %s: %s", c.ID, c.State, c.Why))
-		trial.State, trial.Why, trial.Facts, trial.End = c.State, c.Why, c.Facts, config.Version
+		trial.State, trial.Why, trial.Statistics, trial.End = c.State, c.Why, c.Statistics, config.Version
 		return Result{Code: OK, Version: config.Version}
 	}
 	return Result{Code: NotFound, Message: "no such trial"}
--- a/internal/statemachine/groupkeys.go
+++ b/internal/statemachine/groupkeys.go
@@ -123,9 +123,9 @@
 	return Result{Code: OK}
 }
 
-// After returns the puts of a group above a revision, and the group's current
+// PutsAfter returns the puts of a group above a revision, and the group's current
 // revision. It returns false if some of these puts have been compacted.
-func (s *State) After(groupName string, after uint64) ([]Change, uint64, bool) {
+func (s *State) PutsAfter(groupName string, after uint64) ([]Change, uint64, bool) {
 	group := s.Groups[groupName]
 	if after+1 < group.Oldest {
 		return nil, group.Revision, false
--- a/internal/statemachine/groupkeys_test.go
+++ b/internal/statemachine/groupkeys_test.go
@@ -98,7 +98,7 @@
 						retained = retained && i >= compacted
 					}
 				}
-				got, groupRevision, ok := s.After(group, after)
+				got, groupRevision, ok := s.PutsAfter(group, after)
 				if ok != retained || groupRevision != revision || ok && len(got) != len(want) {
 					t.Fatalf("%s after %d: %v %d %v, want %v", group, after, got, groupRevision, ok, want)
 				}
--- a/internal/statemachine/keys.go
+++ b/internal/statemachine/keys.go
@@ -73,12 +73,12 @@
 // holds, the leader first releases it, so that the owner gets a new fencing token; with
 // Same, the acquisition is a renewal that keeps the token.
 type AcquireLock struct {
-	Name  string `msgpack:"n"`
-	Owner string `msgpack:"o"`
-	TTL   int64  `msgpack:"t"`
-	Renew bool   `msgpack:"r"` // only renew the acquisition that has the token Fence
-	Fence uint64 `msgpack:"f"`
-	Same  bool   `msgpack:"s,omitempty"`
+	Name      string `msgpack:"n"`
+	Owner     string `msgpack:"o"`
+	TTL       int64  `msgpack:"t"`
+	Renew     bool   `msgpack:"r"` // only renew the acquisition that has the token Fence
+	Fence     uint64 `msgpack:"f"`
+	KeepFence bool   `msgpack:"s,omitempty"`
 }
 
 // Apply acquires the lock if it is free, and renews it if Owner already holds it.
@@ -125,16 +125,16 @@
 
 // ExpireLock releases a lock whose time to live has expired by the leader's clock.
 type ExpireLock struct {
-	Name  string `msgpack:"n"`
-	Fence uint64 `msgpack:"f"`
-	Renew uint64 `msgpack:"r"`
+	Name     string `msgpack:"n"`
+	Fence    uint64 `msgpack:"f"`
+	Renewals uint64 `msgpack:"r"`
 }
 
 // Apply releases the lock unless it has been renewed or acquired again since the
 // leader proposed the command.
 func (c *ExpireLock) Apply(s *State) Result {
 	lock, held := s.Locks[c.Name]
-	if !held || lock.Fence != c.Fence || lock.Renewals != c.Renew {
+	if !held || lock.Fence != c.Fence || lock.Renewals != c.Renewals {
 		return Result{Code: Conflict}
 	}
 	delete(s.Locks, c.Name)
--- a/internal/statemachine/keys_test.go
+++ b/internal/statemachine/keys_test.go
@@ -7,7 +7,7 @@
 func TestExpireAfterRenewal(t *testing.T) {
 	s := New("m", nil)
 	got := (&AcquireLock{Name: "l", Owner: "a", TTL: 1000}).Apply(s)
-	expire := &ExpireLock{Name: "l", Fence: got.Lock.Fence, Renew: got.Lock.Renewals}
+	expire := &ExpireLock{Name: "l", Fence: got.Lock.Fence, Renewals: got.Lock.Renewals}
 	if result := (&AcquireLock{Name: "l", Owner: "a", TTL: 1000, Renew: true, Fence: got.Lock.Fence}).Apply(s); result.Code != OK {
 		t.Fatal(result)
 	}
--- a/internal/statemachine/patchconfig.go
+++ b/internal/statemachine/patchconfig.go
@@ -6,20 +6,20 @@
 	"puffincrank/internal/patch"
 )
 
-// LevelSteps is the lowest level that supports PatchConfig.
-const LevelSteps = 1
+// LevelPatches is the lowest level that supports PatchConfig.
+const LevelPatches = 1
 
 // PatchConfig applies a patch to the current configuration document. Its effect is
 // that of a SetConfig with the resulting document or, if Number is set, of a
 // SetNumberedConfig. Log entries are applied in order from a snapshot, which contains
 // the complete document, so no entry needs to contain it again.
 type PatchConfig struct {
-	Patch     patch.Step `msgpack:"s"`
-	Base      uint64     `msgpack:"b,omitempty"`
-	Number    uint64     `msgpack:"n,omitempty"` // the operator's number, or 0 for the next version
-	Emergency bool       `msgpack:"e,omitempty"` // see SetConfig
-	Who       string     `msgpack:"w"`
-	Why       string     `msgpack:"y"`
+	Patch     patch.Patch `msgpack:"s"`
+	Base      uint64      `msgpack:"b,omitempty"`
+	Number    uint64      `msgpack:"n,omitempty"` // the operator's number, or 0 for the next version
+	Emergency bool        `msgpack:"e,omitempty"` // see SetConfig
+	Who       string      `msgpack:"w"`
+	Why       string      `msgpack:"y"`
 }
 
 // AsPatch returns a PatchConfig with the same effect as command on the current
@@ -31,7 +31,7 @@
 	newVersion := current.Version + 1
 	switch command := command.(type) {
 	case *SetConfig:
-		doc, patched = command.Doc, PatchConfig{Base: command.Base, Emergency: command.Now, Who: command.Who, Why: command.Why}
+		doc, patched = command.Doc, PatchConfig{Base: command.Base, Emergency: command.Emergency, Who: command.Who, Why: command.Why}
 	case *SetNumberedConfig:
 		doc, patched = command.Doc, PatchConfig{Number: command.Number, Who: command.Who, Why: command.Why}
 		newVersion = command.Number
@@ -62,5 +62,5 @@
 	if c.Number > 0 {
 		return (&SetNumberedConfig{Number: c.Number, Doc: doc, Who: c.Who, Why: c.Why}).Apply(s)
 	}
-	return (&SetConfig{Base: c.Base, Now: c.Emergency, Doc: doc, Who: c.Who, Why: c.Why}).Apply(s)
+	return (&SetConfig{Base: c.Base, Emergency: c.Emergency, Doc: doc, Who: c.Who, Why: c.Why}).Apply(s)
 }
--- a/internal/statemachine/patchconfig_test.go
+++ b/internal/statemachine/patchconfig_test.go
@@ -32,7 +32,7 @@
 				if err != nil || len(packed.Body) > doc.Len()/2 {
 					t.Fatalf("patch of %d bytes for a document of %d: %v", len(packed.Body), doc.Len(), err)
 				}
-				if command, err = packed.Open(); err != nil {
+				if command, err = packed.Unpack(); err != nil {
 					t.Fatal(err)
 				}
 				patches++
--- a/internal/statemachine/read.go
+++ b/internal/statemachine/read.go
@@ -26,7 +26,7 @@
 		}
 		return Result{Code: OK, Version: config.Version, Doc: config.Doc}
 	case "keys":
-		return Result{Code: OK, Revision: s.Revision, Names: s.Names(name)}
+		return Result{Code: OK, Revision: s.Revision, Names: s.KeyNames(name)}
 	case "lock":
 		lock, ok := s.Locks[name]
 		if !ok {
@@ -50,7 +50,7 @@
 		if !ok {
 			return Result{Code: NotFound, Version: s.Config().Version, Message: "no such request is known"}
 		}
-		return Result{Code: OK, Version: s.Config().Version, Earlier: &answered}
+		return Result{Code: OK, Version: s.Config().Version, Recorded: &answered}
 	case "history":
 		var configs []Config
 		for _, c := range s.Configs {
--- a/internal/statemachine/request.go
+++ b/internal/statemachine/request.go
@@ -25,20 +25,20 @@
 // with the same ID and content gets the recorded result; one with the same ID and
 // different content is refused.
 type Request struct {
-	ID     string `msgpack:"i"`
-	Digest []byte `msgpack:"d"`
-	Number uint64 `msgpack:"n,omitempty"` // the operator's number of a configuration, 0 if none
-	Cmd    Packed `msgpack:"c"`
+	ID      string `msgpack:"i"`
+	Digest  []byte `msgpack:"d"`
+	Number  uint64 `msgpack:"n,omitempty"` // the operator's number of a configuration, 0 if none
+	Command Packed `msgpack:"c"`
 
 	inner Command // Cmd, decoded
 }
 
 // unpack decodes the wrapped command. A nested Request is refused.
 func (c *Request) unpack() error {
-	if c.Cmd.Kind == KindRequest {
+	if c.Command.Kind == KindRequest {
 		return fault.New(fault.Input, "a request cannot contain another request")
 	}
-	inner, err := c.Cmd.Open()
+	inner, err := c.Command.Unpack()
 	c.inner = inner
 	return err
 }
@@ -51,7 +51,7 @@
 // may be retried once the reason for the refusal is gone.
 func (c *Request) Apply(s *State) Result {
 	if earlier, ok := s.FindRequest(c.ID); ok {
-		return earlier.Repeat(c.Digest)
+		return earlier.ResultForRetry(c.Digest)
 	}
 	if c.Number > 0 && s.numberHasOtherContent(c.Number, c.Digest) {
 		return Result{Code: Reused, Version: s.Config().Version, Message: fmt.Sprintf("version %d stands with another content", c.Number)}
@@ -63,9 +63,9 @@
 	return result
 }
 
-// Repeat returns the recorded result if a retry has the same content, and refuses it
+// ResultForRetry returns the recorded result if a retry has the same content, and refuses it
 // otherwise.
-func (a AnsweredRequest) Repeat(digest []byte) Result {
+func (a AnsweredRequest) ResultForRetry(digest []byte) Result {
 	if bytes.Equal(a.Digest, digest) {
 		return a.Result
 	}
@@ -86,15 +86,15 @@
 	if !ok {
 		return AnsweredRequest{}, false
 	}
-	return s.Requests[position-s.Forgotten], true
+	return s.Requests[position-s.CompactedRequests], true
 }
 
 // recordAnswer adds an answered request and drops the oldest one beyond MaxRequests.
 func (s *State) recordAnswer(answered AnsweredRequest) {
-	s.answerPositions[answered.ID] = s.Forgotten + uint64(len(s.Requests))
+	s.answerPositions[answered.ID] = s.CompactedRequests + uint64(len(s.Requests))
 	s.Requests = append(s.Requests, answered)
 	if len(s.Requests) > MaxRequests {
-		s.compactRequests(s.Forgotten + 1)
+		s.compactRequests(s.CompactedRequests + 1)
 	}
 }
 
@@ -102,15 +102,15 @@
 // recorded.
 func (s *State) compactRequests(to uint64) {
 	dropped := 0
-	for ; dropped < len(s.Requests) && s.Forgotten < to; dropped++ {
+	for ; dropped < len(s.Requests) && s.CompactedRequests < to; dropped++ {
 		delete(s.answerPositions, s.Requests[dropped].ID)
-		s.Forgotten++
+		s.CompactedRequests++
 	}
 	s.Requests = append([]AnsweredRequest(nil), s.Requests[dropped:]...)
 }
 
 // TotalRequests returns the number of requests ever recorded.
-func (s *State) TotalRequests() uint64 { return s.Forgotten + uint64(len(s.Requests)) }
+func (s *State) TotalRequests() uint64 { return s.CompactedRequests + uint64(len(s.Requests)) }
 
 // CompactRequests drops the oldest recorded requests. The leader decides by its own
 // clock which requests are old enough, so that Apply needs no clock.
--- a/internal/statemachine/request_test.go
+++ b/internal/statemachine/request_test.go
@@ -33,7 +33,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return &statemachine.Request{ID: statemachine.NumberRequestID(number), Digest: statemachine.DocumentDigest([]byte(doc)), Number: number, Cmd: packed}
+	return &statemachine.Request{ID: statemachine.NumberRequestID(number), Digest: statemachine.DocumentDigest([]byte(doc)), Number: number, Command: packed}
 }
 
 // reload encodes the state and loads it again, as a snapshot would.
@@ -102,7 +102,7 @@
 	s := statemachine.New("m", nil)
 	acquire := func(id, owner string) statemachine.Result {
 		packed, _ := statemachine.Pack("lock.take", &statemachine.AcquireLock{Name: id, Owner: owner, TTL: 1000})
-		return apply(t, s, statemachine.KindRequest, &statemachine.Request{ID: id, Digest: []byte(owner), Cmd: packed})
+		return apply(t, s, statemachine.KindRequest, &statemachine.Request{ID: id, Digest: []byte(owner), Command: packed})
 	}
 	apply(t, s, "lock.take", &statemachine.AcquireLock{Name: "held", Owner: "x", TTL: 1000})
 	if got := acquire("held", "y"); got.Code != statemachine.Conflict {
@@ -139,11 +139,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	outer, err := statemachine.Pack(statemachine.KindRequest, &statemachine.Request{ID: "x", Cmd: inner})
+	outer, err := statemachine.Pack(statemachine.KindRequest, &statemachine.Request{ID: "x", Command: inner})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := outer.Open(); err == nil {
+	if _, err := outer.Unpack(); err == nil {
 		t.Error("a nested request was decoded")
 	}
 }
--- a/internal/statemachine/state.go
+++ b/internal/statemachine/state.go
@@ -74,9 +74,9 @@
 	Puts           []Put                    `msgpack:"puts"`
 	CompactedPuts  uint64                   `msgpack:"trimmed"` // the number of puts that are no longer retained
 
-	Requests  []AnsweredRequest `msgpack:"requests,omitempty"`  // operators' requests that took effect, oldest first
-	Forgotten uint64            `msgpack:"forgotten,omitempty"` // the number of answered requests that are no longer retained
-	Level     int               `msgpack:"level,omitempty"`     // the command level in use, see RaiseLevel
+	Requests          []AnsweredRequest `msgpack:"requests,omitempty"`  // operators' requests that took effect, oldest first
+	CompactedRequests uint64            `msgpack:"forgotten,omitempty"` // the number of answered requests that are no longer retained
+	Level             int               `msgpack:"level,omitempty"`     // the command level in use, see RaiseLevel
 
 	answerPositions map[string]uint64 // request ID to its position among all requests ever recorded
 	putBytes        int               // the size of the retained puts
@@ -113,7 +113,7 @@
 		state.indexPut(p)
 	}
 	for i, a := range state.Requests {
-		state.answerPositions[a.ID] = state.Forgotten + uint64(i)
+		state.answerPositions[a.ID] = state.CompactedRequests + uint64(i)
 	}
 	return state, nil
 }
@@ -186,9 +186,9 @@
 	s.Keys[name] = key
 }
 
-// Since returns at most limit changes of keys with a prefix, starting at revision from.
+// ChangesFrom returns at most limit changes of keys with a prefix, starting at revision from.
 // It returns false if the change at that revision has been compacted.
-func (s *State) Since(prefix string, from uint64, limit int) ([]Change, bool) {
+func (s *State) ChangesFrom(prefix string, from uint64, limit int) ([]Change, bool) {
 	if from < s.OldestRevision {
 		return nil, false
 	}
@@ -205,8 +205,8 @@
 	return changes, true
 }
 
-// Names returns the sorted names of all keys with a prefix.
-func (s *State) Names(prefix string) []string {
+// KeyNames returns the sorted names of all keys with a prefix.
+func (s *State) KeyNames(prefix string) []string {
 	var names []string
 	for k := range s.Keys {
 		if len(k) >= len(prefix) && k[:len(prefix)] == prefix {
--- a/internal/store/batch.go
+++ b/internal/store/batch.go
@@ -43,7 +43,7 @@
 		return
 	}
 	lock, held := s.state.Locks[acquire.Name]
-	if !held || lock.Owner != acquire.Owner || acquire.Same {
+	if !held || lock.Owner != acquire.Owner || acquire.KeepFence {
 		return
 	}
 	// The owner keeps the time that it already counts on.
--- a/internal/store/campaign.go
+++ b/internal/store/campaign.go
@@ -100,7 +100,7 @@
 
 // prepare fetches what the voters have applied beyond this store, proposes
 // again what they accepted, and starts the term.
-func (s *Store) prepare(ctx context.Context, number ballot.Number, members string, votes []ballotVote, from []string) bool {
+func (s *Store) prepare(ctx context.Context, number ballot.Number, members string, votes []voteResponse, from []string) bool {
 	s.applyLock.Lock()
 	defer s.applyLock.Unlock()
 	ctx, cancel := context.WithTimeout(ctx, s.Settings.ConfigBound)
--- a/internal/store/campaign_test.go
+++ b/internal/store/campaign_test.go
@@ -51,7 +51,7 @@
 			}
 			settings := settings.Settings{Node: "n", ClusterID: "m", ConfigBound: 2 * time.Second, RecoveryBound: 15 * time.Second, MaxFrameBytes: 1 << 20, MaxRequests: 8, InternalAddr: "me:1"}
 			network := &unreachableNetwork{}
-			s, err := New(settings, env.Env{Net: network, FS: dir, Wall: time.Now, Log: event.New("n", nil), Sleep: func(ctx context.Context, d time.Duration) {
+			s, err := New(settings, env.Env{Net: network, FS: dir, WallClock: time.Now, Log: event.New("n", nil), Sleep: func(ctx context.Context, d time.Duration) {
 				select {
 				case <-time.After(d):
 				case <-ctx.Done():
--- a/internal/store/chosenlog.go
+++ b/internal/store/chosenlog.go
@@ -55,7 +55,7 @@
 		version = s.state.Config().Version
 	}
 	s.mu.Unlock()
-	s.env.Log.Emit(event.Reopened, "replica", s.acceptor.Identity().ID, "applied", index, "digest", shortDigest(digest), "version", version, "accepted", s.acceptor.Top(), "promised", s.acceptor.Promised().String())
+	s.env.Log.Emit(event.Reopened, "replica", s.acceptor.Identity().ID, "applied", index, "digest", shortDigest(digest), "version", version, "accepted", s.acceptor.HighestIndex(), "promised", s.acceptor.Promised().String())
 }
 
 func shortDigest(digest []byte) string {
--- a/internal/store/configpatch.go
+++ b/internal/store/configpatch.go
@@ -26,7 +26,7 @@
 		s.lastPatch = patch.Make(request.From, result.Version, old, result.Doc)
 	}
 	if s.lastPatch.Size() < len(result.Doc)/2 {
-		result.Doc, result.Steps = nil, []patch.Step{s.lastPatch}
+		result.Doc, result.Patches = nil, []patch.Patch{s.lastPatch}
 	}
 	return result
 }
--- a/internal/store/configpatch_test.go
+++ b/internal/store/configpatch_test.go
@@ -47,12 +47,12 @@
 		if c.request.From > uint64(c.versions) {
 			continue
 		}
-		if got := len(result.Steps) > 0; got != c.patched || got == (result.Doc != nil) {
+		if got := len(result.Patches) > 0; got != c.patched || got == (result.Doc != nil) {
 			t.Errorf("%d: got a patch: %v, got the whole document: %v", i, got, result.Doc != nil)
 		}
 		if c.patched {
 			document.Set(1, docs[0], nil)
-			if got, ok := document.Build(result.Steps); !ok || !bytes.Equal(got, docs[1]) {
+			if got, ok := document.Build(result.Patches); !ok || !bytes.Equal(got, docs[1]) {
 				t.Errorf("%d: the patch does not give the new document", i)
 			}
 		}
--- a/internal/store/diskhealth.go
+++ b/internal/store/diskhealth.go
@@ -185,5 +185,5 @@
 		return
 	}
 	s.env.Log.Emit(event.SnapshotWritten, "slot", snapshot.Index, "bytes", len(snapshot.State))
-	_ = s.acceptor.Reserve(len(snapshot.State)*2 + 64<<10)
+	_ = s.acceptor.ReserveSpace(len(snapshot.State)*2 + 64<<10)
 }
--- a/internal/store/electorate.go
+++ b/internal/store/electorate.go
@@ -37,20 +37,20 @@
 
 // askVotes asks every member, this store included, for its vote. It stops at a
 // majority of votes. refused counts the members that refused theirs.
-func (s *Store) askVotes(ctx context.Context, number ballot.Number, binding bool) (granted []ballotVote, voters []string, refused int, elected bool) {
+func (s *Store) askVotes(ctx context.Context, number ballot.Number, binding bool) (granted []voteResponse, voters []string, refused int, elected bool) {
 	ctx, cancel := context.WithTimeout(ctx, s.Settings.Lease()/2)
 	defer cancel()
 	addresses, majority := s.memberAddresses()
 	s.mu.Lock()
-	request := ballotAsk{Ballot: number, ID: s.acceptor.Identity().ID, Binding: binding, Applied: s.appliedIndex, ClusterID: s.state.ClusterID, Addr: s.Settings.InternalAddr}
+	request := voteRequest{Ballot: number, ID: s.acceptor.Identity().ID, Binding: binding, Applied: s.appliedIndex, ClusterID: s.state.ClusterID, Addr: s.Settings.InternalAddr}
 	s.mu.Unlock()
 	notMember, source, newest := 0, "", request.Applied
-	ballot.Poll(ctx, s.tasks, addresses, func(ctx context.Context, to string) (ballotVote, error) {
+	ballot.Poll(ctx, s.tasks, addresses, func(ctx context.Context, to string) (voteResponse, error) {
 		if to == s.Settings.InternalAddr {
 			return s.onVoteRequest(ctx, transport.Hello{}, request)
 		}
-		return transport.Call[ballotVote](ctx, s.node, to, "store.ballot", request)
-	}, func(to string, vote ballotVote, err error) bool {
+		return transport.Call[voteResponse](ctx, s.node, to, "store.ballot", request)
+	}, func(to string, vote voteResponse, err error) bool {
 		if err != nil {
 			return false
 		}
--- a/internal/store/fetch.go
+++ b/internal/store/fetch.go
@@ -86,13 +86,13 @@
 func (s *Store) fetchMissing(ctx context.Context, from string, to uint64) error {
 	for first := true; ; first = false {
 		s.mu.Lock()
-		request := fetchAsk{After: s.appliedIndex, PreviousDigest: s.appliedDigest, AcceptsChunks: true}
+		request := fetchRequest{After: s.appliedIndex, PreviousDigest: s.appliedDigest, AcceptsChunks: true}
 		isEmpty := s.state == nil
 		s.mu.Unlock()
 		if isEmpty {
 			request.PreviousDigest = nil
 		}
-		response, err := transport.Call[fetchGot](ctx, s.node, from, "store.fetch", request)
+		response, err := transport.Call[fetchResponse](ctx, s.node, from, "store.fetch", request)
 		if err != nil {
 			return err
 		}
@@ -146,13 +146,13 @@
 
 // onFetch returns what is applied here: entries while they are kept, a
 // snapshot otherwise.
-func (s *Store) onFetch(_ context.Context, _ transport.Hello, request fetchAsk) (fetchGot, error) {
+func (s *Store) onFetch(_ context.Context, _ transport.Hello, request fetchRequest) (fetchResponse, error) {
 	s.mu.Lock()
 	if s.state == nil {
 		s.mu.Unlock()
-		return fetchGot{}, fault.New(fault.Refused, "empty")
+		return fetchResponse{}, fault.New(fault.Refused, "empty")
 	}
-	response := fetchGot{Applied: s.appliedIndex}
+	response := fetchResponse{Applied: s.appliedIndex}
 	upToDate := request.PreviousDigest != nil && request.After >= s.appliedIndex
 	if !upToDate {
 		response.Entries = s.entriesAfter(request)
@@ -188,12 +188,12 @@
 // entriesAfter returns the applied entries that follow the requester's state:
 // none if they are not all kept, or if the requester's newest entry differs
 // from the one here. mu is held.
-func (s *Store) entriesAfter(request fetchAsk) (entries []paxos.Entry) {
+func (s *Store) entriesAfter(request fetchRequest) (entries []paxos.Entry) {
 	if request.PreviousDigest == nil || !s.acceptor.HoldsAfter(request.After) {
 		return nil
 	}
 	size := 0
-	for _, e := range s.acceptor.After(request.After, min(maxFetchEntries, int(s.appliedIndex-request.After))) {
+	for _, e := range s.acceptor.EntriesAfter(request.After, min(maxFetchEntries, int(s.appliedIndex-request.After))) {
 		size += len(e.Batch)
 		if e.Index > s.appliedIndex || len(entries) > 0 && size > s.Settings.MaxFrameBytes/fetchFrameDivisor {
 			break
--- a/internal/store/founding.go
+++ b/internal/store/founding.go
@@ -17,11 +17,11 @@
 func (s *Store) isEmpty() bool { return s.role.Is("empty") }
 
 // onProbe reports what this store holds.
-func (s *Store) onProbe(_ context.Context, _ transport.Hello, request foundAsk) (foundGot, error) {
+func (s *Store) onProbe(_ context.Context, _ transport.Hello, request probeRequest) (probeResponse, error) {
 	s.detectReplacedLeader(request.ID, request.Addr)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	response := foundGot{Empty: s.state == nil, ID: s.acceptor.Identity().ID, LeaderAddr: s.leaderAddress, MayNotFound: !s.Settings.MayFound, Zone: s.Settings.Zone, Region: s.Settings.Region, CommandLevel: statemachine.Level}
+	response := probeResponse{Empty: s.state == nil, ID: s.acceptor.Identity().ID, LeaderAddr: s.leaderAddress, MayNotFound: !s.Settings.MayFound, Zone: s.Settings.Zone, Region: s.Settings.Region, CommandLevel: statemachine.Level}
 	if s.state != nil {
 		response.ClusterID, response.Members, response.Applied = s.state.ClusterID, s.state.Members, s.appliedIndex
 	}
@@ -150,7 +150,7 @@
 // with the least address among those that may found does so, whatever the
 // order in each one's settings, so that a cluster is never founded twice. The
 // others receive the founding state from it or, later, from each other.
-func (s *Store) foundCluster(ctx context.Context, responses []foundGot, addresses []string) {
+func (s *Store) foundCluster(ctx context.Context, responses []probeResponse, addresses []string) {
 	founder := ""
 	founding := genesis{ClusterID: s.Settings.ClusterID + "/" + randomID(), WantedMembers: s.Settings.Voters(), CommandLevel: statemachine.Level}
 	for i, response := range responses {
--- a/internal/store/join.go
+++ b/internal/store/join.go
@@ -80,7 +80,7 @@
 
 // source is a store that holds the cluster's state, with its response.
 type source struct {
-	foundGot
+	probeResponse
 	addr string
 }
 
@@ -89,18 +89,18 @@
 // that has applied most, since only that one may know of a membership that
 // this store was given right before the leader was lost. It leaves half of the
 // time for the refill, since a store that is cut off never answers.
-func (s *Store) probeStores(ctx context.Context, addresses []string) (empty []foundGot, emptyAddresses []string, best source) {
+func (s *Store) probeStores(ctx context.Context, addresses []string) (empty []probeResponse, emptyAddresses []string, best source) {
 	ctx, cancel := context.WithTimeout(ctx, s.Settings.CallTimeout())
 	defer cancel()
 	s.mu.Lock()
 	hintFailed := s.leaderHintFailed
 	s.mu.Unlock()
-	ballot.Poll(ctx, s.tasks, addresses, func(ctx context.Context, to string) (foundGot, error) {
+	ballot.Poll(ctx, s.tasks, addresses, func(ctx context.Context, to string) (probeResponse, error) {
 		if to == s.Settings.InternalAddr {
-			return foundGot{Empty: true, ID: s.acceptor.Identity().ID, MayNotFound: !s.Settings.MayFound, Zone: s.Settings.Zone, Region: s.Settings.Region, CommandLevel: statemachine.Level}, nil
+			return probeResponse{Empty: true, ID: s.acceptor.Identity().ID, MayNotFound: !s.Settings.MayFound, Zone: s.Settings.Zone, Region: s.Settings.Region, CommandLevel: statemachine.Level}, nil
 		}
-		return transport.Call[foundGot](ctx, s.node, to, "store.found", foundAsk{s.acceptor.Identity().ID, s.Settings.InternalAddr})
-	}, func(to string, response foundGot, err error) bool {
+		return transport.Call[probeResponse](ctx, s.node, to, "store.found", probeRequest{s.acceptor.Identity().ID, s.Settings.InternalAddr})
+	}, func(to string, response probeResponse, err error) bool {
 		switch {
 		case err != nil:
 		case response.Empty:
@@ -151,9 +151,9 @@
 func (s *Store) reportToLeader(ctx context.Context, leader string) bool {
 	for range 3 {
 		s.mu.Lock()
-		request := joinAsk{ID: s.acceptor.Identity().ID, Addr: s.Settings.InternalAddr, ClusterID: s.state.ClusterID, Applied: s.appliedIndex, Zone: s.Settings.Zone, Region: s.Settings.Region, CommandLevel: statemachine.Level}
+		request := joinRequest{ID: s.acceptor.Identity().ID, Addr: s.Settings.InternalAddr, ClusterID: s.state.ClusterID, Applied: s.appliedIndex, Zone: s.Settings.Zone, Region: s.Settings.Region, CommandLevel: statemachine.Level}
 		s.mu.Unlock()
-		response, err := transport.Call[joinGot](ctx, s.node, leader, "store.join", request)
+		response, err := transport.Call[joinResponse](ctx, s.node, leader, "store.join", request)
 		if err == nil && response.LeaderApplied == 0 && response.Applied > request.Applied && s.refill(ctx, leader) == nil && s.canVote() {
 			// It is not the leader, but knows that this store was made a
 			// member.
@@ -194,7 +194,7 @@
 	chosen, clusterID := s.appliedIndex, s.state.ClusterID
 	s.mu.Unlock()
 	former, identity := s.acceptor.Identity().ID, paxos.Identity{ID: randomID(), ClusterID: clusterID}
-	if err := s.writeDurably(func() error { return s.acceptor.Rename(identity, chosen) }); err != nil {
+	if err := s.writeDurably(func() error { return s.acceptor.ReplaceIdentity(identity, chosen) }); err != nil {
 		return err
 	}
 	s.env.Trace.Notify(trace.Renamed{Replica: identity.ID, Former: former})
--- a/internal/store/join_test.go
+++ b/internal/store/join_test.go
@@ -19,7 +19,7 @@
 func startPeer(t *testing.T, network *transport.LocalNet, addr string, register func(*transport.Node)) {
 	t.Helper()
 	tasks := task.New(context.Background())
-	node := transport.NewNode(transport.Hello{ClusterID: "m", Node: addr}, env.Env{Net: network, Wall: time.Now, Log: event.New(addr, nil)}, tasks, 1<<20, 8, time.Second)
+	node := transport.NewNode(transport.Hello{ClusterID: "m", Node: addr}, env.Env{Net: network, WallClock: time.Now, Log: event.New(addr, nil)}, tasks, 1<<20, 8, time.Second)
 	register(node)
 	if err := node.Listen(addr); err != nil {
 		t.Fatal(err)
@@ -31,9 +31,9 @@
 }
 
 // probeReply answers probes with a response, after a delay.
-func probeReply(response foundGot, delay time.Duration) func(*transport.Node) {
+func probeReply(response probeResponse, delay time.Duration) func(*transport.Node) {
 	return func(node *transport.Node) {
-		transport.Handle(node, "store.found", func(ctx context.Context, _ transport.Hello, _ foundAsk) (foundGot, error) {
+		transport.Handle(node, "store.found", func(ctx context.Context, _ transport.Hello, _ probeRequest) (probeResponse, error) {
 			task.Sleep(ctx, delay)
 			return response, ctx.Err()
 		})
@@ -45,21 +45,21 @@
 // otherwise from one that names a leader, unless that leader did not answer
 // the last time.
 func TestRefillSource(t *testing.T) {
-	behind, newest := foundGot{Applied: 485}, foundGot{Applied: 490}
-	leads, never := foundGot{Applied: 480, LeaderAddr: "c:1"}, time.Hour
+	behind, newest := probeResponse{Applied: 485}, probeResponse{Applied: 490}
+	leads, never := probeResponse{Applied: 480, LeaderAddr: "c:1"}, time.Hour
 	for _, c := range []struct {
 		name       string
-		a, b, d    foundGot
+		a, b, d    probeResponse
 		delay      time.Duration // of a
 		hintFailed bool
 		want       string
 	}{
-		{"the nearest is behind", behind, newest, foundGot{Empty: true}, 0, false, "b:1"},
-		{"the nearest has most", newest, behind, foundGot{Empty: true}, 0, false, "a:1"},
-		{"one never answers", newest, behind, foundGot{Applied: 3}, never, false, "b:1"},
+		{"the nearest is behind", behind, newest, probeResponse{Empty: true}, 0, false, "b:1"},
+		{"the nearest has most", newest, behind, probeResponse{Empty: true}, 0, false, "a:1"},
+		{"one never answers", newest, behind, probeResponse{Applied: 3}, never, false, "b:1"},
 		{"one names a leader", newest, behind, leads, 0, false, "d:1"},
 		{"it names a leader that is gone", behind, newest, leads, 0, true, "b:1"},
-		{"all are empty", foundGot{Empty: true}, foundGot{Empty: true}, foundGot{Empty: true}, 0, false, ""},
+		{"all are empty", probeResponse{Empty: true}, probeResponse{Empty: true}, probeResponse{Empty: true}, 0, false, ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -93,7 +93,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		s, _ := newEmptyStore(t)
 		defer s.Kill()
-		for _, request := range []ballotAsk{{Addr: "old:1"}, {Addr: "new:1", Applied: 9}} {
+		for _, request := range []voteRequest{{Addr: "old:1"}, {Addr: "new:1", Applied: 9}} {
 			vote, err := s.onVoteRequest(t.Context(), transport.Hello{}, request)
 			if err != nil || vote.Granted {
 				t.Fatalf("an empty store granted its vote: %+v, %v", vote, err)
@@ -136,9 +136,11 @@
 		}
 		entry := replaceEntry(t, "a", s.acceptor.Identity().ID)
 		startPeer(t, network, "b:1", func(node *transport.Node) {
-			transport.Handle(node, "store.join", func(context.Context, transport.Hello, joinAsk) (joinGot, error) { return joinGot{Applied: 1}, nil })
-			transport.Handle(node, "store.fetch", func(context.Context, transport.Hello, fetchAsk) (fetchGot, error) {
-				return fetchGot{Applied: 1, Entries: []paxos.Entry{entry}}, nil
+			transport.Handle(node, "store.join", func(context.Context, transport.Hello, joinRequest) (joinResponse, error) {
+				return joinResponse{Applied: 1}, nil
+			})
+			transport.Handle(node, "store.fetch", func(context.Context, transport.Hello, fetchRequest) (fetchResponse, error) {
+				return fetchResponse{Applied: 1, Entries: []paxos.Entry{entry}}, nil
 			})
 		})
 		if !s.reportToLeader(t.Context(), "b:1") || !s.canVote() {
@@ -163,11 +165,11 @@
 				entry = replaceEntry(t, "c", "d")
 			}
 			startPeer(t, network, "b:1", func(n *transport.Node) {
-				transport.Handle(n, "store.ballot", func(context.Context, transport.Hello, ballotAsk) (ballotVote, error) {
-					return ballotVote{ID: "b", Applied: 1}, nil
+				transport.Handle(n, "store.ballot", func(context.Context, transport.Hello, voteRequest) (voteResponse, error) {
+					return voteResponse{ID: "b", Applied: 1}, nil
 				})
-				transport.Handle(n, "store.fetch", func(context.Context, transport.Hello, fetchAsk) (fetchGot, error) {
-					return fetchGot{Applied: 1, Entries: []paxos.Entry{entry}}, nil
+				transport.Handle(n, "store.fetch", func(context.Context, transport.Hello, fetchRequest) (fetchResponse, error) {
+					return fetchResponse{Applied: 1, Entries: []paxos.Entry{entry}}, nil
 				})
 			})
 			if _, _, _, ok := s.askVotes(t.Context(), ballot.Number{}, false); ok {
@@ -191,22 +193,22 @@
 		s, network := newSingleStore(t)
 		defer s.Kill()
 		s.Settings.Seeds = []string{"me:1", "seed:1", "heard:1"}
-		var heartbeat beatAsk
+		var heartbeat heartbeatRequest
 		startPeer(t, network, "seed:1", func(node *transport.Node) {
-			transport.Handle(node, "store.beat", func(_ context.Context, _ transport.Hello, request beatAsk) (ack, error) {
+			transport.Handle(node, "store.beat", func(_ context.Context, _ transport.Hello, request heartbeatRequest) (ack, error) {
 				heartbeat = request
 				return ack{}, nil
 			})
 		})
 		startPeer(t, network, "heard:1", func(node *transport.Node) {
-			transport.Handle(node, "store.beat", func(context.Context, transport.Hello, beatAsk) (ack, error) {
+			transport.Handle(node, "store.beat", func(context.Context, transport.Hello, heartbeatRequest) (ack, error) {
 				t.Error("a known learner got the heartbeat")
 				return ack{}, nil
 			})
 		})
 		term := s.newLeadership(ballot.Number{Round: 1, Candidate: s.acceptor.Identity().ID})
 		defer term.stop()
-		term.recordLearner(joinAsk{ID: "l", Addr: "heard:1"})
+		term.recordLearner(joinRequest{ID: "l", Addr: "heard:1"})
 		term.announceToSeeds(t.Context())
 		<-time.After(time.Second)
 		if heartbeat.Addr != "me:1" || heartbeat.ClusterID != "m" {
--- a/internal/store/leadership.go
+++ b/internal/store/leadership.go
@@ -80,7 +80,7 @@
 func (t *leadership) decide(ctx context.Context, encoded []byte) ([]statemachine.Result, error) {
 	store := t.store
 	entry := paxos.Entry{Index: store.appliedIndex + 1, Previous: store.appliedDigest, Batch: encoded, Ballot: t.ballot}
-	request := acceptAsk{Entry: entry, Addr: store.Settings.InternalAddr, ChosenIndex: store.appliedIndex, ChosenDigest: store.appliedDigest, ClusterID: store.state.ClusterID}
+	request := acceptRequest{Entry: entry, Addr: store.Settings.InternalAddr, ChosenIndex: store.appliedIndex, ChosenDigest: store.appliedDigest, ClusterID: store.state.ClusterID}
 	addresses, majority := store.memberAddresses()
 	accepted := map[string]bool{}
 	var acceptors []string
--- a/internal/store/leases.go
+++ b/internal/store/leases.go
@@ -83,7 +83,7 @@
 	if lease, ok := s.leases[name]; !held || !ok || lease.fence != lock.Fence || !now.After(lease.expires) {
 		return nil
 	}
-	return &statemachine.ExpireLock{Name: name, Fence: lock.Fence, Renew: lock.Renewals}
+	return &statemachine.ExpireLock{Name: name, Fence: lock.Fence, Renewals: lock.Renewals}
 }
 
 // expireLocks proposes the end of expired locks that nobody requests. A lock
--- a/internal/store/leave.go
+++ b/internal/store/leave.go
@@ -80,9 +80,9 @@
 	applied := map[string]uint64{s.acceptor.Identity().ID: index}
 	var members []statemachine.Member
 	for range 2 {
-		ballot.Poll(ctx, s.tasks, addresses, func(ctx context.Context, to string) (foundGot, error) {
-			return transport.Call[foundGot](ctx, s.node, to, "store.found", foundAsk{s.acceptor.Identity().ID, s.Settings.InternalAddr})
-		}, func(_ string, response foundGot, err error) bool {
+		ballot.Poll(ctx, s.tasks, addresses, func(ctx context.Context, to string) (probeResponse, error) {
+			return transport.Call[probeResponse](ctx, s.node, to, "store.found", probeRequest{s.acceptor.Identity().ID, s.Settings.InternalAddr})
+		}, func(_ string, response probeResponse, err error) bool {
 			if err == nil && response.Applied >= index {
 				applied[response.ID], members = response.Applied, response.Members
 			}
--- a/internal/store/membership.go
+++ b/internal/store/membership.go
@@ -30,7 +30,7 @@
 }
 
 // recordLearner records a learner's report.
-func (t *leadership) recordLearner(request joinAsk) {
+func (t *leadership) recordLearner(request joinRequest) {
 	_, _, index := t.store.members()
 	now := time.Now()
 	t.mu.Lock()
@@ -95,7 +95,7 @@
 
 // decideAdmission returns the member that a learner may replace now, or whether it
 // may be added; reason tells why neither is possible.
-func (t *leadership) decideAdmission(request joinAsk, members []statemachine.Member, wanted int, index uint64) (replaced string, mayAdd bool, reason string) {
+func (t *leadership) decideAdmission(request joinRequest, members []statemachine.Member, wanted int, index uint64) (replaced string, mayAdd bool, reason string) {
 	if request.CommandLevel < t.store.commandLevel() {
 		return "", false, "its program is too old for the commands in use"
 	}
@@ -140,9 +140,9 @@
 
 // onJoin handles a learner's report. The leader may let it replace a lost
 // member, or add it.
-func (s *Store) onJoin(ctx context.Context, _ transport.Hello, request joinAsk) (joinGot, error) {
+func (s *Store) onJoin(ctx context.Context, _ transport.Hello, request joinRequest) (joinResponse, error) {
 	s.mu.Lock()
-	term, response := s.leadership, joinGot{LeaderAddr: s.leaderAddress}
+	term, response := s.leadership, joinResponse{LeaderAddr: s.leaderAddress}
 	if s.state != nil {
 		response.Applied = s.appliedIndex
 	}
@@ -151,11 +151,11 @@
 		return response, nil
 	}
 	clusterID := s.state.ClusterID
-	response = joinGot{LeaderApplied: s.appliedIndex, IsMember: s.isMember(request.ID)}
+	response = joinResponse{LeaderApplied: s.appliedIndex, IsMember: s.isMember(request.ID)}
 	s.mu.Unlock()
 	if request.ClusterID != clusterID {
 		s.env.Log.Emit(event.ForeignData, "joiner", request.Addr, "mesh", request.ClusterID)
-		return joinGot{}, fault.New(fault.Refused, "joiner is of another mesh")
+		return joinResponse{}, fault.New(fault.Refused, "joiner is of another mesh")
 	}
 	if response.IsMember {
 		return response, nil
@@ -174,10 +174,10 @@
 	}
 	result, err := term.changeMembers(ctx, replaced, mayAdd, statemachine.Member{ID: request.ID, Addr: request.Addr, Zone: request.Zone, Region: request.Region})
 	if err != nil {
-		return joinGot{}, err
+		return joinResponse{}, err
 	}
 	_, _, index = s.members()
-	return joinGot{IsMember: result.Code == statemachine.OK, Reason: result.Message, LeaderApplied: index}, nil
+	return joinResponse{IsMember: result.Code == statemachine.OK, Reason: result.Message, LeaderApplied: index}, nil
 }
 
 // commandLevel returns the level of the commands in use.
--- a/internal/store/messages.go
+++ b/internal/store/messages.go
@@ -10,8 +10,8 @@
 // The messages between stores, and from registries to stores. The fields' tags
 // are the names on the wire.
 
-// ballotAsk is a candidate's request for a member's vote.
-type ballotAsk struct {
+// voteRequest is a candidate's request for a member's vote.
+type voteRequest struct {
 	Ballot    ballot.Number `msgpack:"n"`
 	ID        string        `msgpack:"i"`
 	Binding   bool          `msgpack:"r"` // false: a pre-vote, which only asks whether the leadership is vacant
@@ -20,8 +20,8 @@
 	Addr      string        `msgpack:"a,omitempty"` // of the candidate
 }
 
-// ballotVote is a member's vote, with the entries that it has accepted.
-type ballotVote struct {
+// voteResponse is a member's vote, with the entries that it has accepted.
+type voteResponse struct {
 	Granted   bool          `msgpack:"y"`
 	ID        string        `msgpack:"i"`
 	Promised  ballot.Number `msgpack:"s"`
@@ -31,8 +31,8 @@
 	Truncated bool          `msgpack:"r,omitempty"` // the voter accepted more entries than listed
 }
 
-// acceptAsk is the leader's request to accept an entry.
-type acceptAsk struct {
+// acceptRequest is the leader's request to accept an entry.
+type acceptRequest struct {
 	Entry        paxos.Entry `msgpack:"e"`
 	Addr         string      `msgpack:"a"`
 	ChosenIndex  uint64      `msgpack:"s"` // all up to this index is chosen
@@ -40,8 +40,8 @@
 	ClusterID    string      `msgpack:"m"`
 }
 
-// beatAsk is the leader's heartbeat.
-type beatAsk struct {
+// heartbeatRequest is the leader's heartbeat.
+type heartbeatRequest struct {
 	Ballot       ballot.Number `msgpack:"n"`
 	Addr         string        `msgpack:"a"`
 	ChosenIndex  uint64        `msgpack:"s"`
@@ -62,31 +62,31 @@
 	Leaving      bool          `msgpack:"g,omitempty"` // the sender stops soon, and its disk may be lost with it
 }
 
-// fetchAsk requests the applied entries after an index, or a snapshot.
-type fetchAsk struct {
+// fetchRequest requests the applied entries after an index, or a snapshot.
+type fetchRequest struct {
 	After          uint64 `msgpack:"a"`
 	PreviousDigest []byte `msgpack:"p"`
 	// AcceptsChunks says that the sender can fetch a snapshot in chunks.
 	AcceptsChunks bool `msgpack:"k,omitempty"`
 }
 
-// fetchGot returns entries, a whole snapshot, or the header of a snapshot that
+// fetchResponse returns entries, a whole snapshot, or the header of a snapshot that
 // is to be fetched in chunks.
-type fetchGot struct {
+type fetchResponse struct {
 	Entries  []paxos.Entry   `msgpack:"e"`
 	Snapshot *paxos.Snapshot `msgpack:"c"` // a snapshot small enough for one message
 	Header   *snapshotHeader `msgpack:"h,omitempty"`
 	Applied  uint64          `msgpack:"t"`
 }
 
-// foundAsk asks a store what it holds.
-type foundAsk struct {
+// probeRequest asks a store what it holds.
+type probeRequest struct {
 	ID   string `msgpack:"i"`
 	Addr string `msgpack:"a"`
 }
 
-// foundGot reports what a store holds.
-type foundGot struct {
+// probeResponse reports what a store holds.
+type probeResponse struct {
 	Empty        bool                  `msgpack:"e"`
 	ID           string                `msgpack:"i"`
 	ClusterID    string                `msgpack:"m"`
@@ -107,8 +107,8 @@
 	CommandLevel  int                   `msgpack:"k,omitempty"` // the level of commands that all founders understand
 }
 
-// joinAsk is a learner's report to the leader.
-type joinAsk struct {
+// joinRequest is a learner's report to the leader.
+type joinRequest struct {
 	ID        string `msgpack:"i"`
 	Addr      string `msgpack:"a"`
 	ClusterID string `msgpack:"m"`
@@ -119,8 +119,8 @@
 	CommandLevel int `msgpack:"k,omitempty"` // the highest level of commands that the sender understands
 }
 
-// joinGot is the response to a learner's report.
-type joinGot struct {
+// joinResponse is the response to a learner's report.
+type joinResponse struct {
 	LeaderAddr    string `msgpack:"h"` // the leader, if the receiver is not the leader itself
 	Reason        string `msgpack:"s"`
 	IsMember      bool   `msgpack:"d"`           // the asking store is a member
@@ -143,8 +143,8 @@
 	Request *RequestKey `msgpack:"o,omitempty"`
 }
 
-// vacateAsk announces that the leadership under a ballot is vacant.
-type vacateAsk struct {
+// vacateRequest announces that the leadership under a ballot is vacant.
+type vacateRequest struct {
 	Ballot ballot.Number `msgpack:"n"`
 }
 
@@ -218,6 +218,6 @@
 // Messages lists every message of this package, for the check that a later
 // version of the program still understands all fields of an earlier one.
 func Messages() []any {
-	return []any{ballotAsk{}, ballotVote{}, acceptAsk{}, beatAsk{}, ack{}, fetchAsk{}, fetchGot{}, chunkRequest{}, chunkResponse{}, foundAsk{}, foundGot{},
-		genesis{}, RemoveRequest{}, joinAsk{}, joinGot{}, vacateAsk{}, leaveRequest{}, ProposeRequest{}, LeaderResponse{}, ReadRequest{}, remainingLeasesRequest{}, remainingLeasesResponse{}, RoleBallot{}, RoleVote{}, Status{}}
+	return []any{voteRequest{}, voteResponse{}, acceptRequest{}, heartbeatRequest{}, ack{}, fetchRequest{}, fetchResponse{}, chunkRequest{}, chunkResponse{}, probeRequest{}, probeResponse{},
+		genesis{}, RemoveRequest{}, joinRequest{}, joinResponse{}, vacateRequest{}, leaveRequest{}, ProposeRequest{}, LeaderResponse{}, ReadRequest{}, remainingLeasesRequest{}, remainingLeasesResponse{}, RoleBallot{}, RoleVote{}, Status{}}
 }
--- a/internal/store/proposals.go
+++ b/internal/store/proposals.go
@@ -40,7 +40,7 @@
 
 // proposeGuarded proposes a command of this store if its guard holds.
 func (t *leadership) proposeGuarded(ctx context.Context, packed statemachine.Packed, key *RequestKey, guard func(context.Context) bool) (statemachine.Result, error) {
-	command, err := packed.Open()
+	command, err := packed.Unpack()
 	if err != nil {
 		return statemachine.Result{}, fault.Wrap(fault.Refused, err, "offer")
 	}
--- a/internal/store/proposepatch.go
+++ b/internal/store/proposepatch.go
@@ -31,7 +31,7 @@
 		case *statemachine.Propose, *statemachine.Decide:
 			return
 		case *statemachine.SetConfig, *statemachine.SetNumberedConfig:
-			if !t.allSupport(statemachine.LevelSteps) {
+			if !t.allSupport(statemachine.LevelPatches) {
 				return
 			}
 			t.store.mu.Lock()
--- a/internal/store/requests.go
+++ b/internal/store/requests.go
@@ -24,7 +24,7 @@
 		if o.requestKey == nil {
 			continue
 		}
-		packed, err := statemachine.Pack(statemachine.KindRequest, &statemachine.Request{ID: o.requestKey.ID, Digest: o.requestKey.Digest, Number: o.requestKey.Number, Cmd: o.packed})
+		packed, err := statemachine.Pack(statemachine.KindRequest, &statemachine.Request{ID: o.requestKey.ID, Digest: o.requestKey.Digest, Number: o.requestKey.Number, Command: o.packed})
 		if err == nil {
 			o.packed = packed
 		}
@@ -69,7 +69,7 @@
 	}
 	to := s.requestMarks[outdated-1].total
 	s.requestMarks = append([]requestMark(nil), s.requestMarks[outdated:]...)
-	if to <= s.state.Forgotten {
+	if to <= s.state.CompactedRequests {
 		return nil
 	}
 	return &statemachine.CompactRequests{To: to}
--- a/internal/store/seeds.go
+++ b/internal/store/seeds.go
@@ -8,11 +8,11 @@
 )
 
 // currentHeartbeat returns the leader's heartbeat request.
-func (t *leadership) currentHeartbeat() beatAsk {
+func (t *leadership) currentHeartbeat() heartbeatRequest {
 	store := t.store
 	store.mu.Lock()
 	defer store.mu.Unlock()
-	return beatAsk{Ballot: t.ballot, Addr: store.Settings.InternalAddr, ChosenIndex: store.appliedIndex, ChosenDigest: store.appliedDigest, ClusterID: store.state.ClusterID}
+	return heartbeatRequest{Ballot: t.ballot, Addr: store.Settings.InternalAddr, ChosenIndex: store.appliedIndex, ChosenDigest: store.appliedDigest, ClusterID: store.state.ClusterID}
 }
 
 // announceToSeeds sends a heartbeat to the seeds that are neither members nor
--- a/internal/store/serve.go
+++ b/internal/store/serve.go
@@ -28,7 +28,7 @@
 		return response, nil
 	}
 	// A command that cannot be unpacked must not reach the log.
-	command, err := request.Command.Open()
+	command, err := request.Command.Unpack()
 	if err != nil {
 		return response, fault.Wrap(fault.Refused, err, "offer")
 	}
@@ -110,7 +110,7 @@
 			s.mu.Unlock()
 			return LeaderResponse{}, fault.New(fault.Refused, "empty")
 		}
-		changes, ok := s.state.Since(request.Name, request.From, 256)
+		changes, ok := s.state.ChangesFrom(request.Name, request.From, 256)
 		signal, revision, oldest := s.appliedSignal, s.state.Revision, s.state.OldestRevision
 		s.mu.Unlock()
 		if !ok {
--- a/internal/store/snapshot_test.go
+++ b/internal/store/snapshot_test.go
@@ -31,7 +31,7 @@
 	}
 	settings := settings.Settings{Node: "n", ClusterID: "m", ConfigBound: 2 * time.Second, RecoveryBound: 15 * time.Second, MaxFrameBytes: 1 << 20, MaxRequests: 8, InternalAddr: "me:1", ConfiguredStateBytes: 1 << 20}
 	network := &transport.LocalNet{Network: transport.NewLocalNetwork(func(string, string) time.Duration { return time.Millisecond })}
-	s, err := New(settings, env.Env{Net: network, FS: dir, Wall: time.Now, Log: event.New("n", nil), Sleep: task.Sleep})
+	s, err := New(settings, env.Env{Net: network, FS: dir, WallClock: time.Now, Log: event.New("n", nil), Sleep: task.Sleep})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -137,8 +137,8 @@
 		own := ballot.Number{Round: 2, Candidate: s.acceptor.Identity().ID}
 		s.voter = ballot.NewVoter(own, s.Settings.LeaderTimeout(), s.promise)
 		s.role.Fire("stand")
-		vote := ballotVote{ID: own.Candidate, Granted: true, Entries: reported[:2], Truncated: true}
-		if s.prepare(t.Context(), own, s.memberSet(), []ballotVote{vote}, []string{"me:1"}) {
+		vote := voteResponse{ID: own.Candidate, Granted: true, Entries: reported[:2], Truncated: true}
+		if s.prepare(t.Context(), own, s.memberSet(), []voteResponse{vote}, []string{"me:1"}) {
 			t.Error("elected by a truncated vote")
 		}
 		if s.appliedIndex != 2 || s.leadership != nil || !s.campaignNow {
@@ -167,7 +167,7 @@
 		requests := 0
 		tasks := task.New(context.Background())
 		defer tasks.Stop()
-		node := transport.NewNode(transport.Hello{ClusterID: "m", Node: "sender"}, env.Env{Net: network, Wall: time.Now, Log: event.New("sender", nil)}, tasks, 1<<20, 8, time.Second)
+		node := transport.NewNode(transport.Hello{ClusterID: "m", Node: "sender"}, env.Env{Net: network, WallClock: time.Now, Log: event.New("sender", nil)}, tasks, 1<<20, 8, time.Second)
 		transport.Handle(node, "store.snapshot", func(_ context.Context, _ transport.Hello, request chunkRequest) (chunkResponse, error) {
 			requests++
 			data := bytes.Clone(state[request.Offset:min(request.Offset+snapshotChunk, len(state))])
--- a/internal/store/splitvote_test.go
+++ b/internal/store/splitvote_test.go
@@ -28,7 +28,7 @@
 		}
 		settings := settings.Settings{Node: "n", ClusterID: "m", ConfigBound: 2 * time.Second, RecoveryBound: 15 * time.Second, MaxFrameBytes: 1 << 20, MaxRequests: 8, InternalAddr: "me:1"}
 		network := &transport.LocalNet{Network: transport.NewLocalNetwork(func(string, string) time.Duration { return time.Millisecond })}
-		s, err := New(settings, env.Env{Net: network, FS: dir, Wall: time.Now, Log: event.New("n", nil), Sleep: task.Sleep})
+		s, err := New(settings, env.Env{Net: network, FS: dir, WallClock: time.Now, Log: event.New("n", nil), Sleep: task.Sleep})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -44,16 +44,16 @@
 		defer tasks.Stop()
 		for _, id := range []string{"b", "c", "d"} {
 			s.state.Members = append(s.state.Members, statemachine.Member{ID: id, Addr: id + ":1"})
-			node := transport.NewNode(transport.Hello{ClusterID: "m", Node: id}, env.Env{Net: network, Wall: time.Now, Log: event.New(id, nil)}, tasks, 1<<20, 8, time.Second)
-			transport.Handle(node, "store.ballot", func(_ context.Context, _ transport.Hello, request ballotAsk) (ballotVote, error) {
+			node := transport.NewNode(transport.Hello{ClusterID: "m", Node: id}, env.Env{Net: network, WallClock: time.Now, Log: event.New(id, nil)}, tasks, 1<<20, 8, time.Second)
+			transport.Handle(node, "store.ballot", func(_ context.Context, _ transport.Hello, request voteRequest) (voteResponse, error) {
 				if request.Binding {
 					voteRequests <- announcement{time.Now(), request.Ballot}
 				}
 				// One votes for the candidate, the others have promised
 				// another ballot.
-				return ballotVote{ID: id, Granted: !request.Binding || id == "b", Promised: ballot.Number{Round: 8, Candidate: "z"}}, nil
+				return voteResponse{ID: id, Granted: !request.Binding || id == "b", Promised: ballot.Number{Round: 8, Candidate: "z"}}, nil
 			})
-			transport.Handle(node, "store.vacate", func(_ context.Context, _ transport.Hello, request vacateAsk) (ack, error) {
+			transport.Handle(node, "store.vacate", func(_ context.Context, _ transport.Hello, request vacateRequest) (ack, error) {
 				vacancies <- announcement{time.Now(), request.Ballot}
 				return ack{}, nil
 			})
--- a/internal/store/stepdown.go
+++ b/internal/store/stepdown.go
@@ -62,6 +62,6 @@
 		if to == s.Settings.InternalAddr {
 			return ack{}, nil
 		}
-		return transport.Call[ack](ctx, s.node, to, "store.vacate", vacateAsk{number})
+		return transport.Call[ack](ctx, s.node, to, "store.vacate", vacateRequest{number})
 	}, func(string, ack, error) bool { return false })
 }
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -49,7 +49,7 @@
 	appliedIndex  uint64
 	appliedDigest []byte
 	appliedSignal chan struct{} // closed, and replaced, at each applied entry
-	lastPatch     patch.Step    // the newest patch that was returned to a configuration read
+	lastPatch     patch.Patch   // the newest patch that was returned to a configuration read
 
 	// Leadership and membership.
 	ballot            ballot.Number        // this store's ballot number as a candidate or leader
@@ -111,14 +111,14 @@
 	// Status reports these names: a spare is a learner, stand a candidate, write
 	// the leader.
 	s.role = fsm.New("empty", nil,
-		fsm.Move{From: "empty", By: "refilled", To: "spare"},
-		fsm.Move{From: "empty", By: "filled", To: "follow"},
-		fsm.Move{From: "spare", By: "filled", To: "follow"},
-		fsm.Move{From: "follow", By: "stand", To: "stand"},
-		fsm.Move{From: "stand", By: "lose", To: "follow"},
-		fsm.Move{From: "stand", By: "win", To: "write"},
-		fsm.Move{From: "write", By: "lose", To: "follow"},
-		fsm.Move{From: "follow", By: "outcast", To: "empty"})
+		fsm.Transition{From: "empty", Trigger: "refilled", To: "spare"},
+		fsm.Transition{From: "empty", Trigger: "filled", To: "follow"},
+		fsm.Transition{From: "spare", Trigger: "filled", To: "follow"},
+		fsm.Transition{From: "follow", Trigger: "stand", To: "stand"},
+		fsm.Transition{From: "stand", Trigger: "lose", To: "follow"},
+		fsm.Transition{From: "stand", Trigger: "win", To: "write"},
+		fsm.Transition{From: "write", Trigger: "lose", To: "follow"},
+		fsm.Transition{From: "follow", Trigger: "outcast", To: "empty"})
 	if err := s.open(); err != nil {
 		return nil, err
 	}
@@ -208,7 +208,7 @@
 	s.mu.Unlock()
 	s.leave()
 	s.transferLeadership("stopping")
-	s.node.CloseGracefully(s.Settings.FarewellTimeout())
+	s.node.CloseGracefully(s.Settings.GoodbyeTimeout())
 	s.Kill()
 	s.env.Log.Emit(event.Stopped, "program", "store")
 }
--- a/internal/store/tally.go
+++ b/internal/store/tally.go
@@ -9,7 +9,7 @@
 
 // reportedUpTo returns the highest index up to which every vote lists all
 // entries that its voter accepted.
-func reportedUpTo(votes []ballotVote) uint64 {
+func reportedUpTo(votes []voteResponse) uint64 {
 	index := uint64(math.MaxUint64)
 	for _, v := range votes {
 		if v.Truncated && len(v.Entries) > 0 {
@@ -21,7 +21,7 @@
 
 // highestAccepted returns the entry at an index that was accepted under the
 // highest ballot, nil if no voter accepted any.
-func highestAccepted(votes []ballotVote, index uint64) (accepted *paxos.Entry) {
+func highestAccepted(votes []voteResponse, index uint64) (accepted *paxos.Entry) {
 	for _, v := range votes {
 		for i := range v.Entries {
 			e := &v.Entries[i]
@@ -35,7 +35,7 @@
 
 // traceElected notifies the observer whose votes won the term; applyLock is
 // held.
-func (t *leadership) traceElected(votes []ballotVote) {
+func (t *leadership) traceElected(votes []voteResponse) {
 	store := t.store
 	if store.env.Trace == nil {
 		return
--- a/internal/store/vote.go
+++ b/internal/store/vote.go
@@ -48,9 +48,9 @@
 // then this replica may have lost what it accepted, and must not vote.
 func (s *Store) isRepairing() bool { return s.acceptor.DamagedUpTo() > s.appliedIndex }
 
-func (s *Store) onVoteRequest(_ context.Context, _ transport.Hello, request ballotAsk) (ballotVote, error) {
+func (s *Store) onVoteRequest(_ context.Context, _ transport.Hello, request voteRequest) (voteResponse, error) {
 	s.mu.Lock()
-	vote := ballotVote{ID: s.acceptor.Identity().ID, Applied: s.appliedIndex}
+	vote := voteResponse{ID: s.acceptor.Identity().ID, Applied: s.appliedIndex}
 	able := s.canVote() && !s.isRepairing() && !s.diskStalled() && !s.isForeign(request.ClusterID, request.ID)
 	// A candidate that has applied more may be a member by one of those
 	// entries.
@@ -90,7 +90,7 @@
 	return vote, nil
 }
 
-func (s *Store) onAccept(ctx context.Context, _ transport.Hello, request acceptAsk) (ack, error) {
+func (s *Store) onAccept(ctx context.Context, _ transport.Hello, request acceptRequest) (ack, error) {
 	s.mu.Lock()
 	reply := ack{ID: s.acceptor.Identity().ID, Applied: s.appliedIndex, DiskFailing: s.diskFailing || s.diskStalled(), CommandLevel: statemachine.Level, Leaving: s.leaving}
 	// While a write is stalled, another would only queue up behind it.
@@ -131,7 +131,7 @@
 // applied is left out.
 func (s *Store) acceptedAfter(index uint64) (entries []paxos.Entry, truncated bool) {
 	size := 0
-	for _, e := range s.acceptor.After(index, maxVoteEntries+1) {
+	for _, e := range s.acceptor.EntriesAfter(index, maxVoteEntries+1) {
 		size += len(e.Batch)
 		if len(entries) == maxVoteEntries || len(entries) > 0 && size > s.Settings.MaxFrameBytes/voteFrameDivisor {
 			return entries, true
@@ -158,7 +158,7 @@
 	s.mu.Unlock()
 }
 
-func (s *Store) onHeartbeat(_ context.Context, _ transport.Hello, request beatAsk) (ack, error) {
+func (s *Store) onHeartbeat(_ context.Context, _ transport.Hello, request heartbeatRequest) (ack, error) {
 	s.mu.Lock()
 	reply := ack{ID: s.acceptor.Identity().ID, Applied: s.appliedIndex, DiskFailing: s.diskFailing || s.diskStalled(), CommandLevel: statemachine.Level, Leaving: s.leaving}
 	able := s.canVote() && !s.isForeign(request.ClusterID, request.Addr)
@@ -182,7 +182,7 @@
 	return reply, nil
 }
 
-func (s *Store) onVacate(_ context.Context, _ transport.Hello, request vacateAsk) (ack, error) {
+func (s *Store) onVacate(_ context.Context, _ transport.Hello, request vacateRequest) (ack, error) {
 	s.voter.Vacate(request.Ballot)
 	if s.canVote() {
 		notBefore := time.Now().Add(s.campaignDelay(request.Ballot))
--- a/internal/store/watchputs.go
+++ b/internal/store/watchputs.go
@@ -25,7 +25,7 @@
 	defer timeout.Stop()
 	for expired := false; ; {
 		s.mu.Lock()
-		changes, revision, ok := s.state.After(request.Name, request.From)
+		changes, revision, ok := s.state.PutsAfter(request.Name, request.From)
 		signal := s.appliedSignal
 		s.mu.Unlock()
 		response.Done = true
--- a/internal/workerconn/idlelimit.go
+++ b/internal/workerconn/idlelimit.go
@@ -8,9 +8,9 @@
 	"puffincrank/internal/fault"
 )
 
-// ErrConnectionForgotten means that a reused connection was stale: the worker had already
+// ErrStaleConnection means that a reused connection was stale: the worker had already
 // dropped it while it idled. Whether the worker received any of the request is unknown.
-var ErrConnectionForgotten = fault.New(fault.Unknown, "the worker had forgotten the connection")
+var ErrStaleConnection = fault.New(fault.Unknown, "the worker had forgotten the connection")
 
 // How a per-worker limit on idle times is learned and relaxed, as divisors and multiples
 // of Pool.maxIdle.
@@ -46,7 +46,7 @@
 // classifyError returns ErrConnectionForgotten in place of err if the connection was stale.
 func (p *Pool) classifyError(conn *Conn, err error, start time.Time) error {
 	if p.checkStale(conn, err, time.Since(start)) {
-		return ErrConnectionForgotten
+		return ErrStaleConnection
 	}
 	return err
 }
