--- a/internal/admission/controller.go
+++ b/internal/admission/controller.go
@@ -13,22 +13,22 @@
 
 // Controller manages the slots of one worker. mu guards all mutable fields.
 type Controller struct {
-	mu           sync.Mutex
-	created      time.Time
-	slots        int
-	queueLimit   int
-	inUse        int
-	classes      map[string]*classState
-	nestedShare  float64 // smoothed fraction of the requests that are nested
-	nestedInUse  int     // slots held by nested requests
-	draining     bool
-	drainStarted chan struct{}
-	random       func() float64
+	mu             sync.Mutex
+	created        time.Time
+	slots          int
+	queueLimit     int
+	inUse          int
+	classes        map[string]*classState
+	nestedShare    float64 // smoothed fraction of the requests that are nested
+	nestedInUse    int     // slots held by nested requests
+	draining       bool
+	closedForDrain chan struct{}
+	random         func() float64
 }
 
 // New returns a Controller without slots; Configure sets them.
 func New() *Controller {
-	return &Controller{created: time.Now(), classes: map[string]*classState{}, drainStarted: make(chan struct{}), random: rand.Float64}
+	return &Controller{created: time.Now(), classes: map[string]*classState{}, closedForDrain: make(chan struct{}), random: rand.Float64}
 }
 
 // nowMicros is the time since the controller was created, in microseconds, so that
@@ -138,7 +138,7 @@
 	}
 	queued := &waiter{nested: request.Nested, priority: request.Priority, deadline: deadline, admitted: make(chan struct{})}
 	queue.add(queued)
-	drainStarted := c.drainStarted
+	closedForDrain := c.closedForDrain
 	c.mu.Unlock()
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
@@ -146,7 +146,7 @@
 	select {
 	case <-queued.admitted:
 		return Admitted
-	case <-drainStarted:
+	case <-closedForDrain:
 		outcome = Draining
 	case <-timer.C:
 	case <-ctx.Done():
--- a/internal/admission/order_test.go
+++ b/internal/admission/order_test.go
@@ -198,7 +198,7 @@
 			}
 			return admitted
 		}
-		releaseSlots := func(lent int) {
+		freeSlots := func(lent int) {
 			for range lent {
 				controller.Release(Request{Class: "a"}, time.Millisecond)
 			}
@@ -207,7 +207,7 @@
 		if lent != 16 {
 			t.Fatalf("without nested requests %d of 16 slots were lent", lent)
 		}
-		releaseSlots(lent)
+		freeSlots(lent)
 		nested := Request{Class: "a", MaxWait: time.Second, Nested: true}
 		for range 100 {
 			controller.Acquire(t.Context(), nested)
--- a/internal/admission/usage.go
+++ b/internal/admission/usage.go
@@ -18,7 +18,7 @@
 	defer c.mu.Unlock()
 	if !c.draining {
 		c.draining = true
-		close(c.drainStarted)
+		close(c.closedForDrain)
 	}
 }
 
@@ -28,7 +28,7 @@
 	defer c.mu.Unlock()
 	if c.draining {
 		c.draining = false
-		c.drainStarted = make(chan struct{})
+		c.closedForDrain = make(chan struct{})
 	}
 }
 
