--- a/internal/balancer/workerstats.go
+++ b/internal/balancer/workerstats.go
@@ -23,8 +23,8 @@
 }
 
 // WorkerReport is the coarse summary of a worker that an owner adds to its
-// responses, kept to a few bytes: Pace is the ratio of its run times to those of
-// all workers in eighths, 0 if there is no report; Fail is the fraction of its
+// responses, kept to a few bytes: PaceEighths is the ratio of its run times to those of
+// all workers in eighths, 0 if there is no report; FailedPer64 is the fraction of its
 // requests that failed, in 64ths.
 type WorkerReport struct{ PaceEighths, FailedPer64 uint8 }
 
--- a/internal/statemachine/request.go
+++ b/internal/statemachine/request.go
@@ -30,7 +30,7 @@
 	Number  uint64 `msgpack:"n,omitempty"` // the operator's number of a configuration, 0 if none
 	Command Packed `msgpack:"c"`
 
-	inner Command // Cmd, decoded
+	inner Command // Command, decoded
 }
 
 // unpack decodes the wrapped command. A nested Request is refused.
