--- a/cmd/known/main.go
+++ b/cmd/known/main.go
@@ -1,5 +1,5 @@
-// Command known is a test program: it reads what go test -json says and passes
-// over the failures of the tests listed in a file, which it names.
+// Command known is a test tool. It reads the output of go test -json and accepts the
+// failures of the tests that are listed in a file; it prints each of them.
 package main
 
 import (
@@ -18,22 +18,22 @@
 		fmt.Fprintln(os.Stderr, "known: usage: go test -json ... | known LIST")
 		return 2
 	}
-	raw, err := os.ReadFile(os.Args[1])
+	content, err := os.ReadFile(os.Args[1])
 	if err != nil && !errors.Is(err, fs.ErrNotExist) {
 		fmt.Fprintln(os.Stderr, "known:", err)
 		return 2
 	}
-	list, err := knownfailures.Read(string(raw))
+	list, err := knownfailures.Read(string(content))
 	if err != nil {
 		fmt.Fprintf(os.Stderr, "known: %s: %v\n", os.Args[1], err)
 		return 2
 	}
-	got, err := knownfailures.ReadRun(os.Stdin, os.Stdout)
+	results, err := knownfailures.ReadRun(os.Stdin, os.Stdout)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "known:", err)
 		return 1
 	}
-	if !got.Judge(list, os.Stdout) {
+	if !results.Judge(list, os.Stdout) {
 		return 1
 	}
 	return 0
--- a/cmd/mutants/main.go
+++ b/cmd/mutants/main.go
@@ -1,5 +1,6 @@
-// Command mutants is a test program: it lays each small breakage of product
-// code over the build, runs the test that must catch it and reports.
+// Command mutants is a test tool for mutation testing. It builds the product with each
+// small fault applied through an overlay, runs the test that must detect it, and prints
+// a table of the results.
 package main
 
 import (
@@ -15,23 +16,23 @@
 )
 
 type args struct {
-	Root string   `arg:"--root" default:"." help:"the module's folder"`
-	At   int      `arg:"--at-once" default:"3" help:"how many run at once"`
-	List bool     `arg:"--list" help:"list them and run nothing"`
-	Name []string `arg:"positional" help:"names or promises; all when left out"`
+	Root     string   `arg:"--root" default:"." help:"the module's folder"`
+	Parallel int      `arg:"--at-once" default:"3" help:"how many run at once"`
+	List     bool     `arg:"--list" help:"list them and run nothing"`
+	Name     []string `arg:"positional" help:"names or promises; all when left out"`
 }
 
 func main() { os.Exit(run()) }
 
 func run() int {
-	var a args
-	arg.MustParse(&a)
-	list, err := mutant.Named(a.Name)
-	if err != nil || a.At < 1 || a.At > 16 {
+	var options args
+	arg.MustParse(&options)
+	list, err := mutant.Named(options.Name)
+	if err != nil || options.Parallel < 1 || options.Parallel > 16 {
 		fmt.Fprintln(os.Stderr, "mutants:", err, "- see --list and --help")
 		return 2
 	}
-	if a.List {
+	if options.List {
 		for _, m := range list {
 			fmt.Printf("%-22s %-60s %s %s\n", m.Name, m.Promise, m.Pkg, m.Test)
 		}
@@ -43,28 +44,28 @@
 		return 2
 	}
 	defer func() { _ = os.RemoveAll(dir) }()
-	g := task.New(context.Background())
+	tasks := task.New(context.Background())
 	results := make(chan mutant.Result)
-	seats := make(chan struct{}, a.At)
+	slots := make(chan struct{}, options.Parallel)
 	for _, m := range list {
-		g.Go("mutant", func(ctx context.Context) {
-			seats <- struct{}{}
-			defer func() { <-seats }()
-			results <- m.Try(ctx, a.Root, dir)
+		tasks.Go("mutant", func(ctx context.Context) {
+			slots <- struct{}{}
+			defer func() { <-slots }()
+			results <- m.Try(ctx, options.Root, dir)
 		})
 	}
 	missed := 0
 	fmt.Println("| mutant | promise | caught | by | s |\n| --- | --- | --- | --- | --- |")
 	for range list {
-		r := <-results
-		word := "yes"
-		if !r.Caught {
+		result := <-results
+		caught := "yes"
+		if !result.Caught {
 			missed++
-			word = "**no**: " + r.Say
+			caught = "**no**: " + result.Say
 		}
-		fmt.Printf("| %s | %s | %s | %s %s | %.0f |\n", r.Name, r.Promise, word, r.Pkg, r.Test, r.Took.Round(time.Second).Seconds())
+		fmt.Printf("| %s | %s | %s | %s %s | %.0f |\n", result.Name, result.Promise, caught, result.Pkg, result.Test, result.Took.Round(time.Second).Seconds())
 	}
-	g.Stop()
+	tasks.Stop()
 	fmt.Printf("\n%d mutants, %d missed\n", len(list), missed)
 	if missed > 0 {
 		return 1
--- a/cmd/puffinctl/main.go
+++ b/cmd/puffinctl/main.go
@@ -1,4 +1,4 @@
-// Command puffinctl is the operators' command line.
+// Command puffinctl is the command line client for operators.
 package main
 
 import (
--- a/cmd/registry/main.go
+++ b/cmd/registry/main.go
@@ -1,4 +1,4 @@
-// Command registry runs the registry of a puffincrank mesh.
+// Command registry runs the service registry of a puffincrank service mesh.
 package main
 
 import (
@@ -13,8 +13,8 @@
 )
 
 func main() {
-	os.Exit(lifecycle.Main("registry", os.Args[1:], lifecycle.Site{Settings: platform.Settings, File: platform.File, Dialect: platform.Dialect}, func(p0 settings.Settings, e env.Env) (lifecycle.Program, error) {
-		p := registry.New(p0, e)
-		return p, nil
+	os.Exit(lifecycle.Main("registry", os.Args[1:], lifecycle.Site{Settings: platform.Settings, File: platform.File, Dialect: platform.Dialect}, func(processSettings settings.Settings, environment env.Env) (lifecycle.Program, error) {
+		program := registry.New(processSettings, environment)
+		return program, nil
 	}))
 }
--- a/cmd/store/main.go
+++ b/cmd/store/main.go
@@ -1,4 +1,4 @@
-// Command store runs the store of a puffincrank mesh.
+// Command store runs a replica of the configuration store of a puffincrank service mesh.
 package main
 
 import (
@@ -13,11 +13,11 @@
 )
 
 func main() {
-	os.Exit(lifecycle.Main("store", os.Args[1:], lifecycle.Site{Settings: platform.Settings, File: platform.File, Dialect: platform.Dialect}, func(p0 settings.Settings, e env.Env) (lifecycle.Program, error) {
-		p, err := store.New(p0, e)
+	os.Exit(lifecycle.Main("store", os.Args[1:], lifecycle.Site{Settings: platform.Settings, File: platform.File, Dialect: platform.Dialect}, func(processSettings settings.Settings, environment env.Env) (lifecycle.Program, error) {
+		program, err := store.New(processSettings, environment)
 		if err != nil {
 			return nil, err
 		}
-		return p, nil
+		return program, nil
 	}))
 }
--- a/internal/ctl/client.go
+++ b/internal/ctl/client.go
@@ -1,5 +1,5 @@
-// Package ctl is the operators' command line: it speaks HTTP to any node and
-// gets the same answer from each.
+// Package ctl implements the command line client for operators. It calls the HTTP API of
+// any node; every node gives the same answer.
 package ctl
 
 import (
@@ -17,122 +17,125 @@
 // The exit codes.
 const (
 	ExitOK          = 0
-	ExitRefused     = 1 // the mesh refused: the reasons are printed
+	ExitRefused     = 1 // the cluster refused the call; the reasons are printed
 	ExitUsage       = 2
 	ExitUnreachable = 3 // no node could be reached
-	ExitUnknown     = 4 // the change may have been done
-	ExitUnavailable = 5 // no majority of the stores: nothing was done
+	ExitUnknown     = 4 // the change may have been applied
+	ExitUnavailable = 5 // no majority of the stores is reachable; nothing was changed
 )
 
-// client tries the given nodes in order.
+// client calls the given nodes in order until one answers.
 type client struct {
-	at   []string
-	wait time.Duration
-	say  io.Writer
-	dial Dial
+	addresses []string
+	timeout   time.Duration
+	stderr    io.Writer
+	dial      Dial
 }
 
-// reply is a node's answer.
-type reply struct {
-	at   string
-	code int
-	raw  []byte
+// response is the answer of a node.
+type response struct {
+	address string
+	status  int
+	body    []byte
 }
 
-// do makes one call. A node that can't be reached is named, and the next one
-// is tried; a change that may have got through is never sent twice.
-func (c *client) do(method, uri string, body []byte) (reply, int) {
-	return c.try(method, uri, body, method == http.MethodGet)
+// call makes one call. Unreachable nodes are reported and the next one is called. A
+// change that may have been applied is never sent a second time.
+func (c *client) call(method, uri string, body []byte) (response, int) {
+	return c.callNodes(method, uri, body, method == http.MethodGet)
 }
 
-// order makes a call that carries a request id: the mesh does it once however
-// often it arrives, so it is sent to the next node when its outcome is unknown.
-func (c *client) order(method, uri string, body []byte) (reply, int) {
-	return c.try(method, uri, body, true)
+// callIdempotent makes a call that carries a request ID. The cluster executes it once
+// however often it arrives, so it is sent to the next node when its outcome is unknown.
+func (c *client) callIdempotent(method, uri string, body []byte) (response, int) {
+	return c.callNodes(method, uri, body, true)
 }
 
-// try asks the nodes in order; repeatable tells that the call may arrive twice.
-func (c *client) try(method, uri string, body []byte, repeatable bool) (reply, int) {
-	maybe := false
-	for i, at := range c.at {
-		last := i+1 == len(c.at)
-		got, sent, err := c.one(method, at, uri, body)
+// callNodes calls the nodes in order. An idempotent call may arrive more than once. The
+// second result is an exit code, 0 if there is a response.
+func (c *client) callNodes(method, uri string, body []byte, idempotent bool) (response, int) {
+	mayHaveRun := false
+	for i, address := range c.addresses {
+		last := i+1 == len(c.addresses)
+		answer, connected, err := c.send(method, address, uri, body)
 		switch {
 		case err != nil:
-			fmt.Fprintf(c.say, "%s can't be reached: %v\n", at, err)
-			if maybe = maybe || sent && method != http.MethodGet; maybe && !repeatable {
-				return c.unknown()
+			fmt.Fprintf(c.stderr, "%s can't be reached: %v\n", address, err)
+			if mayHaveRun = mayHaveRun || connected && method != http.MethodGet; mayHaveRun && !idempotent {
+				return c.outcomeUnknown()
 			}
-		case got.code == http.StatusServiceUnavailable && !last:
-			// 503 promises that nothing was done, so another node may be asked.
-			fmt.Fprintf(c.say, "%s: no majority in touch, trying %s\n", at, c.at[i+1])
-		case exit(got.code) == ExitUnknown && repeatable && !last:
-			maybe = maybe || method != http.MethodGet
-			fmt.Fprintf(c.say, "%s: outcome unknown, sent again to %s under the same request id\n", at, c.at[i+1])
-		case got.code == http.StatusServiceUnavailable && maybe:
-			// Nothing was done by this node, but an earlier one may have got through.
-			return c.unknown()
+		case answer.status == http.StatusServiceUnavailable && !last:
+			// Status 503 guarantees that nothing was changed, so another node may be called.
+			fmt.Fprintf(c.stderr, "%s: no majority in touch, trying %s\n", address, c.addresses[i+1])
+		case exitCode(answer.status) == ExitUnknown && idempotent && !last:
+			mayHaveRun = mayHaveRun || method != http.MethodGet
+			fmt.Fprintf(c.stderr, "%s: outcome unknown, sent again to %s under the same request id\n", address, c.addresses[i+1])
+		case answer.status == http.StatusServiceUnavailable && mayHaveRun:
+			// This node changed nothing, but an earlier one may have applied the change.
+			return c.outcomeUnknown()
 		default:
-			return got, 0
+			return answer, 0
 		}
 	}
-	if maybe {
-		return c.unknown()
+	if mayHaveRun {
+		return c.outcomeUnknown()
 	}
-	return reply{}, ExitUnreachable
+	return response{}, ExitUnreachable
 }
 
-// unknown ends a call that may have been done.
-func (c *client) unknown() (reply, int) {
-	fmt.Fprintf(c.say, "outcome unknown: the change may have been done; see 'puffinctl history' or read it back\n")
-	return reply{}, ExitUnknown
+// outcomeUnknown reports a call that may have been executed.
+func (c *client) outcomeUnknown() (response, int) {
+	fmt.Fprintf(c.stderr, "outcome unknown: the change may have been done; see 'puffinctl history' or read it back\n")
+	return response{}, ExitUnknown
 }
 
-func (c *client) one(method, at, uri string, body []byte) (reply, bool, error) {
-	ctx, end := context.WithTimeout(context.Background(), c.wait)
-	defer end()
-	var sent atomic.Bool
-	way := &http.Transport{DisableKeepAlives: true, DialContext: func(ctx context.Context, n, a string) (net.Conn, error) {
-		conn, err := c.dial(ctx, n, a)
+// send calls one node. The second result is whether a connection was opened, so that the
+// node may have executed the call.
+func (c *client) send(method, address, uri string, body []byte) (response, bool, error) {
+	ctx, cancel := context.WithTimeout(context.Background(), c.timeout)
+	defer cancel()
+	var connected atomic.Bool
+	transport := &http.Transport{DisableKeepAlives: true, DialContext: func(ctx context.Context, network, addr string) (net.Conn, error) {
+		conn, err := c.dial(ctx, network, addr)
 		if err == nil {
-			sent.Store(true)
+			connected.Store(true)
 		}
 		return conn, err
 	}}
-	var in io.Reader
+	var reader io.Reader
 	if body != nil {
-		in = io.NopCloser(strings.NewReader(string(body)))
+		reader = io.NopCloser(strings.NewReader(string(body)))
 	}
-	r, err := http.NewRequestWithContext(ctx, method, "http://"+at+uri, in)
+	request, err := http.NewRequestWithContext(ctx, method, "http://"+address+uri, reader)
 	if err != nil {
-		return reply{}, false, err
+		return response{}, false, err
 	}
-	r.ContentLength = int64(len(body))
-	w, err := way.RoundTrip(r)
+	request.ContentLength = int64(len(body))
+	answer, err := transport.RoundTrip(request)
 	if err != nil {
-		return reply{}, sent.Load(), err
+		return response{}, connected.Load(), err
 	}
-	defer func() { _ = w.Body.Close() }()
-	raw, err := io.ReadAll(w.Body)
-	return reply{at, w.StatusCode, raw}, true, err
+	defer func() { _ = answer.Body.Close() }()
+	content, err := io.ReadAll(answer.Body)
+	return response{address, answer.StatusCode, content}, true, err
 }
 
-// exit turns a status into an exit code.
-func exit(code int) int {
+// exitCode converts an HTTP status to an exit code.
+func exitCode(status int) int {
 	switch {
-	case code < 300:
+	case status < 300:
 		return ExitOK
-	case code == http.StatusServiceUnavailable:
+	case status == http.StatusServiceUnavailable:
 		return ExitUnavailable
-	case code == http.StatusGatewayTimeout || code == http.StatusBadGateway:
+	case status == http.StatusGatewayTimeout || status == http.StatusBadGateway:
 		return ExitUnknown
 	}
 	return ExitRefused
 }
 
-// wrong prints why a node refused, every fault with its place.
-func wrong(say io.Writer, got reply) {
-	var w struct {
+// printRefusal prints why a node refused a call, with the place of every fault.
+func printRefusal(stderr io.Writer, answer response) {
+	var refusal struct {
 		Wrong   string `json:"wrong"`
 		Version uint64 `json:"version"`
 		Retry   int64  `json:"retry_ms"`
@@ -141,21 +144,21 @@
 			Wrong string `json:"wrong"`
 		} `json:"faults"`
 	}
-	if json.Unmarshal(got.raw, &w) != nil || w.Wrong == "" {
-		fmt.Fprintf(say, "%s answered %d: %s\n", got.at, got.code, strings.TrimSpace(string(got.raw)))
+	if json.Unmarshal(answer.body, &refusal) != nil || refusal.Wrong == "" {
+		fmt.Fprintf(stderr, "%s answered %d: %s\n", answer.address, answer.status, strings.TrimSpace(string(answer.body)))
 		return
 	}
-	fmt.Fprintf(say, "%s: %s\n", got.at, w.Wrong)
-	if w.Version > 0 {
-		fmt.Fprintf(say, "  the current version is %d\n", w.Version)
+	fmt.Fprintf(stderr, "%s: %s\n", answer.address, refusal.Wrong)
+	if refusal.Version > 0 {
+		fmt.Fprintf(stderr, "  the current version is %d\n", refusal.Version)
 	}
-	if w.Retry > 0 {
-		fmt.Fprintf(say, "  come back in %.1f s\n", float64(w.Retry)/1000)
+	if refusal.Retry > 0 {
+		fmt.Fprintf(stderr, "  come back in %.1f s\n", float64(refusal.Retry)/1000)
 	}
-	for _, f := range w.Faults {
-		fmt.Fprintf(say, "  %s: %s\n", f.Place, f.Wrong)
+	for _, violation := range refusal.Faults {
+		fmt.Fprintf(stderr, "  %s: %s\n", violation.Place, violation.Wrong)
 	}
-	if got.code == http.StatusGatewayTimeout {
-		fmt.Fprintf(say, "  see 'puffinctl history' or read it back to find out\n")
+	if answer.status == http.StatusGatewayTimeout {
+		fmt.Fprintf(stderr, "  see 'puffinctl history' or read it back to find out\n")
 	}
 }
--- a/internal/ctl/coord.go
+++ b/internal/ctl/coord.go
@@ -8,45 +8,45 @@
 	"strings"
 )
 
-func pack(v any) []byte {
+func encodeJSON(v any) []byte {
 	b, _ := json.Marshal(v)
 	return b
 }
 
 func (m *command) lock() int {
-	l := m.a.Lock
-	if l.Op == "list" {
-		return m.show(http.MethodGet, "/puffin/locks", nil, nil)
+	options := m.args.Lock
+	if options.Op == "list" {
+		return m.call(http.MethodGet, "/puffin/locks", nil, nil)
 	}
-	at := "/puffin/locks/" + url.PathEscape(l.Name)
-	switch l.Op {
+	uri := "/puffin/locks/" + url.PathEscape(options.Name)
+	switch options.Op {
 	case "get":
-		return m.show(http.MethodGet, at, nil, nil)
+		return m.call(http.MethodGet, uri, nil, nil)
 	case "acquire", "renew", "release":
-		in := map[string]any{"owner": l.Owner, "ttl_ms": l.TTL}
-		if l.Fence > 0 {
-			in["fence"] = l.Fence
+		body := map[string]any{"owner": options.Owner, "ttl_ms": options.TTL}
+		if options.Fence > 0 {
+			body["fence"] = options.Fence
 		}
-		return m.show(http.MethodPost, at+"/"+l.Op, pack(in), nil)
+		return m.call(http.MethodPost, uri+"/"+options.Op, encodeJSON(body), nil)
 	}
-	fmt.Fprintln(m.say, "lock knows list, get, acquire, renew and release")
+	fmt.Fprintln(m.stderr, "lock knows list, get, acquire, renew and release")
 	return ExitUsage
 }
 
 func (m *command) number() int {
-	at := "/puffin/numbers/" + url.PathEscape(m.a.Number.Name)
-	switch m.a.Number.Op {
+	uri := "/puffin/numbers/" + url.PathEscape(m.args.Number.Name)
+	switch m.args.Number.Op {
 	case "get":
-		return m.show(http.MethodGet, at, nil, nil)
+		return m.call(http.MethodGet, uri, nil, nil)
 	case "next":
-		return m.show(http.MethodPost, at+"/next", []byte("{}"), nil)
+		return m.call(http.MethodPost, uri+"/next", []byte("{}"), nil)
 	}
-	fmt.Fprintln(m.say, "number knows get and next")
+	fmt.Fprintln(m.stderr, "number knows get and next")
 	return ExitUsage
 }
 
-// slashed escapes a key but keeps its slashes.
-func slashed(name string) string {
+// escapeKey escapes the segments of a key and keeps its slashes.
+func escapeKey(name string) string {
 	parts := strings.Split(name, "/")
 	for i := range parts {
 		parts[i] = url.PathEscape(parts[i])
@@ -55,68 +55,68 @@
 }
 
 func (m *command) key() int {
-	k := m.a.Key
-	at := "/puffin/keys/" + slashed(k.Name)
-	switch k.Op {
+	options := m.args.Key
+	uri := "/puffin/keys/" + escapeKey(options.Name)
+	switch options.Op {
 	case "list":
-		return m.show(http.MethodGet, "/puffin/keys?prefix="+url.QueryEscape(k.Name), nil, nil)
+		return m.call(http.MethodGet, "/puffin/keys?prefix="+url.QueryEscape(options.Name), nil, nil)
 	case "get":
-		return m.show(http.MethodGet, at, nil, nil)
+		return m.call(http.MethodGet, uri, nil, nil)
 	case "put":
-		in := map[string]any{"value": k.Value}
-		if k.If != nil {
-			in["if_rev"] = *k.If
+		body := map[string]any{"value": options.Value}
+		if options.IfRevision != nil {
+			body["if_rev"] = *options.IfRevision
 		}
-		return m.show(http.MethodPut, at, pack(in), nil)
+		return m.call(http.MethodPut, uri, encodeJSON(body), nil)
 	case "delete":
-		if k.If != nil {
-			at += fmt.Sprintf("?if_rev=%d", *k.If)
+		if options.IfRevision != nil {
+			uri += fmt.Sprintf("?if_rev=%d", *options.IfRevision)
 		}
-		return m.show(http.MethodDelete, at, nil, nil)
+		return m.call(http.MethodDelete, uri, nil, nil)
 	}
-	fmt.Fprintln(m.say, "key knows list, get, put and delete")
+	fmt.Fprintln(m.stderr, "key knows list, get, put and delete")
 	return ExitUsage
 }
 
-// watch prints changes as they come, a line each.
+// watch prints changes as they arrive, one per line.
 func (m *command) watch() int {
-	w := m.a.Watch
-	from := w.From
+	options := m.args.Watch
+	from := options.From
 	if from == 0 {
-		code := m.show(http.MethodGet, "/puffin/keys?prefix="+url.QueryEscape(w.Prefix), nil, func(raw []byte) error {
-			var got struct {
+		code := m.call(http.MethodGet, "/puffin/keys?prefix="+url.QueryEscape(options.Prefix), nil, func(raw []byte) error {
+			var answer struct {
 				Rev uint64 `json:"rev"`
 			}
-			err := json.Unmarshal(raw, &got)
-			from = got.Rev + 1
+			err := json.Unmarshal(raw, &answer)
+			from = answer.Rev + 1
 			return err
 		})
 		if code != ExitOK {
 			return code
 		}
 	}
-	for n := 0; w.Count == 0 || n < w.Count; {
-		got, bad := m.c.do(http.MethodGet, fmt.Sprintf("/puffin/watch?prefix=%s&from=%d&wait_ms=1500", url.QueryEscape(w.Prefix), from), nil)
-		if bad != 0 {
-			return bad
+	for n := 0; options.Count == 0 || n < options.Count; {
+		answer, code := m.client.call(http.MethodGet, fmt.Sprintf("/puffin/watch?prefix=%s&from=%d&wait_ms=1500", url.QueryEscape(options.Prefix), from), nil)
+		if code != 0 {
+			return code
 		}
-		if got.code >= 300 {
-			wrong(m.say, got)
-			return exit(got.code)
+		if answer.status >= 300 {
+			printRefusal(m.stderr, answer)
+			return exitCode(answer.status)
 		}
-		var in struct {
+		var batch struct {
 			Changes []json.RawMessage `json:"changes"`
 			Next    uint64            `json:"next"`
 		}
-		if err := json.Unmarshal(got.raw, &in); err != nil {
-			fmt.Fprintln(m.say, err)
+		if err := json.Unmarshal(answer.body, &batch); err != nil {
+			fmt.Fprintln(m.stderr, err)
 			return ExitUnreachable
 		}
-		for _, c := range in.Changes {
-			_, _ = fmt.Fprintln(m.out, string(c))
+		for _, change := range batch.Changes {
+			_, _ = fmt.Fprintln(m.stdout, string(change))
 			n++
 		}
-		from = in.Next
+		from = batch.Next
 	}
 	return ExitOK
 }
--- a/internal/ctl/path.go
+++ b/internal/ctl/path.go
@@ -8,52 +8,52 @@
 	"puffincrank/internal/rules"
 )
 
-// splits reads services with their weights.
-func splits(s string) ([]map[string]any, error) {
-	var out []map[string]any
+// parseSplit parses a list of services with their weights, such as a=90,b=10.
+func parseSplit(s string) ([]map[string]any, error) {
+	var parts []map[string]any
 	for _, part := range strings.Split(s, ",") {
 		name, raw, _ := strings.Cut(strings.TrimSpace(part), "=")
 		weight, err := strconv.ParseFloat(raw, 64)
 		if err != nil || name == "" {
 			return nil, fmt.Errorf("a split is written as a=90,b=10, not %q", s)
 		}
-		out = append(out, map[string]any{"service": name, "weight": weight})
+		parts = append(parts, map[string]any{"service": name, "weight": weight})
 	}
-	return out, nil
+	return parts, nil
 }
 
-// pathRow is a path in a table, with the defaults of what its document leaves
-// out.
-func pathRow(p map[string]any) []string {
+// routeRow returns the cells of a route in a table. Fields that the document omits show
+// their defaults.
+func routeRow(route map[string]any) []string {
 	var row []string
-	for _, n := range []string{"name", "host", "method", "prefix", "service", "class", "left_ms", "aim_ms", "repeat", "tries"} {
-		v := rules.EffectiveValue(p, n)
-		say := tell(v)
+	for _, field := range []string{"name", "host", "method", "prefix", "service", "class", "left_ms", "aim_ms", "repeat", "tries"} {
+		value := rules.EffectiveValue(route, field)
+		cell := formatValue(value)
 		switch {
-		case n == "service" && v == nil:
-			say = parts(p["split"])
-		case n == "class" && v == nil:
-			say = "rank-" + tell(rules.EffectiveValue(p, "rank"))
-		case v == nil:
-			say = "-"
+		case field == "service" && value == nil:
+			cell = formatSplit(route["split"])
+		case field == "class" && value == nil:
+			cell = "rank-" + formatValue(rules.EffectiveValue(route, "rank"))
+		case value == nil:
+			cell = "-"
 		}
-		row = append(row, say)
+		row = append(row, cell)
 	}
 	return row
 }
 
-func parts(v any) string {
+func formatSplit(v any) string {
 	list, _ := v.([]any)
-	var out []string
-	for _, e := range list {
-		m, _ := e.(map[string]any)
-		out = append(out, tell(m["service"])+"="+tell(m["weight"]))
+	var formatted []string
+	for _, item := range list {
+		part, _ := item.(map[string]any)
+		formatted = append(formatted, formatValue(part["service"])+"="+formatValue(part["weight"]))
 	}
-	return strings.Join(out, ",")
+	return strings.Join(formatted, ",")
 }
 
-// tell writes a value of a document; a large number is not 3.6e+06.
-func tell(v any) string {
+// formatValue formats a value of a document; large numbers have no exponent.
+func formatValue(v any) string {
 	if f, ok := v.(float64); ok {
 		return strconv.FormatFloat(f, 'f', -1, 64)
 	}
--- a/internal/ctl/run.go
+++ b/internal/ctl/run.go
@@ -13,37 +13,37 @@
 )
 
 type command struct {
-	c       *client
-	a       args
-	request string // names this command to the mesh, however often it is sent
-	out     io.Writer
-	say     io.Writer
+	client    *client
+	args      args
+	requestID string // identifies this command to the cluster when it is sent again
+	stdout    io.Writer
+	stderr    io.Writer
 }
 
-// newRequestID makes a name that no other command has.
+// newRequestID returns a random ID that no other command has.
 func newRequestID() string { return rand.Text() }
 
 func (m *command) run() int {
-	a := m.a
+	a := m.args
 	switch {
 	case a.Status != nil:
-		return m.fleet(m.showStatus)
+		return m.showCluster(m.showStatus)
 	case a.Nodes != nil:
-		return m.fleet(m.showNodes)
+		return m.showCluster(m.showNodes)
 	case a.Workers != nil:
-		return m.fleet(m.showWorkers)
-	case a.Duties != nil:
-		return m.fleet(m.showDuties)
+		return m.showCluster(m.showWorkers)
+	case a.Roles != nil:
+		return m.showCluster(m.showRoles)
 	case a.Classes != nil:
-		return m.fleet(m.showClasses)
+		return m.showCluster(m.showClasses)
 	case a.Services != nil:
-		return m.show(http.MethodGet, "/puffin/services", nil, m.showServices)
+		return m.call(http.MethodGet, "/puffin/services", nil, m.showServices)
 	case a.Paths != nil, a.Routes != nil:
-		return m.show(http.MethodGet, "/puffin/config", nil, m.showPaths)
+		return m.call(http.MethodGet, "/puffin/config", nil, m.showRoutes)
 	case a.History != nil:
-		return m.show(http.MethodGet, "/puffin/history", nil, m.showHistory)
+		return m.call(http.MethodGet, "/puffin/history", nil, m.showHistory)
 	case a.Events != nil:
-		return m.show(http.MethodGet, "/puffin/events", nil, m.showEvents)
+		return m.call(http.MethodGet, "/puffin/events", nil, m.showEvents)
 	case a.Config != nil:
 		return m.config()
 	case a.Propose != nil:
@@ -55,9 +55,9 @@
 		if a.Drain.Undo {
 			uri += "?undo=true"
 		}
-		return m.show(http.MethodPost, uri, []byte("{}"), nil)
-	case a.Remove != nil:
-		return m.order(http.MethodDelete, "/puffin/stores/"+url.PathEscape(a.Remove.ID), nil, nil, nil)
+		return m.call(http.MethodPost, uri, []byte("{}"), nil)
+	case a.RemoveStore != nil:
+		return m.callOnce(http.MethodDelete, "/puffin/stores/"+url.PathEscape(a.RemoveStore.ID), nil, nil, nil)
 	case a.Lock != nil:
 		return m.lock()
 	case a.Number != nil:
@@ -70,50 +70,50 @@
 	return ExitUsage
 }
 
-// show makes a call and prints its answer: as JSON, or by f.
-func (m *command) show(method, uri string, body []byte, f func(raw []byte) error) int {
-	got, bad := m.c.do(method, uri, body)
-	return m.print(got, bad, f)
+// call makes a call and prints the answer, either as JSON or with show.
+func (m *command) call(method, uri string, body []byte, show func(raw []byte) error) int {
+	answer, code := m.client.call(method, uri, body)
+	return m.print(answer, code, show)
 }
 
-// order makes a call of an operator under a request id of its own, and prints
-// its answer.
-func (m *command) order(method, path string, q url.Values, body []byte, f func(raw []byte) error) int {
-	if q == nil {
-		q = url.Values{}
+// callOnce makes a call under the request ID of this command, so that it is executed
+// once, and prints the answer.
+func (m *command) callOnce(method, path string, query url.Values, body []byte, show func(raw []byte) error) int {
+	if query == nil {
+		query = url.Values{}
 	}
-	q.Set("request_id", m.request)
-	got, bad := m.c.order(method, path+"?"+q.Encode(), body)
-	return m.print(got, bad, f)
+	query.Set("request_id", m.requestID)
+	answer, code := m.client.callIdempotent(method, path+"?"+query.Encode(), body)
+	return m.print(answer, code, show)
 }
 
-// print shows an answer: as JSON, or by f.
-func (m *command) print(got reply, bad int, f func(raw []byte) error) int {
-	if bad != 0 {
-		return bad
+// print prints an answer, either as JSON or with show, and returns the exit code.
+func (m *command) print(answer response, code int, show func(raw []byte) error) int {
+	if code != 0 {
+		return code
 	}
-	if got.code >= 300 {
-		if m.a.JSON {
-			_, _ = m.out.Write(got.raw)
+	if answer.status >= 300 {
+		if m.args.JSON {
+			_, _ = m.stdout.Write(answer.body)
 		}
-		wrong(m.say, got)
-		return exit(got.code)
+		printRefusal(m.stderr, answer)
+		return exitCode(answer.status)
 	}
-	if m.a.JSON || f == nil {
-		_, _ = m.out.Write(append([]byte(strings.TrimSpace(string(got.raw))), '\n'))
+	if m.args.JSON || show == nil {
+		_, _ = m.stdout.Write(append([]byte(strings.TrimSpace(string(answer.body))), '\n'))
 		return ExitOK
 	}
-	if err := f(got.raw); err != nil {
-		fmt.Fprintf(m.say, "the answer of %s can't be read: %v\n", got.at, err)
+	if err := show(answer.body); err != nil {
+		fmt.Fprintf(m.stderr, "the answer of %s can't be read: %v\n", answer.address, err)
 		return ExitUnreachable
 	}
 	return ExitOK
 }
 
-// table prints rows in columns.
-func (m *command) table(head string, rows [][]string) {
-	w := tabwriter.NewWriter(m.out, 2, 4, 2, ' ', 0)
-	_, _ = fmt.Fprintln(w, strings.ReplaceAll(head, " ", "\t"))
+// table prints rows in aligned columns.
+func (m *command) table(header string, rows [][]string) {
+	w := tabwriter.NewWriter(m.stdout, 2, 4, 2, ' ', 0)
+	_, _ = fmt.Fprintln(w, strings.ReplaceAll(header, " ", "\t"))
 	for _, r := range rows {
 		_, _ = fmt.Fprintln(w, strings.Join(r, "\t"))
 	}
@@ -121,14 +121,14 @@
 }
 
 func (m *command) config() int {
-	c := m.a.Config
+	c := m.args.Config
 	switch {
 	case c.Get != nil:
 		uri := "/puffin/config"
 		if c.Get.Version > 0 {
-			return m.show(http.MethodGet, fmt.Sprintf("/puffin/history?version=%d", c.Get.Version), nil, nil)
+			return m.call(http.MethodGet, fmt.Sprintf("/puffin/history?version=%d", c.Get.Version), nil, nil)
 		}
-		return m.show(http.MethodGet, uri, nil, func(raw []byte) error {
+		return m.call(http.MethodGet, uri, nil, func(raw []byte) error {
 			var got struct {
 				Version  uint64         `json:"version"`
 				Document map[string]any `json:"document"`
@@ -136,48 +136,49 @@
 			if err := json.Unmarshal(raw, &got); err != nil {
 				return err
 			}
-			fmt.Fprintf(m.say, "version %d\n", got.Version)
+			fmt.Fprintf(m.stderr, "version %d\n", got.Version)
 			doc, err := json.MarshalIndent(got.Document, "", "  ")
-			_, _ = fmt.Fprintln(m.out, string(doc))
+			_, _ = fmt.Fprintln(m.stdout, string(doc))
 			return err
 		})
 	case c.Check != nil:
-		return m.file(c.Check.File, func(doc []byte) int {
-			return m.show(http.MethodPost, "/puffin/config/check", doc, func([]byte) error {
-				_, err := fmt.Fprintln(m.out, "the document is good")
+		return m.withDocument(c.Check.File, func(doc []byte) int {
+			return m.call(http.MethodPost, "/puffin/config/check", doc, func([]byte) error {
+				_, err := fmt.Fprintln(m.stdout, "the document is good")
 				return err
 			})
 		})
 	case c.Diff != nil:
-		return m.file(c.Diff.File, m.diff)
+		return m.withDocument(c.Diff.File, m.diff)
 	case c.Apply != nil:
-		q := url.Values{"based_on": {fmt.Sprint(c.Apply.Base)}}
-		if c.Apply.Now {
-			q.Set("emergency", "true")
+		query := url.Values{"based_on": {fmt.Sprint(c.Apply.BaseVersion)}}
+		if c.Apply.Emergency {
+			query.Set("emergency", "true")
 		}
-		if c.Apply.Who != "" {
-			q.Set("who", c.Apply.Who)
+		if c.Apply.Author != "" {
+			query.Set("who", c.Apply.Author)
 		}
-		return m.file(c.Apply.File, func(doc []byte) int {
-			return m.order(http.MethodPut, "/puffin/config", q, doc, func(raw []byte) error {
+		return m.withDocument(c.Apply.File, func(doc []byte) int {
+			return m.callOnce(http.MethodPut, "/puffin/config", query, doc, func(raw []byte) error {
 				var got struct {
 					Version uint64 `json:"version"`
 					Trial   uint64 `json:"trial"`
 				}
 				err := json.Unmarshal(raw, &got)
-				fmt.Fprintf(m.out, "version %d is in force\n", got.Version)
+				fmt.Fprintf(m.stdout, "version %d is in force\n", got.Version)
 				if got.Trial > 0 {
-					fmt.Fprintf(m.out, "its paths are rehearsed as trial %d\n", got.Trial)
+					fmt.Fprintf(m.stdout, "its paths are rehearsed as trial %d\n", got.Trial)
 				}
 				return err
 			})
 		})
 	}
-	fmt.Fprintln(m.say, "config knows get, check, apply and diff")
+	fmt.Fprintln(m.stderr, "config knows get, check, apply and diff")
 	return ExitUsage
 }
 
-func (m *command) file(name string, f func([]byte) int) int {
+// withDocument processes the content of a file, or of standard input for the name "-".
+func (m *command) withDocument(name string, process func([]byte) int) int {
 	var doc []byte
 	var err error
 	if name == "-" {
@@ -186,8 +187,8 @@
 		doc, err = os.ReadFile(name)
 	}
 	if err != nil {
-		fmt.Fprintln(m.say, err)
+		fmt.Fprintln(m.stderr, err)
 		return ExitUsage
 	}
-	return f(doc)
+	return process(doc)
 }
--- a/internal/ctl/show.go
+++ b/internal/ctl/show.go
@@ -11,115 +11,116 @@
 	"puffincrank/internal/registry"
 )
 
-// fleet asks for the whole fleet and shows one side of it.
-func (m *command) fleet(f func(registry.ClusterStatus)) int {
-	return m.show(http.MethodGet, "/puffin/status", nil, func(raw []byte) error {
-		var got registry.ClusterStatus
-		if err := json.Unmarshal(raw, &got); err != nil {
+// showCluster fetches the status of the whole cluster and prints one view of it.
+func (m *command) showCluster(show func(registry.ClusterStatus)) int {
+	return m.call(http.MethodGet, "/puffin/status", nil, func(raw []byte) error {
+		var cluster registry.ClusterStatus
+		if err := json.Unmarshal(raw, &cluster); err != nil {
 			return err
 		}
-		fmt.Fprintf(m.say, "version %d\n", got.Version)
-		f(got)
-		for _, n := range got.Unreachable {
-			fmt.Fprintf(m.say, "no answer: %s\n", n)
+		fmt.Fprintf(m.stderr, "version %d\n", cluster.Version)
+		show(cluster)
+		for _, node := range cluster.Unreachable {
+			fmt.Fprintf(m.stderr, "no answer: %s\n", node)
 		}
 		return nil
 	})
 }
 
-func (m *command) showStatus(f registry.ClusterStatus) {
-	jobs, done, busy, unknown, slim := int64(0), int64(0), int64(0), int64(0), int64(0)
+func (m *command) showStatus(cluster registry.ClusterStatus) {
+	requests, done, refused, unknown, thinLinkRefusals := int64(0), int64(0), int64(0), int64(0), int64(0)
 	digests := map[uint64]bool{}
-	for _, p := range f.Proxies {
-		jobs, done, busy, unknown = jobs+p.Requests.Jobs, done+p.Requests.Done, busy+p.Requests.Refused, unknown+p.Requests.Unknown
+	for _, p := range cluster.Proxies {
+		requests, done, refused, unknown = requests+p.Requests.Jobs, done+p.Requests.Done, refused+p.Requests.Refused, unknown+p.Requests.Unknown
 		digests[p.Digest] = true
-		slim += p.ThinLinkRefusals
+		thinLinkRefusals += p.ThinLinkRefusals
 	}
-	for _, r := range f.Registries {
+	for _, r := range cluster.Registries {
 		digests[r.Digest] = true
 	}
-	fmt.Fprintf(m.out, "configuration version %d\n", f.Version)
-	fmt.Fprintf(m.out, "members %d: %d proxies, %d registries; stores %d\n", len(f.Members), len(f.Proxies), len(f.Registries), len(f.Stores))
-	fmt.Fprintf(m.out, "writer %s, judge %s, steward %s\n", or(f.Roles["writer"]), or(f.Roles["judge"]), or(f.Roles["steward"]))
-	if slim > 0 {
-		fmt.Fprintf(m.out, "sends refused for thin links %d\n", slim)
+	fmt.Fprintf(m.stdout, "configuration version %d\n", cluster.Version)
+	fmt.Fprintf(m.stdout, "members %d: %d proxies, %d registries; stores %d\n", len(cluster.Members), len(cluster.Proxies), len(cluster.Registries), len(cluster.Stores))
+	fmt.Fprintf(m.stdout, "writer %s, judge %s, steward %s\n", orNobody(cluster.Roles["writer"]), orNobody(cluster.Roles["judge"]), orNobody(cluster.Roles["steward"]))
+	if thinLinkRefusals > 0 {
+		fmt.Fprintf(m.stdout, "sends refused for thin links %d\n", thinLinkRefusals)
 	}
-	fmt.Fprintf(m.out, "jobs %d: done %d, busy %d, unknown %d\n", jobs, done, busy, unknown)
+	fmt.Fprintf(m.stdout, "jobs %d: done %d, busy %d, unknown %d\n", requests, done, refused, unknown)
 	if len(digests) == 1 {
-		fmt.Fprintln(m.out, "registry replicas are all equal")
+		fmt.Fprintln(m.stdout, "registry replicas are all equal")
 	} else {
-		fmt.Fprintf(m.out, "registry replicas are in %d states\n", len(digests))
+		fmt.Fprintf(m.stdout, "registry replicas are in %d states\n", len(digests))
 	}
 	var rows [][]string
-	for _, s := range f.Stores {
-		rows = append(rows, []string{s.Node, s.Zone, s.Role, fmt.Sprint(s.Index), fmt.Sprint(s.Config), yes(s.Ready), s.Reason})
+	for _, s := range cluster.Stores {
+		rows = append(rows, []string{s.Node, s.Zone, s.Role, fmt.Sprint(s.Index), fmt.Sprint(s.Config), yesNo(s.Ready), s.Reason})
 	}
 	m.table("STORE AREA ROLE SLOT CONFIG READY WHY", rows)
 }
 
-func or(s string) string {
+func orNobody(s string) string {
 	if s == "" {
 		return "nobody"
 	}
 	return s
 }
 
-func yes(b bool) string {
+func yesNo(b bool) string {
 	if b {
 		return "yes"
 	}
 	return "no"
 }
 
-func (m *command) showNodes(f registry.ClusterStatus) {
+func (m *command) showNodes(cluster registry.ClusterStatus) {
 	var rows [][]string
-	for _, s := range f.Registries {
+	for _, s := range cluster.Registries {
 		rows = append(rows, []string{s.Node, "registry", s.Zone, s.State, fmt.Sprint(s.Version), fmt.Sprintf("%d sessions", len(s.Sessions)), fmt.Sprint(s.Entries)})
 	}
-	for _, s := range f.Stores {
+	for _, s := range cluster.Stores {
 		rows = append(rows, []string{s.Node, "store", s.Zone, s.Role, fmt.Sprint(s.Config), "-", "-"})
 	}
-	for _, p := range f.Proxies {
+	for _, p := range cluster.Proxies {
 		rows = append(rows, []string{p.Node, "proxy", p.Zone, p.State, fmt.Sprint(p.Version), p.Session, fmt.Sprint(p.Entries)})
 	}
 	m.table("NODE ROLE AREA STATE CONFIG SESSION ENTRIES", rows)
 }
 
-func (m *command) showWorkers(f registry.ClusterStatus) {
+func (m *command) showWorkers(cluster registry.ClusterStatus) {
 	var rows [][]string
-	for _, p := range f.Proxies {
+	for _, p := range cluster.Proxies {
 		for _, w := range p.Workers {
-			// The mesh's view of fitness is the middle of what the fronts hold.
-			var fit []float64
-			for _, o := range f.Proxies {
-				if v, ok := o.Health[w.Worker]; ok {
-					fit = append(fit, v)
+			// The health of a worker is the median of the values that the ingress
+			// proxies have for it.
+			var values []float64
+			for _, observer := range cluster.Proxies {
+				if v, ok := observer.Health[w.Worker]; ok {
+					values = append(values, v)
 				}
 			}
-			sort.Float64s(fit)
-			mid := "-"
-			if len(fit) > 0 {
-				mid = fmt.Sprintf("%.2f", fit[len(fit)/2])
+			sort.Float64s(values)
+			median := "-"
+			if len(values) > 0 {
+				median = fmt.Sprintf("%.2f", values[len(values)/2])
 			}
-			rows = append(rows, []string{w.Worker, w.Service, p.Node, p.Zone, w.State, fmt.Sprintf("%d/%d", w.Used, w.Slots), mid})
+			rows = append(rows, []string{w.Worker, w.Service, p.Node, p.Zone, w.State, fmt.Sprintf("%d/%d", w.Used, w.Slots), median})
 		}
 	}
 	m.table("WORKER SERVICE NODE AREA STATE USED FITNESS", rows)
 }
 
-func (m *command) showDuties(f registry.ClusterStatus) {
+func (m *command) showRoles(cluster registry.ClusterStatus) {
 	var rows [][]string
-	for _, d := range []string{"writer", "judge", "steward"} {
-		rows = append(rows, []string{d, or(f.Roles[d])})
+	for _, role := range []string{"writer", "judge", "steward"} {
+		rows = append(rows, []string{role, orNobody(cluster.Roles[role])})
 	}
 	m.table("DUTY HOLDER", rows)
 }
 
-func (m *command) showClasses(f registry.ClusterStatus) {
+func (m *command) showClasses(cluster registry.ClusterStatus) {
 	var rows [][]string
-	for _, p := range f.Proxies {
-		for w, all := range p.Classes {
-			for c, u := range all {
+	for _, p := range cluster.Proxies {
+		for w, usage := range p.Classes {
+			for c, u := range usage {
 				rows = append(rows, []string{c, w, fmt.Sprint(u.Share), fmt.Sprint(u.Used), fmt.Sprint(u.Lent), fmt.Sprint(u.Borrowed),
 					fmt.Sprint(u.Waiting), fmt.Sprint(u.Served), fmt.Sprint(u.Refused)})
 			}
@@ -137,7 +138,7 @@
 	if err := json.Unmarshal(raw, &got); err != nil {
 		return err
 	}
-	fmt.Fprintf(m.say, "version %d\n", got.Version)
+	fmt.Fprintf(m.stderr, "version %d\n", got.Version)
 	sort.Slice(got.Entries, func(i, j int) bool {
 		return got.Entries[i].Service+got.Entries[i].Worker < got.Entries[j].Service+got.Entries[j].Worker
 	})
@@ -149,7 +150,7 @@
 	return nil
 }
 
-func (m *command) showPaths(raw []byte) error {
+func (m *command) showRoutes(raw []byte) error {
 	var got struct {
 		Version  uint64 `json:"version"`
 		Document struct {
@@ -159,10 +160,10 @@
 	if err := json.Unmarshal(raw, &got); err != nil {
 		return err
 	}
-	fmt.Fprintf(m.say, "version %d\n", got.Version)
+	fmt.Fprintf(m.stderr, "version %d\n", got.Version)
 	var rows [][]string
 	for _, p := range got.Document.Paths {
-		row := pathRow(p)
+		row := routeRow(p)
 		if t, ok := p["trial"].(map[string]any); ok {
 			row = append(row, fmt.Sprintf("%v%% in trial %v", t["slice"], t["id"]))
 		} else {
@@ -186,7 +187,7 @@
 	if err := json.Unmarshal(raw, &got); err != nil {
 		return err
 	}
-	fmt.Fprintf(m.say, "version %d\n", got.Version)
+	fmt.Fprintf(m.stderr, "version %d\n", got.Version)
 	var rows [][]string
 	for _, h := range got.History {
 		rows = append(rows, []string{fmt.Sprint(h.Version), h.Who, h.Why})
@@ -203,20 +204,20 @@
 	if err := json.Unmarshal(raw, &got); err != nil {
 		return err
 	}
-	a := m.a.Events
+	filter := m.args.Events
 	var rows [][]string
 	for _, e := range got.Events {
-		if (a.Node != "" && e.Node != a.Node) || (a.Name != "" && e.Name != a.Name && fmt.Sprint(e.Number) != a.Name) {
+		if (filter.Node != "" && e.Node != filter.Node) || (filter.Name != "" && e.Name != filter.Name && fmt.Sprint(e.Number) != filter.Name) {
 			continue
 		}
 		rows = append(rows, []string{e.Time.Format("15:04:05.000"), e.Node, fmt.Sprint(e.Number), e.Name, e.Text})
 	}
-	if len(rows) > a.Last {
-		rows = rows[len(rows)-a.Last:]
+	if len(rows) > filter.Limit {
+		rows = rows[len(rows)-filter.Limit:]
 	}
 	m.table("TIME NODE EVENT NAME DETAIL", rows)
-	for _, n := range got.Mute {
-		fmt.Fprintf(m.say, "no answer: %s\n", n)
+	for _, node := range got.Mute {
+		fmt.Fprintf(m.stderr, "no answer: %s\n", node)
 	}
 	return nil
 }
--- a/internal/ctl/trials.go
+++ b/internal/ctl/trials.go
@@ -12,70 +12,70 @@
 )
 
 func (m *command) propose() int {
-	p := m.a.Propose
-	in := map[string]any{"path": p.Path}
+	p := m.args.Propose
+	change := map[string]any{"path": p.Path}
 	if p.Slice != nil {
-		in["slice"] = *p.Slice
+		change["slice"] = *p.Slice
 	}
 	if p.Service != nil {
-		in["service"] = *p.Service
+		change["service"] = *p.Service
 	}
 	if p.Split != nil {
-		parts, err := splits(*p.Split)
+		split, err := parseSplit(*p.Split)
 		if err != nil {
-			fmt.Fprintf(m.say, "puffinctl: %v; see --help\n", err)
+			fmt.Fprintf(m.stderr, "puffinctl: %v; see --help\n", err)
 			return ExitUsage
 		}
-		in["split"] = parts
+		change["split"] = split
 	}
 	if p.Class != nil {
-		in["class"] = *p.Class
+		change["class"] = *p.Class
 	}
 	if p.Rank != nil {
-		in["rank"] = *p.Rank
+		change["rank"] = *p.Rank
 	}
-	if p.Aim != nil {
-		in["aim_ms"] = *p.Aim
+	if p.TargetLatencyMS != nil {
+		change["aim_ms"] = *p.TargetLatencyMS
 	}
-	if p.Left != nil {
-		in["left_ms"] = *p.Left
+	if p.TimeoutMS != nil {
+		change["left_ms"] = *p.TimeoutMS
 	}
-	if p.Repeat != nil {
-		in["repeat"] = *p.Repeat
+	if p.Retry != nil {
+		change["repeat"] = *p.Retry
 	}
-	if p.Tries != nil {
-		in["tries"] = *p.Tries
+	if p.Attempts != nil {
+		change["tries"] = *p.Attempts
 	}
-	q := url.Values{"based_on": {fmt.Sprint(p.Base)}}
-	if p.Who != "" {
-		q.Set("who", p.Who)
+	query := url.Values{"based_on": {fmt.Sprint(p.BaseVersion)}}
+	if p.Author != "" {
+		query.Set("who", p.Author)
 	}
-	return m.order(http.MethodPost, "/puffin/trials", q, pack(in), func(raw []byte) error {
+	return m.callOnce(http.MethodPost, "/puffin/trials", query, encodeJSON(change), func(raw []byte) error {
 		var got struct {
 			Version, Trial uint64
 		}
 		err := json.Unmarshal(raw, &got)
-		fmt.Fprintf(m.out, "trial %d began with version %d; see 'puffinctl trials watch %d'\n", got.Trial, got.Version, got.Trial)
+		fmt.Fprintf(m.stdout, "trial %d began with version %d; see 'puffinctl trials watch %d'\n", got.Trial, got.Version, got.Trial)
 		return err
 	})
 }
 
-type oneTrial struct {
+type trialReport struct {
 	Version uint64             `json:"version"`
 	Trial   statemachine.Trial `json:"trial"`
 	Figures []judge.Facts      `json:"figures"`
 }
 
 func (m *command) trials() int {
-	t := m.a.Trials
-	at := fmt.Sprintf("/puffin/trials/%d", t.ID)
+	t := m.args.Trials
+	uri := fmt.Sprintf("/puffin/trials/%d", t.ID)
 	if t.ID == 0 && (t.Op == "show" || t.Op == "watch" || t.Op == "abort") {
-		fmt.Fprintf(m.say, "trials %s needs a trial's number; 'puffinctl trials' lists them\n", t.Op)
+		fmt.Fprintf(m.stderr, "trials %s needs a trial's number; 'puffinctl trials' lists them\n", t.Op)
 		return ExitUsage
 	}
 	switch t.Op {
 	case "list":
-		return m.show(http.MethodGet, "/puffin/trials", nil, func(raw []byte) error {
+		return m.call(http.MethodGet, "/puffin/trials", nil, func(raw []byte) error {
 			var got struct {
 				Version uint64               `json:"version"`
 				Trials  []statemachine.Trial `json:"trials"`
@@ -83,7 +83,7 @@
 			if err := json.Unmarshal(raw, &got); err != nil {
 				return err
 			}
-			fmt.Fprintf(m.say, "version %d\n", got.Version)
+			fmt.Fprintf(m.stderr, "version %d\n", got.Version)
 			var rows [][]string
 			for _, t := range got.Trials {
 				end := "-"
@@ -96,47 +96,47 @@
 			return nil
 		})
 	case "show":
-		return m.show(http.MethodGet, at, nil, func(raw []byte) error {
-			var got oneTrial
+		return m.call(http.MethodGet, uri, nil, func(raw []byte) error {
+			var got trialReport
 			err := json.Unmarshal(raw, &got)
 			m.showTrial(got)
 			return err
 		})
 	case "watch":
 		for {
-			var got oneTrial
-			code := m.show(http.MethodGet, at, nil, func(raw []byte) error {
+			var got trialReport
+			code := m.call(http.MethodGet, uri, nil, func(raw []byte) error {
 				err := json.Unmarshal(raw, &got)
 				m.showTrial(got)
 				return err
 			})
-			if code != ExitOK || got.Trial.State != statemachine.Running || m.a.JSON {
+			if code != ExitOK || got.Trial.State != statemachine.Running || m.args.JSON {
 				return code
 			}
 			t := time.NewTimer(2 * time.Second)
 			<-t.C
 		}
 	case "abort":
-		q := url.Values{}
-		if t.Who != "" {
-			q.Set("who", t.Who)
+		query := url.Values{}
+		if t.Author != "" {
+			query.Set("who", t.Author)
 		}
-		return m.order(http.MethodPost, at+"/abort", q, []byte("{}"), func(raw []byte) error {
-			_, err := fmt.Fprintf(m.out, "trial %d is aborted; the old path stays\n", t.ID)
+		return m.callOnce(http.MethodPost, uri+"/abort", query, []byte("{}"), func(raw []byte) error {
+			_, err := fmt.Fprintf(m.stdout, "trial %d is aborted; the old path stays\n", t.ID)
 			return err
 		})
 	}
-	fmt.Fprintln(m.say, "trials knows list, show, watch and abort")
+	fmt.Fprintln(m.stderr, "trials knows list, show, watch and abort")
 	return ExitUsage
 }
 
-func (m *command) showTrial(t oneTrial) {
-	fmt.Fprintf(m.out, "trial %d %s: paths %v, slice %v %%, proposed by %s, begun with version %d\n", t.Trial.ID, t.Trial.State, t.Trial.Routes, t.Trial.Slice, t.Trial.Who, t.Trial.Begin)
-	if t.Trial.Why != "" {
-		fmt.Fprintf(m.out, "ended with version %d: %s\n", t.Trial.End, t.Trial.Why)
+func (m *command) showTrial(report trialReport) {
+	fmt.Fprintf(m.stdout, "trial %d %s: paths %v, slice %v %%, proposed by %s, begun with version %d\n", report.Trial.ID, report.Trial.State, report.Trial.Routes, report.Trial.Slice, report.Trial.Who, report.Trial.Begin)
+	if report.Trial.Why != "" {
+		fmt.Fprintf(m.stdout, "ended with version %d: %s\n", report.Trial.End, report.Trial.Why)
 	}
 	var rows [][]string
-	for _, f := range t.Figures {
+	for _, f := range report.Figures {
 		rows = append(rows, []string{f.Route, f.Verdict, fmt.Sprint(f.Old.Jobs()), fmt.Sprint(f.New.Jobs()), fmt.Sprintf("%.2f%%", 100*f.FailOld), fmt.Sprintf("%.2f%%", 100*f.FailNew),
 			fmt.Sprintf("%.0f", f.SlowOld), fmt.Sprintf("%.0f", f.SlowNew), f.Reason})
 	}
--- a/internal/knownfailures/known.go
+++ b/internal/knownfailures/known.go
@@ -1,6 +1,6 @@
-// Package knownfailures judges a test run by the list of tests that are known to fail:
-// each for a real fault that can't be mended now, with its cause and its issue.
-// All else that fails, and each run that did not end, stays a failure.
+// Package knownfailures decides whether a test run passes, given a list of tests that are
+// known to fail because of a real fault that is not yet fixed, each with its cause and
+// issue. Any other failing test and any run that did not finish is a failure.
 package knownfailures
 
 import (
@@ -14,87 +14,88 @@
 	"puffincrank/internal/fault"
 )
 
-// KnownFailure is one line of the list: a package below the module's root, a test of it
-// (with the names of its parts, if one part is meant), why it fails, and where
-// that is followed.
+// KnownFailure is one line of the list: the path of a package below the module's root, a
+// test (or a subtest by its full name), the cause of the failure, and the issue that
+// tracks it.
 type KnownFailure struct{ Package, Test, Cause, Issue string }
 
-// Read takes the list: lines of "package test | cause | issue". Empty lines and
-// those that begin with # say nothing. Every line that is otherwise is named.
+// Read parses the list, whose lines are "package test | cause | issue". Empty lines and
+// lines that begin with # are skipped. The error names every malformed line.
 func Read(text string) ([]KnownFailure, error) {
-	var all []KnownFailure
-	var bad []string
+	var list []KnownFailure
+	var malformed []string
 	for i, line := range strings.Split(text, "\n") {
 		if line = strings.TrimSpace(line); line == "" || line[0] == '#' {
 			continue
 		}
-		cells := strings.Split(line, "|")
-		who := strings.Fields(cells[0])
-		if len(cells) != 3 || len(who) != 2 || !strings.HasPrefix(who[1], "Test") || strings.TrimSpace(cells[1]) == "" || strings.TrimSpace(cells[2]) == "" {
-			bad = append(bad, fmt.Sprintf("line %d must be \"package test | cause | issue\"", i+1))
+		columns := strings.Split(line, "|")
+		names := strings.Fields(columns[0])
+		if len(columns) != 3 || len(names) != 2 || !strings.HasPrefix(names[1], "Test") || strings.TrimSpace(columns[1]) == "" || strings.TrimSpace(columns[2]) == "" {
+			malformed = append(malformed, fmt.Sprintf("line %d must be \"package test | cause | issue\"", i+1))
 			continue
 		}
-		all = append(all, KnownFailure{who[0], who[1], strings.TrimSpace(cells[1]), strings.TrimSpace(cells[2])})
+		list = append(list, KnownFailure{names[0], names[1], strings.TrimSpace(columns[1]), strings.TrimSpace(columns[2])})
 	}
-	if len(bad) > 0 {
-		return nil, fault.New(fault.Input, "%s", strings.Join(bad, "; "))
+	if len(malformed) > 0 {
+		return nil, fault.New(fault.Input, "%s", strings.Join(malformed, "; "))
 	}
-	return all, nil
+	return list, nil
 }
 
-// event is one line of go test -json; Exit is the word of the run's end.
+// event is one line of the output of go test -json. The action "exit" is added by the
+// caller when the command itself failed, see ReadRun.
 type event struct {
 	Action, Package, Test, Output string
 }
 
-// packageRun is what a run said of one package.
+// packageRun is the result of a test run for one package.
 type packageRun struct {
-	failed     map[string]string // test to its output
-	ended      string            // pass, skip or fail
-	crashed    bool              // ended in the middle: what comes after did not run
-	output     []string          // not by a test
-	unfinished []string          // by tests that had not ended when the package did
-	last       []string          // the last lines, by whatever test
+	failed     map[string]string // output by failed test
+	result     string            // pass, skip or fail
+	crashed    bool              // the process crashed, so later tests did not run
+	output     []string          // lines that belong to no test
+	unfinished []string          // output of tests that had not finished when the package did
+	lastOutput []string          // the last lines of all tests
 }
 
-// lastLines is how many lines are told of the end of a process that went without a
-// failed test: its last words may be taken for those of a test that passed.
-const lastLines = 20
+// lastOutputLines is how many of the last lines are printed for a process that failed
+// without a failed test: go test may attribute them to a test that passed.
+const lastOutputLines = 20
 
-// addLine keeps a line among the last ones.
+// addLine appends a line to the last output and drops the oldest beyond the limit.
 func (p *packageRun) addLine(line string) {
-	p.last = append(p.last, strings.TrimSuffix(line, "\n"))
-	if len(p.last) > lastLines {
-		p.last = p.last[1:]
+	p.lastOutput = append(p.lastOutput, strings.TrimSuffix(line, "\n"))
+	if len(p.lastOutput) > lastOutputLines {
+		p.lastOutput = p.lastOutput[1:]
 	}
 }
 
-// unfinishedLines is how much of unfinished tests printed is told: a crash of the
-// process names its cause there, and may go on for thousands of lines.
+// unfinishedLines limits the output of unfinished tests that is printed: a crash of the
+// process reports its cause there, and may print thousands of lines.
 const unfinishedLines = 300
 
-// Run is a test run as it was heard.
+// Run is a test run as read from the output of go test -json.
 type Run struct {
-	packages    map[string]*packageRun
-	exit        bool // the command says that something failed
-	otherOutput []string
+	packages      map[string]*packageRun
+	commandFailed bool // the go test command failed
+	otherOutput   []string
 }
 
-// ReadRun reads the lines of go test -json, and a last one {"Action":"exit"} when
-// the command itself failed; how each package ended is written to out.
+// ReadRun reads the lines of go test -json, followed by {"Action":"exit"} if the command
+// itself failed. The result line of each package is written to out.
 func ReadRun(in io.Reader, out io.Writer) (*Run, error) {
 	r := &Run{packages: map[string]*packageRun{}}
 	outputs := map[string]*strings.Builder{}
-	scan := bufio.NewScanner(in)
-	scan.Buffer(nil, 64<<20)
-	for scan.Scan() {
+	scanner := bufio.NewScanner(in)
+	scanner.Buffer(nil, 64<<20)
+	for scanner.Scan() {
 		var e event
-		if json.Unmarshal(scan.Bytes(), &e) != nil {
-			r.otherOutput = append(r.otherOutput, scan.Text())
+		if json.Unmarshal(scanner.Bytes(), &e) != nil {
+			r.otherOutput = append(r.otherOutput, scanner.Text())
 			continue
 		}
 		if e.Package == "" {
-			r.exit = r.exit || e.Action == "exit"
+			r.commandFailed = r.commandFailed || e.Action == "exit"
 			if e.Output != "" {
 				r.otherOutput = append(r.otherOutput, strings.TrimSuffix(e.Output, "\n"))
 			}
@@ -118,48 +119,48 @@
 				fmt.Fprint(out, e.Output)
 			}
 		case e.Test != "" && e.Action == "fail":
-			p.failed[e.Test] = text(outputs[key])
+			p.failed[e.Test] = contents(outputs[key])
 		case e.Test == "" && (e.Action == "pass" || e.Action == "skip" || e.Action == "fail"):
-			p.ended, p.output = e.Action, strings.Split(text(outputs[key]), "\n")
-			p.unfinished = unfinished(outputs, e.Package)
+			p.result, p.output = e.Action, strings.Split(contents(outputs[key]), "\n")
+			p.unfinished = unfinishedOutput(outputs, e.Package)
 		}
 		if e.Test != "" && (e.Action == "pass" || e.Action == "skip" || e.Action == "fail") {
 			delete(outputs, key)
 		}
 	}
-	return r, fault.Wrap(fault.Input, scan.Err(), "what the tests say")
+	return r, fault.Wrap(fault.Input, scanner.Err(), "what the tests say")
 }
 
-// unfinished gives the first lines of what tests of a package printed that have
-// not ended.
-func unfinished(outputs map[string]*strings.Builder, pack string) (out []string) {
+// unfinishedOutput returns the first lines of the output of a package's tests that have
+// not finished.
+func unfinishedOutput(outputs map[string]*strings.Builder, packageName string) (out []string) {
 	var keys []string
 	for key := range outputs {
-		if strings.HasPrefix(key, pack+" Test") {
+		if strings.HasPrefix(key, packageName+" Test") {
 			keys = append(keys, key)
 		}
 	}
 	sort.Strings(keys)
 	for _, key := range keys {
-		out = append(out, strings.Split(text(outputs[key]), "\n")...)
+		out = append(out, strings.Split(contents(outputs[key]), "\n")...)
 	}
 	return out[:min(len(out), unfinishedLines)]
 }
 
-func text(b *strings.Builder) string {
+func contents(b *strings.Builder) string {
 	if b == nil {
 		return ""
 	}
 	return b.String()
 }
 
-// Judge tells on out what failed and whether the run passes: nothing failed but
-// tests of the list. A test that has parts is judged by those that failed.
+// Judge prints the failures to out and returns whether the run passes: only listed tests
+// may fail. A test with subtests is judged by its failed subtests.
 func (r *Run) Judge(list []KnownFailure, out io.Writer) bool {
-	good, some, seen := true, false, map[KnownFailure]bool{}
-	bad := func(form string, args ...any) {
-		good = false
-		fmt.Fprintf(out, form+"\n", args...)
+	passed, anyFailed, seen := true, false, map[KnownFailure]bool{}
+	reject := func(format string, args ...any) {
+		passed = false
+		fmt.Fprintf(out, format+"\n", args...)
 	}
 	var names []string
 	for name := range r.packages {
@@ -174,40 +175,40 @@
 		}
 		sort.Strings(tests)
 		for i, test := range tests {
-			some = true
+			anyFailed = true
 			if i+1 < len(tests) && strings.HasPrefix(tests[i+1], test+"/") {
 				continue
 			}
-			if one, ok := find(list, name, test); ok {
-				seen[one] = true
-				fmt.Fprintf(out, "KNOWN RED: %s %s: %s (%s)\n", name, test, one.Cause, one.Issue)
+			if entry, ok := findEntry(list, name, test); ok {
+				seen[entry] = true
+				fmt.Fprintf(out, "KNOWN RED: %s %s: %s (%s)\n", name, test, entry.Cause, entry.Issue)
 				continue
 			}
-			bad("%sFAILED: %s %s", p.failed[test], name, test)
+			reject("%sFAILED: %s %s", p.failed[test], name, test)
 		}
 		switch {
-		case p.crashed || p.ended == "":
-			bad("%s\n%s\nNOT ENDED: %s", strings.Join(p.unfinished, "\n"), strings.Join(p.output, "\n"), name)
-		case p.ended == "fail" && len(tests) == 0:
-			bad("%s\n%s\n%s\nthe last lines:\n%s\nFAILED: %s", strings.Join(r.otherOutput, "\n"), strings.Join(p.unfinished, "\n"), strings.Join(p.output, "\n"), strings.Join(p.last, "\n"), name)
+		case p.crashed || p.result == "":
+			reject("%s\n%s\nNOT ENDED: %s", strings.Join(p.unfinished, "\n"), strings.Join(p.output, "\n"), name)
+		case p.result == "fail" && len(tests) == 0:
+			reject("%s\n%s\n%s\nthe last lines:\n%s\nFAILED: %s", strings.Join(r.otherOutput, "\n"), strings.Join(p.unfinished, "\n"), strings.Join(p.output, "\n"), strings.Join(p.lastOutput, "\n"), name)
 		}
 	}
-	for _, one := range list {
-		if !seen[one] {
-			fmt.Fprintf(out, "did not fail in this run, though it is listed: %s %s (%s)\n", one.Package, one.Test, one.Issue)
+	for _, entry := range list {
+		if !seen[entry] {
+			fmt.Fprintf(out, "did not fail in this run, though it is listed: %s %s (%s)\n", entry.Package, entry.Test, entry.Issue)
 		}
 	}
-	if len(names) == 0 || r.exit && good && !some {
-		bad("%s\nFAILED: the run itself", strings.Join(r.otherOutput, "\n"))
+	if len(names) == 0 || r.commandFailed && passed && !anyFailed {
+		reject("%s\nFAILED: the run itself", strings.Join(r.otherOutput, "\n"))
 	}
-	return good
+	return passed
 }
 
-// find looks for the line of a test, or of one that it is a part of.
-func find(list []KnownFailure, pack, test string) (KnownFailure, bool) {
-	for _, one := range list {
-		if strings.HasSuffix(pack, "/"+one.Package) && (test == one.Test || strings.HasPrefix(test, one.Test+"/")) {
-			return one, true
+// findEntry returns the list entry of a test or of one of its parent tests.
+func findEntry(list []KnownFailure, packageName, test string) (KnownFailure, bool) {
+	for _, entry := range list {
+		if strings.HasSuffix(packageName, "/"+entry.Package) && (test == entry.Test || strings.HasPrefix(test, entry.Test+"/")) {
+			return entry, true
 		}
 	}
 	return KnownFailure{}, false
--- a/internal/knownfailures/known_test.go
+++ b/internal/knownfailures/known_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// TestRead: a line without its cause or its issue is named; notes and empty
-// lines say nothing.
+// TestRead checks that a malformed line, such as one without a cause or an issue, is
+// reported, and that comments and empty lines are skipped.
 func TestRead(t *testing.T) {
 	got, err := Read("# note\n\ninternal/sim TestA/one | late | #12\n")
 	if err != nil || len(got) != 1 || got[0] != (KnownFailure{"internal/sim", "TestA/one", "late", "#12"}) {
@@ -19,37 +19,36 @@
 	}
 }
 
-// TestJudge: only what is listed is passed over, and only if the run went on to
-// its end.
+// TestJudge checks that only listed failures are accepted, and only if the run finished.
 func TestJudge(t *testing.T) {
 	line := func(action, test, out string) string {
 		return `{"Action":"` + action + `","Package":"puffincrank/internal/sim","Test":"` + test + `","Output":"` + out + `"}` + "\n"
 	}
 	failed := line("output", "TestA", `a_test.go:1: no\n`) + line("fail", "TestA", "")
-	part := line("output", "TestA/one", `a_test.go:1: no\n`) + line("fail", "TestA/one", "") + line("fail", "TestA", "")
+	subtest := line("output", "TestA/one", `a_test.go:1: no\n`) + line("fail", "TestA/one", "") + line("fail", "TestA", "")
 	end, exit := line("output", "", `FAIL\tx\n`)+line("fail", "", ""), `{"Action":"exit"}`+"\n"
-	a, one := KnownFailure{"internal/sim", "TestA", "c", "#1"}, KnownFailure{"internal/sim", "TestA/one", "c", "#1"}
+	testEntry, subtestEntry := KnownFailure{"internal/sim", "TestA", "c", "#1"}, KnownFailure{"internal/sim", "TestA/one", "c", "#1"}
 	for _, c := range []struct {
 		name, in string
 		list     []KnownFailure
-		good     bool
+		passed   bool
 		say      string
 	}{
 		{"all pass", line("pass", "TestA", "") + line("pass", "", ""), nil, true, ""},
 		{"one fails", failed + end + exit, nil, false, "FAILED: puffincrank/internal/sim TestA"},
 		{"its words are told", failed + end + exit, nil, false, "a_test.go:1: no"},
-		{"one listed fails", failed + end + exit, []KnownFailure{a}, true, "KNOWN RED: puffincrank/internal/sim TestA: c (#1)"},
+		{"one listed fails", failed + end + exit, []KnownFailure{testEntry}, true, "KNOWN RED: puffincrank/internal/sim TestA: c (#1)"},
 		{"another is listed", failed + end + exit, []KnownFailure{{"internal/sim", "TestAll", "c", "#1"}}, false, "FAILED"},
 		{"one of another package is listed", failed + end + exit, []KnownFailure{{"internal/rules", "TestA", "c", "#1"}}, false, "FAILED"},
-		{"a part listed", part + end + exit, []KnownFailure{one}, true, "KNOWN RED"},
-		{"the whole listed", part + end + exit, []KnownFailure{a}, true, "KNOWN RED"},
-		{"another part fails too", line("fail", "TestA/two", "") + part + end + exit, []KnownFailure{one}, false, "TestA/two"},
-		{"a listed one passes", line("pass", "TestA", "") + line("pass", "", ""), []KnownFailure{a}, true, "did not fail"},
-		{"a listed one panics", line("output", "TestA", `panic: oh\n`) + failed + end + exit, []KnownFailure{a}, false, "NOT ENDED"},
+		{"a part listed", subtest + end + exit, []KnownFailure{subtestEntry}, true, "KNOWN RED"},
+		{"the whole listed", subtest + end + exit, []KnownFailure{testEntry}, true, "KNOWN RED"},
+		{"another part fails too", line("fail", "TestA/two", "") + subtest + end + exit, []KnownFailure{subtestEntry}, false, "TestA/two"},
+		{"a listed one passes", line("pass", "TestA", "") + line("pass", "", ""), []KnownFailure{testEntry}, true, "did not fail"},
+		{"a listed one panics", line("output", "TestA", `panic: oh\n`) + failed + end + exit, []KnownFailure{testEntry}, false, "NOT ENDED"},
 		{"the process crashes in a test", line("output", "TestA", `SIGSEGV: segmentation violation\n`) + end + exit, nil, false, "SIGSEGV"},
 		{"the process crashes after a test", line("output", "TestA", `ThreadSanitizer: CHECK failed\n`) + line("pass", "TestA", "") + end + exit, nil, false, "ThreadSanitizer: CHECK failed"},
-		{"no end", failed, []KnownFailure{a}, false, "NOT ENDED"},
-		{"did not build", `{"ImportPath":"x","Action":"build-output","Output":"x.go:1: what\n"}` + "\n" + end + exit, []KnownFailure{a}, false, "x.go:1: what"},
+		{"no end", failed, []KnownFailure{testEntry}, false, "NOT ENDED"},
+		{"did not build", `{"ImportPath":"x","Action":"build-output","Output":"x.go:1: what\n"}` + "\n" + end + exit, []KnownFailure{testEntry}, false, "x.go:1: what"},
 		{"nothing ran", "no go files\n" + exit, nil, false, "no go files"},
 		{"empty", "", nil, false, "the run itself"},
 		{"the command alone failed", line("pass", "", "") + exit, nil, false, "the run itself"},
@@ -59,8 +58,8 @@
 			t.Fatal(err)
 		}
 		var out strings.Builder
-		if good := got.Judge(c.list, &out); good != c.good || !strings.Contains(out.String(), c.say) {
-			t.Errorf("%s: %v, %q", c.name, good, out.String())
+		if passed := got.Judge(c.list, &out); passed != c.passed || !strings.Contains(out.String(), c.say) {
+			t.Errorf("%s: %v, %q", c.name, passed, out.String())
 		}
 	}
 }
