--- a/internal/fleetrun/cost_test.go
+++ b/internal/fleetrun/cost_test.go
@@ -21,20 +21,20 @@
 	"puffincrank/internal/store"
 )
 
-// cpu gives the processor time of this process.
-func cpu() time.Duration {
-	var u syscall.Rusage
-	if syscall.Getrusage(syscall.RUSAGE_SELF, &u) != nil {
+// processCPU returns the processor time that this process has used.
+func processCPU() time.Duration {
+	var usage syscall.Rusage
+	if syscall.Getrusage(syscall.RUSAGE_SELF, &usage) != nil {
 		return 0
 	}
-	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
+	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// mesh brings up three stores, three registries, two proxies and a worker in
-// this process, over real sockets and files.
-func mesh(t *testing.T, base string) (*Run, *standin.Worker) {
+// startMesh starts three stores, three registries, two proxies and a worker in this
+// process, with real sockets and files.
+func startMesh(t *testing.T, addressPrefix string) (*Run, *standin.Worker) {
 	t.Helper()
-	quiet := func(n string) env.Env {
+	silentEnv := func(n string) env.Env {
 		e := env.Real(n)
 		e.Log = event.New(n, nil)
 		return e
@@ -42,206 +42,206 @@
 	seeds := func(port int) []any {
 		var out []any
 		for i := range 3 {
-			out = append(out, fmt.Sprintf("%s%d:%d", base, i+1, port))
+			out = append(out, fmt.Sprintf("%s%d:%d", addressPrefix, i+1, port))
 		}
 		return out
 	}
-	mk := func(program, node, host string, inner, outer int, more map[string]any) settings.Settings {
-		more["node"], more["area"] = node, "x"
-		more["inner"], more["outer"] = fmt.Sprintf("%s:%d", host, inner), fmt.Sprintf("%s:%d", host, outer)
-		v, bad := settings.Tables[program].Read(more, "")
-		if len(bad) > 0 {
-			t.Fatal(bad)
+	newSettings := func(program, node, host string, inner, outer int, values map[string]any) settings.Settings {
+		values["node"], values["area"] = node, "x"
+		values["inner"], values["outer"] = fmt.Sprintf("%s:%d", host, inner), fmt.Sprintf("%s:%d", host, outer)
+		checked, faults := settings.Tables[program].Read(values, "")
+		if len(faults) > 0 {
+			t.Fatal(faults)
 		}
-		p, _ := settings.FromChecked(v)
-		return p
+		processSettings, _ := settings.FromChecked(checked)
+		return processSettings
 	}
-	start := func(p interface{ Start() error }, err error) {
+	start := func(process interface{ Start() error }, err error) {
 		if err == nil {
-			err = p.Start()
+			err = process.Start()
 		}
 		if err != nil {
-			t.Skipf("no room on loopback: %v", err)
+			t.Skipf("cannot listen on the loopback addresses: %v", err)
 		}
 	}
 	for i := range 3 {
-		h := fmt.Sprint(base, i+1)
-		e := quiet("s")
+		host := fmt.Sprint(addressPrefix, i+1)
+		e := silentEnv("s")
 		dir, err := disk.Open(t.TempDir())
 		if err != nil {
 			t.Fatal(err)
 		}
 		e.FS = dir
-		s, err := store.New(mk("store", fmt.Sprint("s", i), h, 7301, 7304, map[string]any{"seeds": seeds(7301), "data": "x"}), e)
-		start(s, err)
-		t.Cleanup(s.Kill)
-		r := registry.New(mk("registry", fmt.Sprint("r", i), h, 7302, 7303, map[string]any{"seeds": seeds(7302), "stores": seeds(7301)}), quiet("r"))
-		start(r, nil)
-		t.Cleanup(r.Kill)
+		storeProcess, err := store.New(newSettings("store", fmt.Sprint("s", i), host, 7301, 7304, map[string]any{"seeds": seeds(7301), "data": "x"}), e)
+		start(storeProcess, err)
+		t.Cleanup(storeProcess.Kill)
+		registryProcess := registry.New(newSettings("registry", fmt.Sprint("r", i), host, 7302, 7303, map[string]any{"seeds": seeds(7302), "stores": seeds(7301)}), silentEnv("r"))
+		start(registryProcess, nil)
+		t.Cleanup(registryProcess.Kill)
 	}
 	var worker *standin.Worker
 	for i := range 2 {
-		h := fmt.Sprint(base, 10+i)
-		x := proxy.New(mk("proxy", fmt.Sprint("p", i), h, 7302, 7303, map[string]any{"seeds": seeds(7302), "traffic": h + ":7300"}), quiet("p"))
-		start(x, nil)
-		t.Cleanup(x.Kill)
+		host := fmt.Sprint(addressPrefix, 10+i)
+		proxyProcess := proxy.New(newSettings("proxy", fmt.Sprint("p", i), host, 7302, 7303, map[string]any{"seeds": seeds(7302), "traffic": host + ":7300"}), silentEnv("p"))
+		start(proxyProcess, nil)
+		t.Cleanup(proxyProcess.Kill)
 		if i == 1 {
-			w, err := standin.NewWorker(quiet("w"), "a", "w1", h+":7305", h+":7303", 64, standin.Way{}, nil)
-			start(nothing{}, err)
-			t.Cleanup(w.Kill)
-			worker = w
+			newWorker, err := standin.NewWorker(silentEnv("w"), "a", "w1", host+":7305", host+":7303", 64, standin.Way{}, nil)
+			start(alreadyStarted{}, err)
+			t.Cleanup(newWorker.Kill)
+			worker = newWorker
 		}
 	}
-	r := &Run{way: &http.Transport{DisableKeepAlives: true}}
-	doc := `{"services":[{"name":"a"}],"classes":[{"name":"c","share":100}],"paths":[{"name":"p","prefix":"/","service":"a","class":"c","left_ms":5000}]}`
-	// Some seconds, unless the machine has little to give.
-	if _, ok := r.Until(3*time.Minute, func() bool {
-		r.Get("PUT", base+"10:7303", "/puffin/config?based_on=0", doc)
-		code, _ := r.Get("GET", base+"10:7303", "/puffin/ready", "")
-		_, own := r.Get("GET", base+"10:7303", "/puffin/own", "")
-		return code == 200 && own["entries"] == float64(1)
+	run := &Run{transport: &http.Transport{DisableKeepAlives: true}}
+	document := `{"services":[{"name":"a"}],"classes":[{"name":"c","share":100}],"paths":[{"name":"p","prefix":"/","service":"a","class":"c","left_ms":5000}]}`
+	// This takes some seconds; the timeout allows for a heavily loaded machine.
+	if _, ok := run.WaitFor(3*time.Minute, func() bool {
+		run.Get("PUT", addressPrefix+"10:7303", "/puffin/config?based_on=0", document)
+		code, _ := run.Get("GET", addressPrefix+"10:7303", "/puffin/ready", "")
+		_, status := run.Get("GET", addressPrefix+"10:7303", "/puffin/own", "")
+		return code == 200 && status["entries"] == float64(1)
 	}); !ok {
-		t.Fatal("the small mesh did not come up")
+		t.Fatal("the cluster did not become ready in time")
 	}
-	return r, worker
+	return run, worker
 }
 
-// TestCostOfChanges measures the processor time of one coordination change and
-// how many are decided in one version.
+// TestCostOfChanges measures the processor time of a coordination change and how many share
+// a log entry. Each successful call must get its own number; refused calls change nothing.
 func TestCostOfChanges(t *testing.T) {
 	const n = 1200
-	base := loop() + ".4."
-	r, _ := mesh(t, base)
-	status := func() float64 {
-		_, got := r.Get("GET", base+"1:7304", "/puffin/ready", "")
+	addressPrefix := loopbackPrefix() + ".4."
+	r, _ := startMesh(t, addressPrefix)
+	decidedIndex := func() float64 {
+		_, got := r.Get("GET", addressPrefix+"1:7304", "/puffin/ready", "")
 		v, _ := got["version_slot"].(float64)
 		return v
 	}
-	slots, from := status(), cpu()
-	var wait sync.WaitGroup
+	firstIndex, cpuBefore := decidedIndex(), processCPU()
+	var callers sync.WaitGroup
 	var mu sync.Mutex
-	given, ends := map[float64]int{}, map[int]int{}
-	// Some seconds at the most, unless the machine has little to give: the bound
-	// only tells a mesh that stands still.
-	by := time.Now().Add(3 * time.Minute)
+	numbers, statuses := map[float64]int{}, map[int]int{}
+	// This takes some seconds; the deadline allows for a heavily loaded machine and only
+	// detects a cluster that makes no progress.
+	deadline := time.Now().Add(3 * time.Minute)
 	for i := range 12 {
-		wait.Add(1)
+		callers.Add(1)
 		go func() {
-			defer wait.Done()
+			defer callers.Done()
 			for range n / 12 {
-				// A caller comes back when it is told to, as when the machine is so
-				// loaded that a change grows too old on its way; what became of one
-				// that ends otherwise nobody knows, and it is made once more.
-				for code := 0; code != 200 && time.Now().Before(by); {
+				// A refused call is retried after the time that the answer gives: on a
+				// loaded machine a change may expire before it is decided. A call that
+				// ends otherwise has an unknown outcome and is made again.
+				for code := 0; code != 200 && time.Now().Before(deadline); {
 					var got map[string]any
-					code, got = r.Get("POST", fmt.Sprintf("%s%d:7303", base, 1+i%3), "/puffin/numbers/x/next", "{}")
-					num, _ := got["number"].(float64)
-					come, _ := got["retry_ms"].(float64)
+					code, got = r.Get("POST", fmt.Sprintf("%s%d:7303", addressPrefix, 1+i%3), "/puffin/numbers/x/next", "{}")
+					number, _ := got["number"].(float64)
+					retryMS, _ := got["retry_ms"].(float64)
 					mu.Lock()
-					if ends[code]++; code == 200 {
-						given[num]++
+					if statuses[code]++; code == 200 {
+						numbers[number]++
 					}
 					mu.Unlock()
 					if code == 503 {
-						pause(time.Duration(come) * time.Millisecond)
+						sleep(time.Duration(retryMS) * time.Millisecond)
 					}
 				}
 			}
 		}()
 	}
-	wait.Wait()
-	took := (cpu() - from) / n
-	r.Until(3*time.Second, func() bool { return status() > slots })
-	t.Logf("processor time for each change, all programs and callers: %v; changes in a version: %.2f", took, n/(status()-slots))
-	if len(given) != n || ends[200] != n {
-		t.Errorf("%d changes of %d gave %d numbers: %v", ends[200], n, len(given), ends)
+	callers.Wait()
+	cpuPerChange := (processCPU() - cpuBefore) / n
+	r.WaitFor(3*time.Second, func() bool { return decidedIndex() > firstIndex })
+	t.Logf("processor time per change, all programs and callers: %v; changes per log entry: %.2f", cpuPerChange, n/(decidedIndex()-firstIndex))
+	if len(numbers) != n || statuses[200] != n {
+		t.Errorf("%d of %d changes succeeded with %d different numbers: %v", statuses[200], n, len(numbers), statuses)
 	}
-	// And none of those that were turned away was made after all.
+	// None of the refused calls may have been executed.
 	var got map[string]any
-	r.Until(30*time.Second, func() bool {
+	r.WaitFor(30*time.Second, func() bool {
 		code := 0
-		code, got = r.Get("GET", base+"1:7303", "/puffin/numbers/x", "")
+		code, got = r.Get("GET", addressPrefix+"1:7303", "/puffin/numbers/x", "")
 		return code == 200
 	})
-	least, unknown := float64(n), float64(unknowns(ends))
-	if at, _ := got["number"].(float64); at < least || at > least+unknown {
-		t.Errorf("the number stands at %v after %d changes: %v", got["number"], n, ends)
+	least, unknown := float64(n), float64(countUnknown(statuses))
+	if current, _ := got["number"].(float64); current < least || current > least+unknown {
+		t.Errorf("the number is %v after %d changes: %v", got["number"], n, statuses)
 	}
 }
 
-// unknowns counts the calls that ended neither well nor with a promise that nothing
-// was done.
-func unknowns(ends map[int]int) (n int) {
-	for code, k := range ends {
+// countUnknown counts the calls with an unknown outcome: neither 200 nor 503, which
+// guarantees that nothing was changed.
+func countUnknown(statuses map[int]int) (n int) {
+	for code, count := range statuses {
 		if code != 200 && code != 503 {
-			n += k
+			n += count
 		}
 	}
 	return n
 }
 
-// TestCost measures the processor time of a job through the mesh as a ratio to
-// a direct call of the same worker, both over real sockets in one process.
+// TestCost measures the processor time of a request through the mesh as a ratio to a
+// direct call of the same worker, both over real sockets in one process.
 func TestCost(t *testing.T) {
-	base := loop() + ".3."
-	_, worker := mesh(t, base)
-	way := &http.Transport{MaxIdleConnsPerHost: 16}
-	drive := func(url string, n int) (time.Duration, map[int]int) {
-		from, by := cpu(), time.Now().Add(3*time.Minute)
-		var wait sync.WaitGroup
+	addressPrefix := loopbackPrefix() + ".3."
+	_, worker := startMesh(t, addressPrefix)
+	transport := &http.Transport{MaxIdleConnsPerHost: 16}
+	runLoad := func(url string, n int) (time.Duration, map[int]int) {
+		cpuBefore, deadline := processCPU(), time.Now().Add(3*time.Minute)
+		var callers sync.WaitGroup
 		var mu sync.Mutex
-		ends := map[int]int{}
-		job := func() (code int) {
-			q, _ := http.NewRequest("GET", url, nil)
-			q.Header.Set(responsedigest.WorkerHeader, worker.ID)
-			if w, err := way.RoundTrip(q); err == nil {
-				_, _ = io.Copy(io.Discard, w.Body)
-				_ = w.Body.Close()
-				code = w.StatusCode
+		statuses := map[int]int{}
+		sendRequest := func() (code int) {
+			request, _ := http.NewRequest("GET", url, nil)
+			request.Header.Set(responsedigest.WorkerHeader, worker.ID)
+			if response, err := transport.RoundTrip(request); err == nil {
+				_, _ = io.Copy(io.Discard, response.Body)
+				_ = response.Body.Close()
+				code = response.StatusCode
 			}
 			mu.Lock()
-			ends[code]++
+			statuses[code]++
 			mu.Unlock()
 			return code
 		}
 		for range 8 {
-			wait.Add(1)
+			callers.Add(1)
 			go func() {
-				defer wait.Done()
+				defer callers.Done()
 				for range n / 8 {
-					// A caller comes back when it is told to, as when beats are late
-					// on a machine with little to give.
-					for job() == 503 && time.Now().Before(by) {
-						pause(time.Second)
+					// A refused request is retried: on a loaded machine heartbeats may be
+					// late, and the worker then counts as unavailable.
+					for sendRequest() == 503 && time.Now().Before(deadline) {
+						sleep(time.Second)
 					}
 				}
 			}()
 		}
-		wait.Wait()
-		return (cpu() - from) / time.Duration(n), ends
+		callers.Wait()
+		return (processCPU() - cpuBefore) / time.Duration(n), statuses
 	}
 	const n = 4000
-	drive("http://"+base+"10:7300/x", n/4)
-	// Counts of allocations say more than times on a noisy machine.
-	var m0, m1, m2 runtime.MemStats
-	runtime.ReadMemStats(&m0)
-	through, a := drive("http://"+base+"10:7300/x", n)
-	runtime.ReadMemStats(&m1)
-	direct, b := drive("http://"+worker.Addr+"/x", n)
-	runtime.ReadMemStats(&m2)
-	one, two := m1.Mallocs-m0.Mallocs, m2.Mallocs-m1.Mallocs
-	t.Logf("allocations for each job: %d through the mesh, %d direct, ratio %.2f; bytes %d and %d", one/n, two/n, float64(one)/float64(two),
-		(m1.TotalAlloc-m0.TotalAlloc)/n, (m2.TotalAlloc-m1.TotalAlloc)/n)
-	t.Logf("processor time for each job: %v through the mesh, %v direct, ratio %.2f", through, direct, float64(through)/float64(direct))
-	if a[200] != n || b[200] != n || a[503] > n || len(b) > 1 {
-		t.Errorf("of %d calls through the mesh and %d direct ones: %v, %v", n, n, a, b)
-	}
-	// A wide bound: it catches work that grows, not a slow machine.
-	if ratio := float64(through) / float64(direct); ratio > 25 {
-		t.Errorf("a job through the mesh costs %.1f times a direct call", ratio)
+	runLoad("http://"+addressPrefix+"10:7300/x", n/4)
+	// Numbers of allocations are more precise than times on a busy machine.
+	var memoryBefore, memoryAfterMesh, memoryAfterDirect runtime.MemStats
+	runtime.ReadMemStats(&memoryBefore)
+	meshCPU, meshStatuses := runLoad("http://"+addressPrefix+"10:7300/x", n)
+	runtime.ReadMemStats(&memoryAfterMesh)
+	directCPU, directStatuses := runLoad("http://"+worker.Addr+"/x", n)
+	runtime.ReadMemStats(&memoryAfterDirect)
+	meshAllocations, directAllocations := memoryAfterMesh.Mallocs-memoryBefore.Mallocs, memoryAfterDirect.Mallocs-memoryAfterMesh.Mallocs
+	t.Logf("allocations per request: %d through the mesh, %d direct, ratio %.2f; bytes %d and %d", meshAllocations/n, directAllocations/n, float64(meshAllocations)/float64(directAllocations),
+		(memoryAfterMesh.TotalAlloc-memoryBefore.TotalAlloc)/n, (memoryAfterDirect.TotalAlloc-memoryAfterMesh.TotalAlloc)/n)
+	t.Logf("processor time per request: %v through the mesh, %v direct, ratio %.2f", meshCPU, directCPU, float64(meshCPU)/float64(directCPU))
+	if meshStatuses[200] != n || directStatuses[200] != n || meshStatuses[503] > n || len(directStatuses) > 1 {
+		t.Errorf("statuses of %d calls through the mesh and %d direct calls: %v, %v", n, n, meshStatuses, directStatuses)
+	}
+	// The bound is wide: it detects work that grows, not a slow machine.
+	if ratio := float64(meshCPU) / float64(directCPU); ratio > 25 {
+		t.Errorf("a request through the mesh costs %.1f times the processor time of a direct call", ratio)
 	}
 }
 
-type nothing struct{}
+type alreadyStarted struct{}
 
-func (nothing) Start() error { return nil }
+func (alreadyStarted) Start() error { return nil }
--- a/internal/fleetrun/machines.go
+++ b/internal/fleetrun/machines.go
@@ -1,6 +1,6 @@
-// Package fleetrun runs a whole mesh as real processes on loopback addresses,
-// with stand-in workers and callers, and brings faults about. It is a test
-// program: the product's own processes start no others.
+// Package fleetrun runs a whole cluster as real processes on loopback addresses, with
+// simulated workers and callers, and injects faults. It is used by test programs only:
+// the processes of the product start no others.
 package fleetrun
 
 import (
@@ -24,74 +24,74 @@
 	"puffincrank/internal/task"
 )
 
-// Proc is one process of the product.
-type Proc struct {
+// Process is one process of the product.
+type Process struct {
 	process.Process
-	Program, Host, Area string
-	props               string
+	Program, Host, Zone string
+	settingsFile        string
 	run                 *Run
-	newer               bool // runs this version though the run began with an earlier one
+	runsNewVersion      bool // runs the current version in a run that began with an earlier one
 }
 
-// Node is a machine with a worker.
+// Node is a machine with a proxy and a worker.
 type Node struct {
-	Host, Area, Service string
-	Proxy               *Proc
+	Host, Zone, Service string
+	Proxy               *Process
 	mu                  sync.Mutex
 	Worker              *standin.Worker
-	starts              int
+	workerStarts        int
 }
 
-// Core is a core machine.
-type Core struct {
-	Host, Area      string
-	Store, Registry *Proc
+// ControlMachine is a machine of the control plane.
+type ControlMachine struct {
+	Host, Zone      string
+	Store, Registry *Process
 }
 
-// Run is one whole run.
+// Run is one run of a cluster under load and faults.
 type Run struct {
-	Bin, Dir string
-	Seed     uint64 // of the plan "seeded"
-	Old      string // programs of an earlier version, to begin with
-	S        sim.Shape
-	Obs      *standin.Observer
-	Cores    []*Core
-	Nodes    []*Node
-	g        *task.Group
-	out      io.Writer
-	way      *http.Transport
-	version  uint64
-	missed   []string // what did not end as it should
-	Marks    []string // what was done when
-	began    time.Time
+	Programs, Dir   string
+	Seed            uint64 // of the plan "seeded"
+	OldPrograms     string // folder with programs of an earlier version that the run begins with
+	Shape           sim.Shape
+	Observer        *standin.Observer
+	ControlMachines []*ControlMachine
+	Nodes           []*Node
+	tasks           *task.Group
+	out             io.Writer
+	transport       *http.Transport
+	version         uint64
+	failures        []string // steps that did not have the expected outcome
+	Timeline        []string // the steps with their times
+	began           time.Time
 }
 
-// New lays out a run below a folder, on addresses that begin with net, such as
-// 127.0: two runs on one machine must not meet.
-func New(bin, dir, net string, s sim.Shape, out io.Writer) (*Run, error) {
-	r := &Run{Bin: bin, Dir: dir, S: s, Obs: standin.NewObserver(), g: task.New(context.Background()), out: out, began: time.Now(),
-		way: &http.Transport{DisableKeepAlives: true}}
+// New prepares a run that keeps its files in a folder. All addresses begin with
+// addressPrefix, such as 127.0; two runs on one machine need different prefixes.
+func New(programs, dir, addressPrefix string, shape sim.Shape, out io.Writer) (*Run, error) {
+	r := &Run{Programs: programs, Dir: dir, Shape: shape, Observer: standin.NewObserver(), tasks: task.New(context.Background()), out: out, began: time.Now(),
+		transport: &http.Transport{DisableKeepAlives: true}}
 	for i := range 3 {
-		h := fmt.Sprintf("%s.1.%d", net, i+1)
-		r.Cores = append(r.Cores, &Core{Host: h, Area: sim.Areas[i]})
+		host := fmt.Sprintf("%s.1.%d", addressPrefix, i+1)
+		r.ControlMachines = append(r.ControlMachines, &ControlMachine{Host: host, Zone: sim.Areas[i]})
 	}
-	for i, c := range r.Cores {
+	for i, c := range r.ControlMachines {
 		var err error
-		c.Store, err = r.proc("store", fmt.Sprintf("store%d", i+1), c.Host, c.Area, 7001, 7004,
+		c.Store, err = r.newProcess("store", fmt.Sprintf("store%d", i+1), c.Host, c.Zone, 7001, 7004,
 			map[string]any{"seeds": r.seeds(7001), "data": filepath.Join(dir, fmt.Sprintf("store%d.data", i+1))})
 		if err != nil {
 			return nil, err
 		}
-		c.Registry, err = r.proc("registry", fmt.Sprintf("core%d", i+1), c.Host, c.Area, 7002, 7003,
+		c.Registry, err = r.newProcess("registry", fmt.Sprintf("core%d", i+1), c.Host, c.Zone, 7002, 7003,
 			map[string]any{"seeds": r.seeds(7002), "stores": r.seeds(7001)})
 		if err != nil {
 			return nil, err
 		}
 	}
-	for i := range s.Nodes {
-		n := &Node{Host: fmt.Sprintf("%s.2.%d", net, i+1), Area: sim.Areas[i%3], Service: s.Serves(i)}
+	for i := range shape.Nodes {
+		n := &Node{Host: fmt.Sprintf("%s.2.%d", addressPrefix, i+1), Zone: sim.Areas[i%3], Service: shape.Serves(i)}
 		var err error
-		n.Proxy, err = r.proc("proxy", fmt.Sprintf("node%d", i+1), n.Host, n.Area, 7002, 7003,
+		n.Proxy, err = r.newProcess("proxy", fmt.Sprintf("node%d", i+1), n.Host, n.Zone, 7002, 7003,
 			map[string]any{"seeds": r.seeds(7002), "traffic": n.Host + ":8000"})
 		if err != nil {
 			return nil, err
@@ -103,93 +103,94 @@
 
 func (r *Run) seeds(port int) []string {
 	var out []string
-	for _, c := range r.Cores[:3] {
+	for _, c := range r.ControlMachines[:3] {
 		out = append(out, fmt.Sprintf("%s:%d", c.Host, port))
 	}
 	return out
 }
 
-func (r *Run) proc(program, name, host, area string, inner, outer int, more map[string]any) (*Proc, error) {
-	in := map[string]any{"node": name, "area": area, "inner": fmt.Sprintf("%s:%d", host, inner), "outer": fmt.Sprintf("%s:%d", host, outer)}
-	for k, v := range more {
-		in[k] = v
+func (r *Run) newProcess(program, name, host, zone string, inner, outer int, extra map[string]any) (*Process, error) {
+	values := map[string]any{"node": name, "area": zone, "inner": fmt.Sprintf("%s:%d", host, inner), "outer": fmt.Sprintf("%s:%d", host, outer)}
+	for k, v := range extra {
+		values[k] = v
 	}
-	raw, err := json.MarshalIndent(in, "", "  ")
+	content, err := json.MarshalIndent(values, "", "  ")
 	if err != nil {
 		return nil, err
 	}
 	file := filepath.Join(r.Dir, name+".json")
-	p := &Proc{Program: program, Host: host, Area: area, props: file, run: r}
+	p := &Process{Program: program, Host: host, Zone: zone, settingsFile: file, run: r}
 	p.Name, p.Log, p.Command = name, filepath.Join(r.Dir, name+".log"), p.command
-	return p, os.WriteFile(file, raw, 0o644)
+	return p, os.WriteFile(file, content, 0o644)
 }
 
-// command is that of its program, in the version that it is to run.
-func (p *Proc) command() *exec.Cmd {
-	bin := p.run.Bin
-	if p.run.Old != "" && !p.newer {
-		bin = p.run.Old
+// command returns the command of the program in the version that it is to run.
+func (p *Process) command() *exec.Cmd {
+	programs := p.run.Programs
+	if p.run.OldPrograms != "" && !p.runsNewVersion {
+		programs = p.run.OldPrograms
 	}
-	return exec.Command(filepath.Join(bin, p.Program), "--props", p.props)
+	return exec.Command(filepath.Join(programs, p.Program), "--props", p.settingsFile)
 }
 
-// Start starts the process; its log goes to a file of its own.
-func (p *Proc) Start() error { return p.Process.Start(p.run.g) }
+// Start starts the process. Each process has its own log file.
+func (p *Process) Start() error { return p.Process.Start(p.run.tasks) }
 
-// StartWorker starts a fresh worker beside a node.
+// StartWorker starts a new worker beside a node's proxy.
 func (r *Run) StartWorker(n *Node) error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.starts++
-	id := fmt.Sprintf("%s-%s-%d", n.Service, n.Proxy.Name, n.starts)
+	n.workerStarts++
+	id := fmt.Sprintf("%s-%s-%d", n.Service, n.Proxy.Name, n.workerStarts)
 	e := env.Real(id)
 	e.Log = event.New(id, nil)
-	w, err := standin.NewWorker(e, n.Service, id, n.Host+":9000", n.Host+":7003", r.S.Slots, standin.Way{Took: r.S.Took[n.Service]}, r.Obs)
+	w, err := standin.NewWorker(e, n.Service, id, n.Host+":9000", n.Host+":7003", r.Shape.Slots, standin.Way{Took: r.Shape.Took[n.Service]}, r.Observer)
 	if err == nil {
-		w.Nests(n.Host+":8000", r.S.Nested[n.Service])
+		w.Nests(n.Host+":8000", r.Shape.Nested[n.Service])
 	}
 	n.Worker = w
 	return err
 }
 
-// Get makes one outside call.
-func (r *Run) Get(method, at, uri, body string) (int, map[string]any) {
-	ctx, end := context.WithTimeout(context.Background(), 5*time.Second)
-	defer end()
-	q, err := http.NewRequestWithContext(ctx, method, "http://"+at+uri, strings.NewReader(body))
+// Get makes one HTTP call and returns the status, 0 without an answer, and the JSON body.
+func (r *Run) Get(method, address, uri, body string) (int, map[string]any) {
+	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
+	defer cancel()
+	request, err := http.NewRequestWithContext(ctx, method, "http://"+address+uri, strings.NewReader(body))
 	if err != nil {
 		return 0, nil
 	}
-	w, err := r.way.RoundTrip(q)
+	response, err := r.transport.RoundTrip(request)
 	if err != nil {
 		return 0, nil
 	}
-	defer func() { _ = w.Body.Close() }()
-	var got map[string]any
-	_ = json.NewDecoder(w.Body).Decode(&got)
-	return w.StatusCode, got
+	defer func() { _ = response.Body.Close() }()
+	var answer map[string]any
+	_ = json.NewDecoder(response.Body).Decode(&answer)
+	return response.StatusCode, answer
 }
 
-// Mark notes what was done.
-func (r *Run) Mark(form string, args ...any) {
-	line := fmt.Sprintf("%6.2f s  ", time.Since(r.began).Seconds()) + fmt.Sprintf(form, args...)
-	r.Marks = append(r.Marks, line)
+// Log prints a step with its time and adds it to the timeline.
+func (r *Run) Log(format string, args ...any) {
+	line := fmt.Sprintf("%6.2f s  ", time.Since(r.began).Seconds()) + fmt.Sprintf(format, args...)
+	r.Timeline = append(r.Timeline, line)
 	fmt.Fprintln(r.out, line)
 }
 
-// Until waits for a state of the fleet.
-func (r *Run) Until(bound time.Duration, ok func() bool) (time.Duration, bool) {
-	from := time.Now()
-	for !ok() {
-		if time.Since(from) > bound {
-			return bound, false
+// WaitFor polls a condition. It returns the time taken and whether the condition held
+// before the timeout.
+func (r *Run) WaitFor(timeout time.Duration, condition func() bool) (time.Duration, bool) {
+	begin := time.Now()
+	for !condition() {
+		if time.Since(begin) > timeout {
+			return timeout, false
 		}
-		pause(50 * time.Millisecond)
+		sleep(50 * time.Millisecond)
 	}
-	return time.Since(from), true
+	return time.Since(begin), true
 }
 
-func pause(d time.Duration) {
-	t := time.NewTimer(d)
-	<-t.C
+func sleep(d time.Duration) {
+	timer := time.NewTimer(d)
+	<-timer.C
 }
--- a/internal/fleetrun/process/bind.go
+++ b/internal/fleetrun/process/bind.go
@@ -9,20 +9,20 @@
 	"puffincrank/internal/task"
 )
 
-// A process that is being started holds copies of its parent's listeners until it
-// runs its own program, some milliseconds.
+// Between fork and exec, for some milliseconds, a child process holds copies of its
+// parent's listeners, so an address can stay in use after its listener was closed.
 const (
-	bindWithin = time.Second
-	bindAgain  = 5 * time.Millisecond
+	bindTimeout       = time.Second
+	bindRetryInterval = 5 * time.Millisecond
 )
 
-// Bind starts something that listens on an address where this program itself has
-// just ended another listener. It tries again while the address is in use, for a
-// second at most; the last error is given.
-func Bind(start func() error) error {
-	for from := time.Now(); ; task.Sleep(context.Background(), bindAgain) {
-		err := start()
-		if !errors.Is(err, syscall.EADDRINUSE) || time.Since(from) > bindWithin {
+// Bind calls listen, which opens a listener on an address where this program has just
+// closed another one. It retries for at most one second while the address is in use, and
+// returns the last error.
+func Bind(listen func() error) error {
+	for begin := time.Now(); ; task.Sleep(context.Background(), bindRetryInterval) {
+		err := listen()
+		if !errors.Is(err, syscall.EADDRINUSE) || time.Since(begin) > bindTimeout {
 			return err
 		}
 	}
--- a/internal/fleetrun/process/bind_test.go
+++ b/internal/fleetrun/process/bind_test.go
@@ -9,11 +9,11 @@
 	"time"
 )
 
-// TestMain lets this program be a child that ends at once, or waits to be ended.
+// TestMain lets this program run as a child that exits at once, or waits for a signal.
 func TestMain(m *testing.M) {
 	switch os.Getenv("PROCESS_TEST_CHILD") {
 	case "":
-	case waits:
+	case childWaits:
 		select {}
 	default:
 		return
@@ -21,18 +21,18 @@
 	os.Exit(m.Run())
 }
 
-// waits is the way of a child that waits to be ended.
-const waits = "waits"
+// childWaits is the mode of a child that waits for a signal.
+const childWaits = "waits"
 
-// TestBindWhileProcessesStart: an address whose listener has just ended is bound
-// again while other processes are being started, which hold copies of the listener.
+// TestBindWhileProcessesStart checks that an address can be bound again right after its
+// listener was closed, while processes are started that hold copies of the listener.
 func TestBindWhileProcessesStart(t *testing.T) {
 	const address = "127.66.0.1:9000"
 	const starters = 4
 	stop := make(chan struct{})
-	var over sync.WaitGroup
+	var running sync.WaitGroup
 	for range starters {
-		over.Go(func() {
+		running.Go(func() {
 			for {
 				select {
 				case <-stop:
@@ -46,10 +46,10 @@
 		})
 	}
 	inUse := 0
-	for from := time.Now(); time.Since(from) < 2*time.Second; {
-		var ear net.Listener
+	for begin := time.Now(); time.Since(begin) < 2*time.Second; {
+		var listener net.Listener
 		err := Bind(func() (err error) {
-			if ear, err = net.Listen("tcp", address); err != nil {
+			if listener, err = net.Listen("tcp", address); err != nil {
 				inUse++
 			}
 			return err
@@ -58,21 +58,21 @@
 			t.Error(err)
 			break
 		}
-		_ = ear.Close()
+		_ = listener.Close()
 	}
 	close(stop)
-	over.Wait()
+	running.Wait()
 	t.Logf("the address was in use %d times", inUse)
 }
 
-// TestBindGivesUp: an address that stays in use is an error.
-func TestBindGivesUp(t *testing.T) {
-	ear, err := net.Listen("tcp", "127.66.0.2:0")
+// TestBindReturnsErrorAfterTimeout checks that Bind fails if the address stays in use.
+func TestBindReturnsErrorAfterTimeout(t *testing.T) {
+	listener, err := net.Listen("tcp", "127.66.0.2:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer ear.Close()
-	if Bind(func() error { _, err := net.Listen("tcp", ear.Addr().String()); return err }) == nil {
-		t.Error("bound twice")
+	defer listener.Close()
+	if Bind(func() error { _, err := net.Listen("tcp", listener.Addr().String()); return err }) == nil {
+		t.Error("bound an address that is in use")
 	}
 }
--- a/internal/fleetrun/process/process.go
+++ b/internal/fleetrun/process/process.go
@@ -1,4 +1,4 @@
-// Package process starts, signals and watches the real processes of a test run.
+// Package process starts, signals and supervises the real processes of a test run.
 package process
 
 import (
@@ -13,26 +13,26 @@
 	"puffincrank/internal/task"
 )
 
-// Process is one that may be started again and again. It dies with its parent.
+// Process is a process that can be started repeatedly. It is killed when its parent ends.
 type Process struct {
 	Name string
-	// Command makes the command of the next start.
+	// Command returns the command of the next start.
 	Command func() *exec.Cmd
-	// Log is the file that standard output and standard error are added to.
+	// Log is the file to which standard output and standard error are appended.
 	Log string
-	// Ended is told of each end that nobody asked for; unset, nobody is.
-	Ended func(p *Process, code int)
+	// OnUnexpectedExit, if set, is called when the process ends without a stop signal.
+	OnUnexpectedExit func(p *Process, code int)
 
-	mu    sync.Mutex
-	cmd   *exec.Cmd
-	over  chan struct{}
-	asked bool  // its end was
-	from  int64 // where the log of its newest start begins
-	cpu   time.Duration
-	code  int
+	mu            sync.Mutex
+	cmd           *exec.Cmd
+	exited        chan struct{}
+	stopRequested bool  // a stop signal was sent
+	logOffset     int64 // where the log of the latest start begins
+	cpu           time.Duration
+	exitCode      int
 }
 
-// Start starts the process; the group waits for it.
+// Start starts the process. A task of the group waits for its end.
 func (p *Process) Start(g *task.Group) error {
 	log, err := os.OpenFile(p.Log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
@@ -50,82 +50,82 @@
 		_ = log.Close()
 		return err
 	}
-	over := make(chan struct{})
+	exited := make(chan struct{})
 	p.mu.Lock()
-	p.cmd, p.over, p.asked, p.from = cmd, over, false, info.Size()
+	p.cmd, p.exited, p.stopRequested, p.logOffset = cmd, exited, false, info.Size()
 	p.mu.Unlock()
 	g.Go("wait-process", func(context.Context) {
 		_ = cmd.Wait()
 		_ = log.Close()
-		p.ended(cmd, over)
+		p.recordExit(cmd, exited)
 	})
 	return nil
 }
 
-func (p *Process) ended(cmd *exec.Cmd, over chan struct{}) {
+func (p *Process) recordExit(cmd *exec.Cmd, exited chan struct{}) {
 	p.mu.Lock()
 	p.cpu += cmd.ProcessState.UserTime() + cmd.ProcessState.SystemTime()
-	p.code = cmd.ProcessState.ExitCode()
-	asked, code := p.asked, p.code
+	p.exitCode = cmd.ProcessState.ExitCode()
+	requested, code := p.stopRequested, p.exitCode
 	p.mu.Unlock()
-	close(over)
-	if !asked && p.Ended != nil {
-		p.Ended(p, code)
+	close(exited)
+	if !requested && p.OnUnexpectedExit != nil {
+		p.OnUnexpectedExit(p, code)
 	}
 }
 
 // Signal sends a signal to the process that was started last.
-func (p *Process) Signal(s syscall.Signal) { p.SignalTo(p.ID(), s) }
+func (p *Process) Signal(signal syscall.Signal) { p.SignalTo(p.PID(), signal) }
 
-// SignalTo sends a signal to a process by its number, as long as none was started
+// SignalTo sends a signal to the process with this PID, unless another one was started
 // after it.
-func (p *Process) SignalTo(id int, s syscall.Signal) {
+func (p *Process) SignalTo(pid int, signal syscall.Signal) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.cmd == nil || p.cmd.Process == nil || p.cmd.Process.Pid != id {
+	if p.cmd == nil || p.cmd.Process == nil || p.cmd.Process.Pid != pid {
 		return
 	}
-	if s == syscall.SIGTERM || s == syscall.SIGKILL || s == syscall.SIGINT {
-		p.asked = true
+	if signal == syscall.SIGTERM || signal == syscall.SIGKILL || signal == syscall.SIGINT {
+		p.stopRequested = true
 	}
-	_ = p.cmd.Process.Signal(s)
+	_ = p.cmd.Process.Signal(signal)
 }
 
-// End signals and waits, and kills what has not ended within the bound. The result
-// is the exit code and how long it took.
-func (p *Process) End(s syscall.Signal, bound time.Duration) (int, time.Duration) {
-	from := time.Now()
+// Stop sends a signal, waits for the end of the process, and kills it after the timeout.
+// It returns the exit code and the time taken.
+func (p *Process) Stop(signal syscall.Signal, timeout time.Duration) (int, time.Duration) {
+	begin := time.Now()
 	p.mu.Lock()
-	over := p.over
+	exited := p.exited
 	p.mu.Unlock()
-	if over == nil {
+	if exited == nil {
 		return 0, 0
 	}
-	p.Signal(s)
-	t := time.NewTimer(bound)
-	defer t.Stop()
+	p.Signal(signal)
+	timer := time.NewTimer(timeout)
+	defer timer.Stop()
 	select {
-	case <-over:
-	case <-t.C:
+	case <-exited:
+	case <-timer.C:
 		p.Signal(syscall.SIGKILL)
-		<-over
+		<-exited
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.code, time.Since(from)
+	return p.exitCode, time.Since(begin)
 }
 
-// Logged tells whether its newest start has logged a text.
-func (p *Process) Logged(text string) bool {
+// HasLogged returns whether the process has logged a text since its latest start.
+func (p *Process) HasLogged(text string) bool {
 	p.mu.Lock()
-	from := p.from
+	offset := p.logOffset
 	p.mu.Unlock()
-	raw, err := os.ReadFile(p.Log)
-	return err == nil && int64(len(raw)) > from && strings.Contains(string(raw[from:]), text)
+	content, err := os.ReadFile(p.Log)
+	return err == nil && int64(len(content)) > offset && strings.Contains(string(content[offset:]), text)
 }
 
-// ID is the number of the process that was started last, 0 if none was.
-func (p *Process) ID() int {
+// PID returns the PID of the process that was started last, 0 if none was.
+func (p *Process) PID() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.cmd == nil || p.cmd.Process == nil {
@@ -134,7 +134,7 @@
 	return p.cmd.Process.Pid
 }
 
-// CPU is the processor time of all its starts that have ended.
+// CPU returns the processor time of all earlier starts that have ended.
 func (p *Process) CPU() time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/fleetrun/real_test.go
+++ b/internal/fleetrun/real_test.go
@@ -11,37 +11,37 @@
 	"puffincrank/internal/sim"
 )
 
-// loop begins the addresses of this test process: another run of the tests on
-// the same machine has others.
-func loop() string { return fmt.Sprint("127.", 10+os.Getpid()%200) }
+// loopbackPrefix returns the first two numbers of the addresses of this test process.
+// They depend on its PID, so that several test runs on one machine do not collide.
+func loopbackPrefix() string { return fmt.Sprint("127.", 10+os.Getpid()%200) }
 
-// TestRealFleet runs both deployments' shapes as real processes with one of
-// each fault, and judges by counts only. It wants the machine for itself, so
-// the test command runs it by name after all the others.
+// TestRealFleet runs both deployment shapes as real processes with one fault of each kind
+// and checks counts only, no times. It needs the machine for itself, so the test script
+// runs it by name after all other tests.
 func TestRealFleet(t *testing.T) {
 	if os.Getenv("PUFFIN_FLEET") == "" {
-		t.Skip("run by itself: PUFFIN_FLEET=1")
+		t.Skip("needs the machine for itself; set PUFFIN_FLEET=1 to run it")
 	}
-	bin := t.TempDir()
-	build := exec.Command("go", "build", "-o", bin, "../../cmd/proxy", "../../cmd/registry", "../../cmd/store")
+	programs := t.TempDir()
+	build := exec.Command("go", "build", "-o", programs, "../../cmd/proxy", "../../cmd/registry", "../../cmd/store")
 	if out, err := build.CombinedOutput(); err != nil {
 		t.Fatalf("%v: %s", err, out)
 	}
 	for _, s := range []sim.Shape{sim.Fumettoteca(0.15), sim.Ingenzi(0.25)} {
 		var out bytes.Buffer
-		r, err := New(bin, t.TempDir(), loop(), s, &out)
+		r, err := New(programs, t.TempDir(), loopbackPrefix(), s, &out)
 		if err == nil {
-			err = r.Up()
+			err = r.Start()
 		}
 		if err != nil {
 			t.Fatalf("%v\n%s", err, out.String())
 		}
-		if !r.Go("short", 32*time.Second, 20) {
+		if !r.Execute("short", 32*time.Second, 20) {
 			t.Errorf("%s", out.String())
 		}
-		if n := r.Obs.Counts(); n["done"] < n["calls"]*9/10 || n["calls"] < 1000 {
-			t.Errorf("too few were done: %v\n%s", n, out.String())
+		if counts := r.Observer.Counts(); counts["done"] < counts["calls"]*9/10 || counts["calls"] < 1000 {
+			t.Errorf("too few calls were made or succeeded: %v\n%s", counts, out.String())
 		}
-		t.Logf("%s: %v", s.Services[0], r.Obs.Counts())
+		t.Logf("%s: %v", s.Services[0], r.Observer.Counts())
 	}
 }
--- a/internal/fleetrun/report.go
+++ b/internal/fleetrun/report.go
@@ -12,123 +12,123 @@
 	"puffincrank/internal/standin"
 )
 
-// Go runs the load and the plan, stops the fleet and prints the report. The
-// result tells whether nothing that must never happen was seen.
-func (r *Run) Go(plan string, long time.Duration, coord float64) bool {
-	e := env.Real("callers")
-	e.Log = event.New("callers", nil)
-	callers := standin.NewCallers(e, r.Fronts(), r.Obs, 15*time.Second)
-	apps := standin.NewCoord(e, r.Outers(), r.Obs)
-	// As the platform does: readiness is polled every second, and callers
-	// leave out whoever isn't ready.
-	var away sync.Map
-	r.g.Every("platform", time.Second, func(context.Context) {
+// Execute runs the load and the plan, stops all processes and prints the report. It
+// returns whether no guarantee was violated and all processes ended as expected.
+func (r *Run) Execute(plan string, duration time.Duration, coordinationRate float64) bool {
+	environment := env.Real("callers")
+	environment.Log = event.New("callers", nil)
+	callers := standin.NewCallers(environment, r.IngressAddrs(), r.Observer, 15*time.Second)
+	apps := standin.NewCoord(environment, r.APIAddrs(), r.Observer)
+	// Like the platform, this polls readiness every second and excludes nodes that are not
+	// ready from new calls.
+	var unready sync.Map
+	r.tasks.Every("platform", time.Second, func(context.Context) {
 		for _, n := range r.Nodes {
-			r.g.Go("poll-ready", func(context.Context) {
+			r.tasks.Go("poll-ready", func(context.Context) {
 				code, _ := r.Get("GET", n.Host+":7003", "/puffin/ready", "")
-				away.Store(n.Host+":8000", code != 200)
-				away.Store(n.Host+":7003", code != 200)
+				unready.Store(n.Host+":8000", code != 200)
+				unready.Store(n.Host+":7003", code != 200)
 			})
 		}
-		for _, c := range r.Cores {
-			r.g.Go("poll-ready", func(context.Context) {
+		for _, c := range r.ControlMachines {
+			r.tasks.Go("poll-ready", func(context.Context) {
 				code, _ := r.Get("GET", c.Host+":7003", "/puffin/ready", "")
-				away.Store(c.Host+":7003", code != 200)
+				unready.Store(c.Host+":7003", code != 200)
 			})
 		}
 	})
-	callers.Skip = func(front string) bool {
-		off, _ := away.Load(front)
-		return off == true
+	callers.Skip = func(address string) bool {
+		skipped, _ := unready.Load(address)
+		return skipped == true
 	}
 	apps.Skip = callers.Skip
-	over := make(chan struct{}, 2)
-	r.g.Go("callers", func(context.Context) { callers.Run(r.S.Lines, long); over <- struct{}{} })
-	r.g.Go("apps", func(context.Context) { apps.Run(14, coord, long); over <- struct{}{} })
-	from := time.Now()
-	r.Play(plan, long)
-	<-over
-	<-over
-	took := time.Since(from)
-	_, fleet := r.Get("GET", r.Cores[0].Host+":7003", "/puffin/status", "")
-	whole := r.Whole()
-	late := r.Down()
-	return r.report(plan, took, apps, fleet, whole, late)
+	finished := make(chan struct{}, 2)
+	r.tasks.Go("callers", func(context.Context) { callers.Run(r.Shape.Lines, duration); finished <- struct{}{} })
+	r.tasks.Go("apps", func(context.Context) { apps.Run(14, coordinationRate, duration); finished <- struct{}{} })
+	begin := time.Now()
+	r.RunPlan(plan, duration)
+	<-finished
+	<-finished
+	took := time.Since(begin)
+	_, status := r.Get("GET", r.ControlMachines[0].Host+":7003", "/puffin/status", "")
+	converged := r.Converged()
+	stopFailures := r.Stop()
+	return r.report(plan, took, apps, status, converged, stopFailures)
 }
 
-func (r *Run) report(plan string, took time.Duration, apps *standin.Coord, fleet map[string]any, whole bool, late []string) bool {
-	p := func(form string, args ...any) { fmt.Fprintf(r.out, form+"\n", args...) }
-	bad, notes := r.Obs.Verdict()
-	good := len(late) == 0 && whole && len(r.missed) == 0
-	p("\n## plan %s, %.0f s", plan, took.Seconds())
-	p("\n| what must never happen | seen |\n| --- | --- |")
+func (r *Run) report(plan string, took time.Duration, apps *standin.Coord, status map[string]any, converged bool, stopFailures []string) bool {
+	print := func(format string, args ...any) { fmt.Fprintf(r.out, format+"\n", args...) }
+	violations, notes := r.Observer.Verdict()
+	passed := len(stopFailures) == 0 && converged && len(r.failures) == 0
+	print("\n## plan %s, %.0f s", plan, took.Seconds())
+	print("\n| what must never happen | seen |\n| --- | --- |")
 	for _, k := range append(append([]string(nil), standin.Kinds...), standin.CoordKinds...) {
-		p("| %s | %d |", k, bad[k])
-		good = good && bad[k] == 0
+		print("| %s | %d |", k, violations[k])
+		passed = passed && violations[k] == 0
 	}
-	for _, n := range notes {
-		p("    %s", n)
+	for _, note := range notes {
+		print("    %s", note)
 	}
-	for _, n := range r.missed {
-		p("not as it should: %s", n)
+	for _, failure := range r.failures {
+		print("not as it should: %s", failure)
 	}
-	for _, n := range late {
-		p("not a polite end: %s", n)
+	for _, failure := range stopFailures {
+		print("not a polite end: %s", failure)
 	}
-	p("\nall nodes ready and replicas whole at the end: %v", whole)
-	n := r.Obs.Counts()
-	p("\n| calls | done | busy, not run | unknown | no answer | runs |\n| --- | --- | --- | --- | --- | --- |")
-	p("| %d | %d | %d | %d | %d | %d |", n["calls"], n["done"], n["busy"], n["unknown"], n["no answer"], n["runs"])
-	p("\n| service | p50 ms | p90 ms | p99 ms |\n| --- | --- | --- | --- |")
-	room := 0.0
-	for _, s := range r.S.Services {
-		p("| %s | %.1f | %.1f | %.1f |", s, ms(r.Obs.Latency(s, 0.5)), ms(r.Obs.Latency(s, 0.9)), ms(r.Obs.Latency(s, 0.99)))
-		room += float64(r.Obs.Runs(s)) * r.S.Took[s].Seconds()
+	print("\nall nodes ready and replicas whole at the end: %v", converged)
+	counts := r.Observer.Counts()
+	print("\n| calls | done | busy, not run | unknown | no answer | runs |\n| --- | --- | --- | --- | --- | --- |")
+	print("| %d | %d | %d | %d | %d | %d |", counts["calls"], counts["done"], counts["busy"], counts["unknown"], counts["no answer"], counts["runs"])
+	print("\n| service | p50 ms | p90 ms | p99 ms |\n| --- | --- | --- | --- |")
+	busySeconds := 0.0
+	for _, s := range r.Shape.Services {
+		print("| %s | %.1f | %.1f | %.1f |", s, millis(r.Observer.Latency(s, 0.5)), millis(r.Observer.Latency(s, 0.9)), millis(r.Observer.Latency(s, 0.99)))
+		busySeconds += float64(r.Observer.Runs(s)) * r.Shape.Took[s].Seconds()
 	}
-	near, done, away := 0.0, 0.0, 0.0
+	sameZone, done, bytesBetweenZones := 0.0, 0.0, 0.0
 	for _, kind := range []string{"proxies", "registries"} {
-		list, _ := fleet[kind].([]any)
-		for _, one := range list {
-			m, _ := one.(map[string]any)
-			b, _ := m["bytes_sent_to_other_areas"].(float64)
-			away += b
-			c, _ := m["jobs"].(map[string]any)
-			x, _ := c["Near"].(float64)
-			y, _ := c["Done"].(float64)
-			near, done = near+x, done+y
+		list, _ := status[kind].([]any)
+		for _, entry := range list {
+			process, _ := entry.(map[string]any)
+			bytes, _ := process["bytes_sent_to_other_areas"].(float64)
+			bytesBetweenZones += bytes
+			requests, _ := process["jobs"].(map[string]any)
+			sameZoneDone, _ := requests["Near"].(float64)
+			requestsDone, _ := requests["Done"].(float64)
+			sameZone, done = sameZone+sameZoneDone, done+requestsDone
 		}
 	}
 	if done > 0 {
-		p("\nshare of jobs done by a worker of the front's own area: %.3f", near/done)
-		p("bytes between areas for each job, proxies and registries: %.0f", away/done)
+		print("\nshare of jobs done by a worker of the front's own area: %.3f", sameZone/done)
+		print("bytes between areas for each job, proxies and registries: %.0f", bytesBetweenZones/done)
 	}
-	p("room used, middle time × runs over slots × time: %.3f", room/(float64(r.S.Slots*len(r.Nodes))*took.Seconds()))
+	print("room used, middle time × runs over slots × time: %.3f", busySeconds/(float64(r.Shape.Slots*len(r.Nodes))*took.Seconds()))
 	cpu := map[string]time.Duration{}
-	for _, x := range r.Nodes {
-		cpu["proxy"] += x.Proxy.CPU()
+	for _, node := range r.Nodes {
+		cpu["proxy"] += node.Proxy.CPU()
 	}
-	for _, c := range r.Cores {
-		cpu["registry"] += c.Registry.CPU()
-		cpu["store"] += c.Store.CPU()
+	for _, machine := range r.ControlMachines {
+		cpu["registry"] += machine.Registry.CPU()
+		cpu["store"] += machine.Store.CPU()
 	}
 	for _, k := range []string{"proxy", "registry", "store"} {
-		p("processor time of all %s processes: %.2f s (%.2f ms for each job done)", k, cpu[k].Seconds(), ms(cpu[k])/float64(max(n["done"], 1)))
+		print("processor time of all %s processes: %.2f s (%.2f ms for each job done)", k, cpu[k].Seconds(), millis(cpu[k])/float64(max(counts["done"], 1)))
 	}
 	var names []string
 	for k := range apps.Done {
 		names = append(names, k)
 	}
 	sort.Strings(names)
-	p("\n| coordination call and status | count |\n| --- | --- |")
+	print("\n| coordination call and status | count |\n| --- | --- |")
 	for _, k := range names {
-		p("| %s | %d |", k, apps.Done[k])
+		print("| %s | %d |", k, apps.Done[k])
 	}
-	if good {
-		p("\nno violation")
+	if passed {
+		print("\nno violation")
 	} else {
-		p("\nVIOLATION or an end that was not clean")
+		print("\nVIOLATION or an end that was not clean")
 	}
-	return good
+	return passed
 }
 
-func ms(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
+func millis(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
--- a/internal/fleetrun/soak/coretroubles.go
+++ b/internal/fleetrun/soak/coretroubles.go
@@ -25,8 +25,8 @@
 // fell kills both programs of a core machine.
 func (f *fleet) fell(c *core) {
 	f.unsettled(c, true, "killed "+c.name)
-	c.registry.End(syscall.SIGKILL, time.Second)
-	c.store.End(syscall.SIGKILL, time.Second)
+	c.registry.Stop(syscall.SIGKILL, time.Second)
+	c.store.Stop(syscall.SIGKILL, time.Second)
 }
 
 // back starts a core machine and lets it catch up.
--- a/internal/fleetrun/soak/fleet.go
+++ b/internal/fleetrun/soak/fleet.go
@@ -132,7 +132,7 @@
 		cmd.Env = append(os.Environ(), settingsVariable+"="+settings)
 		return cmd
 	}
-	p.Ended = func(_ *process.Process, code int) { f.blame("%s ended by itself with %d", name, code) }
+	p.OnUnexpectedExit = func(_ *process.Process, code int) { f.blame("%s ended by itself with %d", name, code) }
 	return p
 }
 
--- a/internal/fleetrun/soak/holdings.go
+++ b/internal/fleetrun/soak/holdings.go
@@ -33,7 +33,7 @@
 	out := holdings{}
 	links := linkSockets()
 	note := func(program string, p *process.Process, host string) {
-		h, was := look(p.ID(), links), out[program]
+		h, was := look(p.PID(), links), out[program]
 		if host != "" {
 			h.routines = routines(host)
 		}
--- a/internal/fleetrun/soak/nodetroubles.go
+++ b/internal/fleetrun/soak/nodetroubles.go
@@ -75,7 +75,7 @@
 		})
 	}
 	if when == 2 {
-		late, id := span(r, time.Millisecond, 4*time.Second), m.node.ID()
+		late, id := span(r, time.Millisecond, 4*time.Second), m.node.PID()
 		f.g.Go("told-again", func(context.Context) {
 			pause(late)
 			m.node.SignalTo(id, syscall.SIGTERM)
@@ -89,7 +89,7 @@
 }
 
 func (f *fleet) crash(m *machine, r *rand.Rand) {
-	m.node.End(syscall.SIGKILL, time.Second)
+	m.node.Stop(syscall.SIGKILL, time.Second)
 	pause(span(r, 50*time.Millisecond, time.Second))
 	f.startNode(m)
 }
--- a/internal/fleetrun/soak/stop.go
+++ b/internal/fleetrun/soak/stop.go
@@ -44,8 +44,8 @@
 // signals ends by the signal itself; nothing can have reached it, since it has no
 // ports yet.
 func (f *fleet) stop(p *process.Process) {
-	code, took := p.End(syscall.SIGTERM, f.wit.B.Grace+time.Second)
-	if code == endedBySignal && !p.Logged(hasPorts) {
+	code, took := p.Stop(syscall.SIGTERM, f.wit.B.Grace+time.Second)
+	if code == endedBySignal && !p.HasLogged(hasPorts) {
 		f.say("%s was told to end before it had begun", p.Name)
 		return
 	}
@@ -57,14 +57,14 @@
 // end kills what is left.
 func (f *fleet) end() {
 	for _, m := range f.machines {
-		m.node.End(syscall.SIGKILL, time.Second)
+		m.node.Stop(syscall.SIGKILL, time.Second)
 		if w := m.at(); w != nil {
 			w.Kill()
 		}
 	}
 	for _, c := range f.cores {
-		c.registry.End(syscall.SIGKILL, time.Second)
-		c.store.End(syscall.SIGKILL, time.Second)
+		c.registry.Stop(syscall.SIGKILL, time.Second)
+		c.store.Stop(syscall.SIGKILL, time.Second)
 	}
 	f.g.Cancel()
 	f.g.Stop()
--- a/internal/fleetrun/up.go
+++ b/internal/fleetrun/up.go
@@ -10,11 +10,11 @@
 	"puffincrank/internal/task"
 )
 
-// Up starts everything, puts the first configuration in force and waits until
-// every node is ready and knows every worker.
-func (r *Run) Up() error {
-	r.Mark("starting 3 core machines and %d nodes", len(r.Nodes))
-	for _, c := range r.Cores {
+// Start starts all processes, applies the first configuration and waits until every node
+// is ready and knows every worker.
+func (r *Run) Start() error {
+	r.Log("starting 3 core machines and %d nodes", len(r.Nodes))
+	for _, c := range r.ControlMachines {
 		if err := c.Store.Start(); err != nil {
 			return err
 		}
@@ -30,23 +30,23 @@
 			return err
 		}
 	}
-	if _, ok := r.Until(20*time.Second, func() bool { return r.Apply(r.Nodes[0].Host+":7003", 0, r.S.Doc) || r.version > 0 }); !ok {
+	if _, ok := r.WaitFor(20*time.Second, func() bool { return r.Apply(r.Nodes[0].Host+":7003", 0, r.Shape.Doc) || r.version > 0 }); !ok {
 		return fault.New(fault.Unknown, "the first configuration was not taken in time")
 	}
-	took, ok := r.Until(20*time.Second, r.Whole)
+	took, ok := r.WaitFor(20*time.Second, r.Converged)
 	if !ok {
 		return fault.New(fault.Unknown, "not every node became ready in time")
 	}
-	r.Mark("all ready %.2f s after the first configuration", took.Seconds())
+	r.Log("all ready %.2f s after the first configuration", took.Seconds())
 	return nil
 }
 
-// Apply sends a document and notes the acknowledged version.
-func (r *Run) Apply(at string, base uint64, doc string) bool {
-	code, got := r.Get("PUT", at, fmt.Sprintf("/puffin/config?based_on=%d&emergency=true", base), doc)
+// Apply sends a document and records the acknowledged version.
+func (r *Run) Apply(address string, baseVersion uint64, document string) bool {
+	code, got := r.Get("PUT", address, fmt.Sprintf("/puffin/config?based_on=%d&emergency=true", baseVersion), document)
 	v, _ := got["version"].(float64)
 	if code == 200 {
-		r.Obs.Acked(uint64(v))
+		r.Observer.Acked(uint64(v))
 	}
 	if code == 200 || code == 409 {
 		r.version = uint64(v)
@@ -54,22 +54,22 @@
 	return code == 200
 }
 
-// Whole tells that every node is ready and knows every worker.
-func (r *Run) Whole() bool {
+// Converged returns whether every node is ready and knows every worker.
+func (r *Run) Converged() bool {
 	for _, n := range r.Nodes {
 		if code, _ := r.Get("GET", n.Host+":7003", "/puffin/ready", ""); code != 200 {
 			return false
 		}
-		_, own := r.Get("GET", n.Host+":7003", "/puffin/own", "")
-		if live, _ := own["entries"].(float64); int(live) != len(r.Nodes) {
+		_, status := r.Get("GET", n.Host+":7003", "/puffin/own", "")
+		if entries, _ := status["entries"].(float64); int(entries) != len(r.Nodes) {
 			return false
 		}
 	}
 	return true
 }
 
-// Fronts lists the traffic addresses.
-func (r *Run) Fronts() []string {
+// IngressAddrs returns the addresses at which the proxies take requests of callers.
+func (r *Run) IngressAddrs() []string {
 	var out []string
 	for _, n := range r.Nodes {
 		out = append(out, n.Host+":8000")
@@ -77,10 +77,10 @@
 	return out
 }
 
-// Outers lists the outer addresses of all nodes.
-func (r *Run) Outers() []string {
+// APIAddrs returns the addresses of the HTTP API of all nodes.
+func (r *Run) APIAddrs() []string {
 	var out []string
-	for _, c := range r.Cores {
+	for _, c := range r.ControlMachines {
 		out = append(out, c.Host+":7003")
 	}
 	for _, n := range r.Nodes {
@@ -89,16 +89,16 @@
 	return out
 }
 
-// Down stops everything politely, proxies first, and tells who did not end
-// with code 0.
-func (r *Run) Down() []string {
-	var bad []string
-	end := func(all []*Proc) {
-		g := task.New(r.g.Context())
-		results := make(chan string, len(all))
-		for _, p := range all {
-			g.Go("end-process", func(context.Context) {
-				code, took := p.End(syscall.SIGTERM, 25*time.Second)
+// Stop shuts down all processes gracefully, proxies first, and returns a line for each
+// that did not exit with code 0.
+func (r *Run) Stop() []string {
+	var failures []string
+	stopAll := func(processes []*Process) {
+		tasks := task.New(r.tasks.Context())
+		results := make(chan string, len(processes))
+		for _, p := range processes {
+			tasks.Go("end-process", func(context.Context) {
+				code, took := p.Stop(syscall.SIGTERM, 25*time.Second)
 				if code != 0 {
 					results <- fmt.Sprintf("%s ended with %d after %v", p.Name, code, took.Round(time.Millisecond))
 				} else {
@@ -106,27 +106,27 @@
 				}
 			})
 		}
-		for range all {
+		for range processes {
 			if s := <-results; s != "" {
-				bad = append(bad, s)
+				failures = append(failures, s)
 			}
 		}
-		g.Stop()
+		tasks.Stop()
 	}
-	var proxies, regs, stores []*Proc
+	var proxies, registries, stores []*Process
 	for _, n := range r.Nodes {
 		proxies = append(proxies, n.Proxy)
 	}
-	for _, c := range r.Cores {
-		regs, stores = append(regs, c.Registry), append(stores, c.Store)
+	for _, c := range r.ControlMachines {
+		registries, stores = append(registries, c.Registry), append(stores, c.Store)
 	}
-	end(proxies)
+	stopAll(proxies)
 	for _, n := range r.Nodes {
 		if n.Worker != nil {
 			n.Worker.Kill()
 		}
 	}
-	end(regs)
-	end(stores)
-	return bad
+	stopAll(registries)
+	stopAll(stores)
+	return failures
 }
