--- a/cmd/soak/main.go
+++ b/cmd/soak/main.go
@@ -29,7 +29,7 @@
 func run() int {
 	// This program also runs as the processes of the cluster.
 	if len(os.Args) == 2 {
-		if code, ok := soak.Member(os.Args[1]); ok {
+		if code, ok := soak.RunProcess(os.Args[1]); ok {
 			return code
 		}
 	}
@@ -48,7 +48,7 @@
 		fmt.Fprintln(os.Stderr, "soak:", err, programErr)
 		return 2
 	}
-	ok, err := soak.Run(soak.Options{Seed: options.Seed, Size: options.Size, Long: time.Duration(options.Minutes * float64(time.Minute)), Dir: dir, Program: program, Net: options.AddressPrefix, Out: os.Stdout})
+	ok, err := soak.Run(soak.Options{Seed: options.Seed, Machines: options.Size, Duration: time.Duration(options.Minutes * float64(time.Minute)), Dir: dir, Program: program, AddressPrefix: options.AddressPrefix, Out: os.Stdout})
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "soak:", err)
 		return 2
--- a/internal/fleetrun/soak/coretroubles.go
+++ b/internal/fleetrun/soak/coretroubles.go
@@ -12,130 +12,136 @@
 	"puffincrank/internal/standin/actors"
 )
 
-// catchUp is how long a core machine counts as lost after its return.
-const catchUp = 4 * time.Second
+// catchUpTime is how long a control plane machine counts as lost after its restart.
+const catchUpTime = 4 * time.Second
 
-// one draws a core machine.
-func (f *fleet) one(r *rand.Rand) *core {
+// randomControlMachine draws a machine of the control plane.
+func (f *fleet) randomControlMachine(r *rand.Rand) *controlMachine {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.cores[r.IntN(len(f.cores))]
+	return f.controlMachines[r.IntN(len(f.controlMachines))]
 }
 
-// fell kills both programs of a core machine.
-func (f *fleet) fell(c *core) {
-	f.unsettled(c, true, "killed "+c.name)
-	c.registry.Stop(syscall.SIGKILL, time.Second)
-	c.store.Stop(syscall.SIGKILL, time.Second)
+// killBoth kills both programs of a control plane machine.
+func (f *fleet) killBoth(machine *controlMachine) {
+	f.recordControlChange(machine, true, "killed "+machine.name)
+	machine.registry.Stop(syscall.SIGKILL, time.Second)
+	machine.store.Stop(syscall.SIGKILL, time.Second)
 }
 
-// back starts a core machine and lets it catch up.
-func (f *fleet) back(c *core) {
-	f.startCore(c, false)
-	pause(catchUp)
+// startAndCatchUp starts a control plane machine and gives it time to catch up.
+func (f *fleet) startAndCatchUp(machine *controlMachine) {
+	f.startControlMachine(machine, false)
+	sleep(catchUpTime)
 }
 
-func (f *fleet) killCore(r *rand.Rand) {
-	c := f.one(r)
-	f.fell(c)
-	pause(span(r, 100*time.Millisecond, 2*time.Second))
-	f.back(c)
+func (f *fleet) killControlMachine(r *rand.Rand) {
+	machine := f.randomControlMachine(r)
+	f.killBoth(machine)
+	sleep(randomDuration(r, 100*time.Millisecond, 2*time.Second))
+	f.startAndCatchUp(machine)
 }
 
-func (f *fleet) stopCore(r *rand.Rand) {
-	c := f.one(r)
-	f.unsettled(c, true, "stopped "+c.name)
-	f.stopAll([]*process.Process{c.registry, c.store})
-	f.back(c)
+func (f *fleet) stopControlMachine(r *rand.Rand) {
+	machine := f.randomControlMachine(r)
+	f.recordControlChange(machine, true, "stopped "+machine.name)
+	f.stopAll([]*process.Process{machine.registry, machine.store})
+	f.startAndCatchUp(machine)
 }
 
-func (f *fleet) freezeCore(r *rand.Rand) {
-	c := f.one(r)
-	p := []*process.Process{c.store, c.registry}[r.IntN(2)]
-	f.unsettled(c, true, "frozen "+p.Name)
+func (f *fleet) pauseControlProcess(r *rand.Rand) {
+	machine := f.randomControlMachine(r)
+	p := []*process.Process{machine.store, machine.registry}[r.IntN(2)]
+	f.recordControlChange(machine, true, "frozen "+p.Name)
 	p.Signal(syscall.SIGSTOP)
-	pause(span(r, 300*time.Millisecond, 4*time.Second))
+	sleep(randomDuration(r, 300*time.Millisecond, 4*time.Second))
 	p.Signal(syscall.SIGCONT)
-	f.unsettled(c, false, "thawed "+p.Name)
-	pause(catchUp)
+	f.recordControlChange(machine, false, "thawed "+p.Name)
+	sleep(catchUpTime)
 }
 
-func (f *fleet) wipeCore(r *rand.Rand) {
-	c := f.one(r)
-	f.fell(c)
-	f.wipe(c)
-	pause(span(r, 100*time.Millisecond, time.Second))
-	f.back(c)
+func (f *fleet) wipeControlMachine(r *rand.Rand) {
+	machine := f.randomControlMachine(r)
+	f.killBoth(machine)
+	f.wipeStore(machine)
+	sleep(randomDuration(r, 100*time.Millisecond, time.Second))
+	f.startAndCatchUp(machine)
 }
 
-// replaceCore puts an empty machine at another address in a core machine's place.
-func (f *fleet) replaceCore(r *rand.Rand) {
-	old := f.one(r)
+// replaceControlMachine replaces a control plane machine with an empty one at another
+// address.
+func (f *fleet) replaceControlMachine(r *rand.Rand) {
+	old := f.randomControlMachine(r)
 	if r.IntN(2) == 0 {
-		f.unsettled(old, true, "stopped "+old.name)
+		f.recordControlChange(old, true, "stopped "+old.name)
 		f.stopAll([]*process.Process{old.registry, old.store})
 	} else {
-		f.fell(old)
+		f.killBoth(old)
 	}
 	f.mu.Lock()
-	fresh := f.newCore(old.area)
-	for i, c := range f.cores {
+	replacement := f.newControlMachine(old.zone)
+	for i, c := range f.controlMachines {
 		if c == old {
-			f.cores[i] = fresh
+			f.controlMachines[i] = replacement
 		}
 	}
 	f.mu.Unlock()
-	f.say("%s takes the place of %s", fresh.name, old.name)
-	f.back(fresh)
+	f.logf("%s takes the place of %s", replacement.name, old.name)
+	f.startAndCatchUp(replacement)
 }
 
-// killAllCore kills every process of the core at once; all come back with their disks.
-func (f *fleet) killAllCore(*rand.Rand) {
+// killControlPlane kills all processes of the control plane and starts them again with
+// their data.
+func (f *fleet) killControlPlane(*rand.Rand) {
 	f.mu.Lock()
-	all := append([]*core(nil), f.cores...)
+	machines := append([]*controlMachine(nil), f.controlMachines...)
 	f.mu.Unlock()
-	for _, c := range all {
-		f.fell(c)
+	for _, c := range machines {
+		f.killBoth(c)
 	}
-	for _, c := range all {
-		f.startCore(c, false)
+	for _, c := range machines {
+		f.startControlMachine(c, false)
 	}
-	pause(catchUp)
+	sleep(catchUpTime)
 }
 
-// next makes the draft of a change; numbers climb in uneven steps.
-func (f *fleet) next(r *rand.Rand) *actors.Draft {
+// nextDraft returns the draft of the next change. Its version number rises by a random step
+// and the timeout of one of its routes changes by up to 10 %.
+func (f *fleet) nextDraft(r *rand.Rand) *actors.Draft {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	d := f.draft.Copy()
-	d.Number += 1 + uint64(r.IntN(5))
-	f.draft = d
-	w := &d.Ways[r.IntN(len(d.Ways))]
-	w.Left = w.Left * time.Duration(90+r.IntN(21)) / 100
-	return d
+	draft := f.draft.Copy()
+	draft.Number += 1 + uint64(r.IntN(5))
+	f.draft = draft
+	route := &draft.Ways[r.IntN(len(draft.Ways))]
+	route.Left = route.Left * time.Duration(90+r.IntN(21)) / 100
+	return draft
 }
 
-func (f *fleet) change(r *rand.Rand) { f.op.Send(f.g.Context(), f.next(r), "", "") }
+func (f *fleet) changeConfig(r *rand.Rand) {
+	f.operator.Send(f.tasks.Context(), f.nextDraft(r), "", "")
+}
 
-// changes sends one change after the other.
-func (f *fleet) changes(r *rand.Rand) {
+// changeConfigRepeatedly sends a series of changes one after another.
+func (f *fleet) changeConfigRepeatedly(r *rand.Rand) {
 	for range 5 + r.IntN(20) {
-		f.change(r)
-		pause(span(r, time.Millisecond, 150*time.Millisecond))
+		f.changeConfig(r)
+		sleep(randomDuration(r, time.Millisecond, 150*time.Millisecond))
 	}
 }
 
-func (f *fleet) race(r *rand.Rand) {
-	one, two := f.next(r), f.next(r)
-	over := make(chan struct{})
-	f.g.Go("race", func(ctx context.Context) { f.op.Send(ctx, one, "", ""); close(over) })
-	f.op.Send(f.g.Context(), two, "", "")
-	<-over
+// changeConfigConcurrently sends two changes at the same time.
+func (f *fleet) changeConfigConcurrently(r *rand.Rand) {
+	first, second := f.nextDraft(r), f.nextDraft(r)
+	firstDone := make(chan struct{})
+	f.tasks.Go("race", func(ctx context.Context) { f.operator.Send(ctx, first, "", ""); close(firstDone) })
+	f.operator.Send(f.tasks.Context(), second, "", "")
+	<-firstDone
 }
 
-// wipe empties a store's folder.
-func (f *fleet) wipe(c *core) {
-	if err := os.RemoveAll(filepath.Join(f.o.Dir, c.name+".store.data")); err != nil {
-		f.blame("the disk of %s could not be wiped: %v", c.name, err)
+// wipeStore removes the data of a store.
+func (f *fleet) wipeStore(machine *controlMachine) {
+	if err := os.RemoveAll(filepath.Join(f.options.Dir, machine.name+".store.data")); err != nil {
+		f.reportViolation("the disk of %s could not be wiped: %v", machine.name, err)
 	}
 }
--- a/internal/fleetrun/soak/fleet.go
+++ b/internal/fleetrun/soak/fleet.go
@@ -1,9 +1,9 @@
-// Package soak runs a mesh of real processes on loopback addresses for minutes:
-// callers keep their connections until a process is gone, and leave in the middle;
-// workers leave, come back, crash and turn slow; processes are stopped, killed,
-// frozen and told to read their settings again, in series and overlapping, while the
-// configuration changes and core machines are replaced. All that is seen is judged
-// by the witness of the simulated days, and what processes hold by the kernel's count.
+// Package soak runs a cluster of real processes on loopback addresses for minutes. Callers
+// keep connections until a process ends, and abandon requests. Workers leave, return, crash
+// and slow down. Processes are stopped, killed, paused and told to reload their settings, in
+// series and overlapping, while the configuration changes and control plane machines are
+// replaced. The checker of the simulated runs judges the observations; the resources that
+// processes hold are read from the kernel.
 package soak
 
 import (
@@ -27,158 +27,158 @@
 	"puffincrank/internal/task"
 )
 
-// Options say what a soak is.
+// Options are the parameters of a soak run.
 type Options struct {
-	Seed    uint64
-	Size    int           // machines with a node and a worker
-	Long    time.Duration // how long the troubles last
-	Dir     string        // for settings, logs and data
-	Program string        // this program, which runs the members as well
-	Net     string        // what all addresses begin with, such as 127.0
-	Out     io.Writer
+	Seed          uint64
+	Machines      int           // number of machines with a proxy and a worker
+	Duration      time.Duration // how long disruptions are started
+	Dir           string        // folder for settings, logs and data
+	Program       string        // this program, which also runs the processes of the cluster
+	AddressPrefix string        // the first two numbers of all addresses, such as 127.0
+	Out           io.Writer
 }
 
-// machine has a node, the worker beside it and its callers.
+// machine has a proxy, the worker beside it and its callers.
 type machine struct {
-	name, host, area, service string
+	name, host, zone, service string
 	number                    int
-	node                      *process.Process
+	proxy                     *process.Process
 	client                    *actors.Client
 	mu                        sync.Mutex
 	worker                    *actors.Worker
-	births                    int
-	misses                    int // looks at its readiness in a row that failed
+	workerStarts              int
+	failedChecks              int // consecutive readiness checks that failed
 	busy                      bool
 }
 
-// core is a machine of the core.
-type core struct {
-	name, host, area string
+// controlMachine is a machine of the control plane.
+type controlMachine struct {
+	name, host, zone string
 	store, registry  *process.Process
 	down             bool
 }
 
-// fleet is a whole run.
+// fleet is the state of one soak run.
 type fleet struct {
-	o        Options
-	g        *task.Group
-	wit      *checker.Witness
-	lines    []*actors.Line
-	op       *actors.Operator
-	apps     *actors.Apps
-	machines []*machine
-	mu       sync.Mutex
-	cores    []*core
-	born     int // core machines so far
-	draft    *actors.Draft
-	traffic  atomic.Bool
-	press    atomic.Int64 // the load in percent
-	stalls   atomic.Int64
-	began    time.Time
-	wrong    []string // what must not be, besides the witness's counts
-	minority func()
+	options                Options
+	tasks                  *task.Group
+	witness                *checker.Witness
+	lines                  []*actors.Line
+	operator               *actors.Operator
+	apps                   *actors.Apps
+	machines               []*machine
+	mu                     sync.Mutex
+	controlMachines        []*controlMachine
+	controlMachinesCreated int // control plane machines created so far
+	draft                  *actors.Draft
+	traffic                atomic.Bool
+	loadPercent            atomic.Int64 // the load in percent of the configured rates
+	stalls                 atomic.Int64
+	began                  time.Time
+	violations             []string // violations that are not among the witness's counts
+	endMinority            func()
 }
 
-var areas = []string{"north", "middle", "south"}
+var zones = []string{"north", "middle", "south"}
 
-// coreSize is how many core machines there are; one may be lost.
-const coreSize = 3
+// controlMachineCount is the size of the control plane; the loss of one is tolerated.
+const controlMachineCount = 3
 
-func newFleet(o Options) *fleet {
-	f := &fleet{o: o, g: task.New(context.Background()), wit: checker.New(bounds(o.Size)), lines: lines(o.Size), began: time.Now()}
-	f.press.Store(100)
-	for range coreSize {
-		f.cores = append(f.cores, f.newCore(areas[len(f.cores)%len(areas)]))
+func newFleet(options Options) *fleet {
+	f := &fleet{options: options, tasks: task.New(context.Background()), witness: checker.New(bounds(options.Machines)), lines: requestLines(options.Machines), began: time.Now()}
+	f.loadPercent.Store(100)
+	for range controlMachineCount {
+		f.controlMachines = append(f.controlMachines, f.newControlMachine(zones[len(f.controlMachines)%len(zones)]))
 	}
-	e := quiet("outside")
-	f.op = actors.NewOperator(e, f.control, f.wit, o.Seed+1)
-	f.apps = actors.NewApps(e, f.control, f.wit, f.g, o.Seed+2)
-	f.draft = firstDraft(f.lines)
-	for i := range o.Size {
+	environment := silentEnv("outside")
+	f.operator = actors.NewOperator(environment, f.controlAPIAddrs, f.witness, options.Seed+1)
+	f.apps = actors.NewApps(environment, f.controlAPIAddrs, f.witness, f.tasks, options.Seed+2)
+	f.draft = initialDraft(f.lines)
+	for i := range options.Machines {
 		f.machines = append(f.machines, f.newMachine(i))
 	}
 	return f
 }
 
-// quiet is the machine's own network for a stand-in, which logs nothing.
-func quiet(name string) env.Env {
+// silentEnv returns a real environment without a log, for simulated actors.
+func silentEnv(name string) env.Env {
 	e := env.Real(name)
 	e.Log = event.New(name, nil)
 	return e
 }
 
-func (f *fleet) newCore(area string) *core {
-	f.born++
-	c := &core{name: fmt.Sprint("core", f.born), host: fmt.Sprintf("%s.1.%d", f.o.Net, f.born), area: area}
-	c.store = f.member("store", c.name+".store")
-	c.registry = f.member("registry", c.name)
+func (f *fleet) newControlMachine(zone string) *controlMachine {
+	f.controlMachinesCreated++
+	c := &controlMachine{name: fmt.Sprint("core", f.controlMachinesCreated), host: fmt.Sprintf("%s.1.%d", f.options.AddressPrefix, f.controlMachinesCreated), zone: zone}
+	c.store = f.newProcess("store", c.name+".store")
+	c.registry = f.newProcess("registry", c.name)
 	return c
 }
 
 func (f *fleet) newMachine(i int) *machine {
-	m := &machine{name: fmt.Sprint("m", i+1), number: i + 1, host: fmt.Sprintf("%s.%d.%d", f.o.Net, 2+i/250, 1+i%250), area: areas[i%len(areas)], service: serviceOf(i)}
-	m.node = f.member("proxy", m.name)
-	m.client = actors.NewClient(quiet(m.name), actors.Plain, m.host+":8000", m.name, fmt.Sprint("c", m.number, "-"), f.wit, f.g, f.o.Seed*1000+uint64(i))
-	f.wit.Serves(m.name, m.service)
+	m := &machine{name: fmt.Sprint("m", i+1), number: i + 1, host: fmt.Sprintf("%s.%d.%d", f.options.AddressPrefix, 2+i/250, 1+i%250), zone: zones[i%len(zones)], service: serviceOf(i)}
+	m.proxy = f.newProcess("proxy", m.name)
+	m.client = actors.NewClient(silentEnv(m.name), actors.Plain, m.host+":8000", m.name, fmt.Sprint("c", m.number, "-"), f.witness, f.tasks, f.options.Seed*1000+uint64(i))
+	f.witness.Serves(m.name, m.service)
 	return m
 }
 
-// member is a process of the mesh.
-func (f *fleet) member(program, name string) *process.Process {
-	settings := filepath.Join(f.o.Dir, name+".json")
-	p := &process.Process{Name: name, Log: filepath.Join(f.o.Dir, name+".log")}
+// newProcess prepares a process of the cluster.
+func (f *fleet) newProcess(program, name string) *process.Process {
+	settings := filepath.Join(f.options.Dir, name+".json")
+	p := &process.Process{Name: name, Log: filepath.Join(f.options.Dir, name+".log")}
 	p.Command = func() *exec.Cmd {
-		cmd := exec.Command(f.o.Program, program)
-		cmd.Env = append(os.Environ(), settingsVariable+"="+settings)
+		cmd := exec.Command(f.options.Program, program)
+		cmd.Env = append(os.Environ(), settingsEnvVar+"="+settings)
 		return cmd
 	}
-	p.OnUnexpectedExit = func(_ *process.Process, code int) { f.blame("%s ended by itself with %d", name, code) }
+	p.OnUnexpectedExit = func(_ *process.Process, code int) { f.reportViolation("%s ended by itself with %d", name, code) }
 	return p
 }
 
-// blame notes what must not be.
-func (f *fleet) blame(form string, args ...any) {
-	line := fmt.Sprintf(form, args...)
+// reportViolation records and prints a violation.
+func (f *fleet) reportViolation(format string, args ...any) {
+	line := fmt.Sprintf(format, args...)
 	f.mu.Lock()
-	f.wrong = append(f.wrong, line)
+	f.violations = append(f.violations, line)
 	f.mu.Unlock()
-	f.say("WRONG: %s", line)
+	f.logf("WRONG: %s", line)
 }
 
-// say prints a step with its time.
-func (f *fleet) say(form string, args ...any) {
-	fmt.Fprintf(f.o.Out, "%7.2f s  %s\n", time.Since(f.began).Seconds(), fmt.Sprintf(form, args...))
+// logf prints a step with its time.
+func (f *fleet) logf(format string, args ...any) {
+	fmt.Fprintf(f.options.Out, "%7.2f s  %s\n", time.Since(f.began).Seconds(), fmt.Sprintf(format, args...))
 }
 
-// control lists the outer addresses of the control nodes.
-func (f *fleet) control() []string { return f.seeds(7003) }
+// controlAPIAddrs returns the API addresses of the control plane.
+func (f *fleet) controlAPIAddrs() []string { return f.controlAddrs(7003) }
 
-// seeds gives a port on each core machine.
-func (f *fleet) seeds(port int) []string {
+// controlAddrs returns the address of a port on each control plane machine.
+func (f *fleet) controlAddrs(port int) []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var out []string
-	for _, c := range f.cores {
+	for _, c := range f.controlMachines {
 		out = append(out, fmt.Sprintf("%s:%d", c.host, port))
 	}
 	return out
 }
 
-// until waits for a state; false means that the bound was over before.
-func until(bound time.Duration, ok func() bool) bool {
-	for from := time.Now(); !ok(); pause(50 * time.Millisecond) {
-		if time.Since(from) > bound {
+// waitFor polls a condition; it returns false if the timeout expired first.
+func waitFor(timeout time.Duration, condition func() bool) bool {
+	for begin := time.Now(); !condition(); sleep(50 * time.Millisecond) {
+		if time.Since(begin) > timeout {
 			return false
 		}
 	}
 	return true
 }
 
-func pause(d time.Duration) { task.Sleep(context.Background(), d) }
+func sleep(d time.Duration) { task.Sleep(context.Background(), d) }
 
-// span draws a time.
-func span(r *rand.Rand, least, more time.Duration) time.Duration {
-	return least + time.Duration(r.Int64N(int64(more)))
+// randomDuration draws a time of at least least and less than least+spread.
+func randomDuration(r *rand.Rand, least, spread time.Duration) time.Duration {
+	return least + time.Duration(r.Int64N(int64(spread)))
 }
 
-var errNotUp = fault.New(fault.Unknown, "not every node became ready in time")
+var errNotReady = fault.New(fault.Unknown, "not every node became ready in time")
--- a/internal/fleetrun/soak/holdings.go
+++ b/internal/fleetrun/soak/holdings.go
@@ -15,125 +15,127 @@
 	"puffincrank/internal/standin/actors"
 )
 
-// programs are the kinds of processes.
+// programs are the programs of the product.
 var programs = []string{"proxy", "registry", "store"}
 
-// holding is what a process holds.
-type holding struct {
-	files           int // descriptors besides links
-	links, routines int
-	memory          int64 // bytes that are resident
+// resourceUsage counts the resources that a process holds.
+type resourceUsage struct {
+	files             int // file descriptors except those of links
+	links, goroutines int
+	memory            int64 // resident memory in bytes
 }
 
-// holdings is the most that any process of each program holds.
-type holdings map[string]holding
+// usageByProgram has the maximum of each resource over all processes of a program.
+type usageByProgram map[string]resourceUsage
 
-// holdings looks at all processes.
-func (f *fleet) holdings() holdings {
-	out := holdings{}
+// peakUsage reads the resource usage of all processes.
+func (f *fleet) peakUsage() usageByProgram {
+	out := usageByProgram{}
 	links := linkSockets()
-	note := func(program string, p *process.Process, host string) {
-		h, was := look(p.PID(), links), out[program]
+	record := func(program string, p *process.Process, host string) {
+		usage, previous := processUsage(p.PID(), links), out[program]
 		if host != "" {
-			h.routines = routines(host)
+			usage.goroutines = fetchGoroutines(host)
 		}
-		out[program] = holding{max(h.files, was.files), max(h.links, was.links), max(h.routines, was.routines), max(h.memory, was.memory)}
+		out[program] = resourceUsage{max(usage.files, previous.files), max(usage.links, previous.links), max(usage.goroutines, previous.goroutines), max(usage.memory, previous.memory)}
 	}
 	for _, m := range f.machines {
-		note("proxy", m.node, m.host)
+		record("proxy", m.proxy, m.host)
 	}
-	for _, c := range f.cores {
-		note("registry", c.registry, "")
-		note("store", c.store, "")
+	for _, c := range f.controlMachines {
+		record("registry", c.registry, "")
+		record("store", c.store, "")
 	}
 	return out
 }
 
-// look counts what the kernel says of a process; descriptors of links are apart.
-func look(id int, links map[string]bool) (h holding) {
-	folder := fmt.Sprintf("/proc/%d/fd", id)
-	list, _ := os.ReadDir(folder)
-	for _, one := range list {
-		to, _ := os.Readlink(filepath.Join(folder, one.Name()))
-		if links[to] {
-			h.links++
+// processUsage reads a process's usage from the kernel; descriptors of links are counted
+// separately.
+func processUsage(pid int, links map[string]bool) (usage resourceUsage) {
+	folder := fmt.Sprintf("/proc/%d/fd", pid)
+	entries, _ := os.ReadDir(folder)
+	for _, entry := range entries {
+		target, _ := os.Readlink(filepath.Join(folder, entry.Name()))
+		if links[target] {
+			usage.links++
 		} else {
-			h.files++
+			usage.files++
 		}
 	}
-	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/statm", id))
-	if fields := strings.Fields(string(raw)); err == nil && len(fields) > 1 {
+	statm, err := os.ReadFile(fmt.Sprintf("/proc/%d/statm", pid))
+	if fields := strings.Fields(string(statm)); err == nil && len(fields) > 1 {
 		pages, _ := strconv.ParseInt(fields[1], 10, 64)
-		h.memory = pages * int64(os.Getpagesize())
+		usage.memory = pages * int64(os.Getpagesize())
 	}
-	return h
+	return usage
 }
 
-// linkSockets names the sockets of links between processes of the mesh: those with an
-// inner port at either end, but for the ones that listen.
+// linkSockets returns the names of the sockets of links between processes of the cluster:
+// those with an internal port at either end, except listening ones.
 func linkSockets() map[string]bool {
 	out := map[string]bool{}
-	raw, _ := os.ReadFile("/proc/net/tcp")
-	for _, line := range strings.Split(string(raw), "\n")[1:] {
+	table, _ := os.ReadFile("/proc/net/tcp")
+	for _, line := range strings.Split(string(table), "\n")[1:] {
 		fields := strings.Fields(line)
-		if len(fields) > inodeField && fields[stateField] != listening && (innerPort(fields[1]) || innerPort(fields[2])) {
+		if len(fields) > inodeField && fields[stateField] != listenState && (hasInternalPort(fields[1]) || hasInternalPort(fields[2])) {
 			out["socket:["+fields[inodeField]+"]"] = true
 		}
 	}
 	return out
 }
 
-// The fields of a line of /proc/net/tcp.
+// Field indexes of a line of /proc/net/tcp, and the state of a listening socket.
 const (
-	stateField = 3
-	inodeField = 9
-	listening  = "0A"
+	stateField  = 3
+	inodeField  = 9
+	listenState = "0A"
 )
 
-// innerPort tells whether an address of /proc/net/tcp has an inner port of the mesh.
-func innerPort(addr string) bool {
+// hasInternalPort returns whether an address of /proc/net/tcp has an internal port of the
+// cluster.
+func hasInternalPort(addr string) bool {
 	_, port, _ := strings.Cut(addr, ":")
 	n, err := strconv.ParseUint(port, 16, 16)
 	return err == nil && (n == 7001 || n == 7002)
 }
 
-// routines asks a node for its goroutines.
-func routines(host string) int {
-	_, raw := actors.Ask(context.Background(), quiet("look").Net, http.MethodGet, host+":7003", "/puffin/own", nil, time.Second)
-	var own struct {
+// fetchGoroutines requests the number of goroutines of a proxy.
+func fetchGoroutines(host string) int {
+	_, raw := actors.Ask(context.Background(), silentEnv("look").Net, http.MethodGet, host+":7003", "/puffin/own", nil, time.Second)
+	var status struct {
 		Goroutines int `json:"goroutines"`
 	}
-	_ = json.Unmarshal(raw, &own)
-	return own.Goroutines
+	_ = json.Unmarshal(raw, &status)
+	return status.Goroutines
 }
 
-// What a process may hold after all has come to rest, against the most that one of
-// its program held before the load: what it has learned may be more. Links are apart:
-// a process keeps one that it dialed to each other and one that each other dialed.
+// Limits for the resources of an idle process after the load, relative to the maximum of
+// its program before the load; state learned under load may take more. Links have a limit
+// of their own: a process keeps one link that it dialed and one that it accepted per peer.
 const (
-	moreTimes    = 2
-	moreFiles    = 40
-	moreRoutines = 100
-	moreMemory   = 100 << 20
-	linksToEach  = 2
-	moreLinks    = 10
+	maxGrowthFactor = 2
+	extraFiles      = 40
+	extraGoroutines = 100
+	extraMemory     = 100 << 20
+	linksPerPeer    = 2
+	extraLinks      = 10
 )
 
-// compare blames what did not come back.
-func (f *fleet) compare(before, after holdings) {
+// compareUsage reports resources that were not released.
+func (f *fleet) compareUsage(before, after usageByProgram) {
 	for _, program := range programs {
 		a, b := before[program], after[program]
-		if b.files > moreTimes*a.files+moreFiles {
-			f.blame("%d descriptors of a %s did not come back to %d", b.files, program, a.files)
+		if b.files > maxGrowthFactor*a.files+extraFiles {
+			f.reportViolation("%d descriptors of a %s did not come back to %d", b.files, program, a.files)
 		}
-		if most := linksToEach*(len(f.machines)+2*len(f.cores)) + moreLinks; b.links > most {
-			f.blame("%d links of a %s, of %d that there may be", b.links, program, most)
+		if limit := linksPerPeer*(len(f.machines)+2*len(f.controlMachines)) + extraLinks; b.links > limit {
+			f.reportViolation("%d links of a %s, of %d that there may be", b.links, program, limit)
 		}
-		if b.routines > moreTimes*a.routines+moreRoutines {
-			f.blame("%d goroutines of a %s did not come back to %d", b.routines, program, a.routines)
+		if b.goroutines > maxGrowthFactor*a.goroutines+extraGoroutines {
+			f.reportViolation("%d goroutines of a %s did not come back to %d", b.goroutines, program, a.goroutines)
 		}
-		if b.memory > moreTimes*a.memory+moreMemory {
-			f.blame("%d MB of a %s did not come back to %d", b.memory>>20, program, a.memory>>20)
+		if b.memory > maxGrowthFactor*a.memory+extraMemory {
+			f.reportViolation("%d MB of a %s did not come back to %d", b.memory>>20, program, a.memory>>20)
 		}
 	}
 }
--- a/internal/fleetrun/soak/member.go
+++ b/internal/fleetrun/soak/member.go
@@ -13,13 +13,13 @@
 	"puffincrank/internal/store"
 )
 
-// settingsVariable names the settings file of a member.
-const settingsVariable = "SOAK_SETTINGS"
+// settingsEnvVar holds the path of the settings file of a process.
+const settingsEnvVar = "SOAK_SETTINGS"
 
-// Member runs this process as one of the mesh: the product's own program, from its
-// settings file to its exit code, in the tongue of the stand-ins. False means that
-// there is no such program.
-func Member(program string) (code int, ok bool) {
+// RunProcess runs this process as a program of the product, from its settings file to its
+// exit code, with the dialect of the simulated actors. It returns false if there is no such
+// program.
+func RunProcess(program string) (code int, ok bool) {
 	build := map[string]func(settings.Settings, env.Env) (lifecycle.Program, error){
 		"proxy":    func(p settings.Settings, e env.Env) (lifecycle.Program, error) { return proxy.New(p, e), nil },
 		"registry": func(p settings.Settings, e env.Env) (lifecycle.Program, error) { return registry.New(p, e), nil },
@@ -28,15 +28,15 @@
 	if build == nil {
 		return 0, false
 	}
-	site := lifecycle.Site{Settings: readSettings, File: func() string { return os.Getenv(settingsVariable) }, Dialect: actors.Plain}
+	site := lifecycle.Site{Settings: readSettings, File: func() string { return os.Getenv(settingsEnvVar) }, Dialect: actors.Plain}
 	return lifecycle.Main(program, []string{"--site"}, site, build), true
 }
 
 func readSettings(string) (map[string]any, error) {
-	raw, err := os.ReadFile(os.Getenv(settingsVariable))
+	content, err := os.ReadFile(os.Getenv(settingsEnvVar))
 	if err != nil {
 		return nil, err
 	}
-	var in map[string]any
-	return in, json.Unmarshal(raw, &in)
+	var values map[string]any
+	return values, json.Unmarshal(content, &values)
 }
--- a/internal/fleetrun/soak/nodetroubles.go
+++ b/internal/fleetrun/soak/nodetroubles.go
@@ -10,157 +10,159 @@
 	"puffincrank/internal/standin/checker"
 )
 
-// stopNode stops a node in order and starts it again.
-func (f *fleet) stopNode(m *machine, r *rand.Rand) {
-	f.wit.Term(m.name)
-	f.stop(m.node)
-	pause(span(r, time.Millisecond, 400*time.Millisecond))
-	f.startNode(m)
+// restartProxy shuts down a proxy gracefully and starts it again.
+func (f *fleet) restartProxy(m *machine, r *rand.Rand) {
+	f.witness.Term(m.name)
+	f.stopGracefully(m.proxy)
+	sleep(randomDuration(r, time.Millisecond, 400*time.Millisecond))
+	f.startProxy(m)
 }
 
-func (f *fleet) roll(r *rand.Rand) {
+// restartInTurn restarts up to three proxies one after another.
+func (f *fleet) restartInTurn(r *rand.Rand) {
 	for range 1 + r.IntN(3) {
-		f.with(r, checker.Planned+"roll", func(m *machine) { f.stopNode(m, r) })
-		pause(span(r, time.Millisecond, 500*time.Millisecond))
+		f.withMachine(r, checker.Planned+"roll", func(m *machine) { f.restartProxy(m, r) })
+		sleep(randomDuration(r, time.Millisecond, 500*time.Millisecond))
 	}
 }
 
-// rollAtOnce stops several nodes whose stops overlap, some told to read their settings
-// right before or meanwhile.
-func (f *fleet) rollAtOnce(r *rand.Rand) {
-	var over sync.WaitGroup
+// restartTogether restarts several proxies whose shutdowns overlap. Some get a signal to
+// reload their settings right before or during the shutdown.
+func (f *fleet) restartTogether(r *rand.Rand) {
+	var restarts sync.WaitGroup
 	for range 2 + r.IntN(1+len(f.machines)/6) {
-		own := rand.New(rand.NewPCG(r.Uint64(), 94))
-		over.Add(1)
-		f.g.Go("roll-at-once", func(context.Context) {
-			defer over.Done()
-			f.with(own, checker.Planned+"roll", func(m *machine) { f.stopBesideSettings(m, own) })
+		random := rand.New(rand.NewPCG(r.Uint64(), 94))
+		restarts.Add(1)
+		f.tasks.Go("roll-at-once", func(context.Context) {
+			defer restarts.Done()
+			f.withMachine(random, checker.Planned+"roll", func(m *machine) { f.restartWithSignals(m, random) })
 		})
-		pause(span(r, time.Millisecond, 700*time.Millisecond))
+		sleep(randomDuration(r, time.Millisecond, 700*time.Millisecond))
 	}
-	over.Wait()
+	restarts.Wait()
 }
 
-// rollInSteps stops one node after the other, each a step after the one before it is
-// told to end: where a request came and where it is at work both end, one a step or
-// several after the other.
-func (f *fleet) rollInSteps(r *rand.Rand) {
-	var over sync.WaitGroup
-	step := span(r, 700*time.Millisecond, 1300*time.Millisecond)
+// restartInSteps restarts several proxies, each one step after the stop signal to the one
+// before it. So the ingress proxy of a request and the proxy beside its worker both shut
+// down, one or more steps apart.
+func (f *fleet) restartInSteps(r *rand.Rand) {
+	var restarts sync.WaitGroup
+	step := randomDuration(r, 700*time.Millisecond, 1300*time.Millisecond)
 	for range 3 + r.IntN(1+len(f.machines)/3) {
-		own := rand.New(rand.NewPCG(r.Uint64(), 95))
-		over.Add(1)
-		f.g.Go("roll-in-steps", func(context.Context) {
-			defer over.Done()
-			f.with(own, checker.Planned+"roll", func(m *machine) { f.stopBesideSettings(m, own) })
+		random := rand.New(rand.NewPCG(r.Uint64(), 95))
+		restarts.Add(1)
+		f.tasks.Go("roll-in-steps", func(context.Context) {
+			defer restarts.Done()
+			f.withMachine(random, checker.Planned+"roll", func(m *machine) { f.restartWithSignals(m, random) })
 		})
-		pause(step)
+		sleep(step)
 	}
-	over.Wait()
+	restarts.Wait()
 }
 
-// stopBesideSettings stops a node that is told to read its settings before, meanwhile
-// or not at all, or to end once more.
-func (f *fleet) stopBesideSettings(m *machine, r *rand.Rand) {
-	when := r.IntN(4)
-	if when == 0 {
-		f.reread(m)
-		pause(span(r, time.Millisecond, 300*time.Millisecond))
+// restartWithSignals restarts a proxy. It may get a signal to reload its settings before or
+// during the shutdown, a second stop signal, or no other signal.
+func (f *fleet) restartWithSignals(m *machine, r *rand.Rand) {
+	choice := r.IntN(4)
+	if choice == 0 {
+		f.reloadSettings(m)
+		sleep(randomDuration(r, time.Millisecond, 300*time.Millisecond))
 	}
-	if when == 1 {
-		late := span(r, time.Millisecond, 2*time.Second)
-		f.g.Go("settings-in-stop", func(context.Context) {
-			pause(late)
-			m.node.Signal(syscall.SIGHUP)
+	if choice == 1 {
+		delay := randomDuration(r, time.Millisecond, 2*time.Second)
+		f.tasks.Go("settings-in-stop", func(context.Context) {
+			sleep(delay)
+			m.proxy.Signal(syscall.SIGHUP)
 		})
 	}
-	if when == 2 {
-		late, id := span(r, time.Millisecond, 4*time.Second), m.node.PID()
-		f.g.Go("told-again", func(context.Context) {
-			pause(late)
-			m.node.SignalTo(id, syscall.SIGTERM)
+	if choice == 2 {
+		delay, pid := randomDuration(r, time.Millisecond, 4*time.Second), m.proxy.PID()
+		f.tasks.Go("told-again", func(context.Context) {
+			sleep(delay)
+			m.proxy.SignalTo(pid, syscall.SIGTERM)
 		})
 	}
-	f.stopNode(m, r)
+	f.restartProxy(m, r)
 }
 
-func (f *fleet) killNode(r *rand.Rand) {
-	f.with(r, "killed", func(m *machine) { f.crash(m, r) })
+func (f *fleet) killProxy(r *rand.Rand) {
+	f.withMachine(r, "killed", func(m *machine) { f.killAndStart(m, r) })
 }
 
-func (f *fleet) crash(m *machine, r *rand.Rand) {
-	m.node.Stop(syscall.SIGKILL, time.Second)
-	pause(span(r, 50*time.Millisecond, time.Second))
-	f.startNode(m)
+func (f *fleet) killAndStart(m *machine, r *rand.Rand) {
+	m.proxy.Stop(syscall.SIGKILL, time.Second)
+	sleep(randomDuration(r, 50*time.Millisecond, time.Second))
+	f.startProxy(m)
 }
 
-func (f *fleet) freezeNode(r *rand.Rand) {
-	f.with(r, "frozen", func(m *machine) {
-		m.node.Signal(syscall.SIGSTOP)
-		pause(span(r, 100*time.Millisecond, 4*time.Second))
-		m.node.Signal(syscall.SIGCONT)
+func (f *fleet) pauseProxy(r *rand.Rand) {
+	f.withMachine(r, "frozen", func(m *machine) {
+		m.proxy.Signal(syscall.SIGSTOP)
+		sleep(randomDuration(r, 100*time.Millisecond, 4*time.Second))
+		m.proxy.Signal(syscall.SIGCONT)
 	})
 }
 
-func (f *fleet) freezeLeaving(r *rand.Rand) {
-	f.with(r, "frozen", func(m *machine) {
-		left := make(chan struct{})
-		m.node.Signal(syscall.SIGSTOP)
-		f.g.Go("leave", func(context.Context) { m.at().Leave(context.Background()); close(left) })
-		pause(span(r, 100*time.Millisecond, 3*time.Second))
-		m.node.Signal(syscall.SIGCONT)
-		<-left
+// pauseProxyWhileWorkerLeaves suspends a proxy while its worker deregisters.
+func (f *fleet) pauseProxyWhileWorkerLeaves(r *rand.Rand) {
+	f.withMachine(r, "frozen", func(m *machine) {
+		workerLeft := make(chan struct{})
+		m.proxy.Signal(syscall.SIGSTOP)
+		f.tasks.Go("leave", func(context.Context) { m.currentWorker().Leave(context.Background()); close(workerLeft) })
+		sleep(randomDuration(r, 100*time.Millisecond, 3*time.Second))
+		m.proxy.Signal(syscall.SIGCONT)
+		<-workerLeft
 		f.startWorker(m)
 	})
 }
 
-// hangup has nodes read their settings again, several times in a row; what they
-// read has other seeds where core machines were replaced.
-func (f *fleet) hangup(r *rand.Rand) {
+// reloadSettingsRepeatedly makes proxies reload their settings several times in a row. The
+// settings have other seeds if control plane machines were replaced.
+func (f *fleet) reloadSettingsRepeatedly(r *rand.Rand) {
 	for range 2 + r.IntN(4) {
-		f.with(r, "", func(m *machine) { f.reread(m) })
-		pause(span(r, time.Millisecond, 300*time.Millisecond))
+		f.withMachine(r, "", func(m *machine) { f.reloadSettings(m) })
+		sleep(randomDuration(r, time.Millisecond, 300*time.Millisecond))
 	}
 }
 
-func (f *fleet) reread(m *machine) {
-	if err := f.nodeSettings(m); err != nil {
-		f.blame("settings of %s: %v", m.name, err)
+func (f *fleet) reloadSettings(m *machine) {
+	if err := f.writeProxySettings(m); err != nil {
+		f.reportViolation("settings of %s: %v", m.name, err)
 	}
-	f.wit.Hup(m.name)
-	m.node.Signal(syscall.SIGHUP)
+	f.witness.Hup(m.name)
+	m.proxy.Signal(syscall.SIGHUP)
 }
 
-// barrage sends signals that overlap: it is told to read its settings, frozen and
-// told to end meanwhile, woken, and told once more.
-func (f *fleet) barrage(r *rand.Rand) {
-	f.with(r, "barrage", func(m *machine) {
-		f.reread(m)
-		m.node.Signal(syscall.SIGSTOP)
-		f.wit.Term(m.name)
-		m.node.Signal(syscall.SIGTERM)
-		pause(span(r, time.Millisecond, 800*time.Millisecond))
-		m.node.Signal(syscall.SIGCONT)
+// sendOverlappingSignals makes a proxy reload its settings, suspends it, sends it a stop
+// signal meanwhile, resumes it and sends more signals.
+func (f *fleet) sendOverlappingSignals(r *rand.Rand) {
+	f.withMachine(r, "barrage", func(m *machine) {
+		f.reloadSettings(m)
+		m.proxy.Signal(syscall.SIGSTOP)
+		f.witness.Term(m.name)
+		m.proxy.Signal(syscall.SIGTERM)
+		sleep(randomDuration(r, time.Millisecond, 800*time.Millisecond))
+		m.proxy.Signal(syscall.SIGCONT)
 		for range r.IntN(4) {
-			m.node.Signal([]syscall.Signal{syscall.SIGHUP, syscall.SIGTERM, syscall.SIGSTOP, syscall.SIGCONT}[r.IntN(4)])
-			pause(span(r, time.Millisecond, 200*time.Millisecond))
+			m.proxy.Signal([]syscall.Signal{syscall.SIGHUP, syscall.SIGTERM, syscall.SIGSTOP, syscall.SIGCONT}[r.IntN(4)])
+			sleep(randomDuration(r, time.Millisecond, 200*time.Millisecond))
 		}
-		m.node.Signal(syscall.SIGCONT)
-		f.stop(m.node)
-		f.startNode(m)
+		m.proxy.Signal(syscall.SIGCONT)
+		f.stopGracefully(m.proxy)
+		f.startProxy(m)
 	})
 }
 
-// herd kills many nodes at once.
-func (f *fleet) herd(r *rand.Rand) {
-	var over sync.WaitGroup
+// killManyProxies kills a sixth of the proxies at once.
+func (f *fleet) killManyProxies(r *rand.Rand) {
+	var kills sync.WaitGroup
 	for range max(1, len(f.machines)/6) {
 		seed := r.Uint64()
-		over.Add(1)
-		f.g.Go("herd", func(context.Context) {
-			defer over.Done()
-			f.killNode(rand.New(rand.NewPCG(seed, 93)))
+		kills.Add(1)
+		f.tasks.Go("herd", func(context.Context) {
+			defer kills.Done()
+			f.killProxy(rand.New(rand.NewPCG(seed, 93)))
 		})
 	}
-	over.Wait()
+	kills.Wait()
 }
--- a/internal/fleetrun/soak/run.go
+++ b/internal/fleetrun/soak/run.go
@@ -12,49 +12,50 @@
 	"puffincrank/internal/standin/checker"
 )
 
-// Run plays one soak and tells whether nothing was seen that must not be. The
-// report goes to the options' writer.
-func Run(o Options) (ok bool, err error) {
-	if err := os.MkdirAll(o.Dir, 0o755); err != nil {
+// Run executes one soak run and returns whether no violation was seen. The report goes to
+// the writer of the options.
+func Run(options Options) (ok bool, err error) {
+	if err := os.MkdirAll(options.Dir, 0o755); err != nil {
 		return false, err
 	}
-	f := newFleet(o)
-	defer f.end()
-	f.say("seed %d, %d machines, %v of troubles", o.Seed, o.Size, o.Long)
-	if err := f.up(); err != nil {
+	f := newFleet(options)
+	defer f.killAll()
+	f.logf("seed %d, %d machines, %v of troubles", options.Seed, options.Machines, options.Duration)
+	if err := f.start(); err != nil {
 		return false, err
 	}
-	before := f.holdings()
-	f.play()
+	before := f.peakUsage()
+	f.runLoad()
 	f.settle()
-	after := f.holdings()
-	f.compare(before, after)
-	f.down()
+	after := f.peakUsage()
+	f.compareUsage(before, after)
+	f.shutDown()
 	return f.report(before, after), nil
 }
 
-// up starts everything and waits until the first document is in force at all nodes.
-func (f *fleet) up() error {
-	for _, c := range f.cores {
-		f.startCore(c, true)
+// start starts all processes and waits until all proxies are ready with the first
+// configuration.
+func (f *fleet) start() error {
+	for _, c := range f.controlMachines {
+		f.startControlMachine(c, true)
 	}
 	for _, m := range f.machines {
-		f.startNode(m)
+		f.startProxy(m)
 		f.startWorker(m)
 	}
-	f.g.Go("first-document", func(ctx context.Context) { f.op.Send(ctx, f.draft, "", "") })
-	if !until(60*time.Second, f.ready) {
-		return errNotUp
+	f.tasks.Go("first-document", func(ctx context.Context) { f.operator.Send(ctx, f.draft, "", "") })
+	if !waitFor(60*time.Second, f.allReady) {
+		return errNotReady
 	}
-	f.say("all nodes are ready")
-	f.g.Every("readiness", time.Second, f.poll)
-	f.g.Every("stall-watch", stallBeat, f.watchStalls())
-	pause(2 * time.Second)
+	f.logf("all nodes are ready")
+	f.tasks.Every("readiness", time.Second, f.pollReadiness)
+	f.tasks.Every("stall-watch", stallCheckInterval, f.watchStalls())
+	sleep(2 * time.Second)
 	return nil
 }
 
-// ready tells whether every node is.
-func (f *fleet) ready() bool {
+// allReady returns whether every proxy is ready.
+func (f *fleet) allReady() bool {
 	for _, m := range f.machines {
 		if !isReady(m.host) {
 			return false
@@ -64,148 +65,148 @@
 }
 
 func isReady(host string) bool {
-	code, _ := actors.Ask(context.Background(), quiet("ready").Net, http.MethodGet, host+":7003", "/puffin/ready", nil, time.Second)
+	code, _ := actors.Ask(context.Background(), silentEnv("ready").Net, http.MethodGet, host+":7003", "/puffin/ready", nil, time.Second)
 	return code == http.StatusOK
 }
 
-// poll does as the platform does: the callers of a machine that was not ready twice
-// get no new work, as long as half of the machines are in.
-func (f *fleet) poll(context.Context) {
-	out := 0
+// pollReadiness acts like the platform: the callers of a machine get no new requests after
+// two failed readiness checks, as long as fewer than half of the machines are excluded.
+func (f *fleet) pollReadiness(context.Context) {
+	excluded := 0
 	for _, m := range f.machines {
 		if m.client.Out.Load() {
-			out++
+			excluded++
 		}
 	}
 	for _, m := range f.machines {
-		f.g.Go("poll-ready", func(context.Context) {
+		f.tasks.Go("poll-ready", func(context.Context) {
 			ready := isReady(m.host)
-			f.wit.Looked(m.name, ready)
+			f.witness.Looked(m.name, ready)
 			m.mu.Lock()
-			m.misses++
+			m.failedChecks++
 			if ready {
-				m.misses = 0
+				m.failedChecks = 0
 			}
-			misses := m.misses
+			failedChecks := m.failedChecks
 			m.mu.Unlock()
-			m.client.Out.Store(misses >= 2 && 2*out < len(f.machines))
+			m.client.Out.Store(failedChecks >= 2 && 2*excluded < len(f.machines))
 		})
 	}
 }
 
 const (
-	stallBeat = 20 * time.Millisecond
-	// stallBound is a gap in this process's own ticks beyond which the witness's
-	// times say nothing: the callers and workers stood still as well.
+	stallCheckInterval = 20 * time.Millisecond
+	// stallBound is a delay of this process's own ticks beyond which the witness's times are
+	// meaningless, since its callers and workers were delayed as well.
 	stallBound = 150 * time.Millisecond
 )
 
-// watchStalls notes when this process itself was held up.
+// watchStalls records when this process itself was delayed.
 func (f *fleet) watchStalls() func(context.Context) {
 	last := time.Now()
 	return func(context.Context) {
 		now := time.Now()
-		if gap := now.Sub(last); gap > stallBeat+stallBound {
+		if gap := now.Sub(last); gap > stallCheckInterval+stallBound {
 			f.stalls.Add(1)
-			f.wit.Touch.Core(fmt.Sprintf("the soak itself stood still for %v", gap))
+			f.witness.Touch.Core(fmt.Sprintf("the soak itself stood still for %v", gap))
 		}
 		last = now
 	}
 }
 
-// play runs the load, the applications and the troubles.
-func (f *fleet) play() {
+// runLoad runs the load, the applications and the disruptions.
+func (f *fleet) runLoad() {
 	for _, m := range f.machines {
 		for _, l := range f.lines {
 			if l.Rate <= 0 {
 				continue
 			}
-			f.g.Go("load", func(ctx context.Context) {
+			f.tasks.Go("load", func(ctx context.Context) {
 				m.client.Load(ctx, l, func() float64 {
 					if !f.traffic.Load() {
 						return 0
 					}
-					return l.Rate * float64(f.press.Load()) / 100 / float64(len(f.machines))
+					return l.Rate * float64(f.loadPercent.Load()) / 100 / float64(len(f.machines))
 				})
 			})
 		}
 	}
 	f.traffic.Store(true)
 	ctx, stop := context.WithCancel(context.Background())
-	over := make(chan struct{})
-	f.g.Go("apps", func(context.Context) { f.apps.Run(ctx); close(over) })
-	f.troubles()
+	appsDone := make(chan struct{})
+	f.tasks.Go("apps", func(context.Context) { f.apps.Run(ctx); close(appsDone) })
+	f.runDisruptions()
 	stop()
-	<-over
+	<-appsDone
 }
 
-// settle lets all come to rest: every process runs, the load goes on for a while,
-// then it ends and all is read back.
+// settle waits until every proxy is ready, continues the load for a while, ends it and reads
+// back the configuration and the data of the applications.
 func (f *fleet) settle() {
-	if !until(20*time.Second, f.ready) {
-		f.blame("not every node is ready after the last trouble")
+	if !waitFor(20*time.Second, f.allReady) {
+		f.reportViolation("not every node is ready after the last trouble")
 	}
-	pause(f.wit.B.Touch + 3*time.Second)
+	sleep(f.witness.B.Touch + 3*time.Second)
 	f.traffic.Store(false)
-	f.op.Read(context.Background(), 5*time.Second, true)
+	f.operator.Read(context.Background(), 5*time.Second, true)
 	f.apps.Finish(context.Background())
-	// What is under way ends, and connections that idle are closed.
-	until(f.longest()+time.Second, func() bool { return f.underWay() == 0 })
+	// Requests in flight end, and idle connections are closed.
+	waitFor(f.longestTimeout()+time.Second, func() bool { return f.requestsInFlight() == 0 })
 	for _, m := range f.machines {
 		m.client.Close()
 	}
-	pause(ways.Idle + time.Second)
+	sleep(workerBehavior.Idle + time.Second)
 }
 
-// longest is the most time that a caller waits.
-func (f *fleet) longest() (out time.Duration) {
+// longestTimeout returns the longest time that a caller waits.
+func (f *fleet) longestTimeout() (out time.Duration) {
 	for _, l := range f.lines {
 		out = max(out, l.Left)
 	}
 	return out
 }
 
-// underWay counts the requests that have no answer yet.
-func (f *fleet) underWay() (n int) {
+// requestsInFlight counts the requests without a response.
+func (f *fleet) requestsInFlight() (n int) {
 	for _, m := range f.machines {
 		n += m.client.Under()
 	}
 	return n
 }
 
-// report prints what was seen.
-func (f *fleet) report(before, after holdings) bool {
-	p := func(form string, args ...any) { fmt.Fprintf(f.o.Out, form+"\n", args...) }
-	bad, notes := f.wit.Verdict()
-	risk := f.wit.Risk()
-	p("\n## soak, seed %d, %d machines, %v", f.o.Seed, f.o.Size, f.o.Long)
-	p("\n| rule | broken | had to lose |\n| --- | --- | --- |")
+// report prints the results and returns whether there was no violation.
+func (f *fleet) report(before, after usageByProgram) bool {
+	print := func(format string, args ...any) { fmt.Fprintf(f.options.Out, format+"\n", args...) }
+	violations, notes := f.witness.Verdict()
+	atRisk := f.witness.Risk()
+	print("\n## soak, seed %d, %d machines, %v", f.options.Seed, f.options.Machines, f.options.Duration)
+	print("\n| rule | broken | had to lose |\n| --- | --- | --- |")
 	for _, rule := range checker.Rules {
-		p("| %s | %d | %d |", rule, bad[rule], risk[rule])
+		print("| %s | %d | %d |", rule, violations[rule], atRisk[rule])
 	}
 	for _, n := range notes {
-		p("    %s", n)
+		print("    %s", n)
 	}
-	for _, w := range f.wrong {
-		p("WRONG: %s", w)
+	for _, w := range f.violations {
+		print("WRONG: %s", w)
 	}
-	served, owed := f.wit.Served("", time.Time{}, time.Now())
-	p("\nserved %d of %d; this program itself was held up %d times", served, owed, f.stalls.Load())
-	tally := f.wit.Tally()
+	served, owed := f.witness.Served("", time.Time{}, time.Now())
+	print("\nserved %d of %d; this program itself was held up %d times", served, owed, f.stalls.Load())
+	tally := f.witness.Tally()
 	var names []string
 	for n := range tally {
 		names = append(names, n)
 	}
 	sort.Strings(names)
 	for _, n := range names {
-		p("  %s: %d", n, tally[n])
+		print("  %s: %d", n, tally[n])
 	}
-	p("\n| program | descriptors at rest | after | links at rest | after | goroutines at rest | after | MB at rest | after |\n| --- | --- | --- | --- | --- | --- | --- | --- | --- |")
+	print("\n| program | descriptors at rest | after | links at rest | after | goroutines at rest | after | MB at rest | after |\n| --- | --- | --- | --- | --- | --- | --- | --- | --- |")
 	for _, program := range programs {
 		a, b := before[program], after[program]
-		p("| %s | %d | %d | %d | %d | %d | %d | %d | %d |", program, a.files, b.files, a.links, b.links, a.routines, b.routines, a.memory>>20, b.memory>>20)
+		print("| %s | %d | %d | %d | %d | %d | %d | %d | %d |", program, a.files, b.files, a.links, b.links, a.goroutines, b.goroutines, a.memory>>20, b.memory>>20)
 	}
-	ok := len(bad) == 0 && len(f.wrong) == 0
-	p("\nseed %d: %s", f.o.Seed, map[bool]string{true: "nothing wrong", false: "FAILED"}[ok])
+	ok := len(violations) == 0 && len(f.violations) == 0
+	print("\nseed %d: %s", f.options.Seed, map[bool]string{true: "nothing wrong", false: "FAILED"}[ok])
 	return ok
 }
--- a/internal/fleetrun/soak/start.go
+++ b/internal/fleetrun/soak/start.go
@@ -11,110 +11,111 @@
 	"puffincrank/internal/standin/checker"
 )
 
-// settings writes the settings file of a member: the bounds and what is its own.
-func (f *fleet) settings(name, area, host string, inner, outer int, own map[string]any) error {
-	b := f.wit.B
-	in := map[string]any{"node": name, "area": area, "inner": fmt.Sprintf("%s:%d", host, inner), "outer": fmt.Sprintf("%s:%d", host, outer),
-		"change_ms": b.Change.Milliseconds(), "leave_ms": b.Leave.Milliseconds(), "window_ms": b.Window.Milliseconds(), "return_ms": b.Return.Milliseconds(),
-		"history_ms": b.Hist.Milliseconds(), "grace_ms": b.Grace.Milliseconds(), "touch_ms": b.Touch.Milliseconds(), "ack_ms": b.Ack.Milliseconds(),
-		"back_ms": b.Back.Milliseconds(), "free_ms": b.Frees.Milliseconds(), "catch_up_ms": 4000}
-	for k, v := range own {
-		in[k] = v
+// writeSettings writes the settings file of a process: the common bounds and its extra
+// settings. The file is replaced atomically.
+func (f *fleet) writeSettings(name, zone, host string, inner, outer int, extra map[string]any) error {
+	bounds := f.witness.B
+	values := map[string]any{"node": name, "area": zone, "inner": fmt.Sprintf("%s:%d", host, inner), "outer": fmt.Sprintf("%s:%d", host, outer),
+		"change_ms": bounds.Change.Milliseconds(), "leave_ms": bounds.Leave.Milliseconds(), "window_ms": bounds.Window.Milliseconds(), "return_ms": bounds.Return.Milliseconds(),
+		"history_ms": bounds.Hist.Milliseconds(), "grace_ms": bounds.Grace.Milliseconds(), "touch_ms": bounds.Touch.Milliseconds(), "ack_ms": bounds.Ack.Milliseconds(),
+		"back_ms": bounds.Back.Milliseconds(), "free_ms": bounds.Frees.Milliseconds(), "catch_up_ms": 4000}
+	for k, v := range extra {
+		values[k] = v
 	}
-	raw, err := json.MarshalIndent(in, "", "  ")
+	content, err := json.MarshalIndent(values, "", "  ")
 	if err != nil {
 		return err
 	}
-	file := filepath.Join(f.o.Dir, name+".json")
-	if err := os.WriteFile(file+".new", raw, 0o644); err != nil {
+	file := filepath.Join(f.options.Dir, name+".json")
+	if err := os.WriteFile(file+".new", content, 0o644); err != nil {
 		return err
 	}
 	return os.Rename(file+".new", file)
 }
 
-// nodeSettings writes those of a machine's node.
-func (f *fleet) nodeSettings(m *machine) error {
-	return f.settings(m.name, m.area, m.host, 7002, 7003, map[string]any{"seeds": f.seeds(7002), "traffic": m.host + ":8000", "service": m.service,
-		"worker_addr": m.host + ":9000", "beat_ms": 1500, "files": 1024, "repeat_share": f.wit.B.Share, "repeat_allowance": int(f.wit.B.Allow)})
+// writeProxySettings writes the settings file of a machine's proxy.
+func (f *fleet) writeProxySettings(m *machine) error {
+	return f.writeSettings(m.name, m.zone, m.host, 7002, 7003, map[string]any{"seeds": f.controlAddrs(7002), "traffic": m.host + ":8000", "service": m.service,
+		"worker_addr": m.host + ":9000", "beat_ms": 1500, "files": 1024, "repeat_share": f.witness.B.Share, "repeat_allowance": int(f.witness.B.Allow)})
 }
 
-// startNode starts a machine's node.
-func (f *fleet) startNode(m *machine) {
-	f.wit.Lives(m.name)
-	f.wit.Touch.Begin(m.name, checker.Planned+"start")()
-	err := f.nodeSettings(m)
+// startProxy starts the proxy of a machine.
+func (f *fleet) startProxy(m *machine) {
+	f.witness.Lives(m.name)
+	f.witness.Touch.Begin(m.name, checker.Planned+"start")()
+	err := f.writeProxySettings(m)
 	if err == nil {
-		err = m.node.Start(f.g)
+		err = m.proxy.Start(f.tasks)
 	}
 	if err != nil {
-		f.blame("%s did not start: %v", m.name, err)
+		f.reportViolation("%s did not start: %v", m.name, err)
 	}
 }
 
-// startWorker starts a fresh worker beside a node.
+// startWorker starts a new worker beside a proxy.
 func (f *fleet) startWorker(m *machine) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.births++
-	id := checker.Worker{Name: fmt.Sprintf("w%d-%d", m.number, m.births), Service: m.service, Machine: m.name, Area: m.area}
-	w := ways
-	w.Speed = 0.8 + float64(m.number%5)*0.15
-	var k *actors.Worker
+	m.workerStarts++
+	id := checker.Worker{Name: fmt.Sprintf("w%d-%d", m.number, m.workerStarts), Service: m.service, Machine: m.name, Area: m.zone}
+	behavior := workerBehavior
+	behavior.Speed = 0.8 + float64(m.number%5)*0.15
+	var worker *actors.Worker
 	err := process.Bind(func() (err error) {
-		k, err = actors.Start(quiet(id.Name), actors.Plain, id, m.host+":9000", m.host+":8000", []string{m.host + ":7003"}, w, f.wit, f.o.Seed*1000+uint64(m.number)+500)
+		worker, err = actors.Start(silentEnv(id.Name), actors.Plain, id, m.host+":9000", m.host+":8000", []string{m.host + ":7003"}, behavior, f.witness, f.options.Seed*1000+uint64(m.number)+500)
 		return err
 	})
 	if err != nil {
-		f.blame("worker of %s did not start: %v", m.name, err)
+		f.reportViolation("worker of %s did not start: %v", m.name, err)
 		return
 	}
-	m.worker = k
+	m.worker = worker
 }
 
-// at is the worker beside a machine's node.
-func (m *machine) at() *actors.Worker {
+// currentWorker returns the worker beside a machine's proxy.
+func (m *machine) currentWorker() *actors.Worker {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.worker
 }
 
-// startCore starts both programs of a core machine. Only at the first start of all
-// may they found a mesh.
-func (f *fleet) startCore(c *core, first bool) {
-	err := f.settings(c.store.Name, c.area, c.host, 7001, 7004, map[string]any{"seeds": f.seeds(7001), "founding": first, "bear": 1, "data": filepath.Join(f.o.Dir, c.name+".store.data")})
+// startControlMachine starts both programs of a control plane machine. They may found a
+// cluster only at the first start of the run.
+func (f *fleet) startControlMachine(machine *controlMachine, first bool) {
+	err := f.writeSettings(machine.store.Name, machine.zone, machine.host, 7001, 7004, map[string]any{"seeds": f.controlAddrs(7001), "founding": first, "bear": 1, "data": filepath.Join(f.options.Dir, machine.name+".store.data")})
 	if err == nil {
-		err = f.settings(c.name, c.area, c.host, 7002, 7003, map[string]any{"seeds": f.seeds(7002), "stores": f.seeds(7001), "data": filepath.Join(f.o.Dir, c.name+".data")})
+		err = f.writeSettings(machine.name, machine.zone, machine.host, 7002, 7003, map[string]any{"seeds": f.controlAddrs(7002), "stores": f.controlAddrs(7001), "data": filepath.Join(f.options.Dir, machine.name+".data")})
 	}
-	for _, p := range []*process.Process{c.store, c.registry} {
+	for _, p := range []*process.Process{machine.store, machine.registry} {
 		if err == nil {
-			err = p.Start(f.g)
+			err = p.Start(f.tasks)
 		}
 	}
 	if err != nil {
-		f.blame("%s did not start: %v", c.name, err)
+		f.reportViolation("%s did not start: %v", machine.name, err)
 	}
-	f.unsettled(c, false, "started "+c.name)
+	f.recordControlChange(machine, false, "started "+machine.name)
 }
 
-// unsettled notes that something was done to the core, and whether a machine of it
-// is away since.
-func (f *fleet) unsettled(c *core, away bool, what string) {
-	f.wit.Touch.Core(what)
+// recordControlChange tells the witness that the control plane was disturbed, and whether a
+// machine of it is down from now on. The time without a majority is recorded as well.
+func (f *fleet) recordControlChange(machine *controlMachine, down bool, what string) {
+	f.witness.Touch.Core(what)
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	c.down = away
+	machine.down = down
 	up := 0
-	for _, c := range f.cores {
-		if !c.down {
+	for _, machine := range f.controlMachines {
+		if !machine.down {
 			up++
 		}
 	}
-	lost := 2*up <= len(f.cores)
-	if lost && f.minority == nil {
-		f.minority = f.wit.Touch.Minority()
+	majorityLost := 2*up <= len(f.controlMachines)
+	if majorityLost && f.endMinority == nil {
+		f.endMinority = f.witness.Touch.Minority()
 	}
-	if !lost && f.minority != nil {
-		f.minority()
-		f.minority = nil
+	if !majorityLost && f.endMinority != nil {
+		f.endMinority()
+		f.endMinority = nil
 	}
 }
--- a/internal/fleetrun/soak/stop.go
+++ b/internal/fleetrun/soak/stop.go
@@ -8,64 +8,64 @@
 	"puffincrank/internal/fleetrun/process"
 )
 
-// endedBySignal is the exit code of a process that a signal ended.
+// endedBySignal is the exit code of a process that was ended by a signal.
 const endedBySignal = -1
 
-// down stops everything in order and checks that it ends so.
-func (f *fleet) down() {
-	var nodes, others []*process.Process
+// shutDown shuts down all processes gracefully and checks that they exit as expected.
+func (f *fleet) shutDown() {
+	var proxies, others []*process.Process
 	for _, m := range f.machines {
-		nodes = append(nodes, m.node)
+		proxies = append(proxies, m.proxy)
 	}
-	for _, c := range f.cores {
+	for _, c := range f.controlMachines {
 		others = append(others, c.registry, c.store)
 	}
-	f.stopAll(nodes)
+	f.stopAll(proxies)
 	for _, m := range f.machines {
-		m.at().Kill()
+		m.currentWorker().Kill()
 	}
 	f.stopAll(others)
 }
 
-func (f *fleet) stopAll(all []*process.Process) {
-	over := make(chan struct{}, len(all))
-	for _, p := range all {
-		f.g.Go("stop", func(context.Context) { f.stop(p); over <- struct{}{} })
+func (f *fleet) stopAll(processes []*process.Process) {
+	stopped := make(chan struct{}, len(processes))
+	for _, p := range processes {
+		f.tasks.Go("stop", func(context.Context) { f.stopGracefully(p); stopped <- struct{}{} })
 	}
-	for range all {
-		<-over
+	for range processes {
+		<-stopped
 	}
 }
 
-// hasPorts is what a process logs when its ports are open.
-const hasPorts = `"name":"started"`
+// startedEvent is logged by a process when its ports are open.
+const startedEvent = `"name":"started"`
 
-// stop ends one process in order. One whose runtime has not come as far as to catch
-// signals ends by the signal itself; nothing can have reached it, since it has no
-// ports yet.
-func (f *fleet) stop(p *process.Process) {
-	code, took := p.Stop(syscall.SIGTERM, f.wit.B.Grace+time.Second)
-	if code == endedBySignal && !p.HasLogged(hasPorts) {
-		f.say("%s was told to end before it had begun", p.Name)
+// stopGracefully shuts down one process and checks its exit code and time. A process that
+// does not yet catch signals is ended by the signal itself; that is allowed, since its
+// ports are not open and no request can have reached it.
+func (f *fleet) stopGracefully(p *process.Process) {
+	code, took := p.Stop(syscall.SIGTERM, f.witness.B.Grace+time.Second)
+	if code == endedBySignal && !p.HasLogged(startedEvent) {
+		f.logf("%s was told to end before it had begun", p.Name)
 		return
 	}
-	if code != 0 || took > f.wit.B.Grace {
-		f.blame("%s was told to end and ended with %d after %v", p.Name, code, took.Round(time.Millisecond))
+	if code != 0 || took > f.witness.B.Grace {
+		f.reportViolation("%s was told to end and ended with %d after %v", p.Name, code, took.Round(time.Millisecond))
 	}
 }
 
-// end kills what is left.
-func (f *fleet) end() {
+// killAll kills all remaining processes and workers.
+func (f *fleet) killAll() {
 	for _, m := range f.machines {
-		m.node.Stop(syscall.SIGKILL, time.Second)
-		if w := m.at(); w != nil {
+		m.proxy.Stop(syscall.SIGKILL, time.Second)
+		if w := m.currentWorker(); w != nil {
 			w.Kill()
 		}
 	}
-	for _, c := range f.cores {
+	for _, c := range f.controlMachines {
 		c.registry.Stop(syscall.SIGKILL, time.Second)
 		c.store.Stop(syscall.SIGKILL, time.Second)
 	}
-	f.g.Cancel()
-	f.g.Stop()
+	f.tasks.Cancel()
+	f.tasks.Stop()
 }
--- a/internal/fleetrun/soak/troubles.go
+++ b/internal/fleetrun/soak/troubles.go
@@ -9,189 +9,191 @@
 	"puffincrank/internal/standin/actors"
 )
 
-// trouble is one thing that may happen; core tells that it takes a machine of the
-// core, of which one may be away at a time.
-type trouble struct {
-	name string
-	core bool
-	do   func(f *fleet, r *rand.Rand)
+// disruption is a fault or an operation. Those of the control plane take one of its
+// machines down; only one may be down at a time.
+type disruption struct {
+	name         string
+	controlPlane bool
+	run          func(f *fleet, r *rand.Rand)
 }
 
-// list is what is drawn from. Names that stand twice are drawn twice as often.
-var list = []trouble{
+// unplanned are the disruptions of the second phase. Entries that are listed twice are
+// drawn twice as often.
+var unplanned = []disruption{
 	{"a worker leaves", false, (*fleet).workerLeaves},
 	{"a worker leaves", false, (*fleet).workerLeaves},
 	{"a worker crashes", false, (*fleet).workerCrashes},
-	{"a worker is ill", false, (*fleet).workerIll},
-	{"callers leave", false, (*fleet).callersLeave},
-	{"callers leave", false, (*fleet).callersLeave},
-	{"nodes are stopped in turn", false, (*fleet).roll},
-	{"a node is killed", false, (*fleet).killNode},
-	{"a node is frozen", false, (*fleet).freezeNode},
-	{"a node is frozen while its worker leaves", false, (*fleet).freezeLeaving},
-	{"settings are read again, in series", false, (*fleet).hangup},
-	{"a barrage of signals at a node", false, (*fleet).barrage},
-	{"many nodes are killed at once", false, (*fleet).herd},
-	{"more load", false, (*fleet).pressOn},
-	{"the configuration changes", false, (*fleet).change},
-	{"two operators change the configuration", false, (*fleet).race},
-	{"an older configuration comes again", false, func(f *fleet, _ *rand.Rand) { f.op.Again(f.g.Context()) }},
-	{"a core machine is killed", true, (*fleet).killCore},
-	{"a core machine is stopped", true, (*fleet).stopCore},
-	{"a core process is frozen", true, (*fleet).freezeCore},
-	{"a core machine loses its disk", true, (*fleet).wipeCore},
-	{"a core machine is replaced", true, (*fleet).replaceCore},
-	{"all of the core is killed", true, (*fleet).killAllCore},
+	{"a worker is ill", false, (*fleet).workerMisbehaves},
+	{"callers leave", false, (*fleet).callersAbandonRequests},
+	{"callers leave", false, (*fleet).callersAbandonRequests},
+	{"nodes are stopped in turn", false, (*fleet).restartInTurn},
+	{"a node is killed", false, (*fleet).killProxy},
+	{"a node is frozen", false, (*fleet).pauseProxy},
+	{"a node is frozen while its worker leaves", false, (*fleet).pauseProxyWhileWorkerLeaves},
+	{"settings are read again, in series", false, (*fleet).reloadSettingsRepeatedly},
+	{"a barrage of signals at a node", false, (*fleet).sendOverlappingSignals},
+	{"many nodes are killed at once", false, (*fleet).killManyProxies},
+	{"more load", false, (*fleet).raiseLoad},
+	{"the configuration changes", false, (*fleet).changeConfig},
+	{"two operators change the configuration", false, (*fleet).changeConfigConcurrently},
+	{"an older configuration comes again", false, func(f *fleet, _ *rand.Rand) { f.operator.Again(f.tasks.Context()) }},
+	{"a core machine is killed", true, (*fleet).killControlMachine},
+	{"a core machine is stopped", true, (*fleet).stopControlMachine},
+	{"a core process is frozen", true, (*fleet).pauseControlProcess},
+	{"a core machine loses its disk", true, (*fleet).wipeControlMachine},
+	{"a core machine is replaced", true, (*fleet).replaceControlMachine},
+	{"all of the core is killed", true, (*fleet).killControlPlane},
 }
 
-// plannedWork is what operators and the platform do in order: it may break off nothing.
-var plannedWork = []trouble{
-	{"nodes are stopped in turn", false, (*fleet).roll},
-	{"nodes are stopped in turn", false, (*fleet).roll},
-	{"several nodes are stopped at once", false, (*fleet).rollAtOnce},
-	{"several nodes are stopped at once", false, (*fleet).rollAtOnce},
-	{"nodes are stopped in steps that overlap", false, (*fleet).rollInSteps},
-	{"nodes are stopped in steps that overlap", false, (*fleet).rollInSteps},
-	{"settings are read again, in series", false, (*fleet).hangup},
+// planned are the operations of operators and the platform, which must not interrupt any
+// request.
+var planned = []disruption{
+	{"nodes are stopped in turn", false, (*fleet).restartInTurn},
+	{"nodes are stopped in turn", false, (*fleet).restartInTurn},
+	{"several nodes are stopped at once", false, (*fleet).restartTogether},
+	{"several nodes are stopped at once", false, (*fleet).restartTogether},
+	{"nodes are stopped in steps that overlap", false, (*fleet).restartInSteps},
+	{"nodes are stopped in steps that overlap", false, (*fleet).restartInSteps},
+	{"settings are read again, in series", false, (*fleet).reloadSettingsRepeatedly},
 	{"a worker leaves", false, (*fleet).workerLeaves},
-	{"a series of changes", false, (*fleet).changes},
-	{"a series of changes", false, (*fleet).changes},
-	{"two operators change the configuration", false, (*fleet).race},
-	{"an older configuration comes again", false, func(f *fleet, _ *rand.Rand) { f.op.Again(f.g.Context()) }},
-	{"more load", false, (*fleet).pressOn},
+	{"a series of changes", false, (*fleet).changeConfigRepeatedly},
+	{"a series of changes", false, (*fleet).changeConfigRepeatedly},
+	{"two operators change the configuration", false, (*fleet).changeConfigConcurrently},
+	{"an older configuration comes again", false, func(f *fleet, _ *rand.Rand) { f.operator.Again(f.tasks.Context()) }},
+	{"more load", false, (*fleet).raiseLoad},
 }
 
-// plannedPart is the part of a soak in which only planned work is done, as one over
-// it: with a kill or a freeze near, what a stop cuts off is not judged.
-const plannedPart = 2
-
-// troubles draws one after the other until the time is over, and waits for the last
-// to end. They overlap; of the core's no two do.
-func (f *fleet) troubles() {
-	r := rand.New(rand.NewPCG(f.o.Seed, 91))
-	planned := f.o.Long / plannedPart
-	f.draw(r, plannedWork, planned, 50*time.Millisecond, 500*time.Millisecond)
-	f.say("planned work is over")
-	f.draw(r, list, f.o.Long-planned, 150*time.Millisecond, 1200*time.Millisecond)
+// plannedFraction is the divisor for the part of a run that has planned operations only:
+// requests that a shutdown interrupts are not judged close to a kill or a pause.
+const plannedFraction = 2
+
+// runDisruptions runs first planned and then unplanned disruptions, and waits for the last
+// to end. They overlap, except those of the control plane.
+func (f *fleet) runDisruptions() {
+	r := rand.New(rand.NewPCG(f.options.Seed, 91))
+	plannedDuration := f.options.Duration / plannedFraction
+	f.runRandom(r, planned, plannedDuration, 50*time.Millisecond, 500*time.Millisecond)
+	f.logf("planned work is over")
+	f.runRandom(r, unplanned, f.options.Duration-plannedDuration, 150*time.Millisecond, 1200*time.Millisecond)
 	for _, m := range f.machines {
 		m.client.Quits(0.02)
 	}
 }
 
-// draw begins troubles of a list for a time, with a pause between two, and waits for
-// the last to end.
-func (f *fleet) draw(r *rand.Rand, of []trouble, long, least, more time.Duration) {
-	var over sync.WaitGroup
-	core := make(chan struct{}, 1)
-	for from := time.Now(); time.Since(from) < long; pause(span(r, least, more)) {
-		t, own := of[r.IntN(len(of))], rand.New(rand.NewPCG(r.Uint64(), 92))
-		over.Add(1)
-		f.g.Go("trouble", func(context.Context) {
-			defer over.Done()
-			if t.core {
+// runRandom starts random disruptions of a list for a time, with random intervals, and waits
+// for the last to end.
+func (f *fleet) runRandom(r *rand.Rand, disruptions []disruption, duration, least, spread time.Duration) {
+	var running sync.WaitGroup
+	controlPlane := make(chan struct{}, 1)
+	for begin := time.Now(); time.Since(begin) < duration; sleep(randomDuration(r, least, spread)) {
+		next, random := disruptions[r.IntN(len(disruptions))], rand.New(rand.NewPCG(r.Uint64(), 92))
+		running.Add(1)
+		f.tasks.Go("trouble", func(context.Context) {
+			defer running.Done()
+			if next.controlPlane {
 				select {
-				case core <- struct{}{}:
-					defer func() { <-core }()
+				case controlPlane <- struct{}{}:
+					defer func() { <-controlPlane }()
 				default:
 					return
 				}
 			}
-			f.say("%s", t.name)
-			t.do(f, own)
+			f.logf("%s", next.name)
+			next.run(f, random)
 		})
 	}
-	over.Wait()
+	running.Wait()
 }
 
-// take picks a machine that no other trouble has in hand; nil if there is none, or
-// if its service would keep less than two thirds of its workers.
-func (f *fleet) take(r *rand.Rand) *machine {
+// acquireMachine picks a machine that no other disruption uses. It returns nil if none can
+// be taken without leaving its service with less than about two thirds of its workers.
+func (f *fleet) acquireMachine(r *rand.Rand) *machine {
 	for range 20 {
 		m := f.machines[r.IntN(len(f.machines))]
-		if f.hold(m) {
+		if f.tryAcquire(m) {
 			return m
 		}
 	}
 	return nil
 }
 
-func (f *fleet) hold(m *machine) bool {
+func (f *fleet) tryAcquire(m *machine) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	free, all := 0, 0
-	for _, o := range f.machines {
-		if o.service == m.service {
-			all++
-			if !o.busy && o != m {
-				free++
+	available, total := 0, 0
+	for _, other := range f.machines {
+		if other.service == m.service {
+			total++
+			if !other.busy && other != m {
+				available++
 			}
 		}
 	}
-	if m.busy || 3*free < 2*all-1 {
+	if m.busy || 3*available < 2*total-1 {
 		return false
 	}
 	m.busy = true
 	return true
 }
 
-func (f *fleet) free(m *machine) {
+func (f *fleet) release(m *machine) {
 	f.mu.Lock()
 	m.busy = false
 	f.mu.Unlock()
 }
 
-// with does something to a machine that no other trouble has in hand, which is no
-// longer in touch for it.
-func (f *fleet) with(r *rand.Rand, what string, do func(m *machine)) {
-	m := f.take(r)
+// withMachine runs an action on a machine that no other disruption uses. With a reason, the
+// witness counts the machine as disconnected meanwhile.
+func (f *fleet) withMachine(r *rand.Rand, reason string, action func(m *machine)) {
+	m := f.acquireMachine(r)
 	if m == nil {
 		return
 	}
-	defer f.free(m)
-	if what != "" {
-		defer f.wit.Touch.Begin(m.name, what)()
+	defer f.release(m)
+	if reason != "" {
+		defer f.witness.Touch.Begin(m.name, reason)()
 	}
-	do(m)
+	action(m)
 }
 
 func (f *fleet) workerLeaves(r *rand.Rand) {
-	f.with(r, "", func(m *machine) {
-		m.at().Leave(context.Background())
+	f.withMachine(r, "", func(m *machine) {
+		m.currentWorker().Leave(context.Background())
 		f.startWorker(m)
 	})
 }
 
 func (f *fleet) workerCrashes(r *rand.Rand) {
-	f.with(r, "", func(m *machine) {
-		m.at().Kill()
-		pause(span(r, 100*time.Millisecond, 1500*time.Millisecond))
+	f.withMachine(r, "", func(m *machine) {
+		m.currentWorker().Kill()
+		sleep(randomDuration(r, 100*time.Millisecond, 1500*time.Millisecond))
 		f.startWorker(m)
 	})
 }
 
-func (f *fleet) workerIll(r *rand.Rand) {
-	ills := []actors.Ills{{Slow: 3 + 5*r.Float64()}, {Lose: 0.1 + 0.4*r.Float64()}, {Spoil: 0.1 + 0.4*r.Float64()}, {Fail: 0.3}, {Tear: 0.3}, {Hang: 0.1}, {Shed: 0.3}}
-	f.with(r, "", func(m *machine) {
-		w := m.at()
-		w.Fall(ills[r.IntN(len(ills))])
-		pause(span(r, time.Second, 4*time.Second))
+func (f *fleet) workerMisbehaves(r *rand.Rand) {
+	faults := []actors.Ills{{Slow: 3 + 5*r.Float64()}, {Lose: 0.1 + 0.4*r.Float64()}, {Spoil: 0.1 + 0.4*r.Float64()}, {Fail: 0.3}, {Tear: 0.3}, {Hang: 0.1}, {Shed: 0.3}}
+	f.withMachine(r, "", func(m *machine) {
+		w := m.currentWorker()
+		w.Fall(faults[r.IntN(len(faults))])
+		sleep(randomDuration(r, time.Second, 4*time.Second))
 		w.Fall(actors.Ills{})
 	})
 }
 
-func (f *fleet) callersLeave(r *rand.Rand) {
-	part := 0.2 + 0.5*r.Float64()
+func (f *fleet) callersAbandonRequests(r *rand.Rand) {
+	share := 0.2 + 0.5*r.Float64()
 	for _, m := range f.machines {
-		m.client.Quits(part)
+		m.client.Quits(share)
 	}
-	pause(span(r, 2*time.Second, 4*time.Second))
+	sleep(randomDuration(r, 2*time.Second, 4*time.Second))
 	for _, m := range f.machines {
 		m.client.Quits(0.02)
 	}
 }
 
-func (f *fleet) pressOn(r *rand.Rand) {
-	f.press.Store(int64(150 + r.IntN(200)))
-	pause(span(r, time.Second, 4*time.Second))
-	f.press.Store(100)
+func (f *fleet) raiseLoad(r *rand.Rand) {
+	f.loadPercent.Store(int64(150 + r.IntN(200)))
+	sleep(randomDuration(r, time.Second, 4*time.Second))
+	f.loadPercent.Store(100)
 }
