--- a/internal/fleetrun/faults.go
+++ b/internal/fleetrun/faults.go
@@ -15,7 +15,7 @@
 
 // runTrial proposes to move the first route to the second service, whose workers get the
 // given behavior, and checks the outcome of the trial.
-func (r *Run) runTrial(want string, behavior standin.Way, meanwhile func()) {
+func (r *Run) runTrial(wantState string, behavior standin.Way, meanwhile func()) {
 	service := r.Shape.Services[0]
 	alternative := service + "2"
 	took := r.Shape.Took[alternative]
@@ -25,7 +25,7 @@
 	behavior.Took = took
 	address := r.Nodes[0].Host + ":7003"
 	_, config := r.Get("GET", address, "/puffin/config", "")
-	base, _ := config["version"].(float64)
+	baseVersion, _ := config["version"].(float64)
 	routeName, current := "", ""
 	document, _ := config["document"].(map[string]any)
 	if routes, _ := document["paths"].([]any); len(routes) > 0 {
@@ -42,7 +42,7 @@
 			n.Worker.Behave(behavior)
 		}
 	}
-	code, got := r.Get("POST", address, fmt.Sprintf("/puffin/trials?based_on=%v", base), fmt.Sprintf(`{"path":%q,"service":%q}`, routeName, target))
+	code, got := r.Get("POST", address, fmt.Sprintf("/puffin/trials?based_on=%v", baseVersion), fmt.Sprintf(`{"path":%q,"service":%q}`, routeName, target))
 	if code != 200 {
 		r.failures = append(r.failures, fmt.Sprintf("propose answered %d %v", code, got))
 		return
@@ -56,8 +56,8 @@
 		return trial != nil && trial["state"] != "running"
 	})
 	r.Log("  trial %v: %v, %v", id, trial["state"], trial["why"])
-	if trial["state"] != want {
-		r.failures = append(r.failures, fmt.Sprintf("trial %v ended %v, want %s", id, trial["state"], want))
+	if trial["state"] != wantState {
+		r.failures = append(r.failures, fmt.Sprintf("trial %v ended %v, want %s", id, trial["state"], wantState))
 	}
 	for _, n := range r.Nodes {
 		n.Worker.Behave(standin.Way{Took: r.Shape.Took[n.Service]})
@@ -134,14 +134,14 @@
 // once: one must be applied, one be refused as a conflict, and the invalid one be refused.
 func (r *Run) changeConcurrently() {
 	_, config := r.Get("GET", r.Nodes[0].Host+":7003", "/puffin/config", "")
-	base, _ := config["version"].(float64)
+	baseVersion, _ := config["version"].(float64)
 	var requests sync.WaitGroup
 	codes := make([]int, 3)
 	for i, document := range []string{r.Shape.Doc, r.Shape.Doc, `{"services":[]}`} {
 		requests.Add(1)
 		r.tasks.Go("race", func(context.Context) {
 			defer requests.Done()
-			code, got := r.Get("PUT", r.Nodes[i*3].Host+":7003", fmt.Sprintf("/puffin/config?emergency=true&who=operator-%d&based_on=%v", i, base), document)
+			code, got := r.Get("PUT", r.Nodes[i*3].Host+":7003", fmt.Sprintf("/puffin/config?emergency=true&who=operator-%d&based_on=%v", i, baseVersion), document)
 			codes[i] = code
 			if v, _ := got["version"].(float64); code == 200 {
 				r.Observer.Acked(uint64(v))
--- a/internal/fleetrun/run.go
+++ b/internal/fleetrun/run.go
@@ -60,7 +60,7 @@
 	tasks           *task.Group
 	out             io.Writer
 	transport       *http.Transport
-	version         uint64
+	configVersion   uint64
 	failures        []string // steps that did not have the expected outcome
 	Timeline        []string // the steps with their times
 	began           time.Time
--- a/internal/fleetrun/soak/deployment.go
+++ b/internal/fleetrun/soak/deployment.go
@@ -19,9 +19,9 @@
 	maxRate        = 900
 )
 
-// bounds returns the bounds of the known deployments, with an allowance of retries that
+// deploymentBounds returns the bounds of the known deployments, with an allowance of retries that
 // is proportional to the load.
-func bounds(machines int) checker.Bounds {
+func deploymentBounds(machines int) checker.Bounds {
 	b := checker.Usual
 	b.Allow = max(12, 5*float64(machines))
 	return b
@@ -48,23 +48,23 @@
 	}
 }
 
-// lineTargets has the service, retry policy and rank for each kind of request.
-var lineTargets = map[string]struct {
-	service, repeat string
-	rank            int
+// routeTargets has the service, retry policy and rank for each kind of request.
+var routeTargets = map[string]struct {
+	service, retryPolicy string
+	rank                 int
 }{"read": {"pages", "safe", 1}, "long": {"pages", "safe", 2}, "lend": {"lending", "never", 0}, "scan": {"scans", "upload", 2}, "survey": {"pages", "safe", 2}, "plan": {"lending", "never", 1}, "check": {"scans", "safe", 1}}
 
 // initialDraft returns the first configuration document.
-func initialDraft(all []*actors.Line) *actors.Draft {
-	d := &actors.Draft{Number: 1, Links: workerBehavior.Conns, Fitness: workerBehavior.Fitness}
-	for _, s := range services {
-		d.Services = append(d.Services, s.name)
+func initialDraft(lines []*actors.Line) *actors.Draft {
+	draft := &actors.Draft{Number: 1, Links: workerBehavior.Conns, Fitness: workerBehavior.Fitness}
+	for _, service := range services {
+		draft.Services = append(draft.Services, service.name)
 	}
-	for _, l := range all {
-		s := lineTargets[l.Kind]
-		d.Ways = append(d.Ways, actors.Way{Name: "p-" + l.Kind, Host: l.Host, Prefix: l.Prefix, Repeat: s.repeat, Split: map[string]int{s.service: 1}, Left: l.Most, Aim: l.Aim, Tries: 2, Rank: s.rank})
+	for _, line := range lines {
+		target := routeTargets[line.Kind]
+		draft.Ways = append(draft.Ways, actors.Way{Name: "p-" + line.Kind, Host: line.Host, Prefix: line.Prefix, Repeat: target.retryPolicy, Split: map[string]int{target.service: 1}, Left: line.Most, Aim: line.Aim, Tries: 2, Rank: target.rank})
 	}
-	return d
+	return draft
 }
 
 // workerBehavior is how workers without faults behave.
--- a/internal/fleetrun/soak/disruptions.go
+++ b/internal/fleetrun/soak/disruptions.go
@@ -124,21 +124,21 @@
 	for _, other := range f.machines {
 		if other.service == m.service {
 			total++
-			if !other.busy && other != m {
+			if !other.inUse && other != m {
 				available++
 			}
 		}
 	}
-	if m.busy || 3*available < 2*total-1 {
+	if m.inUse || 3*available < 2*total-1 {
 		return false
 	}
-	m.busy = true
+	m.inUse = true
 	return true
 }
 
 func (f *fleet) release(m *machine) {
 	f.mu.Lock()
-	m.busy = false
+	m.inUse = false
 	f.mu.Unlock()
 }
 
--- a/internal/fleetrun/soak/fleet.go
+++ b/internal/fleetrun/soak/fleet.go
@@ -44,11 +44,11 @@
 	number                    int
 	proxy                     *process.Process
 	client                    *actors.Client
-	mu                        sync.Mutex
+	mu                        sync.Mutex // guards worker, workerStarts and failedChecks
 	worker                    *actors.Worker
 	workerStarts              int
-	failedChecks              int // consecutive readiness checks that failed
-	busy                      bool
+	failedChecks              int  // consecutive readiness checks that failed
+	inUse                     bool // taken by a disruption; guarded by fleet.mu
 }
 
 // controlMachine is a machine of the control plane.
@@ -71,12 +71,12 @@
 	controlMachines        []*controlMachine
 	controlMachinesCreated int // control plane machines created so far
 	draft                  *actors.Draft
-	traffic                atomic.Bool
+	loadRunning            atomic.Bool
 	loadPercent            atomic.Int64 // the load in percent of the configured rates
 	stalls                 atomic.Int64
 	began                  time.Time
 	violations             []string // violations that are not among the witness's counts
-	endMinority            func()
+	endMinority            func()   // ends the record of a lost majority; nil while there is a majority
 }
 
 var zones = []string{"north", "middle", "south"}
@@ -85,7 +85,7 @@
 const controlMachineCount = 3
 
 func newFleet(options Options) *fleet {
-	f := &fleet{options: options, tasks: task.New(context.Background()), witness: checker.New(bounds(options.Machines)), lines: requestLines(options.Machines), began: time.Now()}
+	f := &fleet{options: options, tasks: task.New(context.Background()), witness: checker.New(deploymentBounds(options.Machines)), lines: requestLines(options.Machines), began: time.Now()}
 	f.loadPercent.Store(100)
 	for range controlMachineCount {
 		f.controlMachines = append(f.controlMachines, f.newControlMachine(zones[len(f.controlMachines)%len(zones)]))
--- a/internal/fleetrun/soak/run.go
+++ b/internal/fleetrun/soak/run.go
@@ -123,7 +123,7 @@
 			}
 			f.tasks.Go("load", func(ctx context.Context) {
 				m.client.Load(ctx, l, func() float64 {
-					if !f.traffic.Load() {
+					if !f.loadRunning.Load() {
 						return 0
 					}
 					return l.Rate * float64(f.loadPercent.Load()) / 100 / float64(len(f.machines))
@@ -131,7 +131,7 @@
 			})
 		}
 	}
-	f.traffic.Store(true)
+	f.loadRunning.Store(true)
 	ctx, stop := context.WithCancel(context.Background())
 	appsDone := make(chan struct{})
 	f.tasks.Go("apps", func(context.Context) { f.apps.Run(ctx); close(appsDone) })
@@ -147,7 +147,7 @@
 		f.reportViolation("not every node is ready after the last trouble")
 	}
 	sleep(f.witness.B.Touch + 3*time.Second)
-	f.traffic.Store(false)
+	f.loadRunning.Store(false)
 	f.operator.Read(context.Background(), 5*time.Second, true)
 	f.apps.Finish(context.Background())
 	// Requests in flight end, and idle connections are closed.
@@ -190,8 +190,8 @@
 	for _, w := range f.violations {
 		print("WRONG: %s", w)
 	}
-	served, owed := f.witness.Served("", time.Time{}, time.Now())
-	print("\nserved %d of %d; this program itself was held up %d times", served, owed, f.stalls.Load())
+	served, expected := f.witness.Served("", time.Time{}, time.Now())
+	print("\nserved %d of %d; this program itself was held up %d times", served, expected, f.stalls.Load())
 	tally := f.witness.Tally()
 	var names []string
 	for n := range tally {
--- a/internal/fleetrun/soak/soak_test.go
+++ b/internal/fleetrun/soak/soak_test.go
@@ -44,44 +44,44 @@
 // TestDeployment checks that every route leads to an existing service, and that every
 // service has machines.
 func TestDeployment(t *testing.T) {
-	d := initialDraft(requestLines(6))
-	has := map[string]bool{}
+	draft := initialDraft(requestLines(6))
+	servicesWithMachines := map[string]bool{}
 	for i := range 12 {
-		has[serviceOf(i)] = true
+		servicesWithMachines[serviceOf(i)] = true
 	}
-	for _, w := range d.Ways {
-		for s := range w.Split {
-			if !has[s] {
-				t.Errorf("route %s leads to service %s, which no machine serves", w.Name, s)
+	for _, route := range draft.Ways {
+		for service := range route.Split {
+			if !servicesWithMachines[service] {
+				t.Errorf("route %s leads to service %s, which no machine serves", route.Name, service)
 			}
 		}
 	}
-	if len(has) != len(services) {
-		t.Errorf("not every service has a machine: %v", has)
+	if len(servicesWithMachines) != len(services) {
+		t.Errorf("not every service has a machine: %v", servicesWithMachines)
 	}
 }
 
-// TestCompare checks that resources over the limits after a run are reported, and moderate
+// TestCompareUsage checks that resources over the limits after a run are reported, and moderate
 // growth is not.
-func TestCompare(t *testing.T) {
-	at := resourceUsage{files: 20, links: 20, goroutines: 60, memory: 30 << 20}
+func TestCompareUsage(t *testing.T) {
+	before := resourceUsage{files: 20, links: 20, goroutines: 60, memory: 30 << 20}
 	for _, c := range []struct {
-		name  string
-		after resourceUsage
-		wrong int
+		name       string
+		after      resourceUsage
+		violations int
 	}{
-		{"the same", at, 0},
-		{"a little more", resourceUsage{75, 30, 200, 100 << 20}, 0},
+		{"no change", before, 0},
+		{"moderate growth", resourceUsage{75, 30, 200, 100 << 20}, 0},
 		{"descriptors", resourceUsage{90, 20, 60, 30 << 20}, 1},
 		{"links", resourceUsage{20, 40, 60, 30 << 20}, 1},
 		{"goroutines", resourceUsage{20, 20, 500, 30 << 20}, 1},
 		{"memory", resourceUsage{20, 20, 60, 300 << 20}, 1},
-		{"all of them", resourceUsage{90, 40, 500, 300 << 20}, 4},
+		{"all resources", resourceUsage{90, 40, 500, 300 << 20}, 4},
 	} {
 		f := newFleet(Options{Machines: 6, Out: &bytes.Buffer{}, Dir: t.TempDir(), AddressPrefix: "127.0"})
-		f.compareUsage(usageByProgram{"proxy": at}, usageByProgram{"proxy": c.after})
-		if len(f.violations) != c.wrong {
-			t.Errorf("%s: %q", c.name, f.violations)
+		f.compareUsage(usageByProgram{"proxy": before}, usageByProgram{"proxy": c.after})
+		if len(f.violations) != c.violations {
+			t.Errorf("%s: violations %q", c.name, f.violations)
 		}
 	}
 }
--- a/internal/fleetrun/soak/start.go
+++ b/internal/fleetrun/soak/start.go
@@ -104,13 +104,13 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	machine.down = down
-	up := 0
+	running := 0
 	for _, machine := range f.controlMachines {
 		if !machine.down {
-			up++
+			running++
 		}
 	}
-	majorityLost := 2*up <= len(f.controlMachines)
+	majorityLost := 2*running <= len(f.controlMachines)
 	if majorityLost && f.endMinority == nil {
 		f.endMinority = f.witness.Touch.Minority()
 	}
--- a/internal/fleetrun/startstop.go
+++ b/internal/fleetrun/startstop.go
@@ -30,7 +30,7 @@
 			return err
 		}
 	}
-	if _, ok := r.WaitFor(20*time.Second, func() bool { return r.Apply(r.Nodes[0].Host+":7003", 0, r.Shape.Doc) || r.version > 0 }); !ok {
+	if _, ok := r.WaitFor(20*time.Second, func() bool { return r.Apply(r.Nodes[0].Host+":7003", 0, r.Shape.Doc) || r.configVersion > 0 }); !ok {
 		return fault.New(fault.Unknown, "the first configuration was not taken in time")
 	}
 	took, ok := r.WaitFor(20*time.Second, r.Converged)
@@ -49,7 +49,7 @@
 		r.Observer.Acked(uint64(v))
 	}
 	if code == 200 || code == 409 {
-		r.version = uint64(v)
+		r.configVersion = uint64(v)
 	}
 	return code == 200
 }
