--- a/internal/ctl/run.go
+++ b/internal/ctl/run.go
@@ -12,6 +12,7 @@
 	"text/tabwriter"
 )
 
+// command runs one parsed command line.
 type command struct {
 	client    *client
 	args      args
--- a/internal/ctl/trials.go
+++ b/internal/ctl/trials.go
@@ -60,6 +60,7 @@
 	})
 }
 
+// trialReport is the answer to a request for one trial.
 type trialReport struct {
 	Version uint64             `json:"version"`
 	Trial   statemachine.Trial `json:"trial"`
--- a/internal/fleetrun/cost_test.go
+++ b/internal/fleetrun/cost_test.go
@@ -61,7 +61,7 @@
 			err = process.Start()
 		}
 		if err != nil {
-			t.Skipf("cannot listen on the loopback addresses: %v", err)
+			t.Skipf("cannot start processes on the loopback addresses: %v", err)
 		}
 	}
 	for i := range 3 {
--- a/internal/repocheck/rules_test.go
+++ b/internal/repocheck/rules_test.go
@@ -26,7 +26,7 @@
 
 const root = "../.."
 
-// walkFiles visits the files of the source tree, without generated files and the journal.
+// walkFiles visits the files of the source tree, without build output and the journal.
 func walkFiles(t *testing.T, visit func(name string, raw []byte)) {
 	t.Helper()
 	count := 0
