--- a/internal/standin/actors/answer.go
+++ b/internal/standin/actors/answer.go
@@ -11,130 +11,130 @@
 	"puffincrank/internal/standin/checker"
 )
 
-// head writes the status line and headers of an answer.
-func (s *send) head(code int, more ...string) (string, bool) {
-	k := s.k
-	last := k.leaving() || s.req.Close || k.dice.share() < k.W.Hop
-	var b strings.Builder
-	fmt.Fprintf(&b, "HTTP/1.1 %d %s\r\n", code, http.StatusText(code))
-	if s.id != "" {
-		fmt.Fprintf(&b, "%s: %s\r\n", k.say.AttemptID, s.id)
+// responseHead writes the status line and headers of an answer.
+func (s *workerRequest) responseHead(code int, extra ...string) (string, bool) {
+	worker := s.worker
+	closing := worker.leaving() || s.req.Close || worker.random.fraction() < worker.Behavior.Hop
+	var builder strings.Builder
+	fmt.Fprintf(&builder, "HTTP/1.1 %d %s\r\n", code, http.StatusText(code))
+	if s.attemptID != "" {
+		fmt.Fprintf(&builder, "%s: %s\r\n", worker.dialect.AttemptID, s.attemptID)
 	}
-	for i := 0; i+1 < len(more); i += 2 {
-		fmt.Fprintf(&b, "%s: %s\r\n", more[i], more[i+1])
+	for i := 0; i+1 < len(extra); i += 2 {
+		fmt.Fprintf(&builder, "%s: %s\r\n", extra[i], extra[i+1])
 	}
-	if last {
-		b.WriteString("Connection: close\r\n")
-	} else if k.W.Idle > 0 {
-		fmt.Fprintf(&b, "Keep-Alive: timeout=%d\r\n", int(k.W.Idle/time.Second))
+	if closing {
+		builder.WriteString("Connection: close\r\n")
+	} else if worker.Behavior.Idle > 0 {
+		fmt.Fprintf(&builder, "Keep-Alive: timeout=%d\r\n", int(worker.Behavior.Idle/time.Second))
 	}
-	return b.String(), !last
+	return builder.String(), !closing
 }
 
 // decline turns the request away unrun.
-func (s *send) decline(code int) bool {
-	s.k.wit.Change(func() { s.v.Declined, s.v.Status = code, code })
-	h, on := s.head(code, s.k.say.NotExecuted, "1", "Content-Length", "0")
-	_, err := s.c.Write([]byte(h + "\r\n"))
-	return on && err == nil
+func (s *workerRequest) decline(code int) bool {
+	s.worker.recorder.Update(func() { s.arrival.DeclinedStatus, s.arrival.Status = code, code })
+	head, keepOpen := s.responseHead(code, s.worker.dialect.NotExecuted, "1", "Content-Length", "0")
+	_, err := s.conn.Write([]byte(head + "\r\n"))
+	return keepOpen && err == nil
 }
 
-// fitness answers whoever asks how the worker is: for a slot it waits like a
+// answerHealth answers whoever asks how the worker is: for a slot it waits like a
 // request.
-func (s *send) fitness() bool {
-	k := s.k
+func (s *workerRequest) answerHealth() bool {
+	worker := s.worker
 	code := http.StatusServiceUnavailable
-	if k.room.enter(s.end, s.left) == in {
-		task := k.pace(s.c, k.dice.about(6*time.Millisecond))
-		<-time.After(task)
-		k.room.leave()
-		if !k.leaving() && !k.ill(s.c).Sick {
+	if worker.slots.acquire(s.deadline, s.callerLeft) == admitted {
+		workTime := worker.scaledTime(s.conn, worker.random.around(6*time.Millisecond))
+		<-time.After(workTime)
+		worker.slots.release()
+		if !worker.leaving() && !worker.faultsFor(s.conn).Sick {
 			code = http.StatusOK
 		}
 	}
-	h, on := s.head(code, k.say.WorkerID, k.Name, "Content-Length", "0")
-	_, err := s.c.Write([]byte(h + "\r\n"))
-	return on && err == nil
+	head, keepOpen := s.responseHead(code, worker.dialect.WorkerID, worker.Name, "Content-Length", "0")
+	_, err := s.conn.Write([]byte(head + "\r\n"))
+	return keepOpen && err == nil
 }
 
 // The ways in which an answer is spoiled.
 const (
-	cutShort  = iota // fewer bytes than it says
-	cutChunks        // chunks without an end
-	noAnswer         // bytes that are no answer
-	more             // bytes after the end
-	twiceSoon        // the whole answer once more, at once
-	twiceLate        // the whole answer once more, where the next is due
-	spoilKinds
+	cutShort        = iota // fewer bytes than it says
+	unendedChunks          // chunks without an end
+	malformedAnswer        // bytes that are no answer
+	bytesAfterEnd          // bytes after the end
+	repeatedAtOnce         // the whole answer once more, at once
+	repeatedLater          // the whole answer once more, where the next is due
+	spoilKindCount
 )
 
-// answer writes the worker's answer, whole or spoiled.
-func (s *send) answer(code, size int, spoil bool) bool {
-	k := s.k
+// writeAnswer writes the worker's answer, whole or spoiled.
+func (s *workerRequest) writeAnswer(code, size int, spoil bool) bool {
+	worker := s.worker
 	body := make([]byte, max(size, 1))
-	mark := fmt.Sprintf("%x.%s", k.dice.word(), k.Name)
-	fill(body, mark)
-	how := -1
+	digest := fmt.Sprintf("%x.%s", worker.random.uint64(), worker.Name)
+	fillRepeating(body, digest)
+	spoilKind := -1
 	if spoil {
-		how = k.dice.below(spoilKinds)
+		spoilKind = worker.random.intN(spoilKindCount)
 	}
-	k.wit.Change(func() {
-		s.v.Status, s.v.Stamp, s.v.Gave, s.v.End = code, mark, checker.BodyOf(body), time.Now()
+	worker.recorder.Update(func() {
+		s.arrival.Status, s.arrival.Digest, s.arrival.AnswerBody, s.arrival.End = code, digest, checker.BodyOf(body), time.Now()
 		// What follows a whole answer takes nothing from it.
-		s.v.Broke, s.v.Odd = how >= 0 && how <= noAnswer, how > noAnswer
+		s.arrival.WorkerFailed, s.arrival.ExtraBytes = spoilKind >= 0 && spoilKind <= malformedAnswer, spoilKind > malformedAnswer
 	})
-	chunks := how == cutChunks || how < 0 && k.dice.below(4) == 0
-	frame := []string{"Content-Length", strconv.Itoa(len(body))}
+	chunks := spoilKind == unendedChunks || spoilKind < 0 && worker.random.intN(4) == 0
+	framing := []string{"Content-Length", strconv.Itoa(len(body))}
 	if chunks {
-		frame = []string{"Transfer-Encoding", "chunked"}
+		framing = []string{"Transfer-Encoding", "chunked"}
 	}
-	h, on := s.head(code, append([]string{k.say.ResponseDigest, mark, "X-From", k.Service}, frame...)...)
-	if how == noAnswer {
-		h, on = fmt.Sprintf("%x", k.dice.word()), false
+	head, keepOpen := s.responseHead(code, append([]string{worker.dialect.ResponseDigest, digest, "X-From", worker.Service}, framing...)...)
+	if spoilKind == malformedAnswer {
+		head, keepOpen = fmt.Sprintf("%x", worker.random.uint64()), false
 	}
-	if s.late != "" {
-		_, _ = s.c.Write([]byte(s.late))
+	if s.surplusBefore != "" {
+		_, _ = s.conn.Write([]byte(s.surplusBefore))
 	}
-	var all bytes.Buffer
-	all.WriteString(h + "\r\n")
+	var whole bytes.Buffer
+	whole.WriteString(head + "\r\n")
 	if chunks {
 		for part := body; len(part) > 0; {
-			n := min(len(part), 1+k.dice.below(16<<10))
-			fmt.Fprintf(&all, "%x\r\n%s\r\n", n, part[:n])
-			part = part[n:]
+			size := min(len(part), 1+worker.random.intN(16<<10))
+			fmt.Fprintf(&whole, "%x\r\n%s\r\n", size, part[:size])
+			part = part[size:]
 		}
-		if how != cutChunks {
-			all.WriteString("0\r\n\r\n")
+		if spoilKind != unendedChunks {
+			whole.WriteString("0\r\n\r\n")
 		}
-	} else if how != noAnswer {
-		all.Write(body)
+	} else if spoilKind != malformedAnswer {
+		whole.Write(body)
 	}
-	out := all.Bytes()
-	switch how {
+	written := whole.Bytes()
+	switch spoilKind {
 	case cutShort:
-		out, on = out[:len(out)-1-k.dice.below(len(body))], false
-	case cutChunks:
-		on = false
-	case more:
-		out = append(out, []byte(fmt.Sprintf("%x\r\n", k.dice.word()))...)
-	case twiceSoon:
-		out = append(out, all.Bytes()...)
-	case twiceLate:
-		s.after = all.String()
+		written, keepOpen = written[:len(written)-1-worker.random.intN(len(body))], false
+	case unendedChunks:
+		keepOpen = false
+	case bytesAfterEnd:
+		written = append(written, []byte(fmt.Sprintf("%x\r\n", worker.random.uint64()))...)
+	case repeatedAtOnce:
+		written = append(written, whole.Bytes()...)
+	case repeatedLater:
+		s.surplusAfter = whole.String()
 	}
-	err := s.write(out)
-	k.wit.Change(func() { s.v.End = time.Now() })
-	return on && err == nil
+	err := s.writeChunks(written)
+	worker.recorder.Update(func() { s.arrival.End = time.Now() })
+	return keepOpen && err == nil
 }
 
-// write sends an answer in pieces, as a large one is made.
-func (s *send) write(b []byte) error {
-	for len(b) > 0 {
-		n := min(len(b), 64<<10)
-		if _, err := s.c.Write(b[:n]); err != nil {
+// writeChunks sends an answer in pieces, as a large one is made.
+func (s *workerRequest) writeChunks(content []byte) error {
+	for len(content) > 0 {
+		size := min(len(content), 64<<10)
+		if _, err := s.conn.Write(content[:size]); err != nil {
 			return err
 		}
-		b = b[n:]
+		content = content[size:]
 	}
 	return nil
 }
--- a/internal/standin/actors/client.go
+++ b/internal/standin/actors/client.go
@@ -15,219 +15,219 @@
 
 // Client is the callers on one machine: they go to the node there.
 type Client struct {
-	E       env.Env
-	Say     dialect.Dialect
-	Front   string // the node's traffic address
-	Machine string // its name for the witness
-	Wit     *checker.Witness
-	G       *task.Group
-	Keep    float64      // part of the requests on kept connections
-	Hasty   float64      // part that try again at once and more often, whatever they are told
-	quit    atomic.Int64 // of a thousand, how many go away early
-	Out     atomic.Bool
-	gone    atomic.Bool // its machine is
-	dice    *dice
-	name    string
-	seq     atomic.Int64
-	under   atomic.Int64
-	mu      sync.Mutex
-	idle    []*wire
-	wires   map[*wire]bool
+	Env                 env.Env
+	Dialect             dialect.Dialect
+	IngressAddr         string // the node's traffic address
+	Machine             string // its name for the witness
+	Recorder            *checker.Witness
+	Tasks               *task.Group
+	ReuseShare          float64      // part of the requests on kept connections
+	ImpatientShare      float64      // part that try again at once and more often, whatever they are told
+	earlyLeavesPerMille atomic.Int64 // of a thousand, how many go away early
+	Out                 atomic.Bool
+	closed              atomic.Bool // its machine is
+	random              *lockedRand
+	name                string
+	sequence            atomic.Int64
+	pending             atomic.Int64
+	mu                  sync.Mutex
+	idle                []*clientConn
+	conns               map[*clientConn]bool
 }
 
 // NewClient makes the callers of a node.
-func NewClient(e env.Env, say dialect.Dialect, front, machine, name string, wit *checker.Witness, g *task.Group, seed uint64) *Client {
-	c := &Client{E: e, Say: say, Front: front, Machine: machine, Wit: wit, G: g, Keep: 0.6, Hasty: 0.1, dice: newDice(seed), name: name}
-	c.Quits(usualQuits)
-	return c
+func NewClient(environment env.Env, dialect dialect.Dialect, front, machine, name string, recorder *checker.Witness, tasks *task.Group, seed uint64) *Client {
+	client := &Client{Env: environment, Dialect: dialect, IngressAddr: front, Machine: machine, Recorder: recorder, Tasks: tasks, ReuseShare: 0.6, ImpatientShare: 0.1, random: newLockedRand(seed), name: name}
+	client.Quits(defaultEarlyLeaveShare)
+	return client
 }
 
-// usualQuits is the part of the requests whose callers go away early.
-const usualQuits = 0.02
+// defaultEarlyLeaveShare is the part of the requests whose callers go away early.
+const defaultEarlyLeaveShare = 0.02
 
 // Quits sets which part of the requests' callers go away before their answers.
-func (c *Client) Quits(part float64) { c.quit.Store(int64(part * 1000)) }
+func (c *Client) Quits(part float64) { c.earlyLeavesPerMille.Store(int64(part * 1000)) }
 
 // Load sends a line's requests at a rate until the context ends. While Out is
 // set the clients get no new work.
-func (c *Client) Load(ctx context.Context, l *Line, rate func() float64) {
+func (c *Client) Load(ctx context.Context, line *Line, rate func() float64) {
 	for ctx.Err() == nil {
-		r := rate()
-		if r <= 0 {
+		perSecond := rate()
+		if perSecond <= 0 {
 			task.Sleep(ctx, 100*time.Millisecond)
 			continue
 		}
-		task.Sleep(ctx, c.dice.gap(r))
-		if ctx.Err() != nil || c.Out.Load() || c.under.Load() > 2000 {
+		task.Sleep(ctx, c.random.interval(perSecond))
+		if ctx.Err() != nil || c.Out.Load() || c.pending.Load() > 2000 {
 			continue
 		}
-		c.under.Add(1)
-		if !c.G.Go("job", func(ctx context.Context) {
-			defer c.under.Add(-1)
-			c.Job(ctx, l, l.Left, nil)
+		c.pending.Add(1)
+		if !c.Tasks.Go("job", func(ctx context.Context) {
+			defer c.pending.Add(-1)
+			c.Request(ctx, line, line.Left, nil)
 		}) {
-			c.under.Add(-1)
+			c.pending.Add(-1)
 		}
 	}
 }
 
-// stays is how long one that goes away early waits: every second one less than
+// earlyLeaveDelay is how long one that goes away early waits: every second one less than
 // half of its aim, when its request is likely at work, the others a good part of
 // their time.
-func (c *Client) stays(l *Line, left time.Duration) time.Duration {
-	if l.Aim > 0 && c.dice.below(2) == 0 {
-		return time.Millisecond + time.Duration(c.dice.word()%uint64(l.Aim/2))
+func (c *Client) earlyLeaveDelay(line *Line, timeout time.Duration) time.Duration {
+	if line.Aim > 0 && c.random.intN(2) == 0 {
+		return time.Millisecond + time.Duration(c.random.uint64()%uint64(line.Aim/2))
 	}
-	return left/10 + time.Duration(c.dice.word()%uint64(left/2))
+	return timeout/10 + time.Duration(c.random.uint64()%uint64(timeout/2))
 }
 
 // Under tells how many jobs it has under way.
-func (c *Client) Under() int { return int(c.under.Load()) }
+func (c *Client) Under() int { return int(c.pending.Load()) }
 
-// Job makes a request and tries again as far as it may; it tells whether it
+// Request makes a request and tries again as far as it may; it tells whether it
 // was served. By is the run that needs it, of a nested one.
-func (c *Client) Job(ctx context.Context, l *Line, left time.Duration, by *checker.Visit) bool {
-	job := fmt.Sprint(c.name, c.seq.Add(1))
-	end := time.Now().Add(left)
-	further := l.Further
-	hasty := by == nil && c.dice.share() < c.Hasty
-	if hasty {
-		further += 2
+func (c *Client) Request(ctx context.Context, line *Line, timeout time.Duration, parent *checker.Arrival) bool {
+	name := fmt.Sprint(c.name, c.sequence.Add(1))
+	deadline := time.Now().Add(timeout)
+	retries := line.Further
+	impatient := parent == nil && c.random.fraction() < c.ImpatientShare
+	if impatient {
+		retries += 2
 	}
-	early := by == nil && c.dice.share() < float64(c.quit.Load())/1000
-	if early {
-		var stop context.CancelFunc
-		ctx, stop = context.WithTimeout(ctx, c.stays(l, left))
-		defer stop()
+	leavesEarly := parent == nil && c.random.fraction() < float64(c.earlyLeavesPerMille.Load())/1000
+	if leavesEarly {
+		var cancel context.CancelFunc
+		ctx, cancel = context.WithTimeout(ctx, c.earlyLeaveDelay(line, timeout))
+		defer cancel()
 	}
-	for n := 0; n <= further && ctx.Err() == nil && !c.gone.Load(); n++ {
-		left := time.Until(end)
-		if left < time.Millisecond {
+	for try := 0; try <= retries && ctx.Err() == nil && !c.closed.Load(); try++ {
+		timeout := time.Until(deadline)
+		if timeout < time.Millisecond {
 			return false
 		}
-		t := c.draft(l, job, n, left)
-		t.By, t.Early = by, early
-		a := c.try(ctx, t, l, n == 0 && c.dice.share() < c.Keep)
-		if a.Status/100 == 2 && a.Whole {
+		attempt := c.newAttempt(line, name, try, timeout)
+		attempt.Parent, attempt.LeavesEarly = parent, leavesEarly
+		answer := c.attempt(ctx, attempt, line, try == 0 && c.random.fraction() < c.ReuseShare)
+		if answer.Status/100 == 2 && answer.Complete {
 			return true
 		}
-		if !again(l.Repeat, a) {
+		if !mayRetry(line.Repeat, answer) {
 			return false
 		}
-		wait := c.dice.about(40 * time.Millisecond)
-		if hasty {
+		wait := c.random.around(40 * time.Millisecond)
+		if impatient {
 			wait = time.Millisecond
-		} else if a.HasCome {
-			wait = min(a.Come, time.Until(end)/3)
+		} else if answer.HasRetryAfter {
+			wait = min(answer.RetryAfter, time.Until(deadline)/3)
 		}
 		task.Sleep(ctx, wait)
 	}
 	return false
 }
 
-// again tells whether a request may be tried once more after an answer.
-func again(repeat bool, a checker.Answer) bool {
-	switch a.Status {
+// mayRetry tells whether a request may be tried once more after an answer.
+func mayRetry(repeat bool, answer checker.Answer) bool {
+	switch answer.Status {
 	case 400, 401, 404, 413, 431:
 		return false
 	case 408, 421, 429, 503:
 		return true
 	}
-	if a.Status/100 == 2 && a.Whole || a.GaveUp && !repeat {
+	if answer.Status/100 == 2 && answer.Complete || answer.ClientClosed && !repeat {
 		return false
 	}
-	return repeat || a.ClosedBefore
+	return repeat || answer.ClosedBeforeRead
 }
 
-// draft makes a try with an id of its own.
-func (c *Client) draft(l *Line, job string, n int, left time.Duration) *checker.Try {
-	at, prefix := l.Host, l.Prefix
-	if l.Pick != nil {
-		at, prefix = l.Pick(c.dice.word())
+// newAttempt makes a try with an id of its own.
+func (c *Client) newAttempt(line *Line, request string, try int, timeout time.Duration) *checker.Attempt {
+	host, prefix := line.Host, line.Prefix
+	if line.Pick != nil {
+		host, prefix = line.Pick(c.random.uint64())
 	}
-	t := &checker.Try{ID: fmt.Sprintf("%s.%d", job, n), Job: job, Kind: l.Kind, Front: c.Machine, Host: at, Method: l.Method,
-		URI: fmt.Sprintf("%s%x?k=%d", prefix, c.dice.below(1<<16), n), Repeat: l.Repeat, Left: left, Work: l.Work, From: time.Now()}
-	w := Work{Back: l.Back/2 + c.dice.below(l.Back+1)}
-	for _, o := range l.Calls {
-		if c.dice.share() < o.Share {
-			w.Calls = append(w.Calls, o.Line)
+	attempt := &checker.Attempt{ID: fmt.Sprintf("%s.%d", request, try), Request: request, Kind: line.Kind, Ingress: c.Machine, Host: host, Method: line.Method,
+		URI: fmt.Sprintf("%s%x?k=%d", prefix, c.random.intN(1<<16), try), Retryable: line.Repeat, Timeout: timeout, WorkTime: line.Work, Start: time.Now()}
+	plan := ExecutionPlan{AnswerSize: line.Back/2 + c.random.intN(line.Back+1)}
+	for _, o := range line.Calls {
+		if c.random.fraction() < o.Share {
+			plan.Calls = append(plan.Calls, o.Line)
 		}
 	}
-	t.Plan = w
-	return t
+	attempt.WorkerPlan = plan
+	return attempt
 }
 
 // Probe sends one request directly, to see which document is in force here.
-func (c *Client) Probe(ctx context.Context, l *Line) checker.Answer {
-	t := c.draft(l, fmt.Sprint(c.name, "p", c.seq.Add(1)), 0, l.Left)
-	t.Probe = true
-	return c.try(ctx, t, l, false)
+func (c *Client) Probe(ctx context.Context, line *Line) checker.Answer {
+	attempt := c.newAttempt(line, fmt.Sprint(c.name, "p", c.sequence.Add(1)), 0, line.Left)
+	attempt.Probe = true
+	return c.attempt(ctx, attempt, line, false)
 }
 
-// try sends one request and waits for what comes of it.
-func (c *Client) try(ctx context.Context, t *checker.Try, l *Line, kept bool) checker.Answer {
-	body := c.body(l, t)
-	t.Body = checker.BodyOf(body)
-	c.Wit.Send(t)
-	a := c.send(ctx, t, body, kept)
-	c.Wit.Ended(t, a)
-	return a
+// attempt sends one request and waits for what comes of it.
+func (c *Client) attempt(ctx context.Context, attempt *checker.Attempt, line *Line, reuse bool) checker.Answer {
+	body := c.makeBody(line, attempt)
+	attempt.Body = checker.BodyOf(body)
+	c.Recorder.AttemptStarted(attempt)
+	answer := c.send(ctx, attempt, body, reuse)
+	c.Recorder.AttemptEnded(attempt, answer)
+	return answer
 }
 
-func (c *Client) send(ctx context.Context, t *checker.Try, body []byte, kept bool) checker.Answer {
-	end := t.From.Add(t.Left)
-	ctx, stop := context.WithDeadline(ctx, end)
-	defer stop()
-	w := c.take(ctx, kept)
-	if w == nil {
-		return checker.Answer{Why: "no connection", ClosedBefore: true, GaveUp: ctx.Err() != nil}
+func (c *Client) send(ctx context.Context, attempt *checker.Attempt, body []byte, reuse bool) checker.Answer {
+	deadline := attempt.Start.Add(attempt.Timeout)
+	ctx, cancel := context.WithDeadline(ctx, deadline)
+	defer cancel()
+	conn := c.connect(ctx, reuse)
+	if conn == nil {
+		return checker.Answer{Reason: "no connection", ClosedBeforeRead: true, ClientClosed: ctx.Err() != nil}
 	}
-	c.Wit.Change(func() { t.Kept = w.used })
-	to := make(chan checker.Answer, 1)
-	if !w.expect(t, to) {
-		return checker.Answer{Why: "closed meanwhile", ClosedBefore: true}
+	c.Recorder.Update(func() { attempt.ReusedConn = conn.reused })
+	answers := make(chan checker.Answer, 1)
+	if !conn.expectAnswer(attempt, answers) {
+		return checker.Answer{Reason: "closed meanwhile", ClosedBeforeRead: true}
 	}
-	err := w.write(t, body, c, !kept && c.dice.below(2) == 0)
+	err := conn.writeRequest(attempt, body, c, !reuse && c.random.intN(2) == 0)
 	if err == nil {
-		c.Wit.Sent(t)
+		c.Recorder.AttemptSent(attempt)
 	}
-	unread := time.NewTimer(min(time.Second, t.Left/3))
+	unread := time.NewTimer(min(time.Second, attempt.Timeout/3))
 	defer unread.Stop()
 	for {
 		select {
-		case a := <-to:
-			a.Taken = a.Taken || a.Status != 0
-			a.ClosedBefore = a.Status == 0 && !a.Broken && !a.Taken
-			if w.good(a) {
-				c.keep(w)
+		case answer := <-answers:
+			answer.RequestRead = answer.RequestRead || answer.Status != 0
+			answer.ClosedBeforeRead = answer.Status == 0 && !answer.Malformed && !answer.RequestRead
+			if conn.reusable(answer) {
+				c.keepIdle(conn)
 			} else {
-				w.shut()
+				conn.close()
 			}
-			return a
+			return answer
 		case <-unread.C:
-			if !t.Repeat || w.taken() {
+			if !attempt.Retryable || conn.requestRead() {
 				continue
 			}
-			w.shut()
-			return checker.Answer{Why: "unread", GaveUp: true}
+			conn.close()
+			return checker.Answer{Reason: "unread", ClientClosed: true}
 		case <-ctx.Done():
-			taken := w.taken()
-			w.shut()
-			return checker.Answer{Why: "time up", GaveUp: true, Taken: taken}
+			requestRead := conn.requestRead()
+			conn.close()
+			return checker.Answer{Reason: "time up", ClientClosed: true, RequestRead: requestRead}
 		}
 	}
 }
 
-// body makes a body; some hold a request of their own, which must stay a body.
-func (c *Client) body(l *Line, t *checker.Try) []byte {
-	if l.Size <= 0 {
+// makeBody makes a body; some hold a request of their own, which must stay a body.
+func (c *Client) makeBody(line *Line, attempt *checker.Attempt) []byte {
+	if line.Size <= 0 {
 		return nil
 	}
-	out := make([]byte, max(l.Size/2+c.dice.below(l.Size+1), 1))
-	text := fmt.Sprintf("%x ", c.dice.word())
-	if c.dice.below(8) == 0 {
-		text = fmt.Sprintf("\r\n\r\n%s %s HTTP/1.1\r\nHost: %s\r\n%s: inside-%s\r\n\r\n", t.Method, t.URI, t.Host, c.Say.AttemptID, t.ID)
+	content := make([]byte, max(line.Size/2+c.random.intN(line.Size+1), 1))
+	text := fmt.Sprintf("%x ", c.random.uint64())
+	if c.random.intN(8) == 0 {
+		text = fmt.Sprintf("\r\n\r\n%s %s HTTP/1.1\r\nHost: %s\r\n%s: inside-%s\r\n\r\n", attempt.Method, attempt.URI, attempt.Host, c.Dialect.AttemptID, attempt.ID)
 	}
-	fill(out, text)
-	return out
+	fillRepeating(content, text)
+	return content
 }
--- a/internal/standin/actors/core_test.go
+++ b/internal/standin/actors/core_test.go
@@ -21,24 +21,24 @@
 	"puffincrank/internal/task"
 )
 
-// core is a control node in memory that keeps every promise, or breaks one.
-type core struct {
-	mu    sync.Mutex
-	err   string
-	n     int
-	fence uint64
-	locks map[string]*lease
-	nums  map[string]uint64
-	revs  map[string]uint64
-	keys  map[string][]cell
-	doc   string
-	first string
+// node is a control node in memory that keeps every promise, or breaks one.
+type node struct {
+	mu            sync.Mutex
+	broken        string
+	calls         int
+	fence         uint64
+	locks         map[string]*lease
+	numbers       map[string]uint64
+	revisions     map[string]uint64
+	keys          map[string][]cell
+	document      string
+	firstDocument string
 }
 
 type lease struct {
-	owner string
-	fence uint64
-	end   time.Time
+	owner   string
+	fence   uint64
+	expires time.Time
 }
 
 type cell struct {
@@ -47,10 +47,10 @@
 	Rev   uint64 `json:"rev"`
 }
 
-// errs tells that it is to break a promise, now and then.
-func (c *core) errs(what string) bool { c.n++; return c.err == what && c.n%3 == 0 }
+// breaks tells that it is to break a promise, now and then.
+func (c *node) breaks(promise string) bool { c.calls++; return c.broken == promise && c.calls%3 == 0 }
 
-func (c *core) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (c *node) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	raw, _ := io.ReadAll(r.Body)
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -62,39 +62,39 @@
 		If    *uint64 `json:"if_rev"`
 	}
 	_ = json.Unmarshal(raw, &in)
-	p := strings.Split(strings.TrimPrefix(r.URL.Path, "/puffin/"), "/")
-	if p[0] == "config" {
+	segments := strings.Split(strings.TrimPrefix(r.URL.Path, "/puffin/"), "/")
+	if segments[0] == "config" {
 		c.config(w, r, string(raw))
 		return
 	}
-	kind, name := p[1], p[2]
+	kind, name := segments[1], segments[2]
 	switch kind {
 	case "locks":
-		l := c.locks[name]
-		free := l == nil || !time.Now().Before(l.end) || l.owner == in.Owner || c.errs("locks")
+		held := c.locks[name]
+		free := held == nil || !time.Now().Before(held.expires) || held.owner == in.Owner || c.breaks("locks")
 		ttl := time.Duration(in.TTL) * time.Millisecond
 		switch {
 		case r.Method == "DELETE":
-			if l != nil && l.fence == in.Fence {
-				l.end = time.Time{}
+			if held != nil && held.fence == in.Fence {
+				held.expires = time.Time{}
 			}
 			httpapi.WriteJSON(w, 200, map[string]any{})
-		case r.Method == "PUT" && (l == nil || l.owner != in.Owner || l.fence != in.Fence || !time.Now().Before(l.end)), !free:
+		case r.Method == "PUT" && (held == nil || held.owner != in.Owner || held.fence != in.Fence || !time.Now().Before(held.expires)), !free:
 			httpapi.WriteJSON(w, 409, map[string]any{})
 		default:
-			if l == nil || l.owner != in.Owner || !time.Now().Before(l.end) {
+			if held == nil || held.owner != in.Owner || !time.Now().Before(held.expires) {
 				c.fence++
-				l = &lease{owner: in.Owner, fence: c.fence}
-				c.locks[name] = l
+				held = &lease{owner: in.Owner, fence: c.fence}
+				c.locks[name] = held
 			}
-			l.end = time.Now().Add(ttl)
-			httpapi.WriteJSON(w, 200, map[string]any{"fence": l.fence})
+			held.expires = time.Now().Add(ttl)
+			httpapi.WriteJSON(w, 200, map[string]any{"fence": held.fence})
 		}
 	case "numbers":
-		if !c.errs("numbers") {
-			c.nums[name]++
+		if !c.breaks("numbers") {
+			c.numbers[name]++
 		}
-		httpapi.WriteJSON(w, 200, map[string]any{"value": c.nums[name]})
+		httpapi.WriteJSON(w, 200, map[string]any{"value": c.numbers[name]})
 	case "keys":
 		c.cell(w, r, name, in.Value, in.If)
 	case "watch":
@@ -102,140 +102,140 @@
 	}
 }
 
-func (c *core) config(w http.ResponseWriter, r *http.Request, raw string) {
+func (c *node) config(w http.ResponseWriter, r *http.Request, raw string) {
 	if r.Method == "GET" {
-		if c.errs("documents") {
-			raw = c.first
+		if c.breaks("documents") {
+			raw = c.firstDocument
 		} else {
-			raw = c.doc
+			raw = c.document
 		}
 		_, _ = w.Write([]byte(raw))
 		return
 	}
-	if !json.Valid([]byte(raw)) && c.err != "broken" {
+	if !json.Valid([]byte(raw)) && c.broken != "broken" {
 		httpapi.WriteJSON(w, 422, map[string]any{})
 		return
 	}
-	if c.first == "" {
-		c.first = raw
+	if c.firstDocument == "" {
+		c.firstDocument = raw
 	}
-	c.doc = raw
+	c.document = raw
 	httpapi.WriteJSON(w, 200, map[string]any{})
 }
 
-func (c *core) cell(w http.ResponseWriter, r *http.Request, name, value string, at *uint64) {
-	g := name[:strings.IndexByte(name, '.')+1]
-	var now, last cell
-	for _, k := range c.keys[g] {
+func (c *node) cell(w http.ResponseWriter, r *http.Request, name, value string, ifRevision *uint64) {
+	group := name[:strings.IndexByte(name, '.')+1]
+	var current, previous cell
+	for _, k := range c.keys[group] {
 		if k.Name == name {
-			last, now = now, k
+			previous, current = current, k
 		}
 	}
 	switch {
-	case r.Method == "GET" && c.errs("reads") && last.Rev > 0:
-		httpapi.WriteJSON(w, 200, last)
-	case r.Method == "GET" && now.Rev == 0:
+	case r.Method == "GET" && c.breaks("reads") && previous.Rev > 0:
+		httpapi.WriteJSON(w, 200, previous)
+	case r.Method == "GET" && current.Rev == 0:
 		httpapi.WriteJSON(w, 404, map[string]any{})
 	case r.Method == "GET":
-		httpapi.WriteJSON(w, 200, now)
-	case at != nil && *at != now.Rev && !c.errs("conditions"):
-		httpapi.WriteJSON(w, 412, map[string]any{"rev": now.Rev})
+		httpapi.WriteJSON(w, 200, current)
+	case ifRevision != nil && *ifRevision != current.Rev && !c.breaks("conditions"):
+		httpapi.WriteJSON(w, 412, map[string]any{"rev": current.Rev})
 	default:
-		c.revs[g]++
-		c.keys[g] = append(c.keys[g], cell{name, value, c.revs[g]})
-		httpapi.WriteJSON(w, 200, map[string]any{"rev": c.revs[g]})
+		c.revisions[group]++
+		c.keys[group] = append(c.keys[group], cell{name, value, c.revisions[group]})
+		httpapi.WriteJSON(w, 200, map[string]any{"rev": c.revisions[group]})
 	}
 }
 
-func (c *core) watch(w http.ResponseWriter, r *http.Request, g string) {
+func (c *node) watch(w http.ResponseWriter, r *http.Request, group string) {
 	var after, wait int64
 	_, _ = fmt.Sscanf(r.URL.RawQuery, "after=%d&wait_ms=%d", &after, &wait)
-	for end := time.Now().Add(time.Duration(wait) * time.Millisecond); after > 0 && c.revs[g] <= uint64(after) && time.Now().Before(end); {
+	for deadline := time.Now().Add(time.Duration(wait) * time.Millisecond); after > 0 && c.revisions[group] <= uint64(after) && time.Now().Before(deadline); {
 		c.mu.Unlock()
 		task.Sleep(context.Background(), 20*time.Millisecond)
 		c.mu.Lock()
 	}
 	list := []cell{}
-	for _, k := range c.keys[g] {
-		if after > 0 && k.Rev > uint64(after) && !c.errs("watches") {
+	for _, k := range c.keys[group] {
+		if after > 0 && k.Rev > uint64(after) && !c.breaks("watches") {
 			list = append(list, k)
 		}
 	}
-	httpapi.WriteJSON(w, 200, map[string]any{"changes": list, "rev": c.revs[g]})
+	httpapi.WriteJSON(w, 200, map[string]any{"changes": list, "rev": c.revisions[group]})
 }
 
-// TestCallers: against a control node that keeps every promise nothing is
+// TestCallersDetectBrokenPromises: against a control node that keeps every promise nothing is
 // blamed; each promise that it breaks is caught by applications and operators.
-func TestCallers(t *testing.T) {
-	for err, rules := range map[string][]string{"": nil, "locks": {checker.One}, "numbers": {checker.Order}, "reads": {checker.Stale}, "conditions": {checker.Order},
+func TestCallersDetectBrokenPromises(t *testing.T) {
+	for promise, rules := range map[string][]string{"": nil, "locks": {checker.One}, "numbers": {checker.Order}, "reads": {checker.Stale}, "conditions": {checker.Order},
 		"watches": {checker.Order}, "documents": {checker.Config}, "broken": {checker.Config}} {
-		t.Run("breaks "+err, func(t *testing.T) {
+		t.Run("breaks "+promise, func(t *testing.T) {
 			t.Parallel()
-			synctest.Test(t, func(t *testing.T) { callers(t, err, rules) })
+			synctest.Test(t, func(t *testing.T) { runCallers(t, promise, rules) })
 		})
 	}
 }
 
-// callers plays a few seconds of them. They share one dice, so who draws what
+// runCallers plays a few seconds of them. They share one dice, so who draws what
 // differs from run to run: they make several times the calls that are asked
 // for, since a count that is met on average only is missed now and then.
-func callers(t *testing.T, err string, rules []string) {
+func runCallers(t *testing.T, promise string, rules []string) {
 	net := sim.NewNet(1, time.Millisecond, time.Millisecond)
 	net.Place("h1", "x")
 	net.Place("h2", "x")
-	g, wit := task.New(context.Background()), checker.New(checker.Usual)
-	e := env.Env{Net: net.Host("h1"), Log: event.New("h1", nil), Wall: time.Now}
-	c := &core{err: err, locks: map[string]*lease{}, nums: map[string]uint64{}, revs: map[string]uint64{}, keys: map[string][]cell{}}
-	if err := httpapi.Serve(g, e, "h1:1", c, time.Second); err != nil {
-		t.Fatal(err)
-	}
-	e.Net = net.Host("h2")
-	at := func() []string { return []string{"h1:1"} }
-	a, o := actors.NewApps(e, at, wit, g, 1), actors.NewOperator(e, at, wit, 2)
-	a.Locks, a.Rate, a.Callers = 9, 150, 21
-	ctx, end := context.WithTimeout(context.Background(), 12*time.Second)
-	d := &actors.Draft{Number: 1, Services: []string{"s", "u"}, Ways: []actors.Way{{Name: "p", Host: "h.example", Prefix: "/a/", Repeat: "safe", Split: map[string]int{"s": 1}, Left: time.Second, Tries: 2}}}
+	tasks, recorder := task.New(context.Background()), checker.New(checker.Usual)
+	environment := env.Env{Net: net.Host("h1"), Log: event.New("h1", nil), Wall: time.Now}
+	node := &node{broken: promise, locks: map[string]*lease{}, numbers: map[string]uint64{}, revisions: map[string]uint64{}, keys: map[string][]cell{}}
+	if promise := httpapi.Serve(tasks, environment, "h1:1", node, time.Second); promise != nil {
+		t.Fatal(promise)
+	}
+	environment.Net = net.Host("h2")
+	nodes := func() []string { return []string{"h1:1"} }
+	apps, operator := actors.NewApps(environment, nodes, recorder, tasks, 1), actors.NewOperator(environment, nodes, recorder, 2)
+	apps.Locks, apps.Rate, apps.Callers = 9, 150, 21
+	ctx, cancel := context.WithTimeout(context.Background(), 12*time.Second)
+	draft := &actors.Draft{Number: 1, Services: []string{"s", "u"}, Ways: []actors.Way{{Name: "p", Host: "h.example", Prefix: "/a/", Repeat: "safe", Split: map[string]int{"s": 1}, Left: time.Second, Tries: 2}}}
 	for n := range uint64(3) {
-		d = d.Copy()
-		d.Number = n + 1
-		o.Send(ctx, d, "", "")
+		draft = draft.Copy()
+		draft.Number = n + 1
+		operator.Send(ctx, draft, "", "")
 	}
-	o.Send(ctx, d, actors.Breaks[0].Of(d), actors.Breaks[0].Name)
-	if c.err == "broken" {
-		c.doc = c.first
+	operator.Send(ctx, draft, actors.Breaks[0].Of(draft), actors.Breaks[0].Name)
+	if node.broken == "broken" {
+		node.document = node.firstDocument
 	}
-	a.Run(ctx)
-	end()
-	a.Finish(context.Background())
+	apps.Run(ctx)
+	cancel()
+	apps.Finish(context.Background())
 	for range 3 {
-		o.Read(context.Background(), time.Second, true)
+		operator.Read(context.Background(), time.Second, true)
 	}
-	g.Stop()
+	tasks.Stop()
 	<-time.After(4 * time.Second)
-	bad, notes := wit.Verdict()
+	breaches, notes := recorder.Verdict()
 	want := map[string]bool{}
 	for _, r := range rules {
 		want[r] = true
-		if bad[r] == 0 {
-			t.Errorf("%s: not caught as %s: %v", err, r, bad)
+		if breaches[r] == 0 {
+			t.Errorf("%s: not caught as %s: %v", promise, r, breaches)
 		}
 	}
-	if len(rules) == 0 && len(bad) > 0 {
+	if len(rules) == 0 && len(breaches) > 0 {
 		t.Errorf("blamed: %v", notes)
 	}
-	if done, _ := a.Done(); done["put 200"] < 50 || done["take 200"] < 20 || done["watch 200"] < 20 {
+	if done, _ := apps.Done(); done["put 200"] < 50 || done["take 200"] < 20 || done["watch 200"] < 20 {
 		t.Errorf("too little was called: %v", done)
 	}
 }
 
-// TestBreaks: each broken document is what its name says, and the whole one it
+// TestBreaksProduceInvalidDocuments: each broken document is what its name says, and the whole one it
 // was made of is not.
-func TestBreaks(t *testing.T) {
-	d := &actors.Draft{Number: 1, Services: []string{"s", "u"}, Ways: []actors.Way{{Name: "p", Host: "h.example", Prefix: "/a/", Repeat: "safe", Split: map[string]int{"s": 1}, Left: time.Second, Tries: 2}}}
-	for _, b := range actors.Breaks {
-		got := b.Of(d)
-		if got == d.JSON() || (b.Name != "cut short") != json.Valid([]byte(got)) {
-			t.Errorf("%s: %s", b.Name, got)
+func TestBreaksProduceInvalidDocuments(t *testing.T) {
+	draft := &actors.Draft{Number: 1, Services: []string{"s", "u"}, Ways: []actors.Way{{Name: "p", Host: "h.example", Prefix: "/a/", Repeat: "safe", Split: map[string]int{"s": 1}, Left: time.Second, Tries: 2}}}
+	for _, testCase := range actors.Breaks {
+		invalid := testCase.Of(draft)
+		if invalid == draft.JSON() || (testCase.Name != "cut short") != json.Valid([]byte(invalid)) {
+			t.Errorf("%s: %s", testCase.Name, invalid)
 		}
 	}
 }
--- a/internal/standin/actors/draft.go
+++ b/internal/standin/actors/draft.go
@@ -29,16 +29,16 @@
 
 // Copy gives a draft with paths of its own.
 func (d *Draft) Copy() *Draft {
-	c := *d
-	c.Ways = append([]Way(nil), d.Ways...)
-	for i := range c.Ways {
+	copied := *d
+	copied.Ways = append([]Way(nil), d.Ways...)
+	for i := range copied.Ways {
 		split := map[string]int{}
-		for s, n := range c.Ways[i].Split {
+		for s, n := range copied.Ways[i].Split {
 			split[s] = n
 		}
-		c.Ways[i].Split = split
+		copied.Ways[i].Split = split
 	}
-	return &c
+	return &copied
 }
 
 // JSON writes the document.
@@ -48,10 +48,10 @@
 		services = append(services, map[string]any{"name": s, "fitness": d.Fitness, "links": d.Links, "proto": "h1", "tls": false})
 	}
 	for _, w := range d.Ways {
-		p := map[string]any{"name": w.Name, "host": w.Host, "prefix": w.Prefix, "repeat": w.Repeat, "left_ms": w.Left.Milliseconds(), "aim_ms": w.Aim.Milliseconds(), "tries": w.Tries, "rank": w.Rank}
+		route := map[string]any{"name": w.Name, "host": w.Host, "prefix": w.Prefix, "repeat": w.Repeat, "left_ms": w.Left.Milliseconds(), "aim_ms": w.Aim.Milliseconds(), "tries": w.Tries, "rank": w.Rank}
 		if len(w.Split) == 1 {
 			for s := range w.Split {
-				p["service"] = s
+				route["service"] = s
 			}
 		} else {
 			split := []map[string]any{}
@@ -60,9 +60,9 @@
 					split = append(split, map[string]any{"service": s, "weight": n})
 				}
 			}
-			p["split"] = split
+			route["split"] = split
 		}
-		paths = append(paths, p)
+		paths = append(paths, route)
 	}
 	raw, _ := json.Marshal(map[string]any{"version": d.Number, "services": services, "paths": paths,
 		"limits": map[string]any{"head_bytes": 16384, "body_bytes": 67108864, "head_ms": 3000, "idle_ms": 15000}})
@@ -70,12 +70,12 @@
 }
 
 // Doc is the draft for the witness.
-func (d *Draft) Doc() *checker.Doc {
-	c := &checker.Doc{Number: d.Number, Raw: d.JSON()}
+func (d *Draft) Doc() *checker.Document {
+	document := &checker.Document{Number: d.Number, Raw: d.JSON()}
 	for _, w := range d.Ways {
-		c.Paths = append(c.Paths, checker.Path{Name: w.Name, Host: w.Host, Prefix: w.Prefix, Repeat: w.Repeat == "safe" || w.Repeat == "download", Services: w.Split, Left: w.Left, Tries: w.Tries})
+		document.Routes = append(document.Routes, checker.RouteSpec{Name: w.Name, Host: w.Host, Prefix: w.Prefix, Retryable: w.Repeat == "safe" || w.Repeat == "download", Weights: w.Split, Timeout: w.Left, MaxAttempts: w.Tries})
 	}
-	return c
+	return document
 }
 
 // Breaks are the ways in which a document is broken; each has a name and makes
@@ -122,11 +122,11 @@
 	}},
 }
 
-// alike tells that two texts are one document, field for field.
-func alike(a, b string) bool {
-	var x, y any
-	if json.Unmarshal([]byte(a), &x) != nil || json.Unmarshal([]byte(b), &y) != nil {
+// sameDocument tells that two texts are one document, field for field.
+func sameDocument(first, second string) bool {
+	var firstValue, secondValue any
+	if json.Unmarshal([]byte(first), &firstValue) != nil || json.Unmarshal([]byte(second), &secondValue) != nil {
 		return false
 	}
-	return fmt.Sprint(x) == fmt.Sprint(y)
+	return fmt.Sprint(firstValue) == fmt.Sprint(secondValue)
 }
--- a/internal/standin/actors/gone_test.go
+++ b/internal/standin/actors/gone_test.go
@@ -8,28 +8,28 @@
 	"time"
 )
 
-// TestGoneClient: a client whose machine is gone tries no more, though its job has
+// TestClosedClientDoesNotRetry: a client whose machine is gone tries no more, though its job has
 // time left and was told to come back: its address may be another machine's now.
-func TestGoneClient(t *testing.T) {
-	for _, gone := range []bool{false, true} {
+func TestClosedClientDoesNotRetry(t *testing.T) {
+	for _, closed := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
-			d := newGround(t, usual, func(w http.ResponseWriter, _ *http.Request, _ []byte, _ func() (*http.Response, []byte, error)) bool {
+			bed := newTestbed(t, usualBehavior, func(w http.ResponseWriter, _ *http.Request, _ []byte, _ func() (*http.Response, []byte, error)) bool {
 				w.Header().Set("Retry-After", "0.2")
 				w.WriteHeader(http.StatusServiceUnavailable)
 				return true
 			})
-			d.g.Go("job", func(ctx context.Context) { d.c.Job(ctx, d.line, d.line.Left, nil) })
+			bed.tasks.Go("job", func(ctx context.Context) { bed.client.Request(ctx, bed.line, bed.line.Left, nil) })
 			<-time.After(100 * time.Millisecond)
-			if gone {
-				d.c.Close()
+			if closed {
+				bed.client.Close()
 			}
 			<-time.After(2 * time.Second)
-			if n, want := d.wit.Tally()["tries"], map[bool]int{false: 2, true: 1}[gone]; n != want {
-				t.Errorf("gone: %v, %d tries", gone, n)
+			if attempts, want := bed.recorder.Tally()["tries"], map[bool]int{false: 2, true: 1}[closed]; attempts != want {
+				t.Errorf("gone: %v, %d tries", closed, attempts)
 			}
-			d.c.Close()
-			d.k.Kill()
-			d.g.Stop()
+			bed.client.Close()
+			bed.worker.Kill()
+			bed.tasks.Stop()
 		})
 	}
 }
--- a/internal/standin/actors/operator.go
+++ b/internal/standin/actors/operator.go
@@ -14,44 +14,44 @@
 
 // Operator sends whole documents by number and reads them back.
 type Operator struct {
-	E    env.Env
-	Wit  *checker.Witness
-	At   func() []string // the nodes that take its calls, as it knows them
-	Give time.Duration   // how long it sends a document without a clear answer
-	dice *dice
-	mu   sync.Mutex
-	sent []*checker.Doc
+	Env         env.Env
+	Recorder    *checker.Witness
+	Nodes       func() []string // the nodes that take its calls, as it knows them
+	SendTimeout time.Duration   // how long it sends a document without a clear answer
+	random      *lockedRand
+	mu          sync.Mutex
+	sent        []*checker.Document
 }
 
 // NewOperator makes an operator who knows the given nodes.
-func NewOperator(e env.Env, at func() []string, wit *checker.Witness, seed uint64) *Operator {
-	return &Operator{E: e, Wit: wit, At: at, Give: 30 * time.Second, dice: newDice(seed)}
+func NewOperator(environment env.Env, nodes func() []string, recorder *checker.Witness, seed uint64) *Operator {
+	return &Operator{Env: environment, Recorder: recorder, Nodes: nodes, SendTimeout: 30 * time.Second, random: newLockedRand(seed)}
 }
 
-// pick draws a node, another one than the last if there are more.
-func (o *Operator) pick(last string) string {
-	all := o.At()
-	at := all[o.dice.below(len(all))]
-	for i := 0; at == last && len(all) > 1 && i < 8; i++ {
-		at = all[o.dice.below(len(all))]
+// pickNode draws a node, another one than the last if there are more.
+func (o *Operator) pickNode(previous string) string {
+	nodes := o.Nodes()
+	node := nodes[o.random.intN(len(nodes))]
+	for i := 0; node == previous && len(nodes) > 1 && i < 8; i++ {
+		node = nodes[o.random.intN(len(nodes))]
 	}
-	return at
+	return node
 }
 
 // Send sends a draft until it has a clear answer, to one node after the other.
 // With broken set the text is that, and what is wrong with it is named.
-func (o *Operator) Send(ctx context.Context, d *Draft, broken, what string) bool {
-	doc := d.Doc()
-	if broken != "" {
-		doc.Raw, doc.Broken = broken, what
+func (o *Operator) Send(ctx context.Context, draft *Draft, invalid, defect string) bool {
+	document := draft.Doc()
+	if invalid != "" {
+		document.Raw, document.Defect = invalid, defect
 	}
 	o.mu.Lock()
-	o.sent = append(o.sent, doc)
+	o.sent = append(o.sent, document)
 	o.mu.Unlock()
-	o.Wit.Offer(doc)
-	ok := o.put(ctx, doc)
+	o.Recorder.DocumentSent(document)
+	ok := o.submit(ctx, document)
 	if !ok {
-		o.Wit.Change(func() { doc.End = time.Now() })
+		o.Recorder.Update(func() { document.EndedAt = time.Now() })
 	}
 	return ok
 }
@@ -59,78 +59,78 @@
 // Again sends a document that was sent before once more, as it was.
 func (o *Operator) Again(ctx context.Context) {
 	o.mu.Lock()
-	var old *checker.Doc
-	if n := len(o.sent); n > 1 {
-		old = o.sent[o.dice.below(n-1)]
+	var earlier *checker.Document
+	if count := len(o.sent); count > 1 {
+		earlier = o.sent[o.random.intN(count-1)]
 	}
 	o.mu.Unlock()
-	if old != nil {
-		o.put(ctx, old)
+	if earlier != nil {
+		o.submit(ctx, earlier)
 	}
 }
 
-func (o *Operator) put(ctx context.Context, doc *checker.Doc) bool {
-	at, rest, odd := "", 100*time.Millisecond, 0
-	long := time.Second + time.Duration(len(doc.Raw)/1000)*time.Millisecond
-	for from := time.Now(); time.Since(from) < o.Give && ctx.Err() == nil; {
-		at = o.pick(at)
-		code, _ := Ask(ctx, o.E.Net, http.MethodPut, at, "/puffin/config?by=number", []byte(doc.Raw), long)
+func (o *Operator) submit(ctx context.Context, document *checker.Document) bool {
+	node, pause, unexpected := "", 100*time.Millisecond, 0
+	timeout := time.Second + time.Duration(len(document.Raw)/1000)*time.Millisecond
+	for from := time.Now(); time.Since(from) < o.SendTimeout && ctx.Err() == nil; {
+		node = o.pickNode(node)
+		code, _ := Ask(ctx, o.Env.Net, http.MethodPut, node, "/puffin/config?by=number", []byte(document.Raw), timeout)
 		switch {
 		case code == 200:
-			o.Wit.Took(doc, host(at))
+			o.Recorder.DocumentAcked(document, hostOf(node))
 			return true
 		case code == 400 || code == 409 || code == 412 || code == 413 || code == 422:
-			o.refused(doc)
+			o.noteRejected(document)
 			return false
 		case code/100 == 4 && code != 408 && code != 429:
-			if odd++; odd == 3 {
-				o.refused(doc)
+			if unexpected++; unexpected == 3 {
+				o.noteRejected(document)
 				return false
 			}
 		}
-		task.Sleep(ctx, o.dice.about(rest))
-		rest = min(rest*3/2, 2*time.Second)
+		task.Sleep(ctx, o.random.around(pause))
+		pause = min(pause*3/2, 2*time.Second)
 	}
 	return false
 }
 
-func (o *Operator) refused(doc *checker.Doc) {
-	o.Wit.Change(func() {
-		if doc.Refused.IsZero() {
-			doc.Refused = time.Now()
+func (o *Operator) noteRejected(document *checker.Document) {
+	o.Recorder.Update(func() {
+		if document.RejectedAt.IsZero() {
+			document.RejectedAt = time.Now()
 		}
 	})
 }
 
 // Read reads the newest document back, until it comes or the time is up.
-func (o *Operator) Read(ctx context.Context, long time.Duration, final bool) {
+func (o *Operator) Read(ctx context.Context, timeout time.Duration, final bool) {
 	from := time.Now()
-	for at := ""; ; {
-		at = o.pick(at)
-		asked := time.Now()
-		code, raw := Ask(ctx, o.E.Net, http.MethodGet, at, "/puffin/config?as=sent", nil, time.Second)
+	for node := ""; ; {
+		node = o.pickNode(node)
+		sentAt := time.Now()
+		code, raw := Ask(ctx, o.Env.Net, http.MethodGet, node, "/puffin/config?as=sent", nil, time.Second)
 		if code == 200 {
-			o.Wit.ReadBack(o.look(asked, string(raw), final))
+			o.Recorder.RecordConfigRead(o.compareRead(sentAt, string(raw), final))
 			return
 		}
-		if time.Since(from) > long || ctx.Err() != nil {
-			o.Wit.ReadBack(checker.Read{From: asked, At: time.Now(), Final: final})
+		if time.Since(from) > timeout || ctx.Err() != nil {
+			o.Recorder.RecordConfigRead(checker.ConfigRead{SentAt: sentAt, ReceivedAt: time.Now(), Final: final})
 			return
 		}
 		task.Sleep(ctx, 200*time.Millisecond)
 	}
 }
 
-func (o *Operator) look(asked time.Time, raw string, final bool) checker.Read {
-	var got struct {
+func (o *Operator) compareRead(sentAt time.Time, raw string, final bool) checker.ConfigRead {
+	var parsed struct {
 		Version uint64 `json:"version"`
 	}
-	_ = json.Unmarshal([]byte(raw), &got)
-	r := checker.Read{From: asked, At: time.Now(), Number: got.Version, Final: final, Came: true}
+	_ = json.Unmarshal([]byte(raw), &parsed)
+	read := checker.ConfigRead{SentAt: sentAt, ReceivedAt: time.Now(), Number: parsed.Version, Final: final, Answered: true}
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	for _, d := range o.sent {
-		r.Same = r.Same || d.Number == got.Version && d.Broken == "" && alike(d.Raw, raw)
+		read.Unchanged = read.Unchanged || d.Number == parsed.Version && d.Defect == "" && sameDocument(d.Raw, raw)
 	}
-	return r
+	return read
 }
--- a/internal/standin/actors/plain.go
+++ b/internal/standin/actors/plain.go
@@ -36,74 +36,74 @@
 	Share float64 // the part of the runs that make it
 }
 
-// Work is what a worker is told of a request by the stand-ins' own book, not
+// ExecutionPlan is what a worker is told of a request by the stand-ins' own book, not
 // by the wire.
-type Work struct {
-	Back  int
-	Calls []*Line
+type ExecutionPlan struct {
+	AnswerSize int
+	Calls      []*Line
 }
 
-// dice is a source of chance that many may use.
-type dice struct {
-	mu sync.Mutex
-	r  *rand.Rand
+// lockedRand is a source of chance that many may use.
+type lockedRand struct {
+	mu  sync.Mutex
+	rng *rand.Rand
 }
 
-func newDice(seed uint64) *dice { return &dice{r: rand.New(rand.NewPCG(seed, 11))} }
+func newLockedRand(seed uint64) *lockedRand { return &lockedRand{rng: rand.New(rand.NewPCG(seed, 11))} }
 
-func (d *dice) share() float64 {
+func (d *lockedRand) fraction() float64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.r.Float64()
+	return d.rng.Float64()
 }
 
-func (d *dice) below(n int) int {
+func (d *lockedRand) intN(bound int) int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.r.IntN(n)
+	return d.rng.IntN(bound)
 }
 
-func (d *dice) word() uint64 {
+func (d *lockedRand) uint64() uint64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.r.Uint64()
+	return d.rng.Uint64()
 }
 
-// gap draws the time to the next of a stream of so many a second.
-func (d *dice) gap(rate float64) time.Duration {
+// interval draws the time to the next of a stream of so many a second.
+func (d *lockedRand) interval(rate float64) time.Duration {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return time.Duration(d.r.ExpFloat64() / rate * float64(time.Second))
+	return time.Duration(d.rng.ExpFloat64() / rate * float64(time.Second))
 }
 
-// about draws a span between half and one and a half of the middle.
-func (d *dice) about(mid time.Duration) time.Duration {
-	if mid <= 0 {
+// around draws a span between half and one and a half of the middle.
+func (d *lockedRand) around(middle time.Duration) time.Duration {
+	if middle <= 0 {
 		return 0
 	}
-	return mid/2 + time.Duration(d.word()%uint64(mid))
+	return middle/2 + time.Duration(d.uint64()%uint64(middle))
 }
 
-// tear resets a connection instead of closing it.
-func tear(c net.Conn) {
-	if l, ok := c.(interface{ SetLinger(int) error }); ok {
-		_ = l.SetLinger(0)
+// reset resets a connection instead of closing it.
+func reset(conn net.Conn) {
+	if lingering, ok := conn.(interface{ SetLinger(int) error }); ok {
+		_ = lingering.SetLinger(0)
 	}
-	_ = c.Close()
+	_ = conn.Close()
 }
 
-// fill repeats a text until the bytes are full.
-func fill(b []byte, text string) {
-	for n := copy(b, text); n < len(b); n *= 2 {
-		copy(b[n:], b[:n])
+// fillRepeating repeats a text until the bytes are full.
+func fillRepeating(buffer []byte, text string) {
+	for filled := copy(buffer, text); filled < len(buffer); filled *= 2 {
+		copy(buffer[filled:], buffer[:filled])
 	}
 }
 
-// hostOf is the host of an address.
-func hostOf(a net.Addr) string {
-	h, _, err := net.SplitHostPort(a.String())
+// remoteHost is the host of an address.
+func remoteHost(addr net.Addr) string {
+	name, _, err := net.SplitHostPort(addr.String())
 	if err != nil {
-		return a.String()
+		return addr.String()
 	}
-	return h
+	return name
 }
--- a/internal/standin/actors/play_test.go
+++ b/internal/standin/actors/play_test.go
@@ -21,129 +21,131 @@
 	"puffincrank/internal/task"
 )
 
-// ground is a worker with callers and, between them, a front of the test's own.
-type ground struct {
-	t    *testing.T
-	net  *sim.Net
-	g    *task.Group
-	wit  *checker.Witness
-	k    *actors.Worker
-	c    *actors.Client
-	line *actors.Line
+// testbed is a worker with callers and, between them, a front of the test's own.
+type testbed struct {
+	t        *testing.T
+	net      *sim.Net
+	tasks    *task.Group
+	recorder *checker.Witness
+	worker   *actors.Worker
+	client   *actors.Client
+	line     *actors.Line
 	// How the front errs; nil: it passes on what it gets, once.
-	err func(w http.ResponseWriter, r *http.Request, body []byte, send func() (*http.Response, []byte, error)) bool
+	misbehave func(w http.ResponseWriter, r *http.Request, body []byte, send func() (*http.Response, []byte, error)) bool
 }
 
-func newGround(t *testing.T, w actors.Ways, err func(http.ResponseWriter, *http.Request, []byte, func() (*http.Response, []byte, error)) bool) *ground {
-	d := &ground{t: t, net: sim.NewNet(1, time.Millisecond, time.Millisecond), g: task.New(context.Background()), wit: checker.New(checker.Usual), err: err}
-	d.net.Place("10.0.0.1", "x")
-	d.net.Place("10.0.0.2", "x")
-	e := env.Env{Net: d.net.Host("10.0.0.1"), Log: event.New("h1", nil), Wall: time.Now}
-	d.line = &actors.Line{Kind: "read", Host: "h.example", Method: "GET", Prefix: "/a/", Repeat: true, Rate: 50, Back: 300, Work: 20 * time.Millisecond, Left: 800 * time.Millisecond, Further: 1}
-	doc := &checker.Doc{Number: 1, Paths: []checker.Path{{Host: "h.example", Prefix: "/a/", Repeat: true, Services: map[string]int{"s": 1}}, {Host: "h.example", Prefix: "/b/", Services: map[string]int{"s": 1}}}}
-	d.wit.Offer(doc)
-	d.wit.Took(doc, "c1")
-	if err := httpapi.Serve(d.g, e, "10.0.0.1:8000", http.HandlerFunc(d.front), time.Second); err != nil {
-		t.Fatal(err)
+func newTestbed(t *testing.T, behavior actors.Ways, misbehave func(http.ResponseWriter, *http.Request, []byte, func() (*http.Response, []byte, error)) bool) *testbed {
+	bed := &testbed{t: t, net: sim.NewNet(1, time.Millisecond, time.Millisecond), tasks: task.New(context.Background()), recorder: checker.New(checker.Usual), misbehave: misbehave}
+	bed.net.Place("10.0.0.1", "x")
+	bed.net.Place("10.0.0.2", "x")
+	environment := env.Env{Net: bed.net.Host("10.0.0.1"), Log: event.New("h1", nil), Wall: time.Now}
+	bed.line = &actors.Line{Kind: "read", Host: "h.example", Method: "GET", Prefix: "/a/", Repeat: true, Rate: 50, Back: 300, Work: 20 * time.Millisecond, Left: 800 * time.Millisecond, Further: 1}
+	document := &checker.Document{Number: 1, Routes: []checker.RouteSpec{{Host: "h.example", Prefix: "/a/", Retryable: true, Weights: map[string]int{"s": 1}}, {Host: "h.example", Prefix: "/b/", Weights: map[string]int{"s": 1}}}}
+	bed.recorder.DocumentSent(document)
+	bed.recorder.DocumentAcked(document, "c1")
+	if misbehave := httpapi.Serve(bed.tasks, environment, "10.0.0.1:8000", http.HandlerFunc(bed.serveIngress), time.Second); misbehave != nil {
+		t.Fatal(misbehave)
 	}
-	d.k, _ = actors.Start(e, actors.Plain, checker.Worker{Name: "w1", Service: "s", Machine: "10.0.0.1"}, "10.0.0.1:9000", "10.0.0.1:8000", []string{"10.0.0.1:7003"}, w, d.wit, 1)
-	e.Net = d.net.Host("10.0.0.2")
-	d.c = actors.NewClient(e, actors.Plain, "10.0.0.1:8000", "10.0.0.1", "c", d.wit, d.g, 2)
-	return d
+	bed.worker, _ = actors.Start(environment, actors.Plain, checker.Worker{Name: "w1", Service: "s", Machine: "10.0.0.1"}, "10.0.0.1:9000", "10.0.0.1:8000", []string{"10.0.0.1:7003"}, behavior, bed.recorder, 1)
+	environment.Net = bed.net.Host("10.0.0.2")
+	bed.client = actors.NewClient(environment, actors.Plain, "10.0.0.1:8000", "10.0.0.1", "c", bed.recorder, bed.tasks, 2)
+	return bed
 }
 
-// front passes a request on to the worker, on a connection of its own.
-func (d *ground) front(w http.ResponseWriter, r *http.Request) {
+// serveIngress passes a request on to the worker, on a connection of its own.
+func (d *testbed) serveIngress(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
 		return
 	}
 	send := func() (*http.Response, []byte, error) {
-		out, _ := http.NewRequestWithContext(r.Context(), r.Method, "http://10.0.0.1:9000"+r.RequestURI, bytes.NewReader(body))
-		out.Header = r.Header.Clone()
-		out.Header.Del("Connection")
-		out.Header.Set(actors.Plain.CallerService, "s")
-		out.Header.Set(actors.Plain.ExpectedWorker, "w1")
-		way := &http.Transport{DisableKeepAlives: true, DialContext: func(ctx context.Context, _, a string) (net.Conn, error) { return d.net.Host("10.0.0.1").Dial(ctx, a) }}
-		got, err := way.RoundTrip(out)
+		forwarded, _ := http.NewRequestWithContext(r.Context(), r.Method, "http://10.0.0.1:9000"+r.RequestURI, bytes.NewReader(body))
+		forwarded.Header = r.Header.Clone()
+		forwarded.Header.Del("Connection")
+		forwarded.Header.Set(actors.Plain.CallerService, "s")
+		forwarded.Header.Set(actors.Plain.ExpectedWorker, "w1")
+		transport := &http.Transport{DisableKeepAlives: true, DialContext: func(ctx context.Context, _, target string) (net.Conn, error) {
+			return d.net.Host("10.0.0.1").Dial(ctx, target)
+		}}
+		response, err := transport.RoundTrip(forwarded)
 		if err != nil {
 			return nil, nil, err
 		}
-		all, err := io.ReadAll(got.Body)
-		_ = got.Body.Close()
-		return got, all, err
+		answer, err := io.ReadAll(response.Body)
+		_ = response.Body.Close()
+		return response, answer, err
 	}
-	if d.err != nil && d.err(w, r, body, send) {
+	if d.misbehave != nil && d.misbehave(w, r, body, send) {
 		return
 	}
-	got, all, err := send()
-	pass(w, got, all, err)
+	response, answer, err := send()
+	passOn(w, response, answer, err)
 }
 
-func pass(w http.ResponseWriter, got *http.Response, all []byte, err error) {
+func passOn(w http.ResponseWriter, response *http.Response, body []byte, err error) {
 	// An answer that is not whole or carries another's id is none.
 	if err != nil {
 		w.WriteHeader(http.StatusBadGateway)
 		return
 	}
-	for _, n := range []string{actors.Plain.AttemptID, actors.Plain.ResponseDigest, actors.Plain.NotExecuted} {
-		if v := got.Header.Get(n); v != "" {
-			w.Header().Set(n, v)
+	for _, name := range []string{actors.Plain.AttemptID, actors.Plain.ResponseDigest, actors.Plain.NotExecuted} {
+		if value := response.Header.Get(name); value != "" {
+			w.Header().Set(name, value)
 		}
 	}
-	w.Header().Set("Content-Length", strconv.Itoa(len(all)))
-	w.WriteHeader(got.StatusCode)
-	_, _ = w.Write(all)
+	w.Header().Set("Content-Length", strconv.Itoa(len(body)))
+	w.WriteHeader(response.StatusCode)
+	_, _ = w.Write(body)
 }
 
-// play runs a load and gives the verdict.
-func (d *ground) play(long time.Duration, lines ...*actors.Line) map[string]int {
-	ctx, end := context.WithTimeout(context.Background(), long)
-	defer end()
-	for _, l := range append(lines, d.line) {
-		d.g.Go("load", func(context.Context) { d.c.Load(ctx, l, func() float64 { return l.Rate }) })
+// runLoad runs a load and gives the verdict.
+func (d *testbed) runLoad(duration time.Duration, lines ...*actors.Line) map[string]int {
+	ctx, cancel := context.WithTimeout(context.Background(), duration)
+	defer cancel()
+	for _, line := range append(lines, d.line) {
+		d.tasks.Go("load", func(context.Context) { d.client.Load(ctx, line, func() float64 { return line.Rate }) })
 	}
 	<-ctx.Done()
 	<-time.After(3 * time.Second)
-	d.c.Close()
-	d.k.Kill()
-	d.g.Stop()
+	d.client.Close()
+	d.worker.Kill()
+	d.tasks.Stop()
 	<-time.After(time.Second)
-	bad, notes := d.wit.Verdict()
+	breaches, notes := d.recorder.Verdict()
 	for _, n := range notes {
 		d.t.Log(n)
 	}
-	d.t.Log(d.wit.Tally())
-	return bad
+	d.t.Log(d.recorder.Tally())
+	return breaches
 }
 
-var usual = actors.Ways{Slots: 8, Queue: 4, Conns: 60, Hello: 1500 * time.Microsecond, Idle: 4 * time.Second, Speed: 1, Crowd: 1.5, Cold: 3 * time.Second, ColdBy: 2, Hop: 0.02, Drain: 2 * time.Second, Fitness: "/health"}
+var usualBehavior = actors.Ways{Slots: 8, Queue: 4, Conns: 60, Hello: 1500 * time.Microsecond, Idle: 4 * time.Second, Speed: 1, Crowd: 1.5, Cold: 3 * time.Second, ColdBy: 2, Hop: 0.02, Drain: 2 * time.Second, Fitness: "/health"}
 
-// TestHonest: a front that passes on what it gets breaks no rule, with bodies,
+// TestCorrectIngressBreaksNoRule: a front that passes on what it gets breaks no rule, with bodies,
 // repeats, a worker that is full, loses and spoils answers, and calls of its own.
-func TestHonest(t *testing.T) {
+func TestCorrectIngressBreaksNoRule(t *testing.T) {
 	for _, resets := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
-			w := usual
-			w.Resets = resets
-			d := newGround(t, w, nil)
+			behavior := usualBehavior
+			behavior.Resets = resets
+			bed := newTestbed(t, behavior, nil)
 			put := &actors.Line{Kind: "put", Host: "h.example", Method: "POST", Prefix: "/b/", Rate: 20, Size: 20000, Back: 40000, Work: 60 * time.Millisecond, Left: time.Second, Further: 2}
-			d.line.Calls = []actors.Call{{Line: put, Share: 0.1}}
-			d.k.Fall(actors.Ills{Lose: 0.02, Spoil: 0.05, Fail: 0.01})
-			if bad := d.play(15*time.Second, put); len(bad) > 0 {
-				t.Errorf("blamed: %v", bad)
+			bed.line.Calls = []actors.Call{{Line: put, Share: 0.1}}
+			bed.worker.Fall(actors.Ills{Lose: 0.02, Spoil: 0.05, Fail: 0.01})
+			if breaches := bed.runLoad(15*time.Second, put); len(breaches) > 0 {
+				t.Errorf("blamed: %v", breaches)
 			}
-			n := d.wit.Tally()
-			if n["tries"] < 800 || n["200"] < n["tries"]/2 || n["declined"] == 0 && !resets {
-				t.Errorf("too little was played: %v", n)
+			outcomes := bed.recorder.Tally()
+			if outcomes["tries"] < 800 || outcomes["200"] < outcomes["tries"]/2 || outcomes["declined"] == 0 && !resets {
+				t.Errorf("too little was played: %v", outcomes)
 			}
 		})
 	}
 }
 
-// TestErring: each way in which a front errs is caught from the sockets alone.
-func TestErring(t *testing.T) {
-	var last atomic.Pointer[[]byte]
+// TestFaultyIngressIsDetected: each way in which a front errs is caught from the sockets alone.
+func TestFaultyIngressIsDetected(t *testing.T) {
+	var previous atomic.Pointer[[]byte]
 	for _, c := range []struct {
 		rule string
 		err  func(w http.ResponseWriter, r *http.Request, body []byte, send func() (*http.Response, []byte, error)) bool
@@ -162,11 +164,11 @@
 			return false
 		}},
 		{checker.Mixed, func(w http.ResponseWriter, _ *http.Request, _ []byte, send func() (*http.Response, []byte, error)) bool {
-			got, all, err := send()
-			if was := last.Swap(&all); was != nil && err == nil {
-				all = *was
+			response, body, err := send()
+			if earlier := previous.Swap(&body); earlier != nil && err == nil {
+				body = *earlier
 			}
-			pass(w, got, all, err)
+			passOn(w, response, body, err)
 			return true
 		}},
 		{checker.Mixed, func(w http.ResponseWriter, _ *http.Request, _ []byte, _ func() (*http.Response, []byte, error)) bool {
@@ -182,30 +184,30 @@
 		}},
 	} {
 		synctest.Test(t, func(t *testing.T) {
-			d := newGround(t, usual, c.err)
-			d.line.Repeat = false
-			d.line.Prefix = "/b/"
-			if bad := d.play(2 * time.Second); bad[c.rule] == 0 {
+			bed := newTestbed(t, usualBehavior, c.err)
+			bed.line.Repeat = false
+			bed.line.Prefix = "/b/"
+			if breaches := bed.runLoad(2 * time.Second); breaches[c.rule] == 0 {
 				t.Errorf("not caught: %s", c.rule)
 			}
 		})
 	}
 }
 
-// TestCutHead: a connection that ends within a line of the headers is a cut;
+// TestTruncatedHeaderIsNotMixed: a connection that ends within a line of the headers is a cut;
 // a whole line that is no header is not the protocol.
-func TestCutHead(t *testing.T) {
-	for head, mixed := range map[string]bool{"HTTP/1.1 200 OK\r\nConnect": false, "HTTP/1.1 200 OK\r\nConnect\r\n\r\n": true, "HTTP/1.1 200 OK\r\nConnect\r\nX": true, "Connect": true} {
+func TestTruncatedHeaderIsNotMixed(t *testing.T) {
+	for answer, mixed := range map[string]bool{"HTTP/1.1 200 OK\r\nConnect": false, "HTTP/1.1 200 OK\r\nConnect\r\n\r\n": true, "HTTP/1.1 200 OK\r\nConnect\r\nX": true, "Connect": true} {
 		synctest.Test(t, func(t *testing.T) {
-			d := newGround(t, usual, func(w http.ResponseWriter, _ *http.Request, _ []byte, _ func() (*http.Response, []byte, error)) bool {
+			bed := newTestbed(t, usualBehavior, func(w http.ResponseWriter, _ *http.Request, _ []byte, _ func() (*http.Response, []byte, error)) bool {
 				if c, _, err := w.(http.Hijacker).Hijack(); err == nil {
-					_, _ = c.Write([]byte(head))
+					_, _ = c.Write([]byte(answer))
 					_ = c.Close()
 				}
 				return true
 			})
-			if bad := d.play(time.Second); (bad[checker.Mixed] > 0) != mixed {
-				t.Errorf("%q: blamed %v", head, bad)
+			if breaches := bed.runLoad(time.Second); (breaches[checker.Mixed] > 0) != mixed {
+				t.Errorf("%q: blamed %v", answer, breaches)
 			}
 		})
 	}
--- a/internal/standin/actors/room.go
+++ b/internal/standin/actors/room.go
@@ -5,94 +5,94 @@
 	"time"
 )
 
-// room is a worker's slots and its short queue.
-type room struct {
-	mu    sync.Mutex
-	slots int
-	queue int
-	now   int
-	wait  []chan struct{}
-	most  int
+// slotPool is a worker's slots and its short queue.
+type slotPool struct {
+	mu      sync.Mutex
+	slots   int
+	queue   int
+	inUse   int
+	waiters []chan struct{}
+	peak    int
 }
 
-// entry is how an attempt to enter ended.
-type entry int
+// admission is how an attempt to enter ended.
+type admission int
 
 const (
-	in entry = iota
-	full
-	late
-	gone
+	admitted admission = iota
+	queueFull
+	timedOut
+	callerGone
 )
 
-// enter takes a slot, or waits for one in the queue until the time is up or
+// acquire takes a slot, or waits for one in the queue until the time is up or
 // the caller is gone.
-func (r *room) enter(end time.Time, left <-chan struct{}) entry {
+func (r *slotPool) acquire(deadline time.Time, callerLeft <-chan struct{}) admission {
 	r.mu.Lock()
-	if r.now < r.slots && len(r.wait) == 0 {
-		r.take()
+	if r.inUse < r.slots && len(r.waiters) == 0 {
+		r.occupy()
 		r.mu.Unlock()
-		return in
+		return admitted
 	}
-	if len(r.wait) >= r.queue {
+	if len(r.waiters) >= r.queue {
 		r.mu.Unlock()
-		return full
+		return queueFull
 	}
-	c := make(chan struct{}, 1)
-	r.wait = append(r.wait, c)
+	granted := make(chan struct{}, 1)
+	r.waiters = append(r.waiters, granted)
 	r.mu.Unlock()
-	t := time.NewTimer(time.Until(end))
-	defer t.Stop()
-	out := late
+	timer := time.NewTimer(time.Until(deadline))
+	defer timer.Stop()
+	result := timedOut
 	select {
-	case <-c:
-		return in
-	case <-t.C:
-	case <-left:
-		out = gone
+	case <-granted:
+		return admitted
+	case <-timer.C:
+	case <-callerLeft:
+		result = callerGone
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for i, o := range r.wait {
-		if o == c {
-			r.wait = append(r.wait[:i], r.wait[i+1:]...)
-			return out
+	for i, waiter := range r.waiters {
+		if waiter == granted {
+			r.waiters = append(r.waiters[:i], r.waiters[i+1:]...)
+			return result
 		}
 	}
 	// The slot came in the same moment: it goes to the next.
-	r.leaveLocked()
-	return out
+	r.releaseLocked()
+	return result
 }
 
-func (r *room) take() {
-	r.now++
-	r.most = max(r.most, r.now)
+func (r *slotPool) occupy() {
+	r.inUse++
+	r.peak = max(r.peak, r.inUse)
 }
 
-func (r *room) leave() {
+func (r *slotPool) release() {
 	r.mu.Lock()
-	r.leaveLocked()
+	r.releaseLocked()
 	r.mu.Unlock()
 }
 
-func (r *room) leaveLocked() {
-	r.now--
-	if len(r.wait) > 0 && r.now < r.slots {
-		r.take()
-		r.wait[0] <- struct{}{}
-		r.wait = r.wait[1:]
+func (r *slotPool) releaseLocked() {
+	r.inUse--
+	if len(r.waiters) > 0 && r.inUse < r.slots {
+		r.occupy()
+		r.waiters[0] <- struct{}{}
+		r.waiters = r.waiters[1:]
 	}
 }
 
-// press takes a slot whether one is free or not, as a handshake does.
-func (r *room) press() {
+// acquireForced takes a slot whether one is free or not, as a handshake does.
+func (r *slotPool) acquireForced() {
 	r.mu.Lock()
-	r.now++
+	r.inUse++
 	r.mu.Unlock()
 }
 
-func (r *room) load() (now, waiting int) {
+func (r *slotPool) load() (inUse, waiting int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.now, len(r.wait)
+	return r.inUse, len(r.waiters)
 }
--- a/internal/standin/actors/tail.go
+++ b/internal/standin/actors/tail.go
@@ -6,27 +6,27 @@
 	"strings"
 )
 
-// tail remembers the last byte that came over a connection.
-type tail struct {
+// lastByteReader remembers the last byte that came over a connection.
+type lastByteReader struct {
 	io.Reader
 	last byte
 }
 
-func (t *tail) Read(b []byte) (int, error) {
-	n, err := t.Reader.Read(b)
-	if n > 0 {
-		t.last = b[n-1]
+func (t *lastByteReader) Read(buffer []byte) (int, error) {
+	count, err := t.Reader.Read(buffer)
+	if count > 0 {
+		t.last = buffer[count-1]
 	}
-	return n, err
+	return count, err
 }
 
-// cutInHead tells that an answer is unreadable only because the connection
+// truncatedInHeader tells that an answer is unreadable only because the connection
 // ended within a line of its headers: that is a cut, not another's bytes. A
 // line that came whole and is no header stays what it is.
-func (t *tail) cutInHead(r *bufio.Reader, err error) bool {
-	if !strings.HasPrefix(err.Error(), "malformed MIME header: missing colon") || t.last == '\n' || r.Buffered() > 0 {
+func (t *lastByteReader) truncatedInHeader(buffered *bufio.Reader, err error) bool {
+	if !strings.HasPrefix(err.Error(), "malformed MIME header: missing colon") || t.last == '\n' || buffered.Buffered() > 0 {
 		return false
 	}
-	_, err = r.Peek(1)
+	_, err = buffered.Peek(1)
 	return err != nil
 }
--- a/internal/standin/actors/wire.go
+++ b/internal/standin/actors/wire.go
@@ -17,229 +17,229 @@
 	"puffincrank/internal/standin/checker"
 )
 
-// wire is one connection of a client to the node.
-type wire struct {
-	c     net.Conn
-	r     *bufio.Reader
-	tail  *tail
-	mu    sync.Mutex
-	t     *checker.Try // who waits for an answer
-	to    chan checker.Answer
-	over  bool
-	until time.Time // to be left alone after
-	n     int
-	used  bool // it had an earlier request
+// clientConn is one connection of a client to the node.
+type clientConn struct {
+	conn        net.Conn
+	reader      *bufio.Reader
+	lastByte    *lastByteReader
+	mu          sync.Mutex
+	attempt     *checker.Attempt // who waits for an answer
+	answers     chan checker.Answer
+	closed      bool
+	usableUntil time.Time // to be left alone after
+	requests    int
+	reused      bool // it had an earlier request
 }
 
-// take gives a kept connection or opens a new one, for which there is a second.
-func (c *Client) take(ctx context.Context, kept bool) *wire {
+// connect gives a kept connection or opens a new one, for which there is a second.
+func (c *Client) connect(ctx context.Context, reuse bool) *clientConn {
 	c.mu.Lock()
-	for kept && len(c.idle) > 0 {
-		w := c.idle[len(c.idle)-1]
+	for reuse && len(c.idle) > 0 {
+		opened := c.idle[len(c.idle)-1]
 		c.idle = c.idle[:len(c.idle)-1]
-		if w.fresh() {
-			w.used = true
+		if opened.usable() {
+			opened.reused = true
 			c.mu.Unlock()
-			return w
+			return opened
 		}
-		w.shut()
+		opened.close()
 	}
 	c.mu.Unlock()
-	ctx, end := context.WithTimeout(ctx, time.Second)
-	defer end()
-	conn, err := c.E.Net.Dial(ctx, c.Front)
+	ctx, cancel := context.WithTimeout(ctx, time.Second)
+	defer cancel()
+	conn, err := c.Env.Net.Dial(ctx, c.IngressAddr)
 	if err != nil {
 		return nil
 	}
-	w := &wire{c: conn, tail: &tail{Reader: conn}}
-	w.r = bufio.NewReader(w.tail)
+	opened := &clientConn{conn: conn, lastByte: &lastByteReader{Reader: conn}}
+	opened.reader = bufio.NewReader(opened.lastByte)
 	c.mu.Lock()
-	if c.wires == nil {
-		c.wires = map[*wire]bool{}
+	if c.conns == nil {
+		c.conns = map[*clientConn]bool{}
 	}
-	c.wires[w] = true
+	c.conns[opened] = true
 	c.mu.Unlock()
-	if !c.G.Go("wire", func(context.Context) { w.listen(c); c.forget(w) }) {
+	if !c.Tasks.Go("wire", func(context.Context) { opened.readLoop(c); c.forgetConn(opened) }) {
 		_ = conn.Close()
-		c.forget(w)
+		c.forgetConn(opened)
 		return nil
 	}
-	return w
+	return opened
 }
 
-func (c *Client) keep(w *wire) {
+func (c *Client) keepIdle(conn *clientConn) {
 	c.mu.Lock()
-	c.idle = append(c.idle, w)
+	c.idle = append(c.idle, conn)
 	c.mu.Unlock()
 }
 
-func (c *Client) forget(w *wire) {
+func (c *Client) forgetConn(conn *clientConn) {
 	c.mu.Lock()
-	delete(c.wires, w)
+	delete(c.conns, conn)
 	c.mu.Unlock()
 }
 
 // Close ends the client's connections, as its machine is gone: none of its jobs
 // tries again, at an address that may be another machine's by then.
 func (c *Client) Close() {
-	c.gone.Store(true)
+	c.closed.Store(true)
 	c.mu.Lock()
-	var all []*wire
-	for w := range c.wires {
-		all = append(all, w)
+	var conns []*clientConn
+	for conn := range c.conns {
+		conns = append(conns, conn)
 	}
 	c.idle = nil
 	c.mu.Unlock()
-	for _, w := range all {
-		w.shut()
+	for _, conn := range conns {
+		conn.close()
 	}
 }
 
-func (w *wire) fresh() bool {
+func (w *clientConn) usable() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return !w.over && (w.until.IsZero() || time.Now().Before(w.until))
+	return !w.closed && (w.usableUntil.IsZero() || time.Now().Before(w.usableUntil))
 }
 
-func (w *wire) shut() {
+func (w *clientConn) close() {
 	w.mu.Lock()
-	w.over = true
+	w.closed = true
 	w.mu.Unlock()
-	_ = w.c.Close()
+	_ = w.conn.Close()
 }
 
-// taken tells whether the node has read all that was sent.
-func (w *wire) taken() bool {
-	if c, ok := w.c.(interface{ Taken() bool }); ok {
-		return c.Taken()
+// requestRead tells whether the node has read all that was sent.
+func (w *clientConn) requestRead() bool {
+	if conn, ok := w.conn.(interface{ Taken() bool }); ok {
+		return conn.Taken()
 	}
 	return true
 }
 
-func (w *wire) expect(t *checker.Try, to chan checker.Answer) bool {
+func (w *clientConn) expectAnswer(attempt *checker.Attempt, answers chan checker.Answer) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.t, w.to = t, to
-	w.n++
-	return !w.over
+	w.attempt, w.answers = attempt, answers
+	w.requests++
+	return !w.closed
 }
 
-// write sends a request, its body with a length or in chunks.
-func (w *wire) write(t *checker.Try, body []byte, c *Client, last bool) error {
-	var b bytes.Buffer
-	ms := max(time.Until(t.From.Add(t.Left)).Milliseconds(), 1)
-	t.Told = time.Since(t.From) + time.Duration(ms)*time.Millisecond
-	fmt.Fprintf(&b, "%s %s HTTP/1.1\r\nHost: %s\r\n%s: %s\r\n%s: %d\r\nX-Other: %s\r\n", t.Method, t.URI, t.Host, c.Say.AttemptID, t.ID, c.Say.Timeout, ms, t.Kind)
+// writeRequest sends a request, its body with a length or in chunks.
+func (w *clientConn) writeRequest(attempt *checker.Attempt, body []byte, client *Client, closing bool) error {
+	var buffer bytes.Buffer
+	milliseconds := max(time.Until(attempt.Start.Add(attempt.Timeout)).Milliseconds(), 1)
+	attempt.SentTimeout = time.Since(attempt.Start) + time.Duration(milliseconds)*time.Millisecond
+	fmt.Fprintf(&buffer, "%s %s HTTP/1.1\r\nHost: %s\r\n%s: %s\r\n%s: %d\r\nX-Other: %s\r\n", attempt.Method, attempt.URI, attempt.Host, client.Dialect.AttemptID, attempt.ID, client.Dialect.Timeout, milliseconds, attempt.Kind)
 	// Whatever stands there is not to be believed.
-	if c.dice.below(3) == 0 {
-		fmt.Fprintf(&b, "%s: somebody\r\n", c.Say.CallerService)
+	if client.random.intN(3) == 0 {
+		fmt.Fprintf(&buffer, "%s: somebody\r\n", client.Dialect.CallerService)
 	}
-	if last {
-		b.WriteString("Connection: close\r\n")
+	if closing {
+		buffer.WriteString("Connection: close\r\n")
 	}
-	chunks := len(body) > 0 && c.dice.below(2) == 0
+	chunks := len(body) > 0 && client.random.intN(2) == 0
 	switch {
 	case chunks:
-		b.WriteString("Transfer-Encoding: chunked\r\n\r\n")
+		buffer.WriteString("Transfer-Encoding: chunked\r\n\r\n")
 		for part := body; len(part) > 0; {
-			n := min(len(part), 1+c.dice.below(32<<10))
-			fmt.Fprintf(&b, "%x\r\n%s\r\n", n, part[:n])
-			part = part[n:]
+			size := min(len(part), 1+client.random.intN(32<<10))
+			fmt.Fprintf(&buffer, "%x\r\n%s\r\n", size, part[:size])
+			part = part[size:]
 		}
-		b.WriteString("0\r\n\r\n")
-	case len(body) > 0 || t.Method != http.MethodGet:
-		fmt.Fprintf(&b, "Content-Length: %d\r\n\r\n%s", len(body), body)
+		buffer.WriteString("0\r\n\r\n")
+	case len(body) > 0 || attempt.Method != http.MethodGet:
+		fmt.Fprintf(&buffer, "Content-Length: %d\r\n\r\n%s", len(body), body)
 	default:
-		b.WriteString("\r\n")
+		buffer.WriteString("\r\n")
 	}
-	for out := b.Bytes(); len(out) > 0; {
-		n := min(len(out), 64<<10)
-		if _, err := w.c.Write(out[:n]); err != nil {
+	for unsent := buffer.Bytes(); len(unsent) > 0; {
+		size := min(len(unsent), 64<<10)
+		if _, err := w.conn.Write(unsent[:size]); err != nil {
 			return err
 		}
-		out = out[n:]
+		unsent = unsent[size:]
 	}
 	return nil
 }
 
-// listen reads what comes; bytes that nobody waits for are written down.
-func (w *wire) listen(c *Client) {
+// readLoop reads what comes; bytes that nobody waits for are written down.
+func (w *clientConn) readLoop(client *Client) {
 	for {
-		_, err := w.r.Peek(1)
+		_, err := w.reader.Peek(1)
 		w.mu.Lock()
-		t, to, over := w.t, w.to, w.over
-		w.t, w.to = nil, nil
+		attempt, answers, closed := w.attempt, w.answers, w.closed
+		w.attempt, w.answers = nil, nil
 		w.mu.Unlock()
 		if err != nil {
 			w.mu.Lock()
-			w.over = true
+			w.closed = true
 			w.mu.Unlock()
-			if to != nil {
-				to <- checker.Answer{Why: err.Error(), Taken: w.taken()}
+			if answers != nil {
+				answers <- checker.Answer{Reason: err.Error(), RequestRead: w.requestRead()}
 			}
-			_ = w.c.Close()
+			_ = w.conn.Close()
 			return
 		}
-		if to == nil {
-			if !over {
-				all, _ := w.r.Peek(w.r.Buffered())
-				c.Wit.Stray(c.Machine, string(all))
+		if answers == nil {
+			if !closed {
+				unexpected, _ := w.reader.Peek(w.reader.Buffered())
+				client.Recorder.UnexpectedBytes(client.Machine, string(unexpected))
 			}
-			w.shut()
+			w.close()
 			return
 		}
-		a, on := w.read(c, t)
-		if !on {
-			w.shut()
+		answer, keepOpen := w.readAnswer(client, attempt)
+		if !keepOpen {
+			w.close()
 		}
-		to <- a
-		if !on {
+		answers <- answer
+		if !keepOpen {
 			return
 		}
 	}
 }
 
-// read reads one answer.
-func (w *wire) read(c *Client, t *checker.Try) (a checker.Answer, on bool) {
-	req := &http.Request{Method: t.Method}
-	got, err := http.ReadResponse(w.r, req)
-	for err == nil && got.StatusCode >= 100 && got.StatusCode < 200 {
-		got, err = http.ReadResponse(w.r, req)
+// readAnswer reads one answer.
+func (w *clientConn) readAnswer(client *Client, attempt *checker.Attempt) (answer checker.Answer, keepOpen bool) {
+	request := &http.Request{Method: attempt.Method}
+	response, err := http.ReadResponse(w.reader, request)
+	for err == nil && response.StatusCode >= 100 && response.StatusCode < 200 {
+		response, err = http.ReadResponse(w.reader, request)
 	}
 	if err != nil {
 		// The end of the connection is no bytes, and no answer.
 		var n net.Error
-		cut := errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) || errors.Is(err, net.ErrClosed) || errors.As(err, &n) || w.tail.cutInHead(w.r, err)
-		return checker.Answer{Broken: !cut, Taken: true, Why: err.Error()}, false
+		connEnded := errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) || errors.Is(err, net.ErrClosed) || errors.As(err, &n) || w.lastByte.truncatedInHeader(w.reader, err)
+		return checker.Answer{Malformed: !connEnded, RequestRead: true, Reason: err.Error()}, false
 	}
-	body, err := io.ReadAll(got.Body)
-	_ = got.Body.Close()
-	a = checker.Answer{Status: got.StatusCode, ID: got.Header.Get(c.Say.AttemptID), Stamp: got.Header.Get(c.Say.ResponseDigest), Body: checker.BodyOf(body), Whole: err == nil, Taken: true}
-	if got.Header.Get("Content-Encoding") != "" {
-		a.Body.Sum++
+	body, err := io.ReadAll(response.Body)
+	_ = response.Body.Close()
+	answer = checker.Answer{Status: response.StatusCode, ID: response.Header.Get(client.Dialect.AttemptID), Digest: response.Header.Get(client.Dialect.ResponseDigest), Body: checker.BodyOf(body), Complete: err == nil, RequestRead: true}
+	if response.Header.Get("Content-Encoding") != "" {
+		answer.Body.Sum++
 	}
-	if s, err := strconv.ParseFloat(got.Header.Get("Retry-After"), 64); err == nil {
-		a.Come, a.HasCome = time.Duration(s*float64(time.Second)), true
+	if s, err := strconv.ParseFloat(response.Header.Get("Retry-After"), 64); err == nil {
+		answer.RetryAfter, answer.HasRetryAfter = time.Duration(s*float64(time.Second)), true
 	}
-	if a.Stamp == "" && len(body) < 400 {
-		a.Why = strings.TrimSpace(string(body))
+	if answer.Digest == "" && len(body) < 400 {
+		answer.Reason = strings.TrimSpace(string(body))
 	}
 	w.mu.Lock()
-	w.until = time.Time{}
-	for _, f := range strings.Split(got.Header.Get("Keep-Alive"), ",") {
-		if n, ok := strings.CutPrefix(strings.TrimSpace(f), "timeout="); ok {
+	w.usableUntil = time.Time{}
+	for _, field := range strings.Split(response.Header.Get("Keep-Alive"), ",") {
+		if n, ok := strings.CutPrefix(strings.TrimSpace(field), "timeout="); ok {
 			if s, err := strconv.Atoi(n); err == nil {
-				w.until = time.Now().Add(time.Duration(s) * time.Second)
+				w.usableUntil = time.Now().Add(time.Duration(s) * time.Second)
 			}
 		}
 	}
 	w.mu.Unlock()
-	return a, err == nil && !got.Close
+	return answer, err == nil && !response.Close
 }
 
-// good tells whether a connection may serve another request.
-func (w *wire) good(a checker.Answer) bool {
+// reusable tells whether a connection may serve another request.
+func (w *clientConn) reusable(answer checker.Answer) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return !w.over && a.Whole && a.Status != 0
+	return !w.closed && answer.Complete && answer.Status != 0
 }
--- a/internal/standin/actors/work.go
+++ b/internal/standin/actors/work.go
@@ -12,223 +12,225 @@
 	"puffincrank/internal/task"
 )
 
-// send is one request on a worker's connection.
-type send struct {
-	k     *Worker
-	c     net.Conn
-	r     *bufio.Reader
-	req   *http.Request
-	body  []byte
-	late  string // a surplus answer that comes before this one's
-	after string // a surplus answer that comes before the next one's
-	left  chan struct{}
-	seen  chan struct{}
-	v     *checker.Visit
-	id    string
-	end   time.Time
+// workerRequest is one request on a worker's connection.
+type workerRequest struct {
+	worker        *Worker
+	conn          net.Conn
+	reader        *bufio.Reader
+	req           *http.Request
+	body          []byte
+	surplusBefore string // a surplus answer that comes before this one's
+	surplusAfter  string // a surplus answer that comes before the next one's
+	callerLeft    chan struct{}
+	inputSeen     chan struct{}
+	arrival       *checker.Arrival
+	attemptID     string
+	deadline      time.Time
 }
 
-// listen waits for the next bytes, or for the end of the connection.
-func (s *send) listen(context.Context) {
-	if _, err := s.r.Peek(1); err != nil {
-		close(s.left)
+// watchCaller waits for the next bytes, or for the end of the connection.
+func (s *workerRequest) watchCaller(context.Context) {
+	if _, err := s.reader.Peek(1); err != nil {
+		close(s.callerLeft)
 	}
-	close(s.seen)
+	close(s.inputSeen)
 }
 
-// rest waits for the next request; an idle connection is closed after a time.
-func (s *send) rest(idle time.Duration) bool {
+// awaitNext waits for the next request; an idle connection is closed after a time.
+func (s *workerRequest) awaitNext(idle time.Duration) bool {
 	if idle <= 0 {
 		idle = time.Hour
 	}
-	t := time.NewTimer(idle)
-	defer t.Stop()
+	timer := time.NewTimer(idle)
+	defer timer.Stop()
 	select {
-	case <-s.seen:
-	case <-t.C:
-		_ = s.c.Close()
-		<-s.seen
+	case <-s.inputSeen:
+	case <-timer.C:
+		_ = s.conn.Close()
+		<-s.inputSeen
 		return false
 	}
 	select {
-	case <-s.left:
+	case <-s.callerLeft:
 		return false
 	default:
 		return true
 	}
 }
 
-// one handles the request and tells whether the connection goes on.
-func (s *send) one(ctx context.Context) bool {
-	k, h := s.k, s.req.Header
-	s.id = h.Get(k.say.AttemptID)
-	s.end = time.Now().Add(time.Minute)
-	var given time.Duration
-	if ms, err := strconv.ParseFloat(h.Get(k.say.Timeout), 64); err == nil {
-		given = time.Duration(ms * float64(time.Millisecond))
-		s.end = time.Now().Add(given)
-	}
-	if s.req.Method == http.MethodGet && s.req.URL.Path == k.W.Fitness && s.id == "" {
-		return s.fitness()
-	}
-	s.v = &checker.Visit{Worker: k.Worker, Method: s.req.Method, URI: s.req.RequestURI, From: h.Get(k.say.CallerService), To: h.Get(k.say.ExpectedWorker), Body: checker.BodyOf(s.body), Given: given}
-	k.wit.Arrive(s.v, s.id)
+// handle handles the request and tells whether the connection goes on.
+func (s *workerRequest) handle(ctx context.Context) bool {
+	worker, header := s.worker, s.req.Header
+	s.attemptID = header.Get(worker.dialect.AttemptID)
+	s.deadline = time.Now().Add(time.Minute)
+	var timeout time.Duration
+	if milliseconds, err := strconv.ParseFloat(header.Get(worker.dialect.Timeout), 64); err == nil {
+		timeout = time.Duration(milliseconds * float64(time.Millisecond))
+		s.deadline = time.Now().Add(timeout)
+	}
+	if s.req.Method == http.MethodGet && s.req.URL.Path == worker.Behavior.Fitness && s.attemptID == "" {
+		return s.answerHealth()
+	}
+	s.arrival = &checker.Arrival{Worker: worker.Worker, Method: s.req.Method, URI: s.req.RequestURI, CallerService: header.Get(worker.dialect.CallerService), ExpectedWorker: header.Get(worker.dialect.ExpectedWorker), Body: checker.BodyOf(s.body), Timeout: timeout}
+	worker.recorder.RecordArrival(s.arrival, s.attemptID)
 	switch {
-	case s.id == "":
+	case s.attemptID == "":
 		return s.decline(400)
-	case s.v.To != "" && s.v.To != k.Name:
+	case s.arrival.ExpectedWorker != "" && s.arrival.ExpectedWorker != worker.Name:
 		return s.decline(421)
 	}
-	switch ills := k.ill(s.c); {
-	case ills.Shed > 0 && k.dice.share() < ills.Shed:
+	switch faults := worker.faultsFor(s.conn); {
+	case faults.Shed > 0 && worker.random.fraction() < faults.Shed:
 		return s.decline(503)
-	case ills.Tear > 0 && k.dice.share() < ills.Tear:
-		k.wit.Change(func() { s.v.Broke = true })
-		tear(s.c)
+	case faults.Tear > 0 && worker.random.fraction() < faults.Tear:
+		worker.recorder.Update(func() { s.arrival.WorkerFailed = true })
+		reset(s.conn)
 		return false
-	case ills.Hang > 0 && k.dice.share() < ills.Hang:
+	case faults.Hang > 0 && worker.random.fraction() < faults.Hang:
 		// Whoever asked goes away at its own time; nothing is run.
-		k.wit.Change(func() { s.v.Broke = true })
-		<-s.left
+		worker.recorder.Update(func() { s.arrival.WorkerFailed = true })
+		<-s.callerLeft
 		return false
 	}
-	switch k.room.enter(s.end, s.left) {
-	case full:
-		if k.W.Resets {
-			tear(s.c)
+	switch worker.slots.acquire(s.deadline, s.callerLeft) {
+	case queueFull:
+		if worker.Behavior.Resets {
+			reset(s.conn)
 			return false
 		}
 		return s.decline(503)
-	case late:
+	case timedOut:
 		return s.decline(503)
-	case gone:
-		s.k.wit.Change(func() { s.v.Broke = s.k.is("over") })
+	case callerGone:
+		s.worker.recorder.Update(func() { s.arrival.WorkerFailed = s.worker.inState("over") })
 		return false
 	}
-	defer k.room.leave()
+	defer worker.slots.release()
 	// The time may have run out in the queue; what is begun counts as run.
-	if !time.Now().Before(s.end) {
+	if !time.Now().Before(s.deadline) {
 		return s.decline(503)
 	}
-	k.wit.Change(func() { s.v.Start = time.Now() })
-	return s.run(ctx)
+	worker.recorder.Update(func() { s.arrival.Start = time.Now() })
+	return s.execute(ctx)
 }
 
-// run does the work and answers.
-func (s *send) run(ctx context.Context) bool {
-	k := s.k
-	long, calls := 60*time.Millisecond, []*Line(nil)
+// execute does the work and answers.
+func (s *workerRequest) execute(ctx context.Context) bool {
+	worker := s.worker
+	workTime, calls := 60*time.Millisecond, []*Line(nil)
 	size := 200
-	if t := s.v.Try; t != nil {
-		long = t.Work
-		if p, ok := t.Plan.(Work); ok {
-			calls, size = p.Calls, p.Back
+	if attempt := s.arrival.Attempt; attempt != nil {
+		workTime = attempt.WorkTime
+		if plan, ok := attempt.WorkerPlan.(ExecutionPlan); ok {
+			calls, size = plan.Calls, plan.AnswerSize
 		}
 	}
 	code := http.StatusOK
-	if !s.work(ctx, k.pace(s.c, k.dice.about(long))) {
-		return s.stop()
+	if !s.spendTime(ctx, worker.scaledTime(s.conn, worker.random.around(workTime))) {
+		return s.abandon()
 	}
-	for _, l := range calls {
-		if !k.call(ctx, l, s) {
+	for _, line := range calls {
+		if !worker.nestedCall(ctx, line, s) {
 			code = http.StatusInternalServerError
 			break
 		}
 	}
-	if !time.Now().Before(s.end) {
+	if !time.Now().Before(s.deadline) {
 		code = http.StatusGatewayTimeout
 	}
-	ills := k.ill(s.c)
-	if code == http.StatusOK && k.dice.share() < ills.Fail {
+	faults := worker.faultsFor(s.conn)
+	if code == http.StatusOK && worker.random.fraction() < faults.Fail {
 		code = http.StatusInternalServerError
 	}
 	select {
-	case <-s.left:
-		return s.stop()
+	case <-s.callerLeft:
+		return s.abandon()
 	default:
 	}
-	if k.dice.share() < ills.Lose {
-		k.wit.Change(func() { s.v.Broke, s.v.End = true, time.Now() })
-		if k.dice.below(2) == 0 {
-			tear(s.c)
+	if worker.random.fraction() < faults.Lose {
+		worker.recorder.Update(func() { s.arrival.WorkerFailed, s.arrival.End = true, time.Now() })
+		if worker.random.intN(2) == 0 {
+			reset(s.conn)
 		}
 		return false
 	}
-	return s.answer(code, size, k.dice.share() < ills.Spoil)
+	return s.writeAnswer(code, size, worker.random.fraction() < faults.Spoil)
 }
 
-// stop ends a run whose caller is gone, or at its time.
-func (s *send) stop() bool {
-	if !time.Now().Before(s.end) {
+// abandon ends a run whose caller is gone, or at its time.
+func (s *workerRequest) abandon() bool {
+	if !time.Now().Before(s.deadline) {
 		select {
-		case <-s.left:
+		case <-s.callerLeft:
 		default:
-			return s.answer(http.StatusGatewayTimeout, 20, false)
+			return s.writeAnswer(http.StatusGatewayTimeout, 20, false)
 		}
 	}
 	// One that was ended broke off itself.
-	s.k.wit.Change(func() { s.v.Broke, s.v.End = s.v.Broke || s.k.is("over"), time.Now() })
+	s.worker.recorder.Update(func() {
+		s.arrival.WorkerFailed, s.arrival.End = s.arrival.WorkerFailed || s.worker.inState("over"), time.Now()
+	})
 	return false
 }
 
-// work passes the time that the job takes; false means that the caller went
+// spendTime passes the time that the job takes; false means that the caller went
 // away or the time ran out.
-func (s *send) work(ctx context.Context, long time.Duration) bool {
-	cut := time.Until(s.end)
-	t := time.NewTimer(min(long, cut))
-	defer t.Stop()
+func (s *workerRequest) spendTime(ctx context.Context, workTime time.Duration) bool {
+	remaining := time.Until(s.deadline)
+	timer := time.NewTimer(min(workTime, remaining))
+	defer timer.Stop()
 	select {
-	case <-t.C:
-		return long <= cut
-	case <-s.left:
+	case <-timer.C:
+		return workTime <= remaining
+	case <-s.callerLeft:
 		return false
 	case <-ctx.Done():
 		return false
 	}
 }
 
-// pace is what some work takes here and now.
-func (k *Worker) pace(c net.Conn, d time.Duration) time.Duration {
-	by := 1.0
-	if k.W.Speed > 0 {
-		by = k.W.Speed
+// scaledTime is what some work takes here and now.
+func (k *Worker) scaledTime(conn net.Conn, base time.Duration) time.Duration {
+	factor := 1.0
+	if k.Behavior.Speed > 0 {
+		factor = k.Behavior.Speed
 	}
-	if k.W.ColdBy > 1 && time.Since(k.born) < k.W.Cold {
-		by *= k.W.ColdBy
+	if k.Behavior.ColdBy > 1 && time.Since(k.startedAt) < k.Behavior.Cold {
+		factor *= k.Behavior.ColdBy
 	}
-	if now, _ := k.room.load(); k.W.Crowd > 1 && k.W.Slots > 0 && now > k.W.Slots*3/4 {
-		by *= 1 + (k.W.Crowd-1)*float64(now-k.W.Slots*3/4)/float64(max(k.W.Slots/4, 1))
+	if inUse, _ := k.slots.load(); k.Behavior.Crowd > 1 && k.Behavior.Slots > 0 && inUse > k.Behavior.Slots*3/4 {
+		factor *= 1 + (k.Behavior.Crowd-1)*float64(inUse-k.Behavior.Slots*3/4)/float64(max(k.Behavior.Slots/4, 1))
 	}
-	if i := k.ill(c); i.Slow > 1 {
-		by *= i.Slow
+	if faults := k.faultsFor(conn); faults.Slow > 1 {
+		factor *= faults.Slow
 	}
-	return time.Duration(float64(d) * by)
+	return time.Duration(float64(base) * factor)
 }
 
-// call makes a request of the worker's own through the node beside it, within
+// nestedCall makes a request of the worker's own through the node beside it, within
 // the time of the run that needs it.
-func (k *Worker) call(ctx context.Context, l *Line, s *send) bool {
-	left := min(time.Until(s.end), l.Left)
+func (k *Worker) nestedCall(ctx context.Context, line *Line, outer *workerRequest) bool {
+	timeout := min(time.Until(outer.deadline), line.Left)
 	ok := false
-	over := make(chan struct{})
-	ctx, end := context.WithCancel(ctx)
-	if !k.g.Go("call", func(context.Context) {
-		defer close(over)
-		ok = k.calls.Job(ctx, l, left, s.v)
+	done := make(chan struct{})
+	ctx, cancel := context.WithCancel(ctx)
+	if !k.tasks.Go("call", func(context.Context) {
+		defer close(done)
+		ok = k.client.Request(ctx, line, timeout, outer.arrival)
 	}) {
-		end()
+		cancel()
 		return false
 	}
 	select {
-	case <-over:
-	case <-s.left:
+	case <-done:
+	case <-outer.callerLeft:
 	}
-	end()
-	<-over
+	cancel()
+	<-done
 	return ok
 }
 
-func pause(ctx context.Context, d time.Duration) bool {
-	task.Sleep(ctx, d)
+func sleep(ctx context.Context, duration time.Duration) bool {
+	task.Sleep(ctx, duration)
 	return ctx.Err() == nil
 }
--- a/internal/standin/actors/worker.go
+++ b/internal/standin/actors/worker.go
@@ -51,141 +51,141 @@
 // Worker is one life of a worker.
 type Worker struct {
 	*checker.Worker
-	Addr  string
-	Front string // where its own calls go: the node beside it
-	Beats []string
-	W     Ways
-	say   dialect.Dialect
-	e     env.Env
-	g     *task.Group
-	wit   *checker.Witness
-	dice  *dice
-	room  *room
-	born  time.Time
-	mu    sync.Mutex
-	ills  Ills
-	state string // up, draining, leaving (it signed off first) or over
-	seq   int64
-	conns map[net.Conn]bool
-	beat  int // which of Beats it goes to
-	Over  chan struct{}
-	ear   net.Listener
-	calls *Client // its own, through the node beside it
+	ListenAddr     string
+	IngressAddr    string // where its own calls go: the node beside it
+	HeartbeatAddrs []string
+	Behavior       Ways
+	dialect        dialect.Dialect
+	env            env.Env
+	tasks          *task.Group
+	recorder       *checker.Witness
+	random         *lockedRand
+	slots          *slotPool
+	startedAt      time.Time
+	mu             sync.Mutex
+	faults         Ills
+	state          string // up, draining, leaving (it signed off first) or over
+	seq            int64
+	conns          map[net.Conn]bool
+	heartbeatIndex int // which of Beats it goes to
+	Ended          chan struct{}
+	listener       net.Listener
+	client         *Client // its own, through the node beside it
 }
 
 // Start starts a worker; beats go to the first of the given addresses, and to
 // the next after a second without an answer.
-func Start(e env.Env, say dialect.Dialect, id checker.Worker, addr, front string, beats []string, w Ways, wit *checker.Witness, seed uint64) (*Worker, error) {
-	k := &Worker{Worker: &id, Addr: addr, Front: front, Beats: beats, W: w, say: say, e: e, g: task.New(context.Background()), wit: wit, dice: newDice(seed),
-		room: &room{slots: w.Slots, queue: w.Queue}, born: time.Now(), state: "up", conns: map[net.Conn]bool{}, Over: make(chan struct{})}
-	k.calls = &Client{E: e, Say: say, Front: front, Machine: id.Machine, Wit: wit, G: k.g, Keep: 0.7, dice: k.dice, name: "n-" + id.Name + "-"}
+func Start(environment env.Env, dialect dialect.Dialect, identity checker.Worker, addr, front string, beats []string, behavior Ways, recorder *checker.Witness, seed uint64) (*Worker, error) {
+	worker := &Worker{Worker: &identity, ListenAddr: addr, IngressAddr: front, HeartbeatAddrs: beats, Behavior: behavior, dialect: dialect, env: environment, tasks: task.New(context.Background()), recorder: recorder, random: newLockedRand(seed),
+		slots: &slotPool{slots: behavior.Slots, queue: behavior.Queue}, startedAt: time.Now(), state: "up", conns: map[net.Conn]bool{}, Ended: make(chan struct{})}
+	worker.client = &Client{Env: environment, Dialect: dialect, IngressAddr: front, Machine: identity.Machine, Recorder: recorder, Tasks: worker.tasks, ReuseShare: 0.7, random: worker.random, name: "n-" + identity.Name + "-"}
 	var err error
-	if k.ear, err = e.Net.Listen(addr); err != nil {
+	if worker.listener, err = environment.Net.Listen(addr); err != nil {
 		return nil, err
 	}
-	wit.Worked(k.Worker)
-	k.g.Go("accept", func(context.Context) { k.accept() })
-	k.g.Go("beats", k.beats)
-	return k, nil
+	recorder.WorkerStarted(worker.Worker)
+	worker.tasks.Go("accept", func(context.Context) { worker.accept() })
+	worker.tasks.Go("beats", worker.sendHeartbeats)
+	return worker, nil
 }
 
 // Fall makes a worker ill, or well again.
-func (k *Worker) Fall(i Ills) {
+func (k *Worker) Fall(faults Ills) {
 	k.mu.Lock()
-	k.ills = i
+	k.faults = faults
 	k.mu.Unlock()
 }
 
-// Under tells how many slots it has in use and how many wait for one.
-func (k *Worker) Under() (now, waiting int) { return k.room.load() }
+// Load tells how many slots it has in use and how many wait for one.
+func (k *Worker) Load() (inUse, waiting int) { return k.slots.load() }
 
 // Kill ends a worker without a word: every connection is reset.
 func (k *Worker) Kill() {
 	k.mu.Lock()
-	was := k.state
+	previous := k.state
 	k.state = "over"
 	k.mu.Unlock()
-	_ = k.ear.Close()
+	_ = k.listener.Close()
 	k.mu.Lock()
-	for c := range k.conns {
-		tear(c)
+	for conn := range k.conns {
+		reset(conn)
 	}
 	k.mu.Unlock()
-	k.g.Cancel()
-	k.calls.Close()
-	if was != "over" {
-		close(k.Over)
+	k.tasks.Cancel()
+	k.client.Close()
+	if previous != "over" {
+		close(k.Ended)
 	}
-	k.g.Stop()
+	k.tasks.Stop()
 }
 
-func (k *Worker) is(state string) bool {
+func (k *Worker) inState(state string) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.state == state
 }
 
 // leaving tells that it has said that it goes, in either manner.
-func (k *Worker) leaving() bool { return k.is("draining") || k.is("leaving") }
+func (k *Worker) leaving() bool { return k.inState("draining") || k.inState("leaving") }
 
-// ill is what is wrong with it for whoever is at the far end.
-func (k *Worker) ill(c net.Conn) Ills {
+// faultsFor is what is wrong with it for whoever is at the far end.
+func (k *Worker) faultsFor(conn net.Conn) Ills {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if k.ills.Only != nil && !k.ills.Only(hostOf(c.RemoteAddr())) {
+	if k.faults.Only != nil && !k.faults.Only(remoteHost(conn.RemoteAddr())) {
 		return Ills{}
 	}
-	return k.ills
+	return k.faults
 }
 
 func (k *Worker) accept() {
 	for {
-		c, err := k.ear.Accept()
+		conn, err := k.listener.Accept()
 		if err != nil {
 			return
 		}
-		_, waiting := k.room.load()
+		_, waiting := k.slots.load()
 		k.mu.Lock()
 		// Fewer are taken while the queue is long.
-		most := k.W.Conns
-		if waiting > k.W.Queue/2 {
-			most = most * 3 / 4
+		limit := k.Behavior.Conns
+		if waiting > k.Behavior.Queue/2 {
+			limit = limit * 3 / 4
 		}
-		ok := (k.W.Conns == 0 || len(k.conns) < most) && k.state != "over"
+		ok := (k.Behavior.Conns == 0 || len(k.conns) < limit) && k.state != "over"
 		if ok {
-			k.conns[c] = true
+			k.conns[conn] = true
 		}
 		k.mu.Unlock()
-		if !ok || !k.g.Go("connection", func(ctx context.Context) { k.talk(ctx, c) }) {
-			tear(c)
+		if !ok || !k.tasks.Go("connection", func(ctx context.Context) { k.serveConn(ctx, conn) }) {
+			reset(conn)
 		}
 	}
 }
 
-// talk serves one connection: one request at a time.
-func (k *Worker) talk(ctx context.Context, c net.Conn) {
+// serveConn serves one connection: one request at a time.
+func (k *Worker) serveConn(ctx context.Context, conn net.Conn) {
 	defer func() {
-		_ = c.Close()
+		_ = conn.Close()
 		k.mu.Lock()
-		delete(k.conns, c)
+		delete(k.conns, conn)
 		k.mu.Unlock()
 	}()
-	if k.W.Hello > 0 {
-		k.room.press()
-		task.Sleep(ctx, k.W.Hello)
-		k.room.leave()
+	if k.Behavior.Hello > 0 {
+		k.slots.acquireForced()
+		task.Sleep(ctx, k.Behavior.Hello)
+		k.slots.release()
 	}
-	r := bufio.NewReader(c)
-	late := ""
+	reader := bufio.NewReader(conn)
+	surplus := ""
 	for ctx.Err() == nil {
-		if k.W.Idle > 0 {
-			_ = c.SetReadDeadline(time.Now().Add(k.W.Idle))
+		if k.Behavior.Idle > 0 {
+			_ = conn.SetReadDeadline(time.Now().Add(k.Behavior.Idle))
 		}
-		if _, err := r.Peek(1); err != nil {
+		if _, err := reader.Peek(1); err != nil {
 			return
 		}
-		_ = c.SetReadDeadline(time.Now().Add(10 * time.Second))
-		req, err := http.ReadRequest(r)
+		_ = conn.SetReadDeadline(time.Now().Add(10 * time.Second))
+		req, err := http.ReadRequest(reader)
 		if err != nil {
 			return
 		}
@@ -193,25 +193,25 @@
 		if err != nil {
 			return
 		}
-		_ = c.SetReadDeadline(time.Time{})
-		s := &send{k: k, c: c, r: r, req: req, body: body, late: late, left: make(chan struct{}), seen: make(chan struct{})}
+		_ = conn.SetReadDeadline(time.Time{})
+		received := &workerRequest{worker: k, conn: conn, reader: reader, req: req, body: body, surplusBefore: surplus, callerLeft: make(chan struct{}), inputSeen: make(chan struct{})}
 		// Whoever asked may go away meanwhile; what it sends next stays unread.
-		if !k.g.Go("listen", s.listen) {
+		if !k.tasks.Go("listen", received.watchCaller) {
 			return
 		}
-		keep := s.one(ctx)
-		late = s.after
+		keep := received.handle(ctx)
+		surplus = received.surplusAfter
 		if !keep {
-			_ = c.Close()
-			<-s.seen
+			_ = conn.Close()
+			<-received.inputSeen
 			return
 		}
 		from := time.Now()
-		if !s.rest(k.W.Idle) {
+		if !received.awaitNext(k.Behavior.Idle) {
 			return
 		}
-		if f := k.ill(c).Forget; f > 0 && time.Since(from) > f {
-			tear(c)
+		if forgetAfter := k.faultsFor(conn).Forget; forgetAfter > 0 && time.Since(from) > forgetAfter {
+			reset(conn)
 			return
 		}
 	}
--- a/internal/standin/caller.go
+++ b/internal/standin/caller.go
@@ -29,102 +29,102 @@
 
 // Callers send a steady mix of calls to all fronts, open-loop and bounded.
 type Callers struct {
-	e      env.Env
-	g      *task.Group
-	obs    *Observer
-	fronts []string
-	way    *http.Transport
-	seq    atomic.Int64
-	under  atomic.Int64
-	Wait   time.Duration
-	Name   string                  // what their calls' names begin with
-	Skip   func(front string) bool // fronts that no caller goes to just now
+	env       env.Env
+	tasks     *task.Group
+	observer  *Observer
+	ingresses []string
+	transport *http.Transport
+	sequence  atomic.Int64
+	pending   atomic.Int64
+	Timeout   time.Duration
+	Name      string                  // what their calls' names begin with
+	Skip      func(front string) bool // fronts that no caller goes to just now
 }
 
 // NewCallers makes callers of the given fronts.
-func NewCallers(e env.Env, fronts []string, obs *Observer, wait time.Duration) *Callers {
-	c := &Callers{e: e, g: task.New(context.Background()), obs: obs, fronts: fronts, Wait: wait, Name: "c"}
-	c.way = &http.Transport{DisableKeepAlives: true, DialContext: func(ctx context.Context, _, a string) (net.Conn, error) { return e.Net.Dial(ctx, a) }}
-	return c
+func NewCallers(environment env.Env, ingresses []string, observer *Observer, wait time.Duration) *Callers {
+	callers := &Callers{env: environment, tasks: task.New(context.Background()), observer: observer, ingresses: ingresses, Timeout: wait, Name: "c"}
+	callers.transport = &http.Transport{DisableKeepAlives: true, DialContext: func(ctx context.Context, _, addr string) (net.Conn, error) { return environment.Net.Dial(ctx, addr) }}
+	return callers
 }
 
 // Run sends the lines for a while and returns when all calls have ended.
-func (c *Callers) Run(lines []Line, long time.Duration) {
-	stop, end := context.WithTimeout(c.g.Context(), long)
-	defer end()
-	for _, l := range lines {
-		c.g.Go("line", func(context.Context) {
-			gap := time.Duration(float64(time.Second) / l.Rate)
-			for stop.Err() == nil {
-				t := time.NewTimer(gap/2 + time.Duration(rand.Int64N(int64(gap)+1)))
+func (c *Callers) Run(lines []Line, duration time.Duration) {
+	runCtx, cancel := context.WithTimeout(c.tasks.Context(), duration)
+	defer cancel()
+	for _, line := range lines {
+		c.tasks.Go("line", func(context.Context) {
+			interval := time.Duration(float64(time.Second) / line.Rate)
+			for runCtx.Err() == nil {
+				timer := time.NewTimer(interval/2 + time.Duration(rand.Int64N(int64(interval)+1)))
 				select {
-				case <-t.C:
-				case <-stop.Done():
-					t.Stop()
+				case <-timer.C:
+				case <-runCtx.Done():
+					timer.Stop()
 					return
 				}
 				// The load is bounded: no more than this many at once.
-				if c.under.Load() < 2000 {
-					c.under.Add(1)
-					c.g.Go("call", func(context.Context) {
-						defer c.under.Add(-1)
-						c.Call(l)
+				if c.pending.Load() < 2000 {
+					c.pending.Add(1)
+					c.tasks.Go("call", func(context.Context) {
+						defer c.pending.Add(-1)
+						c.CallAny(line)
 					})
 				}
 			}
 		})
 	}
-	<-stop.Done()
-	for c.under.Load() > 0 {
-		t := time.NewTimer(10 * time.Millisecond)
-		<-t.C
+	<-runCtx.Done()
+	for c.pending.Load() > 0 {
+		timer := time.NewTimer(10 * time.Millisecond)
+		<-timer.C
 	}
-	c.g.Stop()
+	c.tasks.Stop()
 }
 
-// Call makes one call to a random front.
-func (c *Callers) Call(l Line) Call {
-	front := c.fronts[rand.IntN(len(c.fronts))]
-	for try := 0; try < 20 && c.Skip != nil && c.Skip(front); try++ {
-		front = c.fronts[rand.IntN(len(c.fronts))]
+// CallAny makes one call to a random front.
+func (c *Callers) CallAny(line Line) Call {
+	ingress := c.ingresses[rand.IntN(len(c.ingresses))]
+	for attempt := 0; attempt < 20 && c.Skip != nil && c.Skip(ingress); attempt++ {
+		ingress = c.ingresses[rand.IntN(len(c.ingresses))]
 	}
-	return c.At(front, l)
+	return c.At(ingress, line)
 }
 
 // At makes one call to one front.
-func (c *Callers) At(front string, l Line) Call {
-	id := fmt.Sprint(c.Name, c.seq.Add(1))
-	out := Call{ID: id, Front: front, Service: l.Service, Safe: l.Safe, From: time.Now()}
-	ctx, end := context.WithTimeout(c.g.Context(), c.Wait)
-	defer end()
-	r, err := http.NewRequestWithContext(ctx, l.Method, "http://"+front+l.URI, nil)
+func (c *Callers) At(ingress string, line Line) Call {
+	id := fmt.Sprint(c.Name, c.sequence.Add(1))
+	call := Call{ID: id, Front: ingress, Service: line.Service, Safe: line.Safe, From: time.Now()}
+	ctx, cancel := context.WithTimeout(c.tasks.Context(), c.Timeout)
+	defer cancel()
+	request, err := http.NewRequestWithContext(ctx, line.Method, "http://"+ingress+line.URI, nil)
 	if err != nil {
-		return out
+		return call
 	}
-	if l.Size > 0 {
-		r.Body = io.NopCloser(bytes.NewReader(Pattern(id, l.Size)))
-		r.ContentLength = int64(l.Size)
+	if line.Size > 0 {
+		request.Body = io.NopCloser(bytes.NewReader(Pattern(id, line.Size)))
+		request.ContentLength = int64(line.Size)
 	}
-	if l.Left != "" {
-		r.Header.Set(responsedigest.TimeoutHeader, l.Left)
+	if line.Left != "" {
+		request.Header.Set(responsedigest.TimeoutHeader, line.Left)
 	}
-	if l.Want > 0 {
-		r.Header.Set("X-Want", strconv.Itoa(l.Want))
+	if line.Want > 0 {
+		request.Header.Set("X-Want", strconv.Itoa(line.Want))
 	}
-	r.Header.Set("X-Call", id)
-	r.Header.Set("X-Service", l.Service)
-	w, err := c.way.RoundTrip(r)
+	request.Header.Set("X-Call", id)
+	request.Header.Set("X-Service", line.Service)
+	response, err := c.transport.RoundTrip(request)
 	if err == nil {
-		out.Status, out.Ran = w.StatusCode, w.Header.Get(responsedigest.RanHeader)
-		out.Version, _ = strconv.ParseUint(w.Header.Get(responsedigest.ConfigVersionHeader), 10, 64)
-		out.Retry = w.Header.Get("Retry-After")
-		body, err := io.ReadAll(w.Body)
-		_ = w.Body.Close()
-		out.Body, out.Cut = string(body), err != nil
+		call.Status, call.Ran = response.StatusCode, response.Header.Get(responsedigest.RanHeader)
+		call.Version, _ = strconv.ParseUint(response.Header.Get(responsedigest.ConfigVersionHeader), 10, 64)
+		call.Retry = response.Header.Get("Retry-After")
+		body, err := io.ReadAll(response.Body)
+		_ = response.Body.Close()
+		call.Body, call.Cut = string(body), err != nil
 	}
-	out.To = time.Now()
-	if c.obs != nil {
-		c.obs.Saw(out)
+	call.To = time.Now()
+	if c.observer != nil {
+		c.observer.RecordCall(call)
 	}
-	return out
+	return call
 }
--- a/internal/standin/checker/answers.go
+++ b/internal/standin/checker/answers.go
@@ -2,169 +2,171 @@
 
 import "time"
 
-// promise tells that a status says: not run, and never will be.
-func promise(code int) bool { return code == 408 || code == 421 || code == 429 || code == 503 }
+// promisesNotExecuted tells that a status says: not run, and never will be.
+func promisesNotExecuted(code int) bool {
+	return code == 408 || code == 421 || code == 429 || code == 503
+}
 
-// own tells that an answer was made by the mesh: no worker gave its status.
-func (t *Try) own() bool {
-	for _, v := range t.Visits {
-		if v.Status == t.Got.Status && v.Stamp == t.Got.Stamp {
+// answeredByMesh tells that an answer was made by the mesh: no worker gave its status.
+func (t *Attempt) answeredByMesh() bool {
+	for _, arrival := range t.Arrivals {
+		if arrival.Status == t.Answer.Status && arrival.Digest == t.Answer.Digest {
 			return false
 		}
 	}
-	return t.Got.Status != 0
+	return t.Answer.Status != 0
 }
 
-func (t *Try) runs() (n int) {
-	for _, v := range t.Visits {
-		if v.Ran() {
-			n++
+func (t *Attempt) executions() (count int) {
+	for _, arrival := range t.Arrivals {
+		if arrival.Executed() {
+			count++
 		}
 	}
-	return n
+	return count
 }
 
-// answers checks every answer against what the workers gave: MIXED, REFUSED.
-func (w *Witness) answers() {
-	whose := map[string]*Visit{}
-	for _, v := range w.visits {
-		if v.Stamp != "" {
-			whose[v.Stamp] = v
+// checkAnswers checks every answer against what the workers gave: MIXED, REFUSED.
+func (w *Witness) checkAnswers() {
+	byDigest := map[string]*Arrival{}
+	for _, arrival := range w.arrivals {
+		if arrival.Digest != "" {
+			byDigest[arrival.Digest] = arrival
 		}
 	}
-	for _, t := range w.order {
-		g := t.Got
-		if g.Status == 0 && !g.Broken {
+	for _, attempt := range w.attemptOrder {
+		answer := attempt.Answer
+		if answer.Status == 0 && !answer.Malformed {
 			continue
 		}
-		broke := false
-		for _, v := range t.Visits {
-			broke = broke || v.Broke
+		workerFailed := false
+		for _, arrival := range attempt.Arrivals {
+			workerFailed = workerFailed || arrival.WorkerFailed
 		}
-		if g.Broken && !broke {
-			w.blame(Mixed, "%s at %s: no answer in the protocol: %s", t.ID, t.Front, g.Why)
+		if answer.Malformed && !workerFailed {
+			w.recordBreach(Mixed, "%s at %s: no answer in the protocol: %s", attempt.ID, attempt.Ingress, answer.Reason)
 		}
-		if g.ID != "" && g.ID != t.ID {
-			w.blame(Mixed, "%s at %s got the answer of %s", t.ID, t.Front, g.ID)
+		if answer.ID != "" && answer.ID != attempt.ID {
+			w.recordBreach(Mixed, "%s at %s got the answer of %s", attempt.ID, attempt.Ingress, answer.ID)
 		}
-		v := whose[g.Stamp]
-		if v != nil && v.Try != t {
-			w.blame(Mixed, "%s at %s got a stamp of another", t.ID, t.Front)
+		arrival := byDigest[answer.Digest]
+		if arrival != nil && arrival.Attempt != attempt {
+			w.recordBreach(Mixed, "%s at %s got a stamp of another", attempt.ID, attempt.Ingress)
 		}
-		if g.Status/100 == 2 && g.Whole {
+		if answer.Status/100 == 2 && answer.Complete {
 			switch {
-			case v == nil:
-				w.blame(Mixed, "%s at %s: a success without a worker's stamp", t.ID, t.Front)
-			case v.Status != g.Status:
-				w.blame(Mixed, "%s at %s: a success, the worker answered %d", t.ID, t.Front, v.Status)
-			case v.Gave != g.Body:
-				w.blame(Mixed, "%s at %s: %d bytes, the worker's body has %d", t.ID, t.Front, g.Body.Size, v.Gave.Size)
+			case arrival == nil:
+				w.recordBreach(Mixed, "%s at %s: a success without a worker's stamp", attempt.ID, attempt.Ingress)
+			case arrival.Status != answer.Status:
+				w.recordBreach(Mixed, "%s at %s: a success, the worker answered %d", attempt.ID, attempt.Ingress, arrival.Status)
+			case arrival.AnswerBody != answer.Body:
+				w.recordBreach(Mixed, "%s at %s: %d bytes, the worker's body has %d", attempt.ID, attempt.Ingress, answer.Body.Size, arrival.AnswerBody.Size)
 			}
 		}
-		if g.Status/100 != 2 && v != nil && v.Try == t && v.Status != g.Status {
-			w.blame(Mixed, "%s at %s: %d with a worker's stamp, the worker answered %d", t.ID, t.Front, g.Status, v.Status)
+		if answer.Status/100 != 2 && arrival != nil && arrival.Attempt == attempt && arrival.Status != answer.Status {
+			w.recordBreach(Mixed, "%s at %s: %d with a worker's stamp, the worker answered %d", attempt.ID, attempt.Ingress, answer.Status, arrival.Status)
 		}
 		// A repeatable one may have run elsewhere; the others never.
-		if promise(g.Status) && !t.Repeat && t.runs() > 0 {
-			w.blame(Refused, "%s at %s got %d and ran at %s", t.ID, t.Front, g.Status, t.ran().Worker.Name)
+		if promisesNotExecuted(answer.Status) && !attempt.Retryable && attempt.executions() > 0 {
+			w.recordBreach(Refused, "%s at %s got %d and ran at %s", attempt.ID, attempt.Ingress, answer.Status, attempt.firstExecution().Worker.Name)
 		}
 	}
 }
 
-func (t *Try) ran() *Visit {
-	for _, v := range t.Visits {
-		if v.Ran() {
-			return v
+func (t *Attempt) firstExecution() *Arrival {
+	for _, arrival := range t.Arrivals {
+		if arrival.Executed() {
+			return arrival
 		}
 	}
 	return nil
 }
 
-// unasked checks every run against what was sent: UNASKED, TWICE, ROUTE.
-func (w *Witness) unasked() {
-	for _, v := range w.visits {
-		if !v.Ran() {
+// checkExecutions checks every run against what was sent: UNASKED, TWICE, ROUTE.
+func (w *Witness) checkExecutions() {
+	for _, arrival := range w.arrivals {
+		if !arrival.Executed() {
 			continue
 		}
-		t := v.Try
-		if t == nil {
-			w.blame(Unasked, "%s ran %s %s at %s, sent by nobody", v.Worker.Name, v.Method, v.URI, stamp(v.At))
+		attempt := arrival.Attempt
+		if attempt == nil {
+			w.recordBreach(Unasked, "%s ran %s %s at %s, sent by nobody", arrival.Worker.Name, arrival.Method, arrival.URI, clockTime(arrival.ArrivedAt))
 			continue
 		}
-		if v.Method != t.Method || v.URI != t.URI || v.Body != t.Body {
-			w.blame(Unasked, "%s was sent as %s %s with %d bytes, ran as %s %s with %d", t.ID, t.Method, t.URI, t.Body.Size, v.Method, v.URI, v.Body.Size)
+		if arrival.Method != attempt.Method || arrival.URI != attempt.URI || arrival.Body != attempt.Body {
+			w.recordBreach(Unasked, "%s was sent as %s %s with %d bytes, ran as %s %s with %d", attempt.ID, attempt.Method, attempt.URI, attempt.Body.Size, arrival.Method, arrival.URI, arrival.Body.Size)
 		}
-		if want := w.serves[t.Front]; v.From != want {
-			w.blame(Unasked, "%s began beside %s, its run names %q", t.ID, want, v.From)
+		if want := w.serviceOf[attempt.Ingress]; arrival.CallerService != want {
+			w.recordBreach(Unasked, "%s began beside %s, its run names %q", attempt.ID, want, arrival.CallerService)
 		}
-		if !w.ever(t, v.Worker.Service) {
-			w.blame(Route, "%s (%s%s) ran at %s", t.ID, t.Host, t.URI, v.Worker.Service)
+		if !w.everAllowed(attempt, arrival.Worker.Service) {
+			w.recordBreach(Route, "%s (%s%s) ran at %s", attempt.ID, attempt.Host, attempt.URI, arrival.Worker.Service)
 		}
-		if !t.Repeat && t.runs() > 1 {
-			w.blame(Twice, "%s ran %d times", t.ID, t.runs())
+		if !attempt.Retryable && attempt.executions() > 1 {
+			w.recordBreach(Twice, "%s ran %d times", attempt.ID, attempt.executions())
 		}
 	}
 }
 
-// deniedOutOfTouch is how many proper ones machines out of touch may turn away in a
+// maxDeniedDisconnected is how many proper ones machines out of touch may turn away in a
 // whole day, for want of a path or a right.
-const deniedOutOfTouch = 10
+const maxDeniedDisconnected = 10
 
-// denied counts the mesh's own 3xx and 4xx to proper ones. Of machines out of touch a
+// checkDenied counts the mesh's own 3xx and 4xx to proper ones. Of machines out of touch a
 // 401, 403 or 404 counts for what all documents of the day allow.
-func (w *Witness) denied() {
-	n, out := 0, 0
-	var last []*Try
-	for _, t := range w.order {
-		s := t.Got.Status
-		if s/100 != 3 && s/100 != 4 || promise(s) || !t.own() {
+func (w *Witness) checkDenied() {
+	count, disconnected := 0, 0
+	var denied []*Attempt
+	for _, attempt := range w.attemptOrder {
+		status := attempt.Answer.Status
+		if status/100 != 3 && status/100 != 4 || promisesNotExecuted(status) || !attempt.answeredByMesh() {
 			continue
 		}
 		switch {
-		case w.Touch.through(t.Front, t.From, t.End):
-			if !w.proper(t) {
+		case w.Touch.connected(attempt.Ingress, attempt.Start, attempt.End):
+			if !w.allowedNow(attempt) {
 				continue
 			}
-		case s != 401 && s != 403 && s != 404 || !w.alwaysAllowed(t):
+		case status != 401 && status != 403 && status != 404 || !w.allowedByAll(attempt):
 			continue
 		default:
-			out++
+			disconnected++
 		}
-		n++
-		last = append(last, t)
+		count++
+		denied = append(denied, attempt)
 	}
-	if float64(n) > 5+float64(len(w.order))/500 || out > deniedOutOfTouch {
-		for _, t := range last {
-			w.blame(Denied, "%s (%s%s) at %s got %d at %s: %s", t.ID, t.Host, t.URI, t.Front, t.Got.Status, stamp(t.End), t.Got.Why)
+	if float64(count) > 5+float64(len(w.attemptOrder))/500 || disconnected > maxDeniedDisconnected {
+		for _, attempt := range denied {
+			w.recordBreach(Denied, "%s (%s%s) at %s got %d at %s: %s", attempt.ID, attempt.Host, attempt.URI, attempt.Ingress, attempt.Answer.Status, clockTime(attempt.End), attempt.Answer.Reason)
 		}
 	}
 }
 
-// alwaysAllowed tells that each document of the day allows a try.
-func (w *Witness) alwaysAllowed(t *Try) bool {
-	n := 0
-	for _, d := range w.docs {
-		if d.Broken == "" && d.Match(t.Host, t.URI) == nil {
+// allowedByAll tells that each document of the day allows a try.
+func (w *Witness) allowedByAll(attempt *Attempt) bool {
+	valid := 0
+	for _, document := range w.documents {
+		if document.Defect == "" && document.Match(attempt.Host, attempt.URI) == nil {
 			return false
 		}
-		n++
+		valid++
 	}
-	return n > 0
+	return valid > 0
 }
 
-// proper tells that every document that may be in force allows a try.
-func (w *Witness) proper(t *Try) bool {
-	low := w.newest(t.From.Add(-w.B.Change))
-	n := 0
-	for _, d := range w.docs {
-		if d.may(t.End) && d.Number >= low {
-			n++
-			if d.Match(t.Host, t.URI) == nil {
+// allowedNow tells that every document that may be in force allows a try.
+func (w *Witness) allowedNow(attempt *Attempt) bool {
+	lowest := w.newestAcked(attempt.Start.Add(-w.B.Change))
+	inForce := 0
+	for _, document := range w.documents {
+		if document.mayBeInForce(attempt.End) && document.Number >= lowest {
+			inForce++
+			if document.Match(attempt.Host, attempt.URI) == nil {
 				return false
 			}
 		}
 	}
-	return n > 0
+	return inForce > 0
 }
 
 // Verdict works out every count of the day; the notes are of the first few of
@@ -172,40 +174,40 @@
 func (w *Witness) Verdict() (map[string]int, []string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for _, check := range []func(){w.answers, w.unasked, w.denied, w.drains, w.unready, w.gone, w.broken, w.keptCuts, w.held, w.handed, w.oldDocs, w.stepsBack, w.readBacks, w.added, w.splits,
-		w.budget, w.beyondTries, w.recovers, w.locks, w.orders, w.keys, w.watches, w.acks} {
+	for _, check := range []func(){w.checkAnswers, w.checkExecutions, w.checkDenied, w.checkDrains, w.checkReadiness, w.checkCallersGone, w.checkPlannedWork, w.checkReusedConns, w.checkLateAnswers, w.checkHandedTimeouts, w.checkStaleDocuments, w.checkStepsBack, w.checkConfigReads, w.checkAddedRoutes, w.checkSplits,
+		w.checkRetryBudget, w.checkAttemptLimits, w.checkRecovery, w.checkLocks, w.checkNumbers, w.checkKeys, w.checkWatches, w.checkAcks} {
 		check()
 	}
-	return w.bad, w.notes
+	return w.breaches, w.notes
 }
 
 // Tally counts how the tries ended, for the report.
 func (w *Witness) Tally() map[string]int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	out := map[string]int{"tries": len(w.order)}
-	for _, t := range w.order {
+	counts := map[string]int{"tries": len(w.attemptOrder)}
+	for _, attempt := range w.attemptOrder {
 		switch {
-		case t.Got.Status == 0 && t.Got.GaveUp:
-			out["given up"]++
-		case t.Got.Status == 0:
-			out["no answer"]++
+		case attempt.Answer.Status == 0 && attempt.Answer.ClientClosed:
+			counts["given up"]++
+		case attempt.Answer.Status == 0:
+			counts["no answer"]++
 		default:
-			out[code(t.Got.Status)]++
+			counts[statusText(attempt.Answer.Status)]++
 		}
 	}
-	for _, v := range w.visits {
-		if v.Ran() {
-			out["runs"]++
+	for _, arrival := range w.arrivals {
+		if arrival.Executed() {
+			counts["runs"]++
 		} else {
-			out["declined"]++
+			counts["declined"]++
 		}
 	}
-	return out
+	return counts
 }
 
-func code(n int) string {
-	return string([]byte{byte('0' + n/100), byte('0' + n/10%10), byte('0' + n%10)})
+func statusText(status int) string {
+	return string([]byte{byte('0' + status/100), byte('0' + status/10%10), byte('0' + status%10)})
 }
 
 // Served counts the jobs of a kind, or of all, that were owed and that were
@@ -213,18 +215,20 @@
 func (w *Witness) Served(kind string, from, to time.Time) (served, owed int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.served(func(t *Try) bool { return (kind == "" || t.Kind == kind) && !t.From.Before(from) && t.From.Before(to) })
+	return w.countServed(func(attempt *Attempt) bool {
+		return (kind == "" || attempt.Kind == kind) && !attempt.Start.Before(from) && attempt.Start.Before(to)
+	})
 }
 
-func (w *Witness) served(of func(*Try) bool) (served, owed int) {
+func (w *Witness) countServed(match func(*Attempt) bool) (served, owed int) {
 	done := map[string]bool{}
-	for _, t := range w.order {
-		if t.Probe || t.By != nil || !of(t) {
+	for _, attempt := range w.attemptOrder {
+		if attempt.Probe || attempt.Parent != nil || !match(attempt) {
 			continue
 		}
-		good := t.Got.Status/100 == 2 && t.Got.Whole
-		if !t.Early || good {
-			done[t.Job] = done[t.Job] || good
+		good := attempt.Answer.Status/100 == 2 && attempt.Answer.Complete
+		if !attempt.LeavesEarly || good {
+			done[attempt.Request] = done[attempt.Request] || good
 		}
 	}
 	for _, good := range done {
--- a/internal/standin/checker/body.go
+++ b/internal/standin/checker/body.go
@@ -8,7 +8,7 @@
 	Sum  uint64
 }
 
-var salt = maphash.MakeSeed()
+var hashSeed = maphash.MakeSeed()
 
 // BodyOf sums a body up.
-func BodyOf(b []byte) Body { return Body{len(b), maphash.Bytes(salt, b)} }
+func BodyOf(content []byte) Body { return Body{len(content), maphash.Bytes(hashSeed, content)} }
--- a/internal/standin/checker/budget.go
+++ b/internal/standin/checker/budget.go
@@ -5,46 +5,46 @@
 	"time"
 )
 
-// budget slides the window over every service's repeats. A call made by a run
+// checkRetryBudget slides the window over every service's repeats. A call made by a run
 // that was itself a repeat counts as a repeat at the service that it calls.
-func (w *Witness) budget() {
-	again, asked := map[string][]time.Time{}, map[string][]time.Time{}
-	for _, v := range w.visits {
-		if v.Again {
-			again[v.Worker.Service] = append(again[v.Worker.Service], v.At)
+func (w *Witness) checkRetryBudget() {
+	retries, requests := map[string][]time.Time{}, map[string][]time.Time{}
+	for _, arrival := range w.arrivals {
+		if arrival.Retry {
+			retries[arrival.Worker.Service] = append(retries[arrival.Worker.Service], arrival.ArrivedAt)
 		}
 	}
-	for _, t := range w.order {
-		if t.By != nil && t.By.Again {
+	for _, attempt := range w.attemptOrder {
+		if attempt.Parent != nil && attempt.Parent.Retry {
 			continue
 		}
 		// Of a split the one counts at which it arrived first.
-		if len(t.Visits) > 0 {
-			s := t.Visits[0].Worker.Service
-			asked[s] = append(asked[s], t.From)
-		} else if s := w.service(t); s != "" {
-			asked[s] = append(asked[s], t.From)
+		if len(attempt.Arrivals) > 0 {
+			s := attempt.Arrivals[0].Worker.Service
+			requests[s] = append(requests[s], attempt.Start)
+		} else if s := w.expectedService(attempt); s != "" {
+			requests[s] = append(requests[s], attempt.Start)
 		}
 	}
-	for s, list := range again {
-		w.slide(s, sorted(list), sorted(asked[s]))
+	for s, times := range retries {
+		w.slideWindow(s, sortTimes(times), sortTimes(requests[s]))
 	}
 }
 
-// service is where a try that arrived nowhere would have gone.
-func (w *Witness) service(t *Try) (name string) {
-	var best *Doc
-	for _, d := range w.docs {
-		if d.may(t.From) && (best == nil || d.Number > best.Number) {
-			best = d
+// expectedService is where a try that arrived nowhere would have gone.
+func (w *Witness) expectedService(attempt *Attempt) (name string) {
+	var newest *Document
+	for _, document := range w.documents {
+		if document.mayBeInForce(attempt.Start) && (newest == nil || document.Number > newest.Number) {
+			newest = document
 		}
 	}
-	if best == nil {
+	if newest == nil {
 		return ""
 	}
-	if p := best.Match(t.Host, t.URI); p != nil {
-		for s, n := range p.Services {
-			if n > p.Services[name] || n == p.Services[name] && s < name {
+	if route := newest.Match(attempt.Host, attempt.URI); route != nil {
+		for s, n := range route.Weights {
+			if n > route.Weights[name] || n == route.Weights[name] && s < name {
 				name = s
 			}
 		}
@@ -52,34 +52,34 @@
 	return name
 }
 
-func sorted(l []time.Time) []time.Time {
-	sort.Slice(l, func(i, j int) bool { return l[i].Before(l[j]) })
-	return l
+func sortTimes(times []time.Time) []time.Time {
+	sort.Slice(times, func(i, j int) bool { return times[i].Before(times[j]) })
+	return times
 }
 
-// between counts the times after one moment up to another.
-func between(l []time.Time, from, to time.Time) int {
-	after := func(at time.Time) int { return sort.Search(len(l), func(i int) bool { return l[i].After(at) }) }
-	return max(after(to)-after(from), 0)
+// countBetween counts the times after one moment up to another.
+func countBetween(times []time.Time, from, to time.Time) int {
+	before := func(at time.Time) int { return sort.Search(len(times), func(i int) bool { return times[i].After(at) }) }
+	return max(before(to)-before(from), 0)
 }
 
-func (w *Witness) slide(service string, again, asked []time.Time) {
+func (w *Witness) slideWindow(service string, retries, requests []time.Time) {
 	check := func(from time.Time) {
 		to, half := from.Add(w.B.Window), w.B.Window/2
-		n := between(again, from, to)
-		most := 0
+		retriesInWindow := countBetween(retries, from, to)
+		mostRequests := 0
 		for _, back := range []time.Duration{0, half, 2 * half} {
-			most = max(most, between(asked, from.Add(-back), to.Add(-back)))
+			mostRequests = max(mostRequests, countBetween(requests, from.Add(-back), to.Add(-back)))
 		}
-		may := w.B.Share*float64(most) + w.B.Allow
-		if part := float64(n) / may; part > w.fullest {
-			w.fullest, w.fullAt = part, service
+		allowed := w.B.Share*float64(mostRequests) + w.B.Allow
+		if part := float64(retriesInWindow) / allowed; part > w.fullestWindow {
+			w.fullestWindow, w.fullestService = part, service
 		}
-		if float64(n) > may {
-			w.blame(Budget, "%s: %d repeats to %d requests in the window from %s", service, n, most, stamp(from))
+		if float64(retriesInWindow) > allowed {
+			w.recordBreach(Budget, "%s: %d repeats to %d requests in the window from %s", service, retriesInWindow, mostRequests, clockTime(from))
 		}
 	}
-	for _, t := range again {
+	for _, t := range retries {
 		// Every span that ends with a repeat, and every one that begins with one.
 		check(t.Add(-w.B.Window))
 		check(t.Add(-1))
@@ -91,41 +91,41 @@
 func (w *Witness) Most() (part float64, service string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.fullest, w.fullAt
+	return w.fullestWindow, w.fullestService
 }
 
-// acks: in calm times every whole document is acknowledged within the bound,
+// checkAcks: in calm times every whole document is acknowledged within the bound,
 // and nearly every worker's word that it leaves.
-func (w *Witness) acks() {
+func (w *Witness) checkAcks() {
 	now := time.Now()
-	for _, d := range w.docs {
-		end := d.Acked
+	for _, document := range w.documents {
+		end := document.AckedAt
 		if end.IsZero() {
-			end = d.End
+			end = document.EndedAt
 		}
 		if end.IsZero() {
 			end = now
 		}
-		bound := w.B.Ack + time.Duration(len(d.Paths))*3*time.Millisecond
+		bound := w.B.Ack + time.Duration(len(document.Routes))*3*time.Millisecond
 		// All in one calm stretch, which may begin after a trouble.
-		for _, from := range w.Touch.starts(d.From, end) {
-			if to := from.Add(bound); d.Broken == "" && end.After(to) && w.Touch.settled(from, to) && w.Touch.calm(from, to) {
-				w.blame(Acks, "document %d, sent %s, had no acknowledgement until %s, calm from %s", d.Number, stamp(d.From), stamp(end), stamp(from))
+		for _, from := range w.Touch.calmStarts(document.FirstSentAt, end) {
+			if to := from.Add(bound); document.Defect == "" && end.After(to) && w.Touch.controlPlaneSettled(from, to) && w.Touch.calm(from, to) {
+				w.recordBreach(Acks, "document %d, sent %s, had no acknowledgement until %s, calm from %s", document.Number, clockTime(document.FirstSentAt), clockTime(end), clockTime(from))
 				break
 			}
 		}
 	}
-	late, all := 0, 0
-	for _, k := range w.workers {
-		if k.Asked.IsZero() {
+	overdue, leaving := 0, 0
+	for _, worker := range w.workers {
+		if worker.LeaveSentAt.IsZero() {
 			continue
 		}
-		all++
-		if (k.Acked.IsZero() && now.Sub(k.Asked) > w.B.Ack || k.Acked.Sub(k.Asked) > w.B.Ack) && w.Touch.calm(k.Asked, k.Asked.Add(w.B.Ack)) {
-			late++
+		leaving++
+		if (worker.LeaveAckedAt.IsZero() && now.Sub(worker.LeaveSentAt) > w.B.Ack || worker.LeaveAckedAt.Sub(worker.LeaveSentAt) > w.B.Ack) && w.Touch.calm(worker.LeaveSentAt, worker.LeaveSentAt.Add(w.B.Ack)) {
+			overdue++
 		}
 	}
-	if late >= 3 && 5*late > all {
-		w.blame(Acks, "%d of %d leaving workers had no acknowledgement in time", late, all)
+	if overdue >= 3 && 5*overdue > leaving {
+		w.recordBreach(Acks, "%d of %d leaving workers had no acknowledgement in time", overdue, leaving)
 	}
 }
--- a/internal/standin/checker/coord.go
+++ b/internal/standin/checker/coord.go
@@ -8,26 +8,26 @@
 
 // Kinds of calls for locks, numbers and keys.
 const (
-	Take   = "take"
-	Renew  = "renew"
-	Free   = "free"
-	Number = "number"
-	Put    = "put"
-	Get    = "get"
-	Watch  = "watch"
+	Acquire = "take"
+	Renew   = "renew"
+	Release = "free"
+	Number  = "number"
+	Put     = "put"
+	Get     = "get"
+	Watch   = "watch"
 )
 
 // Op is one call of an application and its answer.
 type Op struct {
 	Kind, Name, Owner string
-	At                string // the machine that was called
+	Node              string // the machine that was called
 	Value             string // put: what; get: what came
-	Cond              bool   // put: only over revision If
-	If                uint64
-	First             time.Time // put sent again: when it was sent first
-	From, To          time.Time
-	Code              int    // 0: no clear answer
-	Num               uint64 // fence, number or revision that came
+	Conditional       bool   // put: only over revision If
+	IfRevision        uint64
+	FirstSentAt       time.Time // put sent again: when it was sent first
+	Start, End        time.Time
+	Status            int    // 0: no clear answer
+	Number            uint64 // fence, number or revision that came
 	After             uint64 // watch: from where
 	Changes           []Change
 	Final             bool // asked when the day ends
@@ -46,135 +46,135 @@
 	From, Until time.Time
 }
 
-func group(key string) string {
+func keyGroup(key string) string {
 	if i := strings.IndexByte(key, '.'); i >= 0 {
 		return key[:i+1]
 	}
 	return key
 }
 
-// Called writes down a call when it has ended.
-func (w *Witness) Called(o *Op) {
+// RecordCall writes down a call when it has ended.
+func (w *Witness) RecordCall(op *Op) {
 	w.mu.Lock()
-	if o.First.IsZero() {
-		o.First = o.From
+	if op.FirstSentAt.IsZero() {
+		op.FirstSentAt = op.Start
 	}
-	w.ops = append(w.ops, o)
+	w.ops = append(w.ops, op)
 	w.mu.Unlock()
 }
 
-// Holds writes down a hold; its end may still move.
-func (w *Witness) Holds(h *Hold) {
+// RecordHold writes down a hold; its end may still move.
+func (w *Witness) RecordHold(hold *Hold) {
 	w.mu.Lock()
-	w.holds = append(w.holds, h)
+	w.holds = append(w.holds, hold)
 	w.mu.Unlock()
 }
 
-// each sorts the calls of some kinds by name.
-func (w *Witness) each(of func(*Op) bool, name func(*Op) string) map[string][]*Op {
-	out := map[string][]*Op{}
-	for _, o := range w.ops {
-		if of(o) {
-			out[name(o)] = append(out[name(o)], o)
+// opsBy sorts the calls of some kinds by name.
+func (w *Witness) opsBy(match func(*Op) bool, name func(*Op) string) map[string][]*Op {
+	ops := map[string][]*Op{}
+	for _, op := range w.ops {
+		if match(op) {
+			ops[name(op)] = append(ops[name(op)], op)
 		}
 	}
-	return out
+	return ops
 }
 
-func plainName(o *Op) string { return o.Name }
+func opName(op *Op) string { return op.Name }
 
-// locks: no two hold one lock, fences rise. ONE.
-func (w *Witness) locks() {
+// checkLocks: no two hold one lock, fences rise. ONE.
+func (w *Witness) checkLocks() {
 	held := map[string][]*Hold{}
-	for _, h := range w.holds {
-		held[h.Name] = append(held[h.Name], h)
+	for _, hold := range w.holds {
+		held[hold.Name] = append(held[hold.Name], hold)
 	}
 	for name, list := range held {
 		sort.Slice(list, func(i, j int) bool { return list[i].From.Before(list[j].From) })
-		for i, a := range list {
-			for _, b := range list[i+1:] {
-				if !b.From.Before(a.Until) {
+		for i, first := range list {
+			for _, second := range list[i+1:] {
+				if !second.From.Before(first.Until) {
 					continue
 				}
-				if a.Owner != b.Owner && b.From.Before(b.Until) {
-					w.blame(One, "%s held by %s (%d) until %s and by %s (%d) from %s", name, a.Owner, a.Fence, stamp(a.Until), b.Owner, b.Fence, stamp(b.From))
+				if first.Owner != second.Owner && second.From.Before(second.Until) {
+					w.recordBreach(One, "%s held by %s (%d) until %s and by %s (%d) from %s", name, first.Owner, first.Fence, clockTime(first.Until), second.Owner, second.Fence, clockTime(second.From))
 				}
 			}
 		}
 	}
-	for name, list := range w.each(func(o *Op) bool { return o.Kind == Take && o.Code == 200 }, plainName) {
-		whose := map[uint64]string{}
-		for _, o := range list {
-			if who, ok := whose[o.Num]; ok && who != o.Owner {
-				w.blame(One, "fence %d of %s went to %s and %s", o.Num, name, who, o.Owner)
+	for name, list := range w.opsBy(func(op *Op) bool { return op.Kind == Acquire && op.Status == 200 }, opName) {
+		owners := map[uint64]string{}
+		for _, op := range list {
+			if owner, ok := owners[op.Number]; ok && owner != op.Owner {
+				w.recordBreach(One, "fence %d of %s went to %s and %s", op.Number, name, owner, op.Owner)
 			}
-			whose[o.Num] = o.Owner
+			owners[op.Number] = op.Owner
 		}
-		w.above(One, "fence of "+name, list, func(a, b *Op) bool { return a.Owner != b.Owner })
+		w.checkRising(One, "fence of "+name, list, func(first, second *Op) bool { return first.Owner != second.Owner })
 	}
 }
 
-// above blames every number that is not above one given out before its call
+// checkRising blames every number that is not above one given out before its call
 // was sent, of those that pair says are to be compared.
-func (w *Witness) above(rule, what string, list []*Op, pair func(a, b *Op) bool) {
-	ends := append([]*Op(nil), list...)
-	sort.Slice(ends, func(i, j int) bool { return ends[i].To.Before(ends[j].To) })
-	begins := append([]*Op(nil), list...)
-	sort.Slice(begins, func(i, j int) bool { return begins[i].First.Before(begins[j].First) })
-	var high []*Op // given out so far, highest last
-	at := 0
-	for _, o := range begins {
-		for ; at < len(ends) && ends[at].To.Before(o.First); at++ {
-			if len(high) == 0 || ends[at].Num >= high[len(high)-1].Num {
-				high = append(high, ends[at])
+func (w *Witness) checkRising(rule, series string, ops []*Op, comparable func(earlier, later *Op) bool) {
+	ends := append([]*Op(nil), ops...)
+	sort.Slice(ends, func(i, j int) bool { return ends[i].End.Before(ends[j].End) })
+	begins := append([]*Op(nil), ops...)
+	sort.Slice(begins, func(i, j int) bool { return begins[i].FirstSentAt.Before(begins[j].FirstSentAt) })
+	var given []*Op // given out so far, highest last
+	ended := 0
+	for _, op := range begins {
+		for ; ended < len(ends) && ends[ended].End.Before(op.FirstSentAt); ended++ {
+			if len(given) == 0 || ends[ended].Number >= given[len(given)-1].Number {
+				given = append(given, ends[ended])
 			} else {
-				i := sort.Search(len(high), func(i int) bool { return high[i].Num > ends[at].Num })
-				high = append(high[:i], append([]*Op{ends[at]}, high[i:]...)...)
+				i := sort.Search(len(given), func(i int) bool { return given[i].Number > ends[ended].Number })
+				given = append(given[:i], append([]*Op{ends[ended]}, given[i:]...)...)
 			}
 		}
-		for i := len(high) - 1; i >= 0 && high[i].Num >= o.Num; i-- {
-			if pair(high[i], o) {
-				w.blame(rule, "%s: %d given at %s to a call sent at %s, %d was given before", what, o.Num, stamp(o.To), stamp(o.First), high[i].Num)
+		for i := len(given) - 1; i >= 0 && given[i].Number >= op.Number; i-- {
+			if comparable(given[i], op) {
+				w.recordBreach(rule, "%s: %d given at %s to a call sent at %s, %d was given before", series, op.Number, clockTime(op.End), clockTime(op.FirstSentAt), given[i].Number)
 				break
 			}
 		}
 	}
 }
 
-// orders: numbers are given once and rise, and so do the revisions of a group.
+// checkNumbers: numbers are given once and rise, and so do the revisions of a group.
 // ORDER.
-func (w *Witness) orders() {
-	for name, list := range w.each(func(o *Op) bool { return o.Kind == Number && o.Code == 200 }, plainName) {
-		once := map[uint64]bool{}
-		for _, o := range list {
-			if once[o.Num] {
-				w.blame(Order, "number %d of %s was given twice", o.Num, name)
+func (w *Witness) checkNumbers() {
+	for name, ops := range w.opsBy(func(op *Op) bool { return op.Kind == Number && op.Status == 200 }, opName) {
+		given := map[uint64]bool{}
+		for _, op := range ops {
+			if given[op.Number] {
+				w.recordBreach(Order, "number %d of %s was given twice", op.Number, name)
 			}
-			once[o.Num] = true
+			given[op.Number] = true
 		}
-		w.above(Order, "number "+name, list, func(a, b *Op) bool { return a != b })
+		w.checkRising(Order, "number "+name, ops, func(earlier, later *Op) bool { return earlier != later })
 	}
-	for name, list := range w.each(func(o *Op) bool { return o.Kind == Put && o.Code == 200 }, func(o *Op) string { return group(o.Name) }) {
-		whose := map[uint64]*Op{}
-		first := map[string]uint64{}
-		for _, o := range list {
-			if p := whose[o.Num]; p != nil && (p.Value != o.Value || p.Name != o.Name) {
-				w.blame(Order, "revision %d of %s was given to %s and %s", o.Num, name, p.Name, o.Name)
+	for name, ops := range w.opsBy(func(op *Op) bool { return op.Kind == Put && op.Status == 200 }, func(op *Op) string { return keyGroup(op.Name) }) {
+		byRevision := map[uint64]*Op{}
+		revisionOf := map[string]uint64{}
+		for _, op := range ops {
+			if other := byRevision[op.Number]; other != nil && (other.Value != op.Value || other.Name != op.Name) {
+				w.recordBreach(Order, "revision %d of %s was given to %s and %s", op.Number, name, other.Name, op.Name)
 			}
-			whose[o.Num] = o
-			if n, ok := first[o.Name+"\n"+o.Value]; ok && n != o.Num {
-				w.blame(Order, "%s sent again got revision %d after %d", o.Name, o.Num, n)
+			byRevision[op.Number] = op
+			if revision, ok := revisionOf[op.Name+"\n"+op.Value]; ok && revision != op.Number {
+				w.recordBreach(Order, "%s sent again got revision %d after %d", op.Name, op.Number, revision)
 			}
-			first[o.Name+"\n"+o.Value] = o.Num
+			revisionOf[op.Name+"\n"+op.Value] = op.Number
 		}
-		w.above(Order, "revision of "+name, list, func(a, b *Op) bool { return a.Name != b.Name || a.Value != b.Value })
-		for _, o := range list {
-			if !o.Cond {
+		w.checkRising(Order, "revision of "+name, ops, func(earlier, later *Op) bool { return earlier.Name != later.Name || earlier.Value != later.Value })
+		for _, op := range ops {
+			if !op.Conditional {
 				continue
 			}
-			for _, p := range list {
-				if p.Name == o.Name && p.Num > o.If && p.Num < o.Num {
-					w.blame(Order, "%s put over %d as %d, but %d lies between", o.Name, o.If, o.Num, p.Num)
+			for _, other := range ops {
+				if other.Name == op.Name && other.Number > op.IfRevision && other.Number < op.Number {
+					w.recordBreach(Order, "%s put over %d as %d, but %d lies between", op.Name, op.IfRevision, op.Number, other.Number)
 				}
 			}
 		}
--- a/internal/standin/checker/coord_test.go
+++ b/internal/standin/checker/coord_test.go
@@ -3,148 +3,148 @@
 import "time"
 
 // op makes a call that takes a millisecond.
-func (d *day) op(o Op, code int, num uint64) *Op {
-	o.From = time.Now()
-	pass(time.Millisecond)
-	o.To, o.Code, o.Num = time.Now(), code, num
-	d.Called(&o)
-	pass(time.Millisecond)
-	return &o
+func (d *run) op(op Op, code int, number uint64) *Op {
+	op.Start = time.Now()
+	wait(time.Millisecond)
+	op.End, op.Status, op.Number = time.Now(), code, number
+	d.RecordCall(&op)
+	wait(time.Millisecond)
+	return &op
 }
 
-func (d *day) put(key, value string, code int, rev uint64) *Op {
-	return d.op(Op{Kind: Put, Name: key, Value: value}, code, rev)
+func (d *run) put(key, value string, code int, revision uint64) *Op {
+	return d.op(Op{Kind: Put, Name: key, Value: value}, code, revision)
 }
 
-func (d *day) get(key, value string, rev uint64) {
-	d.op(Op{Kind: Get, Name: key, Value: value}, 200, rev)
+func (d *run) get(key, value string, revision uint64) {
+	d.op(Op{Kind: Get, Name: key, Value: value}, 200, revision)
 }
 
-func (d *day) hold(owner string, fence uint64, long time.Duration) *Hold {
-	h := &Hold{Name: "l", Owner: owner, Fence: fence, From: time.Now(), Until: time.Now().Add(long)}
-	d.Holds(h)
-	return h
+func (d *run) hold(owner string, fence uint64, duration time.Duration) *Hold {
+	hold := &Hold{Name: "l", Owner: owner, Fence: fence, From: time.Now(), Until: time.Now().Add(duration)}
+	d.RecordHold(hold)
+	return hold
 }
 
-// coords breaks what is promised of locks, numbers and keys.
-func coords() []breach {
-	take := func(d *day, owner string, fence uint64) { d.op(Op{Kind: Take, Name: "l", Owner: owner}, 200, fence) }
-	watch := func(d *day, after, rev uint64, list ...Change) {
-		d.op(Op{Kind: Watch, Name: "g.", After: after, Changes: list}, 200, rev)
+// coordinationScenarios breaks what is promised of locks, numbers and keys.
+func coordinationScenarios() []scenarioCase {
+	take := func(r *run, owner string, fence uint64) { r.op(Op{Kind: Acquire, Name: "l", Owner: owner}, 200, fence) }
+	watch := func(r *run, after, revision uint64, changes ...Change) {
+		r.op(Op{Kind: Watch, Name: "g.", After: after, Changes: changes}, 200, revision)
 	}
-	return []breach{
-		{"two holders", One, func(d *day) { d.hold("a", 1, time.Second); pass(time.Millisecond); d.hold("b", 2, time.Second) }},
-		{"one after the other", "", func(d *day) { d.hold("a", 1, time.Second); pass(time.Second); d.hold("b", 2, time.Second) }},
-		{"the same one again", "", func(d *day) { d.hold("a", 1, time.Second); d.hold("a", 1, 2*time.Second) }},
-		{"a fence that fell", One, func(d *day) { take(d, "a", 5); take(d, "b", 4) }},
-		{"a fence for two", One, func(d *day) { take(d, "a", 5); take(d, "b", 5) }},
-		{"a fence got again", "", func(d *day) { take(d, "a", 5); take(d, "a", 5); take(d, "b", 6) }},
-		{"a number twice", Order, func(d *day) { d.op(Op{Kind: Number, Name: "n"}, 200, 5); d.op(Op{Kind: Number, Name: "n"}, 200, 5) }},
-		{"a number that fell", Order, func(d *day) { d.op(Op{Kind: Number, Name: "n"}, 200, 5); d.op(Op{Kind: Number, Name: "n"}, 200, 4) }},
-		{"numbers of two names", "", func(d *day) { d.op(Op{Kind: Number, Name: "n"}, 200, 5); d.op(Op{Kind: Number, Name: "m"}, 200, 4) }},
-		{"a revision twice", Order, func(d *day) { d.put("g.a", "x", 200, 5); d.put("g.b", "y", 200, 5) }},
-		{"a revision that fell", Order, func(d *day) { d.put("g.a", "x", 200, 5); d.put("g.b", "y", 200, 4) }},
-		{"a put sent again", "", func(d *day) {
-			o := d.put("g.a", "x", 0, 0)
-			d.put("g.b", "y", 200, 6)
-			d.op(Op{Kind: Put, Name: "g.a", Value: "x", First: o.From}, 200, 5)
+	return []scenarioCase{
+		{"two holders", One, func(r *run) { r.hold("a", 1, time.Second); wait(time.Millisecond); r.hold("b", 2, time.Second) }},
+		{"one after the other", "", func(r *run) { r.hold("a", 1, time.Second); wait(time.Second); r.hold("b", 2, time.Second) }},
+		{"the same one again", "", func(r *run) { r.hold("a", 1, time.Second); r.hold("a", 1, 2*time.Second) }},
+		{"a fence that fell", One, func(r *run) { take(r, "a", 5); take(r, "b", 4) }},
+		{"a fence for two", One, func(r *run) { take(r, "a", 5); take(r, "b", 5) }},
+		{"a fence got again", "", func(r *run) { take(r, "a", 5); take(r, "a", 5); take(r, "b", 6) }},
+		{"a number twice", Order, func(r *run) { r.op(Op{Kind: Number, Name: "n"}, 200, 5); r.op(Op{Kind: Number, Name: "n"}, 200, 5) }},
+		{"a number that fell", Order, func(r *run) { r.op(Op{Kind: Number, Name: "n"}, 200, 5); r.op(Op{Kind: Number, Name: "n"}, 200, 4) }},
+		{"numbers of two names", "", func(r *run) { r.op(Op{Kind: Number, Name: "n"}, 200, 5); r.op(Op{Kind: Number, Name: "m"}, 200, 4) }},
+		{"a revision twice", Order, func(r *run) { r.put("g.a", "x", 200, 5); r.put("g.b", "y", 200, 5) }},
+		{"a revision that fell", Order, func(r *run) { r.put("g.a", "x", 200, 5); r.put("g.b", "y", 200, 4) }},
+		{"a put sent again", "", func(r *run) {
+			op := r.put("g.a", "x", 0, 0)
+			r.put("g.b", "y", 200, 6)
+			r.op(Op{Kind: Put, Name: "g.a", Value: "x", FirstSentAt: op.Start}, 200, 5)
 		}},
-		{"a put sent again and done twice", Order, func(d *day) { d.put("g.a", "x", 200, 5); d.put("g.a", "x", 200, 6) }},
-		{"put over a later one", Order, func(d *day) {
-			d.put("g.a", "x", 200, 5)
-			d.put("g.a", "y", 200, 6)
-			d.op(Op{Kind: Put, Name: "g.a", Value: "z", Cond: true, If: 5}, 200, 7)
+		{"a put sent again and done twice", Order, func(r *run) { r.put("g.a", "x", 200, 5); r.put("g.a", "x", 200, 6) }},
+		{"put over a later one", Order, func(r *run) {
+			r.put("g.a", "x", 200, 5)
+			r.put("g.a", "y", 200, 6)
+			r.op(Op{Kind: Put, Name: "g.a", Value: "z", Conditional: true, IfRevision: 5}, 200, 7)
 		}},
-		{"an old read", Stale, func(d *day) { d.put("g.a", "x", 200, 5); d.put("g.a", "y", 200, 6); d.get("g.a", "x", 5) }},
-		{"absent though put", Stale, func(d *day) { d.put("g.a", "x", 200, 5); d.op(Op{Kind: Get, Name: "g.a"}, 404, 0) }},
-		{"gone after the fault", Lost, func(d *day) {
-			d.put("g.a", "x", 200, 5)
-			d.Closing()
-			pass(1)
-			d.op(Op{Kind: Get, Name: "g.a"}, 404, 0)
+		{"an old read", Stale, func(r *run) { r.put("g.a", "x", 200, 5); r.put("g.a", "y", 200, 6); r.get("g.a", "x", 5) }},
+		{"absent though put", Stale, func(r *run) { r.put("g.a", "x", 200, 5); r.op(Op{Kind: Get, Name: "g.a"}, 404, 0) }},
+		{"gone after the fault", Lost, func(r *run) {
+			r.put("g.a", "x", 200, 5)
+			r.Closing()
+			wait(1)
+			r.op(Op{Kind: Get, Name: "g.a"}, 404, 0)
 		}},
-		{"a read of one without an answer", "", func(d *day) { d.put("g.a", "x", 0, 0); d.get("g.a", "x", 5) }},
-		{"a value of nobody", Mixed, func(d *day) { d.get("g.a", "q", 5) }},
-		{"a value under two revisions", Mixed, func(d *day) { d.put("g.a", "x", 200, 5); d.get("g.a", "x", 6) }},
-		{"a 412 with another's revision", Mixed, func(d *day) { d.put("g.a", "x", 200, 5); d.put("g.b", "y", 412, 5) }},
-		{"a 412 with its own", "", func(d *day) { d.put("g.a", "x", 200, 5); d.put("g.a", "y", 412, 5) }},
-		{"turned away and there", Refused, func(d *day) { d.put("g.a", "x", 503, 0); d.get("g.a", "x", 5) }},
-		{"a watch that falls", Order, func(d *day) { d.put("g.a", "x", 200, 5); watch(d, 4, 6, Change{"g.a", "x", 5}, Change{"g.a", "x", 5}) }},
-		{"a watch that skips", Order, func(d *day) {
-			d.put("g.a", "x", 200, 5)
-			d.put("g.a", "y", 200, 6)
-			watch(d, 4, 6, Change{"g.a", "y", 6})
+		{"a read of one without an answer", "", func(r *run) { r.put("g.a", "x", 0, 0); r.get("g.a", "x", 5) }},
+		{"a value of nobody", Mixed, func(r *run) { r.get("g.a", "q", 5) }},
+		{"a value under two revisions", Mixed, func(r *run) { r.put("g.a", "x", 200, 5); r.get("g.a", "x", 6) }},
+		{"a 412 with another's revision", Mixed, func(r *run) { r.put("g.a", "x", 200, 5); r.put("g.b", "y", 412, 5) }},
+		{"a 412 with its own", "", func(r *run) { r.put("g.a", "x", 200, 5); r.put("g.a", "y", 412, 5) }},
+		{"turned away and there", Refused, func(r *run) { r.put("g.a", "x", 503, 0); r.get("g.a", "x", 5) }},
+		{"a watch that falls", Order, func(r *run) { r.put("g.a", "x", 200, 5); watch(r, 4, 6, Change{"g.a", "x", 5}, Change{"g.a", "x", 5}) }},
+		{"a watch that skips", Order, func(r *run) {
+			r.put("g.a", "x", 200, 5)
+			r.put("g.a", "y", 200, 6)
+			watch(r, 4, 6, Change{"g.a", "y", 6})
 		}},
-		{"a watch that begins", "", func(d *day) { d.put("g.a", "x", 200, 5); watch(d, 0, 5); watch(d, 5, 5) }},
-		{"a watch that is whole", "", func(d *day) { d.put("g.a", "x", 200, 5); watch(d, 4, 5, Change{"g.a", "x", 5}) }},
-		{"history gone too soon", Lost, func(d *day) {
-			watch(d, 0, 5)
-			pass(19 * time.Second)
-			d.op(Op{Kind: Watch, Name: "g.", After: 5}, 410, 0)
+		{"a watch that begins", "", func(r *run) { r.put("g.a", "x", 200, 5); watch(r, 0, 5); watch(r, 5, 5) }},
+		{"a watch that is whole", "", func(r *run) { r.put("g.a", "x", 200, 5); watch(r, 4, 5, Change{"g.a", "x", 5}) }},
+		{"history gone too soon", Lost, func(r *run) {
+			watch(r, 0, 5)
+			wait(19 * time.Second)
+			r.op(Op{Kind: Watch, Name: "g.", After: 5}, 410, 0)
 		}},
-		{"history gone in time", "", func(d *day) {
-			watch(d, 0, 5)
-			pass(21 * time.Second)
-			d.op(Op{Kind: Watch, Name: "g.", After: 5}, 410, 0)
+		{"history gone in time", "", func(r *run) {
+			watch(r, 0, 5)
+			wait(21 * time.Second)
+			r.op(Op{Kind: Watch, Name: "g.", After: 5}, 410, 0)
 		}},
-		{"nothing came at the end", Lost, func(d *day) { d.op(Op{Kind: Number, Name: "n", Final: true}, 503, 0) }},
+		{"nothing came at the end", Lost, func(r *run) { r.op(Op{Kind: Number, Name: "n", Final: true}, 503, 0) }},
 	}
 }
 
-// budgets has too many repeats in a window, calls of repeated runs among them,
+// budgetScenarios has too many repeats in a window, calls of repeated runs among them,
 // and a service that does not come back.
-func budgets() []breach {
-	again := func(n int) func(d *day) {
-		return func(d *day) {
-			for range n {
-				t := d.ask()
-				t.Repeat = true
-				d.run(t, d.k)
-				d.give(t, d.run(t, d.k))
+func budgetScenarios() []scenarioCase {
+	retried := func(count int) func(r *run) {
+		return func(r *run) {
+			for range count {
+				attempt := r.try()
+				attempt.Retryable = true
+				r.exec(attempt, r.w1)
+				r.reply(attempt, r.exec(attempt, r.w1))
 			}
 		}
 	}
-	nested := func(repeat bool) func(d *day) {
-		return func(d *day) {
+	nested := func(repeat bool) func(r *run) {
+		return func(r *run) {
 			for range 80 {
-				up := d.ask()
-				up.Repeat = true
-				v := d.run(up, d.k)
+				parent := r.try()
+				parent.Retryable = true
+				arrival := r.exec(parent, r.w1)
 				if repeat {
-					v = d.run(up, d.k)
+					arrival = r.exec(parent, r.w1)
 				}
 				// Its calls go to the other service.
-				d.n++
-				t := d.ask()
-				t.By = v
-				t.URI = "/b/y"
-				d.give(t, d.run(t, d.l))
-				d.give(up, v)
+				r.sequence++
+				attempt := r.try()
+				attempt.Parent = arrival
+				attempt.URI = "/b/y"
+				r.reply(attempt, r.exec(attempt, r.w2))
+				r.reply(parent, arrival)
 			}
 		}
 	}
-	both := func(do func(*day), wide float64) func(*day) {
-		return func(d *day) {
-			d.docs[0].Paths = append(d.docs[0].Paths, Path{Host: "h.example", Prefix: "/b/", Services: map[string]int{"u": 1}})
+	withRoute := func(act func(*run), allowance float64) func(*run) {
+		return func(r *run) {
+			r.documents[0].Routes = append(r.documents[0].Routes, RouteSpec{Host: "h.example", Prefix: "/b/", Weights: map[string]int{"u": 1}})
 			// Only the called service's window is looked at here.
-			d.B.Allow = wide
-			do(d)
+			r.B.Allow = allowance
+			act(r)
 		}
 	}
-	return []breach{
-		{"repeats over the window", Budget, again(80)},
-		{"repeats within it", "", again(70)},
-		{"calls of runs", "", both(nested(false), 60)},
-		{"calls of repeated runs", Budget, both(nested(true), 70)},
-		{"not back", Recover, func(d *day) {
-			d.Closing()
-			pass(time.Second)
-			d.Back()
-			pass(16 * time.Second)
+	return []scenarioCase{
+		{"repeats over the window", Budget, retried(80)},
+		{"repeats within it", "", retried(70)},
+		{"calls of runs", "", withRoute(nested(false), 60)},
+		{"calls of repeated runs", Budget, withRoute(nested(true), 70)},
+		{"not back", Recover, func(r *run) {
+			r.Closing()
+			wait(time.Second)
+			r.Back()
+			wait(16 * time.Second)
 			for range 5 {
-				d.own(d.ask(), 503)
+				r.fail(r.try(), 503)
 			}
 		}},
-		{"back", "", func(d *day) { d.Closing(); d.Back(); pass(16 * time.Second); d.whole() }},
+		{"back", "", func(r *run) { r.Closing(); r.Back(); wait(16 * time.Second); r.serve() }},
 	}
 }
--- a/internal/standin/checker/day_test.go
+++ b/internal/standin/checker/day_test.go
@@ -7,110 +7,110 @@
 	"time"
 )
 
-// day is a history made by hand: two machines with a worker each, and a
+// run is a history made by hand: two machines with a worker each, and a
 // document that sends all of h.example/a/ to one service, later to another.
-type day struct {
+type run struct {
 	*Witness
-	k, l *Worker
-	n    int
+	w1, w2   *Worker
+	sequence int
 }
 
-func pass(d time.Duration) { <-time.After(d) }
+func wait(duration time.Duration) { <-time.After(duration) }
 
-func route(services ...string) []Path {
-	p := Path{Name: "p", Host: "h.example", Prefix: "/a/", Services: map[string]int{}, Left: time.Second}
+func routesTo(services ...string) []RouteSpec {
+	route := RouteSpec{Name: "p", Host: "h.example", Prefix: "/a/", Weights: map[string]int{}, Timeout: time.Second}
 	for _, s := range services {
-		p.Services[s] = 1
+		route.Weights[s] = 1
 	}
-	return []Path{p}
+	return []RouteSpec{route}
 }
 
-func newDay() *day {
-	d := &day{Witness: New(Usual), k: &Worker{Name: "k", Service: "s", Machine: "m1"}, l: &Worker{Name: "l", Service: "u", Machine: "m2"}}
-	d.Worked(d.k)
-	d.Worked(d.l)
-	d.doc(1, "s")
-	pass(5 * time.Second)
-	return d
+func newRun() *run {
+	r := &run{Witness: New(Usual), w1: &Worker{Name: "k", Service: "s", Machine: "m1"}, w2: &Worker{Name: "l", Service: "u", Machine: "m2"}}
+	r.WorkerStarted(r.w1)
+	r.WorkerStarted(r.w2)
+	r.apply(1, "s")
+	wait(5 * time.Second)
+	return r
 }
 
-// doc sends a document and has it acknowledged.
-func (d *day) doc(n uint64, services ...string) *Doc {
-	c := d.send(n, services...)
-	pass(time.Millisecond)
-	d.Took(c, "c1")
-	return c
+// apply sends a document and has it acknowledged.
+func (d *run) apply(number uint64, services ...string) *Document {
+	document := d.offer(number, services...)
+	wait(time.Millisecond)
+	d.DocumentAcked(document, "c1")
+	return document
 }
 
-func (d *day) send(n uint64, services ...string) *Doc {
-	c := &Doc{Number: n, Paths: route(services...)}
-	d.Offer(c)
-	return c
+func (d *run) offer(number uint64, services ...string) *Document {
+	document := &Document{Number: number, Routes: routesTo(services...)}
+	d.DocumentSent(document)
+	return document
 }
 
-// ask sends a try to the first machine.
-func (d *day) ask() *Try {
-	d.n++
-	id := fmt.Sprint("t", d.n)
-	t := &Try{ID: id, Job: id, Kind: "a", Front: "m1", Host: "h.example", Method: "GET", URI: "/a/x?q=1", Body: Body{3, 4}, Left: time.Second, From: time.Now()}
-	d.Send(t)
-	d.Sent(t)
-	return t
+// try sends a try to the first machine.
+func (d *run) try() *Attempt {
+	d.sequence++
+	id := fmt.Sprint("t", d.sequence)
+	attempt := &Attempt{ID: id, Request: id, Kind: "a", Ingress: "m1", Host: "h.example", Method: "GET", URI: "/a/x?q=1", Body: Body{3, 4}, Timeout: time.Second, Start: time.Now()}
+	d.AttemptStarted(attempt)
+	d.AttemptSent(attempt)
+	return attempt
 }
 
-// run has a worker take a try up and answer it.
-func (d *day) run(t *Try, k *Worker) *Visit {
-	v := &Visit{Worker: k, Method: t.Method, URI: t.URI, Body: t.Body, From: d.serves[t.Front], Given: t.Left - time.Since(t.From)}
-	d.Arrive(v, t.ID)
-	v.Start = time.Now()
-	pass(10 * time.Millisecond)
-	d.n++
-	v.Status, v.Stamp, v.Gave, v.End = 200, fmt.Sprint("stamp", d.n), Body{10, uint64(d.n)}, time.Now()
-	return v
+// exec has a worker take a try up and answer it.
+func (d *run) exec(attempt *Attempt, worker *Worker) *Arrival {
+	arrival := &Arrival{Worker: worker, Method: attempt.Method, URI: attempt.URI, Body: attempt.Body, CallerService: d.serviceOf[attempt.Ingress], Timeout: attempt.Timeout - time.Since(attempt.Start)}
+	d.RecordArrival(arrival, attempt.ID)
+	arrival.Start = time.Now()
+	wait(10 * time.Millisecond)
+	d.sequence++
+	arrival.Status, arrival.Digest, arrival.AnswerBody, arrival.End = 200, fmt.Sprint("stamp", d.sequence), Body{10, uint64(d.sequence)}, time.Now()
+	return arrival
 }
 
-// give brings a worker's answer to the client.
-func (d *day) give(t *Try, v *Visit) {
-	pass(time.Millisecond)
-	d.Ended(t, Answer{Status: v.Status, ID: t.ID, Stamp: v.Stamp, Body: v.Gave, Whole: true, Taken: true})
+// reply brings a worker's answer to the client.
+func (d *run) reply(attempt *Attempt, arrival *Arrival) {
+	wait(time.Millisecond)
+	d.AttemptEnded(attempt, Answer{Status: arrival.Status, ID: attempt.ID, Digest: arrival.Digest, Body: arrival.AnswerBody, Complete: true, RequestRead: true})
 }
 
-func (d *day) whole() (*Try, *Visit) {
-	t := d.ask()
-	v := d.run(t, d.k)
-	d.give(t, v)
-	return t, v
+func (d *run) serve() (*Attempt, *Arrival) {
+	attempt := d.try()
+	arrival := d.exec(attempt, d.w1)
+	d.reply(attempt, arrival)
+	return attempt, arrival
 }
 
-func (d *day) own(t *Try, code int) {
-	pass(time.Millisecond)
-	d.Ended(t, Answer{Status: code, Whole: true, Taken: true})
+func (d *run) fail(attempt *Attempt, code int) {
+	wait(time.Millisecond)
+	d.AttemptEnded(attempt, Answer{Status: code, Complete: true, RequestRead: true})
 }
 
 // cut ends a try's connection without an answer.
-func (d *day) cut(t *Try) { d.Ended(t, Answer{Taken: true}) }
+func (d *run) cut(attempt *Attempt) { d.AttemptEnded(attempt, Answer{RequestRead: true}) }
 
-type breach struct {
+type scenarioCase struct {
 	name, rule string // no rule: nothing may be blamed
-	do         func(*day)
+	act        func(*run)
 }
 
-func judge(t *testing.T, list []breach) {
-	for _, b := range list {
-		t.Run(b.name, func(t *testing.T) {
+func runScenarios(t *testing.T, cases []scenarioCase) {
+	for _, testCase := range cases {
+		t.Run(testCase.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				d := newDay()
-				d.whole()
-				b.do(d)
-				pass(time.Second)
-				bad, notes := d.Verdict()
-				for rule, n := range bad {
-					if rule != b.rule {
+				r := newRun()
+				r.serve()
+				testCase.act(r)
+				wait(time.Second)
+				breaches, notes := r.Verdict()
+				for rule, n := range breaches {
+					if rule != testCase.rule {
 						t.Errorf("blamed besides: %d × %s %v", n, rule, notes)
 					}
 				}
-				if b.rule != "" && bad[b.rule] == 0 {
-					t.Errorf("not caught: %s (%v)", b.rule, notes)
+				if testCase.rule != "" && breaches[testCase.rule] == 0 {
+					t.Errorf("not caught: %s (%v)", testCase.rule, notes)
 				}
 			})
 		})
@@ -121,10 +121,10 @@
 // blamed, and no rule is without a breach here.
 func TestBreaches(t *testing.T) {
 	caught := map[string]bool{}
-	for _, list := range [][]breach{answers(), docs(), leaving(), ownerEnding(), readiness(), triesAndDenials(), splitDays(), keptCuts(), times(), gone(), coords(), budgets()} {
-		judge(t, list)
-		for _, b := range list {
-			caught[b.rule] = true
+	for _, cases := range [][]scenarioCase{answerScenarios(), documentScenarios(), leavingScenarios(), ownerEndingScenarios(), readinessScenarios(), attemptAndDenialScenarios(), splitScenarios(), reusedConnScenarios(), timeoutScenarios(), callerGoneScenarios(), coordinationScenarios(), budgetScenarios()} {
+		runScenarios(t, cases)
+		for _, testCase := range cases {
+			caught[testCase.rule] = true
 		}
 	}
 	for _, rule := range Rules {
@@ -134,101 +134,101 @@
 	}
 }
 
-// answers breaks what is promised of answers and runs.
-func answers() []breach {
-	return []breach{
-		{"a clean day", "", func(d *day) { d.whole() }},
-		{"no stamp", Mixed, func(d *day) { t, v := d.ask(), (*Visit)(nil); v = d.run(t, d.k); v.Stamp = ""; d.give(t, v) }},
-		{"half a body that looks whole", Mixed, func(d *day) {
-			t := d.ask()
-			v := *d.run(t, d.k)
-			v.Gave.Size = 5
-			d.give(t, &v)
+// answerScenarios breaks what is promised of answers and runs.
+func answerScenarios() []scenarioCase {
+	return []scenarioCase{
+		{"a clean day", "", func(r *run) { r.serve() }},
+		{"no stamp", Mixed, func(r *run) { t, v := r.try(), (*Arrival)(nil); v = r.exec(t, r.w1); v.Digest = ""; r.reply(t, v) }},
+		{"half a body that looks whole", Mixed, func(r *run) {
+			t := r.try()
+			v := *r.exec(t, r.w1)
+			v.AnswerBody.Size = 5
+			r.reply(t, &v)
 		}},
-		{"half a body that is seen to be cut", "", func(d *day) {
-			t := d.ask()
-			v := d.run(t, d.k)
-			v.Broke = true
-			d.Ended(t, Answer{Status: 200, ID: t.ID, Stamp: v.Stamp, Body: Body{5, 5}, Taken: true})
+		{"half a body that is seen to be cut", "", func(r *run) {
+			t := r.try()
+			v := r.exec(t, r.w1)
+			v.WorkerFailed = true
+			r.AttemptEnded(t, Answer{Status: 200, ID: t.ID, Digest: v.Digest, Body: Body{5, 5}, RequestRead: true})
 		}},
-		{"another's answer", Mixed, func(d *day) {
-			_, v := d.whole()
-			t := d.ask()
-			d.run(t, d.k)
-			d.Ended(t, Answer{Status: 500, ID: v.Try.ID, Whole: true})
+		{"another's answer", Mixed, func(r *run) {
+			_, v := r.serve()
+			t := r.try()
+			r.exec(t, r.w1)
+			r.AttemptEnded(t, Answer{Status: 500, ID: v.Attempt.ID, Complete: true})
 		}},
-		{"another's stamp", Mixed, func(d *day) {
-			_, v := d.whole()
-			t := d.ask()
-			d.run(t, d.k)
-			d.give(t, v)
+		{"another's stamp", Mixed, func(r *run) {
+			_, v := r.serve()
+			t := r.try()
+			r.exec(t, r.w1)
+			r.reply(t, v)
 		}},
-		{"success of a failure", Mixed, func(d *day) {
-			t := d.ask()
-			v := d.run(t, d.k)
-			c := *v
+		{"success of a failure", Mixed, func(r *run) {
+			t := r.try()
+			v := r.exec(t, r.w1)
+			unchanged := *v
 			v.Status = 500
-			d.give(t, &c)
+			r.reply(t, &unchanged)
 		}},
-		{"no answer in the protocol", Mixed, func(d *day) { d.Ended(d.ask(), Answer{Broken: true}) }},
-		{"the worker's own bytes that are no answer", "", func(d *day) {
-			t := d.ask()
-			v := d.run(t, d.k)
-			v.Broke, v.Status, v.Stamp = true, 0, ""
-			d.Ended(t, Answer{Broken: true})
+		{"no answer in the protocol", Mixed, func(r *run) { r.AttemptEnded(r.try(), Answer{Malformed: true}) }},
+		{"the worker's own bytes that are no answer", "", func(r *run) {
+			t := r.try()
+			v := r.exec(t, r.w1)
+			v.WorkerFailed, v.Status, v.Digest = true, 0, ""
+			r.AttemptEnded(t, Answer{Malformed: true})
 		}},
-		{"bytes for nobody", Mixed, func(d *day) { d.Stray("m1", "HTTP/1.1 200 OK") }},
-		{"sent by nobody", Unasked, func(d *day) {
-			v := &Visit{Worker: d.k, Method: "GET", URI: "/a/x", From: "s"}
-			d.Arrive(v, "unknown")
+		{"bytes for nobody", Mixed, func(r *run) { r.UnexpectedBytes("m1", "HTTP/1.1 200 OK") }},
+		{"sent by nobody", Unasked, func(r *run) {
+			v := &Arrival{Worker: r.w1, Method: "GET", URI: "/a/x", CallerService: "s"}
+			r.RecordArrival(v, "unknown")
 			v.Start = time.Now()
 		}},
-		{"changed on its way", Unasked, func(d *day) {
-			t := d.ask()
-			v := d.run(t, d.k)
+		{"changed on its way", Unasked, func(r *run) {
+			t := r.try()
+			v := r.exec(t, r.w1)
 			v.URI = "/a/x"
-			d.give(t, v)
+			r.reply(t, v)
 		}},
-		{"another body", Unasked, func(d *day) {
-			t := d.ask()
-			v := d.run(t, d.k)
+		{"another body", Unasked, func(r *run) {
+			t := r.try()
+			v := r.exec(t, r.w1)
 			v.Body = Body{3, 5}
-			d.give(t, v)
+			r.reply(t, v)
 		}},
-		{"a forged caller", Unasked, func(d *day) {
-			t := d.ask()
-			v := d.run(t, d.k)
-			v.From = "u"
-			d.give(t, v)
+		{"a forged caller", Unasked, func(r *run) {
+			t := r.try()
+			v := r.exec(t, r.w1)
+			v.CallerService = "u"
+			r.reply(t, v)
 		}},
-		{"twice", Twice, func(d *day) { t := d.ask(); d.run(t, d.k); d.give(t, d.run(t, d.k)) }},
-		{"twice, of what may be", "", func(d *day) { t := d.ask(); t.Repeat = true; d.run(t, d.k); d.give(t, d.run(t, d.k)) }},
-		{"declined, then run", "", func(d *day) {
-			t := d.ask()
-			v := &Visit{Worker: d.k, Declined: 503, Status: 503}
-			d.Arrive(v, t.ID)
-			d.give(t, d.run(t, d.k))
+		{"twice", Twice, func(r *run) { t := r.try(); r.exec(t, r.w1); r.reply(t, r.exec(t, r.w1)) }},
+		{"twice, of what may be", "", func(r *run) { t := r.try(); t.Retryable = true; r.exec(t, r.w1); r.reply(t, r.exec(t, r.w1)) }},
+		{"declined, then run", "", func(r *run) {
+			t := r.try()
+			v := &Arrival{Worker: r.w1, DeclinedStatus: 503, Status: 503}
+			r.RecordArrival(v, t.ID)
+			r.reply(t, r.exec(t, r.w1))
 		}},
-		{"refused and ran before", Refused, func(d *day) { t := d.ask(); d.run(t, d.k); d.own(t, 503) }},
-		{"refused and ran later", Refused, func(d *day) { t := d.ask(); d.own(t, 429); pass(time.Second); d.run(t, d.k) }},
-		{"refused unrun", "", func(d *day) { d.own(d.ask(), 503) }},
-		{"denied", Denied, func(d *day) {
+		{"refused and ran before", Refused, func(r *run) { t := r.try(); r.exec(t, r.w1); r.fail(t, 503) }},
+		{"refused and ran later", Refused, func(r *run) { t := r.try(); r.fail(t, 429); wait(time.Second); r.exec(t, r.w1) }},
+		{"refused unrun", "", func(r *run) { r.fail(r.try(), 503) }},
+		{"denied", Denied, func(r *run) {
 			for range 7 {
-				d.own(d.ask(), 400)
+				r.fail(r.try(), 400)
 			}
 		}},
-		{"denied now and then", "", func(d *day) {
+		{"denied now and then", "", func(r *run) {
 			for range 5 {
-				d.own(d.ask(), 400)
+				r.fail(r.try(), 400)
 			}
 		}},
-		{"denied out of touch", "", func(d *day) {
-			end := d.Touch.Begin("m1", "cut")
+		{"denied out of touch", "", func(r *run) {
+			end := r.Touch.Begin("m1", "cut")
 			for range 9 {
-				d.own(d.ask(), 400)
+				r.fail(r.try(), 400)
 			}
 			end()
 		}},
-		{"a service that was never allowed", Route, func(d *day) { t := d.ask(); d.give(t, d.run(t, d.l)) }},
+		{"a service that was never allowed", Route, func(r *run) { t := r.try(); r.reply(t, r.exec(t, r.w2)) }},
 	}
 }
--- a/internal/standin/checker/gone_test.go
+++ b/internal/standin/checker/gone_test.go
@@ -6,57 +6,57 @@
 	"time"
 )
 
-// TestOwed: nothing is owed to a client that leaves early, unless it was served.
-func TestOwed(t *testing.T) {
+// TestServedCountsEarlyLeavers: nothing is owed to a client that leaves early, unless it was served.
+func TestServedCountsEarlyLeavers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := newDay()
-		d.whole()
-		d.own(d.ask(), 503)
-		early := d.ask()
-		early.Early = true
-		d.Ended(early, Answer{GaveUp: true})
-		soon, _ := d.whole()
-		soon.Early = true
-		if served, owed := d.Served("", time.Time{}, time.Now()); served != 2 || owed != 3 {
+		r := newRun()
+		r.serve()
+		r.fail(r.try(), 503)
+		left := r.try()
+		left.LeavesEarly = true
+		r.AttemptEnded(left, Answer{ClientClosed: true})
+		servedEarly, _ := r.serve()
+		servedEarly.LeavesEarly = true
+		if served, owed := r.Served("", time.Time{}, time.Now()); served != 2 || owed != 3 {
 			t.Errorf("%d of %d served, want 2 of 3", served, owed)
 		}
 	})
 }
 
-// gone breaks what is promised of callers that leave: what reaches a worker late for a caller that left, and what may be
+// callerGoneScenarios breaks what is promised of callers that leave: what reaches a worker late for a caller that left, and what may be
 // repeated and runs on for one, is blamed; what ends in time is not.
-func gone() []breach {
-	leaves := func(d *day, repeat bool) *Try {
-		t := d.ask()
-		t.Repeat = repeat
+func callerGoneScenarios() []scenarioCase {
+	startAttempt := func(r *run, retryable bool) *Attempt {
+		t := r.try()
+		t.Retryable = retryable
 		return t
 	}
-	quit := func(d *day, t *Try) { d.Ended(t, Answer{GaveUp: true, Taken: true}) }
-	atWork := func(d *day, repeat bool) (*Try, *Visit) {
-		t := leaves(d, repeat)
-		v := d.run(t, d.k)
+	leave := func(r *run, t *Attempt) { r.AttemptEnded(t, Answer{ClientClosed: true, RequestRead: true}) }
+	atWork := func(r *run, retryable bool) (*Attempt, *Arrival) {
+		t := startAttempt(r, retryable)
+		v := r.exec(t, r.w1)
 		v.End = time.Time{}
-		pass(100 * time.Millisecond)
-		quit(d, t)
+		wait(100 * time.Millisecond)
+		leave(r, t)
 		return t, v
 	}
-	return []breach{
-		{"runs on", Gone, func(d *day) { atWork(d, true); pass(time.Second) }},
-		{"runs on, but is not to be repeated", "", func(d *day) { atWork(d, false); pass(time.Second) }},
-		{"ends in time", "", func(d *day) { _, v := atWork(d, true); pass(400 * time.Millisecond); v.End = time.Now() }},
-		{"ends late", Gone, func(d *day) { _, v := atWork(d, true); pass(600 * time.Millisecond); v.End = time.Now() }},
-		{"runs on, its machine out of touch", "", func(d *day) { d.Touch.Begin("m1", "frozen"); atWork(d, true); pass(time.Second) }},
-		{"reaches a worker late", Gone, func(d *day) {
-			t := leaves(d, false)
-			quit(d, t)
-			pass(600 * time.Millisecond)
-			d.run(t, d.k)
+	return []scenarioCase{
+		{"runs on", Gone, func(r *run) { atWork(r, true); wait(time.Second) }},
+		{"runs on, but is not to be repeated", "", func(r *run) { atWork(r, false); wait(time.Second) }},
+		{"ends in time", "", func(r *run) { _, v := atWork(r, true); wait(400 * time.Millisecond); v.End = time.Now() }},
+		{"ends late", Gone, func(r *run) { _, v := atWork(r, true); wait(600 * time.Millisecond); v.End = time.Now() }},
+		{"runs on, its machine out of touch", "", func(r *run) { r.Touch.Begin("m1", "frozen"); atWork(r, true); wait(time.Second) }},
+		{"reaches a worker late", Gone, func(r *run) {
+			t := startAttempt(r, false)
+			leave(r, t)
+			wait(600 * time.Millisecond)
+			r.exec(t, r.w1)
 		}},
-		{"reaches a worker soon", "", func(d *day) {
-			t := leaves(d, true)
-			quit(d, t)
-			pass(300 * time.Millisecond)
-			d.run(t, d.k)
+		{"reaches a worker soon", "", func(r *run) {
+			t := startAttempt(r, true)
+			leave(r, t)
+			wait(300 * time.Millisecond)
+			r.exec(t, r.w1)
 		}},
 	}
 }
--- a/internal/standin/checker/keys.go
+++ b/internal/standin/checker/keys.go
@@ -5,212 +5,212 @@
 	"time"
 )
 
-// turned tells that a call promises to have had no effect.
-func turned(code int) bool { return code == 412 || code == 429 || code == 503 }
+// promisesNoEffect tells that a call promises to have had no effect.
+func promisesNoEffect(code int) bool { return code == 412 || code == 429 || code == 503 }
 
-// story is what is known of one put, over all times that it was sent.
-type story struct {
+// putHistory is what is known of one put, over all times that it was sent.
+type putHistory struct {
 	name, value string
-	first       time.Time
-	rev         uint64 // 0 when no answer told it
-	acked       time.Time
-	open        bool // some call had no clear answer
-	turned      bool // every call was turned away
+	firstSentAt time.Time
+	revision    uint64 // 0 when no answer told it
+	ackedAt     time.Time
+	uncertain   bool // some call had no clear answer
+	rejected    bool // every call was turned away
 }
 
-func (w *Witness) stories() map[string]*story {
-	out := map[string]*story{}
-	for _, o := range w.ops {
-		if o.Kind != Put {
+func (w *Witness) putHistories() map[string]*putHistory {
+	histories := map[string]*putHistory{}
+	for _, op := range w.ops {
+		if op.Kind != Put {
 			continue
 		}
-		k := o.Name + "\n" + o.Value
-		s := out[k]
-		if s == nil {
-			s = &story{name: o.Name, value: o.Value, first: o.First, turned: true}
-			out[k] = s
+		key := op.Name + "\n" + op.Value
+		history := histories[key]
+		if history == nil {
+			history = &putHistory{name: op.Name, value: op.Value, firstSentAt: op.FirstSentAt, rejected: true}
+			histories[key] = history
 		}
 		switch {
-		case o.Code == 200:
-			s.rev, s.turned = o.Num, false
-			if s.acked.IsZero() || o.To.Before(s.acked) {
-				s.acked = o.To
+		case op.Status == 200:
+			history.revision, history.rejected = op.Number, false
+			if history.ackedAt.IsZero() || op.End.Before(history.ackedAt) {
+				history.ackedAt = op.End
 			}
-		case !turned(o.Code):
-			s.open, s.turned = true, false
+		case !promisesNoEffect(op.Status):
+			history.uncertain, history.rejected = true, false
 		}
 	}
-	return out
+	return histories
 }
 
-// sight is a value that showed under a revision.
-type sight struct {
+// observedValue is a value that showed under a revision.
+type observedValue struct {
 	key, value string
-	rev        uint64
+	revision   uint64
 	at         time.Time
 }
 
-// keys: reads are no older than what was acknowledged, values are those that
+// checkKeys: reads are no older than what was acknowledged, values are those that
 // were put there. STALE, MIXED, REFUSED.
-func (w *Witness) keys() {
-	all := w.stories()
-	var shown []sight
-	for _, o := range w.ops {
+func (w *Witness) checkKeys() {
+	histories := w.putHistories()
+	var shown []observedValue
+	for _, op := range w.ops {
 		switch {
-		case o.Kind == Get && o.Code == 200:
-			shown = append(shown, sight{o.Name, o.Value, o.Num, o.To})
-		case o.Kind == Watch && o.Code == 200:
-			for _, c := range o.Changes {
-				shown = append(shown, sight{c.Key, c.Value, c.Rev, o.To})
+		case op.Kind == Get && op.Status == 200:
+			shown = append(shown, observedValue{op.Name, op.Value, op.Number, op.End})
+		case op.Kind == Watch && op.Status == 200:
+			for _, c := range op.Changes {
+				shown = append(shown, observedValue{c.Key, c.Value, c.Rev, op.End})
 			}
 		}
 	}
-	under := map[string]uint64{}
-	type spot struct {
-		group string
-		rev   uint64
+	revisionOf := map[string]uint64{}
+	type groupRevision struct {
+		group    string
+		revision uint64
 	}
-	known := map[spot]string{}
-	for _, s := range all {
-		if s.rev > 0 {
-			under[s.name+"\n"+s.value] = s.rev
-			known[spot{group(s.name), s.rev}] = s.name
+	keyAt := map[groupRevision]string{}
+	for _, s := range histories {
+		if s.revision > 0 {
+			revisionOf[s.name+"\n"+s.value] = s.revision
+			keyAt[groupRevision{keyGroup(s.name), s.revision}] = s.name
 		}
 	}
 	for _, s := range shown {
 		k := s.key + "\n" + s.value
-		st := all[k]
+		history := histories[k]
 		switch {
-		case st == nil:
-			w.blame(Mixed, "%s shows %q, which nobody put there", s.key, s.value)
-		case st.turned:
-			w.blame(Refused, "%s shows %q, whose put was turned away", s.key, s.value)
+		case history == nil:
+			w.recordBreach(Mixed, "%s shows %q, which nobody put there", s.key, s.value)
+		case history.rejected:
+			w.recordBreach(Refused, "%s shows %q, whose put was turned away", s.key, s.value)
 		}
-		if n, ok := under[k]; ok && n != s.rev {
-			w.blame(Mixed, "%s shows %q under revisions %d and %d", s.key, s.value, n, s.rev)
+		if revision, ok := revisionOf[k]; ok && revision != s.revision {
+			w.recordBreach(Mixed, "%s shows %q under revisions %d and %d", s.key, s.value, revision, s.revision)
 		}
-		under[k] = s.rev
-		known[spot{group(s.key), s.rev}] = s.key
+		revisionOf[k] = s.revision
+		keyAt[groupRevision{keyGroup(s.key), s.revision}] = s.key
 	}
 	open := map[string]bool{}
-	for _, s := range all {
-		open[s.name] = open[s.name] || s.open
+	for _, s := range histories {
+		open[s.name] = open[s.name] || s.uncertain
 	}
-	for _, o := range w.ops {
-		if o.Kind != Put || o.Code != 412 || o.Num == 0 {
+	for _, op := range w.ops {
+		if op.Kind != Put || op.Status != 412 || op.Number == 0 {
 			continue
 		}
-		who, ok := known[spot{group(o.Name), o.Num}]
-		if ok && who != o.Name || !ok && !open[o.Name] {
-			w.blame(Mixed, "a 412 names revision %d of %s, which no put of it got", o.Num, o.Name)
+		key, ok := keyAt[groupRevision{keyGroup(op.Name), op.Number}]
+		if ok && key != op.Name || !ok && !open[op.Name] {
+			w.recordBreach(Mixed, "a 412 names revision %d of %s, which no put of it got", op.Number, op.Name)
 		}
 	}
-	w.stale(all)
+	w.checkStaleReads(histories)
 }
 
-func (w *Witness) stale(all map[string]*story) {
-	acked := map[string][]*story{}
-	for _, s := range all {
-		if s.rev > 0 {
-			acked[s.name] = append(acked[s.name], s)
+func (w *Witness) checkStaleReads(histories map[string]*putHistory) {
+	acked := map[string][]*putHistory{}
+	for _, history := range histories {
+		if history.revision > 0 {
+			acked[history.name] = append(acked[history.name], history)
 		}
 	}
-	for _, l := range acked {
-		sort.Slice(l, func(i, j int) bool { return l[i].acked.Before(l[j].acked) })
+	for _, list := range acked {
+		sort.Slice(list, func(i, j int) bool { return list[i].ackedAt.Before(list[j].ackedAt) })
 		// From here on rev is the highest acknowledged by then.
-		for i := 1; i < len(l); i++ {
-			if l[i].rev < l[i-1].rev {
-				c := *l[i]
-				c.rev = l[i-1].rev
-				l[i] = &c
+		for i := 1; i < len(list); i++ {
+			if list[i].revision < list[i-1].revision {
+				raised := *list[i]
+				raised.revision = list[i-1].revision
+				list[i] = &raised
 			}
 		}
 	}
-	for _, o := range w.ops {
-		if o.Kind != Get || o.Code != 200 && o.Code != 404 {
+	for _, op := range w.ops {
+		if op.Kind != Get || op.Status != 200 && op.Status != 404 {
 			continue
 		}
-		l := acked[o.Name]
-		n := sort.Search(len(l), func(i int) bool { return !l[i].acked.Before(o.From) })
-		if n == 0 {
+		list := acked[op.Name]
+		ackedBefore := sort.Search(len(list), func(i int) bool { return !list[i].ackedAt.Before(op.Start) })
+		if ackedBefore == 0 {
 			continue
 		}
-		low := l[n-1].rev
-		if o.Code == 404 || o.Num < low {
+		lowest := list[ackedBefore-1].revision
+		if op.Status == 404 || op.Number < lowest {
 			rule := Stale
-			if !w.shut[0].IsZero() && o.From.After(w.shut[0]) && l[n-1].acked.Before(w.shut[0]) {
+			if !w.finalFault[0].IsZero() && op.Start.After(w.finalFault[0]) && list[ackedBefore-1].ackedAt.Before(w.finalFault[0]) {
 				rule = Lost
 			}
-			w.blame(rule, "%s read at %d (%d) by a call sent %s, %d was acknowledged before", o.Name, o.Num, o.Code, stamp(o.From), low)
+			w.recordBreach(rule, "%s read at %d (%d) by a call sent %s, %d was acknowledged before", op.Name, op.Number, op.Status, clockTime(op.Start), lowest)
 		}
 	}
 }
 
-// watches: changes rise, none inside a span is skipped, and what was given
+// checkWatches: changes rise, none inside a span is skipped, and what was given
 // lately can be watched from. ORDER, LOST.
-func (w *Witness) watches() {
-	type put struct {
-		rev uint64
-		key string
+func (w *Witness) checkWatches() {
+	type ackedPut struct {
+		revision uint64
+		key      string
 	}
-	puts := map[string][]put{}
-	for _, s := range w.stories() {
-		if s.rev > 0 {
-			puts[group(s.name)] = append(puts[group(s.name)], put{s.rev, s.name})
+	puts := map[string][]ackedPut{}
+	for _, history := range w.putHistories() {
+		if history.revision > 0 {
+			puts[keyGroup(history.name)] = append(puts[keyGroup(history.name)], ackedPut{history.revision, history.name})
 		}
 	}
-	given := map[string]map[uint64]time.Time{}
-	for _, o := range w.ops {
-		if o.Kind != Watch {
+	givenAt := map[string]map[uint64]time.Time{}
+	for _, op := range w.ops {
+		if op.Kind != Watch {
 			continue
 		}
-		if given[o.Name] == nil {
-			given[o.Name] = map[uint64]time.Time{}
+		if givenAt[op.Name] == nil {
+			givenAt[op.Name] = map[uint64]time.Time{}
 		}
-		if o.Code == 410 {
-			if at, ok := given[o.Name][o.After]; ok && o.From.Sub(at) < w.B.Hist {
-				w.blame(Lost, "a watch of %s after %d got 410, %v after that was given", o.Name, o.After, o.From.Sub(at))
+		if op.Status == 410 {
+			if at, ok := givenAt[op.Name][op.After]; ok && op.Start.Sub(at) < w.B.Hist {
+				w.recordBreach(Lost, "a watch of %s after %d got 410, %v after that was given", op.Name, op.After, op.Start.Sub(at))
 			}
 			continue
 		}
-		if o.Code != 200 {
+		if op.Status != 200 {
 			continue
 		}
-		last := o.After
+		lastRevision := op.After
 		seen := map[uint64]bool{}
-		for _, c := range o.Changes {
-			if c.Rev <= last {
-				w.blame(Order, "a watch of %s gave revision %d after %d", o.Name, c.Rev, last)
+		for _, c := range op.Changes {
+			if c.Rev <= lastRevision {
+				w.recordBreach(Order, "a watch of %s gave revision %d after %d", op.Name, c.Rev, lastRevision)
 			}
-			last = c.Rev
+			lastRevision = c.Rev
 			seen[c.Rev] = true
 		}
-		if o.After > 0 && o.Num < o.After || last > o.Num && o.After > 0 {
-			w.blame(Order, "a watch of %s after %d ended at %d with %d in it", o.Name, o.After, o.Num, last)
+		if op.After > 0 && op.Number < op.After || lastRevision > op.Number && op.After > 0 {
+			w.recordBreach(Order, "a watch of %s after %d ended at %d with %d in it", op.Name, op.After, op.Number, lastRevision)
 		}
 		// With 0 only the present revision is asked for.
-		for _, p := range puts[o.Name] {
-			if o.After > 0 && p.rev > o.After && p.rev <= o.Num && !seen[p.rev] {
-				w.blame(Order, "a watch of %s from %d to %d skipped %d of %s", o.Name, o.After, o.Num, p.rev, p.key)
+		for _, p := range puts[op.Name] {
+			if op.After > 0 && p.revision > op.After && p.revision <= op.Number && !seen[p.revision] {
+				w.recordBreach(Order, "a watch of %s from %d to %d skipped %d of %s", op.Name, op.After, op.Number, p.revision, p.key)
 			}
 		}
-		given[o.Name][o.Num] = o.To
+		givenAt[op.Name][op.Number] = op.End
 	}
-	w.ends()
+	w.checkFinalCalls()
 }
 
-// ends: when the day ends every call comes through in time.
-func (w *Witness) ends() {
-	came := map[string]bool{}
-	for _, o := range w.ops {
-		if o.Final {
-			k := o.Kind + " " + o.Name
-			came[k] = came[k] || o.Code == 200 || o.Code == 404 || o.Code == 409 || o.Code == 410
+// checkFinalCalls: when the day ends every call comes through in time.
+func (w *Witness) checkFinalCalls() {
+	answered := map[string]bool{}
+	for _, op := range w.ops {
+		if op.Final {
+			call := op.Kind + " " + op.Name
+			answered[call] = answered[call] || op.Status == 200 || op.Status == 404 || op.Status == 409 || op.Status == 410
 		}
 	}
-	for k, ok := range came {
+	for call, ok := range answered {
 		if !ok {
-			w.blame(Lost, "%s did not come when the day ended", k)
+			w.recordBreach(Lost, "%s did not come when the day ended", call)
 		}
 	}
 }
--- a/internal/standin/checker/reads.go
+++ b/internal/standin/checker/reads.go
@@ -2,92 +2,94 @@
 
 import "time"
 
-// readBacks: what is read at the end of a day is what was sent under its
+// checkConfigReads: what is read at the end of a day is what was sent under its
 // number, and no older than the newest acknowledged.
-func (w *Witness) readBacks() {
-	for _, r := range w.reads {
-		if !r.Came {
-			if r.Final {
-				w.blame(Config, "no document came when it was read back")
+func (w *Witness) checkConfigReads() {
+	for _, read := range w.configReads {
+		if !read.Answered {
+			if read.Final {
+				w.recordBreach(Config, "no document came when it was read back")
 			}
 			continue
 		}
-		if low := w.newest(r.From); r.Number < low {
+		if lowest := w.newestAcked(read.SentAt); read.Number < lowest {
 			rule := Config
-			if !w.shut[0].IsZero() && r.From.After(w.shut[0]) {
+			if !w.finalFault[0].IsZero() && read.SentAt.After(w.finalFault[0]) {
 				rule = Lost
 			}
-			w.blame(rule, "read back as number %d at %s, %d was acknowledged before", r.Number, stamp(r.At), low)
+			w.recordBreach(rule, "read back as number %d at %s, %d was acknowledged before", read.Number, clockTime(read.ReceivedAt), lowest)
 		}
-		if !r.Same {
-			w.blame(Config, "number %d was read back other than it was sent", r.Number)
+		if !read.Unchanged {
+			w.recordBreach(Config, "number %d was read back other than it was sent", read.Number)
 		}
-		for _, d := range w.docs {
-			if d.Number == r.Number && d.Broken != "" && !w.sound(r.Number) {
-				w.blame(Config, "number %d is in force although broken: %s", r.Number, d.Broken)
+		for _, document := range w.documents {
+			if document.Number == read.Number && document.Defect != "" && !w.validDocumentExists(read.Number) {
+				w.recordBreach(Config, "number %d is in force although broken: %s", read.Number, document.Defect)
 			}
 		}
 	}
 }
 
-// sound tells that some whole document was sent under a number.
-func (w *Witness) sound(n uint64) bool {
-	for _, d := range w.docs {
-		if d.Number == n && d.Broken == "" {
+// validDocumentExists tells that some whole document was sent under a number.
+func (w *Witness) validDocumentExists(number uint64) bool {
+	for _, document := range w.documents {
+		if document.Number == number && document.Defect == "" {
 			return true
 		}
 	}
 	return false
 }
 
-// added: paths that came later are served as well as the first ones.
-func (w *Witness) added() {
-	if len(w.docs) == 0 {
+// checkAddedRoutes: paths that came later are served as well as the first ones.
+func (w *Witness) checkAddedRoutes() {
+	if len(w.documents) == 0 {
 		return
 	}
-	first := w.docs[0]
+	first := w.documents[0]
 	later := map[string]bool{}
-	for _, d := range w.docs {
-		for _, p := range d.Paths {
-			if d.Broken == "" && first.Match(p.Host, p.Prefix) == nil {
-				later[p.Host+p.Prefix] = true
+	for _, document := range w.documents {
+		for _, route := range document.Routes {
+			if document.Defect == "" && first.Match(route.Host, route.Prefix) == nil {
+				later[route.Host+route.Prefix] = true
 			}
 		}
 	}
 	if len(later) < 20 {
 		return
 	}
-	calm := func(t *Try) bool { return w.Touch.through(t.Front, t.From, t.End) && w.proper(t) }
-	s1, n1 := w.served(func(t *Try) bool { return first.Match(t.Host, t.URI) != nil && calm(t) })
-	s2, n2 := w.served(func(t *Try) bool { return first.Match(t.Host, t.URI) == nil && calm(t) })
-	if n2 >= 20 && n1 > 0 && 4*s2*n1 < s1*n2 {
-		w.blame(Config, "paths that came later: %d of %d served, first ones %d of %d", s2, n2, s1, n1)
+	calm := func(attempt *Attempt) bool {
+		return w.Touch.connected(attempt.Ingress, attempt.Start, attempt.End) && w.allowedNow(attempt)
+	}
+	servedFirst, owedFirst := w.countServed(func(attempt *Attempt) bool { return first.Match(attempt.Host, attempt.URI) != nil && calm(attempt) })
+	servedLater, owedLater := w.countServed(func(attempt *Attempt) bool { return first.Match(attempt.Host, attempt.URI) == nil && calm(attempt) })
+	if owedLater >= 20 && owedFirst > 0 && 4*servedLater*owedFirst < servedFirst*owedLater {
+		w.recordBreach(Config, "paths that came later: %d of %d served, first ones %d of %d", servedLater, owedLater, servedFirst, owedFirst)
 	}
 }
 
 // Closing notes the closing fault, and Back that the machines are there again.
 func (w *Witness) Closing() {
 	w.mu.Lock()
-	w.shut[0] = time.Now()
+	w.finalFault[0] = time.Now()
 	w.mu.Unlock()
 }
 
 // Back notes that the machines are there again after the closing fault.
 func (w *Witness) Back() {
 	w.mu.Lock()
-	w.shut[1] = time.Now()
+	w.finalFault[1] = time.Now()
 	w.mu.Unlock()
 }
 
-// recovers: where a quarter was served before the closing fault, a quarter is
+// checkRecovery: where a quarter was served before the closing fault, a quarter is
 // served of what is sent later than the bound after the return.
-func (w *Witness) recovers() {
-	if w.shut[1].IsZero() {
+func (w *Witness) checkRecovery() {
+	if w.finalFault[1].IsZero() {
 		return
 	}
-	s1, n1 := w.served(func(t *Try) bool { return t.From.Before(w.shut[0]) })
-	s2, n2 := w.served(func(t *Try) bool { return t.From.After(w.shut[1].Add(w.B.Return)) })
-	if n1 > 0 && 4*s1 >= n1 && n2 > 0 && 4*s2 < n2 {
-		w.blame(Recover, "%d of %d served after the return, %d of %d before the fault", s2, n2, s1, n1)
+	servedBefore, owedBefore := w.countServed(func(attempt *Attempt) bool { return attempt.Start.Before(w.finalFault[0]) })
+	servedAfter, owedAfter := w.countServed(func(attempt *Attempt) bool { return attempt.Start.After(w.finalFault[1].Add(w.B.Return)) })
+	if owedBefore > 0 && 4*servedBefore >= owedBefore && owedAfter > 0 && 4*servedAfter < owedAfter {
+		w.recordBreach(Recover, "%d of %d served after the return, %d of %d before the fault", servedAfter, owedAfter, servedBefore, owedBefore)
 	}
 }
--- a/internal/standin/checker/ready_test.go
+++ b/internal/standin/checker/ready_test.go
@@ -5,38 +5,38 @@
 	"time"
 )
 
-// readiness has nodes that are told to end and count as ready ever after.
-func readiness() []breach {
-	return []breach{
-		{"still ready after the order", Drain, func(d *day) { d.stillReady(3, 2) }},
-		{"one still ready after the order", "", func(d *day) { d.stillReady(3, 1) }},
-		{"a quarter still ready after the order", "", func(d *day) { d.stillReady(8, 2) }},
-		{"over a quarter still ready after the order", Drain, func(d *day) { d.stillReady(7, 2) }},
-		{"started again after the order", "", func(d *day) {
+// readinessScenarios has nodes that are told to end and count as ready ever after.
+func readinessScenarios() []scenarioCase {
+	return []scenarioCase{
+		{"still ready after the order", Drain, func(r *run) { r.stillReady(3, 2) }},
+		{"one still ready after the order", "", func(r *run) { r.stillReady(3, 1) }},
+		{"a quarter still ready after the order", "", func(r *run) { r.stillReady(8, 2) }},
+		{"over a quarter still ready after the order", Drain, func(r *run) { r.stillReady(7, 2) }},
+		{"started again after the order", "", func(r *run) {
 			for i := range 3 {
-				d.Looked(fmt.Sprint("n", i), true)
-				d.Term(fmt.Sprint("n", i))
+				r.Looked(fmt.Sprint("n", i), true)
+				r.Term(fmt.Sprint("n", i))
 			}
-			pass(2 * time.Second)
+			wait(2 * time.Second)
 			for i := range 3 {
-				d.Lives(fmt.Sprint("n", i))
-				d.Looked(fmt.Sprint("n", i), true)
+				r.Lives(fmt.Sprint("n", i))
+				r.Looked(fmt.Sprint("n", i), true)
 			}
-			pass(3 * time.Second)
+			wait(3 * time.Second)
 		}},
 	}
 }
 
 // stillReady tells so many nodes to end, of which some are found ready ever after.
-func (d *day) stillReady(all, still int) {
-	for i := range all {
+func (d *run) stillReady(count, ready int) {
+	for i := range count {
 		d.Looked(fmt.Sprint("n", i), true)
 		d.Term(fmt.Sprint("n", i))
 	}
 	for range 5 {
-		pass(time.Second)
-		for i := range all {
-			d.Looked(fmt.Sprint("n", i), i < still)
+		wait(time.Second)
+		for i := range count {
+			d.Looked(fmt.Sprint("n", i), i < ready)
 		}
 	}
 }
--- a/internal/standin/checker/risk.go
+++ b/internal/standin/checker/risk.go
@@ -7,68 +7,68 @@
 func (w *Witness) Risk() map[string]int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	out := map[string]int{}
-	last := map[string]time.Time{} // when each document was acknowledged
-	for _, v := range w.visits {
-		if v.Odd || v.Broke {
-			out[Mixed]++
-			if v.Try != nil && !v.Try.Repeat {
+	counts := map[string]int{}
+	ackedAt := map[string]time.Time{} // when each document was acknowledged
+	for _, arrival := range w.arrivals {
+		if arrival.ExtraBytes || arrival.WorkerFailed {
+			counts[Mixed]++
+			if arrival.Attempt != nil && !arrival.Attempt.Retryable {
 				// Whoever sends it again runs it twice; whoever calls it busy lies.
-				out[Twice]++
-				out[Refused]++
+				counts[Twice]++
+				counts[Refused]++
 			}
 		}
-		if v.Again {
-			out[Budget]++
+		if arrival.Retry {
+			counts[Budget]++
 		}
-		if v.Ran() && v.To != "" {
-			out[Unasked]++
+		if arrival.Executed() && arrival.ExpectedWorker != "" {
+			counts[Unasked]++
 		}
 		// What goes to a worker that is about to leave, or leaves, would go on
 		// doing so after the bound if nobody were told. How many come after its
 		// word hangs on how quick the mesh is, and may be none.
-		if k := v.Worker; !k.Asked.IsZero() && v.At.After(k.Asked.Add(-w.B.Leave)) {
-			out[Drain]++
+		if worker := arrival.Worker; !worker.LeaveSentAt.IsZero() && arrival.ArrivedAt.After(worker.LeaveSentAt.Add(-w.B.Leave)) {
+			counts[Drain]++
 		}
 	}
-	for _, d := range w.docs {
-		if d.Broken != "" || !d.Refused.IsZero() {
-			out[Route]++
+	for _, document := range w.documents {
+		if document.Defect != "" || !document.RejectedAt.IsZero() {
+			counts[Route]++
 		}
-		if !d.Acked.IsZero() && d.Broken == "" {
-			out[Acks]++
-			last[d.Raw] = d.Acked
+		if !document.AckedAt.IsZero() && document.Defect == "" {
+			counts[Acks]++
+			ackedAt[document.Raw] = document.AckedAt
 		}
 	}
-	for _, t := range w.order {
-		for _, at := range last {
-			if t.From.After(at.Add(w.B.Change)) && t.From.Before(at.Add(2*w.B.Change)) {
-				out[Config]++
+	for _, attempt := range w.attemptOrder {
+		for _, at := range ackedAt {
+			if attempt.Start.After(at.Add(w.B.Change)) && attempt.Start.Before(at.Add(2*w.B.Change)) {
+				counts[Config]++
 				break
 			}
 		}
-		if len(w.planned(t)) > 0 {
-			out[Lost]++
+		if len(w.signalsDuring(attempt)) > 0 {
+			counts[Lost]++
 		}
-		if t.left() && t.Repeat && t.atWork() != nil {
-			out[Gone]++
+		if attempt.callerLeft() && attempt.Retryable && attempt.executionInProgress() != nil {
+			counts[Gone]++
 		}
-		if t.Got.Status == 404 {
-			out[Denied]++
+		if attempt.Answer.Status == 404 {
+			counts[Denied]++
 		}
-		if !w.shut[1].IsZero() && t.From.After(w.shut[1].Add(w.B.Return)) {
-			out[Recover]++
+		if !w.finalFault[1].IsZero() && attempt.Start.After(w.finalFault[1].Add(w.B.Return)) {
+			counts[Recover]++
 		}
 	}
-	for _, o := range w.ops {
+	for _, op := range w.ops {
 		switch {
-		case o.Kind == Take && o.Code == 409:
-			out[One]++
-		case o.Kind == Get && o.Code == 200:
-			out[Stale]++
-		case o.Code == 200:
-			out[Order]++
+		case op.Kind == Acquire && op.Status == 409:
+			counts[One]++
+		case op.Kind == Get && op.Status == 200:
+			counts[Stale]++
+		case op.Status == 200:
+			counts[Order]++
 		}
 	}
-	return out
+	return counts
 }
--- a/internal/standin/checker/risk_test.go
+++ b/internal/standin/checker/risk_test.go
@@ -6,12 +6,12 @@
 	"time"
 )
 
-// TestRiskOfLeaving: a worker that has traffic until it leaves puts DRAIN at risk,
+// TestRiskCountsDrain: a worker that has traffic until it leaves puts DRAIN at risk,
 // however quick those are who hear of it; one without traffic does not.
-func TestRiskOfLeaving(t *testing.T) {
+func TestRiskCountsDrain(t *testing.T) {
 	for _, c := range []struct {
 		name  string
-		quiet time.Duration // from the last job there to its word
+		idle  time.Duration // from the last job there to its word
 		after bool          // one more comes after it
 		want  int
 	}{
@@ -22,17 +22,17 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				d := newDay()
-				d.run(d.ask(), d.k)
-				d.run(d.ask(), d.l)
-				pass(c.quiet)
-				d.Leaves(d.k)
-				d.LeaveTaken(d.k, "m1")
+				r := newRun()
+				r.exec(r.try(), r.w1)
+				r.exec(r.try(), r.w2)
+				wait(c.idle)
+				r.LeaveSent(r.w1)
+				r.LeaveAcked(r.w1, "m1")
 				if c.after {
-					pass(100 * time.Millisecond)
-					d.run(d.ask(), d.k)
+					wait(100 * time.Millisecond)
+					r.exec(r.try(), r.w1)
 				}
-				if got := d.Risk()[Drain]; got != c.want {
+				if got := r.Risk()[Drain]; got != c.want {
 					t.Errorf("at risk %d times, want %d", got, c.want)
 				}
 			})
--- a/internal/standin/checker/splits_test.go
+++ b/internal/standin/checker/splits_test.go
@@ -2,41 +2,41 @@
 
 import "time"
 
-// splitDays has a path that sends half of its requests to each of two services.
-func splitDays() []breach {
-	halves := func(many int, to func(d *day, i int) *Worker) func(d *day) {
-		return func(d *day) {
-			d.doc(2, "s", "u")
-			pass(3 * time.Second)
-			for i := range many {
-				t := d.ask()
-				if k := to(d, i); k != nil {
-					d.give(t, d.run(t, k))
+// splitScenarios has a path that sends half of its requests to each of two services.
+func splitScenarios() []scenarioCase {
+	halves := func(count int, target func(r *run, i int) *Worker) func(r *run) {
+		return func(r *run) {
+			r.apply(2, "s", "u")
+			wait(3 * time.Second)
+			for i := range count {
+				attempt := r.try()
+				if worker := target(r, i); worker != nil {
+					r.reply(attempt, r.exec(attempt, worker))
 				} else {
-					d.own(t, 503)
+					r.fail(attempt, 503)
 				}
 			}
 		}
 	}
-	one := func(d *day, _ int) *Worker { return d.k }
-	return []breach{
-		{"a split of which one part gets all", Config, halves(200, one)},
-		{"a split of which one part gets all, of a few", "", halves(199, one)},
-		{"a split of which one part gets two thirds", "", halves(300, func(d *day, i int) *Worker {
+	always := func(r *run, _ int) *Worker { return r.w1 }
+	return []scenarioCase{
+		{"a split of which one part gets all", Config, halves(200, always)},
+		{"a split of which one part gets all, of a few", "", halves(199, always)},
+		{"a split of which one part gets two thirds", "", halves(300, func(r *run, i int) *Worker {
 			if i%3 == 0 {
-				return d.l
+				return r.w2
 			}
-			return d.k
+			return r.w1
 		})},
-		{"a split of which one part turns away", "", halves(200, func(d *day, i int) *Worker {
+		{"a split of which one part turns away", "", halves(200, func(r *run, i int) *Worker {
 			if i == 100 {
 				return nil
 			}
-			return d.k
+			return r.w1
 		})},
-		{"a split of which one part gets all, out of touch", "", func(d *day) {
-			d.Touch.Begin("m1", "frozen")
-			halves(200, one)(d)
+		{"a split of which one part gets all, out of touch", "", func(r *run) {
+			r.Touch.Begin("m1", "frozen")
+			halves(200, always)(r)
 		}},
 	}
 }
