--- a/internal/standin/checker/times.go
+++ b/internal/standin/checker/times.go
@@ -3,66 +3,66 @@
 import "time"
 
 // How late a final answer, and how much too long the time handed to a worker may be.
-const timeSlack = 500 * time.Millisecond
+const timeoutSlack = 500 * time.Millisecond
 
 // What a day may hold of each before it is a breach: so many, and such a part of
 // those that were at risk.
 const (
-	heldAtLeast    = 8
-	heldPart       = 4 // one over it
-	handedMoreThan = 20
-	handedPart     = 5 // one over it
+	lateAnswersAtLeast = 8
+	lateAnswersDivisor = 4 // one over it
+	handedTolerated    = 20
+	handedDivisor      = 5 // one over it
 )
 
-// held: requests that last longer than their path's time have a final answer soon
+// checkLateAnswers: requests that last longer than their path's time have a final answer soon
 // after it, at machines in touch.
-func (w *Witness) held() {
-	late, all := 0, 0
-	var last *Try
-	for _, t := range w.order {
-		most, ok := w.longestTime(t)
-		if !ok || t.Left <= most+timeSlack || t.End.IsZero() || t.End.Sub(t.From) <= most || !w.Touch.through(t.Front, t.From, t.End) {
+func (w *Witness) checkLateAnswers() {
+	late, total := 0, 0
+	var example *Attempt
+	for _, attempt := range w.attemptOrder {
+		longest, ok := w.longestTimeout(attempt)
+		if !ok || attempt.Timeout <= longest+timeoutSlack || attempt.End.IsZero() || attempt.End.Sub(attempt.Start) <= longest || !w.Touch.connected(attempt.Ingress, attempt.Start, attempt.End) {
 			continue
 		}
-		all++
-		if t.End.Sub(t.From) > most+timeSlack {
+		total++
+		if attempt.End.Sub(attempt.Start) > longest+timeoutSlack {
 			late++
-			last = t
+			example = attempt
 		}
 	}
-	if late >= heldAtLeast && late*heldPart > all {
-		w.blame(Config, "%d of %d requests that lasted longer than their path's time had no final answer %v after it, %s at %s among them", late, all, timeSlack, last.ID, last.Front)
+	if late >= lateAnswersAtLeast && late*lateAnswersDivisor > total {
+		w.recordBreach(Config, "%d of %d requests that lasted longer than their path's time had no final answer %v after it, %s at %s among them", late, total, timeoutSlack, example.ID, example.Ingress)
 	}
 }
 
-// longestTime is the longest time of a try's path in any document that may have been
+// longestTimeout is the longest time of a try's path in any document that may have been
 // in force while it waited.
-func (w *Witness) longestTime(t *Try) (most time.Duration, ok bool) {
-	low := w.newest(t.From.Add(-w.B.Change - w.B.Stretch))
-	for _, d := range w.docs {
-		if p := d.Match(t.Host, t.URI); p != nil && d.Number >= low && d.may(t.End) && p.Left > 0 {
-			most, ok = max(most, p.Left), true
+func (w *Witness) longestTimeout(attempt *Attempt) (longest time.Duration, ok bool) {
+	lowest := w.newestAcked(attempt.Start.Add(-w.B.Change - w.B.Stretch))
+	for _, document := range w.documents {
+		if route := document.Match(attempt.Host, attempt.URI); route != nil && document.Number >= lowest && document.mayBeInForce(attempt.End) && route.Timeout > 0 {
+			longest, ok = max(longest, route.Timeout), true
 		}
 	}
-	return most, ok
+	return longest, ok
 }
 
-// handed: workers are handed no more time than is left.
-func (w *Witness) handed() {
-	over, all := 0, 0
-	var last *Visit
-	for _, v := range w.visits {
-		t := v.Try
-		if t == nil || t.Probe || !w.Touch.through(t.Front, t.From, v.At) || !w.Touch.through(v.Worker.Machine, t.From, v.At) {
+// checkHandedTimeouts: workers are handed no more time than is left.
+func (w *Witness) checkHandedTimeouts() {
+	over, total := 0, 0
+	var example *Arrival
+	for _, arrival := range w.arrivals {
+		attempt := arrival.Attempt
+		if attempt == nil || attempt.Probe || !w.Touch.connected(attempt.Ingress, attempt.Start, arrival.ArrivedAt) || !w.Touch.connected(arrival.Worker.Machine, attempt.Start, arrival.ArrivedAt) {
 			continue
 		}
-		all++
-		if v.Given == 0 || v.Given > t.Left-v.At.Sub(t.From)+timeSlack {
+		total++
+		if arrival.Timeout == 0 || arrival.Timeout > attempt.Timeout-arrival.ArrivedAt.Sub(attempt.Start)+timeoutSlack {
 			over++
-			last = v
+			example = arrival
 		}
 	}
-	if over > handedMoreThan && over*handedPart > all {
-		w.blame(Budget, "%d of %d arrivals had more time than was left, %s at %s %v among them", over, all, last.Try.ID, last.Worker.Name, last.Given)
+	if over > handedTolerated && over*handedDivisor > total {
+		w.recordBreach(Budget, "%d of %d arrivals had more time than was left, %s at %s %v among them", over, total, example.Attempt.ID, example.Worker.Name, example.Timeout)
 	}
 }
--- a/internal/standin/checker/times_test.go
+++ b/internal/standin/checker/times_test.go
@@ -2,35 +2,35 @@
 
 import "time"
 
-// times breaks what is promised of a path's time and of the time handed to workers.
-func times() []breach {
-	held := func(many int, after time.Duration) func(d *day) {
-		return func(d *day) {
-			for range many {
-				t := d.ask()
-				t.Left = 5 * time.Second
-				pass(time.Second + after)
-				d.own(t, 504)
+// timeoutScenarios breaks what is promised of a path's time and of the time handed to workers.
+func timeoutScenarios() []scenarioCase {
+	answeredAfter := func(count int, after time.Duration) func(r *run) {
+		return func(r *run) {
+			for range count {
+				attempt := r.try()
+				attempt.Timeout = 5 * time.Second
+				wait(time.Second + after)
+				r.fail(attempt, 504)
 			}
 		}
 	}
-	handed := func(many int, given time.Duration) func(d *day) {
-		return func(d *day) {
-			for range many {
-				t := d.ask()
-				v := d.run(t, d.k)
-				v.Given = given
-				d.give(t, v)
+	handedTimeout := func(count int, timeout time.Duration) func(r *run) {
+		return func(r *run) {
+			for range count {
+				attempt := r.try()
+				arrival := r.exec(attempt, r.w1)
+				arrival.Timeout = timeout
+				r.reply(attempt, arrival)
 			}
 		}
 	}
-	return []breach{
-		{"held past the path's time", Config, held(8, 600*time.Millisecond)},
-		{"held a little past it", "", held(12, 400*time.Millisecond)},
-		{"held past it now and then", "", held(7, 600*time.Millisecond)},
-		{"handed more time than is left", Budget, handed(21, 1600*time.Millisecond)},
-		{"handed none", Budget, handed(21, 0)},
-		{"handed what is left", "", handed(40, 950*time.Millisecond)},
-		{"handed more now and then", "", handed(20, 1600*time.Millisecond)},
+	return []scenarioCase{
+		{"held past the path's time", Config, answeredAfter(8, 600*time.Millisecond)},
+		{"held a little past it", "", answeredAfter(12, 400*time.Millisecond)},
+		{"held past it now and then", "", answeredAfter(7, 600*time.Millisecond)},
+		{"handed more time than is left", Budget, handedTimeout(21, 1600*time.Millisecond)},
+		{"handed none", Budget, handedTimeout(21, 0)},
+		{"handed what is left", "", handedTimeout(40, 950*time.Millisecond)},
+		{"handed more now and then", "", handedTimeout(20, 1600*time.Millisecond)},
 	}
 }
--- a/internal/standin/checker/witness.go
+++ b/internal/standin/checker/witness.go
@@ -46,160 +46,160 @@
 
 // Answer is what came back to a client on its socket.
 type Answer struct {
-	Status       int    // 0: no answer
-	ID, Stamp    string // whose it says it is, and its worker's stamp
-	Body         Body
-	Whole        bool // framed to its end
-	Broken       bool // bytes that are no answer
-	Taken        bool // the far side had read the whole request
-	GaveUp       bool // the client closed first
-	Come         time.Duration
-	HasCome      bool
-	Why          string // the error, or the mesh's own words
-	ClosedBefore bool   // the connection ended before the request was read
-}
-
-// Try is one send of a client, with its own id.
-type Try struct {
-	ID, Job           string // all tries of one job share its name
-	Kind              string
-	Front             string // machine at which it began
-	Life              int    // of that machine's processes
-	Host, Method, URI string
-	Body              Body
-	Repeat            bool          // may run more than once
-	Left              time.Duration // what its client waits
-	Told              time.Duration // what of it the client told when it wrote; 0: all
-	Kept              bool          // sent on a connection that had an earlier request
-	Early             bool          // its client leaves before its time: owed nothing unless served
-	Probe             bool          // asks which document is in force; owed nothing
-	By                *Visit        // the run that made it, of a nested one
-	Work              time.Duration // what it takes a worker
-	Plan              any           // what else its worker is to do
-	From, Sent, End   time.Time     // End is zero while no answer came
-	Got               Answer
-	Visits            []*Visit
-}
-
-// Visit is one arrival of a try at a worker.
-type Visit struct {
-	Try                   *Try
-	Worker                *Worker
-	Method, URI, From, To string // To: whom it was meant for; From: the service named as caller
-	Body                  Body
-	At, Start, End        time.Time     // Start is zero unless the worker took it up
-	Given                 time.Duration // what it was told to have left; 0: nothing
-	Declined              int           // the status with which it was turned away
-	Status                int
-	Stamp                 string
-	Gave                  Body
-	Broke                 bool // the worker itself broke off or spoiled the answer
-	Odd                   bool // more came than the answer
-	Again                 bool // not the first of its try, or the call of a run that was none
-}
-
-// Ran tells that the worker took it up.
-func (v *Visit) Ran() bool { return !v.Start.IsZero() }
+	Status           int    // 0: no answer
+	ID, Digest       string // whose it says it is, and its worker's stamp
+	Body             Body
+	Complete         bool // framed to its end
+	Malformed        bool // bytes that are no answer
+	RequestRead      bool // the far side had read the whole request
+	ClientClosed     bool // the client closed first
+	RetryAfter       time.Duration
+	HasRetryAfter    bool
+	Reason           string // the error, or the mesh's own words
+	ClosedBeforeRead bool   // the connection ended before the request was read
+}
+
+// Attempt is one send of a client, with its own id.
+type Attempt struct {
+	ID, Request        string // all tries of one job share its name
+	Kind               string
+	Ingress            string // machine at which it began
+	Incarnation        int    // of that machine's processes
+	Host, Method, URI  string
+	Body               Body
+	Retryable          bool          // may run more than once
+	Timeout            time.Duration // what its client waits
+	SentTimeout        time.Duration // what of it the client told when it wrote; 0: all
+	ReusedConn         bool          // sent on a connection that had an earlier request
+	LeavesEarly        bool          // its client leaves before its time: owed nothing unless served
+	Probe              bool          // asks which document is in force; owed nothing
+	Parent             *Arrival      // the run that made it, of a nested one
+	WorkTime           time.Duration // what it takes a worker
+	WorkerPlan         any           // what else its worker is to do
+	Start, SentAt, End time.Time     // End is zero while no answer came
+	Answer             Answer
+	Arrivals           []*Arrival
+}
+
+// Arrival is one arrival of a try at a worker.
+type Arrival struct {
+	Attempt                                    *Attempt
+	Worker                                     *Worker
+	Method, URI, CallerService, ExpectedWorker string // To: whom it was meant for; From: the service named as caller
+	Body                                       Body
+	ArrivedAt, Start, End                      time.Time     // Start is zero unless the worker took it up
+	Timeout                                    time.Duration // what it was told to have left; 0: nothing
+	DeclinedStatus                             int           // the status with which it was turned away
+	Status                                     int
+	Digest                                     string
+	AnswerBody                                 Body
+	WorkerFailed                               bool // the worker itself broke off or spoiled the answer
+	ExtraBytes                                 bool // more came than the answer
+	Retry                                      bool // not the first of its try, or the call of a run that was none
+}
+
+// Executed tells that the worker took it up.
+func (v *Arrival) Executed() bool { return !v.Start.IsZero() }
 
 // Worker is one life of a worker.
 type Worker struct {
 	Name, Service, Machine, Area string
-	Asked                        time.Time // when it first said that it leaves
-	Acked                        time.Time // when that was acknowledged first
-	By                           string    // the machine that did
+	LeaveSentAt                  time.Time // when it first said that it leaves
+	LeaveAckedAt                 time.Time // when that was acknowledged first
+	LeaveAckedBy                 string    // the machine that did
 }
 
 // Witness writes down one day.
 type Witness struct {
-	mu      sync.Mutex
-	B       Bounds
-	tries   map[string]*Try
-	order   []*Try
-	visits  []*Visit
-	workers []*Worker
-	serves  map[string]string // machine to its worker's service
-	notes   []string
-	bad     map[string]int
-	seen    map[string]bool
-	Touch   *Touch
-	docs    []*Doc
-	reads   []Read
-	ops     []*Op
-	holds   []*Hold
-	lives   map[string]int
-	starts  map[string][]time.Time // of a machine's processes, but for the first
-	looks   map[string][]look      // at its node's readiness
-	plans   []plan
-	fullest float64 // window of repeats, as a part of what is allowed
-	fullAt  string
-	shut    [2]time.Time // the closing fault, and the return after it
+	mu              sync.Mutex
+	B               Bounds
+	attempts        map[string]*Attempt
+	attemptOrder    []*Attempt
+	arrivals        []*Arrival
+	workers         []*Worker
+	serviceOf       map[string]string // machine to its worker's service
+	notes           []string
+	breaches        map[string]int
+	noted           map[string]bool
+	Touch           *Disturbances
+	documents       []*Document
+	configReads     []ConfigRead
+	ops             []*Op
+	holds           []*Hold
+	incarnations    map[string]int
+	restarts        map[string][]time.Time      // of a machine's processes, but for the first
+	readinessProbes map[string][]readinessProbe // at its node's readiness
+	signals         []signal
+	fullestWindow   float64 // window of repeats, as a part of what is allowed
+	fullestService  string
+	finalFault      [2]time.Time // the closing fault, and the return after it
 }
 
 // New makes a witness of a day that begins now.
-func New(b Bounds) *Witness {
-	return &Witness{B: b, tries: map[string]*Try{}, serves: map[string]string{}, bad: map[string]int{}, seen: map[string]bool{},
-		Touch: newTouch(b.Touch), lives: map[string]int{}, starts: map[string][]time.Time{}, looks: map[string][]look{}}
+func New(bounds Bounds) *Witness {
+	return &Witness{B: bounds, attempts: map[string]*Attempt{}, serviceOf: map[string]string{}, breaches: map[string]int{}, noted: map[string]bool{},
+		Touch: newDisturbances(bounds.Touch), incarnations: map[string]int{}, restarts: map[string][]time.Time{}, readinessProbes: map[string][]readinessProbe{}}
 }
 
-// Blame counts one breach; each note is counted once.
-func (w *Witness) Blame(rule, form string, args ...any) {
+// RecordBreach counts one breach; each note is counted once.
+func (w *Witness) RecordBreach(rule, format string, args ...any) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.blame(rule, form, args...)
+	w.recordBreach(rule, format, args...)
 }
 
-func (w *Witness) blame(rule, form string, args ...any) {
-	say := rule + ": " + fmt.Sprintf(form, args...)
-	if w.seen[say] {
+func (w *Witness) recordBreach(rule, format string, args ...any) {
+	note := rule + ": " + fmt.Sprintf(format, args...)
+	if w.noted[note] {
 		return
 	}
-	w.seen[say] = true
-	w.bad[rule]++
-	if w.bad[rule] <= 8 {
-		w.notes = append(w.notes, say)
+	w.noted[note] = true
+	w.breaches[rule]++
+	if w.breaches[rule] <= 8 {
+		w.notes = append(w.notes, note)
 	}
 }
 
-// Send writes a try down before its first byte goes out.
-func (w *Witness) Send(t *Try) {
+// AttemptStarted writes a try down before its first byte goes out.
+func (w *Witness) AttemptStarted(attempt *Attempt) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	t.Life = w.lives[t.Front]
-	w.tries[t.ID] = t
-	w.order = append(w.order, t)
+	attempt.Incarnation = w.incarnations[attempt.Ingress]
+	w.attempts[attempt.ID] = attempt
+	w.attemptOrder = append(w.attemptOrder, attempt)
 }
 
-// Find gives a try by its id.
-func (w *Witness) Find(id string) *Try {
+// FindAttempt gives a try by its id.
+func (w *Witness) FindAttempt(id string) *Attempt {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.tries[id]
+	return w.attempts[id]
 }
 
-// Sent notes that the last byte of a try is out.
-func (w *Witness) Sent(t *Try) {
+// AttemptSent notes that the last byte of a try is out.
+func (w *Witness) AttemptSent(attempt *Attempt) {
 	w.mu.Lock()
-	t.Sent = time.Now()
+	attempt.SentAt = time.Now()
 	w.mu.Unlock()
 }
 
-// Ended writes down what came back.
-func (w *Witness) Ended(t *Try, a Answer) {
+// AttemptEnded writes down what came back.
+func (w *Witness) AttemptEnded(attempt *Attempt, answer Answer) {
 	w.mu.Lock()
-	t.Got, t.End = a, time.Now()
+	attempt.Answer, attempt.End = answer, time.Now()
 	w.mu.Unlock()
 }
 
-// Stray blames bytes on a connection where nobody waits.
-func (w *Witness) Stray(front, what string) {
-	w.Blame(Mixed, "%s: bytes with no request waiting: %.60q at %s", front, what, stamp(time.Now()))
+// UnexpectedBytes blames bytes on a connection where nobody waits.
+func (w *Witness) UnexpectedBytes(front, what string) {
+	w.RecordBreach(Mixed, "%s: bytes with no request waiting: %.60q at %s", front, what, clockTime(time.Now()))
 }
 
-// Worked writes down a new life of a worker.
-func (w *Witness) Worked(k *Worker) {
+// WorkerStarted writes down a new life of a worker.
+func (w *Witness) WorkerStarted(worker *Worker) {
 	w.mu.Lock()
-	w.workers = append(w.workers, k)
-	w.serves[k.Machine] = k.Service
+	w.workers = append(w.workers, worker)
+	w.serviceOf[worker.Machine] = worker.Service
 	w.mu.Unlock()
 }
 
@@ -207,36 +207,36 @@
 // name when the worker is gone.
 func (w *Witness) Serves(machine, service string) {
 	w.mu.Lock()
-	w.serves[machine] = service
+	w.serviceOf[machine] = service
 	w.mu.Unlock()
 }
 
-// Arrive writes down an arrival at a worker.
-func (w *Witness) Arrive(v *Visit, id string) {
+// RecordArrival writes down an arrival at a worker.
+func (w *Witness) RecordArrival(arrival *Arrival, id string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	v.At = time.Now()
-	v.Try = w.tries[id]
-	if t := v.Try; t != nil {
-		v.Again = len(t.Visits) > 0 || (t.By != nil && t.By.Again)
-		t.Visits = append(t.Visits, v)
+	arrival.ArrivedAt = time.Now()
+	arrival.Attempt = w.attempts[id]
+	if attempt := arrival.Attempt; attempt != nil {
+		arrival.Retry = len(attempt.Arrivals) > 0 || (attempt.Parent != nil && attempt.Parent.Retry)
+		attempt.Arrivals = append(attempt.Arrivals, arrival)
 	}
-	w.visits = append(w.visits, v)
+	w.arrivals = append(w.arrivals, arrival)
 }
 
-// Change alters a visit under the witness's lock.
-func (w *Witness) Change(f func()) {
+// Update alters a visit under the witness's lock.
+func (w *Witness) Update(update func()) {
 	w.mu.Lock()
-	f()
+	update()
 	w.mu.Unlock()
 }
 
 // Lives notes that a machine's processes started afresh.
 func (w *Witness) Lives(machine string) {
 	w.mu.Lock()
-	w.lives[machine]++
-	w.starts[machine] = append(w.starts[machine], time.Now())
+	w.incarnations[machine]++
+	w.restarts[machine] = append(w.restarts[machine], time.Now())
 	w.mu.Unlock()
 }
 
-func stamp(t time.Time) string { return t.Format("04:05.000") }
+func clockTime(at time.Time) string { return at.Format("04:05.000") }
--- a/internal/standin/coord_test.go
+++ b/internal/standin/coord_test.go
@@ -18,45 +18,45 @@
 	"puffincrank/internal/task"
 )
 
-// broken answers coordination calls with every promise broken: every lock is
+// brokenNode answers coordination calls with every promise broken: every lock is
 // free, numbers and revisions repeat, keys read old, watches skip.
-type broken struct {
-	mu sync.Mutex
-	n  int
+type brokenNode struct {
+	mu    sync.Mutex
+	calls int
 }
 
-func (b *broken) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (b *brokenNode) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.n++
-	out := map[string]any{"fence": 1000 - b.n%7, "number": 1 + b.n%5, "rev": 10 + b.n%3}
+	b.calls++
+	answer := map[string]any{"fence": 1000 - b.calls%7, "number": 1 + b.calls%5, "rev": 10 + b.calls%3}
 	if strings.HasPrefix(r.URL.Path, "/puffin/watch") {
-		out = map[string]any{"changes": []map[string]any{{"rev": 10}, {"rev": 10}}, "next": 50}
+		answer = map[string]any{"changes": []map[string]any{{"rev": 10}, {"rev": 10}}, "next": 50}
 	} else if r.Method == "GET" {
-		out["rev"] = 3
+		answer["rev"] = 3
 	}
-	_ = json.NewEncoder(w).Encode(out)
+	_ = json.NewEncoder(w).Encode(answer)
 }
 
-// TestCoordCheckers: a core that breaks every promise is caught at each.
-func TestCoordCheckers(t *testing.T) {
+// TestCoordDetectsBrokenPromises: a core that breaks every promise is caught at each.
+func TestCoordDetectsBrokenPromises(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		net := sim.NewNet(1, time.Millisecond, time.Millisecond)
 		net.Place("h1", "x")
 		net.Place("h2", "x")
-		g := task.New(context.Background())
-		e := env.Env{Net: net.Host("h1"), Log: event.New("h1", nil), Wall: time.Now}
-		if err := httpapi.Serve(g, e, "h1:1", &broken{}, time.Second); err != nil {
+		tasks := task.New(context.Background())
+		environment := env.Env{Net: net.Host("h1"), Log: event.New("h1", nil), Wall: time.Now}
+		if err := httpapi.Serve(tasks, environment, "h1:1", &brokenNode{}, time.Second); err != nil {
 			t.Fatal(err)
 		}
-		o := standin.NewObserver()
-		e.Net = net.Host("h2")
-		c := standin.NewCoord(e, []string{"h1:1"}, o)
-		c.Run(6, 60, 5*time.Second)
-		g.Stop()
-		bad, _ := o.Verdict()
+		observer := standin.NewObserver()
+		environment.Net = net.Host("h2")
+		coord := standin.NewCoord(environment, []string{"h1:1"}, observer)
+		coord.Run(6, 60, 5*time.Second)
+		tasks.Stop()
+		violations, _ := observer.Verdict()
 		for _, k := range standin.CoordKinds {
-			if bad[k] == 0 {
+			if violations[k] == 0 {
 				t.Errorf("not caught: %s", k)
 			}
 		}
--- a/internal/standin/counts.go
+++ b/internal/standin/counts.go
@@ -4,7 +4,7 @@
 func (k *Worker) Under() int {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.now
+	return k.executing
 }
 
 // Ran tells how many jobs it ran.
@@ -14,9 +14,9 @@
 	return k.runs
 }
 
-// Most tells how many jobs it ran at once at the most.
-func (k *Worker) Most() int {
+// Peak tells how many jobs it ran at once at the most.
+func (k *Worker) Peak() int {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.most
+	return k.peak
 }
--- a/internal/standin/linear.go
+++ b/internal/standin/linear.go
@@ -10,25 +10,25 @@
 // Op is one call on one key, as its caller saw it. A call whose outcome is
 // unknown may have taken effect at any time after it began, or never.
 type Op struct {
-	Key     string
-	Write   bool
-	Value   string // what was written, or what was read; "" is absent
-	If      bool   // a write only if the value was Old
-	Old     string
-	Failed  bool // a conditional write that was told that its condition failed
-	From    time.Time
-	To      time.Time
-	Unknown bool
+	Key             string
+	Write           bool
+	Value           string // what was written, or what was read; "" is absent
+	Conditional     bool   // a write only if the value was Old
+	Expected        string
+	ConditionFailed bool // a conditional write that was told that its condition failed
+	From            time.Time
+	To              time.Time
+	Unknown         bool
 }
 
 // Linear tells whether a history of one key can be explained by calls that each
 // took effect at one moment between begin and end.
-func Linear(all []Op) bool {
+func Linear(ops []Op) bool {
 	var calls []HistoryCall
-	for _, o := range all {
+	for _, op := range ops {
 		// A read without an answer says nothing.
-		if !o.Unknown || o.Write {
-			calls = append(calls, HistoryCall{In: o, From: o.From, To: o.To, Unknown: o.Unknown})
+		if !op.Unknown || op.Write {
+			calls = append(calls, HistoryCall{In: op, From: op.From, To: op.To, Unknown: op.Unknown})
 		}
 	}
 	return Explained(keyModel, calls)
@@ -43,16 +43,16 @@
 
 // Explained tells whether a model explains a history. A call that is unknown has
 // no end: it may take effect after all others, which is as good as never.
-func Explained(m porcupine.Model, calls []HistoryCall) bool {
+func Explained(model porcupine.Model, calls []HistoryCall) bool {
 	var ops []porcupine.Operation
 	for i, c := range calls {
-		op := porcupine.Operation{ClientId: i, Input: c, Call: c.From.UnixNano(), Output: c.Out, Return: c.To.UnixNano()}
+		operation := porcupine.Operation{ClientId: i, Input: c, Call: c.From.UnixNano(), Output: c.Out, Return: c.To.UnixNano()}
 		if c.Unknown {
-			op.Return = math.MaxInt64
+			operation.Return = math.MaxInt64
 		}
-		ops = append(ops, op)
+		ops = append(ops, operation)
 	}
-	return porcupine.CheckOperations(m, ops)
+	return porcupine.CheckOperations(model, ops)
 }
 
 // keyModel is one key: its state is the value.
@@ -60,23 +60,23 @@
 	Init: func() any { return "" },
 	Step: func(state, input, _ any) (bool, any) {
 		o, _ := input.(HistoryCall).In.(Op)
-		next, ok := step(o, state.(string))
+		next, ok := applyOp(o, state.(string))
 		return ok, next
 	},
 }
 
-// step applies one call to a value; false means that it can't be next.
-func step(o Op, value string) (string, bool) {
+// applyOp applies one call to a value; false means that it can't be next.
+func applyOp(op Op, value string) (string, bool) {
 	switch {
-	case !o.Write:
-		return value, o.Value == value
-	case o.If && o.Failed:
-		return value, value != o.Old
-	case o.If && value != o.Old:
+	case !op.Write:
+		return value, op.Value == value
+	case op.Conditional && op.ConditionFailed:
+		return value, value != op.Expected
+	case op.Conditional && value != op.Expected:
 		// Of an unknown one that failed nothing is left.
-		return value, o.Unknown
+		return value, op.Unknown
 	}
-	return o.Value, true
+	return op.Value, true
 }
 
 // NumberModel is a row of rising numbers: each call gives one above all that were
@@ -107,24 +107,24 @@
 	Content string
 }
 
-// orders is the state of a configuration: what stands, and the content that each
+// configState is the state of a configuration: what stands, and the content that each
 // number was taken with, in the order of numbers.
-type orders struct {
-	stands Order
-	taken  string // one line for each number that was taken
+type configState struct {
+	current  Order
+	contents string // one line for each number that was taken
 }
 
 // OrderModel is the operator's configuration: the highest number stands; one
 // number has one content for ever; another content under it is refused, and the
 // same one confirmed as often as it comes.
 var OrderModel = porcupine.Model{
-	Init: func() any { return orders{} },
+	Init: func() any { return configState{} },
 	Step: func(state, input, output any) (bool, any) {
-		s, call := state.(orders), input.(HistoryCall)
+		s, call := state.(configState), input.(HistoryCall)
 		in, _ := call.In.(Order)
 		out, _ := output.(OrderAnswer)
 		if in.Number == 0 {
-			return out.Number == s.stands.Number && out.Content == s.stands.Content, s
+			return out.Number == s.current.Number && out.Content == s.current.Content, s
 		}
 		content, known := s.content(in.Number)
 		refused := known && content != in.Content
@@ -134,6 +134,6 @@
 		if refused || known {
 			return true, s
 		}
-		return true, s.take(in)
+		return true, s.accept(in)
 	},
 }
--- a/internal/standin/observer.go
+++ b/internal/standin/observer.go
@@ -14,7 +14,7 @@
 }
 
 // ack is one acknowledged change of the configuration.
-type acked struct {
+type ackedVersion struct {
 	at      time.Time
 	version uint64
 }
@@ -37,85 +37,85 @@
 
 // Observer sees every run and every answer and counts what must never be.
 type Observer struct {
-	mu     sync.Mutex
-	runs   map[string][]run // caller's name of the call to its runs
-	calls  []Call
-	acks   []acked
-	cut    map[string][]span // front to the times for which it was out of touch
-	bad    map[string]int
-	first  map[string][]time.Time // service to first arrivals
-	second map[string][]time.Time
-	notes  []string
-	Window time.Duration
-	Change time.Duration
-	Leave  time.Duration
-	Share  float64
-	Allow  int
+	mu             sync.Mutex
+	runs           map[string][]run // caller's name of the call to its runs
+	calls          []Call
+	ackedVersions  []ackedVersion
+	disconnected   map[string][]span // front to the times for which it was out of touch
+	violations     map[string]int
+	firstArrivals  map[string][]time.Time // service to first arrivals
+	retryArrivals  map[string][]time.Time
+	notes          []string
+	RetryWindow    time.Duration
+	ConfigBound    time.Duration
+	LeaveBound     time.Duration
+	RetryShare     float64
+	RetryAllowance int
 }
 
 type span struct{ from, to time.Time }
 
 // NewObserver makes an observer with the brief's bounds.
 func NewObserver() *Observer {
-	return &Observer{runs: map[string][]run{}, cut: map[string][]span{}, bad: map[string]int{}, first: map[string][]time.Time{}, second: map[string][]time.Time{},
-		Window: 10 * time.Second, Change: 2 * time.Second, Leave: 2 * time.Second, Share: 0.2, Allow: 10}
+	return &Observer{runs: map[string][]run{}, disconnected: map[string][]span{}, violations: map[string]int{}, firstArrivals: map[string][]time.Time{}, retryArrivals: map[string][]time.Time{},
+		RetryWindow: 10 * time.Second, ConfigBound: 2 * time.Second, LeaveBound: 2 * time.Second, RetryShare: 0.2, RetryAllowance: 10}
 }
 
 // The counts of what must never happen.
 const (
-	Twice    = "ran twice on a never path"
-	BusyRan  = "busy was answered but it ran"
-	NotWhole = "success that isn't the worker's own whole answer"
-	Stranger = "a job reached a service it was not sent to"
-	Leaving  = "a new job reached a worker that left more than the bound ago"
-	OldRules = "a node acted on an older version after the bound"
-	StepBack = "a node stepped back to an older version"
-	Repeats  = "repeats over a window beyond the bound"
-	CutOff   = "an answer under way was cut off by a planned stop"
+	Twice            = "ran twice on a never path"
+	RanThoughBusy    = "busy was answered but it ran"
+	NotWorkersAnswer = "success that isn't the worker's own whole answer"
+	Misdelivered     = "a job reached a service it was not sent to"
+	SentAfterLeave   = "a new job reached a worker that left more than the bound ago"
+	StaleVersion     = "a node acted on an older version after the bound"
+	VersionStepBack  = "a node stepped back to an older version"
+	TooManyRetries   = "repeats over a window beyond the bound"
+	CutOff           = "an answer under way was cut off by a planned stop"
 )
 
 // Kinds lists the counts.
-var Kinds = []string{Twice, BusyRan, NotWhole, Stranger, Leaving, OldRules, StepBack, Repeats, CutOff}
+var Kinds = []string{Twice, RanThoughBusy, NotWorkersAnswer, Misdelivered, SentAfterLeave, StaleVersion, VersionStepBack, TooManyRetries, CutOff}
 
-func (o *Observer) blame(kind, form string, args ...any) {
-	o.bad[kind]++
+func (o *Observer) recordViolation(kind, format string, args ...any) {
+	o.violations[kind]++
 	if len(o.notes) < 40 {
-		o.notes = append(o.notes, kind+": "+fmt.Sprintf(form, args...))
+		o.notes = append(o.notes, kind+": "+fmt.Sprintf(format, args...))
 	}
 }
 
-// Blame counts a violation that a plan found by itself.
-func (o *Observer) Blame(kind, note string) {
+// RecordViolation counts a violation that a plan found by itself.
+func (o *Observer) RecordViolation(kind, note string) {
 	o.mu.Lock()
-	o.blame(kind, "%s", note)
+	o.recordViolation(kind, "%s", note)
 	o.mu.Unlock()
 }
 
-func (o *Observer) ran(job, call string, k *Worker, want string, left time.Time) {
+func (o *Observer) recordRun(job, call string, worker *Worker, expected string, left time.Time) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	now := time.Now()
 	if call == "" {
 		call = job
 	}
-	if want != "" && !oneOf(want, k.Service) {
-		o.blame(Stranger, "%s for %s at %s", call, want, k.ID)
+	if expected != "" && !oneOf(expected, worker.Service) {
+		o.recordViolation(Misdelivered, "%s for %s at %s", call, expected, worker.ID)
 	}
-	if !left.IsZero() && now.Sub(left) > o.Leave {
-		o.blame(Leaving, "%s at %s %v after", call, k.ID, now.Sub(left))
+	if !left.IsZero() && now.Sub(left) > o.LeaveBound {
+		o.recordViolation(SentAfterLeave, "%s at %s %v after", call, worker.ID, now.Sub(left))
 	}
 	if len(o.runs[call]) == 0 {
-		o.first[k.Service] = append(o.first[k.Service], now)
+		o.firstArrivals[worker.Service] = append(o.firstArrivals[worker.Service], now)
 	} else {
-		o.second[k.Service] = append(o.second[k.Service], now)
+		o.retryArrivals[worker.Service] = append(o.retryArrivals[worker.Service], now)
 	}
-	o.runs[call] = append(o.runs[call], run{now, k.ID})
+	o.runs[call] = append(o.runs[call], run{now, worker.ID})
 }
 
 // Acked notes an acknowledged version.
 func (o *Observer) Acked(version uint64) {
 	o.mu.Lock()
-	o.acks = append(o.acks, acked{time.Now(), version})
+	o.ackedVersions = append(o.ackedVersions, ackedVersion{time.Now(), version})
 	o.mu.Unlock()
 }
 
@@ -123,26 +123,26 @@
 func (o *Observer) Acks() int {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return len(o.acks)
+	return len(o.ackedVersions)
 }
 
 // Lost notes that a front was out of touch for a while.
-func (o *Observer) Lost(front string, from, to time.Time) {
+func (o *Observer) Lost(ingress string, from, to time.Time) {
 	o.mu.Lock()
-	o.cut[front] = append(o.cut[front], span{from, to})
+	o.disconnected[ingress] = append(o.disconnected[ingress], span{from, to})
 	o.mu.Unlock()
 }
 
-// Saw takes in a call that ended.
-func (o *Observer) Saw(c Call) {
+// RecordCall takes in a call that ended.
+func (o *Observer) RecordCall(call Call) {
 	o.mu.Lock()
-	o.calls = append(o.calls, c)
+	o.calls = append(o.calls, call)
 	o.mu.Unlock()
 }
 
 // oneOf tells whether a service is one of those that a call may reach, which
 // are several while a change is tried.
-func oneOf(want, service string) bool { return strings.Contains("/"+want+"/", "/"+service+"/") }
+func oneOf(allowed, service string) bool { return strings.Contains("/"+allowed+"/", "/"+service+"/") }
 
 // Calls gives all calls that ended so far.
 func (o *Observer) Calls() []Call {
--- a/internal/standin/verdict.go
+++ b/internal/standin/verdict.go
@@ -12,102 +12,102 @@
 func (o *Observer) Verdict() (map[string]int, []string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	last := map[string][]Call{}
+	byIngress := map[string][]Call{}
 	for _, c := range o.calls {
-		n := len(o.runs[c.ID])
-		if n > 1 && !c.Safe {
-			o.blame(Twice, "%s ran %d times: %v", c.ID, n, o.runs[c.ID])
+		runs := len(o.runs[c.ID])
+		if runs > 1 && !c.Safe {
+			o.recordViolation(Twice, "%s ran %d times: %v", c.ID, runs, o.runs[c.ID])
 		}
-		if c.Status == 503 && n > 0 {
-			o.blame(BusyRan, "%s ran at %s", c.ID, o.runs[c.ID][0].worker)
+		if c.Status == 503 && runs > 0 {
+			o.recordViolation(RanThoughBusy, "%s ran at %s", c.ID, o.runs[c.ID][0].worker)
 		}
 		if c.Cut {
-			o.blame(CutOff, "%s at %s", c.ID, c.Front)
+			o.recordViolation(CutOff, "%s at %s", c.ID, c.Front)
 		}
-		if c.Status == 200 && !o.whole(c) {
-			o.blame(NotWhole, "%s got %q", c.ID, c.Body)
+		if c.Status == 200 && !o.completeAnswer(c) {
+			o.recordViolation(NotWorkersAnswer, "%s got %q", c.ID, c.Body)
 		}
-		o.oldRules(c)
-		last[c.Front] = append(last[c.Front], c)
+		o.checkVersion(c)
+		byIngress[c.Front] = append(byIngress[c.Front], c)
 	}
-	for front, l := range last {
-		o.stepBack(front, l)
+	for ingress, calls := range byIngress {
+		o.checkVersionOrder(ingress, calls)
 	}
-	for s := range o.second {
-		o.window(s)
+	for service := range o.retryArrivals {
+		o.checkRetries(service)
 	}
-	return o.bad, o.notes
+	return o.violations, o.notes
 }
 
-func (o *Observer) whole(c Call) bool {
-	p := strings.Split(c.Body, "|")
-	if len(p) != 5 || !oneOf(c.Service, p[0]) || p[3] != c.ID {
+func (o *Observer) completeAnswer(call Call) bool {
+	fields := strings.Split(call.Body, "|")
+	if len(fields) != 5 || !oneOf(call.Service, fields[0]) || fields[3] != call.ID {
 		return false
 	}
-	for _, r := range o.runs[c.ID] {
-		if r.worker == p[1] {
+	for _, r := range o.runs[call.ID] {
+		if r.worker == fields[1] {
 			return true
 		}
 	}
 	return false
 }
 
-// oldRules checks that a call that began later than the bound after an
+// checkVersion checks that a call that began later than the bound after an
 // acknowledgement was served by that version or a newer one.
-func (o *Observer) oldRules(c Call) {
-	if c.Version == 0 {
+func (o *Observer) checkVersion(call Call) {
+	if call.Version == 0 {
 		return
 	}
-	for _, s := range o.cut[c.Front] {
-		if c.From.After(s.from) && c.From.Before(s.to) {
+	for _, s := range o.disconnected[call.Front] {
+		if call.From.After(s.from) && call.From.Before(s.to) {
 			return
 		}
 	}
-	for _, a := range o.acks {
-		if a.version > c.Version && c.From.Sub(a.at) > o.Change {
-			o.blame(OldRules, "%s at %s used %d, %v after %d", c.ID, c.Front, c.Version, c.From.Sub(a.at), a.version)
+	for _, a := range o.ackedVersions {
+		if a.version > call.Version && call.From.Sub(a.at) > o.ConfigBound {
+			o.recordViolation(StaleVersion, "%s at %s used %d, %v after %d", call.ID, call.Front, call.Version, call.From.Sub(a.at), a.version)
 			return
 		}
 	}
 }
 
-// stepBack checks calls of one front that came one after the other.
-func (o *Observer) stepBack(front string, l []Call) {
-	sort.Slice(l, func(i, j int) bool { return l[i].To.Before(l[j].To) })
-	ends := append([]Call(nil), l...)
-	begins := append([]Call(nil), l...)
+// checkVersionOrder checks calls of one front that came one after the other.
+func (o *Observer) checkVersionOrder(ingress string, calls []Call) {
+	sort.Slice(calls, func(i, j int) bool { return calls[i].To.Before(calls[j].To) })
+	ends := append([]Call(nil), calls...)
+	begins := append([]Call(nil), calls...)
 	sort.Slice(begins, func(i, j int) bool { return begins[i].From.Before(begins[j].From) })
-	high, at := uint64(0), 0
+	highest, ended := uint64(0), 0
 	for _, c := range begins {
-		for at < len(ends) && ends[at].To.Before(c.From) {
-			high = max(high, ends[at].Version)
-			at++
+		for ended < len(ends) && ends[ended].To.Before(c.From) {
+			highest = max(highest, ends[ended].Version)
+			ended++
 		}
-		if c.Version != 0 && c.Version < high {
-			o.blame(StepBack, "%s at %s used %d after %d", c.ID, front, c.Version, high)
+		if c.Version != 0 && c.Version < highest {
+			o.recordViolation(VersionStepBack, "%s at %s used %d after %d", c.ID, ingress, c.Version, highest)
 		}
 	}
 }
 
-// window slides over all repeats of a service.
-func (o *Observer) window(service string) {
-	one, two := o.first[service], o.second[service]
-	for i, t := range two {
-		lo := t.Add(-o.Window)
-		n := 0
-		for _, s := range two[:i+1] {
-			if s.After(lo) {
-				n++
+// checkRetries slides over all repeats of a service.
+func (o *Observer) checkRetries(service string) {
+	firsts, retries := o.firstArrivals[service], o.retryArrivals[service]
+	for i, t := range retries {
+		windowStart := t.Add(-o.RetryWindow)
+		retryCount := 0
+		for _, s := range retries[:i+1] {
+			if s.After(windowStart) {
+				retryCount++
 			}
 		}
-		f := 0
-		for _, s := range one {
-			if s.After(lo) && !s.After(t) {
-				f++
+		firstCount := 0
+		for _, s := range firsts {
+			if s.After(windowStart) && !s.After(t) {
+				firstCount++
 			}
 		}
-		if float64(n) > o.Share*float64(f)+float64(o.Allow) {
-			o.blame(Repeats, "%s: %d repeats to %d first sends", service, n, f)
+		if float64(retryCount) > o.RetryShare*float64(firstCount)+float64(o.RetryAllowance) {
+			o.recordViolation(TooManyRetries, "%s: %d repeats to %d first sends", service, retryCount, firstCount)
 		}
 	}
 }
@@ -116,66 +116,66 @@
 func (o *Observer) Counts() map[string]int {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	out := map[string]int{}
+	counts := map[string]int{}
 	for _, c := range o.calls {
 		switch {
 		case c.Status == 200:
-			out["done"]++
+			counts["done"]++
 		case c.Status == 503:
-			out["busy"]++
+			counts["busy"]++
 		case c.Ran == "unknown":
-			out["unknown"]++
+			counts["unknown"]++
 		case c.Status == 0:
-			out["no answer"]++
+			counts["no answer"]++
 		default:
-			out[fmt.Sprintf("status %d", c.Status)]++
+			counts[fmt.Sprintf("status %d", c.Status)]++
 		}
 	}
 	for _, r := range o.runs {
-		out["runs"] += len(r)
+		counts["runs"] += len(r)
 	}
-	out["calls"] = len(o.calls)
-	return out
+	counts["calls"] = len(o.calls)
+	return counts
 }
 
 // Latency gives a quantile of the calls that were done.
-func (o *Observer) Latency(service string, q float64) time.Duration {
+func (o *Observer) Latency(service string, quantile float64) time.Duration {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	var l []time.Duration
+	var durations []time.Duration
 	for _, c := range o.calls {
 		if c.Status == 200 && (service == "" || c.Service == service) {
-			l = append(l, c.To.Sub(c.From))
+			durations = append(durations, c.To.Sub(c.From))
 		}
 	}
-	if len(l) == 0 {
+	if len(durations) == 0 {
 		return 0
 	}
-	sort.Slice(l, func(i, j int) bool { return l[i] < l[j] })
-	return l[min(int(float64(len(l))*q), len(l)-1)]
+	sort.Slice(durations, func(i, j int) bool { return durations[i] < durations[j] })
+	return durations[min(int(float64(len(durations))*quantile), len(durations)-1)]
 }
 
 // Runs counts the runs of a service.
 func (o *Observer) Runs(service string) int {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return len(o.first[service]) + len(o.second[service])
+	return len(o.firstArrivals[service]) + len(o.retryArrivals[service])
 }
 
 // Reasons counts why calls were not done, in the mesh's own words.
 func (o *Observer) Reasons() map[string]int {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	out := map[string]int{}
+	reasons := map[string]int{}
 	for _, c := range o.calls {
 		if c.Status != 200 {
 			why := "the worker's own answer"
-			var said struct{ Wrong string }
-			if json.Unmarshal([]byte(c.Body), &said) == nil && said.Wrong != "" {
-				why = said.Wrong
+			var answer struct{ Wrong string }
+			if json.Unmarshal([]byte(c.Body), &answer) == nil && answer.Wrong != "" {
+				why = answer.Wrong
 			}
-			out[fmt.Sprintf("%d %s", c.Status, why)]++
+			reasons[fmt.Sprintf("%d %s", c.Status, why)]++
 		}
 	}
-	return out
+	return reasons
 }
--- a/internal/standin/watch.go
+++ b/internal/standin/watch.go
@@ -9,55 +9,55 @@
 
 // watch follows all keys and checks at the end that every acknowledged change
 // up to where it got was seen once, in order.
-func (c *Coord) watch(stop context.Context) {
-	from, last := uint64(1), uint64(0)
+func (c *Coord) watch(runCtx context.Context) {
+	from, lastRevision := uint64(1), uint64(0)
 	seen := map[uint64]bool{}
 	first := true
-	for stop.Err() == nil {
-		got := c.ask("GET", fmt.Sprintf("/puffin/watch?prefix=k/&from=%d&wait_ms=500", from), nil)
-		if got.code == 410 && first {
-			from, first = got.Old, false
-			last = got.Old - 1
+	for runCtx.Err() == nil {
+		response := c.request("GET", fmt.Sprintf("/puffin/watch?prefix=k/&from=%d&wait_ms=500", from), nil)
+		if response.status == 410 && first {
+			from, first = response.Oldest, false
+			lastRevision = response.Oldest - 1
 			continue
 		}
-		if got.code == 410 {
-			c.obs.Blame(WatchGap, fmt.Sprintf("the history at %d went away under a watch", from))
-			from = got.Old
+		if response.status == 410 {
+			c.observer.RecordViolation(WatchGap, fmt.Sprintf("the history at %d went away under a watch", from))
+			from = response.Oldest
 			continue
 		}
-		if got.code != 200 {
-			t := time.NewTimer(20 * time.Millisecond)
-			<-t.C
+		if response.status != 200 {
+			timer := time.NewTimer(20 * time.Millisecond)
+			<-timer.C
 			continue
 		}
 		first = false
-		for _, e := range got.List {
-			if e.Rev <= last {
-				c.obs.Blame(WatchGap, fmt.Sprintf("revision %d after %d", e.Rev, last))
+		for _, change := range response.Changes {
+			if change.Rev <= lastRevision {
+				c.observer.RecordViolation(WatchGap, fmt.Sprintf("revision %d after %d", change.Rev, lastRevision))
 			}
-			last = e.Rev
-			seen[e.Rev] = true
+			lastRevision = change.Rev
+			seen[change.Rev] = true
 		}
-		if got.Next < from {
-			c.obs.Blame(WatchGap, fmt.Sprintf("next went from %d to %d", from, got.Next))
+		if response.Next < from {
+			c.observer.RecordViolation(WatchGap, fmt.Sprintf("next went from %d to %d", from, response.Next))
 		}
-		from = got.Next
+		from = response.Next
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for rev := range c.puts {
-		if rev < from && !seen[rev] && rev > 0 && len(seen) > 0 && rev >= minKey(seen) {
-			c.obs.Blame(WatchGap, fmt.Sprintf("revision %d was never seen", rev))
+	for rev := range c.ackedChanges {
+		if rev < from && !seen[rev] && rev > 0 && len(seen) > 0 && rev >= lowestKey(seen) {
+			c.observer.RecordViolation(WatchGap, fmt.Sprintf("revision %d was never seen", rev))
 		}
 	}
 }
 
-func minKey(m map[uint64]bool) uint64 {
-	low := uint64(1 << 62)
-	for k := range m {
-		low = min(low, k)
+func lowestKey(set map[uint64]bool) uint64 {
+	lowest := uint64(1 << 62)
+	for key := range set {
+		lowest = min(lowest, key)
 	}
-	return low
+	return lowest
 }
 
 // Held counts the locks that clients hold just now.
@@ -71,11 +71,11 @@
 func (c *Coord) Count() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	n := 0
+	count := 0
 	for what, k := range c.Done {
 		if strings.HasSuffix(what, " 200") {
-			n += k
+			count += k
 		}
 	}
-	return n
+	return count
 }
--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -34,115 +34,115 @@
 
 // Worker is a worker of one service.
 type Worker struct {
-	Service, ID, Addr string
-	Slots             int
-	proxy             string // outer address of the node beside it
-	e                 env.Env
-	g                 *task.Group
-	obs               *Observer
-	way               http.RoundTripper
-	mu                sync.Mutex
-	w                 Way
-	say               string
-	left              time.Time // when it said that it is leaving
-	now, most, runs   int
-	calls             func(left string) // a nested call, with the time left
+	Service, ID, Addr     string
+	Slots                 int
+	proxyAddr             string // outer address of the node beside it
+	env                   env.Env
+	tasks                 *task.Group
+	observer              *Observer
+	transport             http.RoundTripper
+	mu                    sync.Mutex
+	behavior              Way
+	state                 string
+	leftAt                time.Time // when it said that it is leaving
+	executing, peak, runs int
+	nestedCalls           func(left string) // a nested call, with the time left
 }
 
 // NewWorker starts a worker; obs may be nil when nobody counts.
-func NewWorker(e env.Env, service, id, addr, proxy string, slots int, w Way, obs *Observer) (*Worker, error) {
-	k := &Worker{Service: service, ID: id, Addr: addr, Slots: slots, proxy: proxy, e: e, g: task.New(context.Background()), obs: obs, w: w, say: "up"}
-	k.way = &http.Transport{DisableKeepAlives: true, DialContext: func(ctx context.Context, _, a string) (net.Conn, error) { return e.Net.Dial(ctx, a) }}
-	if err := httpapi.Serve(k.g, e, addr, http.HandlerFunc(k.serve), time.Second); err != nil {
+func NewWorker(environment env.Env, service, id, addr, proxyAddr string, slots int, behavior Way, observer *Observer) (*Worker, error) {
+	worker := &Worker{Service: service, ID: id, Addr: addr, Slots: slots, proxyAddr: proxyAddr, env: environment, tasks: task.New(context.Background()), observer: observer, behavior: behavior, state: "up"}
+	worker.transport = &http.Transport{DisableKeepAlives: true, DialContext: func(ctx context.Context, _, addr string) (net.Conn, error) { return environment.Net.Dial(ctx, addr) }}
+	if err := httpapi.Serve(worker.tasks, environment, addr, http.HandlerFunc(worker.serve), time.Second); err != nil {
 		return nil, err
 	}
-	k.g.Go("beats", func(ctx context.Context) {
+	worker.tasks.Go("beats", func(ctx context.Context) {
 		for {
-			wait := k.beat(ctx)
-			t := time.NewTimer(wait)
+			wait := worker.sendHeartbeat(ctx)
+			timer := time.NewTimer(wait)
 			select {
 			case <-ctx.Done():
-				t.Stop()
+				timer.Stop()
 				return
-			case <-t.C:
+			case <-timer.C:
 			}
 		}
 	})
-	return k, nil
+	return worker, nil
 }
 
-// beat tells the node beside it how it is.
-func (k *Worker) beat(ctx context.Context) time.Duration {
+// sendHeartbeat tells the node beside it how it is.
+func (k *Worker) sendHeartbeat(ctx context.Context) time.Duration {
 	k.mu.Lock()
-	say := k.say
+	state := k.state
 	k.mu.Unlock()
 	wait := 250 * time.Millisecond
-	ctx, end := context.WithTimeout(ctx, time.Second)
-	defer end()
-	body, _ := json.Marshal(map[string]any{"service": k.Service, "worker": k.ID, "addr": k.Addr, "slots": k.Slots, "state": say})
-	r, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+k.proxy+"/puffin/beat", bytes.NewReader(body))
+	ctx, cancel := context.WithTimeout(ctx, time.Second)
+	defer cancel()
+	body, _ := json.Marshal(map[string]any{"service": k.Service, "worker": k.ID, "addr": k.Addr, "slots": k.Slots, "state": state})
+	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+k.proxyAddr+"/puffin/beat", bytes.NewReader(body))
 	if err != nil {
 		return wait
 	}
-	w, err := k.way.RoundTrip(r)
+	response, err := k.transport.RoundTrip(request)
 	if err != nil {
 		return wait
 	}
-	defer func() { _ = w.Body.Close() }()
-	var got struct {
+	defer func() { _ = response.Body.Close() }()
+	var answer struct {
 		Beat int64 `json:"beat_ms"`
 	}
-	if json.NewDecoder(w.Body).Decode(&got) == nil && got.Beat > 0 {
-		wait = time.Duration(got.Beat) * time.Millisecond
+	if json.NewDecoder(response.Body).Decode(&answer) == nil && answer.Beat > 0 {
+		wait = time.Duration(answer.Beat) * time.Millisecond
 	}
 	return wait
 }
 
 // Behave changes the worker's way.
-func (k *Worker) Behave(w Way) {
+func (k *Worker) Behave(behavior Way) {
 	k.mu.Lock()
-	k.w = w
+	k.behavior = behavior
 	k.mu.Unlock()
 }
 
 // Leave says that the worker is leaving, or gone.
-func (k *Worker) Leave(say string) {
+func (k *Worker) Leave(state string) {
 	k.mu.Lock()
-	k.say = say
-	if k.left.IsZero() {
-		k.left = time.Now()
+	k.state = state
+	if k.leftAt.IsZero() {
+		k.leftAt = time.Now()
 	}
 	k.mu.Unlock()
-	k.beat(k.g.Context())
+	k.sendHeartbeat(k.tasks.Context())
 }
 
 // CallsTo makes every job of this worker make a call of its own.
-func (k *Worker) CallsTo(f func(left string)) {
+func (k *Worker) CallsTo(call func(left string)) {
 	k.mu.Lock()
-	k.calls = f
+	k.nestedCalls = call
 	k.mu.Unlock()
 }
 
 // Nests makes a part of this worker's jobs call further services, through the
 // front beside it; the rate of a line is the part of the jobs that make it.
-func (k *Worker) Nests(front string, lines []Line) {
+func (k *Worker) Nests(ingress string, lines []Line) {
 	if len(lines) == 0 {
 		return
 	}
-	c := NewCallers(k.e, []string{front}, k.obs, 15*time.Second)
-	c.Name = "nested-" + k.ID + "-"
+	callers := NewCallers(k.env, []string{ingress}, k.observer, 15*time.Second)
+	callers.Name = "nested-" + k.ID + "-"
 	k.CallsTo(func(left string) {
-		for _, l := range lines {
-			if rand.Float64() < l.Rate {
-				l.Left = left
-				c.At(front, l)
+		for _, line := range lines {
+			if rand.Float64() < line.Rate {
+				line.Left = left
+				callers.At(ingress, line)
 			}
 		}
 	})
 }
 
 // Kill ends the worker at once.
-func (k *Worker) Kill() { k.g.Stop() }
+func (k *Worker) Kill() { k.tasks.Stop() }
 
 func (k *Worker) serve(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path == "/puffin/fitness" {
@@ -153,80 +153,80 @@
 	body, _ := io.ReadAll(r.Body)
 	attempt, job := r.Header.Get(responsedigest.AttemptIDHeader), r.Header.Get(responsedigest.RequestIDHeader)
 	k.mu.Lock()
-	way, left := k.w, k.left
+	behavior, leftAt := k.behavior, k.leftAt
 	k.mu.Unlock()
 	// A job meant for another identity is refused unseen, but that it got here
 	// at all counts.
 	if r.Header.Get(responsedigest.WorkerHeader) != k.ID {
-		if k.obs != nil {
-			k.obs.Blame(Stranger, r.Header.Get("X-Call")+" for "+r.Header.Get(responsedigest.WorkerHeader)+" arrived at "+k.ID)
+		if k.observer != nil {
+			k.observer.RecordViolation(Misdelivered, r.Header.Get("X-Call")+" for "+r.Header.Get(responsedigest.WorkerHeader)+" arrived at "+k.ID)
 		}
-		if !way.Naive {
-			k.send(w, attempt, http.StatusMisdirectedRequest, []byte("not me"))
+		if !behavior.Naive {
+			k.writeAnswer(w, attempt, http.StatusMisdirectedRequest, []byte("not me"))
 			return
 		}
 	}
-	if rand.Float64() < way.Busy {
+	if rand.Float64() < behavior.Busy {
 		w.Header().Set(responsedigest.RanHeader, "no")
-		k.send(w, attempt, http.StatusServiceUnavailable, []byte("busy"))
+		k.writeAnswer(w, attempt, http.StatusServiceUnavailable, []byte("busy"))
 		return
 	}
 	k.mu.Lock()
-	k.now++
+	k.executing++
 	k.runs++
-	k.most = max(k.most, k.now)
+	k.peak = max(k.peak, k.executing)
 	k.mu.Unlock()
 	defer func() {
 		k.mu.Lock()
-		k.now--
+		k.executing--
 		k.mu.Unlock()
 	}()
-	if k.obs != nil {
-		k.obs.ran(job, r.Header.Get("X-Call"), k, r.Header.Get("X-Service"), left)
+	if k.observer != nil {
+		k.observer.recordRun(job, r.Header.Get("X-Call"), k, r.Header.Get("X-Service"), leftAt)
 	}
-	if way.Took > 0 {
+	if behavior.Took > 0 {
 		// Between half and one and a half of the middle.
-		t := time.NewTimer(way.Took/2 + time.Duration(rand.Int64N(int64(way.Took))))
+		timer := time.NewTimer(behavior.Took/2 + time.Duration(rand.Int64N(int64(behavior.Took))))
 		select {
-		case <-t.C:
+		case <-timer.C:
 		case <-r.Context().Done():
-			t.Stop()
+			timer.Stop()
 		}
 	}
 	k.mu.Lock()
-	calls := k.calls
+	calls := k.nestedCalls
 	k.mu.Unlock()
 	if calls != nil {
-		left, _ := strconv.ParseInt(r.Header.Get(responsedigest.TimeoutHeader), 10, 64)
-		calls(strconv.FormatInt(max(left-time.Since(from).Milliseconds(), 1), 10))
+		leftAt, _ := strconv.ParseInt(r.Header.Get(responsedigest.TimeoutHeader), 10, 64)
+		calls(strconv.FormatInt(max(leftAt-time.Since(from).Milliseconds(), 1), 10))
 	}
-	if rand.Float64() < way.Lose {
+	if rand.Float64() < behavior.Lose {
 		panic(http.ErrAbortHandler)
 	}
 	status := http.StatusOK
-	if rand.Float64() < way.Sulk {
+	if rand.Float64() < behavior.Sulk {
 		status = http.StatusServiceUnavailable
 	}
-	if rand.Float64() < way.Fail {
+	if rand.Float64() < behavior.Fail {
 		status = http.StatusInternalServerError
 	}
-	out := []byte(fmt.Sprintf("%s|%s|%s|%s|%d", k.Service, k.ID, job, r.Header.Get("X-Call"), len(body)))
+	answer := []byte(fmt.Sprintf("%s|%s|%s|%s|%d", k.Service, k.ID, job, r.Header.Get("X-Call"), len(body)))
 	if want, _ := strconv.Atoi(r.Header.Get("X-Want")); want > 0 {
-		out = append(out, Whole(r.Header.Get("X-Call"), body, want)...)
+		answer = append(answer, Whole(r.Header.Get("X-Call"), body, want)...)
 	}
-	if rand.Float64() < way.Garble {
+	if rand.Float64() < behavior.Garble {
 		w.Header().Set(responsedigest.AttemptIDHeader, attempt)
 		w.Header().Set(responsedigest.WorkerHeader, k.ID)
-		w.Header().Set(responsedigest.DigestHeader, responsedigest.Of(attempt, k.ID, status, out))
-		out[rand.IntN(len(out))] ^= 0x55
+		w.Header().Set(responsedigest.DigestHeader, responsedigest.Of(attempt, k.ID, status, answer))
+		answer[rand.IntN(len(answer))] ^= 0x55
 		w.WriteHeader(status)
-		_, _ = w.Write(out)
+		_, _ = w.Write(answer)
 		return
 	}
-	k.send(w, attempt, status, out)
+	k.writeAnswer(w, attempt, status, answer)
 }
 
-func (k *Worker) send(w http.ResponseWriter, attempt string, status int, body []byte) {
+func (k *Worker) writeAnswer(w http.ResponseWriter, attempt string, status int, body []byte) {
 	w.Header().Set(responsedigest.AttemptIDHeader, attempt)
 	w.Header().Set(responsedigest.WorkerHeader, k.ID)
 	w.Header().Set(responsedigest.DigestHeader, responsedigest.Of(attempt, k.ID, status, body))
