--- a/internal/standin/actors/apps.go
+++ b/internal/standin/actors/apps.go
@@ -107,7 +107,7 @@
 		op.Number = parsed.Revision
 	}
 	for _, c := range parsed.Changes {
-		op.Changes = append(op.Changes, checker.Change{Key: c.Name, Value: c.Value, Rev: c.Rev})
+		op.Changes = append(op.Changes, checker.Change{Key: c.Name, Value: c.Value, Revision: c.Rev})
 	}
 }
 
--- a/internal/standin/actors/locks.go
+++ b/internal/standin/actors/locks.go
@@ -29,7 +29,7 @@
 	}
 	// It counts itself holder from the answer on, for the time from before the
 	// call was sent.
-	hold := &checker.Hold{Name: name, Owner: owner, Fence: result.Number, From: result.End, Until: result.Start.Add(ttl)}
+	hold := &checker.LockHold{Name: name, Owner: owner, Fence: result.Number, From: result.End, Until: result.Start.Add(ttl)}
 	a.Recorder.RecordHold(hold)
 	switch a.random.intN(holderKindCount) {
 	case releasesSoon:
@@ -70,7 +70,7 @@
 
 // renew asks for more time; a 200 after the time has run out counts for
 // nothing, and the lock is given up.
-func (a *Apps) renew(ctx context.Context, hold *checker.Hold, ttl time.Duration) bool {
+func (a *Apps) renew(ctx context.Context, hold *checker.LockHold, ttl time.Duration) bool {
 	body := map[string]any{"owner": hold.Owner, "fence": hold.Fence, "ttl_ms": ttl.Milliseconds()}
 	result := a.call(ctx, checker.Op{Kind: checker.Renew, Name: hold.Name, Owner: hold.Owner}, http.MethodPut, "locks/"+hold.Name, body, time.Second, 0)
 	if result.Status != 200 || !result.End.Before(hold.Until) {
@@ -147,7 +147,7 @@
 		body := map[string]any{"owner": "last", "ttl_ms": ttl.Milliseconds()}
 		result := a.call(ctx, checker.Op{Kind: checker.Acquire, Name: name, Owner: "last", Final: true}, http.MethodPost, "locks/"+name, body, 4*time.Second, 0)
 		if result.Status == 200 {
-			a.Recorder.RecordHold(&checker.Hold{Name: name, Owner: "last", Fence: result.Number, From: result.End, Until: result.Start.Add(ttl)})
+			a.Recorder.RecordHold(&checker.LockHold{Name: name, Owner: "last", Fence: result.Number, From: result.End, Until: result.Start.Add(ttl)})
 		}
 	}
 }
--- a/internal/standin/checker/answers.go
+++ b/internal/standin/checker/answers.go
@@ -2,12 +2,14 @@
 
 import "time"
 
-// promisesNotExecuted tells that a status says: not run, and never will be.
+// promisesNotExecuted reports whether a status promises that the request was not executed
+// and never will be.
 func promisesNotExecuted(code int) bool {
 	return code == 408 || code == 421 || code == 429 || code == 503
 }
 
-// answeredByMesh tells that an answer was made by the mesh: no worker gave its status.
+// answeredByMesh reports whether the mesh itself produced the answer: no worker answered
+// with this status and digest.
 func (t *Attempt) answeredByMesh() bool {
 	for _, arrival := range t.Arrivals {
 		if arrival.Status == t.Answer.Status && arrival.Digest == t.Answer.Digest {
@@ -26,7 +28,8 @@
 	return count
 }
 
-// checkAnswers checks every answer against what the workers gave: MIXED, REFUSED.
+// checkAnswers compares every answer with what the workers sent (MIXED), and checks that
+// no request that was reported as not executed was executed (REFUSED).
 func (w *Witness) checkAnswers() {
 	byDigest := map[string]*Arrival{}
 	for _, arrival := range w.arrivals {
@@ -51,22 +54,22 @@
 		}
 		arrival := byDigest[answer.Digest]
 		if arrival != nil && arrival.Attempt != attempt {
-			w.recordBreach(Mixed, "%s at %s got a stamp of another", attempt.ID, attempt.Ingress)
+			w.recordBreach(Mixed, "%s at %s got the response digest of another attempt", attempt.ID, attempt.Ingress)
 		}
 		if answer.Status/100 == 2 && answer.Complete {
 			switch {
 			case arrival == nil:
-				w.recordBreach(Mixed, "%s at %s: a success without a worker's stamp", attempt.ID, attempt.Ingress)
+				w.recordBreach(Mixed, "%s at %s: a success without a worker's response digest", attempt.ID, attempt.Ingress)
 			case arrival.Status != answer.Status:
-				w.recordBreach(Mixed, "%s at %s: a success, the worker answered %d", attempt.ID, attempt.Ingress, arrival.Status)
+				w.recordBreach(Mixed, "%s at %s: a success, but the worker answered %d", attempt.ID, attempt.Ingress, arrival.Status)
 			case arrival.AnswerBody != answer.Body:
-				w.recordBreach(Mixed, "%s at %s: %d bytes, the worker's body has %d", attempt.ID, attempt.Ingress, answer.Body.Size, arrival.AnswerBody.Size)
+				w.recordBreach(Mixed, "%s at %s: the answer has %d bytes, the worker's body has %d", attempt.ID, attempt.Ingress, answer.Body.Size, arrival.AnswerBody.Size)
 			}
 		}
 		if answer.Status/100 != 2 && arrival != nil && arrival.Attempt == attempt && arrival.Status != answer.Status {
-			w.recordBreach(Mixed, "%s at %s: %d with a worker's stamp, the worker answered %d", attempt.ID, attempt.Ingress, answer.Status, arrival.Status)
+			w.recordBreach(Mixed, "%s at %s: %d with a worker's response digest, the worker answered %d", attempt.ID, attempt.Ingress, answer.Status, arrival.Status)
 		}
-		// A repeatable one may have run elsewhere; the others never.
+		// A request that may be retried may have been executed elsewhere.
 		if promisesNotExecuted(answer.Status) && !attempt.Retryable && attempt.executions() > 0 {
 			w.recordBreach(Refused, "%s at %s got %d and ran at %s", attempt.ID, attempt.Ingress, answer.Status, attempt.firstExecution().Worker.Name)
 		}
@@ -82,7 +85,8 @@
 	return nil
 }
 
-// checkExecutions checks every run against what was sent: UNASKED, TWICE, ROUTE.
+// checkExecutions compares every execution with what the client sent (UNASKED), and checks
+// the number of executions (TWICE) and the service that executed it (ROUTE).
 func (w *Witness) checkExecutions() {
 	for _, arrival := range w.arrivals {
 		if !arrival.Executed() {
@@ -97,23 +101,24 @@
 			w.recordBreach(Unasked, "%s was sent as %s %s with %d bytes, ran as %s %s with %d", attempt.ID, attempt.Method, attempt.URI, attempt.Body.Size, arrival.Method, arrival.URI, arrival.Body.Size)
 		}
 		if want := w.serviceOf[attempt.Ingress]; arrival.CallerService != want {
-			w.recordBreach(Unasked, "%s began beside %s, its run names %q", attempt.ID, want, arrival.CallerService)
+			w.recordBreach(Unasked, "%s was sent at a node of service %s, but the worker was told caller service %q", attempt.ID, want, arrival.CallerService)
 		}
 		if !w.everAllowed(attempt, arrival.Worker.Service) {
-			w.recordBreach(Route, "%s (%s%s) ran at %s", attempt.ID, attempt.Host, attempt.URI, arrival.Worker.Service)
+			w.recordBreach(Route, "%s (%s%s) was executed by service %s, which no document allows", attempt.ID, attempt.Host, attempt.URI, arrival.Worker.Service)
 		}
 		if !attempt.Retryable && attempt.executions() > 1 {
-			w.recordBreach(Twice, "%s ran %d times", attempt.ID, attempt.executions())
+			w.recordBreach(Twice, "%s was executed %d times", attempt.ID, attempt.executions())
 		}
 	}
 }
 
-// maxDeniedDisconnected is how many proper ones machines out of touch may turn away in a
-// whole day, for want of a path or a right.
+// maxDeniedDisconnected is how many valid requests disconnected machines may reject during a
+// whole test run because they know no route or permission for them.
 const maxDeniedDisconnected = 10
 
-// checkDenied counts the mesh's own 3xx and 4xx to proper ones. Of machines out of touch a
-// 401, 403 or 404 counts for what all documents of the day allow.
+// checkDenied counts valid requests that the mesh itself answered with 3xx or 4xx (DENIED).
+// On disconnected machines only 401, 403 and 404 count, and only for requests that every
+// document of the test run allows.
 func (w *Witness) checkDenied() {
 	count, disconnected := 0, 0
 	var denied []*Attempt
@@ -142,7 +147,7 @@
 	}
 }
 
-// allowedByAll tells that each document of the day allows a try.
+// allowedByAll reports whether every document of the test run has a route for the attempt.
 func (w *Witness) allowedByAll(attempt *Attempt) bool {
 	valid := 0
 	for _, document := range w.documents {
@@ -154,7 +159,8 @@
 	return valid > 0
 }
 
-// allowedNow tells that every document that may be in force allows a try.
+// allowedNow reports whether every document that may have been in force during the attempt
+// has a route for it.
 func (w *Witness) allowedNow(attempt *Attempt) bool {
 	lowest := w.newestAcked(attempt.Start.Add(-w.B.Change))
 	inForce := 0
@@ -169,8 +175,8 @@
 	return inForce > 0
 }
 
-// Verdict works out every count of the day; the notes are of the first few of
-// each rule.
+// Verdict runs all checks. It returns the number of breaches of each rule and a note for
+// each of the first eight breaches of a rule.
 func (w *Witness) Verdict() (map[string]int, []string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -181,7 +187,7 @@
 	return w.breaches, w.notes
 }
 
-// Tally counts how the tries ended, for the report.
+// Tally counts the attempts by their outcome, for the report.
 func (w *Witness) Tally() map[string]int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -210,8 +216,9 @@
 	return string([]byte{byte('0' + status/100), byte('0' + status/10%10), byte('0' + status%10)})
 }
 
-// Served counts the jobs of a kind, or of all, that were owed and that were
-// served, of those begun in a time. Nothing is owed where the client left early.
+// Served counts the client requests that began in [from, to): those that had to be served
+// and those that were. An empty kind stands for all kinds. A request whose client left
+// early need not be served and counts only if it was.
 func (w *Witness) Served(kind string, from, to time.Time) (served, owed int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/standin/checker/attemptlimit.go
+++ b/internal/standin/checker/attemptlimit.go
@@ -1,10 +1,11 @@
 package checker
 
-// maxOverAttemptLimit is how many tries of clients may run on more workers than their
-// path's tries, in a whole day.
+// maxOverAttemptLimit is how many client attempts may be executed by more workers than their
+// route allows, during a whole test run.
 const maxOverAttemptLimit = 3
 
-// checkAttemptLimits: no try runs on more workers than its path allows.
+// checkAttemptLimits checks that no attempt is executed by more workers than its route allows
+// (BUDGET).
 func (w *Witness) checkAttemptLimits() {
 	count := 0
 	var example *Attempt
@@ -15,11 +16,11 @@
 		}
 	}
 	if count > maxOverAttemptLimit {
-		w.recordBreach(Budget, "%d tries ran on more workers than their paths allow, %s at %s on %d", count, example.ID, example.Ingress, example.workersReached())
+		w.recordBreach(Budget, "%d attempts were executed by more workers than their routes allow, %s at %s by %d among them", count, example.ID, example.Ingress, example.workersReached())
 	}
 }
 
-// workersReached counts those that a try ran on, but for those that ended or broke off.
+// workersReached counts the workers that executed the attempt and did not fail.
 func (t *Attempt) workersReached() int {
 	workers := map[*Worker]bool{}
 	for _, arrival := range t.Arrivals {
@@ -30,8 +31,8 @@
 	return len(workers)
 }
 
-// maxAttempts is the largest number of workers for a try's path in any document that may
-// have been in force; 0 when some document tells none.
+// maxAttempts returns the largest number of workers that any document that may have been in
+// force allows for the attempt's route, or 0 if one of them sets no limit.
 func (w *Witness) maxAttempts(attempt *Attempt) (maximum int) {
 	lowest := w.newestAcked(attempt.Start.Add(-w.B.Change - w.B.Stretch))
 	for _, document := range w.documents {
--- a/internal/standin/checker/body.go
+++ b/internal/standin/checker/body.go
@@ -2,7 +2,7 @@
 
 import "hash/maphash"
 
-// Body is what a body is known by.
+// Body identifies the content of a body by its size and hash.
 type Body struct {
 	Size int
 	Sum  uint64
@@ -10,5 +10,5 @@
 
 var hashSeed = maphash.MakeSeed()
 
-// BodyOf sums a body up.
+// BodyOf returns the size and hash of a body.
 func BodyOf(content []byte) Body { return Body{len(content), maphash.Bytes(hashSeed, content)} }
--- a/internal/standin/checker/budget.go
+++ b/internal/standin/checker/budget.go
@@ -5,8 +5,9 @@
 	"time"
 )
 
-// checkRetryBudget slides the window over every service's repeats. A call made by a run
-// that was itself a repeat counts as a repeat at the service that it calls.
+// checkRetryBudget checks the retries to every service over a sliding window (BUDGET). A
+// nested request counts as a retry at its own service if the execution that made it was a
+// retry.
 func (w *Witness) checkRetryBudget() {
 	retries, requests := map[string][]time.Time{}, map[string][]time.Time{}
 	for _, arrival := range w.arrivals {
@@ -18,7 +19,7 @@
 		if attempt.Parent != nil && attempt.Parent.Retry {
 			continue
 		}
-		// Of a split the one counts at which it arrived first.
+		// With a weighted split the request counts for the service that it reached first.
 		if len(attempt.Arrivals) > 0 {
 			s := attempt.Arrivals[0].Worker.Service
 			requests[s] = append(requests[s], attempt.Start)
@@ -31,7 +32,8 @@
 	}
 }
 
-// expectedService is where a try that arrived nowhere would have gone.
+// expectedService returns the service that an attempt without arrivals most likely would
+// have gone to: the one with the highest weight in the newest document that may be in force.
 func (w *Witness) expectedService(attempt *Attempt) (name string) {
 	var newest *Document
 	for _, document := range w.documents {
@@ -57,19 +59,21 @@
 	return times
 }
 
-// countBetween counts the times after one moment up to another.
+// countBetween counts the times in (from, to]. The times must be sorted.
 func countBetween(times []time.Time, from, to time.Time) int {
 	before := func(at time.Time) int { return sort.Search(len(times), func(i int) bool { return times[i].After(at) }) }
 	return max(before(to)-before(from), 0)
 }
 
+// slideWindow checks every window of one service. The allowance is derived from the largest
+// number of requests in the window itself, half a window earlier or a whole window earlier.
 func (w *Witness) slideWindow(service string, retries, requests []time.Time) {
 	check := func(from time.Time) {
 		to, half := from.Add(w.B.Window), w.B.Window/2
 		retriesInWindow := countBetween(retries, from, to)
 		mostRequests := 0
-		for _, back := range []time.Duration{0, half, 2 * half} {
-			mostRequests = max(mostRequests, countBetween(requests, from.Add(-back), to.Add(-back)))
+		for _, offset := range []time.Duration{0, half, 2 * half} {
+			mostRequests = max(mostRequests, countBetween(requests, from.Add(-offset), to.Add(-offset)))
 		}
 		allowed := w.B.Share*float64(mostRequests) + w.B.Allow
 		if part := float64(retriesInWindow) / allowed; part > w.fullestWindow {
@@ -80,22 +84,22 @@
 		}
 	}
 	for _, t := range retries {
-		// Every span that ends with a repeat, and every one that begins with one.
+		// Check each window that ends with a retry and each that begins with one.
 		check(t.Add(-w.B.Window))
 		check(t.Add(-1))
 	}
 }
 
-// Most gives the fullest window of a service's repeats, as a part of what the
-// rule allows; it is known after the verdict.
+// Most returns the highest ratio of retries to allowed retries over all windows, and its
+// service. It is known only after Verdict.
 func (w *Witness) Most() (part float64, service string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.fullestWindow, w.fullestService
 }
 
-// checkAcks: in calm times every whole document is acknowledged within the bound,
-// and nearly every worker's word that it leaves.
+// checkAcks checks that without unplanned disturbances every valid document and nearly every
+// worker's leave notice is acknowledged within the bound (ACKS).
 func (w *Witness) checkAcks() {
 	now := time.Now()
 	for _, document := range w.documents {
@@ -107,7 +111,7 @@
 			end = now
 		}
 		bound := w.B.Ack + time.Duration(len(document.Routes))*3*time.Millisecond
-		// All in one calm stretch, which may begin after a trouble.
+		// The bound must fit into one calm period, which may begin after a disturbance.
 		for _, from := range w.Touch.calmStarts(document.FirstSentAt, end) {
 			if to := from.Add(bound); document.Defect == "" && end.After(to) && w.Touch.controlPlaneSettled(from, to) && w.Touch.calm(from, to) {
 				w.recordBreach(Acks, "document %d, sent %s, had no acknowledgement until %s, calm from %s", document.Number, clockTime(document.FirstSentAt), clockTime(end), clockTime(from))
--- a/internal/standin/checker/callergone.go
+++ b/internal/standin/checker/callergone.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// callerGoneBound is how soon after a caller has left nothing may reach a worker for
-// it any more, and no run that may be repeated may go on.
+// callerGoneBound is the time after a caller closed its connection from which its request may
+// no longer reach a worker, and a retryable request may no longer be executing.
 const callerGoneBound = 500 * time.Millisecond
 
-// callerLeft tells that the client closed its connection while it waited.
+// callerLeft reports whether the client closed its connection while it waited.
 func (t *Attempt) callerLeft() bool { return t.Answer.ClientClosed && !t.End.IsZero() }
 
-// checkCallersGone: no worker gets a request, and none goes on with a run that may be
-// repeated, so long after its caller left.
+// checkCallersGone checks that later than callerGoneBound after a caller left, its request
+// reaches no worker, and no worker goes on executing it if it may be retried (GONE).
 func (w *Witness) checkCallersGone() {
 	for _, attempt := range w.attemptOrder {
 		if !attempt.callerLeft() {
@@ -28,7 +28,7 @@
 			case arrival.ArrivedAt.After(end):
 				w.recordBreach(Gone, "%s reached %s %v after its caller had left at %s", attempt.ID, arrival.Worker.Name, arrival.ArrivedAt.Sub(attempt.End), clockTime(attempt.End))
 			case attempt.Retryable && arrival.Executed() && (arrival.End.IsZero() || arrival.End.After(end)):
-				w.recordBreach(Gone, "%s ran at %s until %s though its caller had left %s at %s", attempt.ID, arrival.Worker.Name, clockTime(arrival.End), attempt.Ingress, clockTime(attempt.End))
+				w.recordBreach(Gone, "%s was executed at %s until %s although its caller had left %s at %s", attempt.ID, arrival.Worker.Name, clockTime(arrival.End), attempt.Ingress, clockTime(attempt.End))
 			}
 		}
 	}
--- a/internal/standin/checker/coordination.go
+++ b/internal/standin/checker/coordination.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Kinds of calls for locks, numbers and keys.
+// The kinds of application calls for locks, numbers and keys.
 const (
 	Acquire = "take"
 	Renew   = "renew"
@@ -17,35 +17,38 @@
 	Watch   = "watch"
 )
 
-// Op is one call of an application and its answer.
+// Op is one call of an application and its answer. Calls that are sent again to another
+// node are recorded one by one.
 type Op struct {
 	Kind, Name, Owner string
-	Node              string // the machine that was called
-	Value             string // put: what; get: what came
-	Conditional       bool   // put: only over revision If
+	Node              string // address of the node that was called
+	Value             string // put: the value sent; get: the value received
+	Conditional       bool   // put: applies only if the key is at IfRevision
 	IfRevision        uint64
-	FirstSentAt       time.Time // put sent again: when it was sent first
+	FirstSentAt       time.Time // for a call that was sent again: when it was first sent
 	Start, End        time.Time
-	Status            int    // 0: no clear answer
-	Number            uint64 // fence, number or revision that came
-	After             uint64 // watch: from where
+	Status            int    // HTTP status; 0: no complete answer
+	Number            uint64 // the fence, number or revision in the answer
+	After             uint64 // watch: the revision after which changes are requested
 	Changes           []Change
-	Final             bool // asked when the day ends
+	Final             bool // sent at the end of the test run
 }
 
-// Change is one line of a watch's answer.
+// Change is one change in the answer to a watch.
 type Change struct {
 	Key, Value string
-	Rev        uint64
+	Revision   uint64
 }
 
-// Hold is a time in which a caller takes itself to be a lock's holder.
-type Hold struct {
+// LockHold is a period during which a caller considers itself the holder of a lock.
+type LockHold struct {
 	Name, Owner string
 	Fence       uint64
 	From, Until time.Time
 }
 
+// keyGroup returns the group of a key: its name up to and including the first dot. The keys of
+// a group share one sequence of revisions.
 func keyGroup(key string) string {
 	if i := strings.IndexByte(key, '.'); i >= 0 {
 		return key[:i+1]
@@ -53,27 +56,27 @@
 	return key
 }
 
-// RecordCall writes down a call when it has ended.
+// RecordCall records a call that has ended.
 func (w *Witness) RecordCall(op *Op) {
 	w.mu.Lock()
 	if op.FirstSentAt.IsZero() {
 		op.FirstSentAt = op.Start
 	}
-	w.ops = append(w.ops, op)
+	w.calls = append(w.calls, op)
 	w.mu.Unlock()
 }
 
-// RecordHold writes down a hold; its end may still move.
-func (w *Witness) RecordHold(hold *Hold) {
+// RecordHold records a hold. Its end may change later, see Update.
+func (w *Witness) RecordHold(hold *LockHold) {
 	w.mu.Lock()
 	w.holds = append(w.holds, hold)
 	w.mu.Unlock()
 }
 
-// opsBy sorts the calls of some kinds by name.
-func (w *Witness) opsBy(match func(*Op) bool, name func(*Op) string) map[string][]*Op {
+// callsBy groups the matching calls by the given name.
+func (w *Witness) callsBy(match func(*Op) bool, name func(*Op) string) map[string][]*Op {
 	ops := map[string][]*Op{}
-	for _, op := range w.ops {
+	for _, op := range w.calls {
 		if match(op) {
 			ops[name(op)] = append(ops[name(op)], op)
 		}
@@ -81,11 +84,12 @@
 	return ops
 }
 
-func opName(op *Op) string { return op.Name }
+func callName(op *Op) string { return op.Name }
 
-// checkLocks: no two hold one lock, fences rise. ONE.
+// checkLocks checks that no lock has two holders at once, and that fences rise with every
+// new holder (ONE).
 func (w *Witness) checkLocks() {
-	held := map[string][]*Hold{}
+	held := map[string][]*LockHold{}
 	for _, hold := range w.holds {
 		held[hold.Name] = append(held[hold.Name], hold)
 	}
@@ -102,7 +106,7 @@
 			}
 		}
 	}
-	for name, list := range w.opsBy(func(op *Op) bool { return op.Kind == Acquire && op.Status == 200 }, opName) {
+	for name, list := range w.callsBy(func(op *Op) bool { return op.Kind == Acquire && op.Status == 200 }, callName) {
 		owners := map[uint64]string{}
 		for _, op := range list {
 			if owner, ok := owners[op.Number]; ok && owner != op.Owner {
@@ -114,14 +118,14 @@
 	}
 }
 
-// checkRising blames every number that is not above one given out before its call
-// was sent, of those that pair says are to be compared.
-func (w *Witness) checkRising(rule, series string, ops []*Op, comparable func(earlier, later *Op) bool) {
+// checkRising records a breach for every number that is not above a number given out before
+// its call was sent, for those pairs of calls that mustRise selects.
+func (w *Witness) checkRising(rule, series string, ops []*Op, mustRise func(earlier, later *Op) bool) {
 	ends := append([]*Op(nil), ops...)
 	sort.Slice(ends, func(i, j int) bool { return ends[i].End.Before(ends[j].End) })
 	begins := append([]*Op(nil), ops...)
 	sort.Slice(begins, func(i, j int) bool { return begins[i].FirstSentAt.Before(begins[j].FirstSentAt) })
-	var given []*Op // given out so far, highest last
+	var given []*Op // given out so far, in ascending order of the numbers
 	ended := 0
 	for _, op := range begins {
 		for ; ended < len(ends) && ends[ended].End.Before(op.FirstSentAt); ended++ {
@@ -133,7 +137,7 @@
 			}
 		}
 		for i := len(given) - 1; i >= 0 && given[i].Number >= op.Number; i-- {
-			if comparable(given[i], op) {
+			if mustRise(given[i], op) {
 				w.recordBreach(rule, "%s: %d given at %s to a call sent at %s, %d was given before", series, op.Number, clockTime(op.End), clockTime(op.FirstSentAt), given[i].Number)
 				break
 			}
@@ -141,10 +145,10 @@
 	}
 }
 
-// checkNumbers: numbers are given once and rise, and so do the revisions of a group.
-// ORDER.
+// checkNumbers checks that numbers, and the revisions of a group of keys, are given out once
+// and rise, and that conditional puts apply only to the revision they name (ORDER).
 func (w *Witness) checkNumbers() {
-	for name, ops := range w.opsBy(func(op *Op) bool { return op.Kind == Number && op.Status == 200 }, opName) {
+	for name, ops := range w.callsBy(func(op *Op) bool { return op.Kind == Number && op.Status == 200 }, callName) {
 		given := map[uint64]bool{}
 		for _, op := range ops {
 			if given[op.Number] {
@@ -154,7 +158,7 @@
 		}
 		w.checkRising(Order, "number "+name, ops, func(earlier, later *Op) bool { return earlier != later })
 	}
-	for name, ops := range w.opsBy(func(op *Op) bool { return op.Kind == Put && op.Status == 200 }, func(op *Op) string { return keyGroup(op.Name) }) {
+	for name, ops := range w.callsBy(func(op *Op) bool { return op.Kind == Put && op.Status == 200 }, func(op *Op) string { return keyGroup(op.Name) }) {
 		byRevision := map[uint64]*Op{}
 		revisionOf := map[string]uint64{}
 		for _, op := range ops {
--- a/internal/standin/checker/coordination_test.go
+++ b/internal/standin/checker/coordination_test.go
@@ -20,8 +20,8 @@
 	d.op(Op{Kind: Get, Name: key, Value: value}, 200, revision)
 }
 
-func (d *run) hold(owner string, fence uint64, duration time.Duration) *Hold {
-	hold := &Hold{Name: "l", Owner: owner, Fence: fence, From: time.Now(), Until: time.Now().Add(duration)}
+func (d *run) hold(owner string, fence uint64, duration time.Duration) *LockHold {
+	hold := &LockHold{Name: "l", Owner: owner, Fence: fence, From: time.Now(), Until: time.Now().Add(duration)}
 	d.RecordHold(hold)
 	return hold
 }
--- a/internal/standin/checker/disturbances.go
+++ b/internal/standin/checker/disturbances.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// Disturbance is a time of trouble; To is zero while it lasts.
+// Disturbance is a period in which a fault or an operation disturbs a machine or the control
+// plane. To is zero while it lasts.
 type Disturbance struct {
 	From, To time.Time
 	Kind     string
@@ -15,15 +16,16 @@
 	return !s.From.After(to) && (s.To.IsZero() || !s.To.Before(from))
 }
 
-// Disturbances knows which machines were in touch when. A machine is in touch at a
-// moment if no trouble of its own or of the core was in the bound before it.
+// Disturbances records all disturbances of a test run, and thereby which machines were
+// connected to a majority of the control plane. A machine is connected at a given time if
+// neither it nor the control plane was disturbed then or during the bound before.
 type Disturbances struct {
 	mu             sync.Mutex
 	bound          time.Duration
-	byMachine      map[string][]*Disturbance // trouble of one machine
-	controlPlane   []*Disturbance            // what unsettles the core
-	noMajority     []*Disturbance            // the core without a calm majority
-	slowedMachines map[string][]*Disturbance // own ones in which the machine was only slowed
+	byMachine      map[string][]*Disturbance // by the machine that is disturbed
+	controlPlane   []*Disturbance            // those that unsettle the control plane
+	noMajority     []*Disturbance            // those in which no undisturbed majority of the control plane is connected
+	slowedMachines map[string][]*Disturbance // those of byMachine in which the machine only runs slowly
 	all            []*Disturbance
 }
 
@@ -31,24 +33,24 @@
 	return &Disturbances{bound: bound, byMachine: map[string][]*Disturbance{}, slowedMachines: map[string][]*Disturbance{}}
 }
 
-// Begin opens a time of trouble at a machine; the result ends it.
-func (t *Disturbances) Begin(machine, what string) func() {
+// Begin records the start of a disturbance of a machine. The returned function ends it.
+func (t *Disturbances) Begin(machine, kind string) func() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	disturbance := &Disturbance{From: time.Now(), Kind: what}
+	disturbance := &Disturbance{From: time.Now(), Kind: kind}
 	t.byMachine[machine] = append(t.byMachine[machine], disturbance)
-	if what == Slowed {
+	if kind == Slowed {
 		t.slowedMachines[machine] = append(t.slowedMachines[machine], disturbance)
 	}
 	t.all = append(t.all, disturbance)
 	return t.endFunc(disturbance)
 }
 
-// Slowed is the trouble in which a machine runs, but late.
+// Slowed is the kind of a disturbance in which a machine runs, but slowly.
 const Slowed = "slowed"
 
-// Planned begins the names of what a machine is told to do; it is no unplanned
-// trouble, but the machine is not in touch for it.
+// Planned is the prefix of the kinds of planned operations on a machine. They leave the
+// period calm, but the machine does not count as connected during them.
 const Planned = "planned "
 
 func (t *Disturbances) endFunc(disturbance *Disturbance) func() {
@@ -61,20 +63,22 @@
 	}
 }
 
-// Core notes a moment that unsettles the core.
-func (t *Disturbances) Core(what string) { t.CoreWhile(what)() }
+// Core records an instant that unsettles the control plane.
+func (t *Disturbances) Core(kind string) { t.CoreWhile(kind)() }
 
-// CoreWhile opens a time in which the core is unsettled.
-func (t *Disturbances) CoreWhile(what string) func() {
+// CoreWhile records the start of a period in which the control plane is unsettled. The
+// returned function ends it.
+func (t *Disturbances) CoreWhile(kind string) func() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	disturbance := &Disturbance{From: time.Now(), Kind: what}
+	disturbance := &Disturbance{From: time.Now(), Kind: kind}
 	t.controlPlane = append(t.controlPlane, disturbance)
 	t.all = append(t.all, disturbance)
 	return t.endFunc(disturbance)
 }
 
-// Minority opens a time in which no calm majority of the core is connected.
+// Minority records the start of a period in which no undisturbed majority of the control
+// plane is connected. The returned function ends it.
 func (t *Disturbances) Minority() func() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -93,12 +97,12 @@
 	return false
 }
 
-// ConnectedAt tells whether a machine was in touch at a moment.
+// ConnectedAt reports whether a machine was connected at the given time.
 func (t *Disturbances) ConnectedAt(machine string, at time.Time) bool {
 	return t.connected(machine, at, at)
 }
 
-// connected tells whether a machine was in touch through a time.
+// connected reports whether a machine was connected for the whole period.
 func (t *Disturbances) connected(machine string, from, to time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -106,8 +110,8 @@
 	return !anyOverlaps(t.byMachine[machine], from, to) && !anyOverlaps(t.controlPlane, from, to)
 }
 
-// undisturbed tells whether a machine itself was calm through a time while a
-// majority of the core ran, whether the core was settled or not.
+// undisturbed reports whether a machine itself was undisturbed for the whole period while a
+// majority of the control plane was available, even if the control plane was unsettled.
 func (t *Disturbances) undisturbed(machine string, from, to time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -115,14 +119,14 @@
 	return !anyOverlaps(t.byMachine[machine], from, to) && !anyOverlaps(t.noMajority, from, to)
 }
 
-// slowed tells whether a machine was slowed in a time.
+// slowed reports whether a machine was slowed during part of the period.
 func (t *Disturbances) slowed(machine string, from, to time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return anyOverlaps(t.slowedMachines[machine], from, to)
 }
 
-// calm tells that no unplanned trouble was anywhere in a time.
+// calm reports whether there was no unplanned disturbance anywhere during the period.
 func (t *Disturbances) calm(from, to time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -134,14 +138,15 @@
 	return true
 }
 
-// controlPlaneSettled tells that the core was settled through a time.
+// controlPlaneSettled reports whether the control plane was settled for the whole period.
 func (t *Disturbances) controlPlaneSettled(from, to time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return !anyOverlaps(t.controlPlane, from.Add(-t.bound), to)
 }
 
-// calmStarts lists where calm stretches may begin within a time.
+// calmStarts lists the times in the period at which a calm stretch may begin: its start, and
+// the end of each disturbance plus the bound.
 func (t *Disturbances) calmStarts(from, to time.Time) []time.Time {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/standin/checker/documents.go
+++ b/internal/standin/checker/documents.go
@@ -5,29 +5,29 @@
 	"time"
 )
 
-// RouteSpec is one path of an operator's document.
+// RouteSpec is one route of an operator's document.
 type RouteSpec struct {
 	Name, Host, Prefix string
 	Retryable          bool
-	Weights            map[string]int // weight; one of 0 gets nothing
+	Weights            map[string]int // service to weight; weight 0 gets no requests
 	Timeout            time.Duration
-	MaxAttempts        int // workers that one try may go to; 0: not told
+	MaxAttempts        int // workers that one attempt of a client may reach; 0: not specified
 }
 
-// Document is one document that an operator sent, and what became of it.
+// Document is a configuration document that an operator sent, and its outcome.
 type Document struct {
 	Number      uint64
 	Raw         string
 	Routes      []RouteSpec
-	Defect      string    // what is wrong with it, of a broken one
-	FirstSentAt time.Time // when it was first sent
+	Defect      string    // what is wrong with the document; empty if it is valid
+	FirstSentAt time.Time // when it was first sent to a node
 	AckedAt     time.Time // when it was first acknowledged
-	AckedBy     string    // the machine that did
-	RejectedAt  time.Time // when it was told that it is broken
-	EndedAt     time.Time // when its operator gave up or moved on; zero while it is sent
+	AckedBy     string    // the node that acknowledged it first
+	RejectedAt  time.Time // when a node first rejected it
+	EndedAt     time.Time // when its operator gave up; zero while it is being sent
 }
 
-// Match finds the path of a host and URI: the longest prefix.
+// Match returns the route of a host and URI, the one with the longest prefix.
 func (d *Document) Match(host, uri string) *RouteSpec {
 	uri, _, _ = strings.Cut(uri, "?")
 	var longest *RouteSpec
@@ -40,13 +40,14 @@
 	return longest
 }
 
-// mayBeInForce tells whether a document may be in force at a moment, or have been.
+// mayBeInForce reports whether the document may be in force at the given time, or may have
+// been before.
 func (d *Document) mayBeInForce(at time.Time) bool {
 	return d.Defect == "" && !d.FirstSentAt.After(at) && (d.RejectedAt.IsZero() || !d.AckedAt.IsZero())
 }
 
-// allows tells whether a document lets a try end so: run at a service, or,
-// with none, refused for want of a path.
+// allows reports whether the document permits the service to execute the attempt. With an
+// empty service it reports whether the document permits a 404, because it has no route.
 func (d *Document) allows(attempt *Attempt, service string) bool {
 	route := d.Match(attempt.Host, attempt.URI)
 	if service == "" {
@@ -55,7 +56,7 @@
 	return route != nil && route.Weights[service] > 0
 }
 
-// DocumentSent writes down a document right before it is first sent.
+// DocumentSent records a document right before it is first sent.
 func (w *Witness) DocumentSent(document *Document) {
 	w.mu.Lock()
 	document.FirstSentAt = time.Now()
@@ -63,35 +64,35 @@
 	w.mu.Unlock()
 }
 
-// DocumentAcked writes down the acknowledgement of a document by a machine.
+// DocumentAcked records that a node acknowledged a document.
 func (w *Witness) DocumentAcked(document *Document, node string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if document.Defect != "" {
-		w.recordBreach(Config, "document %d was acknowledged although broken: %s", document.Number, document.Defect)
+		w.recordBreach(Config, "document %d was acknowledged although it is invalid: %s", document.Number, document.Defect)
 	}
 	if document.AckedAt.IsZero() {
 		document.AckedAt, document.AckedBy = time.Now(), node
 	}
 }
 
-// ConfigRead is one answer to an operator who asks for the newest document.
+// ConfigRead is one attempt of an operator to read the newest document back.
 type ConfigRead struct {
 	SentAt, ReceivedAt time.Time
 	Number             uint64
-	Unchanged          bool // it is, field for field, one that was sent under its number
-	Final              bool // it ended the day's reading back
+	Unchanged          bool // the document equals, field for field, one that was sent under its number
+	Final              bool // it was made at the end of the test run
 	Answered           bool
 }
 
-// RecordConfigRead writes down what an operator read.
+// RecordConfigRead records what an operator read.
 func (w *Witness) RecordConfigRead(read ConfigRead) {
 	w.mu.Lock()
 	w.configReads = append(w.configReads, read)
 	w.mu.Unlock()
 }
 
-// newestAcked is the highest number acknowledged before a moment.
+// newestAcked returns the highest document number acknowledged before the given time.
 func (w *Witness) newestAcked(at time.Time) (number uint64) {
 	for _, document := range w.documents {
 		if document.Defect == "" && !document.AckedAt.IsZero() && document.AckedAt.Before(at) {
@@ -101,7 +102,8 @@
 	return number
 }
 
-// everAllowed tells whether any document that was sent allows a service to run a try.
+// everAllowed reports whether any document that was sent allows the service to execute the
+// attempt.
 func (w *Witness) everAllowed(attempt *Attempt, service string) bool {
 	for _, document := range w.documents {
 		if document.allows(attempt, service) {
@@ -111,15 +113,16 @@
 	return false
 }
 
-// outcome is how one try was handled: run at a service, or refused as unknown.
+// outcome is how one attempt was handled: executed by a service or, with an empty service,
+// answered with 404 by the mesh.
 type outcome struct {
 	attempt *Attempt
 	service string
 	at      time.Time
-	machine string // of the worker
+	machine string // of the worker, or of the ingress for a 404
 }
 
-// outcomes lists what was done with every try, in time.
+// outcomes lists every execution and every 404 of the mesh, in the order of the attempts.
 func (w *Witness) outcomes() (outcomes []outcome) {
 	for _, attempt := range w.attemptOrder {
 		for _, arrival := range attempt.Arrivals {
@@ -134,8 +137,8 @@
 	return outcomes
 }
 
-// allowingDocuments gives the lowest and the highest number of the documents that may be in
-// force at a deed and allow it.
+// allowingDocuments returns the lowest and the highest number of the documents that allow an
+// outcome and may have been in force at its time.
 func (w *Witness) allowingDocuments(outcome outcome) (lowest, highest uint64, ok bool) {
 	for _, document := range w.documents {
 		if document.mayBeInForce(outcome.at) && document.allows(outcome.attempt, outcome.service) {
@@ -148,15 +151,16 @@
 	return lowest, highest, ok
 }
 
-// checkStaleDocuments: nobody in touch acts on a document older than one acknowledged
-// longer ago than the bound; nothing broken or refused is acted on.
+// checkStaleDocuments checks that no connected machine acts on a document older than one that
+// was acknowledged longer ago than the bound, and that nobody acts on an invalid or rejected
+// document (CONFIG). While the control plane is unsettled the bound is longer.
 func (w *Witness) checkStaleDocuments() {
 	for _, outcome := range w.outcomes() {
 		_, highest, ok := w.allowingDocuments(outcome)
 		if !ok {
-			// A 404 before the first document is in force is no deed of one.
+			// A 404 before the first document is in force follows from no document.
 			if outcome.service != "" && w.everAllowed(outcome.attempt, outcome.service) {
-				w.recordBreach(Config, "%s ran at %s, which only a broken or refused document allows", outcome.attempt.ID, outcome.service)
+				w.recordBreach(Config, "%s was executed by %s, which only an invalid or rejected document allows", outcome.attempt.ID, outcome.service)
 				continue
 			}
 			if outcome.service != "" {
@@ -180,20 +184,20 @@
 	}
 }
 
-// checkStepsBack: within one life a machine that acted on a document acts on no
-// older one.
+// checkStepsBack checks that a machine that acted on a document does not act on an older one
+// until its processes restart (CONFIG).
 func (w *Witness) checkStepsBack() {
-	type machineLife struct {
+	type incarnationKey struct {
 		machine string
-		n       int
+		number  int
 	}
-	byLife := map[machineLife][]outcome{}
+	byIncarnation := map[incarnationKey][]outcome{}
 	for _, outcome := range w.outcomes() {
-		machineLife := machineLife{outcome.attempt.Ingress, outcome.attempt.Incarnation}
-		byLife[machineLife] = append(byLife[machineLife], outcome)
+		key := incarnationKey{outcome.attempt.Ingress, outcome.attempt.Incarnation}
+		byIncarnation[key] = append(byIncarnation[key], outcome)
 	}
-	for machineLife, outcomes := range byLife {
-		// What a worker saw by when, the highest first number so far.
+	for key, outcomes := range byIncarnation {
+		// An execution proves that the machine knew the lowest document that allows it.
 		type execution struct {
 			at     time.Time
 			lowest uint64
@@ -211,12 +215,12 @@
 				continue
 			}
 			slack := w.B.Back
-			if w.Touch.slowed(machineLife.machine, outcome.attempt.Start.Add(-w.B.Touch), outcome.at) {
+			if w.Touch.slowed(key.machine, outcome.attempt.Start.Add(-w.B.Touch), outcome.at) {
 				slack *= 8
 			}
 			for _, seen := range executed {
 				if seen.lowest > highest && seen.at.Add(slack).Before(outcome.attempt.Start) {
-					w.recordBreach(Config, "%s at %s, sent %s, was handled as %d allows; %s showed %d at %s", outcome.attempt.ID, machineLife.machine, clockTime(outcome.attempt.Start), highest, seen.id, seen.lowest, clockTime(seen.at))
+					w.recordBreach(Config, "%s at %s, sent %s, was handled as document %d allows; %s already showed document %d at %s", outcome.attempt.ID, key.machine, clockTime(outcome.attempt.Start), highest, seen.id, seen.lowest, clockTime(seen.at))
 					break
 				}
 			}
--- a/internal/standin/checker/keys.go
+++ b/internal/standin/checker/keys.go
@@ -5,22 +5,22 @@
 	"time"
 )
 
-// promisesNoEffect tells that a call promises to have had no effect.
+// promisesNoEffect reports whether a status promises that the put had no effect.
 func promisesNoEffect(code int) bool { return code == 412 || code == 429 || code == 503 }
 
-// putHistory is what is known of one put, over all times that it was sent.
+// putHistory sums up all sends of one put.
 type putHistory struct {
 	name, value string
 	firstSentAt time.Time
-	revision    uint64 // 0 when no answer told it
+	revision    uint64 // 0 if no answer named it
 	ackedAt     time.Time
-	uncertain   bool // some call had no clear answer
-	rejected    bool // every call was turned away
+	uncertain   bool // the outcome of some send is unknown
+	rejected    bool // every send was rejected
 }
 
 func (w *Witness) putHistories() map[string]*putHistory {
 	histories := map[string]*putHistory{}
-	for _, op := range w.ops {
+	for _, op := range w.calls {
 		if op.Kind != Put {
 			continue
 		}
@@ -43,25 +43,26 @@
 	return histories
 }
 
-// observedValue is a value that showed under a revision.
+// observedValue is a value that a read or watch returned, with its revision.
 type observedValue struct {
 	key, value string
 	revision   uint64
 	at         time.Time
 }
 
-// checkKeys: reads are no older than what was acknowledged, values are those that
-// were put there. STALE, MIXED, REFUSED.
+// checkKeys checks that reads are no older than acknowledged puts (STALE), that every value
+// was put under its key and has one revision (MIXED), and that rejected puts had no effect
+// (REFUSED).
 func (w *Witness) checkKeys() {
 	histories := w.putHistories()
-	var shown []observedValue
-	for _, op := range w.ops {
+	var observed []observedValue
+	for _, op := range w.calls {
 		switch {
 		case op.Kind == Get && op.Status == 200:
-			shown = append(shown, observedValue{op.Name, op.Value, op.Number, op.End})
+			observed = append(observed, observedValue{op.Name, op.Value, op.Number, op.End})
 		case op.Kind == Watch && op.Status == 200:
 			for _, c := range op.Changes {
-				shown = append(shown, observedValue{c.Key, c.Value, c.Rev, op.End})
+				observed = append(observed, observedValue{c.Key, c.Value, c.Revision, op.End})
 			}
 		}
 	}
@@ -77,32 +78,32 @@
 			keyAt[groupRevision{keyGroup(s.name), s.revision}] = s.name
 		}
 	}
-	for _, s := range shown {
+	for _, s := range observed {
 		k := s.key + "\n" + s.value
 		history := histories[k]
 		switch {
 		case history == nil:
-			w.recordBreach(Mixed, "%s shows %q, which nobody put there", s.key, s.value)
+			w.recordBreach(Mixed, "%s has value %q, which nobody put there", s.key, s.value)
 		case history.rejected:
-			w.recordBreach(Refused, "%s shows %q, whose put was turned away", s.key, s.value)
+			w.recordBreach(Refused, "%s has value %q, whose put was rejected", s.key, s.value)
 		}
 		if revision, ok := revisionOf[k]; ok && revision != s.revision {
-			w.recordBreach(Mixed, "%s shows %q under revisions %d and %d", s.key, s.value, revision, s.revision)
+			w.recordBreach(Mixed, "%s has value %q under revisions %d and %d", s.key, s.value, revision, s.revision)
 		}
 		revisionOf[k] = s.revision
 		keyAt[groupRevision{keyGroup(s.key), s.revision}] = s.key
 	}
-	open := map[string]bool{}
+	uncertain := map[string]bool{}
 	for _, s := range histories {
-		open[s.name] = open[s.name] || s.uncertain
+		uncertain[s.name] = uncertain[s.name] || s.uncertain
 	}
-	for _, op := range w.ops {
+	for _, op := range w.calls {
 		if op.Kind != Put || op.Status != 412 || op.Number == 0 {
 			continue
 		}
 		key, ok := keyAt[groupRevision{keyGroup(op.Name), op.Number}]
-		if ok && key != op.Name || !ok && !open[op.Name] {
-			w.recordBreach(Mixed, "a 412 names revision %d of %s, which no put of it got", op.Number, op.Name)
+		if ok && key != op.Name || !ok && !uncertain[op.Name] {
+			w.recordBreach(Mixed, "a 412 names revision %d of %s, which no put to that key got", op.Number, op.Name)
 		}
 	}
 	w.checkStaleReads(histories)
@@ -117,7 +118,7 @@
 	}
 	for _, list := range acked {
 		sort.Slice(list, func(i, j int) bool { return list[i].ackedAt.Before(list[j].ackedAt) })
-		// From here on rev is the highest acknowledged by then.
+		// Replace each revision by the highest one acknowledged up to then.
 		for i := 1; i < len(list); i++ {
 			if list[i].revision < list[i-1].revision {
 				raised := *list[i]
@@ -126,7 +127,7 @@
 			}
 		}
 	}
-	for _, op := range w.ops {
+	for _, op := range w.calls {
 		if op.Kind != Get || op.Status != 200 && op.Status != 404 {
 			continue
 		}
@@ -146,8 +147,8 @@
 	}
 }
 
-// checkWatches: changes rise, none inside a span is skipped, and what was given
-// lately can be watched from. ORDER, LOST.
+// checkWatches checks that the revisions of a watch rise and that it skips no acknowledged put
+// (ORDER), and that a revision that was returned recently can be watched from (LOST).
 func (w *Witness) checkWatches() {
 	type ackedPut struct {
 		revision uint64
@@ -160,7 +161,7 @@
 		}
 	}
 	givenAt := map[string]map[uint64]time.Time{}
-	for _, op := range w.ops {
+	for _, op := range w.calls {
 		if op.Kind != Watch {
 			continue
 		}
@@ -169,7 +170,7 @@
 		}
 		if op.Status == 410 {
 			if at, ok := givenAt[op.Name][op.After]; ok && op.Start.Sub(at) < w.B.Hist {
-				w.recordBreach(Lost, "a watch of %s after %d got 410, %v after that was given", op.Name, op.After, op.Start.Sub(at))
+				w.recordBreach(Lost, "a watch of %s after %d got 410, %v after that revision was returned", op.Name, op.After, op.Start.Sub(at))
 			}
 			continue
 		}
@@ -179,16 +180,16 @@
 		lastRevision := op.After
 		seen := map[uint64]bool{}
 		for _, c := range op.Changes {
-			if c.Rev <= lastRevision {
-				w.recordBreach(Order, "a watch of %s gave revision %d after %d", op.Name, c.Rev, lastRevision)
+			if c.Revision <= lastRevision {
+				w.recordBreach(Order, "a watch of %s gave revision %d after %d", op.Name, c.Revision, lastRevision)
 			}
-			lastRevision = c.Rev
-			seen[c.Rev] = true
+			lastRevision = c.Revision
+			seen[c.Revision] = true
 		}
 		if op.After > 0 && op.Number < op.After || lastRevision > op.Number && op.After > 0 {
 			w.recordBreach(Order, "a watch of %s after %d ended at %d with %d in it", op.Name, op.After, op.Number, lastRevision)
 		}
-		// With 0 only the present revision is asked for.
+		// A watch after 0 asks only for the current revision.
 		for _, p := range puts[op.Name] {
 			if op.After > 0 && p.revision > op.After && p.revision <= op.Number && !seen[p.revision] {
 				w.recordBreach(Order, "a watch of %s from %d to %d skipped %d of %s", op.Name, op.After, op.Number, p.revision, p.key)
@@ -199,10 +200,11 @@
 	w.checkFinalCalls()
 }
 
-// checkFinalCalls: when the day ends every call comes through in time.
+// checkFinalCalls checks that each call made at the end of the test run gets a definite answer
+// in time (LOST).
 func (w *Witness) checkFinalCalls() {
 	answered := map[string]bool{}
-	for _, op := range w.ops {
+	for _, op := range w.calls {
 		if op.Final {
 			call := op.Kind + " " + op.Name
 			answered[call] = answered[call] || op.Status == 200 || op.Status == 404 || op.Status == 409 || op.Status == 410
@@ -210,7 +212,7 @@
 	}
 	for call, ok := range answered {
 		if !ok {
-			w.recordBreach(Lost, "%s did not come when the day ended", call)
+			w.recordBreach(Lost, "%s got no definite answer at the end of the test run", call)
 		}
 	}
 }
--- a/internal/standin/checker/leaving.go
+++ b/internal/standin/checker/leaving.go
@@ -2,39 +2,39 @@
 
 import "time"
 
-// A request that was sent up to sentUpTo after the order to end is excused if its
-// worker was still at work in the last sixth of the grace.
+// excusedSendPeriod limits which requests a shutdown need not answer: those sent at most this
+// long after the stop signal whose worker was still executing them in the last sixth of the
+// grace period.
 const excusedSendPeriod = 3 * time.Second
 
-// signal is one order to a machine that may break nothing off.
+// signal is a stop or reload signal to a machine, which must not cut requests off.
 type signal struct {
 	machine     string
-	incarnation int // of the machine's processes
+	incarnation int // the machine's processes are counted up at each restart
 	sentAt      time.Time
 	reload      bool
 }
 
-// Term notes that a machine was told to end in order. Told again, it has the grace
-// that it had.
+// Term records that a machine was told to shut down gracefully. A second signal within the
+// grace period does not extend it.
 func (w *Witness) Term(machine string) { w.addSignal(signal{machine: machine}) }
 
-// Hup notes that a machine was told that its settings changed.
+// Hup records that a machine was told to reload its settings.
 func (w *Witness) Hup(machine string) { w.addSignal(signal{machine: machine, reload: true}) }
 
-func (w *Witness) addSignal(signal signal) {
+func (w *Witness) addSignal(added signal) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	signal.sentAt, signal.incarnation = time.Now(), w.incarnations[signal.machine]
+	added.sentAt, added.incarnation = time.Now(), w.incarnations[added.machine]
 	for _, other := range w.signals {
-		if !signal.reload && !other.reload && other.machine == signal.machine && other.incarnation == signal.incarnation && signal.sentAt.Before(other.sentAt.Add(w.B.Grace)) {
+		if !added.reload && !other.reload && other.machine == added.machine && other.incarnation == added.incarnation && added.sentAt.Before(other.sentAt.Add(w.B.Grace)) {
 			return
 		}
 	}
-	w.signals = append(w.signals, signal)
+	w.signals = append(w.signals, added)
 }
 
-// LeaveSent notes that a worker says that it is leaving, and LeaveTaken that this
-// was acknowledged.
+// LeaveSent records that a worker first reported that it is leaving.
 func (w *Witness) LeaveSent(worker *Worker) {
 	w.mu.Lock()
 	if worker.LeaveSentAt.IsZero() {
@@ -43,7 +43,7 @@
 	w.mu.Unlock()
 }
 
-// LeaveAcked notes by whom a worker's leave was acknowledged first.
+// LeaveAcked records which node first acknowledged a worker's leave.
 func (w *Witness) LeaveAcked(worker *Worker, node string) {
 	w.mu.Lock()
 	if worker.LeaveAckedAt.IsZero() {
@@ -52,8 +52,9 @@
 	w.mu.Unlock()
 }
 
-// checkDrains: later than the bound after a machine acknowledged that a worker
-// leaves, whether it was in touch or not, nothing is sent to it by machines in touch.
+// checkDrains checks that connected machines send nothing to a worker later than the bound
+// after its leave was acknowledged, whether the acknowledging node was connected or not
+// (DRAIN).
 func (w *Witness) checkDrains() {
 	for _, arrival := range w.arrivals {
 		worker := arrival.Worker
@@ -66,10 +67,11 @@
 	}
 }
 
-// cutOff tells that a try's connection ended without a complete answer although a
-// process had read it whole, for no reason of its worker or its time; late is
-// how long after its last byte that was.
-func (w *Witness) cutOff(attempt *Attempt) (delay time.Duration, passed, isCut bool) {
+// cutOff reports whether an attempt's connection ended without a complete answer although a
+// process had read the whole request, and neither a worker's failure nor the deadline
+// explains it. delay is the time from the last byte of the request to the end, forwarded
+// whether the request reached a worker.
+func (w *Witness) cutOff(attempt *Attempt) (delay time.Duration, forwarded, isCut bool) {
 	answer := attempt.Answer
 	if answer.ClientClosed || !answer.RequestRead || attempt.SentAt.IsZero() || attempt.End.IsZero() || (answer.Status != 0 && answer.Complete) {
 		return 0, false, false
@@ -85,8 +87,9 @@
 	return attempt.End.Sub(attempt.SentAt), len(attempt.Arrivals) > 0, true
 }
 
-// answerDeadline is the time up to which a try may be held: its client's, as it told that, or that of the
-// path in any document that may have been in force.
+// answerDeadline is the earliest time at which the mesh may end an attempt by itself. It
+// follows from the timeout that the client sent, and from the shortest timeout of the route
+// in the documents that may have been in force.
 func (w *Witness) answerDeadline(attempt *Attempt) time.Time {
 	timeout := attempt.Timeout
 	if attempt.SentTimeout > 0 {
@@ -101,7 +104,7 @@
 	return attempt.Start.Add(timeout)
 }
 
-// signalsDuring lists the orders to its front under which a try stood when it ended.
+// signalsDuring lists the signals to its ingress that were in effect when the attempt ended.
 func (w *Witness) signalsDuring(attempt *Attempt) (signals []signal) {
 	for _, signal := range w.signals {
 		if signal.machine != attempt.Ingress {
@@ -117,21 +120,22 @@
 	return signals
 }
 
-// checkPlannedWork: planned work breaks nothing off.
+// checkPlannedWork checks that planned work (shutdowns, reloads, changes of the document) cuts
+// no request off (LOST).
 func (w *Witness) checkPlannedWork() {
 	duringChange, otherwise := map[string][]*Attempt{}, map[string]int{}
 	for _, attempt := range w.attemptOrder {
-		delay, passed, isCut := w.cutOff(attempt)
-		isCut = isCut && (passed || delay > w.B.Slack)
-		calm := w.Touch.calm(attempt.Start.Add(-w.B.Touch), attempt.End)
-		plans := w.signalsDuring(attempt)
-		if len(plans) > 0 && calm {
-			for _, signal := range plans {
-				w.checkUnderSignal(attempt, signal, isCut, passed, delay)
+		delay, forwarded, isCut := w.cutOff(attempt)
+		isCut = isCut && (forwarded || delay > w.B.Slack)
+		undisturbed := w.Touch.calm(attempt.Start.Add(-w.B.Touch), attempt.End)
+		signals := w.signalsDuring(attempt)
+		if len(signals) > 0 && undisturbed {
+			for _, signal := range signals {
+				w.checkUnderSignal(attempt, signal, isCut, forwarded, delay)
 			}
 			continue
 		}
-		if isCut && calm {
+		if isCut && undisturbed {
 			if w.endedDuringChange(attempt) {
 				duringChange[attempt.Ingress] = append(duringChange[attempt.Ingress], attempt)
 			} else {
@@ -139,7 +143,7 @@
 			}
 		}
 	}
-	// Around changes of the document no more are cut off than at other times.
+	// Around changes of the document at most three times as many may be cut off as at other times.
 	for machine, attempts := range duringChange {
 		if len(attempts) > 3*otherwise[machine] {
 			w.recordBreach(Lost, "%s at %s and %d others were cut off around a change, %d at other times", attempts[0].ID, machine, len(attempts)-1, otherwise[machine])
@@ -147,27 +151,27 @@
 	}
 }
 
-// checkUnderSignal judges a try that ended under an order to its front; cut tells that its
-// connection ended without an answer.
-func (w *Witness) checkUnderSignal(attempt *Attempt, signal signal, isCut, passed bool, delay time.Duration) {
+// checkUnderSignal checks an attempt that ended while a signal to its ingress was in effect.
+// isCut says that its connection ended without an answer.
+func (w *Witness) checkUnderSignal(attempt *Attempt, signal signal, isCut, forwarded bool, delay time.Duration) {
 	if !signal.reload && w.excused(attempt, signal) {
 		return
 	}
 	if isCut {
-		w.recordBreach(Lost, "%s at %s was cut off at %s, %v after its last byte (sent on: %v), in planned work from %s", attempt.ID, attempt.Ingress, clockTime(attempt.End), delay, passed, clockTime(signal.sentAt))
+		w.recordBreach(Lost, "%s at %s was cut off at %s, %v after its last byte (forwarded: %v), during planned work that began at %s", attempt.ID, attempt.Ingress, clockTime(attempt.End), delay, forwarded, clockTime(signal.sentAt))
 		return
 	}
-	// After the order to end an answer of the mesh's own in the place of a worker's
-	// comes to the same, whether the worker goes on or was broken off before.
+	// After a stop signal an answer by the mesh itself in place of the worker's loses the request
+	// just the same, whether the worker is still executing it or was cut off before.
 	if arrival := attempt.abandonedExecution(); !signal.reload && arrival != nil && attempt.answeredByMesh() && w.answerDeadline(attempt).After(attempt.End) && !w.excusedByOwner(attempt, arrival) {
-		w.recordBreach(Lost, "%s at %s got %d of the mesh's own at %s, %v after the order to end, while %s was at work on it since %s; it came at %s and had until %s",
+		w.recordBreach(Lost, "%s at %s got %d from the mesh itself at %s, %v after the stop signal, while %s was executing it since %s; it was sent at %s and had time until %s",
 			attempt.ID, attempt.Ingress, attempt.Answer.Status, clockTime(attempt.End), attempt.End.Sub(signal.sentAt), arrival.Worker.Name, clockTime(arrival.Start), clockTime(attempt.Start), clockTime(w.answerDeadline(attempt)))
 	}
 }
 
-// excused tells that a stop could not wait for a try: its worker was still at work
-// in the last sixth of the grace, and it was sent early enough. What ended before
-// that time is never excused.
+// excused reports whether a graceful shutdown could not wait for the attempt: its worker was
+// still executing it in the last sixth of the grace period, and it was sent early enough. An
+// attempt that ended before the last sixth is never excused.
 func (w *Witness) excused(attempt *Attempt, signal signal) bool {
 	lastSixth := signal.sentAt.Add(w.B.Grace * 5 / 6)
 	if attempt.Start.After(signal.sentAt.Add(excusedSendPeriod)) || attempt.End.Before(lastSixth) {
@@ -181,10 +185,11 @@
 	return false
 }
 
-// excusedByOwner tells the same of a try that may not be repeated, whose answer came as the
-// node beside its worker ended, or up to a second after its grace: nobody else reaches
-// the worker, so such a run ends with that node. Plays that were judged by users show no
-// blame for it. What may be repeated is never excused so, since others could have had it.
+// excusedByOwner does the same for the shutdown of the owner, the node beside the worker. It
+// applies to an attempt that must not be retried and ended in the last sixth of the owner's
+// grace period or up to a second after it. No other node reaches the worker, so the execution
+// ends with its owner; the users' own test runs count no breach for this. A retryable
+// attempt is never excused this way, since another worker could have executed it.
 func (w *Witness) excusedByOwner(attempt *Attempt, arrival *Arrival) bool {
 	if attempt.Retryable || arrival.Worker.Machine == attempt.Ingress {
 		return false
@@ -201,8 +206,8 @@
 	return false
 }
 
-// abandonedExecution finds the worker that was at work on a try when it was answered, or whose
-// run was ended before without an answer, for no reason of its own.
+// abandonedExecution returns an execution that ended without an answer before the attempt did,
+// not because of its worker, or else the one in progress when the attempt ended.
 func (t *Attempt) abandonedExecution() *Arrival {
 	for _, arrival := range t.Arrivals {
 		if arrival.Executed() && !arrival.WorkerFailed && arrival.Status == 0 && !arrival.End.IsZero() && arrival.End.Before(t.End) {
@@ -212,7 +217,7 @@
 	return t.executionInProgress()
 }
 
-// executionInProgress finds the worker that was at work on a try when it was answered.
+// executionInProgress returns an execution that was in progress when the attempt ended.
 func (t *Attempt) executionInProgress() *Arrival {
 	for _, arrival := range t.Arrivals {
 		if arrival.Executed() && !arrival.WorkerFailed && arrival.Start.Before(t.End) && (arrival.End.IsZero() || arrival.End.After(t.End)) {
@@ -222,7 +227,7 @@
 	return nil
 }
 
-// endedDuringChange tells that a try ended while a document was on its way.
+// endedDuringChange reports whether the attempt ended while a document was being distributed.
 func (w *Witness) endedDuringChange(attempt *Attempt) bool {
 	for _, document := range w.documents {
 		end := document.AckedAt
--- a/internal/standin/checker/readback.go
+++ b/internal/standin/checker/readback.go
@@ -2,13 +2,14 @@
 
 import "time"
 
-// checkConfigReads: what is read at the end of a day is what was sent under its
-// number, and no older than the newest acknowledged.
+// checkConfigReads checks that a document that is read back equals the one that was sent under
+// its number and is no older than the newest acknowledged one (CONFIG, or LOST after the
+// final fault).
 func (w *Witness) checkConfigReads() {
 	for _, read := range w.configReads {
 		if !read.Answered {
 			if read.Final {
-				w.recordBreach(Config, "no document came when it was read back")
+				w.recordBreach(Config, "no document was returned when it was read back")
 			}
 			continue
 		}
@@ -20,17 +21,17 @@
 			w.recordBreach(rule, "read back as number %d at %s, %d was acknowledged before", read.Number, clockTime(read.ReceivedAt), lowest)
 		}
 		if !read.Unchanged {
-			w.recordBreach(Config, "number %d was read back other than it was sent", read.Number)
+			w.recordBreach(Config, "document %d was read back with another content than it was sent with", read.Number)
 		}
 		for _, document := range w.documents {
 			if document.Number == read.Number && document.Defect != "" && !w.validDocumentExists(read.Number) {
-				w.recordBreach(Config, "number %d is in force although broken: %s", read.Number, document.Defect)
+				w.recordBreach(Config, "document %d is in force although it is invalid: %s", read.Number, document.Defect)
 			}
 		}
 	}
 }
 
-// validDocumentExists tells that some whole document was sent under a number.
+// validDocumentExists reports whether a valid document was sent under the number.
 func (w *Witness) validDocumentExists(number uint64) bool {
 	for _, document := range w.documents {
 		if document.Number == number && document.Defect == "" {
@@ -40,7 +41,8 @@
 	return false
 }
 
-// checkAddedRoutes: paths that came later are served as well as the first ones.
+// checkAddedRoutes checks that routes that were added later are served at least a quarter as
+// well as those of the first document (CONFIG). It needs 20 such routes and requests.
 func (w *Witness) checkAddedRoutes() {
 	if len(w.documents) == 0 {
 		return
@@ -67,22 +69,23 @@
 	}
 }
 
-// Closing notes the closing fault, and Back that the machines are there again.
+// Closing records the beginning of the final fault of the test run.
 func (w *Witness) Closing() {
 	w.mu.Lock()
 	w.finalFault[0] = time.Now()
 	w.mu.Unlock()
 }
 
-// Back notes that the machines are there again after the closing fault.
+// Back records that the machines are back after the final fault.
 func (w *Witness) Back() {
 	w.mu.Lock()
 	w.finalFault[1] = time.Now()
 	w.mu.Unlock()
 }
 
-// checkRecovery: where a quarter was served before the closing fault, a quarter is
-// served of what is sent later than the bound after the return.
+// checkRecovery checks that service resumes after the final fault: if at least a quarter of the
+// requests was served before it, a quarter of those sent later than the bound after the
+// machines' return must be served (RECOVER).
 func (w *Witness) checkRecovery() {
 	if w.finalFault[1].IsZero() {
 		return
--- a/internal/standin/checker/readiness.go
+++ b/internal/standin/checker/readiness.go
@@ -2,44 +2,45 @@
 
 import "time"
 
-// What nodes that were told to end may still count as: ready, so long after the order,
-// and so many of them.
+// A node may still count as ready for unreadyBound after a stop signal. More than
+// stillReadyTolerated nodes that do so for longer, and more than a quarter of those that were
+// stopped while ready, are a breach.
 const (
 	unreadyBound         = 4 * time.Second
-	stillReadyDivisor    = 4 // one over it
+	stillReadyDivisor    = 4
 	stillReadyTolerated  = 1
-	failuresUntilUnready = 2 // looks in a row that did not find a node ready
+	failuresUntilUnready = 2 // failed probes in a row after which the platform counts a node as not ready
 )
 
-// readinessProbe is one question to a node whether it is ready.
+// readinessProbe is the result of one readiness probe of a node.
 type readinessProbe struct {
 	at    time.Time
 	ready bool
 }
 
-// Looked notes that the platform asked a machine's node whether it is ready.
+// Looked records the result of a readiness probe of a machine's node by the platform.
 func (w *Witness) Looked(machine string, ready bool) {
 	w.mu.Lock()
 	w.readinessProbes[machine] = append(w.readinessProbes[machine], readinessProbe{time.Now(), ready})
 	w.mu.Unlock()
 }
 
-// countedReady tells whether the platform took a machine for ready at a time.
+// countedReady reports whether the platform counted a machine as ready at the given time.
 func (w *Witness) countedReady(machine string, at time.Time) bool {
-	misses := 0
+	failures := 0
 	for _, probe := range w.readinessProbes[machine] {
 		if probe.at.After(at) {
 			break
 		}
-		misses++
+		failures++
 		if probe.ready {
-			misses = 0
+			failures = 0
 		}
 	}
-	return misses < failuresUntilUnready
+	return failures < failuresUntilUnready
 }
 
-// restartedBetween tells whether a machine's processes started afresh in a time.
+// restartedBetween reports whether a machine's processes restarted in (from, to].
 func (w *Witness) restartedBetween(machine string, from, to time.Time) bool {
 	for _, at := range w.restarts[machine] {
 		if at.After(from) && !at.After(to) {
@@ -49,7 +50,7 @@
 	return false
 }
 
-// checkReadiness: nodes that are told to end are soon taken for ready no more.
+// checkReadiness checks that nodes soon stop counting as ready after a stop signal (DRAIN).
 func (w *Witness) checkReadiness() {
 	wereReady, stillReady := 0, 0
 	example := ""
--- a/internal/standin/checker/reusedconns.go
+++ b/internal/standin/checker/reusedconns.go
@@ -1,16 +1,16 @@
 package checker
 
-// maxReusedConnCuts is how many requests of kept connections may be passed on to a
-// worker and end with their connections, in a whole day.
+// maxReusedConnCuts is how many requests on reused connections may be forwarded to a worker
+// and then lose their connection without an answer, during a whole test run.
 const maxReusedConnCuts = 3
 
-// checkReusedConns: a machine in touch does not end kept connections without an answer to
-// what it has passed on to a sound worker.
+// checkReusedConns checks that connected machines do not close reused connections without
+// answering a request that they forwarded to a worker that did not fail (LOST).
 func (w *Witness) checkReusedConns() {
 	count := 0
 	var example *Attempt
 	for _, attempt := range w.attemptOrder {
-		if _, passed, isCut := w.cutOff(attempt); attempt.ReusedConn && isCut && passed && w.Touch.connected(attempt.Ingress, attempt.Start, attempt.End) {
+		if _, forwarded, isCut := w.cutOff(attempt); attempt.ReusedConn && isCut && forwarded && w.Touch.connected(attempt.Ingress, attempt.Start, attempt.End) {
 			count++
 			example = attempt
 		}
--- a/internal/standin/checker/risk.go
+++ b/internal/standin/checker/risk.go
@@ -2,18 +2,18 @@
 
 import "time"
 
-// Risk counts how often each rule had something to lose on the day: a day on
-// which it had nothing shows nothing.
+// Risk counts how often each rule could have been broken during the test run. A run in which a
+// rule could not be broken proves nothing about it.
 func (w *Witness) Risk() map[string]int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	counts := map[string]int{}
-	ackedAt := map[string]time.Time{} // when each document was acknowledged
+	ackedAt := map[string]time.Time{} // document content to the time of its acknowledgement
 	for _, arrival := range w.arrivals {
 		if arrival.ExtraBytes || arrival.WorkerFailed {
 			counts[Mixed]++
 			if arrival.Attempt != nil && !arrival.Attempt.Retryable {
-				// Whoever sends it again runs it twice; whoever calls it busy lies.
+				// To retry it would execute it twice; to answer 503 would deny the execution.
 				counts[Twice]++
 				counts[Refused]++
 			}
@@ -24,9 +24,10 @@
 		if arrival.Executed() && arrival.ExpectedWorker != "" {
 			counts[Unasked]++
 		}
-		// What goes to a worker that is about to leave, or leaves, would go on
-		// doing so after the bound if nobody were told. How many come after its
-		// word hangs on how quick the mesh is, and may be none.
+		// Requests that reach a worker shortly before or after its leave notice would
+		// go on reaching it after the bound if the mesh ignored the notice. Those before
+		// the notice count too: how many come after it depends on the speed of the mesh,
+		// and there may be none.
 		if worker := arrival.Worker; !worker.LeaveSentAt.IsZero() && arrival.ArrivedAt.After(worker.LeaveSentAt.Add(-w.B.Leave)) {
 			counts[Drain]++
 		}
@@ -60,7 +61,7 @@
 			counts[Recover]++
 		}
 	}
-	for _, op := range w.ops {
+	for _, op := range w.calls {
 		switch {
 		case op.Kind == Acquire && op.Status == 409:
 			counts[One]++
--- a/internal/standin/checker/splits.go
+++ b/internal/standin/checker/splits.go
@@ -5,14 +5,15 @@
 	"time"
 )
 
-// What the share of a part of a split may be off its weight's, in a calm time of so many
-// requests.
+// A service's share of the requests of a weighted split may differ from its weight by up to
+// splitTolerance. Fewer requests than splitMinRequests are not judged.
 const (
 	splitMinRequests = 200
 	splitTolerance   = 0.2
 )
 
-// checkSplits: in calm times the services of a split get their weights' shares.
+// checkSplits checks that the services of a weighted split get their shares of the requests
+// while only one document can be in force (CONFIG).
 func (w *Witness) checkSplits() {
 	for _, document := range w.documents {
 		from, to, ok := w.soleDocumentPeriod(document)
@@ -27,7 +28,8 @@
 	}
 }
 
-// soleDocumentPeriod is the time in which no other document than one can be in force.
+// soleDocumentPeriod returns the period in which only the given document can be in force. ok
+// is false if there is none.
 func (w *Witness) soleDocumentPeriod(document *Document) (from, to time.Time, ok bool) {
 	if document.Defect != "" || document.AckedAt.IsZero() || w.newestAcked(document.AckedAt) > document.Number {
 		return from, to, false
@@ -41,8 +43,8 @@
 	return from, to, from.Before(to)
 }
 
-// checkSplit judges one path of a document by the requests of a time. One that reached no
-// worker may be a part that turns requests away, so that nothing is said then.
+// checkSplit checks one route by the requests sent in [from, to). If one of them reached no
+// worker, one of the services may be rejecting requests; the shares are not judged then.
 func (w *Witness) checkSplit(document *Document, route *RouteSpec, from, to time.Time) {
 	counts, total, weights := map[string]int{}, 0, 0
 	for _, attempt := range w.attemptOrder {
@@ -62,9 +64,9 @@
 		return
 	}
 	for s, n := range route.Weights {
-		share, due := float64(counts[s])/float64(total), float64(n)/float64(weights)
-		if math.Abs(share-due) > splitTolerance {
-			w.recordBreach(Config, "path %s of document %d: %s got %.2f of %d requests, its weight is %.2f", route.Name, document.Number, s, share, total, due)
+		share, expected := float64(counts[s])/float64(total), float64(n)/float64(weights)
+		if math.Abs(share-expected) > splitTolerance {
+			w.recordBreach(Config, "path %s of document %d: %s got %.2f of %d requests, its weight is %.2f", route.Name, document.Number, s, share, total, expected)
 		}
 	}
 }
--- a/internal/standin/checker/timeouts.go
+++ b/internal/standin/checker/timeouts.go
@@ -2,20 +2,22 @@
 
 import "time"
 
-// How late a final answer, and how much too long the time handed to a worker may be.
+// timeoutSlack is how late a final answer may be, and by how much the timeout passed to a
+// worker may exceed the remaining time.
 const timeoutSlack = 500 * time.Millisecond
 
-// What a day may hold of each before it is a breach: so many, and such a part of
-// those that were at risk.
+// A test run may contain some late answers and some too long timeouts. They are a breach if
+// there are lateAnswersAtLeast late ones and they are more than a quarter of the answers at
+// risk, or more than handedTooMuchTolerated long ones and more than a fifth of the arrivals.
 const (
-	lateAnswersAtLeast = 8
-	lateAnswersDivisor = 4 // one over it
-	handedTolerated    = 20
-	handedDivisor      = 5 // one over it
+	lateAnswersAtLeast     = 8
+	lateAnswersDivisor     = 4
+	handedTooMuchTolerated = 20
+	handedTooMuchDivisor   = 5
 )
 
-// checkLateAnswers: requests that last longer than their path's time have a final answer soon
-// after it, at machines in touch.
+// checkLateAnswers checks that connected machines answer requests that exceed their route's
+// timeout soon after it (CONFIG).
 func (w *Witness) checkLateAnswers() {
 	late, total := 0, 0
 	var example *Attempt
@@ -35,8 +37,8 @@
 	}
 }
 
-// longestTimeout is the longest time of a try's path in any document that may have been
-// in force while it waited.
+// longestTimeout returns the longest timeout of the attempt's route in any document that may
+// have been in force while the client waited.
 func (w *Witness) longestTimeout(attempt *Attempt) (longest time.Duration, ok bool) {
 	lowest := w.newestAcked(attempt.Start.Add(-w.B.Change - w.B.Stretch))
 	for _, document := range w.documents {
@@ -47,7 +49,8 @@
 	return longest, ok
 }
 
-// checkHandedTimeouts: workers are handed no more time than is left.
+// checkHandedTimeouts checks that the timeout passed to a worker does not exceed the remaining
+// time of the attempt (BUDGET).
 func (w *Witness) checkHandedTimeouts() {
 	over, total := 0, 0
 	var example *Arrival
@@ -62,7 +65,7 @@
 			example = arrival
 		}
 	}
-	if over > handedTolerated && over*handedDivisor > total {
+	if over > handedTooMuchTolerated && over*handedTooMuchDivisor > total {
 		w.recordBreach(Budget, "%d of %d arrivals had more time than was left, %s at %s %v among them", over, total, example.Attempt.ID, example.Worker.Name, example.Timeout)
 	}
 }
--- a/internal/standin/checker/witness.go
+++ b/internal/standin/checker/witness.go
@@ -1,5 +1,5 @@
-// Package checker writes down what clients, workers and operators of a played
-// day see on their sockets, and counts every breach of a rule from that alone.
+// Package checker records what clients, workers and operators of a test run see on their
+// sockets, and counts every breach of a rule from these records alone.
 package checker
 
 import (
@@ -10,36 +10,36 @@
 
 // The rules, by the names under which their breaches are counted.
 const (
-	Mixed   = "MIXED"   // an answer that is not the worker's own and whole, or another one's
-	Unasked = "UNASKED" // a run that nobody asked for, or of something changed
-	Twice   = "TWICE"   // a second run of what may run once
-	Refused = "REFUSED" // told 'not run' although it ran
-	Denied  = "DENIED"  // proper ones turned away with the mesh's own 3xx or 4xx
-	Route   = "ROUTE"   // a run at a service that no document ever allowed
-	Drain   = "DRAIN"   // sent to a worker that left, after the bound
-	Gone    = "GONE"    // work begun, or gone on with, for a caller that had left
-	Lost    = "LOST"    // broken off in planned work, or gone after an acknowledgement
-	Config  = "CONFIG"  // an older document acted on, a broken one taken
-	Budget  = "BUDGET"  // more repeats than the window allows
-	Recover = "RECOVER" // no service after the return
+	Mixed   = "MIXED"   // an answer that is incomplete, altered or belongs to another request
+	Unasked = "UNASKED" // an execution that no client requested, or of an altered request
+	Twice   = "TWICE"   // a second execution of a request that must not be retried
+	Refused = "REFUSED" // reported as not executed although it was executed
+	Denied  = "DENIED"  // a valid request that the mesh itself answered with 3xx or 4xx
+	Route   = "ROUTE"   // an execution by a service that no document ever allowed
+	Drain   = "DRAIN"   // sent to a worker later than the bound after its leave, or to a stopping node
+	Gone    = "GONE"    // execution started or continued for a caller that had left
+	Lost    = "LOST"    // cut off by planned work, or lost after it was acknowledged
+	Config  = "CONFIG"  // acting on an outdated document, or accepting an invalid one
+	Budget  = "BUDGET"  // more retries, workers or time than allowed
+	Recover = "RECOVER" // no service after the machines came back from the final fault
 	One     = "ONE"     // two holders of one lock
 	Order   = "ORDER"   // numbers, revisions or changes out of order
 	Stale   = "STALE"   // a read older than an acknowledged write
-	Acks    = "ACKS"    // no acknowledgement within the bound, in calm times
+	Acks    = "ACKS"    // no acknowledgement within the bound without unplanned disturbances
 )
 
-// Rules lists all counts.
+// Rules lists all rules.
 var Rules = []string{Mixed, Unasked, Twice, Refused, Denied, Route, Drain, Gone, Lost, Config, Budget, Recover, One, Order, Stale, Acks}
 
-// Bounds are the figures that the rules are counted by.
+// Bounds are the limits that the rules check.
 type Bounds struct {
-	Touch, Leave, Grace, Slack       time.Duration // in touch after; leaving; stop; an answer lost in planned work
-	Change, Back, Stretch            time.Duration // a change; a step back; longer while the core is unsettled
+	Touch, Leave, Grace, Slack       time.Duration // until a machine counts as connected; a worker's leave; a graceful shutdown; an unforwarded request cut off by planned work
+	Change, Back, Stretch            time.Duration // a document taking effect; a step back to an older one; extension while the control plane is unsettled
 	Ack, Window, Return, Hist, Frees time.Duration
-	Share, Allow                     float64 // repeats: part of the requests, and besides
+	Share, Allow                     float64 // allowed retries: as a part of the requests, and in addition
 }
 
-// Usual are the bounds of the deployments we know.
+// Usual are the bounds that the known deployments have.
 var Usual = Bounds{Touch: 3 * time.Second, Leave: 2 * time.Second, Grace: 6 * time.Second, Slack: 200 * time.Millisecond,
 	Change: 2 * time.Second, Back: 250 * time.Millisecond, Stretch: 5 * time.Second, Ack: 4 * time.Second, Window: 10 * time.Second,
 	Return: 15 * time.Second, Hist: 20 * time.Second, Frees: 1500 * time.Millisecond, Share: 0.2, Allow: 60}
@@ -47,69 +47,71 @@
 // Answer is what came back to a client on its socket.
 type Answer struct {
 	Status           int    // 0: no answer
-	ID, Digest       string // whose it says it is, and its worker's stamp
+	ID, Digest       string // the attempt ID and response digest in its headers
 	Body             Body
-	Complete         bool // framed to its end
-	Malformed        bool // bytes that are no answer
-	RequestRead      bool // the far side had read the whole request
-	ClientClosed     bool // the client closed first
+	Complete         bool // received up to the end of its framing
+	Malformed        bool // the bytes received are not an HTTP answer
+	RequestRead      bool // the other side had read the whole request
+	ClientClosed     bool // the client closed the connection first
 	RetryAfter       time.Duration
 	HasRetryAfter    bool
-	Reason           string // the error, or the mesh's own words
-	ClosedBeforeRead bool   // the connection ended before the request was read
+	Reason           string // the error, or the reason that the mesh gave
+	ClosedBeforeRead bool   // the connection ended before the whole request was read
 }
 
-// Attempt is one send of a client, with its own id.
+// Attempt is one attempt of a client to get a request served. It has its own ID.
 type Attempt struct {
-	ID, Request        string // all tries of one job share its name
+	ID, Request        string // all attempts of one request share Request
 	Kind               string
-	Ingress            string // machine at which it began
-	Incarnation        int    // of that machine's processes
+	Ingress            string // the machine whose node the client sent it to
+	Incarnation        int    // of that machine's processes, see Witness.Lives
 	Host, Method, URI  string
 	Body               Body
-	Retryable          bool          // may run more than once
-	Timeout            time.Duration // what its client waits
-	SentTimeout        time.Duration // what of it the client told when it wrote; 0: all
-	ReusedConn         bool          // sent on a connection that had an earlier request
-	LeavesEarly        bool          // its client leaves before its time: owed nothing unless served
-	Probe              bool          // asks which document is in force; owed nothing
-	Parent             *Arrival      // the run that made it, of a nested one
-	WorkTime           time.Duration // what it takes a worker
-	WorkerPlan         any           // what else its worker is to do
-	Start, SentAt, End time.Time     // End is zero while no answer came
+	Retryable          bool          // may be executed more than once
+	Timeout            time.Duration // how long its client waits
+	SentTimeout        time.Duration // the timeout that the client sent, counted from Start; 0: same as Timeout
+	ReusedConn         bool          // sent on a connection that had carried an earlier request
+	LeavesEarly        bool          // its client leaves before its timeout; need not be served
+	Probe              bool          // only shows which document is in force; need not be served
+	Parent             *Arrival      // the execution that made it, if it is nested
+	WorkTime           time.Duration // how long a worker takes to execute it
+	WorkerPlan         any           // further instructions to the worker
+	Start, SentAt, End time.Time     // End is zero until the outcome is known
 	Answer             Answer
 	Arrivals           []*Arrival
 }
 
-// Arrival is one arrival of a try at a worker.
+// Arrival is one arrival of an attempt at a worker. ExpectedWorker is the worker that it was
+// sent to, CallerService the service that it names as its caller.
 type Arrival struct {
 	Attempt                                    *Attempt
 	Worker                                     *Worker
-	Method, URI, CallerService, ExpectedWorker string // To: whom it was meant for; From: the service named as caller
+	Method, URI, CallerService, ExpectedWorker string
 	Body                                       Body
-	ArrivedAt, Start, End                      time.Time     // Start is zero unless the worker took it up
-	Timeout                                    time.Duration // what it was told to have left; 0: nothing
-	DeclinedStatus                             int           // the status with which it was turned away
+	ArrivedAt, Start, End                      time.Time     // Start is zero unless the worker executed it
+	Timeout                                    time.Duration // the remaining time in its headers; 0: none given
+	DeclinedStatus                             int           // the status with which the worker declined it
 	Status                                     int
 	Digest                                     string
 	AnswerBody                                 Body
-	WorkerFailed                               bool // the worker itself broke off or spoiled the answer
-	ExtraBytes                                 bool // more came than the answer
-	Retry                                      bool // not the first of its try, or the call of a run that was none
+	WorkerFailed                               bool // the worker itself cut off or corrupted the answer
+	ExtraBytes                                 bool // the worker sent more bytes than the answer
+	Retry                                      bool // not the first arrival of its attempt, or nested in an execution that is a retry
 }
 
-// Executed tells that the worker took it up.
+// Executed reports whether the worker started to execute the request.
 func (v *Arrival) Executed() bool { return !v.Start.IsZero() }
 
-// Worker is one life of a worker.
+// Worker is one incarnation of a worker.
 type Worker struct {
 	Name, Service, Machine, Area string
-	LeaveSentAt                  time.Time // when it first said that it leaves
-	LeaveAckedAt                 time.Time // when that was acknowledged first
-	LeaveAckedBy                 string    // the machine that did
+	LeaveSentAt                  time.Time // when it first reported that it leaves
+	LeaveAckedAt                 time.Time // when that was first acknowledged
+	LeaveAckedBy                 string    // the machine that acknowledged it
 }
 
-// Witness writes down one day.
+// Witness records one test run. mu guards everything, also the fields of the attempts,
+// arrivals, documents and holds that were given to it.
 type Witness struct {
 	mu              sync.Mutex
 	B               Bounds
@@ -117,31 +119,31 @@
 	attemptOrder    []*Attempt
 	arrivals        []*Arrival
 	workers         []*Worker
-	serviceOf       map[string]string // machine to its worker's service
+	serviceOf       map[string]string // machine to the service of its worker
 	notes           []string
 	breaches        map[string]int
 	noted           map[string]bool
 	Touch           *Disturbances
 	documents       []*Document
 	configReads     []ConfigRead
-	ops             []*Op
-	holds           []*Hold
+	calls           []*Op
+	holds           []*LockHold
 	incarnations    map[string]int
-	restarts        map[string][]time.Time      // of a machine's processes, but for the first
-	readinessProbes map[string][]readinessProbe // at its node's readiness
+	restarts        map[string][]time.Time      // of a machine's processes, without their first start
+	readinessProbes map[string][]readinessProbe // of a machine's node
 	signals         []signal
-	fullestWindow   float64 // window of repeats, as a part of what is allowed
+	fullestWindow   float64 // highest ratio of retries to allowed retries in a window
 	fullestService  string
-	finalFault      [2]time.Time // the closing fault, and the return after it
+	finalFault      [2]time.Time // the start of the final fault, and the machines' return from it
 }
 
-// New makes a witness of a day that begins now.
+// New returns a recorder for a test run that begins now.
 func New(bounds Bounds) *Witness {
 	return &Witness{B: bounds, attempts: map[string]*Attempt{}, serviceOf: map[string]string{}, breaches: map[string]int{}, noted: map[string]bool{},
 		Touch: newDisturbances(bounds.Touch), incarnations: map[string]int{}, restarts: map[string][]time.Time{}, readinessProbes: map[string][]readinessProbe{}}
 }
 
-// RecordBreach counts one breach; each note is counted once.
+// RecordBreach counts one breach. A breach with the same text is counted once.
 func (w *Witness) RecordBreach(rule, format string, args ...any) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -160,7 +162,7 @@
 	}
 }
 
-// AttemptStarted writes a try down before its first byte goes out.
+// AttemptStarted records an attempt before its first byte is sent.
 func (w *Witness) AttemptStarted(attempt *Attempt) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -169,33 +171,33 @@
 	w.attemptOrder = append(w.attemptOrder, attempt)
 }
 
-// FindAttempt gives a try by its id.
+// FindAttempt returns the attempt with the given ID, or nil.
 func (w *Witness) FindAttempt(id string) *Attempt {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.attempts[id]
 }
 
-// AttemptSent notes that the last byte of a try is out.
+// AttemptSent records that the last byte of an attempt was sent.
 func (w *Witness) AttemptSent(attempt *Attempt) {
 	w.mu.Lock()
 	attempt.SentAt = time.Now()
 	w.mu.Unlock()
 }
 
-// AttemptEnded writes down what came back.
+// AttemptEnded records the outcome of an attempt.
 func (w *Witness) AttemptEnded(attempt *Attempt, answer Answer) {
 	w.mu.Lock()
 	attempt.Answer, attempt.End = answer, time.Now()
 	w.mu.Unlock()
 }
 
-// UnexpectedBytes blames bytes on a connection where nobody waits.
-func (w *Witness) UnexpectedBytes(front, what string) {
-	w.RecordBreach(Mixed, "%s: bytes with no request waiting: %.60q at %s", front, what, clockTime(time.Now()))
+// UnexpectedBytes records a breach: bytes arrived on a connection without a pending request.
+func (w *Witness) UnexpectedBytes(ingress, content string) {
+	w.RecordBreach(Mixed, "%s: bytes on a connection without a pending request: %.60q at %s", ingress, content, clockTime(time.Now()))
 }
 
-// WorkerStarted writes down a new life of a worker.
+// WorkerStarted records a new incarnation of a worker.
 func (w *Witness) WorkerStarted(worker *Worker) {
 	w.mu.Lock()
 	w.workers = append(w.workers, worker)
@@ -203,20 +205,20 @@
 	w.mu.Unlock()
 }
 
-// Serves tells which service a machine's worker is of; its nodes keep that
-// name when the worker is gone.
+// Serves records the service of a machine's worker. The machine's node keeps it as its caller
+// service after the worker is gone.
 func (w *Witness) Serves(machine, service string) {
 	w.mu.Lock()
 	w.serviceOf[machine] = service
 	w.mu.Unlock()
 }
 
-// RecordArrival writes down an arrival at a worker.
-func (w *Witness) RecordArrival(arrival *Arrival, id string) {
+// RecordArrival records an arrival at a worker.
+func (w *Witness) RecordArrival(arrival *Arrival, attemptID string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	arrival.ArrivedAt = time.Now()
-	arrival.Attempt = w.attempts[id]
+	arrival.Attempt = w.attempts[attemptID]
 	if attempt := arrival.Attempt; attempt != nil {
 		arrival.Retry = len(attempt.Arrivals) > 0 || (attempt.Parent != nil && attempt.Parent.Retry)
 		attempt.Arrivals = append(attempt.Arrivals, arrival)
@@ -224,14 +226,14 @@
 	w.arrivals = append(w.arrivals, arrival)
 }
 
-// Update alters a visit under the witness's lock.
+// Update runs a function that changes recorded data, with the lock held.
 func (w *Witness) Update(update func()) {
 	w.mu.Lock()
 	update()
 	w.mu.Unlock()
 }
 
-// Lives notes that a machine's processes started afresh.
+// Lives records that a machine's processes restarted.
 func (w *Witness) Lives(machine string) {
 	w.mu.Lock()
 	w.incarnations[machine]++
