--- a/internal/standin/checker/answers.go
+++ b/internal/standin/checker/answers.go
@@ -10,17 +10,17 @@
 
 // answeredByMesh reports whether the mesh itself produced the answer: no worker answered
 // with this status and digest.
-func (t *Attempt) answeredByMesh() bool {
-	for _, arrival := range t.Arrivals {
-		if arrival.Status == t.Answer.Status && arrival.Digest == t.Answer.Digest {
+func (a *Attempt) answeredByMesh() bool {
+	for _, arrival := range a.Arrivals {
+		if arrival.Status == a.Answer.Status && arrival.Digest == a.Answer.Digest {
 			return false
 		}
 	}
-	return t.Answer.Status != 0
+	return a.Answer.Status != 0
 }
 
-func (t *Attempt) executions() (count int) {
-	for _, arrival := range t.Arrivals {
+func (a *Attempt) executions() (count int) {
+	for _, arrival := range a.Arrivals {
 		if arrival.Executed() {
 			count++
 		}
@@ -76,8 +76,8 @@
 	}
 }
 
-func (t *Attempt) firstExecution() *Arrival {
-	for _, arrival := range t.Arrivals {
+func (a *Attempt) firstExecution() *Arrival {
+	for _, arrival := range a.Arrivals {
 		if arrival.Executed() {
 			return arrival
 		}
--- a/internal/standin/checker/attemptlimit.go
+++ b/internal/standin/checker/attemptlimit.go
@@ -21,9 +21,9 @@
 }
 
 // workersReached counts the workers that executed the attempt and did not fail.
-func (t *Attempt) workersReached() int {
+func (a *Attempt) workersReached() int {
 	workers := map[*Worker]bool{}
-	for _, arrival := range t.Arrivals {
+	for _, arrival := range a.Arrivals {
 		if arrival.Executed() && !arrival.WorkerFailed {
 			workers[arrival.Worker] = true
 		}
--- a/internal/standin/checker/attemptlimit_test.go
+++ b/internal/standin/checker/attemptlimit_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// attemptAndDenialScenarios has tries that go to too many workers, answers of the mesh's own that
-// look like a worker's, and proper requests that machines out of touch turn away.
+// attemptAndDenialScenarios has attempts that are executed by too many workers, an answer
+// whose status is not the worker's, and valid requests that disconnected machines deny.
 func attemptAndDenialScenarios() []scenarioCase {
 	onWorkers := func(attempts, workers int, broke bool) func(r *run) {
 		return func(r *run) {
@@ -33,20 +33,20 @@
 		}
 	}
 	return []scenarioCase{
-		{"tries on three workers of two", Budget, onWorkers(4, 3, false)},
-		{"few tries on three workers of two", "", onWorkers(3, 3, false)},
-		{"tries on three workers of two, one of which broke off", "", onWorkers(4, 3, true)},
-		{"tries on two workers of two", "", onWorkers(9, 2, false)},
-		{"a failure with a worker's stamp and another status", Mixed, func(r *run) {
+		{"attempts on three workers where two are allowed", Budget, onWorkers(4, 3, false)},
+		{"few attempts on three workers where two are allowed", "", onWorkers(3, 3, false)},
+		{"attempts on three workers, one of which failed", "", onWorkers(4, 3, true)},
+		{"attempts on two workers where two are allowed", "", onWorkers(9, 2, false)},
+		{"a failure with the worker's digest and another status", Mixed, func(r *run) {
 			attempt := r.try()
 			arrival := *r.exec(attempt, r.w1)
 			arrival.Status = 502
 			r.reply(attempt, &arrival)
 		}},
-		{"turned away out of touch", Denied, denied(11, 404)},
-		{"a few turned away out of touch", "", denied(5, 404)},
-		{"other failures out of touch", "", denied(20, 400)},
-		{"turned away out of touch for what one document does not allow", "", func(r *run) {
+		{"many requests denied on a disconnected machine", Denied, denied(11, 404)},
+		{"few requests denied on a disconnected machine", "", denied(5, 404)},
+		{"other failures on a disconnected machine", "", denied(20, 400)},
+		{"denied on a disconnected machine as one document requires", "", func(r *run) {
 			r.documents = append(r.documents, &Document{Number: 2, FirstSentAt: time.Now(), EndedAt: time.Now()})
 			denied(11, 404)(r)
 		}},
--- a/internal/standin/checker/breaches_test.go
+++ b/internal/standin/checker/breaches_test.go
@@ -7,8 +7,9 @@
 	"time"
 )
 
-// run is a history made by hand: two machines with a worker each, and a
-// document that sends all of h.example/a/ to one service, later to another.
+// run is a recorder of a test run whose events are made by hand. There are two machines with
+// a worker each: w1 of service s on m1, w2 of service u on m2. The first document sends all
+// requests for h.example/a/ to service s.
 type run struct {
 	*Witness
 	w1, w2   *Worker
@@ -34,64 +35,66 @@
 	return r
 }
 
-// apply sends a document and has it acknowledged.
-func (d *run) apply(number uint64, services ...string) *Document {
-	document := d.offer(number, services...)
+// apply sends a document and records its acknowledgement.
+func (r *run) apply(number uint64, services ...string) *Document {
+	document := r.offer(number, services...)
 	wait(time.Millisecond)
-	d.DocumentAcked(document, "c1")
+	r.DocumentAcked(document, "c1")
 	return document
 }
 
-func (d *run) offer(number uint64, services ...string) *Document {
+func (r *run) offer(number uint64, services ...string) *Document {
 	document := &Document{Number: number, Routes: routesTo(services...)}
-	d.DocumentSent(document)
+	r.DocumentSent(document)
 	return document
 }
 
-// try sends a try to the first machine.
-func (d *run) try() *Attempt {
-	d.sequence++
-	id := fmt.Sprint("t", d.sequence)
+// try sends an attempt to machine m1.
+func (r *run) try() *Attempt {
+	r.sequence++
+	id := fmt.Sprint("t", r.sequence)
 	attempt := &Attempt{ID: id, Request: id, Kind: "a", Ingress: "m1", Host: "h.example", Method: "GET", URI: "/a/x?q=1", Body: Body{3, 4}, Timeout: time.Second, Start: time.Now()}
-	d.AttemptStarted(attempt)
-	d.AttemptSent(attempt)
+	r.AttemptStarted(attempt)
+	r.AttemptSent(attempt)
 	return attempt
 }
 
-// exec has a worker take a try up and answer it.
-func (d *run) exec(attempt *Attempt, worker *Worker) *Arrival {
-	arrival := &Arrival{Worker: worker, Method: attempt.Method, URI: attempt.URI, Body: attempt.Body, CallerService: d.serviceOf[attempt.Ingress], Timeout: attempt.Timeout - time.Since(attempt.Start)}
-	d.RecordArrival(arrival, attempt.ID)
+// exec has a worker execute an attempt in 10 ms.
+func (r *run) exec(attempt *Attempt, worker *Worker) *Arrival {
+	arrival := &Arrival{Worker: worker, Method: attempt.Method, URI: attempt.URI, Body: attempt.Body, CallerService: r.serviceOf[attempt.Ingress], Timeout: attempt.Timeout - time.Since(attempt.Start)}
+	r.RecordArrival(arrival, attempt.ID)
 	arrival.Start = time.Now()
 	wait(10 * time.Millisecond)
-	d.sequence++
-	arrival.Status, arrival.Digest, arrival.AnswerBody, arrival.End = 200, fmt.Sprint("stamp", d.sequence), Body{10, uint64(d.sequence)}, time.Now()
+	r.sequence++
+	arrival.Status, arrival.Digest, arrival.AnswerBody, arrival.End = 200, fmt.Sprint("stamp", r.sequence), Body{10, uint64(r.sequence)}, time.Now()
 	return arrival
 }
 
-// reply brings a worker's answer to the client.
-func (d *run) reply(attempt *Attempt, arrival *Arrival) {
+// reply delivers a worker's answer to the client.
+func (r *run) reply(attempt *Attempt, arrival *Arrival) {
 	wait(time.Millisecond)
-	d.AttemptEnded(attempt, Answer{Status: arrival.Status, ID: attempt.ID, Digest: arrival.Digest, Body: arrival.AnswerBody, Complete: true, RequestRead: true})
+	r.AttemptEnded(attempt, Answer{Status: arrival.Status, ID: attempt.ID, Digest: arrival.Digest, Body: arrival.AnswerBody, Complete: true, RequestRead: true})
 }
 
-func (d *run) serve() (*Attempt, *Arrival) {
-	attempt := d.try()
-	arrival := d.exec(attempt, d.w1)
-	d.reply(attempt, arrival)
+// serve sends an attempt that w1 executes and answers.
+func (r *run) serve() (*Attempt, *Arrival) {
+	attempt := r.try()
+	arrival := r.exec(attempt, r.w1)
+	r.reply(attempt, arrival)
 	return attempt, arrival
 }
 
-func (d *run) fail(attempt *Attempt, code int) {
+// fail has the mesh itself answer an attempt.
+func (r *run) fail(attempt *Attempt, code int) {
 	wait(time.Millisecond)
-	d.AttemptEnded(attempt, Answer{Status: code, Complete: true, RequestRead: true})
+	r.AttemptEnded(attempt, Answer{Status: code, Complete: true, RequestRead: true})
 }
 
-// cut ends a try's connection without an answer.
-func (d *run) cut(attempt *Attempt) { d.AttemptEnded(attempt, Answer{RequestRead: true}) }
+// cut ends an attempt's connection without an answer.
+func (r *run) cut(attempt *Attempt) { r.AttemptEnded(attempt, Answer{RequestRead: true}) }
 
 type scenarioCase struct {
-	name, rule string // no rule: nothing may be blamed
+	name, rule string // rule is empty if no breach may be recorded
 	act        func(*run)
 }
 
@@ -106,19 +109,19 @@
 				breaches, notes := r.Verdict()
 				for rule, n := range breaches {
 					if rule != testCase.rule {
-						t.Errorf("blamed besides: %d × %s %v", n, rule, notes)
+						t.Errorf("unexpected breaches: %d of %s: %v", n, rule, notes)
 					}
 				}
 				if testCase.rule != "" && breaches[testCase.rule] == 0 {
-					t.Errorf("not caught: %s (%v)", testCase.rule, notes)
+					t.Errorf("breach of %s was not detected: %v", testCase.rule, notes)
 				}
 			})
 		})
 	}
 }
 
-// TestBreaches: each breach of each rule is caught, what looks like one is not
-// blamed, and no rule is without a breach here.
+// TestBreaches checks that the breaches of each rule are detected, and that allowed behavior
+// close to them is not counted as a breach. Every rule must have a scenario that breaks it.
 func TestBreaches(t *testing.T) {
 	caught := map[string]bool{}
 	for _, cases := range [][]scenarioCase{answerScenarios(), documentScenarios(), leavingScenarios(), ownerEndingScenarios(), readinessScenarios(), attemptAndDenialScenarios(), splitScenarios(), reusedConnScenarios(), timeoutScenarios(), callerGoneScenarios(), coordinationScenarios(), budgetScenarios()} {
@@ -129,41 +132,41 @@
 	}
 	for _, rule := range Rules {
 		if !caught[rule] {
-			t.Errorf("no breach of %s is seeded", rule)
+			t.Errorf("no scenario breaks %s", rule)
 		}
 	}
 }
 
-// answerScenarios breaks what is promised of answers and runs.
+// answerScenarios breaks the guarantees for answers and executions; the cases without a rule stay just within them.
 func answerScenarios() []scenarioCase {
 	return []scenarioCase{
-		{"a clean day", "", func(r *run) { r.serve() }},
-		{"no stamp", Mixed, func(r *run) { t, v := r.try(), (*Arrival)(nil); v = r.exec(t, r.w1); v.Digest = ""; r.reply(t, v) }},
-		{"half a body that looks whole", Mixed, func(r *run) {
+		{"no fault", "", func(r *run) { r.serve() }},
+		{"a success without a response digest", Mixed, func(r *run) { t, v := r.try(), (*Arrival)(nil); v = r.exec(t, r.w1); v.Digest = ""; r.reply(t, v) }},
+		{"half a body in an answer that looks complete", Mixed, func(r *run) {
 			t := r.try()
 			v := *r.exec(t, r.w1)
 			v.AnswerBody.Size = 5
 			r.reply(t, &v)
 		}},
-		{"half a body that is seen to be cut", "", func(r *run) {
+		{"half a body in an answer that is visibly cut off", "", func(r *run) {
 			t := r.try()
 			v := r.exec(t, r.w1)
 			v.WorkerFailed = true
 			r.AttemptEnded(t, Answer{Status: 200, ID: t.ID, Digest: v.Digest, Body: Body{5, 5}, RequestRead: true})
 		}},
-		{"another's answer", Mixed, func(r *run) {
+		{"the answer to another attempt", Mixed, func(r *run) {
 			_, v := r.serve()
 			t := r.try()
 			r.exec(t, r.w1)
 			r.AttemptEnded(t, Answer{Status: 500, ID: v.Attempt.ID, Complete: true})
 		}},
-		{"another's stamp", Mixed, func(r *run) {
+		{"the response digest of another attempt", Mixed, func(r *run) {
 			_, v := r.serve()
 			t := r.try()
 			r.exec(t, r.w1)
 			r.reply(t, v)
 		}},
-		{"success of a failure", Mixed, func(r *run) {
+		{"a success although the worker failed", Mixed, func(r *run) {
 			t := r.try()
 			v := r.exec(t, r.w1)
 			unchanged := *v
@@ -171,64 +174,64 @@
 			r.reply(t, &unchanged)
 		}},
 		{"no answer in the protocol", Mixed, func(r *run) { r.AttemptEnded(r.try(), Answer{Malformed: true}) }},
-		{"the worker's own bytes that are no answer", "", func(r *run) {
+		{"a malformed answer that the worker sent", "", func(r *run) {
 			t := r.try()
 			v := r.exec(t, r.w1)
 			v.WorkerFailed, v.Status, v.Digest = true, 0, ""
 			r.AttemptEnded(t, Answer{Malformed: true})
 		}},
-		{"bytes for nobody", Mixed, func(r *run) { r.UnexpectedBytes("m1", "HTTP/1.1 200 OK") }},
-		{"sent by nobody", Unasked, func(r *run) {
+		{"bytes without a pending request", Mixed, func(r *run) { r.UnexpectedBytes("m1", "HTTP/1.1 200 OK") }},
+		{"a request that no client sent", Unasked, func(r *run) {
 			v := &Arrival{Worker: r.w1, Method: "GET", URI: "/a/x", CallerService: "s"}
 			r.RecordArrival(v, "unknown")
 			v.Start = time.Now()
 		}},
-		{"changed on its way", Unasked, func(r *run) {
+		{"a request with an altered URI", Unasked, func(r *run) {
 			t := r.try()
 			v := r.exec(t, r.w1)
 			v.URI = "/a/x"
 			r.reply(t, v)
 		}},
-		{"another body", Unasked, func(r *run) {
+		{"a request with an altered body", Unasked, func(r *run) {
 			t := r.try()
 			v := r.exec(t, r.w1)
 			v.Body = Body{3, 5}
 			r.reply(t, v)
 		}},
-		{"a forged caller", Unasked, func(r *run) {
+		{"a forged caller service", Unasked, func(r *run) {
 			t := r.try()
 			v := r.exec(t, r.w1)
 			v.CallerService = "u"
 			r.reply(t, v)
 		}},
 		{"twice", Twice, func(r *run) { t := r.try(); r.exec(t, r.w1); r.reply(t, r.exec(t, r.w1)) }},
-		{"twice, of what may be", "", func(r *run) { t := r.try(); t.Retryable = true; r.exec(t, r.w1); r.reply(t, r.exec(t, r.w1)) }},
-		{"declined, then run", "", func(r *run) {
+		{"executed twice, but retryable", "", func(r *run) { t := r.try(); t.Retryable = true; r.exec(t, r.w1); r.reply(t, r.exec(t, r.w1)) }},
+		{"declined, then executed", "", func(r *run) {
 			t := r.try()
 			v := &Arrival{Worker: r.w1, DeclinedStatus: 503, Status: 503}
 			r.RecordArrival(v, t.ID)
 			r.reply(t, r.exec(t, r.w1))
 		}},
-		{"refused and ran before", Refused, func(r *run) { t := r.try(); r.exec(t, r.w1); r.fail(t, 503) }},
-		{"refused and ran later", Refused, func(r *run) { t := r.try(); r.fail(t, 429); wait(time.Second); r.exec(t, r.w1) }},
-		{"refused unrun", "", func(r *run) { r.fail(r.try(), 503) }},
+		{"reported as not executed after its execution", Refused, func(r *run) { t := r.try(); r.exec(t, r.w1); r.fail(t, 503) }},
+		{"reported as not executed before its execution", Refused, func(r *run) { t := r.try(); r.fail(t, 429); wait(time.Second); r.exec(t, r.w1) }},
+		{"reported as not executed and never executed", "", func(r *run) { r.fail(r.try(), 503) }},
 		{"denied", Denied, func(r *run) {
 			for range 7 {
 				r.fail(r.try(), 400)
 			}
 		}},
-		{"denied now and then", "", func(r *run) {
+		{"few valid requests denied", "", func(r *run) {
 			for range 5 {
 				r.fail(r.try(), 400)
 			}
 		}},
-		{"denied out of touch", "", func(r *run) {
+		{"requests denied on a disconnected machine", "", func(r *run) {
 			end := r.Touch.Begin("m1", "cut")
 			for range 9 {
 				r.fail(r.try(), 400)
 			}
 			end()
 		}},
-		{"a service that was never allowed", Route, func(r *run) { t := r.try(); r.reply(t, r.exec(t, r.w2)) }},
+		{"executed by a service that was never allowed", Route, func(r *run) { t := r.try(); r.reply(t, r.exec(t, r.w2)) }},
 	}
 }
--- a/internal/standin/checker/callergone.go
+++ b/internal/standin/checker/callergone.go
@@ -7,7 +7,7 @@
 const callerGoneBound = 500 * time.Millisecond
 
 // callerLeft reports whether the client closed its connection while it waited.
-func (t *Attempt) callerLeft() bool { return t.Answer.ClientClosed && !t.End.IsZero() }
+func (a *Attempt) callerLeft() bool { return a.Answer.ClientClosed && !a.End.IsZero() }
 
 // checkCallersGone checks that later than callerGoneBound after a caller left, its request
 // reaches no worker, and no worker goes on executing it if it may be retried (GONE).
--- a/internal/standin/checker/callergone_test.go
+++ b/internal/standin/checker/callergone_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// TestServedCountsEarlyLeavers: nothing is owed to a client that leaves early, unless it was served.
+// TestServedCountsEarlyLeavers checks that a client that leaves early need not be served, and
+// counts if it was.
 func TestServedCountsEarlyLeavers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newRun()
@@ -23,8 +24,8 @@
 	})
 }
 
-// callerGoneScenarios breaks what is promised of callers that leave: what reaches a worker late for a caller that left, and what may be
-// repeated and runs on for one, is blamed; what ends in time is not.
+// callerGoneScenarios has callers that leave. Requests that reach a worker late after that,
+// and retryable ones that go on executing, are breaches; those that end in time are not.
 func callerGoneScenarios() []scenarioCase {
 	startAttempt := func(r *run, retryable bool) *Attempt {
 		t := r.try()
@@ -41,18 +42,18 @@
 		return t, v
 	}
 	return []scenarioCase{
-		{"runs on", Gone, func(r *run) { atWork(r, true); wait(time.Second) }},
-		{"runs on, but is not to be repeated", "", func(r *run) { atWork(r, false); wait(time.Second) }},
-		{"ends in time", "", func(r *run) { _, v := atWork(r, true); wait(400 * time.Millisecond); v.End = time.Now() }},
-		{"ends late", Gone, func(r *run) { _, v := atWork(r, true); wait(600 * time.Millisecond); v.End = time.Now() }},
-		{"runs on, its machine out of touch", "", func(r *run) { r.Touch.Begin("m1", "frozen"); atWork(r, true); wait(time.Second) }},
-		{"reaches a worker late", Gone, func(r *run) {
+		{"execution continues", Gone, func(r *run) { atWork(r, true); wait(time.Second) }},
+		{"execution continues, but must not be retried", "", func(r *run) { atWork(r, false); wait(time.Second) }},
+		{"execution ends in time", "", func(r *run) { _, v := atWork(r, true); wait(400 * time.Millisecond); v.End = time.Now() }},
+		{"execution ends late", Gone, func(r *run) { _, v := atWork(r, true); wait(600 * time.Millisecond); v.End = time.Now() }},
+		{"execution continues on a disconnected machine", "", func(r *run) { r.Touch.Begin("m1", "frozen"); atWork(r, true); wait(time.Second) }},
+		{"the request reaches a worker late", Gone, func(r *run) {
 			t := startAttempt(r, false)
 			leave(r, t)
 			wait(600 * time.Millisecond)
 			r.exec(t, r.w1)
 		}},
-		{"reaches a worker soon", "", func(r *run) {
+		{"the request reaches a worker soon", "", func(r *run) {
 			t := startAttempt(r, true)
 			leave(r, t)
 			wait(300 * time.Millisecond)
--- a/internal/standin/checker/disturbances.go
+++ b/internal/standin/checker/disturbances.go
@@ -12,8 +12,8 @@
 	Kind     string
 }
 
-func (s *Disturbance) overlaps(from, to time.Time) bool {
-	return !s.From.After(to) && (s.To.IsZero() || !s.To.Before(from))
+func (d *Disturbance) overlaps(from, to time.Time) bool {
+	return !d.From.After(to) && (d.To.IsZero() || !d.To.Before(from))
 }
 
 // Disturbances records all disturbances of a test run, and thereby which machines were
@@ -34,16 +34,16 @@
 }
 
 // Begin records the start of a disturbance of a machine. The returned function ends it.
-func (t *Disturbances) Begin(machine, kind string) func() {
-	t.mu.Lock()
-	defer t.mu.Unlock()
+func (d *Disturbances) Begin(machine, kind string) func() {
+	d.mu.Lock()
+	defer d.mu.Unlock()
 	disturbance := &Disturbance{From: time.Now(), Kind: kind}
-	t.byMachine[machine] = append(t.byMachine[machine], disturbance)
+	d.byMachine[machine] = append(d.byMachine[machine], disturbance)
 	if kind == Slowed {
-		t.slowedMachines[machine] = append(t.slowedMachines[machine], disturbance)
+		d.slowedMachines[machine] = append(d.slowedMachines[machine], disturbance)
 	}
-	t.all = append(t.all, disturbance)
-	return t.endFunc(disturbance)
+	d.all = append(d.all, disturbance)
+	return d.endFunc(disturbance)
 }
 
 // Slowed is the kind of a disturbance in which a machine runs, but slowly.
@@ -53,39 +53,39 @@
 // period calm, but the machine does not count as connected during them.
 const Planned = "planned "
 
-func (t *Disturbances) endFunc(disturbance *Disturbance) func() {
+func (d *Disturbances) endFunc(disturbance *Disturbance) func() {
 	return func() {
-		t.mu.Lock()
+		d.mu.Lock()
 		if disturbance.To.IsZero() {
 			disturbance.To = time.Now()
 		}
-		t.mu.Unlock()
+		d.mu.Unlock()
 	}
 }
 
 // Core records an instant that unsettles the control plane.
-func (t *Disturbances) Core(kind string) { t.CoreWhile(kind)() }
+func (d *Disturbances) Core(kind string) { d.CoreWhile(kind)() }
 
 // CoreWhile records the start of a period in which the control plane is unsettled. The
 // returned function ends it.
-func (t *Disturbances) CoreWhile(kind string) func() {
-	t.mu.Lock()
-	defer t.mu.Unlock()
+func (d *Disturbances) CoreWhile(kind string) func() {
+	d.mu.Lock()
+	defer d.mu.Unlock()
 	disturbance := &Disturbance{From: time.Now(), Kind: kind}
-	t.controlPlane = append(t.controlPlane, disturbance)
-	t.all = append(t.all, disturbance)
-	return t.endFunc(disturbance)
+	d.controlPlane = append(d.controlPlane, disturbance)
+	d.all = append(d.all, disturbance)
+	return d.endFunc(disturbance)
 }
 
 // Minority records the start of a period in which no undisturbed majority of the control
 // plane is connected. The returned function ends it.
-func (t *Disturbances) Minority() func() {
-	t.mu.Lock()
-	defer t.mu.Unlock()
+func (d *Disturbances) Minority() func() {
+	d.mu.Lock()
+	defer d.mu.Unlock()
 	disturbance := &Disturbance{From: time.Now(), Kind: "no majority"}
-	t.noMajority = append(t.noMajority, disturbance)
-	t.controlPlane = append(t.controlPlane, disturbance)
-	return t.endFunc(disturbance)
+	d.noMajority = append(d.noMajority, disturbance)
+	d.controlPlane = append(d.controlPlane, disturbance)
+	return d.endFunc(disturbance)
 }
 
 func anyOverlaps(disturbances []*Disturbance, from, to time.Time) bool {
@@ -98,39 +98,39 @@
 }
 
 // ConnectedAt reports whether a machine was connected at the given time.
-func (t *Disturbances) ConnectedAt(machine string, at time.Time) bool {
-	return t.connected(machine, at, at)
+func (d *Disturbances) ConnectedAt(machine string, at time.Time) bool {
+	return d.connected(machine, at, at)
 }
 
 // connected reports whether a machine was connected for the whole period.
-func (t *Disturbances) connected(machine string, from, to time.Time) bool {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	from = from.Add(-t.bound)
-	return !anyOverlaps(t.byMachine[machine], from, to) && !anyOverlaps(t.controlPlane, from, to)
+func (d *Disturbances) connected(machine string, from, to time.Time) bool {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	from = from.Add(-d.bound)
+	return !anyOverlaps(d.byMachine[machine], from, to) && !anyOverlaps(d.controlPlane, from, to)
 }
 
 // undisturbed reports whether a machine itself was undisturbed for the whole period while a
 // majority of the control plane was available, even if the control plane was unsettled.
-func (t *Disturbances) undisturbed(machine string, from, to time.Time) bool {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	from = from.Add(-t.bound)
-	return !anyOverlaps(t.byMachine[machine], from, to) && !anyOverlaps(t.noMajority, from, to)
+func (d *Disturbances) undisturbed(machine string, from, to time.Time) bool {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	from = from.Add(-d.bound)
+	return !anyOverlaps(d.byMachine[machine], from, to) && !anyOverlaps(d.noMajority, from, to)
 }
 
 // slowed reports whether a machine was slowed during part of the period.
-func (t *Disturbances) slowed(machine string, from, to time.Time) bool {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	return anyOverlaps(t.slowedMachines[machine], from, to)
+func (d *Disturbances) slowed(machine string, from, to time.Time) bool {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return anyOverlaps(d.slowedMachines[machine], from, to)
 }
 
 // calm reports whether there was no unplanned disturbance anywhere during the period.
-func (t *Disturbances) calm(from, to time.Time) bool {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	for _, disturbance := range t.all {
+func (d *Disturbances) calm(from, to time.Time) bool {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	for _, disturbance := range d.all {
 		if (len(disturbance.Kind) < len(Planned) || disturbance.Kind[:len(Planned)] != Planned) && disturbance.overlaps(from, to) {
 			return false
 		}
@@ -139,20 +139,20 @@
 }
 
 // controlPlaneSettled reports whether the control plane was settled for the whole period.
-func (t *Disturbances) controlPlaneSettled(from, to time.Time) bool {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	return !anyOverlaps(t.controlPlane, from.Add(-t.bound), to)
+func (d *Disturbances) controlPlaneSettled(from, to time.Time) bool {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return !anyOverlaps(d.controlPlane, from.Add(-d.bound), to)
 }
 
 // calmStarts lists the times in the period at which a calm stretch may begin: its start, and
 // the end of each disturbance plus the bound.
-func (t *Disturbances) calmStarts(from, to time.Time) []time.Time {
-	t.mu.Lock()
-	defer t.mu.Unlock()
+func (d *Disturbances) calmStarts(from, to time.Time) []time.Time {
+	d.mu.Lock()
+	defer d.mu.Unlock()
 	starts := []time.Time{from}
-	for _, disturbance := range t.all {
-		if at := disturbance.To.Add(t.bound + 1); !disturbance.To.IsZero() && at.After(from) && at.Before(to) {
+	for _, disturbance := range d.all {
+		if at := disturbance.To.Add(d.bound + 1); !disturbance.To.IsZero() && at.After(from) && at.Before(to) {
 			starts = append(starts, at)
 		}
 	}
--- a/internal/standin/checker/documents_test.go
+++ b/internal/standin/checker/documents_test.go
@@ -5,21 +5,21 @@
 	"time"
 )
 
-// documentScenarios breaks what is promised of documents.
+// documentScenarios breaks the guarantees for documents; the cases without a rule stay just within them.
 func documentScenarios() []scenarioCase {
 	executeOld := func(r *run) { r.exec(r.try(), r.w1) }
 	return []scenarioCase{
-		{"an old document after the bound", Config, func(r *run) { r.apply(2, "u"); wait(2100 * time.Millisecond); executeOld(r) }},
-		{"an old document within the bound", "", func(r *run) { r.apply(2, "u"); wait(1900 * time.Millisecond); executeOld(r) }},
-		{"an old document, unsettled core", "", func(r *run) { r.apply(2, "u"); wait(5 * time.Second); r.Touch.Core("kill"); executeOld(r) }},
-		{"an old document, unsettled core, longer than that allows", Config, func(r *run) {
+		{"an outdated document after the bound", Config, func(r *run) { r.apply(2, "u"); wait(2100 * time.Millisecond); executeOld(r) }},
+		{"an outdated document within the bound", "", func(r *run) { r.apply(2, "u"); wait(1900 * time.Millisecond); executeOld(r) }},
+		{"an outdated document while the control plane is unsettled", "", func(r *run) { r.apply(2, "u"); wait(5 * time.Second); r.Touch.Core("kill"); executeOld(r) }},
+		{"an outdated document after the extended bound", Config, func(r *run) {
 			r.apply(2, "u")
 			wait(8 * time.Second)
 			r.Touch.Core("kill")
 			executeOld(r)
 		}},
-		{"an old document, no majority", "", func(r *run) { r.apply(2, "u"); defer r.Touch.Minority()(); wait(9 * time.Second); executeOld(r) }},
-		{"an old document out of touch", "", func(r *run) {
+		{"an outdated document without a majority", "", func(r *run) { r.apply(2, "u"); defer r.Touch.Minority()(); wait(9 * time.Second); executeOld(r) }},
+		{"an outdated document on a disconnected machine", "", func(r *run) {
 			r.apply(2, "u")
 			end := r.Touch.Begin("m1", "cut")
 			wait(9 * time.Second)
@@ -27,82 +27,82 @@
 			wait(2 * time.Second)
 			executeOld(r)
 		}},
-		{"a new document without an answer", "", func(r *run) {
+		{"either document while the newer one is unacknowledged", "", func(r *run) {
 			r.offer(2, "u")
 			wait(9 * time.Second)
 			executeOld(r)
 			r.exec(r.try(), r.w2)
 			r.documents[1].EndedAt = r.documents[1].FirstSentAt
 		}},
-		{"404 though the path is there", Config, func(r *run) { wait(time.Second); r.fail(r.try(), 404) }},
-		{"a dropped path is run", Config, func(r *run) {
+		{"404 although the route exists", Config, func(r *run) { wait(time.Second); r.fail(r.try(), 404) }},
+		{"executed by a route that was removed", Config, func(r *run) {
 			document := r.offer(2)
 			document.Routes = nil
 			r.DocumentAcked(document, "c1")
 			wait(3 * time.Second)
 			executeOld(r)
 		}},
-		{"a step back", Config, func(r *run) {
+		{"a step back to an older document", Config, func(r *run) {
 			r.apply(2, "u")
 			r.exec(r.try(), r.w2)
 			wait(300 * time.Millisecond)
 			executeOld(r)
 		}},
 		{"a step back within the slack", "", func(r *run) { r.apply(2, "u"); r.exec(r.try(), r.w2); wait(200 * time.Millisecond); executeOld(r) }},
-		{"a step back while slowed", "", func(r *run) {
+		{"a step back on a slowed machine", "", func(r *run) {
 			defer r.Touch.Begin("m1", Slowed)()
 			r.apply(2, "u")
 			r.exec(r.try(), r.w2)
 			wait(time.Second)
 			executeOld(r)
 		}},
-		{"a step back in another life", "", func(r *run) {
+		{"a step back after a restart", "", func(r *run) {
 			r.apply(2, "u")
 			r.exec(r.try(), r.w2)
 			r.Lives("m1")
 			wait(300 * time.Millisecond)
 			executeOld(r)
 		}},
-		{"a broken one acknowledged", Config, func(r *run) {
+		{"an invalid document is acknowledged", Config, func(r *run) {
 			document := r.offer(2)
 			document.Defect = "cut short"
 			r.DocumentAcked(document, "c1")
 		}},
-		{"a broken one acted on", Config, func(r *run) {
+		{"an invalid document is acted on", Config, func(r *run) {
 			document := r.offer(2, "u")
 			document.Defect, document.RejectedAt = "zero tries", time.Now()
 			r.exec(r.try(), r.w2)
 		}},
-		{"read back old", Config, func(r *run) {
+		{"an outdated document is read back", Config, func(r *run) {
 			r.apply(2, "s")
 			wait(1)
 			r.RecordConfigRead(ConfigRead{SentAt: time.Now(), Number: 1, Unchanged: true, Answered: true})
 		}},
-		{"read back other", Config, func(r *run) { r.RecordConfigRead(ConfigRead{SentAt: time.Now(), Number: 1, Answered: true}) }},
-		{"not read back", Config, func(r *run) { r.RecordConfigRead(ConfigRead{SentAt: time.Now(), Final: true}) }},
-		{"read back old after the fault", Lost, func(r *run) {
+		{"a changed document is read back", Config, func(r *run) { r.RecordConfigRead(ConfigRead{SentAt: time.Now(), Number: 1, Answered: true}) }},
+		{"no document is read back", Config, func(r *run) { r.RecordConfigRead(ConfigRead{SentAt: time.Now(), Final: true}) }},
+		{"an outdated document is read back after the final fault", Lost, func(r *run) {
 			r.apply(2, "s")
 			r.Closing()
 			wait(1)
 			r.RecordConfigRead(ConfigRead{SentAt: time.Now(), Number: 1, Unchanged: true, Answered: true})
 		}},
-		{"read back as it is", "", func(r *run) {
+		{"the same document is read back", "", func(r *run) {
 			r.RecordConfigRead(ConfigRead{SentAt: time.Now(), Number: 1, Unchanged: true, Answered: true, Final: true})
 		}},
-		{"no acknowledgement", Acks, func(r *run) { r.offer(2, "s"); wait(5 * time.Second) }},
-		{"no acknowledgement in trouble", "", func(r *run) {
+		{"a document is not acknowledged", Acks, func(r *run) { r.offer(2, "s"); wait(5 * time.Second) }},
+		{"a document is not acknowledged during a disturbance", "", func(r *run) {
 			defer r.Touch.Begin("m2", "cut")()
 			r.offer(2, "s")
 			wait(9 * time.Second)
 			r.documents[1].EndedAt = time.Now()
 		}},
-		{"no acknowledgement after trouble", Acks, func(r *run) {
+		{"a document is not acknowledged after a disturbance", Acks, func(r *run) {
 			r.offer(2, "s")
 			wait(time.Second)
 			r.Touch.Core("kill")
 			wait(9 * time.Second)
 		}},
-		{"added paths unserved", Config, func(r *run) {
+		{"routes that were added later are not served", Config, func(r *run) {
 			document := &Document{Number: 2, Routes: routesTo("s")}
 			for i := range 25 {
 				document.Routes = append(document.Routes, RouteSpec{Host: "h.example", Prefix: fmt.Sprintf("/b%d/", i), Weights: map[string]int{"s": 1}})
@@ -120,9 +120,9 @@
 	}
 }
 
-// setTimeouts gives the paths of all documents a time.
-func (d *run) setTimeouts(timeout time.Duration) {
-	for _, document := range d.documents {
+// setTimeouts sets the timeout of the routes of all documents.
+func (r *run) setTimeouts(timeout time.Duration) {
+	for _, document := range r.documents {
 		for i := range document.Routes {
 			document.Routes[i].Timeout = timeout
 		}
--- a/internal/standin/checker/leaving.go
+++ b/internal/standin/checker/leaving.go
@@ -208,19 +208,19 @@
 
 // abandonedExecution returns an execution that ended without an answer before the attempt did,
 // not because of its worker, or else the one in progress when the attempt ended.
-func (t *Attempt) abandonedExecution() *Arrival {
-	for _, arrival := range t.Arrivals {
-		if arrival.Executed() && !arrival.WorkerFailed && arrival.Status == 0 && !arrival.End.IsZero() && arrival.End.Before(t.End) {
+func (a *Attempt) abandonedExecution() *Arrival {
+	for _, arrival := range a.Arrivals {
+		if arrival.Executed() && !arrival.WorkerFailed && arrival.Status == 0 && !arrival.End.IsZero() && arrival.End.Before(a.End) {
 			return arrival
 		}
 	}
-	return t.executionInProgress()
+	return a.executionInProgress()
 }
 
 // executionInProgress returns an execution that was in progress when the attempt ended.
-func (t *Attempt) executionInProgress() *Arrival {
-	for _, arrival := range t.Arrivals {
-		if arrival.Executed() && !arrival.WorkerFailed && arrival.Start.Before(t.End) && (arrival.End.IsZero() || arrival.End.After(t.End)) {
+func (a *Attempt) executionInProgress() *Arrival {
+	for _, arrival := range a.Arrivals {
+		if arrival.Executed() && !arrival.WorkerFailed && arrival.Start.Before(a.End) && (arrival.End.IsZero() || arrival.End.After(a.End)) {
 			return arrival
 		}
 	}
--- a/internal/standin/checker/leaving_test.go
+++ b/internal/standin/checker/leaving_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// leavingScenarios has what reaches a worker that left and what planned work breaks off,
-// beside what others broke off.
+// leavingScenarios has requests that reach a worker that left, and requests that planned work
+// cuts off, as opposed to those cut off by a worker, a deadline or a disturbance.
 func leavingScenarios() []scenarioCase {
 	sentAfterLeave := func(r *run, node string) {
 		r.LeaveSent(r.w1)
@@ -34,8 +34,8 @@
 			r.fail(t, 504)
 		}}
 	}
-	// sentAt has a request sent at a time after the order, which ends with an answer of
-	// the mesh's own in the last sixth of the grace.
+	// meshAnswerSentAt sends a request the given time after the stop signal. The mesh itself
+	// answers it in the last sixth of the grace period.
 	meshAnswerSentAt := func(name, rule string, after time.Duration) scenarioCase {
 		return scenarioCase{name, rule, func(r *run) {
 			r.Term("m1")
@@ -47,39 +47,39 @@
 		}}
 	}
 	return []scenarioCase{
-		{"sent after the bound", Drain, func(r *run) { sentAfterLeave(r, "m1") }},
-		{"sent after the bound, unsettled", "", func(r *run) { r.Touch.Core("kill"); sentAfterLeave(r, "m1") }},
-		{"sent after the bound, acknowledged by one out of touch", Drain, func(r *run) { r.Touch.Begin("m2", "killed")(); sentAfterLeave(r, "m2") }},
-		{"sent within the bound", "", func(r *run) { r.LeaveSent(r.w1); r.LeaveAcked(r.w1, "m1"); wait(time.Second); r.serve() }},
-		{"cut off at work", Lost, cutAt(10*time.Millisecond, execute)},
-		{"cut off unsent, late", Lost, cutAt(300*time.Millisecond, func(*run, *Attempt) {})},
-		{"cut off unsent, soon", "", cutAt(100*time.Millisecond, func(*run, *Attempt) {})},
-		{"the worker broke off", "", cutAt(10*time.Millisecond, func(r *run, t *Attempt) { execute(r, t); t.Arrivals[0].WorkerFailed = true })},
-		{"the deadline was reached", "", cutAt(2*time.Second, execute)},
-		{"cut off in trouble", "", cutAt(10*time.Millisecond, func(r *run, t *Attempt) { execute(r, t); r.Touch.Core("kill") })},
-		{"an own answer in the worker's place", Lost, func(r *run) {
+		{"sent to a worker after the leave bound", Drain, func(r *run) { sentAfterLeave(r, "m1") }},
+		{"sent after the leave bound, control plane unsettled", "", func(r *run) { r.Touch.Core("kill"); sentAfterLeave(r, "m1") }},
+		{"sent after the leave bound, acknowledged by a disconnected node", Drain, func(r *run) { r.Touch.Begin("m2", "killed")(); sentAfterLeave(r, "m2") }},
+		{"sent within the leave bound", "", func(r *run) { r.LeaveSent(r.w1); r.LeaveAcked(r.w1, "m1"); wait(time.Second); r.serve() }},
+		{"cut off during execution", Lost, cutAt(10*time.Millisecond, execute)},
+		{"cut off unforwarded, late", Lost, cutAt(300*time.Millisecond, func(*run, *Attempt) {})},
+		{"cut off unforwarded, soon", "", cutAt(100*time.Millisecond, func(*run, *Attempt) {})},
+		{"cut off by the worker", "", cutAt(10*time.Millisecond, func(r *run, t *Attempt) { execute(r, t); t.Arrivals[0].WorkerFailed = true })},
+		{"cut off at the deadline", "", cutAt(2*time.Second, execute)},
+		{"cut off during a disturbance", "", cutAt(10*time.Millisecond, func(r *run, t *Attempt) { execute(r, t); r.Touch.Core("kill") })},
+		{"a mesh answer during execution", Lost, func(r *run) {
 			t := r.try()
 			r.Term("m1")
 			v := r.exec(t, r.w1)
 			v.End = time.Time{}
 			r.fail(t, 502)
 		}},
-		meshAnswerAt("an own answer in the first half of the grace", Lost, 2900*time.Millisecond),
-		meshAnswerAt("an own answer in the second half, the worker at work", Lost, 3100*time.Millisecond),
-		meshAnswerAt("an own answer right before the last sixth, the worker at work", Lost, 4900*time.Millisecond),
-		meshAnswerAt("an own answer in the last sixth, the worker at work", "", 5100*time.Millisecond),
-		{"cut off in the first half of the grace", Lost, cutAt(2900*time.Millisecond, executeLong)},
-		{"cut off in the second half, the worker at work", Lost, cutAt(3100*time.Millisecond, executeLong)},
-		{"cut off right before the last sixth, the worker at work", Lost, cutAt(4900*time.Millisecond, executeLong)},
-		{"cut off in the last sixth, the worker at work", "", cutAt(5100*time.Millisecond, executeLong)},
-		{"cut off in the last sixth, the worker done before", Lost, cutAt(5100*time.Millisecond, func(r *run, t *Attempt) {
+		meshAnswerAt("a mesh answer in the first half of the grace period", Lost, 2900*time.Millisecond),
+		meshAnswerAt("a mesh answer in the second half, still executing", Lost, 3100*time.Millisecond),
+		meshAnswerAt("a mesh answer right before the last sixth, still executing", Lost, 4900*time.Millisecond),
+		meshAnswerAt("a mesh answer in the last sixth, still executing", "", 5100*time.Millisecond),
+		{"cut off in the first half of the grace period", Lost, cutAt(2900*time.Millisecond, executeLong)},
+		{"cut off in the second half, still executing", Lost, cutAt(3100*time.Millisecond, executeLong)},
+		{"cut off right before the last sixth, still executing", Lost, cutAt(4900*time.Millisecond, executeLong)},
+		{"cut off in the last sixth, still executing", "", cutAt(5100*time.Millisecond, executeLong)},
+		{"cut off in the last sixth, executed before", Lost, cutAt(5100*time.Millisecond, func(r *run, t *Attempt) {
 			r.setTimeouts(10 * time.Second)
 			t.Timeout = 10 * time.Second
 			r.exec(t, r.w1)
 		})},
-		meshAnswerSentAt("sent early in the stop, the worker at work in the last sixth", "", 2900*time.Millisecond),
-		meshAnswerSentAt("sent late in the stop, the worker at work in the last sixth", Lost, 3100*time.Millisecond),
-		{"an own answer after a run that was broken off", Lost, func(r *run) {
+		meshAnswerSentAt("sent early in the grace period, still executing in the last sixth", "", 2900*time.Millisecond),
+		meshAnswerSentAt("sent late in the grace period, still executing in the last sixth", Lost, 3100*time.Millisecond),
+		{"a mesh answer after an execution that was cut off", Lost, func(r *run) {
 			t := r.try()
 			executeLong(r, t)
 			r.Term("m1")
@@ -89,7 +89,7 @@
 			wait(50 * time.Millisecond)
 			r.fail(t, 504)
 		}},
-		{"busy after a run that was broken off", Lost, func(r *run) {
+		{"503 after an execution that was cut off", Lost, func(r *run) {
 			t := r.try()
 			t.Retryable = true
 			executeLong(r, t)
@@ -99,7 +99,7 @@
 			v.Status, v.Digest, v.End = 0, "", time.Now()
 			r.fail(t, 503)
 		}},
-		{"an own answer, the settings changed before the order to end", Lost, func(r *run) {
+		{"a mesh answer after a reload and a stop signal", Lost, func(r *run) {
 			r.Hup("m1")
 			t := r.try()
 			executeLong(r, t)
@@ -107,7 +107,7 @@
 			wait(time.Second)
 			r.fail(t, 504)
 		}},
-		{"told to end twice, the worker at work in the last sixth of the first grace", "", func(r *run) {
+		{"a second stop signal, still executing in the last sixth of the first grace period", "", func(r *run) {
 			t := r.try()
 			executeLong(r, t)
 			r.Term("m1")
@@ -116,7 +116,7 @@
 			wait(4100 * time.Millisecond)
 			r.fail(t, 504)
 		}},
-		{"told to end in two lives", Lost, func(r *run) {
+		{"stop signals before and after a restart", Lost, func(r *run) {
 			r.Term("m1")
 			wait(time.Second)
 			r.Lives("m1")
@@ -126,7 +126,7 @@
 			wait(4500 * time.Millisecond)
 			r.fail(t, 504)
 		}},
-		{"an own answer ahead of what the client told", Lost, func(r *run) {
+		{"a mesh answer before the timeout that the client sent", Lost, func(r *run) {
 			t := r.try()
 			t.Timeout, t.SentTimeout = 1000500*time.Microsecond, time.Second
 			r.Term("m1")
@@ -135,7 +135,7 @@
 			wait(988 * time.Millisecond)
 			r.fail(t, 504)
 		}},
-		{"an own answer at the time that the client told", "", func(r *run) {
+		{"a mesh answer at the timeout that the client sent", "", func(r *run) {
 			t := r.try()
 			t.Timeout, t.SentTimeout = 1000500*time.Microsecond, time.Second
 			r.Term("m1")
@@ -144,15 +144,15 @@
 			wait(989 * time.Millisecond)
 			r.fail(t, 504)
 		}},
-		{"an own answer with no order", "", func(r *run) {
+		{"a mesh answer without a signal", "", func(r *run) {
 			t := r.try()
 			v := r.exec(t, r.w1)
 			v.End = time.Time{}
 			r.fail(t, 502)
 		}},
-		{"cut off around a change", Lost, func(r *run) { r.apply(2, "s"); t := r.try(); execute(r, t); r.cut(t) }},
-		{"cut off at the settings' change", Lost, func(r *run) { r.Hup("m1"); t := r.try(); execute(r, t); r.cut(t) }},
-		{"leaves unheard", Acks, func(r *run) {
+		{"cut off around a change of the document", Lost, func(r *run) { r.apply(2, "s"); t := r.try(); execute(r, t); r.cut(t) }},
+		{"cut off around a reload", Lost, func(r *run) { r.Hup("m1"); t := r.try(); execute(r, t); r.cut(t) }},
+		{"leave notices without acknowledgement", Acks, func(r *run) {
 			for i := range 3 {
 				worker := &Worker{Name: fmt.Sprint("w", i), Service: "s", Machine: "m1"}
 				r.WorkerStarted(worker)
--- a/internal/standin/checker/ownerstop_test.go
+++ b/internal/standin/checker/ownerstop_test.go
@@ -2,11 +2,11 @@
 
 import "time"
 
-// ownerEndingScenarios has answers of the mesh's own in a stop, whose run ended with the node
-// beside its worker.
+// ownerEndingScenarios has requests that the mesh itself answers during a shutdown of their
+// ingress, and whose execution ends because the owner, the node beside the worker, stops too.
 func ownerEndingScenarios() []scenarioCase {
 	return []scenarioCase{
-		{"an own answer as the worker's node ends, in the last sixth of its grace", "", func(r *run) {
+		{"a mesh answer as the owner stops, in the last sixth of its grace period", "", func(r *run) {
 			attempt := r.try()
 			r.apply(2, "s", "u")
 			r.setTimeouts(10 * time.Second)
@@ -19,7 +19,7 @@
 			wait(3100 * time.Millisecond)
 			r.fail(attempt, 502)
 		}},
-		{"an own answer as the worker's node ends, before the last sixth of its grace", Lost, func(r *run) {
+		{"a mesh answer as the owner stops, before the last sixth of its grace period", Lost, func(r *run) {
 			attempt := r.try()
 			r.apply(2, "s", "u")
 			r.setTimeouts(10 * time.Second)
@@ -32,7 +32,7 @@
 			wait(2900 * time.Millisecond)
 			r.fail(attempt, 502)
 		}},
-		{"an own answer as the worker's node ends, of what others could have had", Lost, func(r *run) {
+		{"a mesh answer to a retryable request as the owner stops", Lost, func(r *run) {
 			attempt := r.try()
 			attempt.Retryable = true
 			r.apply(2, "s", "u")
@@ -46,7 +46,7 @@
 			wait(3100 * time.Millisecond)
 			r.fail(attempt, 502)
 		}},
-		{"an own answer in a stop, the run ended with its node before the order", Lost, func(r *run) {
+		{"a mesh answer to a retryable request whose owner had stopped before", Lost, func(r *run) {
 			attempt := r.try()
 			attempt.Retryable = true
 			r.apply(2, "s", "u")
@@ -61,7 +61,7 @@
 			wait(2 * time.Second)
 			r.fail(attempt, 502)
 		}},
-		{"an own answer long after the worker's node ended, of what may not be repeated", Lost, func(r *run) {
+		{"a mesh answer to a request that must not be retried, long after the owner stopped", Lost, func(r *run) {
 			attempt := r.try()
 			r.apply(2, "s", "u")
 			r.setTimeouts(20 * time.Second)
@@ -74,7 +74,7 @@
 			wait(2 * time.Second)
 			r.fail(attempt, 502)
 		}},
-		{"an own answer as the worker's node ends a second time, a first run ended with it before", Lost, func(r *run) {
+		{"a mesh answer as the owner stops again, after a first execution ended with it", Lost, func(r *run) {
 			r.apply(2, "s", "u")
 			r.setTimeouts(20 * time.Second)
 			attempt := r.try()
@@ -93,7 +93,7 @@
 			wait(4200 * time.Millisecond)
 			r.fail(attempt, 502)
 		}},
-		{"cut off as the worker's node ends", Lost, func(r *run) {
+		{"cut off as the owner stops", Lost, func(r *run) {
 			attempt := r.try()
 			r.apply(2, "s", "u")
 			r.setTimeouts(10 * time.Second)
@@ -106,7 +106,7 @@
 			wait(3100 * time.Millisecond)
 			r.cut(attempt)
 		}},
-		{"an own answer as the worker's node ends, begun late there", Lost, func(r *run) {
+		{"a mesh answer as the owner stops, sent late in its grace period", Lost, func(r *run) {
 			r.apply(2, "s", "u")
 			r.setTimeouts(10 * time.Second)
 			r.Term("m2")
--- a/internal/standin/checker/readiness_test.go
+++ b/internal/standin/checker/readiness_test.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// readinessScenarios has nodes that are told to end and count as ready ever after.
+// readinessScenarios has nodes that still count as ready after a stop signal.
 func readinessScenarios() []scenarioCase {
 	return []scenarioCase{
-		{"still ready after the order", Drain, func(r *run) { r.stillReady(3, 2) }},
-		{"one still ready after the order", "", func(r *run) { r.stillReady(3, 1) }},
-		{"a quarter still ready after the order", "", func(r *run) { r.stillReady(8, 2) }},
-		{"over a quarter still ready after the order", Drain, func(r *run) { r.stillReady(7, 2) }},
-		{"started again after the order", "", func(r *run) {
+		{"still ready after the stop signal", Drain, func(r *run) { r.stillReady(3, 2) }},
+		{"one still ready after the stop signal", "", func(r *run) { r.stillReady(3, 1) }},
+		{"a quarter still ready after the stop signal", "", func(r *run) { r.stillReady(8, 2) }},
+		{"over a quarter still ready after the stop signal", Drain, func(r *run) { r.stillReady(7, 2) }},
+		{"restarted after the stop signal", "", func(r *run) {
 			for i := range 3 {
 				r.Looked(fmt.Sprint("n", i), true)
 				r.Term(fmt.Sprint("n", i))
@@ -27,16 +27,16 @@
 	}
 }
 
-// stillReady tells so many nodes to end, of which some are found ready ever after.
-func (d *run) stillReady(count, ready int) {
+// stillReady sends a stop signal to count nodes, of which the first ready ones stay ready.
+func (r *run) stillReady(count, ready int) {
 	for i := range count {
-		d.Looked(fmt.Sprint("n", i), true)
-		d.Term(fmt.Sprint("n", i))
+		r.Looked(fmt.Sprint("n", i), true)
+		r.Term(fmt.Sprint("n", i))
 	}
 	for range 5 {
 		wait(time.Second)
 		for i := range count {
-			d.Looked(fmt.Sprint("n", i), i < ready)
+			r.Looked(fmt.Sprint("n", i), i < ready)
 		}
 	}
 }
--- a/internal/standin/checker/reusedconns_test.go
+++ b/internal/standin/checker/reusedconns_test.go
@@ -1,8 +1,8 @@
 package checker
 
-// reusedConnScenarios has requests of kept connections passed on and cut off, at any time.
+// reusedConnScenarios has requests on reused connections that are forwarded and then cut off.
 func reusedConnScenarios() []scenarioCase {
-	// kept has so many requests of kept connections passed on and cut off, at any time.
+	// kept has the given number of such requests, each changed by change.
 	kept := func(name, rule string, count int, change func(attempt *Attempt, arrival *Arrival)) scenarioCase {
 		return scenarioCase{name, rule, func(r *run) {
 			for range count {
@@ -16,9 +16,9 @@
 		}}
 	}
 	return []scenarioCase{
-		kept("requests of kept connections cut off", Lost, 4, func(*Attempt, *Arrival) {}),
-		kept("requests of kept connections cut off now and then", "", 3, func(*Attempt, *Arrival) {}),
-		kept("their worker broke off", "", 4, func(_ *Attempt, arrival *Arrival) { arrival.WorkerFailed = true }),
-		kept("on new connections", "", 4, func(attempt *Attempt, _ *Arrival) { attempt.ReusedConn = false }),
+		kept("requests on reused connections cut off", Lost, 4, func(*Attempt, *Arrival) {}),
+		kept("few requests on reused connections cut off", "", 3, func(*Attempt, *Arrival) {}),
+		kept("requests on reused connections cut off by their worker", "", 4, func(_ *Attempt, arrival *Arrival) { arrival.WorkerFailed = true }),
+		kept("requests on new connections cut off", "", 4, func(attempt *Attempt, _ *Arrival) { attempt.ReusedConn = false }),
 	}
 }
--- a/internal/standin/checker/risk_test.go
+++ b/internal/standin/checker/risk_test.go
@@ -6,19 +6,19 @@
 	"time"
 )
 
-// TestRiskCountsDrain: a worker that has traffic until it leaves puts DRAIN at risk,
-// however quick those are who hear of it; one without traffic does not.
+// TestRiskCountsDrain checks that DRAIN is at risk if a worker has traffic until it leaves,
+// however fast the nodes react to its notice, and not if it was idle before.
 func TestRiskCountsDrain(t *testing.T) {
 	for _, c := range []struct {
 		name  string
-		idle  time.Duration // from the last job there to its word
-		after bool          // one more comes after it
+		idle  time.Duration // from its last request to its leave notice
+		after bool          // another request arrives after the notice
 		want  int
 	}{
-		{"at work until it leaves", time.Second, false, 1},
-		{"and beyond its word", time.Second, true, 2},
+		{"busy until it leaves", time.Second, false, 1},
+		{"busy beyond its leave notice", time.Second, true, 2},
 		{"idle before it leaves", Usual.Leave + time.Second, false, 0},
-		{"idle, and one after it", Usual.Leave + time.Second, true, 1},
+		{"idle, and one request after its leave notice", Usual.Leave + time.Second, true, 1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
--- a/internal/standin/checker/splits_test.go
+++ b/internal/standin/checker/splits_test.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// splitScenarios has a path that sends half of its requests to each of two services.
+// splitScenarios has a route that splits its requests evenly between two services.
 func splitScenarios() []scenarioCase {
 	halves := func(count int, target func(r *run, i int) *Worker) func(r *run) {
 		return func(r *run) {
@@ -20,21 +20,21 @@
 	}
 	always := func(r *run, _ int) *Worker { return r.w1 }
 	return []scenarioCase{
-		{"a split of which one part gets all", Config, halves(200, always)},
-		{"a split of which one part gets all, of a few", "", halves(199, always)},
-		{"a split of which one part gets two thirds", "", halves(300, func(r *run, i int) *Worker {
+		{"one service of a split gets all requests", Config, halves(200, always)},
+		{"too few requests to judge a split", "", halves(199, always)},
+		{"one service gets two thirds", "", halves(300, func(r *run, i int) *Worker {
 			if i%3 == 0 {
 				return r.w2
 			}
 			return r.w1
 		})},
-		{"a split of which one part turns away", "", halves(200, func(r *run, i int) *Worker {
+		{"one request reached no worker", "", halves(200, func(r *run, i int) *Worker {
 			if i == 100 {
 				return nil
 			}
 			return r.w1
 		})},
-		{"a split of which one part gets all, out of touch", "", func(r *run) {
+		{"one service gets all requests on a disconnected machine", "", func(r *run) {
 			r.Touch.Begin("m1", "frozen")
 			halves(200, always)(r)
 		}},
--- a/internal/standin/checker/timeouts_test.go
+++ b/internal/standin/checker/timeouts_test.go
@@ -2,7 +2,8 @@
 
 import "time"
 
-// timeoutScenarios breaks what is promised of a path's time and of the time handed to workers.
+// timeoutScenarios exceeds the timeout of the route, or the timeout passed to workers, by more
+// than allowed; the cases without a rule stay just within them.
 func timeoutScenarios() []scenarioCase {
 	answeredAfter := func(count int, after time.Duration) func(r *run) {
 		return func(r *run) {
@@ -25,12 +26,12 @@
 		}
 	}
 	return []scenarioCase{
-		{"held past the path's time", Config, answeredAfter(8, 600*time.Millisecond)},
-		{"held a little past it", "", answeredAfter(12, 400*time.Millisecond)},
-		{"held past it now and then", "", answeredAfter(7, 600*time.Millisecond)},
-		{"handed more time than is left", Budget, handedTimeout(21, 1600*time.Millisecond)},
-		{"handed none", Budget, handedTimeout(21, 0)},
-		{"handed what is left", "", handedTimeout(40, 950*time.Millisecond)},
-		{"handed more now and then", "", handedTimeout(20, 1600*time.Millisecond)},
+		{"answers long after the route's timeout", Config, answeredAfter(8, 600*time.Millisecond)},
+		{"answers soon after the route's timeout", "", answeredAfter(12, 400*time.Millisecond)},
+		{"few answers long after the route's timeout", "", answeredAfter(7, 600*time.Millisecond)},
+		{"workers get more than the remaining time", Budget, handedTimeout(21, 1600*time.Millisecond)},
+		{"workers get no timeout", Budget, handedTimeout(21, 0)},
+		{"workers get the remaining time", "", handedTimeout(40, 950*time.Millisecond)},
+		{"few workers get more than the remaining time", "", handedTimeout(20, 1600*time.Millisecond)},
 	}
 }
--- a/internal/standin/checker/witness.go
+++ b/internal/standin/checker/witness.go
@@ -100,7 +100,7 @@
 }
 
 // Executed reports whether the worker started to execute the request.
-func (v *Arrival) Executed() bool { return !v.Start.IsZero() }
+func (a *Arrival) Executed() bool { return !a.Start.IsZero() }
 
 // Worker is one incarnation of a worker.
 type Worker struct {
@@ -110,8 +110,8 @@
 	LeaveAckedBy                 string    // the machine that acknowledged it
 }
 
-// Witness records one test run. mu guards everything, also the fields of the attempts,
-// arrivals, documents and holds that were given to it.
+// Witness records one test run. mu guards its unexported fields. Attempts, arrivals, documents
+// and holds that were given to it are changed by means of Update.
 type Witness struct {
 	mu              sync.Mutex
 	B               Bounds
