--- a/internal/standin/actors/answer.go
+++ b/internal/standin/actors/answer.go
@@ -11,14 +11,15 @@
 	"puffincrank/internal/standin/checker"
 )
 
-// responseHead writes the status line and headers of an answer.
-func (s *workerRequest) responseHead(code int, extra ...string) (string, bool) {
-	worker := s.worker
-	closing := worker.leaving() || s.req.Close || worker.random.fraction() < worker.Behavior.Hop
+// responseHead returns the status line and headers of an answer, and whether the connection
+// stays open after it. extra holds further names and values of headers.
+func (r *workerRequest) responseHead(code int, extra ...string) (string, bool) {
+	worker := r.worker
+	closing := worker.leaving() || r.request.Close || worker.random.fraction() < worker.Behavior.Hop
 	var builder strings.Builder
 	fmt.Fprintf(&builder, "HTTP/1.1 %d %s\r\n", code, http.StatusText(code))
-	if s.attemptID != "" {
-		fmt.Fprintf(&builder, "%s: %s\r\n", worker.dialect.AttemptID, s.attemptID)
+	if r.attemptID != "" {
+		fmt.Fprintf(&builder, "%s: %s\r\n", worker.dialect.AttemptID, r.attemptID)
 	}
 	for i := 0; i+1 < len(extra); i += 2 {
 		fmt.Fprintf(&builder, "%s: %s\r\n", extra[i], extra[i+1])
@@ -31,46 +32,45 @@
 	return builder.String(), !closing
 }
 
-// decline turns the request away unrun.
-func (s *workerRequest) decline(code int) bool {
-	s.worker.recorder.Update(func() { s.arrival.DeclinedStatus, s.arrival.Status = code, code })
-	head, keepOpen := s.responseHead(code, s.worker.dialect.NotExecuted, "1", "Content-Length", "0")
-	_, err := s.conn.Write([]byte(head + "\r\n"))
+// decline answers with the given status and a header saying that the request was not executed.
+func (r *workerRequest) decline(code int) bool {
+	r.worker.recorder.Update(func() { r.arrival.DeclinedStatus, r.arrival.Status = code, code })
+	head, keepOpen := r.responseHead(code, r.worker.dialect.NotExecuted, "1", "Content-Length", "0")
+	_, err := r.conn.Write([]byte(head + "\r\n"))
 	return keepOpen && err == nil
 }
 
-// answerHealth answers whoever asks how the worker is: for a slot it waits like a
-// request.
-func (s *workerRequest) answerHealth() bool {
-	worker := s.worker
+// answerHealth answers a health check. Like a request it waits for a slot first.
+func (r *workerRequest) answerHealth() bool {
+	worker := r.worker
 	code := http.StatusServiceUnavailable
-	if worker.slots.acquire(s.deadline, s.callerLeft) == admitted {
-		workTime := worker.scaledTime(s.conn, worker.random.around(6*time.Millisecond))
+	if worker.slots.acquire(r.deadline, r.callerLeft) == admitted {
+		workTime := worker.scaledTime(r.conn, worker.random.around(6*time.Millisecond))
 		<-time.After(workTime)
 		worker.slots.release()
-		if !worker.leaving() && !worker.faultsFor(s.conn).Sick {
+		if !worker.leaving() && !worker.faultsFor(r.conn).Sick {
 			code = http.StatusOK
 		}
 	}
-	head, keepOpen := s.responseHead(code, worker.dialect.WorkerID, worker.Name, "Content-Length", "0")
-	_, err := s.conn.Write([]byte(head + "\r\n"))
+	head, keepOpen := r.responseHead(code, worker.dialect.WorkerID, worker.Name, "Content-Length", "0")
+	_, err := r.conn.Write([]byte(head + "\r\n"))
 	return keepOpen && err == nil
 }
 
-// The ways in which an answer is spoiled.
+// The ways in which an answer is corrupted.
 const (
-	cutShort        = iota // fewer bytes than it says
-	unendedChunks          // chunks without an end
-	malformedAnswer        // bytes that are no answer
-	bytesAfterEnd          // bytes after the end
-	repeatedAtOnce         // the whole answer once more, at once
-	repeatedLater          // the whole answer once more, where the next is due
+	cutShort        = iota // fewer bytes than Content-Length says
+	unendedChunks          // chunks without the final one
+	malformedAnswer        // bytes that are not an HTTP answer
+	bytesAfterEnd          // further bytes after a complete answer
+	repeatedAtOnce         // the complete answer a second time, immediately
+	repeatedLater          // the complete answer a second time, before the next answer
 	spoilKindCount
 )
 
-// writeAnswer writes the worker's answer, whole or spoiled.
-func (s *workerRequest) writeAnswer(code, size int, spoil bool) bool {
-	worker := s.worker
+// writeAnswer writes the worker's answer, corrupted in a random way if spoil is set.
+func (r *workerRequest) writeAnswer(code, size int, spoil bool) bool {
+	worker := r.worker
 	body := make([]byte, max(size, 1))
 	digest := fmt.Sprintf("%x.%s", worker.random.uint64(), worker.Name)
 	fillRepeating(body, digest)
@@ -79,21 +79,21 @@
 		spoilKind = worker.random.intN(spoilKindCount)
 	}
 	worker.recorder.Update(func() {
-		s.arrival.Status, s.arrival.Digest, s.arrival.AnswerBody, s.arrival.End = code, digest, checker.BodyOf(body), time.Now()
-		// What follows a whole answer takes nothing from it.
-		s.arrival.WorkerFailed, s.arrival.ExtraBytes = spoilKind >= 0 && spoilKind <= malformedAnswer, spoilKind > malformedAnswer
+		r.arrival.Status, r.arrival.Digest, r.arrival.AnswerBody, r.arrival.End = code, digest, checker.BodyOf(body), time.Now()
+		// Extra bytes after a complete answer do not make the answer itself wrong.
+		r.arrival.WorkerFailed, r.arrival.ExtraBytes = spoilKind >= 0 && spoilKind <= malformedAnswer, spoilKind > malformedAnswer
 	})
 	chunks := spoilKind == unendedChunks || spoilKind < 0 && worker.random.intN(4) == 0
 	framing := []string{"Content-Length", strconv.Itoa(len(body))}
 	if chunks {
 		framing = []string{"Transfer-Encoding", "chunked"}
 	}
-	head, keepOpen := s.responseHead(code, append([]string{worker.dialect.ResponseDigest, digest, "X-From", worker.Service}, framing...)...)
+	head, keepOpen := r.responseHead(code, append([]string{worker.dialect.ResponseDigest, digest, "X-From", worker.Service}, framing...)...)
 	if spoilKind == malformedAnswer {
 		head, keepOpen = fmt.Sprintf("%x", worker.random.uint64()), false
 	}
-	if s.surplusBefore != "" {
-		_, _ = s.conn.Write([]byte(s.surplusBefore))
+	if r.surplusBefore != "" {
+		_, _ = r.conn.Write([]byte(r.surplusBefore))
 	}
 	var whole bytes.Buffer
 	whole.WriteString(head + "\r\n")
@@ -120,18 +120,18 @@
 	case repeatedAtOnce:
 		written = append(written, whole.Bytes()...)
 	case repeatedLater:
-		s.surplusAfter = whole.String()
+		r.surplusAfter = whole.String()
 	}
-	err := s.writeChunks(written)
-	worker.recorder.Update(func() { s.arrival.End = time.Now() })
+	err := r.writeChunks(written)
+	worker.recorder.Update(func() { r.arrival.End = time.Now() })
 	return keepOpen && err == nil
 }
 
-// writeChunks sends an answer in pieces, as a large one is made.
-func (s *workerRequest) writeChunks(content []byte) error {
+// writeChunks writes an answer in pieces of 64 KiB, like a worker that produces it gradually.
+func (r *workerRequest) writeChunks(content []byte) error {
 	for len(content) > 0 {
 		size := min(len(content), 64<<10)
-		if _, err := s.conn.Write(content[:size]); err != nil {
+		if _, err := r.conn.Write(content[:size]); err != nil {
 			return err
 		}
 		content = content[size:]
--- a/internal/standin/actors/apps.go
+++ b/internal/standin/actors/apps.go
@@ -13,33 +13,33 @@
 	"puffincrank/internal/task"
 )
 
-// Apps are the applications' callers of locks, numbers, keys and watches.
+// Apps simulates applications that use locks, numbers, keys and watches.
 type Apps struct {
 	Env          env.Env
 	Recorder     *checker.Witness
 	Tasks        *task.Group
-	Nodes        func() []string
+	Nodes        func() []string // addresses of the nodes that take calls
 	Callers      int
-	Rate         float64 // calls a second of all of them
+	Rate         float64 // calls per second, over all callers
 	Locks        int
 	Numbers      int
 	KeyGroups    int
-	KeysPerGroup int // in each group
+	KeysPerGroup int
 	random       *lockedRand
 	mu           sync.Mutex
-	revisions    map[string]uint64 // key to the revision that was seen last
-	watchedTo    map[string]uint64 // group to where its watch stands
-	outcomes     map[string]int
-	longest      time.Duration
+	revisions    map[string]uint64 // key to the highest revision seen
+	watchedTo    map[string]uint64 // group to the revision up to which it was watched
+	outcomes     map[string]int    // kind and status of a call to their number
+	longest      time.Duration     // the longest time that a call took until it was given up or answered
 }
 
-// NewApps makes the callers; they run until the group ends or Run's time is up.
+// NewApps creates the callers. They run until the task group or the context of Run ends.
 func NewApps(environment env.Env, nodes func() []string, recorder *checker.Witness, tasks *task.Group, seed uint64) *Apps {
 	return &Apps{Env: environment, Recorder: recorder, Tasks: tasks, Nodes: nodes, Callers: 7, Rate: 40, Locks: 12, Numbers: 4, KeyGroups: 3, KeysPerGroup: 8, random: newLockedRand(seed),
 		revisions: map[string]uint64{}, watchedTo: map[string]uint64{}, outcomes: map[string]int{}}
 }
 
-// answerBody is what an answer may hold.
+// answerBody holds the fields that answers to any kind of call may have.
 type answerBody struct {
 	Fence    uint64 `json:"fence"`
 	Value    any    `json:"value"`
@@ -51,11 +51,12 @@
 	} `json:"changes"`
 }
 
-// conclusive tells that an answer needs no further call.
+// conclusive reports whether a status settles the call, so that it is not sent again.
 func conclusive(code int) bool { return code != 0 && code/100 != 5 && code != 429 }
 
-// call makes one call; each send is written down by itself. After a failure, a
-// 5xx, a 429 or a second of silence it turns to another node.
+// call makes one call and records each attempt. After a failure, a 5xx, a 429 or a second
+// without an answer it tries another node, until duration is over. wait is the time that the
+// node itself may hold the call.
 func (a *Apps) call(ctx context.Context, op checker.Op, method, uri string, body any, duration, wait time.Duration) *checker.Op {
 	var raw []byte
 	if body != nil {
@@ -111,8 +112,8 @@
 	}
 }
 
-// Run keeps all callers and a watcher for each group at work until the context
-// ends, and returns when they have ended.
+// Run runs all callers and a watcher for each key group until the context ends, and returns
+// when all of them have ended.
 func (a *Apps) Run(ctx context.Context) {
 	var done sync.WaitGroup
 	start := func(name string, work func()) {
@@ -179,8 +180,7 @@
 	a.mu.Unlock()
 }
 
-// put puts a value that nobody else puts; without a clear answer it is sent
-// again, the same.
+// put puts a unique value. Without a conclusive answer the same put is sent again.
 func (a *Apps) put(ctx context.Context, key string) {
 	op := checker.Op{Kind: checker.Put, Name: key, Value: fmt.Sprintf("%016x", a.random.uint64())}
 	body := map[string]any{"value": op.Value}
@@ -188,7 +188,7 @@
 		a.mu.Lock()
 		op.Conditional, op.IfRevision = true, a.revisions[key]
 		a.mu.Unlock()
-		// Some take it for absent, and must be told what is there.
+		// Some callers assume that the key is absent; a 412 must name the current revision.
 		if a.random.intN(6) == 0 {
 			op.IfRevision = 0
 		}
@@ -200,7 +200,7 @@
 	}
 }
 
-// Done tells how the calls ended, and the longest that one took.
+// Done returns the number of calls by kind and status, and the longest time that a call took.
 func (a *Apps) Done() (map[string]int, time.Duration) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/standin/actors/callers_test.go
+++ b/internal/standin/actors/callers_test.go
@@ -42,126 +42,126 @@
 }
 
 type cell struct {
-	Name  string `json:"name"`
-	Value string `json:"value"`
-	Rev   uint64 `json:"rev"`
+	Name     string `json:"name"`
+	Value    string `json:"value"`
+	Revision uint64 `json:"rev"`
 }
 
 // breaks tells that it is to break a promise, now and then.
-func (c *node) breaks(promise string) bool { c.calls++; return c.broken == promise && c.calls%3 == 0 }
+func (n *node) breaks(promise string) bool { n.calls++; return n.broken == promise && n.calls%3 == 0 }
 
-func (c *node) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (n *node) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	raw, _ := io.ReadAll(r.Body)
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	var in struct {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	var body struct {
 		Owner string  `json:"owner"`
 		TTL   int64   `json:"ttl_ms"`
 		Fence uint64  `json:"fence"`
 		Value string  `json:"value"`
 		If    *uint64 `json:"if_rev"`
 	}
-	_ = json.Unmarshal(raw, &in)
+	_ = json.Unmarshal(raw, &body)
 	segments := strings.Split(strings.TrimPrefix(r.URL.Path, "/puffin/"), "/")
 	if segments[0] == "config" {
-		c.config(w, r, string(raw))
+		n.config(w, r, string(raw))
 		return
 	}
 	kind, name := segments[1], segments[2]
 	switch kind {
 	case "locks":
-		held := c.locks[name]
-		free := held == nil || !time.Now().Before(held.expires) || held.owner == in.Owner || c.breaks("locks")
-		ttl := time.Duration(in.TTL) * time.Millisecond
+		held := n.locks[name]
+		free := held == nil || !time.Now().Before(held.expires) || held.owner == body.Owner || n.breaks("locks")
+		ttl := time.Duration(body.TTL) * time.Millisecond
 		switch {
 		case r.Method == "DELETE":
-			if held != nil && held.fence == in.Fence {
+			if held != nil && held.fence == body.Fence {
 				held.expires = time.Time{}
 			}
 			httpapi.WriteJSON(w, 200, map[string]any{})
-		case r.Method == "PUT" && (held == nil || held.owner != in.Owner || held.fence != in.Fence || !time.Now().Before(held.expires)), !free:
+		case r.Method == "PUT" && (held == nil || held.owner != body.Owner || held.fence != body.Fence || !time.Now().Before(held.expires)), !free:
 			httpapi.WriteJSON(w, 409, map[string]any{})
 		default:
-			if held == nil || held.owner != in.Owner || !time.Now().Before(held.expires) {
-				c.fence++
-				held = &lease{owner: in.Owner, fence: c.fence}
-				c.locks[name] = held
+			if held == nil || held.owner != body.Owner || !time.Now().Before(held.expires) {
+				n.fence++
+				held = &lease{owner: body.Owner, fence: n.fence}
+				n.locks[name] = held
 			}
 			held.expires = time.Now().Add(ttl)
 			httpapi.WriteJSON(w, 200, map[string]any{"fence": held.fence})
 		}
 	case "numbers":
-		if !c.breaks("numbers") {
-			c.numbers[name]++
+		if !n.breaks("numbers") {
+			n.numbers[name]++
 		}
-		httpapi.WriteJSON(w, 200, map[string]any{"value": c.numbers[name]})
+		httpapi.WriteJSON(w, 200, map[string]any{"value": n.numbers[name]})
 	case "keys":
-		c.cell(w, r, name, in.Value, in.If)
+		n.cell(w, r, name, body.Value, body.If)
 	case "watch":
-		c.watch(w, r, name)
+		n.watch(w, r, name)
 	}
 }
 
-func (c *node) config(w http.ResponseWriter, r *http.Request, raw string) {
+func (n *node) config(w http.ResponseWriter, r *http.Request, raw string) {
 	if r.Method == "GET" {
-		if c.breaks("documents") {
-			raw = c.firstDocument
+		if n.breaks("documents") {
+			raw = n.firstDocument
 		} else {
-			raw = c.document
+			raw = n.document
 		}
 		_, _ = w.Write([]byte(raw))
 		return
 	}
-	if !json.Valid([]byte(raw)) && c.broken != "broken" {
+	if !json.Valid([]byte(raw)) && n.broken != "broken" {
 		httpapi.WriteJSON(w, 422, map[string]any{})
 		return
 	}
-	if c.firstDocument == "" {
-		c.firstDocument = raw
+	if n.firstDocument == "" {
+		n.firstDocument = raw
 	}
-	c.document = raw
+	n.document = raw
 	httpapi.WriteJSON(w, 200, map[string]any{})
 }
 
-func (c *node) cell(w http.ResponseWriter, r *http.Request, name, value string, ifRevision *uint64) {
+func (n *node) cell(w http.ResponseWriter, r *http.Request, name, value string, ifRevision *uint64) {
 	group := name[:strings.IndexByte(name, '.')+1]
 	var current, previous cell
-	for _, k := range c.keys[group] {
+	for _, k := range n.keys[group] {
 		if k.Name == name {
 			previous, current = current, k
 		}
 	}
 	switch {
-	case r.Method == "GET" && c.breaks("reads") && previous.Rev > 0:
+	case r.Method == "GET" && n.breaks("reads") && previous.Revision > 0:
 		httpapi.WriteJSON(w, 200, previous)
-	case r.Method == "GET" && current.Rev == 0:
+	case r.Method == "GET" && current.Revision == 0:
 		httpapi.WriteJSON(w, 404, map[string]any{})
 	case r.Method == "GET":
 		httpapi.WriteJSON(w, 200, current)
-	case ifRevision != nil && *ifRevision != current.Rev && !c.breaks("conditions"):
-		httpapi.WriteJSON(w, 412, map[string]any{"rev": current.Rev})
+	case ifRevision != nil && *ifRevision != current.Revision && !n.breaks("conditions"):
+		httpapi.WriteJSON(w, 412, map[string]any{"rev": current.Revision})
 	default:
-		c.revisions[group]++
-		c.keys[group] = append(c.keys[group], cell{name, value, c.revisions[group]})
-		httpapi.WriteJSON(w, 200, map[string]any{"rev": c.revisions[group]})
+		n.revisions[group]++
+		n.keys[group] = append(n.keys[group], cell{name, value, n.revisions[group]})
+		httpapi.WriteJSON(w, 200, map[string]any{"rev": n.revisions[group]})
 	}
 }
 
-func (c *node) watch(w http.ResponseWriter, r *http.Request, group string) {
+func (n *node) watch(w http.ResponseWriter, r *http.Request, group string) {
 	var after, wait int64
 	_, _ = fmt.Sscanf(r.URL.RawQuery, "after=%d&wait_ms=%d", &after, &wait)
-	for deadline := time.Now().Add(time.Duration(wait) * time.Millisecond); after > 0 && c.revisions[group] <= uint64(after) && time.Now().Before(deadline); {
-		c.mu.Unlock()
+	for deadline := time.Now().Add(time.Duration(wait) * time.Millisecond); after > 0 && n.revisions[group] <= uint64(after) && time.Now().Before(deadline); {
+		n.mu.Unlock()
 		task.Sleep(context.Background(), 20*time.Millisecond)
-		c.mu.Lock()
+		n.mu.Lock()
 	}
 	list := []cell{}
-	for _, k := range c.keys[group] {
-		if after > 0 && k.Rev > uint64(after) && !c.breaks("watches") {
+	for _, k := range n.keys[group] {
+		if after > 0 && k.Revision > uint64(after) && !n.breaks("watches") {
 			list = append(list, k)
 		}
 	}
-	httpapi.WriteJSON(w, 200, map[string]any{"changes": list, "rev": c.revisions[group]})
+	httpapi.WriteJSON(w, 200, map[string]any{"changes": list, "rev": n.revisions[group]})
 }
 
 // TestCallersDetectBrokenPromises: against a control node that keeps every promise nothing is
@@ -186,8 +186,8 @@
 	tasks, recorder := task.New(context.Background()), checker.New(checker.Usual)
 	environment := env.Env{Net: net.Host("h1"), Log: event.New("h1", nil), Wall: time.Now}
 	node := &node{broken: promise, locks: map[string]*lease{}, numbers: map[string]uint64{}, revisions: map[string]uint64{}, keys: map[string][]cell{}}
-	if promise := httpapi.Serve(tasks, environment, "h1:1", node, time.Second); promise != nil {
-		t.Fatal(promise)
+	if err := httpapi.Serve(tasks, environment, "h1:1", node, time.Second); err != nil {
+		t.Fatal(err)
 	}
 	environment.Net = net.Host("h2")
 	nodes := func() []string { return []string{"h1:1"} }
--- a/internal/standin/actors/client.go
+++ b/internal/standin/actors/client.go
@@ -13,19 +13,19 @@
 	"puffincrank/internal/task"
 )
 
-// Client is the callers on one machine: they go to the node there.
+// Client simulates the callers on one machine. They send their requests to its node.
 type Client struct {
 	Env                 env.Env
 	Dialect             dialect.Dialect
 	IngressAddr         string // the node's traffic address
-	Machine             string // its name for the witness
+	Machine             string // the machine's name in the records
 	Recorder            *checker.Witness
 	Tasks               *task.Group
-	ReuseShare          float64      // part of the requests on kept connections
-	ImpatientShare      float64      // part that try again at once and more often, whatever they are told
-	earlyLeavesPerMille atomic.Int64 // of a thousand, how many go away early
-	Out                 atomic.Bool
-	closed              atomic.Bool // its machine is
+	ReuseShare          float64      // part of the requests sent on reused connections
+	ImpatientShare      float64      // part of the requests that are retried at once and twice more, whatever Retry-After says
+	earlyLeavesPerMille atomic.Int64 // how many of a thousand requests are abandoned early
+	Out                 atomic.Bool  // while set, Load starts no requests
+	closed              atomic.Bool  // the client's machine is gone
 	random              *lockedRand
 	name                string
 	sequence            atomic.Int64
@@ -35,21 +35,21 @@
 	conns               map[*clientConn]bool
 }
 
-// NewClient makes the callers of a node.
-func NewClient(environment env.Env, dialect dialect.Dialect, front, machine, name string, recorder *checker.Witness, tasks *task.Group, seed uint64) *Client {
-	client := &Client{Env: environment, Dialect: dialect, IngressAddr: front, Machine: machine, Recorder: recorder, Tasks: tasks, ReuseShare: 0.6, ImpatientShare: 0.1, random: newLockedRand(seed), name: name}
+// NewClient creates the callers of a node.
+func NewClient(environment env.Env, dialect dialect.Dialect, ingressAddr, machine, name string, recorder *checker.Witness, tasks *task.Group, seed uint64) *Client {
+	client := &Client{Env: environment, Dialect: dialect, IngressAddr: ingressAddr, Machine: machine, Recorder: recorder, Tasks: tasks, ReuseShare: 0.6, ImpatientShare: 0.1, random: newLockedRand(seed), name: name}
 	client.Quits(defaultEarlyLeaveShare)
 	return client
 }
 
-// defaultEarlyLeaveShare is the part of the requests whose callers go away early.
+// defaultEarlyLeaveShare is the part of the requests whose callers leave early.
 const defaultEarlyLeaveShare = 0.02
 
-// Quits sets which part of the requests' callers go away before their answers.
+// Quits sets the part of the requests whose callers leave before the answer.
 func (c *Client) Quits(part float64) { c.earlyLeavesPerMille.Store(int64(part * 1000)) }
 
-// Load sends a line's requests at a rate until the context ends. While Out is
-// set the clients get no new work.
+// Load sends requests of one kind at the given rate until the context ends. It starts none
+// while Out is set or more than 2000 requests are pending.
 func (c *Client) Load(ctx context.Context, line *Line, rate func() float64) {
 	for ctx.Err() == nil {
 		perSecond := rate()
@@ -71,9 +71,9 @@
 	}
 }
 
-// earlyLeaveDelay is how long one that goes away early waits: every second one less than
-// half of its aim, when its request is likely at work, the others a good part of
-// their time.
+// earlyLeaveDelay draws how long a caller that leaves early waits. Every second one waits less
+// than half of the target latency, so that its request is likely being executed. The others
+// wait between 10 % and 60 % of the timeout.
 func (c *Client) earlyLeaveDelay(line *Line, timeout time.Duration) time.Duration {
 	if line.Aim > 0 && c.random.intN(2) == 0 {
 		return time.Millisecond + time.Duration(c.random.uint64()%uint64(line.Aim/2))
@@ -81,11 +81,11 @@
 	return timeout/10 + time.Duration(c.random.uint64()%uint64(timeout/2))
 }
 
-// Under tells how many jobs it has under way.
+// Under returns the number of pending requests.
 func (c *Client) Under() int { return int(c.pending.Load()) }
 
-// Request makes a request and tries again as far as it may; it tells whether it
-// was served. By is the run that needs it, of a nested one.
+// Request makes a request, with retries as far as they are allowed, and reports whether it was
+// served. parent is the execution that makes a nested request, otherwise nil.
 func (c *Client) Request(ctx context.Context, line *Line, timeout time.Duration, parent *checker.Arrival) bool {
 	name := fmt.Sprint(c.name, c.sequence.Add(1))
 	deadline := time.Now().Add(timeout)
@@ -125,27 +125,27 @@
 	return false
 }
 
-// mayRetry tells whether a request may be tried once more after an answer.
-func mayRetry(repeat bool, answer checker.Answer) bool {
+// mayRetry reports whether a request may be retried after the answer.
+func mayRetry(retryable bool, answer checker.Answer) bool {
 	switch answer.Status {
 	case 400, 401, 404, 413, 431:
 		return false
 	case 408, 421, 429, 503:
 		return true
 	}
-	if answer.Status/100 == 2 && answer.Complete || answer.ClientClosed && !repeat {
+	if answer.Status/100 == 2 && answer.Complete || answer.ClientClosed && !retryable {
 		return false
 	}
-	return repeat || answer.ClosedBeforeRead
+	return retryable || answer.ClosedBeforeRead
 }
 
-// newAttempt makes a try with an id of its own.
-func (c *Client) newAttempt(line *Line, request string, try int, timeout time.Duration) *checker.Attempt {
+// newAttempt creates an attempt with its own ID.
+func (c *Client) newAttempt(line *Line, name string, try int, timeout time.Duration) *checker.Attempt {
 	host, prefix := line.Host, line.Prefix
 	if line.Pick != nil {
 		host, prefix = line.Pick(c.random.uint64())
 	}
-	attempt := &checker.Attempt{ID: fmt.Sprintf("%s.%d", request, try), Request: request, Kind: line.Kind, Ingress: c.Machine, Host: host, Method: line.Method,
+	attempt := &checker.Attempt{ID: fmt.Sprintf("%s.%d", name, try), Request: name, Kind: line.Kind, Ingress: c.Machine, Host: host, Method: line.Method,
 		URI: fmt.Sprintf("%s%x?k=%d", prefix, c.random.intN(1<<16), try), Retryable: line.Repeat, Timeout: timeout, WorkTime: line.Work, Start: time.Now()}
 	plan := ExecutionPlan{AnswerSize: line.Back/2 + c.random.intN(line.Back+1)}
 	for _, o := range line.Calls {
@@ -157,14 +157,14 @@
 	return attempt
 }
 
-// Probe sends one request directly, to see which document is in force here.
+// Probe sends one request without retries, to see which document is in force at this node.
 func (c *Client) Probe(ctx context.Context, line *Line) checker.Answer {
 	attempt := c.newAttempt(line, fmt.Sprint(c.name, "p", c.sequence.Add(1)), 0, line.Left)
 	attempt.Probe = true
 	return c.attempt(ctx, attempt, line, false)
 }
 
-// attempt sends one request and waits for what comes of it.
+// attempt sends one attempt and returns its answer.
 func (c *Client) attempt(ctx context.Context, attempt *checker.Attempt, line *Line, reuse bool) checker.Answer {
 	body := c.makeBody(line, attempt)
 	attempt.Body = checker.BodyOf(body)
@@ -218,7 +218,8 @@
 	}
 }
 
-// makeBody makes a body; some hold a request of their own, which must stay a body.
+// makeBody creates the body of a request. Some contain the text of an HTTP request, which must
+// not be taken for one.
 func (c *Client) makeBody(line *Line, attempt *checker.Attempt) []byte {
 	if line.Size <= 0 {
 		return nil
--- a/internal/standin/actors/clientconn.go
+++ b/internal/standin/actors/clientconn.go
@@ -17,21 +17,22 @@
 	"puffincrank/internal/standin/checker"
 )
 
-// clientConn is one connection of a client to the node.
+// clientConn is a connection of a client to the node. mu guards the fields below it but reused.
 type clientConn struct {
 	conn        net.Conn
 	reader      *bufio.Reader
 	lastByte    *lastByteReader
 	mu          sync.Mutex
-	attempt     *checker.Attempt // who waits for an answer
+	attempt     *checker.Attempt // the attempt that waits for an answer
 	answers     chan checker.Answer
 	closed      bool
-	usableUntil time.Time // to be left alone after
+	usableUntil time.Time // end of the node's keep-alive time; zero: none was given
 	requests    int
-	reused      bool // it had an earlier request
+	reused      bool // it carried an earlier request
 }
 
-// connect gives a kept connection or opens a new one, for which there is a second.
+// connect returns an idle connection, if reuse is set and there is one, or opens a new one
+// within one second.
 func (c *Client) connect(ctx context.Context, reuse bool) *clientConn {
 	c.mu.Lock()
 	for reuse && len(c.idle) > 0 {
@@ -79,8 +80,8 @@
 	c.mu.Unlock()
 }
 
-// Close ends the client's connections, as its machine is gone: none of its jobs
-// tries again, at an address that may be another machine's by then.
+// Close closes all connections because the client's machine is gone. No request is retried:
+// the address may belong to another machine by then.
 func (c *Client) Close() {
 	c.closed.Store(true)
 	c.mu.Lock()
@@ -95,42 +96,42 @@
 	}
 }
 
-func (w *clientConn) usable() bool {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return !w.closed && (w.usableUntil.IsZero() || time.Now().Before(w.usableUntil))
+func (c *clientConn) usable() bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return !c.closed && (c.usableUntil.IsZero() || time.Now().Before(c.usableUntil))
 }
 
-func (w *clientConn) close() {
-	w.mu.Lock()
-	w.closed = true
-	w.mu.Unlock()
-	_ = w.conn.Close()
+func (c *clientConn) close() {
+	c.mu.Lock()
+	c.closed = true
+	c.mu.Unlock()
+	_ = c.conn.Close()
 }
 
-// requestRead tells whether the node has read all that was sent.
-func (w *clientConn) requestRead() bool {
-	if conn, ok := w.conn.(interface{ Taken() bool }); ok {
+// requestRead reports whether the node has read all that was sent.
+func (c *clientConn) requestRead() bool {
+	if conn, ok := c.conn.(interface{ Taken() bool }); ok {
 		return conn.Taken()
 	}
 	return true
 }
 
-func (w *clientConn) expectAnswer(attempt *checker.Attempt, answers chan checker.Answer) bool {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.attempt, w.answers = attempt, answers
-	w.requests++
-	return !w.closed
+func (c *clientConn) expectAnswer(attempt *checker.Attempt, answers chan checker.Answer) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.attempt, c.answers = attempt, answers
+	c.requests++
+	return !c.closed
 }
 
-// writeRequest sends a request, its body with a length or in chunks.
-func (w *clientConn) writeRequest(attempt *checker.Attempt, body []byte, client *Client, closing bool) error {
+// writeRequest sends a request, its body either with a length or in chunks.
+func (c *clientConn) writeRequest(attempt *checker.Attempt, body []byte, client *Client, closing bool) error {
 	var buffer bytes.Buffer
 	milliseconds := max(time.Until(attempt.Start.Add(attempt.Timeout)).Milliseconds(), 1)
 	attempt.SentTimeout = time.Since(attempt.Start) + time.Duration(milliseconds)*time.Millisecond
 	fmt.Fprintf(&buffer, "%s %s HTTP/1.1\r\nHost: %s\r\n%s: %s\r\n%s: %d\r\nX-Other: %s\r\n", attempt.Method, attempt.URI, attempt.Host, client.Dialect.AttemptID, attempt.ID, client.Dialect.Timeout, milliseconds, attempt.Kind)
-	// Whatever stands there is not to be believed.
+	// A caller may send any value here; the node must not trust it.
 	if client.random.intN(3) == 0 {
 		fmt.Fprintf(&buffer, "%s: somebody\r\n", client.Dialect.CallerService)
 	}
@@ -154,7 +155,7 @@
 	}
 	for unsent := buffer.Bytes(); len(unsent) > 0; {
 		size := min(len(unsent), 64<<10)
-		if _, err := w.conn.Write(unsent[:size]); err != nil {
+		if _, err := c.conn.Write(unsent[:size]); err != nil {
 			return err
 		}
 		unsent = unsent[size:]
@@ -162,35 +163,35 @@
 	return nil
 }
 
-// readLoop reads what comes; bytes that nobody waits for are written down.
-func (w *clientConn) readLoop(client *Client) {
+// readLoop reads all answers. Bytes without a pending request are recorded as a breach.
+func (c *clientConn) readLoop(client *Client) {
 	for {
-		_, err := w.reader.Peek(1)
-		w.mu.Lock()
-		attempt, answers, closed := w.attempt, w.answers, w.closed
-		w.attempt, w.answers = nil, nil
-		w.mu.Unlock()
+		_, err := c.reader.Peek(1)
+		c.mu.Lock()
+		attempt, answers, closed := c.attempt, c.answers, c.closed
+		c.attempt, c.answers = nil, nil
+		c.mu.Unlock()
 		if err != nil {
-			w.mu.Lock()
-			w.closed = true
-			w.mu.Unlock()
+			c.mu.Lock()
+			c.closed = true
+			c.mu.Unlock()
 			if answers != nil {
-				answers <- checker.Answer{Reason: err.Error(), RequestRead: w.requestRead()}
+				answers <- checker.Answer{Reason: err.Error(), RequestRead: c.requestRead()}
 			}
-			_ = w.conn.Close()
+			_ = c.conn.Close()
 			return
 		}
 		if answers == nil {
 			if !closed {
-				unexpected, _ := w.reader.Peek(w.reader.Buffered())
+				unexpected, _ := c.reader.Peek(c.reader.Buffered())
 				client.Recorder.UnexpectedBytes(client.Machine, string(unexpected))
 			}
-			w.close()
+			c.close()
 			return
 		}
-		answer, keepOpen := w.readAnswer(client, attempt)
+		answer, keepOpen := c.readAnswer(client, attempt)
 		if !keepOpen {
-			w.close()
+			c.close()
 		}
 		answers <- answer
 		if !keepOpen {
@@ -200,16 +201,16 @@
 }
 
 // readAnswer reads one answer.
-func (w *clientConn) readAnswer(client *Client, attempt *checker.Attempt) (answer checker.Answer, keepOpen bool) {
+func (c *clientConn) readAnswer(client *Client, attempt *checker.Attempt) (answer checker.Answer, keepOpen bool) {
 	request := &http.Request{Method: attempt.Method}
-	response, err := http.ReadResponse(w.reader, request)
+	response, err := http.ReadResponse(c.reader, request)
 	for err == nil && response.StatusCode >= 100 && response.StatusCode < 200 {
-		response, err = http.ReadResponse(w.reader, request)
+		response, err = http.ReadResponse(c.reader, request)
 	}
 	if err != nil {
-		// The end of the connection is no bytes, and no answer.
+		// If the connection ended, there is no answer, but no malformed one either.
 		var n net.Error
-		connEnded := errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) || errors.Is(err, net.ErrClosed) || errors.As(err, &n) || w.lastByte.truncatedInHeader(w.reader, err)
+		connEnded := errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) || errors.Is(err, net.ErrClosed) || errors.As(err, &n) || c.lastByte.truncatedInHeader(c.reader, err)
 		return checker.Answer{Malformed: !connEnded, RequestRead: true, Reason: err.Error()}, false
 	}
 	body, err := io.ReadAll(response.Body)
@@ -224,22 +225,22 @@
 	if answer.Digest == "" && len(body) < 400 {
 		answer.Reason = strings.TrimSpace(string(body))
 	}
-	w.mu.Lock()
-	w.usableUntil = time.Time{}
+	c.mu.Lock()
+	c.usableUntil = time.Time{}
 	for _, field := range strings.Split(response.Header.Get("Keep-Alive"), ",") {
 		if n, ok := strings.CutPrefix(strings.TrimSpace(field), "timeout="); ok {
 			if s, err := strconv.Atoi(n); err == nil {
-				w.usableUntil = time.Now().Add(time.Duration(s) * time.Second)
+				c.usableUntil = time.Now().Add(time.Duration(s) * time.Second)
 			}
 		}
 	}
-	w.mu.Unlock()
+	c.mu.Unlock()
 	return answer, err == nil && !response.Close
 }
 
-// reusable tells whether a connection may serve another request.
-func (w *clientConn) reusable(answer checker.Answer) bool {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return !w.closed && answer.Complete && answer.Status != 0
+// reusable reports whether the connection may carry another request.
+func (c *clientConn) reusable(answer checker.Answer) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return !c.closed && answer.Complete && answer.Status != 0
 }
--- a/internal/standin/actors/draft.go
+++ b/internal/standin/actors/draft.go
@@ -9,7 +9,7 @@
 	"puffincrank/internal/standin/checker"
 )
 
-// Way is one path of a draft.
+// Way is one route of a draft.
 type Way struct {
 	Name, Host, Prefix string
 	Repeat             string // never, safe, upload or download
@@ -18,7 +18,7 @@
 	Tries, Rank        int
 }
 
-// Draft is an operator's document before it is sent.
+// Draft is an operator's configuration document before it is sent.
 type Draft struct {
 	Number   uint64
 	Services []string
@@ -27,7 +27,7 @@
 	Fitness  string
 }
 
-// Copy gives a draft with paths of its own.
+// Copy returns a copy with its own routes.
 func (d *Draft) Copy() *Draft {
 	copied := *d
 	copied.Ways = append([]Way(nil), d.Ways...)
@@ -41,9 +41,9 @@
 	return &copied
 }
 
-// JSON writes the document.
+// JSON returns the document as it is sent.
 func (d *Draft) JSON() string {
-	services, paths := []map[string]any{}, []map[string]any{}
+	services, routes := []map[string]any{}, []map[string]any{}
 	for _, s := range d.Services {
 		services = append(services, map[string]any{"name": s, "fitness": d.Fitness, "links": d.Links, "proto": "h1", "tls": false})
 	}
@@ -62,15 +62,15 @@
 			}
 			route["split"] = split
 		}
-		paths = append(paths, route)
+		routes = append(routes, route)
 	}
-	raw, _ := json.Marshal(map[string]any{"version": d.Number, "services": services, "paths": paths,
+	raw, _ := json.Marshal(map[string]any{"version": d.Number, "services": services, "paths": routes,
 		"limits": map[string]any{"head_bytes": 16384, "body_bytes": 67108864, "head_ms": 3000, "idle_ms": 15000}})
 	return string(raw)
 }
 
-// Doc is the draft for the witness.
-func (d *Draft) Doc() *checker.Document {
+// Document returns the draft in the form that the checker records.
+func (d *Draft) Document() *checker.Document {
 	document := &checker.Document{Number: d.Number, Raw: d.JSON()}
 	for _, w := range d.Ways {
 		document.Routes = append(document.Routes, checker.RouteSpec{Name: w.Name, Host: w.Host, Prefix: w.Prefix, Retryable: w.Repeat == "safe" || w.Repeat == "download", Weights: w.Split, Timeout: w.Left, MaxAttempts: w.Tries})
@@ -78,8 +78,7 @@
 	return document
 }
 
-// Breaks are the ways in which a document is broken; each has a name and makes
-// a broken text of a draft.
+// Breaks lists the kinds of invalid documents. Of returns an invalid variant of a draft.
 var Breaks = []struct {
 	Name string
 	Of   func(d *Draft) string
@@ -95,7 +94,7 @@
 		c.Ways[0].Split = map[string]int{c.Services[0]: 2, "nobody-knows": 1}
 		c.Services = append(append([]string(nil), c.Services...), "nobody-knows")
 		raw := c.JSON()
-		// The split names it, the services don't.
+		// Remove the service from the list of services, so that only the split names it.
 		at := strings.Index(raw, `"services":`)
 		head, tail := raw[:at], raw[at:]
 		var list struct {
@@ -122,7 +121,7 @@
 	}},
 }
 
-// sameDocument tells that two texts are one document, field for field.
+// sameDocument reports whether two texts are the same JSON document, field for field.
 func sameDocument(first, second string) bool {
 	var firstValue, secondValue any
 	if json.Unmarshal([]byte(first), &firstValue) != nil || json.Unmarshal([]byte(second), &secondValue) != nil {
--- a/internal/standin/actors/heartbeat.go
+++ b/internal/standin/actors/heartbeat.go
@@ -12,149 +12,149 @@
 	"puffincrank/internal/task"
 )
 
-// heartbeatInterval is the time between two of a worker's calls.
+// heartbeatInterval is the time between two heartbeats of a worker.
 const heartbeatInterval = 1500 * time.Millisecond
 
-func (k *Worker) sendHeartbeats(ctx context.Context) {
+func (w *Worker) sendHeartbeats(ctx context.Context) {
 	for ctx.Err() == nil {
-		k.report(ctx, http.MethodPut)
+		w.reportState(ctx, http.MethodPut)
 		task.Sleep(ctx, heartbeatInterval)
 	}
 }
 
-// report makes one call to the nodes that take them and says whether it was
-// acknowledged. Each has a second, then the next is called.
-func (k *Worker) report(ctx context.Context, method string) bool {
-	for range k.HeartbeatAddrs {
-		// One that signed off beats no more.
-		if method == http.MethodPut && (k.inState("over") || k.inState("leaving")) {
+// reportState sends the worker's state to the nodes one after the other, each with a timeout
+// of one second, and reports whether one acknowledged it.
+func (w *Worker) reportState(ctx context.Context, method string) bool {
+	for range w.HeartbeatAddrs {
+		// A worker that signed off sends no more heartbeats.
+		if method == http.MethodPut && (w.inState("over") || w.inState("leaving")) {
 			return false
 		}
-		addr, state, body := k.nextReport()
-		code, answer := k.callNode(ctx, method, addr, body)
+		addr, state, body := w.nextReport()
+		code, answer := w.callNode(ctx, method, addr, body)
 		if code/100 == 2 {
 			if state == "draining" || method == http.MethodDelete {
 				node := hostOf(addr)
-				if node == hostOf(k.ListenAddr) {
-					node = k.Machine
+				if node == hostOf(w.ListenAddr) {
+					node = w.Machine
 				}
-				k.recorder.LeaveAcked(k.Worker, node)
+				w.recorder.LeaveAcked(w.Worker, node)
 			}
 			var parsed struct {
 				At string `json:"beat_at"`
 			}
 			if json.Unmarshal(answer, &parsed) == nil && parsed.At != "" {
-				k.mu.Lock()
-				k.HeartbeatAddrs, k.heartbeatIndex = append([]string{parsed.At}, k.HeartbeatAddrs...), 0
-				k.mu.Unlock()
+				w.mu.Lock()
+				w.HeartbeatAddrs, w.heartbeatIndex = append([]string{parsed.At}, w.HeartbeatAddrs...), 0
+				w.mu.Unlock()
 			}
 			return true
 		}
-		k.mu.Lock()
-		k.heartbeatIndex++
-		k.mu.Unlock()
+		w.mu.Lock()
+		w.heartbeatIndex++
+		w.mu.Unlock()
 	}
 	return false
 }
 
-// nextReport makes a worker's next call: where it goes, the state that it tells, and
-// all of it.
-func (k *Worker) nextReport() (addr, state string, body map[string]any) {
-	k.mu.Lock()
-	k.seq++
-	seq, state, addr := k.seq, k.state, k.HeartbeatAddrs[k.heartbeatIndex%len(k.HeartbeatAddrs)]
-	k.mu.Unlock()
-	cold := max(k.Behavior.Cold-time.Since(k.startedAt), 0)
-	return addr, state, map[string]any{"service": k.Service, "addr": k.ListenAddr, "area": k.Area, "version": "v1", "slots": k.Behavior.Slots, "state": state,
+// nextReport returns the worker's next report: its target, the state in it and its body.
+func (w *Worker) nextReport() (addr, state string, body map[string]any) {
+	w.mu.Lock()
+	w.seq++
+	seq, state, addr := w.seq, w.state, w.HeartbeatAddrs[w.heartbeatIndex%len(w.HeartbeatAddrs)]
+	w.mu.Unlock()
+	cold := max(w.Behavior.Cold-time.Since(w.startedAt), 0)
+	return addr, state, map[string]any{"service": w.Service, "addr": w.ListenAddr, "area": w.Area, "version": "v1", "slots": w.Behavior.Slots, "state": state,
 		"cold_ms": cold.Milliseconds(), "seq": seq}
 }
 
-// delayHeartbeat makes a beat now that comes only after a time, as one that was held up on
-// its way.
-func (k *Worker) delayHeartbeat(delay time.Duration) {
-	addr, _, body := k.nextReport()
-	k.tasks.Go("late-beat", func(ctx context.Context) {
+// sendDelayedHeartbeat builds a heartbeat now and sends it after the delay, like one that was
+// delayed in the network.
+func (w *Worker) sendDelayedHeartbeat(delay time.Duration) {
+	addr, _, body := w.nextReport()
+	w.tasks.Go("late-beat", func(ctx context.Context) {
 		task.Sleep(ctx, delay)
 		if ctx.Err() == nil {
-			k.callNode(ctx, http.MethodPut, addr, body)
+			w.callNode(ctx, http.MethodPut, addr, body)
 		}
 	})
 }
 
-func (k *Worker) callNode(ctx context.Context, method, addr string, body any) (int, []byte) {
+func (w *Worker) callNode(ctx context.Context, method, addr string, body any) (int, []byte) {
 	raw, _ := json.Marshal(body)
-	return Ask(ctx, k.env.Net, method, addr, "/puffin/workers/"+k.Name, raw, time.Second)
+	return Ask(ctx, w.env.Net, method, addr, "/puffin/workers/"+w.Name, raw, time.Second)
 }
 
-// Manner is how a worker leaves.
+// Manner describes how a worker leaves.
 type Manner struct {
-	SignsOff bool          // it never says "draining": it signs off first and serves on as long
-	Late     time.Duration // a beat of before comes only so long after its first word; 0: none does
-	More     time.Duration // it serves on for so much longer
+	SignsOff bool          // it deregisters at once instead of reporting "draining", and goes on serving for the same time
+	Late     time.Duration // an earlier heartbeat arrives this long after the leave notice; 0: none does
+	More     time.Duration // how much longer than required it goes on serving
 }
 
-// maxHeartbeatDelay is how late a beat may come.
+// maxHeartbeatDelay is the longest delay of a late heartbeat, and the additional time that
+// some leaving workers go on serving.
 const maxHeartbeatDelay = 3 * time.Second
 
-// drawManner draws how a worker leaves: one in three signs off first, every second
-// one has a beat on its way, and one in three serves on for seconds.
-func (k *Worker) drawManner() Manner {
+// drawManner draws how a worker leaves: one in three deregisters first, one in two has a
+// delayed heartbeat on its way, and one in three goes on serving for maxHeartbeatDelay.
+func (w *Worker) drawManner() Manner {
 	var manner Manner
-	manner.SignsOff = k.random.intN(3) == 0
-	if k.random.intN(2) == 0 {
-		manner.Late = time.Duration(1+k.random.intN(int(maxHeartbeatDelay/time.Millisecond))) * time.Millisecond
+	manner.SignsOff = w.random.intN(3) == 0
+	if w.random.intN(2) == 0 {
+		manner.Late = time.Duration(1+w.random.intN(int(maxHeartbeatDelay/time.Millisecond))) * time.Millisecond
 	}
-	if k.random.intN(3) == 0 {
+	if w.random.intN(3) == 0 {
 		manner.More = maxHeartbeatDelay
 	}
 	return manner
 }
 
-// Leave is the planned end of a worker, in a manner of its own.
-func (k *Worker) Leave(ctx context.Context) { k.LeaveBy(ctx, k.drawManner()) }
+// Leave shuts the worker down gracefully, in a random manner.
+func (w *Worker) Leave(ctx context.Context) { w.LeaveBy(ctx, w.drawManner()) }
 
-// LeaveBy is the planned end of a worker: it says that it leaves, serves on for
-// its time after that was acknowledged, signs off and ends. Without an
-// acknowledgement it ends all the same, some seconds later.
-func (k *Worker) LeaveBy(ctx context.Context, manner Manner) {
+// LeaveBy shuts the worker down gracefully: it reports that it leaves, goes on serving for its
+// drain time after the acknowledgement, deregisters and ends. Without an acknowledgement it
+// gives up after 6 s and ends nevertheless.
+func (w *Worker) LeaveBy(ctx context.Context, manner Manner) {
 	if manner.Late > 0 {
-		k.delayHeartbeat(manner.Late)
+		w.sendDelayedHeartbeat(manner.Late)
 	}
 	method := http.MethodPut
-	k.mu.Lock()
-	k.state = "draining"
+	w.mu.Lock()
+	w.state = "draining"
 	if manner.SignsOff {
-		k.state, method = "leaving", http.MethodDelete
+		w.state, method = "leaving", http.MethodDelete
 	}
-	k.mu.Unlock()
-	k.recorder.LeaveSent(k.Worker)
-	for from := time.Now(); time.Since(from) < 6*time.Second; {
-		if k.report(ctx, method) {
-			sleep(ctx, k.Behavior.Drain+manner.More+time.Duration(200+k.random.intN(300))*time.Millisecond)
+	w.mu.Unlock()
+	w.recorder.LeaveSent(w.Worker)
+	for start := time.Now(); time.Since(start) < 6*time.Second; {
+		if w.reportState(ctx, method) {
+			sleep(ctx, w.Behavior.Drain+manner.More+time.Duration(200+w.random.intN(300))*time.Millisecond)
 			break
 		}
 		sleep(ctx, 300*time.Millisecond)
 	}
-	k.report(ctx, http.MethodDelete)
-	// What it has in hand is answered; those who still come are not its fault.
+	w.reportState(ctx, http.MethodDelete)
+	// Requests in progress get up to 1 s to finish. Those that still arrive are cut off.
 	for range 20 {
-		if inUse, _ := k.slots.load(); inUse == 0 {
+		if inUse, _ := w.slots.load(); inUse == 0 {
 			break
 		}
 		sleep(ctx, 50*time.Millisecond)
 	}
-	k.Kill()
+	w.Kill()
 }
 
-// Acknowledged tells whether its leave was.
-func (k *Worker) Acknowledged() bool {
+// Acknowledged reports whether the worker's leave was acknowledged.
+func (w *Worker) Acknowledged() bool {
 	acknowledged := false
-	k.recorder.Update(func() { acknowledged = !k.LeaveAckedAt.IsZero() })
+	w.recorder.Update(func() { acknowledged = !w.LeaveAckedAt.IsZero() })
 	return acknowledged
 }
 
-// Ask makes one call on a connection of its own; the code is 0 when no whole
-// answer came in time.
+// Ask makes one call on a new connection. The returned status is 0 if no complete answer
+// arrived in time.
 func Ask(ctx context.Context, network dialer, method, addr, uri string, body []byte, timeout time.Duration) (int, []byte) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -164,7 +164,7 @@
 	}
 	request.Header.Set("Content-Type", "application/json")
 	transport := &http.Transport{DisableKeepAlives: true, DialContext: func(dialCtx context.Context, _, target string) (net.Conn, error) {
-		// The transport's own dial goes on after the call has ended.
+		// The transport's dial would continue after the call has ended.
 		dialCtx, cancel := context.WithTimeout(dialCtx, timeout)
 		defer cancel()
 		return network.Dial(dialCtx, target)
--- a/internal/standin/actors/ingress_test.go
+++ b/internal/standin/actors/ingress_test.go
@@ -43,8 +43,8 @@
 	document := &checker.Document{Number: 1, Routes: []checker.RouteSpec{{Host: "h.example", Prefix: "/a/", Retryable: true, Weights: map[string]int{"s": 1}}, {Host: "h.example", Prefix: "/b/", Weights: map[string]int{"s": 1}}}}
 	bed.recorder.DocumentSent(document)
 	bed.recorder.DocumentAcked(document, "c1")
-	if misbehave := httpapi.Serve(bed.tasks, environment, "10.0.0.1:8000", http.HandlerFunc(bed.serveIngress), time.Second); misbehave != nil {
-		t.Fatal(misbehave)
+	if err := httpapi.Serve(bed.tasks, environment, "10.0.0.1:8000", http.HandlerFunc(bed.serveIngress), time.Second); err != nil {
+		t.Fatal(err)
 	}
 	bed.worker, _ = actors.Start(environment, actors.Plain, checker.Worker{Name: "w1", Service: "s", Machine: "10.0.0.1"}, "10.0.0.1:9000", "10.0.0.1:8000", []string{"10.0.0.1:7003"}, behavior, bed.recorder, 1)
 	environment.Net = bed.net.Host("10.0.0.2")
@@ -53,7 +53,7 @@
 }
 
 // serveIngress passes a request on to the worker, on a connection of its own.
-func (d *testbed) serveIngress(w http.ResponseWriter, r *http.Request) {
+func (b *testbed) serveIngress(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
 		return
@@ -65,7 +65,7 @@
 		forwarded.Header.Set(actors.Plain.CallerService, "s")
 		forwarded.Header.Set(actors.Plain.ExpectedWorker, "w1")
 		transport := &http.Transport{DisableKeepAlives: true, DialContext: func(ctx context.Context, _, target string) (net.Conn, error) {
-			return d.net.Host("10.0.0.1").Dial(ctx, target)
+			return b.net.Host("10.0.0.1").Dial(ctx, target)
 		}}
 		response, err := transport.RoundTrip(forwarded)
 		if err != nil {
@@ -75,7 +75,7 @@
 		_ = response.Body.Close()
 		return response, answer, err
 	}
-	if d.misbehave != nil && d.misbehave(w, r, body, send) {
+	if b.misbehave != nil && b.misbehave(w, r, body, send) {
 		return
 	}
 	response, answer, err := send()
@@ -99,23 +99,23 @@
 }
 
 // runLoad runs a load and gives the verdict.
-func (d *testbed) runLoad(duration time.Duration, lines ...*actors.Line) map[string]int {
+func (b *testbed) runLoad(duration time.Duration, lines ...*actors.Line) map[string]int {
 	ctx, cancel := context.WithTimeout(context.Background(), duration)
 	defer cancel()
-	for _, line := range append(lines, d.line) {
-		d.tasks.Go("load", func(context.Context) { d.client.Load(ctx, line, func() float64 { return line.Rate }) })
+	for _, line := range append(lines, b.line) {
+		b.tasks.Go("load", func(context.Context) { b.client.Load(ctx, line, func() float64 { return line.Rate }) })
 	}
 	<-ctx.Done()
 	<-time.After(3 * time.Second)
-	d.client.Close()
-	d.worker.Kill()
-	d.tasks.Stop()
+	b.client.Close()
+	b.worker.Kill()
+	b.tasks.Stop()
 	<-time.After(time.Second)
-	breaches, notes := d.recorder.Verdict()
+	breaches, notes := b.recorder.Verdict()
 	for _, n := range notes {
-		d.t.Log(n)
+		b.t.Log(n)
 	}
-	d.t.Log(d.recorder.Tally())
+	b.t.Log(b.recorder.Tally())
 	return breaches
 }
 
--- a/internal/standin/actors/locks.go
+++ b/internal/standin/actors/locks.go
@@ -10,25 +10,25 @@
 	"puffincrank/internal/task"
 )
 
-// The ways in which a holder goes on after it has a lock.
+// The ways in which a holder behaves after it got a lock.
 const (
-	releasesSoon  = iota // after a moment
-	renewsInTime         // for seconds, renewing in time
-	goesSilent           // says nothing more; the same name comes again later
-	renewsLate           // renews only after its time
-	acquiresAgain        // takes what it holds, for the same fence and more time
+	releasesSoon  = iota // releases it after about 60 ms
+	renewsInTime         // renews it in time up to four times, then releases it
+	goesSilent           // makes no more calls; the same owner name is used again later
+	renewsLate           // renews it only after it has expired
+	acquiresAgain        // acquires the lock that it holds, which keeps the fence and extends the time
 	holderKindCount
 )
 
-// useLock takes a lock for a caller and goes on as one of the kinds of holder.
+// useLock acquires a lock and then behaves like a random kind of holder.
 func (a *Apps) useLock(ctx context.Context, owner, name string) {
 	ttl := time.Duration(1000+a.random.intN(2500)) * time.Millisecond
 	result := a.acquire(ctx, owner, name, ttl)
 	if result.Status != 200 {
 		return
 	}
-	// It counts itself holder from the answer on, for the time from before the
-	// call was sent.
+	// The caller considers itself the holder from the answer on, but counts the time to
+	// live from before the call was sent.
 	hold := &checker.LockHold{Name: name, Owner: owner, Fence: result.Number, From: result.End, Until: result.Start.Add(ttl)}
 	a.Recorder.RecordHold(hold)
 	switch a.random.intN(holderKindCount) {
@@ -68,8 +68,8 @@
 	return a.call(ctx, checker.Op{Kind: checker.Acquire, Name: name, Owner: owner}, http.MethodPost, "locks/"+name, body, 2*time.Second, 0)
 }
 
-// renew asks for more time; a 200 after the time has run out counts for
-// nothing, and the lock is given up.
+// renew extends a hold and reports whether the caller still has the lock. A 200 that arrives
+// after the expiry does not count: the caller gives the lock up.
 func (a *Apps) renew(ctx context.Context, hold *checker.LockHold, ttl time.Duration) bool {
 	body := map[string]any{"owner": hold.Owner, "fence": hold.Fence, "ttl_ms": ttl.Milliseconds()}
 	result := a.call(ctx, checker.Op{Kind: checker.Renew, Name: hold.Name, Owner: hold.Owner}, http.MethodPut, "locks/"+hold.Name, body, time.Second, 0)
@@ -97,7 +97,7 @@
 	return second
 }
 
-// watchGroup watches a group from the present revision on.
+// watchGroup watches a key group from its current revision on.
 func (a *Apps) watchGroup(ctx context.Context, group string) {
 	revision, known := uint64(0), false
 	for ctx.Err() == nil {
@@ -124,8 +124,8 @@
 	return a.call(ctx, op, http.MethodGet, fmt.Sprintf("watch/%s?after=%d&wait_ms=%d", group, after, wait.Milliseconds()), nil, a.callTimeout(final), wait)
 }
 
-// Finish asks for everything once more when the day ends: keys are read,
-// numbers and locks asked for, watches go on from where they stood.
+// Finish makes the final calls of a test run: it reads all keys, continues the watches from
+// their last revision, and requests each number and lock once.
 func (a *Apps) Finish(ctx context.Context) {
 	for g := range a.KeyGroups {
 		name := fmt.Sprintf("g%d.", g)
--- a/internal/standin/actors/operator.go
+++ b/internal/standin/actors/operator.go
@@ -12,23 +12,23 @@
 	"puffincrank/internal/task"
 )
 
-// Operator sends whole documents by number and reads them back.
+// Operator sends complete configuration documents by number and reads them back.
 type Operator struct {
 	Env         env.Env
 	Recorder    *checker.Witness
-	Nodes       func() []string // the nodes that take its calls, as it knows them
-	SendTimeout time.Duration   // how long it sends a document without a clear answer
+	Nodes       func() []string // addresses of the nodes that the operator knows
+	SendTimeout time.Duration   // how long a document is sent again without a conclusive answer
 	random      *lockedRand
 	mu          sync.Mutex
 	sent        []*checker.Document
 }
 
-// NewOperator makes an operator who knows the given nodes.
+// NewOperator creates an operator who knows the given nodes.
 func NewOperator(environment env.Env, nodes func() []string, recorder *checker.Witness, seed uint64) *Operator {
 	return &Operator{Env: environment, Recorder: recorder, Nodes: nodes, SendTimeout: 30 * time.Second, random: newLockedRand(seed)}
 }
 
-// pickNode draws a node, another one than the last if there are more.
+// pickNode draws a node, if possible another one than the previous.
 func (o *Operator) pickNode(previous string) string {
 	nodes := o.Nodes()
 	node := nodes[o.random.intN(len(nodes))]
@@ -38,10 +38,11 @@
 	return node
 }
 
-// Send sends a draft until it has a clear answer, to one node after the other.
-// With broken set the text is that, and what is wrong with it is named.
+// Send sends a draft to one node after the other until it gets a conclusive answer, and
+// reports whether it was acknowledged. If invalid is not empty, that text is sent instead;
+// defect says what is wrong with it.
 func (o *Operator) Send(ctx context.Context, draft *Draft, invalid, defect string) bool {
-	document := draft.Doc()
+	document := draft.Document()
 	if invalid != "" {
 		document.Raw, document.Defect = invalid, defect
 	}
@@ -56,7 +57,7 @@
 	return ok
 }
 
-// Again sends a document that was sent before once more, as it was.
+// Again sends a random earlier document a second time, unchanged.
 func (o *Operator) Again(ctx context.Context) {
 	o.mu.Lock()
 	var earlier *checker.Document
@@ -72,7 +73,7 @@
 func (o *Operator) submit(ctx context.Context, document *checker.Document) bool {
 	node, pause, unexpected := "", 100*time.Millisecond, 0
 	timeout := time.Second + time.Duration(len(document.Raw)/1000)*time.Millisecond
-	for from := time.Now(); time.Since(from) < o.SendTimeout && ctx.Err() == nil; {
+	for start := time.Now(); time.Since(start) < o.SendTimeout && ctx.Err() == nil; {
 		node = o.pickNode(node)
 		code, _ := Ask(ctx, o.Env.Net, http.MethodPut, node, "/puffin/config?by=number", []byte(document.Raw), timeout)
 		switch {
@@ -102,9 +103,9 @@
 	})
 }
 
-// Read reads the newest document back, until it comes or the time is up.
+// Read reads the newest document back, and tries other nodes until the timeout.
 func (o *Operator) Read(ctx context.Context, timeout time.Duration, final bool) {
-	from := time.Now()
+	start := time.Now()
 	for node := ""; ; {
 		node = o.pickNode(node)
 		sentAt := time.Now()
@@ -113,7 +114,7 @@
 			o.Recorder.RecordConfigRead(o.compareRead(sentAt, string(raw), final))
 			return
 		}
-		if time.Since(from) > timeout || ctx.Err() != nil {
+		if time.Since(start) > timeout || ctx.Err() != nil {
 			o.Recorder.RecordConfigRead(checker.ConfigRead{SentAt: sentAt, ReceivedAt: time.Now(), Final: final})
 			return
 		}
--- a/internal/standin/actors/plain.go
+++ b/internal/standin/actors/plain.go
@@ -1,6 +1,6 @@
-// Package actors holds the stand-ins of a deployment that speaks a tongue other
-// than the product's own: its workers, clients, operators and applications,
-// on bare sockets, so that each can behave as badly as real ones do.
+// Package actors simulates the workers, clients, operators and applications of a deployment
+// whose dialect is not the product's own. They work on plain sockets, so that each of them can
+// misbehave as real ones do.
 package actors
 
 import (
@@ -12,38 +12,40 @@
 	"puffincrank/internal/dialect"
 )
 
-// Plain is a tongue with a deployment's manners and names of nobody's: a stamp
-// that cannot be checked, nobody is asked who is there, ids are the caller's.
+// Plain is a dialect with invented header names that works like that of a deployment: the
+// response digest is opaque, new connections are not identified, and attempts keep the IDs
+// that callers give them.
 var Plain = dialect.Dialect{Name: "plain", AttemptID: "Plain-Id", Timeout: "Plain-Left", ExpectedWorker: "Plain-For", WorkerID: "Plain-Who",
 	ResponseDigest: "Plain-Stamp", NotExecuted: "Plain-Not-Run", CallerService: "Plain-From", KeepsAttemptID: true, FractionalRetryAfter: true}
 
-// Line is one kind of request that clients make.
+// Line is one kind of request that clients make. The mean values are those around which the
+// actual ones are drawn.
 type Line struct {
 	Kind, Host, Method, Prefix string
 	Repeat                     bool
-	Rate                       float64 // a second, over all clients
-	Size, Back                 int     // bytes of the body and of the answer, in the middle
-	Work, Aim, Left            time.Duration
-	Most                       time.Duration // what the path's operator lets it take
-	Further                    int           // tries after the first
+	Rate                       float64       // requests per second, over all clients
+	Size, Back                 int           // mean number of bytes of the body and of the answer
+	Work, Aim, Left            time.Duration // mean time at the worker, target latency, the client's timeout
+	Most                       time.Duration // the timeout of the route
+	Further                    int           // retries
 	Calls                      []Call
-	Pick                       func(chance uint64) (host, prefix string) // where it goes, if that changes
+	Pick                       func(chance uint64) (host, prefix string) // draws the target; nil: Host and Prefix
 }
 
-// Call is a request that a worker makes while it runs one.
+// Call is a nested request that a worker makes while it executes another one.
 type Call struct {
 	Line  *Line
-	Share float64 // the part of the runs that make it
+	Share float64 // the part of the executions that make it
 }
 
-// ExecutionPlan is what a worker is told of a request by the stand-ins' own book, not
-// by the wire.
+// ExecutionPlan tells a worker how to execute a request. It is passed within the process, not
+// with the request.
 type ExecutionPlan struct {
 	AnswerSize int
 	Calls      []*Line
 }
 
-// lockedRand is a source of chance that many may use.
+// lockedRand is a source of random numbers that is safe for concurrent use.
 type lockedRand struct {
 	mu  sync.Mutex
 	rng *rand.Rand
@@ -51,40 +53,41 @@
 
 func newLockedRand(seed uint64) *lockedRand { return &lockedRand{rng: rand.New(rand.NewPCG(seed, 11))} }
 
-func (d *lockedRand) fraction() float64 {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return d.rng.Float64()
+func (r *lockedRand) fraction() float64 {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.rng.Float64()
 }
 
-func (d *lockedRand) intN(bound int) int {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return d.rng.IntN(bound)
+func (r *lockedRand) intN(bound int) int {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.rng.IntN(bound)
 }
 
-func (d *lockedRand) uint64() uint64 {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return d.rng.Uint64()
+func (r *lockedRand) uint64() uint64 {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.rng.Uint64()
 }
 
-// interval draws the time to the next of a stream of so many a second.
-func (d *lockedRand) interval(rate float64) time.Duration {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return time.Duration(d.rng.ExpFloat64() / rate * float64(time.Second))
+// interval draws the time until the next event of a Poisson process with the given rate per
+// second.
+func (r *lockedRand) interval(rate float64) time.Duration {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return time.Duration(r.rng.ExpFloat64() / rate * float64(time.Second))
 }
 
-// around draws a span between half and one and a half of the middle.
-func (d *lockedRand) around(middle time.Duration) time.Duration {
-	if middle <= 0 {
+// around draws a duration between 0.5 and 1.5 times the mean.
+func (r *lockedRand) around(mean time.Duration) time.Duration {
+	if mean <= 0 {
 		return 0
 	}
-	return middle/2 + time.Duration(d.uint64()%uint64(middle))
+	return mean/2 + time.Duration(r.uint64()%uint64(mean))
 }
 
-// reset resets a connection instead of closing it.
+// reset closes a connection with a TCP reset.
 func reset(conn net.Conn) {
 	if lingering, ok := conn.(interface{ SetLinger(int) error }); ok {
 		_ = lingering.SetLinger(0)
@@ -92,14 +95,14 @@
 	_ = conn.Close()
 }
 
-// fillRepeating repeats a text until the bytes are full.
+// fillRepeating fills the buffer with repetitions of a text.
 func fillRepeating(buffer []byte, text string) {
 	for filled := copy(buffer, text); filled < len(buffer); filled *= 2 {
 		copy(buffer[filled:], buffer[:filled])
 	}
 }
 
-// remoteHost is the host of an address.
+// remoteHost returns the host of an address.
 func remoteHost(addr net.Addr) string {
 	name, _, err := net.SplitHostPort(addr.String())
 	if err != nil {
--- a/internal/standin/actors/slotpool.go
+++ b/internal/standin/actors/slotpool.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// slotPool is a worker's slots and its short queue.
+// slotPool is a worker's execution slots with a bounded queue.
 type slotPool struct {
 	mu      sync.Mutex
 	slots   int
@@ -15,7 +15,7 @@
 	peak    int
 }
 
-// admission is how an attempt to enter ended.
+// admission is the result of waiting for a slot.
 type admission int
 
 const (
@@ -25,22 +25,22 @@
 	callerGone
 )
 
-// acquire takes a slot, or waits for one in the queue until the time is up or
-// the caller is gone.
-func (r *slotPool) acquire(deadline time.Time, callerLeft <-chan struct{}) admission {
-	r.mu.Lock()
-	if r.inUse < r.slots && len(r.waiters) == 0 {
-		r.occupy()
-		r.mu.Unlock()
+// acquire takes a slot, or waits for one in the queue until the deadline or until the caller
+// leaves.
+func (p *slotPool) acquire(deadline time.Time, callerLeft <-chan struct{}) admission {
+	p.mu.Lock()
+	if p.inUse < p.slots && len(p.waiters) == 0 {
+		p.occupy()
+		p.mu.Unlock()
 		return admitted
 	}
-	if len(r.waiters) >= r.queue {
-		r.mu.Unlock()
+	if len(p.waiters) >= p.queue {
+		p.mu.Unlock()
 		return queueFull
 	}
 	granted := make(chan struct{}, 1)
-	r.waiters = append(r.waiters, granted)
-	r.mu.Unlock()
+	p.waiters = append(p.waiters, granted)
+	p.mu.Unlock()
 	timer := time.NewTimer(time.Until(deadline))
 	defer timer.Stop()
 	result := timedOut
@@ -51,48 +51,48 @@
 	case <-callerLeft:
 		result = callerGone
 	}
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	for i, waiter := range r.waiters {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for i, waiter := range p.waiters {
 		if waiter == granted {
-			r.waiters = append(r.waiters[:i], r.waiters[i+1:]...)
+			p.waiters = append(p.waiters[:i], p.waiters[i+1:]...)
 			return result
 		}
 	}
-	// The slot came in the same moment: it goes to the next.
-	r.releaseLocked()
+	// The slot was granted at the same time: pass it on to the next waiter.
+	p.releaseLocked()
 	return result
 }
 
-func (r *slotPool) occupy() {
-	r.inUse++
-	r.peak = max(r.peak, r.inUse)
+func (p *slotPool) occupy() {
+	p.inUse++
+	p.peak = max(p.peak, p.inUse)
 }
 
-func (r *slotPool) release() {
-	r.mu.Lock()
-	r.releaseLocked()
-	r.mu.Unlock()
+func (p *slotPool) release() {
+	p.mu.Lock()
+	p.releaseLocked()
+	p.mu.Unlock()
 }
 
-func (r *slotPool) releaseLocked() {
-	r.inUse--
-	if len(r.waiters) > 0 && r.inUse < r.slots {
-		r.occupy()
-		r.waiters[0] <- struct{}{}
-		r.waiters = r.waiters[1:]
+func (p *slotPool) releaseLocked() {
+	p.inUse--
+	if len(p.waiters) > 0 && p.inUse < p.slots {
+		p.occupy()
+		p.waiters[0] <- struct{}{}
+		p.waiters = p.waiters[1:]
 	}
 }
 
-// acquireForced takes a slot whether one is free or not, as a handshake does.
-func (r *slotPool) acquireForced() {
-	r.mu.Lock()
-	r.inUse++
-	r.mu.Unlock()
+// acquireForced takes a slot even if none is free, as the handshake of a new connection does.
+func (p *slotPool) acquireForced() {
+	p.mu.Lock()
+	p.inUse++
+	p.mu.Unlock()
 }
 
-func (r *slotPool) load() (inUse, waiting int) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return r.inUse, len(r.waiters)
+func (p *slotPool) load() (inUse, waiting int) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.inUse, len(p.waiters)
 }
--- a/internal/standin/actors/worker.go
+++ b/internal/standin/actors/worker.go
@@ -15,44 +15,44 @@
 	"puffincrank/internal/task"
 )
 
-// Ways is how a worker behaves.
+// Ways describes how a worker behaves.
 type Ways struct {
 	Slots, Queue int
-	Conns        int           // connections that it takes at once; more are reset
-	Hello        time.Duration // a new connection holds a slot for so long
-	Idle         time.Duration // a connection without a request is closed after; 0: never
-	Resets       bool          // when full it resets instead of answering
-	Speed        float64       // what its work takes, against the middle
-	Crowd        float64       // how much slower it is when all slots are taken
-	Cold         time.Duration // slow for so long from its start
-	ColdBy       float64       // and so much
-	Hop          float64       // part of the answers that end their connection
-	Drain        time.Duration // how long it serves on after its leave was acknowledged
-	Fitness      string        // path on which it is asked how it is
+	Conns        int           // connections accepted at once, further ones are reset; 0: no limit
+	Hello        time.Duration // how long the handshake of a new connection occupies a slot
+	Idle         time.Duration // idle time after which a connection is closed; 0: never
+	Resets       bool          // resets the connection instead of answering 503 when the queue is full
+	Speed        float64       // factor on the mean work time
+	Crowd        float64       // factor on the work time when all slots are in use
+	Cold         time.Duration // how long the cold start lasts
+	ColdBy       float64       // factor on the work time during the cold start
+	Hop          float64       // part of the answers after which the connection is closed
+	Drain        time.Duration // how long it goes on serving after its leave was acknowledged
+	Fitness      string        // URL path of the health check
 }
 
-// Ills is what is wrong with a worker just now.
+// Ills are the current faults of a worker.
 type Ills struct {
-	Slow  float64 // so many times slower
-	Lose  float64 // part of the answers lost after the run
-	Spoil float64 // part of the answers spoiled, in one of many ways
-	Fail  float64 // part answered 500
-	Sick  bool    // says on its fitness path that it is not well
-	// Forget is after how long an idle connection is forgotten in silence: what
-	// is sent over it next is reset; 0: never.
+	Slow  float64 // factor on the work time
+	Lose  float64 // part of the requests whose answer is lost after the execution
+	Spoil float64 // part of the answers corrupted in a random way
+	Fail  float64 // part of the requests answered with 500
+	Sick  bool    // fails health checks
+	// Forget is the idle time after which a connection is silently dropped, so that the
+	// next request on it is reset; 0: never.
 	Forget time.Duration
-	Shed   float64 // part turned away unrun though there is room
-	Tear   float64 // part reset as they come, unrun
-	Hang   float64 // part neither run nor answered
-	// The callers, by their hosts, that feel any of it; nil: all.
+	Shed   float64 // part of the requests declined although there is capacity
+	Tear   float64 // part of the requests reset on arrival, not executed
+	Hang   float64 // part of the requests neither executed nor answered
+	// Only selects the hosts of the callers that the faults affect; nil: all.
 	Only func(host string) bool
 }
 
-// Worker is one life of a worker.
+// Worker is one incarnation of a worker.
 type Worker struct {
 	*checker.Worker
 	ListenAddr     string
-	IngressAddr    string // where its own calls go: the node beside it
+	IngressAddr    string // address of the node beside it, for its nested requests
 	HeartbeatAddrs []string
 	Behavior       Ways
 	dialect        dialect.Dialect
@@ -64,21 +64,21 @@
 	startedAt      time.Time
 	mu             sync.Mutex
 	faults         Ills
-	state          string // up, draining, leaving (it signed off first) or over
+	state          string // up, draining, leaving (it deregistered first) or over
 	seq            int64
 	conns          map[net.Conn]bool
-	heartbeatIndex int // which of Beats it goes to
-	Ended          chan struct{}
+	heartbeatIndex int           // index into HeartbeatAddrs, modulo their number
+	Ended          chan struct{} // closed by Kill
 	listener       net.Listener
-	client         *Client // its own, through the node beside it
+	client         *Client // for nested requests through the node beside it
 }
 
-// Start starts a worker; beats go to the first of the given addresses, and to
-// the next after a second without an answer.
-func Start(environment env.Env, dialect dialect.Dialect, identity checker.Worker, addr, front string, beats []string, behavior Ways, recorder *checker.Witness, seed uint64) (*Worker, error) {
-	worker := &Worker{Worker: &identity, ListenAddr: addr, IngressAddr: front, HeartbeatAddrs: beats, Behavior: behavior, dialect: dialect, env: environment, tasks: task.New(context.Background()), recorder: recorder, random: newLockedRand(seed),
+// Start starts a worker. Heartbeats go to the first of the given addresses, and to the next
+// one after a second without an answer.
+func Start(environment env.Env, dialect dialect.Dialect, identity checker.Worker, addr, ingressAddr string, heartbeatAddrs []string, behavior Ways, recorder *checker.Witness, seed uint64) (*Worker, error) {
+	worker := &Worker{Worker: &identity, ListenAddr: addr, IngressAddr: ingressAddr, HeartbeatAddrs: heartbeatAddrs, Behavior: behavior, dialect: dialect, env: environment, tasks: task.New(context.Background()), recorder: recorder, random: newLockedRand(seed),
 		slots: &slotPool{slots: behavior.Slots, queue: behavior.Queue}, startedAt: time.Now(), state: "up", conns: map[net.Conn]bool{}, Ended: make(chan struct{})}
-	worker.client = &Client{Env: environment, Dialect: dialect, IngressAddr: front, Machine: identity.Machine, Recorder: recorder, Tasks: worker.tasks, ReuseShare: 0.7, random: worker.random, name: "n-" + identity.Name + "-"}
+	worker.client = &Client{Env: environment, Dialect: dialect, IngressAddr: ingressAddr, Machine: identity.Machine, Recorder: recorder, Tasks: worker.tasks, ReuseShare: 0.7, random: worker.random, name: "n-" + identity.Name + "-"}
 	var err error
 	if worker.listener, err = environment.Net.Listen(addr); err != nil {
 		return nil, err
@@ -89,128 +89,128 @@
 	return worker, nil
 }
 
-// Fall makes a worker ill, or well again.
-func (k *Worker) Fall(faults Ills) {
-	k.mu.Lock()
-	k.faults = faults
-	k.mu.Unlock()
+// Fall sets the worker's current faults; the zero value makes it healthy again.
+func (w *Worker) Fall(faults Ills) {
+	w.mu.Lock()
+	w.faults = faults
+	w.mu.Unlock()
 }
 
-// Load tells how many slots it has in use and how many wait for one.
-func (k *Worker) Load() (inUse, waiting int) { return k.slots.load() }
+// Load returns the number of slots in use and of requests waiting for one.
+func (w *Worker) Load() (inUse, waiting int) { return w.slots.load() }
 
-// Kill ends a worker without a word: every connection is reset.
-func (k *Worker) Kill() {
-	k.mu.Lock()
-	previous := k.state
-	k.state = "over"
-	k.mu.Unlock()
-	_ = k.listener.Close()
-	k.mu.Lock()
-	for conn := range k.conns {
+// Kill ends the worker without notice: it resets every connection.
+func (w *Worker) Kill() {
+	w.mu.Lock()
+	previous := w.state
+	w.state = "over"
+	w.mu.Unlock()
+	_ = w.listener.Close()
+	w.mu.Lock()
+	for conn := range w.conns {
 		reset(conn)
 	}
-	k.mu.Unlock()
-	k.tasks.Cancel()
-	k.client.Close()
+	w.mu.Unlock()
+	w.tasks.Cancel()
+	w.client.Close()
 	if previous != "over" {
-		close(k.Ended)
+		close(w.Ended)
 	}
-	k.tasks.Stop()
+	w.tasks.Stop()
 }
 
-func (k *Worker) inState(state string) bool {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.state == state
+func (w *Worker) inState(state string) bool {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	return w.state == state
 }
 
-// leaving tells that it has said that it goes, in either manner.
-func (k *Worker) leaving() bool { return k.inState("draining") || k.inState("leaving") }
+// leaving reports whether the worker has announced its leave, by draining or deregistering.
+func (w *Worker) leaving() bool { return w.inState("draining") || w.inState("leaving") }
 
-// faultsFor is what is wrong with it for whoever is at the far end.
-func (k *Worker) faultsFor(conn net.Conn) Ills {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if k.faults.Only != nil && !k.faults.Only(remoteHost(conn.RemoteAddr())) {
+// faultsFor returns the faults that affect the caller on the connection.
+func (w *Worker) faultsFor(conn net.Conn) Ills {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	if w.faults.Only != nil && !w.faults.Only(remoteHost(conn.RemoteAddr())) {
 		return Ills{}
 	}
-	return k.faults
+	return w.faults
 }
 
-func (k *Worker) accept() {
+func (w *Worker) accept() {
 	for {
-		conn, err := k.listener.Accept()
+		conn, err := w.listener.Accept()
 		if err != nil {
 			return
 		}
-		_, waiting := k.slots.load()
-		k.mu.Lock()
-		// Fewer are taken while the queue is long.
-		limit := k.Behavior.Conns
-		if waiting > k.Behavior.Queue/2 {
+		_, waiting := w.slots.load()
+		w.mu.Lock()
+		// Accept only three quarters of the connections while the queue is more than half full.
+		limit := w.Behavior.Conns
+		if waiting > w.Behavior.Queue/2 {
 			limit = limit * 3 / 4
 		}
-		ok := (k.Behavior.Conns == 0 || len(k.conns) < limit) && k.state != "over"
+		ok := (w.Behavior.Conns == 0 || len(w.conns) < limit) && w.state != "over"
 		if ok {
-			k.conns[conn] = true
+			w.conns[conn] = true
 		}
-		k.mu.Unlock()
-		if !ok || !k.tasks.Go("connection", func(ctx context.Context) { k.serveConn(ctx, conn) }) {
+		w.mu.Unlock()
+		if !ok || !w.tasks.Go("connection", func(ctx context.Context) { w.serveConn(ctx, conn) }) {
 			reset(conn)
 		}
 	}
 }
 
-// serveConn serves one connection: one request at a time.
-func (k *Worker) serveConn(ctx context.Context, conn net.Conn) {
+// serveConn serves the requests of one connection, one at a time.
+func (w *Worker) serveConn(ctx context.Context, conn net.Conn) {
 	defer func() {
 		_ = conn.Close()
-		k.mu.Lock()
-		delete(k.conns, conn)
-		k.mu.Unlock()
+		w.mu.Lock()
+		delete(w.conns, conn)
+		w.mu.Unlock()
 	}()
-	if k.Behavior.Hello > 0 {
-		k.slots.acquireForced()
-		task.Sleep(ctx, k.Behavior.Hello)
-		k.slots.release()
+	if w.Behavior.Hello > 0 {
+		w.slots.acquireForced()
+		task.Sleep(ctx, w.Behavior.Hello)
+		w.slots.release()
 	}
 	reader := bufio.NewReader(conn)
 	surplus := ""
 	for ctx.Err() == nil {
-		if k.Behavior.Idle > 0 {
-			_ = conn.SetReadDeadline(time.Now().Add(k.Behavior.Idle))
+		if w.Behavior.Idle > 0 {
+			_ = conn.SetReadDeadline(time.Now().Add(w.Behavior.Idle))
 		}
 		if _, err := reader.Peek(1); err != nil {
 			return
 		}
 		_ = conn.SetReadDeadline(time.Now().Add(10 * time.Second))
-		req, err := http.ReadRequest(reader)
+		request, err := http.ReadRequest(reader)
 		if err != nil {
 			return
 		}
-		body, err := io.ReadAll(req.Body)
+		body, err := io.ReadAll(request.Body)
 		if err != nil {
 			return
 		}
 		_ = conn.SetReadDeadline(time.Time{})
-		received := &workerRequest{worker: k, conn: conn, reader: reader, req: req, body: body, surplusBefore: surplus, callerLeft: make(chan struct{}), inputSeen: make(chan struct{})}
-		// Whoever asked may go away meanwhile; what it sends next stays unread.
-		if !k.tasks.Go("listen", received.watchCaller) {
+		received := &workerRequest{worker: w, conn: conn, reader: reader, request: request, body: body, surplusBefore: surplus, callerLeft: make(chan struct{}), inputSeen: make(chan struct{})}
+		// Notice if the caller leaves meanwhile; its next bytes stay unread in the buffer.
+		if !w.tasks.Go("listen", received.watchCaller) {
 			return
 		}
-		keep := received.handle(ctx)
+		keepOpen := received.handle(ctx)
 		surplus = received.surplusAfter
-		if !keep {
+		if !keepOpen {
 			_ = conn.Close()
 			<-received.inputSeen
 			return
 		}
-		from := time.Now()
-		if !received.awaitNext(k.Behavior.Idle) {
+		idleSince := time.Now()
+		if !received.awaitNext(w.Behavior.Idle) {
 			return
 		}
-		if forgetAfter := k.faultsFor(conn).Forget; forgetAfter > 0 && time.Since(from) > forgetAfter {
+		if forgetAfter := w.faultsFor(conn).Forget; forgetAfter > 0 && time.Since(idleSince) > forgetAfter {
 			reset(conn)
 			return
 		}
--- a/internal/standin/actors/workerrequest.go
+++ b/internal/standin/actors/workerrequest.go
@@ -12,15 +12,16 @@
 	"puffincrank/internal/task"
 )
 
-// workerRequest is one request on a worker's connection.
+// workerRequest is one request on a worker's connection. callerLeft is closed when the
+// connection ends, inputSeen when that happens or the next bytes arrive.
 type workerRequest struct {
 	worker        *Worker
 	conn          net.Conn
 	reader        *bufio.Reader
-	req           *http.Request
+	request       *http.Request
 	body          []byte
-	surplusBefore string // a surplus answer that comes before this one's
-	surplusAfter  string // a surplus answer that comes before the next one's
+	surplusBefore string // a duplicate answer to write before this request's
+	surplusAfter  string // a duplicate answer to write before the next request's
 	callerLeft    chan struct{}
 	inputSeen     chan struct{}
 	arrival       *checker.Arrival
@@ -28,195 +29,197 @@
 	deadline      time.Time
 }
 
-// watchCaller waits for the next bytes, or for the end of the connection.
-func (s *workerRequest) watchCaller(context.Context) {
-	if _, err := s.reader.Peek(1); err != nil {
-		close(s.callerLeft)
+// watchCaller waits for the next bytes or the end of the connection.
+func (r *workerRequest) watchCaller(context.Context) {
+	if _, err := r.reader.Peek(1); err != nil {
+		close(r.callerLeft)
 	}
-	close(s.inputSeen)
+	close(r.inputSeen)
 }
 
-// awaitNext waits for the next request; an idle connection is closed after a time.
-func (s *workerRequest) awaitNext(idle time.Duration) bool {
+// awaitNext waits for the next request and reports whether there is one. It closes the
+// connection after the idle time.
+func (r *workerRequest) awaitNext(idle time.Duration) bool {
 	if idle <= 0 {
 		idle = time.Hour
 	}
 	timer := time.NewTimer(idle)
 	defer timer.Stop()
 	select {
-	case <-s.inputSeen:
+	case <-r.inputSeen:
 	case <-timer.C:
-		_ = s.conn.Close()
-		<-s.inputSeen
+		_ = r.conn.Close()
+		<-r.inputSeen
 		return false
 	}
 	select {
-	case <-s.callerLeft:
+	case <-r.callerLeft:
 		return false
 	default:
 		return true
 	}
 }
 
-// handle handles the request and tells whether the connection goes on.
-func (s *workerRequest) handle(ctx context.Context) bool {
-	worker, header := s.worker, s.req.Header
-	s.attemptID = header.Get(worker.dialect.AttemptID)
-	s.deadline = time.Now().Add(time.Minute)
+// handle handles the request and reports whether the connection stays open.
+func (r *workerRequest) handle(ctx context.Context) bool {
+	worker, header := r.worker, r.request.Header
+	r.attemptID = header.Get(worker.dialect.AttemptID)
+	r.deadline = time.Now().Add(time.Minute)
 	var timeout time.Duration
 	if milliseconds, err := strconv.ParseFloat(header.Get(worker.dialect.Timeout), 64); err == nil {
 		timeout = time.Duration(milliseconds * float64(time.Millisecond))
-		s.deadline = time.Now().Add(timeout)
+		r.deadline = time.Now().Add(timeout)
 	}
-	if s.req.Method == http.MethodGet && s.req.URL.Path == worker.Behavior.Fitness && s.attemptID == "" {
-		return s.answerHealth()
+	if r.request.Method == http.MethodGet && r.request.URL.Path == worker.Behavior.Fitness && r.attemptID == "" {
+		return r.answerHealth()
 	}
-	s.arrival = &checker.Arrival{Worker: worker.Worker, Method: s.req.Method, URI: s.req.RequestURI, CallerService: header.Get(worker.dialect.CallerService), ExpectedWorker: header.Get(worker.dialect.ExpectedWorker), Body: checker.BodyOf(s.body), Timeout: timeout}
-	worker.recorder.RecordArrival(s.arrival, s.attemptID)
+	r.arrival = &checker.Arrival{Worker: worker.Worker, Method: r.request.Method, URI: r.request.RequestURI, CallerService: header.Get(worker.dialect.CallerService), ExpectedWorker: header.Get(worker.dialect.ExpectedWorker), Body: checker.BodyOf(r.body), Timeout: timeout}
+	worker.recorder.RecordArrival(r.arrival, r.attemptID)
 	switch {
-	case s.attemptID == "":
-		return s.decline(400)
-	case s.arrival.ExpectedWorker != "" && s.arrival.ExpectedWorker != worker.Name:
-		return s.decline(421)
+	case r.attemptID == "":
+		return r.decline(400)
+	case r.arrival.ExpectedWorker != "" && r.arrival.ExpectedWorker != worker.Name:
+		return r.decline(421)
 	}
-	switch faults := worker.faultsFor(s.conn); {
+	switch faults := worker.faultsFor(r.conn); {
 	case faults.Shed > 0 && worker.random.fraction() < faults.Shed:
-		return s.decline(503)
+		return r.decline(503)
 	case faults.Tear > 0 && worker.random.fraction() < faults.Tear:
-		worker.recorder.Update(func() { s.arrival.WorkerFailed = true })
-		reset(s.conn)
+		worker.recorder.Update(func() { r.arrival.WorkerFailed = true })
+		reset(r.conn)
 		return false
 	case faults.Hang > 0 && worker.random.fraction() < faults.Hang:
-		// Whoever asked goes away at its own time; nothing is run.
-		worker.recorder.Update(func() { s.arrival.WorkerFailed = true })
-		<-s.callerLeft
+		// Neither execute nor answer the request: wait until the caller leaves.
+		worker.recorder.Update(func() { r.arrival.WorkerFailed = true })
+		<-r.callerLeft
 		return false
 	}
-	switch worker.slots.acquire(s.deadline, s.callerLeft) {
+	switch worker.slots.acquire(r.deadline, r.callerLeft) {
 	case queueFull:
 		if worker.Behavior.Resets {
-			reset(s.conn)
+			reset(r.conn)
 			return false
 		}
-		return s.decline(503)
+		return r.decline(503)
 	case timedOut:
-		return s.decline(503)
+		return r.decline(503)
 	case callerGone:
-		s.worker.recorder.Update(func() { s.arrival.WorkerFailed = s.worker.inState("over") })
+		r.worker.recorder.Update(func() { r.arrival.WorkerFailed = r.worker.inState("over") })
 		return false
 	}
 	defer worker.slots.release()
-	// The time may have run out in the queue; what is begun counts as run.
-	if !time.Now().Before(s.deadline) {
-		return s.decline(503)
+	// The timeout may have expired in the queue. From here on the request counts as executed.
+	if !time.Now().Before(r.deadline) {
+		return r.decline(503)
 	}
-	worker.recorder.Update(func() { s.arrival.Start = time.Now() })
-	return s.execute(ctx)
+	worker.recorder.Update(func() { r.arrival.Start = time.Now() })
+	return r.execute(ctx)
 }
 
-// execute does the work and answers.
-func (s *workerRequest) execute(ctx context.Context) bool {
-	worker := s.worker
+// execute executes the request and answers it.
+func (r *workerRequest) execute(ctx context.Context) bool {
+	worker := r.worker
 	workTime, calls := 60*time.Millisecond, []*Line(nil)
 	size := 200
-	if attempt := s.arrival.Attempt; attempt != nil {
+	if attempt := r.arrival.Attempt; attempt != nil {
 		workTime = attempt.WorkTime
 		if plan, ok := attempt.WorkerPlan.(ExecutionPlan); ok {
 			calls, size = plan.Calls, plan.AnswerSize
 		}
 	}
 	code := http.StatusOK
-	if !s.spendTime(ctx, worker.scaledTime(s.conn, worker.random.around(workTime))) {
-		return s.abandon()
+	if !r.simulateWork(ctx, worker.scaledTime(r.conn, worker.random.around(workTime))) {
+		return r.abandon()
 	}
 	for _, line := range calls {
-		if !worker.nestedCall(ctx, line, s) {
+		if !worker.nestedCall(ctx, line, r) {
 			code = http.StatusInternalServerError
 			break
 		}
 	}
-	if !time.Now().Before(s.deadline) {
+	if !time.Now().Before(r.deadline) {
 		code = http.StatusGatewayTimeout
 	}
-	faults := worker.faultsFor(s.conn)
+	faults := worker.faultsFor(r.conn)
 	if code == http.StatusOK && worker.random.fraction() < faults.Fail {
 		code = http.StatusInternalServerError
 	}
 	select {
-	case <-s.callerLeft:
-		return s.abandon()
+	case <-r.callerLeft:
+		return r.abandon()
 	default:
 	}
 	if worker.random.fraction() < faults.Lose {
-		worker.recorder.Update(func() { s.arrival.WorkerFailed, s.arrival.End = true, time.Now() })
+		worker.recorder.Update(func() { r.arrival.WorkerFailed, r.arrival.End = true, time.Now() })
 		if worker.random.intN(2) == 0 {
-			reset(s.conn)
+			reset(r.conn)
 		}
 		return false
 	}
-	return s.writeAnswer(code, size, worker.random.fraction() < faults.Spoil)
+	return r.writeAnswer(code, size, worker.random.fraction() < faults.Spoil)
 }
 
-// abandon ends a run whose caller is gone, or at its time.
-func (s *workerRequest) abandon() bool {
-	if !time.Now().Before(s.deadline) {
+// abandon ends an execution whose caller left or whose deadline passed.
+func (r *workerRequest) abandon() bool {
+	if !time.Now().Before(r.deadline) {
 		select {
-		case <-s.callerLeft:
+		case <-r.callerLeft:
 		default:
-			return s.writeAnswer(http.StatusGatewayTimeout, 20, false)
+			return r.writeAnswer(http.StatusGatewayTimeout, 20, false)
 		}
 	}
-	// One that was ended broke off itself.
-	s.worker.recorder.Update(func() {
-		s.arrival.WorkerFailed, s.arrival.End = s.arrival.WorkerFailed || s.worker.inState("over"), time.Now()
+	// A worker that was killed is itself the cause of the failure.
+	r.worker.recorder.Update(func() {
+		r.arrival.WorkerFailed, r.arrival.End = r.arrival.WorkerFailed || r.worker.inState("over"), time.Now()
 	})
 	return false
 }
 
-// spendTime passes the time that the job takes; false means that the caller went
-// away or the time ran out.
-func (s *workerRequest) spendTime(ctx context.Context, workTime time.Duration) bool {
-	remaining := time.Until(s.deadline)
+// simulateWork waits for the time that the work takes. It returns false if the caller left or
+// the deadline passed.
+func (r *workerRequest) simulateWork(ctx context.Context, workTime time.Duration) bool {
+	remaining := time.Until(r.deadline)
 	timer := time.NewTimer(min(workTime, remaining))
 	defer timer.Stop()
 	select {
 	case <-timer.C:
 		return workTime <= remaining
-	case <-s.callerLeft:
+	case <-r.callerLeft:
 		return false
 	case <-ctx.Done():
 		return false
 	}
 }
 
-// scaledTime is what some work takes here and now.
-func (k *Worker) scaledTime(conn net.Conn, base time.Duration) time.Duration {
+// scaledTime scales the base time of some work by the worker's speed, cold start, load and
+// current faults.
+func (w *Worker) scaledTime(conn net.Conn, base time.Duration) time.Duration {
 	factor := 1.0
-	if k.Behavior.Speed > 0 {
-		factor = k.Behavior.Speed
+	if w.Behavior.Speed > 0 {
+		factor = w.Behavior.Speed
 	}
-	if k.Behavior.ColdBy > 1 && time.Since(k.startedAt) < k.Behavior.Cold {
-		factor *= k.Behavior.ColdBy
+	if w.Behavior.ColdBy > 1 && time.Since(w.startedAt) < w.Behavior.Cold {
+		factor *= w.Behavior.ColdBy
 	}
-	if inUse, _ := k.slots.load(); k.Behavior.Crowd > 1 && k.Behavior.Slots > 0 && inUse > k.Behavior.Slots*3/4 {
-		factor *= 1 + (k.Behavior.Crowd-1)*float64(inUse-k.Behavior.Slots*3/4)/float64(max(k.Behavior.Slots/4, 1))
+	if inUse, _ := w.slots.load(); w.Behavior.Crowd > 1 && w.Behavior.Slots > 0 && inUse > w.Behavior.Slots*3/4 {
+		factor *= 1 + (w.Behavior.Crowd-1)*float64(inUse-w.Behavior.Slots*3/4)/float64(max(w.Behavior.Slots/4, 1))
 	}
-	if faults := k.faultsFor(conn); faults.Slow > 1 {
+	if faults := w.faultsFor(conn); faults.Slow > 1 {
 		factor *= faults.Slow
 	}
 	return time.Duration(float64(base) * factor)
 }
 
-// nestedCall makes a request of the worker's own through the node beside it, within
-// the time of the run that needs it.
-func (k *Worker) nestedCall(ctx context.Context, line *Line, outer *workerRequest) bool {
+// nestedCall makes a nested request through the node beside the worker, within the deadline of
+// the outer request. It reports whether it was served.
+func (w *Worker) nestedCall(ctx context.Context, line *Line, outer *workerRequest) bool {
 	timeout := min(time.Until(outer.deadline), line.Left)
 	ok := false
 	done := make(chan struct{})
 	ctx, cancel := context.WithCancel(ctx)
-	if !k.tasks.Go("call", func(context.Context) {
+	if !w.tasks.Go("call", func(context.Context) {
 		defer close(done)
-		ok = k.client.Request(ctx, line, timeout, outer.arrival)
+		ok = w.client.Request(ctx, line, timeout, outer.arrival)
 	}) {
 		cancel()
 		return false
