--- a/internal/standin/actors/callers_test.go
+++ b/internal/standin/actors/callers_test.go
@@ -21,7 +21,8 @@
 	"puffincrank/internal/task"
 )
 
-// node is a control node in memory that keeps every promise, or breaks one.
+// node is a control node in memory that keeps all guarantees, or breaks the one named by broken
+// at every third call.
 type node struct {
 	mu            sync.Mutex
 	broken        string
@@ -47,7 +48,7 @@
 	Revision uint64 `json:"rev"`
 }
 
-// breaks tells that it is to break a promise, now and then.
+// breaks reports whether the node is to break the given guarantee in this call.
 func (n *node) breaks(promise string) bool { n.calls++; return n.broken == promise && n.calls%3 == 0 }
 
 func (n *node) ServeHTTP(w http.ResponseWriter, r *http.Request) {
@@ -164,8 +165,8 @@
 	httpapi.WriteJSON(w, 200, map[string]any{"changes": list, "rev": n.revisions[group]})
 }
 
-// TestCallersDetectBrokenPromises: against a control node that keeps every promise nothing is
-// blamed; each promise that it breaks is caught by applications and operators.
+// TestCallersDetectBrokenPromises checks that applications and operators detect each guarantee
+// that a control node breaks, and count no breach if it keeps all.
 func TestCallersDetectBrokenPromises(t *testing.T) {
 	for promise, rules := range map[string][]string{"": nil, "locks": {checker.One}, "numbers": {checker.Order}, "reads": {checker.Stale}, "conditions": {checker.Order},
 		"watches": {checker.Order}, "documents": {checker.Config}, "broken": {checker.Config}} {
@@ -176,9 +177,9 @@
 	}
 }
 
-// runCallers plays a few seconds of them. They share one dice, so who draws what
-// differs from run to run: they make several times the calls that are asked
-// for, since a count that is met on average only is missed now and then.
+// runCallers runs applications and an operator for 12 s. The callers share one source of random
+// numbers, so what each of them draws differs from run to run. They make several times the
+// required number of calls, since one that is reached only on average would sometimes be missed.
 func runCallers(t *testing.T, promise string, rules []string) {
 	net := sim.NewNet(1, time.Millisecond, time.Millisecond)
 	net.Place("h1", "x")
@@ -217,19 +218,19 @@
 	for _, r := range rules {
 		want[r] = true
 		if breaches[r] == 0 {
-			t.Errorf("%s: not caught as %s: %v", promise, r, breaches)
+			t.Errorf("broken guarantee %s: breach of %s was not detected: %v", promise, r, breaches)
 		}
 	}
 	if len(rules) == 0 && len(breaches) > 0 {
-		t.Errorf("blamed: %v", notes)
+		t.Errorf("unexpected breaches: %v", notes)
 	}
 	if done, _ := apps.Done(); done["put 200"] < 50 || done["take 200"] < 20 || done["watch 200"] < 20 {
-		t.Errorf("too little was called: %v", done)
+		t.Errorf("too few calls: %v", done)
 	}
 }
 
-// TestBreaksProduceInvalidDocuments: each broken document is what its name says, and the whole one it
-// was made of is not.
+// TestBreaksProduceInvalidDocuments checks that each invalid document differs from the valid one,
+// and that only the one that is cut short is not JSON.
 func TestBreaksProduceInvalidDocuments(t *testing.T) {
 	draft := &actors.Draft{Number: 1, Services: []string{"s", "u"}, Ways: []actors.Way{{Name: "p", Host: "h.example", Prefix: "/a/", Repeat: "safe", Split: map[string]int{"s": 1}, Left: time.Second, Tries: 2}}}
 	for _, testCase := range actors.Breaks {
--- a/internal/standin/actors/closedclient_test.go
+++ b/internal/standin/actors/closedclient_test.go
@@ -8,8 +8,9 @@
 	"time"
 )
 
-// TestClosedClientDoesNotRetry: a client whose machine is gone tries no more, though its job has
-// time left and was told to come back: its address may be another machine's now.
+// TestClosedClientDoesNotRetry checks that a client whose machine is gone does not retry, even
+// though the request has time left and got Retry-After: the address may belong to another
+// machine by then.
 func TestClosedClientDoesNotRetry(t *testing.T) {
 	for _, closed := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
@@ -25,7 +26,7 @@
 			}
 			<-time.After(2 * time.Second)
 			if attempts, want := bed.recorder.Tally()["tries"], map[bool]int{false: 2, true: 1}[closed]; attempts != want {
-				t.Errorf("gone: %v, %d tries", closed, attempts)
+				t.Errorf("client closed: %v, got %d attempts", closed, attempts)
 			}
 			bed.client.Close()
 			bed.worker.Kill()
--- a/internal/standin/actors/ingress_test.go
+++ b/internal/standin/actors/ingress_test.go
@@ -21,7 +21,7 @@
 	"puffincrank/internal/task"
 )
 
-// testbed is a worker with callers and, between them, a front of the test's own.
+// testbed has a worker, callers and, between them, an ingress that the test implements.
 type testbed struct {
 	t        *testing.T
 	net      *sim.Net
@@ -30,7 +30,8 @@
 	worker   *actors.Worker
 	client   *actors.Client
 	line     *actors.Line
-	// How the front errs; nil: it passes on what it gets, once.
+	// misbehave handles a request in a faulty way. If it is nil or returns false, the ingress
+	// forwards the request once.
 	misbehave func(w http.ResponseWriter, r *http.Request, body []byte, send func() (*http.Response, []byte, error)) bool
 }
 
@@ -52,7 +53,7 @@
 	return bed
 }
 
-// serveIngress passes a request on to the worker, on a connection of its own.
+// serveIngress forwards a request to the worker on a new connection.
 func (b *testbed) serveIngress(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
@@ -83,7 +84,7 @@
 }
 
 func passOn(w http.ResponseWriter, response *http.Response, body []byte, err error) {
-	// An answer that is not whole or carries another's id is none.
+	// An incomplete answer is not passed on.
 	if err != nil {
 		w.WriteHeader(http.StatusBadGateway)
 		return
@@ -98,7 +99,7 @@
 	_, _ = w.Write(body)
 }
 
-// runLoad runs a load and gives the verdict.
+// runLoad runs the load for the given duration and returns the breaches.
 func (b *testbed) runLoad(duration time.Duration, lines ...*actors.Line) map[string]int {
 	ctx, cancel := context.WithTimeout(context.Background(), duration)
 	defer cancel()
@@ -121,8 +122,9 @@
 
 var usualBehavior = actors.Ways{Slots: 8, Queue: 4, Conns: 60, Hello: 1500 * time.Microsecond, Idle: 4 * time.Second, Speed: 1, Crowd: 1.5, Cold: 3 * time.Second, ColdBy: 2, Hop: 0.02, Drain: 2 * time.Second, Fitness: "/health"}
 
-// TestCorrectIngressBreaksNoRule: a front that passes on what it gets breaks no rule, with bodies,
-// repeats, a worker that is full, loses and spoils answers, and calls of its own.
+// TestCorrectIngressBreaksNoRule checks that an ingress that forwards each request once breaks
+// no rule, with request bodies, retries, nested requests, and a worker that is at capacity,
+// loses answers and corrupts them.
 func TestCorrectIngressBreaksNoRule(t *testing.T) {
 	for _, resets := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
@@ -133,22 +135,23 @@
 			bed.line.Calls = []actors.Call{{Line: put, Share: 0.1}}
 			bed.worker.Fall(actors.Ills{Lose: 0.02, Spoil: 0.05, Fail: 0.01})
 			if breaches := bed.runLoad(15*time.Second, put); len(breaches) > 0 {
-				t.Errorf("blamed: %v", breaches)
+				t.Errorf("unexpected breaches: %v", breaches)
 			}
 			outcomes := bed.recorder.Tally()
 			if outcomes["tries"] < 800 || outcomes["200"] < outcomes["tries"]/2 || outcomes["declined"] == 0 && !resets {
-				t.Errorf("too little was played: %v", outcomes)
+				t.Errorf("too little load: %v", outcomes)
 			}
 		})
 	}
 }
 
-// TestFaultyIngressIsDetected: each way in which a front errs is caught from the sockets alone.
+// TestFaultyIngressIsDetected checks that each kind of fault of an ingress is detected by what
+// is seen on the sockets alone.
 func TestFaultyIngressIsDetected(t *testing.T) {
 	var previous atomic.Pointer[[]byte]
 	for _, c := range []struct {
-		rule string
-		err  func(w http.ResponseWriter, r *http.Request, body []byte, send func() (*http.Response, []byte, error)) bool
+		rule      string
+		misbehave func(w http.ResponseWriter, r *http.Request, body []byte, send func() (*http.Response, []byte, error)) bool
 	}{
 		{checker.Twice, func(_ http.ResponseWriter, _ *http.Request, _ []byte, send func() (*http.Response, []byte, error)) bool {
 			_, _, _ = send()
@@ -184,18 +187,18 @@
 		}},
 	} {
 		synctest.Test(t, func(t *testing.T) {
-			bed := newTestbed(t, usualBehavior, c.err)
+			bed := newTestbed(t, usualBehavior, c.misbehave)
 			bed.line.Repeat = false
 			bed.line.Prefix = "/b/"
 			if breaches := bed.runLoad(2 * time.Second); breaches[c.rule] == 0 {
-				t.Errorf("not caught: %s", c.rule)
+				t.Errorf("breach of %s was not detected", c.rule)
 			}
 		})
 	}
 }
 
-// TestTruncatedHeaderIsNotMixed: a connection that ends within a line of the headers is a cut;
-// a whole line that is no header is not the protocol.
+// TestTruncatedHeaderIsNotMixed checks that a connection that ends within a header line counts
+// as cut off, and a complete line that is not a header as a malformed answer.
 func TestTruncatedHeaderIsNotMixed(t *testing.T) {
 	for answer, mixed := range map[string]bool{"HTTP/1.1 200 OK\r\nConnect": false, "HTTP/1.1 200 OK\r\nConnect\r\n\r\n": true, "HTTP/1.1 200 OK\r\nConnect\r\nX": true, "Connect": true} {
 		synctest.Test(t, func(t *testing.T) {
@@ -207,7 +210,7 @@
 				return true
 			})
 			if breaches := bed.runLoad(time.Second); (breaches[checker.Mixed] > 0) != mixed {
-				t.Errorf("%q: blamed %v", answer, breaches)
+				t.Errorf("%q: breaches %v", answer, breaches)
 			}
 		})
 	}
--- a/internal/standin/caller.go
+++ b/internal/standin/caller.go
@@ -17,17 +17,18 @@
 	"puffincrank/internal/task"
 )
 
-// Line is one kind of call that callers make.
+// Line is one kind of call that callers make. Safe says that it may be executed more than once.
 type Line struct {
 	Method, URI, Service string
 	Safe                 bool
-	Rate                 float64 // calls a second, over all callers
-	Size                 int     // bytes of body
-	Want                 int     // bytes of the answer, besides its usual text
-	Left                 string  // time left to hand on, in a nested call
+	Rate                 float64 // calls per second, over all callers
+	Size                 int     // bytes of the request body
+	Want                 int     // bytes of the answer in addition to its fixed part
+	Left                 string  // remaining time in ms, for a nested call
 }
 
-// Callers send a steady mix of calls to all fronts, open-loop and bounded.
+// Callers send a steady mix of calls to all ingresses: an open-loop load with a bound on the
+// pending calls.
 type Callers struct {
 	env       env.Env
 	tasks     *task.Group
@@ -37,18 +38,18 @@
 	sequence  atomic.Int64
 	pending   atomic.Int64
 	Timeout   time.Duration
-	Name      string                  // what their calls' names begin with
-	Skip      func(front string) bool // fronts that no caller goes to just now
+	Name      string                  // prefix of the call IDs
+	Skip      func(front string) bool // if set, tells which ingresses get no calls for now
 }
 
-// NewCallers makes callers of the given fronts.
-func NewCallers(environment env.Env, ingresses []string, observer *Observer, wait time.Duration) *Callers {
-	callers := &Callers{env: environment, tasks: task.New(context.Background()), observer: observer, ingresses: ingresses, Timeout: wait, Name: "c"}
+// NewCallers creates callers of the given ingresses.
+func NewCallers(environment env.Env, ingresses []string, observer *Observer, timeout time.Duration) *Callers {
+	callers := &Callers{env: environment, tasks: task.New(context.Background()), observer: observer, ingresses: ingresses, Timeout: timeout, Name: "c"}
 	callers.transport = &http.Transport{DisableKeepAlives: true, DialContext: func(ctx context.Context, _, addr string) (net.Conn, error) { return environment.Net.Dial(ctx, addr) }}
 	return callers
 }
 
-// Run sends the lines for a while and returns when all calls have ended.
+// Run makes calls for the given duration and returns when all of them have ended.
 func (c *Callers) Run(lines []Line, duration time.Duration) {
 	runCtx, cancel := context.WithTimeout(c.tasks.Context(), duration)
 	defer cancel()
@@ -63,7 +64,7 @@
 					timer.Stop()
 					return
 				}
-				// The load is bounded: no more than this many at once.
+				// Start no call while 2000 are pending.
 				if c.pending.Load() < 2000 {
 					c.pending.Add(1)
 					c.tasks.Go("call", func(context.Context) {
@@ -82,7 +83,7 @@
 	c.tasks.Stop()
 }
 
-// CallAny makes one call to a random front.
+// CallAny makes one call to a random ingress.
 func (c *Callers) CallAny(line Line) Call {
 	ingress := c.ingresses[rand.IntN(len(c.ingresses))]
 	for attempt := 0; attempt < 20 && c.Skip != nil && c.Skip(ingress); attempt++ {
@@ -91,7 +92,7 @@
 	return c.At(ingress, line)
 }
 
-// At makes one call to one front.
+// At makes one call to the given ingress.
 func (c *Callers) At(ingress string, line Line) Call {
 	id := fmt.Sprint(c.Name, c.sequence.Add(1))
 	call := Call{ID: id, Front: ingress, Service: line.Service, Safe: line.Safe, From: time.Now()}
--- a/internal/standin/configstate.go
+++ b/internal/standin/configstate.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// content gives the content that a number was taken with.
+// content returns the content that was accepted with a number.
 func (s configState) content(number uint64) (string, bool) {
 	for _, line := range strings.Split(s.contents, "\n") {
 		if numberText, content, ok := strings.Cut(line, " "); ok && numberText == fmt.Sprint(number) {
@@ -15,7 +15,7 @@
 	return "", false
 }
 
-// accept notes a number's content; the highest number stands.
+// accept records the content of a number. The highest number is in force.
 func (s configState) accept(order Order) configState {
 	s.contents += fmt.Sprintf("%d %s\n", order.Number, order.Content)
 	if order.Number > s.current.Number {
--- a/internal/standin/coordination.go
+++ b/internal/standin/coordination.go
@@ -16,33 +16,33 @@
 	"puffincrank/internal/task"
 )
 
-// More counts of what must never happen.
+// The violations of the guarantees for locks, numbers and keys.
 const (
 	TwoHolders = "two callers held one lock at once"
-	NotRising  = "a fence, number or revision was given twice or fell"
+	NotRising  = "a fence, number or revision was given twice or decreased"
 	StaleRead  = "a key was read older than an acknowledged write"
 	WatchGap   = "a watch missed or repeated a change"
 )
 
-// CoordKinds lists the counts of coordination.
+// CoordKinds lists these violations.
 var CoordKinds = []string{TwoHolders, NotRising, StaleRead, WatchGap}
 
-// Coord is a set of callers of locks, numbers, keys and watches.
+// Coord simulates callers of locks, numbers, keys and watches. mu guards the maps and Lost.
 type Coord struct {
 	tasks          *task.Group
 	observer       *Observer
-	nodes          []string // outer addresses
+	nodes          []string // outer addresses of the nodes
 	transport      *http.Transport
 	timeout        time.Duration
 	mu             sync.Mutex
 	held           map[string]lockHold
-	highest        map[string]uint64          // number's name to the highest given
-	given          map[string]map[uint64]bool // number's name to all that were given
+	highest        map[string]uint64          // name to the highest number given; fences under "fence/" and the lock
+	given          map[string]map[uint64]bool // name to all numbers given
 	ackedRevisions map[string]uint64          // key to the highest acknowledged revision
 	ackedChanges   map[uint64]bool            // acknowledged revisions
-	Done           map[string]int             // outcome to count
-	Lost           []string                   // calls without a certain outcome, and why
-	Skip           func(at string) bool       // nodes that nobody asks just now
+	Done           map[string]int             // kind and status of a call to their number
+	Lost           []string                   // calls with an unknown outcome, and why
+	Skip           func(at string) bool       // if set, tells which nodes get no calls for now
 }
 
 type lockHold struct {
@@ -51,7 +51,7 @@
 	until time.Time
 }
 
-// NewCoord makes callers of the given nodes.
+// NewCoord creates callers of the given nodes.
 func NewCoord(environment env.Env, nodes []string, observer *Observer) *Coord {
 	coord := &Coord{tasks: task.New(context.Background()), observer: observer, nodes: nodes, timeout: 4 * time.Second, held: map[string]lockHold{}, highest: map[string]uint64{},
 		given: map[string]map[uint64]bool{}, ackedRevisions: map[string]uint64{}, ackedChanges: map[uint64]bool{}, Done: map[string]int{}}
@@ -110,7 +110,8 @@
 	return answer
 }
 
-// Run makes calls from so many callers at a whole rate until the time is up.
+// Run makes calls for the given duration. rate is the number of calls per second of all
+// callers together.
 func (c *Coord) Run(callers int, rate float64, duration time.Duration) {
 	runCtx, cancel := context.WithTimeout(c.tasks.Context(), duration)
 	defer cancel()
@@ -151,23 +152,23 @@
 }
 
 func (c *Coord) lock(owner, name string) {
-	from := time.Now()
+	start := time.Now()
 	ttl := 2 * time.Second
 	response := c.request("POST", "/puffin/locks/"+name+"/acquire", map[string]any{"owner": owner, "ttl_ms": ttl.Milliseconds()})
 	if response.status != 200 {
 		return
 	}
 	c.mu.Lock()
-	// The other one holds it for certain while its time, counted from before
-	// it asked, has not run out and it has not begun to give it back.
-	if held := c.held[name]; held.owner != "" && held.owner != owner && time.Now().Before(held.until) && from.Before(held.until) && response.Fence != held.fence {
+	// The other owner certainly holds the lock as long as its time to live, counted
+	// from before its request, has not expired and it has not begun to release it.
+	if held := c.held[name]; held.owner != "" && held.owner != owner && time.Now().Before(held.until) && start.Before(held.until) && response.Fence != held.fence {
 		c.observer.RecordViolation(TwoHolders, fmt.Sprintf("%s held by %s and %s", name, held.owner, owner))
 	}
 	if response.Fence < c.highest["fence/"+name] {
 		c.observer.RecordViolation(NotRising, "fence of "+name)
 	}
 	c.highest["fence/"+name] = response.Fence
-	c.held[name] = lockHold{owner, response.Fence, from.Add(ttl)}
+	c.held[name] = lockHold{owner, response.Fence, start.Add(ttl)}
 	c.mu.Unlock()
 	timer := time.NewTimer(time.Duration(rand.IntN(100)) * time.Millisecond)
 	<-timer.C
@@ -203,7 +204,7 @@
 	if c.given[name] == nil {
 		c.given[name] = map[uint64]bool{}
 	}
-	// One that was asked for after another was had must be higher.
+	// A number must be higher than all that were received before it was requested.
 	if c.given[name][response.Number] || response.Number <= lowest {
 		c.observer.RecordViolation(NotRising, fmt.Sprintf("number %d of %s after %d", response.Number, name, lowest))
 	}
--- a/internal/standin/coordination_test.go
+++ b/internal/standin/coordination_test.go
@@ -18,8 +18,8 @@
 	"puffincrank/internal/task"
 )
 
-// brokenNode answers coordination calls with every promise broken: every lock is
-// free, numbers and revisions repeat, keys read old, watches skip.
+// brokenNode breaks every guarantee for locks, numbers and keys: every lock is free, numbers
+// and revisions repeat, reads are stale, watches skip changes.
 type brokenNode struct {
 	mu    sync.Mutex
 	calls int
@@ -38,7 +38,7 @@
 	_ = json.NewEncoder(w).Encode(answer)
 }
 
-// TestCoordDetectsBrokenPromises: a core that breaks every promise is caught at each.
+// TestCoordDetectsBrokenPromises checks that each violation by brokenNode is detected.
 func TestCoordDetectsBrokenPromises(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		net := sim.NewNet(1, time.Millisecond, time.Millisecond)
@@ -57,7 +57,7 @@
 		violations, _ := observer.Verdict()
 		for _, k := range standin.CoordKinds {
 			if violations[k] == 0 {
-				t.Errorf("not caught: %s", k)
+				t.Errorf("violation was not detected: %s", k)
 			}
 		}
 	})
--- a/internal/standin/linear.go
+++ b/internal/standin/linear.go
@@ -7,26 +7,26 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// Op is one call on one key, as its caller saw it. A call whose outcome is
-// unknown may have taken effect at any time after it began, or never.
+// Op is one call on one key, as its caller saw it. A call whose outcome is unknown may have
+// taken effect at any time after it began, or never.
 type Op struct {
 	Key             string
 	Write           bool
-	Value           string // what was written, or what was read; "" is absent
-	Conditional     bool   // a write only if the value was Old
+	Value           string // the value written or read; "" if the key is absent
+	Conditional     bool   // the write applies only if the value is Expected
 	Expected        string
-	ConditionFailed bool // a conditional write that was told that its condition failed
+	ConditionFailed bool // the answer said that the condition failed
 	From            time.Time
 	To              time.Time
 	Unknown         bool
 }
 
-// Linear tells whether a history of one key can be explained by calls that each
-// took effect at one moment between begin and end.
+// Linear reports whether the history of one key is linearizable: each call can have taken
+// effect at one instant between its start and its end.
 func Linear(ops []Op) bool {
 	var calls []HistoryCall
 	for _, op := range ops {
-		// A read without an answer says nothing.
+		// A read without an answer proves nothing.
 		if !op.Unknown || op.Write {
 			calls = append(calls, HistoryCall{In: op, From: op.From, To: op.To, Unknown: op.Unknown})
 		}
@@ -34,15 +34,15 @@
 	return Explained(keyModel, calls)
 }
 
-// HistoryCall is one call of a history, on whatever object a model is of.
+// HistoryCall is one call of a history, on any kind of object.
 type HistoryCall struct {
 	In, Out  any
 	From, To time.Time
-	Unknown  bool // whether it took effect, and when, is not known
+	Unknown  bool // it is not known whether and when it took effect
 }
 
-// Explained tells whether a model explains a history. A call that is unknown has
-// no end: it may take effect after all others, which is as good as never.
+// Explained reports whether a history is linearizable by a model. A call with an unknown outcome
+// has no end: it may take effect after all others, which is equivalent to never.
 func Explained(model porcupine.Model, calls []HistoryCall) bool {
 	var ops []porcupine.Operation
 	for i, c := range calls {
@@ -55,7 +55,7 @@
 	return porcupine.CheckOperations(model, ops)
 }
 
-// keyModel is one key: its state is the value.
+// keyModel models one key. Its state is the value.
 var keyModel = porcupine.Model{
 	Init: func() any { return "" },
 	Step: func(state, input, _ any) (bool, any) {
@@ -65,7 +65,7 @@
 	},
 }
 
-// applyOp applies one call to a value; false means that it can't be next.
+// applyOp applies one call to a value. It returns false if the call cannot be the next one.
 func applyOp(op Op, value string) (string, bool) {
 	switch {
 	case !op.Write:
@@ -73,20 +73,20 @@
 	case op.Conditional && op.ConditionFailed:
 		return value, value != op.Expected
 	case op.Conditional && value != op.Expected:
-		// Of an unknown one that failed nothing is left.
+		// If its outcome is unknown, it may have failed, without effect.
 		return value, op.Unknown
 	}
 	return op.Value, true
 }
 
-// NumberModel is a row of rising numbers: each call gives one above all that were
-// given before; Out is the number.
+// NumberModel models a sequence of rising numbers. Each call returns, in Out, a number above all
+// that were returned before.
 var NumberModel = porcupine.Model{
 	Init: func() any { return uint64(0) },
 	Step: func(state, input, output any) (bool, any) {
 		last := state.(uint64)
 		if input.(HistoryCall).Unknown {
-			// Numbers may be left out, so it makes no difference.
+			// Numbers may be skipped, so it makes no difference.
 			return true, last
 		}
 		got := output.(uint64)
@@ -94,29 +94,30 @@
 	},
 }
 
-// Order is an operator's configuration under a number, or a read of what stands.
+// Order is an operator's configuration with its number, or a read of the one in force.
 type Order struct {
 	Number  uint64 // 0 for a read
 	Content string
 }
 
-// OrderAnswer is what came back: a confirmation, a refusal, or what a read gave.
+// OrderAnswer is the answer to an Order: an acknowledgement, a rejection, or the result of a
+// read.
 type OrderAnswer struct {
 	Refused bool
 	Number  uint64
 	Content string
 }
 
-// configState is the state of a configuration: what stands, and the content that each
-// number was taken with, in the order of numbers.
+// configState holds the configuration in force, and the content that was accepted with each
+// number, in the order of acceptance.
 type configState struct {
 	current  Order
-	contents string // one line for each number that was taken
+	contents string // one line for each accepted number
 }
 
-// OrderModel is the operator's configuration: the highest number stands; one
-// number has one content for ever; another content under it is refused, and the
-// same one confirmed as often as it comes.
+// OrderModel models the operator's configuration. The highest number is in force. A number has
+// the same content forever: other content is rejected, and the same content is acknowledged
+// each time it is sent.
 var OrderModel = porcupine.Model{
 	Init: func() any { return configState{} },
 	Step: func(state, input, output any) (bool, any) {
--- a/internal/standin/linear_test.go
+++ b/internal/standin/linear_test.go
@@ -10,7 +10,7 @@
 
 func at(milliseconds int) time.Time { return time.UnixMilli(int64(milliseconds)) }
 
-// TestLinear: made-up histories that hold and that don't.
+// TestLinear checks constructed histories, some of which are linearizable.
 func TestLinear(t *testing.T) {
 	write := func(value string, from, to int) Op { return Op{Write: true, Value: value, From: at(from), To: at(to)} }
 	read := func(value string, from, to int) Op { return Op{Value: value, From: at(from), To: at(to)} }
@@ -36,7 +36,8 @@
 	}
 }
 
-// TestLinearDetectsStaleRead: true histories pass, and one old read in them is caught.
+// TestLinearDetectsStaleRead checks that random linearizable histories pass, and that they fail
+// once a stale read is appended.
 func TestLinearDetectsStaleRead(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var ops []Op
@@ -52,12 +53,12 @@
 			}
 		}
 		if !Linear(ops) {
-			t.Fatal("a true history was not explained")
+			t.Fatal("a linearizable history was rejected")
 		}
 		if value != "" {
 			ops = append(ops, Op{Value: previous, From: at(now + 20), To: at(now + 21)})
 			if Linear(ops) {
-				t.Fatal("an old read was not caught")
+				t.Fatal("a stale read was not detected")
 			}
 		}
 	})
--- a/internal/standin/models_test.go
+++ b/internal/standin/models_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// TestOrderModel: made-up histories of operators' orders that hold and that
-// don't, two operators confirmed under one number among them.
+// TestOrderModel checks constructed histories of configurations, some of which are allowed. In
+// one, two operators get different contents acknowledged under one number.
 func TestOrderModel(t *testing.T) {
 	order := func(number uint64, content string, refused bool, from, to int) HistoryCall {
 		return HistoryCall{In: Order{number, content}, Out: OrderAnswer{Refused: refused}, From: at(from), To: at(to)}
@@ -19,10 +19,10 @@
 		want  bool
 	}{
 		{[]HistoryCall{order(1, "x", false, 0, 1), read(1, "x", 2, 3)}, true},
-		{[]HistoryCall{order(1, "x", false, 0, 1), order(1, "y", false, 2, 3)}, false}, // both confirmed under one number
+		{[]HistoryCall{order(1, "x", false, 0, 1), order(1, "y", false, 2, 3)}, false}, // both acknowledged under one number
 		{[]HistoryCall{order(1, "x", false, 0, 1), order(1, "y", true, 2, 3), read(1, "x", 4, 5)}, true},
-		{[]HistoryCall{order(1, "x", false, 0, 1), order(1, "x", true, 2, 3)}, false},                      // sent again and refused
-		{[]HistoryCall{order(1, "x", false, 0, 1), order(2, "z", false, 2, 3), read(1, "x", 4, 5)}, false}, // an old configuration
+		{[]HistoryCall{order(1, "x", false, 0, 1), order(1, "x", true, 2, 3)}, false},                      // sent again and rejected
+		{[]HistoryCall{order(1, "x", false, 0, 1), order(2, "z", false, 2, 3), read(1, "x", 4, 5)}, false}, // an outdated configuration is read
 		{[]HistoryCall{uncertain(1, "x", 0), order(1, "y", true, 5, 6), read(1, "x", 7, 8)}, true},
 		{[]HistoryCall{uncertain(1, "x", 0), order(1, "y", false, 5, 6), read(1, "y", 7, 8)}, true},
 		{[]HistoryCall{uncertain(1, "x", 0), order(1, "y", false, 5, 6), read(1, "x", 7, 8)}, false},
@@ -34,7 +34,7 @@
 	}
 }
 
-// TestNumberModel: numbers rise, and are never given twice.
+// TestNumberModel checks that numbers must rise and must not be given twice.
 func TestNumberModel(t *testing.T) {
 	next := func(number uint64, from, to int) HistoryCall {
 		return HistoryCall{Out: number, From: at(from), To: at(to)}
--- a/internal/standin/observer.go
+++ b/internal/standin/observer.go
@@ -7,13 +7,13 @@
 	"time"
 )
 
-// run is one job seen by a worker.
-type run struct {
+// execution is one execution of a request by a worker.
+type execution struct {
 	at     time.Time
 	worker string
 }
 
-// ack is one acknowledged change of the configuration.
+// ackedVersion is one acknowledged version of the configuration.
 type ackedVersion struct {
 	at      time.Time
 	version uint64
@@ -21,30 +21,30 @@
 
 // Call is one call as its caller saw it.
 type Call struct {
-	ID      string // the caller's own name for it
+	ID      string // the ID that the caller gave it
 	Front   string
 	Service string
 	Safe    bool
 	From    time.Time
 	To      time.Time
-	Status  int // 0 when there was no answer at all
-	Ran     string
+	Status  int    // 0 if there was no answer
+	Ran     string // the header that says whether the request was executed
 	Version uint64
 	Body    string
-	Retry   string // when to come back, as the answer told
-	Cut     bool   // the answer broke off after it began
+	Retry   string // the Retry-After header
+	Cut     bool   // the answer was cut off after its headers
 }
 
-// Observer sees every run and every answer and counts what must never be.
+// Observer records every execution and every answer, and counts violations of the guarantees.
 type Observer struct {
 	mu             sync.Mutex
-	runs           map[string][]run // caller's name of the call to its runs
+	runs           map[string][]execution // call ID to its executions
 	calls          []Call
 	ackedVersions  []ackedVersion
-	disconnected   map[string][]span // front to the times for which it was out of touch
+	disconnected   map[string][]period // ingress to the periods in which it was disconnected
 	violations     map[string]int
-	firstArrivals  map[string][]time.Time // service to first arrivals
-	retryArrivals  map[string][]time.Time
+	firstArrivals  map[string][]time.Time // service to the first arrivals of calls
+	retryArrivals  map[string][]time.Time // service to the further arrivals of calls
 	notes          []string
 	RetryWindow    time.Duration
 	ConfigBound    time.Duration
@@ -53,28 +53,28 @@
 	RetryAllowance int
 }
 
-type span struct{ from, to time.Time }
+type period struct{ from, to time.Time }
 
-// NewObserver makes an observer with the brief's bounds.
+// NewObserver returns an observer with the bounds of the specification.
 func NewObserver() *Observer {
-	return &Observer{runs: map[string][]run{}, disconnected: map[string][]span{}, violations: map[string]int{}, firstArrivals: map[string][]time.Time{}, retryArrivals: map[string][]time.Time{},
+	return &Observer{runs: map[string][]execution{}, disconnected: map[string][]period{}, violations: map[string]int{}, firstArrivals: map[string][]time.Time{}, retryArrivals: map[string][]time.Time{},
 		RetryWindow: 10 * time.Second, ConfigBound: 2 * time.Second, LeaveBound: 2 * time.Second, RetryShare: 0.2, RetryAllowance: 10}
 }
 
-// The counts of what must never happen.
+// The violations that are counted.
 const (
-	Twice            = "ran twice on a never path"
-	RanThoughBusy    = "busy was answered but it ran"
-	NotWorkersAnswer = "success that isn't the worker's own whole answer"
-	Misdelivered     = "a job reached a service it was not sent to"
-	SentAfterLeave   = "a new job reached a worker that left more than the bound ago"
+	Twice            = "a request was executed twice although its route forbids retries"
+	RanThoughBusy    = "503 was answered although the request was executed"
+	NotWorkersAnswer = "a success that is not the worker's own complete answer"
+	Misdelivered     = "a request reached a service that it was not sent to"
+	SentAfterLeave   = "a new request reached a worker that left longer ago than the bound"
 	StaleVersion     = "a node acted on an older version after the bound"
 	VersionStepBack  = "a node stepped back to an older version"
-	TooManyRetries   = "repeats over a window beyond the bound"
-	CutOff           = "an answer under way was cut off by a planned stop"
+	TooManyRetries   = "more retries in a window than allowed"
+	CutOff           = "an answer in progress was cut off by a graceful shutdown"
 )
 
-// Kinds lists the counts.
+// Kinds lists these violations.
 var Kinds = []string{Twice, RanThoughBusy, NotWorkersAnswer, Misdelivered, SentAfterLeave, StaleVersion, VersionStepBack, TooManyRetries, CutOff}
 
 func (o *Observer) recordViolation(kind, format string, args ...any) {
@@ -84,67 +84,69 @@
 	}
 }
 
-// RecordViolation counts a violation that a plan found by itself.
+// RecordViolation counts a violation that was found elsewhere.
 func (o *Observer) RecordViolation(kind, note string) {
 	o.mu.Lock()
 	o.recordViolation(kind, "%s", note)
 	o.mu.Unlock()
 }
 
-func (o *Observer) recordRun(job, call string, worker *Worker, expected string, left time.Time) {
+func (o *Observer) recordRun(requestID, callID string, worker *Worker, expected string, leftAt time.Time) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	now := time.Now()
-	if call == "" {
-		call = job
+	if callID == "" {
+		callID = requestID
 	}
-	if expected != "" && !oneOf(expected, worker.Service) {
-		o.recordViolation(Misdelivered, "%s for %s at %s", call, expected, worker.ID)
+	if expected != "" && !includesService(expected, worker.Service) {
+		o.recordViolation(Misdelivered, "%s for %s at %s", callID, expected, worker.ID)
 	}
-	if !left.IsZero() && now.Sub(left) > o.LeaveBound {
-		o.recordViolation(SentAfterLeave, "%s at %s %v after", call, worker.ID, now.Sub(left))
+	if !leftAt.IsZero() && now.Sub(leftAt) > o.LeaveBound {
+		o.recordViolation(SentAfterLeave, "%s at %s %v after", callID, worker.ID, now.Sub(leftAt))
 	}
-	if len(o.runs[call]) == 0 {
+	if len(o.runs[callID]) == 0 {
 		o.firstArrivals[worker.Service] = append(o.firstArrivals[worker.Service], now)
 	} else {
 		o.retryArrivals[worker.Service] = append(o.retryArrivals[worker.Service], now)
 	}
-	o.runs[call] = append(o.runs[call], run{now, worker.ID})
+	o.runs[callID] = append(o.runs[callID], execution{now, worker.ID})
 }
 
-// Acked notes an acknowledged version.
+// Acked records that a version was acknowledged.
 func (o *Observer) Acked(version uint64) {
 	o.mu.Lock()
 	o.ackedVersions = append(o.ackedVersions, ackedVersion{time.Now(), version})
 	o.mu.Unlock()
 }
 
-// Acks counts the acknowledged versions.
+// Acks returns the number of acknowledged versions.
 func (o *Observer) Acks() int {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return len(o.ackedVersions)
 }
 
-// Lost notes that a front was out of touch for a while.
+// Lost records that an ingress was disconnected for a period.
 func (o *Observer) Lost(ingress string, from, to time.Time) {
 	o.mu.Lock()
-	o.disconnected[ingress] = append(o.disconnected[ingress], span{from, to})
+	o.disconnected[ingress] = append(o.disconnected[ingress], period{from, to})
 	o.mu.Unlock()
 }
 
-// RecordCall takes in a call that ended.
+// RecordCall records a call that has ended.
 func (o *Observer) RecordCall(call Call) {
 	o.mu.Lock()
 	o.calls = append(o.calls, call)
 	o.mu.Unlock()
 }
 
-// oneOf tells whether a service is one of those that a call may reach, which
-// are several while a change is tried.
-func oneOf(allowed, service string) bool { return strings.Contains("/"+allowed+"/", "/"+service+"/") }
+// includesService reports whether a call may reach the service. allowed lists one or, during a
+// trial, several services separated by slashes.
+func includesService(allowed, service string) bool {
+	return strings.Contains("/"+allowed+"/", "/"+service+"/")
+}
 
-// Calls gives all calls that ended so far.
+// Calls returns all calls that have ended so far.
 func (o *Observer) Calls() []Call {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/internal/standin/observer_test.go
+++ b/internal/standin/observer_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// TestObserverDetectsFaults: each checker catches a deliberate fault, and a clean run gives
-// no count at all.
+// TestObserverDetectsFaults checks that each kind of violation is detected, and that a correct
+// run counts none.
 func TestObserverDetectsFaults(t *testing.T) {
 	now := time.Now
 	done := func(observer *Observer, id string, version uint64) Call {
@@ -75,10 +75,10 @@
 			c.act(observer)
 			violations, _ := observer.Verdict()
 			if c.kind == "" && len(violations) > 0 {
-				t.Errorf("a clean run is blamed: %v", violations)
+				t.Errorf("violations in a correct run: %v", violations)
 			}
 			if c.kind != "" && violations[c.kind] == 0 {
-				t.Errorf("not caught: %s (%v)", c.kind, violations)
+				t.Errorf("violation %s was not detected: %v", c.kind, violations)
 			}
 		})
 	}
--- a/internal/standin/verdict.go
+++ b/internal/standin/verdict.go
@@ -8,7 +8,8 @@
 	"time"
 )
 
-// Verdict works out every count at the end.
+// Verdict checks all records and returns the number of violations of each kind, with notes on
+// the first ones.
 func (o *Observer) Verdict() (map[string]int, []string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -16,18 +17,18 @@
 	for _, c := range o.calls {
 		runs := len(o.runs[c.ID])
 		if runs > 1 && !c.Safe {
-			o.recordViolation(Twice, "%s ran %d times: %v", c.ID, runs, o.runs[c.ID])
+			o.recordViolation(Twice, "%s was executed %d times: %v", c.ID, runs, o.runs[c.ID])
 		}
 		if c.Status == 503 && runs > 0 {
-			o.recordViolation(RanThoughBusy, "%s ran at %s", c.ID, o.runs[c.ID][0].worker)
+			o.recordViolation(RanThoughBusy, "%s was executed at %s", c.ID, o.runs[c.ID][0].worker)
 		}
 		if c.Cut {
 			o.recordViolation(CutOff, "%s at %s", c.ID, c.Front)
 		}
-		if c.Status == 200 && !o.completeAnswer(c) {
+		if c.Status == 200 && !o.isWorkersAnswer(c) {
 			o.recordViolation(NotWorkersAnswer, "%s got %q", c.ID, c.Body)
 		}
-		o.checkVersion(c)
+		o.checkVersionAge(c)
 		byIngress[c.Front] = append(byIngress[c.Front], c)
 	}
 	for ingress, calls := range byIngress {
@@ -39,9 +40,9 @@
 	return o.violations, o.notes
 }
 
-func (o *Observer) completeAnswer(call Call) bool {
+func (o *Observer) isWorkersAnswer(call Call) bool {
 	fields := strings.Split(call.Body, "|")
-	if len(fields) != 5 || !oneOf(call.Service, fields[0]) || fields[3] != call.ID {
+	if len(fields) != 5 || !includesService(call.Service, fields[0]) || fields[3] != call.ID {
 		return false
 	}
 	for _, r := range o.runs[call.ID] {
@@ -52,9 +53,9 @@
 	return false
 }
 
-// checkVersion checks that a call that began later than the bound after an
-// acknowledgement was served by that version or a newer one.
-func (o *Observer) checkVersion(call Call) {
+// checkVersionAge checks that a call that began later than the bound after the acknowledgement
+// of a version was served by that version or a newer one.
+func (o *Observer) checkVersionAge(call Call) {
 	if call.Version == 0 {
 		return
 	}
@@ -65,13 +66,14 @@
 	}
 	for _, a := range o.ackedVersions {
 		if a.version > call.Version && call.From.Sub(a.at) > o.ConfigBound {
-			o.recordViolation(StaleVersion, "%s at %s used %d, %v after %d", call.ID, call.Front, call.Version, call.From.Sub(a.at), a.version)
+			o.recordViolation(StaleVersion, "%s at %s used version %d, %v after version %d was acknowledged", call.ID, call.Front, call.Version, call.From.Sub(a.at), a.version)
 			return
 		}
 	}
 }
 
-// checkVersionOrder checks calls of one front that came one after the other.
+// checkVersionOrder checks that an ingress used no older version for a call than for any call
+// that had ended before it began.
 func (o *Observer) checkVersionOrder(ingress string, calls []Call) {
 	sort.Slice(calls, func(i, j int) bool { return calls[i].To.Before(calls[j].To) })
 	ends := append([]Call(nil), calls...)
@@ -84,12 +86,12 @@
 			ended++
 		}
 		if c.Version != 0 && c.Version < highest {
-			o.recordViolation(VersionStepBack, "%s at %s used %d after %d", c.ID, ingress, c.Version, highest)
+			o.recordViolation(VersionStepBack, "%s at %s used version %d after version %d", c.ID, ingress, c.Version, highest)
 		}
 	}
 }
 
-// checkRetries slides over all repeats of a service.
+// checkRetries checks each window that ends with a retry to the service.
 func (o *Observer) checkRetries(service string) {
 	firsts, retries := o.firstArrivals[service], o.retryArrivals[service]
 	for i, t := range retries {
@@ -112,7 +114,7 @@
 	}
 }
 
-// Counts gives how many calls ended how.
+// Counts returns the number of calls by outcome.
 func (o *Observer) Counts() map[string]int {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -138,7 +140,7 @@
 	return counts
 }
 
-// Latency gives a quantile of the calls that were done.
+// Latency returns a quantile of the latency of the calls answered with 200.
 func (o *Observer) Latency(service string, quantile float64) time.Duration {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -155,14 +157,15 @@
 	return durations[min(int(float64(len(durations))*quantile), len(durations)-1)]
 }
 
-// Runs counts the runs of a service.
+// Runs returns the number of executions by a service.
 func (o *Observer) Runs(service string) int {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return len(o.firstArrivals[service]) + len(o.retryArrivals[service])
 }
 
-// Reasons counts why calls were not done, in the mesh's own words.
+// Reasons counts the calls that were not answered with 200 by status and the reason that the
+// mesh gave.
 func (o *Observer) Reasons() map[string]int {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/internal/standin/watch.go
+++ b/internal/standin/watch.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// watch follows all keys and checks at the end that every acknowledged change
-// up to where it got was seen once, in order.
+// watch watches all keys, and checks that every acknowledged change up to the last revision that
+// it reached was seen once and in order.
 func (c *Coord) watch(runCtx context.Context) {
 	from, lastRevision := uint64(1), uint64(0)
 	seen := map[uint64]bool{}
@@ -21,7 +21,7 @@
 			continue
 		}
 		if response.status == 410 {
-			c.observer.RecordViolation(WatchGap, fmt.Sprintf("the history at %d went away under a watch", from))
+			c.observer.RecordViolation(WatchGap, fmt.Sprintf("the history at revision %d was trimmed during a watch", from))
 			from = response.Oldest
 			continue
 		}
@@ -60,14 +60,14 @@
 	return lowest
 }
 
-// Held counts the locks that clients hold just now.
+// Held returns the number of locks currently held.
 func (c *Coord) Held() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.held)
 }
 
-// Count counts the calls that were answered 200.
+// Count returns the number of calls that were answered with 200.
 func (c *Coord) Count() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -1,5 +1,5 @@
-// Package standin holds stand-ins for what the mesh serves: workers and callers,
-// and the observer who counts what must never happen.
+// Package standin simulates the workers and callers that the mesh serves, and observes them to
+// count violations of its guarantees.
 package standin
 
 import (
@@ -21,15 +21,15 @@
 	"puffincrank/internal/task"
 )
 
-// Way is how a worker behaves.
+// Way describes how a worker behaves. The parts are those of the requests, drawn at random.
 type Way struct {
-	Took   time.Duration // middle time for one job
-	Lose   float64       // part of the answers lost after the work
-	Garble float64       // part of the answers garbled
-	Fail   float64       // part answered 500
-	Busy   float64       // part refused with a word that it did not run
-	Sulk   float64       // part that is done and then answered 503 without a word on that
-	Naive  bool          // doesn't look whom a job is for
+	Took   time.Duration // mean time to execute a request
+	Lose   float64       // part executed, but whose answer is lost
+	Garble float64       // part whose answer is corrupted
+	Fail   float64       // part answered with 500
+	Busy   float64       // part answered with 503 and a header saying that it was not executed
+	Sulk   float64       // part executed, but answered with 503 and no header saying so
+	Naive  bool          // executes requests that are addressed to another worker
 }
 
 // Worker is a worker of one service.
@@ -44,12 +44,12 @@
 	mu                    sync.Mutex
 	behavior              Way
 	state                 string
-	leftAt                time.Time // when it said that it is leaving
+	leftAt                time.Time // when it first reported that it is leaving
 	executing, peak, runs int
-	nestedCalls           func(left string) // a nested call, with the time left
+	nestedCalls           func(left string) // makes nested calls, given the remaining time in ms
 }
 
-// NewWorker starts a worker; obs may be nil when nobody counts.
+// NewWorker starts a worker. observer may be nil if violations are not counted.
 func NewWorker(environment env.Env, service, id, addr, proxyAddr string, slots int, behavior Way, observer *Observer) (*Worker, error) {
 	worker := &Worker{Service: service, ID: id, Addr: addr, Slots: slots, proxyAddr: proxyAddr, env: environment, tasks: task.New(context.Background()), observer: observer, behavior: behavior, state: "up"}
 	worker.transport = &http.Transport{DisableKeepAlives: true, DialContext: func(ctx context.Context, _, addr string) (net.Conn, error) { return environment.Net.Dial(ctx, addr) }}
@@ -71,20 +71,21 @@
 	return worker, nil
 }
 
-// sendHeartbeat tells the node beside it how it is.
-func (k *Worker) sendHeartbeat(ctx context.Context) time.Duration {
-	k.mu.Lock()
-	state := k.state
-	k.mu.Unlock()
+// sendHeartbeat reports the worker's state to the node beside it, and returns the time until
+// the next heartbeat.
+func (worker *Worker) sendHeartbeat(ctx context.Context) time.Duration {
+	worker.mu.Lock()
+	state := worker.state
+	worker.mu.Unlock()
 	wait := 250 * time.Millisecond
 	ctx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
-	body, _ := json.Marshal(map[string]any{"service": k.Service, "worker": k.ID, "addr": k.Addr, "slots": k.Slots, "state": state})
-	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+k.proxyAddr+"/puffin/beat", bytes.NewReader(body))
+	body, _ := json.Marshal(map[string]any{"service": worker.Service, "worker": worker.ID, "addr": worker.Addr, "slots": worker.Slots, "state": state})
+	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+worker.proxyAddr+"/puffin/beat", bytes.NewReader(body))
 	if err != nil {
 		return wait
 	}
-	response, err := k.transport.RoundTrip(request)
+	response, err := worker.transport.RoundTrip(request)
 	if err != nil {
 		return wait
 	}
@@ -98,40 +99,41 @@
 	return wait
 }
 
-// Behave changes the worker's way.
-func (k *Worker) Behave(behavior Way) {
-	k.mu.Lock()
-	k.behavior = behavior
-	k.mu.Unlock()
+// Behave changes how the worker behaves.
+func (worker *Worker) Behave(behavior Way) {
+	worker.mu.Lock()
+	worker.behavior = behavior
+	worker.mu.Unlock()
 }
 
-// Leave says that the worker is leaving, or gone.
-func (k *Worker) Leave(state string) {
-	k.mu.Lock()
-	k.state = state
-	if k.leftAt.IsZero() {
-		k.leftAt = time.Now()
-	}
-	k.mu.Unlock()
-	k.sendHeartbeat(k.tasks.Context())
+// Leave reports the given state, which says that the worker is leaving or gone.
+func (worker *Worker) Leave(state string) {
+	worker.mu.Lock()
+	worker.state = state
+	if worker.leftAt.IsZero() {
+		worker.leftAt = time.Now()
+	}
+	worker.mu.Unlock()
+	worker.sendHeartbeat(worker.tasks.Context())
 }
 
-// CallsTo makes every job of this worker make a call of its own.
-func (k *Worker) CallsTo(call func(left string)) {
-	k.mu.Lock()
-	k.nestedCalls = call
-	k.mu.Unlock()
+// CallsTo makes the worker call the function while it executes a request, with the remaining
+// time in ms.
+func (worker *Worker) CallsTo(call func(left string)) {
+	worker.mu.Lock()
+	worker.nestedCalls = call
+	worker.mu.Unlock()
 }
 
-// Nests makes a part of this worker's jobs call further services, through the
-// front beside it; the rate of a line is the part of the jobs that make it.
-func (k *Worker) Nests(ingress string, lines []Line) {
+// Nests makes a part of the worker's requests make nested calls through the given ingress. The
+// Rate of a line is the part of the requests that make its call.
+func (worker *Worker) Nests(ingress string, lines []Line) {
 	if len(lines) == 0 {
 		return
 	}
-	callers := NewCallers(k.env, []string{ingress}, k.observer, 15*time.Second)
-	callers.Name = "nested-" + k.ID + "-"
-	k.CallsTo(func(left string) {
+	callers := NewCallers(worker.env, []string{ingress}, worker.observer, 15*time.Second)
+	callers.Name = "nested-" + worker.ID + "-"
+	worker.CallsTo(func(left string) {
 		for _, line := range lines {
 			if rand.Float64() < line.Rate {
 				line.Left = left
@@ -142,50 +144,50 @@
 }
 
 // Kill ends the worker at once.
-func (k *Worker) Kill() { k.tasks.Stop() }
+func (worker *Worker) Kill() { worker.tasks.Stop() }
 
-func (k *Worker) serve(w http.ResponseWriter, r *http.Request) {
+func (worker *Worker) serve(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path == "/puffin/fitness" {
-		w.Header().Set(responsedigest.WorkerHeader, k.ID)
+		w.Header().Set(responsedigest.WorkerHeader, worker.ID)
 		return
 	}
-	from := time.Now()
+	start := time.Now()
 	body, _ := io.ReadAll(r.Body)
-	attempt, job := r.Header.Get(responsedigest.AttemptIDHeader), r.Header.Get(responsedigest.RequestIDHeader)
-	k.mu.Lock()
-	behavior, leftAt := k.behavior, k.leftAt
-	k.mu.Unlock()
-	// A job meant for another identity is refused unseen, but that it got here
-	// at all counts.
-	if r.Header.Get(responsedigest.WorkerHeader) != k.ID {
-		if k.observer != nil {
-			k.observer.RecordViolation(Misdelivered, r.Header.Get("X-Call")+" for "+r.Header.Get(responsedigest.WorkerHeader)+" arrived at "+k.ID)
+	attemptID, requestID := r.Header.Get(responsedigest.AttemptIDHeader), r.Header.Get(responsedigest.RequestIDHeader)
+	worker.mu.Lock()
+	behavior, leftAt := worker.behavior, worker.leftAt
+	worker.mu.Unlock()
+	// A request for another worker is declined without being executed, but its arrival
+	// is already a violation.
+	if r.Header.Get(responsedigest.WorkerHeader) != worker.ID {
+		if worker.observer != nil {
+			worker.observer.RecordViolation(Misdelivered, r.Header.Get("X-Call")+" for "+r.Header.Get(responsedigest.WorkerHeader)+" arrived at "+worker.ID)
 		}
 		if !behavior.Naive {
-			k.writeAnswer(w, attempt, http.StatusMisdirectedRequest, []byte("not me"))
+			worker.writeAnswer(w, attemptID, http.StatusMisdirectedRequest, []byte("not me"))
 			return
 		}
 	}
 	if rand.Float64() < behavior.Busy {
 		w.Header().Set(responsedigest.RanHeader, "no")
-		k.writeAnswer(w, attempt, http.StatusServiceUnavailable, []byte("busy"))
+		worker.writeAnswer(w, attemptID, http.StatusServiceUnavailable, []byte("busy"))
 		return
 	}
-	k.mu.Lock()
-	k.executing++
-	k.runs++
-	k.peak = max(k.peak, k.executing)
-	k.mu.Unlock()
+	worker.mu.Lock()
+	worker.executing++
+	worker.runs++
+	worker.peak = max(worker.peak, worker.executing)
+	worker.mu.Unlock()
 	defer func() {
-		k.mu.Lock()
-		k.executing--
-		k.mu.Unlock()
+		worker.mu.Lock()
+		worker.executing--
+		worker.mu.Unlock()
 	}()
-	if k.observer != nil {
-		k.observer.recordRun(job, r.Header.Get("X-Call"), k, r.Header.Get("X-Service"), leftAt)
+	if worker.observer != nil {
+		worker.observer.recordRun(requestID, r.Header.Get("X-Call"), worker, r.Header.Get("X-Service"), leftAt)
 	}
 	if behavior.Took > 0 {
-		// Between half and one and a half of the middle.
+		// Between 0.5 and 1.5 times the mean.
 		timer := time.NewTimer(behavior.Took/2 + time.Duration(rand.Int64N(int64(behavior.Took))))
 		select {
 		case <-timer.C:
@@ -193,12 +195,12 @@
 			timer.Stop()
 		}
 	}
-	k.mu.Lock()
-	calls := k.nestedCalls
-	k.mu.Unlock()
+	worker.mu.Lock()
+	calls := worker.nestedCalls
+	worker.mu.Unlock()
 	if calls != nil {
-		leftAt, _ := strconv.ParseInt(r.Header.Get(responsedigest.TimeoutHeader), 10, 64)
-		calls(strconv.FormatInt(max(leftAt-time.Since(from).Milliseconds(), 1), 10))
+		remaining, _ := strconv.ParseInt(r.Header.Get(responsedigest.TimeoutHeader), 10, 64)
+		calls(strconv.FormatInt(max(remaining-time.Since(start).Milliseconds(), 1), 10))
 	}
 	if rand.Float64() < behavior.Lose {
 		panic(http.ErrAbortHandler)
@@ -210,34 +212,34 @@
 	if rand.Float64() < behavior.Fail {
 		status = http.StatusInternalServerError
 	}
-	answer := []byte(fmt.Sprintf("%s|%s|%s|%s|%d", k.Service, k.ID, job, r.Header.Get("X-Call"), len(body)))
+	answer := []byte(fmt.Sprintf("%s|%s|%s|%s|%d", worker.Service, worker.ID, requestID, r.Header.Get("X-Call"), len(body)))
 	if want, _ := strconv.Atoi(r.Header.Get("X-Want")); want > 0 {
 		answer = append(answer, Whole(r.Header.Get("X-Call"), body, want)...)
 	}
 	if rand.Float64() < behavior.Garble {
-		w.Header().Set(responsedigest.AttemptIDHeader, attempt)
-		w.Header().Set(responsedigest.WorkerHeader, k.ID)
-		w.Header().Set(responsedigest.DigestHeader, responsedigest.Of(attempt, k.ID, status, answer))
+		w.Header().Set(responsedigest.AttemptIDHeader, attemptID)
+		w.Header().Set(responsedigest.WorkerHeader, worker.ID)
+		w.Header().Set(responsedigest.DigestHeader, responsedigest.Of(attemptID, worker.ID, status, answer))
 		answer[rand.IntN(len(answer))] ^= 0x55
 		w.WriteHeader(status)
 		_, _ = w.Write(answer)
 		return
 	}
-	k.writeAnswer(w, attempt, status, answer)
+	worker.writeAnswer(w, attemptID, status, answer)
 }
 
-func (k *Worker) writeAnswer(w http.ResponseWriter, attempt string, status int, body []byte) {
-	w.Header().Set(responsedigest.AttemptIDHeader, attempt)
-	w.Header().Set(responsedigest.WorkerHeader, k.ID)
-	w.Header().Set(responsedigest.DigestHeader, responsedigest.Of(attempt, k.ID, status, body))
+func (worker *Worker) writeAnswer(w http.ResponseWriter, attemptID string, status int, body []byte) {
+	w.Header().Set(responsedigest.AttemptIDHeader, attemptID)
+	w.Header().Set(responsedigest.WorkerHeader, worker.ID)
+	w.Header().Set(responsedigest.DigestHeader, responsedigest.Of(attemptID, worker.ID, status, body))
 	w.Header().Set("Content-Length", strconv.Itoa(len(body)))
 	w.WriteHeader(status)
 	_, _ = w.Write(body)
 }
 
-// Runs counts the jobs that it began.
-func (k *Worker) Runs() int {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.runs
+// Runs returns the number of requests that the worker began to execute.
+func (worker *Worker) Runs() int {
+	worker.mu.Lock()
+	defer worker.mu.Unlock()
+	return worker.runs
 }
--- a/internal/standin/workercounts.go
+++ b/internal/standin/workercounts.go
@@ -1,22 +1,22 @@
 package standin
 
-// Under tells how many jobs it runs just now.
-func (k *Worker) Under() int {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.executing
+// Under returns the number of requests being executed.
+func (worker *Worker) Under() int {
+	worker.mu.Lock()
+	defer worker.mu.Unlock()
+	return worker.executing
 }
 
-// Ran tells how many jobs it ran.
-func (k *Worker) Ran() int {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.runs
+// Ran returns the number of requests that the worker began to execute.
+func (worker *Worker) Ran() int {
+	worker.mu.Lock()
+	defer worker.mu.Unlock()
+	return worker.runs
 }
 
-// Peak tells how many jobs it ran at once at the most.
-func (k *Worker) Peak() int {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.peak
+// Peak returns the highest number of requests that were executed at the same time.
+func (worker *Worker) Peak() int {
+	worker.mu.Lock()
+	defer worker.mu.Unlock()
+	return worker.peak
 }
