--- a/internal/standin/actors/apps.go
+++ b/internal/standin/actors/apps.go
@@ -115,11 +115,11 @@
 // Run runs all callers and a watcher for each key group until the context ends, and returns
 // when all of them have ended.
 func (a *Apps) Run(ctx context.Context) {
-	var done sync.WaitGroup
+	var running sync.WaitGroup
 	start := func(name string, work func()) {
-		done.Add(1)
-		if !a.Tasks.Go(name, func(context.Context) { defer done.Done(); work() }) {
-			done.Done()
+		running.Add(1)
+		if !a.Tasks.Go(name, func(context.Context) { defer running.Done(); work() }) {
+			running.Done()
 		}
 	}
 	for i := range a.Callers {
@@ -135,7 +135,7 @@
 	for i := range a.KeyGroups {
 		start("watch", func() { a.watchGroup(ctx, fmt.Sprintf("g%d.", i)) })
 	}
-	done.Wait()
+	running.Wait()
 }
 
 func (a *Apps) callOnce(ctx context.Context, i int) {
--- a/internal/standin/actors/callers_test.go
+++ b/internal/standin/actors/callers_test.go
@@ -224,8 +224,8 @@
 	if len(rules) == 0 && len(breaches) > 0 {
 		t.Errorf("unexpected breaches: %v", notes)
 	}
-	if done, _ := apps.Done(); done["put 200"] < 50 || done["take 200"] < 20 || done["watch 200"] < 20 {
-		t.Errorf("too few calls: %v", done)
+	if outcomes, _ := apps.Done(); outcomes["put 200"] < 50 || outcomes["take 200"] < 20 || outcomes["watch 200"] < 20 {
+		t.Errorf("too few calls: %v", outcomes)
 	}
 }
 
--- a/internal/standin/actors/clientconn.go
+++ b/internal/standin/actors/clientconn.go
@@ -209,8 +209,8 @@
 	}
 	if err != nil {
 		// If the connection ended, there is no answer, but no malformed one either.
-		var n net.Error
-		connEnded := errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) || errors.Is(err, net.ErrClosed) || errors.As(err, &n) || c.lastByte.truncatedInHeader(c.reader, err)
+		var netError net.Error
+		connEnded := errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) || errors.Is(err, net.ErrClosed) || errors.As(err, &netError) || c.lastByte.truncatedInHeader(c.reader, err)
 		return checker.Answer{Malformed: !connEnded, RequestRead: true, Reason: err.Error()}, false
 	}
 	body, err := io.ReadAll(response.Body)
@@ -219,8 +219,8 @@
 	if response.Header.Get("Content-Encoding") != "" {
 		answer.Body.Sum++
 	}
-	if s, err := strconv.ParseFloat(response.Header.Get("Retry-After"), 64); err == nil {
-		answer.RetryAfter, answer.HasRetryAfter = time.Duration(s*float64(time.Second)), true
+	if seconds, err := strconv.ParseFloat(response.Header.Get("Retry-After"), 64); err == nil {
+		answer.RetryAfter, answer.HasRetryAfter = time.Duration(seconds*float64(time.Second)), true
 	}
 	if answer.Digest == "" && len(body) < 400 {
 		answer.Reason = strings.TrimSpace(string(body))
@@ -228,9 +228,9 @@
 	c.mu.Lock()
 	c.usableUntil = time.Time{}
 	for _, field := range strings.Split(response.Header.Get("Keep-Alive"), ",") {
-		if n, ok := strings.CutPrefix(strings.TrimSpace(field), "timeout="); ok {
-			if s, err := strconv.Atoi(n); err == nil {
-				c.usableUntil = time.Now().Add(time.Duration(s) * time.Second)
+		if text, ok := strings.CutPrefix(strings.TrimSpace(field), "timeout="); ok {
+			if seconds, err := strconv.Atoi(text); err == nil {
+				c.usableUntil = time.Now().Add(time.Duration(seconds) * time.Second)
 			}
 		}
 	}
--- a/internal/standin/actors/ingress_test.go
+++ b/internal/standin/actors/ingress_test.go
@@ -175,9 +175,9 @@
 			return true
 		}},
 		{checker.Mixed, func(w http.ResponseWriter, _ *http.Request, _ []byte, _ func() (*http.Response, []byte, error)) bool {
-			c, _, err := w.(http.Hijacker).Hijack()
+			conn, _, err := w.(http.Hijacker).Hijack()
 			if err == nil {
-				_, _ = c.Write([]byte("HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"))
+				_, _ = conn.Write([]byte("HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"))
 			}
 			return true
 		}},
@@ -203,9 +203,9 @@
 	for answer, mixed := range map[string]bool{"HTTP/1.1 200 OK\r\nConnect": false, "HTTP/1.1 200 OK\r\nConnect\r\n\r\n": true, "HTTP/1.1 200 OK\r\nConnect\r\nX": true, "Connect": true} {
 		synctest.Test(t, func(t *testing.T) {
 			bed := newTestbed(t, usualBehavior, func(w http.ResponseWriter, _ *http.Request, _ []byte, _ func() (*http.Response, []byte, error)) bool {
-				if c, _, err := w.(http.Hijacker).Hijack(); err == nil {
-					_, _ = c.Write([]byte(answer))
-					_ = c.Close()
+				if conn, _, err := w.(http.Hijacker).Hijack(); err == nil {
+					_, _ = conn.Write([]byte(answer))
+					_ = conn.Close()
 				}
 				return true
 			})
--- a/internal/standin/caller.go
+++ b/internal/standin/caller.go
@@ -38,8 +38,8 @@
 	sequence  atomic.Int64
 	pending   atomic.Int64
 	Timeout   time.Duration
-	Name      string                  // prefix of the call IDs
-	Skip      func(front string) bool // if set, tells which ingresses get no calls for now
+	Name      string                    // prefix of the call IDs
+	Skip      func(ingress string) bool // if set, tells which ingresses get no calls for now
 }
 
 // NewCallers creates callers of the given ingresses.
--- a/internal/standin/checker/breaches_test.go
+++ b/internal/standin/checker/breaches_test.go
@@ -27,12 +27,12 @@
 }
 
 func newRun() *run {
-	r := &run{Witness: New(Usual), w1: &Worker{Name: "k", Service: "s", Machine: "m1"}, w2: &Worker{Name: "l", Service: "u", Machine: "m2"}}
-	r.WorkerStarted(r.w1)
-	r.WorkerStarted(r.w2)
-	r.apply(1, "s")
+	created := &run{Witness: New(Usual), w1: &Worker{Name: "k", Service: "s", Machine: "m1"}, w2: &Worker{Name: "l", Service: "u", Machine: "m2"}}
+	created.WorkerStarted(created.w1)
+	created.WorkerStarted(created.w2)
+	created.apply(1, "s")
 	wait(5 * time.Second)
-	return r
+	return created
 }
 
 // apply sends a document and records its acknowledgement.
@@ -137,7 +137,8 @@
 	}
 }
 
-// answerScenarios breaks the guarantees for answers and executions; the cases without a rule stay just within them.
+// answerScenarios breaks the guarantees for answers and executions;
+// the cases without a rule stay just within them.
 func answerScenarios() []scenarioCase {
 	return []scenarioCase{
 		{"no fault", "", func(r *run) { r.serve() }},
--- a/internal/standin/checker/budget.go
+++ b/internal/standin/checker/budget.go
@@ -21,14 +21,14 @@
 		}
 		// With a weighted split the request counts for the service that it reached first.
 		if len(attempt.Arrivals) > 0 {
-			s := attempt.Arrivals[0].Worker.Service
-			requests[s] = append(requests[s], attempt.Start)
-		} else if s := w.expectedService(attempt); s != "" {
-			requests[s] = append(requests[s], attempt.Start)
+			service := attempt.Arrivals[0].Worker.Service
+			requests[service] = append(requests[service], attempt.Start)
+		} else if service := w.expectedService(attempt); service != "" {
+			requests[service] = append(requests[service], attempt.Start)
 		}
 	}
-	for s, times := range retries {
-		w.slideWindow(s, sortTimes(times), sortTimes(requests[s]))
+	for service, times := range retries {
+		w.slideWindow(service, sortTimes(times), sortTimes(requests[service]))
 	}
 }
 
--- a/internal/standin/checker/callergone_test.go
+++ b/internal/standin/checker/callergone_test.go
@@ -10,15 +10,15 @@
 // counts if it was.
 func TestServedCountsEarlyLeavers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newRun()
-		r.serve()
-		r.fail(r.try(), 503)
-		left := r.try()
+		testRun := newRun()
+		testRun.serve()
+		testRun.fail(testRun.try(), 503)
+		left := testRun.try()
 		left.LeavesEarly = true
-		r.AttemptEnded(left, Answer{ClientClosed: true})
-		servedEarly, _ := r.serve()
+		testRun.AttemptEnded(left, Answer{ClientClosed: true})
+		servedEarly, _ := testRun.serve()
 		servedEarly.LeavesEarly = true
-		if served, owed := r.Served("", time.Time{}, time.Now()); served != 2 || owed != 3 {
+		if served, owed := testRun.Served("", time.Time{}, time.Now()); served != 2 || owed != 3 {
 			t.Errorf("%d of %d served, want 2 of 3", served, owed)
 		}
 	})
--- a/internal/standin/checker/coordination_test.go
+++ b/internal/standin/checker/coordination_test.go
@@ -26,7 +26,8 @@
 	return hold
 }
 
-// coordinationScenarios breaks the guarantees for locks, numbers and keys; the cases without a rule stay just within them.
+// coordinationScenarios breaks the guarantees for locks, numbers and keys;
+// the cases without a rule stay just within them.
 func coordinationScenarios() []scenarioCase {
 	take := func(r *run, owner string, fence uint64) { r.op(Op{Kind: Acquire, Name: "l", Owner: owner}, 200, fence) }
 	watch := func(r *run, after, revision uint64, changes ...Change) {
--- a/internal/standin/checker/documents_test.go
+++ b/internal/standin/checker/documents_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// documentScenarios breaks the guarantees for documents; the cases without a rule stay just within them.
+// documentScenarios breaks the guarantees for documents;
+// the cases without a rule stay just within them.
 func documentScenarios() []scenarioCase {
 	executeOld := func(r *run) { r.exec(r.try(), r.w1) }
 	return []scenarioCase{
--- a/internal/standin/checker/keys.go
+++ b/internal/standin/checker/keys.go
@@ -79,18 +79,18 @@
 		}
 	}
 	for _, s := range observed {
-		k := s.key + "\n" + s.value
-		history := histories[k]
+		valueKey := s.key + "\n" + s.value
+		history := histories[valueKey]
 		switch {
 		case history == nil:
 			w.recordBreach(Mixed, "%s has value %q, which nobody put there", s.key, s.value)
 		case history.rejected:
 			w.recordBreach(Refused, "%s has value %q, whose put was rejected", s.key, s.value)
 		}
-		if revision, ok := revisionOf[k]; ok && revision != s.revision {
+		if revision, ok := revisionOf[valueKey]; ok && revision != s.revision {
 			w.recordBreach(Mixed, "%s has value %q under revisions %d and %d", s.key, s.value, revision, s.revision)
 		}
-		revisionOf[k] = s.revision
+		revisionOf[valueKey] = s.revision
 		keyAt[groupRevision{keyGroup(s.key), s.revision}] = s.key
 	}
 	uncertain := map[string]bool{}
--- a/internal/standin/checker/risk_test.go
+++ b/internal/standin/checker/risk_test.go
@@ -22,17 +22,17 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				r := newRun()
-				r.exec(r.try(), r.w1)
-				r.exec(r.try(), r.w2)
+				testRun := newRun()
+				testRun.exec(testRun.try(), testRun.w1)
+				testRun.exec(testRun.try(), testRun.w2)
 				wait(c.idle)
-				r.LeaveSent(r.w1)
-				r.LeaveAcked(r.w1, "m1")
+				testRun.LeaveSent(testRun.w1)
+				testRun.LeaveAcked(testRun.w1, "m1")
 				if c.after {
 					wait(100 * time.Millisecond)
-					r.exec(r.try(), r.w1)
+					testRun.exec(testRun.try(), testRun.w1)
 				}
-				if got := r.Risk()[Drain]; got != c.want {
+				if got := testRun.Risk()[Drain]; got != c.want {
 					t.Errorf("at risk %d times, want %d", got, c.want)
 				}
 			})
--- a/internal/standin/checker/timeouts.go
+++ b/internal/standin/checker/timeouts.go
@@ -52,7 +52,7 @@
 // checkHandedTimeouts checks that the timeout passed to a worker does not exceed the remaining
 // time of the attempt (BUDGET).
 func (w *Witness) checkHandedTimeouts() {
-	over, total := 0, 0
+	tooLong, total := 0, 0
 	var example *Arrival
 	for _, arrival := range w.arrivals {
 		attempt := arrival.Attempt
@@ -61,11 +61,11 @@
 		}
 		total++
 		if arrival.Timeout == 0 || arrival.Timeout > attempt.Timeout-arrival.ArrivedAt.Sub(attempt.Start)+timeoutSlack {
-			over++
+			tooLong++
 			example = arrival
 		}
 	}
-	if over > handedTooMuchTolerated && over*handedTooMuchDivisor > total {
-		w.recordBreach(Budget, "%d of %d arrivals had more time than was left, %s at %s %v among them", over, total, example.Attempt.ID, example.Worker.Name, example.Timeout)
+	if tooLong > handedTooMuchTolerated && tooLong*handedTooMuchDivisor > total {
+		w.recordBreach(Budget, "%d of %d arrivals had more time than was left, %s at %s %v among them", tooLong, total, example.Attempt.ID, example.Worker.Name, example.Timeout)
 	}
 }
--- a/internal/standin/coordination.go
+++ b/internal/standin/coordination.go
@@ -42,7 +42,7 @@
 	ackedChanges   map[uint64]bool            // acknowledged revisions
 	Done           map[string]int             // kind and status of a call to their number
 	Lost           []string                   // calls with an unknown outcome, and why
-	Skip           func(at string) bool       // if set, tells which nodes get no calls for now
+	Skip           func(node string) bool     // if set, tells which nodes get no calls for now
 }
 
 type lockHold struct {
@@ -115,12 +115,12 @@
 func (c *Coord) Run(callers int, rate float64, duration time.Duration) {
 	runCtx, cancel := context.WithTimeout(c.tasks.Context(), duration)
 	defer cancel()
-	var done sync.WaitGroup
+	var running sync.WaitGroup
 	interval := time.Duration(float64(time.Second) * float64(callers) / rate)
 	for i := range callers {
-		done.Add(1)
+		running.Add(1)
 		c.tasks.Go("coord", func(context.Context) {
-			defer done.Done()
+			defer running.Done()
 			for runCtx.Err() == nil {
 				timer := time.NewTimer(interval/2 + time.Duration(rand.Int64N(int64(interval)+1)))
 				select {
@@ -142,12 +142,12 @@
 			}
 		})
 	}
-	done.Add(1)
+	running.Add(1)
 	c.tasks.Go("watcher", func(context.Context) {
-		defer done.Done()
+		defer running.Done()
 		c.watch(runCtx)
 	})
-	done.Wait()
+	running.Wait()
 	c.tasks.Stop()
 }
 
--- a/internal/standin/observer.go
+++ b/internal/standin/observer.go
@@ -38,7 +38,7 @@
 // Observer records every execution and every answer, and counts violations of the guarantees.
 type Observer struct {
 	mu             sync.Mutex
-	runs           map[string][]execution // call ID to its executions
+	executions     map[string][]execution // call ID to its executions
 	calls          []Call
 	ackedVersions  []ackedVersion
 	disconnected   map[string][]period // ingress to the periods in which it was disconnected
@@ -57,7 +57,7 @@
 
 // NewObserver returns an observer with the bounds of the specification.
 func NewObserver() *Observer {
-	return &Observer{runs: map[string][]execution{}, disconnected: map[string][]period{}, violations: map[string]int{}, firstArrivals: map[string][]time.Time{}, retryArrivals: map[string][]time.Time{},
+	return &Observer{executions: map[string][]execution{}, disconnected: map[string][]period{}, violations: map[string]int{}, firstArrivals: map[string][]time.Time{}, retryArrivals: map[string][]time.Time{},
 		RetryWindow: 10 * time.Second, ConfigBound: 2 * time.Second, LeaveBound: 2 * time.Second, RetryShare: 0.2, RetryAllowance: 10}
 }
 
@@ -91,7 +91,7 @@
 	o.mu.Unlock()
 }
 
-func (o *Observer) recordRun(requestID, callID string, worker *Worker, expected string, leftAt time.Time) {
+func (o *Observer) recordExecution(requestID, callID string, worker *Worker, expected string, leftAt time.Time) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	now := time.Now()
@@ -104,12 +104,12 @@
 	if !leftAt.IsZero() && now.Sub(leftAt) > o.LeaveBound {
 		o.recordViolation(SentAfterLeave, "%s at %s %v after", callID, worker.ID, now.Sub(leftAt))
 	}
-	if len(o.runs[callID]) == 0 {
+	if len(o.executions[callID]) == 0 {
 		o.firstArrivals[worker.Service] = append(o.firstArrivals[worker.Service], now)
 	} else {
 		o.retryArrivals[worker.Service] = append(o.retryArrivals[worker.Service], now)
 	}
-	o.runs[callID] = append(o.runs[callID], execution{now, worker.ID})
+	o.executions[callID] = append(o.executions[callID], execution{now, worker.ID})
 }
 
 // Acked records that a version was acknowledged.
--- a/internal/standin/observer_test.go
+++ b/internal/standin/observer_test.go
@@ -11,7 +11,7 @@
 // run counts none.
 func TestObserverDetectsFaults(t *testing.T) {
 	now := time.Now
-	done := func(observer *Observer, id string, version uint64) Call {
+	served := func(observer *Observer, id string, version uint64) Call {
 		return Call{ID: id, Front: "f", Service: "s", From: now(), To: now(), Status: 200, Version: version, Body: "s|w|job|" + id + "|0"}
 	}
 	worker := &Worker{Service: "s", ID: "w"}
@@ -22,50 +22,50 @@
 		{"", func(observer *Observer) {
 			for i := range 40 {
 				id := fmt.Sprint("ok", i)
-				observer.recordRun("j", id, worker, "s", time.Time{})
-				observer.RecordCall(done(observer, id, 1))
+				observer.recordExecution("j", id, worker, "s", time.Time{})
+				observer.RecordCall(served(observer, id, 1))
 			}
 		}},
 		{Twice, func(observer *Observer) {
-			observer.recordRun("j", "a", worker, "s", time.Time{})
-			observer.recordRun("j", "a", worker, "s", time.Time{})
-			observer.RecordCall(done(observer, "a", 1))
+			observer.recordExecution("j", "a", worker, "s", time.Time{})
+			observer.recordExecution("j", "a", worker, "s", time.Time{})
+			observer.RecordCall(served(observer, "a", 1))
 		}},
 		{RanThoughBusy, func(observer *Observer) {
-			observer.recordRun("j", "a", worker, "s", time.Time{})
+			observer.recordExecution("j", "a", worker, "s", time.Time{})
 			observer.RecordCall(Call{ID: "a", Status: 503})
 		}},
 		{NotWorkersAnswer, func(observer *Observer) {
-			observer.recordRun("j", "a", worker, "s", time.Time{})
-			c := done(observer, "a", 1)
+			observer.recordExecution("j", "a", worker, "s", time.Time{})
+			c := served(observer, "a", 1)
 			c.Body = "s|w|job|b|0"
 			observer.RecordCall(c)
 		}},
-		{NotWorkersAnswer, func(observer *Observer) { observer.RecordCall(done(observer, "never ran", 1)) }},
-		{Misdelivered, func(observer *Observer) { observer.recordRun("j", "a", worker, "other", time.Time{}) }},
-		{SentAfterLeave, func(observer *Observer) { observer.recordRun("j", "a", worker, "s", now().Add(-3*time.Second)) }},
+		{NotWorkersAnswer, func(observer *Observer) { observer.RecordCall(served(observer, "never ran", 1)) }},
+		{Misdelivered, func(observer *Observer) { observer.recordExecution("j", "a", worker, "other", time.Time{}) }},
+		{SentAfterLeave, func(observer *Observer) { observer.recordExecution("j", "a", worker, "s", now().Add(-3*time.Second)) }},
 		{StaleVersion, func(observer *Observer) {
 			observer.Acked(2)
 			<-time.After(3 * time.Second)
-			observer.recordRun("j", "a", worker, "s", time.Time{})
-			observer.RecordCall(done(observer, "a", 1))
+			observer.recordExecution("j", "a", worker, "s", time.Time{})
+			observer.RecordCall(served(observer, "a", 1))
 		}},
 		{VersionStepBack, func(observer *Observer) {
 			for i, version := range []uint64{2, 1} {
 				id := fmt.Sprint(i)
-				observer.recordRun("j", id, worker, "s", time.Time{})
-				observer.RecordCall(done(observer, id, version))
+				observer.recordExecution("j", id, worker, "s", time.Time{})
+				observer.RecordCall(served(observer, id, version))
 				<-time.After(time.Millisecond)
 			}
 		}},
 		{TooManyRetries, func(observer *Observer) {
 			for range 13 {
-				observer.recordRun("j", "a", worker, "s", time.Time{})
+				observer.recordExecution("j", "a", worker, "s", time.Time{})
 			}
 		}},
 		{CutOff, func(observer *Observer) {
-			observer.recordRun("j", "a", worker, "s", time.Time{})
-			c := done(observer, "a", 1)
+			observer.recordExecution("j", "a", worker, "s", time.Time{})
+			c := served(observer, "a", 1)
 			c.Status, c.Cut = 500, true
 			observer.RecordCall(c)
 		}},
--- a/internal/standin/verdict.go
+++ b/internal/standin/verdict.go
@@ -15,12 +15,12 @@
 	defer o.mu.Unlock()
 	byIngress := map[string][]Call{}
 	for _, c := range o.calls {
-		runs := len(o.runs[c.ID])
-		if runs > 1 && !c.Safe {
-			o.recordViolation(Twice, "%s was executed %d times: %v", c.ID, runs, o.runs[c.ID])
+		executions := len(o.executions[c.ID])
+		if executions > 1 && !c.Safe {
+			o.recordViolation(Twice, "%s was executed %d times: %v", c.ID, executions, o.executions[c.ID])
 		}
-		if c.Status == 503 && runs > 0 {
-			o.recordViolation(RanThoughBusy, "%s was executed at %s", c.ID, o.runs[c.ID][0].worker)
+		if c.Status == 503 && executions > 0 {
+			o.recordViolation(RanThoughBusy, "%s was executed at %s", c.ID, o.executions[c.ID][0].worker)
 		}
 		if c.Cut {
 			o.recordViolation(CutOff, "%s at %s", c.ID, c.Front)
@@ -45,7 +45,7 @@
 	if len(fields) != 5 || !includesService(call.Service, fields[0]) || fields[3] != call.ID {
 		return false
 	}
-	for _, r := range o.runs[call.ID] {
+	for _, r := range o.executions[call.ID] {
 		if r.worker == fields[1] {
 			return true
 		}
@@ -133,7 +133,7 @@
 			counts[fmt.Sprintf("status %d", c.Status)]++
 		}
 	}
-	for _, r := range o.runs {
+	for _, r := range o.executions {
 		counts["runs"] += len(r)
 	}
 	counts["calls"] = len(o.calls)
--- a/internal/standin/watch.go
+++ b/internal/standin/watch.go
@@ -12,11 +12,11 @@
 func (c *Coord) watch(runCtx context.Context) {
 	from, lastRevision := uint64(1), uint64(0)
 	seen := map[uint64]bool{}
-	first := true
+	starting := true
 	for runCtx.Err() == nil {
 		response := c.request("GET", fmt.Sprintf("/puffin/watch?prefix=k/&from=%d&wait_ms=500", from), nil)
-		if response.status == 410 && first {
-			from, first = response.Oldest, false
+		if response.status == 410 && starting {
+			from, starting = response.Oldest, false
 			lastRevision = response.Oldest - 1
 			continue
 		}
@@ -30,7 +30,7 @@
 			<-timer.C
 			continue
 		}
-		first = false
+		starting = false
 		for _, change := range response.Changes {
 			if change.Rev <= lastRevision {
 				c.observer.RecordViolation(WatchGap, fmt.Sprintf("revision %d after %d", change.Rev, lastRevision))
@@ -72,8 +72,8 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	count := 0
-	for what, k := range c.Done {
-		if strings.HasSuffix(what, " 200") {
+	for outcome, k := range c.Done {
+		if strings.HasSuffix(outcome, " 200") {
 			count += k
 		}
 	}
--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -34,19 +34,19 @@
 
 // Worker is a worker of one service.
 type Worker struct {
-	Service, ID, Addr     string
-	Slots                 int
-	proxyAddr             string // outer address of the node beside it
-	env                   env.Env
-	tasks                 *task.Group
-	observer              *Observer
-	transport             http.RoundTripper
-	mu                    sync.Mutex
-	behavior              Way
-	state                 string
-	leftAt                time.Time // when it first reported that it is leaving
-	executing, peak, runs int
-	nestedCalls           func(left string) // makes nested calls, given the remaining time in ms
+	Service, ID, Addr           string
+	Slots                       int
+	proxyAddr                   string // outer address of the node beside it
+	env                         env.Env
+	tasks                       *task.Group
+	observer                    *Observer
+	transport                   http.RoundTripper
+	mu                          sync.Mutex
+	behavior                    Way
+	state                       string
+	leftAt                      time.Time // when it first reported that it is leaving
+	executing, peak, executions int
+	nestedCalls                 func(left string) // makes nested calls, given the remaining time in ms
 }
 
 // NewWorker starts a worker. observer may be nil if violations are not counted.
@@ -175,7 +175,7 @@
 	}
 	worker.mu.Lock()
 	worker.executing++
-	worker.runs++
+	worker.executions++
 	worker.peak = max(worker.peak, worker.executing)
 	worker.mu.Unlock()
 	defer func() {
@@ -184,7 +184,7 @@
 		worker.mu.Unlock()
 	}()
 	if worker.observer != nil {
-		worker.observer.recordRun(requestID, r.Header.Get("X-Call"), worker, r.Header.Get("X-Service"), leftAt)
+		worker.observer.recordExecution(requestID, r.Header.Get("X-Call"), worker, r.Header.Get("X-Service"), leftAt)
 	}
 	if behavior.Took > 0 {
 		// Between 0.5 and 1.5 times the mean.
@@ -241,5 +241,5 @@
 func (worker *Worker) Runs() int {
 	worker.mu.Lock()
 	defer worker.mu.Unlock()
-	return worker.runs
+	return worker.executions
 }
--- a/internal/standin/workercounts.go
+++ b/internal/standin/workercounts.go
@@ -11,7 +11,7 @@
 func (worker *Worker) Ran() int {
 	worker.mu.Lock()
 	defer worker.mu.Unlock()
-	return worker.runs
+	return worker.executions
 }
 
 // Peak returns the highest number of requests that were executed at the same time.
