--- a/internal/standin/checker/documents_test.go
+++ b/internal/standin/checker/documents_test.go
@@ -8,30 +8,30 @@
 // documentScenarios breaks the guarantees for documents;
 // the cases without a rule stay just within them.
 func documentScenarios() []scenarioCase {
-	executeOld := func(r *run) { r.exec(r.try(), r.w1) }
+	execOld := func(r *run) { r.exec(r.try(), r.w1) }
 	return []scenarioCase{
-		{"an outdated document after the bound", Config, func(r *run) { r.apply(2, "u"); wait(2100 * time.Millisecond); executeOld(r) }},
-		{"an outdated document within the bound", "", func(r *run) { r.apply(2, "u"); wait(1900 * time.Millisecond); executeOld(r) }},
-		{"an outdated document while the control plane is unsettled", "", func(r *run) { r.apply(2, "u"); wait(5 * time.Second); r.Touch.Core("kill"); executeOld(r) }},
+		{"an outdated document after the bound", Config, func(r *run) { r.apply(2, "u"); wait(2100 * time.Millisecond); execOld(r) }},
+		{"an outdated document within the bound", "", func(r *run) { r.apply(2, "u"); wait(1900 * time.Millisecond); execOld(r) }},
+		{"an outdated document while the control plane is unsettled", "", func(r *run) { r.apply(2, "u"); wait(5 * time.Second); r.Touch.Core("kill"); execOld(r) }},
 		{"an outdated document after the extended bound", Config, func(r *run) {
 			r.apply(2, "u")
 			wait(8 * time.Second)
 			r.Touch.Core("kill")
-			executeOld(r)
+			execOld(r)
 		}},
-		{"an outdated document without a majority", "", func(r *run) { r.apply(2, "u"); defer r.Touch.Minority()(); wait(9 * time.Second); executeOld(r) }},
+		{"an outdated document without a majority", "", func(r *run) { r.apply(2, "u"); defer r.Touch.Minority()(); wait(9 * time.Second); execOld(r) }},
 		{"an outdated document on a disconnected machine", "", func(r *run) {
 			r.apply(2, "u")
 			end := r.Touch.Begin("m1", "cut")
 			wait(9 * time.Second)
 			end()
 			wait(2 * time.Second)
-			executeOld(r)
+			execOld(r)
 		}},
 		{"either document while the newer one is unacknowledged", "", func(r *run) {
 			r.offer(2, "u")
 			wait(9 * time.Second)
-			executeOld(r)
+			execOld(r)
 			r.exec(r.try(), r.w2)
 			r.documents[1].EndedAt = r.documents[1].FirstSentAt
 		}},
@@ -41,28 +41,28 @@
 			document.Routes = nil
 			r.DocumentAcked(document, "c1")
 			wait(3 * time.Second)
-			executeOld(r)
+			execOld(r)
 		}},
 		{"a step back to an older document", Config, func(r *run) {
 			r.apply(2, "u")
 			r.exec(r.try(), r.w2)
 			wait(300 * time.Millisecond)
-			executeOld(r)
+			execOld(r)
 		}},
-		{"a step back within the slack", "", func(r *run) { r.apply(2, "u"); r.exec(r.try(), r.w2); wait(200 * time.Millisecond); executeOld(r) }},
+		{"a step back within the slack", "", func(r *run) { r.apply(2, "u"); r.exec(r.try(), r.w2); wait(200 * time.Millisecond); execOld(r) }},
 		{"a step back on a slowed machine", "", func(r *run) {
 			defer r.Touch.Begin("m1", Slowed)()
 			r.apply(2, "u")
 			r.exec(r.try(), r.w2)
 			wait(time.Second)
-			executeOld(r)
+			execOld(r)
 		}},
 		{"a step back after a restart", "", func(r *run) {
 			r.apply(2, "u")
 			r.exec(r.try(), r.w2)
 			r.Lives("m1")
 			wait(300 * time.Millisecond)
-			executeOld(r)
+			execOld(r)
 		}},
 		{"an invalid document is acknowledged", Config, func(r *run) {
 			document := r.offer(2)
