--- a/internal/standin/actors/client.go
+++ b/internal/standin/actors/client.go
@@ -24,7 +24,7 @@
 	ReuseShare          float64      // part of the requests sent on reused connections
 	ImpatientShare      float64      // part of the requests that are retried at once and twice more, whatever Retry-After says
 	earlyLeavesPerMille atomic.Int64 // how many of a thousand requests are abandoned early
-	Out                 atomic.Bool  // while set, Load starts no requests
+	Out                 atomic.Bool  // while set, no requests are started
 	closed              atomic.Bool  // the client's machine is gone
 	random              *lockedRand
 	name                string
@@ -49,7 +49,7 @@
 func (c *Client) Quits(part float64) { c.earlyLeavesPerMille.Store(int64(part * 1000)) }
 
 // Load sends requests of one kind at the given rate until the context ends. It starts none
-// while Out is set or more than 2000 requests are pending.
+// while the client is paused or more than 2000 requests are pending.
 func (c *Client) Load(ctx context.Context, line *Line, rate func() float64) {
 	for ctx.Err() == nil {
 		perSecond := rate()
@@ -185,7 +185,7 @@
 	c.Recorder.Update(func() { attempt.ReusedConn = conn.reused })
 	answers := make(chan checker.Answer, 1)
 	if !conn.expectAnswer(attempt, answers) {
-		return checker.Answer{Reason: "closed meanwhile", ClosedBeforeRead: true}
+		return checker.Answer{Reason: "connection closed meanwhile", ClosedBeforeRead: true}
 	}
 	err := conn.writeRequest(attempt, body, c, !reuse && c.random.intN(2) == 0)
 	if err == nil {
@@ -213,7 +213,7 @@
 		case <-ctx.Done():
 			requestRead := conn.requestRead()
 			conn.close()
-			return checker.Answer{Reason: "time up", ClientClosed: true, RequestRead: requestRead}
+			return checker.Answer{Reason: "client timeout expired", ClientClosed: true, RequestRead: requestRead}
 		}
 	}
 }
--- a/internal/standin/caller.go
+++ b/internal/standin/caller.go
@@ -17,7 +17,7 @@
 	"puffincrank/internal/task"
 )
 
-// Line is one kind of call that callers make. Safe says that it may be executed more than once.
+// Line is one kind of call that callers make. A safe call may be executed more than once.
 type Line struct {
 	Method, URI, Service string
 	Safe                 bool
--- a/internal/standin/checker/budget.go
+++ b/internal/standin/checker/budget.go
@@ -91,7 +91,7 @@
 }
 
 // Most returns the highest ratio of retries to allowed retries over all windows, and its
-// service. It is known only after Verdict.
+// service. It is known only after all checks have run.
 func (w *Witness) Most() (part float64, service string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/standin/checker/leaving.go
+++ b/internal/standin/checker/leaving.go
@@ -10,7 +10,7 @@
 // signal is a stop or reload signal to a machine, which must not cut requests off.
 type signal struct {
 	machine     string
-	incarnation int // the machine's processes are counted up at each restart
+	incarnation int // of the machine's processes, counted up at each restart
 	sentAt      time.Time
 	reload      bool
 }
@@ -126,7 +126,7 @@
 	duringChange, otherwise := map[string][]*Attempt{}, map[string]int{}
 	for _, attempt := range w.attemptOrder {
 		delay, forwarded, isCut := w.cutOff(attempt)
-		isCut = isCut && (forwarded || delay > w.B.Slack)
+		isCut = isCut && (forwarded || delay > w.B.UnforwardedCut)
 		undisturbed := w.Touch.calm(attempt.Start.Add(-w.B.Touch), attempt.End)
 		signals := w.signalsDuring(attempt)
 		if len(signals) > 0 && undisturbed {
--- a/internal/standin/checker/risk.go
+++ b/internal/standin/checker/risk.go
@@ -13,7 +13,7 @@
 		if arrival.ExtraBytes || arrival.WorkerFailed {
 			counts[Mixed]++
 			if arrival.Attempt != nil && !arrival.Attempt.Retryable {
-				// To retry it would execute it twice; to answer 503 would deny the execution.
+				// A retry would execute it twice, and a 503 would deny the execution.
 				counts[Twice]++
 				counts[Refused]++
 			}
--- a/internal/standin/checker/witness.go
+++ b/internal/standin/checker/witness.go
@@ -33,14 +33,14 @@
 
 // Bounds are the limits that the rules check.
 type Bounds struct {
-	Touch, Leave, Grace, Slack       time.Duration // until a machine counts as connected; a worker's leave; a graceful shutdown; an unforwarded request cut off by planned work
-	Change, Back, Stretch            time.Duration // a document taking effect; a step back to an older one; extension while the control plane is unsettled
-	Ack, Window, Return, Hist, Frees time.Duration
-	Share, Allow                     float64 // allowed retries: as a part of the requests, and in addition
+	Touch, Leave, Grace, UnforwardedCut time.Duration // until a machine counts as connected; a worker's leave; a graceful shutdown; an unforwarded request cut off by planned work
+	Change, Back, Stretch               time.Duration // a document taking effect; a step back to an older one; extension while the control plane is unsettled
+	Ack, Window, Return, Hist, Frees    time.Duration // an acknowledgement; window of the retry budget; recovery after the final fault; history for watches; release of an expired lock
+	Share, Allow                        float64       // allowed retries: as a part of the requests, and in addition
 }
 
 // Usual are the bounds that the known deployments have.
-var Usual = Bounds{Touch: 3 * time.Second, Leave: 2 * time.Second, Grace: 6 * time.Second, Slack: 200 * time.Millisecond,
+var Usual = Bounds{Touch: 3 * time.Second, Leave: 2 * time.Second, Grace: 6 * time.Second, UnforwardedCut: 200 * time.Millisecond,
 	Change: 2 * time.Second, Back: 250 * time.Millisecond, Stretch: 5 * time.Second, Ack: 4 * time.Second, Window: 10 * time.Second,
 	Return: 15 * time.Second, Hist: 20 * time.Second, Frees: 1500 * time.Millisecond, Share: 0.2, Allow: 60}
 
@@ -64,7 +64,7 @@
 	ID, Request        string // all attempts of one request share Request
 	Kind               string
 	Ingress            string // the machine whose node the client sent it to
-	Incarnation        int    // of that machine's processes, see Witness.Lives
+	Incarnation        int    // of that machine's processes, counted up at each restart
 	Host, Method, URI  string
 	Body               Body
 	Retryable          bool          // may be executed more than once
--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -125,8 +125,8 @@
 	worker.mu.Unlock()
 }
 
-// Nests makes a part of the worker's requests make nested calls through the given ingress. The
-// Rate of a line is the part of the requests that make its call.
+// Nests makes the worker's requests make nested calls through the given ingress. The rate of a
+// kind of call is the part of the requests that make it.
 func (worker *Worker) Nests(ingress string, lines []Line) {
 	if len(lines) == 0 {
 		return
