--- a/internal/standin/actors/clientconn.go
+++ b/internal/standin/actors/clientconn.go
@@ -31,8 +31,7 @@
 	reused      bool // it carried an earlier request
 }
 
-// connect returns an idle connection, if reuse is set and there is one, or opens a new one
-// within one second.
+// connect returns an idle connection if reuse is set, or opens a new one within one second.
 func (c *Client) connect(ctx context.Context, reuse bool) *clientConn {
 	c.mu.Lock()
 	for reuse && len(c.idle) > 0 {
--- a/internal/standin/checker/answers.go
+++ b/internal/standin/checker/answers.go
@@ -2,14 +2,12 @@
 
 import "time"
 
-// promisesNotExecuted reports whether a status promises that the request was not executed
-// and never will be.
+// promisesNotExecuted reports whether a status says: not executed, and never will be.
 func promisesNotExecuted(code int) bool {
 	return code == 408 || code == 421 || code == 429 || code == 503
 }
 
-// answeredByMesh reports whether the mesh itself produced the answer: no worker answered
-// with this status and digest.
+// answeredByMesh reports whether no worker gave the answer's status and response digest.
 func (a *Attempt) answeredByMesh() bool {
 	for _, arrival := range a.Arrivals {
 		if arrival.Status == a.Answer.Status && arrival.Digest == a.Answer.Digest {
@@ -159,8 +157,7 @@
 	return valid > 0
 }
 
-// allowedNow reports whether every document that may have been in force during the attempt
-// has a route for it.
+// allowedNow reports whether all documents that may be in force have a route for the attempt.
 func (w *Witness) allowedNow(attempt *Attempt) bool {
 	lowest := w.newestAcked(attempt.Start.Add(-w.B.Change))
 	inForce := 0
--- a/internal/standin/checker/witness.go
+++ b/internal/standin/checker/witness.go
@@ -81,12 +81,11 @@
 	Arrivals           []*Arrival
 }
 
-// Arrival is one arrival of an attempt at a worker. ExpectedWorker is the worker that it was
-// sent to, CallerService the service that it names as its caller.
+// Arrival is one arrival of an attempt at a worker.
 type Arrival struct {
 	Attempt                                    *Attempt
 	Worker                                     *Worker
-	Method, URI, CallerService, ExpectedWorker string
+	Method, URI, CallerService, ExpectedWorker string // CallerService: the service named as caller; ExpectedWorker: whom it was sent to
 	Body                                       Body
 	ArrivedAt, Start, End                      time.Time     // Start is zero unless the worker executed it
 	Timeout                                    time.Duration // the remaining time in its headers; 0: none given
@@ -110,8 +109,7 @@
 	LeaveAckedBy                 string    // the machine that acknowledged it
 }
 
-// Witness records one test run. mu guards its unexported fields. Attempts, arrivals, documents
-// and holds that were given to it are changed by means of Update.
+// Witness records one test run. mu guards its unexported fields; records change through Update.
 type Witness struct {
 	mu              sync.Mutex
 	B               Bounds
--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -71,8 +71,7 @@
 	return worker, nil
 }
 
-// sendHeartbeat reports the worker's state to the node beside it, and returns the time until
-// the next heartbeat.
+// sendHeartbeat reports the worker's state to its node and returns the time until the next one.
 func (worker *Worker) sendHeartbeat(ctx context.Context) time.Duration {
 	worker.mu.Lock()
 	state := worker.state
@@ -117,8 +116,7 @@
 	worker.sendHeartbeat(worker.tasks.Context())
 }
 
-// CallsTo makes the worker call the function while it executes a request, with the remaining
-// time in ms.
+// CallsTo sets a function that is called during each request, with the remaining time in ms.
 func (worker *Worker) CallsTo(call func(left string)) {
 	worker.mu.Lock()
 	worker.nestedCalls = call
