--- a/internal/standin/checker/answers.go
+++ b/internal/standin/checker/answers.go
@@ -147,14 +147,14 @@
 
 // allowedByAll reports whether every document of the test run has a route for the attempt.
 func (w *Witness) allowedByAll(attempt *Attempt) bool {
-	valid := 0
+	total := 0
 	for _, document := range w.documents {
 		if document.Defect == "" && document.Match(attempt.Host, attempt.URI) == nil {
 			return false
 		}
-		valid++
+		total++
 	}
-	return valid > 0
+	return total > 0
 }
 
 // allowedNow reports whether all documents that may be in force have a route for the attempt.
