--- a/internal/standin/actors/callers_test.go
+++ b/internal/standin/actors/callers_test.go
@@ -185,7 +185,7 @@
 	net.Place("h1", "x")
 	net.Place("h2", "x")
 	tasks, recorder := task.New(context.Background()), checker.New(checker.Usual)
-	environment := env.Env{Net: net.Host("h1"), Log: event.New("h1", nil), Wall: time.Now}
+	environment := env.Env{Net: net.Host("h1"), Log: event.New("h1", nil), WallClock: time.Now}
 	node := &node{broken: promise, locks: map[string]*lease{}, numbers: map[string]uint64{}, revisions: map[string]uint64{}, keys: map[string][]cell{}}
 	if err := httpapi.Serve(tasks, environment, "h1:1", node, time.Second); err != nil {
 		t.Fatal(err)
--- a/internal/standin/actors/ingress_test.go
+++ b/internal/standin/actors/ingress_test.go
@@ -39,7 +39,7 @@
 	bed := &testbed{t: t, net: sim.NewNet(1, time.Millisecond, time.Millisecond), tasks: task.New(context.Background()), recorder: checker.New(checker.Usual), misbehave: misbehave}
 	bed.net.Place("10.0.0.1", "x")
 	bed.net.Place("10.0.0.2", "x")
-	environment := env.Env{Net: bed.net.Host("10.0.0.1"), Log: event.New("h1", nil), Wall: time.Now}
+	environment := env.Env{Net: bed.net.Host("10.0.0.1"), Log: event.New("h1", nil), WallClock: time.Now}
 	bed.line = &actors.Line{Kind: "read", Host: "h.example", Method: "GET", Prefix: "/a/", Repeat: true, Rate: 50, Back: 300, Work: 20 * time.Millisecond, Left: 800 * time.Millisecond, Further: 1}
 	document := &checker.Document{Number: 1, Routes: []checker.RouteSpec{{Host: "h.example", Prefix: "/a/", Retryable: true, Weights: map[string]int{"s": 1}}, {Host: "h.example", Prefix: "/b/", Weights: map[string]int{"s": 1}}}}
 	bed.recorder.DocumentSent(document)
--- a/internal/standin/actors/leave_test.go
+++ b/internal/standin/actors/leave_test.go
@@ -27,7 +27,7 @@
 			bed := newTestbed(t, usualBehavior, nil)
 			var reports []string
 			if acknowledged {
-				environment := env.Env{Net: bed.net.Host("10.0.0.1"), Log: event.New("h1", nil), Wall: time.Now}
+				environment := env.Env{Net: bed.net.Host("10.0.0.1"), Log: event.New("h1", nil), WallClock: time.Now}
 				_ = httpapi.Serve(bed.tasks, environment, "10.0.0.1:7003", http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 					raw, _ := io.ReadAll(r.Body)
 					reports = append(reports, fmt.Sprint(r.Method, r.URL.Path, bytes.Contains(raw, []byte(`"draining"`))))
@@ -55,7 +55,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		bed := newTestbed(t, usualBehavior, nil)
 		var reports []string
-		environment := env.Env{Net: bed.net.Host("10.0.0.1"), Log: event.New("h1", nil), Wall: time.Now}
+		environment := env.Env{Net: bed.net.Host("10.0.0.1"), Log: event.New("h1", nil), WallClock: time.Now}
 		_ = httpapi.Serve(bed.tasks, environment, "10.0.0.1:7003", http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
 			var report struct {
 				State string
--- a/internal/standin/caller.go
+++ b/internal/standin/caller.go
@@ -116,7 +116,7 @@
 	request.Header.Set("X-Service", line.Service)
 	response, err := c.transport.RoundTrip(request)
 	if err == nil {
-		call.Status, call.Ran = response.StatusCode, response.Header.Get(responsedigest.RanHeader)
+		call.Status, call.Ran = response.StatusCode, response.Header.Get(responsedigest.ExecutedHeader)
 		call.Version, _ = strconv.ParseUint(response.Header.Get(responsedigest.ConfigVersionHeader), 10, 64)
 		call.Retry = response.Header.Get("Retry-After")
 		body, err := io.ReadAll(response.Body)
--- a/internal/standin/coordination_test.go
+++ b/internal/standin/coordination_test.go
@@ -45,7 +45,7 @@
 		net.Place("h1", "x")
 		net.Place("h2", "x")
 		tasks := task.New(context.Background())
-		environment := env.Env{Net: net.Host("h1"), Log: event.New("h1", nil), Wall: time.Now}
+		environment := env.Env{Net: net.Host("h1"), Log: event.New("h1", nil), WallClock: time.Now}
 		if err := httpapi.Serve(tasks, environment, "h1:1", &brokenNode{}, time.Second); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -167,7 +167,7 @@
 		}
 	}
 	if rand.Float64() < behavior.Busy {
-		w.Header().Set(responsedigest.RanHeader, "no")
+		w.Header().Set(responsedigest.ExecutedHeader, "no")
 		worker.writeAnswer(w, attemptID, http.StatusServiceUnavailable, []byte("busy"))
 		return
 	}
