--- a/internal/standin/actors/draft.go
+++ b/internal/standin/actors/draft.go
@@ -9,7 +9,7 @@
 	"puffincrank/internal/standin/checker"
 )
 
-// Way is one path of a draft.
+// Way is one route of a draft.
 type Way struct {
 	Name, Host, Prefix string
 	Repeat             string // never, safe, upload or download
@@ -18,7 +18,7 @@
 	Tries, Rank        int
 }
 
-// Draft is an operator's document before it is sent.
+// Draft is an operator's configuration document before it is sent.
 type Draft struct {
 	Number   uint64
 	Services []string
@@ -27,31 +27,31 @@
 	Fitness  string
 }
 
-// Copy gives a draft with paths of its own.
+// Copy returns a copy with its own routes.
 func (d *Draft) Copy() *Draft {
-	c := *d
-	c.Ways = append([]Way(nil), d.Ways...)
-	for i := range c.Ways {
+	copied := *d
+	copied.Ways = append([]Way(nil), d.Ways...)
+	for i := range copied.Ways {
 		split := map[string]int{}
-		for s, n := range c.Ways[i].Split {
+		for s, n := range copied.Ways[i].Split {
 			split[s] = n
 		}
-		c.Ways[i].Split = split
+		copied.Ways[i].Split = split
 	}
-	return &c
+	return &copied
 }
 
-// JSON writes the document.
+// JSON returns the document as it is sent.
 func (d *Draft) JSON() string {
-	services, paths := []map[string]any{}, []map[string]any{}
+	services, routes := []map[string]any{}, []map[string]any{}
 	for _, s := range d.Services {
 		services = append(services, map[string]any{"name": s, "fitness": d.Fitness, "links": d.Links, "proto": "h1", "tls": false})
 	}
 	for _, w := range d.Ways {
-		p := map[string]any{"name": w.Name, "host": w.Host, "prefix": w.Prefix, "repeat": w.Repeat, "left_ms": w.Left.Milliseconds(), "aim_ms": w.Aim.Milliseconds(), "tries": w.Tries, "rank": w.Rank}
+		route := map[string]any{"name": w.Name, "host": w.Host, "prefix": w.Prefix, "repeat": w.Repeat, "left_ms": w.Left.Milliseconds(), "aim_ms": w.Aim.Milliseconds(), "tries": w.Tries, "rank": w.Rank}
 		if len(w.Split) == 1 {
 			for s := range w.Split {
-				p["service"] = s
+				route["service"] = s
 			}
 		} else {
 			split := []map[string]any{}
@@ -60,26 +60,25 @@
 					split = append(split, map[string]any{"service": s, "weight": n})
 				}
 			}
-			p["split"] = split
+			route["split"] = split
 		}
-		paths = append(paths, p)
+		routes = append(routes, route)
 	}
-	raw, _ := json.Marshal(map[string]any{"version": d.Number, "services": services, "paths": paths,
+	raw, _ := json.Marshal(map[string]any{"version": d.Number, "services": services, "paths": routes,
 		"limits": map[string]any{"head_bytes": 16384, "body_bytes": 67108864, "head_ms": 3000, "idle_ms": 15000}})
 	return string(raw)
 }
 
-// Doc is the draft for the witness.
-func (d *Draft) Doc() *checker.Doc {
-	c := &checker.Doc{Number: d.Number, Raw: d.JSON()}
+// Document returns the draft in the form that the checker records.
+func (d *Draft) Document() *checker.Document {
+	document := &checker.Document{Number: d.Number, Raw: d.JSON()}
 	for _, w := range d.Ways {
-		c.Paths = append(c.Paths, checker.Path{Name: w.Name, Host: w.Host, Prefix: w.Prefix, Repeat: w.Repeat == "safe" || w.Repeat == "download", Services: w.Split, Left: w.Left, Tries: w.Tries})
+		document.Routes = append(document.Routes, checker.RouteSpec{Name: w.Name, Host: w.Host, Prefix: w.Prefix, Retryable: w.Repeat == "safe" || w.Repeat == "download", Weights: w.Split, Timeout: w.Left, MaxAttempts: w.Tries})
 	}
-	return c
+	return document
 }
 
-// Breaks are the ways in which a document is broken; each has a name and makes
-// a broken text of a draft.
+// Breaks lists the kinds of invalid documents. Of returns an invalid variant of a draft.
 var Breaks = []struct {
 	Name string
 	Of   func(d *Draft) string
@@ -95,7 +94,7 @@
 		c.Ways[0].Split = map[string]int{c.Services[0]: 2, "nobody-knows": 1}
 		c.Services = append(append([]string(nil), c.Services...), "nobody-knows")
 		raw := c.JSON()
-		// The split names it, the services don't.
+		// Remove the service from the list of services, so that only the split names it.
 		at := strings.Index(raw, `"services":`)
 		head, tail := raw[:at], raw[at:]
 		var list struct {
@@ -122,11 +121,11 @@
 	}},
 }
 
-// alike tells that two texts are one document, field for field.
-func alike(a, b string) bool {
-	var x, y any
-	if json.Unmarshal([]byte(a), &x) != nil || json.Unmarshal([]byte(b), &y) != nil {
+// sameDocument reports whether two texts are the same JSON document, field for field.
+func sameDocument(first, second string) bool {
+	var firstValue, secondValue any
+	if json.Unmarshal([]byte(first), &firstValue) != nil || json.Unmarshal([]byte(second), &secondValue) != nil {
 		return false
 	}
-	return fmt.Sprint(x) == fmt.Sprint(y)
+	return fmt.Sprint(firstValue) == fmt.Sprint(secondValue)
 }
--- a/internal/standin/checker/body.go
+++ b/internal/standin/checker/body.go
@@ -2,13 +2,13 @@
 
 import "hash/maphash"
 
-// Body is what a body is known by.
+// Body identifies the content of a body by its size and hash.
 type Body struct {
 	Size int
 	Sum  uint64
 }
 
-var salt = maphash.MakeSeed()
+var hashSeed = maphash.MakeSeed()
 
-// BodyOf sums a body up.
-func BodyOf(b []byte) Body { return Body{len(b), maphash.Bytes(salt, b)} }
+// BodyOf returns the size and hash of a body.
+func BodyOf(content []byte) Body { return Body{len(content), maphash.Bytes(hashSeed, content)} }
--- a/internal/standin/checker/risk_test.go
+++ b/internal/standin/checker/risk_test.go
@@ -6,33 +6,33 @@
 	"time"
 )
 
-// TestRiskOfLeaving: a worker that has traffic until it leaves puts DRAIN at risk,
-// however quick those are who hear of it; one without traffic does not.
-func TestRiskOfLeaving(t *testing.T) {
+// TestRiskCountsDrain checks that DRAIN is at risk if a worker has traffic until it leaves,
+// however fast the nodes react to its notice, and not if it was idle before.
+func TestRiskCountsDrain(t *testing.T) {
 	for _, c := range []struct {
 		name  string
-		quiet time.Duration // from the last job there to its word
-		after bool          // one more comes after it
+		idle  time.Duration // from its last request to its leave notice
+		after bool          // another request arrives after the notice
 		want  int
 	}{
-		{"at work until it leaves", time.Second, false, 1},
-		{"and beyond its word", time.Second, true, 2},
+		{"busy until it leaves", time.Second, false, 1},
+		{"busy beyond its leave notice", time.Second, true, 2},
 		{"idle before it leaves", Usual.Leave + time.Second, false, 0},
-		{"idle, and one after it", Usual.Leave + time.Second, true, 1},
+		{"idle, and one request after its leave notice", Usual.Leave + time.Second, true, 1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				d := newDay()
-				d.run(d.ask(), d.k)
-				d.run(d.ask(), d.l)
-				pass(c.quiet)
-				d.Leaves(d.k)
-				d.LeaveTaken(d.k, "m1")
+				testRun := newRun()
+				testRun.exec(testRun.try(), testRun.w1)
+				testRun.exec(testRun.try(), testRun.w2)
+				wait(c.idle)
+				testRun.LeaveSent(testRun.w1)
+				testRun.LeaveAcked(testRun.w1, "m1")
 				if c.after {
-					pass(100 * time.Millisecond)
-					d.run(d.ask(), d.k)
+					wait(100 * time.Millisecond)
+					testRun.exec(testRun.try(), testRun.w1)
 				}
-				if got := d.Risk()[Drain]; got != c.want {
+				if got := testRun.Risk()[Drain]; got != c.want {
 					t.Errorf("at risk %d times, want %d", got, c.want)
 				}
 			})
--- a/internal/standin/linear.go
+++ b/internal/standin/linear.go
@@ -7,86 +7,86 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// Op is one call on one key, as its caller saw it. A call whose outcome is
-// unknown may have taken effect at any time after it began, or never.
+// Op is one call on one key, as its caller saw it. A call whose outcome is unknown may have
+// taken effect at any time after it began, or never.
 type Op struct {
-	Key     string
-	Write   bool
-	Value   string // what was written, or what was read; "" is absent
-	If      bool   // a write only if the value was Old
-	Old     string
-	Failed  bool // a conditional write that was told that its condition failed
-	From    time.Time
-	To      time.Time
-	Unknown bool
+	Key             string
+	Write           bool
+	Value           string // the value written or read; "" if the key is absent
+	Conditional     bool   // the write applies only if the value is Expected
+	Expected        string
+	ConditionFailed bool // the answer said that the condition failed
+	From            time.Time
+	To              time.Time
+	Unknown         bool
 }
 
-// Linear tells whether a history of one key can be explained by calls that each
-// took effect at one moment between begin and end.
-func Linear(all []Op) bool {
+// Linear reports whether the history of one key is linearizable: each call can have taken
+// effect at one instant between its start and its end.
+func Linear(ops []Op) bool {
 	var calls []HistoryCall
-	for _, o := range all {
-		// A read without an answer says nothing.
-		if !o.Unknown || o.Write {
-			calls = append(calls, HistoryCall{In: o, From: o.From, To: o.To, Unknown: o.Unknown})
+	for _, op := range ops {
+		// A read without an answer proves nothing.
+		if !op.Unknown || op.Write {
+			calls = append(calls, HistoryCall{In: op, From: op.From, To: op.To, Unknown: op.Unknown})
 		}
 	}
 	return Explained(keyModel, calls)
 }
 
-// HistoryCall is one call of a history, on whatever object a model is of.
+// HistoryCall is one call of a history, on any kind of object.
 type HistoryCall struct {
 	In, Out  any
 	From, To time.Time
-	Unknown  bool // whether it took effect, and when, is not known
+	Unknown  bool // it is not known whether and when it took effect
 }
 
-// Explained tells whether a model explains a history. A call that is unknown has
-// no end: it may take effect after all others, which is as good as never.
-func Explained(m porcupine.Model, calls []HistoryCall) bool {
+// Explained reports whether a history is linearizable by a model. A call with an unknown outcome
+// has no end: it may take effect after all others, which is equivalent to never.
+func Explained(model porcupine.Model, calls []HistoryCall) bool {
 	var ops []porcupine.Operation
 	for i, c := range calls {
-		op := porcupine.Operation{ClientId: i, Input: c, Call: c.From.UnixNano(), Output: c.Out, Return: c.To.UnixNano()}
+		operation := porcupine.Operation{ClientId: i, Input: c, Call: c.From.UnixNano(), Output: c.Out, Return: c.To.UnixNano()}
 		if c.Unknown {
-			op.Return = math.MaxInt64
+			operation.Return = math.MaxInt64
 		}
-		ops = append(ops, op)
+		ops = append(ops, operation)
 	}
-	return porcupine.CheckOperations(m, ops)
+	return porcupine.CheckOperations(model, ops)
 }
 
-// keyModel is one key: its state is the value.
+// keyModel models one key. Its state is the value.
 var keyModel = porcupine.Model{
 	Init: func() any { return "" },
 	Step: func(state, input, _ any) (bool, any) {
 		o, _ := input.(HistoryCall).In.(Op)
-		next, ok := step(o, state.(string))
+		next, ok := applyOp(o, state.(string))
 		return ok, next
 	},
 }
 
-// step applies one call to a value; false means that it can't be next.
-func step(o Op, value string) (string, bool) {
+// applyOp applies one call to a value. It returns false if the call cannot be the next one.
+func applyOp(op Op, value string) (string, bool) {
 	switch {
-	case !o.Write:
-		return value, o.Value == value
-	case o.If && o.Failed:
-		return value, value != o.Old
-	case o.If && value != o.Old:
-		// Of an unknown one that failed nothing is left.
-		return value, o.Unknown
+	case !op.Write:
+		return value, op.Value == value
+	case op.Conditional && op.ConditionFailed:
+		return value, value != op.Expected
+	case op.Conditional && value != op.Expected:
+		// If its outcome is unknown, it may have failed, without effect.
+		return value, op.Unknown
 	}
-	return o.Value, true
+	return op.Value, true
 }
 
-// NumberModel is a row of rising numbers: each call gives one above all that were
-// given before; Out is the number.
+// NumberModel models a sequence of rising numbers. Each call returns, in Out, a number above all
+// that were returned before.
 var NumberModel = porcupine.Model{
 	Init: func() any { return uint64(0) },
 	Step: func(state, input, output any) (bool, any) {
 		last := state.(uint64)
 		if input.(HistoryCall).Unknown {
-			// Numbers may be left out, so it makes no difference.
+			// Numbers may be skipped, so it makes no difference.
 			return true, last
 		}
 		got := output.(uint64)
@@ -94,37 +94,38 @@
 	},
 }
 
-// Order is an operator's configuration under a number, or a read of what stands.
+// Order is an operator's configuration with its number, or a read of the one in force.
 type Order struct {
 	Number  uint64 // 0 for a read
 	Content string
 }
 
-// OrderAnswer is what came back: a confirmation, a refusal, or what a read gave.
+// OrderAnswer is the answer to an Order: an acknowledgement, a rejection, or the result of a
+// read.
 type OrderAnswer struct {
 	Refused bool
 	Number  uint64
 	Content string
 }
 
-// orders is the state of a configuration: what stands, and the content that each
-// number was taken with, in the order of numbers.
-type orders struct {
-	stands Order
-	taken  string // one line for each number that was taken
+// configState holds the configuration in force, and the content that was accepted with each
+// number, in the order of acceptance.
+type configState struct {
+	current  Order
+	contents string // one line for each accepted number
 }
 
-// OrderModel is the operator's configuration: the highest number stands; one
-// number has one content for ever; another content under it is refused, and the
-// same one confirmed as often as it comes.
+// OrderModel models the operator's configuration. The highest number is in force. A number has
+// the same content forever: other content is rejected, and the same content is acknowledged
+// each time it is sent.
 var OrderModel = porcupine.Model{
-	Init: func() any { return orders{} },
+	Init: func() any { return configState{} },
 	Step: func(state, input, output any) (bool, any) {
-		s, call := state.(orders), input.(HistoryCall)
+		s, call := state.(configState), input.(HistoryCall)
 		in, _ := call.In.(Order)
 		out, _ := output.(OrderAnswer)
 		if in.Number == 0 {
-			return out.Number == s.stands.Number && out.Content == s.stands.Content, s
+			return out.Number == s.current.Number && out.Content == s.current.Content, s
 		}
 		content, known := s.content(in.Number)
 		refused := known && content != in.Content
@@ -134,6 +135,6 @@
 		if refused || known {
 			return true, s
 		}
-		return true, s.take(in)
+		return true, s.accept(in)
 	},
 }
