--- a/internal/sim/boundaries_test.go
+++ b/internal/sim/boundaries_test.go
@@ -43,7 +43,7 @@
 	}, bytes*step)
 	f.g.Go("breaks", func(ctx context.Context) {
 		for at := 0; at < bytes && ctx.Err() == nil; at++ {
-			plan.arm(reading, silent, at)
+			plan.schedule(reading, silent, at)
 			Wait(step)
 		}
 	})
--- a/internal/sim/breaks.go
+++ b/internal/sim/breaks.go
@@ -12,43 +12,43 @@
 // breakPlan breaks one connection of a worker at a byte: the next one on which
 // that many bytes go in a direction.
 type breakPlan struct {
-	mu      sync.Mutex
-	armed   bool
-	reading bool // the worker reads a request; otherwise it writes an answer
-	after   int  // bytes that still pass
-	silent  bool // nothing more is said; otherwise the connection is reset
-	struck  int
+	mu        sync.Mutex
+	scheduled bool
+	reading   bool // the worker reads a request; otherwise it writes an answer
+	remaining int  // bytes that still pass
+	silent    bool // nothing more is said; otherwise the connection is reset
+	broken    int
 }
 
-// arm sets the next break.
-func (p *breakPlan) arm(reading, silent bool, after int) {
+// schedule sets the next break.
+func (p *breakPlan) schedule(reading, silent bool, remaining int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.armed, p.reading, p.silent, p.after = true, reading, silent, after
+	p.scheduled, p.reading, p.silent, p.remaining = true, reading, silent, remaining
 }
 
-// strikes tells how many of some bytes still pass, and whether the connection
+// allow tells how many of some bytes still pass, and whether the connection
 // breaks after them.
-func (p *breakPlan) strikes(reading bool, size int) (pass int, silent, broken bool) {
+func (p *breakPlan) allow(reading bool, size int) (pass int, silent, broken bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if !p.armed || p.reading != reading {
+	if !p.scheduled || p.reading != reading {
 		return size, false, false
 	}
-	if p.after >= size {
-		p.after -= size
+	if p.remaining >= size {
+		p.remaining -= size
 		return size, false, false
 	}
-	p.armed = false
-	p.struck++
-	return p.after, p.silent, true
+	p.scheduled = false
+	p.broken++
+	return p.remaining, p.silent, true
 }
 
 // count tells how many connections were broken.
 func (p *breakPlan) count() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.struck
+	return p.broken
 }
 
 // breakingNet is a worker's network whose accepted connections break by a plan.
@@ -59,8 +59,8 @@
 
 // Listen opens a port of such connections.
 func (n *breakingNet) Listen(addr string) (net.Listener, error) {
-	l, err := n.Net.Listen(addr)
-	return &breakingListener{l, n.plan}, err
+	listener, err := n.Net.Listen(addr)
+	return &breakingListener{listener, n.plan}, err
 }
 
 // Dial is the network's own.
@@ -75,11 +75,11 @@
 
 // Accept gives a connection that breaks by the plan.
 func (l *breakingListener) Accept() (net.Conn, error) {
-	c, err := l.Listener.Accept()
+	conn, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	return &breakingConn{Conn: c, plan: l.plan, over: make(chan struct{})}, nil
+	return &breakingConn{Conn: conn, plan: l.plan, closed: make(chan struct{})}, nil
 }
 
 // errBroken is what the worker sees of a connection that broke.
@@ -87,63 +87,63 @@
 
 type breakingConn struct {
 	net.Conn
-	plan *breakPlan
-	once sync.Once
-	over chan struct{} // closed with the connection
-	mu   sync.Mutex
-	mute bool // it says nothing more, and hears nothing
+	plan     *breakPlan
+	once     sync.Once
+	closed   chan struct{} // closed with the connection
+	mu       sync.Mutex
+	silenced bool // it says nothing more, and hears nothing
 }
 
 // Close ends the connection.
 func (c *breakingConn) Close() error {
-	c.once.Do(func() { close(c.over) })
+	c.once.Do(func() { close(c.closed) })
 	return c.Conn.Close()
 }
 
-// silent waits for the end of a connection that says nothing more.
-func (c *breakingConn) silent() error {
-	<-c.over
+// waitClosed waits for the end of a connection that says nothing more.
+func (c *breakingConn) waitClosed() error {
+	<-c.closed
 	return errBroken
 }
 
-func (c *breakingConn) isMute() bool {
+func (c *breakingConn) isSilenced() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.mute
+	return c.silenced
 }
 
-// broke ends the connection, or makes it say nothing more.
-func (c *breakingConn) broke(silent bool) error {
+// breakNow ends the connection, or makes it say nothing more.
+func (c *breakingConn) breakNow(silent bool) error {
 	if !silent {
 		_ = c.Close()
 		return errBroken
 	}
 	c.mu.Lock()
-	c.mute = true
+	c.silenced = true
 	c.mu.Unlock()
-	return c.silent()
+	return c.waitClosed()
 }
 
 // Read reads as far as the plan lets it.
-func (c *breakingConn) Read(b []byte) (int, error) {
-	if c.isMute() {
-		return 0, c.silent()
+func (c *breakingConn) Read(buffer []byte) (int, error) {
+	if c.isSilenced() {
+		return 0, c.waitClosed()
 	}
-	n, err := c.Conn.Read(b)
+	n, err := c.Conn.Read(buffer)
 	if n == 0 {
 		return n, err
 	}
-	pass, silent, broken := c.plan.strikes(true, n)
+	pass, silent, broken := c.plan.allow(true, n)
 	if !broken {
 		return n, err
 	}
 	if pass == 0 {
-		return 0, c.broke(silent)
+		return 0, c.breakNow(silent)
 	}
 	// What came before the break is there; the next look finds the break.
 	if silent {
 		c.mu.Lock()
-		c.mute = true
+		c.silenced = true
 		c.mu.Unlock()
 	} else {
 		_ = c.Conn.Close()
@@ -152,14 +152,14 @@
 }
 
 // Write writes as far as the plan lets it.
-func (c *breakingConn) Write(b []byte) (int, error) {
-	if c.isMute() {
-		return 0, c.silent()
+func (c *breakingConn) Write(data []byte) (int, error) {
+	if c.isSilenced() {
+		return 0, c.waitClosed()
 	}
-	pass, silent, broken := c.plan.strikes(false, len(b))
-	n, err := c.Conn.Write(b[:pass])
+	pass, silent, broken := c.plan.allow(false, len(data))
+	n, err := c.Conn.Write(data[:pass])
 	if err != nil || !broken {
 		return n, err
 	}
-	return n, c.broke(silent)
+	return n, c.breakNow(silent)
 }
--- a/internal/sim/disk.go
+++ b/internal/sim/disk.go
@@ -15,18 +15,18 @@
 
 // Disk is a folder in memory that tells synced bytes from unsynced ones.
 type Disk struct {
-	mu    sync.Mutex
-	now   map[string]*node // what the process sees
-	safe  map[string]*node // what the folder held when it was synced last
-	lag   time.Duration
-	room  int // bytes left when bound is set
-	bound bool
-	Syncs int
-	ice   *ice   // of the process that has it
-	stuck *ice   // holds the syncs of some files
-	which string // how the names of those begin
-	deny  bool
-	outs  int // losses of power
+	mu          sync.Mutex
+	now         map[string]*node // what the process sees
+	safe        map[string]*node // what the folder held when it was synced last
+	syncDelay   time.Duration
+	freeBytes   int // bytes left when bound is set
+	limited     bool
+	Syncs       int
+	ice         *pauseGate // of the process that has it
+	syncGate    *pauseGate // holds the syncs of some files
+	heldPrefix  string     // how the names of those begin
+	failing     bool
+	powerLosses int // losses of power
 }
 
 type node struct {
@@ -36,40 +36,40 @@
 
 // NewDisk makes an empty disk.
 func NewDisk() *Disk {
-	return &Disk{ice: &ice{}, stuck: &ice{}, now: map[string]*node{}, safe: map[string]*node{}}
+	return &Disk{ice: &pauseGate{}, syncGate: &pauseGate{}, now: map[string]*node{}, safe: map[string]*node{}}
 }
 
-// errFull is what the kernel says of a disk without room.
-var errFull error = syscall.ENOSPC
+// errNoSpace is what the kernel says of a disk without room.
+var errNoSpace error = syscall.ENOSPC
 
-var errBad = errors.New("input/output error")
+var errIO = errors.New("input/output error")
 
 // Slow sets the time that each sync takes.
-func (d *Disk) Slow(lag time.Duration) {
+func (d *Disk) Slow(delay time.Duration) {
 	d.mu.Lock()
-	d.lag = lag
+	d.syncDelay = delay
 	d.mu.Unlock()
 }
 
 // Hang holds the syncs of the files whose names begin with which; "" is all.
-func (d *Disk) Hang(which string, on bool) {
+func (d *Disk) Hang(prefix string, on bool) {
 	d.mu.Lock()
-	d.which = which
+	d.heldPrefix = prefix
 	d.mu.Unlock()
-	d.stuck.set(on)
+	d.syncGate.setPaused(on)
 }
 
 // Deny refuses every write and sync.
 func (d *Disk) Deny(on bool) {
 	d.mu.Lock()
-	d.deny = on
+	d.failing = on
 	d.mu.Unlock()
 }
 
 // Room bounds the bytes that may still be written; negative frees the disk.
-func (d *Disk) Room(n int) {
+func (d *Disk) Room(bytes int) {
 	d.mu.Lock()
-	d.bound, d.room = n >= 0, n
+	d.limited, d.freeBytes = bytes >= 0, bytes
 	d.mu.Unlock()
 }
 
@@ -81,68 +81,68 @@
 }
 
 // Harm flips a byte of a file, or cuts it when torn is set.
-func (d *Disk) Harm(name string, torn bool) bool {
+func (d *Disk) Harm(name string, truncate bool) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	f := d.now[name]
-	if f == nil || len(f.data) < 2 {
+	damaged := d.now[name]
+	if damaged == nil || len(damaged.data) < 2 {
 		return false
 	}
-	b := append([]byte(nil), f.data...)
-	if torn {
-		b = b[:len(b)/2]
+	data := append([]byte(nil), damaged.data...)
+	if truncate {
+		data = data[:len(data)/2]
 	} else {
-		b[len(b)-1] ^= 0x40
+		data[len(data)-1] ^= 0x40
 	}
-	f.data, f.saved = b, b
+	damaged.data, damaged.saved = data, data
 	return true
 }
 
 type file struct {
-	d    *Disk
-	n    *node
+	disk *Disk
+	node *node
 	name string
 }
 
-func (f *file) Write(b []byte) (int, error) {
-	f.d.mu.Lock()
-	defer f.d.mu.Unlock()
-	if f.d.deny {
-		return 0, errBad
+func (f *file) Write(data []byte) (int, error) {
+	f.disk.mu.Lock()
+	defer f.disk.mu.Unlock()
+	if f.disk.failing {
+		return 0, errIO
 	}
-	if f.d.bound {
-		if f.d.room < len(b) {
-			return 0, errFull
+	if f.disk.limited {
+		if f.disk.freeBytes < len(data) {
+			return 0, errNoSpace
 		}
-		f.d.room -= len(b)
+		f.disk.freeBytes -= len(data)
 	}
-	f.n.data = append(f.n.data, b...)
-	return len(b), nil
+	f.node.data = append(f.node.data, data...)
+	return len(data), nil
 }
 
-// wait is the time that a sync takes; the folder's own name is empty.
-func (d *Disk) wait(name string) {
+// waitForSync is the time that a sync takes; the folder's own name is empty.
+func (d *Disk) waitForSync(name string) {
 	d.mu.Lock()
-	lag, held := d.lag, strings.HasPrefix(name, d.which)
+	delay, held := d.syncDelay, strings.HasPrefix(name, d.heldPrefix)
 	d.mu.Unlock()
-	if lag > 0 {
-		time.Sleep(lag)
+	if delay > 0 {
+		time.Sleep(delay)
 	}
 	if held {
-		d.stuck.hold()
+		d.syncGate.waitWhilePaused()
 	}
-	d.ice.hold()
+	d.ice.waitWhilePaused()
 }
 
 func (f *file) Sync() error {
-	f.d.wait(f.name)
-	f.d.mu.Lock()
-	defer f.d.mu.Unlock()
-	if f.d.deny {
-		return errBad
+	f.disk.waitForSync(f.name)
+	f.disk.mu.Lock()
+	defer f.disk.mu.Unlock()
+	if f.disk.failing {
+		return errIO
 	}
-	f.n.saved = append([]byte{}, f.n.data...)
-	f.d.Syncs++
+	f.node.saved = append([]byte{}, f.node.data...)
+	f.disk.Syncs++
 	return nil
 }
 
@@ -150,7 +150,7 @@
 
 // Create opens a new file.
 func (d *Disk) Create(name string) (disk.File, error) {
-	d.ice.hold()
+	d.ice.waitWhilePaused()
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	n := &node{}
@@ -179,18 +179,18 @@
 	if n == nil {
 		return fs.ErrNotExist
 	}
-	d.room += len(n.data)
+	d.freeBytes += len(n.data)
 	delete(d.now, name)
 	return nil
 }
 
 // SyncDir makes names last.
 func (d *Disk) SyncDir() error {
-	d.wait("")
+	d.waitForSync("")
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.deny {
-		return errBad
+	if d.failing {
+		return errIO
 	}
 	d.Syncs++
 	d.safe = maps.Clone(d.now)
@@ -212,10 +212,10 @@
 func (d *Disk) List() ([]string, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	var out []string
-	for k := range d.now {
-		out = append(out, k)
+	var names []string
+	for name := range d.now {
+		names = append(names, name)
 	}
-	sort.Strings(out)
-	return out, nil
+	sort.Strings(names)
+	return names, nil
 }
--- a/internal/sim/diskpower.go
+++ b/internal/sim/diskpower.go
@@ -10,16 +10,16 @@
 // second, and at later ones each lasts or is lost by itself.
 func (d *Disk) Power() {
 	d.mu.Lock()
-	d.outs++
-	outs := d.outs
+	d.powerLosses++
+	losses := d.powerLosses
 	d.mu.Unlock()
-	switch outs {
+	switch losses {
 	case 1:
-		d.lose(func() bool { return false })
+		d.dropUnsynced(func() bool { return false })
 	case 2:
-		d.lose(func() bool { return true })
+		d.dropUnsynced(func() bool { return true })
 	default:
-		d.PowerByNames(rand.New(rand.NewPCG(uint64(outs), 77)))
+		d.PowerByNames(rand.New(rand.NewPCG(uint64(losses), 77)))
 	}
 }
 
@@ -27,52 +27,52 @@
 // made, renamed or removed since the folder was synced each lasts or is lost by
 // itself, also that of a file with a sync of its own: of a renamed file the old name,
 // the new one, both or neither.
-func (d *Disk) PowerByNames(chance *rand.Rand) {
-	d.lose(func() bool { return chance.IntN(2) == 0 })
+func (d *Disk) PowerByNames(random *rand.Rand) {
+	d.dropUnsynced(func() bool { return random.IntN(2) == 0 })
 }
 
-// lose leaves of each name what it was when the folder was synced last, or what it
+// dropUnsynced leaves of each name what it was when the folder was synced last, or what it
 // is now if lasts says so. A file that was not synced is torn.
-func (d *Disk) lose(lasts func() bool) {
+func (d *Disk) dropUnsynced(keepsCurrent func() bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	after := map[string]*node{}
-	for _, name := range d.changedNames() {
-		f := d.safe[name]
-		if lasts() {
-			f = d.now[name]
+	for _, name := range d.allNames() {
+		file := d.safe[name]
+		if keepsCurrent() {
+			file = d.now[name]
 		}
-		if f != nil {
-			after[name] = f.afterPower()
+		if file != nil {
+			after[name] = file.afterPowerLoss()
 		}
 	}
 	d.now, d.safe = map[string]*node{}, map[string]*node{}
-	for name, f := range after {
-		d.now[name], d.safe[name] = f, f
+	for name, file := range after {
+		d.now[name], d.safe[name] = file, file
 	}
 }
 
-// changedNames lists all names, before and after the changes since the folder was
+// allNames lists all names, before and after the changes since the folder was
 // synced, in order.
-func (d *Disk) changedNames() (out []string) {
+func (d *Disk) allNames() (names []string) {
 	for name := range d.now {
-		out = append(out, name)
+		names = append(names, name)
 	}
 	for name := range d.safe {
 		if d.now[name] == nil {
-			out = append(out, name)
+			names = append(names, name)
 		}
 	}
-	sort.Strings(out)
-	return out
+	sort.Strings(names)
+	return names
 }
 
-// afterPower is what is left of a file: what was synced, or half of one that never was.
-func (f *node) afterPower() *node {
-	left := f.saved
-	if left == nil {
-		left = f.data[:len(f.data)/2]
+// afterPowerLoss is what is left of a file: what was synced, or half of one that never was.
+func (f *node) afterPowerLoss() *node {
+	remaining := f.saved
+	if remaining == nil {
+		remaining = f.data[:len(f.data)/2]
 	}
-	left = append([]byte{}, left...)
-	return &node{data: left, saved: left}
+	remaining = append([]byte{}, remaining...)
+	return &node{data: remaining, saved: remaining}
 }
--- a/internal/sim/faults.go
+++ b/internal/sim/faults.go
@@ -11,22 +11,22 @@
 
 // KillCore ends both programs of a core machine at once; with power the
 // unsynced bytes go too.
-func (f *Fleet) KillCore(c *Core, power bool) {
+func (f *Fleet) KillCore(c *Core, losePower bool) {
 	f.Net.Kill(c.Host)
 	c.Disk.Hang("", false)
 	f.Net.Freeze("store-"+c.Host, false)
 	f.Net.Freeze("core-"+c.Host, false)
-	s, r := f.runs(c)
-	if s != nil {
-		s.Kill()
+	store, registry := f.runs(c)
+	if store != nil {
+		store.Kill()
 	}
-	if r != nil {
-		r.Kill()
+	if registry != nil {
+		registry.Kill()
 	}
 	f.mu.Lock()
 	c.Store, c.Registry = nil, nil
 	f.mu.Unlock()
-	if power {
+	if losePower {
 		c.Disk.Power()
 	}
 }
@@ -40,9 +40,9 @@
 // KillNode ends a node's proxy at once; its worker lives on.
 func (f *Fleet) KillNode(n *Node) {
 	f.Net.Freeze("node-"+n.Host, false)
-	x, _ := f.now(n)
-	if x != nil {
-		x.Kill()
+	proxy, _ := f.now(n)
+	if proxy != nil {
+		proxy.Kill()
 	}
 	f.mu.Lock()
 	n.Proxy = nil
@@ -51,9 +51,9 @@
 
 // KillWorker ends a worker at once.
 func (f *Fleet) KillWorker(n *Node) {
-	_, w := f.now(n)
-	if w != nil {
-		w.Kill()
+	_, worker := f.now(n)
+	if worker != nil {
+		worker.Kill()
 	}
 	f.mu.Lock()
 	n.Worker = nil
@@ -66,7 +66,7 @@
 		if c.Store == nil {
 			continue
 		}
-		if code, got := f.Get(c.Host+":7004", "/puffin/ready"); code == 200 && got["role"] == "write" {
+		if code, status := f.Get(c.Host+":7004", "/puffin/ready"); code == 200 && status["role"] == "write" {
 			return c
 		}
 	}
@@ -75,28 +75,28 @@
 
 // hosts lists all machines of the fleet.
 func (f *Fleet) hosts() []string {
-	var out []string
+	var hosts []string
 	for _, c := range f.cores() {
-		out = append(out, c.Host)
+		hosts = append(hosts, c.Host)
 	}
 	for _, n := range f.Nodes {
-		out = append(out, n.Host)
+		hosts = append(hosts, n.Host)
 	}
-	return out
+	return hosts
 }
 
 // cutArea cuts all machines of an area off from those of the others.
 func (f *Fleet) cutArea(area string, on bool) {
-	where := map[string]string{}
+	areaOf := map[string]string{}
 	for _, c := range f.Cores {
-		where[c.Host] = c.Area
+		areaOf[c.Host] = c.Area
 	}
 	for _, n := range f.Nodes {
-		where[n.Host] = n.Area
+		areaOf[n.Host] = n.Area
 	}
-	for a, x := range where {
-		for b, y := range where {
-			if x == area && y != area {
+	for a, areaA := range areaOf {
+		for b, areaB := range areaOf {
+			if areaA == area && areaB != area {
 				f.Net.Cut(a, b, on)
 				f.Net.Cut(b, a, on)
 			}
@@ -105,55 +105,55 @@
 }
 
 // Skew jumps the wall clock of a machine.
-func (n *Node) Skew(d time.Duration) { n.skew.Store(int64(d)) }
+func (n *Node) Skew(offset time.Duration) { n.skew.Store(int64(offset)) }
 
 // Skew jumps the wall clock of a core machine.
-func (c *Core) Skew(d time.Duration) { c.skew.Store(int64(d)) }
+func (c *Core) Skew(offset time.Duration) { c.skew.Store(int64(offset)) }
 
 // Load runs callers in the background until the returned function is called,
 // which waits for their end.
-func (f *Fleet) Load(lines []standin.Line, long time.Duration) func() {
+func (f *Fleet) Load(lines []standin.Line, duration time.Duration) func() {
 	f.Net.Place("10.0.9.8", "outside")
-	c := standin.NewCallers(f.env("callers", "10.0.9.8", "outside", new(atomic.Int64)), f.Fronts(), f.Obs, 15*time.Second)
+	callers := standin.NewCallers(f.env("callers", "10.0.9.8", "outside", new(atomic.Int64)), f.Fronts(), f.Obs, 15*time.Second)
 	if f.Polled {
-		c.Skip = f.poll()
+		callers.Skip = f.poll()
 	}
-	over := make(chan struct{})
+	done := make(chan struct{})
 	f.g.Go("load", func(context.Context) {
-		c.Run(lines, long)
-		close(over)
+		callers.Run(lines, duration)
+		close(done)
 	})
-	return func() { <-over }
+	return func() { <-done }
 }
 
 // poll looks at every node's readiness each second, as the platform does.
 func (f *Fleet) poll() func(string) bool {
-	var away sync.Map
+	var unready sync.Map
 	f.g.Every("platform", time.Second, func(context.Context) {
 		for _, n := range f.Nodes {
 			f.g.Go("poll-ready", func(context.Context) {
 				code, _ := f.Get(n.Host+":7003", "/puffin/ready")
-				away.Store(n.Host+":8000", code != 200)
-				away.Store(n.Host+":7003", code != 200)
+				unready.Store(n.Host+":8000", code != 200)
+				unready.Store(n.Host+":7003", code != 200)
 			})
 		}
 		for _, c := range f.Cores {
 			f.g.Go("poll-ready", func(context.Context) {
 				code, _ := f.Get(c.Host+":7003", "/puffin/ready")
-				away.Store(c.Host+":7003", code != 200)
+				unready.Store(c.Host+":7003", code != 200)
 			})
 		}
 	})
-	return func(front string) bool {
-		off, _ := away.Load(front)
-		return off == true
+	return func(ingress string) bool {
+		notReady, _ := unready.Load(ingress)
+		return notReady == true
 	}
 }
 
-// checkSteps fails the test on any step of a store that the model does not allow.
-func (f *Fleet) checkSteps() {
-	for _, fault := range f.Steps.Faults() {
-		f.T.Errorf("a step that the model does not allow: %s", fault)
+// checkModelSteps fails the test on any step of a store that the model does not allow.
+func (f *Fleet) checkModelSteps() {
+	for _, violation := range f.Steps.Faults() {
+		f.T.Errorf("a step that the model does not allow: %s", violation)
 	}
 }
 
@@ -166,7 +166,7 @@
 	for _, c := range f.Cores {
 		f.KillCore(c, false)
 	}
-	f.checkSteps()
+	f.checkModelSteps()
 	f.way.CloseIdleConnections()
 	f.g.Stop()
 	// net/http lingers for half a second on connections that it cut short.
@@ -176,17 +176,17 @@
 // Judge fails the test on any count of what must never happen.
 func (f *Fleet) Judge() {
 	f.T.Helper()
-	bad, notes := f.Obs.Verdict()
-	for k, n := range bad {
+	violations, notes := f.Obs.Verdict()
+	for rule, n := range violations {
 		if n > 0 {
-			f.T.Errorf("%d × %s", n, k)
+			f.T.Errorf("%d × %s", n, rule)
 		}
 	}
 	for _, n := range notes {
 		f.T.Log(n)
 	}
 	f.T.Logf("calls: %v", f.Obs.Counts())
-	for why, n := range f.Obs.Reasons() {
-		f.T.Logf("%5d × %s", n, why)
+	for reason, n := range f.Obs.Reasons() {
+		f.T.Logf("%5d × %s", n, reason)
 	}
 }
--- a/internal/sim/fleet.go
+++ b/internal/sim/fleet.go
@@ -97,43 +97,43 @@
 		f.Nodes = append(f.Nodes, &Node{Host: fmt.Sprintf("10.0.1.%d", i+1), Area: Areas[i%3]})
 	}
 	f.Net.Place("10.0.9.9", "outside")
-	f.way = &http.Transport{DisableKeepAlives: true, DialContext: func(ctx context.Context, _, a string) (net.Conn, error) {
-		return f.Net.Host("10.0.9.9").Dial(ctx, a)
+	f.way = &http.Transport{DisableKeepAlives: true, DialContext: func(ctx context.Context, _, address string) (net.Conn, error) {
+		return f.Net.Host("10.0.9.9").Dial(ctx, address)
 	}}
 	return f
 }
 
-func (f *Fleet) seeds(port int) []any { return ports(f.seedAt, port) }
+func (f *Fleet) seeds(port int) []any { return hostPorts(f.seedAt, port) }
 
-func ports(hosts []string, port int) []any {
-	var out []any
-	for _, h := range hosts {
-		out = append(out, fmt.Sprintf("%s:%d", h, port))
+func hostPorts(hosts []string, port int) []any {
+	var addresses []any
+	for _, hostName := range hosts {
+		addresses = append(addresses, fmt.Sprintf("%s:%d", hostName, port))
 	}
-	return out
+	return addresses
 }
 
-// seedsOf gives the hosts that a core machine is told of.
-func (f *Fleet) seedsOf(c *Core) []string {
+// seedHostsOf gives the hosts that a core machine is told of.
+func (f *Fleet) seedHostsOf(c *Core) []string {
 	if c.Seeds != nil {
 		return c.Seeds
 	}
 	return f.seedAt
 }
 
-func (f *Fleet) props(program, node, area, host string, inner, outer int, more map[string]any) settings.Settings {
-	in := map[string]any{"node": node, "area": area, "inner": fmt.Sprintf("%s:%d", host, inner), "outer": fmt.Sprintf("%s:%d", host, outer)}
-	for _, all := range []map[string]any{f.Told, more} {
-		for k, v := range all {
-			in[k] = v
+func (f *Fleet) props(program, node, area, host string, innerPort, outerPort int, extra map[string]any) settings.Settings {
+	input := map[string]any{"node": node, "area": area, "inner": fmt.Sprintf("%s:%d", host, innerPort), "outer": fmt.Sprintf("%s:%d", host, outerPort)}
+	for _, overrides := range []map[string]any{f.Told, extra} {
+		for k, values := range overrides {
+			input[k] = values
 		}
 	}
-	v, bad := settings.Tables[program].Read(in, "")
-	p, more2 := settings.FromChecked(v)
-	if bad = append(bad, more2...); len(bad) > 0 {
-		f.T.Fatalf("props of %s: %v", node, bad)
+	values, faults := settings.Tables[program].Read(input, "")
+	result, moreFaults := settings.FromChecked(values)
+	if faults = append(faults, moreFaults...); len(faults) > 0 {
+		f.T.Fatalf("props of %s: %v", node, faults)
 	}
-	return p
+	return result
 }
 
 func (f *Fleet) env(node, host, area string, skew *atomic.Int64) env.Env {
@@ -144,78 +144,78 @@
 	}
 	// A fresh start is never frozen, whatever became of the one before.
 	f.Net.Freeze(node, false)
-	return env.Env{Net: f.Net.Process(host, node), Log: log, Sleep: f.Net.ice(node).pause,
+	return env.Env{Net: f.Net.Process(host, node), Log: log, Sleep: f.Net.ice(node).sleep,
 		Wall: func() time.Time { return time.Now().Add(time.Duration(skew.Load())) }}
 }
 
 // StartStore starts the store of a core machine on its disk.
 func (f *Fleet) StartStore(c *Core) {
-	e := f.env("store-"+c.Host, c.Host, c.Area, &c.skew)
-	e.FS, e.Trace = c.Disk, f.Steps.Tell
+	environment := f.env("store-"+c.Host, c.Host, c.Area, &c.skew)
+	environment.FS, environment.Trace = c.Disk, f.Steps.Tell
 	if c.Steps != nil {
-		e.Trace = c.Steps.Tell
+		environment.Trace = c.Steps.Tell
 	}
 	c.Disk.ice = f.Net.ice("store-" + c.Host)
 	// Each store has the seeds in another order.
-	hosts := f.seedsOf(c)
-	seeds := ports(hosts, 7001)
-	for i, h := range hosts {
-		if h == c.Host {
+	hosts := f.seedHostsOf(c)
+	seeds := hostPorts(hosts, 7001)
+	for i, hostName := range hosts {
+		if hostName == c.Host {
 			seeds = append(seeds[i:], seeds[:i]...)
 		}
 	}
-	more := map[string]any{"seeds": seeds, "data": "x"}
+	extra := map[string]any{"seeds": seeds, "data": "x"}
 	for k, v := range f.Stores {
-		more[k] = v
+		extra[k] = v
 	}
 	if c.Region != "" {
-		more["region"] = c.Region
+		extra["region"] = c.Region
 	}
-	s, err := store.New(f.props("store", "store-"+c.Host, c.Area, c.Host, 7001, 7004, more), e)
+	started, err := store.New(f.props("store", "store-"+c.Host, c.Area, c.Host, 7001, 7004, extra), environment)
 	if err == nil {
-		err = s.Start()
+		err = started.Start()
 	}
 	if err != nil {
 		f.T.Fatalf("store at %s: %v", c.Host, err)
 	}
 	f.mu.Lock()
-	c.Store = s
+	c.Store = started
 	f.mu.Unlock()
 }
 
-// storesOf gives the stores that a machine's registry is told of: its own first.
-func (f *Fleet) storesOf(c *Core) []any {
+// storeAddresses gives the stores that a machine's registry is told of: its own first.
+func (f *Fleet) storeAddresses(c *Core) []any {
 	hosts := []string{c.Host}
-	for _, h := range f.seedsOf(c) {
-		if h != c.Host {
-			hosts = append(hosts, h)
+	for _, hostName := range f.seedHostsOf(c) {
+		if hostName != c.Host {
+			hosts = append(hosts, hostName)
 		}
 	}
-	return ports(hosts, 7001)
+	return hostPorts(hosts, 7001)
 }
 
 // StartRegistry starts the registry of a core machine.
 func (f *Fleet) StartRegistry(c *Core) {
-	e := f.env("core-"+c.Host, c.Host, c.Area, &c.skew)
-	e.FS = c.Disk
-	r := registry.New(f.props("registry", "core-"+c.Host, c.Area, c.Host, 7002, 7003, map[string]any{"seeds": ports(f.seedsOf(c), 7002), "stores": f.storesOf(c), "data": "x"}), e)
-	if err := r.Start(); err != nil {
+	environment := f.env("core-"+c.Host, c.Host, c.Area, &c.skew)
+	environment.FS = c.Disk
+	started := registry.New(f.props("registry", "core-"+c.Host, c.Area, c.Host, 7002, 7003, map[string]any{"seeds": hostPorts(f.seedHostsOf(c), 7002), "stores": f.storeAddresses(c), "data": "x"}), environment)
+	if err := started.Start(); err != nil {
 		f.T.Fatalf("registry at %s: %v", c.Host, err)
 	}
 	f.mu.Lock()
-	c.Registry = r
+	c.Registry = started
 	f.mu.Unlock()
 }
 
 // StartProxy starts the proxy of a node.
 func (f *Fleet) StartProxy(n *Node) {
-	x := proxy.New(f.props("proxy", "node-"+n.Host, n.Area, n.Host, 7002, 7003, map[string]any{"seeds": f.seeds(7002), "traffic": n.Host + ":8000"}),
+	started := proxy.New(f.props("proxy", "node-"+n.Host, n.Area, n.Host, 7002, 7003, map[string]any{"seeds": f.seeds(7002), "traffic": n.Host + ":8000"}),
 		f.env("node-"+n.Host, n.Host, n.Area, &n.skew))
-	if err := x.Start(); err != nil {
+	if err := started.Start(); err != nil {
 		f.T.Fatalf("proxy at %s: %v", n.Host, err)
 	}
 	f.mu.Lock()
-	n.Proxy = x
+	n.Proxy = started
 	f.mu.Unlock()
 }
 
@@ -226,19 +226,19 @@
 // go out from the host's second name, which can be cut off by itself.
 func (f *Fleet) StartStranger(n *Node, service string) { f.worker(n, service, n.Host+"w", true) }
 
-func (f *Fleet) worker(n *Node, service, from string, naive bool) {
+func (f *Fleet) worker(n *Node, service, sendingHost string, naive bool) {
 	n.starts++
 	id := fmt.Sprintf("%s-%s-%d", service, strings.ReplaceAll(n.Host, ".", "-"), n.starts)
-	e := f.env(id, from, n.Area, &n.skew)
+	environment := f.env(id, sendingHost, n.Area, &n.skew)
 	if f.WorkerNet != nil {
-		e.Net = f.WorkerNet(e.Net)
+		environment.Net = f.WorkerNet(environment.Net)
 	}
-	w, err := standin.NewWorker(e, service, id, n.Host+":9000", n.Host+":7003", f.S.Slots, standin.Way{Took: f.S.Took[service], Naive: naive}, f.Obs)
+	started, err := standin.NewWorker(environment, service, id, n.Host+":9000", n.Host+":7003", f.S.Slots, standin.Way{Took: f.S.Took[service], Naive: naive}, f.Obs)
 	if err != nil {
 		f.T.Fatalf("worker at %s: %v", n.Host, err)
 	}
-	w.Nests(n.Host+":8000", f.S.Nested[service])
+	started.Nests(n.Host+":8000", f.S.Nested[service])
 	f.mu.Lock()
-	n.Worker = w
+	n.Worker = started
 	f.mu.Unlock()
 }
--- a/internal/sim/ice.go
+++ b/internal/sim/ice.go
@@ -8,84 +8,84 @@
 	"puffincrank/internal/task"
 )
 
-// ice is what holds one frozen process: every call of its network and disk
+// pauseGate is what holds one frozen process: every call of its network and disk
 // stands still until the thaw, and bytes for it queue up meanwhile.
-type ice struct {
-	mu   sync.Mutex
-	thaw chan struct{} // nil while the process runs
-	then []func()      // what the process does first when it wakes
+type pauseGate struct {
+	mu       sync.Mutex
+	resumed  chan struct{} // nil while the process runs
+	onResume []func()      // what the process does first when it wakes
 }
 
-// set freezes the process or lets it go on.
-func (i *ice) set(on bool) {
+// setPaused freezes the process or lets it go on.
+func (i *pauseGate) setPaused(paused bool) {
 	i.mu.Lock()
-	if on == (i.thaw != nil) {
+	if paused == (i.resumed != nil) {
 		i.mu.Unlock()
 		return
 	}
-	if on {
-		i.thaw = make(chan struct{})
+	if paused {
+		i.resumed = make(chan struct{})
 		i.mu.Unlock()
 		return
 	}
-	close(i.thaw)
-	then := i.then
-	i.thaw, i.then = nil, nil
+	close(i.resumed)
+	callbacks := i.onResume
+	i.resumed, i.onResume = nil, nil
 	i.mu.Unlock()
-	for _, f := range then {
-		f()
+	for _, callback := range callbacks {
+		callback()
 	}
 }
 
-// later puts an act off until the thaw; false means that the process runs.
+// deferUntilResume puts an act off until the thaw; false means that the process runs.
 // Closing is such an act: waiting in it could hold a lock.
-func (i *ice) later(f func()) bool {
+func (i *pauseGate) deferUntilResume(callback func()) bool {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	if i.thaw == nil {
+	if i.resumed == nil {
 		return false
 	}
-	i.then = append(i.then, f)
+	i.onResume = append(i.onResume, callback)
 	return true
 }
 
-// hold waits while the process is frozen, and tells whether it had to.
-func (i *ice) hold() bool {
-	for held := false; ; held = true {
+// waitWhilePaused waits while the process is frozen, and tells whether it had to.
+func (i *pauseGate) waitWhilePaused() bool {
+	for waited := false; ; waited = true {
 		i.mu.Lock()
-		thaw := i.thaw
+		resumed := i.resumed
 		i.mu.Unlock()
-		if thaw == nil {
-			return held
+		if resumed == nil {
+			return waited
 		}
-		<-thaw
+		<-resumed
 	}
 }
 
-// pause is a process's wait: a frozen one wakes late, and after its sockets,
+// sleep is a process's wait: a frozen one wakes late, and after its sockets,
 // which is the worse order.
-func (i *ice) pause(ctx context.Context, d time.Duration) {
+func (i *pauseGate) sleep(ctx context.Context, d time.Duration) {
 	task.Sleep(ctx, d)
-	if i.hold() {
+	if i.waitWhilePaused() {
 		task.Sleep(ctx, 3*time.Millisecond)
 	}
 }
 
 // ice finds the ice of a process by its name; each start has its own, so that
 // a frozen process that is killed does not hold the next one.
-func (n *Net) ice(process string) *ice {
+func (n *Net) ice(process string) *pauseGate {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.ices[process] == nil {
-		n.ices[process] = &ice{}
+	if n.pauseGates[process] == nil {
+		n.pauseGates[process] = &pauseGate{}
 	}
-	return n.ices[process]
+	return n.pauseGates[process]
 }
 
 // Freeze stops a process or lets it go on; "" names nobody.
-func (n *Net) Freeze(process string, on bool) { n.ice(process).set(on) }
+func (n *Net) Freeze(process string, on bool) { n.ice(process).setPaused(on) }
 
 // Pause is how a process waits, by its name.
 func (n *Net) Pause(process string) func(context.Context, time.Duration) {
-	return n.ice(process).pause
+	return n.ice(process).sleep
 }
--- a/internal/sim/net.go
+++ b/internal/sim/net.go
@@ -14,41 +14,41 @@
 
 // Net is a network in memory with areas, delays and cuts.
 type Net struct {
-	mu    sync.Mutex
-	ears  map[string]*ear
-	ends  map[*pipe]bool
-	areas map[string]string       // host to area
-	cut   map[[2]string]time.Time // when the way was cut
-	turn  chan struct{}
-	lag   map[string]time.Duration // host to what its bytes take besides
-	ices  map[string]*ice          // process to its ice
-	lines map[string]*line         // host to the thin link out of it
-	rnd   *rand.Rand
-	near  time.Duration
-	far   time.Duration
-	Away  int64 // bytes between areas
-	Home  int64 // bytes within areas
+	mu             sync.Mutex
+	listeners      map[string]*listener
+	conns          map[*pipe]bool
+	areas          map[string]string       // host to area
+	cuts           map[[2]string]time.Time // when the way was cut
+	linksChanged   chan struct{}
+	extraDelay     map[string]time.Duration // host to what its bytes take besides
+	pauseGates     map[string]*pauseGate    // process to its ice
+	thinLinks      map[string]*thinLink     // host to the thin link out of it
+	rnd            *rand.Rand
+	nearDelay      time.Duration
+	farDelay       time.Duration
+	CrossZoneBytes int64 // bytes between areas
+	SameZoneBytes  int64 // bytes within areas
 }
 
 // NewNet makes a network with the delay within and between areas.
-func NewNet(seed uint64, near, far time.Duration) *Net {
-	return &Net{lag: map[string]time.Duration{}, ices: map[string]*ice{}, lines: map[string]*line{}, ears: map[string]*ear{}, ends: map[*pipe]bool{}, areas: map[string]string{},
-		cut: map[[2]string]time.Time{}, turn: make(chan struct{}), rnd: rand.New(rand.NewPCG(seed, 7)), near: near, far: far}
+func NewNet(seed uint64, nearDelay, farDelay time.Duration) *Net {
+	return &Net{extraDelay: map[string]time.Duration{}, pauseGates: map[string]*pauseGate{}, thinLinks: map[string]*thinLink{}, listeners: map[string]*listener{}, conns: map[*pipe]bool{}, areas: map[string]string{},
+		cuts: map[[2]string]time.Time{}, linksChanged: make(chan struct{}), rnd: rand.New(rand.NewPCG(seed, 7)), nearDelay: nearDelay, farDelay: farDelay}
 }
 
-func host(a string) string { return a[:strings.LastIndexByte(a, ':')] }
+func host(address string) string { return address[:strings.LastIndexByte(address, ':')] }
 
 // Place puts a host into an area.
-func (n *Net) Place(h, area string) {
+func (n *Net) Place(hostName, area string) {
 	n.mu.Lock()
-	n.areas[h] = area
+	n.areas[hostName] = area
 	n.mu.Unlock()
 }
 
-func (n *Net) changed() <-chan struct{} {
+func (n *Net) linksChange() <-chan struct{} {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.turn
+	return n.linksChanged
 }
 
 func (n *Net) delay(from, to string) time.Duration {
@@ -57,158 +57,158 @@
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	d := n.near
+	d := n.nearDelay
 	if n.areas[from] != n.areas[to] {
-		d = n.far
+		d = n.farDelay
 	}
-	return d + n.lag[from] + n.lag[to] + time.Duration(n.rnd.Int64N(int64(d)/4+1))
+	return d + n.extraDelay[from] + n.extraDelay[to] + time.Duration(n.rnd.Int64N(int64(d)/4+1))
 }
 
 // Lag makes all bytes from and to a host late.
-func (n *Net) Lag(h string, d time.Duration) {
+func (n *Net) Lag(hostName string, d time.Duration) {
 	n.mu.Lock()
-	n.lag[h] = d
+	n.extraDelay[hostName] = d
 	n.mu.Unlock()
 }
 
-func (n *Net) weigh(from, to string, size int) {
+func (n *Net) countBytes(from, to string, size int) {
 	n.mu.Lock()
 	if n.areas[from] != n.areas[to] {
-		n.Away += int64(size)
+		n.CrossZoneBytes += int64(size)
 	} else if from != to {
-		n.Home += int64(size)
+		n.SameZoneBytes += int64(size)
 	}
 	n.mu.Unlock()
 }
 
 // Host is the network as one host sees it.
-func (n *Net) Host(h string) *Host { return n.Process(h, "") }
+func (n *Net) Host(hostName string) *Host { return n.Process(hostName, "") }
 
 // Process is the network as one process on a host sees it.
-func (n *Net) Process(h, process string) *Host {
-	i := &ice{}
+func (n *Net) Process(hostName, process string) *Host {
+	gate := &pauseGate{}
 	if process != "" {
-		i = n.ice(process)
+		gate = n.ice(process)
 	}
-	return &Host{n: n, h: h, ice: i}
+	return &Host{net: n, name: hostName, pauseGate: gate}
 }
 
 // Host dials and listens as one host.
 type Host struct {
-	n   *Net
-	h   string
-	ice *ice
+	net       *Net
+	name      string
+	pauseGate *pauseGate
 }
 
-type ear struct {
-	n    *Net
-	ice  *ice
-	at   string
-	c    chan *pipe
-	done chan struct{}
-	once sync.Once
+type listener struct {
+	net       *Net
+	pauseGate *pauseGate
+	address   string
+	incoming  chan *pipe
+	done      chan struct{}
+	once      sync.Once
 }
 
-func (e *ear) Accept() (net.Conn, error) {
+func (e *listener) Accept() (net.Conn, error) {
 	select {
-	case p := <-e.c:
-		e.ice.hold()
-		return p, nil
+	case conn := <-e.incoming:
+		e.pauseGate.waitWhilePaused()
+		return conn, nil
 	case <-e.done:
 		return nil, net.ErrClosed
 	}
 }
-func (e *ear) Addr() net.Addr { return addr(e.at) }
-func (e *ear) Close() error {
+func (e *listener) Addr() net.Addr { return addr(e.address) }
+func (e *listener) Close() error {
 	e.once.Do(func() {
 		close(e.done)
-		e.n.mu.Lock()
-		if e.n.ears[e.at] == e {
-			delete(e.n.ears, e.at)
+		e.net.mu.Lock()
+		if e.net.listeners[e.address] == e {
+			delete(e.net.listeners, e.address)
 		}
-		e.n.mu.Unlock()
+		e.net.mu.Unlock()
 	})
 	return nil
 }
 
 // Listen opens a port of this host.
-func (h *Host) Listen(a string) (net.Listener, error) {
-	h.n.mu.Lock()
-	defer h.n.mu.Unlock()
-	if h.n.ears[a] != nil {
-		return nil, errors.New("address in use: " + a)
+func (h *Host) Listen(address string) (net.Listener, error) {
+	h.net.mu.Lock()
+	defer h.net.mu.Unlock()
+	if h.net.listeners[address] != nil {
+		return nil, errors.New("address in use: " + address)
 	}
-	e := &ear{n: h.n, ice: h.ice, at: a, c: make(chan *pipe, 256), done: make(chan struct{})}
-	h.n.ears[a] = e
-	return e, nil
+	opened := &listener{net: h.net, pauseGate: h.pauseGate, address: address, incoming: make(chan *pipe, 256), done: make(chan struct{})}
+	h.net.listeners[address] = opened
+	return opened, nil
 }
 
 // Dial connects to a port; a cut way hangs until the context ends.
-func (h *Host) Dial(ctx context.Context, a string) (net.Conn, error) {
-	to := host(a)
+func (h *Host) Dial(ctx context.Context, address string) (net.Conn, error) {
+	to := host(address)
 	for {
-		h.ice.hold()
-		turn := h.n.changed()
-		if h.n.open(h.h, to) && h.n.open(to, h.h) {
+		h.pauseGate.waitWhilePaused()
+		changed := h.net.linksChange()
+		if h.net.isOpen(h.name, to) && h.net.isOpen(to, h.name) {
 			break
 		}
 		select {
 		case <-ctx.Done():
 			return nil, ctx.Err()
-		case <-turn:
+		case <-changed:
 		}
 	}
-	t := time.NewTimer(2 * h.n.delay(h.h, to))
-	defer t.Stop()
+	timer := time.NewTimer(2 * h.net.delay(h.name, to))
+	defer timer.Stop()
 	select {
 	case <-ctx.Done():
 		return nil, ctx.Err()
-	case <-t.C:
+	case <-timer.C:
 	}
-	h.n.mu.Lock()
-	e := h.n.ears[a]
-	h.n.mu.Unlock()
-	if e == nil {
-		return nil, errors.New("connection refused: " + a)
+	h.net.mu.Lock()
+	accepting := h.net.listeners[address]
+	h.net.mu.Unlock()
+	if accepting == nil {
+		return nil, errors.New("connection refused: " + address)
 	}
-	there, back := newHalf(), newHalf()
-	one := &pipe{net: h.n, ice: h.ice, from: h.h, to: to, in: back, out: there, nudge: make(chan struct{}), name: addr(h.h + ":9"), far: addr(a)}
-	two := &pipe{net: h.n, ice: e.ice, from: to, to: h.h, in: there, out: back, nudge: make(chan struct{}), name: addr(a), far: addr(h.h + ":9")}
-	h.n.mu.Lock()
-	h.n.ends[one], h.n.ends[two] = true, true
-	one.odd = h.n.rnd.IntN(2) == 0
-	h.n.mu.Unlock()
+	outbound, inbound := newStream(), newStream()
+	near := &pipe{net: h.net, pauseGate: h.pauseGate, from: h.name, peer: to, in: inbound, out: outbound, deadlineChanged: make(chan struct{}), localAddr: addr(h.name + ":9"), remoteAddr: addr(address)}
+	remote := &pipe{net: h.net, pauseGate: accepting.pauseGate, from: to, peer: h.name, in: outbound, out: inbound, deadlineChanged: make(chan struct{}), localAddr: addr(address), remoteAddr: addr(h.name + ":9")}
+	h.net.mu.Lock()
+	h.net.conns[near], h.net.conns[remote] = true, true
+	near.observable = h.net.rnd.IntN(2) == 0
+	h.net.mu.Unlock()
 	select {
-	case e.c <- two:
-		h.ice.hold()
-		return one, nil
-	case <-e.done:
+	case accepting.incoming <- remote:
+		h.pauseGate.waitWhilePaused()
+		return near, nil
+	case <-accepting.done:
 	case <-ctx.Done():
 	}
-	one.reset()
-	return nil, errors.New("connection refused: " + a)
+	near.reset()
+	return nil, errors.New("connection refused: " + address)
 }
 
 // Kill resets every connection and closes every port of a host.
-func (n *Net) Kill(h string) {
+func (n *Net) Kill(hostName string) {
 	n.mu.Lock()
-	var ends []*pipe
-	var ears []*ear
-	for p := range n.ends {
-		if p.from == h || p.to == h {
-			ends = append(ends, p)
+	var conns []*pipe
+	var listeners []*listener
+	for conn := range n.conns {
+		if conn.from == hostName || conn.peer == hostName {
+			conns = append(conns, conn)
 		}
 	}
-	for a, e := range n.ears {
-		if host(a) == h {
-			ears = append(ears, e)
+	for address, open := range n.listeners {
+		if host(address) == hostName {
+			listeners = append(listeners, open)
 		}
 	}
 	n.mu.Unlock()
-	for _, e := range ears {
-		_ = e.Close()
+	for _, open := range listeners {
+		_ = open.Close()
 	}
-	for _, p := range ends {
-		p.reset()
+	for _, conn := range conns {
+		conn.reset()
 	}
 }
--- a/internal/sim/pipe.go
+++ b/internal/sim/pipe.go
@@ -11,40 +11,40 @@
 
 // chunk is bytes under way with the time at which they arrive.
 type chunk struct {
-	data []byte
-	due  time.Time
+	data      []byte
+	arrivesAt time.Time
 }
 
-// half is one direction of a connection.
-type half struct {
-	mu   sync.Mutex
-	wake chan struct{}
-	q    []chunk
-	shut bool  // the sender closed, readers get EOF after the rest
-	err  error // the connection was reset
+// stream is one direction of a connection.
+type stream struct {
+	mu     sync.Mutex
+	wake   chan struct{}
+	queue  []chunk
+	closed bool  // the sender closed, readers get EOF after the rest
+	err    error // the connection was reset
 }
 
-func newHalf() *half { return &half{wake: make(chan struct{})} }
+func newStream() *stream { return &stream{wake: make(chan struct{})} }
 
-func (h *half) stir() {
+func (h *stream) wakeAll() {
 	close(h.wake)
 	h.wake = make(chan struct{})
 }
 
 // pipe is one end of a connection in memory.
 type pipe struct {
-	net      *Net
-	ice      *ice   // of the process at this end
-	from, to string // hosts of this end and the far one
-	in, out  *half
-	mu       sync.Mutex
-	rd, wd   time.Time
-	nudge    chan struct{} // closed when a deadline changes
-	name     addr
-	far      addr
-	torn     bool        // closing resets
-	held     []heldBytes // guarded by the net's lock
-	odd      bool        // it can be looked at
+	net                         *Net
+	pauseGate                   *pauseGate // of the process at this end
+	from, peer                  string     // hosts of this end and the far one
+	in, out                     *stream
+	mu                          sync.Mutex
+	readDeadline, writeDeadline time.Time
+	deadlineChanged             chan struct{} // closed when a deadline changes
+	localAddr                   addr
+	remoteAddr                  addr
+	resetOnClose                bool            // closing resets
+	sendBuffer                  []bufferedBytes // guarded by the net's lock
+	observable                  bool            // it can be looked at
 }
 
 type addr string
@@ -52,8 +52,8 @@
 func (a addr) Network() string { return "tcp" }
 func (a addr) String() string  { return string(a) }
 
-func (p *pipe) LocalAddr() net.Addr  { return p.name }
-func (p *pipe) RemoteAddr() net.Addr { return p.far }
+func (p *pipe) LocalAddr() net.Addr  { return p.localAddr }
+func (p *pipe) RemoteAddr() net.Addr { return p.remoteAddr }
 
 func (p *pipe) SetDeadline(t time.Time) error {
 	_ = p.SetReadDeadline(t)
@@ -62,85 +62,85 @@
 
 func (p *pipe) SetReadDeadline(t time.Time) error {
 	p.mu.Lock()
-	p.rd = t
-	close(p.nudge)
-	p.nudge = make(chan struct{})
+	p.readDeadline = t
+	close(p.deadlineChanged)
+	p.deadlineChanged = make(chan struct{})
 	p.mu.Unlock()
 	return nil
 }
 
 func (p *pipe) SetWriteDeadline(t time.Time) error {
 	p.mu.Lock()
-	p.wd = t
+	p.writeDeadline = t
 	p.mu.Unlock()
 	return nil
 }
 
-func (p *pipe) Read(b []byte) (int, error) {
+func (p *pipe) Read(buffer []byte) (int, error) {
 	for {
 		// Right after a thaw what has arrived comes before a deadline that
 		// passed meanwhile: both are due, and this order is the worse one.
-		thawed := p.ice.hold()
+		justResumed := p.pauseGate.waitWhilePaused()
 		p.mu.Lock()
-		end, nudge := p.rd, p.nudge
+		deadline, deadlineChanged := p.readDeadline, p.deadlineChanged
 		p.mu.Unlock()
-		h := p.in
-		h.mu.Lock()
+		incoming := p.in
+		incoming.mu.Lock()
 		now := time.Now()
-		if h.err != nil {
-			err := h.err
-			h.mu.Unlock()
+		if incoming.err != nil {
+			err := incoming.err
+			incoming.mu.Unlock()
 			return 0, err
 		}
-		if !thawed && !end.IsZero() && !now.Before(end) {
-			h.mu.Unlock()
+		if !justResumed && !deadline.IsZero() && !now.Before(deadline) {
+			incoming.mu.Unlock()
 			return 0, os.ErrDeadlineExceeded
 		}
 		// Bytes are held while the way is cut, as TCP would send them again.
-		open := p.net.open(p.to, p.from)
+		open := p.net.isOpen(p.peer, p.from)
 		wait := time.Hour
-		if len(h.q) > 0 {
-			if c := &h.q[0]; !now.Before(c.due) && open {
-				n := copy(b, c.data)
-				c.data = c.data[n:]
-				if len(c.data) == 0 {
-					h.q = h.q[1:]
+		if len(incoming.queue) > 0 {
+			if first := &incoming.queue[0]; !now.Before(first.arrivesAt) && open {
+				n := copy(buffer, first.data)
+				first.data = first.data[n:]
+				if len(first.data) == 0 {
+					incoming.queue = incoming.queue[1:]
 				}
-				h.mu.Unlock()
+				incoming.mu.Unlock()
 				return n, nil
 			} else if open {
-				wait = c.due.Sub(now)
+				wait = first.arrivesAt.Sub(now)
 			}
-		} else if h.shut && open {
-			h.mu.Unlock()
+		} else if incoming.closed && open {
+			incoming.mu.Unlock()
 			return 0, io.EOF
 		}
-		wake := h.wake
-		h.mu.Unlock()
-		if !end.IsZero() {
-			wait = min(wait, end.Sub(now))
+		wake := incoming.wake
+		incoming.mu.Unlock()
+		if !deadline.IsZero() {
+			wait = min(wait, deadline.Sub(now))
 		}
-		t := time.NewTimer(wait)
+		timer := time.NewTimer(wait)
 		select {
 		case <-wake:
-		case <-nudge:
-		case <-p.net.changed():
-		case <-t.C:
+		case <-deadlineChanged:
+		case <-p.net.linksChange():
+		case <-timer.C:
 		}
-		t.Stop()
+		timer.Stop()
 	}
 }
 
 func (p *pipe) Close() error {
-	end := p.close
+	closeNow := p.close
 	p.mu.Lock()
 	// A reset that a cut swallows takes with it what the cut holds up.
-	if p.torn && p.net.open(p.from, p.to) {
-		end = p.reset
+	if p.resetOnClose && p.net.isOpen(p.from, p.peer) {
+		closeNow = p.reset
 	}
 	p.mu.Unlock()
-	if !p.ice.later(end) {
-		end()
+	if !p.pauseGate.deferUntilResume(closeNow) {
+		closeNow()
 	}
 	return nil
 }
@@ -148,7 +148,7 @@
 // SetLinger with 0 makes the close a reset, as that of a TCP connection.
 func (p *pipe) SetLinger(sec int) error {
 	p.mu.Lock()
-	p.torn = sec == 0
+	p.resetOnClose = sec == 0
 	p.mu.Unlock()
 	return nil
 }
@@ -157,56 +157,56 @@
 func (p *pipe) Taken() bool {
 	p.out.mu.Lock()
 	defer p.out.mu.Unlock()
-	return len(p.out.q) == 0
+	return len(p.out.queue) == 0
 }
 
 func (p *pipe) close() {
 	p.mu.Lock()
-	torn := p.torn
+	reset := p.resetOnClose
 	p.mu.Unlock()
-	lost := p.net.cutAt(p.from, p.to)
+	cutSince := p.net.cutSince(p.from, p.peer)
 	p.out.mu.Lock()
-	p.out.shut = true
-	if torn {
-		p.out.q = slices.DeleteFunc(p.out.q, func(c chunk) bool { return c.due.After(lost) })
+	p.out.closed = true
+	if reset {
+		p.out.queue = slices.DeleteFunc(p.out.queue, func(c chunk) bool { return c.arrivesAt.After(cutSince) })
 	}
-	p.out.stir()
+	p.out.wakeAll()
 	p.out.mu.Unlock()
 	p.in.mu.Lock()
 	if p.in.err == nil {
 		p.in.err = net.ErrClosed
 	}
-	p.in.stir()
+	p.in.wakeAll()
 	p.in.mu.Unlock()
 	p.net.forget(p)
 }
 
 // reset ends the connection at once, both ways, as a killed process does.
 func (p *pipe) reset() {
-	for _, h := range []*half{p.in, p.out} {
-		h.mu.Lock()
-		if h.err == nil {
-			h.err = io.ErrUnexpectedEOF
+	for _, direction := range []*stream{p.in, p.out} {
+		direction.mu.Lock()
+		if direction.err == nil {
+			direction.err = io.ErrUnexpectedEOF
 		}
-		h.stir()
-		h.mu.Unlock()
+		direction.wakeAll()
+		direction.mu.Unlock()
 	}
 	p.net.forget(p)
 }
 
 // Sum gives the bytes sent so far, between areas or within them.
-func (n *Net) Sum(away bool) int64 {
+func (n *Net) Sum(crossZone bool) int64 {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if away {
-		return n.Away
+	if crossZone {
+		return n.CrossZoneBytes
 	}
-	return n.Home
+	return n.SameZoneBytes
 }
 
 func (n *Net) forget(p *pipe) {
 	n.mu.Lock()
-	delete(n.ends, p)
+	delete(n.conns, p)
 	n.mu.Unlock()
 }
 
@@ -215,6 +215,6 @@
 func (p *pipe) Still() (still, known bool) {
 	p.in.mu.Lock()
 	defer p.in.mu.Unlock()
-	came := len(p.in.q) > 0 && !time.Now().Before(p.in.q[0].due) && p.net.open(p.to, p.from)
-	return !came && !p.in.shut && p.in.err == nil, p.odd
+	arrived := len(p.in.queue) > 0 && !time.Now().Before(p.in.queue[0].arrivesAt) && p.net.isOpen(p.peer, p.from)
+	return !arrived && !p.in.closed && p.in.err == nil, p.observable
 }
--- a/internal/sim/shapes.go
+++ b/internal/sim/shapes.go
@@ -10,30 +10,30 @@
 // WithAlt adds a second service beside the first, to try changes on: the
 // first path may be moved to it.
 func WithAlt(s Shape) Shape {
-	one := s.Services[0]
-	alt := one + "2"
+	original := s.Services[0]
+	alt := original + "2"
 	s.Services = append(append([]string(nil), s.Services...), alt)
-	took := map[string]time.Duration{alt: s.Took[one]}
-	for n, d := range s.Took {
-		took[n] = d
+	serviceTimes := map[string]time.Duration{alt: s.Took[original]}
+	for name, duration := range s.Took {
+		serviceTimes[name] = duration
 	}
-	s.Took = took
+	s.Took = serviceTimes
 	s.Lines = append([]standin.Line(nil), s.Lines...)
-	s.Doc = strings.Replace(s.Doc, `{"name":"`+one+`"}`, `{"name":"`+one+`"},{"name":"`+alt+`"},{"name":"nobody"}`, 1)
+	s.Doc = strings.Replace(s.Doc, `{"name":"`+original+`"}`, `{"name":"`+original+`"},{"name":"`+alt+`"},{"name":"nobody"}`, 1)
 	s.Doc = strings.TrimSuffix(s.Doc, "}") + `,"judge":{"slice":20,"least_jobs":100,"least_ms":4000,"most_ms":60000}}`
 	for i := range s.Lines {
 		// Either may serve the same calls.
-		if s.Lines[i].Service == one {
-			s.Lines[i].Service = one + "/" + alt
+		if s.Lines[i].Service == original {
+			s.Lines[i].Service = original + "/" + alt
 		}
 	}
 	nested := map[string][]standin.Line{}
 	for name, list := range s.Nested {
-		for _, l := range list {
-			if l.Service == one {
-				l.Service = one + "/" + alt
+		for _, line := range list {
+			if line.Service == original {
+				line.Service = original + "/" + alt
 			}
-			nested[name] = append(nested[name], l)
+			nested[name] = append(nested[name], line)
 		}
 	}
 	s.Nested = nested
--- a/internal/sim/start.go
+++ b/internal/sim/start.go
@@ -23,13 +23,13 @@
 		f.StartWorker(n, f.S.Serves(i))
 	}
 	f.Until(15*time.Second, "the first configuration is taken", func() bool {
-		code, v, got := f.apply("", f.Fronts()[0], 0, f.S.Doc)
+		code, version, answer := f.apply("", f.Fronts()[0], 0, f.S.Doc)
 		if code == 422 {
 			// No later try is taken: say what is wrong with it.
-			f.T.Fatalf("the first configuration is refused: %v", got)
+			f.T.Fatalf("the first configuration is refused: %v", answer)
 		}
 		// After an unknown outcome the next try may find its own change there.
-		return code == 200 || code == 409 && v == 1
+		return code == 200 || code == 409 && version == 1
 	})
 	f.knew = f.Until(15*time.Second, "all are ready and know all workers", f.Whole)
 }
@@ -43,8 +43,8 @@
 		if code, _ := f.Get(n.Host+":7003", "/puffin/ready"); code != 200 {
 			return false
 		}
-		code, got := f.Get(n.Host+":7003", "/puffin/own")
-		if live, _ := got["entries"].(float64); code != 200 || int(live) != f.workers() {
+		code, own := f.Get(n.Host+":7003", "/puffin/own")
+		if entries, _ := own["entries"].(float64); code != 200 || int(entries) != f.workers() {
 			return false
 		}
 	}
@@ -52,90 +52,90 @@
 }
 
 func (f *Fleet) workers() int {
-	n := 0
-	for _, m := range f.Nodes {
-		if m.Worker != nil && m.Proxy != nil {
-			n++
+	count := 0
+	for _, node := range f.Nodes {
+		if node.Worker != nil && node.Proxy != nil {
+			count++
 		}
 	}
-	return n
+	return count
 }
 
 // Fronts lists the traffic addresses.
 func (f *Fleet) Fronts() []string {
-	var out []string
+	var addresses []string
 	for _, n := range f.Nodes {
-		out = append(out, n.Host+":8000")
+		addresses = append(addresses, n.Host+":8000")
 	}
-	return out
+	return addresses
 }
 
 // Until waits for a state of the fleet, in virtual time, and tells how long.
-func (f *Fleet) Until(bound time.Duration, what string, ok func() bool) time.Duration {
-	from := time.Now()
-	for !ok() {
-		if time.Since(from) > bound {
+func (f *Fleet) Until(bound time.Duration, what string, holds func() bool) time.Duration {
+	start := time.Now()
+	for !holds() {
+		if time.Since(start) > bound {
 			f.T.Fatalf("not within %v: %s", bound, what)
 		}
 		Wait(50 * time.Millisecond)
 	}
-	return time.Since(from)
+	return time.Since(start)
 }
 
 // Wait lets virtual time pass.
-func Wait(d time.Duration) {
-	t := time.NewTimer(d)
-	<-t.C
+func Wait(duration time.Duration) {
+	timer := time.NewTimer(duration)
+	<-timer.C
 }
 
 // Ask makes one outside call and reads its JSON.
-func (f *Fleet) Ask(method, at, uri, body string) (int, map[string]any) {
-	ctx, end := context.WithTimeout(context.Background(), 10*time.Second)
-	defer end()
-	r, err := http.NewRequestWithContext(ctx, method, "http://"+at+uri, strings.NewReader(body))
+func (f *Fleet) Ask(method, address, uri, body string) (int, map[string]any) {
+	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
+	defer cancel()
+	request, err := http.NewRequestWithContext(ctx, method, "http://"+address+uri, strings.NewReader(body))
 	if err != nil {
 		f.T.Fatal(err)
 	}
-	w, err := f.way.RoundTrip(r)
+	response, err := f.way.RoundTrip(request)
 	if err != nil {
 		return 0, nil
 	}
-	defer func() { _ = w.Body.Close() }()
-	raw, err := io.ReadAll(w.Body)
+	defer func() { _ = response.Body.Close() }()
+	raw, err := io.ReadAll(response.Body)
 	if err != nil {
 		return 0, nil
 	}
-	var got map[string]any
-	_ = json.Unmarshal(raw, &got)
-	return w.StatusCode, got
+	var answer map[string]any
+	_ = json.Unmarshal(raw, &answer)
+	return response.StatusCode, answer
 }
 
 // Get reads.
-func (f *Fleet) Get(at, uri string) (int, map[string]any) { return f.Ask("GET", at, uri, "") }
+func (f *Fleet) Get(address, uri string) (int, map[string]any) { return f.Ask("GET", address, uri, "") }
 
 // Apply sends a document to the node with this traffic or outer address.
-func (f *Fleet) Apply(at string, base uint64, doc string) (int, uint64) {
-	return f.ApplyAs("", at, base, doc)
+func (f *Fleet) Apply(address string, base uint64, doc string) (int, uint64) {
+	return f.ApplyAs("", address, base, doc)
 }
 
 // ApplyAs sends a document as the operator of a name: what two operators send is
 // never taken for one order that is sent again.
-func (f *Fleet) ApplyAs(who, at string, base uint64, doc string) (int, uint64) {
-	code, v, _ := f.apply(who, at, base, doc)
-	return code, v
+func (f *Fleet) ApplyAs(operator, address string, base uint64, doc string) (int, uint64) {
+	code, version, _ := f.apply(operator, address, base, doc)
+	return code, version
 }
 
-func (f *Fleet) apply(who, at string, base uint64, doc string) (int, uint64, map[string]any) {
-	code, got := f.Ask("PUT", host(at)+":7003", fmt.Sprintf("/puffin/config?based_on=%d&who=%s", base, who), doc)
-	v, _ := got["version"].(float64)
+func (f *Fleet) apply(operator, address string, base uint64, doc string) (int, uint64, map[string]any) {
+	code, answer := f.Ask("PUT", host(address)+":7003", fmt.Sprintf("/puffin/config?based_on=%d&who=%s", base, operator), doc)
+	version, _ := answer["version"].(float64)
 	if code == 200 {
-		f.Obs.Acked(uint64(v))
+		f.Obs.Acked(uint64(version))
 	}
-	return code, uint64(v), got
+	return code, uint64(version), answer
 }
 
 // Read parses a document for a test.
 func Read(doc string) map[string]any {
-	m, _, _ := schema.Parse([]byte(doc))
-	return m
+	parsed, _, _ := schema.Parse([]byte(doc))
+	return parsed
 }
--- a/internal/sim/thin.go
+++ b/internal/sim/thin.go
@@ -7,29 +7,29 @@
 	"time"
 )
 
-// window is how many bytes a connection takes that are not yet through a thin
+// sendBufferBytes is how many bytes a connection takes that are not yet through a thin
 // link: its send buffer.
-const window = 16 << 10
+const sendBufferBytes = 16 << 10
 
-// line is a thin link, out of a host or from one area to another; all who send
+// thinLink is a thin link, out of a host or from one area to another; all who send
 // share it, first come first served.
-type line struct {
-	rate int       // bytes a second
-	free time.Time // when the last byte given to it is gone
-	sent int       // bytes
+type thinLink struct {
+	bytesPerSecond int       // bytes a second
+	idleAt         time.Time // when the last byte given to it is gone
+	bytesSent      int       // bytes
 }
 
 // Thin gives the link out of a host a bandwidth in bytes a second.
-func (n *Net) Thin(h string, rate int) {
+func (n *Net) Thin(hostName string, bytesPerSecond int) {
 	n.mu.Lock()
-	n.lines[h] = &line{rate: rate}
+	n.thinLinks[hostName] = &thinLink{bytesPerSecond: bytesPerSecond}
 	n.mu.Unlock()
 }
 
 // Narrow gives the way from one area to another a bandwidth in bytes a second.
-func (n *Net) Narrow(from, to string, rate int) {
+func (n *Net) Narrow(from, to string, bytesPerSecond int) {
 	n.mu.Lock()
-	n.lines[from+">"+to] = &line{rate: rate}
+	n.thinLinks[from+">"+to] = &thinLink{bytesPerSecond: bytesPerSecond}
 	n.mu.Unlock()
 }
 
@@ -37,119 +37,119 @@
 func (n *Net) Through(from, to string) int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.lines[from+">"+to].sent
+	return n.thinLinks[from+">"+to].bytesSent
 }
 
-// line finds the thin link between two hosts, nil for none.
-func (n *Net) line(from, to string) *line {
-	if l := n.lines[from]; l != nil && from != to {
-		return l
+// thinLinkBetween finds the thin link between two hosts, nil for none.
+func (n *Net) thinLinkBetween(from, to string) *thinLink {
+	if link := n.thinLinks[from]; link != nil && from != to {
+		return link
 	}
-	if a, b := n.areas[from], n.areas[to]; a != b {
-		return n.lines[a+">"+b]
+	if fromArea, toArea := n.areas[from], n.areas[to]; fromArea != toArea {
+		return n.thinLinks[fromArea+">"+toArea]
 	}
 	return nil
 }
 
-// admit tells how many of some bytes a connection takes now, when the last of
+// admitBytes tells how many of some bytes a connection takes now, when the last of
 // them is through the thin link, and how long to wait if it takes none.
-func (n *Net) admit(p *pipe, size int) (int, time.Time, time.Duration) {
+func (n *Net) admitBytes(p *pipe, size int) (int, time.Time, time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	now := time.Now()
-	l := n.line(p.from, p.to)
-	if l == nil {
+	link := n.thinLinkBetween(p.from, p.peer)
+	if link == nil {
 		return size, now, 0
 	}
-	byte := time.Second / time.Duration(l.rate)
-	if l.free.Before(now) {
-		l.free = now
+	timePerByte := time.Second / time.Duration(link.bytesPerSecond)
+	if link.idleAt.Before(now) {
+		link.idleAt = now
 	}
-	p.held = slices.DeleteFunc(p.held, func(c heldBytes) bool { return !c.gone.After(now) })
-	held := 0
-	for _, c := range p.held {
-		held += c.size
+	p.sendBuffer = slices.DeleteFunc(p.sendBuffer, func(buffered bufferedBytes) bool { return !buffered.sentAt.After(now) })
+	inBuffer := 0
+	for _, buffered := range p.sendBuffer {
+		inBuffer += buffered.size
 	}
-	if held >= window {
+	if inBuffer >= sendBufferBytes {
 		// Sockets wake their writers when there's room for some.
-		return 0, now, window / 4 * byte
+		return 0, now, sendBufferBytes / 4 * timePerByte
 	}
-	size = min(size, window-held)
-	l.free = l.free.Add(time.Duration(size) * byte)
-	l.sent += size
-	p.held = append(p.held, heldBytes{size, l.free})
-	return size, l.free, 0
+	size = min(size, sendBufferBytes-inBuffer)
+	link.idleAt = link.idleAt.Add(time.Duration(size) * timePerByte)
+	link.bytesSent += size
+	p.sendBuffer = append(p.sendBuffer, bufferedBytes{size, link.idleAt})
+	return size, link.idleAt, 0
 }
 
-// heldBytes is bytes in a connection's send buffer, and when they are through.
-type heldBytes struct {
-	size int
-	gone time.Time
+// bufferedBytes is bytes in a connection's send buffer, and when they are through.
+type bufferedBytes struct {
+	size   int
+	sentAt time.Time
 }
 
 // Write waits until all is taken, or for its deadline.
-func (p *pipe) Write(b []byte) (int, error) {
-	p.ice.hold()
-	done := 0
+func (p *pipe) Write(data []byte) (int, error) {
+	p.pauseGate.waitWhilePaused()
+	written := 0
 	for {
 		p.mu.Lock()
-		end := p.wd
+		deadline := p.writeDeadline
 		p.mu.Unlock()
-		if !end.IsZero() && !time.Now().Before(end) {
-			return done, os.ErrDeadlineExceeded
+		if !deadline.IsZero() && !time.Now().Before(deadline) {
+			return written, os.ErrDeadlineExceeded
 		}
-		n, wait, err := p.put(b[done:])
-		done += n
-		if err != nil || done == len(b) {
-			return done, err
+		n, wait, err := p.send(data[written:])
+		written += n
+		if err != nil || written == len(data) {
+			return written, err
 		}
 		if wait == 0 {
 			continue
 		}
-		if !end.IsZero() {
-			wait = min(wait, time.Until(end))
+		if !deadline.IsZero() {
+			wait = min(wait, time.Until(deadline))
 		}
 		p.out.mu.Lock()
 		wake := p.out.wake
 		p.out.mu.Unlock()
-		t := time.NewTimer(wait)
+		timer := time.NewTimer(wait)
 		select {
-		case <-t.C:
+		case <-timer.C:
 		case <-wake:
 		}
-		t.Stop()
+		timer.Stop()
 	}
 }
 
 // Try writes what is taken at once.
-func (p *pipe) Try(b []byte) (int, error) {
-	p.ice.hold()
-	n, _, err := p.put(b)
+func (p *pipe) Try(data []byte) (int, error) {
+	p.pauseGate.waitWhilePaused()
+	n, _, err := p.send(data)
 	return n, err
 }
 
-// put sends what the link takes now and tells how long it is full if it is.
-func (p *pipe) put(b []byte) (int, time.Duration, error) {
-	h := p.out
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	if h.err != nil {
-		return 0, 0, h.err
+// send sends what the link takes now and tells how long it is full if it is.
+func (p *pipe) send(data []byte) (int, time.Duration, error) {
+	outgoing := p.out
+	outgoing.mu.Lock()
+	defer outgoing.mu.Unlock()
+	if outgoing.err != nil {
+		return 0, 0, outgoing.err
 	}
-	if h.shut {
+	if outgoing.closed {
 		return 0, 0, net.ErrClosed
 	}
-	n, gone, wait := p.net.admit(p, len(b))
+	n, sentAt, wait := p.net.admitBytes(p, len(data))
 	if n == 0 {
 		return 0, wait, nil
 	}
-	due := gone.Add(p.net.delay(p.from, p.to))
+	arrivesAt := sentAt.Add(p.net.delay(p.from, p.peer))
 	// Order is kept: nothing arrives before what was sent earlier.
-	if n := len(h.q); n > 0 && h.q[n-1].due.After(due) {
-		due = h.q[n-1].due
+	if n := len(outgoing.queue); n > 0 && outgoing.queue[n-1].arrivesAt.After(arrivesAt) {
+		arrivesAt = outgoing.queue[n-1].arrivesAt
 	}
-	h.q = append(h.q, chunk{append([]byte(nil), b[:n]...), due})
-	p.net.weigh(p.from, p.to, n)
-	h.stir()
+	outgoing.queue = append(outgoing.queue, chunk{append([]byte(nil), data[:n]...), arrivesAt})
+	p.net.countBytes(p.from, p.peer, n)
+	outgoing.wakeAll()
 	return n, 0, nil
 }
