--- a/internal/sim/breaks.go
+++ b/internal/sim/breaks.go
@@ -9,26 +9,26 @@
 	"puffincrank/internal/env"
 )
 
-// breakPlan breaks one connection of a worker at a byte: the next one on which
-// that many bytes go in a direction.
+// breakPlan schedules the failure of one worker connection at a given byte: it strikes the
+// next connection on which that many bytes flow in the chosen direction.
 type breakPlan struct {
 	mu        sync.Mutex
 	scheduled bool
-	reading   bool // the worker reads a request; otherwise it writes an answer
-	remaining int  // bytes that still pass
-	silent    bool // nothing more is said; otherwise the connection is reset
+	reading   bool // direction that fails: true while the worker reads a request, false while it writes a response
+	remaining int  // bytes that still pass before the failure
+	silent    bool // the connection stalls without an error; otherwise it is reset
 	broken    int
 }
 
-// schedule sets the next break.
+// schedule sets the next failure.
 func (p *breakPlan) schedule(reading, silent bool, remaining int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.scheduled, p.reading, p.silent, p.remaining = true, reading, silent, remaining
 }
 
-// allow tells how many of some bytes still pass, and whether the connection
-// breaks after them.
+// allow returns how many of size bytes still pass, and whether the connection fails after
+// them.
 func (p *breakPlan) allow(reading bool, size int) (pass int, silent, broken bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -44,26 +44,26 @@
 	return p.remaining, p.silent, true
 }
 
-// count tells how many connections were broken.
+// count returns the number of connections that have failed.
 func (p *breakPlan) count() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.broken
 }
 
-// breakingNet is a worker's network whose accepted connections break by a plan.
+// breakingNet is a worker's network whose accepted connections fail according to a plan.
 type breakingNet struct {
 	env.Net
 	plan *breakPlan
 }
 
-// Listen opens a port of such connections.
+// Listen opens a port whose accepted connections fail according to the plan.
 func (n *breakingNet) Listen(addr string) (net.Listener, error) {
 	listener, err := n.Net.Listen(addr)
 	return &breakingListener{listener, n.plan}, err
 }
 
-// Dial is the network's own.
+// Dial connects through the underlying network, without failures.
 func (n *breakingNet) Dial(ctx context.Context, addr string) (net.Conn, error) {
 	return n.Net.Dial(ctx, addr)
 }
@@ -73,7 +73,7 @@
 	plan *breakPlan
 }
 
-// Accept gives a connection that breaks by the plan.
+// Accept returns a connection that fails according to the plan.
 func (l *breakingListener) Accept() (net.Conn, error) {
 	conn, err := l.Listener.Accept()
 	if err != nil {
@@ -82,25 +82,25 @@
 	return &breakingConn{Conn: conn, plan: l.plan, closed: make(chan struct{})}, nil
 }
 
-// errBroken is what the worker sees of a connection that broke.
+// errBroken is the error that the worker gets from a connection that failed.
 var errBroken = errors.New("connection reset by peer")
 
 type breakingConn struct {
 	net.Conn
 	plan     *breakPlan
 	once     sync.Once
-	closed   chan struct{} // closed with the connection
+	closed   chan struct{} // closed together with the connection
 	mu       sync.Mutex
-	silenced bool // it says nothing more, and hears nothing
+	silenced bool // the connection neither sends nor receives any more
 }
 
-// Close ends the connection.
+// Close closes the connection and releases callers that are blocked in a stalled one.
 func (c *breakingConn) Close() error {
 	c.once.Do(func() { close(c.closed) })
 	return c.Conn.Close()
 }
 
-// waitClosed waits for the end of a connection that says nothing more.
+// waitClosed blocks until a stalled connection is closed.
 func (c *breakingConn) waitClosed() error {
 	<-c.closed
 	return errBroken
@@ -112,7 +112,7 @@
 	return c.silenced
 }
 
-// breakNow ends the connection, or makes it say nothing more.
+// breakNow closes the connection, or stalls it until it is closed.
 func (c *breakingConn) breakNow(silent bool) error {
 	if !silent {
 		_ = c.Close()
@@ -124,7 +124,7 @@
 	return c.waitClosed()
 }
 
-// Read reads as far as the plan lets it.
+// Read reads as many bytes as the plan allows.
 func (c *breakingConn) Read(buffer []byte) (int, error) {
 	if c.isSilenced() {
 		return 0, c.waitClosed()
@@ -140,7 +140,7 @@
 	if pass == 0 {
 		return 0, c.breakNow(silent)
 	}
-	// What came before the break is there; the next look finds the break.
+	// The bytes before the failure are delivered; the next read meets the failure.
 	if silent {
 		c.mu.Lock()
 		c.silenced = true
@@ -151,7 +151,7 @@
 	return pass, nil
 }
 
-// Write writes as far as the plan lets it.
+// Write writes as many bytes as the plan allows.
 func (c *breakingConn) Write(data []byte) (int, error) {
 	if c.isSilenced() {
 		return 0, c.waitClosed()
--- a/internal/sim/cuts.go
+++ b/internal/sim/cuts.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Cut stops or opens the way from one host to another, one way only.
+// Cut blocks or unblocks traffic from one host to another, in that direction only.
 func (n *Net) Cut(from, to string, on bool) {
 	n.mu.Lock()
 	direction := [2]string{from, to}
@@ -20,7 +20,7 @@
 	n.mu.Unlock()
 }
 
-// Isolate cuts a host off from all the others, or joins it again.
+// Isolate blocks or unblocks all traffic between a host and every other host.
 func (n *Net) Isolate(hostName string, on bool) {
 	n.mu.Lock()
 	var others []string
@@ -33,8 +33,8 @@
 	n.Part(hostName, others, on)
 }
 
-// Part cuts a host off from some others both ways, or joins them again. All is
-// done in one turn: each one wakes all who wait to read.
+// Part blocks or unblocks traffic between a host and several others, in both directions.
+// All directions change together, because each change wakes every blocked reader.
 func (n *Net) Part(hostName string, others []string, on bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -57,7 +57,8 @@
 	return n.cuts[[2]string{from, to}].IsZero()
 }
 
-// cutSince tells since when nothing arrives: the time of the cut, or now.
+// cutSince returns the time from which nothing arrives: that of the cut, or now if there is
+// none.
 func (n *Net) cutSince(from, to string) time.Time {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -67,7 +68,8 @@
 	return time.Now()
 }
 
-// Reset breaks a part of the connections of a host to others, both ways at once.
+// Reset resets a random fraction of the connections between a host and others, both
+// directions at once.
 func (n *Net) Reset(hostName string, fraction float64) {
 	n.mu.Lock()
 	var ends []*pipe
@@ -77,7 +79,8 @@
 		}
 	}
 	n.mu.Unlock()
-	// In an order that the seed alone gives; each connection has two ends.
+	// Sorted so that the choice depends on the seed alone. Each connection has two ends,
+	// and either end that is picked resets it.
 	slices.SortFunc(ends, func(a, b *pipe) int { return cmp.Compare(a.remoteAddr, b.remoteAddr) })
 	n.mu.Lock()
 	var picked []*pipe
--- a/internal/sim/disk.go
+++ b/internal/sim/disk.go
@@ -13,20 +13,20 @@
 	"puffincrank/internal/disk"
 )
 
-// Disk is a folder in memory that tells synced bytes from unsynced ones.
+// Disk is an in-memory directory that distinguishes synced bytes from unsynced ones.
 type Disk struct {
 	mu          sync.Mutex
-	now         map[string]*node // what the process sees
-	safe        map[string]*node // what the folder held when it was synced last
+	now         map[string]*node // the contents that the process sees
+	safe        map[string]*node // the directory as of its last sync
 	syncDelay   time.Duration
-	freeBytes   int // bytes left when bound is set
+	freeBytes   int // bytes that can still be written if limited is set
 	limited     bool
 	Syncs       int
-	ice         *pauseGate // of the process that has it
-	syncGate    *pauseGate // holds the syncs of some files
-	heldPrefix  string     // how the names of those begin
+	ice         *pauseGate // of the process that uses the disk
+	syncGate    *pauseGate // holds back the syncs of files whose names begin with heldPrefix
+	heldPrefix  string     // prefix of the names of files whose syncs can hang
 	failing     bool
-	powerLosses int // losses of power
+	powerLosses int // number of power losses so far
 }
 
 type node struct {
@@ -34,24 +34,25 @@
 	saved []byte
 }
 
-// NewDisk makes an empty disk.
+// NewDisk returns an empty disk.
 func NewDisk() *Disk {
 	return &Disk{ice: &pauseGate{}, syncGate: &pauseGate{}, now: map[string]*node{}, safe: map[string]*node{}}
 }
 
-// errNoSpace is what the kernel says of a disk without room.
+// errNoSpace is the kernel's error for a full disk.
 var errNoSpace error = syscall.ENOSPC
 
 var errIO = errors.New("input/output error")
 
-// Slow sets the time that each sync takes.
+// Slow sets the duration of each sync.
 func (d *Disk) Slow(delay time.Duration) {
 	d.mu.Lock()
 	d.syncDelay = delay
 	d.mu.Unlock()
 }
 
-// Hang holds the syncs of the files whose names begin with which; "" is all.
+// Hang blocks or unblocks the syncs of files whose names begin with prefix; an empty prefix
+// matches all files.
 func (d *Disk) Hang(prefix string, on bool) {
 	d.mu.Lock()
 	d.heldPrefix = prefix
@@ -59,28 +60,30 @@
 	d.syncGate.setPaused(on)
 }
 
-// Deny refuses every write and sync.
+// Deny makes every write and sync fail, or succeed again.
 func (d *Disk) Deny(on bool) {
 	d.mu.Lock()
 	d.failing = on
 	d.mu.Unlock()
 }
 
-// Room bounds the bytes that may still be written; negative frees the disk.
+// Room limits the bytes that can still be written; a negative number removes the limit.
 func (d *Disk) Room(bytes int) {
 	d.mu.Lock()
 	d.limited, d.freeBytes = bytes >= 0, bytes
 	d.mu.Unlock()
 }
 
-// Wipe loses everything.
+// Wipe deletes all files, synced or not.
 func (d *Disk) Wipe() {
 	d.mu.Lock()
 	d.now, d.safe = map[string]*node{}, map[string]*node{}
 	d.mu.Unlock()
 }
 
-// Harm flips a byte of a file, or cuts it when torn is set.
+// Harm corrupts a file: it truncates it to half its size if truncate is set, and otherwise
+// flips a bit of its last byte. It reports whether the file existed with at least two
+// bytes.
 func (d *Disk) Harm(name string, truncate bool) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -120,7 +123,8 @@
 	return len(data), nil
 }
 
-// waitForSync is the time that a sync takes; the folder's own name is empty.
+// waitForSync blocks for the duration of a sync. The name is empty for a sync of the
+// directory itself.
 func (d *Disk) waitForSync(name string) {
 	d.mu.Lock()
 	delay, held := d.syncDelay, strings.HasPrefix(name, d.heldPrefix)
@@ -148,7 +152,7 @@
 
 func (f *file) Close() error { return nil }
 
-// Create opens a new file.
+// Create opens a new file, replacing an earlier one of that name.
 func (d *Disk) Create(name string) (disk.File, error) {
 	d.ice.waitWhilePaused()
 	d.mu.Lock()
@@ -158,7 +162,8 @@
 	return &file{d, n, name}, nil
 }
 
-// Rename moves a file; it lasts only once the folder is synced.
+// Rename renames a file. The change survives a power loss only after the directory is
+// synced.
 func (d *Disk) Rename(from, to string) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -171,7 +176,7 @@
 	return nil
 }
 
-// Remove drops a file and gives its room back.
+// Remove deletes a file and frees the bytes that it took.
 func (d *Disk) Remove(name string) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -184,7 +189,7 @@
 	return nil
 }
 
-// SyncDir makes names last.
+// SyncDir makes all names durable.
 func (d *Disk) SyncDir() error {
 	d.waitForSync("")
 	d.mu.Lock()
@@ -197,7 +202,7 @@
 	return nil
 }
 
-// Read reads a file whole.
+// Read returns the content of a file.
 func (d *Disk) Read(name string) ([]byte, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -208,7 +213,7 @@
 	return append([]byte(nil), n.data...), nil
 }
 
-// List gives the names.
+// List returns the names of all files in order.
 func (d *Disk) List() ([]string, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/sim/diskpower.go
+++ b/internal/sim/diskpower.go
@@ -5,9 +5,10 @@
 	"sort"
 )
 
-// Power loses all that was not synced. Of the names that were made, renamed or
-// removed since the folder was synced none lasts at the first loss, all do at the
-// second, and at later ones each lasts or is lost by itself.
+// Power simulates a power loss, which drops everything that was not synced. Names that were
+// created, renamed or removed since the last directory sync are all reverted at the first
+// loss, all kept at the second, and kept or reverted at random, each by itself, at later
+// losses.
 func (d *Disk) Power() {
 	d.mu.Lock()
 	d.powerLosses++
@@ -23,16 +24,17 @@
 	}
 }
 
-// PowerByNames loses all that was not synced, as Power does. Of the names that were
-// made, renamed or removed since the folder was synced each lasts or is lost by
-// itself, also that of a file with a sync of its own: of a renamed file the old name,
-// the new one, both or neither.
+// PowerByNames simulates a power loss as Power does, except that each name that was
+// created, renamed or removed since the last directory sync is kept or reverted at random
+// by itself, even if the file's own content was synced. Of a renamed file the old name, the
+// new one, both or neither can remain.
 func (d *Disk) PowerByNames(random *rand.Rand) {
 	d.dropUnsynced(func() bool { return random.IntN(2) == 0 })
 }
 
-// dropUnsynced leaves of each name what it was when the folder was synced last, or what it
-// is now if lasts says so. A file that was not synced is torn.
+// dropUnsynced reverts each name to its state at the last directory sync, or keeps its
+// current state if keepsCurrent says so. A file whose content was never synced is
+// truncated.
 func (d *Disk) dropUnsynced(keepsCurrent func() bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -52,8 +54,7 @@
 	}
 }
 
-// allNames lists all names, before and after the changes since the folder was
-// synced, in order.
+// allNames returns all current names and those of the last directory sync, in order.
 func (d *Disk) allNames() (names []string) {
 	for name := range d.now {
 		names = append(names, name)
@@ -67,7 +68,8 @@
 	return names
 }
 
-// afterPowerLoss is what is left of a file: what was synced, or half of one that never was.
+// afterPowerLoss returns what is left of a file: the synced content, or half of the content
+// of a file that was never synced.
 func (f *node) afterPowerLoss() *node {
 	remaining := f.saved
 	if remaining == nil {
--- a/internal/sim/faults.go
+++ b/internal/sim/faults.go
@@ -9,8 +9,8 @@
 	"puffincrank/internal/standin"
 )
 
-// KillCore ends both programs of a core machine at once; with power the
-// unsynced bytes go too.
+// KillCore kills both processes of a control-plane machine at once. With losePower its disk
+// also loses the unsynced bytes.
 func (f *Fleet) KillCore(c *Core, losePower bool) {
 	f.Net.Kill(c.Host)
 	c.Disk.Hang("", false)
@@ -31,13 +31,13 @@
 	}
 }
 
-// BackCore starts a core machine again.
+// BackCore restarts both processes of a control-plane machine.
 func (f *Fleet) BackCore(c *Core) {
 	f.StartStore(c)
 	f.StartRegistry(c)
 }
 
-// KillNode ends a node's proxy at once; its worker lives on.
+// KillNode kills a node's proxy at once; its worker keeps running.
 func (f *Fleet) KillNode(n *Node) {
 	f.Net.Freeze("node-"+n.Host, false)
 	proxy, _ := f.now(n)
@@ -49,7 +49,7 @@
 	f.mu.Unlock()
 }
 
-// KillWorker ends a worker at once.
+// KillWorker kills a node's worker at once.
 func (f *Fleet) KillWorker(n *Node) {
 	_, worker := f.now(n)
 	if worker != nil {
@@ -60,7 +60,8 @@
 	f.mu.Unlock()
 }
 
-// Writer finds the core machine whose store writes.
+// Writer returns the control-plane machine whose store is the leader, or nil if none
+// reports that role.
 func (f *Fleet) Writer() *Core {
 	for _, c := range f.Cores {
 		if c.Store == nil {
@@ -73,7 +74,7 @@
 	return nil
 }
 
-// hosts lists all machines of the fleet.
+// hosts lists the hosts of all machines in the fleet.
 func (f *Fleet) hosts() []string {
 	var hosts []string
 	for _, c := range f.cores() {
@@ -85,7 +86,8 @@
 	return hosts
 }
 
-// cutArea cuts all machines of an area off from those of the others.
+// cutArea blocks or unblocks all traffic between the machines of a zone and those of the
+// other zones.
 func (f *Fleet) cutArea(area string, on bool) {
 	areaOf := map[string]string{}
 	for _, c := range f.Cores {
@@ -104,14 +106,13 @@
 	}
 }
 
-// Skew jumps the wall clock of a machine.
+// Skew shifts the wall clock of a node.
 func (n *Node) Skew(offset time.Duration) { n.skew.Store(int64(offset)) }
 
-// Skew jumps the wall clock of a core machine.
+// Skew shifts the wall clock of a control-plane machine.
 func (c *Core) Skew(offset time.Duration) { c.skew.Store(int64(offset)) }
 
-// Load runs callers in the background until the returned function is called,
-// which waits for their end.
+// Load runs callers in the background. The returned function waits for their end.
 func (f *Fleet) Load(lines []standin.Line, duration time.Duration) func() {
 	f.Net.Place("10.0.9.8", "outside")
 	callers := standin.NewCallers(f.env("callers", "10.0.9.8", "outside", new(atomic.Int64)), f.Fronts(), f.Obs, 15*time.Second)
@@ -126,7 +127,8 @@
 	return func() { <-done }
 }
 
-// poll looks at every node's readiness each second, as the platform does.
+// poll checks the readiness of every machine each second, as a platform's health checks do.
+// The returned function reports whether an address was unready at its last check.
 func (f *Fleet) poll() func(string) bool {
 	var unready sync.Map
 	f.g.Every("platform", time.Second, func(context.Context) {
@@ -150,14 +152,14 @@
 	}
 }
 
-// checkModelSteps fails the test on any step of a store that the model does not allow.
+// checkModelSteps fails the test for each step of a store that the model does not allow.
 func (f *Fleet) checkModelSteps() {
 	for _, violation := range f.Steps.Faults() {
-		f.T.Errorf("a step that the model does not allow: %s", violation)
+		f.T.Errorf("a store took a step that the model does not allow: %s", violation)
 	}
 }
 
-// Stop ends everything at once.
+// Stop kills all processes, checks the stores' steps and ends the background tasks.
 func (f *Fleet) Stop() {
 	for _, n := range f.Nodes {
 		f.KillWorker(n)
@@ -169,11 +171,12 @@
 	f.checkModelSteps()
 	f.way.CloseIdleConnections()
 	f.g.Stop()
-	// net/http lingers for half a second on connections that it cut short.
+	// net/http lingers for half a second on connections that it closes early.
 	Wait(time.Second)
 }
 
-// Judge fails the test on any count of what must never happen.
+// Judge fails the test if the observer counted a violation of an invariant, and logs the
+// outcomes of the calls.
 func (f *Fleet) Judge() {
 	f.T.Helper()
 	violations, notes := f.Obs.Verdict()
--- a/internal/sim/fleet.go
+++ b/internal/sim/fleet.go
@@ -22,7 +22,7 @@
 	"puffincrank/internal/task"
 )
 
-// Shape is the size of a deployment.
+// Shape is the size, configuration and load of a deployment.
 type Shape struct {
 	Nodes    int
 	Slots    int
@@ -30,28 +30,28 @@
 	Took     map[string]time.Duration
 	Doc      string
 	Lines    []standin.Line
-	Nested   map[string][]standin.Line // a service's own calls; Rate is their part of its jobs
+	Nested   map[string][]standin.Line // calls made by a service's workers; Rate is the share of its requests that make the call
 	Far      time.Duration
 }
 
-// Serves names the service of the i-th node's worker: each area has workers of
-// each service.
+// Serves returns the service of the i-th node's worker. Services are rotated so that each
+// zone has workers of each service.
 func (s Shape) Serves(i int) string { return s.Services[(i%len(Areas)+i/len(Areas))%len(s.Services)] }
 
-// Core is one core machine.
+// Core is one control-plane machine, which runs a store and a registry.
 type Core struct {
 	Host     string
 	Area     string
-	Region   string // of its area; none if not told
+	Region   string // of its zone; empty if not configured
 	Disk     *Disk
 	Store    *store.Store
 	Registry *registry.Registry
-	Steps    *model.Monitor // of another cluster, whose disk this machine was given
-	Seeds    []string       // hosts that it is told of; nil for those of the founding
+	Steps    *model.Monitor // replaces the fleet's monitor if the machine was given another cluster's disk
+	Seeds    []string       // hosts that it is configured to contact; nil for the founding hosts
 	skew     atomic.Int64
 }
 
-// Node is one machine with a worker.
+// Node is one machine with a proxy and a worker.
 type Node struct {
 	Host   string
 	Area   string
@@ -61,7 +61,7 @@
 	starts int
 }
 
-// Fleet is a whole mesh in one process, under virtual time.
+// Fleet is a whole cluster in one process, under virtual time.
 type Fleet struct {
 	T         testing.TB
 	S         Shape
@@ -71,22 +71,22 @@
 	Nodes     []*Node
 	Log       func(event.Entry)
 	Steps     *model.Monitor        // checks each step of the stores against the model
-	Polled    bool                  // callers leave out nodes that the platform finds unready
-	Told      map[string]any        // props that every process is told
-	WorkerNet func(env.Net) env.Net // what workers have in place of their network
-	Stores    map[string]any        // props that every store is told
+	Polled    bool                  // callers skip nodes that the platform's health checks find unready
+	Told      map[string]any        // settings of every process
+	WorkerNet func(env.Net) env.Net // wraps the network of the workers
+	Stores    map[string]any        // settings of every store
 	way       *http.Transport
 	g         *task.Group
-	marked    *Core         // the core machine of the fault under way
-	mu        sync.Mutex    // guards which processes run where, for faults that overlap
-	knew      time.Duration // from the first configuration until all knew all workers
-	seedAt    []string      // hosts of the core machines at the founding
+	marked    *Core         // the control-plane machine of the current fault
+	mu        sync.Mutex    // guards which processes run where, since faults can overlap
+	knew      time.Duration // time from the first configuration until all proxies knew all workers
+	seedAt    []string      // hosts of the founding control-plane machines
 }
 
-// Areas of the fleets.
+// Areas are the zones of a fleet.
 var Areas = []string{"north", "south", "east"}
 
-// NewFleet lays out a fleet; Start brings it up.
+// NewFleet lays out a fleet without starting any process.
 func NewFleet(t testing.TB, s Shape, seed uint64) *Fleet {
 	f := &Fleet{T: t, S: s, Net: NewNet(seed, 200*time.Microsecond, s.Far), Obs: standin.NewObserver(), Steps: model.NewMonitor(), g: task.New(context.Background())}
 	for i := range 3 {
@@ -113,7 +113,7 @@
 	return addresses
 }
 
-// seedHostsOf gives the hosts that a core machine is told of.
+// seedHostsOf returns the hosts that a control-plane machine is configured to contact.
 func (f *Fleet) seedHostsOf(c *Core) []string {
 	if c.Seeds != nil {
 		return c.Seeds
@@ -131,7 +131,7 @@
 	values, faults := settings.Tables[program].Read(input, "")
 	result, moreFaults := settings.FromChecked(values)
 	if faults = append(faults, moreFaults...); len(faults) > 0 {
-		f.T.Fatalf("props of %s: %v", node, faults)
+		f.T.Fatalf("settings of %s: %v", node, faults)
 	}
 	return result
 }
@@ -142,13 +142,13 @@
 	if f.Log != nil {
 		log.SetListener(f.Log)
 	}
-	// A fresh start is never frozen, whatever became of the one before.
+	// A new process starts unpaused even if its predecessor was killed while paused.
 	f.Net.Freeze(node, false)
 	return env.Env{Net: f.Net.Process(host, node), Log: log, Sleep: f.Net.ice(node).sleep,
 		Wall: func() time.Time { return time.Now().Add(time.Duration(skew.Load())) }}
 }
 
-// StartStore starts the store of a core machine on its disk.
+// StartStore starts the store of a control-plane machine on its disk.
 func (f *Fleet) StartStore(c *Core) {
 	environment := f.env("store-"+c.Host, c.Host, c.Area, &c.skew)
 	environment.FS, environment.Trace = c.Disk, f.Steps.Tell
@@ -156,7 +156,7 @@
 		environment.Trace = c.Steps.Tell
 	}
 	c.Disk.ice = f.Net.ice("store-" + c.Host)
-	// Each store has the seeds in another order.
+	// Each store gets the seeds in a different order.
 	hosts := f.seedHostsOf(c)
 	seeds := hostPorts(hosts, 7001)
 	for i, hostName := range hosts {
@@ -183,7 +183,8 @@
 	f.mu.Unlock()
 }
 
-// storeAddresses gives the stores that a machine's registry is told of: its own first.
+// storeAddresses returns the stores that a machine's registry is configured with, its own
+// first.
 func (f *Fleet) storeAddresses(c *Core) []any {
 	hosts := []string{c.Host}
 	for _, hostName := range f.seedHostsOf(c) {
@@ -194,7 +195,7 @@
 	return hostPorts(hosts, 7001)
 }
 
-// StartRegistry starts the registry of a core machine.
+// StartRegistry starts the registry of a control-plane machine.
 func (f *Fleet) StartRegistry(c *Core) {
 	environment := f.env("core-"+c.Host, c.Host, c.Area, &c.skew)
 	environment.FS = c.Disk
@@ -219,11 +220,11 @@
 	f.mu.Unlock()
 }
 
-// StartWorker starts a fresh worker beside a node.
+// StartWorker starts a new worker on a node.
 func (f *Fleet) StartWorker(n *Node, service string) { f.worker(n, service, n.Host, false) }
 
-// StartStranger starts a worker that doesn't look whom a job is for; its beats
-// go out from the host's second name, which can be cut off by itself.
+// StartStranger starts a worker that does not check which worker a request is addressed to.
+// It sends its heartbeats from a second host name, which can be cut off separately.
 func (f *Fleet) StartStranger(n *Node, service string) { f.worker(n, service, n.Host+"w", true) }
 
 func (f *Fleet) worker(n *Node, service, sendingHost string, naive bool) {
--- a/internal/sim/ice.go
+++ b/internal/sim/ice.go
@@ -8,15 +8,15 @@
 	"puffincrank/internal/task"
 )
 
-// pauseGate is what holds one frozen process: every call of its network and disk
-// stands still until the thaw, and bytes for it queue up meanwhile.
+// pauseGate pauses one process: while it is closed, every network and disk call of the
+// process blocks, and bytes sent to it are queued.
 type pauseGate struct {
 	mu       sync.Mutex
-	resumed  chan struct{} // nil while the process runs
-	onResume []func()      // what the process does first when it wakes
+	resumed  chan struct{} // closed on resume; nil while the process runs
+	onResume []func()      // run in order when the process resumes, before anything else
 }
 
-// setPaused freezes the process or lets it go on.
+// setPaused pauses or resumes the process.
 func (i *pauseGate) setPaused(paused bool) {
 	i.mu.Lock()
 	if paused == (i.resumed != nil) {
@@ -37,8 +37,9 @@
 	}
 }
 
-// deferUntilResume puts an act off until the thaw; false means that the process runs.
-// Closing is such an act: waiting in it could hold a lock.
+// deferUntilResume postpones a callback until the process resumes; it returns false if the
+// process is running. Closing a connection is postponed this way, because blocking in Close
+// could hold a lock.
 func (i *pauseGate) deferUntilResume(callback func()) bool {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -49,7 +50,7 @@
 	return true
 }
 
-// waitWhilePaused waits while the process is frozen, and tells whether it had to.
+// waitWhilePaused blocks while the process is paused and reports whether it had to.
 func (i *pauseGate) waitWhilePaused() bool {
 	for waited := false; ; waited = true {
 		i.mu.Lock()
@@ -62,8 +63,8 @@
 	}
 }
 
-// sleep is a process's wait: a frozen one wakes late, and after its sockets,
-// which is the worse order.
+// sleep is how a process sleeps. A paused process wakes late and after its sockets, which
+// is the harder order.
 func (i *pauseGate) sleep(ctx context.Context, d time.Duration) {
 	task.Sleep(ctx, d)
 	if i.waitWhilePaused() {
@@ -71,8 +72,8 @@
 	}
 }
 
-// ice finds the ice of a process by its name; each start has its own, so that
-// a frozen process that is killed does not hold the next one.
+// ice returns the gate of a process by name. Starting a process reopens its gate, so that a
+// process killed while paused does not block its successor.
 func (n *Net) ice(process string) *pauseGate {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -82,10 +83,10 @@
 	return n.pauseGates[process]
 }
 
-// Freeze stops a process or lets it go on; "" names nobody.
+// Freeze pauses or resumes a process. An empty name has no effect.
 func (n *Net) Freeze(process string, on bool) { n.ice(process).setPaused(on) }
 
-// Pause is how a process waits, by its name.
+// Pause returns the sleep function of a process.
 func (n *Net) Pause(process string) func(context.Context, time.Duration) {
 	return n.ice(process).sleep
 }
--- a/internal/sim/machines.go
+++ b/internal/sim/machines.go
@@ -7,28 +7,29 @@
 	"puffincrank/internal/store"
 )
 
-// now tells which processes of a node run.
+// now returns the running processes of a node, nil for those that are down.
 func (f *Fleet) now(n *Node) (*proxy.Proxy, *standin.Worker) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return n.Proxy, n.Worker
 }
 
-// cores lists the core machines of now.
+// cores returns a copy of the list of control-plane machines.
 func (f *Fleet) cores() []*Core {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return append([]*Core(nil), f.Cores...)
 }
 
-// runs tells which processes of a core machine run.
+// runs returns the running processes of a control-plane machine, nil for those that are
+// down.
 func (f *Fleet) runs(c *Core) (*store.Store, *registry.Registry) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return c.Store, c.Registry
 }
 
-// place puts a new core machine in a lost one's place.
+// place replaces a lost control-plane machine with a new one.
 func (f *Fleet) place(i int, c *Core) {
 	f.mu.Lock()
 	f.Cores[i] = c
--- a/internal/sim/net.go
+++ b/internal/sim/net.go
@@ -1,5 +1,5 @@
-// Package sim holds the stand-ins for tests: a network and a disk in memory,
-// a worker, callers, and the whole fleet under virtual time.
+// Package sim provides test doubles: an in-memory network and disk, and a whole fleet of
+// proxies, workers, callers and control-plane machines under virtual time.
 package sim
 
 import (
@@ -12,25 +12,25 @@
 	"time"
 )
 
-// Net is a network in memory with areas, delays and cuts.
+// Net is an in-memory network with zones, delays, bandwidth limits and partitions.
 type Net struct {
 	mu             sync.Mutex
 	listeners      map[string]*listener
 	conns          map[*pipe]bool
-	areas          map[string]string       // host to area
-	cuts           map[[2]string]time.Time // when the way was cut
+	areas          map[string]string       // zone of each host
+	cuts           map[[2]string]time.Time // time at which each direction was cut
 	linksChanged   chan struct{}
-	extraDelay     map[string]time.Duration // host to what its bytes take besides
-	pauseGates     map[string]*pauseGate    // process to its ice
-	thinLinks      map[string]*thinLink     // host to the thin link out of it
+	extraDelay     map[string]time.Duration // extra delay of all bytes from and to a host
+	pauseGates     map[string]*pauseGate    // by process
+	thinLinks      map[string]*thinLink     // limited links, by sending host or by "zone>zone"
 	rnd            *rand.Rand
 	nearDelay      time.Duration
 	farDelay       time.Duration
-	CrossZoneBytes int64 // bytes between areas
-	SameZoneBytes  int64 // bytes within areas
+	CrossZoneBytes int64 // bytes between zones
+	SameZoneBytes  int64 // bytes between hosts of one zone
 }
 
-// NewNet makes a network with the delay within and between areas.
+// NewNet creates a network with the given delays within and between zones.
 func NewNet(seed uint64, nearDelay, farDelay time.Duration) *Net {
 	return &Net{extraDelay: map[string]time.Duration{}, pauseGates: map[string]*pauseGate{}, thinLinks: map[string]*thinLink{}, listeners: map[string]*listener{}, conns: map[*pipe]bool{}, areas: map[string]string{},
 		cuts: map[[2]string]time.Time{}, linksChanged: make(chan struct{}), rnd: rand.New(rand.NewPCG(seed, 7)), nearDelay: nearDelay, farDelay: farDelay}
@@ -38,7 +38,7 @@
 
 func host(address string) string { return address[:strings.LastIndexByte(address, ':')] }
 
-// Place puts a host into an area.
+// Place puts a host into a zone.
 func (n *Net) Place(hostName, area string) {
 	n.mu.Lock()
 	n.areas[hostName] = area
@@ -64,7 +64,7 @@
 	return d + n.extraDelay[from] + n.extraDelay[to] + time.Duration(n.rnd.Int64N(int64(d)/4+1))
 }
 
-// Lag makes all bytes from and to a host late.
+// Lag delays all bytes from and to a host.
 func (n *Net) Lag(hostName string, d time.Duration) {
 	n.mu.Lock()
 	n.extraDelay[hostName] = d
@@ -81,10 +81,11 @@
 	n.mu.Unlock()
 }
 
-// Host is the network as one host sees it.
+// Host returns the network as seen by a host.
 func (n *Net) Host(hostName string) *Host { return n.Process(hostName, "") }
 
-// Process is the network as one process on a host sees it.
+// Process returns the network as seen by a process on a host. It blocks while the process
+// is paused.
 func (n *Net) Process(hostName, process string) *Host {
 	gate := &pauseGate{}
 	if process != "" {
@@ -93,7 +94,7 @@
 	return &Host{net: n, name: hostName, pauseGate: gate}
 }
 
-// Host dials and listens as one host.
+// Host dials and listens on behalf of one host.
 type Host struct {
 	net       *Net
 	name      string
@@ -131,7 +132,7 @@
 	return nil
 }
 
-// Listen opens a port of this host.
+// Listen opens a port on this host.
 func (h *Host) Listen(address string) (net.Listener, error) {
 	h.net.mu.Lock()
 	defer h.net.mu.Unlock()
@@ -143,7 +144,8 @@
 	return opened, nil
 }
 
-// Dial connects to a port; a cut way hangs until the context ends.
+// Dial connects to a port. If either direction is cut, it blocks until the cut ends or the
+// context does.
 func (h *Host) Dial(ctx context.Context, address string) (net.Conn, error) {
 	to := host(address)
 	for {
--- a/internal/sim/pipe.go
+++ b/internal/sim/pipe.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// chunk is bytes under way with the time at which they arrive.
+// chunk is data in transit with its time of arrival.
 type chunk struct {
 	data      []byte
 	arrivesAt time.Time
@@ -20,8 +20,8 @@
 	mu     sync.Mutex
 	wake   chan struct{}
 	queue  []chunk
-	closed bool  // the sender closed, readers get EOF after the rest
-	err    error // the connection was reset
+	closed bool  // the sender closed; readers get EOF after the remaining data
+	err    error // the connection was reset or closed by the reader
 }
 
 func newStream() *stream { return &stream{wake: make(chan struct{})} }
@@ -31,20 +31,20 @@
 	h.wake = make(chan struct{})
 }
 
-// pipe is one end of a connection in memory.
+// pipe is one end of an in-memory connection.
 type pipe struct {
 	net                         *Net
 	pauseGate                   *pauseGate // of the process at this end
-	from, peer                  string     // hosts of this end and the far one
+	from, peer                  string     // hosts of this end and of the remote one
 	in, out                     *stream
 	mu                          sync.Mutex
 	readDeadline, writeDeadline time.Time
-	deadlineChanged             chan struct{} // closed when a deadline changes
+	deadlineChanged             chan struct{} // closed when the read deadline changes
 	localAddr                   addr
 	remoteAddr                  addr
-	resetOnClose                bool            // closing resets
-	sendBuffer                  []bufferedBytes // guarded by the net's lock
-	observable                  bool            // it can be looked at
+	resetOnClose                bool            // Close resets the connection
+	sendBuffer                  []bufferedBytes // bytes not yet through a thin link; guarded by the network's lock
+	observable                  bool            // Still has an answer for this end
 }
 
 type addr string
@@ -78,8 +78,8 @@
 
 func (p *pipe) Read(buffer []byte) (int, error) {
 	for {
-		// Right after a thaw what has arrived comes before a deadline that
-		// passed meanwhile: both are due, and this order is the worse one.
+		// Right after a resume, data that has arrived is delivered before a deadline that
+		// passed during the pause: both are due, and this order is the harder one.
 		justResumed := p.pauseGate.waitWhilePaused()
 		p.mu.Lock()
 		deadline, deadlineChanged := p.readDeadline, p.deadlineChanged
@@ -96,7 +96,7 @@
 			incoming.mu.Unlock()
 			return 0, os.ErrDeadlineExceeded
 		}
-		// Bytes are held while the way is cut, as TCP would send them again.
+		// Data is held back while the direction is cut, as TCP would retransmit it.
 		open := p.net.isOpen(p.peer, p.from)
 		wait := time.Hour
 		if len(incoming.queue) > 0 {
@@ -134,7 +134,8 @@
 func (p *pipe) Close() error {
 	closeNow := p.close
 	p.mu.Lock()
-	// A reset that a cut swallows takes with it what the cut holds up.
+	// If the direction is cut, the reset itself is lost, and so is the data that the cut
+	// holds back.
 	if p.resetOnClose && p.net.isOpen(p.from, p.peer) {
 		closeNow = p.reset
 	}
@@ -145,7 +146,7 @@
 	return nil
 }
 
-// SetLinger with 0 makes the close a reset, as that of a TCP connection.
+// SetLinger with 0 makes Close reset the connection, as for a TCP connection.
 func (p *pipe) SetLinger(sec int) error {
 	p.mu.Lock()
 	p.resetOnClose = sec == 0
@@ -153,7 +154,7 @@
 	return nil
 }
 
-// Taken tells whether the far side has read all that was written here.
+// Taken reports whether the remote end has read everything that was written here.
 func (p *pipe) Taken() bool {
 	p.out.mu.Lock()
 	defer p.out.mu.Unlock()
@@ -181,7 +182,8 @@
 	p.net.forget(p)
 }
 
-// reset ends the connection at once, both ways, as a killed process does.
+// reset ends the connection at once in both directions, as the kernel does for a killed
+// process.
 func (p *pipe) reset() {
 	for _, direction := range []*stream{p.in, p.out} {
 		direction.mu.Lock()
@@ -194,7 +196,7 @@
 	p.net.forget(p)
 }
 
-// Sum gives the bytes sent so far, between areas or within them.
+// Sum returns the bytes sent so far, between zones or within them.
 func (n *Net) Sum(crossZone bool) int64 {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -210,8 +212,8 @@
 	n.mu.Unlock()
 }
 
-// Still tells whether nothing has arrived here, no end either; of every other
-// connection it is not known.
+// Still reports whether the connection is open with no byte waiting to be read. This is
+// known only at the dialing end of a random half of the connections.
 func (p *pipe) Still() (still, known bool) {
 	p.in.mu.Lock()
 	defer p.in.mu.Unlock()
--- a/internal/sim/shapes.go
+++ b/internal/sim/shapes.go
@@ -7,8 +7,8 @@
 	"puffincrank/internal/standin"
 )
 
-// WithAlt adds a second service beside the first, to try changes on: the
-// first path may be moved to it.
+// WithAlt adds an alternative to the first service, so that trials can move the first route
+// to it.
 func WithAlt(s Shape) Shape {
 	original := s.Services[0]
 	alt := original + "2"
@@ -22,7 +22,7 @@
 	s.Doc = strings.Replace(s.Doc, `{"name":"`+original+`"}`, `{"name":"`+original+`"},{"name":"`+alt+`"},{"name":"nobody"}`, 1)
 	s.Doc = strings.TrimSuffix(s.Doc, "}") + `,"judge":{"slice":20,"least_jobs":100,"least_ms":4000,"most_ms":60000}}`
 	for i := range s.Lines {
-		// Either may serve the same calls.
+		// Either service may answer these calls.
 		if s.Lines[i].Service == original {
 			s.Lines[i].Service = original + "/" + alt
 		}
@@ -40,7 +40,7 @@
 	return s
 }
 
-// Fumettoteca is the first deployment's shape; scale is the part of its rate.
+// Fumettoteca is the shape of the first deployment; scale is the fraction of its call rate.
 func Fumettoteca(scale float64) Shape {
 	return Shape{Nodes: 12, Slots: 12, Far: time.Millisecond, Services: []string{"pages", "lending", "scans"},
 		Took: map[string]time.Duration{"pages": 20 * time.Millisecond, "lending": 40 * time.Millisecond, "scans": 60 * time.Millisecond},
@@ -62,7 +62,7 @@
 			{Method: "POST", URI: "/credits", Service: "scans", Rate: 80 * scale, Size: 100}}}
 }
 
-// Ingenzi is the second deployment's shape.
+// Ingenzi is the shape of the second deployment; scale is the fraction of its call rate.
 func Ingenzi(scale float64) Shape {
 	return Shape{Nodes: 14, Slots: 18, Far: 1500 * time.Microsecond, Services: []string{"bookings", "boarding", "manifests", "seats"},
 		Took: map[string]time.Duration{"bookings": 120 * time.Millisecond, "boarding": 150 * time.Millisecond, "manifests": 200 * time.Millisecond, "seats": 400 * time.Millisecond},
--- a/internal/sim/start.go
+++ b/internal/sim/start.go
@@ -12,7 +12,7 @@
 	"puffincrank/internal/schema"
 )
 
-// Start brings all up and puts the first configuration in force.
+// Start starts all processes and applies the first configuration.
 func (f *Fleet) Start() {
 	for _, c := range f.Cores {
 		f.StartStore(c)
@@ -22,19 +22,20 @@
 		f.StartProxy(n)
 		f.StartWorker(n, f.S.Serves(i))
 	}
-	f.Until(15*time.Second, "the first configuration is taken", func() bool {
+	f.Until(15*time.Second, "the first configuration is accepted", func() bool {
 		code, version, answer := f.apply("", f.Fronts()[0], 0, f.S.Doc)
 		if code == 422 {
-			// No later try is taken: say what is wrong with it.
-			f.T.Fatalf("the first configuration is refused: %v", answer)
+			// No later attempt would be accepted, so report the reason.
+			f.T.Fatalf("the first configuration was refused: %v", answer)
 		}
-		// After an unknown outcome the next try may find its own change there.
+		// After an attempt with an unknown outcome, the next one may find its own change
+		// already applied.
 		return code == 200 || code == 409 && version == 1
 	})
-	f.knew = f.Until(15*time.Second, "all are ready and know all workers", f.Whole)
+	f.knew = f.Until(15*time.Second, "all proxies are ready and know all workers", f.Whole)
 }
 
-// Whole tells that every node is ready and knows every worker.
+// Whole reports whether every running proxy is ready and knows every worker.
 func (f *Fleet) Whole() bool {
 	for _, n := range f.Nodes {
 		if n.Proxy == nil {
@@ -61,7 +62,7 @@
 	return count
 }
 
-// Fronts lists the traffic addresses.
+// Fronts lists the traffic addresses of all nodes.
 func (f *Fleet) Fronts() []string {
 	var addresses []string
 	for _, n := range f.Nodes {
@@ -70,7 +71,8 @@
 	return addresses
 }
 
-// Until waits for a state of the fleet, in virtual time, and tells how long.
+// Until waits in virtual time until a condition holds, and returns how long that took. It
+// fails the test after the bound.
 func (f *Fleet) Until(bound time.Duration, what string, holds func() bool) time.Duration {
 	start := time.Now()
 	for !holds() {
@@ -88,7 +90,8 @@
 	<-timer.C
 }
 
-// Ask makes one outside call and reads its JSON.
+// Ask sends one request from outside the fleet and returns the status and the decoded JSON
+// body. The status is 0 if there was no response.
 func (f *Fleet) Ask(method, address, uri, body string) (int, map[string]any) {
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
@@ -110,16 +113,16 @@
 	return response.StatusCode, answer
 }
 
-// Get reads.
+// Get sends a GET request as Ask does.
 func (f *Fleet) Get(address, uri string) (int, map[string]any) { return f.Ask("GET", address, uri, "") }
 
-// Apply sends a document to the node with this traffic or outer address.
+// Apply sends a configuration to the node with this traffic or outer address.
 func (f *Fleet) Apply(address string, base uint64, doc string) (int, uint64) {
 	return f.ApplyAs("", address, base, doc)
 }
 
-// ApplyAs sends a document as the operator of a name: what two operators send is
-// never taken for one order that is sent again.
+// ApplyAs sends a configuration on behalf of a named operator. Identical requests of two
+// operators are never treated as a retry of one request.
 func (f *Fleet) ApplyAs(operator, address string, base uint64, doc string) (int, uint64) {
 	code, version, _ := f.apply(operator, address, base, doc)
 	return code, version
@@ -134,7 +137,7 @@
 	return code, uint64(version), answer
 }
 
-// Read parses a document for a test.
+// Read parses a configuration document.
 func Read(doc string) map[string]any {
 	parsed, _, _ := schema.Parse([]byte(doc))
 	return parsed
--- a/internal/sim/thin.go
+++ b/internal/sim/thin.go
@@ -7,40 +7,40 @@
 	"time"
 )
 
-// sendBufferBytes is how many bytes a connection takes that are not yet through a thin
-// link: its send buffer.
+// sendBufferBytes is how many bytes a connection accepts that have not yet passed a thin
+// link.
 const sendBufferBytes = 16 << 10
 
-// thinLink is a thin link, out of a host or from one area to another; all who send
-// share it, first come first served.
+// thinLink is a link of limited bandwidth, out of a host or from one zone to another. All
+// senders share it, first come, first served.
 type thinLink struct {
-	bytesPerSecond int       // bytes a second
-	idleAt         time.Time // when the last byte given to it is gone
-	bytesSent      int       // bytes
+	bytesPerSecond int
+	idleAt         time.Time // when the last byte accepted so far has passed
+	bytesSent      int
 }
 
-// Thin gives the link out of a host a bandwidth in bytes a second.
+// Thin limits the bandwidth of all traffic out of a host.
 func (n *Net) Thin(hostName string, bytesPerSecond int) {
 	n.mu.Lock()
 	n.thinLinks[hostName] = &thinLink{bytesPerSecond: bytesPerSecond}
 	n.mu.Unlock()
 }
 
-// Narrow gives the way from one area to another a bandwidth in bytes a second.
+// Narrow limits the bandwidth of all traffic from one zone to another.
 func (n *Net) Narrow(from, to string, bytesPerSecond int) {
 	n.mu.Lock()
 	n.thinLinks[from+">"+to] = &thinLink{bytesPerSecond: bytesPerSecond}
 	n.mu.Unlock()
 }
 
-// Through gives the bytes that went over a narrow way so far.
+// Through returns the bytes sent so far over a link limited by Narrow.
 func (n *Net) Through(from, to string) int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.thinLinks[from+">"+to].bytesSent
 }
 
-// thinLinkBetween finds the thin link between two hosts, nil for none.
+// thinLinkBetween returns the limited link between two hosts, or nil if there is none.
 func (n *Net) thinLinkBetween(from, to string) *thinLink {
 	if link := n.thinLinks[from]; link != nil && from != to {
 		return link
@@ -51,8 +51,8 @@
 	return nil
 }
 
-// admitBytes tells how many of some bytes a connection takes now, when the last of
-// them is through the thin link, and how long to wait if it takes none.
+// admitBytes returns how many of size bytes a connection accepts now, when the last of them
+// has passed the thin link, and how long to wait if none is accepted.
 func (n *Net) admitBytes(p *pipe, size int) (int, time.Time, time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -71,7 +71,7 @@
 		inBuffer += buffered.size
 	}
 	if inBuffer >= sendBufferBytes {
-		// Sockets wake their writers when there's room for some.
+		// Sockets wake blocked writers only when a part of the buffer is free.
 		return 0, now, sendBufferBytes / 4 * timePerByte
 	}
 	size = min(size, sendBufferBytes-inBuffer)
@@ -81,13 +81,14 @@
 	return size, link.idleAt, 0
 }
 
-// bufferedBytes is bytes in a connection's send buffer, and when they are through.
+// bufferedBytes is data in a connection's send buffer with the time at which it has passed
+// the link.
 type bufferedBytes struct {
 	size   int
 	sentAt time.Time
 }
 
-// Write waits until all is taken, or for its deadline.
+// Write blocks until everything is accepted or the deadline passes.
 func (p *pipe) Write(data []byte) (int, error) {
 	p.pauseGate.waitWhilePaused()
 	written := 0
@@ -121,14 +122,14 @@
 	}
 }
 
-// Try writes what is taken at once.
+// Try writes what is accepted without blocking.
 func (p *pipe) Try(data []byte) (int, error) {
 	p.pauseGate.waitWhilePaused()
 	n, _, err := p.send(data)
 	return n, err
 }
 
-// send sends what the link takes now and tells how long it is full if it is.
+// send queues what the link accepts now. If that is nothing, it returns how long to wait.
 func (p *pipe) send(data []byte) (int, time.Duration, error) {
 	outgoing := p.out
 	outgoing.mu.Lock()
@@ -144,7 +145,7 @@
 		return 0, wait, nil
 	}
 	arrivesAt := sentAt.Add(p.net.delay(p.from, p.peer))
-	// Order is kept: nothing arrives before what was sent earlier.
+	// Order is kept: nothing arrives before data that was sent earlier.
 	if n := len(outgoing.queue); n > 0 && outgoing.queue[n-1].arrivesAt.After(arrivesAt) {
 		arrivesAt = outgoing.queue[n-1].arrivesAt
 	}
