--- a/internal/sim/appday_test.go
+++ b/internal/sim/appday_test.go
@@ -13,42 +13,42 @@
 	"puffincrank/internal/standin/checker"
 )
 
-// appFaults are what befalls the core under applications' calls; each returns
+// controlFaults are what befalls the core under applications' calls; each returns
 // when all is mended.
-var appFaults = []struct {
+var controlFaults = []struct {
 	name string
-	do   func(f *Fleet, rnd *rand.Rand, long time.Duration)
+	do   func(f *Fleet, rnd *rand.Rand, duration time.Duration)
 }{
-	{"control node frozen", func(f *Fleet, rnd *rand.Rand, long time.Duration) {
+	{"control node frozen", func(f *Fleet, rnd *rand.Rand, duration time.Duration) {
 		c := f.Cores[rnd.IntN(3)]
 		f.Net.Freeze("core-"+c.Host, true)
-		Wait(long)
+		Wait(duration)
 		f.Net.Freeze("core-"+c.Host, false)
 	}},
-	{"writer frozen", func(f *Fleet, _ *rand.Rand, long time.Duration) {
+	{"writer frozen", func(f *Fleet, _ *rand.Rand, duration time.Duration) {
 		if c := f.Writer(); c != nil {
 			f.Net.Freeze("store-"+c.Host, true)
-			Wait(long)
+			Wait(duration)
 			f.Net.Freeze("store-"+c.Host, false)
 		}
 	}},
-	{"machine frozen", func(f *Fleet, rnd *rand.Rand, long time.Duration) {
+	{"machine frozen", func(f *Fleet, rnd *rand.Rand, duration time.Duration) {
 		c := f.Cores[rnd.IntN(3)]
 		for _, p := range []string{"core-", "store-"} {
 			f.Net.Freeze(p+c.Host, true)
 		}
-		Wait(long)
+		Wait(duration)
 		for _, p := range []string{"core-", "store-"} {
 			f.Net.Freeze(p+c.Host, false)
 		}
 	}},
-	{"core links cut", func(f *Fleet, rnd *rand.Rand, long time.Duration) {
+	{"core links cut", func(f *Fleet, rnd *rand.Rand, duration time.Duration) {
 		a, b := f.Cores[rnd.IntN(3)].Host, f.Cores[rnd.IntN(3)].Host
 		f.Net.Cut(a, b, true)
-		Wait(long)
+		Wait(duration)
 		f.Net.Cut(a, b, false)
 	}},
-	{"core machine cut off", func(f *Fleet, rnd *rand.Rand, long time.Duration) {
+	{"core machine cut off", func(f *Fleet, rnd *rand.Rand, duration time.Duration) {
 		c := f.Cores[rnd.IntN(3)]
 		each := func(on bool) {
 			for _, o := range f.Cores {
@@ -59,37 +59,37 @@
 			}
 		}
 		each(true)
-		Wait(long)
+		Wait(duration)
 		each(false)
 	}},
-	{"writer killed", func(f *Fleet, _ *rand.Rand, long time.Duration) {
+	{"writer killed", func(f *Fleet, _ *rand.Rand, duration time.Duration) {
 		if c := f.Writer(); c != nil {
 			f.KillCore(c, true)
-			Wait(long)
+			Wait(duration)
 			f.BackCore(c)
 		}
 	}},
-	{"all lose power", func(f *Fleet, _ *rand.Rand, long time.Duration) {
+	{"all lose power", func(f *Fleet, _ *rand.Rand, duration time.Duration) {
 		for _, c := range f.Cores {
 			f.KillCore(c, true)
 		}
-		Wait(long / 2)
+		Wait(duration / 2)
 		for _, c := range f.Cores {
 			f.BackCore(c)
 		}
 	}},
-	{"a disk lost", func(f *Fleet, rnd *rand.Rand, long time.Duration) {
+	{"a disk lost", func(f *Fleet, rnd *rand.Rand, duration time.Duration) {
 		c := f.Cores[rnd.IntN(3)]
 		f.KillCore(c, true)
 		c.Disk.Wipe()
-		Wait(long / 2)
+		Wait(duration / 2)
 		f.BackCore(c)
 		f.Until(15*time.Second, "the wiped one is back", f.coreReady)
 	}},
-	{"writer's disk slow", func(f *Fleet, _ *rand.Rand, long time.Duration) {
+	{"writer's disk slow", func(f *Fleet, _ *rand.Rand, duration time.Duration) {
 		if c := f.Writer(); c != nil {
-			c.Disk.Slow(long / 5)
-			Wait(long)
+			c.Disk.Slow(duration / 5)
+			Wait(duration)
 			c.Disk.Slow(0)
 		}
 	}},
@@ -97,45 +97,45 @@
 
 // appDay plays applications against the core machines while faults come one
 // after the other, and counts every breach from the sockets alone.
-func (f *Fleet) appDay(seed uint64, faults int, only string) (map[string]int, time.Duration) {
+func (f *Fleet) appDay(seed uint64, faults int, onlyFault string) (map[string]int, time.Duration) {
 	f.Net.Place("10.0.9.7", "outside")
-	wit := checker.New(checker.Usual)
-	e := f.env("apps", "10.0.9.7", "outside", new(atomic.Int64))
-	apps := actors.NewApps(e, func() []string {
-		var at []string
+	invariants := checker.New(checker.Usual)
+	environment := f.env("apps", "10.0.9.7", "outside", new(atomic.Int64))
+	apps := actors.NewApps(environment, func() []string {
+		var addresses []string
 		for _, c := range f.Cores {
-			at = append(at, c.Host+":7003")
+			addresses = append(addresses, c.Host+":7003")
 		}
-		return append(at, f.Nodes[0].Host+":7003")
-	}, wit, f.g, seed)
+		return append(addresses, f.Nodes[0].Host+":7003")
+	}, invariants, f.g, seed)
 	apps.Locks, apps.Rate, apps.Callers = 3, 70, 10
-	ctx, end := context.WithCancel(context.Background())
-	over := make(chan struct{})
-	go func() { apps.Run(ctx); close(over) }()
+	ctx, cancel := context.WithCancel(context.Background())
+	finished := make(chan struct{})
+	go func() { apps.Run(ctx); close(finished) }()
 	rnd := rand.New(rand.NewPCG(seed, 77))
 	for range faults {
 		Wait(time.Duration(500+rnd.IntN(2500)) * time.Millisecond)
-		i := rnd.IntN(len(appFaults))
-		for only != "" && appFaults[i].name != only {
-			i = rnd.IntN(len(appFaults))
+		i := rnd.IntN(len(controlFaults))
+		for onlyFault != "" && controlFaults[i].name != onlyFault {
+			i = rnd.IntN(len(controlFaults))
 		}
-		appFaults[i].do(f, rnd, time.Duration(200+rnd.IntN(3000))*time.Millisecond)
+		controlFaults[i].do(f, rnd, time.Duration(200+rnd.IntN(3000))*time.Millisecond)
 	}
 	Wait(3 * time.Second)
-	end()
-	<-over
+	cancel()
+	<-finished
 	f.serves(15 * time.Second)
 	apps.Finish(context.Background())
 	Wait(4 * time.Second)
-	bad, notes := wit.Verdict()
+	violations, notes := invariants.Verdict()
 	for _, n := range notes {
 		f.T.Log(n)
 	}
-	for rule, n := range bad {
+	for rule, n := range violations {
 		f.T.Errorf("%d × %s", n, rule)
 	}
-	done, worst := apps.Done()
-	return done, worst
+	done, longest := apps.Done()
+	return done, longest
 }
 
 // TestAppDays: applications' locks, numbers, keys and watches keep their rules
@@ -143,19 +143,19 @@
 // PUFFIN_SEEDS=100 go test ./internal/sim -run AppDays
 func TestAppDays(t *testing.T) {
 	t.Parallel()
-	for i, k := range appFaults {
+	for i, fault := range controlFaults {
 		for seed := range seeds(1) {
-			t.Run(fmt.Sprint(k.name, " ", seed), func(t *testing.T) {
+			t.Run(fmt.Sprint(fault.name, " ", seed), func(t *testing.T) {
 				t.Parallel()
 				synctest.Test(t, func(t *testing.T) {
 					f := NewFleet(t, small(), seed+uint64(i)*1000+600)
 					defer f.Stop()
 					f.Start()
-					done, worst := f.appDay(seed*31+uint64(i), 5, k.name)
+					done, longest := f.appDay(seed*31+uint64(i), 5, fault.name)
 					if done["take 200"] < 10 || done["put 200"] < 100 || done["watch 200"] < 20 {
 						t.Errorf("too little was called: %v", done)
 					}
-					t.Logf("%v, the longest %v", done, worst)
+					t.Logf("%v, the longest %v", done, longest)
 				})
 			})
 		}
--- a/internal/sim/bad_test.go
+++ b/internal/sim/bad_test.go
@@ -16,35 +16,35 @@
 func TestBadCalls(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
-		s := small()
-		f := NewFleet(t, s, 44)
+		shape := small()
+		f := NewFleet(t, shape, 44)
 		defer f.Stop()
 		f.Start()
-		n := f.Nodes[0]
-		call := func(method, uri, left string, size int) int {
-			r, _ := http.NewRequest(method, "http://"+n.Host+":8000"+uri, strings.NewReader(strings.Repeat("x", size)))
-			if left != "" {
-				r.Header.Set("Puffin-Left", left)
+		node := f.Nodes[0]
+		call := func(method, uri, timeout string, size int) int {
+			request, _ := http.NewRequest(method, "http://"+node.Host+":8000"+uri, strings.NewReader(strings.Repeat("x", size)))
+			if timeout != "" {
+				request.Header.Set("Puffin-Left", timeout)
 			}
-			w, err := f.way.RoundTrip(r)
+			response, err := f.way.RoundTrip(request)
 			if err != nil {
 				t.Fatal(err)
 			}
-			_ = w.Body.Close()
-			if w.StatusCode != 200 && w.Header.Get("Puffin-Ran") != "no" {
+			_ = response.Body.Close()
+			if response.StatusCode != 200 && response.Header.Get("Puffin-Ran") != "no" {
 				t.Errorf("%s %s: not told that it did not run", method, uri)
 			}
-			return w.StatusCode
+			return response.StatusCode
 		}
 		for _, c := range []struct {
-			method, uri, left string
-			size, want        int
+			method, uri, timeout string
+			size, want           int
 		}{
 			{"GET", "/nowhere", "", 0, 404}, {"DELETE", "/loans", "", 0, 404}, {"GET", "/pages", "0", 0, 400}, {"GET", "/pages", "-5", 0, 400},
 			{"GET", "/pages", "soon", 0, 400}, {"POST", "/loans", "", 2 << 20, 413}, {"POST", "/loans", "900", 100, 200}, {"GET", "/pages/x?y=z", "", 0, 200},
 		} {
-			if got := call(c.method, c.uri, c.left, c.size); got != c.want {
-				t.Errorf("%s %s left %q: %d, want %d", c.method, c.uri, c.left, got, c.want)
+			if got := call(c.method, c.uri, c.timeout, c.size); got != c.want {
+				t.Errorf("%s %s left %q: %d, want %d", c.method, c.uri, c.timeout, got, c.want)
 			}
 		}
 		for _, c := range []struct {
@@ -55,31 +55,31 @@
 			{`{"service":"pages","worker":"w","addr":"10.0.1.1:1","slots":0,"state":"up"}`, 422}, {`{"service":"pages","worker":"w","addr":"10.0.1.1:1","slots":1,"state":"well"}`, 422},
 			{`{"service":"pages","worker":"w","addr":"10.0.1.1:1","slots":1,"state":"up","more":1}`, 422},
 		} {
-			if got, _ := f.Ask("POST", n.Host+":7003", "/puffin/beat", c.body); got != c.want {
+			if got, _ := f.Ask("POST", node.Host+":7003", "/puffin/beat", c.body); got != c.want {
 				t.Errorf("beat %s: %d, want %d", c.body, got, c.want)
 			}
 		}
-		if _, own := f.Get(n.Host+":7003", "/puffin/own"); own["entries"] != float64(3) {
+		if _, own := f.Get(node.Host+":7003", "/puffin/own"); own["entries"] != float64(3) {
 			t.Errorf("a bad beat made an entry: %v", own["entries"])
 		}
 		// The same faults through any node, with nothing changed.
-		for _, at := range []string{f.Cores[2].Host, n.Host} {
-			if code, _ := f.Ask("PUT", at+":7003", "/puffin/config?based_on=1", `{"services":[]}`); code != 422 {
+		for _, host := range []string{f.Cores[2].Host, node.Host} {
+			if code, _ := f.Ask("PUT", host+":7003", "/puffin/config?based_on=1", `{"services":[]}`); code != 422 {
 				t.Errorf("a broken document: %d", code)
 			}
-			if code, _ := f.Ask("PUT", at+":7003", "/puffin/config?based_on=1", `{`); code != 400 {
+			if code, _ := f.Ask("PUT", host+":7003", "/puffin/config?based_on=1", `{`); code != 400 {
 				t.Errorf("no document: %d", code)
 			}
-			if code, got := f.Ask("PUT", at+":7003", "/puffin/config?based_on=0&who=another", s.Doc); code != 409 || got["version"] != float64(1) {
+			if code, got := f.Ask("PUT", host+":7003", "/puffin/config?based_on=0&who=another", shape.Doc); code != 409 || got["version"] != float64(1) {
 				t.Errorf("a stale base: %d %v", code, got)
 			}
-			if code, _ := f.Ask("PUT", at+":7003", "/puffin/config?based_on=1", s.Doc+strings.Repeat(" ", rules.MaxDocumentBytes)); code != 413 {
+			if code, _ := f.Ask("PUT", host+":7003", "/puffin/config?based_on=1", shape.Doc+strings.Repeat(" ", rules.MaxDocumentBytes)); code != 413 {
 				t.Errorf("a document over the bound: %d", code)
 			}
-			if code, _ := f.Ask("PUT", at+":7003", "/puffin/config", s.Doc); code != 422 {
+			if code, _ := f.Ask("PUT", host+":7003", "/puffin/config", shape.Doc); code != 422 {
 				t.Errorf("no base: %d", code)
 			}
-			if _, got := f.Get(at+":7003", "/puffin/config"); got["version"] != float64(1) {
+			if _, got := f.Get(host+":7003", "/puffin/config"); got["version"] != float64(1) {
 				t.Errorf("a refused change moved the version: %v", got["version"])
 			}
 		}
@@ -91,34 +91,34 @@
 func TestChanges(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
-		s := Fumettoteca(0.2)
-		f := NewFleet(t, s, 45)
+		shape := Fumettoteca(0.2)
+		f := NewFleet(t, shape, 45)
 		defer f.Stop()
 		f.Start()
-		wait := f.Load(s.Lines, 25*time.Second)
+		wait := f.Load(shape.Lines, 25*time.Second)
 		version := uint64(1)
-		worst := time.Duration(0)
+		longest := time.Duration(0)
 		for range 8 {
-			type got struct {
+			type outcome struct {
 				code int
 				v    uint64
 			}
-			c := make(chan got, 2)
+			outcomes := make(chan outcome, 2)
 			for i := range 2 {
-				at := f.Nodes[i*5].Host
+				host := f.Nodes[i*5].Host
 				go func() {
 					// Two operators: the same order of one would be the same request.
-					code, answer := f.Ask("PUT", at+":7003", fmt.Sprintf("/puffin/config?based_on=%d&who=operator-%d", version, i), s.Doc)
+					code, answer := f.Ask("PUT", host+":7003", fmt.Sprintf("/puffin/config?based_on=%d&who=operator-%d", version, i), shape.Doc)
 					v, _ := answer["version"].(float64)
-					c <- got{code, uint64(v)}
+					outcomes <- outcome{code, uint64(v)}
 				}()
 			}
-			a, b := <-c, <-c
-			if a.code+b.code != 200+409 || a.v != b.v || a.v != version+1 {
-				t.Fatalf("two at once: %+v %+v", a, b)
+			first, second := <-outcomes, <-outcomes
+			if first.code+second.code != 200+409 || first.v != second.v || first.v != version+1 {
+				t.Fatalf("two at once: %+v %+v", first, second)
 			}
 			version++
-			took := f.Until(2*time.Second, "every node holds the version", func() bool {
+			elapsed := f.Until(2*time.Second, "every node holds the version", func() bool {
 				for _, n := range f.Nodes {
 					if _, own := f.Get(n.Host+":7003", "/puffin/own"); own["config_version"] != float64(version) {
 						return false
@@ -126,10 +126,10 @@
 				}
 				return true
 			})
-			worst = max(worst, took)
+			longest = max(longest, elapsed)
 			Wait(time.Second)
 		}
-		t.Logf("last node had a version at most %v after its acknowledgement", worst)
+		t.Logf("last node had a version at most %v after its acknowledgement", longest)
 		wait()
 		f.Judge()
 	})
@@ -140,39 +140,39 @@
 func TestNested(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
-		s := small()
-		f := NewFleet(t, s, 46)
+		shape := small()
+		f := NewFleet(t, shape, 46)
 		defer f.Stop()
 		f.Start()
 		codes := make(chan int, 10)
 		for i, n := range f.Nodes {
-			if s.Serves(i) == "lending" {
-				n.Worker.CallsTo(func(left string) {
-					r, _ := http.NewRequest("GET", "http://"+n.Host+":8000/pages/1", nil)
-					r.Header.Set("Puffin-Left", left)
-					w, err := f.way.RoundTrip(r)
+			if shape.Serves(i) == "lending" {
+				n.Worker.CallsTo(func(timeout string) {
+					request, _ := http.NewRequest("GET", "http://"+n.Host+":8000/pages/1", nil)
+					request.Header.Set("Puffin-Left", timeout)
+					response, err := f.way.RoundTrip(request)
 					if err == nil {
-						codes <- w.StatusCode
-						_ = w.Body.Close()
+						codes <- response.StatusCode
+						_ = response.Body.Close()
 					}
 				})
 			}
-			if s.Serves(i) == "pages" {
+			if shape.Serves(i) == "pages" {
 				n.Worker.Behave(standin.Way{Took: 600 * time.Millisecond})
 			}
 		}
-		r, _ := http.NewRequest("POST", "http://"+f.Fronts()[0]+"/loans", nil)
-		r.Header.Set("Puffin-Left", "250")
-		from := time.Now()
-		w, err := f.way.RoundTrip(r)
+		request, _ := http.NewRequest("POST", "http://"+f.Fronts()[0]+"/loans", nil)
+		request.Header.Set("Puffin-Left", "250")
+		start := time.Now()
+		response, err := f.way.RoundTrip(request)
 		if err != nil {
 			t.Fatal(err)
 		}
-		_ = w.Body.Close()
+		_ = response.Body.Close()
 		// The nested call gives up within the parent's time, so the parent can
 		// still answer.
-		if took := time.Since(from); took > 260*time.Millisecond || w.StatusCode != 200 {
-			t.Errorf("the parent ended with %d after %v", w.StatusCode, took)
+		if elapsed := time.Since(start); elapsed > 260*time.Millisecond || response.StatusCode != 200 {
+			t.Errorf("the parent ended with %d after %v", response.StatusCode, elapsed)
 		}
 		if code := <-codes; code != 504 {
 			t.Errorf("the nested call ended with %d", code)
--- a/internal/sim/badinput_test.go
+++ b/internal/sim/badinput_test.go
@@ -13,37 +13,37 @@
 func TestBadInput(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
-		s := small()
-		f := NewFleet(t, s, 47)
+		shape := small()
+		f := NewFleet(t, shape, 47)
 		defer f.Stop()
 		f.Start()
-		n := f.Nodes[0].Host + ":7003"
+		nodeAddress := f.Nodes[0].Host + ":7003"
 		long := strings.Repeat("x", 5000)
-		beat := func(change, to string) string {
-			b := `{"service":"pages","addr":"10.0.1.1:9","slots":4,"state":"up","cold_ms":0,"seq":7}`
-			if !strings.Contains(b, change) {
+		heartbeat := func(change, to string) string {
+			valid := `{"service":"pages","addr":"10.0.1.1:9","slots":4,"state":"up","cold_ms":0,"seq":7}`
+			if !strings.Contains(valid, change) {
 				t.Fatal(change)
 			}
-			return strings.Replace(b, change, to, 1)
+			return strings.Replace(valid, change, to, 1)
 		}
 		type call struct {
 			method, uri, body, want string
 			places                  string // all that must be named
 		}
-		calls := []call{
+		workerCalls := []call{
 			{"PUT", "/workers/w9", `{"more":"` + long + `"}`, "413", ""}, {"PUT", "/workers/w9", "{", "400", ""}, {"PUT", "/workers/w9", "[]", "400", ""},
 			{"PUT", "/workers/w9", "", "400", ""}, {"PUT", "/workers/w9", "{}", "422", "service addr slots state"},
-			{"PUT", "/workers/w%209", beat(`"slots":4`, `"slots":-1`), "422", "id slots"},
-			{"PUT", "/workers/w9", beat(`"10.0.1.1:9"`, `"host:9"`), "422", "addr"}, {"PUT", "/workers/w9", beat(`"up"`, `"well"`), "422", "state"},
-			{"PUT", "/workers/w9", beat(`"seq":7`, `"seq":"7"`), "422", "seq"}, {"PUT", "/workers/w9", beat(`"cold_ms":0`, `"cold_ms":-1`), "422", "cold_ms"},
-			{"PUT", "/workers/w9", beat(`"slots":4,"state":"up"`, `"slots":4.5`), "422", "slots state"},
+			{"PUT", "/workers/w%209", heartbeat(`"slots":4`, `"slots":-1`), "422", "id slots"},
+			{"PUT", "/workers/w9", heartbeat(`"10.0.1.1:9"`, `"host:9"`), "422", "addr"}, {"PUT", "/workers/w9", heartbeat(`"up"`, `"well"`), "422", "state"},
+			{"PUT", "/workers/w9", heartbeat(`"seq":7`, `"seq":"7"`), "422", "seq"}, {"PUT", "/workers/w9", heartbeat(`"cold_ms":0`, `"cold_ms":-1`), "422", "cold_ms"},
+			{"PUT", "/workers/w9", heartbeat(`"slots":4,"state":"up"`, `"slots":4.5`), "422", "slots state"},
 		}
-		for _, at := range []string{n, f.Cores[1].Host + ":7003"} {
-			all := append([]call(nil), calls...)
-			if at != n {
-				all = nil
+		for _, address := range []string{nodeAddress, f.Cores[1].Host + ":7003"} {
+			calls := append([]call(nil), workerCalls...)
+			if address != nodeAddress {
+				calls = nil
 			}
-			all = append(all, []call{
+			calls = append(calls, []call{
 				{"POST", "/app/locks/l", `{"owner":7,"ttl_ms":0}`, "422", "owner ttl_ms"}, {"POST", "/app/locks/l", `{"owner":"a","ttl_ms":1e99}`, "422", "ttl_ms"},
 				{"POST", "/app/locks/l", `{"owner":"a","owner":"b","ttl_ms":9}`, "422", "owner"}, {"POST", "/app/locks/l", `nul`, "400", ""},
 				{"POST", "/app/locks/l", `{"owner":"` + long + `","ttl_ms":9}`, "422", "owner"}, {"PUT", "/app/locks/l", `{}`, "422", "owner ttl_ms fence"},
@@ -55,34 +55,34 @@
 				{"PUT", "/config?by=number", `{`, "400", ""}, {"PUT", "/config?by=number", `[]`, "400", ""}, {"PUT", "/config?by=number", `{}`, "422", "version"},
 				{"PUT", "/config?by=number", `{"version":9,"services":[{"name":"a"},{"name":"a"}],"paths":[{"name":"p","prefix":"x","service":"b"}]}`, "422", "services[1].name paths[0].prefix paths[0].service"},
 			}...)
-			for _, c := range all {
-				code, got := f.Ask(c.method, at, "/puffin"+c.uri, c.body)
+			for _, c := range calls {
+				code, got := f.Ask(c.method, address, "/puffin"+c.uri, c.body)
 				if fmt.Sprint(code) != c.want {
 					t.Errorf("%s %s %.60s: %d %v, want %s", c.method, c.uri, c.body, code, got, c.want)
 				}
-				for _, p := range strings.Fields(c.places) {
-					if !strings.Contains(fmt.Sprint(got["faults"]), p) {
-						t.Errorf("%s %s %.60s: %v doesn't name %s", c.method, c.uri, c.body, got, p)
+				for _, place := range strings.Fields(c.places) {
+					if !strings.Contains(fmt.Sprint(got["faults"]), place) {
+						t.Errorf("%s %s %.60s: %v doesn't name %s", c.method, c.uri, c.body, got, place)
 					}
 				}
 			}
 		}
 		// None of it was done: the first of each is still the first.
-		if _, own := f.Get(n, "/puffin/own"); own["entries"] != float64(3) || own["config_version"] != float64(1) {
+		if _, own := f.Get(nodeAddress, "/puffin/own"); own["entries"] != float64(3) || own["config_version"] != float64(1) {
 			t.Errorf("a wrong call changed something: %v", own)
 		}
 		for _, c := range []struct{ method, uri, body, want string }{
 			{"GET", "/keys/g.k", "", "404 "}, {"GET", "/watch/g.", "", `200 {"changes":[],"rev":0}`},
 			{"POST", "/locks/l", `{"owner":"z","ttl_ms":900}`, `200 {"fence":1}`}, {"POST", "/numbers/n", "", `200 {"value":1}`},
 		} {
-			if code, got := f.raw(c.method, n, "/puffin/app"+c.uri, c.body); !strings.HasPrefix(fmt.Sprint(code, " ", got), c.want) {
+			if code, got := f.raw(c.method, nodeAddress, "/puffin/app"+c.uri, c.body); !strings.HasPrefix(fmt.Sprint(code, " ", got), c.want) {
 				t.Errorf("after all: %s %s: %d %s, want %s", c.method, c.uri, code, got, c.want)
 			}
 		}
 		// A late word changes nothing, a newer one does.
-		for _, c := range []struct{ body, slots string }{{beat("7", "7"), "4"}, {beat(`"slots":4,"state":"up","cold_ms":0,"seq":7`, `"slots":6,"state":"up","seq":6`), "4"}, {beat(`"slots":4,"state":"up","cold_ms":0,"seq":7`, `"slots":5,"state":"up","seq":8`), "5"}} {
-			code, _ := f.Ask("PUT", n, "/puffin/workers/w9", c.body)
-			_, own := f.Get(n, "/puffin/own")
+		for _, c := range []struct{ body, slots string }{{heartbeat("7", "7"), "4"}, {heartbeat(`"slots":4,"state":"up","cold_ms":0,"seq":7`, `"slots":6,"state":"up","seq":6`), "4"}, {heartbeat(`"slots":4,"state":"up","cold_ms":0,"seq":7`, `"slots":5,"state":"up","seq":8`), "5"}} {
+			code, _ := f.Ask("PUT", nodeAddress, "/puffin/workers/w9", c.body)
+			_, own := f.Get(nodeAddress, "/puffin/own")
 			if !strings.Contains(fmt.Sprint(own["workers"]), "slots:"+c.slots) || code != 200 {
 				t.Errorf("%s: %d, %v", c.body, code, own["workers"])
 			}
--- a/internal/sim/boundaries_test.go
+++ b/internal/sim/boundaries_test.go
@@ -29,27 +29,27 @@
 }
 
 func runBoundaries(t *testing.T, reading, silent bool) {
-	s := small()
+	shape := small()
 	plan := &breakPlan{}
-	f := NewFleet(t, s, 970)
-	f.WorkerNet = func(n env.Net) env.Net { return &breakingNet{n, plan} }
+	f := NewFleet(t, shape, 970)
+	f.WorkerNet = func(broken env.Net) env.Net { return &breakingNet{broken, plan} }
 	defer f.Stop()
 	f.Start()
-	const bytes, step = 600, 60 * time.Millisecond
-	calls := f.Load([]standin.Line{
+	const offsets, step = 600, 60 * time.Millisecond
+	waitForCalls := f.Load([]standin.Line{
 		{Method: "POST", URI: "/loans/new", Service: "lending", Rate: 60, Size: 120},
 		{Method: "GET", URI: "/pages/7", Service: "pages", Safe: true, Rate: 60},
 		{Method: "POST", URI: "/scans/up", Service: "scans", Rate: 30, Size: 900},
-	}, bytes*step)
+	}, offsets*step)
 	f.g.Go("breaks", func(ctx context.Context) {
-		for at := 0; at < bytes && ctx.Err() == nil; at++ {
-			plan.schedule(reading, silent, at)
+		for offset := 0; offset < offsets && ctx.Err() == nil; offset++ {
+			plan.schedule(reading, silent, offset)
 			Wait(step)
 		}
 	})
-	calls()
-	if n := plan.count(); n < bytes*2/3 {
-		t.Errorf("only %d of %d connections were broken", n, bytes)
+	waitForCalls()
+	if broken := plan.count(); broken < offsets*2/3 {
+		t.Errorf("only %d of %d connections were broken", broken, offsets)
 	}
 	f.Judge()
 }
--- a/internal/sim/bytes_test.go
+++ b/internal/sim/bytes_test.go
@@ -9,24 +9,24 @@
 	"puffincrank/internal/transport"
 )
 
-// groups puts the kinds of message under what they are for.
-var groups = map[string]string{"job.hand": "jobs", "gossip": "gossip", "replica.digest": "repair", "replica.mend": "repair", "replica.all": "repair", "replica.fill": "repair",
+// purposes puts the kinds of message under what they are for.
+var purposes = map[string]string{"job.hand": "jobs", "gossip": "gossip", "replica.digest": "repair", "replica.mend": "repair", "replica.all": "repair", "replica.fill": "repair",
 	"session.beat": "sessions", "session.share": "sessions", "config.push": "configuration", "store.read": "confirmed polls", "store.beat": "writer's beats",
 	"store.accept": "versions", "store.duty": "duties", "store.offer": "coordination", "outer.call": "coordination", "store.watch": "coordination"}
 
-// away sums the bytes sent to other areas, by what they are for.
-func (f *Fleet) away() map[string]int64 {
-	out := map[string]int64{}
-	add := func(all map[transport.Flow]transport.Traffic) {
-		for k, s := range all {
-			if !k.OtherZone {
+// crossZoneBytes sums the bytes sent to other areas, by what they are for.
+func (f *Fleet) crossZoneBytes() map[string]int64 {
+	sums := map[string]int64{}
+	add := func(traffic map[transport.Flow]transport.Traffic) {
+		for flow, sent := range traffic {
+			if !flow.OtherZone {
 				continue
 			}
-			g := groups[k.Kind]
-			if g == "" {
-				g = "other"
+			purpose := purposes[flow.Kind]
+			if purpose == "" {
+				purpose = "other"
 			}
-			out[g] += s.Bytes
+			sums[purpose] += sent.Bytes
 		}
 	}
 	for _, n := range f.Nodes {
@@ -36,7 +36,7 @@
 		add(c.Store.BytesSent())
 		add(c.Registry.BytesSent())
 	}
-	return out
+	return sums
 }
 
 // TestBytes measures the bytes between areas for each job in the Fumettoteca's
@@ -48,27 +48,27 @@
 		defer f.Stop()
 		f.Start()
 		Wait(3 * time.Second)
-		before := f.away()
-		apps := f.apps(8 * time.Second)
+		before := f.crossZoneBytes()
+		waitForApps := f.apps(8 * time.Second)
 		f.Load(f.S.Lines, 8*time.Second)()
-		apps()
+		waitForApps()
 		f.Judge()
-		jobs := float64(f.Obs.Counts()["done"])
+		requests := float64(f.Obs.Counts()["done"])
 		var names []string
-		after := f.away()
-		for k := range after {
-			names = append(names, k)
+		after := f.crossZoneBytes()
+		for purpose := range after {
+			names = append(names, purpose)
 		}
 		sort.Strings(names)
-		all := 0.0
-		for _, k := range names {
-			b := float64(after[k] - before[k])
-			all += b
-			t.Logf("%-16s %7.1f bytes between areas for each job", k, b/jobs)
+		total := 0.0
+		for _, purpose := range names {
+			bytes := float64(after[purpose] - before[purpose])
+			total += bytes
+			t.Logf("%-16s %7.1f bytes between areas for each job", purpose, bytes/requests)
 		}
-		t.Logf("%-16s %7.1f", "all", all/jobs)
-		if jobs < 6000 || all/jobs > 800 {
-			t.Errorf("%.0f jobs, %.0f bytes between areas for each", jobs, all/jobs)
+		t.Logf("%-16s %7.1f", "all", total/requests)
+		if requests < 6000 || total/requests > 800 {
+			t.Errorf("%.0f jobs, %.0f bytes between areas for each", requests, total/requests)
 		}
 	})
 }
--- a/internal/sim/callerhistory_test.go
+++ b/internal/sim/callerhistory_test.go
@@ -31,63 +31,63 @@
 }
 
 // asks makes calls of all kinds at one machine until the context ends.
-func (l *lab) asks(ctx context.Context, h *history, at *Core, rnd *rand.Rand, next func() uint64) {
+func (l *lab) asks(ctx context.Context, seen *history, machine *Core, rnd *rand.Rand, next func() uint64) {
 	for i := 0; ctx.Err() == nil; i++ {
 		Wait(time.Duration(30+rnd.IntN(100)) * time.Millisecond)
-		name := fmt.Sprintf("%s-%d", at.Host, i)
+		name := fmt.Sprintf("%s-%d", machine.Host, i)
 		switch rnd.IntN(6) {
 		case 0:
-			l.askKey(h, at, name, true)
+			l.callKey(seen, machine, name, true)
 		case 1:
-			l.askKey(h, at, name, false)
+			l.callKey(seen, machine, name, false)
 		case 2:
-			l.askNumber(h, at)
+			l.callNumber(seen, machine)
 		case 3:
-			l.askOrder(h, at, next(), name)
+			l.callOrder(seen, machine, next(), name)
 		case 4:
-			l.askConfig(h, at)
+			l.callConfig(seen, machine)
 		case 5:
-			l.askLock(h, at, name)
+			l.callLock(seen, machine, name)
 		}
 	}
 }
 
-func (h *history) note(at *Core, certain bool, add func()) {
+func (h *history) record(machine *Core, certain bool, add func()) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if certain {
-		h.answered[at.Host]++
+		h.answered[machine.Host]++
 	}
 	add()
 }
 
-func (l *lab) askKey(h *history, at *Core, value string, write bool) {
+func (l *lab) callKey(seen *history, machine *Core, value string, write bool) {
 	op := standin.Op{Key: "k", Write: write, Value: value, From: time.Now()}
 	var code int
 	var got map[string]any
 	if write {
-		code, _ = l.Ask("PUT", at.Host+":7003", "/puffin/keys/k?left_ms=800", fmt.Sprintf(`{"value":%q}`, value))
+		code, _ = l.Ask("PUT", machine.Host+":7003", "/puffin/keys/k?left_ms=800", fmt.Sprintf(`{"value":%q}`, value))
 	} else {
-		code, got = l.Get(at.Host+":7003", "/puffin/keys/k?left_ms=800")
+		code, got = l.Get(machine.Host+":7003", "/puffin/keys/k?left_ms=800")
 		op.Value, _ = got["value"].(string)
 	}
 	op.To, op.Unknown = time.Now(), code != 200 && (write || code != 404)
 	if code == 503 {
 		return
 	}
-	h.note(at, !op.Unknown, func() { h.keys = append(h.keys, op) })
+	seen.record(machine, !op.Unknown, func() { seen.keys = append(seen.keys, op) })
 }
 
-func (l *lab) askNumber(h *history, at *Core) {
+func (l *lab) callNumber(seen *history, machine *Core) {
 	call := standin.HistoryCall{From: time.Now()}
-	code, got := l.Ask("POST", at.Host+":7003", "/puffin/numbers/n/next?left_ms=800", "{}")
+	code, got := l.Ask("POST", machine.Host+":7003", "/puffin/numbers/n/next?left_ms=800", "{}")
 	call.To = time.Now()
-	n, _ := got["number"].(float64)
+	number, _ := got["number"].(float64)
 	if code != 200 {
 		return
 	}
-	call.Out = uint64(n)
-	h.note(at, true, func() { h.numbers = append(h.numbers, call) })
+	call.Out = uint64(number)
+	seen.record(machine, true, func() { seen.numbers = append(seen.numbers, call) })
 }
 
 // numberedDoc is the shape's document under a number, told apart by one time.
@@ -96,47 +96,47 @@
 	return strings.Replace(doc, `"name":"read"`, fmt.Sprintf(`"name":%q`, content), 1)
 }
 
-func (l *lab) askOrder(h *history, at *Core, number uint64, content string) {
+func (l *lab) callOrder(seen *history, machine *Core, number uint64, content string) {
 	call := standin.HistoryCall{In: standin.Order{Number: number, Content: content}, From: time.Now()}
-	code, _ := l.Ask("PUT", at.Host+":7003", "/puffin/config?by=number&left_ms=800", l.numberedDoc(number, content))
+	code, _ := l.Ask("PUT", machine.Host+":7003", "/puffin/config?by=number&left_ms=800", l.numberedDoc(number, content))
 	call.To = time.Now()
 	if code == 503 {
 		return
 	}
 	call.Out, call.Unknown = standin.OrderAnswer{Refused: code == 409}, code != 200 && code != 409
-	h.note(at, !call.Unknown, func() { h.orders = append(h.orders, call) })
+	seen.record(machine, !call.Unknown, func() { seen.orders = append(seen.orders, call) })
 }
 
-func (l *lab) askConfig(h *history, at *Core) {
+func (l *lab) callConfig(seen *history, machine *Core) {
 	call := standin.HistoryCall{In: standin.Order{}, From: time.Now()}
-	code, got := l.Get(at.Host+":7003", "/puffin/config?as=sent&left_ms=800")
+	code, got := l.Get(machine.Host+":7003", "/puffin/config?as=sent&left_ms=800")
 	call.To = time.Now()
 	if code != 200 && code != 404 {
 		return
 	}
-	out := standin.OrderAnswer{}
+	answer := standin.OrderAnswer{}
 	if code == 200 {
-		n, _ := got["version"].(float64)
-		out.Number = uint64(n)
+		version, _ := got["version"].(float64)
+		answer.Number = uint64(version)
 		paths, _ := got["paths"].([]any)
 		first, _ := paths[0].(map[string]any)
-		out.Content, _ = first["name"].(string)
+		answer.Content, _ = first["name"].(string)
 	}
-	call.Out = out
-	h.note(at, true, func() { h.orders = append(h.orders, call) })
+	call.Out = answer
+	seen.record(machine, true, func() { seen.orders = append(seen.orders, call) })
 }
 
-func (l *lab) askLock(h *history, at *Core, owner string) {
+func (l *lab) callLock(seen *history, machine *Core, owner string) {
 	const ttl = 700 * time.Millisecond
 	from := time.Now()
-	code, got := l.Ask("POST", at.Host+":7003", "/puffin/locks/x/acquire?left_ms=800", fmt.Sprintf(`{"owner":%q,"ttl_ms":%d}`, owner, ttl.Milliseconds()))
+	code, got := l.Ask("POST", machine.Host+":7003", "/puffin/locks/x/acquire?left_ms=800", fmt.Sprintf(`{"owner":%q,"ttl_ms":%d}`, owner, ttl.Milliseconds()))
 	if code != 200 {
-		h.note(at, code == 409, func() {})
+		seen.record(machine, code == 409, func() {})
 		return
 	}
 	fence, _ := got["fence"].(float64)
-	one := lockHold{owner, fence, time.Now(), from.Add(ttl)}
-	h.note(at, true, func() { h.holds = append(h.holds, one) })
+	hold := lockHold{owner, fence, time.Now(), from.Add(ttl)}
+	seen.record(machine, true, func() { seen.holds = append(seen.holds, hold) })
 }
 
 // judge checks what callers saw.
--- a/internal/sim/capacity_test.go
+++ b/internal/sim/capacity_test.go
@@ -17,29 +17,29 @@
 	for _, nodes := range []int{14, 11} {
 		t.Run("", func(t *testing.T) {
 			t.Parallel()
-			best, room := 0.0, 0.0
+			bestScale, bestUse := 0.0, 0.0
 			for scale := 0.6; scale < 4; scale += 0.2 {
-				part, used := 0.0, 0.0
+				failed, used := 0.0, 0.0
 				synctest.Test(t, func(t *testing.T) {
-					s := Ingenzi(scale)
-					s.Nodes = nodes
-					f := NewFleet(t, s, 430)
+					shape := Ingenzi(scale)
+					shape.Nodes = nodes
+					f := NewFleet(t, shape, 430)
 					defer f.Stop()
 					f.Start()
-					f.Load(s.Lines, 12*time.Second)()
-					n := f.Obs.Counts()
-					part = float64(n["busy"]+n["unknown"]) / float64(n["calls"])
-					for _, k := range s.Services {
-						used += float64(f.Obs.Runs(k)) * s.Took[k].Seconds() / (float64(nodes*s.Slots) * 12)
+					f.Load(shape.Lines, 12*time.Second)()
+					counts := f.Obs.Counts()
+					failed = float64(counts["busy"]+counts["unknown"]) / float64(counts["calls"])
+					for _, service := range shape.Services {
+						used += float64(f.Obs.Runs(service)) * shape.Took[service].Seconds() / (float64(nodes*shape.Slots) * 12)
 					}
 				})
-				t.Logf("%d workers, %.1f times the rate: %.4f busy or unknown, room used %.2f", nodes, scale, part, used)
-				if part > 0.01 {
+				t.Logf("%d workers, %.1f times the rate: %.4f busy or unknown, room used %.2f", nodes, scale, failed, used)
+				if failed > 0.01 {
 					break
 				}
-				best, room = scale, used
+				bestScale, bestUse = scale, used
 			}
-			t.Logf("%d workers bear %.1f times Ingenzi's rate with a hundredth busy at most, room used %.2f", nodes, best, room)
+			t.Logf("%d workers bear %.1f times Ingenzi's rate with a hundredth busy at most, room used %.2f", nodes, bestScale, bestUse)
 		})
 	}
 }
--- a/internal/sim/choke_test.go
+++ b/internal/sim/choke_test.go
@@ -22,60 +22,60 @@
 		t.Run(lag.String(), func(t *testing.T) {
 			t.Parallel()
 			synctest.Test(t, func(t *testing.T) {
-				s := Fumettoteca(0.3)
-				f := NewFleet(t, s, 71)
+				shape := Fumettoteca(0.3)
+				f := NewFleet(t, shape, 71)
 				defer f.Stop()
 				seen := map[string]int{}
-				n := f.Nodes[4]
-				f.Log = func(e event.Entry) {
-					if e.Node == "node-"+n.Host {
+				node := f.Nodes[4]
+				f.Log = func(entry event.Entry) {
+					if entry.Node == "node-"+node.Host {
 						f.mu.Lock()
-						seen[e.Name]++
+						seen[entry.Name]++
 						f.mu.Unlock()
 					}
 				}
 				f.Start()
-				wait := f.Load(s.Lines, 14*time.Second)
+				waitForLoad := f.Load(shape.Lines, 14*time.Second)
 				// Its own callers are many, so that bytes come in all the time.
-				own := standin.NewCallers(f.env("own", n.Host, n.Area, &n.skew), []string{n.Host + ":8000"}, f.Obs, 15*time.Second)
+				ownCallers := standin.NewCallers(f.env("own", node.Host, node.Area, &node.skew), []string{node.Host + ":8000"}, f.Obs, 15*time.Second)
 				f.g.Go("own", func(context.Context) {
 					for i := range 2000 {
-						go own.At(n.Host+":8000", s.Lines[i%2])
+						go ownCallers.At(node.Host+":8000", shape.Lines[i%2])
 						Wait(5 * time.Millisecond)
 					}
 				})
 				Wait(2 * time.Second)
-				from := time.Now()
-				f.Net.Lag(n.Host, lag)
+				start := time.Now()
+				f.Net.Lag(node.Host, lag)
 				// Its session is over before the change, so nobody pushes it there.
 				Wait(3 * time.Second)
-				doc := strings.Replace(s.Doc, `"/credits","service":"scans"`, `"/extra","service":"pages"`, 1)
+				doc := strings.Replace(shape.Doc, `"/credits","service":"scans"`, `"/extra","service":"pages"`, 1)
 				if code, _ := f.Ask("PUT", f.Cores[0].Host+":7003", "/puffin/config?based_on=1&emergency=true&left_ms=2500", doc); code != 200 {
 					t.Fatalf("the change was answered %d", code)
 				}
 				Wait(2 * time.Second)
-				got := map[string]map[int]int{"/extra/1": {}, "/credits/1": {}, "/loans/1": {}}
+				answers := map[string]map[int]int{"/extra/1": {}, "/credits/1": {}, "/loans/1": {}}
 				for range 12 {
-					for uri, codes := range got {
-						code, _ := f.Ask("POST", n.Host+":8000", uri, "x")
+					for uri, codes := range answers {
+						code, _ := f.Ask("POST", node.Host+":8000", uri, "x")
 						codes[code]++
 					}
 					Wait(100 * time.Millisecond)
 				}
-				t.Logf("answers by path: %v; events there: %v", got, seen)
-				if got["/extra/1"][404] > 0 {
-					t.Errorf("a path that was added is unknown after the bound: %v", got["/extra/1"])
+				t.Logf("answers by path: %v; events there: %v", answers, seen)
+				if answers["/extra/1"][404] > 0 {
+					t.Errorf("a path that was added is unknown after the bound: %v", answers["/extra/1"])
 				}
-				if got["/credits/1"][200] > 0 {
-					t.Errorf("a path that was taken away runs after the bound: %v", got["/credits/1"])
+				if answers["/credits/1"][200] > 0 {
+					t.Errorf("a path that was taken away runs after the bound: %v", answers["/credits/1"])
 				}
-				f.Net.Lag(n.Host, 0)
+				f.Net.Lag(node.Host, 0)
 				f.Until(5*time.Second, "the node is sure again", func() bool {
-					code, _ := f.Ask("POST", n.Host+":8000", "/extra/1", "x")
+					code, _ := f.Ask("POST", node.Host+":8000", "/extra/1", "x")
 					return code == 200
 				})
-				wait()
-				f.Obs.Lost(n.Host+":8000", from, time.Now())
+				waitForLoad()
+				f.Obs.Lost(node.Host+":8000", start, time.Now())
 			})
 		})
 	}
@@ -88,46 +88,46 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			synctest.Test(t, func(t *testing.T) {
-				s := Fumettoteca(0.3)
-				f := NewFleet(t, s, 72)
+				shape := Fumettoteca(0.3)
+				f := NewFleet(t, shape, 72)
 				defer f.Stop()
 				f.Start()
-				wait := f.Load(s.Lines, 8*time.Second)
+				waitForLoad := f.Load(shape.Lines, 8*time.Second)
 				Wait(2 * time.Second)
-				n, from := f.Nodes[4], time.Now()
+				node, start := f.Nodes[4], time.Now()
 				if name == "from all" {
-					f.Net.Isolate(n.Host, true)
+					f.Net.Isolate(node.Host, true)
 				} else {
 					for _, c := range f.Cores {
-						f.Net.Cut(n.Host, c.Host, true)
-						f.Net.Cut(c.Host, n.Host, true)
+						f.Net.Cut(node.Host, c.Host, true)
+						f.Net.Cut(c.Host, node.Host, true)
 					}
 				}
 				// Its own worker's jobs, by callers on the same machine.
-				line := s.Lines[2]
-				if n.Worker.Service != line.Service {
-					t.Fatalf("its worker is of %s", n.Worker.Service)
+				line := shape.Lines[2]
+				if node.Worker.Service != line.Service {
+					t.Fatalf("its worker is of %s", node.Worker.Service)
 				}
-				own := standin.NewCallers(f.env("own", n.Host, n.Area, &n.skew), []string{n.Host + ":8000"}, f.Obs, 15*time.Second)
-				var last time.Duration
+				ownCallers := standin.NewCallers(f.env("own", node.Host, node.Area, &node.skew), []string{node.Host + ":8000"}, f.Obs, 15*time.Second)
+				var lastFailure time.Duration
 				done, refused := 0, 0
-				for time.Since(from) < 5*time.Second {
-					at := time.Since(from)
-					if c := own.At(n.Host+":8000", line); c.Status == 200 {
+				for time.Since(start) < 5*time.Second {
+					elapsed := time.Since(start)
+					if c := ownCallers.At(node.Host+":8000", line); c.Status == 200 {
 						done++
 					} else {
 						refused++
-						last = at
+						lastFailure = elapsed
 					}
 					Wait(20 * time.Millisecond)
 				}
-				t.Logf("%d done, %d not, the last of these %v after the cut", done, refused, last)
-				if last > bound || done < 5 {
-					t.Errorf("%d done, and jobs failed until %v after the cut", done, last)
+				t.Logf("%d done, %d not, the last of these %v after the cut", done, refused, lastFailure)
+				if lastFailure > bound || done < 5 {
+					t.Errorf("%d done, and jobs failed until %v after the cut", done, lastFailure)
 				}
-				f.Net.Isolate(n.Host, false)
-				wait()
-				f.Obs.Lost(n.Host+":8000", from, time.Now())
+				f.Net.Isolate(node.Host, false)
+				waitForLoad()
+				f.Obs.Lost(node.Host+":8000", start, time.Now())
 			})
 		})
 	}
--- a/internal/sim/congestcut_test.go
+++ b/internal/sim/congestcut_test.go
@@ -9,7 +9,7 @@
 // leaves none of them without an end.
 func TestThinStop(t *testing.T) {
 	t.Parallel()
-	got := congest(t, false, bulky(rate), narrow(rate), func(f *Fleet) {
+	got := runCongested(t, false, bulkLines(linkRate), narrow(linkRate), func(f *Fleet) {
 		for _, n := range f.Nodes {
 			if n.Worker.Service == "scans" {
 				Wait(8 * time.Second)
@@ -18,7 +18,7 @@
 			}
 		}
 	})
-	if got.lost() > 3 || got.bulk["done"] < 250 {
+	if got.lostBulk() > 3 || got.bulk["done"] < 250 {
 		t.Errorf("bulk ended %v", got.bulk)
 	}
 }
@@ -28,12 +28,12 @@
 // done is whole, and after it urgent calls and bulk go on.
 func TestThinCut(t *testing.T) {
 	t.Parallel()
-	for _, long := range []time.Duration{200 * time.Millisecond, 3 * time.Second} {
-		t.Run(long.String(), func(t *testing.T) {
-			got := congest(t, false, bulky(rate), narrow(rate), func(f *Fleet) {
+	for _, duration := range []time.Duration{200 * time.Millisecond, 3 * time.Second} {
+		t.Run(duration.String(), func(t *testing.T) {
+			got := runCongested(t, false, bulkLines(linkRate), narrow(linkRate), func(f *Fleet) {
 				Wait(10 * time.Second)
 				f.cutArea(Areas[1], true)
-				Wait(long)
+				Wait(duration)
 				f.cutArea(Areas[1], false)
 			})
 			if got.bulk["done"] < 250 || got.bulk["not whole"]+got.bulk["no time"] > 0 {
--- a/internal/sim/core_test.go
+++ b/internal/sim/core_test.go
@@ -20,31 +20,31 @@
 }
 
 // apps runs coordination callers in the background.
-func (f *Fleet) apps(long time.Duration) func() *standin.Coord {
-	_, over := f.appsNow(long)
-	return over
+func (f *Fleet) apps(duration time.Duration) func() *standin.Coord {
+	_, wait := f.appsNow(duration)
+	return wait
 }
 
 // appsNow is the same, and gives the callers while they run.
-func (f *Fleet) appsNow(long time.Duration) (*standin.Coord, func() *standin.Coord) {
+func (f *Fleet) appsNow(duration time.Duration) (*standin.Coord, func() *standin.Coord) {
 	f.Net.Place("10.0.9.7", "outside")
-	var at []string
+	var addresses []string
 	for _, c := range f.Cores {
-		at = append(at, c.Host+":7003")
+		addresses = append(addresses, c.Host+":7003")
 	}
 	for _, n := range f.Nodes {
-		at = append(at, n.Host+":7003")
+		addresses = append(addresses, n.Host+":7003")
 	}
-	c := standin.NewCoord(f.env("apps", "10.0.9.7", "outside", new(atomic.Int64)), at, f.Obs)
+	c := standin.NewCoord(f.env("apps", "10.0.9.7", "outside", new(atomic.Int64)), addresses, f.Obs)
 	if f.Polled {
 		c.Skip = f.poll()
 	}
-	over := make(chan struct{})
+	done := make(chan struct{})
 	f.g.Go("apps", func(context.Context) {
-		c.Run(10, 60, long)
-		close(over)
+		c.Run(10, 60, duration)
+		close(done)
 	})
-	return c, func() *standin.Coord { <-over; return c }
+	return c, func() *standin.Coord { <-done; return c }
 }
 
 // serves waits until a write goes through any node, and tells how long.
@@ -62,44 +62,44 @@
 }
 
 func (f *Fleet) keep() kept {
-	_, a := f.Ask("PUT", f.Cores[1].Host+":7003", "/puffin/keys/kept", `{"value":"v"}`)
-	_, b := f.Ask("POST", f.Nodes[0].Host+":7003", "/puffin/numbers/kept/next", `{}`)
-	_, c := f.Ask("POST", f.Nodes[1].Host+":7003", "/puffin/locks/kept/acquire", `{"owner":"me","ttl_ms":600000}`)
-	_, d := f.Get(f.Nodes[0].Host+":7003", "/puffin/config")
-	rev, _ := a["rev"].(float64)
-	num, _ := b["number"].(float64)
-	fence, _ := c["fence"].(float64)
-	version, _ := d["version"].(float64)
-	if rev == 0 || num == 0 || fence == 0 || version == 0 {
-		f.T.Fatalf("nothing was acknowledged: %v %v %v %v", a, b, c, d)
+	_, keyAnswer := f.Ask("PUT", f.Cores[1].Host+":7003", "/puffin/keys/kept", `{"value":"v"}`)
+	_, numberAnswer := f.Ask("POST", f.Nodes[0].Host+":7003", "/puffin/numbers/kept/next", `{}`)
+	_, lockAnswer := f.Ask("POST", f.Nodes[1].Host+":7003", "/puffin/locks/kept/acquire", `{"owner":"me","ttl_ms":600000}`)
+	_, configAnswer := f.Get(f.Nodes[0].Host+":7003", "/puffin/config")
+	rev, _ := keyAnswer["rev"].(float64)
+	number, _ := numberAnswer["number"].(float64)
+	fence, _ := lockAnswer["fence"].(float64)
+	version, _ := configAnswer["version"].(float64)
+	if rev == 0 || number == 0 || fence == 0 || version == 0 {
+		f.T.Fatalf("nothing was acknowledged: %v %v %v %v", keyAnswer, numberAnswer, lockAnswer, configAnswer)
 	}
-	return kept{uint64(rev), uint64(num), uint64(fence), version}
+	return kept{uint64(rev), uint64(number), uint64(fence), version}
 }
 
-func (f *Fleet) still(k kept) {
+func (f *Fleet) still(expected kept) {
 	f.T.Helper()
-	at := f.Nodes[2].Host + ":7003"
-	_, a := f.Get(at, "/puffin/keys/kept")
-	_, b := f.Ask("POST", at, "/puffin/numbers/kept/next", `{}`)
-	code, c := f.Ask("POST", at, "/puffin/locks/kept/acquire", `{"owner":"other"}`)
-	_, d := f.Get(at, "/puffin/config")
-	num, _ := b["number"].(float64)
-	if a["value"] != "v" || a["rev"] != float64(k.rev) || uint64(num) <= k.num || code != 409 || c["fence"] != float64(k.fence) || d["version"] != k.version {
-		f.T.Errorf("lost after the fault: %v %v %d %v %v, kept %+v", a, b, code, c, d["version"], k)
+	address := f.Nodes[2].Host + ":7003"
+	_, keyAnswer := f.Get(address, "/puffin/keys/kept")
+	_, numberAnswer := f.Ask("POST", address, "/puffin/numbers/kept/next", `{}`)
+	code, lockAnswer := f.Ask("POST", address, "/puffin/locks/kept/acquire", `{"owner":"other"}`)
+	_, configAnswer := f.Get(address, "/puffin/config")
+	number, _ := numberAnswer["number"].(float64)
+	if keyAnswer["value"] != "v" || keyAnswer["rev"] != float64(expected.rev) || uint64(number) <= expected.num || code != 409 || lockAnswer["fence"] != float64(expected.fence) || configAnswer["version"] != expected.version {
+		f.T.Errorf("lost after the fault: %v %v %d %v %v, kept %+v", keyAnswer, numberAnswer, code, lockAnswer, configAnswer["version"], expected)
 	}
-	f.Ask("POST", at, "/puffin/locks/kept/release", `{"owner":"me"}`)
+	f.Ask("POST", address, "/puffin/locks/kept/release", `{"owner":"me"}`)
 }
 
-// coreFault is one fault of the core: brought about, then mended.
-type coreFault struct {
-	name string
-	do   func(f *Fleet)
-	undo func(f *Fleet)
-	away time.Duration // how long it lasts
-	back time.Duration // bound on service after do, while it lasts; 0: none is owed
+// controlPlaneFault is one fault of the core: brought about, then mended.
+type controlPlaneFault struct {
+	name     string
+	do       func(f *Fleet)
+	undo     func(f *Fleet)
+	duration time.Duration // how long it lasts
+	recovery time.Duration // bound on service after do, while it lasts; 0: none is owed
 }
 
-var coreFaults = []coreFault{
+var controlPlaneFaults = []controlPlaneFault{
 	{"writer killed and its power lost", func(f *Fleet) { f.KillCore(f.mark(f.Writer()), true) }, func(f *Fleet) { f.BackCore(f.marked) }, 5 * time.Second, 5 * time.Second},
 	{"writer isolated", func(f *Fleet) { f.Net.Isolate(f.mark(f.Writer()).Host, true) }, func(f *Fleet) { f.Net.Isolate(f.marked.Host, false) }, 6 * time.Second, 6 * time.Second},
 	{"writer cut one way: it hears, but nobody hears it", func(f *Fleet) { f.oneWay(f.mark(f.Writer()), true) }, func(f *Fleet) { f.oneWay(f.marked, false) }, 6 * time.Second, 6 * time.Second},
@@ -144,9 +144,9 @@
 }
 
 func (f *Fleet) oneWay(c *Core, on bool) {
-	for _, o := range f.Cores {
-		if o != c {
-			f.Net.Cut(c.Host, o.Host, on)
+	for _, other := range f.Cores {
+		if other != c {
+			f.Net.Cut(c.Host, other.Host, on)
 		}
 	}
 	for _, n := range f.Nodes {
@@ -159,29 +159,29 @@
 // and service returns within the bound.
 func TestCoreFaults(t *testing.T) {
 	t.Parallel()
-	for i, c := range coreFaults {
-		t.Run(c.name, func(t *testing.T) {
+	for i, fault := range controlPlaneFaults {
+		t.Run(fault.name, func(t *testing.T) {
 			t.Parallel()
 			synctest.Test(t, func(t *testing.T) {
 				f := NewFleet(t, small(), uint64(i)+10)
 				defer f.Stop()
 				f.Start()
-				k := f.keep()
-				apps := f.apps(c.away + 14*time.Second)
+				expected := f.keep()
+				waitForApps := f.apps(fault.duration + 14*time.Second)
 				Wait(2 * time.Second)
-				c.do(f)
-				if c.back > 0 {
-					t.Logf("writes go through %v after the fault", f.serves(c.back).Round(time.Millisecond))
+				fault.do(f)
+				if fault.recovery > 0 {
+					t.Logf("writes go through %v after the fault", f.serves(fault.recovery).Round(time.Millisecond))
 				}
-				Wait(c.away)
-				c.undo(f)
+				Wait(fault.duration)
+				fault.undo(f)
 				t.Logf("writes go through %v after machines came back", f.serves(15*time.Second).Round(time.Millisecond))
 				f.Until(15*time.Second, "all three stores are ready", f.coreReady)
-				a := apps()
-				f.still(k)
+				coord := waitForApps()
+				f.still(expected)
 				f.Judge()
-				if a.Done["locks 200"] < 50 || a.Done["keys 200"] < 50 || a.Done["watch?prefix=k 200"] < 5 {
-					t.Errorf("too few calls went through: %v", a.Done)
+				if coord.Done["locks 200"] < 50 || coord.Done["keys 200"] < 50 || coord.Done["watch?prefix=k 200"] < 5 {
+					t.Errorf("too few calls went through: %v", coord.Done)
 				}
 			})
 		})
@@ -209,24 +209,24 @@
 		f := NewFleet(t, small(), 30)
 		defer f.Stop()
 		var replaced atomic.Int64
-		f.Log = func(e event.Entry) {
-			if e.Number == event.Replaced.Number {
+		f.Log = func(entry event.Entry) {
+			if entry.Number == event.Replaced.Number {
 				replaced.Add(1)
 			}
 		}
 		f.Start()
-		k := f.keep()
-		apps := f.apps(45 * time.Second)
+		expected := f.keep()
+		waitForApps := f.apps(45 * time.Second)
 		lost := f.mark(f.Writer())
 		f.KillCore(lost, false)
 		fresh := &Core{Host: "10.0.0.44", Area: lost.Area, Disk: NewDisk()}
 		f.Cores = append(f.Cores, fresh)
 		f.BackCore(fresh)
-		took := f.Until(25*time.Second, "the new store is a ready member", func() bool {
+		elapsed := f.Until(25*time.Second, "the new store is a ready member", func() bool {
 			code, got := f.Get(fresh.Host+":7004", "/puffin/ready")
 			return code == 200 && replaced.Load() == 1 && fmt.Sprint(got["role"]) != "empty"
 		})
-		t.Logf("in place %v after its start", took.Round(time.Millisecond))
+		t.Logf("in place %v after its start", elapsed.Round(time.Millisecond))
 		f.serves(5 * time.Second)
 		for _, c := range f.Cores {
 			if c != lost && c != fresh {
@@ -235,8 +235,8 @@
 			}
 		}
 		t.Logf("after the second fault writes go through in %v", f.serves(10*time.Second).Round(time.Millisecond))
-		f.still(k)
-		apps()
+		f.still(expected)
+		waitForApps()
 		f.Judge()
 	})
 }
--- a/internal/sim/corearea_test.go
+++ b/internal/sim/corearea_test.go
@@ -11,16 +11,16 @@
 	"puffincrank/internal/event"
 )
 
-// ground is a core whose machines stand in some areas, "region/area" each, in
+// layout is a core whose machines stand in some areas, "region/area" each, in
 // the order in which they are added: the first three found it.
-type ground struct {
-	name                 string
-	at                   string
-	bear, areas, regions int
-	moves                int // changes of the members beyond the growth, at the most
+type layout struct {
+	name                                    string
+	machines                                string
+	machineLosses, zoneLosses, regionLosses int
+	extraChanges                            int // changes of the members beyond the growth, at the most
 }
 
-var grounds = []ground{
+var layouts = []layout{
 	{"founded in one area", "a/x a/x a/x a/y a/z", 1, 1, 0, 2},
 	{"founded in one area, five vote", "a/x a/x a/x a/x a/y a/y a/z", 2, 1, 0, 2},
 	{"founded in one region", "a/x a/y a/x b/z c/w", 1, 0, 1, 2},
@@ -29,47 +29,47 @@
 	{"seven vote", "a/x a/x a/x a/y a/y a/y a/z a/z a/z", 3, 1, 0, 0},
 }
 
-func (g ground) votes() int { return 2*max(g.bear, g.areas, g.regions) + 1 }
+func (g layout) voters() int { return 2*max(g.machineLosses, g.zoneLosses, g.regionLosses) + 1 }
 
-func (g ground) lab(t *testing.T, seed uint64) *lab {
-	at := strings.Fields(g.at)
-	l := newLab(t, seed, len(at), g.bear)
-	l.Stores["bear_areas"], l.Stores["bear_regions"] = json.Number(fmt.Sprint(g.areas)), json.Number(fmt.Sprint(g.regions))
+func (g layout) lab(t *testing.T, seed uint64) *lab {
+	places := strings.Fields(g.machines)
+	l := newLab(t, seed, len(places), g.machineLosses)
+	l.Stores["bear_areas"], l.Stores["bear_regions"] = json.Number(fmt.Sprint(g.zoneLosses)), json.Number(fmt.Sprint(g.regionLosses))
 	for i, c := range l.Cores {
-		c.Region, c.Area, _ = strings.Cut(at[i], "/")
+		c.Region, c.Area, _ = strings.Cut(places[i], "/")
 	}
 	return l
 }
 
-// lands are what may be lost at once: the machines of each area, or region.
-func (l *lab) lands(g ground) map[string][]*Core {
-	out := map[string][]*Core{}
+// lossDomains are what may be lost at once: the machines of each area, or region.
+func (l *lab) lossDomains(placed layout) map[string][]*Core {
+	domains := map[string][]*Core{}
 	for _, c := range l.Cores {
-		if g.areas > 0 {
-			out["area "+c.Area] = append(out["area "+c.Area], c)
+		if placed.zoneLosses > 0 {
+			domains["area "+c.Area] = append(domains["area "+c.Area], c)
 		}
-		if g.regions > 0 {
-			out["region "+c.Region] = append(out["region "+c.Region], c)
+		if placed.regionLosses > 0 {
+			domains["region "+c.Region] = append(domains["region "+c.Region], c)
 		}
 	}
-	return out
+	return domains
 }
 
-// bears tells whether the loss of any of them leaves a majority.
-func (l *lab) bears(g ground) bool {
-	at := l.places()
-	for _, in := range l.lands(g) {
-		n := 0
-		for _, c := range in {
-			if at[c.Host] {
-				n++
+// tolerates tells whether the loss of any of them leaves a majority.
+func (l *lab) tolerates(placed layout) bool {
+	voters := l.places()
+	for _, machines := range l.lossDomains(placed) {
+		lost := 0
+		for _, c := range machines {
+			if voters[c.Host] {
+				lost++
 			}
 		}
-		if n > (len(at)-1)/2 {
+		if lost > (len(voters)-1)/2 {
 			return false
 		}
 	}
-	return len(at) == g.votes()
+	return len(voters) == placed.voters()
 }
 
 // TestCoreBearsAreas: wherever a core was founded, its voters move until the loss
@@ -79,23 +79,23 @@
 // nothing acknowledged is gone.
 func TestCoreBearsAreas(t *testing.T) {
 	heavy(t)
-	for i, g := range grounds {
-		t.Run(g.name, func(t *testing.T) {
+	for i, placed := range layouts {
+		t.Run(placed.name, func(t *testing.T) {
 			t.Parallel()
-			for _, how := range []string{"power", "disks", "disks, and all others' power"} {
+			for _, failure := range []string{"power", "disks", "disks, and all others' power"} {
 				synctest.Test(t, func(t *testing.T) {
-					l := g.lab(t, uint64(i)+880)
+					l := placed.lab(t, uint64(i)+880)
 					defer l.Stop()
 					l.up()
-					took := l.Until(8*time.Second, "the core bears what it must", func() bool { return l.bears(g) && l.coreReady() })
+					elapsed := l.Until(8*time.Second, "the core bears what it must", func() bool { return l.tolerates(placed) && l.coreReady() })
 					Wait(4 * time.Second)
-					grown := g.votes() - min(3, len(l.Cores))
-					if n := l.count(event.Replaced); n < grown || n > grown+g.moves {
-						t.Errorf("the members changed %d times", n)
+					added := placed.voters() - min(3, len(l.Cores))
+					if changes := l.count(event.Replaced); changes < added || changes > added+placed.extraChanges {
+						t.Errorf("the members changed %d times", changes)
 					}
-					t.Logf("%v after the first writer", took.Round(10*time.Millisecond))
-					for name, lost := range l.lands(g) {
-						l.loses(t, g, name, how, lost)
+					t.Logf("%v after the first writer", elapsed.Round(10*time.Millisecond))
+					for name, lost := range l.lossDomains(placed) {
+						l.loseDomain(t, placed, name, failure, lost)
 					}
 				})
 			}
@@ -103,42 +103,42 @@
 	}
 }
 
-func (l *lab) loses(t *testing.T, g ground, name, how string, lost []*Core) {
-	k := l.marks(20)
-	back := lost
-	if strings.Contains(how, "others") {
-		back = l.Cores
+func (l *lab) loseDomain(t *testing.T, placed layout, name, failure string, lost []*Core) {
+	expected := l.marks(20)
+	stopped := lost
+	if strings.Contains(failure, "others") {
+		stopped = l.Cores
 	}
 	l.Stores["founding"] = false
-	for _, c := range back {
+	for _, c := range stopped {
 		l.KillCore(c, true)
 	}
-	if how != "power" {
+	if failure != "power" {
 		for _, c := range lost {
 			c.Disk.Wipe()
 		}
 	}
-	if len(back) == len(lost) {
-		if took := l.next(4 * time.Second); took > 1500*time.Millisecond {
-			t.Errorf("%s lost with its %s: the next write went through after %v", name, how, took)
+	if len(stopped) == len(lost) {
+		if elapsed := l.next(4 * time.Second); elapsed > 1500*time.Millisecond {
+			t.Errorf("%s lost with its %s: the next write went through after %v", name, failure, elapsed)
 		}
-		l.holds(k)
+		l.holds(expected)
 	}
 	Wait(time.Second)
-	for _, c := range back {
+	for _, c := range stopped {
 		l.BackCore(c)
 	}
 	l.next(8 * time.Second)
-	l.holds(k)
-	l.Until(12*time.Second, name+" is back with its "+how, func() bool { return l.bears(g) && l.coreReady() })
+	l.holds(expected)
+	l.Until(12*time.Second, name+" is back with its "+failure, func() bool { return l.tolerates(placed) && l.coreReady() })
 }
 
-// TestCoreCrowded: a core that stands in too few areas to bear one's loss says so.
-func TestCoreCrowded(t *testing.T) {
+// TestTooFewZonesReported: a core that stands in too few areas to bear one's loss says so.
+func TestTooFewZonesReported(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
-		g := ground{"two areas", "a/x a/x a/x a/y a/y", 1, 1, 0, 0}
-		l := g.lab(t, 899)
+		placed := layout{"two areas", "a/x a/x a/x a/y a/y", 1, 1, 0, 0}
+		l := placed.lab(t, 899)
 		defer l.Stop()
 		l.up()
 		l.Until(8*time.Second, "three vote", func() bool { return len(l.places()) == 3 })
--- a/internal/sim/coredisk_test.go
+++ b/internal/sim/coredisk_test.go
@@ -19,83 +19,83 @@
 	{"refuses", func(d *Disk) { d.Deny(true) }, func(d *Disk) { d.Deny(false) }},
 }
 
-// gaps writes on for a time and gives the longest span without an
+// writeGaps writes on for a time and gives the longest span without an
 // acknowledgement, and how many came.
-func (l *lab) gaps(long time.Duration) (worst time.Duration, n int) {
-	for from := time.Now(); time.Since(from) < long; n++ {
-		worst = max(worst, l.next(5*time.Second))
+func (l *lab) writeGaps(duration time.Duration) (longest time.Duration, writes int) {
+	for start := time.Now(); time.Since(start) < duration; writes++ {
+		longest = max(longest, l.next(5*time.Second))
 	}
-	return worst, n
+	return longest, writes
 }
 
-// ails picks the writer, when it is to be among them, and followers.
-func (l *lab) ails(many int, writer bool) (out []*Core) {
-	w := l.mark(l.Writer())
-	if writer {
-		out = append(out, w)
+// pickFailing picks the writer, when it is to be among them, and followers.
+func (l *lab) pickFailing(count int, withLeader bool) (picked []*Core) {
+	leader := l.mark(l.Writer())
+	if withLeader {
+		picked = append(picked, leader)
 	}
 	for _, c := range l.Cores {
-		if c != w && len(out) < many {
-			out = append(out, c)
+		if c != leader && len(picked) < count {
+			picked = append(picked, c)
 		}
 	}
-	return out
+	return picked
 }
 
-// TestDiskIll: the disks of as many machines as the core is to bear hang, are
+// TestDiskFaults: the disks of as many machines as the core is to bear hang, are
 // slow, full or refuse, the writer's among them or not. At a writer's it costs
 // a quarter of change_ms at the most, at a follower's nothing; whoever is
 // ill says so, and is well again with its disk. Power lost everywhere at the
 // end shows that nothing was acknowledged that was not synced.
-func TestDiskIll(t *testing.T) {
+func TestDiskFaults(t *testing.T) {
 	heavy(t)
-	for i, c := range diskFaults {
-		for _, k := range []struct {
-			cores, many int
-			writer      bool
+	for i, fault := range diskFaults {
+		for _, setup := range []struct {
+			machines, failing int
+			withLeader bool
 		}{{3, 1, true}, {3, 1, false}, {5, 1, true}, {5, 2, true}, {5, 2, false}} {
-			t.Run(fmt.Sprintf("%s, %d of %d, writer %v", c.name, k.many, k.cores, k.writer), func(t *testing.T) {
+			t.Run(fmt.Sprintf("%s, %d of %d, writer %v", fault.name, setup.failing, setup.machines, setup.withLeader), func(t *testing.T) {
 				t.Parallel()
 				synctest.Test(t, func(t *testing.T) {
-					l := newLab(t, uint64(700+i), k.cores, k.cores/2)
+					l := newLab(t, uint64(700+i), setup.machines, setup.machines/2)
 					defer l.Stop()
 					l.from = time.Now()
 					l.up()
 					l.Stores["founding"] = false
-					l.Until(4*time.Second, "all places are taken", func() bool { return l.settled(k.cores) })
+					l.Until(4*time.Second, "all places are taken", func() bool { return l.settled(setup.machines) })
 					// Some hundred versions, so that a checkpoint falls due in the fault.
-					kept := l.marks(20)
-					l.gaps(2 * time.Second)
-					ill := l.ails(k.many, k.writer)
-					for _, m := range ill {
-						c.do(m.Disk)
+					expected := l.marks(20)
+					l.writeGaps(2 * time.Second)
+					failing := l.pickFailing(setup.failing, setup.withLeader)
+					for _, machine := range failing {
+						fault.do(machine.Disk)
 					}
-					worst, n := l.gaps(6 * time.Second)
-					t.Logf("%d writes, the longest gap %v", n, worst.Round(time.Millisecond))
+					longest, writes := l.writeGaps(6 * time.Second)
+					t.Logf("%d writes, the longest gap %v", writes, longest.Round(time.Millisecond))
 					bound := 150 * time.Millisecond
-					if k.writer {
+					if setup.withLeader {
 						bound = 500 * time.Millisecond
 					}
-					if worst > bound {
-						t.Errorf("no write for %v", worst)
+					if longest > bound {
+						t.Errorf("no write for %v", longest)
 						l.tell(t, 9*time.Second)
 					}
 					for key, rev := range l.marks(20) {
-						kept[key] = rev
+						expected[key] = rev
 					}
-					for _, m := range ill {
-						c.undo(m.Disk)
+					for _, machine := range failing {
+						fault.undo(machine.Disk)
 					}
-					l.Until(6*time.Second, "all stores are well", func() bool { return l.settled(k.cores) })
+					l.Until(6*time.Second, "all stores are well", func() bool { return l.settled(setup.machines) })
 					l.next(2 * time.Second)
-					for _, m := range l.Cores {
-						l.KillCore(m, true)
+					for _, machine := range l.Cores {
+						l.KillCore(machine, true)
 					}
-					for _, m := range l.Cores {
-						l.BackCore(m)
+					for _, machine := range l.Cores {
+						l.BackCore(machine)
 					}
 					l.next(10 * time.Second)
-					l.holds(kept)
+					l.holds(expected)
 				})
 			})
 		}
@@ -111,13 +111,13 @@
 		defer l.Stop()
 		l.from = time.Now()
 		l.up()
-		l.gaps(8 * time.Second)
-		w := l.mark(l.Writer())
-		w.Disk.Room(10)
-		worst, _ := l.gaps(3 * time.Second)
+		l.writeGaps(8 * time.Second)
+		leader := l.mark(l.Writer())
+		leader.Disk.Room(10)
+		longest, _ := l.writeGaps(3 * time.Second)
 		l.Until(8*time.Second, "the full disk is well again", func() bool { return l.coreReady() && len(l.places()) == 3 })
-		t.Logf("the longest gap %v", worst.Round(time.Millisecond))
-		if code, got := l.Get(w.Host+":7004", "/puffin/ready"); code != 200 || got["disk_ill"] == true {
+		t.Logf("the longest gap %v", longest.Round(time.Millisecond))
+		if code, got := l.Get(leader.Host+":7004", "/puffin/ready"); code != 200 || got["disk_ill"] == true {
 			t.Errorf("the full one says %v", got)
 			l.tell(t, 12*time.Second)
 		}
--- a/internal/sim/corefive_test.go
+++ b/internal/sim/corefive_test.go
@@ -11,8 +11,8 @@
 	"time"
 )
 
-// five is a grown core of five that is to bear two, with what was acknowledged.
-func five(t *testing.T, seed uint64) (*lab, map[string]uint64) {
+// startFive is a grown core of five that is to bear two, with what was acknowledged.
+func startFive(t *testing.T, seed uint64) (*lab, map[string]uint64) {
 	l := newLab(t, seed, 5, 2)
 	l.from = time.Now()
 	l.up()
@@ -22,31 +22,31 @@
 	return l, l.marks(25)
 }
 
-// pair draws two machines that vote, the writer among them in every second seed.
-func (l *lab) pair(rnd *rand.Rand, seed uint64) (out []*Core) {
-	w := l.mark(l.Writer())
+// pickTwo draws two machines that vote, the writer among them in every second seed.
+func (l *lab) pickTwo(rnd *rand.Rand, seed uint64) (picked []*Core) {
+	leader := l.mark(l.Writer())
 	all := slices.Clone(l.Cores)
 	rnd.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
 	if seed%2 == 0 {
-		out = append(out, w)
+		picked = append(picked, leader)
 	}
 	for _, c := range all {
-		if c != w && c.Store != nil && len(out) < 2 {
-			out = append(out, c)
+		if c != leader && c.Store != nil && len(picked) < 2 {
+			picked = append(picked, c)
 		}
 	}
-	return out
+	return picked
 }
 
-// fiveActs are the ways in which a core of five loses two at once or all for a
+// fiveFaults are the ways in which a core of five loses two at once or all for a
 // moment. Each gives when the machines are back, or the new ones up.
-var fiveActs = []struct {
+var fiveFaults = []struct {
 	name  string
 	bound time.Duration // until the next write
 	do    func(l *lab, rnd *rand.Rand, seed uint64, k map[string]uint64)
 }{
 	{"two lost while an empty one joins", 2500 * time.Millisecond, func(l *lab, rnd *rand.Rand, seed uint64, _ map[string]uint64) {
-		two := l.pair(rnd, seed)
+		two := l.pickTwo(rnd, seed)
 		l.KillCore(two[0], true)
 		Wait(time.Duration(rnd.IntN(1500)) * time.Millisecond)
 		l.BackCore(l.fresh(two[0]))
@@ -56,14 +56,14 @@
 		l.BackCore(l.fresh(two[1]))
 	}},
 	{"both replaced at new addresses", 2 * time.Second, func(l *lab, rnd *rand.Rand, seed uint64, _ map[string]uint64) {
-		for _, c := range l.pair(rnd, seed) {
+		for _, c := range l.pickTwo(rnd, seed) {
 			l.Net.Isolate(c.Host, true)
 			l.KillCore(c, true)
 			l.BackCore(l.fresh(c))
 		}
 	}},
 	{"two wiped, all others without power", 2500 * time.Millisecond, func(l *lab, rnd *rand.Rand, seed uint64, k map[string]uint64) {
-		two := l.pair(rnd, seed)
+		two := l.pickTwo(rnd, seed)
 		// Acknowledged a moment before, at a machine whose disk goes.
 		if rev := l.put(two[0], "last", "last"); rev > 0 {
 			k["last"] = rev
@@ -95,17 +95,17 @@
 	}},
 }
 
-// TestFiveBear: five voters of which two may be lost at once, in each of the
+// TestFiveVotersTolerateTwoLosses: five voters of which two may be lost at once, in each of the
 // ways; writes go on within a bound, numbers only rise, nothing acknowledged
 // is lost, and five vote again within catch_up_ms and a little.
-func TestFiveBear(t *testing.T) {
+func TestFiveVotersTolerateTwoLosses(t *testing.T) {
 	heavy(t)
-	for i, c := range fiveActs {
-		t.Run(c.name, func(t *testing.T) {
+	for i, fault := range fiveFaults {
+		t.Run(fault.name, func(t *testing.T) {
 			t.Parallel()
 			for seed := range seeds(6) {
 				synctest.Test(t, func(t *testing.T) {
-					l, k := five(t, 760+10*uint64(i)+seed)
+					l, expected := startFive(t, 760+10*uint64(i)+seed)
 					defer l.Stop()
 					defer func() {
 						if t.Failed() {
@@ -114,28 +114,28 @@
 						}
 					}()
 					rnd := rand.New(rand.NewPCG(seed, uint64(i)))
-					over := l.counts(rand.New(rand.NewPCG(seed, 8)))
-					c.do(l, rnd, seed, k)
-					took := l.next(8 * time.Second)
-					whole := l.Until(6*time.Second, "five vote again", func() bool { return l.settled(5) })
-					t.Logf("seed %d: the next write after %v, five vote %v later", seed, took.Round(time.Millisecond), whole.Round(time.Millisecond))
-					if took > c.bound {
-						t.Errorf("no write for %v", took)
+					stopCounting := l.counts(rand.New(rand.NewPCG(seed, 8)))
+					fault.do(l, rnd, seed, expected)
+					elapsed := l.next(8 * time.Second)
+					restored := l.Until(6*time.Second, "five vote again", func() bool { return l.settled(5) })
+					t.Logf("seed %d: the next write after %v, five vote %v later", seed, elapsed.Round(time.Millisecond), restored.Round(time.Millisecond))
+					if elapsed > fault.bound {
+						t.Errorf("no write for %v", elapsed)
 					}
 					Wait(time.Second)
-					over()
-					l.holds(k)
+					stopCounting()
+					l.holds(expected)
 				})
 			}
 		})
 	}
 }
 
-// cutTwo cuts the core in two.
-func (l *lab) cutTwo(few []*Core, on bool) {
-	for _, a := range few {
+// partition cuts the core in two.
+func (l *lab) partition(minority []*Core, on bool) {
+	for _, a := range minority {
 		for _, b := range l.Cores {
-			if !slices.Contains(few, b) {
+			if !slices.Contains(minority, b) {
 				l.Net.Cut(a.Host, b.Host, on)
 				l.Net.Cut(b.Host, a.Host, on)
 			}
@@ -143,60 +143,60 @@
 	}
 }
 
-// TestFiveCut: the core is cut in two and three, the writer on either side, and
+// TestFiveVotersPartitioned: the core is cut in two and three, the writer on either side, and
 // callers reach both. The three go on; the two acknowledge nothing and give no
 // old values; what either turned away never shows.
-func TestFiveCut(t *testing.T) {
+func TestFiveVotersPartitioned(t *testing.T) {
 	heavy(t)
 	for seed := range seeds(6) {
 		synctest.Test(t, func(t *testing.T) {
-			l, k := five(t, 820+seed)
+			l, expected := startFive(t, 820+seed)
 			defer l.Stop()
 			rnd := rand.New(rand.NewPCG(seed, 4))
-			few := l.pair(rnd, seed)
-			l.cutTwo(few, true)
+			minority := l.pickTwo(rnd, seed)
+			l.partition(minority, true)
 			Wait(2 * time.Second)
 			var mu sync.Mutex
-			var wait sync.WaitGroup
-			denied, few200, many200 := map[string]bool{}, 0, 0
+			var pending sync.WaitGroup
+			refused, minorityAnswers, majorityAnswers := map[string]bool{}, 0, 0
 			for i := range 150 {
 				for j, c := range l.Cores {
-					wait.Add(1)
+					pending.Add(1)
 					l.g.Go("cut-put", func(context.Context) {
-						defer wait.Done()
+						defer pending.Done()
 						key := fmt.Sprintf("cut%d-%d", j, i)
 						code, got := l.Ask("PUT", c.Host+":7003", "/puffin/keys/"+key+"?left_ms=900", fmt.Sprintf(`{"value":%q}`, key))
-						old, _ := l.Get(c.Host+":7003", "/puffin/keys/mark1?left_ms=900")
+						oldStatus, _ := l.Get(c.Host+":7003", "/puffin/keys/mark1?left_ms=900")
 						mu.Lock()
 						defer mu.Unlock()
 						rev, _ := got["rev"].(float64)
-						switch in := slices.Contains(few, c); {
-						case in && (code == 200 || old == 200):
-							few200++
+						switch inMinority := slices.Contains(minority, c); {
+						case inMinority && (code == 200 || oldStatus == 200):
+							minorityAnswers++
 						case code == 200:
-							many200++
-							k[key] = uint64(rev)
+							majorityAnswers++
+							expected[key] = uint64(rev)
 						case code == 503 || code == 429:
-							denied[key] = true
+							refused[key] = true
 						}
 					})
 				}
 				Wait(20 * time.Millisecond)
 			}
-			wait.Wait()
-			l.cutTwo(few, false)
-			took := l.next(4 * time.Second)
-			t.Logf("seed %d: %d acknowledged by the three, %d by the two, %d turned away; the next write %v after the cut", seed, many200, few200, len(denied), took.Round(time.Millisecond))
-			if few200 > 0 || many200 < 440 || len(denied) < 100 {
-				t.Errorf("the two answered %d, the three %d of 450, %d were turned away", few200, many200, len(denied))
+			pending.Wait()
+			l.partition(minority, false)
+			elapsed := l.next(4 * time.Second)
+			t.Logf("seed %d: %d acknowledged by the three, %d by the two, %d turned away; the next write %v after the cut", seed, majorityAnswers, minorityAnswers, len(refused), elapsed.Round(time.Millisecond))
+			if minorityAnswers > 0 || majorityAnswers < 440 || len(refused) < 100 {
+				t.Errorf("the two answered %d, the three %d of 450, %d were turned away", minorityAnswers, majorityAnswers, len(refused))
 			}
 			l.Until(4*time.Second, "all stores are ready", func() bool { return l.settled(5) })
-			for key := range denied {
+			for key := range refused {
 				if code, got := l.Get(l.Cores[0].Host+":7003", "/puffin/keys/"+key); code != 404 {
 					t.Errorf("%s was turned away, and shows: %d %v", key, code, got)
 				}
 			}
-			l.holds(k)
+			l.holds(expected)
 		})
 	}
 }
