--- a/internal/sim/acts_test.go
+++ b/internal/sim/acts_test.go
@@ -8,7 +8,8 @@
 	"puffincrank/internal/standin"
 )
 
-// leaves lets a worker say that it is leaving; its word may wait unread.
+// leaves makes a worker announce that it is leaving. The message may stay unread for a
+// while.
 func (d draw) leaves(worker *standin.Worker) {
 	d.mu.Lock()
 	d.left++
@@ -16,14 +17,14 @@
 	worker.Leave("draining")
 }
 
-// renew ends a worker that left and starts a fresh one of some service.
+// renew kills a worker that left and starts a new one, possibly of another service.
 func (d draw) renew(node *Node) {
 	node.Worker.Leave("gone")
 	d.f.KillWorker(node)
 	d.f.StartWorker(node, d.service())
 }
 
-// shift is a worker's polite leave, with a fresh one in its place.
+// shift replaces a worker after a graceful leave.
 func (d draw) shift() {
 	node := d.take()
 	defer d.free(node)
@@ -33,9 +34,9 @@
 	d.renew(node)
 }
 
-// raceChanges is what became of changes sent at once by as many operators, by the path
-// of the shape's document whose time left is changed. Each operator has a name:
-// one that sends its change again would get its first answer.
+// raceChanges sends configuration changes based on one version at the same time and counts
+// the answers by status. Each is sent by an operator of its own: a second change of one
+// operator would count as a retry and get the first answer.
 func (d draw) raceChanges(operator string, base float64, docs []string) map[int]int {
 	codes := make(chan int, len(docs))
 	for i, doc := range docs {
@@ -55,7 +56,9 @@
 	return statuses
 }
 
-// change sends two changes on one base, one on an old base and a broken one.
+// change sends two valid changes and an invalid one based on the current version, and a
+// change based on an outdated one. At most one of the former and none of the latter may be
+// accepted.
 func (d draw) change() {
 	address := d.f.Nodes[d.IntN(len(d.f.Nodes))].Host + ":7003"
 	_, config := d.f.Get(address, "/puffin/config?left_ms=1500")
@@ -72,7 +75,7 @@
 	}
 }
 
-// propose begins a trial of the first path, which goes on under later faults.
+// propose starts a trial of the first route, which continues during later faults.
 func (d draw) propose() {
 	address := d.f.Nodes[d.IntN(len(d.f.Nodes))].Host + ":7003"
 	_, config := d.f.Get(address, "/puffin/config?left_ms=1500")
--- a/internal/sim/again_test.go
+++ b/internal/sim/again_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// TestSettingsUnderLoad: settings that change while jobs run are taken where
-// they can be, and no job is cut or lost by it.
+// TestSettingsUnderLoad changes settings while requests run. The settings that can change
+// at run time take effect, and no request is aborted or lost.
 func TestSettingsUnderLoad(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -26,7 +26,7 @@
 				settings.MaxBodyBytes, settings.MaxRequests, settings.RetryRatio = 32<<10, 64+i, 0.3
 				for _, name := range node.Proxy.Reload(settings) {
 					if name == "change_ms" || name == "leave_ms" || name == "grace_ms" {
-						t.Errorf("%s can't be taken", name)
+						t.Errorf("%s could not be changed", name)
 					}
 				}
 			}
@@ -35,20 +35,20 @@
 		f.Judge()
 		node := f.Nodes[0]
 		if node.Proxy.Settings.ConfigBound != 2*time.Second {
-			t.Errorf("a bound that beats follow from moved to %v", node.Proxy.Settings.ConfigBound)
+			t.Errorf("change_ms, from which heartbeat intervals follow, changed to %v", node.Proxy.Settings.ConfigBound)
 		}
 		for size, want := range map[int]int{16 << 10: 200, 64 << 10: 413} {
 			request, _ := http.NewRequest("POST", "http://"+node.Host+":8000/scans/1", strings.NewReader(strings.Repeat("x", size)))
 			response, err := f.way.RoundTrip(request)
 			if err != nil || response.StatusCode != want {
-				t.Errorf("a body of %d: %v %v, want %d", size, response, err, want)
+				t.Errorf("a body of %d bytes: %v %v, want %d", size, response, err, want)
 			}
 			if response != nil {
 				_ = response.Body.Close()
 			}
 		}
 		if done := f.Obs.Counts()["done"]; done < 2000 {
-			t.Errorf("only %d jobs were done meanwhile", done)
+			t.Errorf("only %d requests were served meanwhile", done)
 		}
 	})
 }
--- a/internal/sim/app_test.go
+++ b/internal/sim/app_test.go
@@ -11,7 +11,8 @@
 	"time"
 )
 
-// raw makes one outside call and gives the body as it came.
+// raw sends one request from outside the fleet and returns the status and the body as text.
+// The status is 0 if there was no response.
 func (f *Fleet) raw(method, address, uri, body string) (int, string) {
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
@@ -31,8 +32,8 @@
 	return response.StatusCode, strings.TrimSpace(string(received))
 }
 
-// TestAppCalls: the applications' calls as resources, by their statuses and
-// bodies, through a control node and through a proxy.
+// TestAppCalls checks the statuses and bodies of the application API for locks, numbers,
+// keys and watches, through a control node and through a proxy.
 func TestAppCalls(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -85,9 +86,9 @@
 	})
 }
 
-// TestAppWatch: a waiting watch is told at once, and a saved revision is good
-// for the history's bound though nothing happened since, across a change of
-// writer and a restart of all stores; later it is gone.
+// TestAppWatch checks that a waiting watch is notified at once, and that a watch can resume
+// from an earlier revision for as long as the history is retained, even if nothing changed
+// since, the leader changed and all stores restarted. Later the revision is gone.
 func TestAppWatch(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -113,7 +114,7 @@
 		start := time.Now()
 		put("two")
 		if elapsed := (<-notified).Sub(start); elapsed > 60*time.Millisecond {
-			t.Errorf("the watch was told %v after the put was sent", elapsed)
+			t.Errorf("the watch was notified %v after the put was sent", elapsed)
 		}
 		put("three")
 		start = time.Now()
@@ -129,7 +130,7 @@
 			f.BackCore(c)
 		}
 		f.serves(15 * time.Second)
-		// Histories are trimmed when something is written.
+		// Histories are trimmed on writes only.
 		for i := 0; time.Since(start) < 20*time.Second; i++ {
 			f.raw("PUT", address, "/puffin/app/keys/other.k", fmt.Sprintf(`{"value":"%d"}`, i))
 			Wait(min(time.Second, 20*time.Second-time.Since(start)))
@@ -137,7 +138,7 @@
 		put("four")
 		for i := 2; i <= 3; i++ {
 			if code, got := f.raw("GET", address, fmt.Sprintf("/puffin/app/watch/w.?after=%d", i), ""); code != 200 || strings.Count(got, "name") != 4-i {
-				t.Errorf("after %d: %d %s", i, code, got)
+				t.Errorf("watch after revision %d: %d %s", i, code, got)
 			}
 		}
 		for i := range 90 {
@@ -145,7 +146,7 @@
 			put(fmt.Sprint("more", i))
 		}
 		if code, got := f.raw("GET", address, "/puffin/app/watch/w.?after=2", ""); code != 410 {
-			t.Errorf("a watch from 45 s ago: %d %.80s", code, got)
+			t.Errorf("a watch from a revision 45 s ago: %d %.80s", code, got)
 		}
 	})
 }
--- a/internal/sim/appday_test.go
+++ b/internal/sim/appday_test.go
@@ -13,8 +13,8 @@
 	"puffincrank/internal/standin/checker"
 )
 
-// controlFaults are what befalls the core under applications' calls; each returns
-// when all is mended.
+// controlFaults are the faults of the control plane during application calls. Each function
+// returns when the fault is repaired.
 var controlFaults = []struct {
 	name string
 	do   func(f *Fleet, rnd *rand.Rand, duration time.Duration)
@@ -84,7 +84,7 @@
 		c.Disk.Wipe()
 		Wait(duration / 2)
 		f.BackCore(c)
-		f.Until(15*time.Second, "the wiped one is back", f.coreReady)
+		f.Until(15*time.Second, "the machine with the wiped disk is ready", f.coreReady)
 	}},
 	{"writer's disk slow", func(f *Fleet, _ *rand.Rand, duration time.Duration) {
 		if c := f.Writer(); c != nil {
@@ -95,8 +95,8 @@
 	}},
 }
 
-// appDay plays applications against the core machines while faults come one
-// after the other, and counts every breach from the sockets alone.
+// appDay runs applications against the control plane during a series of faults, and checks
+// the invariants only by what the applications saw on their sockets.
 func (f *Fleet) appDay(seed uint64, faults int, onlyFault string) (map[string]int, time.Duration) {
 	f.Net.Place("10.0.9.7", "outside")
 	invariants := checker.New(checker.Usual)
@@ -138,8 +138,8 @@
 	return done, longest
 }
 
-// TestAppDays: applications' locks, numbers, keys and watches keep their rules
-// through each fault of the core. The search by command:
+// TestAppDays checks that locks, numbers, keys and watches of applications keep their
+// guarantees during each fault of the control plane. To search more seeds:
 // PUFFIN_SEEDS=100 go test ./internal/sim -run AppDays
 func TestAppDays(t *testing.T) {
 	t.Parallel()
@@ -153,9 +153,9 @@
 					f.Start()
 					done, longest := f.appDay(seed*31+uint64(i), 5, fault.name)
 					if done["take 200"] < 10 || done["put 200"] < 100 || done["watch 200"] < 20 {
-						t.Errorf("too little was called: %v", done)
+						t.Errorf("too few calls were answered: %v", done)
 					}
-					t.Logf("%v, the longest %v", done, longest)
+					t.Logf("%v, the longest call took %v", done, longest)
 				})
 			})
 		}
--- a/internal/sim/bad_test.go
+++ b/internal/sim/bad_test.go
@@ -12,7 +12,8 @@
 	"puffincrank/internal/standin"
 )
 
-// TestBadCalls: what callers and workers send wrong is told so, and not run.
+// TestBadCalls checks that invalid requests of callers, workers and operators are rejected
+// with the right status and have no effect.
 func TestBadCalls(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -32,7 +33,7 @@
 			}
 			_ = response.Body.Close()
 			if response.StatusCode != 200 && response.Header.Get("Puffin-Ran") != "no" {
-				t.Errorf("%s %s: not told that it did not run", method, uri)
+				t.Errorf("%s %s: the response does not say that the request did not run", method, uri)
 			}
 			return response.StatusCode
 		}
@@ -44,7 +45,7 @@
 			{"GET", "/pages", "soon", 0, 400}, {"POST", "/loans", "", 2 << 20, 413}, {"POST", "/loans", "900", 100, 200}, {"GET", "/pages/x?y=z", "", 0, 200},
 		} {
 			if got := call(c.method, c.uri, c.timeout, c.size); got != c.want {
-				t.Errorf("%s %s left %q: %d, want %d", c.method, c.uri, c.timeout, got, c.want)
+				t.Errorf("%s %s with timeout %q: %d, want %d", c.method, c.uri, c.timeout, got, c.want)
 			}
 		}
 		for _, c := range []struct {
@@ -56,38 +57,39 @@
 			{`{"service":"pages","worker":"w","addr":"10.0.1.1:1","slots":1,"state":"up","more":1}`, 422},
 		} {
 			if got, _ := f.Ask("POST", node.Host+":7003", "/puffin/beat", c.body); got != c.want {
-				t.Errorf("beat %s: %d, want %d", c.body, got, c.want)
+				t.Errorf("heartbeat %s: %d, want %d", c.body, got, c.want)
 			}
 		}
 		if _, own := f.Get(node.Host+":7003", "/puffin/own"); own["entries"] != float64(3) {
-			t.Errorf("a bad beat made an entry: %v", own["entries"])
+			t.Errorf("an invalid heartbeat created an entry: %v", own["entries"])
 		}
-		// The same faults through any node, with nothing changed.
+		// The same invalid configurations are rejected through any node, and nothing
+		// changes.
 		for _, host := range []string{f.Cores[2].Host, node.Host} {
 			if code, _ := f.Ask("PUT", host+":7003", "/puffin/config?based_on=1", `{"services":[]}`); code != 422 {
-				t.Errorf("a broken document: %d", code)
+				t.Errorf("an invalid configuration: %d", code)
 			}
 			if code, _ := f.Ask("PUT", host+":7003", "/puffin/config?based_on=1", `{`); code != 400 {
-				t.Errorf("no document: %d", code)
+				t.Errorf("malformed JSON: %d", code)
 			}
 			if code, got := f.Ask("PUT", host+":7003", "/puffin/config?based_on=0&who=another", shape.Doc); code != 409 || got["version"] != float64(1) {
-				t.Errorf("a stale base: %d %v", code, got)
+				t.Errorf("an outdated base version: %d %v", code, got)
 			}
 			if code, _ := f.Ask("PUT", host+":7003", "/puffin/config?based_on=1", shape.Doc+strings.Repeat(" ", rules.MaxDocumentBytes)); code != 413 {
-				t.Errorf("a document over the bound: %d", code)
+				t.Errorf("a configuration over the size limit: %d", code)
 			}
 			if code, _ := f.Ask("PUT", host+":7003", "/puffin/config", shape.Doc); code != 422 {
-				t.Errorf("no base: %d", code)
+				t.Errorf("no base version: %d", code)
 			}
 			if _, got := f.Get(host+":7003", "/puffin/config"); got["version"] != float64(1) {
-				t.Errorf("a refused change moved the version: %v", got["version"])
+				t.Errorf("a refused change created version %v", got["version"])
 			}
 		}
 	})
 }
 
-// TestChanges: racing, old and broken changes under load: exactly one of two
-// wins, and every node in touch acts on it within the bound.
+// TestChanges sends conflicting configuration changes under load: exactly one of two wins,
+// and every connected node applies it within the bound.
 func TestChanges(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -107,7 +109,8 @@
 			for i := range 2 {
 				host := f.Nodes[i*5].Host
 				go func() {
-					// Two operators: the same order of one would be the same request.
+					// Two operators, because the same change sent twice by one operator
+					// counts as one request.
 					code, answer := f.Ask("PUT", host+":7003", fmt.Sprintf("/puffin/config?based_on=%d&who=operator-%d", version, i), shape.Doc)
 					v, _ := answer["version"].(float64)
 					outcomes <- outcome{code, uint64(v)}
@@ -115,7 +118,7 @@
 			}
 			first, second := <-outcomes, <-outcomes
 			if first.code+second.code != 200+409 || first.v != second.v || first.v != version+1 {
-				t.Fatalf("two at once: %+v %+v", first, second)
+				t.Fatalf("two concurrent changes: %+v %+v", first, second)
 			}
 			version++
 			elapsed := f.Until(2*time.Second, "every node holds the version", func() bool {
@@ -129,14 +132,14 @@
 			longest = max(longest, elapsed)
 			Wait(time.Second)
 		}
-		t.Logf("last node had a version at most %v after its acknowledgement", longest)
+		t.Logf("the last node had a version at most %v after its acknowledgement", longest)
 		wait()
 		f.Judge()
 	})
 }
 
-// TestNested: a call made by a worker has only the time left of its parent,
-// and takes a slot of the service that it calls.
+// TestNested checks that a call made by a worker is limited to the remaining time of the
+// request that caused it, and takes a slot of the service that it calls.
 func TestNested(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -169,10 +172,10 @@
 			t.Fatal(err)
 		}
 		_ = response.Body.Close()
-		// The nested call gives up within the parent's time, so the parent can
-		// still answer.
+		// The nested call times out within the parent's remaining time, so that the parent
+		// can still answer.
 		if elapsed := time.Since(start); elapsed > 260*time.Millisecond || response.StatusCode != 200 {
-			t.Errorf("the parent ended with %d after %v", response.StatusCode, elapsed)
+			t.Errorf("the parent request ended with %d after %v", response.StatusCode, elapsed)
 		}
 		if code := <-codes; code != 504 {
 			t.Errorf("the nested call ended with %d", code)
--- a/internal/sim/badinput_test.go
+++ b/internal/sim/badinput_test.go
@@ -7,9 +7,9 @@
 	"testing/synctest"
 )
 
-// TestBadInput: what workers, applications and operators send wrong is refused
-// with every place that is wrong, through a node and a control node, and
-// nothing of it is done.
+// TestBadInput checks that invalid input of workers, applications and operators is refused
+// with the name of every invalid field, through a proxy and through a control node, and
+// that none of it takes effect.
 func TestBadInput(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -28,7 +28,7 @@
 		}
 		type call struct {
 			method, uri, body, want string
-			places                  string // all that must be named
+			places                  string // invalid fields, all of which must be named
 		}
 		workerCalls := []call{
 			{"PUT", "/workers/w9", `{"more":"` + long + `"}`, "413", ""}, {"PUT", "/workers/w9", "{", "400", ""}, {"PUT", "/workers/w9", "[]", "400", ""},
@@ -62,24 +62,24 @@
 				}
 				for _, place := range strings.Fields(c.places) {
 					if !strings.Contains(fmt.Sprint(got["faults"]), place) {
-						t.Errorf("%s %s %.60s: %v doesn't name %s", c.method, c.uri, c.body, got, place)
+						t.Errorf("%s %s %.60s: %v does not name %s", c.method, c.uri, c.body, got, place)
 					}
 				}
 			}
 		}
-		// None of it was done: the first of each is still the first.
+		// Nothing took effect: the next call of each kind still gets the first value.
 		if _, own := f.Get(nodeAddress, "/puffin/own"); own["entries"] != float64(3) || own["config_version"] != float64(1) {
-			t.Errorf("a wrong call changed something: %v", own)
+			t.Errorf("an invalid call had an effect: %v", own)
 		}
 		for _, c := range []struct{ method, uri, body, want string }{
 			{"GET", "/keys/g.k", "", "404 "}, {"GET", "/watch/g.", "", `200 {"changes":[],"rev":0}`},
 			{"POST", "/locks/l", `{"owner":"z","ttl_ms":900}`, `200 {"fence":1}`}, {"POST", "/numbers/n", "", `200 {"value":1}`},
 		} {
 			if code, got := f.raw(c.method, nodeAddress, "/puffin/app"+c.uri, c.body); !strings.HasPrefix(fmt.Sprint(code, " ", got), c.want) {
-				t.Errorf("after all: %s %s: %d %s, want %s", c.method, c.uri, code, got, c.want)
+				t.Errorf("after the invalid calls: %s %s: %d %s, want %s", c.method, c.uri, code, got, c.want)
 			}
 		}
-		// A late word changes nothing, a newer one does.
+		// An outdated heartbeat changes nothing, a newer one does.
 		for _, c := range []struct{ body, slots string }{{heartbeat("7", "7"), "4"}, {heartbeat(`"slots":4,"state":"up","cold_ms":0,"seq":7`, `"slots":6,"state":"up","seq":6`), "4"}, {heartbeat(`"slots":4,"state":"up","cold_ms":0,"seq":7`, `"slots":5,"state":"up","seq":8`), "5"}} {
 			code, _ := f.Ask("PUT", nodeAddress, "/puffin/workers/w9", c.body)
 			_, own := f.Get(nodeAddress, "/puffin/own")
--- a/internal/sim/boundaries_test.go
+++ b/internal/sim/boundaries_test.go
@@ -11,11 +11,11 @@
 	"puffincrank/internal/standin"
 )
 
-// TestByteBoundaries: connections between nodes and workers break at every byte of
-// a request and of an answer, by a reset or by silence, while several callers make
-// calls that may and that may not be repeated. Each call that may not is run once
-// at the most, whoever answers busy did not run it, and nobody gets another's
-// answer or a part of one.
+// TestByteBoundaries breaks connections between proxies and workers at every byte of a
+// request and of a response, by a reset or by a stall, while several callers make calls
+// that are safe to retry and calls that are not. A call that is not safe to retry runs at
+// most once, a call that is answered busy did not run, and no caller gets another call's
+// response or a part of one.
 func TestByteBoundaries(t *testing.T) {
 	t.Parallel()
 	for _, reading := range []bool{true, false} {
--- a/internal/sim/busy_test.go
+++ b/internal/sim/busy_test.go
@@ -11,16 +11,17 @@
 	"puffincrank/internal/standin"
 )
 
-// TestRejectionsComeEarly: under twice the load that the room bears, a job that is
-// given up is answered long before its time left is over, and told when to
-// come back by what it lacked: the queue's drain, not always the same.
+// TestRejectionsComeEarly offers twice the load that the slots can serve. A request that is
+// rejected must be answered long before its timeout, and its Retry-After must follow from
+// how fast the queue drains instead of being constant.
 func TestRejectionsComeEarly(t *testing.T) {
 	heavy(t)
 	synctest.Test(t, func(t *testing.T) {
 		shape := one()
-		// A slot takes longer for one job than a second: the queue drains slowly.
+		// A request takes a slot for more than a second, so the queue drains slowly.
 		shape.Took = map[string]time.Duration{"s": 1500 * time.Millisecond}
-		// No haste: otherwise the aim bounds the queue long before its length does.
+		// A long target latency: a short one would limit the queue long before its length
+		// does.
 		shape.Doc = strings.ReplaceAll(shape.Doc, `"left_ms":600,"aim_ms":600`, `"left_ms":9000,"aim_ms":9000`)
 		f := NewFleet(t, shape, 380)
 		defer f.Stop()
@@ -41,24 +42,25 @@
 			retryAfter[seconds]++
 		}
 		if len(heldFor) < 100 {
-			t.Fatalf("only %d jobs were given up: %v", len(heldFor), f.Obs.Counts())
+			t.Fatalf("only %d requests were rejected: %v", len(heldFor), f.Obs.Counts())
 		}
 		sort.Slice(heldFor, func(i, j int) bool { return heldFor[i] < heldFor[j] })
 		quantile := func(q float64) float64 { return heldFor[int(float64(len(heldFor)-1)*q)].Seconds() / 9 }
-		t.Logf("%d given up; held for this part of their time left: p50 %.3f p90 %.3f p99 %.3f most %.3f; told to come back in s: %v", len(heldFor), quantile(0.5), quantile(0.9), quantile(0.99), quantile(1), retryAfter)
+		t.Logf("%d rejected; after this fraction of their timeout: p50 %.3f p90 %.3f p99 %.3f max %.3f; Retry-After in seconds: %v", len(heldFor), quantile(0.5), quantile(0.9), quantile(0.99), quantile(1), retryAfter)
 		if quantile(0.9) > 0.05 || quantile(1) > 0.52 {
-			t.Error("jobs that are given up are held")
+			t.Error("requests were rejected late")
 		}
-		// A queue of 12 of a class that has 7 or 5 of 12 slots, the rest being
-		// idle and lent: 13 jobs of 1.5 s take 2.8 or 3.9 s.
+		// A class has a queue of 12 and 7 or 5 of the 12 slots, while idle slots are lent
+		// to others: 13 requests of 1.5 s take 2.8 or 3.9 s.
 		if retryAfter[2]+retryAfter[3]+retryAfter[4]+retryAfter[5] < len(heldFor)*9/10 || retryAfter[3] == 0 || retryAfter[4] == 0 {
-			t.Errorf("told to come back in %v, the queues drain in about three and four seconds", retryAfter)
+			t.Errorf("Retry-After values %v, but the queues drain in about three and four seconds", retryAfter)
 		}
 	})
 }
 
-// TestCutOffAnswersSayWhenToRetry: what a front and a control node say when they are cut off
-// comes within the bound of a round and names the time of a vacant duty.
+// TestCutOffAnswersSayWhenToRetry checks that an ingress and a control node without a
+// majority of the control plane answer 503 within the timeout of one round, and that
+// retry_ms covers the time until a vacant role is filled.
 func TestCutOffAnswersSayWhenToRetry(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -76,7 +78,7 @@
 				t.Errorf("%s without a majority: %d %v", address, code, got)
 			}
 		}
-		// A front whose owner of the only worker can't be reached at all.
+		// The only worker left belongs to an owner that cannot be reached at all.
 		for _, other := range f.Nodes[1:] {
 			f.KillNode(other)
 			f.KillWorker(other)
@@ -86,14 +88,14 @@
 		start := time.Now()
 		code, got := f.Ask("GET", node.Host+":8000", "/a", "")
 		if ms, _ := got["retry_ms"].(float64); code != 503 || ms < 200 || time.Since(start) > 600*time.Millisecond {
-			t.Errorf("nobody to serve: %d %v after %v", code, got, time.Since(start))
+			t.Errorf("without a reachable worker: %d %v after %v", code, got, time.Since(start))
 		}
 	})
 }
 
-// TestNestedCallsAtFullCapacity: with every room full, calls that hold a slot wait for slots
-// of other services. Nothing deadlocks: all ends within the time left, and
-// every room is empty afterwards.
+// TestNestedCallsAtFullCapacity fills the slots of every service while calls that hold a
+// slot wait for slots of other services. Nothing deadlocks: every call ends within its
+// timeout, and all slots are free afterwards.
 func TestNestedCallsAtFullCapacity(t *testing.T) {
 	heavy(t)
 	for i, shape := range []Shape{Fumettoteca(1.2), Ingenzi(1.4)} {
@@ -101,7 +103,7 @@
 			t.Parallel()
 			synctest.Test(t, func(t *testing.T) {
 				shape.Nodes = 8
-				// What the nested calls need is what there is least of.
+				// The services of the nested calls are the bottleneck.
 				shape.Took["pages"], shape.Took["manifests"] = 150*time.Millisecond, 900*time.Millisecond
 				f := NewFleet(t, shape, uint64(i)+382)
 				defer f.Stop()
--- a/internal/sim/bytes_test.go
+++ b/internal/sim/bytes_test.go
@@ -9,12 +9,12 @@
 	"puffincrank/internal/transport"
 )
 
-// purposes puts the kinds of message under what they are for.
+// purposes groups the message kinds by purpose.
 var purposes = map[string]string{"job.hand": "jobs", "gossip": "gossip", "replica.digest": "repair", "replica.mend": "repair", "replica.all": "repair", "replica.fill": "repair",
-	"session.beat": "sessions", "session.share": "sessions", "config.push": "configuration", "store.read": "confirmed polls", "store.beat": "writer's beats",
+	"session.beat": "sessions", "session.share": "sessions", "config.push": "configuration", "store.read": "confirmed polls", "store.beat": "leader's heartbeats",
 	"store.accept": "versions", "store.duty": "duties", "store.offer": "coordination", "outer.call": "coordination", "store.watch": "coordination"}
 
-// crossZoneBytes sums the bytes sent to other areas, by what they are for.
+// crossZoneBytes sums the bytes sent to other zones by purpose.
 func (f *Fleet) crossZoneBytes() map[string]int64 {
 	sums := map[string]int64{}
 	add := func(traffic map[transport.Flow]transport.Traffic) {
@@ -39,8 +39,8 @@
 	return sums
 }
 
-// TestBytes measures the bytes between areas for each job in the Fumettoteca's
-// shape at its full rate, split by what they are for.
+// TestBytes measures the bytes sent between zones for each request by purpose, at the full
+// rate of the Fumettoteca shape.
 func TestBytes(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -64,11 +64,11 @@
 		for _, purpose := range names {
 			bytes := float64(after[purpose] - before[purpose])
 			total += bytes
-			t.Logf("%-16s %7.1f bytes between areas for each job", purpose, bytes/requests)
+			t.Logf("%-16s %7.1f bytes between zones for each request", purpose, bytes/requests)
 		}
 		t.Logf("%-16s %7.1f", "all", total/requests)
 		if requests < 6000 || total/requests > 800 {
-			t.Errorf("%.0f jobs, %.0f bytes between areas for each", requests, total/requests)
+			t.Errorf("%.0f requests, %.0f bytes between zones for each", requests, total/requests)
 		}
 	})
 }
--- a/internal/sim/callerhistory_test.go
+++ b/internal/sim/callerhistory_test.go
@@ -12,25 +12,25 @@
 	"puffincrank/internal/standin"
 )
 
-// history is what callers saw of a core, by kind of call.
+// history is what callers saw of a control plane, by kind of call.
 type history struct {
 	mu       sync.Mutex
 	keys     []standin.Op
 	numbers  []standin.HistoryCall
 	orders   []standin.HistoryCall
 	holds    []lockHold
-	answered map[string]int // address to calls with a certain outcome
+	answered map[string]int // number of calls with a known outcome by host
 }
 
-// lockHold is a lock as its holder counts it: from the answer until its time is over,
-// counted from when it asked.
+// lockHold is the time span in which a caller may assume that it holds a lock: from the
+// answer until the TTL has passed, counted from when the request was sent.
 type lockHold struct {
 	owner    string
 	fence    float64
 	from, to time.Time
 }
 
-// asks makes calls of all kinds at one machine until the context ends.
+// asks makes random calls of all kinds to one machine until the context ends.
 func (l *lab) asks(ctx context.Context, seen *history, machine *Core, rnd *rand.Rand, next func() uint64) {
 	for i := 0; ctx.Err() == nil; i++ {
 		Wait(time.Duration(30+rnd.IntN(100)) * time.Millisecond)
@@ -90,7 +90,8 @@
 	seen.record(machine, true, func() { seen.numbers = append(seen.numbers, call) })
 }
 
-// numberedDoc is the shape's document under a number, told apart by one time.
+// numberedDoc returns the shape's configuration with a version number. The name of its
+// first route identifies the content.
 func (l *lab) numberedDoc(number uint64, content string) string {
 	doc := strings.Replace(l.S.Doc, "{", fmt.Sprintf(`{"version":%d,`, number), 1)
 	return strings.Replace(doc, `"name":"read"`, fmt.Sprintf(`"name":%q`, content), 1)
@@ -139,25 +140,26 @@
 	seen.record(machine, true, func() { seen.holds = append(seen.holds, hold) })
 }
 
-// judge checks what callers saw.
+// judge checks that the history is linearizable and that locks and fencing tokens were
+// exclusive.
 func (h *history) judge(t *testing.T) {
 	t.Helper()
 	if !standin.Linear(h.keys) {
-		t.Errorf("the history of a key can't be explained")
+		t.Errorf("the history of a key is not linearizable")
 	}
 	if !standin.Explained(standin.NumberModel, h.numbers) {
-		t.Errorf("the history of a number can't be explained")
+		t.Errorf("the history of a number is not linearizable")
 	}
 	if !standin.Explained(standin.OrderModel, h.orders) {
-		t.Errorf("the history of the configuration can't be explained")
+		t.Errorf("the history of the configuration is not linearizable")
 	}
 	for i, a := range h.holds {
 		for _, b := range h.holds[i+1:] {
 			if a.owner != b.owner && a.from.Before(b.to) && b.from.Before(a.to) {
-				t.Errorf("%s and %s held one lock at once", a.owner, b.owner)
+				t.Errorf("%s and %s held the same lock at the same time", a.owner, b.owner)
 			}
 			if a.fence == b.fence && a.owner != b.owner {
-				t.Errorf("%s and %s got the fence %v", a.owner, b.owner, a.fence)
+				t.Errorf("%s and %s both got the fencing token %v", a.owner, b.owner, a.fence)
 			}
 		}
 	}
--- a/internal/sim/calls_test.go
+++ b/internal/sim/calls_test.go
@@ -9,9 +9,9 @@
 	"puffincrank/internal/standin/checker"
 )
 
-// TestNestedCallsOfRetries: jobs that are repeated call another service, whose own
-// answers get lost too. Its repeats and the calls of repeated jobs stay within
-// the bound together, and some of both are had.
+// TestNestedCallsOfRetries checks the retry budget when retried requests call another
+// service whose responses get lost too. The retries of that service and the calls made by
+// retried requests together stay within the budget, and both occur.
 func TestNestedCallsOfRetries(t *testing.T) {
 	heavy(t)
 	synctest.Test(t, func(t *testing.T) {
@@ -37,13 +37,13 @@
 			}
 		})
 		used, scope := running.wit.Most()
-		t.Logf("repeats at most %.2f of what is allowed (%s), %d asked for beside the first service", used, scope, requested)
+		t.Logf("retries used at most %.2f of the budget (%s), %d requested by the proxies of the first service", used, scope, requested)
 		if violations[checker.Budget] > 0 || used > 1 {
-			t.Errorf("broken: %v", violations)
+			t.Errorf("violated invariants: %v", violations)
 		}
-		// The bound is used, not only kept.
+		// The retries must come close to the budget, not only stay within it.
 		if used < 0.4 {
-			t.Errorf("only %.2f of the repeats that are allowed were had", used)
+			t.Errorf("retries used only %.2f of the budget", used)
 		}
 	})
 }
--- a/internal/sim/capacity_test.go
+++ b/internal/sim/capacity_test.go
@@ -7,12 +7,12 @@
 	"time"
 )
 
-// TestCapacity measures how far Ingenzi's load can be raised before busy
-// answers exceed a hundredth, on all workers and on fewer. It takes minutes:
+// TestCapacity measures how far Ingenzi's load can be raised before more than 1 % of calls
+// are answered busy, on all workers and on fewer. It takes minutes:
 // PUFFIN_CAPACITY=1 go test ./internal/sim -run Capacity -v
 func TestCapacity(t *testing.T) {
 	if os.Getenv("PUFFIN_CAPACITY") == "" {
-		t.Skip("a measurement, by command")
+		t.Skip("a measurement that runs only if PUFFIN_CAPACITY is set")
 	}
 	for _, nodes := range []int{14, 11} {
 		t.Run("", func(t *testing.T) {
@@ -33,13 +33,13 @@
 						used += float64(f.Obs.Runs(service)) * shape.Took[service].Seconds() / (float64(nodes*shape.Slots) * 12)
 					}
 				})
-				t.Logf("%d workers, %.1f times the rate: %.4f busy or unknown, room used %.2f", nodes, scale, failed, used)
+				t.Logf("%d workers, %.1f times the rate: %.4f busy or unknown, slot utilization %.2f", nodes, scale, failed, used)
 				if failed > 0.01 {
 					break
 				}
 				bestScale, bestUse = scale, used
 			}
-			t.Logf("%d workers bear %.1f times Ingenzi's rate with a hundredth busy at most, room used %.2f", nodes, bestScale, bestUse)
+			t.Logf("%d workers serve %.1f times Ingenzi's rate with a hundredth busy at most, slot utilization %.2f", nodes, bestScale, bestUse)
 		})
 	}
 }
--- a/internal/sim/choke_test.go
+++ b/internal/sim/choke_test.go
@@ -11,12 +11,12 @@
 	"puffincrank/internal/standin"
 )
 
-// TestChokedLine: a node's line is so full that all that it sends and gets is
-// late by more than its patience, but comes. It isn't cut off, so a change that
-// was acknowledged binds it: later than the bound it must not say that a new
-// path is unknown, nor run what was taken away. It goes on serving what owners
-// that are sure of their configuration let in. That it was taken for a cut was
-// seen on a grown deployment, where uploads fill an owner's thin link.
+// TestChokedLine guards against treating a congested node as a partitioned one. Everything
+// that the node sends and receives arrives, but later than its peer timeout, as on a
+// deployment whose uploads filled an owner's thin link. The node is not cut off, so an
+// acknowledged change binds it: after the bound it must not answer that a new route is
+// unknown, nor run requests of a removed one. It continues to serve requests that are
+// admitted by owners with a confirmed configuration.
 func TestChokedLine(t *testing.T) {
 	for _, lag := range []time.Duration{320 * time.Millisecond, 450 * time.Millisecond} {
 		t.Run(lag.String(), func(t *testing.T) {
@@ -36,7 +36,7 @@
 				}
 				f.Start()
 				waitForLoad := f.Load(shape.Lines, 14*time.Second)
-				// Its own callers are many, so that bytes come in all the time.
+				// The node has many callers of its own, so that bytes arrive all the time.
 				ownCallers := standin.NewCallers(f.env("own", node.Host, node.Area, &node.skew), []string{node.Host + ":8000"}, f.Obs, 15*time.Second)
 				f.g.Go("own", func(context.Context) {
 					for i := range 2000 {
@@ -47,7 +47,8 @@
 				Wait(2 * time.Second)
 				start := time.Now()
 				f.Net.Lag(node.Host, lag)
-				// Its session is over before the change, so nobody pushes it there.
+				// The node's session expires before the change, so that the change is not
+				// pushed to it.
 				Wait(3 * time.Second)
 				doc := strings.Replace(shape.Doc, `"/credits","service":"scans"`, `"/extra","service":"pages"`, 1)
 				if code, _ := f.Ask("PUT", f.Cores[0].Host+":7003", "/puffin/config?based_on=1&emergency=true&left_ms=2500", doc); code != 200 {
@@ -62,15 +63,15 @@
 					}
 					Wait(100 * time.Millisecond)
 				}
-				t.Logf("answers by path: %v; events there: %v", answers, seen)
+				t.Logf("answers by route: %v; events of the node: %v", answers, seen)
 				if answers["/extra/1"][404] > 0 {
-					t.Errorf("a path that was added is unknown after the bound: %v", answers["/extra/1"])
+					t.Errorf("a route that was added is unknown after the bound: %v", answers["/extra/1"])
 				}
 				if answers["/credits/1"][200] > 0 {
-					t.Errorf("a path that was taken away runs after the bound: %v", answers["/credits/1"])
+					t.Errorf("requests of a removed route run after the bound: %v", answers["/credits/1"])
 				}
 				f.Net.Lag(node.Host, 0)
-				f.Until(5*time.Second, "the node is sure again", func() bool {
+				f.Until(5*time.Second, "the node has a confirmed configuration again", func() bool {
 					code, _ := f.Ask("POST", node.Host+":8000", "/extra/1", "x")
 					return code == 200
 				})
@@ -81,8 +82,9 @@
 	}
 }
 
-// TestCutStillServes: a node that is really cut off is no node behind a full
-// line: it soon goes on with what it knows, the sooner when fellows still answer.
+// TestCutStillServes checks that a node that is really partitioned is not treated as a
+// congested one: it soon continues with the configuration that it has, and sooner if peers
+// still answer.
 func TestCutStillServes(t *testing.T) {
 	for name, bound := range map[string]time.Duration{"from the core": 1500 * time.Millisecond, "from all": 3500 * time.Millisecond} {
 		t.Run(name, func(t *testing.T) {
@@ -103,10 +105,10 @@
 						f.Net.Cut(c.Host, node.Host, true)
 					}
 				}
-				// Its own worker's jobs, by callers on the same machine.
+				// Requests for the node's own worker, from callers on the same machine.
 				line := shape.Lines[2]
 				if node.Worker.Service != line.Service {
-					t.Fatalf("its worker is of %s", node.Worker.Service)
+					t.Fatalf("the node's worker is of service %s", node.Worker.Service)
 				}
 				ownCallers := standin.NewCallers(f.env("own", node.Host, node.Area, &node.skew), []string{node.Host + ":8000"}, f.Obs, 15*time.Second)
 				var lastFailure time.Duration
@@ -121,9 +123,9 @@
 					}
 					Wait(20 * time.Millisecond)
 				}
-				t.Logf("%d done, %d not, the last of these %v after the cut", done, refused, lastFailure)
+				t.Logf("%d served, %d failed, the last failure %v after the cut", done, refused, lastFailure)
 				if lastFailure > bound || done < 5 {
-					t.Errorf("%d done, and jobs failed until %v after the cut", done, lastFailure)
+					t.Errorf("%d served, and requests failed until %v after the cut", done, lastFailure)
 				}
 				f.Net.Isolate(node.Host, false)
 				waitForLoad()
--- a/internal/sim/comeback_test.go
+++ b/internal/sim/comeback_test.go
@@ -16,10 +16,11 @@
 	"puffincrank/internal/task"
 )
 
-// TestRetryAfterRejection: of a service that is asked for 1.7 times what its slots do,
-// callers come back as they are told, twice at the most. No slot stands idle,
-// and who came back takes no slot from new jobs, which can still be served in
-// time: most of what is served is. By the ends of their waits alone 0.53 was.
+// TestRetryAfterRejection offers 1.7 times the load that a service's slots can serve, and
+// callers retry at most twice, when they are told to. No slot may be idle, and retries must
+// not take slots from new requests that can still meet their target, so that most served
+// requests meet it. When the queue was ordered only by the end of each request's wait, 0.53
+// of them did.
 func TestRetryAfterRejection(t *testing.T) {
 	heavy(t)
 	synctest.Test(t, func(t *testing.T) {
@@ -52,7 +53,7 @@
 				code, retryAfter := attempt(host, deadline)
 				if code == http.StatusOK {
 					if outcome = "late"; time.Since(start) <= target {
-						outcome = "in aim"
+						outcome = "in time"
 					}
 					break
 				}
@@ -75,14 +76,14 @@
 			Wait(time.Second / 600)
 		}
 		pending.Wait()
-		served := float64(count["in aim"] + count["late"])
-		inTime, utilization := float64(count["in aim"])/served, served/(360*(duration-warmUp).Seconds())
-		t.Logf("%v: of those served %.2f in their aim, room used %.2f", count, inTime, utilization)
+		served := float64(count["in time"] + count["late"])
+		inTime, utilization := float64(count["in time"])/served, served/(360*(duration-warmUp).Seconds())
+		t.Logf("%v: %.2f of the served requests met their target latency, slot utilization %.2f", count, inTime, utilization)
 		if inTime < 0.85 {
-			t.Errorf("of those served %.2f had their aim", inTime)
+			t.Errorf("%.2f of the served requests met their target latency", inTime)
 		}
 		if utilization < 0.9 {
-			t.Errorf("only %.2f of the room was used under pressure", utilization)
+			t.Errorf("slot utilization under overload was only %.2f", utilization)
 		}
 	})
 }
--- a/internal/sim/congest_test.go
+++ b/internal/sim/congest_test.go
@@ -13,9 +13,9 @@
 
 const megabit = 1_000_000 / 8
 
-// thinShape is a school's mesh in two areas: pages and loans that somebody
-// waits for, scans that go up and files that come down. With flat all paths are
-// alike, so that all jobs go by one lane.
+// thinShape is a cluster in two zones: pages and loans are urgent, scans are uploads and
+// downloads. With oneLane all routes have the same rank and no bulk retry mode, so that all
+// requests share one lane.
 func thinShape(oneLane bool) Shape {
 	upload, download, lowRank := `"repeat":"upload","rank":3`, `"repeat":"download","rank":3`, `"rank":1`
 	if oneLane {
@@ -30,8 +30,8 @@
 {"name":"file","method":"GET","prefix":"/files","service":"scans","left_ms":6000,"aim_ms":3000,` + download + `}]}`}
 }
 
-// thinFleet starts a fleet of two areas; workers of scans stand in one of them
-// only, so that bulk can't keep off the link.
+// thinFleet starts a fleet in two zones. Workers of scans run in one of them only, so that
+// bulk has to cross the link.
 func thinFleet(t *testing.T, oneLane bool, limit func(*Fleet)) *Fleet {
 	return thinFleetOf(t, thinShape(oneLane), limit)
 }
@@ -57,14 +57,14 @@
 		}
 	}
 	Wait(3 * time.Second)
-	f.Until(15*time.Second, "all know all workers", f.Whole)
+	f.Until(15*time.Second, "all proxies know all workers", f.Whole)
 	if limit != nil {
 		limit(f)
 	}
 	return f
 }
 
-// narrow makes the two areas' link thin, each way.
+// narrow limits the bandwidth between the two zones in each direction.
 func narrow(rate int) func(*Fleet) {
 	return func(f *Fleet) {
 		f.Net.Narrow(Areas[0], Areas[1], rate)
@@ -76,18 +76,18 @@
 	{Method: "GET", URI: "/pages/7", Service: "pages", Safe: true, Rate: 120},
 	{Method: "POST", URI: "/loans", Service: "lending", Rate: 80, Size: 200}}
 
-// bulkLines offers bulk of a size at twice what a link carries. Only callers at the
-// fronts of the other area press the link.
+// bulkLines returns bulk calls at twice the link's bandwidth in each direction. Only
+// callers at ingresses of the other zone load the link.
 func bulkLines(rate int) []standin.Line {
 	return []standin.Line{
 		{Method: "POST", URI: "/scans", Service: "scans", Rate: 2 * float64(rate) / size, Size: size, Want: 1},
 		{Method: "GET", URI: "/files/7", Service: "scans", Safe: true, Rate: 2 * float64(rate) / size, Want: size}}
 }
 
-const size = 60_000 // of a body of bulk
+const size = 60_000 // bytes of a bulk body
 
-// isWhole tells whether a bulk call's answer is its own, byte for byte, and says
-// that its own body came whole.
+// isWhole reports whether a bulk call got its own response, byte for byte, which also
+// confirms that its own body arrived whole.
 func isWhole(c standin.Call) bool {
 	sent, want := size, 1
 	if c.Safe {
@@ -97,7 +97,8 @@
 	return got == fmt.Sprint(sent)+string(standin.Whole(c.ID, standin.Pattern(c.ID, sent), want))
 }
 
-// load runs urgent calls at all fronts and bulk at those of the first area.
+// loadWithBulk runs urgent calls at all ingresses and bulk calls at those of the first
+// zone.
 func (f *Fleet) loadWithBulk(bulk []standin.Line, duration time.Duration) {
 	var ingresses []string
 	for _, n := range f.Nodes {
@@ -119,7 +120,8 @@
 	<-bulkDone
 }
 
-// outcomes counts how the calls of a kind ended, with a quantile of those done.
+// outcomes counts the outcomes of urgent or bulk calls and returns a quantile of the
+// durations of those that were served.
 func (f *Fleet) outcomes(bulk bool, quantile float64) (map[string]int, time.Duration) {
 	counts := map[string]int{}
 	var durations []time.Duration
@@ -132,12 +134,12 @@
 			counts["done"]++
 			durations = append(durations, c.To.Sub(c.From))
 			if bulk && !isWhole(c) {
-				counts["not whole"]++
+				counts["incomplete response"]++
 			}
 		case c.Status == 503 && c.Ran == "no":
 			counts["refused"]++
 			if c.Retry == "" {
-				counts["no time"]++
+				counts["no Retry-After"]++
 			}
 		default:
 			counts[fmt.Sprint("lost ", c.Status, c.Ran, c.Safe)]++
@@ -150,12 +152,12 @@
 	return counts, durations[min(int(float64(len(durations))*quantile), len(durations)-1)]
 }
 
-// congestionResult is what came of one run.
+// congestionResult is the result of one run.
 type congestionResult struct {
 	urgent, bulk map[string]int
-	p99          time.Duration // of urgent calls
-	extraRuns    int           // runs beyond one for each call that ran
-	linkUse      float64       // of the thinner way's bytes that were used
+	p99          time.Duration
+	extraRuns    int     // runs beyond one for each call that ran
+	linkUse      float64 // fraction of the link's bandwidth used, in the direction that used less
 }
 
 func runCongested(t *testing.T, oneLane bool, bulk []standin.Line, limit, meanwhile func(*Fleet)) (out congestionResult) {
@@ -187,8 +189,8 @@
 
 const linkRate = 4 * megabit
 
-// lostBulk counts the bulk that ended in neither a whole answer nor a certain
-// refusal that says when to come back.
+// lostBulk counts the bulk calls that ended neither with a complete response nor with a
+// definite refusal that has a Retry-After.
 func (c congestionResult) lostBulk() (n int) {
 	for outcome, count := range c.bulk {
 		if outcome != "done" && outcome != "refused" {
@@ -198,11 +200,11 @@
 	return n
 }
 
-// TestThinLinks: the link between two areas has 4 Mbit/s and bulk of twice that
-// is offered each way. Urgent calls stay nearly as quick as without bulk, all
-// of them are done, none runs twice, all bulk that was done is whole, byte for
-// byte, and the rest was refused unrun, with a time to come back. With all in
-// one lane it isn't so.
+// TestThinLinks limits the link between two zones to 4 Mbit/s and offers twice that in bulk
+// in each direction. Urgent calls stay nearly as fast as without bulk, all of them are
+// served and none runs twice. All bulk that was served is complete, byte for byte, and the
+// rest was refused without running, with a Retry-After. With all requests in one lane this
+// does not hold.
 func TestThinLinks(t *testing.T) {
 	t.Parallel()
 	var noBulk, lanes, oneLane congestionResult
@@ -210,14 +212,16 @@
 	t.Run("lanes", func(t *testing.T) { lanes = runCongested(t, false, bulkLines(linkRate), narrow(linkRate), nil) })
 	t.Run("one lane", func(t *testing.T) { oneLane = runCongested(t, true, bulkLines(linkRate), narrow(linkRate), nil) })
 	if lanes.p99 > noBulk.p99*5/2 || len(lanes.urgent) != 1 || lanes.extraRuns > 0 {
-		t.Errorf("urgent calls took %v, without bulk %v; %v, %d run again", lanes.p99, noBulk.p99, lanes.urgent, lanes.extraRuns)
+		t.Errorf("p99 of urgent calls %v, without bulk %v; %v, %d extra runs", lanes.p99, noBulk.p99, lanes.urgent, lanes.extraRuns)
 	}
-	// Before the speed is known for the first time some may be let in too many.
+	// Until the link's bandwidth is first measured, a few requests too many may be
+	// admitted.
 	if lanes.lostBulk() > 3 || lanes.bulk["done"] < 330 || lanes.linkUse < 0.8 {
-		t.Errorf("%.2f of the link was used, bulk ended %v", lanes.linkUse, lanes.bulk)
+		t.Errorf("%.2f of the link was used, outcomes of bulk %v", lanes.linkUse, lanes.bulk)
 	}
-	// What a jam lets through is chance, 96 to 220 of 1000; what it loses is not.
+	// How many bulk calls a congested link lets through is random, 96 to 220 of 1000; that
+	// many are lost is not.
 	if oneLane.p99 < 2*lanes.p99 || oneLane.lostBulk() < 150 || oneLane.urgent["done"] > lanes.urgent["done"]*49/50 || oneLane.bulk["done"] > lanes.bulk["done"]*3/4 {
-		t.Errorf("all in one lane does as well: urgent %v %v, bulk %v", oneLane.p99, oneLane.urgent, oneLane.bulk)
+		t.Errorf("a single lane does as well: urgent %v %v, bulk %v", oneLane.p99, oneLane.urgent, oneLane.bulk)
 	}
 }
--- a/internal/sim/congestcut_test.go
+++ b/internal/sim/congestcut_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// TestThinStop: a proxy that is rolled while answers wait behind its thin link
-// leaves none of them without an end.
+// TestThinStop checks that a rolling restart of proxies leaves no response unfinished that
+// waits behind the thin link.
 func TestThinStop(t *testing.T) {
 	t.Parallel()
 	got := runCongested(t, false, bulkLines(linkRate), narrow(linkRate), func(f *Fleet) {
@@ -19,13 +19,13 @@
 		}
 	})
 	if got.lostBulk() > 3 || got.bulk["done"] < 250 {
-		t.Errorf("bulk ended %v", got.bulk)
+		t.Errorf("outcomes of bulk %v", got.bulk)
 	}
 }
 
-// TestThinCut: while bulk waits the areas are cut off from each other for a
-// moment, and for longer than a link lives. Nothing runs twice, all that was
-// done is whole, and after it urgent calls and bulk go on.
+// TestThinCut partitions the zones while bulk is waiting, once for a moment and once for
+// longer than a connection survives. Nothing runs twice, everything served is complete, and
+// urgent calls and bulk continue afterwards.
 func TestThinCut(t *testing.T) {
 	t.Parallel()
 	for _, duration := range []time.Duration{200 * time.Millisecond, 3 * time.Second} {
@@ -36,11 +36,11 @@
 				Wait(duration)
 				f.cutArea(Areas[1], false)
 			})
-			if got.bulk["done"] < 250 || got.bulk["not whole"]+got.bulk["no time"] > 0 {
-				t.Errorf("bulk ended %v", got.bulk)
+			if got.bulk["done"] < 250 || got.bulk["incomplete response"]+got.bulk["no Retry-After"] > 0 {
+				t.Errorf("outcomes of bulk %v", got.bulk)
 			}
 			if got.urgent["done"] < 5300 {
-				t.Errorf("urgent calls ended %v", got.urgent)
+				t.Errorf("outcomes of urgent calls %v", got.urgent)
 			}
 		})
 	}
--- a/internal/sim/core_test.go
+++ b/internal/sim/core_test.go
@@ -12,20 +12,21 @@
 	"puffincrank/internal/standin"
 )
 
-// small is a fleet for faults of the core: few nodes, all of the core.
+// small returns a shape for faults of the control plane, with few nodes.
 func small() Shape {
 	s := Fumettoteca(0.1)
 	s.Nodes = 3
 	return s
 }
 
-// apps runs coordination callers in the background.
+// apps runs coordination callers in the background. The returned function waits for their
+// end.
 func (f *Fleet) apps(duration time.Duration) func() *standin.Coord {
 	_, wait := f.appsNow(duration)
 	return wait
 }
 
-// appsNow is the same, and gives the callers while they run.
+// appsNow does the same and also returns the callers while they run.
 func (f *Fleet) appsNow(duration time.Duration) (*standin.Coord, func() *standin.Coord) {
 	f.Net.Place("10.0.9.7", "outside")
 	var addresses []string
@@ -47,15 +48,15 @@
 	return c, func() *standin.Coord { <-done; return c }
 }
 
-// serves waits until a write goes through any node, and tells how long.
+// serves waits until a write succeeds through a proxy, and returns how long that took.
 func (f *Fleet) serves(bound time.Duration) time.Duration {
-	return f.Until(bound, "a write goes through", func() bool {
+	return f.Until(bound, "a write succeeds", func() bool {
 		code, _ := f.Ask("PUT", f.Nodes[0].Host+":7003", "/puffin/keys/probe", `{"value":"x"}`)
 		return code == 200
 	})
 }
 
-// kept notes what was acknowledged before a fault, and checks it after.
+// kept is the state acknowledged before a fault, which must survive it.
 type kept struct {
 	rev, num, fence uint64
 	version         float64
@@ -71,7 +72,7 @@
 	fence, _ := lockAnswer["fence"].(float64)
 	version, _ := configAnswer["version"].(float64)
 	if rev == 0 || number == 0 || fence == 0 || version == 0 {
-		f.T.Fatalf("nothing was acknowledged: %v %v %v %v", keyAnswer, numberAnswer, lockAnswer, configAnswer)
+		f.T.Fatalf("not everything was acknowledged: %v %v %v %v", keyAnswer, numberAnswer, lockAnswer, configAnswer)
 	}
 	return kept{uint64(rev), uint64(number), uint64(fence), version}
 }
@@ -85,18 +86,18 @@
 	_, configAnswer := f.Get(address, "/puffin/config")
 	number, _ := numberAnswer["number"].(float64)
 	if keyAnswer["value"] != "v" || keyAnswer["rev"] != float64(expected.rev) || uint64(number) <= expected.num || code != 409 || lockAnswer["fence"] != float64(expected.fence) || configAnswer["version"] != expected.version {
-		f.T.Errorf("lost after the fault: %v %v %d %v %v, kept %+v", keyAnswer, numberAnswer, code, lockAnswer, configAnswer["version"], expected)
+		f.T.Errorf("acknowledged state was lost: %v %v %d %v %v, want %+v", keyAnswer, numberAnswer, code, lockAnswer, configAnswer["version"], expected)
 	}
 	f.Ask("POST", address, "/puffin/locks/kept/release", `{"owner":"me"}`)
 }
 
-// controlPlaneFault is one fault of the core: brought about, then mended.
+// controlPlaneFault is one fault of the control plane and its repair.
 type controlPlaneFault struct {
 	name     string
 	do       func(f *Fleet)
 	undo     func(f *Fleet)
-	duration time.Duration // how long it lasts
-	recovery time.Duration // bound on service after do, while it lasts; 0: none is owed
+	duration time.Duration // how long the fault lasts
+	recovery time.Duration // bound on the time until writes succeed during the fault; 0 if they need not
 }
 
 var controlPlaneFaults = []controlPlaneFault{
@@ -137,7 +138,7 @@
 
 func (f *Fleet) mark(c *Core) *Core {
 	if c == nil {
-		f.T.Fatal("nobody writes")
+		f.T.Fatal("no store is the leader")
 	}
 	f.marked = c
 	return c
@@ -154,9 +155,9 @@
 	}
 }
 
-// TestCoreFaults brings about each fault of one core machine under
-// coordination calls: nothing acknowledged is lost, nothing is given twice,
-// and service returns within the bound.
+// TestCoreFaults causes each fault of the control plane during coordination calls: no
+// acknowledged state is lost, no number or lock is granted twice, and writes succeed again
+// within the bound.
 func TestCoreFaults(t *testing.T) {
 	t.Parallel()
 	for i, fault := range controlPlaneFaults {
@@ -171,17 +172,17 @@
 				Wait(2 * time.Second)
 				fault.do(f)
 				if fault.recovery > 0 {
-					t.Logf("writes go through %v after the fault", f.serves(fault.recovery).Round(time.Millisecond))
+					t.Logf("writes succeed %v after the fault", f.serves(fault.recovery).Round(time.Millisecond))
 				}
 				Wait(fault.duration)
 				fault.undo(f)
-				t.Logf("writes go through %v after machines came back", f.serves(15*time.Second).Round(time.Millisecond))
+				t.Logf("writes succeed %v after the machines came back", f.serves(15*time.Second).Round(time.Millisecond))
 				f.Until(15*time.Second, "all three stores are ready", f.coreReady)
 				coord := waitForApps()
 				f.still(expected)
 				f.Judge()
 				if coord.Done["locks 200"] < 50 || coord.Done["keys 200"] < 50 || coord.Done["watch?prefix=k 200"] < 5 {
-					t.Errorf("too few calls went through: %v", coord.Done)
+					t.Errorf("too few calls succeeded: %v", coord.Done)
 				}
 			})
 		})
@@ -200,9 +201,9 @@
 	return true
 }
 
-// TestNewMachine: a core machine is lost for good and an empty one at a new
-// address takes its place; proxies with the old seeds find it; then one more
-// machine is lost, and service goes on.
+// TestNewMachine replaces a control-plane machine that is lost for good with an empty one
+// at a new address. Proxies configured with the old seeds find it. Then another machine is
+// lost, and writes still succeed.
 func TestNewMachine(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -226,7 +227,7 @@
 			code, got := f.Get(fresh.Host+":7004", "/puffin/ready")
 			return code == 200 && replaced.Load() == 1 && fmt.Sprint(got["role"]) != "empty"
 		})
-		t.Logf("in place %v after its start", elapsed.Round(time.Millisecond))
+		t.Logf("a member %v after its start", elapsed.Round(time.Millisecond))
 		f.serves(5 * time.Second)
 		for _, c := range f.Cores {
 			if c != lost && c != fresh {
@@ -234,7 +235,7 @@
 				break
 			}
 		}
-		t.Logf("after the second fault writes go through in %v", f.serves(10*time.Second).Round(time.Millisecond))
+		t.Logf("writes succeed %v after the second fault", f.serves(10*time.Second).Round(time.Millisecond))
 		f.still(expected)
 		waitForApps()
 		f.Judge()
--- a/internal/sim/corearea_test.go
+++ b/internal/sim/corearea_test.go
@@ -11,13 +11,13 @@
 	"puffincrank/internal/event"
 )
 
-// layout is a core whose machines stand in some areas, "region/area" each, in
-// the order in which they are added: the first three found it.
+// layout is a control plane whose machines are placed in zones, written "region/zone", in
+// the order in which they join; the first three found the cluster.
 type layout struct {
 	name                                    string
 	machines                                string
 	machineLosses, zoneLosses, regionLosses int
-	extraChanges                            int // changes of the members beyond the growth, at the most
+	extraChanges                            int // membership changes allowed beyond those that add voters
 }
 
 var layouts = []layout{
@@ -41,7 +41,8 @@
 	return l
 }
 
-// lossDomains are what may be lost at once: the machines of each area, or region.
+// lossDomains returns the groups of machines that may be lost at once: those of each zone
+// or region.
 func (l *lab) lossDomains(placed layout) map[string][]*Core {
 	domains := map[string][]*Core{}
 	for _, c := range l.Cores {
@@ -55,7 +56,8 @@
 	return domains
 }
 
-// tolerates tells whether the loss of any of them leaves a majority.
+// tolerates reports whether every machine that should vote does, and the loss of any domain
+// leaves a majority.
 func (l *lab) tolerates(placed layout) bool {
 	voters := l.places()
 	for _, machines := range l.lossDomains(placed) {
@@ -72,11 +74,11 @@
 	return len(voters) == placed.voters()
 }
 
-// TestCoreBearsAreas: wherever a core was founded, its voters move until the loss
-// of any area, or region, leaves a majority, with no more moves than it needs.
-// Then each is lost, by power, by power and disk, and by power and disk while all
-// others lose power: writes go on, or go through when machines are back, and
-// nothing acknowledged is gone.
+// TestCoreBearsAreas checks that, wherever the control plane was founded, its voters move
+// until the loss of any zone or region leaves a majority, with no more membership changes
+// than needed. Then each domain is lost: by power, with its disks, and with its disks while
+// all other machines lose power. Writes continue, or succeed once machines are back, and no
+// acknowledged write is lost.
 func TestCoreBearsAreas(t *testing.T) {
 	heavy(t)
 	for i, placed := range layouts {
@@ -87,13 +89,13 @@
 					l := placed.lab(t, uint64(i)+880)
 					defer l.Stop()
 					l.up()
-					elapsed := l.Until(8*time.Second, "the core bears what it must", func() bool { return l.tolerates(placed) && l.coreReady() })
+					elapsed := l.Until(8*time.Second, "the control plane tolerates the losses that it must", func() bool { return l.tolerates(placed) && l.coreReady() })
 					Wait(4 * time.Second)
 					added := placed.voters() - min(3, len(l.Cores))
 					if changes := l.count(event.Replaced); changes < added || changes > added+placed.extraChanges {
-						t.Errorf("the members changed %d times", changes)
+						t.Errorf("the membership changed %d times", changes)
 					}
-					t.Logf("%v after the first writer", elapsed.Round(10*time.Millisecond))
+					t.Logf("fault-tolerant %v after the first leader was elected", elapsed.Round(10*time.Millisecond))
 					for name, lost := range l.lossDomains(placed) {
 						l.loseDomain(t, placed, name, failure, lost)
 					}
@@ -120,7 +122,7 @@
 	}
 	if len(stopped) == len(lost) {
 		if elapsed := l.next(4 * time.Second); elapsed > 1500*time.Millisecond {
-			t.Errorf("%s lost with its %s: the next write went through after %v", name, failure, elapsed)
+			t.Errorf("%s lost its %s: the next write succeeded after %v", name, failure, elapsed)
 		}
 		l.holds(expected)
 	}
@@ -130,10 +132,11 @@
 	}
 	l.next(8 * time.Second)
 	l.holds(expected)
-	l.Until(12*time.Second, name+" is back with its "+failure, func() bool { return l.tolerates(placed) && l.coreReady() })
+	l.Until(12*time.Second, name+" is back after the loss of its "+failure, func() bool { return l.tolerates(placed) && l.coreReady() })
 }
 
-// TestTooFewZonesReported: a core that stands in too few areas to bear one's loss says so.
+// TestTooFewZonesReported checks that a control plane in too few zones to tolerate the loss
+// of one reports it.
 func TestTooFewZonesReported(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -141,7 +144,7 @@
 		l := placed.lab(t, 899)
 		defer l.Stop()
 		l.up()
-		l.Until(8*time.Second, "three vote", func() bool { return len(l.places()) == 3 })
-		l.Until(20*time.Second, "it is warned of", func() bool { return l.count(event.TooFewStores) > 0 })
+		l.Until(8*time.Second, "three machines vote", func() bool { return len(l.places()) == 3 })
+		l.Until(20*time.Second, "the missing fault tolerance is reported", func() bool { return l.count(event.TooFewStores) > 0 })
 	})
 }
--- a/internal/sim/coredisk_test.go
+++ b/internal/sim/coredisk_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// diskFaults are the ways in which a disk falls ill, and gets well again.
+// diskFaults are the ways in which a disk fails, with their repairs.
 var diskFaults = []struct {
 	name     string
 	do, undo func(d *Disk)
@@ -19,8 +19,8 @@
 	{"refuses", func(d *Disk) { d.Deny(true) }, func(d *Disk) { d.Deny(false) }},
 }
 
-// writeGaps writes on for a time and gives the longest span without an
-// acknowledgement, and how many came.
+// writeGaps writes continuously for a duration, and returns the longest time between two
+// acknowledgements and the number of writes.
 func (l *lab) writeGaps(duration time.Duration) (longest time.Duration, writes int) {
 	for start := time.Now(); time.Since(start) < duration; writes++ {
 		longest = max(longest, l.next(5*time.Second))
@@ -28,7 +28,7 @@
 	return longest, writes
 }
 
-// pickFailing picks the writer, when it is to be among them, and followers.
+// pickFailing picks the leader, if withLeader is set, and followers.
 func (l *lab) pickFailing(count int, withLeader bool) (picked []*Core) {
 	leader := l.mark(l.Writer())
 	if withLeader {
@@ -42,17 +42,18 @@
 	return picked
 }
 
-// TestDiskFaults: the disks of as many machines as the core is to bear hang, are
-// slow, full or refuse, the writer's among them or not. At a writer's it costs
-// a quarter of change_ms at the most, at a follower's nothing; whoever is
-// ill says so, and is well again with its disk. Power lost everywhere at the
-// end shows that nothing was acknowledged that was not synced.
+// TestDiskFaults makes the disks of as many machines as the control plane tolerates losing
+// hang, slow down, fill up or refuse writes, with and without the leader's among them. A
+// fault of the leader's disk stops writes for a quarter of change_ms at most, one of a
+// follower's disk does not stop them. An affected store reports its fault and recovers with
+// its disk. A power loss everywhere at the end shows that nothing was acknowledged before
+// it was synced.
 func TestDiskFaults(t *testing.T) {
 	heavy(t)
 	for i, fault := range diskFaults {
 		for _, setup := range []struct {
 			machines, failing int
-			withLeader bool
+			withLeader        bool
 		}{{3, 1, true}, {3, 1, false}, {5, 1, true}, {5, 2, true}, {5, 2, false}} {
 			t.Run(fmt.Sprintf("%s, %d of %d, writer %v", fault.name, setup.failing, setup.machines, setup.withLeader), func(t *testing.T) {
 				t.Parallel()
@@ -62,8 +63,9 @@
 					l.from = time.Now()
 					l.up()
 					l.Stores["founding"] = false
-					l.Until(4*time.Second, "all places are taken", func() bool { return l.settled(setup.machines) })
-					// Some hundred versions, so that a checkpoint falls due in the fault.
+					l.Until(4*time.Second, "all machines are members", func() bool { return l.settled(setup.machines) })
+					// Several hundred log entries, so that a snapshot is due during the
+					// fault.
 					expected := l.marks(20)
 					l.writeGaps(2 * time.Second)
 					failing := l.pickFailing(setup.failing, setup.withLeader)
@@ -77,7 +79,7 @@
 						bound = 500 * time.Millisecond
 					}
 					if longest > bound {
-						t.Errorf("no write for %v", longest)
+						t.Errorf("no write succeeded for %v", longest)
 						l.tell(t, 9*time.Second)
 					}
 					for key, rev := range l.marks(20) {
@@ -86,7 +88,7 @@
 					for _, machine := range failing {
 						fault.undo(machine.Disk)
 					}
-					l.Until(6*time.Second, "all stores are well", func() bool { return l.settled(setup.machines) })
+					l.Until(6*time.Second, "all stores have recovered", func() bool { return l.settled(setup.machines) })
 					l.next(2 * time.Second)
 					for _, machine := range l.Cores {
 						l.KillCore(machine, true)
@@ -102,8 +104,8 @@
 	}
 }
 
-// TestFullDiskFreed: a disk that is full and stays so is freed by a checkpoint,
-// for which room was kept; the store has no need of anybody.
+// TestFullDiskFreed checks that a disk that stays full is freed by a snapshot, for which
+// space was reserved. The store recovers without help.
 func TestFullDiskFreed(t *testing.T) {
 	heavy(t)
 	synctest.Test(t, func(t *testing.T) {
@@ -115,10 +117,10 @@
 		leader := l.mark(l.Writer())
 		leader.Disk.Room(10)
 		longest, _ := l.writeGaps(3 * time.Second)
-		l.Until(8*time.Second, "the full disk is well again", func() bool { return l.coreReady() && len(l.places()) == 3 })
+		l.Until(8*time.Second, "the store with the full disk has recovered", func() bool { return l.coreReady() && len(l.places()) == 3 })
 		t.Logf("the longest gap %v", longest.Round(time.Millisecond))
 		if code, got := l.Get(leader.Host+":7004", "/puffin/ready"); code != 200 || got["disk_ill"] == true {
-			t.Errorf("the full one says %v", got)
+			t.Errorf("the store with the full disk reports %v", got)
 			l.tell(t, 12*time.Second)
 		}
 	})
--- a/internal/sim/corefive_test.go
+++ b/internal/sim/corefive_test.go
@@ -11,18 +11,19 @@
 	"time"
 )
 
-// startFive is a grown core of five that is to bear two, with what was acknowledged.
+// startFive starts a control plane of five voters that tolerates two losses, and returns it
+// with acknowledged writes.
 func startFive(t *testing.T, seed uint64) (*lab, map[string]uint64) {
 	l := newLab(t, seed, 5, 2)
 	l.from = time.Now()
 	l.up()
-	l.Until(4*time.Second, "all places are taken", func() bool { return l.settled(5) })
+	l.Until(4*time.Second, "all machines are members", func() bool { return l.settled(5) })
 	l.Stores["founding"] = false
 	Wait(time.Second)
 	return l, l.marks(25)
 }
 
-// pickTwo draws two machines that vote, the writer among them in every second seed.
+// pickTwo draws two voters, with the leader among them for even seeds.
 func (l *lab) pickTwo(rnd *rand.Rand, seed uint64) (picked []*Core) {
 	leader := l.mark(l.Writer())
 	all := slices.Clone(l.Cores)
@@ -38,11 +39,11 @@
 	return picked
 }
 
-// fiveFaults are the ways in which a core of five loses two at once or all for a
-// moment. Each gives when the machines are back, or the new ones up.
+// fiveFaults are the ways in which five voters lose two at once, or all for a moment. Each
+// function returns when the machines or their replacements are running.
 var fiveFaults = []struct {
 	name  string
-	bound time.Duration // until the next write
+	bound time.Duration // on the time until the next write
 	do    func(l *lab, rnd *rand.Rand, seed uint64, k map[string]uint64)
 }{
 	{"two lost while an empty one joins", 2500 * time.Millisecond, func(l *lab, rnd *rand.Rand, seed uint64, _ map[string]uint64) {
@@ -50,7 +51,7 @@
 		l.KillCore(two[0], true)
 		Wait(time.Duration(rnd.IntN(1500)) * time.Millisecond)
 		l.BackCore(l.fresh(two[0]))
-		// Somewhere on its way from empty to a voter.
+		// At a random point of the new machine's way from empty to voter.
 		Wait(time.Duration(rnd.IntN(1200)) * time.Millisecond)
 		l.KillCore(two[1], true)
 		l.BackCore(l.fresh(two[1]))
@@ -64,7 +65,7 @@
 	}},
 	{"two wiped, all others without power", 2500 * time.Millisecond, func(l *lab, rnd *rand.Rand, seed uint64, k map[string]uint64) {
 		two := l.pickTwo(rnd, seed)
-		// Acknowledged a moment before, at a machine whose disk goes.
+		// Acknowledged just before, at a machine whose disk is lost.
 		if rev := l.put(two[0], "last", "last"); rev > 0 {
 			k["last"] = rev
 		}
@@ -95,9 +96,9 @@
 	}},
 }
 
-// TestFiveVotersTolerateTwoLosses: five voters of which two may be lost at once, in each of the
-// ways; writes go on within a bound, numbers only rise, nothing acknowledged
-// is lost, and five vote again within catch_up_ms and a little.
+// TestFiveVotersTolerateTwoLosses checks each way in which two of five voters are lost.
+// Writes continue within a bound, numbers only rise, no acknowledged write is lost, and
+// five machines vote again shortly after catch_up_ms.
 func TestFiveVotersTolerateTwoLosses(t *testing.T) {
 	heavy(t)
 	for i, fault := range fiveFaults {
@@ -117,10 +118,10 @@
 					stopCounting := l.counts(rand.New(rand.NewPCG(seed, 8)))
 					fault.do(l, rnd, seed, expected)
 					elapsed := l.next(8 * time.Second)
-					restored := l.Until(6*time.Second, "five vote again", func() bool { return l.settled(5) })
-					t.Logf("seed %d: the next write after %v, five vote %v later", seed, elapsed.Round(time.Millisecond), restored.Round(time.Millisecond))
+					restored := l.Until(6*time.Second, "five machines vote again", func() bool { return l.settled(5) })
+					t.Logf("seed %d: the next write after %v, five machines vote %v later", seed, elapsed.Round(time.Millisecond), restored.Round(time.Millisecond))
 					if elapsed > fault.bound {
-						t.Errorf("no write for %v", elapsed)
+						t.Errorf("no write succeeded for %v", elapsed)
 					}
 					Wait(time.Second)
 					stopCounting()
@@ -131,7 +132,7 @@
 	}
 }
 
-// partition cuts the core in two.
+// partition cuts a minority off from the other machines, or joins them again.
 func (l *lab) partition(minority []*Core, on bool) {
 	for _, a := range minority {
 		for _, b := range l.Cores {
@@ -143,9 +144,10 @@
 	}
 }
 
-// TestFiveVotersPartitioned: the core is cut in two and three, the writer on either side, and
-// callers reach both. The three go on; the two acknowledge nothing and give no
-// old values; what either turned away never shows.
+// TestFiveVotersPartitioned splits five voters into two and three, with the leader on
+// either side, while callers reach both. The majority continues. The minority acknowledges
+// nothing and returns no stale values. No write that either side refused ever becomes
+// visible.
 func TestFiveVotersPartitioned(t *testing.T) {
 	heavy(t)
 	for seed := range seeds(6) {
@@ -186,14 +188,14 @@
 			pending.Wait()
 			l.partition(minority, false)
 			elapsed := l.next(4 * time.Second)
-			t.Logf("seed %d: %d acknowledged by the three, %d by the two, %d turned away; the next write %v after the cut", seed, majorityAnswers, minorityAnswers, len(refused), elapsed.Round(time.Millisecond))
+			t.Logf("seed %d: the majority answered %d, the minority %d, %d were refused; the next write %v after the partition", seed, majorityAnswers, minorityAnswers, len(refused), elapsed.Round(time.Millisecond))
 			if minorityAnswers > 0 || majorityAnswers < 440 || len(refused) < 100 {
-				t.Errorf("the two answered %d, the three %d of 450, %d were turned away", minorityAnswers, majorityAnswers, len(refused))
+				t.Errorf("the minority answered %d, the majority %d of 450, %d were refused", minorityAnswers, majorityAnswers, len(refused))
 			}
 			l.Until(4*time.Second, "all stores are ready", func() bool { return l.settled(5) })
 			for key := range refused {
 				if code, got := l.Get(l.Cores[0].Host+":7003", "/puffin/keys/"+key); code != 404 {
-					t.Errorf("%s was turned away, and shows: %d %v", key, code, got)
+					t.Errorf("%s was refused, but is visible: %d %v", key, code, got)
 				}
 			}
 			l.holds(expected)
--- a/internal/sim/coregone_test.go
+++ b/internal/sim/coregone_test.go
@@ -8,9 +8,9 @@
 	"time"
 )
 
-// stopControlPlane ends the whole core at one moment: its machines are dark, or their
-// processes are killed. If wiped is set, as many disks are lost as the core is
-// to bear, that of the one that wrote first.
+// stopControlPlane stops all control-plane machines at once, by a power loss or by killing
+// their processes. If wiped is set, as many disks are lost as the control plane tolerates,
+// the leader's among them.
 func (f *Fleet) stopControlPlane(powerLost, wiped bool) {
 	leader := f.mark(f.Writer())
 	lost := []*Core{leader}
@@ -32,7 +32,8 @@
 	}
 }
 
-// restartControlPlane starts it again, and gives the time until a store writes.
+// restartControlPlane restarts all machines and returns the time until a store is the
+// leader.
 func (f *Fleet) restartControlPlane() time.Duration {
 	for _, c := range f.Cores {
 		f.Net.Isolate(c.Host, false)
@@ -45,8 +46,8 @@
 	return time.Since(start)
 }
 
-// slowest gives the longest call of each service that began in a time, and how
-// many of all were not answered with 200.
+// slowest returns the longest call of each service that began within a time span, the
+// number of calls, and how many were not answered with 200.
 func (f *Fleet) slowest(from, to time.Time) (longest map[string]time.Duration, all, failed int) {
 	longest = map[string]time.Duration{}
 	for _, c := range f.Obs.Calls() {
@@ -62,18 +63,17 @@
 	return longest, all, failed
 }
 
-// TestCoreGone: the whole core is gone at once, right after it acknowledged a
-// change, and comes back, with the writer's disk lost or not, while all
-// proxies live on. Jobs don't feel it; a writer stands a moment after the core
-// is back; what was acknowledged is read back everywhere, and no proxy was
-// started anew.
+// TestCoreGone stops the whole control plane at once, right after it acknowledged a change,
+// and restarts it, with or without the loss of the leader's disk, while all proxies keep
+// running. Requests are not affected, a leader is elected shortly after the restart, all
+// nodes read back what was acknowledged, and no proxy restarts.
 func TestCoreGone(t *testing.T) {
 	t.Parallel()
 	for i, c := range []struct {
-		name        string
-		dark, wiped bool
-		away        time.Duration
-		cores       int
+		name             string
+		powerLost, wiped bool
+		downtime         time.Duration
+		machines         int
 	}{
 		{"killed for a moment", false, false, 400 * time.Millisecond, 3},
 		{"killed, the writer's disk lost", false, true, 800 * time.Millisecond, 3},
@@ -89,18 +89,18 @@
 					shape.Nodes = 6
 					f := NewFleet(t, shape, 740+seed*10+uint64(i))
 					f.Told = tight
-					for i := len(f.Cores); i < c.cores; i++ {
+					for i := len(f.Cores); i < c.machines; i++ {
 						f.Cores = append(f.Cores, &Core{Host: fmt.Sprint("10.0.0.", 50+i), Area: Areas[i%3], Disk: NewDisk()})
-						f.Stores = map[string]any{"bear": json.Number(fmt.Sprint(c.cores / 2))}
+						f.Stores = map[string]any{"bear": json.Number(fmt.Sprint(c.machines / 2))}
 					}
 					defer f.Stop()
 					f.Start()
 					expected := f.keep()
-					waitForLoad := f.Load(shape.Lines, 6*time.Second+c.away)
+					waitForLoad := f.Load(shape.Lines, 6*time.Second+c.downtime)
 					Wait(3 * time.Second)
 					code, version := f.Apply(f.Cores[1].Host+":7003", 1, shape.Doc)
 					if code != 200 {
-						t.Fatalf("apply answered %d", code)
+						t.Fatalf("the change was answered %d", code)
 					}
 					expected.version = float64(version)
 					before, _, _ := f.slowest(time.Now().Add(-2*time.Second), time.Now())
@@ -109,34 +109,34 @@
 					}
 					f.Stores["founding"] = false
 					lostAt := time.Now()
-					f.stopControlPlane(c.dark, c.wiped)
-					Wait(c.away)
+					f.stopControlPlane(c.powerLost, c.wiped)
+					Wait(c.downtime)
 					elapsed := f.restartControlPlane()
 					backAt := time.Now()
-					f.Until(5*time.Second, "all nodes know the version again", f.Whole)
-					t.Logf("seed %d: a writer %v after the start, all nodes %v later", seed, elapsed.Round(time.Millisecond), time.Since(backAt).Round(time.Millisecond))
+					f.Until(5*time.Second, "all proxies are ready and know all workers again", f.Whole)
+					t.Logf("seed %d: a leader %v after the restart, all proxies ready %v later", seed, elapsed.Round(time.Millisecond), time.Since(backAt).Round(time.Millisecond))
 					if elapsed > 400*time.Millisecond {
-						t.Errorf("no writer for %v after the start", elapsed)
+						t.Errorf("no leader for %v after the restart", elapsed)
 					}
 					f.still(expected)
 					waitForLoad()
 					during, all, failed := f.slowest(lostAt, backAt)
-					t.Logf("%d jobs meanwhile, %d without 200; slowest %v, calm %v", all, failed, during, before)
+					t.Logf("%d requests during the outage, %d without 200; slowest %v, before %v", all, failed, during, before)
 					for service, d := range during {
 						if d > before[service]+60*time.Millisecond {
-							t.Errorf("a job of %s took %v while the core was gone, %v before", service, d, before[service])
+							t.Errorf("a request to %s took %v during the outage, %v before", service, d, before[service])
 						}
 					}
 					if failed > 0 {
-						t.Errorf("%d jobs failed", failed)
+						t.Errorf("%d requests failed", failed)
 					}
 					for _, n := range f.Nodes {
 						if n.starts > 1 {
-							t.Errorf("%s was started again", n.Host)
+							t.Errorf("the worker at %s was restarted", n.Host)
 						}
 						_, got := f.Get(n.Host+":7003", "/puffin/ready")
 						if got["config_version"] != expected.version {
-							t.Errorf("%s has %v, %v was acknowledged", n.Host, got, expected.version)
+							t.Errorf("%s has version %v, but %v was acknowledged", n.Host, got, expected.version)
 						}
 					}
 					f.Judge()
