--- a/internal/sim/corefive_test.go
+++ b/internal/sim/corefive_test.go
@@ -44,7 +44,7 @@
 var fiveFaults = []struct {
 	name  string
 	bound time.Duration // on the time until the next write
-	do    func(l *lab, rnd *rand.Rand, seed uint64, k map[string]uint64)
+	do    func(l *lab, rnd *rand.Rand, seed uint64, expected map[string]uint64)
 }{
 	{"two lost while an empty one joins", 2500 * time.Millisecond, func(l *lab, rnd *rand.Rand, seed uint64, _ map[string]uint64) {
 		two := l.pickTwo(rnd, seed)
@@ -63,11 +63,11 @@
 			l.BackCore(l.fresh(c))
 		}
 	}},
-	{"two wiped, all others without power", 2500 * time.Millisecond, func(l *lab, rnd *rand.Rand, seed uint64, k map[string]uint64) {
+	{"two wiped, all others without power", 2500 * time.Millisecond, func(l *lab, rnd *rand.Rand, seed uint64, expected map[string]uint64) {
 		two := l.pickTwo(rnd, seed)
 		// Acknowledged just before, at a machine whose disk is lost.
 		if rev := l.put(two[0], "last", "last"); rev > 0 {
-			k["last"] = rev
+			expected["last"] = rev
 		}
 		for _, c := range l.Cores {
 			l.KillCore(c, true)
@@ -82,9 +82,9 @@
 			Wait(time.Duration(rnd.IntN(100)) * time.Millisecond)
 		}
 	}},
-	{"all killed, back within a second", 500 * time.Millisecond, func(l *lab, rnd *rand.Rand, _ uint64, k map[string]uint64) {
+	{"all killed, back within a second", 500 * time.Millisecond, func(l *lab, rnd *rand.Rand, _ uint64, expected map[string]uint64) {
 		if rev := l.put(l.Cores[rnd.IntN(5)], "last", "last"); rev > 0 {
-			k["last"] = rev
+			expected["last"] = rev
 		}
 		for _, c := range l.Cores {
 			l.KillCore(c, false)
--- a/internal/sim/faults.go
+++ b/internal/sim/faults.go
@@ -88,17 +88,17 @@
 
 // cutArea blocks or unblocks all traffic between the machines of a zone and those of the
 // other zones.
-func (f *Fleet) cutArea(area string, on bool) {
-	areaOf := map[string]string{}
+func (f *Fleet) cutArea(zone string, on bool) {
+	zoneOf := map[string]string{}
 	for _, c := range f.Cores {
-		areaOf[c.Host] = c.Area
+		zoneOf[c.Host] = c.Area
 	}
 	for _, n := range f.Nodes {
-		areaOf[n.Host] = n.Area
+		zoneOf[n.Host] = n.Area
 	}
-	for a, areaA := range areaOf {
-		for b, areaB := range areaOf {
-			if areaA == area && areaB != area {
+	for a, zoneA := range zoneOf {
+		for b, zoneB := range zoneOf {
+			if zoneA == zone && zoneB != zone {
 				f.Net.Cut(a, b, on)
 				f.Net.Cut(b, a, on)
 			}
--- a/internal/sim/fleet.go
+++ b/internal/sim/fleet.go
@@ -121,23 +121,23 @@
 	return f.seedAt
 }
 
-func (f *Fleet) props(program, node, area, host string, innerPort, outerPort int, extra map[string]any) settings.Settings {
-	input := map[string]any{"node": node, "area": area, "inner": fmt.Sprintf("%s:%d", host, innerPort), "outer": fmt.Sprintf("%s:%d", host, outerPort)}
+func (f *Fleet) props(program, node, zone, host string, innerPort, outerPort int, extra map[string]any) settings.Settings {
+	input := map[string]any{"node": node, "area": zone, "inner": fmt.Sprintf("%s:%d", host, innerPort), "outer": fmt.Sprintf("%s:%d", host, outerPort)}
 	for _, overrides := range []map[string]any{f.Told, extra} {
-		for k, values := range overrides {
-			input[k] = values
+		for name, value := range overrides {
+			input[name] = value
 		}
 	}
-	values, faults := settings.Tables[program].Read(input, "")
-	result, moreFaults := settings.FromChecked(values)
+	value, faults := settings.Tables[program].Read(input, "")
+	result, moreFaults := settings.FromChecked(value)
 	if faults = append(faults, moreFaults...); len(faults) > 0 {
 		f.T.Fatalf("settings of %s: %v", node, faults)
 	}
 	return result
 }
 
-func (f *Fleet) env(node, host, area string, skew *atomic.Int64) env.Env {
-	f.Net.Place(host, area)
+func (f *Fleet) env(node, host, zone string, skew *atomic.Int64) env.Env {
+	f.Net.Place(host, zone)
 	log := event.New(node, nil)
 	if f.Log != nil {
 		log.SetListener(f.Log)
@@ -165,8 +165,8 @@
 		}
 	}
 	extra := map[string]any{"seeds": seeds, "data": "x"}
-	for k, v := range f.Stores {
-		extra[k] = v
+	for name, value := range f.Stores {
+		extra[name] = value
 	}
 	if c.Region != "" {
 		extra["region"] = c.Region
--- a/internal/sim/ice.go
+++ b/internal/sim/ice.go
@@ -17,21 +17,21 @@
 }
 
 // setPaused pauses or resumes the process.
-func (i *pauseGate) setPaused(paused bool) {
-	i.mu.Lock()
-	if paused == (i.resumed != nil) {
-		i.mu.Unlock()
+func (g *pauseGate) setPaused(paused bool) {
+	g.mu.Lock()
+	if paused == (g.resumed != nil) {
+		g.mu.Unlock()
 		return
 	}
 	if paused {
-		i.resumed = make(chan struct{})
-		i.mu.Unlock()
+		g.resumed = make(chan struct{})
+		g.mu.Unlock()
 		return
 	}
-	close(i.resumed)
-	callbacks := i.onResume
-	i.resumed, i.onResume = nil, nil
-	i.mu.Unlock()
+	close(g.resumed)
+	callbacks := g.onResume
+	g.resumed, g.onResume = nil, nil
+	g.mu.Unlock()
 	for _, callback := range callbacks {
 		callback()
 	}
@@ -40,22 +40,22 @@
 // deferUntilResume postpones a callback until the process resumes; it returns false if the
 // process is running. Closing a connection is postponed this way, because blocking in Close
 // could hold a lock.
-func (i *pauseGate) deferUntilResume(callback func()) bool {
-	i.mu.Lock()
-	defer i.mu.Unlock()
-	if i.resumed == nil {
+func (g *pauseGate) deferUntilResume(callback func()) bool {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	if g.resumed == nil {
 		return false
 	}
-	i.onResume = append(i.onResume, callback)
+	g.onResume = append(g.onResume, callback)
 	return true
 }
 
 // waitWhilePaused blocks while the process is paused and reports whether it had to.
-func (i *pauseGate) waitWhilePaused() bool {
+func (g *pauseGate) waitWhilePaused() bool {
 	for waited := false; ; waited = true {
-		i.mu.Lock()
-		resumed := i.resumed
-		i.mu.Unlock()
+		g.mu.Lock()
+		resumed := g.resumed
+		g.mu.Unlock()
 		if resumed == nil {
 			return waited
 		}
@@ -65,9 +65,9 @@
 
 // sleep is how a process sleeps. A paused process wakes late and after its sockets, which
 // is the harder order.
-func (i *pauseGate) sleep(ctx context.Context, d time.Duration) {
-	task.Sleep(ctx, d)
-	if i.waitWhilePaused() {
+func (g *pauseGate) sleep(ctx context.Context, duration time.Duration) {
+	task.Sleep(ctx, duration)
+	if g.waitWhilePaused() {
 		task.Sleep(ctx, 3*time.Millisecond)
 	}
 }
--- a/internal/sim/net.go
+++ b/internal/sim/net.go
@@ -39,13 +39,13 @@
 func host(address string) string { return address[:strings.LastIndexByte(address, ':')] }
 
 // Place puts a host into a zone.
-func (n *Net) Place(hostName, area string) {
+func (n *Net) Place(hostName, zone string) {
 	n.mu.Lock()
-	n.areas[hostName] = area
+	n.areas[hostName] = zone
 	n.mu.Unlock()
 }
 
-func (n *Net) linksChange() <-chan struct{} {
+func (n *Net) nextLinkChange() <-chan struct{} {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.linksChanged
@@ -110,24 +110,24 @@
 	once      sync.Once
 }
 
-func (e *listener) Accept() (net.Conn, error) {
+func (l *listener) Accept() (net.Conn, error) {
 	select {
-	case conn := <-e.incoming:
-		e.pauseGate.waitWhilePaused()
+	case conn := <-l.incoming:
+		l.pauseGate.waitWhilePaused()
 		return conn, nil
-	case <-e.done:
+	case <-l.done:
 		return nil, net.ErrClosed
 	}
 }
-func (e *listener) Addr() net.Addr { return addr(e.address) }
-func (e *listener) Close() error {
-	e.once.Do(func() {
-		close(e.done)
-		e.net.mu.Lock()
-		if e.net.listeners[e.address] == e {
-			delete(e.net.listeners, e.address)
+func (l *listener) Addr() net.Addr { return addr(l.address) }
+func (l *listener) Close() error {
+	l.once.Do(func() {
+		close(l.done)
+		l.net.mu.Lock()
+		if l.net.listeners[l.address] == l {
+			delete(l.net.listeners, l.address)
 		}
-		e.net.mu.Unlock()
+		l.net.mu.Unlock()
 	})
 	return nil
 }
@@ -150,7 +150,7 @@
 	to := host(address)
 	for {
 		h.pauseGate.waitWhilePaused()
-		changed := h.net.linksChange()
+		changed := h.net.nextLinkChange()
 		if h.net.isOpen(h.name, to) && h.net.isOpen(to, h.name) {
 			break
 		}
@@ -201,14 +201,14 @@
 			conns = append(conns, conn)
 		}
 	}
-	for address, open := range n.listeners {
+	for address, accepting := range n.listeners {
 		if host(address) == hostName {
-			listeners = append(listeners, open)
+			listeners = append(listeners, accepting)
 		}
 	}
 	n.mu.Unlock()
-	for _, open := range listeners {
-		_ = open.Close()
+	for _, accepting := range listeners {
+		_ = accepting.Close()
 	}
 	for _, conn := range conns {
 		conn.reset()
--- a/internal/sim/pipe.go
+++ b/internal/sim/pipe.go
@@ -26,9 +26,9 @@
 
 func newStream() *stream { return &stream{wake: make(chan struct{})} }
 
-func (h *stream) wakeAll() {
-	close(h.wake)
-	h.wake = make(chan struct{})
+func (s *stream) wakeAll() {
+	close(s.wake)
+	s.wake = make(chan struct{})
 }
 
 // pipe is one end of an in-memory connection.
@@ -98,7 +98,7 @@
 		}
 		// Data is held back while the direction is cut, as TCP would retransmit it.
 		open := p.net.isOpen(p.peer, p.from)
-		wait := time.Hour
+		timeout := time.Hour
 		if len(incoming.queue) > 0 {
 			if first := &incoming.queue[0]; !now.Before(first.arrivesAt) && open {
 				n := copy(buffer, first.data)
@@ -109,7 +109,7 @@
 				incoming.mu.Unlock()
 				return n, nil
 			} else if open {
-				wait = first.arrivesAt.Sub(now)
+				timeout = first.arrivesAt.Sub(now)
 			}
 		} else if incoming.closed && open {
 			incoming.mu.Unlock()
@@ -118,13 +118,13 @@
 		wake := incoming.wake
 		incoming.mu.Unlock()
 		if !deadline.IsZero() {
-			wait = min(wait, deadline.Sub(now))
+			timeout = min(timeout, deadline.Sub(now))
 		}
-		timer := time.NewTimer(wait)
+		timer := time.NewTimer(timeout)
 		select {
 		case <-wake:
 		case <-deadlineChanged:
-		case <-p.net.linksChange():
+		case <-p.net.nextLinkChange():
 		case <-timer.C:
 		}
 		timer.Stop()
--- a/internal/sim/start.go
+++ b/internal/sim/start.go
@@ -73,11 +73,11 @@
 
 // Until waits in virtual time until a condition holds, and returns how long that took. It
 // fails the test after the bound.
-func (f *Fleet) Until(bound time.Duration, what string, holds func() bool) time.Duration {
+func (f *Fleet) Until(bound time.Duration, condition string, holds func() bool) time.Duration {
 	start := time.Now()
 	for !holds() {
 		if time.Since(start) > bound {
-			f.T.Fatalf("not within %v: %s", bound, what)
+			f.T.Fatalf("not within %v: %s", bound, condition)
 		}
 		Wait(50 * time.Millisecond)
 	}
--- a/internal/sim/thin.go
+++ b/internal/sim/thin.go
@@ -45,8 +45,8 @@
 	if link := n.thinLinks[from]; link != nil && from != to {
 		return link
 	}
-	if fromArea, toArea := n.areas[from], n.areas[to]; fromArea != toArea {
-		return n.thinLinks[fromArea+">"+toArea]
+	if fromZone, toZone := n.areas[from], n.areas[to]; fromZone != toZone {
+		return n.thinLinks[fromZone+">"+toZone]
 	}
 	return nil
 }
