--- a/internal/sim/fleet.go
+++ b/internal/sim/fleet.go
@@ -145,7 +145,7 @@
 	// A new process starts unpaused even if its predecessor was killed while paused.
 	f.Net.Freeze(node, false)
 	return env.Env{Net: f.Net.Process(host, node), Log: log, Sleep: f.Net.ice(node).sleep,
-		Wall: func() time.Time { return time.Now().Add(time.Duration(skew.Load())) }}
+		WallClock: func() time.Time { return time.Now().Add(time.Duration(skew.Load())) }}
 }
 
 // StartStore starts the store of a control-plane machine on its disk.
