--- a/internal/sim/boundaries_test.go
+++ b/internal/sim/boundaries_test.go
@@ -11,11 +11,11 @@
 	"puffincrank/internal/standin"
 )
 
-// TestByteBoundaries: connections between nodes and workers break at every byte of
-// a request and of an answer, by a reset or by silence, while several callers make
-// calls that may and that may not be repeated. Each call that may not is run once
-// at the most, whoever answers busy did not run it, and nobody gets another's
-// answer or a part of one.
+// TestByteBoundaries breaks connections between proxies and workers at every byte of a
+// request and of a response, by a reset or by a stall, while several callers make calls
+// that are safe to retry and calls that are not. A call that is not safe to retry runs at
+// most once, a call that is answered busy did not run, and no caller gets another call's
+// response or a part of one.
 func TestByteBoundaries(t *testing.T) {
 	t.Parallel()
 	for _, reading := range []bool{true, false} {
@@ -29,27 +29,27 @@
 }
 
 func runBoundaries(t *testing.T, reading, silent bool) {
-	s := small()
+	shape := small()
 	plan := &breakPlan{}
-	f := NewFleet(t, s, 970)
-	f.WorkerNet = func(n env.Net) env.Net { return &breakingNet{n, plan} }
+	f := NewFleet(t, shape, 970)
+	f.WorkerNet = func(broken env.Net) env.Net { return &breakingNet{broken, plan} }
 	defer f.Stop()
 	f.Start()
-	const bytes, step = 600, 60 * time.Millisecond
-	calls := f.Load([]standin.Line{
+	const offsets, step = 600, 60 * time.Millisecond
+	waitForCalls := f.Load([]standin.Line{
 		{Method: "POST", URI: "/loans/new", Service: "lending", Rate: 60, Size: 120},
 		{Method: "GET", URI: "/pages/7", Service: "pages", Safe: true, Rate: 60},
 		{Method: "POST", URI: "/scans/up", Service: "scans", Rate: 30, Size: 900},
-	}, bytes*step)
+	}, offsets*step)
 	f.g.Go("breaks", func(ctx context.Context) {
-		for at := 0; at < bytes && ctx.Err() == nil; at++ {
-			plan.arm(reading, silent, at)
+		for offset := 0; offset < offsets && ctx.Err() == nil; offset++ {
+			plan.schedule(reading, silent, offset)
 			Wait(step)
 		}
 	})
-	calls()
-	if n := plan.count(); n < bytes*2/3 {
-		t.Errorf("only %d of %d connections were broken", n, bytes)
+	waitForCalls()
+	if broken := plan.count(); broken < offsets*2/3 {
+		t.Errorf("only %d of %d connections were broken", broken, offsets)
 	}
 	f.Judge()
 }
--- a/internal/sim/congestcut_test.go
+++ b/internal/sim/congestcut_test.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// TestThinStop: a proxy that is rolled while answers wait behind its thin link
-// leaves none of them without an end.
+// TestThinStop checks that a rolling restart of proxies leaves no response unfinished that
+// waits behind the thin link.
 func TestThinStop(t *testing.T) {
 	t.Parallel()
-	got := congest(t, false, bulky(rate), narrow(rate), func(f *Fleet) {
+	got := runCongested(t, false, bulkLines(linkRate), narrow(linkRate), func(f *Fleet) {
 		for _, n := range f.Nodes {
 			if n.Worker.Service == "scans" {
 				Wait(8 * time.Second)
@@ -18,29 +18,29 @@
 			}
 		}
 	})
-	if got.lost() > 3 || got.bulk["done"] < 250 {
-		t.Errorf("bulk ended %v", got.bulk)
+	if got.lostBulk() > 3 || got.bulk["done"] < 250 {
+		t.Errorf("outcomes of bulk %v", got.bulk)
 	}
 }
 
-// TestThinCut: while bulk waits the areas are cut off from each other for a
-// moment, and for longer than a link lives. Nothing runs twice, all that was
-// done is whole, and after it urgent calls and bulk go on.
+// TestThinCut partitions the zones while bulk is waiting, once for a moment and once for
+// longer than a connection survives. Nothing runs twice, everything served is complete, and
+// urgent calls and bulk continue afterwards.
 func TestThinCut(t *testing.T) {
 	t.Parallel()
-	for _, long := range []time.Duration{200 * time.Millisecond, 3 * time.Second} {
-		t.Run(long.String(), func(t *testing.T) {
-			got := congest(t, false, bulky(rate), narrow(rate), func(f *Fleet) {
+	for _, duration := range []time.Duration{200 * time.Millisecond, 3 * time.Second} {
+		t.Run(duration.String(), func(t *testing.T) {
+			got := runCongested(t, false, bulkLines(linkRate), narrow(linkRate), func(f *Fleet) {
 				Wait(10 * time.Second)
 				f.cutArea(Areas[1], true)
-				Wait(long)
+				Wait(duration)
 				f.cutArea(Areas[1], false)
 			})
-			if got.bulk["done"] < 250 || got.bulk["not whole"]+got.bulk["no time"] > 0 {
-				t.Errorf("bulk ended %v", got.bulk)
+			if got.bulk["done"] < 250 || got.bulk["incomplete response"]+got.bulk["no Retry-After"] > 0 {
+				t.Errorf("outcomes of bulk %v", got.bulk)
 			}
 			if got.urgent["done"] < 5300 {
-				t.Errorf("urgent calls ended %v", got.urgent)
+				t.Errorf("outcomes of urgent calls %v", got.urgent)
 			}
 		})
 	}
--- a/internal/sim/disk.go
+++ b/internal/sim/disk.go
@@ -13,20 +13,20 @@
 	"puffincrank/internal/disk"
 )
 
-// Disk is a folder in memory that tells synced bytes from unsynced ones.
+// Disk is an in-memory directory that distinguishes synced bytes from unsynced ones.
 type Disk struct {
-	mu    sync.Mutex
-	now   map[string]*node // what the process sees
-	safe  map[string]*node // what the folder held when it was synced last
-	lag   time.Duration
-	room  int // bytes left when bound is set
-	bound bool
-	Syncs int
-	ice   *ice   // of the process that has it
-	stuck *ice   // holds the syncs of some files
-	which string // how the names of those begin
-	deny  bool
-	outs  int // losses of power
+	mu          sync.Mutex
+	now         map[string]*node // the contents that the process sees
+	safe        map[string]*node // the directory as of its last sync
+	syncDelay   time.Duration
+	freeBytes   int // bytes that can still be written if limited is set
+	limited     bool
+	Syncs       int
+	ice         *pauseGate // of the process that uses the disk
+	syncGate    *pauseGate // holds back the syncs of files whose names begin with heldPrefix
+	heldPrefix  string     // prefix of the names of files whose syncs can hang
+	failing     bool
+	powerLosses int // number of power losses so far
 }
 
 type node struct {
@@ -34,123 +34,127 @@
 	saved []byte
 }
 
-// NewDisk makes an empty disk.
+// NewDisk returns an empty disk.
 func NewDisk() *Disk {
-	return &Disk{ice: &ice{}, stuck: &ice{}, now: map[string]*node{}, safe: map[string]*node{}}
+	return &Disk{ice: &pauseGate{}, syncGate: &pauseGate{}, now: map[string]*node{}, safe: map[string]*node{}}
 }
 
-// errFull is what the kernel says of a disk without room.
-var errFull error = syscall.ENOSPC
+// errNoSpace is the kernel's error for a full disk.
+var errNoSpace error = syscall.ENOSPC
 
-var errBad = errors.New("input/output error")
+var errIO = errors.New("input/output error")
 
-// Slow sets the time that each sync takes.
-func (d *Disk) Slow(lag time.Duration) {
+// Slow sets the duration of each sync.
+func (d *Disk) Slow(delay time.Duration) {
 	d.mu.Lock()
-	d.lag = lag
+	d.syncDelay = delay
 	d.mu.Unlock()
 }
 
-// Hang holds the syncs of the files whose names begin with which; "" is all.
-func (d *Disk) Hang(which string, on bool) {
+// Hang blocks or unblocks the syncs of files whose names begin with prefix; an empty prefix
+// matches all files.
+func (d *Disk) Hang(prefix string, on bool) {
 	d.mu.Lock()
-	d.which = which
+	d.heldPrefix = prefix
 	d.mu.Unlock()
-	d.stuck.set(on)
+	d.syncGate.setPaused(on)
 }
 
-// Deny refuses every write and sync.
+// Deny makes every write and sync fail, or succeed again.
 func (d *Disk) Deny(on bool) {
 	d.mu.Lock()
-	d.deny = on
+	d.failing = on
 	d.mu.Unlock()
 }
 
-// Room bounds the bytes that may still be written; negative frees the disk.
-func (d *Disk) Room(n int) {
+// Room limits the bytes that can still be written; a negative number removes the limit.
+func (d *Disk) Room(bytes int) {
 	d.mu.Lock()
-	d.bound, d.room = n >= 0, n
+	d.limited, d.freeBytes = bytes >= 0, bytes
 	d.mu.Unlock()
 }
 
-// Wipe loses everything.
+// Wipe deletes all files, synced or not.
 func (d *Disk) Wipe() {
 	d.mu.Lock()
 	d.now, d.safe = map[string]*node{}, map[string]*node{}
 	d.mu.Unlock()
 }
 
-// Harm flips a byte of a file, or cuts it when torn is set.
-func (d *Disk) Harm(name string, torn bool) bool {
+// Harm corrupts a file: it truncates it to half its size if truncate is set, and otherwise
+// flips a bit of its last byte. It reports whether the file existed with at least two
+// bytes.
+func (d *Disk) Harm(name string, truncate bool) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	f := d.now[name]
-	if f == nil || len(f.data) < 2 {
+	damaged := d.now[name]
+	if damaged == nil || len(damaged.data) < 2 {
 		return false
 	}
-	b := append([]byte(nil), f.data...)
-	if torn {
-		b = b[:len(b)/2]
+	data := append([]byte(nil), damaged.data...)
+	if truncate {
+		data = data[:len(data)/2]
 	} else {
-		b[len(b)-1] ^= 0x40
+		data[len(data)-1] ^= 0x40
 	}
-	f.data, f.saved = b, b
+	damaged.data, damaged.saved = data, data
 	return true
 }
 
 type file struct {
-	d    *Disk
-	n    *node
+	disk *Disk
+	node *node
 	name string
 }
 
-func (f *file) Write(b []byte) (int, error) {
-	f.d.mu.Lock()
-	defer f.d.mu.Unlock()
-	if f.d.deny {
-		return 0, errBad
+func (f *file) Write(data []byte) (int, error) {
+	f.disk.mu.Lock()
+	defer f.disk.mu.Unlock()
+	if f.disk.failing {
+		return 0, errIO
 	}
-	if f.d.bound {
-		if f.d.room < len(b) {
-			return 0, errFull
+	if f.disk.limited {
+		if f.disk.freeBytes < len(data) {
+			return 0, errNoSpace
 		}
-		f.d.room -= len(b)
+		f.disk.freeBytes -= len(data)
 	}
-	f.n.data = append(f.n.data, b...)
-	return len(b), nil
+	f.node.data = append(f.node.data, data...)
+	return len(data), nil
 }
 
-// wait is the time that a sync takes; the folder's own name is empty.
-func (d *Disk) wait(name string) {
+// waitForSync blocks for the duration of a sync. The name is empty for a sync of the
+// directory itself.
+func (d *Disk) waitForSync(name string) {
 	d.mu.Lock()
-	lag, held := d.lag, strings.HasPrefix(name, d.which)
+	delay, held := d.syncDelay, strings.HasPrefix(name, d.heldPrefix)
 	d.mu.Unlock()
-	if lag > 0 {
-		time.Sleep(lag)
+	if delay > 0 {
+		time.Sleep(delay)
 	}
 	if held {
-		d.stuck.hold()
+		d.syncGate.waitWhilePaused()
 	}
-	d.ice.hold()
+	d.ice.waitWhilePaused()
 }
 
 func (f *file) Sync() error {
-	f.d.wait(f.name)
-	f.d.mu.Lock()
-	defer f.d.mu.Unlock()
-	if f.d.deny {
-		return errBad
+	f.disk.waitForSync(f.name)
+	f.disk.mu.Lock()
+	defer f.disk.mu.Unlock()
+	if f.disk.failing {
+		return errIO
 	}
-	f.n.saved = append([]byte{}, f.n.data...)
-	f.d.Syncs++
+	f.node.saved = append([]byte{}, f.node.data...)
+	f.disk.Syncs++
 	return nil
 }
 
 func (f *file) Close() error { return nil }
 
-// Create opens a new file.
+// Create opens a new file, replacing an earlier one of that name.
 func (d *Disk) Create(name string) (disk.File, error) {
-	d.ice.hold()
+	d.ice.waitWhilePaused()
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	n := &node{}
@@ -158,7 +162,8 @@
 	return &file{d, n, name}, nil
 }
 
-// Rename moves a file; it lasts only once the folder is synced.
+// Rename renames a file. The change survives a power loss only after the directory is
+// synced.
 func (d *Disk) Rename(from, to string) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -171,7 +176,7 @@
 	return nil
 }
 
-// Remove drops a file and gives its room back.
+// Remove deletes a file and frees the bytes that it took.
 func (d *Disk) Remove(name string) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -179,25 +184,25 @@
 	if n == nil {
 		return fs.ErrNotExist
 	}
-	d.room += len(n.data)
+	d.freeBytes += len(n.data)
 	delete(d.now, name)
 	return nil
 }
 
-// SyncDir makes names last.
+// SyncDir makes all names durable.
 func (d *Disk) SyncDir() error {
-	d.wait("")
+	d.waitForSync("")
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.deny {
-		return errBad
+	if d.failing {
+		return errIO
 	}
 	d.Syncs++
 	d.safe = maps.Clone(d.now)
 	return nil
 }
 
-// Read reads a file whole.
+// Read returns the content of a file.
 func (d *Disk) Read(name string) ([]byte, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -208,14 +213,14 @@
 	return append([]byte(nil), n.data...), nil
 }
 
-// List gives the names.
+// List returns the names of all files in order.
 func (d *Disk) List() ([]string, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	var out []string
-	for k := range d.now {
-		out = append(out, k)
+	var names []string
+	for name := range d.now {
+		names = append(names, name)
 	}
-	sort.Strings(out)
-	return out, nil
+	sort.Strings(names)
+	return names, nil
 }
