--- a/internal/sim/corelab_test.go
+++ b/internal/sim/corelab_test.go
@@ -18,66 +18,66 @@
 // lab is a fleet of core machines only, with its events.
 type lab struct {
 	*Fleet
-	mu   sync.Mutex
-	seen []event.Entry
-	say  []string
-	from time.Time
-	made int
-	seed uint64
+	mu     sync.Mutex
+	events []event.Entry
+	faults []string
+	from   time.Time
+	made   int
+	seed   uint64
 }
 
 // newLab lays out so many core machines, told of the first three, that are to
 // bear the loss of some; each disk takes 2 ms a sync.
-func newLab(t *testing.T, seed uint64, cores, bear int) *lab {
-	s := Fumettoteca(0.1)
-	s.Nodes = 0
-	l := &lab{Fleet: NewFleet(t, s, seed)}
-	l.Told, l.Stores = tight, map[string]any{"bear": json.Number(fmt.Sprint(bear))}
-	l.Cores, l.seedAt = nil, nil
+func newLab(t *testing.T, seed uint64, cores, tolerated int) *lab {
+	shape := Fumettoteca(0.1)
+	shape.Nodes = 0
+	fleet := &lab{Fleet: NewFleet(t, shape, seed)}
+	fleet.Told, fleet.Stores = tight, map[string]any{"bear": json.Number(fmt.Sprint(tolerated))}
+	fleet.Cores, fleet.seedAt = nil, nil
 	for i := range cores {
-		l.add(fmt.Sprintf("10.0.0.%d", i+1), Areas[i%3])
+		fleet.add(fmt.Sprintf("10.0.0.%d", i+1), Areas[i%3])
 		if i < 3 {
-			l.seedAt = append(l.seedAt, l.Cores[i].Host)
+			fleet.seedAt = append(fleet.seedAt, fleet.Cores[i].Host)
 		}
 	}
-	l.Log = func(e event.Entry) {
-		l.mu.Lock()
-		l.seen = append(l.seen, e)
-		l.mu.Unlock()
+	fleet.Log = func(entry event.Entry) {
+		fleet.mu.Lock()
+		fleet.events = append(fleet.events, entry)
+		fleet.mu.Unlock()
 	}
-	return l
+	return fleet
 }
 
 func (l *lab) add(host, area string) *Core {
-	c := &Core{Host: host, Area: area, Disk: NewDisk()}
-	c.Disk.Slow(2 * time.Millisecond)
+	core := &Core{Host: host, Area: area, Disk: NewDisk()}
+	core.Disk.Slow(2 * time.Millisecond)
 	l.Fleet.mu.Lock()
-	l.Cores = append(l.Cores, c)
+	l.Cores = append(l.Cores, core)
 	l.Fleet.mu.Unlock()
-	return c
+	return core
 }
 
 // tell prints the newest events, for a failure.
-func (l *lab) tell(t *testing.T, back time.Duration) {
+func (l *lab) tell(t *testing.T, period time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for _, e := range l.seen {
-		if time.Since(e.Time) < back {
+	for _, e := range l.events {
+		if time.Since(e.Time) < period {
 			t.Log(e.Time.Sub(l.from).Round(time.Millisecond), e.Name, e.Node, e.Text)
 		}
 	}
 }
 
 // count tells how often an event was heard of.
-func (l *lab) count(k event.Kind) (n int) {
+func (l *lab) count(kind event.Kind) (total int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for _, e := range l.seen {
-		if e.Number == k.Number {
-			n++
+	for _, e := range l.events {
+		if e.Number == kind.Number {
+			total++
 		}
 	}
-	return n
+	return total
 }
 
 // up starts all machines at once and waits until one writes.
@@ -90,34 +90,34 @@
 
 // put is one write through a core machine's registry; the number is its
 // revision, 0 when it did not go through.
-func (l *lab) put(at *Core, key, value string) uint64 {
-	code, got := l.Ask("PUT", at.Host+":7003", "/puffin/keys/"+key+"?left_ms=1000", fmt.Sprintf(`{"value":%q}`, value))
-	rev, _ := got["rev"].(float64)
+func (l *lab) put(core *Core, key, value string) uint64 {
+	code, answer := l.Ask("PUT", core.Host+":7003", "/puffin/keys/"+key+"?left_ms=1000", fmt.Sprintf(`{"value":%q}`, value))
+	revision, _ := answer["rev"].(float64)
 	if code != 200 {
 		return 0
 	}
-	return uint64(rev)
+	return uint64(revision)
 }
 
 // next measures the time until a write that begins from now on is acknowledged
 // by any machine that runs: one begins every 10 ms.
 func (l *lab) next(bound time.Duration) time.Duration {
-	from := time.Now()
+	start := time.Now()
 	done := make(chan time.Duration, 1<<12)
-	ctx, end := context.WithTimeout(context.Background(), bound)
-	defer end()
-	var wait sync.WaitGroup
+	ctx, cancel := context.WithTimeout(context.Background(), bound)
+	defer cancel()
+	var pending sync.WaitGroup
 	took := time.Duration(0)
 	for i := 0; took == 0; i++ {
 		for _, c := range l.Cores {
 			if c.Registry == nil {
 				continue
 			}
-			wait.Add(1)
+			pending.Add(1)
 			l.g.Go("next", func(context.Context) {
-				defer wait.Done()
+				defer pending.Done()
 				if l.put(c, fmt.Sprint("next", i), "v") > 0 {
-					done <- time.Since(from)
+					done <- time.Since(start)
 				}
 			})
 		}
@@ -130,63 +130,63 @@
 		}
 		tick.Stop()
 	}
-	wait.Wait()
+	pending.Wait()
 	return took
 }
 
 // places gives the addresses of the stores that vote, as the writer has them.
 func (l *lab) places() map[string]bool {
-	out := map[string]bool{}
-	w := l.Writer()
-	if w == nil {
-		return out
+	members := map[string]bool{}
+	leader := l.Writer()
+	if leader == nil {
+		return members
 	}
-	_, got := l.Get(w.Host+":7004", "/puffin/ready")
-	list, _ := got["members"].([]any)
+	_, answer := l.Get(leader.Host+":7004", "/puffin/ready")
+	list, _ := answer["members"].([]any)
 	for _, m := range list {
 		row, _ := m.(map[string]any)
-		out[host(fmt.Sprint(row["addr"]))] = true
+		members[host(fmt.Sprint(row["addr"]))] = true
 	}
-	return out
+	return members
 }
 
 // marks writes keys through all machines and notes what was acknowledged.
-func (l *lab) marks(n int) map[string]uint64 {
-	out := map[string]uint64{}
-	for i := range n {
-		at := l.Cores[i%len(l.Cores)]
-		if at.Registry == nil {
+func (l *lab) marks(total int) map[string]uint64 {
+	acknowledged := map[string]uint64{}
+	for i := range total {
+		core := l.Cores[i%len(l.Cores)]
+		if core.Registry == nil {
 			continue
 		}
 		key := fmt.Sprint("mark", i)
-		if rev := l.put(at, key, key); rev > 0 {
-			out[key] = rev
+		if revision := l.put(core, key, key); revision > 0 {
+			acknowledged[key] = revision
 		}
 	}
-	if len(out) < n/2 {
-		l.T.Fatalf("only %d of %d writes went through", len(out), n)
+	if len(acknowledged) < total/2 {
+		l.T.Fatalf("only %d of %d writes went through", len(acknowledged), total)
 	}
-	return out
+	return acknowledged
 }
 
 // holds fails the test if something that was acknowledged can't be read back.
-func (l *lab) holds(k map[string]uint64) {
+func (l *lab) holds(acknowledged map[string]uint64) {
 	l.T.Helper()
-	for key, rev := range k {
-		ok, said := false, []string(nil)
+	for key, rev := range acknowledged {
+		found, answers := false, []string(nil)
 		for _, c := range l.Cores {
-			if c.Registry == nil || ok {
+			if c.Registry == nil || found {
 				continue
 			}
-			code, got := l.Get(c.Host+":7003", "/puffin/keys/"+key+"?left_ms=2000")
-			said = append(said, fmt.Sprint(c.Host, " ", code, " ", got))
-			ok = code == 200 && got["value"] == key && got["rev"] == float64(rev)
-			if code == 200 && !ok {
-				l.T.Errorf("%s is %v, was acknowledged with revision %d", key, got, rev)
+			code, answer := l.Get(c.Host+":7003", "/puffin/keys/"+key+"?left_ms=2000")
+			answers = append(answers, fmt.Sprint(c.Host, " ", code, " ", answer))
+			found = code == 200 && answer["value"] == key && answer["rev"] == float64(rev)
+			if code == 200 && !found {
+				l.T.Errorf("%s is %v, was acknowledged with revision %d", key, answer, rev)
 			}
 		}
-		if !ok {
-			l.T.Errorf("%s, acknowledged with revision %d, is gone: %v", key, rev, said)
+		if !found {
+			l.T.Errorf("%s, acknowledged with revision %d, is gone: %v", key, rev, answers)
 		}
 	}
 }
@@ -194,11 +194,11 @@
 // settled tells whether so many stores vote, all of which run, and all stores
 // are ready.
 func (l *lab) settled(want int) bool {
-	at, n := l.places(), 0
+	members, running := l.places(), 0
 	for _, c := range l.cores() {
-		if c.Store != nil && at[c.Host] {
-			n++
+		if c.Store != nil && members[c.Host] {
+			running++
 		}
 	}
-	return n == want && len(at) == want && l.coreReady()
+	return running == want && len(members) == want && l.coreReady()
 }
--- a/internal/sim/corestorm_test.go
+++ b/internal/sim/corestorm_test.go
@@ -15,34 +15,34 @@
 // counts takes numbers through drawn machines until it is told to end: each is
 // above every one given before its call was sent, whatever happens meanwhile.
 func (l *lab) counts(rnd *rand.Rand) func() int {
-	ctx, end := context.WithCancel(context.Background())
-	over, top, n := make(chan struct{}), 0.0, 0
+	ctx, cancel := context.WithCancel(context.Background())
+	finished, highest, taken := make(chan struct{}), 0.0, 0
 	l.g.Go("counts", func(context.Context) {
-		defer close(over)
+		defer close(finished)
 		for ctx.Err() == nil {
 			Wait(20 * time.Millisecond)
-			all := l.cores()
-			c := all[rnd.IntN(len(all))]
-			code, got := l.Ask("POST", c.Host+":7003", "/puffin/numbers/storm/next?left_ms=600", `{}`)
-			if v, _ := got["number"].(float64); code == 200 {
-				n++
-				if v <= top {
-					l.T.Errorf("number %v after %v", v, top)
+			cores := l.cores()
+			core := cores[rnd.IntN(len(cores))]
+			code, answer := l.Ask("POST", core.Host+":7003", "/puffin/numbers/storm/next?left_ms=600", `{}`)
+			if number, _ := answer["number"].(float64); code == 200 {
+				taken++
+				if number <= highest {
+					l.T.Errorf("number %v after %v", number, highest)
 				}
-				top = max(top, v)
+				highest = max(highest, number)
 			}
 		}
 	})
-	return func() int { end(); <-over; return n }
+	return func() int { cancel(); <-finished; return taken }
 }
 
-// storm is one drawn fault of so many core machines, and its end.
-func (l *lab) storm(rnd *rand.Rand, hit []*Core) {
-	how := rnd.IntN(10)
-	long := time.Duration(200+rnd.IntN(2800)) * time.Millisecond
-	for _, c := range hit {
-		l.say = append(l.say, fmt.Sprintf("%v: %s by way %d for %v", time.Since(l.from).Round(time.Millisecond), c.Host, how, long))
-		switch how {
+// injectFault is one drawn fault of so many core machines, and its end.
+func (l *lab) injectFault(rnd *rand.Rand, targets []*Core) {
+	kind := rnd.IntN(10)
+	duration := time.Duration(200+rnd.IntN(2800)) * time.Millisecond
+	for _, c := range targets {
+		l.faults = append(l.faults, fmt.Sprintf("%v: %s by way %d for %v", time.Since(l.from).Round(time.Millisecond), c.Host, kind, duration))
+		switch kind {
 		case 0:
 			l.KillCore(c, rnd.IntN(2) == 0)
 		case 1:
@@ -68,9 +68,9 @@
 			c.Disk.Room(2000)
 		}
 	}
-	Wait(long)
-	for _, c := range hit {
-		switch how {
+	Wait(duration)
+	for _, c := range targets {
+		switch kind {
 		case 0, 6:
 			l.BackCore(c)
 		case 1:
@@ -79,9 +79,9 @@
 				l.BackCore(c)
 				continue
 			}
-			fresh := l.fresh(c)
-			l.Cores = slices.DeleteFunc(l.cores(), func(o *Core) bool { return o == c })
-			l.BackCore(fresh)
+			replacement := l.fresh(c)
+			l.Cores = slices.DeleteFunc(l.cores(), func(other *Core) bool { return other == c })
+			l.BackCore(replacement)
 		case 2:
 			l.Net.Isolate(c.Host, false)
 		case 3:
@@ -112,36 +112,36 @@
 			t.Parallel()
 			for seed := range seeds(3) {
 				synctest.Test(t, func(t *testing.T) {
-					l := newLab(t, seed+660, c.cores, c.bear)
-					defer l.Stop()
+					fleet := newLab(t, seed+660, c.cores, c.bear)
+					defer fleet.Stop()
 					defer func() {
 						if t.Failed() {
-							t.Log(seed, l.say, l.places())
-							l.tell(t, 15*time.Second)
+							t.Log(seed, fleet.faults, fleet.places())
+							fleet.tell(t, 15*time.Second)
 						}
 					}()
-					l.from = time.Now()
+					fleet.from = time.Now()
 					rnd := rand.New(rand.NewPCG(seed, uint64(c.cores)))
-					l.up()
-					l.Stores["founding"] = false
+					fleet.up()
+					fleet.Stores["founding"] = false
 					Wait(2 * time.Second)
-					k := l.marks(20)
-					over := l.counts(rand.New(rand.NewPCG(seed, 9)))
+					acknowledged := fleet.marks(20)
+					stop := fleet.counts(rand.New(rand.NewPCG(seed, 9)))
 					for range 12 {
-						hit := slices.Clone(l.Cores)
-						rnd.Shuffle(len(hit), func(i, j int) { hit[i], hit[j] = hit[j], hit[i] })
-						l.storm(rnd, hit[:1+rnd.IntN(c.bear)])
-						l.Until(4*time.Second, "all places are taken, all stores ready", func() bool { return l.settled(2*c.bear + 1) })
+						targets := slices.Clone(fleet.Cores)
+						rnd.Shuffle(len(targets), func(i, j int) { targets[i], targets[j] = targets[j], targets[i] })
+						fleet.injectFault(rnd, targets[:1+rnd.IntN(c.bear)])
+						fleet.Until(4*time.Second, "all places are taken, all stores ready", func() bool { return fleet.settled(2*c.bear + 1) })
 						Wait(time.Second)
-						for key, rev := range l.marks(6) {
-							k[key] = max(k[key], rev)
+						for key, rev := range fleet.marks(6) {
+							acknowledged[key] = max(acknowledged[key], rev)
 						}
 					}
-					n := over()
-					l.holds(k)
-					t.Logf("seed %d: %d numbers, %d changes of the members", seed, n, l.count(event.Replaced))
-					if n < 500 {
-						t.Errorf("only %d numbers", n)
+					taken := stop()
+					fleet.holds(acknowledged)
+					t.Logf("seed %d: %d numbers, %d changes of the members", seed, taken, fleet.count(event.Replaced))
+					if taken < 500 {
+						t.Errorf("only %d numbers", taken)
 					}
 				})
 			}
--- a/internal/sim/ctl_test.go
+++ b/internal/sim/ctl_test.go
@@ -19,11 +19,13 @@
 )
 
 // ctl runs puffinctl against the fleet.
-func (f *Fleet) ctl(at string, args ...string) (int, string, string) {
-	var out, say bytes.Buffer
-	dial := func(ctx context.Context, _, a string) (net.Conn, error) { return f.Net.Host("10.0.9.9").Dial(ctx, a) }
-	code := ctl.Run(append([]string{"--at", at}, args...), &out, &say, dial)
-	return code, out.String(), say.String()
+func (f *Fleet) ctl(address string, args ...string) (int, string, string) {
+	var stdout, stderr bytes.Buffer
+	dial := func(ctx context.Context, _, target string) (net.Conn, error) {
+		return f.Net.Host("10.0.9.9").Dial(ctx, target)
+	}
+	code := ctl.Run(append([]string{"--at", address}, args...), &stdout, &stderr, dial)
+	return code, stdout.String(), stderr.String()
 }
 
 // TestCommands: every command of puffinctl, its exit codes, and the same
@@ -31,23 +33,23 @@
 func TestCommands(t *testing.T) {
 	t.Parallel()
 	dir := t.TempDir()
-	file := func(name, doc string) string {
-		p := filepath.Join(dir, name)
-		if err := os.WriteFile(p, []byte(doc), 0o600); err != nil {
+	writeFile := func(name, content string) string {
+		path := filepath.Join(dir, name)
+		if err := os.WriteFile(path, []byte(content), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		return p
+		return path
 	}
 	synctest.Test(t, func(t *testing.T) {
-		s := WithAlt(Fumettoteca(0.1))
-		s.Nodes = 4
-		f := NewFleet(t, s, 80)
-		defer f.Stop()
-		f.Start()
+		shape := WithAlt(Fumettoteca(0.1))
+		shape.Nodes = 4
+		fleet := NewFleet(t, shape, 80)
+		defer fleet.Stop()
+		fleet.Start()
 		Wait(3 * time.Second)
-		good := file("good.json", strings.Replace(s.Doc, `"left_ms":800`, `"left_ms":700`, 1))
-		bad := file("bad.json", strings.Replace(s.Doc, `"share":50`, `"share":49`, 1))
-		a, b := f.Nodes[0].Host+":7003", f.Cores[2].Host+":7003"
+		validFile := writeFile("good.json", strings.Replace(shape.Doc, `"left_ms":800`, `"left_ms":700`, 1))
+		invalidFile := writeFile("bad.json", strings.Replace(shape.Doc, `"share":50`, `"share":49`, 1))
+		first, second := fleet.Nodes[0].Host+":7003", fleet.Cores[2].Host+":7003"
 		for _, c := range []struct {
 			args string
 			code int
@@ -55,9 +57,9 @@
 		}{
 			{"status", 0, "configuration version 1"}, {"nodes", 0, "node-10.0.1.3"}, {"workers", 0, "pages-"}, {"services", 0, "lending"},
 			{"duties", 0, "steward"}, {"classes", 0, "reading"}, {"paths", 0, "/loans"}, {"routes", 0, "/loans"}, {"history", 0, "applied whole"},
-			{"events --name duty-won", 0, "duty=writer"}, {"config get", 0, `"services"`}, {"config check " + good, 0, "good"},
-			{"config check " + bad, 1, "add up to 99"}, {"config diff " + good, 0, "700"},
-			{"config apply " + good + " --based-on 0", 1, "current version is 1"}, {"config apply " + good + " --based-on 1 --who tester", 0, "version 2"},
+			{"events --name duty-won", 0, "duty=writer"}, {"config get", 0, `"services"`}, {"config check " + validFile, 0, "good"},
+			{"config check " + invalidFile, 1, "add up to 99"}, {"config diff " + validFile, 0, "700"},
+			{"config apply " + validFile + " --based-on 0", 1, "current version is 1"}, {"config apply " + validFile + " --based-on 1 --who tester", 0, "version 2"},
 			{"propose read --based-on 2 --service pages2", 0, "trial 1 began"}, {"propose read --based-on 3 --service pages2", 1, "same path"},
 			{"propose nothing --based-on 3 --service pages2", 1, "no path"}, {"trials", 0, "running"}, {"trials show 1", 0, "too few yet"},
 			{"trials abort 1 --who tester", 0, "aborted"}, {"trials show 1", 0, "aborted by tester"}, {"trials show 9", 1, "no such trial"}, {"trials show", 2, "needs a trial's number"}, {"paths", 0, "never"},
@@ -68,58 +70,58 @@
 			{"drain node-10.0.1.2", 0, "draining"}, {"drain nobody", 1, "no such node"}, {"drain node-10.0.1.2 --undo", 0, "workers"},
 			{"--version", 0, "wire 1 to 2, files 1"}, {"nonsense", 2, "--help"}, {"key fly", 2, "knows"}, {"--help", 0, "Exit codes"},
 		} {
-			code, out, say := f.ctl(a, strings.Fields(c.args)...)
-			if code != c.code || !strings.Contains(out+say, c.want) {
-				t.Errorf("puffinctl %s: code %d, want %d with %q\n%s%s", c.args, code, c.code, c.want, out, say)
+			code, stdout, stderr := fleet.ctl(first, strings.Fields(c.args)...)
+			if code != c.code || !strings.Contains(stdout+stderr, c.want) {
+				t.Errorf("puffinctl %s: code %d, want %d with %q\n%s%s", c.args, code, c.code, c.want, stdout, stderr)
 			}
 		}
 		// The same answer from any node.
 		Wait(3 * time.Second)
 		for _, cmd := range []string{"config get", "services", "history", "paths", "trials", "duties"} {
-			_, one, _ := f.ctl(a, append([]string{"--json"}, strings.Fields(cmd)...)...)
-			_, two, _ := f.ctl(b, append([]string{"--json"}, strings.Fields(cmd)...)...)
+			_, fromFirst, _ := fleet.ctl(first, append([]string{"--json"}, strings.Fields(cmd)...)...)
+			_, fromSecond, _ := fleet.ctl(second, append([]string{"--json"}, strings.Fields(cmd)...)...)
 			if cmd == "duties" {
-				_, one, _ = f.ctl(a, cmd)
-				_, two, _ = f.ctl(b, cmd)
+				_, fromFirst, _ = fleet.ctl(first, cmd)
+				_, fromSecond, _ = fleet.ctl(second, cmd)
 			}
-			if one != two || len(one) < 20 {
-				t.Errorf("%s differs between nodes:\n%s\n%s", cmd, one, two)
+			if fromFirst != fromSecond || len(fromFirst) < 20 {
+				t.Errorf("%s differs between nodes:\n%s\n%s", cmd, fromFirst, fromSecond)
 			}
 		}
 		// One that can't be reached is named, and the next is tried.
-		if code, _, say := f.ctl("10.0.1.77:7003,"+b, "status"); code != ctl.ExitOK || !strings.Contains(say, "10.0.1.77:7003 can't be reached") {
-			t.Errorf("an unreachable node: %d %s", code, say)
+		if code, _, stderr := fleet.ctl("10.0.1.77:7003,"+second, "status"); code != ctl.ExitOK || !strings.Contains(stderr, "10.0.1.77:7003 can't be reached") {
+			t.Errorf("an unreachable node: %d %s", code, stderr)
 		}
-		if code, _, _ := f.ctl("10.0.1.77:7003", "status"); code != ctl.ExitUnreachable {
+		if code, _, _ := fleet.ctl("10.0.1.77:7003", "status"); code != ctl.ExitUnreachable {
 			t.Errorf("no node at all: %d", code)
 		}
 		// A node that takes a change and breaks off: the outcome is unknown, and
 		// the change is not sent to another.
-		took := 0
-		e := f.env("breaker", "10.0.1.99", "north", new(atomic.Int64))
-		if err := httpapi.Serve(f.g, e, "10.0.1.99:7003", http.HandlerFunc(func(http.ResponseWriter, *http.Request) {
-			took++
+		received := 0
+		environment := fleet.env("breaker", "10.0.1.99", "north", new(atomic.Int64))
+		if err := httpapi.Serve(fleet.g, environment, "10.0.1.99:7003", http.HandlerFunc(func(http.ResponseWriter, *http.Request) {
+			received++
 			panic(http.ErrAbortHandler)
 		}), time.Second); err != nil {
 			t.Fatal(err)
 		}
-		if code, _, say := f.ctl("10.0.1.99:7003,"+a, "number", "next", "n"); code != ctl.ExitUnknown || took != 1 || !strings.Contains(say, "outcome unknown") {
-			t.Errorf("broken off: %d %s after %d", code, say, took)
+		if code, _, stderr := fleet.ctl("10.0.1.99:7003,"+first, "number", "next", "n"); code != ctl.ExitUnknown || received != 1 || !strings.Contains(stderr, "outcome unknown") {
+			t.Errorf("broken off: %d %s after %d", code, stderr, received)
 		}
-		if _, out, _ := f.ctl(a, "number", "get", "n"); !strings.Contains(out, `"number":1`) {
-			t.Errorf("a change was sent twice: %s", out)
+		if _, stdout, _ := fleet.ctl(first, "number", "get", "n"); !strings.Contains(stdout, `"number":1`) {
+			t.Errorf("a change was sent twice: %s", stdout)
 		}
 		// No majority: nothing was done.
-		f.KillCore(f.Cores[0], true)
-		f.KillCore(f.Cores[1], true)
+		fleet.KillCore(fleet.Cores[0], true)
+		fleet.KillCore(fleet.Cores[1], true)
 		Wait(3 * time.Second)
-		if code, out, say := f.ctl(a, "number", "next", "n"); code != ctl.ExitUnavailable || !strings.Contains(say, "come back in") {
-			t.Errorf("without a majority: %d %s %s", code, out, say)
+		if code, stdout, stderr := fleet.ctl(first, "number", "next", "n"); code != ctl.ExitUnavailable || !strings.Contains(stderr, "come back in") {
+			t.Errorf("without a majority: %d %s %s", code, stdout, stderr)
 		}
-		f.BackCore(f.Cores[0])
-		f.serves(15 * time.Second)
-		if _, out, _ := f.ctl(a, "number", "get", "n"); !strings.Contains(out, `"number":1`) {
-			t.Errorf("refused, but done: %s", fmt.Sprint(out))
+		fleet.BackCore(fleet.Cores[0])
+		fleet.serves(15 * time.Second)
+		if _, stdout, _ := fleet.ctl(first, "number", "get", "n"); !strings.Contains(stdout, `"number":1`) {
+			t.Errorf("refused, but done: %s", fmt.Sprint(stdout))
 		}
 	})
 }
--- a/internal/sim/cutfleet_test.go
+++ b/internal/sim/cutfleet_test.go
@@ -11,8 +11,8 @@
 	"time"
 )
 
-// fleetCuts are the ways in which one machine of the core is cut off from others.
-var fleetCuts = []struct {
+// fleetPartitions are the ways in which one machine of the core is cut off from others.
+var fleetPartitions = []struct {
 	name string
 	do   func(f *Fleet, c *Core, others []string, on bool)
 }{
@@ -38,15 +38,15 @@
 func TestCutFleet(t *testing.T) {
 	heavy(t)
 	shapes := []Shape{Fumettoteca(0.08), Ingenzi(0.12)}
-	for i, cut := range fleetCuts {
+	for i, cut := range fleetPartitions {
 		for _, cores := range []int{3, 5} {
 			for _, leads := range []bool{true, false} {
 				t.Run(fmt.Sprintf("%s, %d, leader %v", cut.name, cores, leads), func(t *testing.T) {
 					t.Parallel()
 					synctest.Test(t, func(t *testing.T) {
-						f := fleetOfCores(t, shapes[i%len(shapes)], uint64(980+i), cores)
-						defer f.Stop()
-						runFleetCut(f, leads, uint64(i), cut.do)
+						fleet := fleetOfCores(t, shapes[i%len(shapes)], uint64(980+i), cores)
+						defer fleet.Stop()
+						runFleetPartition(fleet, leads, uint64(i), cut.do)
 					})
 				})
 			}
@@ -55,108 +55,108 @@
 }
 
 // fleetOfCores is a fleet whose core has so many machines, all of which vote.
-func fleetOfCores(t *testing.T, s Shape, seed uint64, cores int) *Fleet {
-	f := NewFleet(t, s, seed)
-	f.Stores = map[string]any{"bear": json.Number(fmt.Sprint((cores - 1) / 2))}
-	for i := len(f.Cores); i < cores; i++ {
-		f.Cores = append(f.Cores, &Core{Host: fmt.Sprintf("10.0.0.%d", i+1), Area: Areas[i%3], Disk: NewDisk()})
-		f.seedAt = append(f.seedAt, f.Cores[i].Host)
+func fleetOfCores(t *testing.T, shape Shape, seed uint64, cores int) *Fleet {
+	fleet := NewFleet(t, shape, seed)
+	fleet.Stores = map[string]any{"bear": json.Number(fmt.Sprint((cores - 1) / 2))}
+	for i := len(fleet.Cores); i < cores; i++ {
+		fleet.Cores = append(fleet.Cores, &Core{Host: fmt.Sprintf("10.0.0.%d", i+1), Area: Areas[i%3], Disk: NewDisk()})
+		fleet.seedAt = append(fleet.seedAt, fleet.Cores[i].Host)
 	}
-	return f
+	return fleet
 }
 
-func runFleetCut(f *Fleet, leads bool, seed uint64, cut func(*Fleet, *Core, []string, bool)) {
-	f.Start()
-	o := &operators{f: f, rnd: rand.New(rand.NewPCG(seed, 11)), confirmed: 1, version: 1}
-	target := f.Writer()
-	for _, c := range f.Cores {
-		if !leads && c != target {
+func runFleetPartition(fleet *Fleet, cutLeader bool, seed uint64, cut func(*Fleet, *Core, []string, bool)) {
+	fleet.Start()
+	clients := &operators{fleet: fleet, rnd: rand.New(rand.NewPCG(seed, 11)), confirmed: 1, version: 1}
+	target := fleet.Writer()
+	for _, c := range fleet.Cores {
+		if !cutLeader && c != target {
 			target = c
 			break
 		}
 	}
 	var others []string
-	for _, c := range f.Cores {
+	for _, c := range fleet.Cores {
 		if c != target {
 			others = append(others, c.Host)
 		}
 	}
-	o.cut = target.Host
-	ctx, end := context.WithCancel(f.g.Context())
-	var done sync.WaitGroup
-	done.Go(func() { o.orders(ctx) })
+	clients.cutHost = target.Host
+	ctx, cancel := context.WithCancel(fleet.g.Context())
+	var pending sync.WaitGroup
+	pending.Go(func() { clients.sendChanges(ctx) })
 	for range 4 {
-		done.Go(func() { o.reads(ctx) })
+		pending.Go(func() { clients.readConfig(ctx) })
 	}
-	wait := f.Load(f.S.Lines, 29*time.Second)
+	waitForLoad := fleet.Load(fleet.S.Lines, 29*time.Second)
 	Wait(2 * time.Second)
-	cut(f, target, others, true)
+	cut(fleet, target, others, true)
 	Wait(6 * time.Second)
-	f.Nodes[1].Worker.Leave("gone")
+	fleet.Nodes[1].Worker.Leave("gone")
 	Wait(4 * time.Second)
-	f.KillWorker(f.Nodes[1])
-	f.StartWorker(f.Nodes[1], f.S.Serves(1))
+	fleet.KillWorker(fleet.Nodes[1])
+	fleet.StartWorker(fleet.Nodes[1], fleet.S.Serves(1))
 	Wait(10 * time.Second)
-	cut(f, target, others, false)
+	cut(fleet, target, others, false)
 	Wait(5 * time.Second)
-	end()
-	done.Wait()
-	wait()
-	f.Judge()
-	o.judge(target)
+	cancel()
+	pending.Wait()
+	waitForLoad()
+	fleet.Judge()
+	clients.check(target)
 }
 
 // operators send orders to the whole mesh, one after another, and read back.
 type operators struct {
-	f   *Fleet
-	rnd *rand.Rand
+	fleet *Fleet
+	rnd   *rand.Rand
 
-	mu        sync.Mutex
-	confirmed uint64 // the newest version that was confirmed
-	version   uint64 // that the next order is based on
-	orderly   int    // orders confirmed
-	tried     int    // times that one was sent to a machine that is not cut off
-	cut       string // the host that is
-	answered  map[string]int
-	old       []string
+	mu             sync.Mutex
+	confirmed      uint64 // the newest version that was confirmed
+	version        uint64 // that the next order is based on
+	confirmedCount int    // orders confirmed
+	attempts       int    // times that one was sent to a machine that is not cut off
+	cutHost        string // the host that is
+	answered       map[string]int
+	staleReads     []string
 }
 
 // addresses lists the machines that answer operators.
 func (o *operators) addresses() (all []string) {
-	for _, c := range o.f.Cores {
+	for _, c := range o.fleet.Cores {
 		all = append(all, c.Host+":7003")
 	}
-	for _, n := range o.f.Nodes {
+	for _, n := range o.fleet.Nodes {
 		all = append(all, n.Host+":7003")
 	}
 	return all
 }
 
-func (o *operators) any() string {
+func (o *operators) anyAddress() string {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	all := o.addresses()
-	return all[o.rnd.IntN(len(all))]
+	addresses := o.addresses()
+	return addresses[o.rnd.IntN(len(addresses))]
 }
 
-// orders sends changes until the context ends; one whose answer is lost is sent
+// sendChanges sends changes until the context ends; one whose answer is lost is sent
 // again elsewhere until it is known what became of it.
-func (o *operators) orders(ctx context.Context) {
+func (o *operators) sendChanges(ctx context.Context) {
 	for i := 0; ctx.Err() == nil; i++ {
 		Wait(300 * time.Millisecond)
 		for ctx.Err() == nil {
-			at := o.any()
-			if host(at) != o.cut {
-				o.tried++
+			address := o.anyAddress()
+			if host(address) != o.cutHost {
+				o.attempts++
 			}
-			code, got := o.f.Ask("PUT", at, fmt.Sprintf("/puffin/config?based_on=%d&who=operator-%d&left_ms=900", o.version, i), o.f.S.Doc)
+			code, answer := o.fleet.Ask("PUT", address, fmt.Sprintf("/puffin/config?based_on=%d&who=operator-%d&left_ms=900", o.version, i), o.fleet.S.Doc)
 			if code == 200 {
-				v, _ := got["version"].(float64)
-				o.confirm(uint64(v))
+				version, _ := answer["version"].(float64)
+				o.confirm(uint64(version))
 				break
 			}
 			if code == 409 || code == 422 {
-				o.f.T.Errorf("the one operator's order on %d was answered %d %v", o.version, code, got)
+				o.fleet.T.Errorf("the one operator's order on %d was answered %d %v", o.version, code, answer)
 				return
 			}
 		}
@@ -166,23 +166,23 @@
 func (o *operators) confirm(version uint64) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.f.Obs.Acked(version)
+	o.fleet.Obs.Acked(version)
 	if version != o.version+1 {
-		o.f.T.Errorf("version %d was confirmed after %d", version, o.version)
+		o.fleet.T.Errorf("version %d was confirmed after %d", version, o.version)
 	}
 	o.version, o.confirmed = version, version
-	o.orderly++
+	o.confirmedCount++
 }
 
-// reads asks for the configuration until the context ends.
-func (o *operators) reads(ctx context.Context) {
+// readConfig asks for the configuration until the context ends.
+func (o *operators) readConfig(ctx context.Context) {
 	for ctx.Err() == nil {
 		Wait(70 * time.Millisecond)
-		at := o.any()
+		address := o.anyAddress()
 		o.mu.Lock()
-		least := o.confirmed
+		minimum := o.confirmed
 		o.mu.Unlock()
-		code, got := o.f.Get(at, "/puffin/config?left_ms=700")
+		code, answer := o.fleet.Get(address, "/puffin/config?left_ms=700")
 		if code != 200 {
 			continue
 		}
@@ -190,33 +190,33 @@
 		if o.answered == nil {
 			o.answered = map[string]int{}
 		}
-		o.answered[at]++
-		if v, _ := got["version"].(float64); uint64(v) < least {
-			o.old = append(o.old, fmt.Sprintf("%s gave %v after %d was confirmed", at, v, least))
+		o.answered[address]++
+		if version, _ := answer["version"].(float64); uint64(version) < minimum {
+			o.staleReads = append(o.staleReads, fmt.Sprintf("%s gave %v after %d was confirmed", address, version, minimum))
 		}
 		o.mu.Unlock()
 	}
 }
 
-// judge checks what the operators saw, with a machine cut off for most of it.
-func (o *operators) judge(cut *Core) {
-	t := o.f.T
-	for _, s := range o.old {
+// check checks what the operators saw, with a machine cut off for most of it.
+func (o *operators) check(cut *Core) {
+	t := o.fleet.T
+	for _, s := range o.staleReads {
 		t.Errorf("an old configuration was read: %s", s)
 	}
 	// How many there are hangs on how often the silent machine was asked, which
 	// costs the caller its whole patience; of the tries elsewhere most succeed.
-	if o.orderly < 10 || 4*o.orderly < 3*o.tried {
-		t.Errorf("%d orders were confirmed by %d tries at machines in touch", o.orderly, o.tried)
+	if o.confirmedCount < 10 || 4*o.confirmedCount < 3*o.attempts {
+		t.Errorf("%d orders were confirmed by %d tries at machines in touch", o.confirmedCount, o.attempts)
 	}
 	for _, at := range o.addresses() {
 		if o.answered[at] < 10 && host(at) != cut.Host {
 			t.Errorf("%s answered only %d reads", at, o.answered[at])
 		}
 	}
-	n := o.f.Obs.Counts()
-	if n["done"]*100 < n["calls"]*99 {
-		t.Errorf("%d of %d calls were done", n["done"], n["calls"])
+	counts := o.fleet.Obs.Counts()
+	if counts["done"]*100 < counts["calls"]*99 {
+		t.Errorf("%d of %d calls were done", counts["done"], counts["calls"])
 	}
-	t.Logf("%d orders by %d tries, %d answers of the machine that was cut off", o.orderly, o.tried, o.answered[cut.Host+":7003"])
+	t.Logf("%d orders by %d tries, %d answers of the machine that was cut off", o.confirmedCount, o.attempts, o.answered[cut.Host+":7003"])
 }
--- a/internal/sim/cuttwenty_test.go
+++ b/internal/sim/cuttwenty_test.go
@@ -10,9 +10,9 @@
 	"time"
 )
 
-// cutsOfOne are the ways in which one machine of the core, or half of it, is cut
+// corePartitions are the ways in which one machine of the core, or half of it, is cut
 // off for a while; each is joined again by the same with on false.
-var cutsOfOne = []struct {
+var corePartitions = []struct {
 	name string
 	do   func(l *lab, c *Core, others []string, on bool)
 }{
@@ -58,47 +58,47 @@
 		if testing.Short() && cores == 5 {
 			continue
 		}
-		for i, cut := range cutsOfOne {
+		for i, cut := range corePartitions {
 			for _, leads := range []bool{true, false} {
 				t.Run(fmt.Sprintf("%d, %s, leader %v", cores, cut.name, leads), func(t *testing.T) {
 					t.Parallel()
-					h := &history{answered: map[string]int{}}
+					calls := &history{answered: map[string]int{}}
 					target := ""
-					synctest.Test(t, func(t *testing.T) { target = runCut(t, h, cores, uint64(i), leads, cut.do) })
-					h.judge(t)
-					for at, n := range h.answered {
+					synctest.Test(t, func(t *testing.T) { target = runPartition(t, calls, cores, uint64(i), leads, cut.do) })
+					calls.judge(t)
+					for at, n := range calls.answered {
 						if at != target && n < 20 {
 							t.Errorf("%s answered only %d calls", at, n)
 						}
 					}
-					t.Logf("%d keys, %d numbers, %d orders and reads, %d holds", len(h.keys), len(h.numbers), len(h.orders), len(h.holds))
+					t.Logf("%d keys, %d numbers, %d orders and reads, %d holds", len(calls.keys), len(calls.numbers), len(calls.orders), len(calls.holds))
 				})
 			}
 		}
 	}
 }
 
-// runCut brings the cut about, and tells which machine was cut off.
-func runCut(t *testing.T, h *history, cores int, seed uint64, leads bool, cut func(*lab, *Core, []string, bool)) string {
-	l := newLab(t, 940+seed, cores, (cores-1)/2)
-	defer l.Stop()
-	l.up()
-	l.Until(4*time.Second, "all places are taken", func() bool { return l.settled(cores) && l.Writer() != nil })
-	w := l.Writer()
-	target := w
+// runPartition brings the cut about, and tells which machine was cut off.
+func runPartition(t *testing.T, calls *history, cores int, seed uint64, cutLeader bool, cut func(*lab, *Core, []string, bool)) string {
+	fleet := newLab(t, 940+seed, cores, (cores-1)/2)
+	defer fleet.Stop()
+	fleet.up()
+	fleet.Until(4*time.Second, "all places are taken", func() bool { return fleet.settled(cores) && fleet.Writer() != nil })
+	leader := fleet.Writer()
+	target := leader
 	var others []string
-	for _, c := range l.Cores {
-		if !leads && c != w && target == w {
+	for _, c := range fleet.Cores {
+		if !cutLeader && c != leader && target == leader {
 			target = c
 		}
 	}
-	for _, c := range l.Cores {
+	for _, c := range fleet.Cores {
 		if c != target {
 			others = append(others, c.Host)
 		}
 	}
-	ctx, end := context.WithCancel(l.g.Context())
-	var wait sync.WaitGroup
+	ctx, cancel := context.WithCancel(fleet.g.Context())
+	var pending sync.WaitGroup
 	var mu sync.Mutex
 	number, sent := uint64(0), seed
 	next := func() uint64 {
@@ -110,20 +110,20 @@
 		}
 		return number
 	}
-	for i, c := range l.Cores {
-		wait.Add(1)
-		l.g.Go("asks", func(context.Context) {
-			defer wait.Done()
-			l.asks(ctx, h, c, rand.New(rand.NewPCG(seed, uint64(i))), next)
+	for i, c := range fleet.Cores {
+		pending.Add(1)
+		fleet.g.Go("asks", func(context.Context) {
+			defer pending.Done()
+			fleet.asks(ctx, calls, c, rand.New(rand.NewPCG(seed, uint64(i))), next)
 		})
 	}
 	Wait(2 * time.Second)
-	from := time.Now()
-	cut(l, target, others, true)
-	Wait(20*time.Second - time.Since(from))
-	cut(l, target, others, false)
+	start := time.Now()
+	cut(fleet, target, others, true)
+	Wait(20*time.Second - time.Since(start))
+	cut(fleet, target, others, false)
 	Wait(5 * time.Second)
-	end()
-	wait.Wait()
+	cancel()
+	pending.Wait()
 	return target.Host
 }
--- a/internal/sim/dayact_test.go
+++ b/internal/sim/dayact_test.go
@@ -29,18 +29,18 @@
 	whole
 )
 
-func (a act) ms(least, more int) time.Duration {
-	return time.Duration(least+a.IntN(more)) * time.Millisecond
+func (a act) ms(minimum, spread int) time.Duration {
+	return time.Duration(minimum+a.IntN(spread)) * time.Millisecond
 }
 
 // take picks a machine that no other trouble has in hand; nil if there is none.
-func (a act) take(of func(*machine) bool) *machine {
-	all := a.all()
-	a.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
+func (a act) take(eligible func(*machine) bool) *machine {
+	machines := a.all()
+	a.Shuffle(len(machines), func(i, j int) { machines[i], machines[j] = machines[j], machines[i] })
 	a.smu.Lock()
 	defer a.smu.Unlock()
-	for _, m := range all {
-		if !m.busy && (of == nil || of(m)) {
+	for _, m := range machines {
+		if !m.busy && (eligible == nil || eligible(m)) {
 			m.busy = true
 			return m
 		}
@@ -55,24 +55,24 @@
 }
 
 // some takes a part of the machines.
-func (a act) some(part float64) (out []*machine) {
-	for range max(int(part*float64(len(a.all()))), 1) {
+func (a act) some(share float64) (taken []*machine) {
+	for range max(int(share*float64(len(a.all()))), 1) {
 		if m := a.take(nil); m != nil {
-			out = append(out, m)
+			taken = append(taken, m)
 		}
 	}
-	return out
+	return taken
 }
 
 // enough tells that a service keeps two workers without a machine.
 func (a act) enough(m *machine) bool {
-	n := 0
+	others := 0
 	for _, o := range a.site.machines {
 		if o != m && o.service == m.service && !o.gone.Load() && !o.busy {
-			n++
+			others++
 		}
 	}
-	return n >= 2
+	return others >= 2
 }
 
 // retire ends a machine in order after its worker has ended: its node is told
@@ -88,39 +88,39 @@
 
 // stopNode tells a node to end and kills it after the grace.
 func (a act) stopNode(m *machine) {
-	x, _ := a.now(m.Node)
-	if x == nil {
+	process, _ := a.now(m.Node)
+	if process == nil {
 		return
 	}
 	a.wit.Term(m.name)
-	over := make(chan struct{})
-	a.g.Go("stop-node", func(context.Context) { x.Stop(); close(over) })
+	stopped := make(chan struct{})
+	a.g.Go("stop-node", func(context.Context) { process.Stop(); close(stopped) })
 	select {
-	case <-over:
+	case <-stopped:
 	case <-time.After(a.d.bounds.Grace):
 		a.say("%s did not end in its grace", m.name)
 	}
 	a.KillNode(m.Node)
 }
 
-// kill ends a node at once; what it was doing is lost.
-func (a act) kill(m *machine) {
-	end := a.wit.Touch.Begin(m.name, "killed")
+// killAndRestart ends a node at once; what it was doing is lost.
+func (a act) killAndRestart(m *machine) {
+	endRecord := a.wit.Touch.Begin(m.name, "killed")
 	a.KillNode(m.Node)
 	Wait(a.ms(200, 800))
 	a.boot(m)
-	end()
+	endRecord()
 }
 
 // out takes a machine's power, the worker's with it, and gives it back.
 func (a act) out(m *machine) {
-	end := a.wit.Touch.Begin(m.name, "without power")
+	endRecord := a.wit.Touch.Begin(m.name, "without power")
 	a.powered(m.Host, false)
 	m.w.Kill()
 	a.KillNode(m.Node)
 	Wait(a.ms(500, 3000))
 	a.powered(m.Host, true)
 	a.boot(m)
-	end()
+	endRecord()
 	a.startWorker(m)
 }
--- a/internal/sim/dayacts_test.go
+++ b/internal/sim/dayacts_test.go
@@ -103,7 +103,7 @@
 	{"node kill", none, func(a act) {
 		if m := a.take(nil); m != nil {
 			a.say("node of %s killed", m.name)
-			a.kill(m)
+			a.killAndRestart(m)
 			a.free(m)
 		}
 	}},
@@ -120,7 +120,7 @@
 		var over sync.WaitGroup
 		for _, m := range all {
 			over.Add(1)
-			a.g.Go("herd", func(context.Context) { defer over.Done(); a.kill(m); a.free(m) })
+			a.g.Go("herd", func(context.Context) { defer over.Done(); a.killAndRestart(m); a.free(m) })
 		}
 		if a.IntN(2) == 0 {
 			a.say("and all of the core")
--- a/internal/sim/daycore_test.go
+++ b/internal/sim/daycore_test.go
@@ -13,72 +13,72 @@
 
 // apart cuts a host off from all others but some, or joins it again with all
 // that have power.
-func (s *site) apart(h string, on bool, but ...string) {
+func (s *site) apart(isolated string, on bool, except ...string) {
 	s.Net.mu.Lock()
-	var all []string
-	for o := range s.Net.areas {
-		if o != h && !slices.Contains(but, o) {
-			all = append(all, o)
+	var others []string
+	for other := range s.Net.areas {
+		if other != isolated && !slices.Contains(except, other) {
+			others = append(others, other)
 		}
 	}
 	s.Net.mu.Unlock()
-	s.Net.Part(h, slices.DeleteFunc(all, func(o string) bool { return !on && s.unlit(o) }), on)
+	s.Net.Part(isolated, slices.DeleteFunc(others, func(other string) bool { return !on && s.withoutPower(other) }), on)
 }
 
-// unlit tells whether a host has no power.
-func (s *site) unlit(h string) bool {
+// withoutPower tells whether a host has no power.
+func (s *site) withoutPower(host string) bool {
 	s.smu.Lock()
 	defer s.smu.Unlock()
-	return s.dark[h]
+	return s.dark[host]
 }
 
 // one takes a core machine that no other trouble has in hand.
-func (a act) one() *Core { return a.hold(nil) }
+func (a act) one() *Core { return a.takePreferred(nil) }
 
-// hold takes a core machine, the wanted one if it is free.
-func (a act) hold(want *Core) *Core {
-	all := a.cores()
-	a.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
-	if want != nil {
-		all = append([]*Core{want}, all...)
+// takePreferred takes a core machine, the wanted one if it is free.
+func (a act) takePreferred(preferred *Core) *Core {
+	cores := a.cores()
+	a.Shuffle(len(cores), func(i, j int) { cores[i], cores[j] = cores[j], cores[i] })
+	if preferred != nil {
+		cores = append([]*Core{preferred}, cores...)
 	}
 	a.smu.Lock()
 	defer a.smu.Unlock()
-	for _, c := range all {
+	for _, c := range cores {
 		if !a.held[c] {
 			a.held[c] = true
 			*a.core = append(*a.core, c)
 			return c
 		}
 	}
-	return all[0]
+	return cores[0]
 }
 
-// back starts a core machine again and lets it catch up.
-func (a act) back(c *Core) {
-	a.startCore(c, false)
+// restartCore starts a core machine again and lets it catch up.
+func (a act) restartCore(core *Core) {
+	a.startCore(core, false)
 	Wait(4 * time.Second)
 }
 
-// lose ends a core machine for a while.
-func (a act) lose(c *Core, power, wipe bool) {
-	a.killCore(c, power)
+// loseCore ends a core machine for a while.
+func (a act) loseCore(core *Core, power, wipe bool) {
+	a.killCore(core, power)
 	if wipe {
-		c.Disk.Wipe()
+		core.Disk.Wipe()
 	}
 	Wait(a.ms(300, 3000))
-	a.back(c)
+	a.restartCore(core)
 }
 
 // Of these no two go on at once: the deployment bears the loss of one.
 var coreTroubles = []trouble{
-	{"core kill", single, func(a act) { c := a.one(); a.say("core %s killed", c.Host); a.lose(c, false, false) }},
-	{"core power", single, func(a act) { c := a.one(); a.say("core %s loses power", c.Host); a.lose(c, true, false) }},
-	{"core wipe", single, func(a act) { c := a.one(); a.say("core %s loses its disk", c.Host); a.lose(c, true, true) }},
+	{"core kill", single, func(a act) { c := a.one(); a.say("core %s killed", c.Host); a.loseCore(c, false, false) }},
+	{"core power", single, func(a act) { c := a.one(); a.say("core %s loses power", c.Host); a.loseCore(c, true, false) }},
+	{"core wipe", single, func(a act) { c := a.one(); a.say("core %s loses its disk", c.Host); a.loseCore(c, true, true) }},
 	{"writer power", single, func(a act) {
-		c := a.hold(a.Writer())
+		c := a.takePreferred(a.Writer())
 		a.say("writer %s loses power", c.Host)
-		a.lose(c, true, a.IntN(2) == 0)
+		a.loseCore(c, true, a.IntN(2) == 0)
 	}},
 	{"after ack", single, func(a act) {
 		// A node loses power, or its disk, right after it acknowledged something.
@@ -91,9 +91,9 @@
 		if a.IntN(2) == 0 {
 			want = nil
 		}
-		c := a.hold(want)
+		c := a.takePreferred(want)
 		a.say("core %s is lost right after document %d was taken", c.Host, d.Number)
-		a.lose(c, true, a.IntN(2) == 0)
+		a.loseCore(c, true, a.IntN(2) == 0)
 	}},
 	{"core freeze", single, func(a act) {
 		c := a.one()
@@ -120,7 +120,7 @@
 				return
 			}
 			for _, o := range a.cores() {
-				if o != c && (on || !a.unlit(o.Host)) {
+				if o != c && (on || !a.withoutPower(o.Host)) {
 					a.Net.Cut(c.Host, o.Host, on)
 					a.Net.Cut(o.Host, c.Host, on)
 				}
@@ -158,7 +158,7 @@
 			a.say("core %s stopped and started", c.Host)
 			a.stopCore(c)
 			Wait(a.ms(100, 300))
-			a.back(c)
+			a.restartCore(c)
 		}
 	}},
 	{"core clock", single, func(a act) {
--- a/internal/sim/daydocs_test.go
+++ b/internal/sim/daydocs_test.go
@@ -12,57 +12,57 @@
 func (a act) next() *actors.Draft {
 	a.smu.Lock()
 	defer a.smu.Unlock()
-	d := a.draft.Copy()
-	d.Number += 1 + uint64(a.IntN(5))
-	a.draft = d
-	return d
+	draft := a.draft.Copy()
+	draft.Number += 1 + uint64(a.IntN(5))
+	a.draft = draft
+	return draft
 }
 
 // alter changes something in a draft: where a path goes, its time, or which
 // paths there are.
-func (a act) alter(d *actors.Draft) {
-	first := a.d.draft(0)
-	w := &d.Ways[a.IntN(len(first.Ways))]
+func (a act) alter(draft *actors.Draft) {
+	original := a.d.draft(0)
+	route := &draft.Ways[a.IntN(len(original.Ways))]
 	one, two := a.d.services[a.IntN(len(a.d.services))], a.d.services[a.IntN(len(a.d.services))]
 	switch a.IntN(5) {
 	case 0:
-		w.Split = map[string]int{one: 1}
+		route.Split = map[string]int{one: 1}
 	case 1:
 		if one != two {
-			w.Split = map[string]int{one: 90, two: 10}
+			route.Split = map[string]int{one: 90, two: 10}
 		}
 	case 2:
-		w.Left = w.Left * time.Duration(60+a.IntN(80)) / 100
+		route.Left = route.Left * time.Duration(60+a.IntN(80)) / 100
 	case 3:
-		a.grow(d, 1+a.IntN(2))
+		a.grow(draft, 1+a.IntN(2))
 	default:
 		// Back to where all began, and some added ones go.
-		copy(d.Ways, first.Ways)
-		if n := len(d.Ways); n > len(first.Ways) {
-			a.drop(d.Ways[n-1])
-			d.Ways = d.Ways[:n-1]
+		copy(draft.Ways, original.Ways)
+		if count := len(draft.Ways); count > len(original.Ways) {
+			a.removeRoute(draft.Ways[count-1])
+			draft.Ways = draft.Ways[:count-1]
 		}
 	}
 }
 
 // grow adds paths.
-func (a act) grow(d *actors.Draft, n int) {
-	for range n {
+func (a act) grow(draft *actors.Draft, count int) {
+	for range count {
 		a.smu.Lock()
 		a.extra++
-		w := actors.Way{Name: fmt.Sprint("x", a.extra), Host: d.Ways[0].Host, Prefix: fmt.Sprintf("/x%d-%d/", a.extra, a.IntN(1000)), Repeat: "safe",
+		route := actors.Way{Name: fmt.Sprint("x", a.extra), Host: draft.Ways[0].Host, Prefix: fmt.Sprintf("/x%d-%d/", a.extra, a.IntN(1000)), Repeat: "safe",
 			Split: map[string]int{a.d.services[a.IntN(len(a.d.services))]: 1}, Left: time.Second, Aim: 300 * time.Millisecond, Tries: 2, Rank: 2}
-		a.added = append(a.added, w)
+		a.added = append(a.added, route)
 		a.smu.Unlock()
-		d.Ways = append(d.Ways, w)
+		draft.Ways = append(draft.Ways, route)
 	}
 }
 
-func (a act) drop(w actors.Way) {
+func (a act) removeRoute(route actors.Way) {
 	a.smu.Lock()
 	defer a.smu.Unlock()
 	for i, o := range a.added {
-		if o.Prefix == w.Prefix {
+		if o.Prefix == route.Prefix {
 			a.added = append(a.added[:i], a.added[i+1:]...)
 			return
 		}
@@ -71,33 +71,33 @@
 
 // probe sends a few requests directly, on a path just added or removed and on
 // one that never was, to some machines that get clients.
-func (a act) probe(ways ...actors.Way) {
-	ways = append(ways, actors.Way{Host: a.draft.Ways[0].Host, Prefix: fmt.Sprintf("/never%d/", a.IntN(1000))})
+func (a act) probe(routes ...actors.Way) {
+	routes = append(routes, actors.Way{Host: a.draft.Ways[0].Host, Prefix: fmt.Sprintf("/never%d/", a.IntN(1000))})
 	for range 4 {
 		m := a.all()[a.IntN(len(a.all()))]
 		if m.c.Out.Load() {
 			continue
 		}
-		for _, w := range ways {
-			l := &actors.Line{Kind: "probe", Host: w.Host, Method: "GET", Prefix: w.Prefix, Repeat: true, Back: 50, Work: ms(10), Left: time.Second}
-			a.g.Go("probe", func(ctx context.Context) { m.c.Probe(ctx, l) })
+		for _, w := range routes {
+			line := &actors.Line{Kind: "probe", Host: w.Host, Method: "GET", Prefix: w.Prefix, Repeat: true, Back: 50, Work: ms(10), Left: time.Second}
+			a.g.Go("probe", func(ctx context.Context) { m.c.Probe(ctx, line) })
 		}
 		Wait(a.ms(50, 700))
 	}
 }
 
-// fresh lists the paths of one draft that another has not.
-func fresh(d, old *actors.Draft) (out []actors.Way) {
-	has := map[string]bool{}
+// addedRoutes lists the paths of one draft that another has not.
+func addedRoutes(draft, old *actors.Draft) (added []actors.Way) {
+	known := map[string]bool{}
 	for _, w := range old.Ways {
-		has[w.Prefix] = true
+		known[w.Prefix] = true
 	}
-	for _, w := range d.Ways {
-		if !has[w.Prefix] {
-			out = append(out, w)
+	for _, w := range draft.Ways {
+		if !known[w.Prefix] {
+			added = append(added, w)
 		}
 	}
-	return out
+	return added
 }
 
 var docTroubles = []trouble{
@@ -108,7 +108,7 @@
 			a.alter(d)
 			ok := a.op.Send(a.g.Context(), d, "", "")
 			a.say("document %d sent, taken %v", d.Number, ok)
-			a.probe(append(fresh(d, old), fresh(old, d)...)...)
+			a.probe(append(addedRoutes(d, old), addedRoutes(old, d)...)...)
 			Wait(a.ms(200, 2500))
 		}
 	}},
@@ -148,6 +148,6 @@
 		a.grow(d, 30)
 		ok := a.op.Send(a.g.Context(), d, "", "")
 		a.say("document %d with 30 paths more, taken %v", d.Number, ok)
-		a.probe(fresh(d, a.site.d.draft(0))[:3]...)
+		a.probe(addedRoutes(d, a.site.d.draft(0))[:3]...)
 	}},
 }
--- a/internal/sim/election_test.go
+++ b/internal/sim/election_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// writerLost are the ways in which a writer falls out at once.
-var writerLost = []struct {
+// leaderLosses are the ways in which a writer falls out at once.
+var leaderLosses = []struct {
 	name string
 	do   func(l *lab, w *Core)
 }{
@@ -23,36 +23,36 @@
 	{"cut", func(l *lab, w *Core) { l.Net.Isolate(w.Host, true); w.Registry = nil }},
 }
 
-// TestWriterLost: the writer is killed, without power, frozen or cut off; the
+// TestLeaderLost: the writer is killed, without power, frozen or cut off; the
 // next write goes through within three quarters of change_ms, whatever the seed.
-func TestWriterLost(t *testing.T) {
+func TestLeaderLost(t *testing.T) {
 	t.Parallel()
-	for _, c := range writerLost {
+	for _, c := range leaderLosses {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			var all []time.Duration
+			var times []time.Duration
 			for seed := range seeds(6) {
 				synctest.Test(t, func(t *testing.T) {
-					l := newLab(t, seed+500, 3, 1)
-					defer l.Stop()
-					l.up()
-					l.next(10 * time.Second)
+					fleet := newLab(t, seed+500, 3, 1)
+					defer fleet.Stop()
+					fleet.up()
+					fleet.next(10 * time.Second)
 					Wait(2*time.Second + time.Duration(rand.Int64N(int64(300*time.Millisecond))))
-					w := l.mark(l.Writer())
-					r := w.Registry
-					c.do(l, w)
-					all = append(all, l.next(5*time.Second))
-					l.Net.Freeze("store-"+w.Host, false)
-					l.Net.Freeze("core-"+w.Host, false)
-					if w.Store != nil {
-						w.Registry = r
+					leader := fleet.mark(fleet.Writer())
+					registry := leader.Registry
+					c.do(fleet, leader)
+					times = append(times, fleet.next(5*time.Second))
+					fleet.Net.Freeze("store-"+leader.Host, false)
+					fleet.Net.Freeze("core-"+leader.Host, false)
+					if leader.Store != nil {
+						leader.Registry = registry
 					}
 				})
 			}
-			slices.Sort(all)
-			t.Logf("%d seeds: median %v, worst %v", len(all), all[len(all)/2].Round(time.Millisecond), all[len(all)-1].Round(time.Millisecond))
-			if all[len(all)-1] > 1500*time.Millisecond {
-				t.Errorf("away for %v", all[len(all)-1])
+			slices.Sort(times)
+			t.Logf("%d seeds: median %v, worst %v", len(times), times[len(times)/2].Round(time.Millisecond), times[len(times)-1].Round(time.Millisecond))
+			if times[len(times)-1] > 1500*time.Millisecond {
+				t.Errorf("away for %v", times[len(times)-1])
 			}
 		})
 	}
--- a/internal/sim/endofday_test.go
+++ b/internal/sim/endofday_test.go
@@ -8,10 +8,10 @@
 	"time"
 )
 
-// troublesBefore are what may have happened to a core right before all of it loses
+// faultsBefore are what may have happened to a core right before all of it loses
 // power. Each tells how many disks were lost by it whose copies are not known to
 // have been made anew: as many fewer may go then.
-var troublesBefore = []struct {
+var faultsBefore = []struct {
 	name string
 	do   func(l *lab, rnd *rand.Rand) (lost int)
 }{
@@ -26,7 +26,7 @@
 		return 0
 	}},
 	{"a member left", func(l *lab, rnd *rand.Rand) int {
-		c := l.member(rnd)
+		c := l.anyMember(rnd)
 		c.Registry.Stop()
 		c.Store.Stop()
 		l.KillCore(c, true)
@@ -35,7 +35,7 @@
 		return 0
 	}},
 	{"a disk was lost", func(l *lab, rnd *rand.Rand) int {
-		c := l.member(rnd)
+		c := l.anyMember(rnd)
 		l.KillCore(c, true)
 		c.Disk.Wipe()
 		Wait(200 * time.Millisecond)
@@ -44,7 +44,7 @@
 		return 1
 	}},
 	{"a lost machine was replaced", func(l *lab, rnd *rand.Rand) int {
-		lost := l.member(rnd)
+		lost := l.anyMember(rnd)
 		l.KillCore(lost, true)
 		lost.Disk.Wipe()
 		Wait(time.Second)
@@ -57,63 +57,63 @@
 			at := l.places()
 			return len(at) == want && !at[lost.Host] && l.settled(want)
 		})
-		l.drop(lost)
+		l.removeCore(lost)
 		return 0
 	}},
 }
 
-// member picks one of the machines that vote.
-func (l *lab) member(rnd *rand.Rand) *Core {
-	at := l.places()
-	all := l.cores()
-	for _, i := range rnd.Perm(len(all)) {
-		if s, _ := l.runs(all[i]); s != nil && at[all[i].Host] {
-			return all[i]
+// anyMember picks one of the machines that vote.
+func (l *lab) anyMember(rnd *rand.Rand) *Core {
+	members := l.places()
+	cores := l.cores()
+	for _, i := range rnd.Perm(len(cores)) {
+		if running, _ := l.runs(cores[i]); running != nil && members[cores[i].Host] {
+			return cores[i]
 		}
 	}
 	l.T.Fatal("no member runs")
 	return nil
 }
 
-// drop takes a machine that is gone for good from the fleet.
-func (l *lab) drop(gone *Core) {
+// removeCore takes a machine that is gone for good from the fleet.
+func (l *lab) removeCore(lost *Core) {
 	l.Fleet.mu.Lock()
 	defer l.Fleet.mu.Unlock()
-	var stay []*Core
+	var remaining []*Core
 	for _, c := range l.Cores {
-		if c != gone {
-			stay = append(stay, c)
+		if c != lost {
+			remaining = append(remaining, c)
 		}
 	}
-	l.Cores = stay
+	l.Cores = remaining
 }
 
-// TestEndOfDay: while writes go on, as many disks as the core is to bear are lost,
+// TestTotalPowerLoss: while writes go on, as many disks as the core is to bear are lost,
 // and at the same moment every other machine loses power, those that don't vote
 // too. It happens twice, each time after another trouble and before that one is
 // over. What was acknowledged until that very moment is read back.
-func TestEndOfDay(t *testing.T) {
+func TestTotalPowerLoss(t *testing.T) {
 	t.Parallel()
 	// The run with the race detector takes ten times as long.
-	fixed := uint64(3)
+	seedCount := uint64(3)
 	if testing.Short() {
-		fixed = 1
+		seedCount = 1
 	}
 	for _, c := range []struct{ cores, bear int }{{3, 1}, {5, 2}, {5, 1}, {7, 2}} {
-		for i, trouble := range troublesBefore {
+		for i, trouble := range faultsBefore {
 			t.Run(fmt.Sprintf("%d to bear %d, %s", c.cores, c.bear, trouble.name), func(t *testing.T) {
 				t.Parallel()
-				for seed := range seeds(fixed) {
+				for seed := range seeds(seedCount) {
 					synctest.Test(t, func(t *testing.T) {
-						l := newLab(t, 1000+10*seed+uint64(i), c.cores, c.bear)
-						defer l.Stop()
+						fleet := newLab(t, 1000+10*seed+uint64(i), c.cores, c.bear)
+						defer fleet.Stop()
 						rnd := rand.New(rand.NewPCG(seed, uint64(i)))
-						l.seed = seed
-						l.up()
-						l.Until(6*time.Second, "all places are taken", func() bool { return len(l.places()) == 2*c.bear+1 })
-						l.Stores["founding"] = false
+						fleet.seed = seed
+						fleet.up()
+						fleet.Until(6*time.Second, "all places are taken", func() bool { return len(fleet.places()) == 2*c.bear+1 })
+						fleet.Stores["founding"] = false
 						for day := range 2 {
-							l.endsDay(rnd, fmt.Sprint("day", day, "-"), c.bear, trouble.do)
+							fleet.losePower(rnd, fmt.Sprint("day", day, "-"), c.bear, trouble.do)
 						}
 					})
 				}
@@ -122,65 +122,65 @@
 	}
 }
 
-func (l *lab) endsDay(rnd *rand.Rand, name string, bear int, trouble func(*lab, *rand.Rand) int) {
-	stop := l.marking(name)
+func (l *lab) losePower(rnd *rand.Rand, prefix string, tolerated int, faultBefore func(*lab, *rand.Rand) int) {
+	stopWriting := l.marking(prefix)
 	Wait(time.Duration(500+rnd.IntN(500)) * time.Millisecond)
-	lost := trouble(l, rnd)
-	all := l.cores()
-	rnd.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
-	for _, c := range all {
+	lost := faultBefore(l, rnd)
+	cores := l.cores()
+	rnd.Shuffle(len(cores), func(i, j int) { cores[i], cores[j] = cores[j], cores[i] })
+	for _, c := range cores {
 		l.KillCore(c, true)
 	}
-	acked := stop()
+	acked := stopWriting()
 	if len(acked) < 25 {
 		l.T.Errorf("only %d writes were acknowledged", len(acked))
 	}
 	// Any disks may be lost, those of the same machines that had them before too.
 	// Their machines come back empty at once, or are not heard of for a while.
-	emptied, away := all[:bear-lost], rnd.IntN(2) == 0
-	for _, c := range emptied {
+	wiped, away := cores[:tolerated-lost], rnd.IntN(2) == 0
+	for _, c := range wiped {
 		c.Disk.Wipe()
 		l.Net.Isolate(c.Host, away)
 	}
-	for i, c := range all {
+	for i, c := range cores {
 		Wait(time.Duration(rnd.IntN(500)) * time.Millisecond)
-		if !away || i >= len(emptied) {
+		if !away || i >= len(wiped) {
 			l.BackCore(c)
 		}
 	}
-	l.orDescribe("a store leads", func() bool { return l.Writer() != nil })
+	l.untilOrDescribe("a store leads", func() bool { return l.Writer() != nil })
 	if away {
 		l.holds(acked)
-		for _, c := range emptied {
+		for _, c := range wiped {
 			l.Net.Isolate(c.Host, false)
 			l.BackCore(c)
 		}
 	}
-	l.orDescribe("all places are taken", func() bool { return l.settled(2*bear + 1) })
+	l.untilOrDescribe("all places are taken", func() bool { return l.settled(2*tolerated + 1) })
 	l.holds(acked)
 	// What was made anew by then must bear the next.
 	Wait(4 * time.Second)
 }
 
-// orDescribe waits for 15 s, and tells how the stores stand when that was not enough.
-func (l *lab) orDescribe(what string, ok func() bool) {
+// untilOrDescribe waits for 15 s, and tells how the stores stand when that was not enough.
+func (l *lab) untilOrDescribe(what string, condition func() bool) {
 	l.T.Helper()
-	from := time.Now()
+	start := time.Now()
 	l.Until(15*time.Second, what, func() bool {
-		if ok() {
+		if condition() {
 			return true
 		}
-		if time.Since(from) > 14900*time.Millisecond {
-			l.describe()
+		if time.Since(start) > 14900*time.Millisecond {
+			l.logStatus()
 		}
 		return false
 	})
 }
 
-// describe logs what each store says of itself.
-func (l *lab) describe() {
+// logStatus logs what each store says of itself.
+func (l *lab) logStatus() {
 	for _, c := range l.cores() {
-		_, got := l.Get(c.Host+":7004", "/puffin/ready")
-		l.T.Log(l.seed, c.Host, got["role"], got["version_slot"], got["ballot"], got["why"], got["members"])
+		_, answer := l.Get(c.Host+":7004", "/puffin/ready")
+		l.T.Log(l.seed, c.Host, answer["role"], answer["version_slot"], answer["ballot"], answer["why"], answer["members"])
 	}
 }
--- a/internal/sim/fewlinks_test.go
+++ b/internal/sim/fewlinks_test.go
@@ -17,23 +17,23 @@
 	// Five links, and any number.
 	for _, files := range []int{40, 0} {
 		synctest.Test(t, func(t *testing.T) {
-			f := NewFleet(t, Fumettoteca(0.02), 3)
-			f.Told = map[string]any{"files": json.Number(fmt.Sprint(files))}
-			defer f.Stop()
-			f.Start()
-			wait := f.Load(f.S.Lines, 30*time.Second)
+			fleet := NewFleet(t, Fumettoteca(0.02), 3)
+			fleet.Told = map[string]any{"files": json.Number(fmt.Sprint(files))}
+			defer fleet.Stop()
+			fleet.Start()
+			waitForLoad := fleet.Load(fleet.S.Lines, 30*time.Second)
 			for range 150 {
 				Wait(200 * time.Millisecond)
-				for _, n := range f.Nodes {
-					mean[files] += float64(n.Proxy.LinkCount()) / 150 / float64(len(f.Nodes))
+				for _, counts := range fleet.Nodes {
+					mean[files] += float64(counts.Proxy.LinkCount()) / 150 / float64(len(fleet.Nodes))
 				}
 			}
-			wait()
-			f.Judge()
-			if n := f.Obs.Counts(); n["done"] != n["calls"] || n["calls"] < 400 {
-				t.Errorf("not all were done: %v", n)
+			waitForLoad()
+			fleet.Judge()
+			if counts := fleet.Obs.Counts(); counts["done"] != counts["calls"] || counts["calls"] < 400 {
+				t.Errorf("not all were done: %v", counts)
 			}
-			if !f.Whole() {
+			if !fleet.Whole() {
 				t.Error("not all know all workers")
 			}
 		})
--- a/internal/sim/files_test.go
+++ b/internal/sim/files_test.go
@@ -10,10 +10,10 @@
 	"time"
 )
 
-var keepFiles = flag.Bool("keep-files", false, "write the stored files of this version to testdata")
+var writeStoredFiles = flag.Bool("keep-files", false, "write the stored files of this version to testdata")
 
-// oldFiles are the disks of a small core as an earlier version left them.
-type oldFiles struct {
+// storedFiles are the disks of a small core as an earlier version left them.
+type storedFiles struct {
 	Disks []map[string][]byte
 	Kept  struct {
 		Rev, Num, Fence uint64
@@ -26,29 +26,29 @@
 func TestOldFiles(t *testing.T) {
 	t.Parallel()
 	const name = "testdata/files-v0.1.0.json"
-	if *keepFiles {
+	if *writeStoredFiles {
 		synctest.Test(t, func(t *testing.T) {
-			f := NewFleet(t, small(), 95)
-			f.Start()
-			k := f.keep()
+			fleet := NewFleet(t, small(), 95)
+			fleet.Start()
+			before := fleet.keep()
 			// Enough versions for a checkpoint and some after it.
 			for i := range 300 {
-				f.Ask("PUT", f.Cores[0].Host+":7003", fmt.Sprintf("/puffin/keys/row%d", i%5), `{"value":"x"}`)
+				fleet.Ask("PUT", fleet.Cores[0].Host+":7003", fmt.Sprintf("/puffin/keys/row%d", i%5), `{"value":"x"}`)
 			}
 			Wait(time.Second)
-			f.Stop()
-			var out oldFiles
-			out.Kept.Rev, out.Kept.Num, out.Kept.Fence, out.Kept.Version = k.rev, k.num, k.fence, k.version
-			for _, c := range f.Cores {
-				m := map[string][]byte{}
-				for n, x := range c.Disk.safe {
+			fleet.Stop()
+			var written storedFiles
+			written.Kept.Rev, written.Kept.Num, written.Kept.Fence, written.Kept.Version = before.rev, before.num, before.fence, before.version
+			for _, c := range fleet.Cores {
+				files := map[string][]byte{}
+				for n, content := range c.Disk.safe {
 					if n[0] != 'r' {
-						m[n] = x.saved
+						files[n] = content.saved
 					}
 				}
-				out.Disks = append(out.Disks, m)
+				written.Disks = append(written.Disks, files)
 			}
-			raw, err := json.Marshal(out)
+			raw, err := json.Marshal(written)
 			if err == nil {
 				err = os.MkdirAll("testdata", 0o755)
 			}
@@ -64,28 +64,28 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var in oldFiles
-	if err := json.Unmarshal(raw, &in); err != nil || len(in.Disks) != 3 {
+	var stored storedFiles
+	if err := json.Unmarshal(raw, &stored); err != nil || len(stored.Disks) != 3 {
 		t.Fatal(err)
 	}
 	synctest.Test(t, func(t *testing.T) {
-		f := NewFleet(t, small(), 96)
-		defer f.Stop()
-		f.Steps.Adopt()
-		for i, c := range f.Cores {
-			for n, b := range in.Disks[i] {
-				x := &node{data: b, saved: b}
-				c.Disk.now[n], c.Disk.safe[n] = x, x
+		fleet := NewFleet(t, small(), 96)
+		defer fleet.Stop()
+		fleet.Steps.Adopt()
+		for i, c := range fleet.Cores {
+			for n, b := range stored.Disks[i] {
+				content := &node{data: b, saved: b}
+				c.Disk.now[n], c.Disk.safe[n] = content, content
 			}
-			f.StartStore(c)
-			f.StartRegistry(c)
+			fleet.StartStore(c)
+			fleet.StartRegistry(c)
 		}
-		for i, n := range f.Nodes {
-			f.StartProxy(n)
-			f.StartWorker(n, f.S.Serves(i))
+		for i, n := range fleet.Nodes {
+			fleet.StartProxy(n)
+			fleet.StartWorker(n, fleet.S.Serves(i))
 		}
-		f.serves(15 * time.Second)
-		f.Until(15*time.Second, "all is whole", f.Whole)
-		f.still(kept{in.Kept.Rev, in.Kept.Num, in.Kept.Fence, in.Kept.Version})
+		fleet.serves(15 * time.Second)
+		fleet.Until(15*time.Second, "all is whole", fleet.Whole)
+		fleet.still(kept{stored.Kept.Rev, stored.Kept.Num, stored.Kept.Fence, stored.Kept.Version})
 	})
 }
--- a/internal/sim/fleet_test.go
+++ b/internal/sim/fleet_test.go
@@ -8,24 +8,24 @@
 	"puffincrank/internal/event"
 )
 
-// TestWholePath: the fleet founds itself, takes a configuration and serves.
-func TestWholePath(t *testing.T) {
+// TestBootstrapAndServe: the fleet founds itself, takes a configuration and serves.
+func TestBootstrapAndServe(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
-		f := NewFleet(t, Fumettoteca(0.2), 1)
-		f.Log = func(e event.Entry) {
+		fleet := NewFleet(t, Fumettoteca(0.2), 1)
+		fleet.Log = func(entry event.Entry) {
 			if testing.Verbose() {
-				t.Logf("%v %s %s %s", e.Time.Format("05.000"), e.Node, e.Name, e.Text)
+				t.Logf("%v %s %s %s", entry.Time.Format("05.000"), entry.Node, entry.Name, entry.Text)
 			}
 		}
-		defer f.Stop()
-		f.Start()
-		wait := f.Load(f.S.Lines, 10*time.Second)
-		wait()
-		f.Judge()
-		n := f.Obs.Counts()
-		if n["done"] < n["calls"]*99/100 || n["calls"] < 1000 {
-			t.Errorf("too few were done: %v", n)
+		defer fleet.Stop()
+		fleet.Start()
+		waitForLoad := fleet.Load(fleet.S.Lines, 10*time.Second)
+		waitForLoad()
+		fleet.Judge()
+		counts := fleet.Obs.Counts()
+		if counts["done"] < counts["calls"]*99/100 || counts["calls"] < 1000 {
+			t.Errorf("too few were done: %v", counts)
 		}
 	})
 }
--- a/internal/sim/foreign_test.go
+++ b/internal/sim/foreign_test.go
@@ -18,33 +18,33 @@
 		other.Start()
 		other.keep()
 		other.Stop()
-		f := NewFleet(t, small(), 131)
-		defer f.Stop()
-		var named atomic.Int64
-		f.Log = func(e event.Entry) {
-			if e.Number == event.ForeignData.Number {
-				named.Add(1)
+		fleet := NewFleet(t, small(), 131)
+		defer fleet.Stop()
+		var reported atomic.Int64
+		fleet.Log = func(entry event.Entry) {
+			if entry.Number == event.ForeignData.Number {
+				reported.Add(1)
 			}
 		}
-		f.Start()
-		k := f.keep()
-		c := f.mark(f.Writer())
-		f.KillCore(c, true)
-		c.Disk, c.Steps = other.Cores[0].Disk, other.Steps
-		was, _ := c.Disk.Read("i-identity")
-		f.BackCore(c)
-		f.serves(5 * time.Second)
+		fleet.Start()
+		before := fleet.keep()
+		core := fleet.mark(fleet.Writer())
+		fleet.KillCore(core, true)
+		core.Disk, core.Steps = other.Cores[0].Disk, other.Steps
+		identityBefore, _ := core.Disk.Read("i-identity")
+		fleet.BackCore(core)
+		fleet.serves(5 * time.Second)
 		Wait(8 * time.Second)
-		if code, got := f.Get(c.Host+":7004", "/puffin/ready"); code != 503 {
-			t.Errorf("a store with foreign data is ready: %v", got)
+		if code, answer := fleet.Get(core.Host+":7004", "/puffin/ready"); code != 503 {
+			t.Errorf("a store with foreign data is ready: %v", answer)
 		}
-		if now, _ := c.Disk.Read("i-identity"); string(now) != string(was) {
+		if identityAfter, _ := core.Disk.Read("i-identity"); string(identityAfter) != string(identityBefore) {
 			t.Error("the foreign data was changed")
 		}
-		if named.Load() == 0 {
+		if reported.Load() == 0 {
 			t.Error("no event names it")
 		}
-		f.still(k)
+		fleet.still(before)
 	})
 }
 
@@ -54,58 +54,58 @@
 func TestRemoval(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
-		f := NewFleet(t, small(), 132)
-		defer f.Stop()
-		var named atomic.Int64
-		f.Log = func(e event.Entry) {
-			if e.Number == event.UnsafeRemoval.Number {
-				named.Add(1)
+		fleet := NewFleet(t, small(), 132)
+		defer fleet.Stop()
+		var reported atomic.Int64
+		fleet.Log = func(entry event.Entry) {
+			if entry.Number == event.UnsafeRemoval.Number {
+				reported.Add(1)
 			}
 		}
-		f.Start()
-		k := f.keep()
-		writer := f.Writer()
-		var out, off *Core
-		for _, c := range f.Cores {
-			if c != writer && out == nil {
-				out = c
-			} else if c != writer {
-				off = c
+		fleet.Start()
+		before := fleet.keep()
+		leader := fleet.Writer()
+		var running, dead *Core
+		for _, c := range fleet.Cores {
+			if c != leader && running == nil {
+				running = c
+			} else if c != leader {
+				dead = c
 			}
 		}
-		id := func(c *Core) string {
-			_, got := f.Get(c.Host+":7004", "/puffin/ready")
-			for _, m := range got["members"].([]any) {
-				if one := m.(map[string]any); one["addr"] == c.Host+":7001" {
-					return one["id"].(string)
+		memberID := func(c *Core) string {
+			_, answer := fleet.Get(c.Host+":7004", "/puffin/ready")
+			for _, m := range answer["members"].([]any) {
+				if member := m.(map[string]any); member["addr"] == c.Host+":7001" {
+					return member["id"].(string)
 				}
 			}
 			t.Fatal("not a member")
 			return ""
 		}
-		at := f.Nodes[0].Host + ":7003"
-		mine, gone := id(out), id(off)
-		f.KillCore(off, false)
+		address := fleet.Nodes[0].Host + ":7003"
+		runningID, deadID := memberID(running), memberID(dead)
+		fleet.KillCore(dead, false)
 		Wait(2 * time.Second)
-		if code, got := f.Ask("DELETE", at, "/puffin/stores/"+mine, ""); code != 409 || named.Load() == 0 {
-			t.Errorf("a removal that leaves no majority: %d %v, %d events", code, got, named.Load())
+		if code, answer := fleet.Ask("DELETE", address, "/puffin/stores/"+runningID, ""); code != 409 || reported.Load() == 0 {
+			t.Errorf("a removal that leaves no majority: %d %v, %d events", code, answer, reported.Load())
 		}
-		if code, _ := f.Ask("DELETE", at, "/puffin/stores/nobody", ""); code != 404 {
+		if code, _ := fleet.Ask("DELETE", address, "/puffin/stores/nobody", ""); code != 404 {
 			t.Errorf("no such store: %d", code)
 		}
 		// The dead one may go.
-		if code, got := f.Ask("DELETE", at, "/puffin/stores/"+gone, ""); code != 200 {
-			t.Errorf("a sound removal: %d %v", code, got)
+		if code, answer := fleet.Ask("DELETE", address, "/puffin/stores/"+deadID, ""); code != 200 {
+			t.Errorf("a sound removal: %d %v", code, answer)
 		}
-		f.serves(5 * time.Second)
-		if code, got := f.Ask("DELETE", at, "/puffin/stores/"+mine, ""); code != 409 {
-			t.Errorf("a second removal: %d %v", code, got)
+		fleet.serves(5 * time.Second)
+		if code, answer := fleet.Ask("DELETE", address, "/puffin/stores/"+runningID, ""); code != 409 {
+			t.Errorf("a second removal: %d %v", code, answer)
 		}
-		f.still(k)
+		fleet.still(before)
 		// An empty machine takes the free place.
-		off.Disk.Wipe()
-		f.BackCore(off)
-		f.Until(15*time.Second, "three stores are ready", f.coreReady)
-		f.serves(5 * time.Second)
+		dead.Disk.Wipe()
+		fleet.BackCore(dead)
+		fleet.Until(15*time.Second, "three stores are ready", fleet.coreReady)
+		fleet.serves(5 * time.Second)
 	})
 }
--- a/internal/sim/freeze_test.go
+++ b/internal/sim/freeze_test.go
@@ -18,47 +18,47 @@
 		t.Run(fmt.Sprint("round ", round), func(t *testing.T) {
 			t.Parallel()
 			synctest.Test(t, func(t *testing.T) {
-				s := Fumettoteca(0.4)
-				s.Nodes = 6
-				f := NewFleet(t, s, uint64(round)+300)
-				defer f.Stop()
-				f.Start()
-				wait := f.Load(s.Lines, 14*time.Second)
+				shape := Fumettoteca(0.4)
+				shape.Nodes = 6
+				fleet := NewFleet(t, shape, uint64(round)+300)
+				defer fleet.Stop()
+				fleet.Start()
+				waitForLoad := fleet.Load(shape.Lines, 14*time.Second)
 				Wait(2 * time.Second)
 				for i := range 3 {
-					n := f.Nodes[i]
-					from := time.Now()
-					f.Net.Freeze("node-"+n.Host, true)
+					node := fleet.Nodes[i]
+					start := time.Now()
+					fleet.Net.Freeze("node-"+node.Host, true)
 					Wait(time.Duration(50+100*round) * time.Millisecond)
 					// Its word goes out into the socket of a frozen process.
-					go n.Worker.Leave("draining")
+					go node.Worker.Leave("draining")
 					Wait(2200 * time.Millisecond)
-					f.aim(n, 20)
-					before := n.Worker.Ran()
-					f.Net.Freeze("node-"+n.Host, false)
+					fleet.aim(node, 20)
+					before := node.Worker.Ran()
+					fleet.Net.Freeze("node-"+node.Host, false)
 					Wait(700 * time.Millisecond)
-					t.Logf("%d jobs reached the worker after the thaw", n.Worker.Ran()-before)
-					f.Obs.Lost(n.Host+":8000", from, time.Now())
+					t.Logf("%d jobs reached the worker after the thaw", node.Worker.Ran()-before)
+					fleet.Obs.Lost(node.Host+":8000", start, time.Now())
 				}
-				wait()
-				f.Judge()
+				waitForLoad()
+				fleet.Judge()
 			})
 		})
 	}
 }
 
 // aim sends jobs to a node as a front, so that it wakes with them unread.
-func (f *Fleet) aim(n *Node, count int) {
+func (f *Fleet) aim(node *Node, count int) {
 	line := f.S.Lines[0]
 	for _, l := range f.S.Lines {
-		if l.Service == n.Worker.Service {
+		if l.Service == node.Worker.Service {
 			line = l
 		}
 	}
-	c := standin.NewCallers(f.env("aim", "10.0.9.6", "outside", &n.skew), []string{n.Host + ":8000"}, f.Obs, 15*time.Second)
-	c.Name = "aim-" + n.Host + "-"
+	callers := standin.NewCallers(f.env("aim", "10.0.9.6", "outside", &node.skew), []string{node.Host + ":8000"}, f.Obs, 15*time.Second)
+	callers.Name = "aim-" + node.Host + "-"
 	for range count {
-		go c.At(n.Host+":8000", line)
+		go callers.At(node.Host+":8000", line)
 	}
 	Wait(5 * time.Millisecond)
 }
@@ -69,26 +69,26 @@
 func TestPassedAddress(t *testing.T) {
 	heavy(t)
 	synctest.Test(t, func(t *testing.T) {
-		s := Fumettoteca(0.5)
-		f := NewFleet(t, s, 310)
-		defer f.Stop()
-		f.Start()
-		wait := f.Load(s.Lines, 12*time.Second)
+		shape := Fumettoteca(0.5)
+		fleet := NewFleet(t, shape, 310)
+		defer fleet.Stop()
+		fleet.Start()
+		waitForLoad := fleet.Load(shape.Lines, 12*time.Second)
 		for i := range 6 {
 			Wait(1500 * time.Millisecond)
-			n := f.Nodes[i]
+			node := fleet.Nodes[i]
 			// Its first beat is late, so that the node beside it still goes by
 			// the old one's word.
-			f.Net.Cut(n.Host+"w", n.Host, true)
-			f.KillWorker(n)
-			f.StartStranger(n, s.Serves(i+1))
+			fleet.Net.Cut(node.Host+"w", node.Host, true)
+			fleet.KillWorker(node)
+			fleet.StartStranger(node, shape.Serves(i+1))
 			Wait(300 * time.Millisecond)
-			f.Net.Cut(n.Host+"w", n.Host, false)
+			fleet.Net.Cut(node.Host+"w", node.Host, false)
 		}
-		wait()
-		f.Judge()
-		if n := f.Obs.Counts(); n["done"] < n["calls"]*9/10 || n["calls"] < 2000 {
-			t.Errorf("too few were done: %v", n)
+		waitForLoad()
+		fleet.Judge()
+		if node := fleet.Obs.Counts(); node["done"] < node["calls"]*9/10 || node["calls"] < 2000 {
+			t.Errorf("too few were done: %v", node)
 		}
 	})
 }
--- a/internal/sim/grow_test.go
+++ b/internal/sim/grow_test.go
@@ -11,12 +11,12 @@
 )
 
 // grown is the shape's document with so many paths more.
-func grown(s Shape, n int) string {
-	var more []string
-	for i := range n {
-		more = append(more, fmt.Sprintf(`{"name":"x%d","prefix":"/grown/x%d","service":%q,"class":%q}`, i, i, s.Services[0], "agents"))
+func grown(shape Shape, count int) string {
+	var routes []string
+	for i := range count {
+		routes = append(routes, fmt.Sprintf(`{"name":"x%d","prefix":"/grown/x%d","service":%q,"class":%q}`, i, i, shape.Services[0], "agents"))
 	}
-	return strings.Replace(s.Doc, `"paths":[`, `"paths":[`+strings.Join(append(more, ""), ","), 1)
+	return strings.Replace(shape.Doc, `"paths":[`, `"paths":[`+strings.Join(append(routes, ""), ","), 1)
 }
 
 // TestGrowth: Ingenzi's paths grow to three hundred by many changes through
@@ -26,55 +26,55 @@
 func TestGrowth(t *testing.T) {
 	heavy(t)
 	synctest.Test(t, func(t *testing.T) {
-		s := Ingenzi(0.12)
-		f := NewFleet(t, s, 400)
-		defer f.Stop()
-		f.Start()
+		shape := Ingenzi(0.12)
+		fleet := NewFleet(t, shape, 400)
+		defer fleet.Stop()
+		fleet.Start()
 		rnd := rand.New(rand.NewPCG(4, 4))
-		wait := f.Load(s.Lines, 40*time.Second)
-		at := func() string { return f.Nodes[rnd.IntN(len(f.Nodes))].Host + ":7003" }
-		version, paths := uint64(1), 0
-		for paths < 300 {
+		waitForLoad := fleet.Load(shape.Lines, 40*time.Second)
+		anyAddress := func() string { return fleet.Nodes[rnd.IntN(len(fleet.Nodes))].Host + ":7003" }
+		version, routes := uint64(1), 0
+		for routes < 300 {
 			Wait(time.Duration(300+rnd.IntN(900)) * time.Millisecond)
-			more := paths + 10 + rnd.IntN(20)
-			doc := grown(s, more)
+			target := routes + 10 + rnd.IntN(20)
+			doc := grown(shape, target)
 			codes := make(chan int, 4)
 			send := func(who string, base uint64, doc string) {
-				to := at()
-				f.g.Go("send", func(context.Context) {
-					code, v := f.ApplyAs(who, to, base, doc)
-					if code == 200 && v != version+1 {
-						t.Errorf("version %d after %d", v, version)
+				address := anyAddress()
+				fleet.g.Go("send", func(context.Context) {
+					code, applied := fleet.ApplyAs(who, address, base, doc)
+					if code == 200 && applied != version+1 {
+						t.Errorf("version %d after %d", applied, version)
 					}
 					codes <- code
 				})
 			}
 			send("one", version, doc)
 			send("another", version, doc)
-			send("late", version-1, grown(s, more+1))
+			send("late", version-1, grown(shape, target+1))
 			send("one", version, strings.Replace(doc, `"service":"seats"`, `"service":"sits"`, 1))
-			got := map[int]int{}
+			answers := map[int]int{}
 			for range 4 {
-				got[<-codes]++
+				answers[<-codes]++
 			}
-			if got[200] != 1 || got[409] != 2 || got[422] != 1 {
-				t.Fatalf("a race of two, an old and a broken one answered %v", got)
+			if answers[200] != 1 || answers[409] != 2 || answers[422] != 1 {
+				t.Fatalf("a race of two, an old and a broken one answered %v", answers)
 			}
-			version, paths = version+1, more
+			version, routes = version+1, target
 		}
 		Wait(2 * time.Second)
 		for i := range 60 {
-			n := f.Nodes[i%len(f.Nodes)]
-			if code, _ := f.Get(n.Host+":8000", fmt.Sprintf("/grown/x%d", rnd.IntN(paths))); code != 200 {
-				t.Errorf("a grown path at %s: %d", n.Host, code)
+			node := fleet.Nodes[i%len(fleet.Nodes)]
+			if code, _ := fleet.Get(node.Host+":8000", fmt.Sprintf("/grown/x%d", rnd.IntN(routes))); code != 200 {
+				t.Errorf("a grown path at %s: %d", node.Host, code)
 			}
 		}
-		wait()
-		f.Judge()
-		if n := f.Obs.Counts(); n["done"] != n["calls"] || version < 10 {
-			t.Errorf("growth was seen by callers: %v, %d changes", n, version)
+		waitForLoad()
+		fleet.Judge()
+		if node := fleet.Obs.Counts(); node["done"] != node["calls"] || version < 10 {
+			t.Errorf("growth was seen by callers: %v, %d changes", node, version)
 		}
-		t.Logf("%d paths by %d changes", paths, version-1)
+		t.Logf("%d paths by %d changes", routes, version-1)
 	})
 }
 
@@ -82,32 +82,32 @@
 func TestGrowthCost(t *testing.T) {
 	heavy(t)
 	synctest.Test(t, func(t *testing.T) {
-		s := Ingenzi(0.1)
-		f := NewFleet(t, s, 401)
-		defer f.Stop()
-		f.Start()
+		shape := Ingenzi(0.1)
+		fleet := NewFleet(t, shape, 401)
+		defer fleet.Stop()
+		fleet.Start()
 		var took, start []time.Duration
 		var bytes []float64
 		for i, n := range []int{10, 100, 1000} {
-			doc := grown(s, n)
-			before := f.Net.Sum(true) + f.Net.Sum(false)
-			code, v := f.Apply(f.Nodes[0].Host+":7003", uint64(i+1), doc)
+			doc := grown(shape, n)
+			before := fleet.Net.Sum(true) + fleet.Net.Sum(false)
+			code, version := fleet.Apply(fleet.Nodes[0].Host+":7003", uint64(i+1), doc)
 			if code != 200 {
 				t.Fatalf("apply of %d paths answered %d", n, code)
 			}
-			took = append(took, f.Until(2*time.Second, "all hold it", func() bool {
-				for _, n := range f.Nodes {
-					if _, own := f.Get(n.Host+":7003", "/puffin/own"); own["config_version"] != float64(v) {
+			took = append(took, fleet.Until(2*time.Second, "all hold it", func() bool {
+				for _, n := range fleet.Nodes {
+					if _, status := fleet.Get(n.Host+":7003", "/puffin/own"); status["config_version"] != float64(version) {
 						return false
 					}
 				}
 				return true
 			}))
-			bytes = append(bytes, float64(f.Net.Sum(true)+f.Net.Sum(false)-before)/float64(len(doc)))
-			m := f.Nodes[2]
-			f.KillNode(m)
-			f.StartProxy(m)
-			start = append(start, f.Until(3*time.Second, "the node is ready", m.Proxy.Ready))
+			bytes = append(bytes, float64(fleet.Net.Sum(true)+fleet.Net.Sum(false)-before)/float64(len(doc)))
+			restarted := fleet.Nodes[2]
+			fleet.KillNode(restarted)
+			fleet.StartProxy(restarted)
+			start = append(start, fleet.Until(3*time.Second, "the node is ready", restarted.Proxy.Ready))
 			Wait(2 * time.Second)
 		}
 		t.Logf("10, 100, 1000 paths: last node after %v, bytes over the document's %.1f, a start %v", took, bytes, start)
