--- a/internal/sim/corelab_test.go
+++ b/internal/sim/corelab_test.go
@@ -11,11 +11,11 @@
 	"puffincrank/internal/event"
 )
 
-// tight are the bounds under which a core must do its work in the tests of it.
+// tight holds the time bounds that the control plane must meet in its tests.
 var tight = map[string]any{"change_ms": json.Number("2000"), "return_ms": json.Number("15000"), "catch_up_ms": json.Number("4000"),
 	"grace_ms": json.Number("6000"), "touch_ms": json.Number("3000"), "ack_ms": json.Number("4000")}
 
-// lab is a fleet of core machines only, with its events.
+// lab is a fleet of control-plane machines only, which records its events.
 type lab struct {
 	*Fleet
 	mu     sync.Mutex
@@ -26,8 +26,8 @@
 	seed   uint64
 }
 
-// newLab lays out so many core machines, told of the first three, that are to
-// bear the loss of some; each disk takes 2 ms a sync.
+// newLab lays out control-plane machines whose seeds are the first three of them
+// and that must tolerate the given number of losses; a disk sync takes 2 ms.
 func newLab(t *testing.T, seed uint64, cores, tolerated int) *lab {
 	shape := Fumettoteca(0.1)
 	shape.Nodes = 0
@@ -57,7 +57,7 @@
 	return core
 }
 
-// tell prints the newest events, for a failure.
+// tell logs the events of the last period, to explain a failure.
 func (l *lab) tell(t *testing.T, period time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -68,7 +68,7 @@
 	}
 }
 
-// count tells how often an event was heard of.
+// count returns how many events of a kind were recorded.
 func (l *lab) count(kind event.Kind) (total int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -80,16 +80,16 @@
 	return total
 }
 
-// up starts all machines at once and waits until one writes.
+// up starts all machines at once and waits for a leader.
 func (l *lab) up() time.Duration {
 	for _, c := range l.Cores {
 		l.BackCore(c)
 	}
-	return l.Until(15*time.Second, "a store writes", func() bool { return l.Writer() != nil })
+	return l.Until(15*time.Second, "a store leads", func() bool { return l.Writer() != nil })
 }
 
-// put is one write through a core machine's registry; the number is its
-// revision, 0 when it did not go through.
+// put writes a key through the registry of a control-plane machine. It returns the
+// revision, or 0 if the write was not acknowledged.
 func (l *lab) put(core *Core, key, value string) uint64 {
 	code, answer := l.Ask("PUT", core.Host+":7003", "/puffin/keys/"+key+"?left_ms=1000", fmt.Sprintf(`{"value":%q}`, value))
 	revision, _ := answer["rev"].(float64)
@@ -99,8 +99,8 @@
 	return uint64(revision)
 }
 
-// next measures the time until a write that begins from now on is acknowledged
-// by any machine that runs: one begins every 10 ms.
+// next measures the time until any running machine acknowledges a write that
+// began after the call. Every 10 ms it starts a write at each machine.
 func (l *lab) next(bound time.Duration) time.Duration {
 	start := time.Now()
 	done := make(chan time.Duration, 1<<12)
@@ -126,7 +126,7 @@
 		case took = <-done:
 		case <-tick.C:
 		case <-ctx.Done():
-			l.T.Fatalf("no write went through within %v", bound)
+			l.T.Fatalf("no write was acknowledged within %v", bound)
 		}
 		tick.Stop()
 	}
@@ -134,7 +134,7 @@
 	return took
 }
 
-// places gives the addresses of the stores that vote, as the writer has them.
+// places returns the addresses of the voting stores, as the leader reports them.
 func (l *lab) places() map[string]bool {
 	members := map[string]bool{}
 	leader := l.Writer()
@@ -150,7 +150,8 @@
 	return members
 }
 
-// marks writes keys through all machines and notes what was acknowledged.
+// marks writes keys through all machines and returns the acknowledged ones with
+// their revisions.
 func (l *lab) marks(total int) map[string]uint64 {
 	acknowledged := map[string]uint64{}
 	for i := range total {
@@ -164,12 +165,12 @@
 		}
 	}
 	if len(acknowledged) < total/2 {
-		l.T.Fatalf("only %d of %d writes went through", len(acknowledged), total)
+		l.T.Fatalf("only %d of %d writes were acknowledged", len(acknowledged), total)
 	}
 	return acknowledged
 }
 
-// holds fails the test if something that was acknowledged can't be read back.
+// holds fails the test if an acknowledged write can't be read back.
 func (l *lab) holds(acknowledged map[string]uint64) {
 	l.T.Helper()
 	for key, rev := range acknowledged {
@@ -182,17 +183,17 @@
 			answers = append(answers, fmt.Sprint(c.Host, " ", code, " ", answer))
 			found = code == 200 && answer["value"] == key && answer["rev"] == float64(rev)
 			if code == 200 && !found {
-				l.T.Errorf("%s is %v, was acknowledged with revision %d", key, answer, rev)
+				l.T.Errorf("%s reads as %v, but was acknowledged with revision %d", key, answer, rev)
 			}
 		}
 		if !found {
-			l.T.Errorf("%s, acknowledged with revision %d, is gone: %v", key, rev, answers)
+			l.T.Errorf("%s, acknowledged with revision %d, is lost: %v", key, rev, answers)
 		}
 	}
 }
 
-// settled tells whether so many stores vote, all of which run, and all stores
-// are ready.
+// settled reports whether exactly the wanted number of stores vote, all voters run
+// and all stores are ready.
 func (l *lab) settled(want int) bool {
 	members, running := l.places(), 0
 	for _, c := range l.cores() {
--- a/internal/sim/corestorm_test.go
+++ b/internal/sim/corestorm_test.go
@@ -12,8 +12,9 @@
 	"puffincrank/internal/event"
 )
 
-// counts takes numbers through drawn machines until it is told to end: each is
-// above every one given before its call was sent, whatever happens meanwhile.
+// counts takes numbers from a counter through random machines until the returned
+// function is called, which returns how many it got. Each number must be above
+// every earlier one, whatever faults occur meanwhile.
 func (l *lab) counts(rnd *rand.Rand) func() int {
 	ctx, cancel := context.WithCancel(context.Background())
 	finished, highest, taken := make(chan struct{}), 0.0, 0
@@ -27,7 +28,7 @@
 			if number, _ := answer["number"].(float64); code == 200 {
 				taken++
 				if number <= highest {
-					l.T.Errorf("number %v after %v", number, highest)
+					l.T.Errorf("got number %v after %v", number, highest)
 				}
 				highest = max(highest, number)
 			}
@@ -36,12 +37,12 @@
 	return func() int { cancel(); <-finished; return taken }
 }
 
-// injectFault is one drawn fault of so many core machines, and its end.
+// injectFault injects one random fault into the given machines and ends it again.
 func (l *lab) injectFault(rnd *rand.Rand, targets []*Core) {
 	kind := rnd.IntN(10)
 	duration := time.Duration(200+rnd.IntN(2800)) * time.Millisecond
 	for _, c := range targets {
-		l.faults = append(l.faults, fmt.Sprintf("%v: %s by way %d for %v", time.Since(l.from).Round(time.Millisecond), c.Host, kind, duration))
+		l.faults = append(l.faults, fmt.Sprintf("%v: %s has fault kind %d for %v", time.Since(l.from).Round(time.Millisecond), c.Host, kind, duration))
 		switch kind {
 		case 0:
 			l.KillCore(c, rnd.IntN(2) == 0)
@@ -74,7 +75,8 @@
 		case 0, 6:
 			l.BackCore(c)
 		case 1:
-			// At the old address, or another machine at a new one.
+			// Either the machine returns empty at its address, or another machine
+			// at a new address replaces it.
 			if rnd.IntN(2) == 0 {
 				l.BackCore(c)
 				continue
@@ -101,10 +103,10 @@
 	}
 }
 
-// TestCoreStorm: faults fall on as many machines as the core is to bear, drawn
-// anew each time, with and without stand-bys; each is back or replaced for
-// catch_up_ms before the next. Numbers only rise, and what was acknowledged is
-// there at the end.
+// TestCoreStorm injects random faults into up to as many machines as the control
+// plane must tolerate, with and without spare machines. Between faults every machine
+// is back or replaced for catch_up_ms. Numbers must only rise, and every acknowledged
+// write must be readable at the end.
 func TestCoreStorm(t *testing.T) {
 	heavy(t)
 	for _, c := range []struct{ cores, bear int }{{3, 1}, {4, 1}, {5, 2}, {6, 2}} {
@@ -131,7 +133,7 @@
 						targets := slices.Clone(fleet.Cores)
 						rnd.Shuffle(len(targets), func(i, j int) { targets[i], targets[j] = targets[j], targets[i] })
 						fleet.injectFault(rnd, targets[:1+rnd.IntN(c.bear)])
-						fleet.Until(4*time.Second, "all places are taken, all stores ready", func() bool { return fleet.settled(2*c.bear + 1) })
+						fleet.Until(4*time.Second, "all memberships are filled and all stores are ready", func() bool { return fleet.settled(2*c.bear + 1) })
 						Wait(time.Second)
 						for key, rev := range fleet.marks(6) {
 							acknowledged[key] = max(acknowledged[key], rev)
@@ -139,9 +141,9 @@
 					}
 					taken := stop()
 					fleet.holds(acknowledged)
-					t.Logf("seed %d: %d numbers, %d changes of the members", seed, taken, fleet.count(event.Replaced))
+					t.Logf("seed %d: %d numbers, %d membership changes", seed, taken, fleet.count(event.Replaced))
 					if taken < 500 {
-						t.Errorf("only %d numbers", taken)
+						t.Errorf("only %d numbers were given out", taken)
 					}
 				})
 			}
--- a/internal/sim/crowd_test.go
+++ b/internal/sim/crowd_test.go
@@ -12,10 +12,10 @@
 	"puffincrank/internal/standin"
 )
 
-// TestBodyMemoryBound: more large bodies come to one node than its memory bears,
-// some with a length and some in chunks, while its workers are slow. The bytes
-// under way stay within the bound everywhere, who finds no room is told at once
-// when to come back, and small jobs go through all the while.
+// TestBodyMemoryBound sends more large bodies to one node than its memory can hold,
+// some with a length and some chunked, while its workers are slow. The bytes in
+// flight must stay within the bound at every node, refused callers must get an
+// immediate 503 with Retry-After, and small requests must keep succeeding.
 func TestBodyMemoryBound(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -59,7 +59,7 @@
 				codes[code]++
 				mu.Unlock()
 				if code == 503 && !strings.HasSuffix(detail, "no") {
-					t.Errorf("refused with %q", detail)
+					t.Errorf("503 with Retry-After and Puffin-Ran %q", detail)
 				}
 			})
 		}
@@ -69,31 +69,32 @@
 				defer pending.Done()
 				Wait(time.Duration(i) * 7 * time.Millisecond)
 				if code, detail, _ := send("GET", "/pages/1", 0, false); code != 200 {
-					t.Errorf("a small job: %d %s", code, detail)
+					t.Errorf("small request answered %d %s", code, detail)
 				}
 			})
 		}
 		pending.Wait()
-		t.Logf("large ones: %v", codes)
+		t.Logf("status codes of large requests: %v", codes)
 		if codes[200] < 4 || codes[503] < 10 || codes[200]+codes[503] != 60 {
-			t.Errorf("large ones: %v", codes)
+			t.Errorf("status codes of large requests: %v", codes)
 		}
 		for _, m := range fleet.Nodes {
 			_, status := fleet.Get(m.Host+":7003", "/puffin/own")
-			t.Logf("%s: peak %v, bound %v, now %v", m.Host, status["bytes_under_way_peak"], status["bytes_under_way_bound"], status["bytes_under_way"])
+			t.Logf("%s: bytes in flight peaked at %v, bound %v, now %v", m.Host, status["bytes_under_way_peak"], status["bytes_under_way_bound"], status["bytes_under_way"])
 			if status["bytes_under_way_bound"] != float64(memory/8) || status["bytes_under_way_peak"].(float64) > memory/8 {
-				t.Errorf("the bound was passed")
+				t.Errorf("bytes in flight exceeded the bound")
 			}
 			if status["bytes_under_way"] != 0.0 {
-				t.Errorf("%v bytes were never given back", status["bytes_under_way"])
+				t.Errorf("%v bytes in flight were never released", status["bytes_under_way"])
 			}
 		}
 	})
 }
 
-// TestCallerConnectionBound: callers' connections take no more than their part of the
-// descriptors. Near the bound answers end their connections, over it new ones
-// end unread; when others are gone, new ones are taken again.
+// TestCallerConnectionBound checks that callers' connections use no more than their
+// share of the file descriptors. Near the bound responses close their connections,
+// above it new connections are closed unread, and once others have closed, new ones
+// are accepted again.
 func TestCallerConnectionBound(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -109,26 +110,26 @@
 		for range 20 {
 			connection := fleet.hand(t, node)
 			if response := connection.ask(""); response.StatusCode != 200 || response.Close {
-				t.Errorf("with room: %d, ends %v", response.StatusCode, response.Close)
+				t.Errorf("below the bound: status %d, closed %v", response.StatusCode, response.Close)
 			}
 			connections = append(connections, connection)
 		}
 		for range 10 {
 			connections = append(connections, fleet.hand(t, node))
 		}
-		about(t, "one too many", fleet.hand(t, node).ends(), 5*time.Millisecond)
+		about(t, "connection above the bound", fleet.hand(t, node).ends(), 5*time.Millisecond)
 		if response := connections[25].ask(""); response.StatusCode != 200 || !response.Close {
-			t.Errorf("near the bound: %d, ends %v", response.StatusCode, response.Close)
+			t.Errorf("near the bound: status %d, closed %v", response.StatusCode, response.Close)
 		}
 		for _, connection := range connections {
 			_ = connection.c.Close()
 		}
 		Wait(time.Second)
 		if response := fleet.hand(t, node).ask(""); response.StatusCode != 200 || response.Close {
-			t.Errorf("with room again: %d, ends %v", response.StatusCode, response.Close)
+			t.Errorf("below the bound again: status %d, closed %v", response.StatusCode, response.Close)
 		}
 		if _, status := fleet.Get(node.Host+":7003", "/puffin/own"); status["connections_of_callers"] != 1.0 {
-			t.Errorf("%v connections count, there is 1", status["connections_of_callers"])
+			t.Errorf("%v connections are counted, want 1", status["connections_of_callers"])
 		}
 	})
 }
--- a/internal/sim/ctl_test.go
+++ b/internal/sim/ctl_test.go
@@ -18,7 +18,8 @@
 	"puffincrank/internal/httpapi"
 )
 
-// ctl runs puffinctl against the fleet.
+// ctl runs puffinctl against the fleet. It returns the exit code, standard output
+// and standard error.
 func (f *Fleet) ctl(address string, args ...string) (int, string, string) {
 	var stdout, stderr bytes.Buffer
 	dial := func(ctx context.Context, _, target string) (net.Conn, error) {
@@ -28,8 +29,8 @@
 	return code, stdout.String(), stderr.String()
 }
 
-// TestCommands: every command of puffinctl, its exit codes, and the same
-// answer from any node.
+// TestCommands runs every puffinctl command and checks its exit code, and that any
+// node gives the same answer.
 func TestCommands(t *testing.T) {
 	t.Parallel()
 	dir := t.TempDir()
@@ -75,7 +76,7 @@
 				t.Errorf("puffinctl %s: code %d, want %d with %q\n%s%s", c.args, code, c.code, c.want, stdout, stderr)
 			}
 		}
-		// The same answer from any node.
+		// Any node gives the same answer.
 		Wait(3 * time.Second)
 		for _, cmd := range []string{"config get", "services", "history", "paths", "trials", "duties"} {
 			_, fromFirst, _ := fleet.ctl(first, append([]string{"--json"}, strings.Fields(cmd)...)...)
@@ -88,15 +89,15 @@
 				t.Errorf("%s differs between nodes:\n%s\n%s", cmd, fromFirst, fromSecond)
 			}
 		}
-		// One that can't be reached is named, and the next is tried.
+		// An unreachable node is named, and the next address is tried.
 		if code, _, stderr := fleet.ctl("10.0.1.77:7003,"+second, "status"); code != ctl.ExitOK || !strings.Contains(stderr, "10.0.1.77:7003 can't be reached") {
-			t.Errorf("an unreachable node: %d %s", code, stderr)
+			t.Errorf("with an unreachable node first: code %d %s", code, stderr)
 		}
 		if code, _, _ := fleet.ctl("10.0.1.77:7003", "status"); code != ctl.ExitUnreachable {
-			t.Errorf("no node at all: %d", code)
+			t.Errorf("with no reachable node: code %d", code)
 		}
-		// A node that takes a change and breaks off: the outcome is unknown, and
-		// the change is not sent to another.
+		// When a node accepts a change and drops the connection, the outcome is
+		// unknown and the change is not sent to another node.
 		received := 0
 		environment := fleet.env("breaker", "10.0.1.99", "north", new(atomic.Int64))
 		if err := httpapi.Serve(fleet.g, environment, "10.0.1.99:7003", http.HandlerFunc(func(http.ResponseWriter, *http.Request) {
@@ -106,22 +107,22 @@
 			t.Fatal(err)
 		}
 		if code, _, stderr := fleet.ctl("10.0.1.99:7003,"+first, "number", "next", "n"); code != ctl.ExitUnknown || received != 1 || !strings.Contains(stderr, "outcome unknown") {
-			t.Errorf("broken off: %d %s after %d", code, stderr, received)
+			t.Errorf("connection dropped: code %d %s after %d requests", code, stderr, received)
 		}
 		if _, stdout, _ := fleet.ctl(first, "number", "get", "n"); !strings.Contains(stdout, `"number":1`) {
-			t.Errorf("a change was sent twice: %s", stdout)
+			t.Errorf("the change was sent twice: %s", stdout)
 		}
-		// No majority: nothing was done.
+		// Without a majority the change is refused and not applied.
 		fleet.KillCore(fleet.Cores[0], true)
 		fleet.KillCore(fleet.Cores[1], true)
 		Wait(3 * time.Second)
 		if code, stdout, stderr := fleet.ctl(first, "number", "next", "n"); code != ctl.ExitUnavailable || !strings.Contains(stderr, "come back in") {
-			t.Errorf("without a majority: %d %s %s", code, stdout, stderr)
+			t.Errorf("without a majority: code %d %s %s", code, stdout, stderr)
 		}
 		fleet.BackCore(fleet.Cores[0])
 		fleet.serves(15 * time.Second)
 		if _, stdout, _ := fleet.ctl(first, "number", "get", "n"); !strings.Contains(stdout, `"number":1`) {
-			t.Errorf("refused, but done: %s", fmt.Sprint(stdout))
+			t.Errorf("the refused change was applied: %s", fmt.Sprint(stdout))
 		}
 	})
 }
--- a/internal/sim/cut_test.go
+++ b/internal/sim/cut_test.go
@@ -11,9 +11,10 @@
 	"puffincrank/internal/transport"
 )
 
-// TestCutLeader: the writing store is cut off from the mesh, but not from
-// callers, while the others win the duty and take a write. A read there is
-// refused or new, never old; a mutant that reads without its round fails here.
+// TestCutLeader cuts the leader off from the other machines, but not from callers,
+// while the others elect a new leader and accept a write. A read at the old leader
+// must be refused or current, never stale. A mutant that reads without a quorum
+// round fails here.
 func TestCutLeader(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -34,7 +35,7 @@
 			}
 			op.To, op.Unknown = time.Now(), code != 200
 			ops = append(ops, op)
-			// Calls that meet at one moment would count as overlapping.
+			// Calls that touch at one instant would count as concurrent.
 			Wait(10 * time.Millisecond)
 			return code
 		}
@@ -47,8 +48,8 @@
 			fleet.Net.Cut(oldLeader.Host, client.Host, true)
 			fleet.Net.Cut(client.Host, oldLeader.Host, true)
 		}
-		// Asked at once, while its lease would still stand by any clock: it can't
-		// reach a majority any more, so it may not say what it holds.
+		// Even right away, when a lease would still be valid by any clock, the old
+		// leader must not answer, since it can't reach a majority.
 		client := transport.NewNode(transport.Hello{ClusterID: "puffin", Node: "asker", Zone: "north", Role: "registry"}, fleet.env("asker", "10.0.9.5", "north", &oldLeader.skew), fleet.g, 1<<20, 4, time.Second)
 		ctx, cancel := context.WithTimeout(t.Context(), 400*time.Millisecond)
 		if answer, err := transport.Call[store.LeaderResponse](ctx, client, oldLeader.Host+":7001", "store.read", store.ReadRequest{Kind: "key", Name: "k"}); err == nil && answer.Done {
@@ -56,7 +57,7 @@
 		}
 		cancel()
 		client.Close()
-		// Reads go on at the old writer while the duty passes.
+		// Reads continue at the old leader while the leadership changes.
 		writeCode, writeEnd := make(chan int, 1), time.Time{}
 		fleet.g.Go("write", func(context.Context) {
 			Wait(2500 * time.Millisecond)
@@ -75,11 +76,11 @@
 		call(fleet.Nodes[1].Host, "")
 		call(oldLeader.Host, "")
 		if code != 200 || ops[len(ops)-2].Value != "two" {
-			t.Fatalf("the others did not take the write: %d, then %q", code, ops[len(ops)-2].Value)
+			t.Fatalf("the others did not accept the write: status %d, then read %q", code, ops[len(ops)-2].Value)
 		}
 		if !standin.Linear(ops) {
-			t.Errorf("an old read at the cut-off writer: %+v", ops[len(ops)-1])
+			t.Errorf("stale read at the old leader: %+v", ops[len(ops)-1])
 		}
-		t.Logf("%d reads were answered at the cut-off writer", answered)
+		t.Logf("the old leader answered %d reads", answered)
 	})
 }
--- a/internal/sim/cutfleet_test.go
+++ b/internal/sim/cutfleet_test.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// fleetPartitions are the ways in which one machine of the core is cut off from others.
+// fleetPartitions lists the ways in which one control-plane machine is cut off.
 var fleetPartitions = []struct {
 	name string
 	do   func(f *Fleet, c *Core, others []string, on bool)
@@ -30,11 +30,11 @@
 	}},
 }
 
-// TestCutFleet: a machine of the core is cut off for 20 s in a whole mesh. Its
-// nodes go on with others, orders go on everywhere, a worker leaves and another
-// starts meanwhile. Nobody reads a configuration older than one that was confirmed
-// before, no node acts on an older one beyond the bound, no call reaches the worker
-// that left, and callers are served.
+// TestCutFleet cuts one control-plane machine off for 20 s in a whole mesh, while
+// nodes use the other machines, operators apply configurations, one worker leaves
+// and another starts. No read may return a configuration older than the last one
+// confirmed before it, no node may act on an older one beyond the bound, no call may
+// reach the worker that left, and callers must be served.
 func TestCutFleet(t *testing.T) {
 	heavy(t)
 	shapes := []Shape{Fumettoteca(0.08), Ingenzi(0.12)}
@@ -54,7 +54,8 @@
 	}
 }
 
-// fleetOfCores is a fleet whose core has so many machines, all of which vote.
+// fleetOfCores returns a fleet with the given number of control-plane machines, all
+// of which vote.
 func fleetOfCores(t *testing.T, shape Shape, seed uint64, cores int) *Fleet {
 	fleet := NewFleet(t, shape, seed)
 	fleet.Stores = map[string]any{"bear": json.Number(fmt.Sprint((cores - 1) / 2))}
@@ -106,22 +107,23 @@
 	clients.check(target)
 }
 
-// operators send orders to the whole mesh, one after another, and read back.
+// operators applies configurations through the whole mesh, one after another, and
+// reads them back.
 type operators struct {
 	fleet *Fleet
 	rnd   *rand.Rand
 
 	mu             sync.Mutex
-	confirmed      uint64 // the newest version that was confirmed
-	version        uint64 // that the next order is based on
-	confirmedCount int    // orders confirmed
-	attempts       int    // times that one was sent to a machine that is not cut off
-	cutHost        string // the host that is
+	confirmed      uint64 // newest confirmed version
+	version        uint64 // version that the next change is based on
+	confirmedCount int    // changes confirmed
+	attempts       int    // attempts at machines that are not cut off
+	cutHost        string // host that is cut off
 	answered       map[string]int
 	staleReads     []string
 }
 
-// addresses lists the machines that answer operators.
+// addresses lists the addresses that answer operators.
 func (o *operators) addresses() (all []string) {
 	for _, c := range o.fleet.Cores {
 		all = append(all, c.Host+":7003")
@@ -139,8 +141,8 @@
 	return addresses[o.rnd.IntN(len(addresses))]
 }
 
-// sendChanges sends changes until the context ends; one whose answer is lost is sent
-// again elsewhere until it is known what became of it.
+// sendChanges sends changes until the context ends. One without an answer is sent
+// again to another machine until its outcome is known.
 func (o *operators) sendChanges(ctx context.Context) {
 	for i := 0; ctx.Err() == nil; i++ {
 		Wait(300 * time.Millisecond)
@@ -156,7 +158,7 @@
 				break
 			}
 			if code == 409 || code == 422 {
-				o.fleet.T.Errorf("the one operator's order on %d was answered %d %v", o.version, code, answer)
+				o.fleet.T.Errorf("the only operator's change based on version %d was answered %d %v", o.version, code, answer)
 				return
 			}
 		}
@@ -174,7 +176,7 @@
 	o.confirmedCount++
 }
 
-// readConfig asks for the configuration until the context ends.
+// readConfig reads the configuration until the context ends and records stale reads.
 func (o *operators) readConfig(ctx context.Context) {
 	for ctx.Err() == nil {
 		Wait(70 * time.Millisecond)
@@ -192,22 +194,22 @@
 		}
 		o.answered[address]++
 		if version, _ := answer["version"].(float64); uint64(version) < minimum {
-			o.staleReads = append(o.staleReads, fmt.Sprintf("%s gave %v after %d was confirmed", address, version, minimum))
+			o.staleReads = append(o.staleReads, fmt.Sprintf("%s returned version %v after %d was confirmed", address, version, minimum))
 		}
 		o.mu.Unlock()
 	}
 }
 
-// check checks what the operators saw, with a machine cut off for most of it.
+// check checks what the operators observed while a machine was cut off.
 func (o *operators) check(cut *Core) {
 	t := o.fleet.T
 	for _, s := range o.staleReads {
-		t.Errorf("an old configuration was read: %s", s)
+		t.Errorf("stale configuration read: %s", s)
 	}
-	// How many there are hangs on how often the silent machine was asked, which
-	// costs the caller its whole patience; of the tries elsewhere most succeed.
+	// The total depends on how often the cut-off machine was asked, since each such
+	// attempt costs the caller its full timeout. Elsewhere most attempts succeed.
 	if o.confirmedCount < 10 || 4*o.confirmedCount < 3*o.attempts {
-		t.Errorf("%d orders were confirmed by %d tries at machines in touch", o.confirmedCount, o.attempts)
+		t.Errorf("only %d changes were confirmed in %d attempts at connected machines", o.confirmedCount, o.attempts)
 	}
 	for _, at := range o.addresses() {
 		if o.answered[at] < 10 && host(at) != cut.Host {
@@ -216,7 +218,7 @@
 	}
 	counts := o.fleet.Obs.Counts()
 	if counts["done"]*100 < counts["calls"]*99 {
-		t.Errorf("%d of %d calls were done", counts["done"], counts["calls"])
+		t.Errorf("only %d of %d calls succeeded", counts["done"], counts["calls"])
 	}
-	t.Logf("%d orders by %d tries, %d answers of the machine that was cut off", o.confirmedCount, o.attempts, o.answered[cut.Host+":7003"])
+	t.Logf("%d changes in %d attempts, %d answers from the cut-off machine", o.confirmedCount, o.attempts, o.answered[cut.Host+":7003"])
 }
--- a/internal/sim/cuttwenty_test.go
+++ b/internal/sim/cuttwenty_test.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// corePartitions are the ways in which one machine of the core, or half of it, is cut
-// off for a while; each is joined again by the same with on false.
+// corePartitions lists the ways in which one control-plane machine, or half of them,
+// is cut off; the same function with on false heals the partition.
 var corePartitions = []struct {
 	name string
 	do   func(l *lab, c *Core, others []string, on bool)
@@ -46,15 +46,14 @@
 	}},
 }
 
-// TestCutTwentySeconds: a machine of the core is cut off for 20 s while callers ask
-// every machine, that one too, and changes go on; then it heals while it is asked.
-// Whatever it answers is explained by calls that each took effect at one moment:
-// no old configuration, key or number, no order confirmed that is not in force, no
-// lock held twice; and the others go on.
+// TestCutTwentySeconds cuts a control-plane machine off for 20 s and heals it, while
+// callers read and write at every machine, including that one. All answers must be
+// linearizable: no stale configuration, key or number, no confirmed change that is
+// not in force, no lock held twice. The other machines must keep serving.
 func TestCutTwentySeconds(t *testing.T) {
 	t.Parallel()
 	for _, cores := range []int{3, 5} {
-		// The detector's own runtime crashed in runs of five.
+		// The runtime of the race detector crashed in runs with five machines.
 		if testing.Short() && cores == 5 {
 			continue
 		}
@@ -68,22 +67,22 @@
 					calls.judge(t)
 					for at, n := range calls.answered {
 						if at != target && n < 20 {
-							t.Errorf("%s answered only %d calls", at, n)
+							t.Errorf("machine %s answered only %d calls", at, n)
 						}
 					}
-					t.Logf("%d keys, %d numbers, %d orders and reads, %d holds", len(calls.keys), len(calls.numbers), len(calls.orders), len(calls.holds))
+					t.Logf("%d key calls, %d numbers, %d configuration changes and reads, %d locks held", len(calls.keys), len(calls.numbers), len(calls.orders), len(calls.holds))
 				})
 			}
 		}
 	}
 }
 
-// runPartition brings the cut about, and tells which machine was cut off.
+// runPartition injects the partition and returns the host that was cut off.
 func runPartition(t *testing.T, calls *history, cores int, seed uint64, cutLeader bool, cut func(*lab, *Core, []string, bool)) string {
 	fleet := newLab(t, 940+seed, cores, (cores-1)/2)
 	defer fleet.Stop()
 	fleet.up()
-	fleet.Until(4*time.Second, "all places are taken", func() bool { return fleet.settled(cores) && fleet.Writer() != nil })
+	fleet.Until(4*time.Second, "all memberships are filled", func() bool { return fleet.settled(cores) && fleet.Writer() != nil })
 	leader := fleet.Writer()
 	target := leader
 	var others []string
@@ -104,7 +103,7 @@
 	next := func() uint64 {
 		mu.Lock()
 		defer mu.Unlock()
-		// Now and then two are sent under one number.
+		// Every third change reuses the number of the one before.
 		if sent++; sent%3 != 0 {
 			number++
 		}
--- a/internal/sim/day_test.go
+++ b/internal/sim/day_test.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// day plays one day of a site and gives the verdict: the site comes up, load
-// and applications begin after eight seconds, then what the day holds happens,
-// and at the end all is read back.
+// day simulates one day of a site and returns the violations by rule. The site
+// starts, load and applications begin after eight seconds, then inject runs, and at
+// the end everything is read back.
 func (s *site) day(duration time.Duration, inject func()) map[string]int {
 	s.up()
 	Wait(8 * time.Second)
@@ -25,7 +25,7 @@
 	<-finished
 	s.op.Read(context.Background(), 5*time.Second, true)
 	s.apps.Finish(context.Background())
-	// What is under way ends.
+	// Let requests in flight end.
 	Wait(s.d.longestTimeout())
 	s.close()
 	violations, notes := s.wit.Verdict()
@@ -45,7 +45,8 @@
 	return longest + time.Second
 }
 
-// TestQuietDay: nothing happens, nothing breaks, and nearly all is served.
+// TestQuietDay checks that without faults no rule is violated and at least 97 in 100
+// requests are served.
 func TestQuietDay(t *testing.T) {
 	heavy(t)
 	for name, d := range map[string]deployment{"reader": reader(1, 0.12), "desks": desks(1, 0.12)} {
@@ -54,10 +55,10 @@
 			synctest.Test(t, func(t *testing.T) {
 				simulated := newSite(t, d, 1)
 				if violations := simulated.day(20*time.Second, func() {}); len(violations) > 0 {
-					t.Errorf("broken: %v", violations)
+					t.Errorf("violated rules: %v", violations)
 				}
 				if served, owed := simulated.wit.Served("", time.Time{}, time.Now()); owed < 500 || served < owed*97/100 {
-					t.Errorf("%d of %d served", served, owed)
+					t.Errorf("%d of %d requests were served", served, owed)
 				}
 			})
 		})
--- a/internal/sim/dayact_test.go
+++ b/internal/sim/dayact_test.go
@@ -8,21 +8,22 @@
 	"puffincrank/internal/standin/checker"
 )
 
-// trouble is one thing that may happen on a day.
+// trouble is a kind of fault or operation that may occur during a simulated day.
 type trouble struct {
 	name string
-	core int // how much of the core it takes: nothing, one machine, or the whole
+	core int // how much of the control plane it disturbs: none, single or whole
 	do   func(a act)
 }
 
-// act is one trouble's own source of chance, so that several may overlap.
+// act is one run of a trouble. It has its own random source, so that overlapping
+// troubles stay reproducible.
 type act struct {
 	*site
 	*rand.Rand
-	core *[]*Core // machines of the core that it has in hand
+	core *[]*Core // control-plane machines that it has reserved
 }
 
-// How much of the core a trouble takes.
+// How much of the control plane a trouble disturbs.
 const (
 	none = iota
 	single
@@ -33,7 +34,8 @@
 	return time.Duration(minimum+a.IntN(spread)) * time.Millisecond
 }
 
-// take picks a machine that no other trouble has in hand; nil if there is none.
+// take reserves a random eligible machine that no other trouble has reserved. It
+// returns nil if there is none; a nil filter accepts any machine.
 func (a act) take(eligible func(*machine) bool) *machine {
 	machines := a.all()
 	a.Shuffle(len(machines), func(i, j int) { machines[i], machines[j] = machines[j], machines[i] })
@@ -54,7 +56,7 @@
 	a.smu.Unlock()
 }
 
-// some takes a part of the machines.
+// some reserves a share of the machines, one at least.
 func (a act) some(share float64) (taken []*machine) {
 	for range max(int(share*float64(len(a.all()))), 1) {
 		if m := a.take(nil); m != nil {
@@ -64,7 +66,8 @@
 	return taken
 }
 
-// enough tells that a service keeps two workers without a machine.
+// enough reports whether the service of a machine keeps at least two workers without
+// it.
 func (a act) enough(m *machine) bool {
 	others := 0
 	for _, o := range a.site.machines {
@@ -75,8 +78,8 @@
 	return others >= 2
 }
 
-// retire ends a machine in order after its worker has ended: its node is told
-// to end, and is killed after the grace.
+// retire takes a machine away for good after its worker has ended: its node is asked
+// to shut down and killed after the grace period.
 func (a act) retire(m *machine) {
 	defer a.wit.Touch.Begin(m.name, checker.Planned+"end")()
 	a.stopNode(m)
@@ -86,7 +89,8 @@
 	m.c.Close()
 }
 
-// stopNode tells a node to end and kills it after the grace.
+// stopNode asks a node to shut down and kills its process after it has ended or the
+// grace period has passed.
 func (a act) stopNode(m *machine) {
 	process, _ := a.now(m.Node)
 	if process == nil {
@@ -98,12 +102,13 @@
 	select {
 	case <-stopped:
 	case <-time.After(a.d.bounds.Grace):
-		a.say("%s did not end in its grace", m.name)
+		a.say("%s did not shut down within its grace period", m.name)
 	}
 	a.KillNode(m.Node)
 }
 
-// killAndRestart ends a node at once; what it was doing is lost.
+// killAndRestart kills a node without warning, so that its requests in flight are
+// lost, and starts it again.
 func (a act) killAndRestart(m *machine) {
 	endRecord := a.wit.Touch.Begin(m.name, "killed")
 	a.KillNode(m.Node)
@@ -112,7 +117,8 @@
 	endRecord()
 }
 
-// out takes a machine's power, the worker's with it, and gives it back.
+// out cuts the power of a machine, which ends its node and its worker, and restores
+// it.
 func (a act) out(m *machine) {
 	endRecord := a.wit.Touch.Begin(m.name, "without power")
 	a.powered(m.Host, false)
--- a/internal/sim/dayacts_test.go
+++ b/internal/sim/dayacts_test.go
@@ -11,14 +11,14 @@
 
 var troubles = []trouble{
 	{"release", none, func(a act) {
-		// The workers of a service are replaced one after the other.
+		// Rolling release: replaces workers of a service one after the other.
 		service := a.d.services[a.IntN(len(a.d.services))]
 		for range 3 {
 			m := a.take(func(m *machine) bool { return m.service == service })
 			if m == nil {
 				return
 			}
-			a.say("release of %s", m.name)
+			a.say("%s is replaced by a release", m.name)
 			a.add(m.Area, service, "")
 			Wait(a.ms(1500, 1500))
 			m.w.Leave(context.Background())
@@ -30,7 +30,7 @@
 		if m == nil {
 			return
 		}
-		a.say("%s ends, its address goes to another service", m.name)
+		a.say("%s ends, and its address passes to another service", m.name)
 		if a.IntN(2) == 0 {
 			m.w.Leave(context.Background())
 		} else {
@@ -42,7 +42,7 @@
 	}},
 	{"scale in", none, func(a act) {
 		if m := a.take(a.enough); m != nil {
-			a.say("%s is emptied and taken away", m.name)
+			a.say("%s is drained and removed", m.name)
 			m.w.Leave(context.Background())
 			a.retire(m)
 		}
@@ -78,7 +78,7 @@
 		var all []*machine
 		for range n {
 			if m := a.take(func(m *machine) bool { return service == "" || m.service == service }); m != nil {
-				a.say("worker of %s is ill: %+v", m.name, i)
+				a.say("worker of %s is faulty: %+v", m.name, i)
 				m.w.Fall(i)
 				all = append(all, m)
 				defer a.free(m)
@@ -91,7 +91,7 @@
 	}},
 	{"callers leave", none, func(a act) {
 		part := 0.2 + 0.5*a.Float64()
-		a.say("%.0f in 100 callers leave early", 100*part)
+		a.say("%.0f in 100 callers disconnect early", 100*part)
 		for _, m := range a.all() {
 			m.c.Quits(part)
 		}
@@ -123,7 +123,7 @@
 			a.g.Go("herd", func(context.Context) { defer over.Done(); a.killAndRestart(m); a.free(m) })
 		}
 		if a.IntN(2) == 0 {
-			a.say("and all of the core")
+			a.say("and all of the control plane")
 			for _, c := range a.cores() {
 				a.killCore(c, false)
 			}
@@ -142,7 +142,7 @@
 		defer a.free(m)
 		defer a.wit.Touch.Begin(m.name, "frozen")()
 		long := a.ms(500, 5000)
-		a.say("node of %s frozen for %v", m.name, long)
+		a.say("node of %s paused for %v", m.name, long)
 		a.Net.Freeze("node-"+m.Host, true)
 		Wait(long)
 		a.Net.Freeze("node-"+m.Host, false)
@@ -168,7 +168,7 @@
 		defer a.free(m)
 		defer a.wit.Touch.Begin(m.name, checker.Slowed)()
 		by := a.ms(10, 300)
-		a.say("all to and from %s takes %v longer", m.name, by)
+		a.say("network delay of %s rises by %v", m.name, by)
 		a.Net.Lag(m.Host, by)
 		Wait(a.ms(2000, 5000))
 		a.Net.Lag(m.Host, 0)
@@ -180,7 +180,7 @@
 		}
 		defer a.free(m)
 		by := time.Duration(a.IntN(20001)-10000) * time.Millisecond
-		a.say("the time of day at %s jumps by %v", m.name, by)
+		a.say("wall clock of %s jumps by %v", m.name, by)
 		a.wit.Touch.Begin(m.name, "clock")()
 		m.Skew(by)
 		Wait(a.ms(2000, 6000))
@@ -193,7 +193,7 @@
 			if m == nil {
 				return
 			}
-			a.say("node of %s stopped and started", m.name)
+			a.say("node of %s restarted gracefully", m.name)
 			end := a.wit.Touch.Begin(m.name, checker.Planned+"roll")
 			a.stopNode(m)
 			Wait(a.ms(100, 400))
@@ -205,7 +205,7 @@
 	}},
 	{"press", none, func(a act) {
 		by := int64(150 + a.IntN(250))
-		a.say("the load is %d in a hundred", by)
+		a.say("load is %d percent", by)
 		a.site.press.Store(by)
 		Wait(a.ms(4000, 5000))
 		a.site.press.Store(100)
--- a/internal/sim/daycore_test.go
+++ b/internal/sim/daycore_test.go
@@ -6,13 +6,13 @@
 	"time"
 )
 
-// cutOff cuts a machine off from all others but its own callers.
+// cutOff cuts a machine off from all hosts but its own callers, or joins it again.
 func (s *site) cutOff(m *machine, on bool) {
 	s.apart(m.Host, on, fmt.Sprintf("10.0.8.%d", m.n))
 }
 
-// apart cuts a host off from all others but some, or joins it again with all
-// that have power.
+// apart cuts a host off from all others except the given ones, or joins it again
+// with those that have power.
 func (s *site) apart(isolated string, on bool, except ...string) {
 	s.Net.mu.Lock()
 	var others []string
@@ -25,17 +25,17 @@
 	s.Net.Part(isolated, slices.DeleteFunc(others, func(other string) bool { return !on && s.withoutPower(other) }), on)
 }
 
-// withoutPower tells whether a host has no power.
+// withoutPower reports whether a host has no power.
 func (s *site) withoutPower(host string) bool {
 	s.smu.Lock()
 	defer s.smu.Unlock()
 	return s.dark[host]
 }
 
-// one takes a core machine that no other trouble has in hand.
+// one reserves a random control-plane machine that no other trouble has reserved.
 func (a act) one() *Core { return a.takePreferred(nil) }
 
-// takePreferred takes a core machine, the wanted one if it is free.
+// takePreferred reserves a control-plane machine, the preferred one if it is free.
 func (a act) takePreferred(preferred *Core) *Core {
 	cores := a.cores()
 	a.Shuffle(len(cores), func(i, j int) { cores[i], cores[j] = cores[j], cores[i] })
@@ -54,13 +54,14 @@
 	return cores[0]
 }
 
-// restartCore starts a core machine again and lets it catch up.
+// restartCore starts a control-plane machine again and waits for it to catch up.
 func (a act) restartCore(core *Core) {
 	a.startCore(core, false)
 	Wait(4 * time.Second)
 }
 
-// loseCore ends a core machine for a while.
+// loseCore kills a control-plane machine, with its power or its disk if so told, and
+// starts it again after up to 3.3 s.
 func (a act) loseCore(core *Core, power, wipe bool) {
 	a.killCore(core, power)
 	if wipe {
@@ -70,18 +71,20 @@
 	a.restartCore(core)
 }
 
-// Of these no two go on at once: the deployment bears the loss of one.
+// coreTroubles disturb the control plane. At most as many machines are disturbed at
+// once as the deployment tolerates losing.
 var coreTroubles = []trouble{
-	{"core kill", single, func(a act) { c := a.one(); a.say("core %s killed", c.Host); a.loseCore(c, false, false) }},
-	{"core power", single, func(a act) { c := a.one(); a.say("core %s loses power", c.Host); a.loseCore(c, true, false) }},
-	{"core wipe", single, func(a act) { c := a.one(); a.say("core %s loses its disk", c.Host); a.loseCore(c, true, true) }},
+	{"core kill", single, func(a act) { c := a.one(); a.say("control-plane machine %s killed", c.Host); a.loseCore(c, false, false) }},
+	{"core power", single, func(a act) { c := a.one(); a.say("control-plane machine %s loses power", c.Host); a.loseCore(c, true, false) }},
+	{"core wipe", single, func(a act) { c := a.one(); a.say("control-plane machine %s loses its disk", c.Host); a.loseCore(c, true, true) }},
 	{"writer power", single, func(a act) {
 		c := a.takePreferred(a.Writer())
-		a.say("writer %s loses power", c.Host)
+		a.say("leader %s loses power", c.Host)
 		a.loseCore(c, true, a.IntN(2) == 0)
 	}},
 	{"after ack", single, func(a act) {
-		// A node loses power, or its disk, right after it acknowledged something.
+		// A machine loses its power, and maybe its disk, right after a configuration
+		// was acknowledged.
 		d := a.next()
 		a.alter(d)
 		if !a.op.Send(a.g.Context(), d, "", "") {
@@ -92,13 +95,13 @@
 			want = nil
 		}
 		c := a.takePreferred(want)
-		a.say("core %s is lost right after document %d was taken", c.Host, d.Number)
+		a.say("control-plane machine %s is lost right after configuration %d was acknowledged", c.Host, d.Number)
 		a.loseCore(c, true, a.IntN(2) == 0)
 	}},
 	{"core freeze", single, func(a act) {
 		c := a.one()
 		long := a.ms(500, 5000)
-		a.say("core %s frozen for %v", c.Host, long)
+		a.say("control-plane machine %s paused for %v", c.Host, long)
 		a.unsettled(c, true, "frozen "+c.Host)
 		a.Net.Freeze("store-"+c.Host, true)
 		a.Net.Freeze("core-"+c.Host, true)
@@ -111,7 +114,7 @@
 	{"core cut", single, func(a act) {
 		c := a.one()
 		long := a.ms(1000, 6000)
-		a.say("core %s cut off from the core for %v", c.Host, long)
+		a.say("control-plane machine %s cut off for %v", c.Host, long)
 		whole := a.IntN(2) == 0
 		a.unsettled(c, true, "cut "+c.Host)
 		set := func(on bool) {
@@ -133,9 +136,9 @@
 		Wait(4 * time.Second)
 	}},
 	{"core split", whole, func(a act) {
-		// No majority anywhere: each is alone.
+		// Every machine is isolated, so that there is no majority.
 		long := a.ms(1000, 3000)
-		a.say("the core is cut in three for %v", long)
+		a.say("every control-plane machine isolated for %v", long)
 		set := func(on bool) {
 			for _, c := range a.cores() {
 				for _, o := range a.cores() {
@@ -155,7 +158,7 @@
 	}},
 	{"core roll", whole, func(a act) {
 		for _, c := range a.cores() {
-			a.say("core %s stopped and started", c.Host)
+			a.say("control-plane machine %s restarted gracefully", c.Host)
 			a.stopCore(c)
 			Wait(a.ms(100, 300))
 			a.restartCore(c)
@@ -164,7 +167,7 @@
 	{"core clock", single, func(a act) {
 		c := a.one()
 		by := time.Duration(a.IntN(20001)-10000) * time.Millisecond
-		a.say("the time of day at core %s jumps by %v", c.Host, by)
+		a.say("wall clock of control-plane machine %s jumps by %v", c.Host, by)
 		a.wit.Touch.Core("clock")
 		c.Skew(by)
 		Wait(a.ms(2000, 4000))
@@ -175,7 +178,7 @@
 	{"disk slow", single, func(a act) {
 		c := a.one()
 		lag := a.ms(50, 1500)
-		a.say("disk of core %s takes %v", c.Host, lag)
+		a.say("disk syncs of control-plane machine %s take %v", c.Host, lag)
 		end := a.wit.Touch.CoreWhile("disk of " + c.Host)
 		c.Disk.Slow(lag)
 		Wait(a.ms(2000, 4000))
@@ -185,7 +188,7 @@
 	}},
 	{"disk full", single, func(a act) {
 		c := a.one()
-		a.say("disk of core %s is full", c.Host)
+		a.say("disk of control-plane machine %s is full", c.Host)
 		end := a.wit.Touch.CoreWhile("disk of " + c.Host)
 		c.Disk.Room(0)
 		Wait(a.ms(2000, 4000))
@@ -200,7 +203,7 @@
 		a.spare++
 		fresh := &Core{Host: fmt.Sprintf("10.0.0.%d", 50+a.spare), Area: old.Area, Disk: NewDisk()}
 		a.smu.Unlock()
-		a.say("core %s is lost for good, %s comes", old.Host, fresh.Host)
+		a.say("control-plane machine %s is lost for good, %s replaces it", old.Host, fresh.Host)
 		if a.IntN(2) == 0 {
 			a.stopCore(old)
 		} else {
--- a/internal/sim/daydocs_test.go
+++ b/internal/sim/daydocs_test.go
@@ -8,7 +8,7 @@
 	"puffincrank/internal/standin/actors"
 )
 
-// next makes the draft of a change; numbers climb in uneven steps.
+// next returns the draft of the next configuration; numbers rise in random steps.
 func (a act) next() *actors.Draft {
 	a.smu.Lock()
 	defer a.smu.Unlock()
@@ -18,8 +18,8 @@
 	return draft
 }
 
-// alter changes something in a draft: where a path goes, its time, or which
-// paths there are.
+// alter changes one random thing in a draft: the services of a route, its timeout, or
+// the list of routes.
 func (a act) alter(draft *actors.Draft) {
 	original := a.d.draft(0)
 	route := &draft.Ways[a.IntN(len(original.Ways))]
@@ -36,7 +36,7 @@
 	case 3:
 		a.grow(draft, 1+a.IntN(2))
 	default:
-		// Back to where all began, and some added ones go.
+		// Restore the original routes and remove the last added one.
 		copy(draft.Ways, original.Ways)
 		if count := len(draft.Ways); count > len(original.Ways) {
 			a.removeRoute(draft.Ways[count-1])
@@ -45,7 +45,7 @@
 	}
 }
 
-// grow adds paths.
+// grow adds new routes to a draft.
 func (a act) grow(draft *actors.Draft, count int) {
 	for range count {
 		a.smu.Lock()
@@ -69,8 +69,8 @@
 	}
 }
 
-// probe sends a few requests directly, on a path just added or removed and on
-// one that never was, to some machines that get clients.
+// probe sends requests for the given routes and for a path that never had a route
+// to a few machines that serve clients.
 func (a act) probe(routes ...actors.Way) {
 	routes = append(routes, actors.Way{Host: a.draft.Ways[0].Host, Prefix: fmt.Sprintf("/never%d/", a.IntN(1000))})
 	for range 4 {
@@ -86,7 +86,7 @@
 	}
 }
 
-// addedRoutes lists the paths of one draft that another has not.
+// addedRoutes lists the routes of a draft that an older one lacks.
 func addedRoutes(draft, old *actors.Draft) (added []actors.Way) {
 	known := map[string]bool{}
 	for _, w := range old.Ways {
@@ -107,7 +107,7 @@
 			d := a.next()
 			a.alter(d)
 			ok := a.op.Send(a.g.Context(), d, "", "")
-			a.say("document %d sent, taken %v", d.Number, ok)
+			a.say("configuration %d sent, accepted %v", d.Number, ok)
 			a.probe(append(addedRoutes(d, old), addedRoutes(old, d)...)...)
 			Wait(a.ms(200, 2500))
 		}
@@ -119,7 +119,7 @@
 		}
 		a.alter(one)
 		a.alter(two)
-		a.say("documents %d and %d at once", one.Number, two.Number)
+		a.say("configurations %d and %d sent at once", one.Number, two.Number)
 		over := make(chan struct{}, 2)
 		for _, d := range []*actors.Draft{one, two} {
 			a.g.Go("race", func(ctx context.Context) { a.op.Send(ctx, d, "", ""); over <- struct{}{} })
@@ -133,13 +133,13 @@
 			b := actors.Breaks[a.IntN(len(actors.Breaks))]
 			d := a.next()
 			a.alter(d)
-			a.say("document %d is broken: %s", d.Number, b.Name)
+			a.say("configuration %d is invalid: %s", d.Number, b.Name)
 			a.op.Send(a.g.Context(), d, b.Of(d), b.Name)
 			a.probe()
 		}
 	}},
 	{"again", none, func(a act) {
-		a.say("an older document arrives again")
+		a.say("an older configuration is sent again")
 		a.op.Again(a.g.Context())
 	}},
 	{"read", none, func(a act) { a.op.Read(a.g.Context(), 3*time.Second, false) }},
@@ -147,7 +147,7 @@
 		d := a.next()
 		a.grow(d, 30)
 		ok := a.op.Send(a.g.Context(), d, "", "")
-		a.say("document %d with 30 paths more, taken %v", d.Number, ok)
+		a.say("configuration %d with 30 more routes sent, accepted %v", d.Number, ok)
 		a.probe(addedRoutes(d, a.site.d.draft(0))[:3]...)
 	}},
 }
--- a/internal/sim/days_test.go
+++ b/internal/sim/days_test.go
@@ -16,35 +16,36 @@
 )
 
 var (
-	days        = flag.Int("days", 0, "how many seeded days to play; 0: the fixed few")
+	days        = flag.Int("days", 0, "number of seeded days to simulate; 0 takes the fixed seeds")
 	daySeed     = flag.Uint64("seed", 1, "seed of the first day")
-	dayLength   = flag.Duration("long", 40*time.Second, "how long each day's troubles and load last")
-	faultFilter = flag.String("only", "", "troubles to play, by parts of their names with commas between; all if empty")
-	eventFilter = flag.String("dayslog", "", "print the events of nodes whose name has this in it")
-	dayRate     = flag.Float64("rate", 0.12, "part of the deployment's full rate")
+	dayLength   = flag.Duration("long", 40*time.Second, "how long the faults and the load of each day last")
+	faultFilter = flag.String("only", "", "faults to inject, as comma-separated parts of their names; empty for all")
+	eventFilter = flag.String("dayslog", "", "print the events of nodes whose name contains this")
+	dayRate     = flag.Float64("rate", 0.12, "share of the deployment's full request rate")
 )
 
-// fixedSeeds are the seeds of the ordinary run; between them they put every rule
-// at risk.
+// fixedSeeds are the seeds of the default run. Together they exercise every rule of
+// the checker.
 var fixedSeeds = []uint64{12, 14, 18, 23}
 
-// TestDays plays seeded days that mix all troubles and judges each by the
-// witness's counts. By command, as docs/contributing.md tells:
+// TestDays simulates seeded days that mix all kinds of faults and checks each against
+// the rules of the checker. To run more days, as docs/contributing.md explains:
 // go test ./internal/sim -run 'TestDays$' -days 50 -seed 1
 func TestDays(t *testing.T) { playDays(t, fixedSeeds, checker.Rules, baseDeployment) }
 
-// oddSeeds are the seeds of the ordinary run at sites whose bounds are at odds.
-// Between them they put every rule at risk that is counted by a bound.
+// oddSeeds are the seeds of the default run at sites whose time bounds conflict.
+// Together they exercise every rule that depends on a bound.
 var oddSeeds = []uint64{1, 2, 6, 8}
 
-// TestOddDays plays days at sites that set each bound without a thought to the
-// others: a change may take longer than the time after which all are in touch.
+// TestOddDays simulates days at sites that choose each time bound independently, so
+// that, for example, a change may take longer than the time in which machines
+// reconnect.
 func TestOddDays(t *testing.T) {
 	boundedRules := []string{checker.Drain, checker.Lost, checker.Config, checker.Budget, checker.Recover, checker.One, checker.Acks}
 	playDays(t, oddSeeds, boundedRules, func(seed uint64) deployment { return baseDeployment(seed &^ 2).odd(seed) })
 }
 
-// playDays plays the fixed days, or as many as the flags say.
+// playDays simulates the days of the given seeds, or those that the flags select.
 func playDays(t *testing.T, seedList []uint64, rulesAtRisk []string, deploymentOf func(seed uint64) deployment) {
 	heavy(t)
 	if *days > 0 {
@@ -69,22 +70,22 @@
 			})
 		}
 	})
-	t.Logf("how often each rule had something to lose: %v", riskCounts)
-	// The fixed days put these rules at risk.
+	t.Logf("how often each rule was exercised: %v", riskCounts)
+	// The fixed seeds must exercise these rules.
 	for _, rule := range rulesAtRisk {
 		if *days == 0 && riskCounts[rule] == 0 {
-			t.Errorf("%s was never at risk", rule)
+			t.Errorf("rule %s was never exercised", rule)
 		}
 	}
 }
 
-// baseDeployment is the deployment of a seed in the two shapes first known.
+// baseDeployment returns the deployment of a seed, in one of two shapes.
 func baseDeployment(seed uint64) deployment {
 	chosen := reader(seed, *dayRate)
 	if seed%2 == 1 {
 		chosen = desks(seed, *dayRate)
 	}
-	// Every second pair of days is at a site that chose otherwise in all.
+	// Every second pair of seeds gets a site with random settings.
 	if seed/2%2 == 1 {
 		chosen = chosen.drawn(seed)
 	}
@@ -102,24 +103,25 @@
 	}
 	violations := simulated.day(*dayLength, simulated.injectFaults)
 	if len(violations) > 0 {
-		t.Errorf("broken: %v", violations)
+		t.Errorf("violated rules: %v", violations)
 	}
 	served, owed := simulated.wit.Served("", time.Time{}, time.Now())
 	share, service := simulated.wit.Most()
-	t.Logf("seed %d: %d of %d served, repeats at most %.2f of what is allowed (%s)", seed, served, owed, share, service)
+	t.Logf("seed %d: %d of %d requests served, retries used at most %.2f of their budget (%s)", seed, served, owed, share, service)
 	if owed == 0 || served < owed/2 {
-		t.Errorf("%d of %d served", served, owed)
+		t.Errorf("only %d of %d requests were served", served, owed)
 	}
 	if t.Failed() || testing.Verbose() {
 		t.Log("\n" + strings.Join(simulated.said, "\n"))
 	}
 	riskCounts := simulated.wit.Risk()
-	t.Logf("seed %d had to lose: %v", seed, riskCounts)
+	t.Logf("seed %d exercised: %v", seed, riskCounts)
 	return riskCounts
 }
 
-// injectFaults plays a day's troubles: those of the core one after the other, the
-// others whenever they come.
+// injectFaults runs the random faults of a day, which may overlap. Faults of the
+// control plane wait until no more machines are disturbed than the deployment
+// tolerates losing.
 func (s *site) injectFaults() {
 	begin := time.Now()
 	quietEnd := 10 * time.Second
@@ -148,7 +150,7 @@
 		s.g.Go("trouble", func(context.Context) {
 			defer pending.Done()
 			Wait(time.Until(at))
-			// The deployment bears the loss of so many core machines at once.
+			// How many control-plane machines the fault may disturb.
 			n := []int{0, 1, s.d.bear}[chosen.core]
 			if n > 0 {
 				turn <- struct{}{}
@@ -167,7 +169,7 @@
 					spareCores <- struct{}{}
 				}
 			}()
-			// One that comes too late is left out.
+			// A fault that waited too long is skipped.
 			if time.Now().Before(end.Add(4 * time.Second)) {
 				chosen.do(run)
 			}
@@ -179,18 +181,18 @@
 	}
 }
 
-// injectFinalFault ends the day with a fault of the whole right after a document was
-// acknowledged; then all come back and traffic goes on.
+// injectFinalFault ends the day with a fault right after a configuration was
+// acknowledged; then all machines return and traffic continues.
 func (s *site) injectFinalFault() {
 	run := act{s, rand.New(rand.NewPCG(s.rnd.Uint64(), 42)), &[]*Core{}}
 	Wait(5 * time.Second)
 	draft := run.next()
 	run.alter(draft)
 	run.op.Send(run.g.Context(), draft, "", "")
-	// All processes are killed, or all machines lose power, or one loses its
-	// disk, alone or while all the others lose power.
+	// 0: all processes are killed; 1: all machines lose power; 2: as 1, and one
+	// control-plane machine loses its disk; 3: only one machine loses its disk.
 	kind := run.IntN(4)
-	s.say("closing fault %d after document %d", kind, draft.Number)
+	s.say("closing fault %d after configuration %d", kind, draft.Number)
 	s.wit.Closing()
 	endRecords := []func(){}
 	lost := run.IntN(len(s.cores()))
--- a/internal/sim/doubt_test.go
+++ b/internal/sim/doubt_test.go
@@ -10,9 +10,10 @@
 	"puffincrank/internal/standin"
 )
 
-// TestOwnerSuspicionSpreads: a worker that fails half of its jobs at once, among 36 nodes that
-// each see a job of it in a second or so. Its owner sees all, so all keep away
-// within a second, and come back when it is well.
+// TestOwnerSuspicionSpreads has one worker fail half of its requests, while each of 36
+// nodes sends it only about one request a second and so can't detect it alone. Its
+// owner sees them all, so all nodes must avoid the worker within a second on the
+// owner's report, and return when it is healthy.
 func TestOwnerSuspicionSpreads(t *testing.T) {
 	heavy(t)
 	synctest.Test(t, func(t *testing.T) {
@@ -54,12 +55,12 @@
 		faulty.Behave(standin.Way{Took: 100 * time.Millisecond})
 		Wait(7 * time.Second)
 		after := shareOfRuns(6 * time.Second)
-		t.Logf("of an even part: %.2f before, %.2f from a second after it began to fail, %.2f from 7 s after its end", before, during, after)
+		t.Logf("share of an even load: %.2f before, %.2f from 1 s after it began to fail, %.2f from 7 s after it recovered", before, during, after)
 		for len(messages) > 0 {
 			t.Log(<-messages)
 		}
 		if during > 0.35 || after < 0.5 {
-			t.Error("the others don't follow its owner's word")
+			t.Error("the other nodes don't follow the owner's health report")
 		}
 		waitForLoad()
 		fleet.Judge()
--- a/internal/sim/election_test.go
+++ b/internal/sim/election_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// leaderLosses are the ways in which a writer falls out at once.
+// leaderLosses lists the ways in which a leader fails at once.
 var leaderLosses = []struct {
 	name string
 	do   func(l *lab, w *Core)
@@ -23,8 +23,9 @@
 	{"cut", func(l *lab, w *Core) { l.Net.Isolate(w.Host, true); w.Registry = nil }},
 }
 
-// TestLeaderLost: the writer is killed, without power, frozen or cut off; the
-// next write goes through within three quarters of change_ms, whatever the seed.
+// TestLeaderLost checks that after the leader is killed, loses power, is paused or is
+// cut off, a write is acknowledged within three quarters of change_ms with every
+// seed.
 func TestLeaderLost(t *testing.T) {
 	t.Parallel()
 	for _, c := range leaderLosses {
@@ -50,9 +51,9 @@
 				})
 			}
 			slices.Sort(times)
-			t.Logf("%d seeds: median %v, worst %v", len(times), times[len(times)/2].Round(time.Millisecond), times[len(times)-1].Round(time.Millisecond))
+			t.Logf("%d seeds: writes resumed after %v at the median, %v at worst", len(times), times[len(times)/2].Round(time.Millisecond), times[len(times)-1].Round(time.Millisecond))
 			if times[len(times)-1] > 1500*time.Millisecond {
-				t.Errorf("away for %v", times[len(times)-1])
+				t.Errorf("no write was acknowledged for %v", times[len(times)-1])
 			}
 		})
 	}
--- a/internal/sim/endofday_test.go
+++ b/internal/sim/endofday_test.go
@@ -8,9 +8,9 @@
 	"time"
 )
 
-// faultsBefore are what may have happened to a core right before all of it loses
-// power. Each tells how many disks were lost by it whose copies are not known to
-// have been made anew: as many fewer may go then.
+// faultsBefore lists what may happen to the control plane right before all of it loses
+// power. Each returns how many disks it lost whose data is not known to be replicated
+// again; that many fewer disks may be lost in the power loss.
 var faultsBefore = []struct {
 	name string
 	do   func(l *lab, rnd *rand.Rand) (lost int)
@@ -51,9 +51,9 @@
 		want := len(l.places())
 		fresh := l.fresh(lost)
 		l.BackCore(fresh)
-		// Another place counts as taken when a leader that the new members elected
-		// is ready.
-		l.Until(6*time.Second, "its place is taken", func() bool {
+		// The replacement counts once a leader elected by the new members is
+		// ready.
+		l.Until(6*time.Second, "its membership is filled", func() bool {
 			at := l.places()
 			return len(at) == want && !at[lost.Host] && l.settled(want)
 		})
@@ -62,7 +62,7 @@
 	}},
 }
 
-// anyMember picks one of the machines that vote.
+// anyMember returns a random running machine that votes.
 func (l *lab) anyMember(rnd *rand.Rand) *Core {
 	members := l.places()
 	cores := l.cores()
@@ -71,11 +71,11 @@
 			return cores[i]
 		}
 	}
-	l.T.Fatal("no member runs")
+	l.T.Fatal("no voting machine runs")
 	return nil
 }
 
-// removeCore takes a machine that is gone for good from the fleet.
+// removeCore removes a permanently lost machine from the fleet.
 func (l *lab) removeCore(lost *Core) {
 	l.Fleet.mu.Lock()
 	defer l.Fleet.mu.Unlock()
@@ -88,13 +88,14 @@
 	l.Cores = remaining
 }
 
-// TestTotalPowerLoss: while writes go on, as many disks as the core is to bear are lost,
-// and at the same moment every other machine loses power, those that don't vote
-// too. It happens twice, each time after another trouble and before that one is
-// over. What was acknowledged until that very moment is read back.
+// TestTotalPowerLoss cuts the power of every control-plane machine at one moment during
+// writes, non-voters included, and loses as many disks as the control plane must
+// tolerate. Each test does this twice, right after another fault and possibly before
+// the recovery from it is complete. Every write acknowledged before the power loss must
+// be readable afterwards.
 func TestTotalPowerLoss(t *testing.T) {
 	t.Parallel()
-	// The run with the race detector takes ten times as long.
+	// The race detector makes a run ten times as long.
 	seedCount := uint64(3)
 	if testing.Short() {
 		seedCount = 1
@@ -110,7 +111,7 @@
 						rnd := rand.New(rand.NewPCG(seed, uint64(i)))
 						fleet.seed = seed
 						fleet.up()
-						fleet.Until(6*time.Second, "all places are taken", func() bool { return len(fleet.places()) == 2*c.bear+1 })
+						fleet.Until(6*time.Second, "all memberships are filled", func() bool { return len(fleet.places()) == 2*c.bear+1 })
 						fleet.Stores["founding"] = false
 						for day := range 2 {
 							fleet.losePower(rnd, fmt.Sprint("day", day, "-"), c.bear, trouble.do)
@@ -122,6 +123,8 @@
 	}
 }
 
+// losePower injects a fault, cuts the power of all machines during writes, starts them
+// again and checks that every acknowledged write is readable.
 func (l *lab) losePower(rnd *rand.Rand, prefix string, tolerated int, faultBefore func(*lab, *rand.Rand) int) {
 	stopWriting := l.marking(prefix)
 	Wait(time.Duration(500+rnd.IntN(500)) * time.Millisecond)
@@ -135,8 +138,8 @@
 	if len(acked) < 25 {
 		l.T.Errorf("only %d writes were acknowledged", len(acked))
 	}
-	// Any disks may be lost, those of the same machines that had them before too.
-	// Their machines come back empty at once, or are not heard of for a while.
+	// The lost disks may be those of machines that lost theirs before. These
+	// machines return empty at once or stay unreachable until the others lead.
 	wiped, away := cores[:tolerated-lost], rnd.IntN(2) == 0
 	for _, c := range wiped {
 		c.Disk.Wipe()
@@ -156,13 +159,14 @@
 			l.BackCore(c)
 		}
 	}
-	l.untilOrDescribe("all places are taken", func() bool { return l.settled(2*tolerated + 1) })
+	l.untilOrDescribe("all memberships are filled", func() bool { return l.settled(2*tolerated + 1) })
 	l.holds(acked)
-	// What was made anew by then must bear the next.
+	// Replication must be complete by now for the next power loss.
 	Wait(4 * time.Second)
 }
 
-// untilOrDescribe waits for 15 s, and tells how the stores stand when that was not enough.
+// untilOrDescribe waits up to 15 s for a condition and logs the state of the stores
+// shortly before it times out.
 func (l *lab) untilOrDescribe(what string, condition func() bool) {
 	l.T.Helper()
 	start := time.Now()
@@ -177,7 +181,7 @@
 	})
 }
 
-// logStatus logs what each store says of itself.
+// logStatus logs the status that each store reports.
 func (l *lab) logStatus() {
 	for _, c := range l.cores() {
 		_, answer := l.Get(c.Host+":7004", "/puffin/ready")
