--- a/internal/sim/dayacts_test.go
+++ b/internal/sim/dayacts_test.go
@@ -59,33 +59,33 @@
 		a.startWorker(m)
 	}},
 	{"ill", none, func(a act) {
-		i := actors.Ills{}
+		ills := actors.Ills{}
 		switch a.IntN(4) {
 		case 0:
-			i.Lose = 0.2 + 0.7*a.Float64()
+			ills.Lose = 0.2 + 0.7*a.Float64()
 		case 1:
-			i.Spoil = 0.2 + 0.7*a.Float64()
+			ills.Spoil = 0.2 + 0.7*a.Float64()
 		case 2:
-			i.Slow = 4 + 8*a.Float64()
+			ills.Slow = 4 + 8*a.Float64()
 		case 3:
-			i.Fail, i.Lose, i.Spoil = 0.2, 0.1, 0.1
+			ills.Fail, ills.Lose, ills.Spoil = 0.2, 0.1, 0.1
 		}
 		// One or two workers, or all of a service.
 		service, n := "", 1+a.IntN(2)
 		if a.IntN(3) == 0 {
 			service, n = a.d.services[a.IntN(len(a.d.services))], len(a.all())
 		}
-		var all []*machine
+		var affected []*machine
 		for range n {
 			if m := a.take(func(m *machine) bool { return service == "" || m.service == service }); m != nil {
-				a.say("worker of %s is faulty: %+v", m.name, i)
-				m.w.Fall(i)
-				all = append(all, m)
+				a.say("worker of %s is faulty: %+v", m.name, ills)
+				m.w.Fall(ills)
+				affected = append(affected, m)
 				defer a.free(m)
 			}
 		}
 		Wait(a.ms(4000, 5000))
-		for _, m := range all {
+		for _, m := range affected {
 			m.w.Fall(actors.Ills{})
 		}
 	}},
@@ -115,15 +115,15 @@
 		}
 	}},
 	{"herd kill", whole, func(a act) {
-		all := a.some(0.2 + 0.3*a.Float64())
-		a.say("%d nodes killed at once", len(all))
-		var over sync.WaitGroup
-		for _, m := range all {
-			over.Add(1)
-			a.g.Go("herd", func(context.Context) { defer over.Done(); a.killAndRestart(m); a.free(m) })
+		affected := a.some(0.2 + 0.3*a.Float64())
+		a.say("%d nodes killed at once", len(affected))
+		var pending sync.WaitGroup
+		for _, m := range affected {
+			pending.Add(1)
+			a.g.Go("herd", func(context.Context) { defer pending.Done(); a.killAndRestart(m); a.free(m) })
 		}
 		if a.IntN(2) == 0 {
-			a.say("and all of the control plane")
+			a.say("and all core machines")
 			for _, c := range a.cores() {
 				a.killCore(c, false)
 			}
@@ -132,7 +132,7 @@
 				a.startCore(c, false)
 			}
 		}
-		over.Wait()
+		pending.Wait()
 	}},
 	{"node freeze", none, func(a act) {
 		m := a.take(nil)
@@ -141,10 +141,10 @@
 		}
 		defer a.free(m)
 		defer a.wit.Touch.Begin(m.name, "frozen")()
-		long := a.ms(500, 5000)
-		a.say("node of %s paused for %v", m.name, long)
+		duration := a.ms(500, 5000)
+		a.say("node of %s paused for %v", m.name, duration)
 		a.Net.Freeze("node-"+m.Host, true)
-		Wait(long)
+		Wait(duration)
 		a.Net.Freeze("node-"+m.Host, false)
 	}},
 	{"node cut", none, func(a act) {
@@ -154,10 +154,10 @@
 		}
 		defer a.free(m)
 		defer a.wit.Touch.Begin(m.name, "cut")()
-		long := a.ms(1000, 6000)
-		a.say("%s cut off for %v", m.name, long)
+		duration := a.ms(1000, 6000)
+		a.say("%s cut off for %v", m.name, duration)
 		a.cutOff(m, true)
-		Wait(long)
+		Wait(duration)
 		a.cutOff(m, false)
 	}},
 	{"node slow", none, func(a act) {
@@ -167,9 +167,9 @@
 		}
 		defer a.free(m)
 		defer a.wit.Touch.Begin(m.name, checker.Slowed)()
-		by := a.ms(10, 300)
-		a.say("network delay of %s rises by %v", m.name, by)
-		a.Net.Lag(m.Host, by)
+		delay := a.ms(10, 300)
+		a.say("network delay of %s rises by %v", m.name, delay)
+		a.Net.Lag(m.Host, delay)
 		Wait(a.ms(2000, 5000))
 		a.Net.Lag(m.Host, 0)
 	}},
@@ -179,10 +179,10 @@
 			return
 		}
 		defer a.free(m)
-		by := time.Duration(a.IntN(20001)-10000) * time.Millisecond
-		a.say("wall clock of %s jumps by %v", m.name, by)
+		jump := time.Duration(a.IntN(20001)-10000) * time.Millisecond
+		a.say("wall clock of %s jumps by %v", m.name, jump)
 		a.wit.Touch.Begin(m.name, "clock")()
-		m.Skew(by)
+		m.Skew(jump)
 		Wait(a.ms(2000, 6000))
 		m.Skew(0)
 		a.wit.Touch.Begin(m.name, "clock")()
@@ -204,9 +204,9 @@
 		}
 	}},
 	{"press", none, func(a act) {
-		by := int64(150 + a.IntN(250))
-		a.say("load is %d percent", by)
-		a.site.press.Store(by)
+		percent := int64(150 + a.IntN(250))
+		a.say("load is %d percent", percent)
+		a.site.press.Store(percent)
 		Wait(a.ms(4000, 5000))
 		a.site.press.Store(100)
 	}},
--- a/internal/sim/daycore_test.go
+++ b/internal/sim/daycore_test.go
@@ -74,9 +74,9 @@
 // coreTroubles disturb the control plane. At most as many machines are disturbed at
 // once as the deployment tolerates losing.
 var coreTroubles = []trouble{
-	{"core kill", single, func(a act) { c := a.one(); a.say("control-plane machine %s killed", c.Host); a.loseCore(c, false, false) }},
-	{"core power", single, func(a act) { c := a.one(); a.say("control-plane machine %s loses power", c.Host); a.loseCore(c, true, false) }},
-	{"core wipe", single, func(a act) { c := a.one(); a.say("control-plane machine %s loses its disk", c.Host); a.loseCore(c, true, true) }},
+	{"core kill", single, func(a act) { c := a.one(); a.say("core machine %s killed", c.Host); a.loseCore(c, false, false) }},
+	{"core power", single, func(a act) { c := a.one(); a.say("core machine %s loses power", c.Host); a.loseCore(c, true, false) }},
+	{"core wipe", single, func(a act) { c := a.one(); a.say("core machine %s wiped", c.Host); a.loseCore(c, true, true) }},
 	{"writer power", single, func(a act) {
 		c := a.takePreferred(a.Writer())
 		a.say("leader %s loses power", c.Host)
@@ -85,27 +85,27 @@
 	{"after ack", single, func(a act) {
 		// A machine loses its power, and maybe its disk, right after a configuration
 		// was acknowledged.
-		d := a.next()
-		a.alter(d)
-		if !a.op.Send(a.g.Context(), d, "", "") {
+		draft := a.next()
+		a.alter(draft)
+		if !a.op.Send(a.g.Context(), draft, "", "") {
 			return
 		}
-		want := a.Writer()
+		preferred := a.Writer()
 		if a.IntN(2) == 0 {
-			want = nil
+			preferred = nil
 		}
-		c := a.takePreferred(want)
-		a.say("control-plane machine %s is lost right after configuration %d was acknowledged", c.Host, d.Number)
+		c := a.takePreferred(preferred)
+		a.say("core machine %s is lost right after configuration %d was acknowledged", c.Host, draft.Number)
 		a.loseCore(c, true, a.IntN(2) == 0)
 	}},
 	{"core freeze", single, func(a act) {
 		c := a.one()
-		long := a.ms(500, 5000)
-		a.say("control-plane machine %s paused for %v", c.Host, long)
+		duration := a.ms(500, 5000)
+		a.say("core machine %s paused for %v", c.Host, duration)
 		a.unsettled(c, true, "frozen "+c.Host)
 		a.Net.Freeze("store-"+c.Host, true)
 		a.Net.Freeze("core-"+c.Host, true)
-		Wait(long)
+		Wait(duration)
 		a.Net.Freeze("store-"+c.Host, false)
 		a.Net.Freeze("core-"+c.Host, false)
 		a.unsettled(c, false, "thawed "+c.Host)
@@ -113,12 +113,12 @@
 	}},
 	{"core cut", single, func(a act) {
 		c := a.one()
-		long := a.ms(1000, 6000)
-		a.say("control-plane machine %s cut off for %v", c.Host, long)
-		whole := a.IntN(2) == 0
+		duration := a.ms(1000, 6000)
+		a.say("core machine %s cut off for %v", c.Host, duration)
+		everybody := a.IntN(2) == 0
 		a.unsettled(c, true, "cut "+c.Host)
-		set := func(on bool) {
-			if whole {
+		setCut := func(on bool) {
+			if everybody {
 				a.apart(c.Host, on)
 				return
 			}
@@ -129,17 +129,17 @@
 				}
 			}
 		}
-		set(true)
-		Wait(long)
-		set(false)
+		setCut(true)
+		Wait(duration)
+		setCut(false)
 		a.unsettled(c, false, "joined "+c.Host)
 		Wait(4 * time.Second)
 	}},
 	{"core split", whole, func(a act) {
 		// Every machine is isolated, so that there is no majority.
-		long := a.ms(1000, 3000)
-		a.say("every control-plane machine isolated for %v", long)
-		set := func(on bool) {
+		duration := a.ms(1000, 3000)
+		a.say("every core machine isolated for %v", duration)
+		setCut := func(on bool) {
 			for _, c := range a.cores() {
 				for _, o := range a.cores() {
 					if o != c {
@@ -149,16 +149,16 @@
 			}
 		}
 		end := a.wit.Touch.Minority()
-		set(true)
-		Wait(long)
-		set(false)
+		setCut(true)
+		Wait(duration)
+		setCut(false)
 		end()
 		a.wit.Touch.Core("joined")
 		Wait(4 * time.Second)
 	}},
 	{"core roll", whole, func(a act) {
 		for _, c := range a.cores() {
-			a.say("control-plane machine %s restarted gracefully", c.Host)
+			a.say("core machine %s restarted gracefully", c.Host)
 			a.stopCore(c)
 			Wait(a.ms(100, 300))
 			a.restartCore(c)
@@ -166,10 +166,10 @@
 	}},
 	{"core clock", single, func(a act) {
 		c := a.one()
-		by := time.Duration(a.IntN(20001)-10000) * time.Millisecond
-		a.say("wall clock of control-plane machine %s jumps by %v", c.Host, by)
+		jump := time.Duration(a.IntN(20001)-10000) * time.Millisecond
+		a.say("wall clock of core machine %s jumps by %v", c.Host, jump)
 		a.wit.Touch.Core("clock")
-		c.Skew(by)
+		c.Skew(jump)
 		Wait(a.ms(2000, 4000))
 		c.Skew(0)
 		a.wit.Touch.Core("clock")
@@ -177,10 +177,10 @@
 	}},
 	{"disk slow", single, func(a act) {
 		c := a.one()
-		lag := a.ms(50, 1500)
-		a.say("disk syncs of control-plane machine %s take %v", c.Host, lag)
+		syncTime := a.ms(50, 1500)
+		a.say("disk syncs of core machine %s take %v", c.Host, syncTime)
 		end := a.wit.Touch.CoreWhile("disk of " + c.Host)
-		c.Disk.Slow(lag)
+		c.Disk.Slow(syncTime)
 		Wait(a.ms(2000, 4000))
 		c.Disk.Slow(0)
 		end()
@@ -188,7 +188,7 @@
 	}},
 	{"disk full", single, func(a act) {
 		c := a.one()
-		a.say("disk of control-plane machine %s is full", c.Host)
+		a.say("disk of core machine %s is full", c.Host)
 		end := a.wit.Touch.CoreWhile("disk of " + c.Host)
 		c.Disk.Room(0)
 		Wait(a.ms(2000, 4000))
@@ -201,16 +201,16 @@
 		i := slices.Index(a.cores(), old)
 		a.smu.Lock()
 		a.spare++
-		fresh := &Core{Host: fmt.Sprintf("10.0.0.%d", 50+a.spare), Area: old.Area, Disk: NewDisk()}
+		replacement := &Core{Host: fmt.Sprintf("10.0.0.%d", 50+a.spare), Area: old.Area, Disk: NewDisk()}
 		a.smu.Unlock()
-		a.say("control-plane machine %s is lost for good, %s replaces it", old.Host, fresh.Host)
+		a.say("core machine %s is lost for good, %s replaces it", old.Host, replacement.Host)
 		if a.IntN(2) == 0 {
 			a.stopCore(old)
 		} else {
 			a.killCore(old, true)
 		}
 		Wait(a.ms(200, 1000))
-		a.replaceCore(i, fresh)
+		a.replaceCore(i, replacement)
 		Wait(5 * time.Second)
 	}},
 }
--- a/internal/sim/daydocs_test.go
+++ b/internal/sim/daydocs_test.go
@@ -104,37 +104,37 @@
 	{"change", none, func(a act) {
 		for range 1 + a.IntN(3) {
 			old := a.draft
-			d := a.next()
-			a.alter(d)
-			ok := a.op.Send(a.g.Context(), d, "", "")
-			a.say("configuration %d sent, accepted %v", d.Number, ok)
-			a.probe(append(addedRoutes(d, old), addedRoutes(old, d)...)...)
+			draft := a.next()
+			a.alter(draft)
+			accepted := a.op.Send(a.g.Context(), draft, "", "")
+			a.say("configuration %d sent, accepted %v", draft.Number, accepted)
+			a.probe(append(addedRoutes(draft, old), addedRoutes(old, draft)...)...)
 			Wait(a.ms(200, 2500))
 		}
 	}},
 	{"race", none, func(a act) {
-		one, two := a.next(), a.next()
+		first, second := a.next(), a.next()
 		if a.IntN(2) == 0 {
-			two.Number = one.Number
+			second.Number = first.Number
 		}
-		a.alter(one)
-		a.alter(two)
-		a.say("configurations %d and %d sent at once", one.Number, two.Number)
-		over := make(chan struct{}, 2)
-		for _, d := range []*actors.Draft{one, two} {
-			a.g.Go("race", func(ctx context.Context) { a.op.Send(ctx, d, "", ""); over <- struct{}{} })
+		a.alter(first)
+		a.alter(second)
+		a.say("configurations %d and %d sent at once", first.Number, second.Number)
+		done := make(chan struct{}, 2)
+		for _, draft := range []*actors.Draft{first, second} {
+			a.g.Go("race", func(ctx context.Context) { a.op.Send(ctx, draft, "", ""); done <- struct{}{} })
 		}
-		<-over
-		<-over
+		<-done
+		<-done
 		a.probe()
 	}},
 	{"broken", none, func(a act) {
 		for range 1 + a.IntN(3) {
-			b := actors.Breaks[a.IntN(len(actors.Breaks))]
-			d := a.next()
-			a.alter(d)
-			a.say("configuration %d is invalid: %s", d.Number, b.Name)
-			a.op.Send(a.g.Context(), d, b.Of(d), b.Name)
+			breakage := actors.Breaks[a.IntN(len(actors.Breaks))]
+			draft := a.next()
+			a.alter(draft)
+			a.say("configuration %d is invalid: %s", draft.Number, breakage.Name)
+			a.op.Send(a.g.Context(), draft, breakage.Of(draft), breakage.Name)
 			a.probe()
 		}
 	}},
@@ -144,10 +144,10 @@
 	}},
 	{"read", none, func(a act) { a.op.Read(a.g.Context(), 3*time.Second, false) }},
 	{"big", none, func(a act) {
-		d := a.next()
-		a.grow(d, 30)
-		ok := a.op.Send(a.g.Context(), d, "", "")
-		a.say("configuration %d with 30 more routes sent, accepted %v", d.Number, ok)
-		a.probe(addedRoutes(d, a.site.d.draft(0))[:3]...)
+		draft := a.next()
+		a.grow(draft, 30)
+		accepted := a.op.Send(a.g.Context(), draft, "", "")
+		a.say("configuration %d with 30 more routes sent, accepted %v", draft.Number, accepted)
+		a.probe(addedRoutes(draft, a.site.d.draft(0))[:3]...)
 	}},
 }
--- a/internal/sim/fewlinks_test.go
+++ b/internal/sim/fewlinks_test.go
@@ -8,13 +8,13 @@
 	"time"
 )
 
-// TestFewFiles: processes that may open few descriptors keep fewer links than
-// others, and close some all the time, since each has 17 fellows. No job is lost
-// or refused by it, and sessions, gossip and the core go on.
+// TestFewFiles gives processes a file descriptor limit too low for links to all of
+// their 17 peers, so that they keep closing links. No request may be lost or refused
+// by that, and sessions, gossip and the control plane must keep working.
 func TestFewFiles(t *testing.T) {
 	t.Parallel()
 	mean := map[int]float64{}
-	// Five links, and any number.
+	// A limit that allows five links, and no limit.
 	for _, files := range []int{40, 0} {
 		synctest.Test(t, func(t *testing.T) {
 			fleet := NewFleet(t, Fumettoteca(0.02), 3)
@@ -31,15 +31,15 @@
 			waitForLoad()
 			fleet.Judge()
 			if counts := fleet.Obs.Counts(); counts["done"] != counts["calls"] || counts["calls"] < 400 {
-				t.Errorf("not all were done: %v", counts)
+				t.Errorf("not all requests succeeded: %v", counts)
 			}
 			if !fleet.Whole() {
-				t.Error("not all know all workers")
+				t.Error("not every node knows every worker")
 			}
 		})
 	}
-	t.Logf("%.1f links on the mean, %.1f without a bound", mean[40], mean[0])
+	t.Logf("%.1f links on average, %.1f without a limit", mean[40], mean[0])
 	if mean[40] > 0.9*mean[0] {
-		t.Errorf("%.1f links were kept on the mean, %.1f without a bound", mean[40], mean[0])
+		t.Errorf("%.1f links on average with a limit, want at most 0.9 of the %.1f without one", mean[40], mean[0])
 	}
 }
--- a/internal/sim/files_test.go
+++ b/internal/sim/files_test.go
@@ -12,7 +12,8 @@
 
 var writeStoredFiles = flag.Bool("keep-files", false, "write the stored files of this version to testdata")
 
-// storedFiles are the disks of a small core as an earlier version left them.
+// storedFiles holds the disks of a small control plane as an earlier version wrote
+// them, and the values to expect from them.
 type storedFiles struct {
 	Disks []map[string][]byte
 	Kept  struct {
@@ -21,8 +22,8 @@
 	}
 }
 
-// TestOldFiles: the files of the last tagged version are taken up whole by
-// this one: configuration, keys, numbers and locks go on from there.
+// TestOldFiles checks that this version loads the files of the last tagged version
+// completely: configuration, keys, numbers and locks continue from there.
 func TestOldFiles(t *testing.T) {
 	t.Parallel()
 	const name = "testdata/files-v0.1.0.json"
@@ -31,7 +32,7 @@
 			fleet := NewFleet(t, small(), 95)
 			fleet.Start()
 			before := fleet.keep()
-			// Enough versions for a checkpoint and some after it.
+			// Enough log entries for a snapshot and some entries after it.
 			for i := range 300 {
 				fleet.Ask("PUT", fleet.Cores[0].Host+":7003", fmt.Sprintf("/puffin/keys/row%d", i%5), `{"value":"x"}`)
 			}
@@ -85,7 +86,7 @@
 			fleet.StartWorker(n, fleet.S.Serves(i))
 		}
 		fleet.serves(15 * time.Second)
-		fleet.Until(15*time.Second, "all is whole", fleet.Whole)
+		fleet.Until(15*time.Second, "every node knows every worker", fleet.Whole)
 		fleet.still(kept{stored.Kept.Rev, stored.Kept.Num, stored.Kept.Fence, stored.Kept.Version})
 	})
 }
--- a/internal/sim/fleet_test.go
+++ b/internal/sim/fleet_test.go
@@ -8,7 +8,8 @@
 	"puffincrank/internal/event"
 )
 
-// TestBootstrapAndServe: the fleet founds itself, takes a configuration and serves.
+// TestBootstrapAndServe checks that a fleet bootstraps, accepts a configuration and
+// serves at least 99 in 100 requests.
 func TestBootstrapAndServe(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -25,7 +26,7 @@
 		fleet.Judge()
 		counts := fleet.Obs.Counts()
 		if counts["done"] < counts["calls"]*99/100 || counts["calls"] < 1000 {
-			t.Errorf("too few were done: %v", counts)
+			t.Errorf("too few requests succeeded: %v", counts)
 		}
 	})
 }
--- a/internal/sim/foreign_test.go
+++ b/internal/sim/foreign_test.go
@@ -9,8 +9,8 @@
 	"puffincrank/internal/event"
 )
 
-// TestForeignData: a store that comes back with the data of a mesh founded
-// apart is refused by name, and nothing changes on either side.
+// TestForeignData starts a store with the data of another cluster. It must be refused
+// with an event that names it, and neither its data nor the cluster may change.
 func TestForeignData(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -36,21 +36,21 @@
 		fleet.serves(5 * time.Second)
 		Wait(8 * time.Second)
 		if code, answer := fleet.Get(core.Host+":7004", "/puffin/ready"); code != 503 {
-			t.Errorf("a store with foreign data is ready: %v", answer)
+			t.Errorf("the store with foreign data is ready: %v", answer)
 		}
 		if identityAfter, _ := core.Disk.Read("i-identity"); string(identityAfter) != string(identityBefore) {
 			t.Error("the foreign data was changed")
 		}
 		if reported.Load() == 0 {
-			t.Error("no event names it")
+			t.Error("no event reports the foreign data")
 		}
 		fleet.still(before)
 	})
 }
 
-// TestRemoval: an operator's removal that would leave the core without a
-// majority is refused and named; a sound one is done, and an empty store has
-// the free place later.
+// TestRemoval checks that removing a store is refused with an event if the rest would
+// have no majority, that a safe removal is done, and that an empty store joins in place
+// of the removed one.
 func TestRemoval(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -80,7 +80,7 @@
 					return member["id"].(string)
 				}
 			}
-			t.Fatal("not a member")
+			t.Fatal("the machine is not a member")
 			return ""
 		}
 		address := fleet.Nodes[0].Host + ":7003"
@@ -88,21 +88,21 @@
 		fleet.KillCore(dead, false)
 		Wait(2 * time.Second)
 		if code, answer := fleet.Ask("DELETE", address, "/puffin/stores/"+runningID, ""); code != 409 || reported.Load() == 0 {
-			t.Errorf("a removal that leaves no majority: %d %v, %d events", code, answer, reported.Load())
+			t.Errorf("removal that leaves no majority: status %d %v, %d events", code, answer, reported.Load())
 		}
 		if code, _ := fleet.Ask("DELETE", address, "/puffin/stores/nobody", ""); code != 404 {
-			t.Errorf("no such store: %d", code)
+			t.Errorf("removal of an unknown store: status %d", code)
 		}
-		// The dead one may go.
+		// Removing the dead store is safe.
 		if code, answer := fleet.Ask("DELETE", address, "/puffin/stores/"+deadID, ""); code != 200 {
-			t.Errorf("a sound removal: %d %v", code, answer)
+			t.Errorf("safe removal: status %d %v", code, answer)
 		}
 		fleet.serves(5 * time.Second)
 		if code, answer := fleet.Ask("DELETE", address, "/puffin/stores/"+runningID, ""); code != 409 {
-			t.Errorf("a second removal: %d %v", code, answer)
+			t.Errorf("second removal: status %d %v", code, answer)
 		}
 		fleet.still(before)
-		// An empty machine takes the free place.
+		// An empty machine takes the free membership.
 		dead.Disk.Wipe()
 		fleet.BackCore(dead)
 		fleet.Until(15*time.Second, "three stores are ready", fleet.coreReady)
--- a/internal/sim/forgot_test.go
+++ b/internal/sim/forgot_test.go
@@ -9,9 +9,10 @@
 	"puffincrank/internal/standin/checker"
 )
 
-// TestIdleConnectionsForgotten: workers forget connections that idled a while, without a word.
-// Jobs that may not be sent again get hurt by the first few only; when the
-// workers keep them again, connections are kept as long as before.
+// TestIdleConnectionsForgotten has half of the workers silently forget connections that
+// were idle for 190 ms, so that the next request on one is reset. Proxies must learn
+// from the first few losses: at most 1 in 200 requests that must not be retried may be
+// lost, and no rule may be violated, also after the workers keep connections again.
 func TestIdleConnectionsForgotten(t *testing.T) {
 	heavy(t)
 	synctest.Test(t, func(t *testing.T) {
@@ -35,12 +36,12 @@
 			}
 		})
 		served, owed = simulated.wit.Served("buy", start, start.Add(8*time.Second))
-		t.Logf("%d of %d served while half of the workers forget", served, owed)
+		t.Logf("%d of %d requests served while half of the workers forget idle connections", served, owed)
 		if len(violations) > 0 || violations[checker.Budget] > 0 {
-			t.Errorf("broken: %v", violations)
+			t.Errorf("violated rules: %v", violations)
 		}
 		if lost := owed - served; lost*200 > owed {
-			t.Errorf("%d of %d were lost", lost, owed)
+			t.Errorf("%d of %d requests were lost", lost, owed)
 		}
 	})
 }
--- a/internal/sim/founding_test.go
+++ b/internal/sim/founding_test.go
@@ -8,9 +8,9 @@
 	"time"
 )
 
-// TestFounding: three empty stores that start at once, or one of them a second
-// later, have a writer and registries that are ready within a second of the
-// last one's start, and the first change is acknowledged.
+// TestFounding starts three empty stores at once, or one of them a second later. Within
+// a second of the last start the registries must be ready and the first configuration
+// acknowledged.
 func TestFounding(t *testing.T) {
 	t.Parallel()
 	for i, late := range []time.Duration{0, time.Second} {
@@ -41,23 +41,23 @@
 						return true
 					})
 					if code, _ := fleet.Ask("PUT", fleet.Cores[0].Host+":7003", "/puffin/config?based_on=0", fleet.S.Doc); code != 200 {
-						t.Errorf("the first change answered %d", code)
+						t.Errorf("the first configuration was answered with %d", code)
 					}
 					times = append(times, time.Since(start))
 				})
 			}
 			slices.Sort(times)
-			t.Logf("%d seeds: median %v, worst %v", len(times), times[len(times)/2].Round(time.Millisecond), times[len(times)-1].Round(time.Millisecond))
+			t.Logf("%d seeds: bootstrapped after %v at the median, %v at worst", len(times), times[len(times)/2].Round(time.Millisecond), times[len(times)-1].Round(time.Millisecond))
 			if times[len(times)-1] > time.Second {
-				t.Errorf("not before %v", times[len(times)-1])
+				t.Errorf("the control plane took %v to bootstrap", times[len(times)-1])
 			}
 		})
 	}
 }
 
-// TestStartAllAtOnce: the whole mesh starts at one moment, so that every worker is
-// told of before the links between areas stand. All nodes know all workers
-// within a second of the first configuration nevertheless.
+// TestStartAllAtOnce starts the whole mesh at one moment, so that every worker is
+// announced before the links between zones are up. All nodes must still know all
+// workers within a second of the first configuration.
 func TestStartAllAtOnce(t *testing.T) {
 	t.Parallel()
 	for seed := range seeds(20) {
@@ -66,7 +66,7 @@
 			defer fleet.Stop()
 			fleet.Start()
 			if fleet.knew > time.Second {
-				t.Errorf("seed %d: all know all workers only after %v", seed, fleet.knew)
+				t.Errorf("seed %d: all nodes knew all workers only after %v", seed, fleet.knew)
 			}
 		})
 	}
--- a/internal/sim/freeze_test.go
+++ b/internal/sim/freeze_test.go
@@ -9,9 +9,10 @@
 	"puffincrank/internal/standin"
 )
 
-// TestFrozenOwner: the owner is frozen while its worker says that it is
-// leaving; it wakes with hand-overs in its sockets and the word unread. The
-// order in which it reads them is drawn anew in each round.
+// TestFrozenOwner pauses the process of an owner while its worker announces that it is
+// leaving. The owner resumes with both requests and that message unread in its sockets,
+// in an order that differs by round, and must not deliver requests to the worker that
+// left.
 func TestFrozenOwner(t *testing.T) {
 	heavy(t)
 	for round := range 3 {
@@ -30,14 +31,14 @@
 					start := time.Now()
 					fleet.Net.Freeze("node-"+node.Host, true)
 					Wait(time.Duration(50+100*round) * time.Millisecond)
-					// Its word goes out into the socket of a frozen process.
+					// The message arrives in the socket of a paused process.
 					go node.Worker.Leave("draining")
 					Wait(2200 * time.Millisecond)
 					fleet.aim(node, 20)
 					before := node.Worker.Ran()
 					fleet.Net.Freeze("node-"+node.Host, false)
 					Wait(700 * time.Millisecond)
-					t.Logf("%d jobs reached the worker after the thaw", node.Worker.Ran()-before)
+					t.Logf("%d requests reached the worker after the owner resumed", node.Worker.Ran()-before)
 					fleet.Obs.Lost(node.Host+":8000", start, time.Now())
 				}
 				waitForLoad()
@@ -47,7 +48,8 @@
 	}
 }
 
-// aim sends jobs to a node as a front, so that it wakes with them unread.
+// aim sends requests to a node as the ingress, so that a paused node resumes with
+// them unread.
 func (f *Fleet) aim(node *Node, count int) {
 	line := f.S.Lines[0]
 	for _, l := range f.S.Lines {
@@ -63,9 +65,9 @@
 	Wait(5 * time.Millisecond)
 }
 
-// TestPassedAddress: a worker ends at once and its address passes to a worker
-// of another service, which doesn't look whom a job is for; the old
-// connections and the old entry are still known everywhere. No job arrives.
+// TestPassedAddress kills a worker and gives its address to a worker of another service
+// that doesn't check which service a request is for, while all nodes still hold the old
+// registration and old connections. No request for the old service may reach it.
 func TestPassedAddress(t *testing.T) {
 	heavy(t)
 	synctest.Test(t, func(t *testing.T) {
@@ -77,8 +79,8 @@
 		for i := range 6 {
 			Wait(1500 * time.Millisecond)
 			node := fleet.Nodes[i]
-			// Its first beat is late, so that the node beside it still goes by
-			// the old one's word.
+			// The new worker's first heartbeat is delayed, so that its node still
+			// trusts the old worker's registration.
 			fleet.Net.Cut(node.Host+"w", node.Host, true)
 			fleet.KillWorker(node)
 			fleet.StartStranger(node, shape.Serves(i+1))
@@ -88,7 +90,7 @@
 		waitForLoad()
 		fleet.Judge()
 		if node := fleet.Obs.Counts(); node["done"] < node["calls"]*9/10 || node["calls"] < 2000 {
-			t.Errorf("too few were done: %v", node)
+			t.Errorf("too few requests succeeded: %v", node)
 		}
 	})
 }
--- a/internal/sim/grow_test.go
+++ b/internal/sim/grow_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// grown is the shape's document with so many paths more.
+// grown returns the configuration of a shape with the given number of extra routes.
 func grown(shape Shape, count int) string {
 	var routes []string
 	for i := range count {
@@ -19,10 +19,10 @@
 	return strings.Replace(shape.Doc, `"paths":[`, `"paths":[`+strings.Join(append(routes, ""), ","), 1)
 }
 
-// TestGrowth: Ingenzi's paths grow to three hundred by many changes through
-// all nodes while traffic runs, with races, old and broken documents among
-// them: each race has one winner, no faulty one changes anything, no caller
-// sees an error, and every path serves at every front.
+// TestGrowth grows the routes of the Ingenzi shape to three hundred by many changes
+// through all nodes under traffic, mixed with concurrent, outdated and invalid changes.
+// Each race must have one winner, no refused change may have an effect, no caller may
+// see an error, and every route must work at every ingress.
 func TestGrowth(t *testing.T) {
 	heavy(t)
 	synctest.Test(t, func(t *testing.T) {
@@ -44,7 +44,7 @@
 				fleet.g.Go("send", func(context.Context) {
 					code, applied := fleet.ApplyAs(who, address, base, doc)
 					if code == 200 && applied != version+1 {
-						t.Errorf("version %d after %d", applied, version)
+						t.Errorf("version %d was applied after %d", applied, version)
 					}
 					codes <- code
 				})
@@ -58,7 +58,7 @@
 				answers[<-codes]++
 			}
 			if answers[200] != 1 || answers[409] != 2 || answers[422] != 1 {
-				t.Fatalf("a race of two, an old and a broken one answered %v", answers)
+				t.Fatalf("two racing changes, an outdated and an invalid one were answered with %v", answers)
 			}
 			version, routes = version+1, target
 		}
@@ -66,19 +66,20 @@
 		for i := range 60 {
 			node := fleet.Nodes[i%len(fleet.Nodes)]
 			if code, _ := fleet.Get(node.Host+":8000", fmt.Sprintf("/grown/x%d", rnd.IntN(routes))); code != 200 {
-				t.Errorf("a grown path at %s: %d", node.Host, code)
+				t.Errorf("a new route at %s answered %d", node.Host, code)
 			}
 		}
 		waitForLoad()
 		fleet.Judge()
 		if node := fleet.Obs.Counts(); node["done"] != node["calls"] || version < 10 {
-			t.Errorf("growth was seen by callers: %v, %d changes", node, version)
+			t.Errorf("not all requests succeeded or too few changes: %v, %d changes", node, version)
 		}
-		t.Logf("%d paths by %d changes", routes, version-1)
+		t.Logf("%d routes added in %d changes", routes, version-1)
 	})
 }
 
-// TestGrowthCost: a push and a start at 10, 100 and 1000 paths.
+// TestGrowthCost checks that the time of a configuration push, its bytes and the start
+// time of a node grow no faster than the document, at 10, 100 and 1000 extra routes.
 func TestGrowthCost(t *testing.T) {
 	heavy(t)
 	synctest.Test(t, func(t *testing.T) {
@@ -93,9 +94,9 @@
 			before := fleet.Net.Sum(true) + fleet.Net.Sum(false)
 			code, version := fleet.Apply(fleet.Nodes[0].Host+":7003", uint64(i+1), doc)
 			if code != 200 {
-				t.Fatalf("apply of %d paths answered %d", n, code)
+				t.Fatalf("applying %d routes was answered with %d", n, code)
 			}
-			took = append(took, fleet.Until(2*time.Second, "all hold it", func() bool {
+			took = append(took, fleet.Until(2*time.Second, "every node has the configuration", func() bool {
 				for _, n := range fleet.Nodes {
 					if _, status := fleet.Get(n.Host+":7003", "/puffin/own"); status["config_version"] != float64(version) {
 						return false
@@ -110,10 +111,10 @@
 			start = append(start, fleet.Until(3*time.Second, "the node is ready", restarted.Proxy.Ready))
 			Wait(2 * time.Second)
 		}
-		t.Logf("10, 100, 1000 paths: last node after %v, bytes over the document's %.1f, a start %v", took, bytes, start)
-		// Three stores, three registries and fourteen proxies have it once each.
+		t.Logf("10, 100, 1000 routes: last node updated after %v, traffic per document byte %.1f, node start %v", took, bytes, start)
+		// Three stores, three registries and fourteen proxies receive it once each.
 		if bytes[2] > 24 || took[2] > 4*max(took[0], 50*time.Millisecond) || start[2] > 4*max(start[0], 50*time.Millisecond) {
-			t.Error("growth costs more than the document's own bytes")
+			t.Error("the cost grows faster than the document")
 		}
 	})
 }
