--- a/internal/sim/cut_test.go
+++ b/internal/sim/cut_test.go
@@ -44,9 +44,9 @@
 			fleet.Net.Cut(oldLeader.Host, c.Host, c != oldLeader)
 			fleet.Net.Cut(c.Host, oldLeader.Host, c != oldLeader)
 		}
-		for _, client := range fleet.Nodes {
-			fleet.Net.Cut(oldLeader.Host, client.Host, true)
-			fleet.Net.Cut(client.Host, oldLeader.Host, true)
+		for _, node := range fleet.Nodes {
+			fleet.Net.Cut(oldLeader.Host, node.Host, true)
+			fleet.Net.Cut(node.Host, oldLeader.Host, true)
 		}
 		// Even right away, when a lease would still be valid by any clock, the old
 		// leader must not answer, since it can't reach a majority.
--- a/internal/sim/cutfleet_test.go
+++ b/internal/sim/cutfleet_test.go
@@ -40,13 +40,13 @@
 	shapes := []Shape{Fumettoteca(0.08), Ingenzi(0.12)}
 	for i, cut := range fleetPartitions {
 		for _, cores := range []int{3, 5} {
-			for _, leads := range []bool{true, false} {
-				t.Run(fmt.Sprintf("%s, %d, leader %v", cut.name, cores, leads), func(t *testing.T) {
+			for _, cutLeader := range []bool{true, false} {
+				t.Run(fmt.Sprintf("%s, %d, leader %v", cut.name, cores, cutLeader), func(t *testing.T) {
 					t.Parallel()
 					synctest.Test(t, func(t *testing.T) {
 						fleet := fleetOfCores(t, shapes[i%len(shapes)], uint64(980+i), cores)
 						defer fleet.Stop()
-						runFleetPartition(fleet, leads, uint64(i), cut.do)
+						runFleetPartition(fleet, cutLeader, uint64(i), cut.do)
 					})
 				})
 			}
@@ -124,14 +124,14 @@
 }
 
 // addresses lists the addresses that answer operators.
-func (o *operators) addresses() (all []string) {
+func (o *operators) addresses() (list []string) {
 	for _, c := range o.fleet.Cores {
-		all = append(all, c.Host+":7003")
+		list = append(list, c.Host+":7003")
 	}
 	for _, n := range o.fleet.Nodes {
-		all = append(all, n.Host+":7003")
+		list = append(list, n.Host+":7003")
 	}
-	return all
+	return list
 }
 
 func (o *operators) anyAddress() string {
@@ -211,9 +211,9 @@
 	if o.confirmedCount < 10 || 4*o.confirmedCount < 3*o.attempts {
 		t.Errorf("only %d changes were confirmed in %d attempts at connected machines", o.confirmedCount, o.attempts)
 	}
-	for _, at := range o.addresses() {
-		if o.answered[at] < 10 && host(at) != cut.Host {
-			t.Errorf("%s answered only %d reads", at, o.answered[at])
+	for _, address := range o.addresses() {
+		if o.answered[address] < 10 && host(address) != cut.Host {
+			t.Errorf("%s answered only %d reads", address, o.answered[address])
 		}
 	}
 	counts := o.fleet.Obs.Counts()
--- a/internal/sim/cuttwenty_test.go
+++ b/internal/sim/cuttwenty_test.go
@@ -58,16 +58,16 @@
 			continue
 		}
 		for i, cut := range corePartitions {
-			for _, leads := range []bool{true, false} {
-				t.Run(fmt.Sprintf("%d, %s, leader %v", cores, cut.name, leads), func(t *testing.T) {
+			for _, cutLeader := range []bool{true, false} {
+				t.Run(fmt.Sprintf("%d, %s, leader %v", cores, cut.name, cutLeader), func(t *testing.T) {
 					t.Parallel()
 					calls := &history{answered: map[string]int{}}
 					target := ""
-					synctest.Test(t, func(t *testing.T) { target = runPartition(t, calls, cores, uint64(i), leads, cut.do) })
+					synctest.Test(t, func(t *testing.T) { target = runPartition(t, calls, cores, uint64(i), cutLeader, cut.do) })
 					calls.judge(t)
-					for at, n := range calls.answered {
-						if at != target && n < 20 {
-							t.Errorf("machine %s answered only %d calls", at, n)
+					for address, n := range calls.answered {
+						if address != target && n < 20 {
+							t.Errorf("machine %s answered only %d calls", address, n)
 						}
 					}
 					t.Logf("%d key calls, %d numbers, %d configuration changes and reads, %d locks held", len(calls.keys), len(calls.numbers), len(calls.orders), len(calls.holds))
--- a/internal/sim/day_test.go
+++ b/internal/sim/day_test.go
@@ -53,11 +53,11 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			synctest.Test(t, func(t *testing.T) {
-				simulated := newSite(t, d, 1)
-				if violations := simulated.day(20*time.Second, func() {}); len(violations) > 0 {
+				testSite := newSite(t, d, 1)
+				if violations := testSite.day(20*time.Second, func() {}); len(violations) > 0 {
 					t.Errorf("violated rules: %v", violations)
 				}
-				if served, owed := simulated.wit.Served("", time.Time{}, time.Now()); owed < 500 || served < owed*97/100 {
+				if served, owed := testSite.wit.Served("", time.Time{}, time.Now()); owed < 500 || served < owed*97/100 {
 					t.Errorf("%d of %d requests were served", served, owed)
 				}
 			})
--- a/internal/sim/daycore_test.go
+++ b/internal/sim/daycore_test.go
@@ -60,9 +60,9 @@
 	Wait(4 * time.Second)
 }
 
-// loseCore kills a control-plane machine, with its power or its disk if so told, and
+// crash kills a control-plane machine, with its power or its disk if so told, and
 // starts it again after up to 3.3 s.
-func (a act) loseCore(core *Core, power, wipe bool) {
+func (a act) crash(core *Core, power, wipe bool) {
 	a.killCore(core, power)
 	if wipe {
 		core.Disk.Wipe()
@@ -74,13 +74,13 @@
 // coreTroubles disturb the control plane. At most as many machines are disturbed at
 // once as the deployment tolerates losing.
 var coreTroubles = []trouble{
-	{"core kill", single, func(a act) { c := a.one(); a.say("core machine %s killed", c.Host); a.loseCore(c, false, false) }},
-	{"core power", single, func(a act) { c := a.one(); a.say("core machine %s loses power", c.Host); a.loseCore(c, true, false) }},
-	{"core wipe", single, func(a act) { c := a.one(); a.say("core machine %s wiped", c.Host); a.loseCore(c, true, true) }},
+	{"core kill", single, func(a act) { c := a.one(); a.say("core machine %s killed", c.Host); a.crash(c, false, false) }},
+	{"core power", single, func(a act) { c := a.one(); a.say("core machine %s loses power", c.Host); a.crash(c, true, false) }},
+	{"core wipe", single, func(a act) { c := a.one(); a.say("core machine %s wiped", c.Host); a.crash(c, true, true) }},
 	{"writer power", single, func(a act) {
 		c := a.takePreferred(a.Writer())
 		a.say("leader %s loses power", c.Host)
-		a.loseCore(c, true, a.IntN(2) == 0)
+		a.crash(c, true, a.IntN(2) == 0)
 	}},
 	{"after ack", single, func(a act) {
 		// A machine loses its power, and maybe its disk, right after a configuration
@@ -96,7 +96,7 @@
 		}
 		c := a.takePreferred(preferred)
 		a.say("core machine %s is lost right after configuration %d was acknowledged", c.Host, draft.Number)
-		a.loseCore(c, true, a.IntN(2) == 0)
+		a.crash(c, true, a.IntN(2) == 0)
 	}},
 	{"core freeze", single, func(a act) {
 		c := a.one()
--- a/internal/sim/days_test.go
+++ b/internal/sim/days_test.go
@@ -81,40 +81,40 @@
 
 // baseDeployment returns the deployment of a seed, in one of two shapes.
 func baseDeployment(seed uint64) deployment {
-	chosen := reader(seed, *dayRate)
+	layout := reader(seed, *dayRate)
 	if seed%2 == 1 {
-		chosen = desks(seed, *dayRate)
+		layout = desks(seed, *dayRate)
 	}
 	// Every second pair of seeds gets a site with random settings.
 	if seed/2%2 == 1 {
-		chosen = chosen.drawn(seed)
+		layout = layout.drawn(seed)
 	}
-	return chosen
+	return layout
 }
 
-func playDay(t *testing.T, chosen deployment, seed uint64) map[string]int {
-	simulated := newSite(t, chosen, seed)
+func playDay(t *testing.T, layout deployment, seed uint64) map[string]int {
+	testSite := newSite(t, layout, seed)
 	if *eventFilter != "" {
-		simulated.Log = func(entry event.Entry) {
+		testSite.Log = func(entry event.Entry) {
 			if strings.Contains(entry.Node, *eventFilter) {
-				simulated.say("%s: %s %s", entry.Node, entry.Name, entry.Text)
+				testSite.say("%s: %s %s", entry.Node, entry.Name, entry.Text)
 			}
 		}
 	}
-	violations := simulated.day(*dayLength, simulated.injectFaults)
+	violations := testSite.day(*dayLength, testSite.injectFaults)
 	if len(violations) > 0 {
 		t.Errorf("violated rules: %v", violations)
 	}
-	served, owed := simulated.wit.Served("", time.Time{}, time.Now())
-	share, service := simulated.wit.Most()
+	served, owed := testSite.wit.Served("", time.Time{}, time.Now())
+	share, service := testSite.wit.Most()
 	t.Logf("seed %d: %d of %d requests served, retries used at most %.2f of their budget (%s)", seed, served, owed, share, service)
 	if owed == 0 || served < owed/2 {
 		t.Errorf("only %d of %d requests were served", served, owed)
 	}
 	if t.Failed() || testing.Verbose() {
-		t.Log("\n" + strings.Join(simulated.said, "\n"))
+		t.Log("\n" + strings.Join(testSite.said, "\n"))
 	}
-	riskCounts := simulated.wit.Risk()
+	riskCounts := testSite.wit.Risk()
 	t.Logf("seed %d exercised: %v", seed, riskCounts)
 	return riskCounts
 }
@@ -126,8 +126,8 @@
 	begin := time.Now()
 	quietEnd := 10 * time.Second
 	var eligible []trouble
-	for _, list := range [][]trouble{troubles, coreTroubles, docTroubles, s.d.more} {
-		for _, chosen := range list {
+	for _, kinds := range [][]trouble{troubles, coreTroubles, docTroubles, s.d.more} {
+		for _, chosen := range kinds {
 			for _, part := range strings.Split(*faultFilter, ",") {
 				if strings.Contains(chosen.name, part) {
 					eligible = append(eligible, chosen)
@@ -144,17 +144,17 @@
 	end := begin.Add(*dayLength - quietEnd - 8*time.Second)
 	for range 8 + s.rnd.IntN(14) {
 		chosen := eligible[s.rnd.IntN(len(eligible))]
-		at := begin.Add(time.Duration(s.rnd.Int64N(int64(end.Sub(begin)))))
+		when := begin.Add(time.Duration(s.rnd.Int64N(int64(end.Sub(begin)))))
 		run := act{s, rand.New(rand.NewPCG(s.rnd.Uint64(), 41)), &[]*Core{}}
 		pending.Add(1)
 		s.g.Go("trouble", func(context.Context) {
 			defer pending.Done()
-			Wait(time.Until(at))
+			Wait(time.Until(when))
 			// How many control-plane machines the fault may disturb.
-			n := []int{0, 1, s.d.bear}[chosen.core]
-			if n > 0 {
+			disturbed := []int{0, 1, s.d.bear}[chosen.core]
+			if disturbed > 0 {
 				turn <- struct{}{}
-				for range n {
+				for range disturbed {
 					<-spareCores
 				}
 				<-turn
@@ -165,7 +165,7 @@
 					delete(s.held, c)
 				}
 				s.smu.Unlock()
-				for range n {
+				for range disturbed {
 					spareCores <- struct{}{}
 				}
 			}()
@@ -190,7 +190,7 @@
 	run.alter(draft)
 	run.op.Send(run.g.Context(), draft, "", "")
 	// 0: all processes are killed; 1: all machines lose power; 2: as 1, and one
-	// control-plane machine loses its disk; 3: only one machine loses its disk.
+	// control-plane machine loses its disk; 3: only one such machine loses power and its disk.
 	kind := run.IntN(4)
 	s.say("closing fault %d after configuration %d", kind, draft.Number)
 	s.wit.Closing()
--- a/internal/sim/election_test.go
+++ b/internal/sim/election_test.go
@@ -11,16 +11,16 @@
 // leaderLosses lists the ways in which a leader fails at once.
 var leaderLosses = []struct {
 	name string
-	do   func(l *lab, w *Core)
+	do   func(l *lab, c *Core)
 }{
-	{"killed", func(l *lab, w *Core) { l.KillCore(w, false) }},
-	{"dark", func(l *lab, w *Core) { l.Net.Isolate(w.Host, true); l.KillCore(w, true) }},
-	{"frozen", func(l *lab, w *Core) {
-		l.Net.Freeze("store-"+w.Host, true)
-		l.Net.Freeze("core-"+w.Host, true)
-		w.Registry = nil
+	{"killed", func(l *lab, c *Core) { l.KillCore(c, false) }},
+	{"dark", func(l *lab, c *Core) { l.Net.Isolate(c.Host, true); l.KillCore(c, true) }},
+	{"frozen", func(l *lab, c *Core) {
+		l.Net.Freeze("store-"+c.Host, true)
+		l.Net.Freeze("core-"+c.Host, true)
+		c.Registry = nil
 	}},
-	{"cut", func(l *lab, w *Core) { l.Net.Isolate(w.Host, true); w.Registry = nil }},
+	{"cut", func(l *lab, c *Core) { l.Net.Isolate(c.Host, true); c.Registry = nil }},
 }
 
 // TestLeaderLost checks that after the leader is killed, loses power, is paused or is
--- a/internal/sim/fewlinks_test.go
+++ b/internal/sim/fewlinks_test.go
@@ -24,8 +24,8 @@
 			waitForLoad := fleet.Load(fleet.S.Lines, 30*time.Second)
 			for range 150 {
 				Wait(200 * time.Millisecond)
-				for _, counts := range fleet.Nodes {
-					mean[files] += float64(counts.Proxy.LinkCount()) / 150 / float64(len(fleet.Nodes))
+				for _, node := range fleet.Nodes {
+					mean[files] += float64(node.Proxy.LinkCount()) / 150 / float64(len(fleet.Nodes))
 				}
 			}
 			waitForLoad()
--- a/internal/sim/freeze_test.go
+++ b/internal/sim/freeze_test.go
@@ -89,8 +89,8 @@
 		}
 		waitForLoad()
 		fleet.Judge()
-		if node := fleet.Obs.Counts(); node["done"] < node["calls"]*9/10 || node["calls"] < 2000 {
-			t.Errorf("too few requests succeeded: %v", node)
+		if counts := fleet.Obs.Counts(); counts["done"] < counts["calls"]*9/10 || counts["calls"] < 2000 {
+			t.Errorf("too few requests succeeded: %v", counts)
 		}
 	})
 }
--- a/internal/sim/grow_test.go
+++ b/internal/sim/grow_test.go
@@ -71,8 +71,8 @@
 		}
 		waitForLoad()
 		fleet.Judge()
-		if node := fleet.Obs.Counts(); node["done"] != node["calls"] || version < 10 {
-			t.Errorf("not all requests succeeded or too few changes: %v, %d changes", node, version)
+		if counts := fleet.Obs.Counts(); counts["done"] != counts["calls"] || version < 10 {
+			t.Errorf("not all requests succeeded or too few changes: %v, %d changes", counts, version)
 		}
 		t.Logf("%d routes added in %d changes", routes, version-1)
 	})
