--- a/internal/sim/dayacts_test.go
+++ b/internal/sim/dayacts_test.go
@@ -123,7 +123,7 @@
 			a.g.Go("herd", func(context.Context) { defer pending.Done(); a.killAndRestart(m); a.free(m) })
 		}
 		if a.IntN(2) == 0 {
-			a.say("and all core machines")
+			a.say("and all core hosts")
 			for _, c := range a.cores() {
 				a.killCore(c, false)
 			}
--- a/internal/sim/daycore_test.go
+++ b/internal/sim/daycore_test.go
@@ -74,9 +74,9 @@
 // coreTroubles disturb the control plane. At most as many machines are disturbed at
 // once as the deployment tolerates losing.
 var coreTroubles = []trouble{
-	{"core kill", single, func(a act) { c := a.one(); a.say("core machine %s killed", c.Host); a.crash(c, false, false) }},
-	{"core power", single, func(a act) { c := a.one(); a.say("core machine %s loses power", c.Host); a.crash(c, true, false) }},
-	{"core wipe", single, func(a act) { c := a.one(); a.say("core machine %s wiped", c.Host); a.crash(c, true, true) }},
+	{"core kill", single, func(a act) { c := a.one(); a.say("core host %s killed", c.Host); a.crash(c, false, false) }},
+	{"core power", single, func(a act) { c := a.one(); a.say("core host %s loses power", c.Host); a.crash(c, true, false) }},
+	{"core wipe", single, func(a act) { c := a.one(); a.say("core host %s wiped", c.Host); a.crash(c, true, true) }},
 	{"writer power", single, func(a act) {
 		c := a.takePreferred(a.Writer())
 		a.say("leader %s loses power", c.Host)
@@ -95,13 +95,13 @@
 			preferred = nil
 		}
 		c := a.takePreferred(preferred)
-		a.say("core machine %s is lost right after configuration %d was acknowledged", c.Host, draft.Number)
+		a.say("core host %s is lost right after configuration %d was acknowledged", c.Host, draft.Number)
 		a.crash(c, true, a.IntN(2) == 0)
 	}},
 	{"core freeze", single, func(a act) {
 		c := a.one()
 		duration := a.ms(500, 5000)
-		a.say("core machine %s paused for %v", c.Host, duration)
+		a.say("core host %s paused for %v", c.Host, duration)
 		a.unsettled(c, true, "frozen "+c.Host)
 		a.Net.Freeze("store-"+c.Host, true)
 		a.Net.Freeze("core-"+c.Host, true)
@@ -114,7 +114,7 @@
 	{"core cut", single, func(a act) {
 		c := a.one()
 		duration := a.ms(1000, 6000)
-		a.say("core machine %s cut off for %v", c.Host, duration)
+		a.say("core host %s cut off for %v", c.Host, duration)
 		everybody := a.IntN(2) == 0
 		a.unsettled(c, true, "cut "+c.Host)
 		setCut := func(on bool) {
@@ -138,7 +138,7 @@
 	{"core split", whole, func(a act) {
 		// Every machine is isolated, so that there is no majority.
 		duration := a.ms(1000, 3000)
-		a.say("every core machine isolated for %v", duration)
+		a.say("every core host isolated for %v", duration)
 		setCut := func(on bool) {
 			for _, c := range a.cores() {
 				for _, o := range a.cores() {
@@ -158,7 +158,7 @@
 	}},
 	{"core roll", whole, func(a act) {
 		for _, c := range a.cores() {
-			a.say("core machine %s restarted gracefully", c.Host)
+			a.say("core host %s restarted gracefully", c.Host)
 			a.stopCore(c)
 			Wait(a.ms(100, 300))
 			a.restartCore(c)
@@ -167,7 +167,7 @@
 	{"core clock", single, func(a act) {
 		c := a.one()
 		jump := time.Duration(a.IntN(20001)-10000) * time.Millisecond
-		a.say("wall clock of core machine %s jumps by %v", c.Host, jump)
+		a.say("wall clock of core host %s jumps by %v", c.Host, jump)
 		a.wit.Touch.Core("clock")
 		c.Skew(jump)
 		Wait(a.ms(2000, 4000))
@@ -178,7 +178,7 @@
 	{"disk slow", single, func(a act) {
 		c := a.one()
 		syncTime := a.ms(50, 1500)
-		a.say("disk syncs of core machine %s take %v", c.Host, syncTime)
+		a.say("disk syncs of core host %s take %v", c.Host, syncTime)
 		end := a.wit.Touch.CoreWhile("disk of " + c.Host)
 		c.Disk.Slow(syncTime)
 		Wait(a.ms(2000, 4000))
@@ -188,7 +188,7 @@
 	}},
 	{"disk full", single, func(a act) {
 		c := a.one()
-		a.say("disk of core machine %s is full", c.Host)
+		a.say("disk of core host %s is full", c.Host)
 		end := a.wit.Touch.CoreWhile("disk of " + c.Host)
 		c.Disk.Room(0)
 		Wait(a.ms(2000, 4000))
@@ -203,7 +203,7 @@
 		a.spare++
 		replacement := &Core{Host: fmt.Sprintf("10.0.0.%d", 50+a.spare), Area: old.Area, Disk: NewDisk()}
 		a.smu.Unlock()
-		a.say("core machine %s is lost for good, %s replaces it", old.Host, replacement.Host)
+		a.say("core host %s is lost for good, %s replaces it", old.Host, replacement.Host)
 		if a.IntN(2) == 0 {
 			a.stopCore(old)
 		} else {
