--- a/internal/sim/dayact_test.go
+++ b/internal/sim/dayact_test.go
@@ -8,22 +8,22 @@
 	"puffincrank/internal/standin/checker"
 )
 
-// trouble is a kind of fault or operation that may occur during a simulated day.
+// trouble is a kind of fault or planned operation of a simulated day.
 type trouble struct {
 	name string
-	core int // how much of the control plane it disturbs: none, single or whole
+	core int // how much of the control plane it disturbs; see the constants below
 	do   func(a act)
 }
 
-// act is one run of a trouble. It has its own random source, so that overlapping
-// troubles stay reproducible.
+// act is one run of a day fault. It has its own random source, so that overlapping
+// faults stay reproducible.
 type act struct {
 	*site
 	*rand.Rand
 	core *[]*Core // control-plane machines that it has reserved
 }
 
-// How much of the control plane a trouble disturbs.
+// How much of the control plane a fault disturbs.
 const (
 	none = iota
 	single
@@ -34,7 +34,7 @@
 	return time.Duration(minimum+a.IntN(spread)) * time.Millisecond
 }
 
-// take reserves a random eligible machine that no other trouble has reserved. It
+// take reserves a random eligible machine that no other fault has reserved. It
 // returns nil if there is none; a nil filter accepts any machine.
 func (a act) take(eligible func(*machine) bool) *machine {
 	machines := a.all()
--- a/internal/sim/daycore_test.go
+++ b/internal/sim/daycore_test.go
@@ -32,7 +32,7 @@
 	return s.dark[host]
 }
 
-// one reserves a random control-plane machine that no other trouble has reserved.
+// one reserves a random control-plane machine that no other fault has reserved.
 func (a act) one() *Core { return a.takePreferred(nil) }
 
 // takePreferred reserves a control-plane machine, the preferred one if it is free.
