--- a/internal/sim/growcore_test.go
+++ b/internal/sim/growcore_test.go
@@ -14,11 +14,11 @@
 // by. One that can't is warned of by name, and only that one.
 func TestCoreGrows(t *testing.T) {
 	t.Parallel()
-	for i, c := range []struct{ cores, bear, voters int }{{1, 0, 1}, {3, 1, 3}, {5, 2, 5}, {7, 3, 7}, {7, 1, 3}, {4, 2, 4}, {1, 1, 1}} {
-		t.Run(fmt.Sprintf("%d to bear %d", c.cores, c.bear), func(t *testing.T) {
+	for i, c := range []struct{ cores, tolerated, voters int }{{1, 0, 1}, {3, 1, 3}, {5, 2, 5}, {7, 3, 7}, {7, 1, 3}, {4, 2, 4}, {1, 1, 1}} {
+		t.Run(fmt.Sprintf("%d to bear %d", c.cores, c.tolerated), func(t *testing.T) {
 			t.Parallel()
 			synctest.Test(t, func(t *testing.T) {
-				l := newLab(t, uint64(i)+540, c.cores, c.bear)
+				l := newLab(t, uint64(i)+540, c.cores, c.tolerated)
 				defer l.Stop()
 				l.up()
 				took := l.Until(4*time.Second, "all places are taken", func() bool { return len(l.places()) == c.voters })
@@ -28,7 +28,7 @@
 				if n := len(l.places()); n != c.voters || !l.coreReady() {
 					t.Errorf("%d voters, all stores ready: %v", n, l.coreReady())
 				}
-				if warned := l.count(event.TooFewStores) > 0; warned != (c.voters != 2*c.bear+1) {
+				if warned := l.count(event.TooFewStores) > 0; warned != (c.voters != 2*c.tolerated+1) {
 					t.Errorf("warned of a small core: %v", warned)
 				}
 			})
@@ -36,28 +36,28 @@
 	}
 }
 
-// TestGrownCoreBears: right after it has grown, as many machines as it is to
+// TestGrownCoreToleratesLosses: right after it has grown, as many machines as it is to
 // bear lose their disks, and all the others their power: nothing acknowledged
 // is lost, and the wiped ones get new places.
-func TestGrownCoreBears(t *testing.T) {
+func TestGrownCoreToleratesLosses(t *testing.T) {
 	t.Parallel()
-	for bear := 1; bear <= 3; bear++ {
-		t.Run(fmt.Sprint("bear ", bear), func(t *testing.T) {
+	for tolerated := 1; tolerated <= 3; tolerated++ {
+		t.Run(fmt.Sprint("bear ", tolerated), func(t *testing.T) {
 			t.Parallel()
 			for seed := range seeds(3) {
 				synctest.Test(t, func(t *testing.T) {
-					l := newLab(t, seed+560, 2*bear+1, bear)
+					l := newLab(t, seed+560, 2*tolerated+1, tolerated)
 					defer l.Stop()
 					l.up()
-					l.Until(4*time.Second, "all places are taken", func() bool { return len(l.places()) == 2*bear+1 })
+					l.Until(4*time.Second, "all places are taken", func() bool { return len(l.places()) == 2*tolerated+1 })
 					Wait(time.Second)
-					k := l.marks(40)
+					written := l.marks(40)
 					l.Stores["founding"] = false
 					lost := l.Cores[int(seed)%3:]
 					for _, c := range l.Cores {
 						l.KillCore(c, true)
 					}
-					for _, c := range lost[:bear] {
+					for _, c := range lost[:tolerated] {
 						c.Disk.Wipe()
 					}
 					Wait(500 * time.Millisecond)
@@ -65,8 +65,8 @@
 						l.BackCore(c)
 					}
 					t.Logf("writes go through %v after the machines are back", l.next(10*time.Second).Round(time.Millisecond))
-					l.holds(k)
-					l.Until(6*time.Second, "the wiped ones have places again", func() bool { return len(l.places()) == 2*bear+1 && l.coreReady() })
+					l.holds(written)
+					l.Until(6*time.Second, "the wiped ones have places again", func() bool { return len(l.places()) == 2*tolerated+1 && l.coreReady() })
 				})
 			}
 		})
--- a/internal/sim/grown_test.go
+++ b/internal/sim/grown_test.go
@@ -13,65 +13,65 @@
 
 var dayNodes = flag.Int("nodes", 0, "nodes of the grown sites; 0: as drawn, 12 to 90 by command, 12 to 14 in the fixed days")
 
-// fixedGrown are the seeds of the ordinary run at sites that have grown; between
+// fixedGrownSeeds are the seeds of the ordinary run at sites that have grown; between
 // them they put every rule at risk.
-var fixedGrown = []uint64{201, 300, 452}
+var fixedGrownSeeds = []uint64{201, 300, 452}
 
 // TestGrownDays plays seeded days as TestDays does, at sites with the shape of
 // the grown deployments: many small machines on thin links, five core machines
 // of which two may be lost at once, dear new connections, bulky bodies, and
 // workers that are ill in new ways. By command:
 // go test ./internal/sim -run 'TestGrownDays$' -days 50 -seed 1
-func TestGrownDays(t *testing.T) { playDays(t, fixedGrown, checker.Rules, grownSite) }
+func TestGrownDays(t *testing.T) { playDays(t, fixedGrownSeeds, checker.Rules, grownSite) }
 
 // grownSite is the grown deployment of a seed.
 func grownSite(seed uint64) deployment {
 	r := rand.New(rand.NewPCG(seed, 61))
 	// Small ones are the most: they are played soonest.
-	few, many := 12+r.IntN(3), 12+int(78*r.Float64()*r.Float64())
-	nodes := few
+	fixedNodes, searchNodes := 12+r.IntN(3), 12+int(78*r.Float64()*r.Float64())
+	nodes := fixedNodes
 	if *days > 0 {
-		nodes = many
+		nodes = searchNodes
 	}
 	if *dayNodes > 0 {
 		nodes = *dayNodes
 	}
 	slots := 4 + r.IntN(3)
 	// Links from the one deployment's to the other's.
-	link := 975_000 + r.IntN(525_001)
-	d := grownReader(seed, nodes, slots)
+	linkRate := 975_000 + r.IntN(525_001)
+	d := grownReaderSite(seed, nodes, slots)
 	if seed%2 == 1 {
-		d = grownDesks(seed, nodes, slots)
+		d = grownDeskSite(seed, nodes, slots)
 	}
-	d.link, d.wide = link, 10_750_000
+	d.link, d.wide = linkRate, 10_750_000
 	d.cores, d.bear, d.catchUp, d.more = 5, 2, 6*time.Second, grownTroubles
 	d.ways.Hello, d.ways.Idle, d.ways.Cold, d.ways.ColdBy = 45*time.Millisecond, 2500*time.Millisecond, 3*time.Second, 2
 	d.ways.Queue = 4 * slots
 	return d
 }
 
-// spreadOut gives each service its part of the nodes, two at least.
-func spreadOut(nodes int, parts ...int) (out []int) {
+// splitNodes gives each service its part of the nodes, two at least.
+func splitNodes(nodes int, weights ...int) (counts []int) {
 	sum := 0
-	for _, p := range parts {
-		sum += p
+	for _, weight := range weights {
+		sum += weight
 	}
-	for _, p := range parts {
-		out = append(out, max(2, (p*nodes+sum/2)/sum))
+	for _, weight := range weights {
+		counts = append(counts, max(2, (weight*nodes+sum/2)/sum))
 	}
 	// The largest service takes what rounding left.
-	for _, n := range out {
+	for _, n := range counts {
 		nodes -= n
 	}
-	out[0] += nodes
-	return out
+	counts[0] += nodes
+	return counts
 }
 
-// grownReader is a reader's site spread over many small workers; its load is
+// grownReaderSite is a reader's site spread over many small workers; its load is
 // to the room as the deployment's own is.
-func grownReader(seed uint64, nodes, slots int) deployment {
-	scale := smaller(nodes*slots, 77*12)
-	d := deploy(seed, nodes, slots, 500*time.Microsecond, 3*time.Millisecond, []string{"pages", "lending", "scans"}, spreadOut(nodes, 39, 29, 9), []row{
+func grownReaderSite(seed uint64, nodes, slots int) deployment {
+	scale := loadScale(nodes*slots, 77*12)
+	d := deploy(seed, nodes, slots, 500*time.Microsecond, 3*time.Millisecond, []string{"pages", "lending", "scans"}, splitNodes(nodes, 39, 29, 9), []row{
 		{kind: "read", repeat: "safe", service: "pages", rate: 964, work: 270, aim: 1000, left: 3000, back: 5000, further: 1, rank: 2, method: "GET", calls: map[string]float64{"check": 0.7}},
 		{kind: "lend", repeat: "never", service: "lending", rate: 413, work: 350, aim: 1200, left: 4000, size: 1200, back: 1500, further: 1, rank: 1, method: "POST", calls: map[string]float64{"lookup": 0.7}},
 		{kind: "scan", repeat: "upload", service: "scans", rate: 89.5, work: 320, aim: 1200, left: 5000, size: 60000, back: 1500, further: 1, rank: 1, method: "POST"},
@@ -79,13 +79,13 @@
 		{kind: "check", repeat: "safe", service: "lending", work: 67, aim: 250, left: 800, back: 80, rank: 1, method: "GET"},
 		{kind: "lookup", repeat: "safe", service: "scans", work: 67, aim: 250, left: 800, back: 80, rank: 1, method: "GET"},
 	}, scale)
-	return d.allow(196 * scale)
+	return d.allowRetries(196 * scale)
 }
 
-// grownDesks is a site of desks, grown likewise, with bulky answers.
-func grownDesks(seed uint64, nodes, slots int) deployment {
-	scale := smaller(nodes*slots, 88*18)
-	d := deploy(seed, nodes, slots, 1400*time.Microsecond, time.Millisecond, []string{"search", "boarding", "manifests", "seats"}, spreadOut(nodes, 36, 25, 7, 20), []row{
+// grownDeskSite is a site of desks, grown likewise, with bulky answers.
+func grownDeskSite(seed uint64, nodes, slots int) deployment {
+	scale := loadScale(nodes*slots, 88*18)
+	d := deploy(seed, nodes, slots, 1400*time.Microsecond, time.Millisecond, []string{"search", "boarding", "manifests", "seats"}, splitNodes(nodes, 36, 25, 7, 20), []row{
 		{kind: "find", repeat: "safe", service: "search", rate: 1083, work: 330, aim: 1200, left: 6000, back: 3000, further: 2, rank: 1, method: "GET", calls: map[string]float64{"cabin": 0.2}},
 		{kind: "board", repeat: "never", service: "boarding", rate: 426, work: 430, aim: 1200, left: 8000, size: 800, back: 800, further: 2, method: "POST", calls: map[string]float64{"form": 0.3}},
 		{kind: "manifest", repeat: "download", service: "manifests", rate: 145, work: 260, aim: 1000, left: 6000, back: 90000, further: 2, rank: 2, method: "GET", calls: map[string]float64{"fare": 0.2}},
@@ -94,11 +94,11 @@
 		{kind: "form", repeat: "safe", service: "manifests", work: 82, aim: 300, left: 1000, back: 100, rank: 1, method: "GET"},
 		{kind: "cabin", repeat: "safe", service: "seats", work: 82, aim: 300, left: 1000, back: 100, rank: 1, method: "GET"},
 	}, scale)
-	return d.allow(216 * scale)
+	return d.allowRetries(216 * scale)
 }
 
-// allow sets what is allowed of repeats besides their share.
-func (d deployment) allow(n float64) deployment {
+// allowRetries sets what is allowed of repeats besides their share.
+func (d deployment) allowRetries(n float64) deployment {
 	d.bounds.Allow = float64(int(n + 0.9))
 	return d
 }
@@ -112,19 +112,19 @@
 			t.Parallel()
 			synctest.Test(t, func(t *testing.T) {
 				s := newSite(t, grownSite(seed), seed)
-				if bad := s.day(20*time.Second, func() {}); len(bad) > 0 {
-					t.Errorf("broken: %v", bad)
+				if violations := s.day(20*time.Second, func() {}); len(violations) > 0 {
+					t.Errorf("broken: %v", violations)
 				}
-				if served, owed := s.wit.Served("", time.Time{}, time.Now()); owed < 300 || served < owed*97/100 {
-					t.Errorf("%d of %d served", served, owed)
+				if served, expected := s.wit.Served("", time.Time{}, time.Now()); expected < 300 || served < expected*97/100 {
+					t.Errorf("%d of %d served", served, expected)
 				}
 			})
 		})
 	}
 }
 
-// smaller is the part of the full load that goes with so much room of the
+// loadScale is the part of the full load that goes with so much room of the
 // whole. Little room can be used less: chance weighs more.
-func smaller(room, whole int) float64 {
-	return *dayRate / 0.12 * 0.62 * float64(room) / float64(whole)
+func loadScale(slots, fullSlots int) float64 {
+	return *dayRate / 0.12 * 0.62 * float64(slots) / float64(fullSlots)
 }
--- a/internal/sim/grownacts_test.go
+++ b/internal/sim/grownacts_test.go
@@ -13,37 +13,37 @@
 func (s *site) crowd(area, kind string) float64 {
 	s.smu.Lock()
 	defer s.smu.Unlock()
-	by := 1.0
+	factor := 1.0
 	for _, k := range [][2]string{{"", ""}, {area, ""}, {"", kind}} {
 		if x := s.crowds[k]; x > 0 {
-			by *= x
+			factor *= x
 		}
 	}
-	return by
+	return factor
 }
 
-// sicken makes a part of the workers ill for a while; it waits meanwhile.
-func (a act) sicken(part float64, i actors.Ills, what string) {
-	all := a.some(part)
-	for _, m := range all {
-		a.say("worker of %s: %s", m.name, what)
-		m.w.Fall(i)
+// degradeWorkers makes a part of the workers ill for a while; it waits meanwhile.
+func (a act) degradeWorkers(fraction float64, ills actors.Ills, description string) {
+	workers := a.some(fraction)
+	for _, m := range workers {
+		a.say("worker of %s: %s", m.name, description)
+		m.w.Fall(ills)
 		defer a.free(m)
 	}
 	Wait(a.ms(4000, 4000))
-	for _, m := range all {
+	for _, m := range workers {
 		m.w.Fall(actors.Ills{})
 	}
 }
 
-// oneArea gives a look at callers that is true for those of one area only.
-func (a act) oneArea() (func(host string) bool, string) {
-	area := Areas[a.IntN(len(Areas))]
+// zoneFilter gives a look at callers that is true for those of one area only.
+func (a act) zoneFilter() (func(host string) bool, string) {
+	zone := Areas[a.IntN(len(Areas))]
 	return func(h string) bool {
 		a.Net.mu.Lock()
 		defer a.Net.mu.Unlock()
-		return a.Net.areas[h] == area
-	}, area
+		return a.Net.areas[h] == zone
+	}, zone
 }
 
 // grownTroubles are those that the grown deployments added.
@@ -67,10 +67,10 @@
 		what := fmt.Sprintf("grey %+v", i)
 		if a.IntN(3) == 0 {
 			var area string
-			i.Only, area = a.oneArea()
+			i.Only, area = a.zoneFilter()
 			what += " for callers of " + area
 		}
-		a.sicken(0.08+0.1*a.Float64(), i, what)
+		a.degradeWorkers(0.08+0.1*a.Float64(), i, what)
 	}},
 	{"false fitness", none, func(a act) {
 		// Well for whoever asks while all fails, or ill while all is well.
@@ -78,14 +78,14 @@
 		what := fmt.Sprintf("false fitness %+v", i)
 		if a.IntN(3) == 0 {
 			var area string
-			i.Only, area = a.oneArea()
+			i.Only, area = a.zoneFilter()
 			what += " for callers of " + area
 		}
-		a.sicken(0.1, i, what)
+		a.degradeWorkers(0.1, i, what)
 	}},
 	{"idle race", none, func(a act) {
 		rest := a.ms(150, 500)
-		a.sicken(0.4+0.2*a.Float64(), actors.Ills{Forget: rest}, fmt.Sprintf("forgets connections that rested %v", rest))
+		a.degradeWorkers(0.4+0.2*a.Float64(), actors.Ills{Forget: rest}, fmt.Sprintf("forgets connections that rested %v", rest))
 	}},
 	{"flap", none, func(a act) {
 		var over sync.WaitGroup
--- a/internal/sim/grownincident_test.go
+++ b/internal/sim/grownincident_test.go
@@ -12,26 +12,26 @@
 // service has few workers.
 func incidentSite(nodes int) deployment {
 	d := grownSite(2)
-	g := grownReader(2, nodes, 4)
-	g.link, g.wide, g.cores, g.bear, g.catchUp = d.link, d.wide, d.cores, d.bear, d.catchUp
-	g.ways.Hello, g.ways.Idle, g.ways.Cold, g.ways.ColdBy, g.ways.Queue = d.ways.Hello, d.ways.Idle, d.ways.Cold, d.ways.ColdBy, 16
-	return g
+	site := grownReaderSite(2, nodes, 4)
+	site.link, site.wide, site.cores, site.bear, site.catchUp = d.link, d.wide, d.cores, d.bear, d.catchUp
+	site.ways.Hello, site.ways.Idle, site.ways.Cold, site.ways.ColdBy, site.ways.Queue = d.ways.Hello, d.ways.Idle, d.ways.Cold, d.ways.ColdBy, 16
+	return site
 }
 
 // incident plays a recorded day's troubles and checks every rule; part tells
 // what part of a kind's jobs, "" for all, was served of those begun since.
-func incident(t *testing.T, d deployment, holds func(a act, part func(kind string, since time.Time) float64)) {
+func incident(t *testing.T, d deployment, scenario func(a act, servedFraction func(kind string, since time.Time) float64)) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSite(t, d, 2)
-		bad := s.day(16*time.Second, func() {
-			holds(act{s, rand.New(rand.NewPCG(2, 43)), &[]*Core{}}, func(kind string, since time.Time) float64 {
+		violations := s.day(16*time.Second, func() {
+			scenario(act{s, rand.New(rand.NewPCG(2, 43)), &[]*Core{}}, func(kind string, since time.Time) float64 {
 				// What was begun just now has no answer yet.
-				served, owed := s.wit.Served(kind, since, time.Now().Add(-2*time.Second))
-				return float64(served) / float64(max(owed, 1))
+				served, expected := s.wit.Served(kind, since, time.Now().Add(-2*time.Second))
+				return float64(served) / float64(max(expected, 1))
 			})
 		})
-		if len(bad) > 0 {
-			t.Errorf("broken: %v", bad)
+		if len(violations) > 0 {
+			t.Errorf("broken: %v", violations)
 		}
 		t.Log(s.said)
 	})
@@ -43,12 +43,12 @@
 // soon, and jobs feel little of it.
 func TestIncidentCoreGone(t *testing.T) {
 	heavy(t)
-	incident(t, incidentSite(14), func(a act, part func(string, time.Time) float64) {
+	incident(t, incidentSite(14), func(a act, servedFraction func(string, time.Time) float64) {
 		Wait(4 * time.Second)
-		d := a.next()
-		a.grow(d, 1)
-		from := time.Now()
-		if !a.op.Send(a.g.Context(), d, "", "") {
+		draft := a.next()
+		a.grow(draft, 1)
+		start := time.Now()
+		if !a.op.Send(a.g.Context(), draft, "", "") {
 			t.Error("the document was refused")
 		}
 		writer := a.Writer()
@@ -67,12 +67,12 @@
 		for _, c := range a.cores() {
 			a.startCore(c, false)
 		}
-		took := a.Until(a.d.bounds.Return, "all core machines are back", a.coreReady)
+		elapsed := a.Until(a.d.bounds.Return, "all core machines are back", a.coreReady)
 		a.Until(a.d.bounds.Change, "all nodes are ready", a.allReady)
 		Wait(4 * time.Second)
-		t.Logf("back after %v; served of what was begun since: %.3f", took, part("", from))
-		if x := part("", from); x < 0.95 {
-			t.Errorf("%.3f served through it", x)
+		t.Logf("back after %v; served of what was begun since: %.3f", elapsed, servedFraction("", start))
+		if served := servedFraction("", start); served < 0.95 {
+			t.Errorf("%.3f served through it", served)
 		}
 	})
 }
@@ -96,26 +96,26 @@
 	// docs/incidents/grown.md has the figures.
 	d := incidentSite(14)
 	d.ways.Crowd = 1
-	incident(t, d, func(a act, part func(string, time.Time) float64) {
+	incident(t, d, func(a act, servedFraction func(string, time.Time) float64) {
 		Wait(3 * time.Second)
-		out := func(all []*machine, long time.Duration) {
-			var ends []func()
+		powerCycle := func(all []*machine, outage time.Duration) {
+			var endTouch []func()
 			for _, m := range all {
-				ends = append(ends, a.wit.Touch.Begin(m.name, "without power"))
+				endTouch = append(endTouch, a.wit.Touch.Begin(m.name, "without power"))
 				a.powered(m.Host, false)
 				m.w.Kill()
 				a.KillNode(m.Node)
 			}
-			Wait(long)
+			Wait(outage)
 			for i, m := range all {
 				a.powered(m.Host, true)
 				a.boot(m)
-				ends[i]()
+				endTouch[i]()
 				a.startWorker(m)
 				Wait(500 * time.Millisecond / time.Duration(len(all)))
 			}
 		}
-		out(a.all()[:7], 1600*time.Millisecond)
+		powerCycle(a.all()[:7], 1600*time.Millisecond)
 		Wait(4 * time.Second)
 		d := a.next()
 		a.grow(d, 1)
@@ -132,15 +132,15 @@
 				a.startCore(c, false)
 			}
 		})
-		out(a.all(), 1550*time.Millisecond)
+		powerCycle(a.all(), 1550*time.Millisecond)
 		a.wit.Back()
-		took := a.Until(a.d.bounds.Return, "all nodes are ready", a.allReady)
+		elapsed := a.Until(a.d.bounds.Return, "all nodes are ready", a.allReady)
 		Wait(8 * time.Second)
-		from := time.Now()
+		start := time.Now()
 		Wait(6 * time.Second)
-		t.Logf("ready %v after the last start; served after 8 s: %.3f", took, part("", from))
-		if x := part("", from); x < 0.95 {
-			t.Errorf("%.3f served after the return", x)
+		t.Logf("ready %v after the last start; served after 8 s: %.3f", elapsed, servedFraction("", start))
+		if served := servedFraction("", start); served < 0.95 {
+			t.Errorf("%.3f served after the return", served)
 		}
 	})
 }
@@ -151,12 +151,12 @@
 // goes to the other services alone is served all the while.
 func TestIncidentFewOfAService(t *testing.T) {
 	heavy(t)
-	incident(t, incidentSite(22), func(a act, part func(string, time.Time) float64) {
-		small := a.d.services[2]
-		of := func(m *machine) bool { return m.service == small }
-		from := time.Now()
+	incident(t, incidentSite(22), func(a act, servedFraction func(string, time.Time) float64) {
+		smallest := a.d.services[2]
+		inSmallest := func(m *machine) bool { return m.service == smallest }
+		start := time.Now()
 		Wait(2 * time.Second)
-		m := a.take(of)
+		m := a.take(inSmallest)
 		a.say("node of %s stopped and started", m.name)
 		end := a.wit.Touch.Begin(m.name, "planned roll")
 		a.stopNode(m)
@@ -165,17 +165,17 @@
 		end()
 		a.free(m)
 		Wait(2 * time.Second)
-		m = a.take(of)
+		m = a.take(inSmallest)
 		a.say("%s loses power", m.name)
 		a.out(m)
 		a.free(m)
 		Wait(2 * time.Second)
-		m = a.take(of)
+		m = a.take(inSmallest)
 		a.say("%s is emptied and taken away", m.name)
 		m.w.Leave(a.g.Context())
 		a.retire(m)
 		Wait(8 * time.Second)
-		reads, all := part("read", from), part("", from)
+		reads, all := servedFraction("read", start), servedFraction("", start)
 		t.Logf("served of reads %.3f, of all %.3f", reads, all)
 		if reads < 0.97 {
 			t.Errorf("%.3f of the reads served", reads)
--- a/internal/sim/hedge_test.go
+++ b/internal/sim/hedge_test.go
@@ -9,28 +9,28 @@
 	"puffincrank/internal/standin"
 )
 
-// partOfTheTime: a request has thirteen seconds, of which its first attempt was given six
+// firstAttemptTimesOut: a request has thirteen seconds, of which its first attempt was given six
 // tenths, so that a repeat can follow; most runs take longer. The other workers leave
 // meanwhile, and the front is told to end. The attempt was ended by the front with
 // nobody to repeat it, and the caller got 504 with four tenths of its time left:
 // "by=attempt why=no receipt from the owner ... then=; no repeats are left".
-func partOfTheTime(t *testing.T) {
+func firstAttemptTimesOut(t *testing.T) {
 	t.Parallel()
-	const left, part, many = 13 * time.Second, 7800 * time.Millisecond, 24
+	const timeout, attemptTimeout, requests = 13 * time.Second, 7800 * time.Millisecond, 24
 	synctest.Test(t, func(t *testing.T) {
 		f, line := stopFleet(t, 464, time.Second)
 		defer f.Stop()
-		f.repeatsEnough()
+		f.allowManyRetries()
 		f.Start()
-		front, owner := f.other("pages"), f.ofService("pages")
+		ingress, owner := f.other("pages"), f.ofService("pages")
 		Wait(30 * time.Second)
 		for range 3 {
-			f.atFront(front, line, 8)
+			f.atFront(ingress, line, 8)
 		}
 		owner.Worker.Behave(standin.Way{Took: 10 * time.Second})
 		line.Left = "13000"
-		ended := make(chan []standin.Call, 1)
-		f.g.Go("call", func(context.Context) { ended <- f.atFront(front, line, many) })
+		results := make(chan []standin.Call, 1)
+		f.g.Go("call", func(context.Context) { results <- f.atFront(ingress, line, requests) })
 		Wait(100 * time.Millisecond)
 		for _, n := range f.Nodes {
 			if n != owner && n.Worker.Service == "pages" {
@@ -38,13 +38,13 @@
 			}
 		}
 		Wait(1600 * time.Millisecond)
-		from := time.Now()
-		front.Proxy.Stop()
+		start := time.Now()
+		ingress.Proxy.Stop()
 		late := 0
-		for _, c := range <-ended {
-			if took := c.To.Sub(c.From); c.Status != 200 && took < left*9/10 {
-				t.Errorf("%d %s after %v, %v after the order", c.Status, c.Body, took, c.To.Sub(from))
-			} else if c.Status == 200 && took > part {
+		for _, c := range <-results {
+			if took := c.To.Sub(c.From); c.Status != 200 && took < timeout*9/10 {
+				t.Errorf("%d %s after %v, %v after the order", c.Status, c.Body, took, c.To.Sub(start))
+			} else if c.Status == 200 && took > attemptTimeout {
 				late++
 			}
 		}
@@ -54,37 +54,37 @@
 	})
 }
 
-// secondFails: the front is told to end while a slow worker is at work on its requests,
+// secondAttemptFails: the front is told to end while a slow worker is at work on its requests,
 // and all other workers answer every request with a failure. The second attempts fail,
 // and each request has the answer of the first.
-func secondFails(t *testing.T) {
+func secondAttemptFails(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		f, line := stopFleet(t, 467, time.Second)
 		defer f.Stop()
-		f.repeatsEnough()
+		f.allowManyRetries()
 		f.Start()
-		front, owner := f.other("pages"), f.ofService("pages")
+		ingress, owner := f.other("pages"), f.ofService("pages")
 		Wait(12 * time.Second)
 		for range 3 {
-			f.atFront(front, line, 8)
+			f.atFront(ingress, line, 8)
 		}
 		owner.Worker.Behave(standin.Way{Took: 8 * time.Second})
-		ended := make(chan []standin.Call, 1)
-		f.g.Go("call", func(context.Context) { ended <- f.atFront(front, line, slowRequests) })
+		results := make(chan []standin.Call, 1)
+		f.g.Go("call", func(context.Context) { results <- f.atFront(ingress, line, slowRequests) })
 		Wait(1600 * time.Millisecond)
 		for _, n := range f.Nodes {
 			if n != owner && n.Worker.Service == "pages" {
 				n.Worker.Behave(standin.Way{Took: time.Second, Fail: 1})
 			}
 		}
-		front.Proxy.Stop()
-		for _, c := range <-ended {
+		ingress.Proxy.Stop()
+		for _, c := range <-results {
 			if c.Status != 200 {
 				t.Errorf("%d %s after %v", c.Status, c.Body, c.To.Sub(c.From))
 			}
 		}
-		if front.Proxy.HedgeCount() == 0 {
+		if ingress.Proxy.HedgeCount() == 0 {
 			t.Error("no second attempt was begun: the test shows nothing")
 		}
 	})
--- a/internal/sim/held_test.go
+++ b/internal/sim/held_test.go
@@ -13,10 +13,10 @@
 	"puffincrank/internal/transport"
 )
 
-// TestHeldHandOver: jobs that waited behind a cut on their way to the owner run
+// TestDelayedDelivery: jobs that waited behind a cut on their way to the owner run
 // only if there's time left in them, counted from when they were sent, and not
 // from when they were read.
-func TestHeldHandOver(t *testing.T) {
+func TestDelayedDelivery(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		f := NewFleet(t, small(), 390)
@@ -29,47 +29,47 @@
 				line = l
 			}
 		}
-		g := task.New(t.Context())
+		tasks := task.New(t.Context())
 		// Its links stand for the whole of it.
-		front := transport.NewNode(transport.Hello{ClusterID: "puffin", Node: "held", Zone: "north", Role: "proxy"}, f.env("held", "10.0.9.5", "north", &n.skew), g, 1<<20, 4, time.Hour)
+		ingress := transport.NewNode(transport.Hello{ClusterID: "puffin", Node: "held", Zone: "north", Role: "proxy"}, f.env("held", "10.0.9.5", "north", &n.skew), tasks, 1<<20, 4, time.Hour)
 		class := ""
 		for _, p := range Read(f.S.Doc)["paths"].([]any) {
 			if p := p.(map[string]any); p["service"] == line.Service {
 				class, _ = p["class"].(string)
 			}
 		}
-		hand := func(i int, left time.Duration) error {
-			ctx, end := context.WithTimeout(t.Context(), left)
-			defer end()
-			b, err := transport.Call[protocol.AttemptResult](ctx, front, n.Host+":7002", "job.hand", protocol.AttemptRequest{RequestID: fmt.Sprint("held", i), AttemptID: fmt.Sprint("held", i, ".1"),
+		deliver := func(i int, timeout time.Duration) error {
+			ctx, cancel := context.WithTimeout(t.Context(), timeout)
+			defer cancel()
+			result, err := transport.Call[protocol.AttemptResult](ctx, ingress, n.Host+":7002", "job.hand", protocol.AttemptRequest{RequestID: fmt.Sprint("held", i), AttemptID: fmt.Sprint("held", i, ".1"),
 				ConfigVersion: 1, Service: line.Service, Class: class, Worker: n.Worker.ID, Method: line.Method, URI: line.URI, TimeoutMS: 60_000})
-			if err == nil && b.Outcome != protocol.Done {
-				t.Errorf("%+v", b)
+			if err == nil && result.Outcome != protocol.Done {
+				t.Errorf("%+v", result)
 			}
 			return err
 		}
-		if err := hand(0, time.Second); err != nil {
+		if err := deliver(0, time.Second); err != nil {
 			t.Fatal(err)
 		}
 		before := n.Worker.Ran()
 		f.Net.Cut("10.0.9.5", n.Host, true)
-		back := make(chan error, 2)
-		for i, left := range []time.Duration{time.Second, 4 * time.Second} {
-			go func() { back <- hand(i+1, left) }()
+		errs := make(chan error, 2)
+		for i, timeout := range []time.Duration{time.Second, 4 * time.Second} {
+			go func() { errs <- deliver(i+1, timeout) }()
 		}
 		Wait(2 * time.Second)
 		f.Net.Cut("10.0.9.5", n.Host, false)
-		if err := <-back; !fault.Is(err, fault.Unknown) {
+		if err := <-errs; !fault.Is(err, fault.Unknown) {
 			t.Errorf("the short one ended with %v", err)
 		}
-		if err := <-back; err != nil {
+		if err := <-errs; err != nil {
 			t.Errorf("the long one ended with %v", err)
 		}
 		Wait(time.Second)
 		if ran := n.Worker.Ran() - before; ran != 1 {
 			t.Errorf("%d of the two ran", ran)
 		}
-		front.Close()
-		g.Stop()
+		ingress.Close()
+		tasks.Stop()
 	})
 }
--- a/internal/sim/history_test.go
+++ b/internal/sim/history_test.go
@@ -16,16 +16,16 @@
 		f := NewFleet(t, small(), 140)
 		defer f.Stop()
 		f.Start()
-		at := f.Nodes[0].Host + ":7003"
+		addr := f.Nodes[0].Host + ":7003"
 		put := func() uint64 {
-			code, got := f.Ask("PUT", at, "/puffin/keys/h", `{"value":"x"}`)
+			code, got := f.Ask("PUT", addr, "/puffin/keys/h", `{"value":"x"}`)
 			if code != 200 {
 				t.Fatalf("put answered %d", code)
 			}
 			return uint64(got["rev"].(float64))
 		}
-		first := put()
-		from := time.Now()
+		firstRev := put()
+		start := time.Now()
 		Wait(5 * time.Second)
 		f.KillCore(f.mark(f.Writer()), true)
 		f.serves(10 * time.Second)
@@ -39,48 +39,48 @@
 		}
 		f.serves(15 * time.Second)
 		// Histories are trimmed when something is written.
-		for time.Since(from) < 20*time.Second {
-			f.Ask("PUT", at, "/puffin/keys/other", `{"value":"x"}`)
-			Wait(min(time.Second, 20*time.Second-time.Since(from)))
+		for time.Since(start) < 20*time.Second {
+			f.Ask("PUT", addr, "/puffin/keys/other", `{"value":"x"}`)
+			Wait(min(time.Second, 20*time.Second-time.Since(start)))
 		}
-		code, got := f.Get(at, fmt.Sprintf("/puffin/watch?prefix=h&from=%d", first))
-		list, _ := got["changes"].([]any)
-		if code != 200 || len(list) != 1 {
+		code, got := f.Get(addr, fmt.Sprintf("/puffin/watch?prefix=h&from=%d", firstRev))
+		changes, _ := got["changes"].([]any)
+		if code != 200 || len(changes) != 1 {
 			t.Errorf("a watch from 20 s ago: %d %v", code, got)
 		}
 		for range 60 {
 			put()
 			Wait(time.Second)
 		}
-		code, got = f.Get(at, fmt.Sprintf("/puffin/watch?prefix=h&from=%d", first))
+		code, got = f.Get(addr, fmt.Sprintf("/puffin/watch?prefix=h&from=%d", firstRev))
 		oldest, _ := got["oldest"].(float64)
-		if code != 410 || uint64(oldest) <= first {
+		if code != 410 || uint64(oldest) <= firstRev {
 			t.Errorf("a watch from a minute ago: %d %v", code, got)
 		}
-		code, got = f.Get(at, fmt.Sprintf("/puffin/watch?prefix=h&from=%.0f", oldest))
+		code, got = f.Get(addr, fmt.Sprintf("/puffin/watch?prefix=h&from=%.0f", oldest))
 		// The history may have been trimmed in between, once: a higher one is told.
-		if again, _ := got["oldest"].(float64); code == 410 && again > oldest {
-			code, _ = f.Get(at, fmt.Sprintf("/puffin/watch?prefix=h&from=%.0f", again))
+		if later, _ := got["oldest"].(float64); code == 410 && later > oldest {
+			code, _ = f.Get(addr, fmt.Sprintf("/puffin/watch?prefix=h&from=%.0f", later))
 		}
 		if code != 200 {
 			t.Errorf("a watch from the oldest: %d %v", code, got)
 		}
 
-		take := func(who string) int {
-			code, _ := f.Ask("POST", at, "/puffin/locks/l/acquire", `{"owner":"`+who+`","ttl_ms":3000}`)
+		acquire := func(owner string) int {
+			code, _ := f.Ask("POST", addr, "/puffin/locks/l/acquire", `{"owner":"`+owner+`","ttl_ms":3000}`)
 			return code
 		}
-		if code := take("a"); code != 200 {
+		if code := acquire("a"); code != 200 {
 			t.Fatalf("acquire answered %d", code)
 		}
 		Wait(2500 * time.Millisecond)
-		if code := take("b"); code != 409 {
+		if code := acquire("b"); code != 409 {
 			t.Errorf("taken before its time ran out: %d", code)
 		}
 		f.KillCore(f.mark(f.Writer()), true)
 		f.serves(10 * time.Second)
 		f.BackCore(f.marked)
-		f.Until(2*time.Second, "the lock is free again", func() bool { return take("c") == 200 })
+		f.Until(2*time.Second, "the lock is free again", func() bool { return acquire("c") == 200 })
 	})
 }
 
@@ -95,16 +95,16 @@
 		f := NewFleet(t, small(), 141)
 		defer f.Stop()
 		f.Start()
-		at := f.Nodes[0].Host + ":7003"
-		ask := func(who string) int {
-			code, _ := f.raw("POST", at, "/puffin/app/locks/l", `{"owner":"`+who+`","ttl_ms":9000}`)
+		addr := f.Nodes[0].Host + ":7003"
+		acquire := func(owner string) int {
+			code, _ := f.raw("POST", addr, "/puffin/app/locks/l", `{"owner":"`+owner+`","ttl_ms":9000}`)
 			return code
 		}
-		for round, gone := range [][]int{{}, {0}, {0, 1}, {0, 1, 2}} {
-			who := fmt.Sprint("a", round)
-			from := time.Now()
-			f.Until(5*time.Second, "the lock is taken", func() bool { from = time.Now(); return ask(who) == 200 })
-			for i := range gone {
+		for round, changes := range [][]int{{}, {0}, {0, 1}, {0, 1, 2}} {
+			owner := fmt.Sprint("a", round)
+			start := time.Now()
+			f.Until(5*time.Second, "the lock is taken", func() bool { start = time.Now(); return acquire(owner) == 200 })
+			for i := range changes {
 				Wait(2 * time.Second)
 				c := f.mark(f.Writer())
 				if i == 2 {
@@ -115,26 +115,26 @@
 					for _, c := range f.Cores {
 						f.BackCore(c)
 					}
-					from = time.Now()
+					start = time.Now()
 				} else {
 					f.KillCore(c, true)
 					f.serves(10 * time.Second)
 					f.BackCore(c)
 				}
 			}
-			f.Until(15*time.Second, "another gets it", func() bool { return ask("b") == 200 })
-			took := time.Since(from)
-			t.Logf("writers changed %d times: free %v after it was asked for", len(gone), took)
+			f.Until(15*time.Second, "another gets it", func() bool { return acquire("b") == 200 })
+			took := time.Since(start)
+			t.Logf("writers changed %d times: free %v after it was asked for", len(changes), took)
 			if took < 9*time.Second || took > 9*time.Second+150*time.Millisecond {
-				t.Errorf("after %d changes of writer: free after %v", len(gone), took)
+				t.Errorf("after %d changes of writer: free after %v", len(changes), took)
 			}
-			if code, _ := f.raw("PUT", at, "/puffin/app/locks/l", `{"owner":"`+who+`","fence":1,"ttl_ms":9000}`); code != 409 {
+			if code, _ := f.raw("PUT", addr, "/puffin/app/locks/l", `{"owner":"`+owner+`","fence":1,"ttl_ms":9000}`); code != 409 {
 				t.Errorf("the one before can renew: %d", code)
 			}
-			if f.raw("DELETE", at, "/puffin/app/locks/l", fmt.Sprintf(`{"owner":"b","fence":%d}`, f.fence("l"))); ask("c") != 200 {
+			if f.raw("DELETE", addr, "/puffin/app/locks/l", fmt.Sprintf(`{"owner":"b","fence":%d}`, f.fence("l"))); acquire("c") != 200 {
 				t.Error("not given back")
 			}
-			f.raw("DELETE", at, "/puffin/app/locks/l", fmt.Sprintf(`{"owner":"c","fence":%d}`, f.fence("l")))
+			f.raw("DELETE", addr, "/puffin/app/locks/l", fmt.Sprintf(`{"owner":"c","fence":%d}`, f.fence("l")))
 		}
 	})
 }
@@ -142,6 +142,6 @@
 // fence reads who holds a lock under which fence.
 func (f *Fleet) fence(lock string) int {
 	_, got := f.Get(f.Nodes[0].Host+":7003", "/puffin/locks/"+lock)
-	n, _ := got["fence"].(float64)
-	return int(n)
+	fence, _ := got["fence"].(float64)
+	return int(fence)
 }
--- a/internal/sim/largestate_test.go
+++ b/internal/sim/largestate_test.go
@@ -19,67 +19,67 @@
 func (l *lab) fillState(bytes int) map[string]uint64 {
 	const size = 60 << 10
 	value := strings.Repeat("x", size)
-	out := map[string]uint64{}
+	revisions := map[string]uint64{}
 	for i := range bytes / size {
 		key := fmt.Sprint("large", i)
-		at := l.Cores[i%3]
+		core := l.Cores[i%3]
 		for range 10 {
-			if rev := l.put(at, key, key+value[len(key):]); rev > 0 {
-				out[key] = rev
+			if rev := l.put(core, key, key+value[len(key):]); rev > 0 {
+				revisions[key] = rev
 				break
 			}
 			Wait(50 * time.Millisecond)
 		}
 	}
-	if len(out) < bytes/size {
-		l.T.Fatalf("%d of %d large keys were taken", len(out), bytes/size)
+	if len(revisions) < bytes/size {
+		l.T.Fatalf("%d of %d large keys were taken", len(revisions), bytes/size)
 	}
-	return out
+	return revisions
 }
 
 // keepWriting writes a small key every so often until it is stopped, and tells
 // how many were acknowledged and the longest time that one took.
-func (l *lab) keepWriting(every time.Duration) (stop func() (acknowledged int, slowest time.Duration)) {
-	ctx, end := context.WithCancel(context.Background())
-	var wait sync.WaitGroup
+func (l *lab) keepWriting(interval time.Duration) (stop func() (acknowledged int, slowest time.Duration)) {
+	ctx, cancel := context.WithCancel(context.Background())
+	var running sync.WaitGroup
 	var mu sync.Mutex
-	n, slowest := 0, time.Duration(0)
-	wait.Add(1)
+	count, slowest := 0, time.Duration(0)
+	running.Add(1)
 	go func() {
-		defer wait.Done()
+		defer running.Done()
 		for i := 0; ctx.Err() == nil; i++ {
-			Wait(every)
-			all := l.cores()
-			at := all[i%len(all)]
-			if _, r := l.runs(at); r == nil {
+			Wait(interval)
+			cores := l.cores()
+			core := cores[i%len(cores)]
+			if _, r := l.runs(core); r == nil {
 				continue
 			}
-			wait.Add(1)
+			running.Add(1)
 			go func() {
-				defer wait.Done()
-				from := time.Now()
-				if l.put(at, fmt.Sprint("small", i%100), "v") > 0 {
+				defer running.Done()
+				start := time.Now()
+				if l.put(core, fmt.Sprint("small", i%100), "v") > 0 {
 					mu.Lock()
-					n++
-					slowest = max(slowest, time.Since(from))
+					count++
+					slowest = max(slowest, time.Since(start))
 					mu.Unlock()
 				}
 			}()
 		}
 	}()
 	return func() (int, time.Duration) {
-		end()
-		wait.Wait()
-		return n, slowest
+		cancel()
+		running.Wait()
+		return count, slowest
 	}
 }
 
-// holdsLarge fails the test if a large key has not the revision that was
+// checkLargeKeys fails the test if a large key has not the revision that was
 // acknowledged.
-func (l *lab) holdsLarge(at *Core, all map[string]uint64) {
+func (l *lab) checkLargeKeys(core *Core, revisions map[string]uint64) {
 	l.T.Helper()
-	for key, rev := range all {
-		code, got := l.Get(at.Host+":7003", "/puffin/keys/"+key+"?left_ms=3000")
+	for key, rev := range revisions {
+		code, got := l.Get(core.Host+":7003", "/puffin/keys/"+key+"?left_ms=3000")
 		value, _ := got["value"].(string)
 		if code != 200 || got["rev"] != float64(rev) || !strings.HasPrefix(value, key) {
 			l.T.Fatalf("%s: %d, revision %v, was acknowledged with %d", key, code, got["rev"], rev)
@@ -89,11 +89,11 @@
 
 // isMember tells whether a machine's store has a place and has applied all but so many entries.
 func (l *lab) isMember(c, leader *Core, lag float64) bool {
-	_, mine := l.Get(c.Host+":7004", "/puffin/ready")
-	_, its := l.Get(leader.Host+":7004", "/puffin/ready")
-	a, _ := mine["version_slot"].(float64)
-	b, _ := its["version_slot"].(float64)
-	return mine["role"] == "follow" && l.places()[c.Host] && a > 0 && a+lag >= b
+	_, ready := l.Get(c.Host+":7004", "/puffin/ready")
+	_, leaderReady := l.Get(leader.Host+":7004", "/puffin/ready")
+	applied, _ := ready["version_slot"].(float64)
+	leaderApplied, _ := leaderReady["version_slot"].(float64)
+	return ready["role"] == "follow" && l.places()[c.Host] && applied > 0 && applied+lag >= leaderApplied
 }
 
 // TestLargeStateRefilled: a state larger than any message is fetched in chunks by
@@ -124,7 +124,7 @@
 				l.up()
 				l.Until(4*time.Second, "all places are taken", func() bool { return len(l.places()) == c.cores })
 				l.Stores["founding"] = false
-				all := l.fillState(c.mib << 20)
+				written := l.fillState(c.mib << 20)
 				for _, o := range l.Cores {
 					if c.rate > 0 {
 						l.Net.Thin(o.Host, c.rate)
@@ -137,7 +137,7 @@
 				l.KillCore(lost, true)
 				lost.Disk.Wipe()
 				Wait(300 * time.Millisecond)
-				from := time.Now()
+				start := time.Now()
 				l.BackCore(lost)
 				if c.kill {
 					Wait(60 * time.Millisecond)
@@ -149,7 +149,7 @@
 					w := l.Writer()
 					return w != nil && l.isMember(lost, w, 64)
 				})
-				took := time.Since(from)
+				took := time.Since(start)
 				n, slowest := stop()
 				t.Logf("whole after %v; %d writes meanwhile, the slowest took %v", took.Round(time.Millisecond), n, slowest.Round(time.Millisecond))
 				if n < 50 {
@@ -163,7 +163,7 @@
 					}
 				}
 				l.next(8 * time.Second)
-				l.holdsLarge(lost, all)
+				l.checkLargeKeys(lost, written)
 			})
 		})
 	}
@@ -180,12 +180,12 @@
 		defer l.Stop()
 		l.up()
 		value := strings.Repeat("y", 60<<10)
-		taken, refused := 0, 0
+		accepted, refused := 0, 0
 		for i := range 30 {
 			code, got := l.Ask("PUT", l.Cores[i%3].Host+":7003", fmt.Sprintf("/puffin/keys/k%d?left_ms=1000", i), fmt.Sprintf(`{"value":%q}`, value))
 			switch {
 			case code == 200 && refused == 0:
-				taken++
+				accepted++
 			case code == 503:
 				refused++
 				if warned := l.count(event.StateLarge); warned == 0 {
@@ -195,18 +195,18 @@
 				t.Errorf("key %d: %d %v", i, code, got)
 			}
 		}
-		if taken < 5 || refused < 5 {
-			t.Fatalf("%d were taken and %d refused", taken, refused)
+		if accepted < 5 || refused < 5 {
+			t.Fatalf("%d were taken and %d refused", accepted, refused)
 		}
-		at := l.Cores[0].Host + ":7003"
-		if code, _ := l.Ask("DELETE", at, "/puffin/keys/k0", ""); code != 200 {
+		addr := l.Cores[0].Host + ":7003"
+		if code, _ := l.Ask("DELETE", addr, "/puffin/keys/k0", ""); code != 200 {
 			t.Errorf("a delete: %d", code)
 		}
-		if code, _ := l.Get(at, "/puffin/keys/k1"); code != 200 {
+		if code, _ := l.Get(addr, "/puffin/keys/k1"); code != 200 {
 			t.Errorf("a read: %d", code)
 		}
 		for i := range 3 {
-			l.Ask("DELETE", at, fmt.Sprintf("/puffin/keys/k%d", i+1), "")
+			l.Ask("DELETE", addr, fmt.Sprintf("/puffin/keys/k%d", i+1), "")
 		}
 		// History goes after its time, and makes room.
 		l.Until(60*time.Second, "there is room again", func() bool { return l.put(l.Cores[0], "small", "v") > 0 })
--- a/internal/sim/lastword_test.go
+++ b/internal/sim/lastword_test.go
@@ -10,11 +10,11 @@
 	"puffincrank/internal/standin"
 )
 
-// TestLastWord: jobs at a front that is stopped take longer than its grace. When
+// TestCallersAnsweredAtShutdown: jobs at a front that is stopped take longer than its grace. When
 // it can't wait any longer, each caller gets a whole answer; none finds its
 // connection just closed. Seen with large answers on thin links, which came to
 // their front only after it had ended.
-func TestLastWord(t *testing.T) {
+func TestCallersAnsweredAtShutdown(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		s := Fumettoteca(0.1)
@@ -23,17 +23,17 @@
 		f := NewFleet(t, s, 73)
 		defer f.Stop()
 		f.Start()
-		n := f.Nodes[0]
-		own := standin.NewCallers(f.env("own", n.Host, n.Area, &n.skew), []string{n.Host + ":8000"}, nil, 50*time.Second)
-		ends := make(chan standin.Call, 20)
-		for range cap(ends) {
-			f.g.Go("call", func(context.Context) { ends <- own.At(n.Host+":8000", s.Lines[2]) })
+		node := f.Nodes[0]
+		callers := standin.NewCallers(f.env("own", node.Host, node.Area, &node.skew), []string{node.Host + ":8000"}, nil, 50*time.Second)
+		results := make(chan standin.Call, 20)
+		for range cap(results) {
+			f.g.Go("call", func(context.Context) { results <- callers.At(node.Host+":8000", s.Lines[2]) })
 		}
 		Wait(500 * time.Millisecond)
-		n.Proxy.Stop()
+		node.Proxy.Stop()
 		Wait(time.Second)
-		for range cap(ends) {
-			if c := <-ends; c.Status == 0 || c.Cut || c.Status == 200 {
+		for range cap(results) {
+			if c := <-results; c.Status == 0 || c.Cut || c.Status == 200 {
 				t.Errorf("a caller got %d (cut off: %v) after %v", c.Status, c.Cut, c.To.Sub(c.From))
 			}
 		}
--- a/internal/sim/lateapp_test.go
+++ b/internal/sim/lateapp_test.go
@@ -12,24 +12,24 @@
 // Then what held the release up goes away. The lock stays its own.
 func TestLateApp(t *testing.T) {
 	t.Parallel()
-	freeze := func(process string) func(*Fleet, bool) {
+	pause := func(process string) func(*Fleet, bool) {
 		return func(f *Fleet, on bool) { f.Net.Freeze(process, on) }
 	}
 	for _, c := range []struct {
-		name string
-		by   func(f *Fleet, off *Core) string // by whom it is given back
-		hold func(f *Fleet, off *Core) func(*Fleet, bool)
-		long time.Duration // how long the fault lasts
+		name        string
+		releaseAddr func(f *Fleet, follower *Core) string // by whom it is given back
+		disrupt     func(f *Fleet, follower *Core) func(*Fleet, bool)
+		duration    time.Duration // how long the fault lasts
 	}{
-		{"control node frozen", atCore, func(_ *Fleet, off *Core) func(*Fleet, bool) { return freeze("core-" + off.Host) }, 1050 * time.Millisecond},
-		{"control node frozen for long", atCore, func(_ *Fleet, off *Core) func(*Fleet, bool) { return freeze("core-" + off.Host) }, 4 * time.Second},
+		{"control node frozen", viaControlNode, func(_ *Fleet, follower *Core) func(*Fleet, bool) { return pause("core-" + follower.Host) }, 1050 * time.Millisecond},
+		{"control node frozen for long", viaControlNode, func(_ *Fleet, follower *Core) func(*Fleet, bool) { return pause("core-" + follower.Host) }, 4 * time.Second},
 		{"node frozen", func(f *Fleet, _ *Core) string { return f.Nodes[0].Host + ":7003" },
-			func(f *Fleet, _ *Core) func(*Fleet, bool) { return freeze("node-" + f.Nodes[0].Host) }, 1050 * time.Millisecond},
-		{"control node cut off from the stores", atCore, func(_ *Fleet, off *Core) func(*Fleet, bool) {
+			func(f *Fleet, _ *Core) func(*Fleet, bool) { return pause("node-" + f.Nodes[0].Host) }, 1050 * time.Millisecond},
+		{"control node cut off from the stores", viaControlNode, func(_ *Fleet, follower *Core) func(*Fleet, bool) {
 			return func(f *Fleet, on bool) {
 				for _, o := range f.Cores {
-					if o != off {
-						f.Net.Cut(off.Host, o.Host, on)
+					if o != follower {
+						f.Net.Cut(follower.Host, o.Host, on)
 					}
 				}
 			}
@@ -41,9 +41,9 @@
 				}
 			}
 		}, 1050 * time.Millisecond},
-		{"writer frozen", atCore, func(f *Fleet, _ *Core) func(*Fleet, bool) { return freeze("store-" + f.Writer().Host) }, 1050 * time.Millisecond},
-		{"writer frozen for long", atCore, func(f *Fleet, _ *Core) func(*Fleet, bool) { return freeze("store-" + f.Writer().Host) }, 4 * time.Second},
-		{"writer's machine cut off", atCore, func(f *Fleet, _ *Core) func(*Fleet, bool) {
+		{"writer frozen", viaControlNode, func(f *Fleet, _ *Core) func(*Fleet, bool) { return pause("store-" + f.Writer().Host) }, 1050 * time.Millisecond},
+		{"writer frozen for long", viaControlNode, func(f *Fleet, _ *Core) func(*Fleet, bool) { return pause("store-" + f.Writer().Host) }, 4 * time.Second},
+		{"writer's machine cut off", viaControlNode, func(f *Fleet, _ *Core) func(*Fleet, bool) {
 			w := f.Writer()
 			return func(f *Fleet, on bool) {
 				for _, o := range f.Cores {
@@ -62,44 +62,44 @@
 				defer f.Stop()
 				f.Start()
 				f.Until(5*time.Second, "somebody writes", func() bool { return f.Writer() != nil })
-				var off, on *Core
+				var follower, on *Core
 				for _, o := range f.Cores {
-					if o != f.Writer() && off == nil {
-						off = o
+					if o != f.Writer() && follower == nil {
+						follower = o
 					} else {
 						on = o
 					}
 				}
-				at := on.Host + ":7003"
-				take := func(who string) int {
-					code, _ := f.raw("POST", at, "/puffin/app/locks/l", `{"owner":"`+who+`","ttl_ms":30000}`)
+				addr := on.Host + ":7003"
+				acquire := func(owner string) int {
+					code, _ := f.raw("POST", addr, "/puffin/app/locks/l", `{"owner":"`+owner+`","ttl_ms":30000}`)
 					return code
 				}
-				if code := take("x"); code != 200 {
+				if code := acquire("x"); code != 200 {
 					t.Fatal(code)
 				}
-				hold := c.hold(f, off)
-				hold(f, true)
-				from := time.Now()
-				go f.raw("DELETE", c.by(f, off), "/puffin/app/locks/l", `{"owner":"x","fence":1}`)
+				disrupt := c.disrupt(f, follower)
+				disrupt(f, true)
+				start := time.Now()
+				go f.raw("DELETE", c.releaseAddr(f, follower), "/puffin/app/locks/l", `{"owner":"x","fence":1}`)
 				// The client's silence; then it turns elsewhere until it is clear.
 				Wait(time.Second)
-				over := make(chan bool)
+				done := make(chan bool)
 				go func() {
-					for take("x") != 200 {
+					for acquire("x") != 200 {
 						Wait(50 * time.Millisecond)
 					}
-					over <- true
+					done <- true
 				}()
-				Wait(c.long - time.Since(from))
-				hold(f, false)
-				<-over
+				Wait(c.duration - time.Since(start))
+				disrupt(f, false)
+				<-done
 				fence := f.fence("l")
 				Wait(3 * time.Second)
-				if code := take("y"); code != 409 {
+				if code := acquire("y"); code != 409 {
 					t.Errorf("a late release freed the lock for another: %d", code)
 				}
-				if code, got := f.raw("PUT", at, "/puffin/app/locks/l", fmt.Sprintf(`{"owner":"x","fence":%d,"ttl_ms":30000}`, fence)); code != 200 {
+				if code, got := f.raw("PUT", addr, "/puffin/app/locks/l", fmt.Sprintf(`{"owner":"x","fence":%d,"ttl_ms":30000}`, fence)); code != 200 {
 					t.Errorf("the holder can't renew: %d %s", code, got)
 				}
 			})
@@ -107,4 +107,4 @@
 	}
 }
 
-func atCore(_ *Fleet, off *Core) string { return off.Host + ":7003" }
+func viaControlNode(_ *Fleet, follower *Core) string { return follower.Host + ":7003" }
--- a/internal/sim/leftbusy_test.go
+++ b/internal/sim/leftbusy_test.go
@@ -24,13 +24,13 @@
 				l.up()
 				l.Until(4*time.Second, "all places are taken", func() bool { return len(l.places()) == 3 })
 				l.Stores["founding"] = false
-				w := l.Writer()
-				lost := l.Cores[slices.IndexFunc(l.Cores, func(c *Core) bool { return (c == w) == (seed%4 == 0) })]
-				fresh := l.fresh(lost)
-				l.BackCore(fresh)
-				over := make(chan struct{})
+				leader := l.Writer()
+				leaving := l.Cores[slices.IndexFunc(l.Cores, func(c *Core) bool { return (c == leader) == (seed%4 == 0) })]
+				replacement := l.fresh(leaving)
+				l.BackCore(replacement)
+				done := make(chan struct{})
 				l.g.Go("busy", func(context.Context) {
-					defer close(over)
+					defer close(done)
 					for i := range 1000 {
 						at := l.Cores[i%3]
 						l.g.Go("put", func(context.Context) { l.put(at, fmt.Sprint("busy", i), "v") })
@@ -38,20 +38,20 @@
 					}
 				})
 				Wait(2*time.Second + time.Duration(seed)*37*time.Millisecond)
-				began := time.Now()
-				l.g.Go("leave", func(context.Context) { lost.Store.Stop() })
+				start := time.Now()
+				l.g.Go("leave", func(context.Context) { leaving.Store.Stop() })
 				l.Until(3*time.Second, "the place is taken", func() bool {
 					at := l.places()
-					return at[fresh.Host] && !at[lost.Host]
+					return at[replacement.Host] && !at[leaving.Host]
 				})
-				took := time.Since(began)
+				took := time.Since(start)
 				t.Logf("the place is taken after %v", took.Round(time.Millisecond))
 				if took > 500*time.Millisecond {
 					t.Errorf("the place of one that left was free for %v", took)
 				}
-				<-over
-				lost.Registry.Stop()
-				l.KillCore(lost, true)
+				<-done
+				leaving.Registry.Stop()
+				l.KillCore(leaving, true)
 			})
 		})
 	}
--- a/internal/sim/linear_test.go
+++ b/internal/sim/linear_test.go
@@ -13,46 +13,46 @@
 
 // keyOps drives one key from several callers through random nodes and records
 // what each saw.
-func (f *Fleet) keyOps(key string, seed uint64, long time.Duration) []standin.Op {
+func (f *Fleet) keyOps(key string, seed uint64, duration time.Duration) []standin.Op {
 	var mu sync.Mutex
-	var all []standin.Op
-	var wait sync.WaitGroup
-	end := time.Now().Add(long)
+	var ops []standin.Op
+	var running sync.WaitGroup
+	end := time.Now().Add(duration)
 	for i := range 4 {
-		wait.Add(1)
+		running.Add(1)
 		go func() {
-			defer wait.Done()
+			defer running.Done()
 			rnd := rand.New(rand.NewPCG(seed, uint64(i)))
 			for n := 0; time.Now().Before(end); n++ {
-				at := f.Nodes[rnd.IntN(len(f.Nodes))].Host + ":7003"
+				addr := f.Nodes[rnd.IntN(len(f.Nodes))].Host + ":7003"
 				if rnd.IntN(3) == 0 {
-					at = f.Cores[rnd.IntN(3)].Host + ":7003"
+					addr = f.Cores[rnd.IntN(3)].Host + ":7003"
 				}
 				op := standin.Op{Key: key, From: time.Now()}
 				uri := "/puffin/keys/" + key + "?left_ms=1500"
 				if rnd.IntN(2) == 0 {
 					op.Write, op.Value = true, fmt.Sprintf("%d-%d", i, n)
-					code, _ := f.Ask("PUT", at, uri, fmt.Sprintf(`{"value":%q}`, op.Value))
+					code, _ := f.Ask("PUT", addr, uri, fmt.Sprintf(`{"value":%q}`, op.Value))
 					op.Unknown = code != 200
 					// Refused for certain: as if it had never been.
 					if code == 503 {
 						continue
 					}
 				} else {
-					code, got := f.Ask("GET", at, uri, "")
+					code, got := f.Ask("GET", addr, uri, "")
 					op.Unknown = code != 200 && code != 404
 					op.Value, _ = got["value"].(string)
 				}
 				op.To = time.Now()
 				mu.Lock()
-				all = append(all, op)
+				ops = append(ops, op)
 				mu.Unlock()
 				Wait(time.Duration(100+rnd.IntN(300)) * time.Millisecond)
 			}
 		}()
 	}
-	wait.Wait()
-	return all
+	running.Wait()
+	return ops
 }
 
 // TestLinearizable: histories of a key, recorded through any node while the
@@ -68,9 +68,9 @@
 				defer f.Stop()
 				f.Start()
 				rnd := rand.New(rand.NewPCG(seed, 99))
-				over := make(chan struct{})
+				done := make(chan struct{})
 				go func() {
-					defer close(over)
+					defer close(done)
 					for range 4 {
 						Wait(time.Duration(1+rnd.IntN(2)) * time.Second)
 						c := f.Cores[rnd.IntN(3)]
@@ -95,7 +95,7 @@
 					}
 				}()
 				ops := f.keyOps("k", seed, 18*time.Second)
-				<-over
+				<-done
 				known := 0
 				for _, o := range ops {
 					if !o.Unknown {
--- a/internal/sim/locks_test.go
+++ b/internal/sim/locks_test.go
@@ -9,33 +9,33 @@
 	"time"
 )
 
-// hold is a time for which a client was sure that it held a lock: from the
+// clientHold is a time for which a client was sure that it held a lock: from the
 // answer until its time to live, counted from before it asked, ran out.
-type hold struct {
-	lock, who string
-	fence     float64
-	from, to  time.Time
+type clientHold struct {
+	lock, client string
+	fence        float64
+	start, end   time.Time
 }
 
-// clients take, renew, give back and forget locks, and tell what they held.
-func (f *Fleet) clients(count int, seed uint64, long time.Duration) []hold {
+// runLockClients take, renew, give back and forget locks, and tell what they held.
+func (f *Fleet) runLockClients(count int, seed uint64, duration time.Duration) []clientHold {
 	var mu sync.Mutex
-	var all []hold
-	var wait sync.WaitGroup
-	end := time.Now().Add(long)
+	var holds []clientHold
+	var running sync.WaitGroup
+	end := time.Now().Add(duration)
 	for i := range count {
-		wait.Add(1)
+		running.Add(1)
 		go func() {
-			defer wait.Done()
+			defer running.Done()
 			rnd := rand.New(rand.NewPCG(seed, uint64(i)))
-			who := fmt.Sprint("client", i)
+			client := fmt.Sprint("client", i)
 			for time.Now().Before(end) {
 				Wait(time.Duration(rnd.IntN(300)) * time.Millisecond)
 				lock := fmt.Sprint("l", rnd.IntN(2))
 				ask := func(op string, ttl time.Duration, fence float64) (int, float64) {
-					at := f.Nodes[rnd.IntN(len(f.Nodes))].Host + ":7003"
-					code, got := f.Ask("POST", at, "/puffin/locks/"+lock+"/"+op+"?left_ms=2500",
-						fmt.Sprintf(`{"owner":%q,"ttl_ms":%d,"fence":%.0f}`, who, ttl.Milliseconds(), fence))
+					addr := f.Nodes[rnd.IntN(len(f.Nodes))].Host + ":7003"
+					code, got := f.Ask("POST", addr, "/puffin/locks/"+lock+"/"+op+"?left_ms=2500",
+						fmt.Sprintf(`{"owner":%q,"ttl_ms":%d,"fence":%.0f}`, client, ttl.Milliseconds(), fence))
 					n, _ := got["fence"].(float64)
 					return code, n
 				}
@@ -45,37 +45,37 @@
 				if code != 200 || time.Since(sent) > ttl {
 					continue
 				}
-				h := hold{lock, who, fence, time.Now(), sent.Add(ttl)}
+				h := clientHold{lock, client, fence, time.Now(), sent.Add(ttl)}
 				for range rnd.IntN(3) {
 					Wait(time.Duration(rnd.IntN(400)) * time.Millisecond)
 					// A renewal, at times for less than what is left.
-					if sent = time.Now(); sent.After(h.to) {
+					if sent = time.Now(); sent.After(h.end) {
 						break
 					}
 					ttl = time.Duration(100+rnd.IntN(2000)) * time.Millisecond
 					code, _ = ask("renew", ttl, fence)
-					if code == 200 && sent.Add(ttl).After(h.to) {
-						h.to = sent.Add(ttl)
+					if code == 200 && sent.Add(ttl).After(h.end) {
+						h.end = sent.Add(ttl)
 					}
 					if code == 404 || code == 409 {
-						h.to = earlier(h.to, time.Now())
+						h.end = earlier(h.end, time.Now())
 					}
 				}
 				if rnd.IntN(2) == 0 {
-					h.to = earlier(h.to, time.Now())
+					h.end = earlier(h.end, time.Now())
 					ask("release", ttl, fence)
 				} else {
 					// A holder that is frozen past its time gives nothing back.
-					Wait(time.Until(h.to))
+					Wait(time.Until(h.end))
 				}
 				mu.Lock()
-				all = append(all, h)
+				holds = append(holds, h)
 				mu.Unlock()
 			}
 		}()
 	}
-	wait.Wait()
-	return all
+	running.Wait()
+	return holds
 }
 
 func earlier(a, b time.Time) time.Time {
@@ -98,51 +98,51 @@
 				defer f.Stop()
 				f.Start()
 				rnd := rand.New(rand.NewPCG(seed, 31))
-				over := make(chan []hold)
-				go func() { over <- f.clients(6, seed, 40*time.Second) }()
+				done := make(chan []clientHold)
+				go func() { done <- f.runLockClients(6, seed, 40*time.Second) }()
 				for range 7 {
 					Wait(time.Duration(1000+rnd.IntN(2500)) * time.Millisecond)
 					c := f.Writer()
 					if c == nil {
 						continue
 					}
-					long := time.Duration(500+rnd.IntN(2500)) * time.Millisecond
+					outage := time.Duration(500+rnd.IntN(2500)) * time.Millisecond
 					switch rnd.IntN(4) {
 					case 0:
 						f.Net.Freeze("store-"+c.Host, true)
-						Wait(long)
+						Wait(outage)
 						f.Net.Freeze("store-"+c.Host, false)
 					case 1:
 						f.KillCore(c, true)
-						Wait(long)
+						Wait(outage)
 						f.BackCore(c)
 					case 2:
 						f.Net.Isolate(c.Host, true)
-						Wait(long)
+						Wait(outage)
 						f.Net.Isolate(c.Host, false)
 					case 3:
 						// Answers to callers stand still on their way.
 						for _, n := range f.Nodes {
 							f.Net.Cut(n.Host, "10.0.9.9", true)
 						}
-						Wait(long)
+						Wait(outage)
 						for _, n := range f.Nodes {
 							f.Net.Cut(n.Host, "10.0.9.9", false)
 						}
 					}
 				}
-				all := <-over
-				for i, a := range all {
-					for _, b := range all[:i] {
-						if a.lock == b.lock && a.fence != b.fence && a.from.Before(b.to) && b.from.Before(a.to) {
-							t.Errorf("%s held by %s and %s at once for %v", a.lock, a.who, b.who, earlier(a.to, b.to).Sub(a.from))
+				holds := <-done
+				for i, a := range holds {
+					for _, b := range holds[:i] {
+						if a.lock == b.lock && a.fence != b.fence && a.start.Before(b.end) && b.start.Before(a.end) {
+							t.Errorf("%s held by %s and %s at once for %v", a.lock, a.client, b.client, earlier(a.end, b.end).Sub(a.start))
 						}
 					}
 				}
-				if len(all) < 40 {
-					t.Errorf("only %d holds", len(all))
+				if len(holds) < 40 {
+					t.Errorf("only %d holds", len(holds))
 				}
-				t.Logf("%d holds", len(all))
+				t.Logf("%d holds", len(holds))
 			})
 		})
 	}
@@ -158,32 +158,32 @@
 		defer f.Stop()
 		f.Start()
 		a, b := f.Nodes[0], f.Nodes[1]
-		take := func(who string) (int, float64) {
-			code, got := f.Ask("POST", a.Host+":7003", "/puffin/locks/l/acquire", `{"owner":"`+who+`","ttl_ms":20000}`)
+		acquire := func(owner string) (int, float64) {
+			code, got := f.Ask("POST", a.Host+":7003", "/puffin/locks/l/acquire", `{"owner":"`+owner+`","ttl_ms":20000}`)
 			n, _ := got["fence"].(float64)
 			return code, n
 		}
-		code, one := take("x")
+		code, firstFence := acquire("x")
 		if code != 200 {
 			t.Fatal(code)
 		}
 		for _, c := range f.Cores {
 			f.Net.Cut(b.Host, c.Host, true)
 		}
-		go f.Ask("POST", b.Host+":7003", "/puffin/locks/l/release?left_ms=9000", fmt.Sprintf(`{"owner":"x","fence":%.0f}`, one))
+		go f.Ask("POST", b.Host+":7003", "/puffin/locks/l/release?left_ms=9000", fmt.Sprintf(`{"owner":"x","fence":%.0f}`, firstFence))
 		Wait(300 * time.Millisecond)
-		code, two := take("x")
-		if code != 200 || two <= one {
-			t.Fatalf("acquired again: %d, fence %.0f after %.0f", code, two, one)
+		code, secondFence := acquire("x")
+		if code != 200 || secondFence <= firstFence {
+			t.Fatalf("acquired again: %d, fence %.0f after %.0f", code, secondFence, firstFence)
 		}
 		for _, c := range f.Cores {
 			f.Net.Cut(b.Host, c.Host, false)
 		}
 		Wait(time.Second)
-		if code, _ := take("y"); code != 409 {
+		if code, _ := acquire("y"); code != 409 {
 			t.Errorf("a late release freed the lock for another: %d", code)
 		}
-		if code, got := f.Ask("POST", a.Host+":7003", "/puffin/locks/l/renew", fmt.Sprintf(`{"owner":"x","fence":%.0f}`, two)); code != 200 {
+		if code, got := f.Ask("POST", a.Host+":7003", "/puffin/locks/l/renew", fmt.Sprintf(`{"owner":"x","fence":%.0f}`, secondFence)); code != 200 {
 			t.Errorf("the owner can't renew: %d %v", code, got)
 		}
 	})
--- a/internal/sim/logsteps_test.go
+++ b/internal/sim/logsteps_test.go
@@ -11,21 +11,21 @@
 	"time"
 )
 
-// longDoc has so many paths; one of them, by n, is changed.
-func longDoc(paths, n int) string {
+// documentWithRoutes has so many paths; one of them, by n, is changed.
+func documentWithRoutes(routes, change int) string {
 	var rows []string
-	for i := range paths {
-		left := 900
-		if i == n%paths {
-			left += 1 + n%50
+	for i := range routes {
+		timeout := 900
+		if i == change%routes {
+			timeout += 1 + change%50
 		}
-		rows = append(rows, fmt.Sprintf(`{"name":"path-%d","method":"GET","prefix":"/p/%d","service":"pages","class":"all","left_ms":%d}`, i, i, left))
+		rows = append(rows, fmt.Sprintf(`{"name":"path-%d","method":"GET","prefix":"/p/%d","service":"pages","class":"all","left_ms":%d}`, i, i, timeout))
 	}
 	return `{"services":[{"name":"pages"}],"classes":[{"name":"all","share":100}],"paths":[` + strings.Join(rows, ",") + `]}`
 }
 
-// accepted sums the bytes by which stores told each other of versions.
-func (l *lab) accepted() (n int64) {
+// acceptBytes sums the bytes by which stores told each other of versions.
+func (l *lab) acceptBytes() (n int64) {
 	for _, c := range l.Cores {
 		if c.Store == nil {
 			continue
@@ -39,13 +39,13 @@
 	return n
 }
 
-// TestLogSteps: a change of one row costs each voter the same bytes however
+// TestConfigChangeLogSize: a change of one row costs each voter the same bytes however
 // long the document is; the writer is lost, a wiped store is refilled and all
 // power goes in between, and the document that stands is still the one sent.
-func TestLogSteps(t *testing.T) {
+func TestConfigChangeLogSize(t *testing.T) {
 	t.Parallel()
-	var cost []float64
-	for _, paths := range []int{100, 200, 400, 800} {
+	var bytesPerChange []float64
+	for _, routes := range []int{100, 200, 400, 800} {
 		synctest.Test(t, func(t *testing.T) {
 			l := newLab(t, 840, 3, 1)
 			defer l.Stop()
@@ -53,7 +53,7 @@
 			l.up()
 			version := uint64(0)
 			change := func() {
-				doc := longDoc(paths, int(version))
+				doc := documentWithRoutes(routes, int(version))
 				l.Until(5*time.Second, "a change is acknowledged", func() bool {
 					code, v := l.Apply(l.Cores[1].Host+":7003", version, doc)
 					if code == 200 {
@@ -64,16 +64,16 @@
 			}
 			change()
 			Wait(time.Second)
-			from := l.accepted()
+			sentBefore := l.acceptBytes()
 			for range 10 {
 				change()
 			}
-			cost = append(cost, float64(l.accepted()-from)/20)
+			bytesPerChange = append(bytesPerChange, float64(l.acceptBytes()-sentBefore)/20)
 			l.Stores["founding"] = false
-			w := l.mark(l.Writer())
-			l.KillCore(w, true)
-			w.Disk.Wipe()
-			l.BackCore(w)
+			leader := l.mark(l.Writer())
+			l.KillCore(leader, true)
+			leader.Disk.Wipe()
+			l.BackCore(leader)
 			change()
 			l.Until(4*time.Second, "all stores are ready", func() bool { return l.settled(3) })
 			change()
@@ -85,19 +85,19 @@
 			}
 			change()
 			var want any
-			if err := json.Unmarshal([]byte(longDoc(paths, int(version)-1)), &want); err != nil {
+			if err := json.Unmarshal([]byte(documentWithRoutes(routes, int(version)-1)), &want); err != nil {
 				t.Fatal(err)
 			}
 			code, got := l.Get(l.Cores[0].Host+":7003", "/puffin/config")
 			if code != 200 || got["version"] != float64(version) || !reflect.DeepEqual(got["document"], want) {
-				t.Errorf("%d paths: %d, version %v, not the document that was sent as %d", paths, code, got["version"], version)
+				t.Errorf("%d paths: %d, version %v, not the document that was sent as %d", routes, code, got["version"], version)
 			}
 		})
 	}
-	t.Logf("bytes for each other voter and change: %.0f", cost)
-	for _, c := range cost {
-		if math.Abs(c-cost[0]) > 200 || c > 2000 {
-			t.Errorf("a change costs a voter %.0f", cost)
+	t.Logf("bytes for each other voter and change: %.0f", bytesPerChange)
+	for _, c := range bytesPerChange {
+		if math.Abs(c-bytesPerChange[0]) > 200 || c > 2000 {
+			t.Errorf("a change costs a voter %.0f", bytesPerChange)
 		}
 	}
 }
--- a/internal/sim/longstop_test.go
+++ b/internal/sim/longstop_test.go
@@ -15,9 +15,9 @@
 
 var longStopSeeds = flag.Int("long-stops", 2, "how many seeds TestStopsUnderLongWork plays")
 
-// longWork is a deployment whose workers are at work for seconds on each request, so
+// longRequestSite is a deployment whose workers are at work for seconds on each request, so
 // that an order to end meets requests at any moment of their runs and of its grace.
-func longWork(seed uint64) deployment {
+func longRequestSite(seed uint64) deployment {
 	d := deploy(seed, 12, 8, 900*time.Microsecond, time.Millisecond, []string{"search", "plans", "notes"}, []int{5, 4, 3}, []row{
 		{kind: "find", repeat: "safe", service: "search", rate: 6, work: 1800, aim: 6000, left: 12000, back: 1500, further: 2, rank: 1, method: "GET", calls: map[string]float64{"note": 0.3}},
 		{kind: "plan", repeat: "never", service: "plans", rate: 3, work: 4200, aim: 12000, left: 25000, size: 300, back: 300, further: 1, method: "POST", calls: map[string]float64{"note": 0.5}},
@@ -51,55 +51,55 @@
 }
 
 func playLongStops(t *testing.T, seed uint64) {
-	s := newSite(t, longWork(seed), seed)
-	lines := logOf(s.Fleet)
-	bad := s.day(40*time.Second, func() {
+	s := newSite(t, longRequestSite(seed), seed)
+	logLines := logOf(s.Fleet)
+	violations := s.day(40*time.Second, func() {
 		Wait(3 * time.Second)
 		end := time.Now().Add(30 * time.Second)
 		for lane := range uint64(3) {
 			a := act{s, rand.New(rand.NewPCG(seed, 300+lane)), &[]*Core{}}
-			s.g.Go("stops", func(context.Context) { a.stopsUntil(end) })
+			s.g.Go("stops", func(context.Context) { a.stopNodesUntil(end) })
 		}
 		a := act{s, rand.New(rand.NewPCG(seed, 310)), &[]*Core{}}
 		for time.Now().Before(end) {
-			d := a.next()
-			a.alter(d)
-			a.op.Send(s.g.Context(), d, "", "")
+			draft := a.next()
+			a.alter(draft)
+			a.op.Send(s.g.Context(), draft, "", "")
 			Wait(a.ms(100, 600))
 		}
 		Wait(8 * time.Second)
 	})
-	if len(bad) > 0 {
-		t.Errorf("broken: %v; without their workers' answers: %s", bad, strings.Join(lines("unanswered"), "\n"))
+	if len(violations) > 0 {
+		t.Errorf("broken: %v; without their workers' answers: %s", violations, strings.Join(logLines("unanswered"), "\n"))
 	}
 	if risk := s.wit.Risk()[checker.Lost]; risk < 50 {
 		t.Errorf("%d requests ended under an order to their front: the test shows nothing", risk)
 	}
-	if served, owed := s.wit.Served("", time.Time{}, time.Now()); served < owed*8/10 {
-		t.Errorf("%d of %d served", served, owed)
+	if served, expected := s.wit.Served("", time.Time{}, time.Now()); served < expected*8/10 {
+		t.Errorf("%d of %d served", served, expected)
 	}
 }
 
-// stopsUntil tells one node after the other to end, and to read its settings before,
+// stopNodesUntil tells one node after the other to end, and to read its settings before,
 // meanwhile or not at all, and starts it again.
-func (a act) stopsUntil(end time.Time) {
+func (a act) stopNodesUntil(end time.Time) {
 	for time.Now().Before(end) {
 		m := a.take(a.enough)
 		if m == nil {
 			Wait(a.ms(50, 300))
 			continue
 		}
-		done := a.wit.Touch.Begin(m.name, checker.Planned+"stop")
+		endTouch := a.wit.Touch.Begin(m.name, checker.Planned+"stop")
 		if a.IntN(3) == 0 {
 			a.wit.Hup(m.name)
-			x, _ := a.now(m.Node)
-			x.Reload(x.Settings)
+			proxy, _ := a.now(m.Node)
+			proxy.Reload(proxy.Settings)
 			Wait(a.ms(1, 800))
 		}
 		a.stopNode(m)
 		Wait(a.ms(50, 400))
 		a.boot(m)
-		done()
+		endTouch()
 		a.free(m)
 		Wait(a.ms(50, 1500))
 	}
--- a/internal/sim/lostrun_test.go
+++ b/internal/sim/lostrun_test.go
@@ -14,58 +14,58 @@
 // node, far longer than the service's other workers take for them.
 type slowRun struct {
 	*Fleet
-	front *Node // at which the requests came
-	owner *Node // beside the slow worker
-	line  standin.Line
-	ended chan []standin.Call
-	many  int
+	ingress *Node // at which the requests came
+	owner   *Node // beside the slow worker
+	line    standin.Line
+	results chan []standin.Call
+	atSlow  int
 }
 
 // slowRequests is how many requests come at once; some of them to the slow worker.
 const slowRequests = 12
 
-// repeatsEnough gives each node enough repeats for all that a test asks for.
-func (f *Fleet) repeatsEnough() {
+// allowManyRetries gives each node enough repeats for all that a test asks for.
+func (f *Fleet) allowManyRetries() {
 	f.S.Doc = strings.Replace(f.S.Doc, `{"services"`, `{"limits":{"repeat_allowance":300},"services"`, 1)
 }
 
 // startSlowRun begins requests that may be repeated, of which some are at work at a
 // slow worker when it comes back, and those at the other workers have ended. Their
 // callers wait for so long. The front has learned what such requests usually take.
-func startSlowRun(t *testing.T, seed uint64, usual time.Duration, left string) *slowRun {
+func startSlowRun(t *testing.T, seed uint64, usualTime time.Duration, timeout string) *slowRun {
 	t.Helper()
-	f, line := stopFleet(t, seed, usual)
-	f.repeatsEnough()
+	f, line := stopFleet(t, seed, usualTime)
+	f.allowManyRetries()
 	f.Start()
-	r := &slowRun{Fleet: f, front: f.other("pages"), owner: f.ofService("pages"), line: line, ended: make(chan []standin.Call, 1)}
-	r.line.Left = left
+	r := &slowRun{Fleet: f, ingress: f.other("pages"), owner: f.ofService("pages"), line: line, results: make(chan []standin.Call, 1)}
+	r.line.Left = timeout
 	// A node counts on its part of the repeats once a window has passed since its start.
 	Wait(12 * time.Second)
 	for range 3 {
-		f.atFront(r.front, line, 8)
+		f.atFront(r.ingress, line, 8)
 	}
 	r.owner.Worker.Behave(standin.Way{Took: 80 * time.Second})
 	before := r.owner.Worker.Runs()
-	f.g.Go("call", func(context.Context) { r.ended <- f.atFront(r.front, r.line, slowRequests) })
-	Wait(usual*3/2 + time.Second)
-	if r.many = r.owner.Worker.Runs() - before; r.many == 0 || r.many == slowRequests {
-		t.Fatalf("%d of %d requests are at the slow worker: the test shows nothing", r.many, slowRequests)
+	f.g.Go("call", func(context.Context) { r.results <- f.atFront(r.ingress, r.line, slowRequests) })
+	Wait(usualTime*3/2 + time.Second)
+	if r.atSlow = r.owner.Worker.Runs() - before; r.atSlow == 0 || r.atSlow == slowRequests {
+		t.Fatalf("%d of %d requests are at the slow worker: the test shows nothing", r.atSlow, slowRequests)
 	}
 	return r
 }
 
-// answers checks that each request has a worker's answer, but for some.
-func (r *slowRun) answers(t *testing.T, but int, from time.Time) {
+// checkAnswers checks that each request has a worker's answer, but for some.
+func (r *slowRun) checkAnswers(t *testing.T, allowed int, start time.Time) {
 	t.Helper()
-	bad := 0
-	for _, c := range <-r.ended {
+	failed := 0
+	for _, c := range <-r.results {
 		if c.Status != 200 {
-			bad++
-			t.Logf("%d %s %v after the order", c.Status, c.Body, c.To.Sub(from))
+			failed++
+			t.Logf("%d %s %v after the order", c.Status, c.Body, c.To.Sub(start))
 		}
 	}
-	if bad > but {
-		t.Errorf("%d of %d requests that were at the slow worker have no answer of a worker", bad, r.many)
+	if failed > allowed {
+		t.Errorf("%d of %d requests that were at the slow worker have no answer of a worker", failed, r.atSlow)
 	}
 }
 
@@ -75,10 +75,10 @@
 	t.Parallel()
 	t.Run("both nodes end", bothNodesEnd)
 	t.Run("the owner ends", ownerEnds)
-	t.Run("the front ends", frontEndsUnderSlowRun)
+	t.Run("the front ends", ingressEndsUnderSlowRun)
 	t.Run("the owner is killed", ownerKilledUnderStop)
-	t.Run("part of the time", partOfTheTime)
-	t.Run("the second fails", secondFails)
+	t.Run("part of the time", firstAttemptTimesOut)
+	t.Run("the second fails", secondAttemptFails)
 }
 
 // bothNodesEnd: the node beside a slow worker is told to end, and 2.24 parts of 6 of a
@@ -94,11 +94,11 @@
 	synctest.Test(t, func(t *testing.T) {
 		r := startSlowRun(t, 461, 4500*time.Millisecond, "60000")
 		defer r.Stop()
-		from := time.Now()
+		start := time.Now()
 		r.g.Go("stop-owner", func(context.Context) { r.owner.Proxy.Stop() })
 		Wait(r.owner.Proxy.Settings.GracePeriod * 224 / 600)
-		r.front.Proxy.Stop()
-		r.answers(t, 0, from)
+		r.ingress.Proxy.Stop()
+		r.checkAnswers(t, 0, start)
 	})
 }
 
@@ -109,26 +109,26 @@
 	synctest.Test(t, func(t *testing.T) {
 		r := startSlowRun(t, 465, 4500*time.Millisecond, "60000")
 		defer r.Stop()
-		from := time.Now()
+		start := time.Now()
 		r.g.Go("stop-owner", func(context.Context) { r.owner.Proxy.Stop() })
-		for _, c := range <-r.ended {
-			if took := c.To.Sub(from); c.Status != 200 || took > r.owner.Proxy.Settings.GracePeriod*8/10 {
+		for _, c := range <-r.results {
+			if took := c.To.Sub(start); c.Status != 200 || took > r.owner.Proxy.Settings.GracePeriod*8/10 {
 				t.Errorf("%d %s %v after the order", c.Status, c.Body, took)
 			}
 		}
 	})
 }
 
-// frontEndsUnderSlowRun: only the node at which the requests came is told to end. It
+// ingressEndsUnderSlowRun: only the node at which the requests came is told to end. It
 // answered 502 at its end for what was at the slow worker, with other workers free.
-func frontEndsUnderSlowRun(t *testing.T) {
+func ingressEndsUnderSlowRun(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		r := startSlowRun(t, 462, 4500*time.Millisecond, "60000")
 		defer r.Stop()
-		from := time.Now()
-		r.front.Proxy.Stop()
-		r.answers(t, 0, from)
+		start := time.Now()
+		r.ingress.Proxy.Stop()
+		r.checkAnswers(t, 0, start)
 	})
 }
 
@@ -138,25 +138,25 @@
 // same, most end in time.
 func ownerKilledUnderStop(t *testing.T) {
 	t.Parallel()
-	const many = 4 * slowRequests
+	const requests = 4 * slowRequests
 	synctest.Test(t, func(t *testing.T) {
 		// Such requests take 4 to 12 s.
 		f, line := stopFleet(t, 463, 8*time.Second)
 		defer f.Stop()
-		f.S.Slots = 2 * many
-		f.repeatsEnough()
+		f.S.Slots = 2 * requests
+		f.allowManyRetries()
 		f.Start()
-		front := f.other("pages")
+		ingress := f.other("pages")
 		Wait(12 * time.Second)
 		// The nodes smooth what they learn over many requests.
 		for range 8 {
-			f.atFront(front, line, 16)
+			f.atFront(ingress, line, 16)
 		}
-		ended := make(chan []standin.Call, 1)
-		f.g.Go("call", func(context.Context) { ended <- f.atFront(front, line, many) })
+		results := make(chan []standin.Call, 1)
+		f.g.Go("call", func(context.Context) { results <- f.atFront(ingress, line, requests) })
 		Wait(500 * time.Millisecond)
-		from := time.Now()
-		f.g.Go("stop", func(context.Context) { front.Proxy.Stop() })
+		start := time.Now()
+		f.g.Go("stop", func(context.Context) { ingress.Proxy.Stop() })
 		// What is begun anew then is waited for during 10 s.
 		Wait(3 * time.Second)
 		owner := f.ofService("pages")
@@ -166,16 +166,16 @@
 			}
 		}
 		f.KillNode(owner)
-		bad := 0
-		for _, c := range <-ended {
+		failed := 0
+		for _, c := range <-results {
 			if c.Status != 200 {
-				bad++
-				t.Logf("%d %s %v after the order", c.Status, c.Body, c.To.Sub(from))
+				failed++
+				t.Logf("%d %s %v after the order", c.Status, c.Body, c.To.Sub(start))
 			}
 		}
 		// A quarter of those that are begun anew, and a sixth of the others, take too long.
-		if bad > many*2/5 {
-			t.Errorf("%d of %d requests have no answer of a worker", bad, many)
+		if failed > requests*2/5 {
+			t.Errorf("%d of %d requests have no answer of a worker", failed, requests)
 		}
 	})
 }
--- a/internal/sim/manychanges_test.go
+++ b/internal/sim/manychanges_test.go
@@ -53,14 +53,14 @@
 	}},
 }
 
-// changes puts so many configurations in force, one after another, and gives the
+// applyChanges puts so many configurations in force, one after another, and gives the
 // number of the last that was confirmed.
-func (l *lab) changes(count int, from uint64) uint64 {
-	last, at := from, l.cores()
+func (l *lab) applyChanges(count int, from uint64) uint64 {
+	last, cores := from, l.cores()
 	for i := range count {
 		number := from + uint64(i) + 1
 		for try := range 30 {
-			c := at[(i+try)%len(at)]
+			c := cores[(i+try)%len(cores)]
 			if _, r := l.runs(c); r == nil {
 				continue
 			}
@@ -87,58 +87,58 @@
 			}
 			t.Run(fmt.Sprintf("%s, %d", absence.name, count), func(t *testing.T) {
 				t.Parallel()
-				synctest.Test(t, func(t *testing.T) { runMissed(t, absence.do, count) })
+				synctest.Test(t, func(t *testing.T) { catchUpAfterAbsence(t, absence.do, count) })
 			})
 		}
 	}
 }
 
-func runMissed(t *testing.T, absent func(*lab, *Core) func(), count int) {
+func catchUpAfterAbsence(t *testing.T, begin func(*lab, *Core) func(), count int) {
 	l := newLab(t, 960, 3, 1)
 	defer l.Stop()
 	l.up()
 	l.Until(4*time.Second, "all places are taken", func() bool { return l.settled(3) && l.Writer() != nil })
 	l.Stores["founding"] = false
-	first := l.changes(3, 0)
-	w := l.Writer()
-	lost := l.Cores[slices.IndexFunc(l.Cores, func(c *Core) bool { return c != w })]
-	back := absent(l, lost)
-	last := l.changes(count, first)
+	first := l.applyChanges(3, 0)
+	leader := l.Writer()
+	member := l.Cores[slices.IndexFunc(l.Cores, func(c *Core) bool { return c != leader })]
+	restore := begin(l, member)
+	last := l.applyChanges(count, first)
 	if last < uint64(count) {
 		t.Fatalf("only %d of %d changes were confirmed", last, count)
 	}
-	back()
-	from := time.Now()
+	restore()
+	start := time.Now()
 	// Changes go on while it catches up.
-	ctx, end := context.WithCancel(l.g.Context())
+	ctx, cancel := context.WithCancel(l.g.Context())
 	done := make(chan uint64, 1)
 	l.g.Go("changes", func(context.Context) {
 		newest := last
 		for ctx.Err() == nil {
-			newest = l.changes(1, newest)
+			newest = l.applyChanges(1, newest)
 			Wait(20 * time.Millisecond)
 		}
 		done <- newest
 	})
 	l.Until(8*time.Second, "the member has caught up", func() bool {
-		now := l.Writer()
-		return now != nil && (now == lost || l.isMember(lost, now, 10))
+		current := l.Writer()
+		return current != nil && (current == member || l.isMember(member, current, 10))
 	})
-	took := time.Since(from)
-	end()
+	took := time.Since(start)
+	cancel()
 	last = <-done
 	if took > 4*time.Second+500*time.Millisecond {
 		t.Errorf("caught up after %v", took)
 	}
 	// It may lead at once: the leader goes, and the third is cut off until then.
-	if w = l.Writer(); w != nil && w != lost {
-		l.KillCore(w, true)
+	if leader = l.Writer(); leader != nil && leader != member {
+		l.KillCore(leader, true)
 	}
-	at := lost.Host + ":7003"
+	addr := member.Host + ":7003"
 	var got map[string]any
 	l.Until(10*time.Second, "it answers the newest", func() bool {
 		var code int
-		code, got = l.Get(at, "/puffin/config?as=sent&left_ms=1000")
+		code, got = l.Get(addr, "/puffin/config?as=sent&left_ms=1000")
 		return code == 200
 	})
 	if version, _ := got["version"].(float64); uint64(version) != last {
--- a/internal/sim/node_test.go
+++ b/internal/sim/node_test.go
@@ -16,15 +16,15 @@
 	if code != 200 {
 		return false
 	}
-	seen := map[any]int{}
+	digests := map[any]int{}
 	for _, kind := range []string{"proxies", "registries"} {
 		list, _ := got[kind].([]any)
-		for _, one := range list {
-			m, _ := one.(map[string]any)
-			seen[m["digest"]]++
+		for _, entry := range list {
+			fields, _ := entry.(map[string]any)
+			digests[fields["digest"]]++
 		}
 	}
-	return len(seen) == 1
+	return len(digests) == 1
 }
 
 // TestNodeFaults: nodes killed singly and many at once, cut off and back, and
@@ -39,7 +39,7 @@
 		defer f.Stop()
 		f.Start()
 		wait := f.Load(s.Lines, 75*time.Second)
-		from := time.Now()
+		start := time.Now()
 		// Clocks jump by hours, both ways, before anything else.
 		f.Nodes[0].Skew(-5 * time.Hour)
 		f.Nodes[1].Skew(7 * time.Hour)
@@ -58,7 +58,7 @@
 		for i, n := range f.Nodes[:6] {
 			f.StartProxy(n)
 			f.StartWorker(n, s.Serves(i))
-			f.Obs.Lost(n.Host+":8000", from, time.Now().Add(2*time.Second))
+			f.Obs.Lost(n.Host+":8000", start, time.Now().Add(2*time.Second))
 		}
 		t.Logf("all whole %v after they came back", f.Until(15*time.Second, "all are whole", f.Whole).Round(time.Millisecond))
 		// One node is cut off for longer than the retire bound, and back.
@@ -128,9 +128,9 @@
 		apps := f.apps(50 * time.Second)
 		for _, n := range f.Nodes {
 			Wait(1200 * time.Millisecond)
-			from := time.Now()
+			start := time.Now()
 			n.Proxy.Stop()
-			if took := time.Since(from); took > 8*time.Second {
+			if took := time.Since(start); took > 8*time.Second {
 				t.Errorf("a stop took %v", took)
 			}
 			f.StartProxy(n)
@@ -144,14 +144,14 @@
 		}
 		wait()
 		f.Judge()
-		a := apps()
-		for _, l := range a.Lost {
+		coord := apps()
+		for _, l := range coord.Lost {
 			t.Log(l)
 		}
-		for what, n := range a.Done {
+		for outcome, n := range coord.Done {
 			// 404 and 409 are answers; all else would be an error.
-			if !strings.HasSuffix(what, " 200") && !strings.HasSuffix(what, " 404") && !strings.HasSuffix(what, " 409") {
-				t.Errorf("a planned roll was seen by applications: %d × %s", n, what)
+			if !strings.HasSuffix(outcome, " 200") && !strings.HasSuffix(outcome, " 404") && !strings.HasSuffix(outcome, " 409") {
+				t.Errorf("a planned roll was seen by applications: %d × %s", n, outcome)
 			}
 		}
 		if n := f.Obs.Counts(); n["done"] != n["calls"] || n["calls"] < 1000 {
--- a/internal/sim/number_test.go
+++ b/internal/sim/number_test.go
@@ -9,8 +9,10 @@
 	"time"
 )
 
-// numbered gives a document under an operator's own number.
-func numbered(doc string, n int) string { return fmt.Sprintf(`{"version":%d,`, n) + doc[1:] }
+// withVersion gives a document under an operator's own number.
+func withVersion(doc string, version int) string {
+	return fmt.Sprintf(`{"version":%d,`, version) + doc[1:]
+}
 
 // TestNumbers: documents by the operator's own number. The highest holds; one
 // that is overtaken or comes again is acknowledged and changes nothing; a
@@ -23,37 +25,37 @@
 		defer f.Stop()
 		f.Start()
 		doc := f.S.Doc
-		at := []string{f.Cores[0].Host + ":7003", f.Nodes[1].Host + ":7003", f.Cores[2].Host + ":7003"}
+		addrs := []string{f.Cores[0].Host + ":7003", f.Nodes[1].Host + ":7003", f.Cores[2].Host + ":7003"}
 		put := func(i int, doc string) (int, string) {
-			return f.raw("PUT", at[i], "/puffin/config?by=number", doc)
+			return f.raw("PUT", addrs[i], "/puffin/config?by=number", doc)
 		}
-		seven := "  " + numbered(doc, 7) + "\n "
+		document7 := "  " + withVersion(doc, 7) + "\n "
 		for _, c := range []struct {
-			at        int
+			addrs     int
 			doc, want string
 		}{
-			{0, seven, `200 {"version":7}`}, {1, seven, `200 {"version":7}`}, {2, numbered(doc, 3), `200 {"version":7}`},
-			{1, numbered(doc, 0), "422 "}, {1, numbered(doc, -4), "422 "}, {0, doc, "422 "}, {0, "{", "400 "}, {0, `{"version":"9",` + doc[1:], "422 "},
-			{2, strings.Replace(numbered(doc, 2), `"service":"`, `"service":"no-`, 1), "422 "}, {2, strings.Replace(numbered(doc, 99), `"service":"`, `"service":"no-`, 1), "422 "},
-			{0, numbered(doc, 12) + strings.Repeat(" ", 4<<20), "413 "}, {1, numbered(doc, 5), `200 {"version":7}`},
+			{0, document7, `200 {"version":7}`}, {1, document7, `200 {"version":7}`}, {2, withVersion(doc, 3), `200 {"version":7}`},
+			{1, withVersion(doc, 0), "422 "}, {1, withVersion(doc, -4), "422 "}, {0, doc, "422 "}, {0, "{", "400 "}, {0, `{"version":"9",` + doc[1:], "422 "},
+			{2, strings.Replace(withVersion(doc, 2), `"service":"`, `"service":"no-`, 1), "422 "}, {2, strings.Replace(withVersion(doc, 99), `"service":"`, `"service":"no-`, 1), "422 "},
+			{0, withVersion(doc, 12) + strings.Repeat(" ", 4<<20), "413 "}, {1, withVersion(doc, 5), `200 {"version":7}`},
 		} {
-			code, got := put(c.at, c.doc)
+			code, got := put(c.addrs, c.doc)
 			if got = fmt.Sprint(code, " ", got); got != c.want && !(strings.HasSuffix(c.want, " ") && strings.HasPrefix(got, c.want)) {
-				t.Errorf("%.30q at %s: %.200s, want %s", c.doc, at[c.at], got, c.want)
+				t.Errorf("%.30q at %s: %.200s, want %s", c.doc, addrs[c.addrs], got, c.want)
 			}
 		}
 		// All faults are named in one answer.
 		if _, got := put(0, strings.Replace(doc, `"service":"`, `"service":"no-`, 1)); !strings.Contains(got, `"version"`) || !strings.Contains(got, "no service") {
 			t.Error(got)
 		}
-		for i := range at {
-			if code, got := f.raw("GET", at[i], "/puffin/config?as=sent", ""); code != 200 || got != strings.TrimSpace(seven) {
-				t.Errorf("%d, sent %d bytes, read back %d", code, len(seven), len(got))
+		for i := range addrs {
+			if code, got := f.raw("GET", addrs[i], "/puffin/config?as=sent", ""); code != 200 || got != strings.TrimSpace(document7) {
+				t.Errorf("%d, sent %d bytes, read back %d", code, len(document7), len(got))
 			}
 		}
 		// It is in force at every node within the bound of a change.
-		from := time.Now()
-		put(1, numbered(doc, 20))
+		start := time.Now()
+		put(1, withVersion(doc, 20))
 		f.Until(time.Second, "all act on it", func() bool {
 			for _, n := range f.Nodes {
 				if _, got := f.Get(n.Host+":7003", "/puffin/own"); got["config_version"] != 20.0 {
@@ -62,13 +64,13 @@
 			}
 			return true
 		})
-		t.Logf("in force everywhere %v after it was sent", time.Since(from))
+		t.Logf("in force everywhere %v after it was sent", time.Since(start))
 		for round := range 5 {
 			var wait sync.WaitGroup
 			n := 30 + 7*round
-			docs := make([]string, len(at))
-			for i := range at {
-				docs[i] = numbered(doc, n) + strings.Repeat(" ", i+1) + "\n"
+			docs := make([]string, len(addrs))
+			for i := range addrs {
+				docs[i] = withVersion(doc, n) + strings.Repeat(" ", i+1) + "\n"
 				wait.Add(1)
 				go func() {
 					defer wait.Done()
@@ -86,15 +88,15 @@
 			f.BackCore(c)
 		}
 		f.serves(15 * time.Second)
-		code, got := f.raw("GET", at[2], "/puffin/config?as=sent", "")
-		if code != 200 || got != numbered(doc, 58) {
+		code, got := f.raw("GET", addrs[2], "/puffin/config?as=sent", "")
+		if code != 200 || got != withVersion(doc, 58) {
 			t.Errorf("after all were killed: %d %.40s", code, got)
 		}
 	})
 }
 
-// TestNoneSent: before the first document there is none to read back.
-func TestNoneSent(t *testing.T) {
+// TestReadBeforeFirstDocument: before the first document there is none to read back.
+func TestReadBeforeFirstDocument(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		f := NewFleet(t, small(), 511)
@@ -103,12 +105,12 @@
 			f.StartStore(c)
 			f.StartRegistry(c)
 		}
-		at := f.Cores[0].Host + ":7003"
+		addr := f.Cores[0].Host + ":7003"
 		f.Until(15*time.Second, "there is a writer", func() bool {
-			code, _ := f.raw("GET", at, "/puffin/config?as=sent", "")
+			code, _ := f.raw("GET", addr, "/puffin/config?as=sent", "")
 			return code == 404
 		})
-		if code, got := f.raw("PUT", at, "/puffin/config?by=number", numbered(f.S.Doc, 41)); code != 200 || got != `{"version":41}` {
+		if code, got := f.raw("PUT", addr, "/puffin/config?by=number", withVersion(f.S.Doc, 41)); code != 200 || got != `{"version":41}` {
 			t.Error(code, got)
 		}
 	})
--- a/internal/sim/numberrace_test.go
+++ b/internal/sim/numberrace_test.go
@@ -26,10 +26,10 @@
 	return strings.Replace(doc, `"left_ms":1000`, fmt.Sprintf(`"left_ms":%d`, 1000+i), 1)
 }
 
-// send sends a content to any node, and again until its outcome is certain.
-func (r *numberRace) send(i int, at []string) (codes []int) {
+// sendUntilCertain sends a content to any node, and again until its outcome is certain.
+func (r *numberRace) sendUntilCertain(i int, hosts []string) (codes []int) {
 	for range 12 {
-		code, _ := r.f.Ask("PUT", at[r.rnd.IntN(len(at))]+":7003", "/puffin/config?by=number&left_ms=1500", r.content(i))
+		code, _ := r.f.Ask("PUT", hosts[r.rnd.IntN(len(hosts))]+":7003", "/puffin/config?by=number&left_ms=1500", r.content(i))
 		codes = append(codes, code)
 		if code == 200 || code == 409 {
 			return codes
@@ -54,24 +54,24 @@
 				f.Told = tight
 				defer f.Stop()
 				f.Start()
-				var at []string
+				var hosts []string
 				for _, n := range f.Nodes {
-					at = append(at, n.Host)
+					hosts = append(hosts, n.Host)
 				}
 				for _, c := range f.Cores {
-					at = append(at, c.Host)
+					hosts = append(hosts, c.Host)
 				}
 				number := uint64(10)
 				for round := range 4 {
 					number += uint64(1 + round)
-					f.raceUnder(t, seed*10+uint64(round), number, at, round)
+					f.raceWithFault(t, seed*10+uint64(round), number, hosts, round)
 				}
 			})
 		})
 	}
 }
 
-func (f *Fleet) raceUnder(t *testing.T, seed, number uint64, at []string, trouble int) {
+func (f *Fleet) raceWithFault(t *testing.T, seed, number uint64, hosts []string, fault int) {
 	const contents, senders = 4, 8
 	r := &numberRace{f: f, number: number, rnd: rand.New(rand.NewPCG(seed, number))}
 	type outcome struct {
@@ -80,14 +80,14 @@
 	}
 	done := make(chan outcome, senders)
 	for i := range senders {
-		one := &numberRace{f: f, number: number, rnd: rand.New(rand.NewPCG(seed, uint64(i)))}
+		sender := &numberRace{f: f, number: number, rnd: rand.New(rand.NewPCG(seed, uint64(i)))}
 		go func() {
-			Wait(time.Duration(one.rnd.IntN(40)) * time.Millisecond)
-			done <- outcome{i % contents, one.send(i%contents, at)}
+			Wait(time.Duration(sender.rnd.IntN(40)) * time.Millisecond)
+			done <- outcome{i % contents, sender.sendUntilCertain(i%contents, hosts)}
 		}()
 	}
 	Wait(time.Duration(10+r.rnd.IntN(30)) * time.Millisecond)
-	f.raceTrouble(trouble)
+	f.injectRaceFault(fault)
 	confirmed, refused := map[int]bool{}, map[int]bool{}
 	for range senders {
 		o := <-done
@@ -97,8 +97,8 @@
 		}
 	}
 	Wait(4 * time.Second)
-	if len(confirmed) == 0 || count(confirmed) != 1 {
-		t.Errorf("seed %d, number %d, trouble %d: confirmed contents %v", seed, number, trouble, confirmed)
+	if len(confirmed) == 0 || countTrue(confirmed) != 1 {
+		t.Errorf("seed %d, number %d, trouble %d: confirmed contents %v", seed, number, fault, confirmed)
 	}
 	for i := range contents {
 		if confirmed[i] && refused[i] {
@@ -109,31 +109,31 @@
 		if confirmed[i] {
 			want = 200
 		}
-		code, _ := f.Ask("PUT", at[r.rnd.IntN(len(at))]+":7003", "/puffin/config?by=number", r.content(i))
+		code, _ := f.Ask("PUT", hosts[r.rnd.IntN(len(hosts))]+":7003", "/puffin/config?by=number", r.content(i))
 		if code != want {
 			t.Errorf("seed %d, number %d: content %d sent again: %d, want %d", seed, number, i, code, want)
 		}
 		if confirmed[i] {
-			f.readsBack(t, at, r.content(i))
+			f.checkReadBack(t, hosts, r.content(i))
 		}
 	}
 }
 
-// raceTrouble strikes the core in the middle of a race.
-func (f *Fleet) raceTrouble(kind int) {
-	w := f.Writer()
-	if w == nil {
+// injectRaceFault strikes the core in the middle of a race.
+func (f *Fleet) injectRaceFault(kind int) {
+	leader := f.Writer()
+	if leader == nil {
 		return
 	}
 	switch kind {
 	case 1:
-		f.KillCore(w, true)
+		f.KillCore(leader, true)
 		Wait(time.Second)
-		f.BackCore(w)
+		f.BackCore(leader)
 	case 2:
-		f.Net.Freeze("store-"+w.Host, true)
+		f.Net.Freeze("store-"+leader.Host, true)
 		Wait(3 * time.Second)
-		f.Net.Freeze("store-"+w.Host, false)
+		f.Net.Freeze("store-"+leader.Host, false)
 	case 3:
 		for _, c := range f.Cores {
 			f.KillCore(c, true)
@@ -145,28 +145,28 @@
 	}
 }
 
-// readsBack fails the test unless every node that answers gives this document.
-func (f *Fleet) readsBack(t *testing.T, at []string, doc string) {
+// checkReadBack fails the test unless every node that answers gives this document.
+func (f *Fleet) checkReadBack(t *testing.T, hosts []string, doc string) {
 	t.Helper()
 	answered := 0
-	for _, a := range at {
-		code, got := f.Get(a+":7003", "/puffin/config?as=sent&left_ms=2000")
+	for _, host := range hosts {
+		code, got := f.Get(host+":7003", "/puffin/config?as=sent&left_ms=2000")
 		if code != 200 {
 			continue
 		}
 		answered++
 		if !sameJSON(doc, got) {
-			t.Errorf("%s reads back another document", a)
+			t.Errorf("%s reads back another document", host)
 		}
 	}
-	if answered < len(at)-1 {
-		t.Errorf("only %d of %d nodes read it back", answered, len(at))
+	if answered < len(hosts)-1 {
+		t.Errorf("only %d of %d nodes read it back", answered, len(hosts))
 	}
 }
 
-func count(set map[int]bool) (n int) {
-	for _, in := range set {
-		if in {
+func countTrue(set map[int]bool) (n int) {
+	for _, value := range set {
+		if value {
 			n++
 		}
 	}
--- a/internal/sim/ordersagain_test.go
+++ b/internal/sim/ordersagain_test.go
@@ -39,26 +39,26 @@
 		}
 		wait()
 		_, before := f.Get(f.Nodes[0].Host+":7003", "/puffin/config")
-		again := func(when string) {
+		resend := func(stage string) {
 			for i, o := range orders {
 				for _, at := range []string{f.Nodes[i+1].Host, f.Cores[i%3].Host} {
 					code, got := f.Ask(o.method, at+":7003", o.uri, o.body)
 					if code != 200 || fmt.Sprint(got) != fmt.Sprint(o.answer) {
-						t.Errorf("%s, sent again %s: %d %v, was %v", o.name, when, code, got, o.answer)
+						t.Errorf("%s, sent again %s: %d %v, was %v", o.name, stage, code, got, o.answer)
 					}
 				}
 			}
 			if _, now := f.Get(f.Nodes[0].Host+":7003", "/puffin/config"); now["version"] != before["version"] {
-				t.Errorf("%s: version %v, was %v", when, now["version"], before["version"])
+				t.Errorf("%s: version %v, was %v", stage, now["version"], before["version"])
 			}
 		}
-		again("at once")
-		w := f.Writer()
-		f.KillCore(w, true)
-		f.Until(5*time.Second, "another leads", func() bool { n := f.Writer(); return n != nil && n != w })
-		f.BackCore(w)
+		resend("at once")
+		leader := f.Writer()
+		f.KillCore(leader, true)
+		f.Until(5*time.Second, "another leads", func() bool { n := f.Writer(); return n != nil && n != leader })
+		f.BackCore(leader)
 		Wait(2 * time.Second)
-		again("to the next leader")
+		resend("to the next leader")
 		for _, c := range f.Cores {
 			f.KillCore(c, true)
 		}
@@ -67,7 +67,7 @@
 		}
 		f.Until(8*time.Second, "a store leads", func() bool { return f.Writer() != nil })
 		Wait(3 * time.Second)
-		again("after the restart of all")
+		resend("after the restart of all")
 		if code, got := f.Ask("PUT", f.Nodes[0].Host+":7003", "/puffin/config?based_on=5&request_id=r1", s.Doc); code != 409 {
 			t.Errorf("another content under a request id: %d %v", code, got)
 		}
--- a/internal/sim/plan_test.go
+++ b/internal/sim/plan_test.go
@@ -16,14 +16,14 @@
 // plan is a seeded row of faults under load: never more than one machine of
 // the core at a time, and now and then two faults that overlap.
 type plan struct {
-	f    *Fleet
-	apps *standin.Coord
-	mu   sync.Mutex
-	busy map[*Node]bool // nodes that a fault has in hand
-	said []string
-	risk risks
-	left int // workers that said they are leaving
-	new  int // core machines that were replaced
+	f      *Fleet
+	apps   *standin.Coord
+	mu     sync.Mutex
+	busy   map[*Node]bool // nodes that a fault has in hand
+	events []string
+	risk   risks
+	left   int // workers that said they are leaving
+	new    int // core machines that were replaced
 }
 
 // draw is one fault's own source of chance, so that two can overlap.
@@ -35,7 +35,7 @@
 
 func (p *plan) say(form string, args ...any) {
 	p.mu.Lock()
-	p.said = append(p.said, time.Now().Format("05.000 ")+fmt.Sprintf(form, args...))
+	p.events = append(p.events, time.Now().Format("05.000 ")+fmt.Sprintf(form, args...))
 	p.mu.Unlock()
 }
 
@@ -67,8 +67,8 @@
 // service draws what a fresh worker serves, of those that callers call.
 func (d draw) service() string { return d.f.S.Services[d.IntN(len(d.f.S.Services))] }
 
-// crowded is a shape whose classes borrow at a small rate: few slots, all nodes.
-func crowded(seed uint64) Shape {
+// fewSlots is a shape whose classes borrow at a small rate: few slots, all nodes.
+func fewSlots(seed uint64) Shape {
 	s := WithAlt(Fumettoteca(0.16))
 	if seed%2 == 1 {
 		s = WithAlt(Ingenzi(0.16))
@@ -78,14 +78,14 @@
 }
 
 // run plays faults for a while, with load and applications.
-func (p *plan) run(t *testing.T, seed uint64, long time.Duration) {
+func (p *plan) run(t *testing.T, seed uint64, duration time.Duration) {
 	f := p.f
 	rnd := rand.New(rand.NewPCG(seed, 5))
-	wait := f.Load(f.S.Lines, long)
-	var over func() *standin.Coord
-	p.apps, over = f.appsNow(long)
-	from := time.Now()
-	one := func(s *step, seed uint64) {
+	wait := f.Load(f.S.Lines, duration)
+	var stopApps func() *standin.Coord
+	p.apps, stopApps = f.appsNow(duration)
+	start := time.Now()
+	playStep := func(s *step, seed uint64) {
 		d := draw{p, rand.New(rand.NewPCG(seed, 6)), new(int)}
 		before := p.look()
 		s.do(d)
@@ -104,36 +104,36 @@
 	for i, act := range []func(draw){func(d draw) { d.change() }, draw.shift} {
 		f.g.Go("ordinary", func(context.Context) {
 			d := draw{p, rand.New(rand.NewPCG(seed, uint64(7+i))), new(int)}
-			for time.Since(from) < long-18*time.Second {
+			for time.Since(start) < duration-18*time.Second {
 				Wait(d.ms(2000, 3000))
 				act(d)
 			}
 			ordinary <- struct{}{}
 		})
 	}
-	for time.Since(from) < long-18*time.Second {
+	for time.Since(start) < duration-18*time.Second {
 		Wait(time.Duration(200+rnd.IntN(1200)) * time.Millisecond)
 		s := &steps[rnd.IntN(len(steps))]
 		first, second := rnd.Uint64(), rnd.Uint64()
 		if rnd.IntN(3) > 0 {
-			one(s, first)
+			playStep(s, first)
 			continue
 		}
 		// A second fault overlaps with the first; at most one is the core's.
-		var both []*step
+		var compatible []*step
 		for i := range steps {
 			if !s.core || !steps[i].core {
-				both = append(both, &steps[i])
+				compatible = append(compatible, &steps[i])
 			}
 		}
-		o := both[rnd.IntN(len(both))]
+		o := compatible[rnd.IntN(len(compatible))]
 		done := make(chan struct{})
 		f.g.Go("second-fault", func(context.Context) {
 			Wait(time.Duration(second%900) * time.Millisecond)
-			one(o, second)
+			playStep(o, second)
 			close(done)
 		})
-		one(s, first)
+		playStep(s, first)
 		<-done
 	}
 	<-ordinary
@@ -142,7 +142,7 @@
 	f.Until(15*time.Second, "all is whole", f.Whole)
 	f.Until(15*time.Second, "all replicas are equal", f.equal)
 	wait()
-	over()
+	stopApps()
 	f.Judge()
 }
 
@@ -153,24 +153,24 @@
 func TestPlans(t *testing.T) {
 	heavy(t)
 	var mu sync.Mutex
-	all := [2]risks{{}, {}}
-	count := 0
+	riskByShape := [2]risks{{}, {}}
+	played := 0
 	t.Run("seeds", func(t *testing.T) {
 		for seed := range seeds(2) {
 			t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 				t.Parallel()
 				synctest.Test(t, func(t *testing.T) {
-					f := NewFleet(t, crowded(seed), seed+200)
+					f := NewFleet(t, fewSlots(seed), seed+200)
 					defer f.Stop()
 					f.Start()
 					p := &plan{f: f, busy: map[*Node]bool{}, risk: risks{}}
 					defer func() {
 						if t.Failed() {
-							t.Logf("seed %d:\n%s", seed, strings.Join(p.said, "\n"))
+							t.Logf("seed %d:\n%s", seed, strings.Join(p.events, "\n"))
 						}
 						mu.Lock()
-						all[seed%2].join(p.risk)
-						count++
+						riskByShape[seed%2].join(p.risk)
+						played++
 						mu.Unlock()
 					}()
 					p.run(t, seed, 60*time.Second)
@@ -179,9 +179,9 @@
 		}
 	})
 	for i, name := range []string{"Fumettoteca", "Ingenzi"} {
-		t.Logf("%s, %d seeds; how often each promise was at risk under each fault:\n%s", name, (count+1-i)/2, all[i])
-		if len(all[i]) < 4 {
-			t.Errorf("only %d kinds of fault were played", len(all[i]))
+		t.Logf("%s, %d seeds; how often each promise was at risk under each fault:\n%s", name, (played+1-i)/2, riskByShape[i])
+		if len(riskByShape[i]) < 4 {
+			t.Errorf("only %d kinds of fault were played", len(riskByShape[i]))
 		}
 	}
 }
--- a/internal/sim/power_test.go
+++ b/internal/sim/power_test.go
@@ -28,17 +28,17 @@
 						t.Fatalf("apply answered %d", code)
 					}
 				}
-				k := f.keep()
+				before := f.keep()
 				wait := f.Load(s.Lines, 45*time.Second)
 				apps := f.apps(45 * time.Second)
 				Wait(3 * time.Second)
-				from := time.Now()
+				start := time.Now()
 				// The last acknowledgement comes a moment before the power goes.
 				code, v := f.Apply(f.Nodes[1].Host+":7003", 4, s.Doc)
 				if code != 200 {
 					t.Fatalf("apply answered %d", code)
 				}
-				k.version = float64(v)
+				before.version = float64(v)
 				for _, c := range f.Cores {
 					f.KillCore(c, true)
 				}
@@ -51,36 +51,36 @@
 				if seed == 0 {
 					late = f.Cores[0]
 				}
-				var back []func()
+				var restarts []func()
 				for _, c := range f.Cores {
 					if c != late {
-						back = append(back, func() { f.BackCore(c) })
+						restarts = append(restarts, func() { f.BackCore(c) })
 					}
 				}
 				for i, n := range f.Nodes {
-					back = append(back, func() { f.StartProxy(n); f.StartWorker(n, s.Serves(i)) })
+					restarts = append(restarts, func() { f.StartProxy(n); f.StartWorker(n, s.Serves(i)) })
 				}
-				rnd.Shuffle(len(back), func(i, j int) { back[i], back[j] = back[j], back[i] })
-				for _, b := range back {
+				rnd.Shuffle(len(restarts), func(i, j int) { restarts[i], restarts[j] = restarts[j], restarts[i] })
+				for _, b := range restarts {
 					b()
 					Wait(time.Duration(rnd.IntN(700)) * time.Millisecond)
 				}
-				began := time.Now()
+				allBack := time.Now()
 				f.Until(15*time.Second, "all nodes are ready again", f.Whole)
-				f.serves(15*time.Second - time.Since(began))
+				f.serves(15*time.Second - time.Since(allBack))
 				for _, n := range f.Nodes {
 					if code, _ := f.Ask(s.Lines[0].Method, n.Host+":8000", s.Lines[0].URI, ""); code != 200 {
 						t.Errorf("%s answers %d", n.Host, code)
 					}
 				}
-				t.Logf("service is back %v after the last of the others, %s still away", time.Since(began).Round(time.Millisecond), late.Host)
+				t.Logf("service is back %v after the last of the others, %s still away", time.Since(allBack).Round(time.Millisecond), late.Host)
 				for _, n := range f.Nodes {
-					f.Obs.Lost(n.Host+":8000", from, time.Now())
+					f.Obs.Lost(n.Host+":8000", start, time.Now())
 				}
 				Wait(2 * time.Second)
 				f.BackCore(late)
 				f.Until(15*time.Second, "all stores are ready", f.coreReady)
-				f.still(k)
+				f.still(before)
 				wait()
 				apps()
 				f.Judge()
--- a/internal/sim/queued_test.go
+++ b/internal/sim/queued_test.go
@@ -15,8 +15,8 @@
 // the next, which would hold it for three quarters of its time and more; but a
 // slot that is free elsewhere by then it takes.
 func TestQueuedOnce(t *testing.T) {
-	for _, free := range []bool{false, true} {
-		t.Run(map[bool]string{false: "all full", true: "one free"}[free], func(t *testing.T) {
+	for _, oneFree := range []bool{false, true} {
+		t.Run(map[bool]string{false: "all full", true: "one free"}[oneFree], func(t *testing.T) {
 			t.Parallel()
 			synctest.Test(t, func(t *testing.T) {
 				s := one()
@@ -26,21 +26,21 @@
 				f := NewFleet(t, s, 383)
 				defer f.Stop()
 				f.Start()
-				own := standin.NewCallers(f.env("own", "10.0.9.3", "outside", &f.Nodes[0].skew), nil, f.Obs, time.Minute)
-				got := make(chan standin.Call, 3+3*s.Slots)
-				ask := func(n *Node, uri, left string) {
+				callers := standin.NewCallers(f.env("own", "10.0.9.3", "outside", &f.Nodes[0].skew), nil, f.Obs, time.Minute)
+				results := make(chan standin.Call, 3+3*s.Slots)
+				request := func(n *Node, uri, timeout string) {
 					f.g.Go("ask", func(context.Context) {
-						got <- own.At(n.Host+":8000", standin.Line{Method: "GET", URI: uri, Service: "s", Left: left})
+						results <- callers.At(n.Host+":8000", standin.Line{Method: "GET", URI: uri, Service: "s", Left: timeout})
 					})
 				}
 				// All slots are taken by jobs that run for longer than the others wait,
 				// but for one, whose job soon comes to the end of its time.
 				for i := range 3 * s.Slots {
-					left := "60000"
-					if free && i == 0 {
-						left = "4500"
+					timeout := "60000"
+					if oneFree && i == 0 {
+						timeout = "4500"
 					}
-					ask(f.Nodes[i%3], "/b", left)
+					request(f.Nodes[i%3], "/b", timeout)
 					Wait(20 * time.Millisecond)
 				}
 				for _, n := range f.Nodes {
@@ -52,25 +52,25 @@
 				// Nothing has ended yet, so nothing is known of how long that takes.
 				from := time.Now()
 				for _, n := range f.Nodes {
-					ask(n, "/a", "")
+					request(n, "/a", "")
 					Wait(300 * time.Millisecond)
 				}
-				for ends := 0; ends < 3; {
-					c := <-got
+				for answered := 0; answered < 3; {
+					c := <-results
 					if c.From.Before(from) {
 						continue
 					}
-					ends++
-					held := c.To.Sub(c.From).Seconds() / 9
-					t.Logf("%d after %.3f of its time: %s", c.Status, held, c.Body)
+					answered++
+					waited := c.To.Sub(c.From).Seconds() / 9
+					t.Logf("%d after %.3f of its time: %s", c.Status, waited, c.Body)
 					switch {
-					case free && c.Status != 200:
+					case oneFree && c.Status != 200:
 						t.Error("a slot was free elsewhere")
-					case !free && (c.Status != 503 || c.Ran != "no" || c.Retry == ""):
+					case !oneFree && (c.Status != 503 || c.Ran != "no" || c.Retry == ""):
 						t.Error("no slot was free at all")
 					}
-					if held < 0.3 || held > 0.52 {
-						t.Errorf("held for %.3f of its time", held)
+					if waited < 0.3 || waited > 0.52 {
+						t.Errorf("held for %.3f of its time", waited)
 					}
 				}
 			})
--- a/internal/sim/rawbytes_test.go
+++ b/internal/sim/rawbytes_test.go
@@ -13,31 +13,31 @@
 	"puffincrank/internal/task"
 )
 
-// bytesTo writes bytes to a port as they are, with a pause for each W, and gives the statuses that come
+// sendRaw writes bytes to a port as they are, with a pause for each W, and gives the statuses that come
 // back until the connection ends or is silent for a while.
-func (f *Fleet) bytesTo(at, text string) (codes []int) {
-	ctx, end := context.WithTimeout(context.Background(), time.Second)
-	defer end()
-	c, err := f.Net.Host("10.0.9.9").Dial(ctx, at)
+func (f *Fleet) sendRaw(addr, text string) (codes []int) {
+	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
+	defer cancel()
+	conn, err := f.Net.Host("10.0.9.9").Dial(ctx, addr)
 	if err != nil {
 		f.T.Fatal(err)
 	}
-	defer func() { _ = c.Close() }()
+	defer func() { _ = conn.Close() }()
 	f.g.Go("write", func(ctx context.Context) {
-		for _, part := range strings.Split(text, "W") {
-			_, _ = c.Write([]byte(part))
+		for _, chunk := range strings.Split(text, "W") {
+			_, _ = conn.Write([]byte(chunk))
 			task.Sleep(ctx, 300*time.Millisecond)
 		}
 	})
-	in := bufio.NewReader(c)
+	reader := bufio.NewReader(conn)
 	for {
-		_ = c.SetReadDeadline(time.Now().Add(3 * time.Second))
-		w, err := http.ReadResponse(in, nil)
+		_ = conn.SetReadDeadline(time.Now().Add(3 * time.Second))
+		response, err := http.ReadResponse(reader, nil)
 		if err != nil {
 			return codes
 		}
-		codes = append(codes, w.StatusCode)
-		if _, err := in.Discard(int(max(w.ContentLength, 0))); err != nil || w.Close {
+		codes = append(codes, response.StatusCode)
+		if _, err := reader.Discard(int(max(response.ContentLength, 0))); err != nil || response.Close {
 			return codes
 		}
 	}
@@ -100,13 +100,13 @@
 			{"one after the other", post + "Content-Length: 3\r\n\r\nabc" + inner, "[200 200]", 2},
 		} {
 			ran := func() (n int64) {
-				for _, n2 := range f.Nodes {
-					n += int64(n2.Worker.Ran())
+				for _, node := range f.Nodes {
+					n += int64(node.Worker.Ran())
 				}
 				return n
 			}
 			before := ran()
-			codes := fmt.Sprint(f.bytesTo(f.Nodes[0].Host+":8000", c.text))
+			codes := fmt.Sprint(f.sendRaw(f.Nodes[0].Host+":8000", c.text))
 			Wait(500 * time.Millisecond)
 			if got := ran() - before; codes != c.want || got != c.runs {
 				t.Errorf("%s: %s, %d ran; want %s and %d", c.name, codes, got, c.want, c.runs)
