--- a/internal/sim/growcore_test.go
+++ b/internal/sim/growcore_test.go
@@ -9,9 +9,10 @@
 	"puffincrank/internal/event"
 )
 
-// TestCoreGrows: a core of one to seven machines, all told of the same three
-// at most, grows at once to twice what it is to bear and one; the rest stand
-// by. One that can't is warned of by name, and only that one.
+// TestCoreGrows: a control plane of one to seven machines, each configured with at most
+// the same three addresses, grows at once to 2f+1 voters for a fault tolerance of f;
+// the other machines stay candidates. A control plane with too few machines for that
+// raises a warning event, and only such a one does.
 func TestCoreGrows(t *testing.T) {
 	t.Parallel()
 	for i, c := range []struct{ cores, tolerated, voters int }{{1, 0, 1}, {3, 1, 3}, {5, 2, 5}, {7, 3, 7}, {7, 1, 3}, {4, 2, 4}, {1, 1, 1}} {
@@ -21,24 +22,24 @@
 				l := newLab(t, uint64(i)+540, c.cores, c.tolerated)
 				defer l.Stop()
 				l.up()
-				took := l.Until(4*time.Second, "all places are taken", func() bool { return len(l.places()) == c.voters })
-				t.Logf("%d voters %v after the first writer", c.voters, took.Round(time.Millisecond))
+				took := l.Until(4*time.Second, "all voters have joined", func() bool { return len(l.places()) == c.voters })
+				t.Logf("%d voters %v after the first leader was elected", c.voters, took.Round(time.Millisecond))
 				l.next(2 * time.Second)
 				Wait(6 * time.Second)
 				if n := len(l.places()); n != c.voters || !l.coreReady() {
 					t.Errorf("%d voters, all stores ready: %v", n, l.coreReady())
 				}
 				if warned := l.count(event.TooFewStores) > 0; warned != (c.voters != 2*c.tolerated+1) {
-					t.Errorf("warned of a small core: %v", warned)
+					t.Errorf("warning about too few stores: %v", warned)
 				}
 			})
 		})
 	}
 }
 
-// TestGrownCoreToleratesLosses: right after it has grown, as many machines as it is to
-// bear lose their disks, and all the others their power: nothing acknowledged
-// is lost, and the wiped ones get new places.
+// TestGrownCoreToleratesLosses: right after the control plane has grown, as many
+// machines as it is to tolerate lose their disks, and all others lose power. Nothing
+// acknowledged may be lost, and the wiped machines become members again.
 func TestGrownCoreToleratesLosses(t *testing.T) {
 	t.Parallel()
 	for tolerated := 1; tolerated <= 3; tolerated++ {
@@ -49,7 +50,7 @@
 					l := newLab(t, seed+560, 2*tolerated+1, tolerated)
 					defer l.Stop()
 					l.up()
-					l.Until(4*time.Second, "all places are taken", func() bool { return len(l.places()) == 2*tolerated+1 })
+					l.Until(4*time.Second, "all voters have joined", func() bool { return len(l.places()) == 2*tolerated+1 })
 					Wait(time.Second)
 					written := l.marks(40)
 					l.Stores["founding"] = false
@@ -66,7 +67,7 @@
 					}
 					t.Logf("writes go through %v after the machines are back", l.next(10*time.Second).Round(time.Millisecond))
 					l.holds(written)
-					l.Until(6*time.Second, "the wiped ones have places again", func() bool { return len(l.places()) == 2*tolerated+1 && l.coreReady() })
+					l.Until(6*time.Second, "the wiped machines are members again", func() bool { return len(l.places()) == 2*tolerated+1 && l.coreReady() })
 				})
 			}
 		})
--- a/internal/sim/grown_test.go
+++ b/internal/sim/grown_test.go
@@ -13,21 +13,22 @@
 
 var dayNodes = flag.Int("nodes", 0, "nodes of the grown sites; 0: as drawn, 12 to 90 by command, 12 to 14 in the fixed days")
 
-// fixedGrownSeeds are the seeds of the ordinary run at sites that have grown; between
-// them they put every rule at risk.
+// fixedGrownSeeds are the seeds of the ordinary run at grown sites; between them they
+// put every rule at risk.
 var fixedGrownSeeds = []uint64{201, 300, 452}
 
-// TestGrownDays plays seeded days as TestDays does, at sites with the shape of
-// the grown deployments: many small machines on thin links, five core machines
-// of which two may be lost at once, dear new connections, bulky bodies, and
-// workers that are ill in new ways. By command:
-// go test ./internal/sim -run 'TestGrownDays$' -days 50 -seed 1
+// TestGrownDays plays seeded days as TestDays does, at sites shaped like the
+// deployments after their growth: many small machines on slow links, a control plane of
+// five machines of which two may be lost at once, expensive new connections, large
+// bodies, and workers that fail in further ways. To run more seeds:
+//
+//	go test ./internal/sim -run 'TestGrownDays$' -days 50 -seed 1
 func TestGrownDays(t *testing.T) { playDays(t, fixedGrownSeeds, checker.Rules, grownSite) }
 
-// grownSite is the grown deployment of a seed.
+// grownSite returns the grown deployment of a seed.
 func grownSite(seed uint64) deployment {
 	r := rand.New(rand.NewPCG(seed, 61))
-	// Small ones are the most: they are played soonest.
+	// Small sites are drawn more often, since they are simulated faster.
 	fixedNodes, searchNodes := 12+r.IntN(3), 12+int(78*r.Float64()*r.Float64())
 	nodes := fixedNodes
 	if *days > 0 {
@@ -37,7 +38,8 @@
 		nodes = *dayNodes
 	}
 	slots := 4 + r.IntN(3)
-	// Links from the one deployment's to the other's.
+	// Bytes per second of the links between machines: one deployment's value up to the
+	// other's.
 	linkRate := 975_000 + r.IntN(525_001)
 	d := grownReaderSite(seed, nodes, slots)
 	if seed%2 == 1 {
@@ -50,7 +52,7 @@
 	return d
 }
 
-// splitNodes gives each service its part of the nodes, two at least.
+// splitNodes divides the nodes among the services by weight, at least two for each.
 func splitNodes(nodes int, weights ...int) (counts []int) {
 	sum := 0
 	for _, weight := range weights {
@@ -59,7 +61,7 @@
 	for _, weight := range weights {
 		counts = append(counts, max(2, (weight*nodes+sum/2)/sum))
 	}
-	// The largest service takes what rounding left.
+	// The first service, which is the largest, absorbs the rounding difference.
 	for _, n := range counts {
 		nodes -= n
 	}
@@ -67,8 +69,8 @@
 	return counts
 }
 
-// grownReaderSite is a reader's site spread over many small workers; its load is
-// to the room as the deployment's own is.
+// grownReaderSite is a reader's site spread over many small workers, with the
+// deployment's own ratio of load to capacity.
 func grownReaderSite(seed uint64, nodes, slots int) deployment {
 	scale := loadScale(nodes*slots, 77*12)
 	d := deploy(seed, nodes, slots, 500*time.Microsecond, 3*time.Millisecond, []string{"pages", "lending", "scans"}, splitNodes(nodes, 39, 29, 9), []row{
@@ -82,7 +84,8 @@
 	return d.allowRetries(196 * scale)
 }
 
-// grownDeskSite is a site of desks, grown likewise, with bulky answers.
+// grownDeskSite is a site of service desks, spread in the same way, with large response
+// bodies.
 func grownDeskSite(seed uint64, nodes, slots int) deployment {
 	scale := loadScale(nodes*slots, 88*18)
 	d := deploy(seed, nodes, slots, 1400*time.Microsecond, time.Millisecond, []string{"search", "boarding", "manifests", "seats"}, splitNodes(nodes, 36, 25, 7, 20), []row{
@@ -97,14 +100,14 @@
 	return d.allowRetries(216 * scale)
 }
 
-// allowRetries sets what is allowed of repeats besides their share.
+// allowRetries sets the number of retries allowed besides their share of the requests.
 func (d deployment) allowRetries(n float64) deployment {
 	d.bounds.Allow = float64(int(n + 0.9))
 	return d
 }
 
-// TestQuietGrownDay: at a grown site on which nothing happens nothing breaks,
-// and nearly all is served.
+// TestQuietGrownDay: at a grown site without any fault no rule is broken, and at least
+// 97% of the requests are served.
 func TestQuietGrownDay(t *testing.T) {
 	heavy(t)
 	for seed := range seeds(1) {
@@ -113,7 +116,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				s := newSite(t, grownSite(seed), seed)
 				if violations := s.day(20*time.Second, func() {}); len(violations) > 0 {
-					t.Errorf("broken: %v", violations)
+					t.Errorf("rules broken: %v", violations)
 				}
 				if served, expected := s.wit.Served("", time.Time{}, time.Now()); expected < 300 || served < expected*97/100 {
 					t.Errorf("%d of %d served", served, expected)
@@ -123,8 +126,8 @@
 	}
 }
 
-// loadScale is the part of the full load that goes with so much room of the
-// whole. Little room can be used less: chance weighs more.
+// loadScale is the share of the full load for a site with fewer slots. Small sites are
+// loaded less, since random peaks weigh more there.
 func loadScale(slots, fullSlots int) float64 {
 	return *dayRate / 0.12 * 0.62 * float64(slots) / float64(fullSlots)
 }
--- a/internal/sim/grownacts_test.go
+++ b/internal/sim/grownacts_test.go
@@ -9,7 +9,7 @@
 	"puffincrank/internal/standin/actors"
 )
 
-// crowd is the factor of the load of a kind in an area.
+// crowd is the factor by which the load of a kind of request in a zone is multiplied.
 func (s *site) crowd(area, kind string) float64 {
 	s.smu.Lock()
 	defer s.smu.Unlock()
@@ -22,7 +22,8 @@
 	return factor
 }
 
-// degradeWorkers makes a part of the workers ill for a while; it waits meanwhile.
+// degradeWorkers makes a fraction of the workers faulty for 4 to 8 seconds and waits
+// meanwhile.
 func (a act) degradeWorkers(fraction float64, ills actors.Ills, description string) {
 	workers := a.some(fraction)
 	for _, m := range workers {
@@ -36,7 +37,8 @@
 	}
 }
 
-// zoneFilter gives a look at callers that is true for those of one area only.
+// zoneFilter returns a predicate that holds for callers of one random zone, and the
+// zone's name.
 func (a act) zoneFilter() (func(host string) bool, string) {
 	zone := Areas[a.IntN(len(Areas))]
 	return func(h string) bool {
@@ -46,14 +48,14 @@
 	}, zone
 }
 
-// grownTroubles are those that the grown deployments added.
+// grownTroubles are the faults that the grown deployments added.
 var grownTroubles = []trouble{
 	{"crowd", none, func(a act) {
 		key := [][2]string{{}, {Areas[a.IntN(len(Areas))], ""}, {"", a.d.lines[a.IntN(len(a.d.lines))].Kind}}[a.IntN(3)]
-		by := 1.5 + 2.5*a.Float64()
-		a.say("a crowd at %q: %.1f times the load", key, by)
+		factor := 1.5 + 2.5*a.Float64()
+		a.say("load surge for %q: %.1f times the load", key, factor)
 		a.smu.Lock()
-		a.crowds[key] = by
+		a.crowds[key] = factor
 		a.smu.Unlock()
 		Wait(a.ms(2000, 3000))
 		a.smu.Lock()
@@ -61,40 +63,41 @@
 		a.smu.Unlock()
 	}},
 	{"grey", none, func(a act) {
-		// They fail a part of their jobs and say that they are well.
+		// The workers fail a part of their requests while their health checks succeed.
 		x := 0.25 + 0.4*a.Float64()
-		i := []actors.Ills{{Fail: x}, {Shed: x}, {Tear: x}, {Hang: x / 2}, {Lose: x}, {Slow: 4 + 6*a.Float64()}}[a.IntN(6)]
-		what := fmt.Sprintf("grey %+v", i)
+		ills := []actors.Ills{{Fail: x}, {Shed: x}, {Tear: x}, {Hang: x / 2}, {Lose: x}, {Slow: 4 + 6*a.Float64()}}[a.IntN(6)]
+		description := fmt.Sprintf("grey %+v", ills)
 		if a.IntN(3) == 0 {
-			var area string
-			i.Only, area = a.zoneFilter()
-			what += " for callers of " + area
+			var zone string
+			ills.Only, zone = a.zoneFilter()
+			description += " for callers of " + zone
 		}
-		a.degradeWorkers(0.08+0.1*a.Float64(), i, what)
+		a.degradeWorkers(0.08+0.1*a.Float64(), ills, description)
 	}},
 	{"false fitness", none, func(a act) {
-		// Well for whoever asks while all fails, or ill while all is well.
-		i := []actors.Ills{{Fail: 1}, {Tear: 1}, {Hang: 1}, {Sick: true}}[a.IntN(4)]
-		what := fmt.Sprintf("false fitness %+v", i)
+		// The health check succeeds while every request fails, or fails while every
+		// request succeeds.
+		ills := []actors.Ills{{Fail: 1}, {Tear: 1}, {Hang: 1}, {Sick: true}}[a.IntN(4)]
+		description := fmt.Sprintf("false fitness %+v", ills)
 		if a.IntN(3) == 0 {
-			var area string
-			i.Only, area = a.zoneFilter()
-			what += " for callers of " + area
+			var zone string
+			ills.Only, zone = a.zoneFilter()
+			description += " for callers of " + zone
 		}
-		a.degradeWorkers(0.1, i, what)
+		a.degradeWorkers(0.1, ills, description)
 	}},
 	{"idle race", none, func(a act) {
 		rest := a.ms(150, 500)
-		a.degradeWorkers(0.4+0.2*a.Float64(), actors.Ills{Forget: rest}, fmt.Sprintf("forgets connections that rested %v", rest))
+		a.degradeWorkers(0.4+0.2*a.Float64(), actors.Ills{Forget: rest}, fmt.Sprintf("drops connections that were idle for %v", rest))
 	}},
 	{"flap", none, func(a act) {
-		var over sync.WaitGroup
+		var running sync.WaitGroup
 		gap, end := a.ms(500, 1200), time.Now().Add(a.ms(4000, 3000))
 		for _, m := range a.some(0.08) {
-			a.say("worker of %s goes down and up each %v", m.name, gap)
-			over.Add(1)
+			a.say("worker of %s stops and starts every %v", m.name, gap)
+			running.Add(1)
 			a.g.Go("flap", func(context.Context) {
-				defer over.Done()
+				defer running.Done()
 				defer a.free(m)
 				for time.Now().Before(end) {
 					m.w.Kill()
@@ -104,10 +107,10 @@
 				}
 			})
 		}
-		over.Wait()
+		running.Wait()
 	}},
 	{"gone for good", none, func(a act) {
-		// The node stays and has nobody beside it; or both are without power.
+		// Either the worker alone is lost and its node stays, or both lose power.
 		for range 1 + len(a.all())/16 {
 			m := a.take(a.enough)
 			if m == nil {
@@ -128,7 +131,7 @@
 		}
 	}},
 	{"resets", none, func(a act) {
-		part := 0.3 + 0.5*a.Float64()
+		fraction := 0.3 + 0.5*a.Float64()
 		var hosts []string
 		for _, m := range a.some(0.1 + 0.2*a.Float64()) {
 			defer a.wit.Touch.Begin(m.name, "reset")()
@@ -139,29 +142,29 @@
 			hosts = append(hosts, a.cores()[a.IntN(len(a.cores()))].Host)
 			a.wit.Touch.Core("reset")
 		}
-		a.say("%.2f of the connections of %v are reset", part, hosts)
+		a.say("%.2f of the connections of %v are reset", fraction, hosts)
 		for _, h := range hosts {
-			a.Net.Reset(h, part)
+			a.Net.Reset(h, fraction)
 		}
 		Wait(100 * time.Millisecond)
 	}},
 	{"core pair", whole, func(a act) {
-		// As many core machines at once as the site bears, with or without
-		// their disks.
+		// Loses as many control-plane machines at once as the site tolerates, with or
+		// without their disks.
 		power, wiped := a.IntN(2) == 0, a.IntN(3)
 		var lost []*Core
 		for i := range a.d.bear {
-			c := a.one()
-			a.say("core %s lost with %d others (power %v, wiped %v)", c.Host, a.d.bear-1, power, i < wiped)
-			a.killCore(c, power || i < wiped)
+			core := a.one()
+			a.say("control-plane machine %s lost with %d others (power %v, wiped %v)", core.Host, a.d.bear-1, power, i < wiped)
+			a.killCore(core, power || i < wiped)
 			if i < wiped {
-				c.Disk.Wipe()
+				core.Disk.Wipe()
 			}
-			lost = append(lost, c)
+			lost = append(lost, core)
 		}
 		Wait(a.ms(500, 4000))
-		for _, c := range lost {
-			a.startCore(c, false)
+		for _, core := range lost {
+			a.startCore(core, false)
 			Wait(a.ms(0, 800))
 		}
 		Wait(6 * time.Second)
--- a/internal/sim/grownincident_test.go
+++ b/internal/sim/grownincident_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// incidentSite is a site of the readers' shape with so many nodes; its smallest
+// incidentSite is a grown reader's site with the given number of nodes; its smallest
 // service has few workers.
 func incidentSite(nodes int) deployment {
 	d := grownSite(2)
@@ -18,29 +18,30 @@
 	return site
 }
 
-// incident plays a recorded day's troubles and checks every rule; part tells
-// what part of a kind's jobs, "" for all, was served of those begun since.
+// incident replays the faults of a recorded day and checks every rule. servedFraction
+// returns the fraction of the requests of a kind ("" for all) begun since a time that
+// were served.
 func incident(t *testing.T, d deployment, scenario func(a act, servedFraction func(kind string, since time.Time) float64)) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSite(t, d, 2)
 		violations := s.day(16*time.Second, func() {
 			scenario(act{s, rand.New(rand.NewPCG(2, 43)), &[]*Core{}}, func(kind string, since time.Time) float64 {
-				// What was begun just now has no answer yet.
+				// Requests of the last two seconds may not have been answered yet.
 				served, expected := s.wit.Served(kind, since, time.Now().Add(-2*time.Second))
 				return float64(served) / float64(max(expected, 1))
 			})
 		})
 		if len(violations) > 0 {
-			t.Errorf("broken: %v", violations)
+			t.Errorf("rules broken: %v", violations)
 		}
 		t.Log(s.said)
 	})
 }
 
-// TestIncidentCoreGone: right after an acknowledgement all five core machines
-// lose power and two of them their disks, the acknowledging one's among them;
-// nodes and workers live on. The version is kept, all nodes are ready with it
-// soon, and jobs feel little of it.
+// TestIncidentCoreGone: right after a configuration was acknowledged, all five
+// control-plane machines lose power, and two of them, the acknowledging leader among
+// them, lose their disks as well. Nodes and workers keep running. The version is kept,
+// all nodes soon report ready with it, and at least 95% of the requests are served.
 func TestIncidentCoreGone(t *testing.T) {
 	heavy(t)
 	incident(t, incidentSite(14), func(a act, servedFraction func(string, time.Time) float64) {
@@ -62,22 +63,22 @@
 				c.Disk.Wipe()
 			}
 		}
-		a.say("all of the core is gone, with the disks of %s and %s", writer.Host, other.Host)
+		a.say("all control-plane machines lost power; the disks of %s and %s are wiped", writer.Host, other.Host)
 		Wait(1400 * time.Millisecond)
 		for _, c := range a.cores() {
 			a.startCore(c, false)
 		}
-		elapsed := a.Until(a.d.bounds.Return, "all core machines are back", a.coreReady)
+		elapsed := a.Until(a.d.bounds.Return, "all control-plane machines are back", a.coreReady)
 		a.Until(a.d.bounds.Change, "all nodes are ready", a.allReady)
 		Wait(4 * time.Second)
-		t.Logf("back after %v; served of what was begun since: %.3f", elapsed, servedFraction("", start))
+		t.Logf("back after %v; %.3f of the requests begun since were served", elapsed, servedFraction("", start))
 		if served := servedFraction("", start); served < 0.95 {
-			t.Errorf("%.3f served through it", served)
+			t.Errorf("only %.3f of the requests were served during the outage", served)
 		}
 	})
 }
 
-// allReady tells that every node that is there is ready.
+// allReady reports whether every running node is ready.
 func (s *site) allReady() bool {
 	for _, m := range s.all() {
 		if x, _ := s.now(m.Node); x == nil || !x.Ready() {
@@ -87,13 +88,13 @@
 	return true
 }
 
-// TestIncidentAllGone: half of the machines lose power with their workers; as
-// soon as they are back, a document is acknowledged and everything loses power,
-// and comes back one after the other within half a second.
+// TestIncidentAllGone: half of the machines lose power together with their workers.
+// Once they are back, a document is acknowledged and every machine loses power; they
+// return one after the other within half a second.
 func TestIncidentAllGone(t *testing.T) {
 	heavy(t)
-	// Workers that get slower when full keep such a site full after it is back;
-	// docs/incidents/grown.md has the figures.
+	// Workers that slow down when saturated keep such a site saturated after its
+	// return; docs/incidents/grown.md has the figures.
 	d := incidentSite(14)
 	d.ways.Crowd = 1
 	incident(t, d, func(a act, servedFraction func(string, time.Time) float64) {
@@ -138,17 +139,17 @@
 		Wait(8 * time.Second)
 		start := time.Now()
 		Wait(6 * time.Second)
-		t.Logf("ready %v after the last start; served after 8 s: %.3f", elapsed, servedFraction("", start))
+		t.Logf("ready %v after the last start; fraction served from 8 s on: %.3f", elapsed, servedFraction("", start))
 		if served := servedFraction("", start); served < 0.95 {
-			t.Errorf("%.3f served after the return", served)
+			t.Errorf("only %.3f of the requests were served after the return", served)
 		}
 	})
 }
 
-// TestIncidentFewOfAService: of a service with few workers behind thin links
-// that fill with bulky bodies, one loses power and comes back, nodes beside
-// others are stopped and started, and at last one is taken away by plan. What
-// goes to the other services alone is served all the while.
+// TestIncidentFewOfAService: a service has few workers, behind slow links that large
+// bodies fill. One of them loses power and returns, the node beside another is
+// restarted, and a third is decommissioned. Requests that use only the other services
+// are served all the while.
 func TestIncidentFewOfAService(t *testing.T) {
 	heavy(t)
 	incident(t, incidentSite(22), func(a act, servedFraction func(string, time.Time) float64) {
@@ -171,14 +172,14 @@
 		a.free(m)
 		Wait(2 * time.Second)
 		m = a.take(inSmallest)
-		a.say("%s is emptied and taken away", m.name)
+		a.say("%s is drained and decommissioned", m.name)
 		m.w.Leave(a.g.Context())
 		a.retire(m)
 		Wait(8 * time.Second)
 		reads, all := servedFraction("read", start), servedFraction("", start)
-		t.Logf("served of reads %.3f, of all %.3f", reads, all)
+		t.Logf("fraction served: reads %.3f, all %.3f", reads, all)
 		if reads < 0.97 {
-			t.Errorf("%.3f of the reads served", reads)
+			t.Errorf("only %.3f of the reads were served", reads)
 		}
 	})
 }
--- a/internal/sim/hedge_test.go
+++ b/internal/sim/hedge_test.go
@@ -9,11 +9,12 @@
 	"puffincrank/internal/standin"
 )
 
-// firstAttemptTimesOut: a request has thirteen seconds, of which its first attempt was given six
-// tenths, so that a repeat can follow; most runs take longer. The other workers leave
-// meanwhile, and the front is told to end. The attempt was ended by the front with
-// nobody to repeat it, and the caller got 504 with four tenths of its time left:
-// "by=attempt why=no receipt from the owner ... then=; no repeats are left".
+// firstAttemptTimesOut: a request has a timeout of 13 s, of which its first attempt
+// gets six tenths so that a retry can follow; most runs take longer than that. The
+// other workers leave meanwhile, and the ingress gets the stop signal. The ingress used
+// to end the attempt although no other worker could take a retry, and the caller got
+// 504 with four tenths of its time left: "by=attempt why=no receipt from the owner ...
+// then=; no repeats are left".
 func firstAttemptTimesOut(t *testing.T) {
 	t.Parallel()
 	const timeout, attemptTimeout, requests = 13 * time.Second, 7800 * time.Millisecond, 24
@@ -43,20 +44,20 @@
 		late := 0
 		for _, c := range <-results {
 			if took := c.To.Sub(c.From); c.Status != 200 && took < timeout*9/10 {
-				t.Errorf("%d %s after %v, %v after the order", c.Status, c.Body, took, c.To.Sub(start))
+				t.Errorf("%d %s after %v, %v after the stop signal", c.Status, c.Body, took, c.To.Sub(start))
 			} else if c.Status == 200 && took > attemptTimeout {
 				late++
 			}
 		}
 		if late == 0 {
-			t.Error("no run took longer than the first attempt's part: the test shows nothing")
+			t.Error("no run outlasted the first attempt's timeout: the test shows nothing")
 		}
 	})
 }
 
-// secondAttemptFails: the front is told to end while a slow worker is at work on its requests,
-// and all other workers answer every request with a failure. The second attempts fail,
-// and each request has the answer of the first.
+// secondAttemptFails: the ingress gets the stop signal while a slow worker runs its
+// requests, and all other workers answer every request with a failure. The second
+// attempts fail, and each request gets the answer of its first attempt.
 func secondAttemptFails(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
--- a/internal/sim/held_test.go
+++ b/internal/sim/held_test.go
@@ -13,9 +13,9 @@
 	"puffincrank/internal/transport"
 )
 
-// TestDelayedDelivery: jobs that waited behind a cut on their way to the owner run
-// only if there's time left in them, counted from when they were sent, and not
-// from when they were read.
+// TestDelayedDelivery: attempts that a cut link held back on their way to the owner run
+// only if their timeout has not passed. The timeout counts from when they were sent,
+// not from when the owner read them.
 func TestDelayedDelivery(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -30,7 +30,7 @@
 			}
 		}
 		tasks := task.New(t.Context())
-		// Its links stand for the whole of it.
+		// The idle limit of an hour keeps its links open for the whole test.
 		ingress := transport.NewNode(transport.Hello{ClusterID: "puffin", Node: "held", Zone: "north", Role: "proxy"}, f.env("held", "10.0.9.5", "north", &n.skew), tasks, 1<<20, 4, time.Hour)
 		class := ""
 		for _, p := range Read(f.S.Doc)["paths"].([]any) {
@@ -60,14 +60,14 @@
 		Wait(2 * time.Second)
 		f.Net.Cut("10.0.9.5", n.Host, false)
 		if err := <-errs; !fault.Is(err, fault.Unknown) {
-			t.Errorf("the short one ended with %v", err)
+			t.Errorf("the attempt with a 1 s timeout ended with %v", err)
 		}
 		if err := <-errs; err != nil {
-			t.Errorf("the long one ended with %v", err)
+			t.Errorf("the attempt with a 4 s timeout ended with %v", err)
 		}
 		Wait(time.Second)
 		if ran := n.Worker.Ran() - before; ran != 1 {
-			t.Errorf("%d of the two ran", ran)
+			t.Errorf("%d of the two attempts ran, want 1", ran)
 		}
 		ingress.Close()
 		tasks.Stop()
--- a/internal/sim/history_test.go
+++ b/internal/sim/history_test.go
@@ -7,9 +7,10 @@
 	"time"
 )
 
-// TestHistory: a watch can look back for 20 seconds, across a writer's change
-// and a restart of all stores from their files; much older starts are told the
-// oldest revision kept. A lock is free after its time, across a change of writer.
+// TestHistory: a watch can start up to 20 seconds in the past, across a change of
+// leader and a restart of all stores from their files. A watch from a much older
+// revision is answered with the oldest revision kept. A lock is free after its time to
+// live, across a change of leader.
 func TestHistory(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -38,7 +39,7 @@
 			f.BackCore(c)
 		}
 		f.serves(15 * time.Second)
-		// Histories are trimmed when something is written.
+		// History is trimmed only when something is written.
 		for time.Since(start) < 20*time.Second {
 			f.Ask("PUT", addr, "/puffin/keys/other", `{"value":"x"}`)
 			Wait(min(time.Second, 20*time.Second-time.Since(start)))
@@ -58,12 +59,13 @@
 			t.Errorf("a watch from a minute ago: %d %v", code, got)
 		}
 		code, got = f.Get(addr, fmt.Sprintf("/puffin/watch?prefix=h&from=%.0f", oldest))
-		// The history may have been trimmed in between, once: a higher one is told.
+		// The history may have been trimmed once in between; then a higher oldest
+		// revision is returned.
 		if later, _ := got["oldest"].(float64); code == 410 && later > oldest {
 			code, _ = f.Get(addr, fmt.Sprintf("/puffin/watch?prefix=h&from=%.0f", later))
 		}
 		if code != 200 {
-			t.Errorf("a watch from the oldest: %d %v", code, got)
+			t.Errorf("a watch from the oldest revision: %d %v", code, got)
 		}
 
 		acquire := func(owner string) int {
@@ -75,7 +77,7 @@
 		}
 		Wait(2500 * time.Millisecond)
 		if code := acquire("b"); code != 409 {
-			t.Errorf("taken before its time ran out: %d", code)
+			t.Errorf("acquired by another before the time to live ran out: %d", code)
 		}
 		f.KillCore(f.mark(f.Writer()), true)
 		f.serves(10 * time.Second)
@@ -84,11 +86,11 @@
 	})
 }
 
-// TestLockTime: a lock outlives its holder's silence by its time to live,
-// whatever the writers; a new one goes on with what is left and counts neither
-// anew nor less, and whoever asks gets the lock at once when its time is over.
-// When all stores lost power it runs once more in full, since nobody knows
-// what is left. Before, every change of writer let it run anew.
+// TestLockTime: a lock outlives its silent holder by its time to live, whoever leads. A
+// new leader continues with the remaining time, neither restarting nor shortening it,
+// and another client gets the lock as soon as the time is over. After a power loss of
+// all stores the full time to live runs once more, since the remaining time is unknown.
+// Earlier, every change of leader restarted the time.
 func TestLockTime(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -103,12 +105,13 @@
 		for round, changes := range [][]int{{}, {0}, {0, 1}, {0, 1, 2}} {
 			owner := fmt.Sprint("a", round)
 			start := time.Now()
-			f.Until(5*time.Second, "the lock is taken", func() bool { start = time.Now(); return acquire(owner) == 200 })
+			f.Until(5*time.Second, "the lock is acquired", func() bool { start = time.Now(); return acquire(owner) == 200 })
 			for i := range changes {
 				Wait(2 * time.Second)
 				c := f.mark(f.Writer())
 				if i == 2 {
-					// The last one loses its power with those that just came back.
+					// The third leader loses power together with the two that have just
+					// returned.
 					for _, c := range f.Cores {
 						f.KillCore(c, true)
 					}
@@ -122,24 +125,24 @@
 					f.BackCore(c)
 				}
 			}
-			f.Until(15*time.Second, "another gets it", func() bool { return acquire("b") == 200 })
+			f.Until(15*time.Second, "another client gets the lock", func() bool { return acquire("b") == 200 })
 			took := time.Since(start)
-			t.Logf("writers changed %d times: free %v after it was asked for", len(changes), took)
+			t.Logf("%d changes of leader: lock free %v after it was requested", len(changes), took)
 			if took < 9*time.Second || took > 9*time.Second+150*time.Millisecond {
-				t.Errorf("after %d changes of writer: free after %v", len(changes), took)
+				t.Errorf("after %d changes of leader: lock free after %v", len(changes), took)
 			}
 			if code, _ := f.raw("PUT", addr, "/puffin/app/locks/l", `{"owner":"`+owner+`","fence":1,"ttl_ms":9000}`); code != 409 {
-				t.Errorf("the one before can renew: %d", code)
+				t.Errorf("the former holder can renew: %d", code)
 			}
 			if f.raw("DELETE", addr, "/puffin/app/locks/l", fmt.Sprintf(`{"owner":"b","fence":%d}`, f.fence("l"))); acquire("c") != 200 {
-				t.Error("not given back")
+				t.Error("the lock was not released")
 			}
 			f.raw("DELETE", addr, "/puffin/app/locks/l", fmt.Sprintf(`{"owner":"c","fence":%d}`, f.fence("l")))
 		}
 	})
 }
 
-// fence reads who holds a lock under which fence.
+// fence returns the fencing token under which a lock is held.
 func (f *Fleet) fence(lock string) int {
 	_, got := f.Get(f.Nodes[0].Host+":7003", "/puffin/locks/"+lock)
 	fence, _ := got["fence"].(float64)
--- a/internal/sim/kept_test.go
+++ b/internal/sim/kept_test.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// TestWorkersKeptAcrossMeshKill: every process of the mesh is killed at once while the workers
-// run on, and beat only now and then. The core's disks remember them, so that
-// jobs are served again as soon as there is a core, and those that come to a node
-// or to an owner in between wait for that.
+// TestWorkersKeptAcrossMeshKill: every process of the mesh is killed at once while the
+// workers keep running and send heartbeats only now and then. The control plane reads
+// them back from its disks, so that requests are served as soon as it is up; requests
+// that reach an ingress or an owner before then wait.
 func TestWorkersKeptAcrossMeshKill(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -41,22 +41,23 @@
 			s.wit.Back()
 		})
 		if len(violations) > 0 {
-			t.Errorf("broken: %v", violations)
+			t.Errorf("rules broken: %v", violations)
 		}
 		for i := range 4 {
 			start := restarted.Add(time.Duration(i) * 250 * time.Millisecond)
 			served, expected := s.wit.Served("", start, start.Add(250*time.Millisecond))
-			t.Logf("%d of %d served of those sent from %v on", served, expected, start.Sub(restarted))
+			t.Logf("%d of %d served of the requests sent from %v on", served, expected, start.Sub(restarted))
 			if expected == 0 || served*100 < expected*95 {
-				t.Errorf("%d of %d served of those sent from %v after the start on", served, expected, start.Sub(restarted))
+				t.Errorf("%d of %d served of the requests sent from %v after the restart on", served, expected, start.Sub(restarted))
 			}
 		}
 	})
 }
 
-// TestReturnAfterTombstoneTTL: a core machine is away for longer than graves are kept, and all
-// nodes have been started anew meanwhile, so nobody remembers any entry of its
-// file. What it takes back is not there for longer than a return may take.
+// TestReturnAfterTombstoneTTL: a control-plane machine is away for longer than
+// tombstones are kept, and all nodes are restarted meanwhile, so that nobody remembers
+// any entry of its file. The entries it restores are gone again within the recovery
+// bound.
 func TestReturnAfterTombstoneTTL(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -70,7 +71,7 @@
 			f.KillNode(n)
 			f.StartProxy(n)
 		}
-		f.Until(15*time.Second, "all is whole without it", f.Whole)
+		f.Until(15*time.Second, "the registry is complete without it", f.Whole)
 		Wait(settings.TombstoneTTL() * 3 / 2)
 		f.BackCore(c)
 		Wait(settings.RecoveryBound * 3 / 2)
@@ -83,8 +84,9 @@
 	})
 }
 
-// TestRegistryFileFollowsChange: the file of a control node holds a change of the registry
-// within four beats, so that a worker that is drained is not taken back as it was.
+// TestRegistryFileFollowsChange: the file of a control node contains a change of the
+// registry within four heartbeats, so that a drained worker is not restored in its
+// former state.
 func TestRegistryFileFollowsChange(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -102,7 +104,7 @@
 		}
 		Wait(settings.HeartbeatInterval() * 4)
 		if after, err := c.Disk.Read("workers"); err != nil || string(after) == string(before) {
-			t.Errorf("the file is as before the change: %v", err)
+			t.Errorf("the file is unchanged: %v", err)
 		}
 	})
 }
--- a/internal/sim/largestate_test.go
+++ b/internal/sim/largestate_test.go
@@ -14,8 +14,8 @@
 	"puffincrank/internal/event"
 )
 
-// fillState writes keys of 60 kB each until the state has about so many bytes,
-// and gives what was acknowledged.
+// fillState writes keys of 60 KiB each until the state holds about the given number of
+// bytes, and returns the acknowledged revisions by key.
 func (l *lab) fillState(bytes int) map[string]uint64 {
 	const size = 60 << 10
 	value := strings.Repeat("x", size)
@@ -32,13 +32,13 @@
 		}
 	}
 	if len(revisions) < bytes/size {
-		l.T.Fatalf("%d of %d large keys were taken", len(revisions), bytes/size)
+		l.T.Fatalf("%d of %d large keys were acknowledged", len(revisions), bytes/size)
 	}
 	return revisions
 }
 
-// keepWriting writes a small key every so often until it is stopped, and tells
-// how many were acknowledged and the longest time that one took.
+// keepWriting writes a small key at every interval until stop is called, which returns
+// the number of acknowledged writes and the longest time one took.
 func (l *lab) keepWriting(interval time.Duration) (stop func() (acknowledged int, slowest time.Duration)) {
 	ctx, cancel := context.WithCancel(context.Background())
 	var running sync.WaitGroup
@@ -74,8 +74,7 @@
 	}
 }
 
-// checkLargeKeys fails the test if a large key has not the revision that was
-// acknowledged.
+// checkLargeKeys fails the test if a large key lacks its acknowledged revision.
 func (l *lab) checkLargeKeys(core *Core, revisions map[string]uint64) {
 	l.T.Helper()
 	for key, rev := range revisions {
@@ -87,7 +86,8 @@
 	}
 }
 
-// isMember tells whether a machine's store has a place and has applied all but so many entries.
+// isMember reports whether a machine's store is a voting member whose applied log index
+// is at most lag entries behind the leader's.
 func (l *lab) isMember(c, leader *Core, lag float64) bool {
 	_, ready := l.Get(c.Host+":7004", "/puffin/ready")
 	_, leaderReady := l.Get(leader.Host+":7004", "/puffin/ready")
@@ -96,10 +96,10 @@
 	return ready["role"] == "follow" && l.places()[c.Host] && applied > 0 && applied+lag >= leaderApplied
 }
 
-// TestLargeStateRefilled: a state larger than any message is fetched in chunks by
-// a member whose disk was lost, while 200 writes a second go on; over thin links,
-// with five members, and with the sender killed in the middle. Then the others'
-// disks may go as well.
+// TestLargeStateRefilled: a member that lost its disk fetches a state larger than any
+// message in chunks, while 200 writes a second continue; also over slow links, with
+// five members, and with the sender killed midway. Afterwards, with three members,
+// another one may lose its disk too.
 func TestLargeStateRefilled(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
@@ -122,7 +122,7 @@
 				l.Stores["state_bytes"] = json.Number(fmt.Sprint(64 << 20))
 				defer l.Stop()
 				l.up()
-				l.Until(4*time.Second, "all places are taken", func() bool { return len(l.places()) == c.cores })
+				l.Until(4*time.Second, "all voters have joined", func() bool { return len(l.places()) == c.cores })
 				l.Stores["founding"] = false
 				written := l.fillState(c.mib << 20)
 				for _, o := range l.Cores {
@@ -145,13 +145,13 @@
 					Wait(500 * time.Millisecond)
 					l.BackCore(leader)
 				}
-				l.Until(c.within, "the emptied member has a place and is whole", func() bool {
+				l.Until(c.within, "the wiped store is a member again and up to date", func() bool {
 					w := l.Writer()
 					return w != nil && l.isMember(lost, w, 64)
 				})
 				took := time.Since(start)
 				n, slowest := stop()
-				t.Logf("whole after %v; %d writes meanwhile, the slowest took %v", took.Round(time.Millisecond), n, slowest.Round(time.Millisecond))
+				t.Logf("up to date after %v; %d writes meanwhile, the slowest took %v", took.Round(time.Millisecond), n, slowest.Round(time.Millisecond))
 				if n < 50 {
 					t.Errorf("only %d writes went through meanwhile", n)
 				}
@@ -169,9 +169,9 @@
 	}
 }
 
-// TestStateBounded: beyond the bound on the state a change that would make it
-// larger is refused, undone and named; what frees room, orders that keep the core
-// going, renewals and reads are served, and operators were warned before.
+// TestStateBounded: once the state has reached its size bound, a change that would
+// enlarge it is refused without effect. Deletes, which free space, and reads are still
+// served, and a warning event precedes the first refusal.
 func TestStateBounded(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -196,7 +196,7 @@
 			}
 		}
 		if accepted < 5 || refused < 5 {
-			t.Fatalf("%d were taken and %d refused", accepted, refused)
+			t.Fatalf("%d were accepted and %d refused", accepted, refused)
 		}
 		addr := l.Cores[0].Host + ":7003"
 		if code, _ := l.Ask("DELETE", addr, "/puffin/keys/k0", ""); code != 200 {
@@ -208,7 +208,7 @@
 		for i := range 3 {
 			l.Ask("DELETE", addr, fmt.Sprintf("/puffin/keys/k%d", i+1), "")
 		}
-		// History goes after its time, and makes room.
-		l.Until(60*time.Second, "there is room again", func() bool { return l.put(l.Cores[0], "small", "v") > 0 })
+		// History expires after its retention time, which frees space.
+		l.Until(60*time.Second, "writes are accepted again", func() bool { return l.put(l.Cores[0], "small", "v") > 0 })
 	})
 }
--- a/internal/sim/lastword_test.go
+++ b/internal/sim/lastword_test.go
@@ -10,10 +10,10 @@
 	"puffincrank/internal/standin"
 )
 
-// TestCallersAnsweredAtShutdown: jobs at a front that is stopped take longer than its grace. When
-// it can't wait any longer, each caller gets a whole answer; none finds its
-// connection just closed. Seen with large answers on thin links, which came to
-// their front only after it had ended.
+// TestCallersAnsweredAtShutdown: requests at an ingress that is stopped take longer
+// than its grace period. Each caller gets a complete answer before the process ends;
+// none finds its connection closed without one. This happened with large answers on
+// slow links, which reached their ingress only after it had ended.
 func TestCallersAnsweredAtShutdown(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
--- a/internal/sim/lateapp_test.go
+++ b/internal/sim/lateapp_test.go
@@ -7,9 +7,10 @@
 	"time"
 )
 
-// TestLateApp: a holder gives its lock back by one node, hears nothing for its
-// silence, and takes the same lock by another node, which leaves it the fence.
-// Then what held the release up goes away. The lock stays its own.
+// TestLateApp: a client releases its lock through one node, gets no answer within its
+// timeout, and acquires the same lock through another node, which leaves the fencing
+// token unchanged. Then the fault that delayed the release ends. The lock must stay
+// with the client.
 func TestLateApp(t *testing.T) {
 	t.Parallel()
 	pause := func(process string) func(*Fleet, bool) {
@@ -17,7 +18,7 @@
 	}
 	for _, c := range []struct {
 		name        string
-		releaseAddr func(f *Fleet, follower *Core) string // by whom it is given back
+		releaseAddr func(f *Fleet, follower *Core) string // the address to which the release is sent
 		disrupt     func(f *Fleet, follower *Core) func(*Fleet, bool)
 		duration    time.Duration // how long the fault lasts
 	}{
@@ -61,16 +62,16 @@
 				f := NewFleet(t, small(), 520)
 				defer f.Stop()
 				f.Start()
-				f.Until(5*time.Second, "somebody writes", func() bool { return f.Writer() != nil })
-				var follower, on *Core
+				f.Until(5*time.Second, "a store leads", func() bool { return f.Writer() != nil })
+				var follower, other *Core
 				for _, o := range f.Cores {
 					if o != f.Writer() && follower == nil {
 						follower = o
 					} else {
-						on = o
+						other = o
 					}
 				}
-				addr := on.Host + ":7003"
+				addr := other.Host + ":7003"
 				acquire := func(owner string) int {
 					code, _ := f.raw("POST", addr, "/puffin/app/locks/l", `{"owner":"`+owner+`","ttl_ms":30000}`)
 					return code
@@ -82,7 +83,8 @@
 				disrupt(f, true)
 				start := time.Now()
 				go f.raw("DELETE", c.releaseAddr(f, follower), "/puffin/app/locks/l", `{"owner":"x","fence":1}`)
-				// The client's silence; then it turns elsewhere until it is clear.
+				// The client waits for its timeout, then retries elsewhere until the
+				// outcome is certain.
 				Wait(time.Second)
 				done := make(chan bool)
 				go func() {
--- a/internal/sim/leftbusy_test.go
+++ b/internal/sim/leftbusy_test.go
@@ -9,10 +9,10 @@
 	"time"
 )
 
-// TestLeftBusy: a voter leaves politely while a whole stand-by waits and the
-// core writes as fast as it can. However many versions come between two words
-// of the stand-by, it has the place at once: until then one loss more would be
-// one too many.
+// TestLeftBusy: a voter leaves gracefully while an up-to-date candidate waits and the
+// control plane writes as fast as it can. However many log entries come between two
+// reports of the candidate, it becomes a member within 500 ms: until then the control
+// plane tolerates one loss less.
 func TestLeftBusy(t *testing.T) {
 	t.Parallel()
 	for seed := range seeds(8) {
@@ -22,7 +22,7 @@
 				l := newLab(t, seed+640, 3, 1)
 				defer l.Stop()
 				l.up()
-				l.Until(4*time.Second, "all places are taken", func() bool { return len(l.places()) == 3 })
+				l.Until(4*time.Second, "all voters have joined", func() bool { return len(l.places()) == 3 })
 				l.Stores["founding"] = false
 				leader := l.Writer()
 				leaving := l.Cores[slices.IndexFunc(l.Cores, func(c *Core) bool { return (c == leader) == (seed%4 == 0) })]
@@ -32,22 +32,22 @@
 				l.g.Go("busy", func(context.Context) {
 					defer close(done)
 					for i := range 1000 {
-						at := l.Cores[i%3]
-						l.g.Go("put", func(context.Context) { l.put(at, fmt.Sprint("busy", i), "v") })
+						core := l.Cores[i%3]
+						l.g.Go("put", func(context.Context) { l.put(core, fmt.Sprint("busy", i), "v") })
 						Wait(4 * time.Millisecond)
 					}
 				})
 				Wait(2*time.Second + time.Duration(seed)*37*time.Millisecond)
 				start := time.Now()
 				l.g.Go("leave", func(context.Context) { leaving.Store.Stop() })
-				l.Until(3*time.Second, "the place is taken", func() bool {
-					at := l.places()
-					return at[replacement.Host] && !at[leaving.Host]
+				l.Until(3*time.Second, "the candidate is a member", func() bool {
+					members := l.places()
+					return members[replacement.Host] && !members[leaving.Host]
 				})
 				took := time.Since(start)
-				t.Logf("the place is taken after %v", took.Round(time.Millisecond))
+				t.Logf("the candidate is a member after %v", took.Round(time.Millisecond))
 				if took > 500*time.Millisecond {
-					t.Errorf("the place of one that left was free for %v", took)
+					t.Errorf("the membership of the store that left was vacant for %v", took)
 				}
 				<-done
 				leaving.Registry.Stop()
--- a/internal/sim/linear_test.go
+++ b/internal/sim/linear_test.go
@@ -11,8 +11,8 @@
 	"puffincrank/internal/standin"
 )
 
-// keyOps drives one key from several callers through random nodes and records
-// what each saw.
+// keyOps reads and writes one key from several callers through random nodes and records
+// each call and its outcome.
 func (f *Fleet) keyOps(key string, seed uint64, duration time.Duration) []standin.Op {
 	var mu sync.Mutex
 	var ops []standin.Op
@@ -34,7 +34,8 @@
 					op.Write, op.Value = true, fmt.Sprintf("%d-%d", i, n)
 					code, _ := f.Ask("PUT", addr, uri, fmt.Sprintf(`{"value":%q}`, op.Value))
 					op.Unknown = code != 200
-					// Refused for certain: as if it had never been.
+					// A definite refusal had no effect, so it is left out of the
+					// history.
 					if code == 503 {
 						continue
 					}
@@ -55,9 +56,11 @@
 	return ops
 }
 
-// TestLinearizable: histories of a key, recorded through any node while the
-// core is killed, cut and slowed in a seeded order, can be explained. The
-// search by command: PUFFIN_SEEDS=200 go test ./internal/sim -run Linearizable
+// TestLinearizable: histories of a key, recorded through any node while control-plane
+// machines are killed, isolated, cut off in one direction and slowed in a seeded order,
+// are linearizable. To search more seeds:
+//
+// PUFFIN_SEEDS=200 go test ./internal/sim -run Linearizable
 func TestLinearizable(t *testing.T) {
 	t.Parallel()
 	for seed := range seeds(3) {
@@ -103,7 +106,7 @@
 					}
 				}
 				if !standin.Linear(ops) {
-					t.Errorf("seed %d: the history of %d calls can't be explained", seed, len(ops))
+					t.Errorf("seed %d: the history of %d calls is not linearizable", seed, len(ops))
 				}
 				if known < 60 {
 					t.Errorf("seed %d: only %d of %d calls have an outcome", seed, known, len(ops))
--- a/internal/sim/locks_test.go
+++ b/internal/sim/locks_test.go
@@ -9,15 +9,16 @@
 	"time"
 )
 
-// clientHold is a time for which a client was sure that it held a lock: from the
-// answer until its time to live, counted from before it asked, ran out.
+// clientHold is a period in which a client knew that it held a lock: from the answer
+// until the time to live, counted from before the request was sent, ran out.
 type clientHold struct {
 	lock, client string
 	fence        float64
 	start, end   time.Time
 }
 
-// runLockClients take, renew, give back and forget locks, and tell what they held.
+// runLockClients has clients acquire, renew, release and abandon locks, and returns the
+// periods in which they held them.
 func (f *Fleet) runLockClients(count int, seed uint64, duration time.Duration) []clientHold {
 	var mu sync.Mutex
 	var holds []clientHold
@@ -48,7 +49,7 @@
 				h := clientHold{lock, client, fence, time.Now(), sent.Add(ttl)}
 				for range rnd.IntN(3) {
 					Wait(time.Duration(rnd.IntN(400)) * time.Millisecond)
-					// A renewal, at times for less than what is left.
+					// A renewal may ask for less than the remaining time.
 					if sent = time.Now(); sent.After(h.end) {
 						break
 					}
@@ -65,7 +66,7 @@
 					h.end = earlier(h.end, time.Now())
 					ask("release", ttl, fence)
 				} else {
-					// A holder that is frozen past its time gives nothing back.
+					// A paused holder releases nothing before its time runs out.
 					Wait(time.Until(h.end))
 				}
 				mu.Lock()
@@ -85,9 +86,9 @@
 	return b
 }
 
-// TestLockHolders: by the clients' own count no two hold one lock at once,
-// while answers are delayed, outcomes stay unknown, holders say nothing more,
-// and the writer is frozen, killed and cut off.
+// TestLockHolders: by the clients' own records no two of them hold one lock at the same
+// time, while answers are delayed, outcomes stay unknown, holders fall silent, and the
+// leader is paused, killed and cut off.
 func TestLockHolders(t *testing.T) {
 	t.Parallel()
 	for seed := range seeds(2) {
@@ -121,7 +122,7 @@
 						Wait(outage)
 						f.Net.Isolate(c.Host, false)
 					case 3:
-						// Answers to callers stand still on their way.
+						// Answers to callers are held back on their way.
 						for _, n := range f.Nodes {
 							f.Net.Cut(n.Host, "10.0.9.9", true)
 						}
@@ -140,17 +141,17 @@
 					}
 				}
 				if len(holds) < 40 {
-					t.Errorf("only %d holds", len(holds))
+					t.Errorf("only %d periods of holding a lock", len(holds))
 				}
-				t.Logf("%d holds", len(holds))
+				t.Logf("%d periods of holding a lock", len(holds))
 			})
 		})
 	}
 }
 
-// TestLateRelease: an owner's release is held up on its way; the owner gives
-// up on it and acquires again; then the release arrives. It frees nothing.
-// Seed 93 of the plans found this.
+// TestLateRelease: an owner's release is delayed on its way; the owner gives up on it
+// and acquires the lock again; then the release arrives. It must free nothing. Found by
+// seed 93 of the plans.
 func TestLateRelease(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
--- a/internal/sim/logsteps_test.go
+++ b/internal/sim/logsteps_test.go
@@ -11,7 +11,8 @@
 	"time"
 )
 
-// documentWithRoutes has so many paths; one of them, by n, is changed.
+// documentWithRoutes returns a document with the given number of routes; the change
+// number selects the one that differs from the others.
 func documentWithRoutes(routes, change int) string {
 	var rows []string
 	for i := range routes {
@@ -24,7 +25,7 @@
 	return `{"services":[{"name":"pages"}],"classes":[{"name":"all","share":100}],"paths":[` + strings.Join(rows, ",") + `]}`
 }
 
-// acceptBytes sums the bytes by which stores told each other of versions.
+// acceptBytes sums the bytes that stores sent each other in accept and ballot messages.
 func (l *lab) acceptBytes() (n int64) {
 	for _, c := range l.Cores {
 		if c.Store == nil {
@@ -39,9 +40,10 @@
 	return n
 }
 
-// TestConfigChangeLogSize: a change of one row costs each voter the same bytes however
-// long the document is; the writer is lost, a wiped store is refilled and all
-// power goes in between, and the document that stands is still the one sent.
+// TestConfigChangeLogSize: a change of one route costs each voter about the same number
+// of bytes however long the document is. In between the leader's disk is wiped and
+// refilled and all stores lose power; the document in force is still the one that was
+// sent.
 func TestConfigChangeLogSize(t *testing.T) {
 	t.Parallel()
 	var bytesPerChange []float64
@@ -90,14 +92,14 @@
 			}
 			code, got := l.Get(l.Cores[0].Host+":7003", "/puffin/config")
 			if code != 200 || got["version"] != float64(version) || !reflect.DeepEqual(got["document"], want) {
-				t.Errorf("%d paths: %d, version %v, not the document that was sent as %d", routes, code, got["version"], version)
+				t.Errorf("%d routes: %d, version %v, not the document that was sent as %d", routes, code, got["version"], version)
 			}
 		})
 	}
 	t.Logf("bytes for each other voter and change: %.0f", bytesPerChange)
 	for _, c := range bytesPerChange {
 		if math.Abs(c-bytesPerChange[0]) > 200 || c > 2000 {
-			t.Errorf("a change costs a voter %.0f", bytesPerChange)
+			t.Errorf("a change costs a voter %.0f bytes", bytesPerChange)
 		}
 	}
 }
--- a/internal/sim/longstop_test.go
+++ b/internal/sim/longstop_test.go
@@ -15,8 +15,8 @@
 
 var longStopSeeds = flag.Int("long-stops", 2, "how many seeds TestStopsUnderLongWork plays")
 
-// longRequestSite is a deployment whose workers are at work for seconds on each request, so
-// that an order to end meets requests at any moment of their runs and of its grace.
+// longRequestSite is a deployment whose workers run each request for seconds, so that a
+// stop signal meets requests at any moment of their runs and of the grace period.
 func longRequestSite(seed uint64) deployment {
 	d := deploy(seed, 12, 8, 900*time.Microsecond, time.Millisecond, []string{"search", "plans", "notes"}, []int{5, 4, 3}, []row{
 		{kind: "find", repeat: "safe", service: "search", rate: 6, work: 1800, aim: 6000, left: 12000, back: 1500, further: 2, rank: 1, method: "GET", calls: map[string]float64{"note": 0.3}},
@@ -29,16 +29,17 @@
 	return d
 }
 
-// TestStopsUnderLongWork: while workers are at work for seconds on each request,
-// nodes are told to end one after the other and several at once, settings are read
-// again and the configuration changes meanwhile.
+// TestStopsUnderLongWork: while workers run each request for seconds, nodes get the
+// stop signal one after the other and several at once, and settings are reloaded and
+// the configuration changes meanwhile.
 //
-// Three faults showed here, in 11 of 24 seeds. A node whose own worker was at work on
-// a request of its caller ended without any answer to it: "cut off ... 6.2 s after
-// the order, sent on: true", since only attempts at other nodes heard of the stop.
-// What came to a node more than 3 s after the order was begun by an estimate and
-// broken off where it took longer: a call that came after 4.94 s got 504 after 5.10 s.
-// And a node that had been told to end began runs for others that outlasted it.
+// Three faults showed here, in 11 of 24 seeds. A node whose own worker was running a
+// request of its caller ended without answering it ("cut off ... 6.2 s after the order,
+// sent on: true"), since only attempts at other nodes were ended by the stop. A request
+// that reached a node more than 3 s after the stop signal was begun by an estimate of
+// its run time and broken off where it took longer: one that came after 4.94 s got 504
+// after 5.10 s. And a node that was stopping began runs for its peers that outlasted
+// it.
 func TestStopsUnderLongWork(t *testing.T) {
 	t.Parallel()
 	for n := range *longStopSeeds {
@@ -70,18 +71,18 @@
 		Wait(8 * time.Second)
 	})
 	if len(violations) > 0 {
-		t.Errorf("broken: %v; without their workers' answers: %s", violations, strings.Join(logLines("unanswered"), "\n"))
+		t.Errorf("rules broken: %v; requests without their worker's answer: %s", violations, strings.Join(logLines("unanswered"), "\n"))
 	}
 	if risk := s.wit.Risk()[checker.Lost]; risk < 50 {
-		t.Errorf("%d requests ended under an order to their front: the test shows nothing", risk)
+		t.Errorf("only %d requests ended while their ingress was stopping: the test shows nothing", risk)
 	}
 	if served, expected := s.wit.Served("", time.Time{}, time.Now()); served < expected*8/10 {
 		t.Errorf("%d of %d served", served, expected)
 	}
 }
 
-// stopNodesUntil tells one node after the other to end, and to read its settings before,
-// meanwhile or not at all, and starts it again.
+// stopNodesUntil stops and restarts one node after the other until end. A third of the
+// nodes reload their settings shortly before the stop.
 func (a act) stopNodesUntil(end time.Time) {
 	for time.Now().Before(end) {
 		m := a.take(a.enough)
--- a/internal/sim/lostrun_test.go
+++ b/internal/sim/lostrun_test.go
@@ -10,28 +10,30 @@
 	"puffincrank/internal/standin"
 )
 
-// slowRun is a fleet in which one worker of a service is at work on requests of another
-// node, far longer than the service's other workers take for them.
+// slowRun is a fleet in which one worker of a service runs requests of another node far
+// longer than the service's other workers do.
 type slowRun struct {
 	*Fleet
-	ingress *Node // at which the requests came
+	ingress *Node // where the requests came in
 	owner   *Node // beside the slow worker
 	line    standin.Line
 	results chan []standin.Call
 	atSlow  int
 }
 
-// slowRequests is how many requests come at once; some of them to the slow worker.
+// slowRequests is the number of requests sent at once; some of them reach the slow
+// worker.
 const slowRequests = 12
 
-// allowManyRetries gives each node enough repeats for all that a test asks for.
+// allowManyRetries gives each node a retry allowance that no test exhausts.
 func (f *Fleet) allowManyRetries() {
 	f.S.Doc = strings.Replace(f.S.Doc, `{"services"`, `{"limits":{"repeat_allowance":300},"services"`, 1)
 }
 
-// startSlowRun begins requests that may be repeated, of which some are at work at a
-// slow worker when it comes back, and those at the other workers have ended. Their
-// callers wait for so long. The front has learned what such requests usually take.
+// startSlowRun sends requests that may be retried and returns once some are still
+// running at a slow worker while those at the other workers have ended. The callers
+// wait for the given timeout. The ingress has learned the usual run time of such
+// requests before.
 func startSlowRun(t *testing.T, seed uint64, usualTime time.Duration, timeout string) *slowRun {
 	t.Helper()
 	f, line := stopFleet(t, seed, usualTime)
@@ -39,7 +41,8 @@
 	f.Start()
 	r := &slowRun{Fleet: f, ingress: f.other("pages"), owner: f.ofService("pages"), line: line, results: make(chan []standin.Call, 1)}
 	r.line.Left = timeout
-	// A node counts on its part of the repeats once a window has passed since its start.
+	// A node can use its share of the retries only when a window has passed since its
+	// start.
 	Wait(12 * time.Second)
 	for range 3 {
 		f.atFront(r.ingress, line, 8)
@@ -54,23 +57,23 @@
 	return r
 }
 
-// checkAnswers checks that each request has a worker's answer, but for some.
+// checkAnswers checks that all requests but the allowed number have a worker's answer.
 func (r *slowRun) checkAnswers(t *testing.T, allowed int, start time.Time) {
 	t.Helper()
 	failed := 0
 	for _, c := range <-r.results {
 		if c.Status != 200 {
 			failed++
-			t.Logf("%d %s %v after the order", c.Status, c.Body, c.To.Sub(start))
+			t.Logf("%d %s %v after the stop signal", c.Status, c.Body, c.To.Sub(start))
 		}
 	}
 	if failed > allowed {
-		t.Errorf("%d of %d requests that were at the slow worker have no answer of a worker", failed, r.atSlow)
+		t.Errorf("%d requests have no answer of a worker; %d were at the slow worker", failed, r.atSlow)
 	}
 }
 
-// TestRunsOutlastTheirNode: what may be repeated, and is at work at a node that ends
-// before the run does, is answered by another worker.
+// TestRunsOutlastTheirNode: a request that may be retried, and is running at a node
+// that ends before the run does, is answered by another worker.
 func TestRunsOutlastTheirNode(t *testing.T) {
 	t.Parallel()
 	t.Run("both nodes end", bothNodesEnd)
@@ -81,14 +84,15 @@
 	t.Run("the second fails", secondAttemptFails)
 }
 
-// bothNodesEnd: the node beside a slow worker is told to end, and 2.24 parts of 6 of a
-// grace later the node at which the requests came. Other workers are free all the time.
+// bothNodesEnd: the node beside a slow worker gets the stop signal, and 224/600 of a
+// grace period later the ingress does. Other workers are free all the time.
 //
-// A second attempt was begun when the run was lost, at the end of the owner's stop, and
-// refused, since by what such requests take it would not end before the front did:
-// "by=owner why=its node is ending owner_stop_ms=5202 then=a node on its way ends before
-// it would be done". The caller got 502 at once, 2.96 s after the front's order. The
-// owner knew from its order on that it would end, and the others were free.
+// A second attempt used to be begun only when the run was lost, at the end of the
+// owner's shutdown, and was refused because the estimated run time went beyond the end
+// of the ingress: "by=owner why=its node is ending owner_stop_ms=5202 then=a node on
+// its way ends before it would be done". The caller got 502 at once, 2.96 s after the
+// ingress's stop signal, although the owner had known since its own stop signal that it
+// would end.
 func bothNodesEnd(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -102,8 +106,9 @@
 	})
 }
 
-// ownerEnds: only the node beside the slow worker is told to end. Its runs are answered
-// from elsewhere before it goes; they were lost at its end, and begun anew only then.
+// ownerEnds: only the node beside the slow worker gets the stop signal. Its runs must
+// be answered by other workers before it ends; they used to be lost at its end and
+// begun again only then.
 func ownerEnds(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -113,14 +118,14 @@
 		r.g.Go("stop-owner", func(context.Context) { r.owner.Proxy.Stop() })
 		for _, c := range <-r.results {
 			if took := c.To.Sub(start); c.Status != 200 || took > r.owner.Proxy.Settings.GracePeriod*8/10 {
-				t.Errorf("%d %s %v after the order", c.Status, c.Body, took)
+				t.Errorf("%d %s %v after the stop signal", c.Status, c.Body, took)
 			}
 		}
 	})
 }
 
-// ingressEndsUnderSlowRun: only the node at which the requests came is told to end. It
-// answered 502 at its end for what was at the slow worker, with other workers free.
+// ingressEndsUnderSlowRun: only the ingress gets the stop signal. At its end it used to
+// answer 502 to the requests at the slow worker although other workers were free.
 func ingressEndsUnderSlowRun(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -132,10 +137,9 @@
 	})
 }
 
-// ownerKilledUnderStop: a node is gone without a word while the node at which requests
-// came is in its stop, with less time left than such requests may take. A
-// repeat was refused for that, so that the caller got 502 for certain; begun all the
-// same, most end in time.
+// ownerKilledUnderStop: a node is killed while the ingress is shutting down with less
+// time left than such requests may take. A retry used to be refused for that, so that
+// the caller was certain to get 502; if it is begun all the same, most end in time.
 func ownerKilledUnderStop(t *testing.T) {
 	t.Parallel()
 	const requests = 4 * slowRequests
@@ -148,7 +152,7 @@
 		f.Start()
 		ingress := f.other("pages")
 		Wait(12 * time.Second)
-		// The nodes smooth what they learn over many requests.
+		// The nodes' estimates of run times are smoothed over many requests.
 		for range 8 {
 			f.atFront(ingress, line, 16)
 		}
@@ -157,7 +161,7 @@
 		Wait(500 * time.Millisecond)
 		start := time.Now()
 		f.g.Go("stop", func(context.Context) { ingress.Proxy.Stop() })
-		// What is begun anew then is waited for during 10 s.
+		// That leaves 10 s in which the ingress waits for retries.
 		Wait(3 * time.Second)
 		owner := f.ofService("pages")
 		for _, n := range f.Nodes {
@@ -170,10 +174,10 @@
 		for _, c := range <-results {
 			if c.Status != 200 {
 				failed++
-				t.Logf("%d %s %v after the order", c.Status, c.Body, c.To.Sub(start))
+				t.Logf("%d %s %v after the stop signal", c.Status, c.Body, c.To.Sub(start))
 			}
 		}
-		// A quarter of those that are begun anew, and a sixth of the others, take too long.
+		// A quarter of the retries, and a sixth of the other requests, take too long.
 		if failed > requests*2/5 {
 			t.Errorf("%d of %d requests have no answer of a worker", failed, requests)
 		}
--- a/internal/sim/manychanges_test.go
+++ b/internal/sim/manychanges_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// absences are the ways in which a member misses hundreds of changes. Each begins
-// when it is called and ends when back is.
+// absences are the ways in which a member misses hundreds of changes. Each begins when
+// do is called and ends when the returned function is.
 var absences = []struct {
 	name string
 	do   func(l *lab, c *Core) (back func())
@@ -48,13 +48,13 @@
 		c.Disk.Wipe()
 		Wait(500 * time.Millisecond)
 		l.BackCore(c)
-		// Its refill goes on while the changes do.
+		// Its refill goes on during the changes.
 		return func() {}
 	}},
 }
 
-// applyChanges puts so many configurations in force, one after another, and gives the
-// number of the last that was confirmed.
+// applyChanges puts the given number of configurations in force, one after another, and
+// returns the number of the last one that was confirmed.
 func (l *lab) applyChanges(count int, from uint64) uint64 {
 	last, cores := from, l.cores()
 	for i := range count {
@@ -75,9 +75,9 @@
 }
 
 // TestManyChanges: hundreds of changes of the configuration are confirmed while a
-// member misses them. It comes back, has all within the bound, and leads the
-// moment after, when the others are gone one after the other for good; what it
-// answers is the newest.
+// member misses them. It returns and catches up within the bound. Right after that the
+// other leader is killed for good, and the member must answer with the newest
+// configuration.
 func TestManyChanges(t *testing.T) {
 	t.Parallel()
 	for _, absence := range absences {
@@ -97,7 +97,7 @@
 	l := newLab(t, 960, 3, 1)
 	defer l.Stop()
 	l.up()
-	l.Until(4*time.Second, "all places are taken", func() bool { return l.settled(3) && l.Writer() != nil })
+	l.Until(4*time.Second, "all voters have joined", func() bool { return l.settled(3) && l.Writer() != nil })
 	l.Stores["founding"] = false
 	first := l.applyChanges(3, 0)
 	leader := l.Writer()
@@ -130,13 +130,13 @@
 	if took > 4*time.Second+500*time.Millisecond {
 		t.Errorf("caught up after %v", took)
 	}
-	// It may lead at once: the leader goes, and the third is cut off until then.
+	// The member may already lead; otherwise the leader is killed.
 	if leader = l.Writer(); leader != nil && leader != member {
 		l.KillCore(leader, true)
 	}
 	addr := member.Host + ":7003"
 	var got map[string]any
-	l.Until(10*time.Second, "it answers the newest", func() bool {
+	l.Until(10*time.Second, "it returns a configuration", func() bool {
 		var code int
 		code, got = l.Get(addr, "/puffin/config?as=sent&left_ms=1000")
 		return code == 200
--- a/internal/sim/node_test.go
+++ b/internal/sim/node_test.go
@@ -10,7 +10,7 @@
 	"puffincrank/internal/standin"
 )
 
-// equal tells that the replicas of all running nodes have the same entries.
+// equal reports whether the replicas of all running nodes have the same digest.
 func (f *Fleet) equal() bool {
 	code, got := f.Get(f.Cores[1].Host+":7003", "/puffin/status")
 	if code != 200 {
@@ -27,10 +27,10 @@
 	return len(digests) == 1
 }
 
-// TestNodeFaults: nodes killed singly and many at once, cut off and back, and
-// with clocks that jump: entries of the dead are retired, live ones come back
-// without help, all replicas are equal again, and no job runs where or when it
-// must not.
+// TestNodeFaults: nodes are killed singly and many at once, isolated and reconnected,
+// and have clocks that jump by hours. Entries of dead nodes are retired, live ones
+// return without intervention, all replicas become equal again, and no request runs at
+// a place or a time at which it must not.
 func TestNodeFaults(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -40,12 +40,13 @@
 		f.Start()
 		wait := f.Load(s.Lines, 75*time.Second)
 		start := time.Now()
-		// Clocks jump by hours, both ways, before anything else.
+		// First the clocks of two nodes and a control-plane machine jump by hours, in
+		// both directions.
 		f.Nodes[0].Skew(-5 * time.Hour)
 		f.Nodes[1].Skew(7 * time.Hour)
 		f.Cores[0].Skew(3 * time.Hour)
 		Wait(time.Second)
-		// Half of the nodes at once; their workers die with them.
+		// Half of the nodes are killed at once, together with their workers.
 		for _, n := range f.Nodes[:6] {
 			f.KillWorker(n)
 			f.KillNode(n)
@@ -60,8 +61,9 @@
 			f.StartWorker(n, s.Serves(i))
 			f.Obs.Lost(n.Host+":8000", start, time.Now().Add(2*time.Second))
 		}
-		t.Logf("all whole %v after they came back", f.Until(15*time.Second, "all are whole", f.Whole).Round(time.Millisecond))
-		// One node is cut off for longer than the retire bound, and back.
+		t.Logf("all nodes know all workers %v after the restart", f.Until(15*time.Second, "all nodes know all workers", f.Whole).Round(time.Millisecond))
+		// One node is cut off for longer than the time after which entries are retired,
+		// and then reconnected.
 		n := f.Nodes[8]
 		cut := time.Now()
 		f.Net.Isolate(n.Host, true)
@@ -71,17 +73,17 @@
 		})
 		Wait(5 * time.Second)
 		f.Net.Isolate(n.Host, false)
-		took = f.Until(15*time.Second, "it is registered afresh everywhere", f.Whole)
+		took = f.Until(15*time.Second, "it is registered again everywhere", f.Whole)
 		f.Obs.Lost(n.Host+":8000", cut, time.Now())
-		t.Logf("cut-off node's worker back everywhere in %v", took.Round(time.Millisecond))
+		t.Logf("the cut-off node's worker is known everywhere again after %v", took.Round(time.Millisecond))
 		t.Logf("replicas equal %v later", f.Until(15*time.Second, "all replicas are equal", f.equal).Round(time.Millisecond))
 		wait()
 		f.Judge()
 	})
 }
 
-// TestDrain: a worker that says it is leaving gets no new job after the
-// bound, its running jobs end, and no caller sees an error.
+// TestDrain: a worker that announces its leave gets no new request after the bound, its
+// running requests end, and no caller sees an error.
 func TestDrain(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -97,7 +99,7 @@
 			Wait(2 * time.Second)
 			n.Worker.Leave("gone")
 			f.KillWorker(n)
-			// The address passes to a worker of another service.
+			// Another service's worker takes over the address.
 			f.StartWorker(n, s.Serves(i+1))
 		}
 		wait()
@@ -108,8 +110,8 @@
 	})
 }
 
-// TestRoll: every program of the fleet is stopped politely and started again
-// under load: no answer is cut and no caller sees an error.
+// TestRoll: every process of the fleet is shut down gracefully and restarted under
+// load; no answer is cut off and no caller sees an error.
 func TestRoll(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -140,7 +142,7 @@
 			c.Registry.Stop()
 			c.Store.Stop()
 			f.BackCore(c)
-			f.Until(10*time.Second, "the rolled core machine is ready", func() bool { return c.Registry.Ready() && f.coreReady() })
+			f.Until(10*time.Second, "the rolled control-plane machine is ready", func() bool { return c.Registry.Ready() && f.coreReady() })
 		}
 		wait()
 		f.Judge()
@@ -149,7 +151,7 @@
 			t.Log(l)
 		}
 		for outcome, n := range coord.Done {
-			// 404 and 409 are answers; all else would be an error.
+			// 404 and 409 are regular answers; any other status but 200 is an error.
 			if !strings.HasSuffix(outcome, " 200") && !strings.HasSuffix(outcome, " 404") && !strings.HasSuffix(outcome, " 409") {
 				t.Errorf("a planned roll was seen by applications: %d × %s", n, outcome)
 			}
@@ -160,8 +162,9 @@
 	})
 }
 
-// TestBadWorkers: garbling, losing and slow workers: no success that isn't
-// whole, nothing twice on a never path, repeats within the bound.
+// TestBadWorkers: some workers garble or lose answers, refuse requests or are slow.
+// Every success is a complete answer, nothing runs twice on a route whose requests must
+// never be retried, and retries stay within the bound.
 func TestBadWorkers(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
--- a/internal/sim/number_test.go
+++ b/internal/sim/number_test.go
@@ -9,15 +9,15 @@
 	"time"
 )
 
-// withVersion gives a document under an operator's own number.
+// withVersion returns a document with the operator's own version number added.
 func withVersion(doc string, version int) string {
 	return fmt.Sprintf(`{"version":%d,`, version) + doc[1:]
 }
 
-// TestNumbers: documents by the operator's own number. The highest holds; one
-// that is overtaken or comes again is acknowledged and changes nothing; a
-// broken one is refused whatever its number; what is read back is what was
-// sent; of two with one number the first that was committed stands.
+// TestNumbers: documents carry the operator's own version number. The highest number is
+// in force; an older document or one that is sent again is acknowledged without effect;
+// an invalid one is refused whatever its number; the document read back is the one
+// sent; of two documents with the same number the first committed one stays.
 func TestNumbers(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -31,7 +31,7 @@
 		}
 		document7 := "  " + withVersion(doc, 7) + "\n "
 		for _, c := range []struct {
-			addrs     int
+			node      int
 			doc, want string
 		}{
 			{0, document7, `200 {"version":7}`}, {1, document7, `200 {"version":7}`}, {2, withVersion(doc, 3), `200 {"version":7}`},
@@ -39,12 +39,12 @@
 			{2, strings.Replace(withVersion(doc, 2), `"service":"`, `"service":"no-`, 1), "422 "}, {2, strings.Replace(withVersion(doc, 99), `"service":"`, `"service":"no-`, 1), "422 "},
 			{0, withVersion(doc, 12) + strings.Repeat(" ", 4<<20), "413 "}, {1, withVersion(doc, 5), `200 {"version":7}`},
 		} {
-			code, got := put(c.addrs, c.doc)
+			code, got := put(c.node, c.doc)
 			if got = fmt.Sprint(code, " ", got); got != c.want && !(strings.HasSuffix(c.want, " ") && strings.HasPrefix(got, c.want)) {
-				t.Errorf("%.30q at %s: %.200s, want %s", c.doc, addrs[c.addrs], got, c.want)
+				t.Errorf("%.30q at %s: %.200s, want %s", c.doc, addrs[c.node], got, c.want)
 			}
 		}
-		// All faults are named in one answer.
+		// One answer names all errors of the document.
 		if _, got := put(0, strings.Replace(doc, `"service":"`, `"service":"no-`, 1)); !strings.Contains(got, `"version"`) || !strings.Contains(got, "no service") {
 			t.Error(got)
 		}
@@ -53,10 +53,10 @@
 				t.Errorf("%d, sent %d bytes, read back %d", code, len(document7), len(got))
 			}
 		}
-		// It is in force at every node within the bound of a change.
+		// The document is in force at every node within the bound for a change.
 		start := time.Now()
 		put(1, withVersion(doc, 20))
-		f.Until(time.Second, "all act on it", func() bool {
+		f.Until(time.Second, "all nodes have applied it", func() bool {
 			for _, n := range f.Nodes {
 				if _, got := f.Get(n.Host+":7003", "/puffin/own"); got["config_version"] != 20.0 {
 					return false
@@ -95,7 +95,8 @@
 	})
 }
 
-// TestReadBeforeFirstDocument: before the first document there is none to read back.
+// TestReadBeforeFirstDocument: reading the document answers 404 before the first one
+// was sent.
 func TestReadBeforeFirstDocument(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -106,7 +107,7 @@
 			f.StartRegistry(c)
 		}
 		addr := f.Cores[0].Host + ":7003"
-		f.Until(15*time.Second, "there is a writer", func() bool {
+		f.Until(15*time.Second, "there is a leader", func() bool {
 			code, _ := f.raw("GET", addr, "/puffin/config?as=sent", "")
 			return code == 404
 		})
--- a/internal/sim/numberrace_test.go
+++ b/internal/sim/numberrace_test.go
@@ -13,20 +13,20 @@
 	"puffincrank/internal/statemachine"
 )
 
-// numberRace is one race of orders under one number.
+// numberRace is a race of documents that are sent under one version number.
 type numberRace struct {
 	f      *Fleet
 	rnd    *rand.Rand
 	number uint64
 }
 
-// content is one of the contents that are sent under the number.
+// content returns one of the documents that are sent under the number.
 func (r *numberRace) content(i int) string {
 	doc := strings.Replace(r.f.S.Doc, "{", fmt.Sprintf(`{"version":%d,`, r.number), 1)
 	return strings.Replace(doc, `"left_ms":1000`, fmt.Sprintf(`"left_ms":%d`, 1000+i), 1)
 }
 
-// sendUntilCertain sends a content to any node, and again until its outcome is certain.
+// sendUntilCertain sends a document to random nodes until its outcome is certain.
 func (r *numberRace) sendUntilCertain(i int, hosts []string) (codes []int) {
 	for range 12 {
 		code, _ := r.f.Ask("PUT", hosts[r.rnd.IntN(len(hosts))]+":7003", "/puffin/config?by=number&left_ms=1500", r.content(i))
@@ -39,10 +39,10 @@
 	return codes
 }
 
-// TestNumberRaces: up to eight orders at once, to all nodes, under one number,
-// with four contents; each is sent again after its answer, in any order, while the
-// leader is killed, frozen for 3 s, or all stores are restarted. One content is
-// confirmed, it is what stands and is read back, and no other ever is.
+// TestNumberRaces: eight senders send four documents under one version number to all
+// nodes at once. Each document is sent again after its answer, in any order, while the
+// leader is killed or paused for 3 s, or all stores are restarted. Exactly one document
+// is confirmed; it is the one in force and read back, and no other is ever confirmed.
 func TestNumberRaces(t *testing.T) {
 	t.Parallel()
 	for seed := range seeds(4) {
@@ -98,13 +98,13 @@
 	}
 	Wait(4 * time.Second)
 	if len(confirmed) == 0 || countTrue(confirmed) != 1 {
-		t.Errorf("seed %d, number %d, trouble %d: confirmed contents %v", seed, number, fault, confirmed)
+		t.Errorf("seed %d, number %d, fault %d: confirmed contents %v", seed, number, fault, confirmed)
 	}
 	for i := range contents {
 		if confirmed[i] && refused[i] {
 			t.Errorf("seed %d, number %d: content %d was confirmed and refused", seed, number, i)
 		}
-		// Sent again, to any node, in any order.
+		// The document is sent again, to any node and in any order.
 		want := 409
 		if confirmed[i] {
 			want = 200
@@ -119,7 +119,7 @@
 	}
 }
 
-// injectRaceFault strikes the core in the middle of a race.
+// injectRaceFault disturbs the control plane in the middle of a race.
 func (f *Fleet) injectRaceFault(kind int) {
 	leader := f.Writer()
 	if leader == nil {
@@ -145,7 +145,8 @@
 	}
 }
 
-// checkReadBack fails the test unless every node that answers gives this document.
+// checkReadBack fails the test unless every node that answers returns this document,
+// and all but one of them answer.
 func (f *Fleet) checkReadBack(t *testing.T, hosts []string, doc string) {
 	t.Helper()
 	answered := 0
@@ -173,7 +174,7 @@
 	return n
 }
 
-// sameJSON tells whether an answer is a document, whatever the order of fields.
+// sameJSON reports whether an answer equals a document, whatever the order of fields.
 func sameJSON(doc string, got map[string]any) bool {
 	raw, err := json.Marshal(got)
 	return err == nil && bytes.Equal(statemachine.DocumentDigest([]byte(doc)), statemachine.DocumentDigest(raw))
--- a/internal/sim/ordersagain_test.go
+++ b/internal/sim/ordersagain_test.go
@@ -8,9 +8,9 @@
 	"time"
 )
 
-// TestOrderSentAgain: an order whose answer was lost is sent again to another
-// node, by the leader's successor, and after a restart of the whole core. It gets
-// the first answer each time, and is done once.
+// TestOrderSentAgain: an operator's request whose answer was lost is sent again to
+// another node, after a change of leader, and after a restart of the whole control
+// plane. It gets the first answer each time and takes effect once.
 func TestOrderSentAgain(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
--- a/internal/sim/outcast_test.go
+++ b/internal/sim/outcast_test.go
@@ -6,9 +6,10 @@
 	"time"
 )
 
-// TestRemovedMemberReturns: all that a store was told of at its start are gone for good, one
-// by one, and it loses its own place while it is away. Back with its disk it
-// finds the mesh by the members that it knew, and stands by.
+// TestRemovedMemberReturns: all stores that a store was configured with at its start
+// are gone for good, one by one, and it loses its own membership while it is cut off.
+// Restarted with its disk, it finds the cluster through the members it had stored, and
+// becomes a candidate.
 func TestRemovedMemberReturns(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -25,23 +26,26 @@
 			l.Net.Isolate(old.Host, true)
 			replacement := l.fresh(old)
 			l.BackCore(replacement)
-			l.Until(4*time.Second, "its place is taken", func() bool { at := l.places(); return len(at) == 3 && at[replacement.Host] })
+			l.Until(4*time.Second, "the replacement is a member", func() bool { members := l.places(); return len(members) == 3 && members[replacement.Host] })
 			Wait(time.Second)
 		}
-		// It is cut off, and one that stands by takes its place.
+		// The last original member is cut off, and a candidate replaces it.
 		l.Net.Isolate(removed.Host, true)
 		spare := l.fresh(removed)
 		l.BackCore(spare)
-		l.Until(6*time.Second, "the last one's place is taken", func() bool { at := l.places(); return len(at) == 3 && at[spare.Host] && !at[removed.Host] })
+		l.Until(6*time.Second, "the last original member is replaced", func() bool {
+			members := l.places()
+			return len(members) == 3 && members[spare.Host] && !members[removed.Host]
+		})
 		Wait(2 * time.Second)
 		l.KillCore(removed, false)
 		l.Net.Isolate(removed.Host, false)
 		l.BackCore(removed)
-		took := l.Until(4*time.Second, "the one without a place is ready", func() bool {
+		took := l.Until(4*time.Second, "the removed member is ready as a candidate", func() bool {
 			code, got := l.Get(removed.Host+":7004", "/puffin/ready")
 			return code == 200 && got["role"] == "spare"
 		})
-		t.Logf("stands by %v after its start", took.Round(time.Millisecond))
+		t.Logf("a candidate %v after its start", took.Round(time.Millisecond))
 		l.holds(written)
 	})
 }
--- a/internal/sim/ownstop_test.go
+++ b/internal/sim/ownstop_test.go
@@ -10,7 +10,7 @@
 	"puffincrank/internal/standin"
 )
 
-// ofService is a node whose worker is one of a service.
+// ofService returns a node whose worker belongs to a service, or nil.
 func (f *Fleet) ofService(service string) *Node {
 	for _, n := range f.Nodes {
 		if n.Worker.Service == service {
@@ -20,8 +20,8 @@
 	return nil
 }
 
-// stopFleet has one service whose requests take a time, time enough for them, and
-// another whose requests outlast any stop.
+// stopFleet returns a fleet with a service whose requests take the given time, with a
+// timeout long enough for them, and another whose requests outlast any shutdown.
 func stopFleet(t *testing.T, seed uint64, requestTime time.Duration) (*Fleet, standin.Line) {
 	s := small()
 	s.Nodes = 6
@@ -34,7 +34,7 @@
 	return f, line
 }
 
-// TestAnswersInStop: what a node owes its callers, and others, once it was told to end.
+// TestAnswersInStop: what a node owes its callers and its peers after the stop signal.
 func TestAnswersInStop(t *testing.T) {
 	t.Parallel()
 	t.Run("own worker", ownWorkerInStop)
@@ -42,13 +42,13 @@
 	t.Run("for others", startsNothingForPeers)
 }
 
-// ownWorkerInStop: a node is told to end while the worker beside it, and others,
-// are at work on requests of its callers for longer than its grace. Each caller gets
-// a whole answer, late in the grace and before the process ends.
+// ownWorkerInStop: a node gets the stop signal while the worker beside it and others
+// run requests of its callers for longer than its grace period. Each caller gets a
+// complete answer, late in the grace period and before the process ends.
 //
-// Those at the node's own worker got none: an attempt at another node ended with the
-// stop, one at the own worker knew nothing of it, so the process ended first and the
-// connection was closed: "cut off 6.2 s after the order (sent on: true)".
+// The requests at the node's own worker got none: an attempt at another node ended with
+// the stop, but one at the own worker was not told of it, so the process ended first
+// and the connection was closed: "cut off 6.2 s after the order (sent on: true)".
 func ownWorkerInStop(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -60,7 +60,7 @@
 		f.g.Go("call", func(context.Context) { results <- f.atFront(node, line, 12) })
 		Wait(400 * time.Millisecond)
 		if node.Worker.Ran() == 0 {
-			t.Fatal("the own worker has no request: the test shows nothing")
+			t.Fatal("the node's own worker has no request: the test shows nothing")
 		}
 		start := time.Now()
 		node.Proxy.Stop()
@@ -69,27 +69,28 @@
 		}
 		for _, c := range <-results {
 			if c.Status == 0 || c.Cut {
-				t.Errorf("a caller got no answer %v after the order", c.To.Sub(start))
+				t.Errorf("a caller got no answer %v after the stop signal", c.To.Sub(start))
 			}
-			// What never ran may be told so at any time.
+			// A request that never ran may be refused with 503 at any time.
 			if c.Status != 503 && c.To.Sub(start) < node.Proxy.Settings.GracePeriod*5/6 {
-				t.Errorf("%d after %v, before the last sixth of the grace", c.Status, c.To.Sub(start))
+				t.Errorf("%d after %v, before the last sixth of the grace period", c.Status, c.To.Sub(start))
 			}
 		}
 	})
 }
 
-// lateRequestInStop: a request that comes to a node in the second half of its grace is
-// begun only if its own time is over before the node ends; else its caller is told at
-// once that it did not run, and when to come back. One that comes early in the stop
-// is taken.
+// lateRequestInStop: a request that reaches a node in the second half of its grace
+// period is begun only if its own timeout ends before the node does; otherwise its
+// caller is told at once that it did not run, and when to retry. A request that comes
+// early in the grace period is accepted.
 //
-// It was begun by an estimate of how long it takes, and broken off where it took
-// longer: one that came 4.94 s into a grace of 6 s was ended after 5.10 s.
+// Such a request used to be begun by an estimate of its run time, and broken off where
+// it took longer: one that came 4.94 s into a grace period of 6 s was ended after 5.10
+// s.
 func lateRequestInStop(t *testing.T) {
 	for _, c := range []struct {
 		name     string
-		fraction float64 // of the grace
+		fraction float64 // of the grace period
 		left     string
 		taken    bool
 	}{
@@ -106,7 +107,7 @@
 				f.Start()
 				node := f.ofService("scans")
 				f.atFront(node, line, 3)
-				// Another keeps the node from ending before.
+				// These requests keep the node from ending earlier.
 				long := small().Lines[2]
 				long.Left = "60000"
 				f.g.Go("held", func(context.Context) { f.atFront(node, long, 8) })
@@ -128,22 +129,22 @@
 	}
 }
 
-// startsNothingForPeers: a node that was told to end is not given runs that
-// its worker can't end before the node goes, by what such runs take there; others
-// have them.
+// startsNothingForPeers: a node that got the stop signal is given no runs that its
+// worker cannot finish before the node ends, judged by the usual run time there; other
+// nodes get them.
 //
-// It began them as before, and they were broken off with it: "got 502 ... 3.0 s after
-// the order to end" at fronts that were told to end as well.
+// It used to begin them, and they were broken off at its end: "got 502 ... 3.0 s after
+// the order to end" at ingresses that were stopping as well.
 func startsNothingForPeers(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
-		f, line := stopFleet(t, 453, 12*time.Second) // half to one and a half of it, of a grace of 15 s
+		f, line := stopFleet(t, 453, 12*time.Second) // run times of 6 to 18 s with a grace period of 15 s
 		defer f.Stop()
 		f.Start()
 		stopping := f.ofService("pages")
 		ingress := f.other("pages")
 		f.atFront(ingress, line, 24)
-		// So that the node has to wait.
+		// These requests keep the node waiting in its shutdown.
 		results := make(chan []standin.Call, 1)
 		f.g.Go("before", func(context.Context) { results <- f.atFront(ingress, line, 6) })
 		Wait(time.Second)
@@ -157,19 +158,19 @@
 			}
 		}
 		if n := stopping.Worker.Ran() - before; n > 0 {
-			t.Errorf("%d runs were begun for others", n)
+			t.Errorf("%d runs were begun for peers", n)
 		}
 		<-results
 		<-stopped
 	})
 }
 
-// TestFreshNodeInStop: a node that has just started, and has seen no run end, is told to
-// end. It begins no run for others that may outlast it, since it can't tell how long
-// they take; others have them.
+// TestFreshNodeInStop: a node that has just started and has seen no run end gets the
+// stop signal. It begins no runs for peers that may outlast it, since it cannot tell
+// how long they take; other nodes get them.
 //
-// It begins them: one was begun 1.13 s after the order and ended with the node 4.08 s
-// later, while another node could have had it.
+// Seen as a fault: a run was begun 1.13 s after the stop signal and ended with the node
+// 4.08 s later, while another node could have had it.
 func TestFreshNodeInStop(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -178,7 +179,7 @@
 		f.Start()
 		stopping := f.ofService("pages")
 		ingress := f.other("pages")
-		// So that the node has to wait.
+		// These requests keep the node waiting in its shutdown.
 		results := make(chan []standin.Call, 1)
 		f.g.Go("before", func(context.Context) { results <- f.atFront(ingress, line, 8) })
 		Wait(time.Second)
@@ -188,7 +189,7 @@
 		before := stopping.Worker.Ran()
 		f.atFront(ingress, line, 12)
 		if n := stopping.Worker.Ran() - before; n > 0 {
-			t.Errorf("%d runs were begun for others", n)
+			t.Errorf("%d runs were begun for peers", n)
 		}
 		<-results
 		<-stopped
--- a/internal/sim/plan_test.go
+++ b/internal/sim/plan_test.go
@@ -13,24 +13,24 @@
 	"puffincrank/internal/standin"
 )
 
-// plan is a seeded row of faults under load: never more than one machine of
-// the core at a time, and now and then two faults that overlap.
+// plan is a seeded sequence of faults under load. At most one control-plane machine is
+// faulty at a time, and some faults overlap with a second one.
 type plan struct {
 	f      *Fleet
 	apps   *standin.Coord
 	mu     sync.Mutex
-	busy   map[*Node]bool // nodes that a fault has in hand
+	busy   map[*Node]bool // nodes that a fault is using
 	events []string
 	risk   risks
-	left   int // workers that said they are leaving
-	new    int // core machines that were replaced
+	left   int // workers that announced their leave
+	new    int // control-plane machines that were replaced
 }
 
-// draw is one fault's own source of chance, so that two can overlap.
+// draw is the random source of a single fault, so that two faults can overlap.
 type draw struct {
 	*plan
 	*rand.Rand
-	at *int // jobs under way at the nodes that it took, when it took them
+	at *int // requests in progress at the nodes that the fault picked, when it picked them
 }
 
 func (p *plan) say(form string, args ...any) {
@@ -39,7 +39,7 @@
 	p.mu.Unlock()
 }
 
-// take picks a node that no other fault has in hand.
+// take picks a node that no other fault is using.
 func (d draw) take() *Node {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -64,10 +64,11 @@
 	return time.Duration(least+d.IntN(more)) * time.Millisecond
 }
 
-// service draws what a fresh worker serves, of those that callers call.
+// service draws the service of a new worker from those that callers request.
 func (d draw) service() string { return d.f.S.Services[d.IntN(len(d.f.S.Services))] }
 
-// fewSlots is a shape whose classes borrow at a small rate: few slots, all nodes.
+// fewSlots is a deployment whose workers have only four slots, so that request classes
+// borrow from each other even at a low rate, on all nodes.
 func fewSlots(seed uint64) Shape {
 	s := WithAlt(Fumettoteca(0.16))
 	if seed%2 == 1 {
@@ -77,7 +78,7 @@
 	return s
 }
 
-// run plays faults for a while, with load and applications.
+// run plays faults for the given duration, with load and coordination clients.
 func (p *plan) run(t *testing.T, seed uint64, duration time.Duration) {
 	f := p.f
 	rnd := rand.New(rand.NewPCG(seed, 5))
@@ -90,7 +91,8 @@
 		before := p.look()
 		s.do(d)
 		after := p.look()
-		// Where a node was picked, only what was under way there was at risk.
+		// Where the fault picked a node, only the requests in progress there were at
+		// risk.
 		if *d.at > 0 || s.node() {
 			before.jobs = *d.at
 		}
@@ -98,8 +100,8 @@
 		p.risk.add(s.fault, before, after, s)
 		p.mu.Unlock()
 	}
-	// Meanwhile operators change the configuration and workers come and go, so
-	// that every fault meets both.
+	// Meanwhile operators change the configuration and workers come and go, so that
+	// every fault coincides with both.
 	ordinary := make(chan struct{}, 2)
 	for i, act := range []func(draw){func(d draw) { d.change() }, draw.shift} {
 		f.g.Go("ordinary", func(context.Context) {
@@ -119,7 +121,8 @@
 			playStep(s, first)
 			continue
 		}
-		// A second fault overlaps with the first; at most one is the core's.
+		// A second fault overlaps with the first; at most one of them hits the control
+		// plane.
 		var compatible []*step
 		for i := range steps {
 			if !s.core || !steps[i].core {
@@ -139,17 +142,19 @@
 	<-ordinary
 	<-ordinary
 	f.Until(15*time.Second, "all stores are ready", f.coreReady)
-	f.Until(15*time.Second, "all is whole", f.Whole)
+	f.Until(15*time.Second, "all nodes know all workers", f.Whole)
 	f.Until(15*time.Second, "all replicas are equal", f.equal)
 	wait()
 	stopApps()
 	f.Judge()
 }
 
-// TestPlans runs seeded plans of faults in both deployments' shapes: nothing
-// that must never happen is seen, and at the end all is whole again. It tells
-// how often each promise was truly at risk under each fault. The longer search
-// by command: PUFFIN_SEEDS=100 go test ./internal/sim -run Plans -v
+// TestPlans runs seeded plans of faults in the shapes of both deployments. No guarantee
+// may be broken, and at the end all nodes, stores and replicas must have recovered. The
+// log shows how often each guarantee was actually at risk under each fault. To search
+// more seeds:
+//
+// PUFFIN_SEEDS=100 go test ./internal/sim -run Plans -v
 func TestPlans(t *testing.T) {
 	heavy(t)
 	var mu sync.Mutex
@@ -179,7 +184,7 @@
 		}
 	})
 	for i, name := range []string{"Fumettoteca", "Ingenzi"} {
-		t.Logf("%s, %d seeds; how often each promise was at risk under each fault:\n%s", name, (played+1-i)/2, riskByShape[i])
+		t.Logf("%s, %d seeds; how often each guarantee was at risk under each fault:\n%s", name, (played+1-i)/2, riskByShape[i])
 		if len(riskByShape[i]) < 4 {
 			t.Errorf("only %d kinds of fault were played", len(riskByShape[i]))
 		}
--- a/internal/sim/power_test.go
+++ b/internal/sim/power_test.go
@@ -8,10 +8,11 @@
 	"time"
 )
 
-// TestPower: every machine loses power at once, under load, and they come back
-// in a drawn order: one core machine last of all, or with the seeds' first one
-// away for good. Service is back within 15 s of the others, nothing that was
-// acknowledged is lost, and no front serves an older version than before.
+// TestPower: every machine loses power at once, under load, and they return in a random
+// order. One control-plane machine returns after all others, a random one or, with seed
+// 0, the first. Service is restored within 15 s of the return of the others, nothing
+// acknowledged is lost, and no ingress serves an older configuration version than
+// before.
 func TestPower(t *testing.T) {
 	heavy(t)
 	for seed, s := range []Shape{Fumettoteca(0.12), Ingenzi(0.15)} {
@@ -33,7 +34,7 @@
 				apps := f.apps(45 * time.Second)
 				Wait(3 * time.Second)
 				start := time.Now()
-				// The last acknowledgement comes a moment before the power goes.
+				// The last change is acknowledged just before the power loss.
 				code, v := f.Apply(f.Nodes[1].Host+":7003", 4, s.Doc)
 				if code != 200 {
 					t.Fatalf("apply answered %d", code)
@@ -73,7 +74,7 @@
 						t.Errorf("%s answers %d", n.Host, code)
 					}
 				}
-				t.Logf("service is back %v after the last of the others, %s still away", time.Since(allBack).Round(time.Millisecond), late.Host)
+				t.Logf("service is restored %v after the start of all others, %s still away", time.Since(allBack).Round(time.Millisecond), late.Host)
 				for _, n := range f.Nodes {
 					f.Obs.Lost(n.Host+":8000", start, time.Now())
 				}
--- a/internal/sim/queued_test.go
+++ b/internal/sim/queued_test.go
@@ -10,10 +10,10 @@
 	"puffincrank/internal/standin"
 )
 
-// TestQueuedOnce: a job waits for slots for half of its time, all workers
-// together. One that waited that long at a full worker is not queued again at
-// the next, which would hold it for three quarters of its time and more; but a
-// slot that is free elsewhere by then it takes.
+// TestQueuedOnce: a request waits for slots for at most half of its timeout, over all
+// workers together. One that has waited that long at a saturated worker is not queued
+// again at the next, which would hold it for three quarters of its timeout or more; but
+// it takes a slot that is free elsewhere by then.
 func TestQueuedOnce(t *testing.T) {
 	for _, oneFree := range []bool{false, true} {
 		t.Run(map[bool]string{false: "all full", true: "one free"}[oneFree], func(t *testing.T) {
@@ -33,8 +33,9 @@
 						results <- callers.At(n.Host+":8000", standin.Line{Method: "GET", URI: uri, Service: "s", Left: timeout})
 					})
 				}
-				// All slots are taken by jobs that run for longer than the others wait,
-				// but for one, whose job soon comes to the end of its time.
+				// All slots are taken by requests that run for longer than the others
+				// wait, except for one slot, whose request soon reaches its timeout if
+				// oneFree is set.
 				for i := range 3 * s.Slots {
 					timeout := "60000"
 					if oneFree && i == 0 {
@@ -45,11 +46,11 @@
 				}
 				for _, n := range f.Nodes {
 					if n.Worker.Ran() != s.Slots {
-						t.Fatalf("%s has %d jobs", n.Worker.ID, n.Worker.Ran())
+						t.Fatalf("%s has %d requests", n.Worker.ID, n.Worker.Ran())
 					}
 					n.Worker.Behave(standin.Way{Took: 50 * time.Millisecond})
 				}
-				// Nothing has ended yet, so nothing is known of how long that takes.
+				// No request has ended yet, so the nodes have no estimate of run times.
 				from := time.Now()
 				for _, n := range f.Nodes {
 					request(n, "/a", "")
@@ -62,7 +63,7 @@
 					}
 					answered++
 					waited := c.To.Sub(c.From).Seconds() / 9
-					t.Logf("%d after %.3f of its time: %s", c.Status, waited, c.Body)
+					t.Logf("%d after %.3f of its timeout: %s", c.Status, waited, c.Body)
 					switch {
 					case oneFree && c.Status != 200:
 						t.Error("a slot was free elsewhere")
@@ -70,7 +71,7 @@
 						t.Error("no slot was free at all")
 					}
 					if waited < 0.3 || waited > 0.52 {
-						t.Errorf("held for %.3f of its time", waited)
+						t.Errorf("held for %.3f of its timeout", waited)
 					}
 				}
 			})
--- a/internal/sim/rawbytes_test.go
+++ b/internal/sim/rawbytes_test.go
@@ -13,8 +13,8 @@
 	"puffincrank/internal/task"
 )
 
-// sendRaw writes bytes to a port as they are, with a pause for each W, and gives the statuses that come
-// back until the connection ends or is silent for a while.
+// sendRaw writes bytes unchanged to a port, with a pause at each W, and returns the
+// statuses of the responses until the connection ends or stays silent for 3 s.
 func (f *Fleet) sendRaw(addr, text string) (codes []int) {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
@@ -43,14 +43,15 @@
 	}
 }
 
-// TestRawBytes: requests that are framed in two ways at once, hold a request
-// of their own or are over a bound: each that is refused runs nowhere, and
-// whatever the bytes say, one request is one run.
+// TestRawBytes: requests whose framing is ambiguous, that contain another request or
+// that exceed a limit. A refused request runs nowhere, and each accepted request runs
+// exactly once, whatever the bytes contain.
 func TestRawBytes(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		s := small()
-		// Workers call nothing themselves: what runs is what the bytes asked for.
+		// Without nested calls the workers' runs are exactly those that the bytes
+		// requested.
 		s.Nested = nil
 		f := NewFleet(t, s, 46)
 		defer f.Stop()
@@ -60,7 +61,7 @@
 		post := "POST /loans HTTP/1.1\r\nHost: a\r\n"
 		for _, c := range []struct {
 			name, text string
-			want       string // the statuses
+			want       string // the response statuses
 			runs       int64  // at all workers
 		}{
 			{"whole", post + "Content-Length: 3\r\n\r\nabc", "[200]", 1},
