--- a/internal/sim/grownacts_test.go
+++ b/internal/sim/grownacts_test.go
@@ -10,13 +10,13 @@
 )
 
 // crowd is the factor by which the load of a kind of request in a zone is multiplied.
-func (s *site) crowd(area, kind string) float64 {
+func (s *site) crowd(zone, kind string) float64 {
 	s.smu.Lock()
 	defer s.smu.Unlock()
 	factor := 1.0
-	for _, k := range [][2]string{{"", ""}, {area, ""}, {"", kind}} {
-		if x := s.crowds[k]; x > 0 {
-			factor *= x
+	for _, key := range [][2]string{{"", ""}, {zone, ""}, {"", kind}} {
+		if value := s.crowds[key]; value > 0 {
+			factor *= value
 		}
 	}
 	return factor
@@ -41,10 +41,10 @@
 // zone's name.
 func (a act) zoneFilter() (func(host string) bool, string) {
 	zone := Areas[a.IntN(len(Areas))]
-	return func(h string) bool {
+	return func(host string) bool {
 		a.Net.mu.Lock()
 		defer a.Net.mu.Unlock()
-		return a.Net.areas[h] == zone
+		return a.Net.areas[host] == zone
 	}, zone
 }
 
--- a/internal/sim/grownincident_test.go
+++ b/internal/sim/grownincident_test.go
@@ -52,18 +52,18 @@
 		if !a.op.Send(a.g.Context(), draft, "", "") {
 			t.Error("the document was refused")
 		}
-		writer := a.Writer()
+		leader := a.Writer()
 		other := a.cores()[0]
-		if other == writer {
+		if other == leader {
 			other = a.cores()[1]
 		}
 		for _, c := range a.cores() {
 			a.killCore(c, true)
-			if c == writer || c == other {
+			if c == leader || c == other {
 				c.Disk.Wipe()
 			}
 		}
-		a.say("all control-plane machines lost power; the disks of %s and %s are wiped", writer.Host, other.Host)
+		a.say("all control-plane machines lost power; the disks of %s and %s are wiped", leader.Host, other.Host)
 		Wait(1400 * time.Millisecond)
 		for _, c := range a.cores() {
 			a.startCore(c, false)
@@ -99,28 +99,28 @@
 	d.ways.Crowd = 1
 	incident(t, d, func(a act, servedFraction func(string, time.Time) float64) {
 		Wait(3 * time.Second)
-		powerCycle := func(all []*machine, outage time.Duration) {
+		powerCycle := func(machines []*machine, outage time.Duration) {
 			var endTouch []func()
-			for _, m := range all {
+			for _, m := range machines {
 				endTouch = append(endTouch, a.wit.Touch.Begin(m.name, "without power"))
 				a.powered(m.Host, false)
 				m.w.Kill()
 				a.KillNode(m.Node)
 			}
 			Wait(outage)
-			for i, m := range all {
+			for i, m := range machines {
 				a.powered(m.Host, true)
 				a.boot(m)
 				endTouch[i]()
 				a.startWorker(m)
-				Wait(500 * time.Millisecond / time.Duration(len(all)))
+				Wait(500 * time.Millisecond / time.Duration(len(machines)))
 			}
 		}
 		powerCycle(a.all()[:7], 1600*time.Millisecond)
 		Wait(4 * time.Second)
-		d := a.next()
-		a.grow(d, 1)
-		if !a.op.Send(a.g.Context(), d, "", "") {
+		draft := a.next()
+		a.grow(draft, 1)
+		if !a.op.Send(a.g.Context(), draft, "", "") {
 			t.Error("the document was refused")
 		}
 		a.wit.Closing()
@@ -159,11 +159,11 @@
 		Wait(2 * time.Second)
 		m := a.take(inSmallest)
 		a.say("node of %s stopped and started", m.name)
-		end := a.wit.Touch.Begin(m.name, "planned roll")
+		endTouch := a.wit.Touch.Begin(m.name, "planned roll")
 		a.stopNode(m)
 		Wait(500 * time.Millisecond)
 		a.boot(m)
-		end()
+		endTouch()
 		a.free(m)
 		Wait(2 * time.Second)
 		m = a.take(inSmallest)
--- a/internal/sim/largestate_test.go
+++ b/internal/sim/largestate_test.go
@@ -51,7 +51,7 @@
 			Wait(interval)
 			cores := l.cores()
 			core := cores[i%len(cores)]
-			if _, r := l.runs(core); r == nil {
+			if _, registry := l.runs(core); registry == nil {
 				continue
 			}
 			running.Add(1)
@@ -125,9 +125,9 @@
 				l.Until(4*time.Second, "all voters have joined", func() bool { return len(l.places()) == c.cores })
 				l.Stores["founding"] = false
 				written := l.fillState(c.mib << 20)
-				for _, o := range l.Cores {
+				for _, core := range l.Cores {
 					if c.rate > 0 {
-						l.Net.Thin(o.Host, c.rate)
+						l.Net.Thin(core.Host, c.rate)
 					}
 				}
 				leader := l.Writer()
@@ -146,8 +146,8 @@
 					l.BackCore(leader)
 				}
 				l.Until(c.within, "the wiped store is a member again and up to date", func() bool {
-					w := l.Writer()
-					return w != nil && l.isMember(lost, w, 64)
+					current := l.Writer()
+					return current != nil && l.isMember(lost, current, 64)
 				})
 				took := time.Since(start)
 				n, slowest := stop()
@@ -155,10 +155,10 @@
 				if n < 50 {
 					t.Errorf("only %d writes went through meanwhile", n)
 				}
-				for _, o := range l.Cores {
-					if o != lost && o.Store != nil && bearOf(c.cores) == 1 {
-						l.KillCore(o, true)
-						o.Disk.Wipe()
+				for _, core := range l.Cores {
+					if core != lost && core.Store != nil && bearOf(c.cores) == 1 {
+						l.KillCore(core, true)
+						core.Disk.Wipe()
 						break
 					}
 				}
--- a/internal/sim/manychanges_test.go
+++ b/internal/sim/manychanges_test.go
@@ -55,13 +55,13 @@
 
 // applyChanges puts the given number of configurations in force, one after another, and
 // returns the number of the last one that was confirmed.
-func (l *lab) applyChanges(count int, from uint64) uint64 {
-	last, cores := from, l.cores()
+func (l *lab) applyChanges(count int, first uint64) uint64 {
+	last, cores := first, l.cores()
 	for i := range count {
-		number := from + uint64(i) + 1
-		for try := range 30 {
-			c := cores[(i+try)%len(cores)]
-			if _, r := l.runs(c); r == nil {
+		number := first + uint64(i) + 1
+		for attempt := range 30 {
+			c := cores[(i+attempt)%len(cores)]
+			if _, registry := l.runs(c); registry == nil {
 				continue
 			}
 			code, _ := l.Ask("PUT", c.Host+":7003", "/puffin/config?by=number&left_ms=600", l.numberedDoc(number, fmt.Sprint("p", number)))
--- a/internal/sim/node_test.go
+++ b/internal/sim/node_test.go
@@ -65,7 +65,7 @@
 		// One node is cut off for longer than the time after which entries are retired,
 		// and then reconnected.
 		n := f.Nodes[8]
-		cut := time.Now()
+		cutAt := time.Now()
 		f.Net.Isolate(n.Host, true)
 		f.Until(20*time.Second, "the cut-off node's entry is retired", func() bool {
 			_, own := f.Get(f.Nodes[7].Host+":7003", "/puffin/own")
@@ -74,7 +74,7 @@
 		Wait(5 * time.Second)
 		f.Net.Isolate(n.Host, false)
 		took = f.Until(15*time.Second, "it is registered again everywhere", f.Whole)
-		f.Obs.Lost(n.Host+":8000", cut, time.Now())
+		f.Obs.Lost(n.Host+":8000", cutAt, time.Now())
 		t.Logf("the cut-off node's worker is known everywhere again after %v", took.Round(time.Millisecond))
 		t.Logf("replicas equal %v later", f.Until(15*time.Second, "all replicas are equal", f.equal).Round(time.Millisecond))
 		wait()
--- a/internal/sim/numberrace_test.go
+++ b/internal/sim/numberrace_test.go
@@ -90,10 +90,10 @@
 	f.injectRaceFault(fault)
 	confirmed, refused := map[int]bool{}, map[int]bool{}
 	for range senders {
-		o := <-done
-		for _, code := range o.codes {
-			confirmed[o.content] = confirmed[o.content] || code == 200
-			refused[o.content] = refused[o.content] || code == 409
+		result := <-done
+		for _, code := range result.codes {
+			confirmed[result.content] = confirmed[result.content] || code == 200
+			refused[result.content] = refused[result.content] || code == 409
 		}
 	}
 	Wait(4 * time.Second)
--- a/internal/sim/outcast_test.go
+++ b/internal/sim/outcast_test.go
@@ -26,17 +26,14 @@
 			l.Net.Isolate(old.Host, true)
 			replacement := l.fresh(old)
 			l.BackCore(replacement)
-			l.Until(4*time.Second, "the replacement is a member", func() bool { members := l.places(); return len(members) == 3 && members[replacement.Host] })
+			l.Until(4*time.Second, "the replacement is a member", func() bool { in := l.places(); return len(in) == 3 && in[replacement.Host] })
 			Wait(time.Second)
 		}
 		// The last original member is cut off, and a candidate replaces it.
 		l.Net.Isolate(removed.Host, true)
 		spare := l.fresh(removed)
 		l.BackCore(spare)
-		l.Until(6*time.Second, "the last original member is replaced", func() bool {
-			members := l.places()
-			return len(members) == 3 && members[spare.Host] && !members[removed.Host]
-		})
+		l.Until(6*time.Second, "the last original member is replaced", func() bool { in := l.places(); return len(in) == 3 && in[spare.Host] && !in[removed.Host] })
 		Wait(2 * time.Second)
 		l.KillCore(removed, false)
 		l.Net.Isolate(removed.Host, false)
--- a/internal/sim/plan_test.go
+++ b/internal/sim/plan_test.go
@@ -33,9 +33,9 @@
 	at *int // requests in progress at the nodes that the fault picked, when it picked them
 }
 
-func (p *plan) say(form string, args ...any) {
+func (p *plan) say(format string, args ...any) {
 	p.mu.Lock()
-	p.events = append(p.events, time.Now().Format("05.000 ")+fmt.Sprintf(form, args...))
+	p.events = append(p.events, time.Now().Format("05.000 ")+fmt.Sprintf(format, args...))
 	p.mu.Unlock()
 }
 
@@ -129,11 +129,11 @@
 				compatible = append(compatible, &steps[i])
 			}
 		}
-		o := compatible[rnd.IntN(len(compatible))]
+		other := compatible[rnd.IntN(len(compatible))]
 		done := make(chan struct{})
 		f.g.Go("second-fault", func(context.Context) {
 			Wait(time.Duration(second%900) * time.Millisecond)
-			playStep(o, second)
+			playStep(other, second)
 			close(done)
 		})
 		playStep(s, first)
--- a/internal/sim/power_test.go
+++ b/internal/sim/power_test.go
@@ -24,8 +24,8 @@
 				f := NewFleet(t, s, uint64(seed)+320)
 				defer f.Stop()
 				f.Start()
-				for v := range 3 {
-					if code, _ := f.Apply(f.Nodes[v].Host+":7003", uint64(v+1), s.Doc); code != 200 {
+				for version := range 3 {
+					if code, _ := f.Apply(f.Nodes[version].Host+":7003", uint64(version+1), s.Doc); code != 200 {
 						t.Fatalf("apply answered %d", code)
 					}
 				}
@@ -35,11 +35,11 @@
 				Wait(3 * time.Second)
 				start := time.Now()
 				// The last change is acknowledged just before the power loss.
-				code, v := f.Apply(f.Nodes[1].Host+":7003", 4, s.Doc)
+				code, version := f.Apply(f.Nodes[1].Host+":7003", 4, s.Doc)
 				if code != 200 {
 					t.Fatalf("apply answered %d", code)
 				}
-				before.version = float64(v)
+				before.version = float64(version)
 				for _, c := range f.Cores {
 					f.KillCore(c, true)
 				}
@@ -62,8 +62,8 @@
 					restarts = append(restarts, func() { f.StartProxy(n); f.StartWorker(n, s.Serves(i)) })
 				}
 				rnd.Shuffle(len(restarts), func(i, j int) { restarts[i], restarts[j] = restarts[j], restarts[i] })
-				for _, b := range restarts {
-					b()
+				for _, restart := range restarts {
+					restart()
 					Wait(time.Duration(rnd.IntN(700)) * time.Millisecond)
 				}
 				allBack := time.Now()
--- a/internal/sim/queued_test.go
+++ b/internal/sim/queued_test.go
@@ -51,14 +51,14 @@
 					n.Worker.Behave(standin.Way{Took: 50 * time.Millisecond})
 				}
 				// No request has ended yet, so the nodes have no estimate of run times.
-				from := time.Now()
+				sentAt := time.Now()
 				for _, n := range f.Nodes {
 					request(n, "/a", "")
 					Wait(300 * time.Millisecond)
 				}
 				for answered := 0; answered < 3; {
 					c := <-results
-					if c.From.Before(from) {
+					if c.From.Before(sentAt) {
 						continue
 					}
 					answered++
