--- a/internal/sim/grown_test.go
+++ b/internal/sim/grown_test.go
@@ -126,8 +126,9 @@
 	}
 }
 
-// loadScale is the share of the full load for a site with fewer slots. Small sites are
-// loaded less, since random peaks weigh more there.
+// loadScale is the share of the full load for a site with the given part of the full
+// slots. The load is reduced by more than the slots are, since random peaks weigh more
+// at small sites.
 func loadScale(slots, fullSlots int) float64 {
 	return *dayRate / 0.12 * 0.62 * float64(slots) / float64(fullSlots)
 }
--- a/internal/sim/kept_test.go
+++ b/internal/sim/kept_test.go
@@ -7,9 +7,9 @@
 )
 
 // TestWorkersKeptAcrossMeshKill: every process of the mesh is killed at once while the
-// workers keep running and send heartbeats only now and then. The control plane reads
-// them back from its disks, so that requests are served as soon as it is up; requests
-// that reach an ingress or an owner before then wait.
+// workers keep running and send heartbeats only now and then. The control plane
+// restores the workers from its disks, so that requests are served as soon as it is up;
+// requests that reach an ingress or an owner before then wait.
 func TestWorkersKeptAcrossMeshKill(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
--- a/internal/sim/largestate_test.go
+++ b/internal/sim/largestate_test.go
@@ -170,8 +170,9 @@
 }
 
 // TestStateBounded: once the state has reached its size bound, a change that would
-// enlarge it is refused without effect. Deletes, which free space, and reads are still
-// served, and a warning event precedes the first refusal.
+// enlarge it is refused without effect, and the refusal says why. Deletes, which free
+// space, the commands that keep the control plane running, lease renewals and reads are
+// still served, and a warning event precedes the first refusal.
 func TestStateBounded(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
--- a/internal/sim/lastword_test.go
+++ b/internal/sim/lastword_test.go
@@ -11,9 +11,9 @@
 )
 
 // TestCallersAnsweredAtShutdown: requests at an ingress that is stopped take longer
-// than its grace period. Each caller gets a complete answer before the process ends;
-// none finds its connection closed without one. This happened with large answers on
-// slow links, which reached their ingress only after it had ended.
+// than its grace period. Each caller gets a complete answer before the process ends.
+// Connections closed without an answer were seen with large answers on slow links,
+// which reached their ingress only after it had ended.
 func TestCallersAnsweredAtShutdown(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
--- a/internal/sim/linear_test.go
+++ b/internal/sim/linear_test.go
@@ -60,7 +60,7 @@
 // machines are killed, isolated, cut off in one direction and slowed in a seeded order,
 // are linearizable. To search more seeds:
 //
-// PUFFIN_SEEDS=200 go test ./internal/sim -run Linearizable
+//	PUFFIN_SEEDS=200 go test ./internal/sim -run Linearizable
 func TestLinearizable(t *testing.T) {
 	t.Parallel()
 	for seed := range seeds(3) {
--- a/internal/sim/plan_test.go
+++ b/internal/sim/plan_test.go
@@ -154,7 +154,7 @@
 // log shows how often each guarantee was actually at risk under each fault. To search
 // more seeds:
 //
-// PUFFIN_SEEDS=100 go test ./internal/sim -run Plans -v
+//	PUFFIN_SEEDS=100 go test ./internal/sim -run Plans -v
 func TestPlans(t *testing.T) {
 	heavy(t)
 	var mu sync.Mutex
