--- a/internal/sim/grownincident_test.go
+++ b/internal/sim/grownincident_test.go
@@ -8,76 +8,77 @@
 	"time"
 )
 
-// incidentSite is a site of the readers' shape with so many nodes; its smallest
+// incidentSite is a grown reader's site with the given number of nodes; its smallest
 // service has few workers.
 func incidentSite(nodes int) deployment {
 	d := grownSite(2)
-	g := grownReader(2, nodes, 4)
-	g.link, g.wide, g.cores, g.bear, g.catchUp = d.link, d.wide, d.cores, d.bear, d.catchUp
-	g.ways.Hello, g.ways.Idle, g.ways.Cold, g.ways.ColdBy, g.ways.Queue = d.ways.Hello, d.ways.Idle, d.ways.Cold, d.ways.ColdBy, 16
-	return g
+	site := grownReaderSite(2, nodes, 4)
+	site.link, site.wide, site.cores, site.bear, site.catchUp = d.link, d.wide, d.cores, d.bear, d.catchUp
+	site.ways.Hello, site.ways.Idle, site.ways.Cold, site.ways.ColdBy, site.ways.Queue = d.ways.Hello, d.ways.Idle, d.ways.Cold, d.ways.ColdBy, 16
+	return site
 }
 
-// incident plays a recorded day's troubles and checks every rule; part tells
-// what part of a kind's jobs, "" for all, was served of those begun since.
-func incident(t *testing.T, d deployment, holds func(a act, part func(kind string, since time.Time) float64)) {
+// incident replays the faults of a recorded day and checks every rule. servedFraction
+// returns the fraction of the requests of a kind ("" for all) begun since a time that
+// were served.
+func incident(t *testing.T, d deployment, scenario func(a act, servedFraction func(kind string, since time.Time) float64)) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSite(t, d, 2)
-		bad := s.day(16*time.Second, func() {
-			holds(act{s, rand.New(rand.NewPCG(2, 43)), &[]*Core{}}, func(kind string, since time.Time) float64 {
-				// What was begun just now has no answer yet.
-				served, owed := s.wit.Served(kind, since, time.Now().Add(-2*time.Second))
-				return float64(served) / float64(max(owed, 1))
+		violations := s.day(16*time.Second, func() {
+			scenario(act{s, rand.New(rand.NewPCG(2, 43)), &[]*Core{}}, func(kind string, since time.Time) float64 {
+				// Requests of the last two seconds may not have been answered yet.
+				served, expected := s.wit.Served(kind, since, time.Now().Add(-2*time.Second))
+				return float64(served) / float64(max(expected, 1))
 			})
 		})
-		if len(bad) > 0 {
-			t.Errorf("broken: %v", bad)
+		if len(violations) > 0 {
+			t.Errorf("rules broken: %v", violations)
 		}
 		t.Log(s.said)
 	})
 }
 
-// TestIncidentCoreGone: right after an acknowledgement all five core machines
-// lose power and two of them their disks, the acknowledging one's among them;
-// nodes and workers live on. The version is kept, all nodes are ready with it
-// soon, and jobs feel little of it.
+// TestIncidentCoreGone: right after a configuration was acknowledged, all five
+// control-plane machines lose power, and two of them, the acknowledging leader among
+// them, lose their disks as well. Nodes and workers keep running. The version is kept,
+// all nodes soon report ready with it, and at least 95% of the requests are served.
 func TestIncidentCoreGone(t *testing.T) {
 	heavy(t)
-	incident(t, incidentSite(14), func(a act, part func(string, time.Time) float64) {
+	incident(t, incidentSite(14), func(a act, servedFraction func(string, time.Time) float64) {
 		Wait(4 * time.Second)
-		d := a.next()
-		a.grow(d, 1)
-		from := time.Now()
-		if !a.op.Send(a.g.Context(), d, "", "") {
+		draft := a.next()
+		a.grow(draft, 1)
+		start := time.Now()
+		if !a.op.Send(a.g.Context(), draft, "", "") {
 			t.Error("the document was refused")
 		}
-		writer := a.Writer()
+		leader := a.Writer()
 		other := a.cores()[0]
-		if other == writer {
+		if other == leader {
 			other = a.cores()[1]
 		}
 		for _, c := range a.cores() {
 			a.killCore(c, true)
-			if c == writer || c == other {
+			if c == leader || c == other {
 				c.Disk.Wipe()
 			}
 		}
-		a.say("all of the core is gone, with the disks of %s and %s", writer.Host, other.Host)
+		a.say("all control-plane machines lost power; the disks of %s and %s are wiped", leader.Host, other.Host)
 		Wait(1400 * time.Millisecond)
 		for _, c := range a.cores() {
 			a.startCore(c, false)
 		}
-		took := a.Until(a.d.bounds.Return, "all core machines are back", a.coreReady)
+		elapsed := a.Until(a.d.bounds.Return, "all control-plane machines are back", a.coreReady)
 		a.Until(a.d.bounds.Change, "all nodes are ready", a.allReady)
 		Wait(4 * time.Second)
-		t.Logf("back after %v; served of what was begun since: %.3f", took, part("", from))
-		if x := part("", from); x < 0.95 {
-			t.Errorf("%.3f served through it", x)
+		t.Logf("back after %v; %.3f of the requests begun since were served", elapsed, servedFraction("", start))
+		if served := servedFraction("", start); served < 0.95 {
+			t.Errorf("only %.3f of the requests were served during the outage", served)
 		}
 	})
 }
 
-// allReady tells that every node that is there is ready.
+// allReady reports whether every running node is ready.
 func (s *site) allReady() bool {
 	for _, m := range s.all() {
 		if x, _ := s.now(m.Node); x == nil || !x.Ready() {
@@ -87,39 +88,39 @@
 	return true
 }
 
-// TestIncidentAllGone: half of the machines lose power with their workers; as
-// soon as they are back, a document is acknowledged and everything loses power,
-// and comes back one after the other within half a second.
+// TestIncidentAllGone: half of the machines lose power together with their workers.
+// Once they are back, a document is acknowledged and every machine loses power; they
+// return one after the other within half a second.
 func TestIncidentAllGone(t *testing.T) {
 	heavy(t)
-	// Workers that get slower when full keep such a site full after it is back;
-	// docs/incidents/grown.md has the figures.
+	// Workers that slow down when saturated keep such a site saturated after its
+	// return; docs/incidents/grown.md has the figures.
 	d := incidentSite(14)
 	d.ways.Crowd = 1
-	incident(t, d, func(a act, part func(string, time.Time) float64) {
+	incident(t, d, func(a act, servedFraction func(string, time.Time) float64) {
 		Wait(3 * time.Second)
-		out := func(all []*machine, long time.Duration) {
-			var ends []func()
-			for _, m := range all {
-				ends = append(ends, a.wit.Touch.Begin(m.name, "without power"))
+		powerCycle := func(machines []*machine, outage time.Duration) {
+			var endTouch []func()
+			for _, m := range machines {
+				endTouch = append(endTouch, a.wit.Touch.Begin(m.name, "without power"))
 				a.powered(m.Host, false)
 				m.w.Kill()
 				a.KillNode(m.Node)
 			}
-			Wait(long)
-			for i, m := range all {
+			Wait(outage)
+			for i, m := range machines {
 				a.powered(m.Host, true)
 				a.boot(m)
-				ends[i]()
+				endTouch[i]()
 				a.startWorker(m)
-				Wait(500 * time.Millisecond / time.Duration(len(all)))
+				Wait(500 * time.Millisecond / time.Duration(len(machines)))
 			}
 		}
-		out(a.all()[:7], 1600*time.Millisecond)
+		powerCycle(a.all()[:7], 1600*time.Millisecond)
 		Wait(4 * time.Second)
-		d := a.next()
-		a.grow(d, 1)
-		if !a.op.Send(a.g.Context(), d, "", "") {
+		draft := a.next()
+		a.grow(draft, 1)
+		if !a.op.Send(a.g.Context(), draft, "", "") {
 			t.Error("the document was refused")
 		}
 		a.wit.Closing()
@@ -132,53 +133,53 @@
 				a.startCore(c, false)
 			}
 		})
-		out(a.all(), 1550*time.Millisecond)
+		powerCycle(a.all(), 1550*time.Millisecond)
 		a.wit.Back()
-		took := a.Until(a.d.bounds.Return, "all nodes are ready", a.allReady)
+		elapsed := a.Until(a.d.bounds.Return, "all nodes are ready", a.allReady)
 		Wait(8 * time.Second)
-		from := time.Now()
+		start := time.Now()
 		Wait(6 * time.Second)
-		t.Logf("ready %v after the last start; served after 8 s: %.3f", took, part("", from))
-		if x := part("", from); x < 0.95 {
-			t.Errorf("%.3f served after the return", x)
+		t.Logf("ready %v after the last start; fraction served from 8 s on: %.3f", elapsed, servedFraction("", start))
+		if served := servedFraction("", start); served < 0.95 {
+			t.Errorf("only %.3f of the requests were served after the return", served)
 		}
 	})
 }
 
-// TestIncidentFewOfAService: of a service with few workers behind thin links
-// that fill with bulky bodies, one loses power and comes back, nodes beside
-// others are stopped and started, and at last one is taken away by plan. What
-// goes to the other services alone is served all the while.
+// TestIncidentFewOfAService: a service has few workers, behind slow links that large
+// bodies fill. One of them loses power and returns, the node beside another is
+// restarted, and a third is decommissioned. Requests that use only the other services
+// are served all the while.
 func TestIncidentFewOfAService(t *testing.T) {
 	heavy(t)
-	incident(t, incidentSite(22), func(a act, part func(string, time.Time) float64) {
-		small := a.d.services[2]
-		of := func(m *machine) bool { return m.service == small }
-		from := time.Now()
+	incident(t, incidentSite(22), func(a act, servedFraction func(string, time.Time) float64) {
+		smallest := a.d.services[2]
+		inSmallest := func(m *machine) bool { return m.service == smallest }
+		start := time.Now()
 		Wait(2 * time.Second)
-		m := a.take(of)
+		m := a.take(inSmallest)
 		a.say("node of %s stopped and started", m.name)
-		end := a.wit.Touch.Begin(m.name, "planned roll")
+		endTouch := a.wit.Touch.Begin(m.name, "planned roll")
 		a.stopNode(m)
 		Wait(500 * time.Millisecond)
 		a.boot(m)
-		end()
+		endTouch()
 		a.free(m)
 		Wait(2 * time.Second)
-		m = a.take(of)
+		m = a.take(inSmallest)
 		a.say("%s loses power", m.name)
 		a.out(m)
 		a.free(m)
 		Wait(2 * time.Second)
-		m = a.take(of)
-		a.say("%s is emptied and taken away", m.name)
+		m = a.take(inSmallest)
+		a.say("%s is drained and decommissioned", m.name)
 		m.w.Leave(a.g.Context())
 		a.retire(m)
 		Wait(8 * time.Second)
-		reads, all := part("read", from), part("", from)
-		t.Logf("served of reads %.3f, of all %.3f", reads, all)
+		reads, all := servedFraction("read", start), servedFraction("", start)
+		t.Logf("fraction served: reads %.3f, all %.3f", reads, all)
 		if reads < 0.97 {
-			t.Errorf("%.3f of the reads served", reads)
+			t.Errorf("only %.3f of the reads were served", reads)
 		}
 	})
 }
--- a/internal/sim/history_test.go
+++ b/internal/sim/history_test.go
@@ -7,25 +7,26 @@
 	"time"
 )
 
-// TestHistory: a watch can look back for 20 seconds, across a writer's change
-// and a restart of all stores from their files; much older starts are told the
-// oldest revision kept. A lock is free after its time, across a change of writer.
+// TestHistory: a watch can start up to 20 seconds in the past, across a change of
+// leader and a restart of all stores from their files. A watch from a much older
+// revision is answered with the oldest revision kept. A lock is free after its time to
+// live, across a change of leader.
 func TestHistory(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		f := NewFleet(t, small(), 140)
 		defer f.Stop()
 		f.Start()
-		at := f.Nodes[0].Host + ":7003"
+		addr := f.Nodes[0].Host + ":7003"
 		put := func() uint64 {
-			code, got := f.Ask("PUT", at, "/puffin/keys/h", `{"value":"x"}`)
+			code, got := f.Ask("PUT", addr, "/puffin/keys/h", `{"value":"x"}`)
 			if code != 200 {
 				t.Fatalf("put answered %d", code)
 			}
 			return uint64(got["rev"].(float64))
 		}
-		first := put()
-		from := time.Now()
+		firstRev := put()
+		start := time.Now()
 		Wait(5 * time.Second)
 		f.KillCore(f.mark(f.Writer()), true)
 		f.serves(10 * time.Second)
@@ -38,110 +39,112 @@
 			f.BackCore(c)
 		}
 		f.serves(15 * time.Second)
-		// Histories are trimmed when something is written.
-		for time.Since(from) < 20*time.Second {
-			f.Ask("PUT", at, "/puffin/keys/other", `{"value":"x"}`)
-			Wait(min(time.Second, 20*time.Second-time.Since(from)))
+		// History is trimmed only when something is written.
+		for time.Since(start) < 20*time.Second {
+			f.Ask("PUT", addr, "/puffin/keys/other", `{"value":"x"}`)
+			Wait(min(time.Second, 20*time.Second-time.Since(start)))
 		}
-		code, got := f.Get(at, fmt.Sprintf("/puffin/watch?prefix=h&from=%d", first))
-		list, _ := got["changes"].([]any)
-		if code != 200 || len(list) != 1 {
+		code, got := f.Get(addr, fmt.Sprintf("/puffin/watch?prefix=h&from=%d", firstRev))
+		changes, _ := got["changes"].([]any)
+		if code != 200 || len(changes) != 1 {
 			t.Errorf("a watch from 20 s ago: %d %v", code, got)
 		}
 		for range 60 {
 			put()
 			Wait(time.Second)
 		}
-		code, got = f.Get(at, fmt.Sprintf("/puffin/watch?prefix=h&from=%d", first))
+		code, got = f.Get(addr, fmt.Sprintf("/puffin/watch?prefix=h&from=%d", firstRev))
 		oldest, _ := got["oldest"].(float64)
-		if code != 410 || uint64(oldest) <= first {
+		if code != 410 || uint64(oldest) <= firstRev {
 			t.Errorf("a watch from a minute ago: %d %v", code, got)
 		}
-		code, got = f.Get(at, fmt.Sprintf("/puffin/watch?prefix=h&from=%.0f", oldest))
-		// The history may have been trimmed in between, once: a higher one is told.
-		if again, _ := got["oldest"].(float64); code == 410 && again > oldest {
-			code, _ = f.Get(at, fmt.Sprintf("/puffin/watch?prefix=h&from=%.0f", again))
+		code, got = f.Get(addr, fmt.Sprintf("/puffin/watch?prefix=h&from=%.0f", oldest))
+		// The history may have been trimmed once in between; then a higher oldest
+		// revision is returned.
+		if later, _ := got["oldest"].(float64); code == 410 && later > oldest {
+			code, _ = f.Get(addr, fmt.Sprintf("/puffin/watch?prefix=h&from=%.0f", later))
 		}
 		if code != 200 {
-			t.Errorf("a watch from the oldest: %d %v", code, got)
+			t.Errorf("a watch from the oldest revision: %d %v", code, got)
 		}
 
-		take := func(who string) int {
-			code, _ := f.Ask("POST", at, "/puffin/locks/l/acquire", `{"owner":"`+who+`","ttl_ms":3000}`)
+		acquire := func(owner string) int {
+			code, _ := f.Ask("POST", addr, "/puffin/locks/l/acquire", `{"owner":"`+owner+`","ttl_ms":3000}`)
 			return code
 		}
-		if code := take("a"); code != 200 {
+		if code := acquire("a"); code != 200 {
 			t.Fatalf("acquire answered %d", code)
 		}
 		Wait(2500 * time.Millisecond)
-		if code := take("b"); code != 409 {
-			t.Errorf("taken before its time ran out: %d", code)
+		if code := acquire("b"); code != 409 {
+			t.Errorf("acquired by another before the time to live ran out: %d", code)
 		}
 		f.KillCore(f.mark(f.Writer()), true)
 		f.serves(10 * time.Second)
 		f.BackCore(f.marked)
-		f.Until(2*time.Second, "the lock is free again", func() bool { return take("c") == 200 })
+		f.Until(2*time.Second, "the lock is free again", func() bool { return acquire("c") == 200 })
 	})
 }
 
-// TestLockTime: a lock outlives its holder's silence by its time to live,
-// whatever the writers; a new one goes on with what is left and counts neither
-// anew nor less, and whoever asks gets the lock at once when its time is over.
-// When all stores lost power it runs once more in full, since nobody knows
-// what is left. Before, every change of writer let it run anew.
+// TestLockTime: a lock outlives its silent holder by its time to live, whoever leads. A
+// new leader continues with the remaining time, neither restarting nor shortening it,
+// and another client gets the lock as soon as the time is over. After a power loss of
+// all stores the full time to live runs once more, since the remaining time is unknown.
+// Earlier, every change of leader restarted the time.
 func TestLockTime(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		f := NewFleet(t, small(), 141)
 		defer f.Stop()
 		f.Start()
-		at := f.Nodes[0].Host + ":7003"
-		ask := func(who string) int {
-			code, _ := f.raw("POST", at, "/puffin/app/locks/l", `{"owner":"`+who+`","ttl_ms":9000}`)
+		addr := f.Nodes[0].Host + ":7003"
+		acquire := func(owner string) int {
+			code, _ := f.raw("POST", addr, "/puffin/app/locks/l", `{"owner":"`+owner+`","ttl_ms":9000}`)
 			return code
 		}
-		for round, gone := range [][]int{{}, {0}, {0, 1}, {0, 1, 2}} {
-			who := fmt.Sprint("a", round)
-			from := time.Now()
-			f.Until(5*time.Second, "the lock is taken", func() bool { from = time.Now(); return ask(who) == 200 })
-			for i := range gone {
+		for round, changes := range [][]int{{}, {0}, {0, 1}, {0, 1, 2}} {
+			owner := fmt.Sprint("a", round)
+			start := time.Now()
+			f.Until(5*time.Second, "the lock is acquired", func() bool { start = time.Now(); return acquire(owner) == 200 })
+			for i := range changes {
 				Wait(2 * time.Second)
 				c := f.mark(f.Writer())
 				if i == 2 {
-					// The last one loses its power with those that just came back.
+					// The third leader loses power together with the two that have just
+					// returned.
 					for _, c := range f.Cores {
 						f.KillCore(c, true)
 					}
 					for _, c := range f.Cores {
 						f.BackCore(c)
 					}
-					from = time.Now()
+					start = time.Now()
 				} else {
 					f.KillCore(c, true)
 					f.serves(10 * time.Second)
 					f.BackCore(c)
 				}
 			}
-			f.Until(15*time.Second, "another gets it", func() bool { return ask("b") == 200 })
-			took := time.Since(from)
-			t.Logf("writers changed %d times: free %v after it was asked for", len(gone), took)
+			f.Until(15*time.Second, "another client gets the lock", func() bool { return acquire("b") == 200 })
+			took := time.Since(start)
+			t.Logf("%d changes of leader: lock free %v after it was requested", len(changes), took)
 			if took < 9*time.Second || took > 9*time.Second+150*time.Millisecond {
-				t.Errorf("after %d changes of writer: free after %v", len(gone), took)
+				t.Errorf("after %d changes of leader: lock free after %v", len(changes), took)
 			}
-			if code, _ := f.raw("PUT", at, "/puffin/app/locks/l", `{"owner":"`+who+`","fence":1,"ttl_ms":9000}`); code != 409 {
-				t.Errorf("the one before can renew: %d", code)
+			if code, _ := f.raw("PUT", addr, "/puffin/app/locks/l", `{"owner":"`+owner+`","fence":1,"ttl_ms":9000}`); code != 409 {
+				t.Errorf("the former holder can renew: %d", code)
 			}
-			if f.raw("DELETE", at, "/puffin/app/locks/l", fmt.Sprintf(`{"owner":"b","fence":%d}`, f.fence("l"))); ask("c") != 200 {
-				t.Error("not given back")
+			if f.raw("DELETE", addr, "/puffin/app/locks/l", fmt.Sprintf(`{"owner":"b","fence":%d}`, f.fence("l"))); acquire("c") != 200 {
+				t.Error("the lock was not released")
 			}
-			f.raw("DELETE", at, "/puffin/app/locks/l", fmt.Sprintf(`{"owner":"c","fence":%d}`, f.fence("l")))
+			f.raw("DELETE", addr, "/puffin/app/locks/l", fmt.Sprintf(`{"owner":"c","fence":%d}`, f.fence("l")))
 		}
 	})
 }
 
-// fence reads who holds a lock under which fence.
+// fence returns the fencing token under which a lock is held.
 func (f *Fleet) fence(lock string) int {
 	_, got := f.Get(f.Nodes[0].Host+":7003", "/puffin/locks/"+lock)
-	n, _ := got["fence"].(float64)
-	return int(n)
+	fence, _ := got["fence"].(float64)
+	return int(fence)
 }
--- a/internal/sim/largestate_test.go
+++ b/internal/sim/largestate_test.go
@@ -14,72 +14,71 @@
 	"puffincrank/internal/event"
 )
 
-// fillState writes keys of 60 kB each until the state has about so many bytes,
-// and gives what was acknowledged.
+// fillState writes keys of 60 KiB each until the state holds about the given number of
+// bytes, and returns the acknowledged revisions by key.
 func (l *lab) fillState(bytes int) map[string]uint64 {
 	const size = 60 << 10
 	value := strings.Repeat("x", size)
-	out := map[string]uint64{}
+	revisions := map[string]uint64{}
 	for i := range bytes / size {
 		key := fmt.Sprint("large", i)
-		at := l.Cores[i%3]
+		core := l.Cores[i%3]
 		for range 10 {
-			if rev := l.put(at, key, key+value[len(key):]); rev > 0 {
-				out[key] = rev
+			if rev := l.put(core, key, key+value[len(key):]); rev > 0 {
+				revisions[key] = rev
 				break
 			}
 			Wait(50 * time.Millisecond)
 		}
 	}
-	if len(out) < bytes/size {
-		l.T.Fatalf("%d of %d large keys were taken", len(out), bytes/size)
+	if len(revisions) < bytes/size {
+		l.T.Fatalf("%d of %d large keys were acknowledged", len(revisions), bytes/size)
 	}
-	return out
+	return revisions
 }
 
-// keepWriting writes a small key every so often until it is stopped, and tells
-// how many were acknowledged and the longest time that one took.
-func (l *lab) keepWriting(every time.Duration) (stop func() (acknowledged int, slowest time.Duration)) {
-	ctx, end := context.WithCancel(context.Background())
-	var wait sync.WaitGroup
+// keepWriting writes a small key at every interval until stop is called, which returns
+// the number of acknowledged writes and the longest time one took.
+func (l *lab) keepWriting(interval time.Duration) (stop func() (acknowledged int, slowest time.Duration)) {
+	ctx, cancel := context.WithCancel(context.Background())
+	var running sync.WaitGroup
 	var mu sync.Mutex
-	n, slowest := 0, time.Duration(0)
-	wait.Add(1)
+	count, slowest := 0, time.Duration(0)
+	running.Add(1)
 	go func() {
-		defer wait.Done()
+		defer running.Done()
 		for i := 0; ctx.Err() == nil; i++ {
-			Wait(every)
-			all := l.cores()
-			at := all[i%len(all)]
-			if _, r := l.runs(at); r == nil {
+			Wait(interval)
+			cores := l.cores()
+			core := cores[i%len(cores)]
+			if _, registry := l.runs(core); registry == nil {
 				continue
 			}
-			wait.Add(1)
+			running.Add(1)
 			go func() {
-				defer wait.Done()
-				from := time.Now()
-				if l.put(at, fmt.Sprint("small", i%100), "v") > 0 {
+				defer running.Done()
+				start := time.Now()
+				if l.put(core, fmt.Sprint("small", i%100), "v") > 0 {
 					mu.Lock()
-					n++
-					slowest = max(slowest, time.Since(from))
+					count++
+					slowest = max(slowest, time.Since(start))
 					mu.Unlock()
 				}
 			}()
 		}
 	}()
 	return func() (int, time.Duration) {
-		end()
-		wait.Wait()
-		return n, slowest
+		cancel()
+		running.Wait()
+		return count, slowest
 	}
 }
 
-// holdsLarge fails the test if a large key has not the revision that was
-// acknowledged.
-func (l *lab) holdsLarge(at *Core, all map[string]uint64) {
+// checkLargeKeys fails the test if a large key lacks its acknowledged revision.
+func (l *lab) checkLargeKeys(core *Core, revisions map[string]uint64) {
 	l.T.Helper()
-	for key, rev := range all {
-		code, got := l.Get(at.Host+":7003", "/puffin/keys/"+key+"?left_ms=3000")
+	for key, rev := range revisions {
+		code, got := l.Get(core.Host+":7003", "/puffin/keys/"+key+"?left_ms=3000")
 		value, _ := got["value"].(string)
 		if code != 200 || got["rev"] != float64(rev) || !strings.HasPrefix(value, key) {
 			l.T.Fatalf("%s: %d, revision %v, was acknowledged with %d", key, code, got["rev"], rev)
@@ -87,19 +86,20 @@
 	}
 }
 
-// isMember tells whether a machine's store has a place and has applied all but so many entries.
+// isMember reports whether a machine's store is a voting member whose applied log index
+// is at most lag entries behind the leader's.
 func (l *lab) isMember(c, leader *Core, lag float64) bool {
-	_, mine := l.Get(c.Host+":7004", "/puffin/ready")
-	_, its := l.Get(leader.Host+":7004", "/puffin/ready")
-	a, _ := mine["version_slot"].(float64)
-	b, _ := its["version_slot"].(float64)
-	return mine["role"] == "follow" && l.places()[c.Host] && a > 0 && a+lag >= b
+	_, ready := l.Get(c.Host+":7004", "/puffin/ready")
+	_, leaderReady := l.Get(leader.Host+":7004", "/puffin/ready")
+	applied, _ := ready["version_slot"].(float64)
+	leaderApplied, _ := leaderReady["version_slot"].(float64)
+	return ready["role"] == "follow" && l.places()[c.Host] && applied > 0 && applied+lag >= leaderApplied
 }
 
-// TestLargeStateRefilled: a state larger than any message is fetched in chunks by
-// a member whose disk was lost, while 200 writes a second go on; over thin links,
-// with five members, and with the sender killed in the middle. Then the others'
-// disks may go as well.
+// TestLargeStateRefilled: a member that lost its disk fetches a state larger than any
+// message in chunks, while 200 writes a second continue; also over slow links, with
+// five members, and with the sender killed midway. Afterwards, with three members,
+// another one may lose its disk too.
 func TestLargeStateRefilled(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
@@ -122,12 +122,12 @@
 				l.Stores["state_bytes"] = json.Number(fmt.Sprint(64 << 20))
 				defer l.Stop()
 				l.up()
-				l.Until(4*time.Second, "all places are taken", func() bool { return len(l.places()) == c.cores })
+				l.Until(4*time.Second, "all voters have joined", func() bool { return len(l.places()) == c.cores })
 				l.Stores["founding"] = false
-				all := l.fillState(c.mib << 20)
-				for _, o := range l.Cores {
+				written := l.fillState(c.mib << 20)
+				for _, core := range l.Cores {
 					if c.rate > 0 {
-						l.Net.Thin(o.Host, c.rate)
+						l.Net.Thin(core.Host, c.rate)
 					}
 				}
 				leader := l.Writer()
@@ -137,7 +137,7 @@
 				l.KillCore(lost, true)
 				lost.Disk.Wipe()
 				Wait(300 * time.Millisecond)
-				from := time.Now()
+				start := time.Now()
 				l.BackCore(lost)
 				if c.kill {
 					Wait(60 * time.Millisecond)
@@ -145,33 +145,34 @@
 					Wait(500 * time.Millisecond)
 					l.BackCore(leader)
 				}
-				l.Until(c.within, "the emptied member has a place and is whole", func() bool {
-					w := l.Writer()
-					return w != nil && l.isMember(lost, w, 64)
+				l.Until(c.within, "the wiped store is a member again and up to date", func() bool {
+					current := l.Writer()
+					return current != nil && l.isMember(lost, current, 64)
 				})
-				took := time.Since(from)
+				took := time.Since(start)
 				n, slowest := stop()
-				t.Logf("whole after %v; %d writes meanwhile, the slowest took %v", took.Round(time.Millisecond), n, slowest.Round(time.Millisecond))
+				t.Logf("up to date after %v; %d writes meanwhile, the slowest took %v", took.Round(time.Millisecond), n, slowest.Round(time.Millisecond))
 				if n < 50 {
 					t.Errorf("only %d writes went through meanwhile", n)
 				}
-				for _, o := range l.Cores {
-					if o != lost && o.Store != nil && bearOf(c.cores) == 1 {
-						l.KillCore(o, true)
-						o.Disk.Wipe()
+				for _, core := range l.Cores {
+					if core != lost && core.Store != nil && bearOf(c.cores) == 1 {
+						l.KillCore(core, true)
+						core.Disk.Wipe()
 						break
 					}
 				}
 				l.next(8 * time.Second)
-				l.holdsLarge(lost, all)
+				l.checkLargeKeys(lost, written)
 			})
 		})
 	}
 }
 
-// TestStateBounded: beyond the bound on the state a change that would make it
-// larger is refused, undone and named; what frees room, orders that keep the core
-// going, renewals and reads are served, and operators were warned before.
+// TestStateBounded: once the state has reached its size bound, a change that would
+// enlarge it is refused without effect, and the refusal says why. Deletes, which free
+// space, the commands that keep the control plane running, lease renewals and reads are
+// still served, and a warning event precedes the first refusal.
 func TestStateBounded(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -180,12 +181,12 @@
 		defer l.Stop()
 		l.up()
 		value := strings.Repeat("y", 60<<10)
-		taken, refused := 0, 0
+		accepted, refused := 0, 0
 		for i := range 30 {
 			code, got := l.Ask("PUT", l.Cores[i%3].Host+":7003", fmt.Sprintf("/puffin/keys/k%d?left_ms=1000", i), fmt.Sprintf(`{"value":%q}`, value))
 			switch {
 			case code == 200 && refused == 0:
-				taken++
+				accepted++
 			case code == 503:
 				refused++
 				if warned := l.count(event.StateLarge); warned == 0 {
@@ -195,20 +196,20 @@
 				t.Errorf("key %d: %d %v", i, code, got)
 			}
 		}
-		if taken < 5 || refused < 5 {
-			t.Fatalf("%d were taken and %d refused", taken, refused)
+		if accepted < 5 || refused < 5 {
+			t.Fatalf("%d were accepted and %d refused", accepted, refused)
 		}
-		at := l.Cores[0].Host + ":7003"
-		if code, _ := l.Ask("DELETE", at, "/puffin/keys/k0", ""); code != 200 {
+		addr := l.Cores[0].Host + ":7003"
+		if code, _ := l.Ask("DELETE", addr, "/puffin/keys/k0", ""); code != 200 {
 			t.Errorf("a delete: %d", code)
 		}
-		if code, _ := l.Get(at, "/puffin/keys/k1"); code != 200 {
+		if code, _ := l.Get(addr, "/puffin/keys/k1"); code != 200 {
 			t.Errorf("a read: %d", code)
 		}
 		for i := range 3 {
-			l.Ask("DELETE", at, fmt.Sprintf("/puffin/keys/k%d", i+1), "")
+			l.Ask("DELETE", addr, fmt.Sprintf("/puffin/keys/k%d", i+1), "")
 		}
-		// History goes after its time, and makes room.
-		l.Until(60*time.Second, "there is room again", func() bool { return l.put(l.Cores[0], "small", "v") > 0 })
+		// History expires after its retention time, which frees space.
+		l.Until(60*time.Second, "writes are accepted again", func() bool { return l.put(l.Cores[0], "small", "v") > 0 })
 	})
 }
--- a/internal/sim/manychanges_test.go
+++ b/internal/sim/manychanges_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// absences are the ways in which a member misses hundreds of changes. Each begins
-// when it is called and ends when back is.
+// absences are the ways in which a member misses hundreds of changes. Each begins when
+// do is called and ends when the returned function is.
 var absences = []struct {
 	name string
 	do   func(l *lab, c *Core) (back func())
@@ -48,20 +48,20 @@
 		c.Disk.Wipe()
 		Wait(500 * time.Millisecond)
 		l.BackCore(c)
-		// Its refill goes on while the changes do.
+		// Its refill goes on during the changes.
 		return func() {}
 	}},
 }
 
-// changes puts so many configurations in force, one after another, and gives the
-// number of the last that was confirmed.
-func (l *lab) changes(count int, from uint64) uint64 {
-	last, at := from, l.cores()
+// applyChanges puts the given number of configurations in force, one after another, and
+// returns the number of the last one that was confirmed.
+func (l *lab) applyChanges(count int, first uint64) uint64 {
+	last, cores := first, l.cores()
 	for i := range count {
-		number := from + uint64(i) + 1
-		for try := range 30 {
-			c := at[(i+try)%len(at)]
-			if _, r := l.runs(c); r == nil {
+		number := first + uint64(i) + 1
+		for attempt := range 30 {
+			c := cores[(i+attempt)%len(cores)]
+			if _, registry := l.runs(c); registry == nil {
 				continue
 			}
 			code, _ := l.Ask("PUT", c.Host+":7003", "/puffin/config?by=number&left_ms=600", l.numberedDoc(number, fmt.Sprint("p", number)))
@@ -75,9 +75,9 @@
 }
 
 // TestManyChanges: hundreds of changes of the configuration are confirmed while a
-// member misses them. It comes back, has all within the bound, and leads the
-// moment after, when the others are gone one after the other for good; what it
-// answers is the newest.
+// member misses them. It returns and catches up within the bound. Right after that the
+// other leader is killed for good, and the member must answer with the newest
+// configuration.
 func TestManyChanges(t *testing.T) {
 	t.Parallel()
 	for _, absence := range absences {
@@ -87,58 +87,58 @@
 			}
 			t.Run(fmt.Sprintf("%s, %d", absence.name, count), func(t *testing.T) {
 				t.Parallel()
-				synctest.Test(t, func(t *testing.T) { runMissed(t, absence.do, count) })
+				synctest.Test(t, func(t *testing.T) { catchUpAfterAbsence(t, absence.do, count) })
 			})
 		}
 	}
 }
 
-func runMissed(t *testing.T, absent func(*lab, *Core) func(), count int) {
+func catchUpAfterAbsence(t *testing.T, begin func(*lab, *Core) func(), count int) {
 	l := newLab(t, 960, 3, 1)
 	defer l.Stop()
 	l.up()
-	l.Until(4*time.Second, "all places are taken", func() bool { return l.settled(3) && l.Writer() != nil })
+	l.Until(4*time.Second, "all voters have joined", func() bool { return l.settled(3) && l.Writer() != nil })
 	l.Stores["founding"] = false
-	first := l.changes(3, 0)
-	w := l.Writer()
-	lost := l.Cores[slices.IndexFunc(l.Cores, func(c *Core) bool { return c != w })]
-	back := absent(l, lost)
-	last := l.changes(count, first)
+	first := l.applyChanges(3, 0)
+	leader := l.Writer()
+	member := l.Cores[slices.IndexFunc(l.Cores, func(c *Core) bool { return c != leader })]
+	restore := begin(l, member)
+	last := l.applyChanges(count, first)
 	if last < uint64(count) {
 		t.Fatalf("only %d of %d changes were confirmed", last, count)
 	}
-	back()
-	from := time.Now()
+	restore()
+	start := time.Now()
 	// Changes go on while it catches up.
-	ctx, end := context.WithCancel(l.g.Context())
+	ctx, cancel := context.WithCancel(l.g.Context())
 	done := make(chan uint64, 1)
 	l.g.Go("changes", func(context.Context) {
 		newest := last
 		for ctx.Err() == nil {
-			newest = l.changes(1, newest)
+			newest = l.applyChanges(1, newest)
 			Wait(20 * time.Millisecond)
 		}
 		done <- newest
 	})
 	l.Until(8*time.Second, "the member has caught up", func() bool {
-		now := l.Writer()
-		return now != nil && (now == lost || l.isMember(lost, now, 10))
+		current := l.Writer()
+		return current != nil && (current == member || l.isMember(member, current, 10))
 	})
-	took := time.Since(from)
-	end()
+	took := time.Since(start)
+	cancel()
 	last = <-done
 	if took > 4*time.Second+500*time.Millisecond {
 		t.Errorf("caught up after %v", took)
 	}
-	// It may lead at once: the leader goes, and the third is cut off until then.
-	if w = l.Writer(); w != nil && w != lost {
-		l.KillCore(w, true)
+	// The member may already lead; otherwise the leader is killed.
+	if leader = l.Writer(); leader != nil && leader != member {
+		l.KillCore(leader, true)
 	}
-	at := lost.Host + ":7003"
+	addr := member.Host + ":7003"
 	var got map[string]any
-	l.Until(10*time.Second, "it answers the newest", func() bool {
+	l.Until(10*time.Second, "it returns a configuration", func() bool {
 		var code int
-		code, got = l.Get(at, "/puffin/config?as=sent&left_ms=1000")
+		code, got = l.Get(addr, "/puffin/config?as=sent&left_ms=1000")
 		return code == 200
 	})
 	if version, _ := got["version"].(float64); uint64(version) != last {
