--- a/internal/model/check.go
+++ b/internal/model/check.go
@@ -2,101 +2,105 @@
 
 import "fmt"
 
-// check names an invariant that a state breaks, "" for none.
+// check describes the first invariant that a state violates; "" means none.
 func (r *rules) check(s *State) string {
-	newest := s.newest()
-	for slot := range newest {
-		if s.chosen[slot] == 0xff {
-			return fmt.Sprintf("slot %d has two values", slot)
+	chosenCount := s.chosenCount()
+	for index := range chosenCount {
+		if s.chosen[index] == 0xff {
+			return fmt.Sprintf("log index %d has two chosen values", index)
 		}
 	}
 	for i := range s.nodes {
-		if fault := r.checkNode(s, i, newest); fault != "" {
-			return fault
+		if violation := r.checkNode(s, i, chosenCount); violation != "" {
+			return violation
 		}
 	}
-	return r.checkCopies(s, newest)
+	return r.checkReplication(s, chosenCount)
 }
 
-func (r *rules) checkNode(s *State, i int, newest uint8) string {
+// checkNode checks that a node applied only chosen values, executed no command twice
+// and cannot serve a stale read.
+func (r *rules) checkNode(s *State, i int, chosenCount uint8) string {
 	n := &s.nodes[i]
-	for slot := range n.applied {
-		if n.log[slot] != s.chosen[slot] {
-			return fmt.Sprintf("%d applied another value in slot %d than was chosen", i, slot)
+	for index := range n.applied {
+		if n.log[index] != s.chosen[index] {
+			return fmt.Sprintf("%d applied another value at index %d than was chosen", i, index)
 		}
 	}
-	for v, times := range n.effects {
+	for v, times := range n.executions {
 		if times > 1 {
-			return fmt.Sprintf("command %d took effect twice at %d", v+1, i)
+			return fmt.Sprintf("command %d was executed twice at %d", v+1, i)
 		}
 	}
-	if r.mayRead(s, i) && n.applied < newest {
-		return fmt.Sprintf("%d may answer a read with %d of %d slots", i, n.applied, newest)
+	if r.mayRead(s, i) && n.applied < chosenCount {
+		return fmt.Sprintf("%d may answer a read with %d of %d entries", i, n.applied, chosenCount)
 	}
 	return ""
 }
 
-// mayRead tells whether a leader may answer a read now: it has proposed again all
-// that its voters had accepted, and a majority says that it still leads.
+// mayRead reports whether a node may answer a read now. It must be the leader, must
+// have re-proposed and applied every entry that its voters had accepted, and a
+// quorum must confirm that it still leads.
 func (r *rules) mayRead(s *State, i int) bool {
-	l := &s.nodes[i]
-	if l.role != leader {
+	leader := &s.nodes[i]
+	if leader.role != roleLeader {
 		return false
 	}
-	for slot := l.applied; slot < slots; slot++ {
-		if l.bestBy[slot] != 0 {
+	for index := leader.applied; index < logLength; index++ {
+		if leader.highestBallots[index] != 0 {
 			return false
 		}
 	}
-	if r.breach == ReadsAlone {
+	if r.defect == ReadsWithoutQuorum {
 		return true
 	}
-	m := r.members(l.log, l.applied)
+	members := r.members(leader.log, leader.applied)
 	mask := uint8(0)
 	for j, n := range s.nodes {
-		if n.id != 0 && n.promise <= l.ballot {
+		if n.id != 0 && n.promised <= leader.ballot {
 			mask |= 1 << j
 		}
 	}
-	return m.count(s, mask) >= m.need()
+	return members.count(s, mask) >= members.quorum()
 }
 
-// checkCopies checks that what was chosen is held by so many members that their
-// majority, less the disks that are lost at this moment, has it. The newest change
-// of the members may be known to a majority of those before it alone, until the
-// new ones have learned of it.
-func (r *rules) checkCopies(s *State, newest uint8) string {
-	now := r.members(s.chosen, newest)
-	for slot := range newest {
-		if s.held(now, slot) {
+// checkReplication checks that every chosen entry has enough copies among the current
+// members: counting members that have lost their disk as holders, a quorum must hold
+// it. The newest membership change may be held by a quorum of the previous members
+// only, until the new members have learned it.
+func (r *rules) checkReplication(s *State, chosenCount uint8) string {
+	now := r.members(s.chosen, chosenCount)
+	for index := range chosenCount {
+		if s.survivesLoss(now, index) {
 			continue
 		}
-		before := r.members(s.chosen, slot)
-		if s.chosen[slot]&changeBit != 0 && r.members(s.chosen, slot+1) == now && s.held(before, slot) {
+		before := r.members(s.chosen, index)
+		if s.chosen[index]&changeBit != 0 && r.members(s.chosen, index+1) == now && s.survivesLoss(before, index) {
 			continue
 		}
-		return fmt.Sprintf("too few members hold slot %d", slot)
+		return fmt.Sprintf("too few members hold the entry at index %d", index)
 	}
 	return ""
 }
 
-// held tells whether enough of these members have a slot on their disks. One that
-// left by a plan is no loss.
-func (s *State) held(m memberSet, slot uint8) bool {
-	lost, copies := m.need()*2-1, 0
-	for _, id := range m {
-		if id != 0 && s.left&(1<<id) != 0 {
-			lost--
+// survivesLoss reports whether enough of these members have an entry on their disks.
+// At least one copy must exist. A member whose disk is lost counts as a holder; one
+// that left in a planned way does not.
+func (s *State) survivesLoss(members memberSet, index uint8) bool {
+	unaccounted, copies := members.quorum()*2-1, 0
+	for _, id := range members {
+		if id != 0 && s.departedIDs&(1<<id) != 0 {
+			unaccounted--
 		}
 	}
 	for _, n := range s.nodes {
-		if !m.has(n.id) {
+		if !members.contains(n.id) {
 			continue
 		}
-		lost--
-		if n.applied > slot || n.ballots[slot] != 0 && n.log[slot] == s.chosen[slot] {
+		unaccounted--
+		if n.applied > index || n.ballots[index] != 0 && n.log[index] == s.chosen[index] {
 			copies++
 		}
 	}
-	return copies > 0 && copies+lost >= m.need()
+	return copies > 0 && copies+unaccounted >= members.quorum()
 }
--- a/internal/model/explore.go
+++ b/internal/model/explore.go
@@ -4,81 +4,83 @@
 	"math/rand/v2"
 )
 
-// Result is what an exploration found.
+// Result is the outcome of an exploration.
 type Result struct {
 	States, Depth int
-	Complete      bool // every state within the budgets was seen
-	Fault         string
-	Trace         []string // the shortest row of steps to the fault
+	Complete      bool // every state within the budgets was visited
+	Violation     string
+	Trace         []string // the steps to the violation; the shortest such sequence if found by Explore
 }
 
-// seen is how a state was first reached.
-type seen struct {
-	from  int32
-	depth int32
-	label label
+// visit records how a state was first reached.
+type visit struct {
+	parent int32
+	depth  int32
+	step   step
 }
 
-// Explore searches all states breadth first, up to so many of them, and stops at
-// the first that breaks an invariant: no shorter row of steps leads to one.
-func Explore(c Config, breach Breach, most int) Result {
-	r := &rules{c, breach}
-	start := first(c)
+// Explore searches the states breadth first, up to a limit on their number, and stops
+// at the first that violates an invariant. No shorter sequence of steps leads to a
+// violation.
+func Explore(config Config, defect Defect, limit int) Result {
+	r := &rules{config, defect}
+	start := initialState(config)
 	known := map[State]struct{}{start: {}}
-	states, ways := []State{start}, []seen{{from: -1}}
-	var out Result
-	for at := 0; at < len(states); at++ {
-		out.Depth = int(ways[at].depth)
-		if fault := r.check(&states[at]); fault != "" {
-			out.Fault, out.Trace, out.States = fault, path(ways, at), len(states)
-			return out
+	states, visits := []State{start}, []visit{{parent: -1}}
+	var result Result
+	for index := 0; index < len(states); index++ {
+		result.Depth = int(visits[index].depth)
+		if violation := r.check(&states[index]); violation != "" {
+			result.Violation, result.Trace, result.States = violation, stepsTo(visits, index), len(states)
+			return result
 		}
-		if len(states) >= most {
+		if len(states) >= limit {
 			continue
 		}
-		for _, m := range r.next(&states[at]) {
+		for _, m := range r.transitions(&states[index]) {
 			if _, ok := known[m.state]; ok {
 				continue
 			}
 			known[m.state] = struct{}{}
 			states = append(states, m.state)
-			ways = append(ways, seen{int32(at), ways[at].depth + 1, m.label})
+			visits = append(visits, visit{int32(index), visits[index].depth + 1, m.step})
 		}
 	}
-	out.States, out.Complete = len(states), len(states) < most
-	return out
+	result.States, result.Complete = len(states), len(states) < limit
+	return result
 }
 
-// path gives the steps that lead to a state.
-func path(ways []seen, at int) (out []string) {
-	for ; ways[at].from >= 0; at = int(ways[at].from) {
-		out = append([]string{ways[at].label.String()}, out...)
+// stepsTo returns descriptions of the steps that lead to a state.
+func stepsTo(visits []visit, index int) (out []string) {
+	for ; visits[index].parent >= 0; index = int(visits[index].parent) {
+		out = append([]string{visits[index].step.String()}, out...)
 	}
 	return out
 }
 
-// Walk takes random rows of steps, for sizes that can't be searched whole.
-func Walk(c Config, breach Breach, seed uint64, walks, steps int) Result {
-	r := &rules{c, breach}
-	rnd := rand.New(rand.NewPCG(seed, 1))
-	var out Result
+// Walk takes random sequences of steps, for configurations with too many states to
+// search exhaustively.
+func Walk(config Config, defect Defect, seed uint64, walks, steps int) Result {
+	r := &rules{config, defect}
+	random := rand.New(rand.NewPCG(seed, 1))
+	var result Result
 	for range walks {
-		s := first(c)
-		var names []string
+		s := initialState(config)
+		var taken []string
 		for range steps {
-			all := r.next(&s)
-			if len(all) == 0 {
+			transitions := r.transitions(&s)
+			if len(transitions) == 0 {
 				break
 			}
-			m := all[rnd.IntN(len(all))]
-			s, names = m.state, append(names, m.label.String())
-			out.States++
-			out.Depth = max(out.Depth, len(names))
-			if fault := r.check(&s); fault != "" {
-				out.Fault, out.Trace = fault, names
-				return out
+			m := transitions[random.IntN(len(transitions))]
+			s, taken = m.state, append(taken, m.step.String())
+			result.States++
+			result.Depth = max(result.Depth, len(taken))
+			if violation := r.check(&s); violation != "" {
+				result.Violation, result.Trace = violation, taken
+				return result
 			}
 		}
 	}
-	return out
+	return result
 }
--- a/internal/model/faults.go
+++ b/internal/model/faults.go
@@ -1,21 +1,21 @@
 package model
 
-// learn gives a node the next entry that another has applied.
+// learn gives node j the next entry that node i has applied.
 func (r *rules) learn(s *State, i, j int) bool {
-	from, n := &s.nodes[i], &s.nodes[j]
-	// A leader extends its state by what it decides alone.
-	if n.id == 0 || n.role == leader || from.id == 0 || from.applied <= n.applied {
+	source, n := &s.nodes[i], &s.nodes[j]
+	// A leader applies only entries that it found chosen itself.
+	if n.id == 0 || n.role == roleLeader || source.id == 0 || source.applied <= n.applied {
 		return false
 	}
-	r.applyAt(n, from.log[n.applied])
+	r.applyEntry(n, source.log[n.applied])
 	return true
 }
 
-// install gives a node another's whole state. What it promised, and accepted
-// above the snapshot, stays. An empty one gets a new identity first.
+// install gives node j a snapshot of node i. The node keeps its promise and the
+// entries it accepted above the snapshot. An empty node first gets a new identity.
 func (r *rules) install(s *State, i, j int) bool {
-	from, n := &s.nodes[i], &s.nodes[j]
-	if from.id == 0 || n.role == leader || n.id != 0 && from.applied < n.applied+2 {
+	source, n := &s.nodes[i], &s.nodes[j]
+	if source.id == 0 || n.role == roleLeader || n.id != 0 && source.applied < n.applied+2 {
 		return false
 	}
 	if n.id == 0 {
@@ -26,37 +26,39 @@
 		s.nextID++
 	}
 	before := r.members(n.log, n.applied)
-	copy(n.log[:from.applied], from.log[:from.applied])
-	for slot := range from.applied {
-		n.ballots[slot] = 0
-	}
-	n.applied, n.answers, n.effects = from.applied, from.answers, from.effects
-	if r.breach == ForgetsPromise {
-		n.promise = 0
-		for slot := from.applied; slot < slots; slot++ {
-			n.log[slot], n.ballots[slot] = noValue, 0
+	copy(n.log[:source.applied], source.log[:source.applied])
+	for index := range source.applied {
+		n.ballots[index] = 0
+	}
+	n.applied, n.completed, n.executions = source.applied, source.completed, source.executions
+	if r.defect == ForgetsPromise {
+		n.promised = 0
+		for index := source.applied; index < logLength; index++ {
+			n.log[index], n.ballots[index] = noValue, 0
 		}
 	}
-	if r.breach == ForgetsRequests {
-		n.answers = 0
+	if r.defect == ForgetsRequests {
+		n.completed = 0
 	}
-	if r.members(n.log, n.applied) != before && r.breach != WrongMembers {
-		n.forgetRole()
+	if r.members(n.log, n.applied) != before && r.defect != QuorumOfNewMembers {
+		n.resetVolatile()
 	}
 	return true
 }
 
+// crash restarts the process of a candidate or leader, which loses its volatile
+// state. For a follower the step would change nothing.
 func (r *rules) crash(s *State, i int) bool {
-	if s.crashes == 0 || s.nodes[i].role == follower {
+	if s.crashes == 0 || s.nodes[i].role == roleFollower {
 		return false
 	}
 	s.crashes--
-	s.nodes[i].forgetRole()
+	s.nodes[i].resetVolatile()
 	return true
 }
 
-// wipe loses a disk. The replica is empty, and has no identity.
-func (r *rules) wipe(s *State, i int) bool {
+// loseDisk erases a node's disk, which leaves it empty and without an identity.
+func (r *rules) loseDisk(s *State, i int) bool {
 	n := &s.nodes[i]
 	if s.wipes == 0 || n.id == 0 {
 		return false
@@ -64,49 +66,51 @@
 	s.wipes--
 	id := n.id
 	*n = node{}
-	if r.breach == VotesAfterWipe {
+	if r.defect == VotesAfterWipe {
 		n.id = id
 	}
 	return true
 }
 
-// leave ends a replica with its disk, by a plan: once the others hold all that is
-// chosen, by a majority of those who vote, so that it is no loss. It may have had
-// its place taken just before; then it knows of that change.
+// leave removes a node and its disk in a planned way. It is allowed once a quorum of
+// the members, without this node, has applied every chosen entry, so that no copy
+// that is needed is lost. A node that was replaced just before must have applied
+// that change.
 func (r *rules) leave(s *State, i int) bool {
 	n := &s.nodes[i]
 	if s.leaves == 0 || n.id == 0 {
 		return false
 	}
-	newest := s.newest()
-	m := r.members(s.chosen, newest)
-	if !m.has(n.id) && n.applied < newest {
+	chosenCount := s.chosenCount()
+	members := r.members(s.chosen, chosenCount)
+	if !members.contains(n.id) && n.applied < chosenCount {
 		return false
 	}
-	// The leader answers with nothing under way, and what another proposed before
-	// is over by then: its slot is the leader's.
-	if s.changing(newest) {
+	// The leader allows a node to leave only while it has no proposal in progress. A
+	// change that an earlier leader proposed is settled by then, since the current
+	// leader has filled its index.
+	if s.changePending(chosenCount) {
 		return false
 	}
-	others := s.holders(newest) &^ (1 << i)
-	if r.breach != LeavesEarly && m.count(s, others) < m.need() {
+	others := s.nodesApplied(chosenCount) &^ (1 << i)
+	if r.defect != LeavesEarly && members.count(s, others) < members.quorum() {
 		return false
 	}
 	s.leaves--
-	s.left |= 1 << n.id
-	*n = node{gone: true}
+	s.departedIDs |= 1 << n.id
+	*n = node{departed: true}
 	return true
 }
 
-// changing tells whether any node has accepted, or proposes, a change of the
-// members that was not chosen.
-func (s *State) changing(newest uint8) bool {
+// changePending reports whether any node proposes or has accepted a membership
+// change that is not chosen.
+func (s *State) changePending(chosenCount uint8) bool {
 	for _, n := range s.nodes {
-		if n.now&changeBit != 0 {
+		if n.proposal&changeBit != 0 {
 			return true
 		}
-		for slot := newest; slot < slots; slot++ {
-			if n.ballots[slot] != 0 && n.log[slot]&changeBit != 0 {
+		for index := chosenCount; index < logLength; index++ {
+			if n.ballots[index] != 0 && n.log[index]&changeBit != 0 {
 				return true
 			}
 		}
@@ -114,36 +118,36 @@
 	return false
 }
 
-// outcast gives a replica a new identity once a majority of the members that it
-// knows tells it that it has lost its place.
-func (r *rules) outcast(s *State, i int) bool {
+// takeNewIdentity gives a replica a new identity once a quorum of the members that
+// it knows of has reported that it was removed from the membership.
+func (r *rules) takeNewIdentity(s *State, i int) bool {
 	n := &s.nodes[i]
-	m := r.members(n.log, n.applied)
-	if n.id == 0 || !m.has(n.id) || s.nextID > 7 || r.breach == KeepsVotesAsOutcast {
+	members := r.members(n.log, n.applied)
+	if n.id == 0 || !members.contains(n.id) || s.nextID > 7 || r.defect == KeepsIdentityAfterRemoval {
 		return false
 	}
-	out := uint8(0)
-	for j, o := range s.nodes {
-		if m.has(o.id) && o.applied >= n.applied && !r.members(o.log, o.applied).has(n.id) {
-			out |= 1 << j
+	informed := uint8(0)
+	for j, other := range s.nodes {
+		if members.contains(other.id) && other.applied >= n.applied && !r.members(other.log, other.applied).contains(n.id) {
+			informed |= 1 << j
 		}
 	}
-	if m.count(s, out) < m.need() {
+	if members.count(s, informed) < members.quorum() {
 		return false
 	}
-	n.id, n.promise = s.nextID, 0
+	n.id, n.promised = s.nextID, 0
 	s.nextID++
-	for slot := n.applied; slot < slots; slot++ {
-		n.log[slot], n.ballots[slot] = noValue, 0
+	for index := n.applied; index < logLength; index++ {
+		n.log[index], n.ballots[index] = noValue, 0
 	}
-	n.forgetRole()
+	n.resetVolatile()
 	return true
 }
 
-// newest is how many slots were chosen.
-func (s *State) newest() uint8 {
+// chosenCount returns the number of chosen entries.
+func (s *State) chosenCount() uint8 {
 	n := uint8(0)
-	for n < slots && s.chosen[n] != noValue {
+	for n < logLength && s.chosen[n] != noValue {
 		n++
 	}
 	return n
--- a/internal/model/monitor.go
+++ b/internal/model/monitor.go
@@ -1,6 +1,6 @@
-// Package model checks the agreement: Explore searches all states of a small
-// model of it, and Monitor checks the recorded steps of the real code against the
-// same rules. It is test support; no product code imports it.
+// Package model checks the consensus protocol. Explore searches the states of a small
+// model of it, and Monitor checks the steps that the real code reports against the
+// same rules. The package is test support; no product code imports it.
 package model
 
 import (
@@ -13,125 +13,128 @@
 	"puffincrank/internal/trace"
 )
 
-// entry is an accepted entry.
+// entry is a log entry that a replica accepted.
 type entry struct {
 	ballot ballot.Number
-	sum    string
+	digest string
 }
 
-// replica is what the monitor knows of one identity.
+// replica is the state of one identity as its reported steps imply it.
 type replica struct {
 	promised ballot.Number
 	accepted map[uint64]entry
 	applied  uint64
 }
 
-// vote is what a replica had accepted when it gave a promise.
+// vote is what a replica had accepted and applied when it made a promise.
 type vote struct {
 	accepted map[uint64]entry
 	applied  uint64
 }
 
-// term is a ballot that was won.
+// term is a ballot that won an election.
 type term struct {
 	leader string
-	slot   uint64
+	index  uint64
 	voters []string
 }
 
-// proposal names a slot under a ballot.
+// proposal identifies a log index under a ballot.
 type proposal struct {
 	ballot ballot.Number
-	slot   uint64
+	index  uint64
 }
 
-// round names a leader's question whether it still leads.
-type round struct {
+// readRound identifies a round in which a leader asks a majority whether it still
+// leads, as it must before a linearizable read.
+type readRound struct {
 	replica string
 	number  uint64
 }
 
-// Monitor checks the steps of all replicas of one cluster. It may be told by many
-// goroutines.
+// Monitor checks the steps of all replicas of one cluster. Its methods are safe for
+// concurrent use.
 type Monitor struct {
-	mu       sync.Mutex
-	replicas map[string]*replica
-	votes    map[ballot.Number]map[string]vote
-	terms    map[ballot.Number]term
-	proposed map[proposal]string
-	chosen   map[uint64]string   // the identity of each slot's entry
-	members  map[uint64][]string // the members after each slot
-	newest   uint64              // the highest slot that was chosen
-	rounds   map[round]uint64    // what was chosen when a round began
-	faults   []string
-	adopting bool // replicas start from files that were written before
-	// Steps counts what was checked, by kind.
+	mu           sync.Mutex
+	replicas     map[string]*replica
+	votes        map[ballot.Number]map[string]vote
+	terms        map[ballot.Number]term
+	proposed     map[proposal]string
+	chosen       map[uint64]string    // the digest of the entry chosen at each index
+	members      map[uint64][]string  // the membership after each index is applied
+	lastChosen   uint64               // the highest index that was chosen
+	readRounds   map[readRound]uint64 // lastChosen when each round began
+	violations   []string
+	trustInitial bool // replicas start from files that predate the monitor
+	// Steps counts the checked steps by kind.
 	Steps map[string]int
 }
 
-// NewMonitor makes a monitor of a cluster that is not founded yet.
+// NewMonitor returns a monitor for a cluster that is not formed yet.
 func NewMonitor() *Monitor {
 	return &Monitor{replicas: map[string]*replica{}, votes: map[ballot.Number]map[string]vote{}, terms: map[ballot.Number]term{},
-		proposed: map[proposal]string{}, chosen: map[uint64]string{}, members: map[uint64][]string{}, rounds: map[round]uint64{}, Steps: map[string]int{}}
+		proposed: map[proposal]string{}, chosen: map[uint64]string{}, members: map[uint64][]string{}, readRounds: map[readRound]uint64{}, Steps: map[string]int{}}
 }
 
-// Faults lists the steps that the model does not allow.
+// Faults describes the first 20 steps that the rules do not allow.
 func (m *Monitor) Faults() []string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return slices.Clone(m.faults)
+	return slices.Clone(m.violations)
 }
 
-// Adopt makes the monitor take what replicas start with for chosen, until the
-// first of them is elected: their files were written before it could see.
+// Adopt makes the monitor accept the state that replicas start with as chosen, until
+// the first election. It serves replicas whose files were written before the monitor
+// started.
 func (m *Monitor) Adopt() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.adopting = true
+	m.trustInitial = true
 }
 
-func (m *Monitor) fault(format string, a ...any) {
-	if len(m.faults) < 20 {
-		m.faults = append(m.faults, fmt.Sprintf(format, a...))
+func (m *Monitor) addViolation(format string, a ...any) {
+	if len(m.violations) < 20 {
+		m.violations = append(m.violations, fmt.Sprintf(format, a...))
 	}
 }
 
-// Tell checks one step.
+// Tell checks one step. The steps of a replica must arrive in the order in which the
+// replica took them.
 func (m *Monitor) Tell(s trace.Step) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.Steps[strings.TrimPrefix(fmt.Sprintf("%T", s), "trace.")]++
 	switch s := s.(type) {
 	case trace.Opened:
-		m.hold(s.Replica, s.Index, s.Digest, s.Members)
+		m.checkState(s.Replica, s.Index, s.Digest, s.Members)
 	case trace.Promised:
-		m.promised(s)
+		m.checkPromised(s)
 	case trace.Accepted:
-		m.accepted(s)
+		m.checkAccepted(s)
 	case trace.Elected:
-		m.elected(s)
+		m.checkElected(s)
 	case trace.Proposed:
-		m.proposes(s)
+		m.checkProposed(s)
 	case trace.Chosen:
-		m.choose(s)
+		m.checkChosen(s)
 	case trace.Applied:
-		m.applied(s)
+		m.checkApplied(s)
 	case trace.Installed:
-		m.hold(s.Replica, s.Index, s.Digest, s.Members)
+		m.checkState(s.Replica, s.Index, s.Digest, s.Members)
 	case trace.RoundBegan:
-		m.rounds[round{s.Replica, s.Round}] = m.newest
+		m.readRounds[readRound{s.Replica, s.Round}] = m.lastChosen
 	case trace.RoundConfirmed:
-		m.confirmed(s)
+		m.checkReadRound(s)
 	case trace.Renamed:
-		old := m.of(s.Former)
-		m.of(s.Replica).applied = old.applied
+		old := m.replica(s.Former)
+		m.replica(s.Replica).applied = old.applied
 		old.applied = 0
 	case trace.Left:
-		m.left(s)
+		m.checkLeft(s)
 	}
 }
 
-func (m *Monitor) of(id string) *replica {
+func (m *Monitor) replica(id string) *replica {
 	r := m.replicas[id]
 	if r == nil {
 		r = &replica{accepted: map[uint64]entry{}}
--- a/internal/model/state.go
+++ b/internal/model/state.go
@@ -1,121 +1,125 @@
 package model
 
-// The model of the agreement. A step stands for what one replica does with one
-// message, or for one fault; a message that is late, doubled or lost is a step
-// that is taken later, again or never. Whatever order the steps are taken in, the
-// invariants in check.go must hold.
+// This file holds the state of the consensus model. A step is one replica handling
+// one message, or one fault. A message that is delayed, duplicated or lost is a
+// step that is taken later, again or never. The invariants in invariants.go must
+// hold for every order of steps.
 
 // The bounds of the model.
 const (
-	maxNodes   = 6
-	maxMembers = 5
-	slots      = 3
-	values     = 2 // commands of clients, numbered from 1
+	maxNodes    = 6
+	maxMembers  = 5
+	logLength   = 3
+	maxCommands = 2 // client commands, numbered from 1
 )
 
-// The roles of a node, which it loses when its process ends.
+// The roles of a node. A role is volatile: a node that restarts is a follower.
 const (
-	follower = iota
-	candidate
-	leader
+	roleFollower = iota
+	roleCandidate
+	roleLeader
 )
 
-// A value of a slot is a client's command, or a change of the members.
+// The value of a log entry is a client command or a membership change.
 const (
 	noValue   = 0
-	changeBit = 0x80 // then three bits each for the old and the new identity
+	changeBit = 0x80 // followed by three bits each for the replaced and the new identity
 )
 
-func change(old, joiner uint8) uint8 { return changeBit | old<<3 | joiner }
+func encodeChange(old, joiner uint8) uint8 { return changeBit | old<<3 | joiner }
 
-// ballotOf makes ballots that are ordered by round, and differ between nodes.
+// ballotOf returns a ballot number. Ballots are ordered by round, and no two nodes
+// share one.
 func ballotOf(round, node uint8) uint8 { return round*8 + node + 1 }
 
-// node is one replica: what is on its disk, and what its process knows.
+// node is one replica: first its durable state, then the volatile state of its
+// process.
 type node struct {
-	id      uint8 // 0 for an empty disk
-	promise uint8
-	applied uint8         // how many slots it has applied
-	log     [slots]uint8  // the values it has applied, then those it accepted
-	ballots [slots]uint8  // the ballots by which it accepted, 0 for none
-	answers uint8         // which commands it remembers as done
-	effects [values]uint8 // how often each command took effect in its state
-	gone    bool          // it left for good
-
-	role   uint8
-	ballot uint8        // that it stands for or leads under
-	voters uint8        // the nodes whose votes it counts
-	won    uint8        // the slot count at which it was elected
-	best   [slots]uint8 // the value accepted under the highest ballot by its voters
-	bestBy [slots]uint8 // that ballot
-	now    uint8        // the value that it proposes for its next slot
-	acks   uint8        // the nodes that accepted it
+	id         uint8 // 0 for an empty disk
+	promised   uint8
+	applied    uint8              // number of applied entries
+	log        [logLength]uint8   // applied values, followed by accepted ones
+	ballots    [logLength]uint8   // ballot of each accepted entry, 0 for none
+	completed  uint8              // bit mask of the commands recorded as completed
+	executions [maxCommands]uint8 // how often each command was executed
+	departed   bool               // it left the cluster permanently
+
+	role           uint8
+	ballot         uint8            // of its candidacy or leadership
+	voters         uint8            // bit mask of the nodes that voted for it
+	electedAt      uint8            // number of entries it had applied when it was elected
+	highestValues  [logLength]uint8 // per index, the value its voters accepted under the highest ballot
+	highestBallots [logLength]uint8 // the ballots of highestValues
+	proposal       uint8            // the value it proposes for its next index
+	acks           uint8            // bit mask of the nodes that accepted the proposal
 }
 
-// State is one state of the model. States are compared as a whole.
+// State is one state of the model. It is comparable, so that a search can detect
+// states it has already visited.
 type State struct {
-	nodes   [maxNodes]node
-	chosen  [slots]uint8 // what was ever chosen; for the invariants alone
-	round   uint8        // of the newest ballot
-	nextID  uint8
-	wipes   uint8 // what is left of each budget
-	crashes uint8
-	changes uint8
-	leaves  uint8
-	resends uint8
-	rounds  uint8
-	left    uint8 // the identities that left by a plan, by bit
+	nodes       [maxNodes]node
+	chosen      [logLength]uint8 // the value chosen at each index; not part of any replica's state
+	round       uint8            // round of the newest ballot
+	nextID      uint8
+	wipes       uint8 // this and the next five are the remaining budgets of Config
+	crashes     uint8
+	changes     uint8
+	leaves      uint8
+	resends     uint8
+	elections   uint8
+	departedIDs uint8 // bit mask of the identities that left in a planned way
 }
 
-// Config bounds an exploration.
+// Config sets the cluster's size and how often each kind of fault or step may
+// occur in an exploration.
 type Config struct {
 	Voters, Spares                                      int
-	Commands                                            uint8 // of clients, values at the most
-	Lossy                                               bool  // answers may be lost
+	Commands                                            uint8 // distinct client commands, at most maxCommands
+	Lossy                                               bool  // replies to accept requests may be lost
 	Wipes, Crashes, Changes, Leaves, Resends, Elections uint8
 }
 
-// first is the state of a cluster that was just founded and has a leader.
-func first(c Config) State {
-	s := State{round: 1, wipes: c.Wipes, crashes: c.Crashes, changes: c.Changes, leaves: c.Leaves, resends: c.Resends, rounds: c.Elections}
-	for i := range c.Voters + c.Spares {
+// initialState returns a newly formed cluster that has already elected node 0.
+func initialState(config Config) State {
+	s := State{round: 1, wipes: config.Wipes, crashes: config.Crashes, changes: config.Changes, leaves: config.Leaves, resends: config.Resends, elections: config.Elections}
+	for i := range config.Voters + config.Spares {
 		s.nextID++
 		s.nodes[i].id = s.nextID
 	}
 	s.nextID++
-	l := &s.nodes[0]
-	l.role, l.ballot = leader, ballotOf(1, 0)
-	for i := range c.Voters/2 + 1 {
-		s.nodes[i].promise = l.ballot
-		l.voters |= 1 << i
+	initialLeader := &s.nodes[0]
+	initialLeader.role, initialLeader.ballot = roleLeader, ballotOf(1, 0)
+	for i := range config.Voters/2 + 1 {
+		s.nodes[i].promised = initialLeader.ballot
+		initialLeader.voters |= 1 << i
 	}
 	return s
 }
 
-// memberSet is a sorted row of identities; 0 ends it.
+// memberSet lists identities. Unused places are 0 and follow the used ones.
 type memberSet [maxMembers]uint8
 
-// members gives the members after so many slots of a log.
-func (r *rules) members(log [slots]uint8, applied uint8) memberSet {
-	var out memberSet
+// members returns the membership after the first applied entries of a log.
+func (r *rules) members(log [logLength]uint8, applied uint8) memberSet {
+	var members memberSet
 	for i := range r.config.Voters {
-		out[i] = uint8(i + 1)
+		members[i] = uint8(i + 1)
 	}
 	for _, v := range log[:applied] {
 		if v&changeBit == 0 {
 			continue
 		}
 		old, joiner := v>>3&7, v&7
-		for i := range out {
-			if out[i] == old {
-				out[i] = joiner
+		for i := range members {
+			if members[i] == old {
+				members[i] = joiner
 			}
 		}
 	}
-	return out
+	return members
 }
 
-func (m memberSet) has(id uint8) bool {
+func (m memberSet) contains(id uint8) bool {
 	if id == 0 {
 		return false
 	}
@@ -127,7 +131,7 @@
 	return false
 }
 
-func (m memberSet) need() int {
+func (m memberSet) quorum() int {
 	n := 0
 	for _, x := range m {
 		if x != 0 {
@@ -137,18 +141,18 @@
 	return n/2 + 1
 }
 
-// count tells how many nodes of a mask are members.
+// count returns how many of the nodes in a bit mask are members.
 func (m memberSet) count(s *State, mask uint8) (n int) {
 	for i := range s.nodes {
-		if mask&(1<<i) != 0 && m.has(s.nodes[i].id) {
+		if mask&(1<<i) != 0 && m.contains(s.nodes[i].id) {
 			n++
 		}
 	}
 	return n
 }
 
-// apply runs the next value of a log at a node: a command that is remembered as
-// done has no effect again.
+// apply appends the next value to a node's applied log and executes it. A command
+// that is recorded as completed is not executed again.
 func (n *node) apply(value uint8) {
 	n.log[n.applied] = value
 	n.ballots[n.applied] = 0
@@ -156,14 +160,14 @@
 	if value == noValue || value&changeBit != 0 {
 		return
 	}
-	if bit := uint8(1) << value; n.answers&bit == 0 {
-		n.answers |= bit
-		n.effects[value-1]++
+	if bit := uint8(1) << value; n.completed&bit == 0 {
+		n.completed |= bit
+		n.executions[value-1]++
 	}
 }
 
-// forgetRole ends what the process knows beside its disk.
-func (n *node) forgetRole() {
-	n.role, n.ballot, n.voters, n.won, n.now, n.acks = follower, 0, 0, 0, 0, 0
-	n.best, n.bestBy = [slots]uint8{}, [slots]uint8{}
+// resetVolatile clears everything that a replica does not keep on disk.
+func (n *node) resetVolatile() {
+	n.role, n.ballot, n.voters, n.electedAt, n.proposal, n.acks = roleFollower, 0, 0, 0, 0, 0
+	n.highestValues, n.highestBallots = [logLength]uint8{}, [logLength]uint8{}
 }
--- a/internal/model/steps.go
+++ b/internal/model/steps.go
@@ -1,194 +1,208 @@
 package model
 
-// Breach is a fault seeded into the model, which the invariants must find.
-type Breach string
+// Defect is a bug that can be seeded into the model. The invariants must detect it.
+type Defect string
 
-// The breaches.
+// The defects that can be seeded.
 const (
-	Sound               Breach = ""
-	VotesAfterWipe      Breach = "an emptied replica votes under its old identity"
-	WrongMembers        Breach = "votes and acknowledgements count over members learned meanwhile"
-	ForgetsPromise      Breach = "a snapshot forgets the promise and what was accepted above it"
-	LeavesEarly         Breach = "a member leaves before the others hold all"
-	ReadsAlone          Breach = "a leader reads without asking a majority"
-	ForgetsRequests     Breach = "a snapshot forgets the requests that were answered"
-	CutVotes            Breach = "a vote is cut without a word"
-	ChangesEarly        Breach = "members change before a majority of the new ones holds all"
-	KeepsVotesAsOutcast Breach = "a replica that lost its place keeps its identity"
+	NoDefect                  Defect = ""
+	VotesAfterWipe            Defect = "an emptied replica votes under its old identity"
+	QuorumOfNewMembers        Defect = "votes and acknowledgements count over members learned meanwhile"
+	ForgetsPromise            Defect = "a snapshot forgets the promise and what was accepted above it"
+	LeavesEarly               Defect = "a member leaves before the others hold all"
+	ReadsWithoutQuorum        Defect = "a leader reads without asking a majority"
+	ForgetsRequests           Defect = "a snapshot forgets the requests that were answered"
+	TruncatesVotes            Defect = "a vote is cut without a word"
+	ChangesEarly              Defect = "members change before a majority of the new ones holds all"
+	KeepsIdentityAfterRemoval Defect = "a replica that lost its place keeps its identity"
 )
 
-// rules are the steps that are allowed.
+// rules decide which steps are possible in a state. Their methods take positions in
+// State.nodes, modify the state and return false if the step is not possible.
 type rules struct {
 	config Config
-	breach Breach
+	defect Defect
 }
 
-func (r *rules) stand(s *State, i int) bool {
+// startElection makes a follower a candidate under a new ballot, if it is a member.
+func (r *rules) startElection(s *State, i int) bool {
 	n := &s.nodes[i]
-	if s.rounds == 0 || n.role != follower || !r.members(n.log, n.applied).has(n.id) {
+	if s.elections == 0 || n.role != roleFollower || !r.members(n.log, n.applied).contains(n.id) {
 		return false
 	}
-	s.rounds--
+	s.elections--
 	s.round++
-	n.forgetRole()
-	n.role, n.ballot = candidate, ballotOf(s.round, uint8(i))
+	n.resetVolatile()
+	n.role, n.ballot = roleCandidate, ballotOf(s.round, uint8(i))
 	return true
 }
 
-// vote gives a candidate a promise, with what the voter applied and accepted.
+// vote gives candidate i the promise of voter j, together with the entries that the
+// voter has applied and accepted.
 func (r *rules) vote(s *State, i, j int) bool {
-	c, v := &s.nodes[i], &s.nodes[j]
-	if c.role != candidate || v.id == 0 || v.promise >= c.ballot || c.voters&(1<<j) != 0 {
+	candidate, voter := &s.nodes[i], &s.nodes[j]
+	if candidate.role != roleCandidate || voter.id == 0 || voter.promised >= candidate.ballot || candidate.voters&(1<<j) != 0 {
 		return false
 	}
-	if !r.members(c.log, c.applied).has(v.id) || !r.members(v.log, v.applied).has(v.id) {
+	if !r.members(candidate.log, candidate.applied).contains(voter.id) || !r.members(voter.log, voter.applied).contains(voter.id) {
 		return false
 	}
-	v.promise = c.ballot
-	if v.role != follower && i != j {
-		v.forgetRole()
+	voter.promised = candidate.ballot
+	if voter.role != roleFollower && i != j {
+		voter.resetVolatile()
 	}
-	c.voters |= 1 << j
-	told := uint8(0)
-	for slot := range uint8(slots) {
-		if slot < v.applied || v.ballots[slot] == 0 {
+	candidate.voters |= 1 << j
+	reported := uint8(0)
+	for index := range uint8(logLength) {
+		if index < voter.applied || voter.ballots[index] == 0 {
 			continue
 		}
-		if told++; told > 1 && r.breach == CutVotes {
+		if reported++; reported > 1 && r.defect == TruncatesVotes {
 			break
 		}
-		if v.ballots[slot] > c.bestBy[slot] {
-			c.best[slot], c.bestBy[slot] = v.log[slot], v.ballots[slot]
+		if voter.ballots[index] > candidate.highestBallots[index] {
+			candidate.highestValues[index], candidate.highestBallots[index] = voter.log[index], voter.ballots[index]
 		}
 	}
-	for c.applied < v.applied {
-		r.applyAt(c, v.log[c.applied])
+	for candidate.applied < voter.applied {
+		r.applyEntry(candidate, voter.log[candidate.applied])
 	}
 	return true
 }
 
-// applyAt applies a value; who stands or leads by the votes of other members than
-// those of now must be elected anew.
-func (r *rules) applyAt(n *node, value uint8) {
+// applyEntry applies a value. After a membership change a candidate or leader loses
+// its role, since the old membership elected it and it must be elected again.
+func (r *rules) applyEntry(n *node, value uint8) {
 	n.apply(value)
-	if value&changeBit != 0 && r.breach != WrongMembers {
-		n.forgetRole()
+	if value&changeBit != 0 && r.defect != QuorumOfNewMembers {
+		n.resetVolatile()
 	}
 }
 
-func (r *rules) elect(s *State, i int) bool {
-	c := &s.nodes[i]
-	m := r.members(c.log, c.applied)
-	if c.role != candidate || m.count(s, c.voters) < m.need() {
+// winElection makes a candidate the leader once a quorum has voted for it.
+func (r *rules) winElection(s *State, i int) bool {
+	candidate := &s.nodes[i]
+	members := r.members(candidate.log, candidate.applied)
+	if candidate.role != roleCandidate || members.count(s, candidate.voters) < members.quorum() {
 		return false
 	}
-	c.role, c.won = leader, c.applied
+	candidate.role, candidate.electedAt = roleLeader, candidate.applied
 	return true
 }
 
-// free tells whether a leader may propose what it likes for its next slot.
-func (n *node) free() bool {
-	return n.role == leader && n.now == noValue && n.applied < slots && n.bestBy[n.applied] == 0
+// canProposeNew reports whether a node is a leader that is free to choose the value
+// of its next index: none of its voters accepted one there.
+func (n *node) canProposeNew() bool {
+	return n.role == roleLeader && n.proposal == noValue && n.applied < logLength && n.highestBallots[n.applied] == 0
 }
 
-func (r *rules) command(s *State, i int, value uint8) bool {
-	l := &s.nodes[i]
-	if !l.free() {
+// proposeCommand makes leader i propose a client command at its next index.
+func (r *rules) proposeCommand(s *State, i int, value uint8) bool {
+	leader := &s.nodes[i]
+	if !leader.canProposeNew() {
 		return false
 	}
 	for _, n := range s.nodes {
-		for slot, v := range n.log {
-			if v != value || slot >= int(n.applied) && n.ballots[slot] == 0 {
+		for index, v := range n.log {
+			if v != value || index >= int(n.applied) && n.ballots[index] == 0 {
 				continue
 			}
-			// It was sent before: its sender got no answer, and sends it again.
+			// The command was proposed before; its client got no reply and retries.
 			if s.resends == 0 {
 				return false
 			}
 			s.resends--
-			l.now, l.acks = value, 0
+			leader.proposal, leader.acks = value, 0
 			return true
 		}
 	}
-	l.now, l.acks = value, 0
+	leader.proposal, leader.acks = value, 0
 	return true
 }
 
-func (r *rules) again(s *State, i int) bool {
-	l := &s.nodes[i]
-	if l.role != leader || l.now != noValue || l.applied >= slots || l.bestBy[l.applied] == 0 {
+// repropose makes leader i propose again, at its next index, the value that its
+// voters accepted under the highest ballot.
+func (r *rules) repropose(s *State, i int) bool {
+	leader := &s.nodes[i]
+	if leader.role != roleLeader || leader.proposal != noValue || leader.applied >= logLength || leader.highestBallots[leader.applied] == 0 {
 		return false
 	}
-	l.now, l.acks = l.best[l.applied], 0
+	leader.proposal, leader.acks = leader.highestValues[leader.applied], 0
 	return true
 }
 
-// replace proposes that a node's identity takes the place of a member's.
-func (r *rules) replace(s *State, i, j int, old uint8) bool {
-	l, joiner := &s.nodes[i], &s.nodes[j]
-	if !l.free() || s.changes == 0 || joiner.id == 0 || joiner.id > 7 {
+// proposeReplacement makes leader i propose that the identity of node j replaces the
+// member old. A quorum of the new members must have applied all that the leader has.
+func (r *rules) proposeReplacement(s *State, i, j int, old uint8) bool {
+	leader, joiner := &s.nodes[i], &s.nodes[j]
+	if !leader.canProposeNew() || s.changes == 0 || joiner.id == 0 || joiner.id > 7 {
 		return false
 	}
-	m := r.members(l.log, l.applied)
-	if !m.has(old) || m.has(joiner.id) {
+	members := r.members(leader.log, leader.applied)
+	if !members.contains(old) || members.contains(joiner.id) {
 		return false
 	}
-	after := m
+	after := members
 	for k := range after {
 		if after[k] == old {
 			after[k] = joiner.id
 		}
 	}
-	if r.breach != ChangesEarly && after.count(s, s.holders(l.applied)) < after.need() {
+	if r.defect != ChangesEarly && after.count(s, s.nodesApplied(leader.applied)) < after.quorum() {
 		return false
 	}
 	s.changes--
-	l.now, l.acks = change(old, joiner.id), 0
+	leader.proposal, leader.acks = encodeChange(old, joiner.id), 0
 	return true
 }
 
-// holders is the mask of the nodes that have applied so many slots.
-func (s *State) holders(applied uint8) (mask uint8) {
+// nodesApplied returns a bit mask of the nodes that have applied at least this many
+// entries.
+func (s *State) nodesApplied(applied uint8) (mask uint8) {
 	for i, n := range s.nodes {
-		if n.id != 0 && !n.gone && n.applied >= applied {
+		if n.id != 0 && !n.departed && n.applied >= applied {
 			mask |= 1 << i
 		}
 	}
 	return mask
 }
 
-func (r *rules) accept(s *State, i, j int, answered bool) bool {
-	l, v := &s.nodes[i], &s.nodes[j]
-	if l.role != leader || l.now == noValue || v.id == 0 || v.promise > l.ballot || v.applied > l.applied || l.acks&(1<<j) != 0 {
+// accept makes node j accept the proposal of leader i. The reply reaches the leader
+// if replied is set, and is lost otherwise.
+func (r *rules) accept(s *State, i, j int, replied bool) bool {
+	leader, acceptor := &s.nodes[i], &s.nodes[j]
+	if leader.role != roleLeader || leader.proposal == noValue || acceptor.id == 0 || acceptor.promised > leader.ballot || acceptor.applied > leader.applied || leader.acks&(1<<j) != 0 {
 		return false
 	}
-	if !r.members(l.log, l.applied).has(v.id) || !r.members(v.log, v.applied).has(v.id) {
+	if !r.members(leader.log, leader.applied).contains(acceptor.id) || !r.members(acceptor.log, acceptor.applied).contains(acceptor.id) {
 		return false
 	}
-	if !answered && (!r.config.Lossy || v.ballots[l.applied] == l.ballot) {
+	if !replied && (!r.config.Lossy || acceptor.ballots[leader.applied] == leader.ballot) {
 		return false
 	}
-	v.promise = l.ballot
-	v.log[l.applied], v.ballots[l.applied] = l.now, l.ballot
-	if answered {
-		l.acks |= 1 << j
+	acceptor.promised = leader.ballot
+	acceptor.log[leader.applied], acceptor.ballots[leader.applied] = leader.proposal, leader.ballot
+	if replied {
+		leader.acks |= 1 << j
 	}
 	return true
 }
 
+// choose makes leader i count its proposal as chosen, once a quorum accepted it, and
+// apply it.
 func (r *rules) choose(s *State, i int) bool {
-	l := &s.nodes[i]
-	m := r.members(l.log, l.applied)
-	if l.role != leader || l.now == noValue || m.count(s, l.acks) < m.need() {
+	leader := &s.nodes[i]
+	members := r.members(leader.log, leader.applied)
+	if leader.role != roleLeader || leader.proposal == noValue || members.count(s, leader.acks) < members.quorum() {
 		return false
 	}
-	slot, value := l.applied, l.now
-	if s.chosen[slot] == noValue {
-		s.chosen[slot] = value
-	} else if s.chosen[slot] != value {
-		s.chosen[slot] = 0xff // two values: check finds it
+	index, value := leader.applied, leader.proposal
+	if s.chosen[index] == noValue {
+		s.chosen[index] = value
+	} else if s.chosen[index] != value {
+		s.chosen[index] = 0xff // marks two chosen values, which check reports
 	}
-	l.now, l.acks = noValue, 0
-	r.applyAt(l, value)
+	leader.proposal, leader.acks = noValue, 0
+	r.applyEntry(leader, value)
 	return true
 }
--- a/internal/mutant/mutant.go
+++ b/internal/mutant/mutant.go
@@ -1,6 +1,6 @@
-// Package mutant holds small breakages of product code and what must catch
-// each. A breakage is laid over the build, never written into the tree: the
-// product itself has no switch that breaks it.
+// Package mutant lists small defects that are seeded into product code, each with the
+// test that must detect it. A mutant is applied through a build overlay and never
+// written into the source tree, so the product has no switch that breaks it.
 package mutant
 
 import (
@@ -16,72 +16,73 @@
 	"puffincrank/internal/fault"
 )
 
-// Mutant is one breakage.
+// Mutant is one seeded defect: a replacement of source text in one file.
 type Mutant struct {
 	Name    string
-	Promise string // the row of the table in docs/promises.md
-	File    string // below the module's root
-	Old     string // the text replaced, which stands once in the file
+	Promise string // the guarantee it breaks, a row of the table in docs/promises.md
+	File    string // relative to the module's root
+	Old     string // the replaced text, which must occur exactly once in the file
 	New     string
-	Pkg     string // whose test must fail, below internal
-	Test    string // the test's name, as go test -run takes it
+	Pkg     string // the package below internal whose test must fail
+	Test    string // a pattern for go test -run
 }
 
-// The promises, as the table in docs/promises.md names them.
+// The guarantees, named as in the table in docs/promises.md.
 const (
-	Twice    = "never runs twice"
-	Busy     = "busy means not run"
-	Whole    = "success is whole and one's own"
-	Stranger = "nothing to a stranger"
-	Leaving  = "no new job 2 s after leaving"
-	Left     = "no work for callers who left"
-	Newest   = "nobody in touch acts on an older version; none steps back"
-	Kept     = "broken ones refused, acknowledged ones kept"
-	Repeats  = "repeats within the bound"
-	Planned  = "planned stops cut nothing"
-	Rising   = "locks, numbers, revisions"
-	Reads    = "no old read; watches whole"
-	Passing  = "urgent passes bulk; bulk is whole or refused"
-	Return   = "service back within 15 s"
+	AtMostOnce          = "never runs twice"
+	BusyMeansNotRun     = "busy means not run"
+	CompleteResponse    = "success is whole and one's own"
+	CallerAuthorization = "nothing to a stranger"
+	NoRequestAfterLeave = "no new job 2 s after leaving"
+	AbandonedRequests   = "no work for callers who left"
+	MonotonicVersion    = "nobody in touch acts on an older version; none steps back"
+	DurableUpdates      = "broken ones refused, acknowledged ones kept"
+	BoundedRetries      = "repeats within the bound"
+	GracefulShutdown    = "planned stops cut nothing"
+	MonotonicNumbers    = "locks, numbers, revisions"
+	LinearizableReads   = "no old read; watches whole"
+	PriorityOrder       = "urgent passes bulk; bulk is whole or refused"
+	RecoveryTime        = "service back within 15 s"
 )
 
-// Promises lists them in the brief's order.
-var Promises = []string{Twice, Busy, Whole, Stranger, Leaving, Left, Newest, Kept, Repeats, Planned, Rising, Reads, Passing, Return}
+// Promises lists all guarantees in the order of the requirements.
+var Promises = []string{AtMostOnce, BusyMeansNotRun, CompleteResponse, CallerAuthorization, NoRequestAfterLeave, AbandonedRequests, MonotonicVersion, DurableUpdates, BoundedRetries, GracefulShutdown, MonotonicNumbers, LinearizableReads, PriorityOrder, RecoveryTime}
 
-// Overlay writes the broken file and the overlay that lays it over the tree at
-// root; both go into dir. An error means that the breakage no longer applies.
+// Overlay writes the mutated file and the JSON file for go build -overlay that
+// substitutes it in the tree at root, both into dir, and returns the JSON file's name.
+// It fails if the text to replace does not occur exactly once.
 func (m Mutant) Overlay(root, dir string) (string, error) {
 	file := filepath.Join(root, m.File)
-	raw, err := os.ReadFile(file)
+	source, err := os.ReadFile(file)
 	if err != nil {
 		return "", fault.Wrap(fault.Input, err, "mutant "+m.Name)
 	}
-	if n := strings.Count(string(raw), m.Old); n != 1 {
+	if n := strings.Count(string(source), m.Old); n != 1 {
 		return "", fault.New(fault.Input, "mutant %s: its text stands %d times in %s", m.Name, n, m.File)
 	}
-	broken := filepath.Join(dir, m.Name+".go")
-	if err := os.WriteFile(broken, []byte(strings.Replace(string(raw), m.Old, m.New, 1)), 0o600); err != nil {
+	mutated := filepath.Join(dir, m.Name+".go")
+	if err := os.WriteFile(mutated, []byte(strings.Replace(string(source), m.Old, m.New, 1)), 0o600); err != nil {
 		return "", fault.Wrap(fault.Disk, err, "mutant "+m.Name)
 	}
-	abs, err := filepath.Abs(file)
+	absolute, err := filepath.Abs(file)
 	if err != nil {
 		return "", fault.Wrap(fault.Disk, err, "mutant "+m.Name)
 	}
-	over, err := json.Marshal(map[string]any{"Replace": map[string]string{abs: broken}})
+	overlay, err := json.Marshal(map[string]any{"Replace": map[string]string{absolute: mutated}})
 	if err != nil {
 		return "", fault.Wrap(fault.Input, err, "mutant "+m.Name)
 	}
 	name := filepath.Join(dir, m.Name+".json")
-	return name, fault.Wrap(fault.Disk, os.WriteFile(name, over, 0o600), "mutant "+m.Name)
+	return name, fault.Wrap(fault.Disk, os.WriteFile(name, overlay, 0o600), "mutant "+m.Name)
 }
 
-// Builds compiles the package of the broken file.
+// Builds compiles the package of the mutated file.
 func (m Mutant) Builds(ctx context.Context, root, dir string) error {
-	over, err := m.Overlay(root, dir)
+	overlay, err := m.Overlay(root, dir)
 	if err != nil {
 		return err
 	}
-	cmd := exec.CommandContext(ctx, "go", "build", "-overlay", over, "./"+filepath.Dir(m.File))
+	cmd := exec.CommandContext(ctx, "go", "build", "-overlay", overlay, "./"+filepath.Dir(m.File))
 	cmd.Dir = root
 	if out, err := cmd.CombinedOutput(); err != nil {
 		return fault.New(fault.Input, "mutant %s does not build: %s", m.Name, out)
@@ -89,61 +90,63 @@
 	return nil
 }
 
-// Result is what became of one mutant.
+// Result is the outcome of one mutant's test run.
 type Result struct {
 	Mutant
 	Caught bool
 	Took   time.Duration
-	Say    string // the first words of the failure, or what else went wrong
+	Say    string // the failure message of the test, or the error that prevented the run
 }
 
-// Try runs the test that must catch the mutant. With one in which nothing is
-// broken the same test passes, which the ordinary test run shows.
+// Try runs the test that must detect the mutant. That the same test passes without
+// the mutant is shown by the ordinary test run.
 func (m Mutant) Try(ctx context.Context, root, dir string) Result {
-	from := time.Now()
-	r := Result{Mutant: m}
+	start := time.Now()
+	result := Result{Mutant: m}
 	if err := m.Builds(ctx, root, dir); err != nil {
-		r.Say = err.Error()
-		return r
+		result.Say = err.Error()
+		return result
 	}
 	cmd := exec.CommandContext(ctx, "go", "test", "-count=1", "-timeout", "90s", "-overlay", filepath.Join(dir, m.Name+".json"), "-run", m.Test, "./internal/"+m.Pkg)
 	cmd.Dir = root
 	out, err := cmd.CombinedOutput()
-	r.Took = time.Since(from)
-	// A run that failed to build or to finish shows nothing; an assertion that
-	// failed, or a state that was not reached in time, does.
-	r.Caught = err != nil && strings.Contains(string(out), "--- FAIL")
-	r.Say = first(string(out))
-	return r
+	result.Took = time.Since(start)
+	// A run that failed to build or to finish proves nothing. A failed test does,
+	// whether by an assertion or by waiting too long for a state.
+	result.Caught = err != nil && strings.Contains(string(out), "--- FAIL")
+	result.Say = failureLine(string(out))
+	return result
 }
 
-// first finds the line that tells why a test failed.
-func first(out string) string {
-	for _, l := range strings.Split(out, "\n") {
-		l = strings.TrimSpace(l)
-		if strings.Contains(l, "_test.go:") || strings.Contains(l, "faults.go:") || strings.Contains(l, "start.go:") || strings.HasPrefix(l, "panic:") {
-			return fmt.Sprintf("%.150s", l)
+// failureLine returns the output line that says why a test failed, up to 150
+// characters of it.
+func failureLine(out string) string {
+	for _, line := range strings.Split(out, "\n") {
+		line = strings.TrimSpace(line)
+		if strings.Contains(line, "_test.go:") || strings.Contains(line, "faults.go:") || strings.Contains(line, "start.go:") || strings.HasPrefix(line, "panic:") {
+			return fmt.Sprintf("%.150s", line)
 		}
 	}
 	return fmt.Sprintf("%.150s", strings.TrimSpace(out))
 }
 
-// Named finds mutants by name, or by promise; an unknown word is an error.
-func Named(words []string) ([]Mutant, error) {
-	if len(words) == 0 {
+// Named returns the mutants whose name or guarantee is among names, or all if names is
+// empty. An unknown name is an error.
+func Named(names []string) ([]Mutant, error) {
+	if len(names) == 0 {
 		return All, nil
 	}
-	var out []Mutant
-	for _, w := range words {
+	var selected []Mutant
+	for _, name := range names {
 		found := false
 		for _, m := range All {
-			if m.Name == w || m.Promise == w {
-				out, found = append(out, m), true
+			if m.Name == name || m.Promise == name {
+				selected, found = append(selected, m), true
 			}
 		}
 		if !found {
-			return nil, fault.New(fault.Input, "no mutant %q", w)
+			return nil, fault.New(fault.Input, "no mutant %q", name)
 		}
 	}
-	return out, nil
+	return selected, nil
 }
