--- a/internal/model/explore.go
+++ b/internal/model/explore.go
@@ -51,11 +51,11 @@
 }
 
 // stepsTo returns descriptions of the steps that lead to a state.
-func stepsTo(visits []visit, index int) (out []string) {
+func stepsTo(visits []visit, index int) (steps []string) {
 	for ; visits[index].parent >= 0; index = int(visits[index].parent) {
-		out = append([]string{visits[index].step.String()}, out...)
+		steps = append([]string{visits[index].step.String()}, steps...)
 	}
-	return out
+	return steps
 }
 
 // Walk takes random sequences of steps, for configurations with too many states to
--- a/internal/model/explore_test.go
+++ b/internal/model/explore_test.go
@@ -31,8 +31,8 @@
 	leaving.Wipes, leaving.Leaves = 0, 1
 	leavingAndWiping := threeVoters
 	leavingAndWiping.Leaves = 1
-	for name, c := range map[string]Config{"a wipe": threeVoters, "a leave": leaving, "a wipe and a leave": leavingAndWiping} {
-		r := Explore(c, NoDefect, stateLimit(t, 400_000))
+	for name, config := range map[string]Config{"a wipe": threeVoters, "a leave": leaving, "a wipe and a leave": leavingAndWiping} {
+		r := Explore(config, NoDefect, stateLimit(t, 400_000))
 		t.Logf("%s: %d states, to a depth of %d, all of them: %v", name, r.States, r.Depth, r.Complete)
 		if r.Violation != "" {
 			t.Errorf("%s: %s after\n  %s", name, r.Violation, strings.Join(r.Trace, "\n  "))
@@ -43,17 +43,17 @@
 // TestRandomWalkFiveVoters checks the invariants along random sequences of steps of five
 // voters and a spare node, with up to two lost disks.
 func TestRandomWalkFiveVoters(t *testing.T) {
-	c := Config{Voters: 5, Spares: 1, Commands: 2, Lossy: true, Wipes: 2, Crashes: 2, Changes: 2, Leaves: 0, Resends: 1, Elections: 4}
-	r := Walk(c, NoDefect, 1, stateLimit(t, 20_000)/10, 120)
+	config := Config{Voters: 5, Spares: 1, Commands: 2, Lossy: true, Wipes: 2, Crashes: 2, Changes: 2, Leaves: 0, Resends: 1, Elections: 4}
+	r := Walk(config, NoDefect, 1, stateLimit(t, 20_000)/10, 120)
 	t.Logf("%d states in sequences of up to %d steps", r.States, r.Depth)
 	if r.Violation != "" {
 		t.Errorf("%s after\n  %s", r.Violation, strings.Join(r.Trace, "\n  "))
 	}
 }
 
-// TestSeededDefects checks that the search detects each seeded defect, and that the same
-// configuration without the defect violates no invariant. Otherwise an invariant could
-// be too weak to detect anything.
+// TestSeededDefects checks that the search detects each seeded defect. The same
+// configuration without the defect must violate no invariant within as many states, at
+// most 100,000, so that the violation is due to the defect.
 func TestSeededDefects(t *testing.T) {
 	leaving := threeVoters
 	leaving.Wipes, leaving.Leaves = 0, 1
--- a/internal/model/transitions.go
+++ b/internal/model/transitions.go
@@ -43,8 +43,8 @@
 }
 
 // String describes the step for a failure report.
-func (l step) String() string {
-	text := fmt.Sprintf(stepFormats[l.kind], l.i, l.j, l.k)
+func (s step) String() string {
+	text := fmt.Sprintf(stepFormats[s.kind], s.i, s.j, s.k)
 	if at := strings.Index(text, "%!(EXTRA"); at >= 0 {
 		text = text[:at]
 	}
@@ -58,12 +58,12 @@
 }
 
 // transitions returns every step that is possible in a state.
-func (r *rules) transitions(s *State) (out []transition) {
+func (r *rules) transitions(s *State) (transitions []transition) {
 	n := r.config.Voters + r.config.Spares
-	tryStep := func(candidate step) {
+	tryStep := func(action step) {
 		after := *s
-		if r.execute(&after, candidate) {
-			out = append(out, transition{candidate, after})
+		if r.execute(&after, action) {
+			transitions = append(transitions, transition{action, after})
 		}
 	}
 	for i := range uint8(n) {
@@ -82,7 +82,7 @@
 			}
 		}
 	}
-	return out
+	return transitions
 }
 
 // execute applies a step to a state, or returns false if the step is not possible in
