--- a/internal/sim/site_test.go
+++ b/internal/sim/site_test.go
@@ -69,7 +69,7 @@
 		s.list = append(s.list, c.Host)
 	}
 	f.Net.Place("10.0.9.7", "outside")
-	out := env.Env{Net: f.Net.Host("10.0.9.7"), Log: event.New("outside", nil), Wall: time.Now}
+	out := env.Env{Net: f.Net.Host("10.0.9.7"), Log: event.New("outside", nil), WallClock: time.Now}
 	s.op = actors.NewOperator(out, s.control, s.wit, seed+1)
 	s.apps = actors.NewApps(out, s.control, s.wit, f.g, seed+2)
 	s.draft = d.draft(1)
@@ -137,7 +137,7 @@
 	far := fmt.Sprintf("10.0.8.%d", n)
 	s.Net.Place(far, area)
 	s.Net.Lag(far, s.d.reach)
-	e := env.Env{Net: s.Net.Host(far), Log: event.New(far, nil), Wall: time.Now}
+	e := env.Env{Net: s.Net.Host(far), Log: event.New(far, nil), WallClock: time.Now}
 	m.c = actors.NewClient(e, actors.Plain, h+":8000", m.name, fmt.Sprint("c", n, "-"), s.wit, s.g, s.seed(n))
 	m.c.Out.Store(true)
 	for _, l := range append([]*actors.Line{s.later()}, s.d.lines...) {
@@ -199,7 +199,7 @@
 	m.births++
 	n := m.n
 	id := checker.Worker{Name: fmt.Sprintf("w%d-%d", n, m.births), Service: m.service, Machine: m.name, Area: m.Area}
-	e := env.Env{Net: s.Net.Host(m.Host), Log: event.New(id.Name, nil), Wall: time.Now}
+	e := env.Env{Net: s.Net.Host(m.Host), Log: event.New(id.Name, nil), WallClock: time.Now}
 	ways := s.d.ways
 	// Workers of one service run at different speeds; of some, full ones reset.
 	ways.Speed = 0.8 + float64(n%5)*0.15
