--- a/internal/sim/refusal_test.go
+++ b/internal/sim/refusal_test.go
@@ -11,13 +11,13 @@
 	"puffincrank/internal/standin"
 )
 
-// spent is the processor time of this process so far.
-func spent(t *testing.T) time.Duration {
-	var u syscall.Rusage
-	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
+// processorTime is the processor time of this process so far.
+func processorTime(t *testing.T) time.Duration {
+	var usage syscall.Rusage
+	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
 		t.Fatal(err)
 	}
-	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
+	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
 // TestRefusalCost measures what a refusal costs of the processor against a job
@@ -28,7 +28,7 @@
 	if testing.Short() {
 		t.Skip("in the run without the race detector")
 	}
-	cost := func(full bool) (each time.Duration, codes map[int]int) {
+	measure := func(saturated bool) (each time.Duration, servedCodes map[int]int) {
 		synctest.Test(t, func(t *testing.T) {
 			s := one()
 			s.Slots = 2
@@ -37,35 +37,35 @@
 			f := NewFleet(t, s, 440)
 			defer f.Stop()
 			f.Start()
-			own := standin.NewCallers(f.env("own", "10.0.9.3", "outside", &f.Nodes[0].skew), nil, f.Obs, time.Minute)
+			callers := standin.NewCallers(f.env("own", "10.0.9.3", "outside", &f.Nodes[0].skew), nil, f.Obs, time.Minute)
 			line := standin.Line{Method: "GET", URI: "/a", Service: "s"}
-			if full {
+			if saturated {
 				for _, n := range f.Nodes {
 					n.Worker.Behave(standin.Way{Took: 55 * time.Second})
 				}
 				for range 12 {
-					f.g.Go("fill", func(context.Context) { own.At(f.Nodes[0].Host+":8000", line) })
+					f.g.Go("fill", func(context.Context) { callers.At(f.Nodes[0].Host+":8000", line) })
 				}
 				Wait(2 * time.Second)
 			}
 			const n = 1500
-			codes = map[int]int{}
-			from := spent(t)
+			servedCodes = map[int]int{}
+			start := processorTime(t)
 			for range n {
-				codes[own.At(f.Nodes[0].Host+":8000", line).Status]++
+				servedCodes[callers.At(f.Nodes[0].Host+":8000", line).Status]++
 			}
-			each = (spent(t) - from) / n
+			each = (processorTime(t) - start) / n
 		})
-		return each, codes
+		return each, servedCodes
 	}
-	served, codes := cost(false)
-	refused, no := cost(true)
-	t.Logf("served %v each (%v), refused %v each (%v): %.2f of it", served, codes, refused, no, float64(refused)/float64(served))
-	if codes[200] < 1450 || no[503] < 1450 {
-		t.Fatalf("not what was to be measured: %v and %v", codes, no)
+	servedCost, servedCodes := measure(false)
+	refusedCost, refusedCodes := measure(true)
+	t.Logf("served %v each (%v), refused %v each (%v): %.2f of it", servedCost, servedCodes, refusedCost, refusedCodes, float64(refusedCost)/float64(servedCost))
+	if servedCodes[200] < 1450 || refusedCodes[503] < 1450 {
+		t.Fatalf("not what was to be measured: %v and %v", servedCodes, refusedCodes)
 	}
 	// Each of the three owners is asked, which is three hand-overs for none.
-	if float64(refused) > 3*float64(served) {
-		t.Errorf("a refusal costs %.2f of a served job", float64(refused)/float64(served))
+	if float64(refusedCost) > 3*float64(servedCost) {
+		t.Errorf("a refusal costs %.2f of a served job", float64(refusedCost)/float64(servedCost))
 	}
 }
--- a/internal/sim/repeatsofothers_test.go
+++ b/internal/sim/repeatsofothers_test.go
@@ -11,13 +11,13 @@
 	"puffincrank/internal/standin"
 )
 
-// TestRepeatsOfOthers: a stop makes more repeats necessary than the front has left. The
+// TestRetryBudgetOfOwnersUsed: a stop makes more repeats necessary than the front has left. The
 // nodes beside the workers that take them pay for the others, each from its own part, so
 // that the bound of the mesh holds: one for each node here.
 //
 // Fronts in a stop gave requests up with "no repeats are left" while hardly any other
 // node had used its part.
-func TestRepeatsOfOthers(t *testing.T) {
+func TestRetryBudgetOfOwnersUsed(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		const nodes, workers = 12, 4
@@ -32,32 +32,32 @@
 		f.Start()
 		line := s.Lines[0]
 		line.Left = "60000"
-		front, owner := f.other("pages"), f.ofService("pages")
+		ingress, owner := f.other("pages"), f.ofService("pages")
 		Wait(62 * time.Second)
 		for range 3 {
-			f.atFront(front, line, 8)
+			f.atFront(ingress, line, 8)
 		}
 		owner.Worker.Behave(standin.Way{Took: 80 * time.Second})
 		before := owner.Worker.Runs()
-		ended := make(chan []standin.Call, 1)
-		f.g.Go("call", func(context.Context) { ended <- f.atFront(front, line, 3*slowRequests) })
+		results := make(chan []standin.Call, 1)
+		f.g.Go("call", func(context.Context) { results <- f.atFront(ingress, line, 3*slowRequests) })
 		Wait(8 * time.Second)
-		many := owner.Worker.Runs() - before
-		if many <= workers {
-			t.Fatalf("%d requests are at the slow worker: the test shows nothing", many)
+		running := owner.Worker.Runs() - before
+		if running <= workers {
+			t.Fatalf("%d requests are at the slow worker: the test shows nothing", running)
 		}
 		f.g.Go("stop-owner", func(context.Context) { owner.Proxy.Stop() })
 		Wait(owner.Proxy.Settings.GracePeriod * 224 / 600)
-		front.Proxy.Stop()
+		ingress.Proxy.Stop()
 		lost := 0
-		for _, c := range <-ended {
+		for _, c := range <-results {
 			if c.Status != 200 {
 				lost++
 			}
 		}
 		// One repeat of the front, and one of each other worker's node.
-		if answered := many - lost; answered != workers {
-			t.Errorf("%d of %d requests were answered by a repeat, %d could be", answered, many, workers)
+		if answered := running - lost; answered != workers {
+			t.Errorf("%d of %d requests were answered by a repeat, %d could be", answered, running, workers)
 		}
 	})
 }
--- a/internal/sim/replace_test.go
+++ b/internal/sim/replace_test.go
@@ -16,17 +16,17 @@
 	l.made++
 	c := l.add(fmt.Sprintf("10.0.3.%d", l.made), lost.Area)
 	c.Seeds = []string{lost.Host}
-	all := l.cores()
-	for _, o := range all {
-		if s, _ := l.runs(o); o != lost && o != c && s != nil && len(c.Seeds) < min(3, len(all)-1) {
+	running := l.cores()
+	for _, o := range running {
+		if s, _ := l.runs(o); o != lost && o != c && s != nil && len(c.Seeds) < min(3, len(running)-1) {
 			c.Seeds = append(c.Seeds, o.Host)
 		}
 	}
 	return c
 }
 
-// meet tells whether every registry that runs knows exactly those that run.
-func (l *lab) meet() bool {
+// membershipConverged tells whether every registry that runs knows exactly those that run.
+func (l *lab) membershipConverged() bool {
 	var want []string
 	for _, c := range l.Cores {
 		if c.Registry != nil {
@@ -39,43 +39,43 @@
 			continue
 		}
 		_, got := l.Get(c.Host+":7003", "/puffin/status")
-		list, _ := got["members"].([]any)
-		var have []string
-		for _, m := range list {
+		members, _ := got["members"].([]any)
+		var found []string
+		for _, m := range members {
 			row, _ := m.(map[string]any)
-			have = append(have, fmt.Sprint(row["node"]))
+			found = append(found, fmt.Sprint(row["node"]))
 		}
-		if slices.Sort(have); !slices.Equal(have, want) {
+		if slices.Sort(found); !slices.Equal(found, want) {
 			return false
 		}
 	}
 	return true
 }
 
-// TestReplaced: a voter is lost for good, with or without a word, and an empty
+// TestVoterReplaced: a voter is lost for good, with or without a word, and an empty
 // machine comes at a new address a second and a half later; or that one comes
 // first and the other leaves politely. It has the place well within
 // catch_up_ms of its start; then as many machines as the core is to bear lose
 // their disks, all others their power, and nothing acknowledged is lost.
-func TestReplaced(t *testing.T) {
+func TestVoterReplaced(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct{ cores, bear int }{{3, 1}, {5, 2}, {7, 1}} {
-		for how, name := range []string{"killed", "dark", "left", "planned"} {
+		for manner, name := range []string{"killed", "dark", "left", "planned"} {
 			t.Run(fmt.Sprintf("%d to bear %d, %s", c.cores, c.bear, name), func(t *testing.T) {
 				t.Parallel()
 				for seed := range seeds(2) {
 					synctest.Test(t, func(t *testing.T) {
-						l := newLab(t, seed+580+uint64(how), c.cores, c.bear)
+						l := newLab(t, seed+580+uint64(manner), c.cores, c.bear)
 						defer l.Stop()
 						l.up()
-						want := 2*c.bear + 1
-						l.Until(4*time.Second, "all places are taken", func() bool { return len(l.places()) == want })
+						voters := 2*c.bear + 1
+						l.Until(4*time.Second, "all places are taken", func() bool { return len(l.places()) == voters })
 						l.Stores["founding"] = false
 						Wait(2 * time.Second)
-						k := l.marks(20)
-						w := l.Writer()
-						lost := l.Cores[slices.IndexFunc(l.Cores, func(c *Core) bool { return (c == w) == (seed == 0) && l.places()[c.Host] })]
-						go_ := func() {
+						acked := l.marks(20)
+						leader := l.Writer()
+						lost := l.Cores[slices.IndexFunc(l.Cores, func(c *Core) bool { return (c == leader) == (seed == 0) && l.places()[c.Host] })]
+						remove := func() {
 							switch name {
 							case "dark":
 								l.Net.Isolate(lost.Host, true)
@@ -85,35 +85,35 @@
 							}
 							l.KillCore(lost, true)
 						}
-						var fresh *Core
+						var replacement *Core
 						if name == "planned" {
-							fresh = l.fresh(lost)
-							l.BackCore(fresh)
+							replacement = l.fresh(lost)
+							l.BackCore(replacement)
 							Wait(2 * time.Second)
-							go_()
+							remove()
 						} else {
-							go_()
+							remove()
 							Wait(1500 * time.Millisecond)
-							fresh = l.fresh(lost)
-							l.BackCore(fresh)
+							replacement = l.fresh(lost)
+							l.BackCore(replacement)
 						}
-						began := time.Now()
+						start := time.Now()
 						l.Until(3500*time.Millisecond, "the lost one's place is taken", func() bool {
-							at := l.places()
-							return len(at) == want && !at[lost.Host]
+							members := l.places()
+							return len(members) == voters && !members[lost.Host]
 						})
-						t.Logf("seed %d: place taken %v after the new one's start", seed, time.Since(began).Round(time.Millisecond))
-						l.Until(3*time.Second, "all registries meet", l.meet)
-						Wait(4*time.Second - time.Since(began))
-						more := l.marks(20)
+						t.Logf("seed %d: place taken %v after the new one's start", seed, time.Since(start).Round(time.Millisecond))
+						l.Until(3*time.Second, "all registries meet", l.membershipConverged)
+						Wait(4*time.Second - time.Since(start))
+						ackedLater := l.marks(20)
 						var wiped []*Core
-						places := l.places()
+						members := l.places()
 						for _, c := range l.Cores {
 							if c.Store == nil {
 								continue
 							}
 							l.KillCore(c, true)
-							if places[c.Host] && c != fresh && len(wiped) < bearOf(want) {
+							if members[c.Host] && c != replacement && len(wiped) < bearOf(voters) {
 								wiped = append(wiped, c)
 								c.Disk.Wipe()
 							}
@@ -125,11 +125,11 @@
 							}
 						}
 						t.Logf("after the loss of %d disks and all power, writes go through in %v", len(wiped), l.next(10*time.Second).Round(time.Millisecond))
-						for key, rev := range more {
-							k[key] = max(rev, k[key])
+						for key, rev := range ackedLater {
+							acked[key] = max(rev, acked[key])
 						}
-						l.holds(k)
-						l.Until(8*time.Second, "all places are taken again", func() bool { return len(l.places()) == want })
+						l.holds(acked)
+						l.Until(8*time.Second, "all places are taken again", func() bool { return len(l.places()) == voters })
 					})
 				}
 			})
@@ -139,9 +139,9 @@
 
 func bearOf(voters int) int { return (voters - 1) / 2 }
 
-// TestTwoLost: of five voters two are lost at once, and two empty machines come
+// TestTwoVotersLost: of five voters two are lost at once, and two empty machines come
 // one after the other, the second while the first is joining.
-func TestTwoLost(t *testing.T) {
+func TestTwoVotersLost(t *testing.T) {
 	t.Parallel()
 	for seed := range seeds(4) {
 		synctest.Test(t, func(t *testing.T) {
@@ -151,63 +151,63 @@
 			l.Until(4*time.Second, "all places are taken", func() bool { return len(l.places()) == 5 })
 			l.Stores["founding"] = false
 			Wait(time.Second)
-			k := l.marks(20)
+			acked := l.marks(20)
 			a, b := l.Cores[seed%5], l.Cores[(seed+2)%5]
 			l.KillCore(a, true)
 			l.KillCore(b, true)
 			l.next(2 * time.Second)
 			Wait(time.Duration(seed) * 400 * time.Millisecond)
-			x := l.fresh(a)
-			l.BackCore(x)
+			firstNew := l.fresh(a)
+			l.BackCore(firstNew)
 			Wait(time.Duration(seed) * 300 * time.Millisecond)
-			y := l.fresh(b)
-			l.BackCore(y)
+			secondNew := l.fresh(b)
+			l.BackCore(secondNew)
 			took := l.Until(5*time.Second, "both places are taken", func() bool {
-				at := l.places()
-				return len(at) == 5 && at[x.Host] && at[y.Host]
+				members := l.places()
+				return len(members) == 5 && members[firstNew.Host] && members[secondNew.Host]
 			})
 			t.Logf("both places are taken after %v", took.Round(time.Millisecond))
-			l.holds(k)
+			l.holds(acked)
 			Wait(time.Second)
 			// Now two more may go.
-			l.KillCore(x, true)
+			l.KillCore(firstNew, true)
 			for _, c := range l.Cores {
-				if c.Store != nil && c != y {
+				if c.Store != nil && c != secondNew {
 					l.KillCore(c, true)
 					break
 				}
 			}
 			l.next(3 * time.Second)
-			l.holds(k)
+			l.holds(acked)
 		})
 	}
 }
 
-// TestFlapping: a voter that comes and goes, with a stand-by at hand, changes
+// TestFlappingVoter: a voter that comes and goes, with a stand-by at hand, changes
 // places no more often than once in catch_up_ms.
-func TestFlapping(t *testing.T) {
+func TestFlappingVoter(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		l := newLab(t, 630, 4, 1)
 		defer l.Stop()
 		l.up()
 		Wait(3 * time.Second)
-		k := l.marks(20)
+		acked := l.marks(20)
 		before := l.count(event.Replaced)
-		from := time.Now()
-		c := l.Cores[slices.IndexFunc(l.Cores, func(c *Core) bool { return l.places()[c.Host] && c != l.Writer() })]
+		start := time.Now()
+		voter := l.Cores[slices.IndexFunc(l.Cores, func(voter *Core) bool { return l.places()[voter.Host] && voter != l.Writer() })]
 		for range 12 {
-			l.Net.Isolate(c.Host, true)
+			l.Net.Isolate(voter.Host, true)
 			Wait(1700 * time.Millisecond)
-			l.Net.Isolate(c.Host, false)
+			l.Net.Isolate(voter.Host, false)
 			Wait(1300 * time.Millisecond)
 		}
-		n := l.count(event.Replaced) - before
-		t.Logf("%d changes of the members in %v", n, time.Since(from))
-		if n > int(time.Since(from)/(4*time.Second)) || n == 0 {
-			t.Errorf("%d changes of the members", n)
+		changes := l.count(event.Replaced) - before
+		t.Logf("%d changes of the members in %v", changes, time.Since(start))
+		if changes > int(time.Since(start)/(4*time.Second)) || changes == 0 {
+			t.Errorf("%d changes of the members", changes)
 		}
 		l.next(3 * time.Second)
-		l.holds(k)
+		l.holds(acked)
 	})
 }
--- a/internal/sim/risk_test.go
+++ b/internal/sim/risk_test.go
@@ -51,29 +51,29 @@
 // risks counts, by fault and promise, how often there was something to lose.
 type risks map[string]map[string]int
 
-func (r risks) add(fault string, a, b sight, s *step) {
+func (r risks) add(fault string, before, after sight, s *step) {
 	if r[fault] == nil {
 		r[fault] = map[string]int{}
 	}
-	m := r[fault]
+	counts := r[fault]
 	// Jobs under way when the fault came may run twice, be told busy, come back
 	// as something else, or reach a stranger.
-	for _, p := range []string{"never runs twice", "busy means not run", "success is whole and one's own", "nothing to a stranger"} {
-		m[p] += a.jobs
+	for _, promise := range []string{"never runs twice", "busy means not run", "success is whole and one's own", "nothing to a stranger"} {
+		counts[promise] += before.jobs
 	}
-	m["no new job 2 s after leaving"] += max(b.left-a.left, 0)
-	m["nobody in touch acts on an older version; none steps back"] += b.acks - a.acks
+	counts["no new job 2 s after leaving"] += max(after.left-before.left, 0)
+	counts["nobody in touch acts on an older version; none steps back"] += after.acks - before.acks
 	if s.core || fault == changesRace {
-		m["broken ones refused, acknowledged ones kept"] += a.acks
+		counts["broken ones refused, acknowledged ones kept"] += before.acks
 	}
-	m["repeats within the bound"] += int(max(b.repeats-a.repeats, 0))
-	m["locks, numbers, revisions"] += a.held + b.held
-	m["no old read; watches whole"] += b.calls - a.calls
+	counts["repeats within the bound"] += int(max(after.repeats-before.repeats, 0))
+	counts["locks, numbers, revisions"] += before.held + after.held
+	counts["no old read; watches whole"] += after.calls - before.calls
 	if fault == plannedStops {
-		m["planned stops cut nothing"] += a.jobs
+		counts["planned stops cut nothing"] += before.jobs
 	}
 	if s.back {
-		m["service back within 15 s"]++
+		counts["service back within 15 s"]++
 	}
 }
 
@@ -82,8 +82,8 @@
 	return !s.core && s.fault != changesRace
 }
 
-func (r risks) join(o risks) {
-	for f, m := range o {
+func (r risks) join(other risks) {
+	for f, m := range other {
 		if r[f] == nil {
 			r[f] = map[string]int{}
 		}
--- a/internal/sim/same_test.go
+++ b/internal/sim/same_test.go
@@ -9,14 +9,14 @@
 	"puffincrank/internal/ctl"
 )
 
-// reads are the commands whose answers must not depend on the node asked.
+// readCommands are the commands whose answers must not depend on the node asked.
 // Status, nodes, workers, classes and running trials show counts that move.
-var reads = []string{"config get", "history", "paths", "trials", "trials show 1", "lock list", "lock get l", "key list", "key get k", "number get n", "duties", "services"}
+var readCommands = []string{"config get", "history", "paths", "trials", "trials show 1", "lock list", "lock get l", "key list", "key get k", "number get n", "duties", "services"}
 
-// TestSameAnswer: every read command at every node, in both shapes, while the
+// TestSameAnswerAtAllNodes: every read command at every node, in both shapes, while the
 // writer changes and a node is cut off from a part of the core: what is
 // answered is equal at all nodes, or refused honestly; nothing else.
-func TestSameAnswer(t *testing.T) {
+func TestSameAnswerAtAllNodes(t *testing.T) {
 	heavy(t)
 	for i, s := range []Shape{WithAlt(Fumettoteca(0.1)), WithAlt(Ingenzi(0.1))} {
 		t.Run(s.Services[0], func(t *testing.T) {
@@ -29,41 +29,41 @@
 				for _, c := range []string{"lock acquire l --owner x --ttl-ms 600000", "key put k v", "number next n",
 					"propose " + pathOf(s) + " --based-on 1 --service " + s.Services[0] + "2",
 					"trials abort 1"} {
-					if code, out, say := f.ctl(at, strings.Fields(c)...); code != ctl.ExitOK {
-						t.Fatalf("%s: %d %s%s", c, code, out, say)
+					if code, out, stderr := f.ctl(at, strings.Fields(c)...); code != ctl.ExitOK {
+						t.Fatalf("%s: %d %s%s", c, code, out, stderr)
 					}
 				}
 				Wait(2 * time.Second)
-				var all []string
+				var addresses []string
 				for _, h := range f.hosts() {
-					all = append(all, h+":7003")
+					addresses = append(addresses, h+":7003")
 				}
 				refused := 0
-				round := func(when string) {
-					for _, cmd := range reads {
-						first, who := "", ""
+				round := func(phase string) {
+					for _, cmd := range readCommands {
+						first, firstAt := "", ""
 						answered := 0
-						for _, at := range all {
-							code, out, say := f.ctl(at, strings.Fields("--wait 3s "+cmd)...)
+						for _, at := range addresses {
+							code, out, stderr := f.ctl(at, strings.Fields("--wait 3s "+cmd)...)
 							if code == ctl.ExitUnreachable || code == ctl.ExitUnavailable {
 								refused++
 								continue
 							}
 							answered++
 							if first == "" {
-								first, who = out, at
+								first, firstAt = out, at
 							}
 							if code != ctl.ExitOK || out != first {
-								t.Errorf("%s: %s at %s (%d) differs from %s:\n%s%s\n%s", when, cmd, at, code, who, out, say, first)
+								t.Errorf("%s: %s at %s (%d) differs from %s:\n%s%s\n%s", phase, cmd, at, code, firstAt, out, stderr, first)
 							}
 						}
-						if answered < len(all)/2 {
-							t.Errorf("%s: %s was answered by %d of %d nodes", when, cmd, answered, len(all))
+						if answered < len(addresses)/2 {
+							t.Errorf("%s: %s was answered by %d of %d nodes", phase, cmd, answered, len(addresses))
 						}
 					}
 				}
 				round("calm")
-				calm := refused
+				refusedCalm := refused
 				c := f.mark(f.Writer())
 				n := f.Nodes[1]
 				for _, o := range f.Cores[:2] {
@@ -72,10 +72,10 @@
 				}
 				f.KillCore(c, true)
 				Wait(3 * time.Second)
-				all = all[:0]
+				addresses = addresses[:0]
 				for _, h := range f.hosts() {
 					if h != c.Host {
-						all = append(all, h+":7003")
+						addresses = append(addresses, h+":7003")
 					}
 				}
 				round("a core machine away, a node cut off from two")
@@ -87,8 +87,8 @@
 				Wait(2500 * time.Millisecond)
 				round("the writer frozen")
 				f.Net.Freeze("store-"+f.marked.Host, false)
-				t.Logf("%d reads refused when calm, %d in all", calm, refused)
-				if calm > 0 {
+				t.Logf("%d reads refused when calm, %d in all", refusedCalm, refused)
+				if refusedCalm > 0 {
 					t.Error("reads were refused with all well")
 				}
 			})
--- a/internal/sim/secondloss_test.go
+++ b/internal/sim/secondloss_test.go
@@ -14,48 +14,48 @@
 // marking writes keys one after another through machines that run, until it is
 // stopped, and gives what was acknowledged.
 func (l *lab) marking(name string) (stop func() map[string]uint64) {
-	ctx, end := context.WithCancel(l.g.Context())
-	out := map[string]uint64{}
+	ctx, cancel := context.WithCancel(l.g.Context())
+	acked := map[string]uint64{}
 	var wait sync.WaitGroup
 	wait.Add(1)
 	l.g.Go("marking", func(context.Context) {
 		defer wait.Done()
 		for i := 0; ctx.Err() == nil; i++ {
-			all := l.cores()
-			at := all[i%len(all)]
+			machines := l.cores()
+			at := machines[i%len(machines)]
 			key := fmt.Sprint(name, i)
 			// A registry that is killed meanwhile answers nothing.
 			if rev := l.put(at, key, key); rev > 0 {
-				out[key] = rev
+				acked[key] = rev
 			}
 			Wait(3 * time.Millisecond)
 		}
 	})
 	return func() map[string]uint64 {
-		end()
+		cancel()
 		wait.Wait()
-		return out
+		return acked
 	}
 }
 
-// strike loses one machine for a while: by a kill, without power, or with its
+// failAndRestart loses one machine for a while: by a kill, without power, or with its
 // disk.
-func (l *lab) strike(c *Core, how string) {
+func (l *lab) failAndRestart(c *Core, failure string) {
 	if s, _ := l.runs(c); s == nil {
 		return
 	}
-	l.KillCore(c, how != "killed")
-	if how == "wiped" {
+	l.KillCore(c, failure != "killed")
+	if failure == "wiped" {
 		c.Disk.Wipe()
 	}
 	Wait(300 * time.Millisecond)
 	l.BackCore(c)
 }
 
-// departures are the ways in which a member's place comes to be another's. Each
+// replacements are the ways in which a member's place comes to be another's. Each
 // tells whether the member's disk is lost by it, and leaves its machine gone or
 // back.
-var departures = []struct {
+var replacements = []struct {
 	name string
 	disk bool
 	do   func(l *lab, c *Core, later time.Duration)
@@ -87,19 +87,19 @@
 	}},
 }
 
-// TestSecondLoss: while a member's place passes to another, at any moment, one
+// TestSecondLossDuringReplacement: while a member's place passes to another, at any moment, one
 // more machine is lost: by a kill or a loss of power where a disk is lost already,
 // and with its disk where none is. The service may rest; then it is back, and
 // nothing that was acknowledged is gone.
-func TestSecondLoss(t *testing.T) {
+func TestSecondLossDuringReplacement(t *testing.T) {
 	t.Parallel()
 	for _, size := range []struct{ cores, bear int }{{3, 1}, {5, 2}} {
-		for _, d := range departures {
-			t.Run(fmt.Sprintf("%d, %s", size.cores, d.name), func(t *testing.T) {
+		for _, replacement := range replacements {
+			t.Run(fmt.Sprintf("%d, %s", size.cores, replacement.name), func(t *testing.T) {
 				t.Parallel()
 				for seed := range seeds(6) {
 					synctest.Test(t, func(t *testing.T) {
-						rnd := rand.New(rand.NewPCG(seed, uint64(size.cores)))
+						random := rand.New(rand.NewPCG(seed, uint64(size.cores)))
 						l := newLab(t, seed+900, size.cores, size.bear)
 						defer l.Stop()
 						l.up()
@@ -107,33 +107,33 @@
 						l.Stores["founding"] = false
 						Wait(time.Second)
 						leader := l.Writer()
-						away := l.Cores[slices.IndexFunc(l.Cores, func(c *Core) bool { return (c == leader) == (seed%3 == 0) })]
-						others := slices.DeleteFunc(slices.Clone(l.Cores), func(c *Core) bool { return c == away })
+						departing := l.Cores[slices.IndexFunc(l.Cores, func(c *Core) bool { return (c == leader) == (seed%3 == 0) })]
+						others := slices.DeleteFunc(slices.Clone(l.Cores), func(c *Core) bool { return c == departing })
 						stop := l.marking("m")
 						Wait(200 * time.Millisecond)
 						done := make(chan struct{})
-						later := time.Duration(rnd.IntN(700)) * time.Millisecond
+						delay := time.Duration(random.IntN(700)) * time.Millisecond
 						l.g.Go("departure", func(context.Context) {
 							defer close(done)
-							d.do(l, away, later)
+							replacement.do(l, departing, delay)
 						})
 						// Anywhere on the way, most often in its first moments.
-						Wait(time.Duration(rnd.Float64() * rnd.Float64() * float64(3*time.Second)))
-						how := []string{"killed", "power"}[rnd.IntN(2)]
-						if !d.disk {
-							how = "wiped"
+						Wait(time.Duration(random.Float64() * random.Float64() * float64(3*time.Second)))
+						failure := []string{"killed", "power"}[random.IntN(2)]
+						if !replacement.disk {
+							failure = "wiped"
 						}
-						l.strike(others[rnd.IntN(len(others))], how)
+						l.failAndRestart(others[random.IntN(len(others))], failure)
 						<-done
 						took := l.next(15 * time.Second)
 						Wait(time.Second)
-						k := stop()
-						l.holds(k)
-						t.Logf("seed %d: %s, the next write after %v, %d were acknowledged", seed, how, took.Round(time.Millisecond), len(k))
-						if len(k) < 20 {
-							t.Errorf("only %d writes were acknowledged", len(k))
+						acked := stop()
+						l.holds(acked)
+						t.Logf("seed %d: %s, the next write after %v, %d were acknowledged", seed, failure, took.Round(time.Millisecond), len(acked))
+						if len(acked) < 20 {
+							t.Errorf("only %d writes were acknowledged", len(acked))
 						}
-						l.Until(10*time.Second, "all places are taken again", func() bool { return len(l.places()) == size.cores && l.placesRun() })
+						l.Until(10*time.Second, "all places are taken again", func() bool { return len(l.places()) == size.cores && l.allMembersRunning() })
 					})
 				}
 			})
@@ -141,15 +141,15 @@
 	}
 }
 
-// placesRun tells whether every member's machine runs.
-func (l *lab) placesRun() bool {
-	at := l.places()
+// allMembersRunning tells whether every member's machine runs.
+func (l *lab) allMembersRunning() bool {
+	missing := l.places()
 	for _, c := range l.cores() {
 		if c.Store != nil {
-			delete(at, c.Host)
+			delete(missing, c.Host)
 		}
 	}
-	return len(at) == 0
+	return len(missing) == 0
 }
 
 // TestLeaveWhileOneLags: a member leaves by a plan on a busy core while another
@@ -178,29 +178,29 @@
 					others = append(others, c)
 				}
 			}
-			lags, leaves := others[0], others[1]
-			fresh := l.fresh(leaves)
-			l.BackCore(fresh)
+			lagging, leaving := others[0], others[1]
+			replacement := l.fresh(leaving)
+			l.BackCore(replacement)
 			stop := l.marking("m")
 			Wait(2500 * time.Millisecond)
-			lags.Disk.Hang("v-", true)
+			lagging.Disk.Hang("v-", true)
 			Wait(time.Duration(300+100*seed) * time.Millisecond)
-			leaves.Store.Stop()
-			leaves.Registry.Stop()
-			l.KillCore(leaves, true)
-			lags.Disk.Hang("", false)
+			leaving.Store.Stop()
+			leaving.Registry.Stop()
+			l.KillCore(leaving, true)
+			lagging.Disk.Hang("", false)
 			l.KillCore(leader, true)
 			leader.Disk.Wipe()
-			l.KillCore(lags, true)
-			l.KillCore(fresh, true)
+			l.KillCore(lagging, true)
+			l.KillCore(replacement, true)
 			Wait(300 * time.Millisecond)
-			for _, c := range []*Core{leader, lags, fresh} {
+			for _, c := range []*Core{leader, lagging, replacement} {
 				l.BackCore(c)
 			}
 			l.next(15 * time.Second)
-			k := stop()
-			l.holds(k)
-			t.Logf("seed %d: %d writes were acknowledged", seed, len(k))
+			acked := stop()
+			l.holds(acked)
+			t.Logf("seed %d: %d writes were acknowledged", seed, len(acked))
 		})
 	}
 }
--- a/internal/sim/seeds_test.go
+++ b/internal/sim/seeds_test.go
@@ -18,8 +18,8 @@
 }
 
 // seeds gives the fixed seeds of CI, or as many as PUFFIN_SEEDS says.
-func seeds(fixed uint64) iter.Seq[uint64] {
-	n := fixed
+func seeds(count uint64) iter.Seq[uint64] {
+	n := count
 	if s, err := strconv.ParseUint(os.Getenv("PUFFIN_SEEDS"), 10, 32); err == nil && s > 0 {
 		n = s
 	}
--- a/internal/sim/shortgrace_test.go
+++ b/internal/sim/shortgrace_test.go
@@ -12,10 +12,10 @@
 	"puffincrank/internal/standin"
 )
 
-// TestShortGrace: a deployment whose grace is no longer than the time that
+// TestShortGracePeriod: a deployment whose grace is no longer than the time that
 // others have to see a worker leave. Every program ends in its grace, so that
 // none is killed while it holds calls, and a call that waits for longer is answered.
-func TestShortGrace(t *testing.T) {
+func TestShortGracePeriod(t *testing.T) {
 	for _, c := range []struct{ leave, grace int }{{2000, 6000}, {4000, 4000}, {3000, 1500}} {
 		t.Run(fmt.Sprint(c.leave, " ", c.grace), func(t *testing.T) {
 			t.Parallel()
@@ -37,9 +37,9 @@
 				})
 				Wait(100 * time.Millisecond)
 				for name, stop := range map[string]func(){"proxy": f.Nodes[0].Proxy.Stop, "registry": f.Cores[0].Registry.Stop, "store": f.Cores[1].Store.Stop} {
-					from := time.Now()
+					start := time.Now()
 					stop()
-					if took := time.Since(from); took > time.Duration(c.grace)*time.Millisecond {
+					if took := time.Since(start); took > time.Duration(c.grace)*time.Millisecond {
 						t.Errorf("a %s ended after %v", name, took)
 					}
 				}
@@ -51,11 +51,11 @@
 	}
 }
 
-// TestShortGraceUnheard: a front that is stopped has jobs for longer than its
+// TestShortGracePeriodWhilePartitioned: a front that is stopped has jobs for longer than its
 // grace, and nobody hears its goodbyes, as in a cut. Its beat is long and its
 // grace short: it still ends by itself before it would be killed.
-func TestShortGraceUnheard(t *testing.T) {
-	for _, c := range []struct{ change, touch, grace int }{{2000, 3000, 6000}, {2000, 3000, 3500}, {6000, 5000, 3000}} {
+func TestShortGracePeriodWhilePartitioned(t *testing.T) {
+	for _, c := range []struct{ change, contact, grace int }{{2000, 3000, 6000}, {2000, 3000, 3500}, {6000, 5000, 3000}} {
 		t.Run(fmt.Sprint(c.change, " ", c.grace), func(t *testing.T) {
 			t.Parallel()
 			synctest.Test(t, func(t *testing.T) {
@@ -63,20 +63,20 @@
 				s.Took["scans"] = 40 * time.Second
 				s.Doc = strings.ReplaceAll(s.Doc, `"left_ms":1000`, `"left_ms":60000`)
 				f := NewFleet(t, s, 76)
-				f.Told = map[string]any{"change_ms": json.Number(fmt.Sprint(c.change)), "touch_ms": json.Number(fmt.Sprint(c.touch)), "grace_ms": json.Number(fmt.Sprint(c.grace)), "catch_up_ms": json.Number("10000")}
+				f.Told = map[string]any{"change_ms": json.Number(fmt.Sprint(c.change)), "touch_ms": json.Number(fmt.Sprint(c.contact)), "grace_ms": json.Number(fmt.Sprint(c.grace)), "catch_up_ms": json.Number("10000")}
 				defer f.Stop()
 				f.Start()
 				n := f.Nodes[0]
-				own := standin.NewCallers(f.env("own", n.Host, n.Area, &n.skew), []string{n.Host + ":8000"}, nil, 50*time.Second)
+				callers := standin.NewCallers(f.env("own", n.Host, n.Area, &n.skew), []string{n.Host + ":8000"}, nil, 50*time.Second)
 				for range 5 {
-					f.g.Go("call", func(context.Context) { own.At(n.Host+":8000", s.Lines[2]) })
+					f.g.Go("call", func(context.Context) { callers.At(n.Host+":8000", s.Lines[2]) })
 				}
 				Wait(500 * time.Millisecond)
 				grace := time.Duration(c.grace) * time.Millisecond
 				f.g.Go("cut", func(context.Context) { Wait(grace * 7 / 10); f.Net.Isolate(n.Host, true) })
-				from := time.Now()
+				start := time.Now()
 				n.Proxy.Stop()
-				if took := time.Since(from); took > grace {
+				if took := time.Since(start); took > grace {
 					t.Errorf("ended after %v", took)
 				}
 			})
--- a/internal/sim/sight_test.go
+++ b/internal/sim/sight_test.go
@@ -11,21 +11,21 @@
 	"puffincrank/internal/standin/actors"
 )
 
-// TestSight: the logs and the trail of the nodes alone tell what an owner knew of
+// TestTrailOfSends: the logs and the trail of the nodes alone tell what an owner knew of
 // its worker when it sent a request there, by which of the worker's calls and in
 // which order, and when a caller's leaving was seen.
-func TestSight(t *testing.T) {
+func TestTrailOfSends(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		s := newSite(t, reader(1, 0.12), 1)
-		log := map[string][]string{}
+		entries := map[string][]string{}
 		s.Log = func(e event.Entry) {
 			s.smu.Lock()
-			log[e.Name] = append(log[e.Name], e.Node+" "+e.Text)
+			entries[e.Name] = append(entries[e.Name], e.Node+" "+e.Text)
 			s.smu.Unlock()
 		}
 		var steps []any
-		quit := 0.0
+		callersLeft := 0.0
 		s.day(9*time.Second, func() {
 			for _, m := range s.machines {
 				m.c.Quits(0.5)
@@ -36,17 +36,17 @@
 			_, got := s.Get(m.Host+":7003", "/puffin/own/trail?of="+m.w.Name)
 			steps, _ = got["steps"].([]any)
 			for _, m := range s.machines {
-				_, own := s.Get(m.Host+":7003", "/puffin/own")
-				n, _ := own["callers_left"].(float64)
-				quit += n
+				_, status := s.Get(m.Host+":7003", "/puffin/own")
+				n, _ := status["callers_left"].(float64)
+				callersLeft += n
 			}
 		})
 		gone := "to=gone call="
-		if l := strings.Join(log["worker-state"], "\n"); !strings.Contains(l, gone) || !strings.Contains(l, "step=") {
+		if l := strings.Join(entries["worker-state"], "\n"); !strings.Contains(l, gone) || !strings.Contains(l, "step=") {
 			t.Errorf("no event tells by which call the worker went: %s", l)
 		}
-		if len(log["caller-left"]) == 0 || quit == 0 {
-			t.Errorf("%d events and a count of %v of callers that left", len(log["caller-left"]), quit)
+		if len(entries["caller-left"]) == 0 || callersLeft == 0 {
+			t.Errorf("%d events and a count of %v of callers that left", len(entries["caller-left"]), callersLeft)
 		}
 		sent := 0
 		last := 0.0
--- a/internal/sim/sightstop_test.go
+++ b/internal/sim/sightstop_test.go
@@ -15,23 +15,23 @@
 
 // logOf collects the events of a fleet by name.
 func logOf(f *Fleet) func(name string) []string {
-	log := map[string][]string{}
+	entries := map[string][]string{}
 	f.Log = func(e event.Entry) {
 		f.mu.Lock()
-		log[e.Name] = append(log[e.Name], e.Node+" "+e.Text)
+		entries[e.Name] = append(entries[e.Name], e.Node+" "+e.Text)
 		f.mu.Unlock()
 	}
 	return func(name string) []string {
 		f.mu.Lock()
 		defer f.mu.Unlock()
-		return append([]string(nil), log[name]...)
+		return append([]string(nil), entries[name]...)
 	}
 }
 
-// TestSightOfStop: a front is told to end while a worker is at work on a request of
+// TestLogsRequestEndedByStop: a front is told to end while a worker is at work on a request of
 // its caller, for longer than the front can wait. Its log and its trail tell what
 // ended the request, how long after the order, and at which worker it was.
-func TestSightOfStop(t *testing.T) {
+func TestLogsRequestEndedByStop(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		s := small()
@@ -41,20 +41,20 @@
 		lines := logOf(f)
 		defer f.Stop()
 		f.Start()
-		at := f.other("pages")
+		ingress := f.other("pages")
 		line := s.Lines[0]
 		line.Left = "60000"
-		ended := make(chan []standin.Call, 1)
-		f.g.Go("call", func(context.Context) { ended <- f.atFront(at, line, 1) })
+		results := make(chan []standin.Call, 1)
+		f.g.Go("call", func(context.Context) { results <- f.atFront(ingress, line, 1) })
 		Wait(300 * time.Millisecond)
-		at.Proxy.Stop()
-		<-ended
-		told := strings.Join(lines("unanswered"), "\n")
-		found := regexp.MustCompile(`by=stop .*worker=\S+ owner=\S+ held_ms=\d+ stop_ms=(\d+)`).FindStringSubmatch(told)
-		if found == nil {
-			t.Fatalf("the log does not tell what ended the request: %q", told)
+		ingress.Proxy.Stop()
+		<-results
+		logged := strings.Join(lines("unanswered"), "\n")
+		match := regexp.MustCompile(`by=stop .*worker=\S+ owner=\S+ held_ms=\d+ stop_ms=(\d+)`).FindStringSubmatch(logged)
+		if match == nil {
+			t.Fatalf("the log does not tell what ended the request: %q", logged)
 		}
-		if ms, _ := strconv.Atoi(found[1]); ms < 1000 || ms > 15000 { // of a grace of 15 s
+		if ms, _ := strconv.Atoi(match[1]); ms < 1000 || ms > 15000 { // of a grace of 15 s
 			t.Errorf("ended %d ms after the order", ms)
 		}
 		if len(lines("stopped")) == 0 || !strings.Contains(strings.Join(lines("stopped"), "\n"), "after_ms=") {
@@ -63,14 +63,14 @@
 	})
 }
 
-// TestSightOfLostRun: the node beside a worker is told to end while that is at work on
+// TestLogsOwnerOfLostRun: the node beside a worker is told to end while that is at work on
 // a request of another node, which is told to end as well. The log of the latter names
 // the worker and the node at which the run was lost, and how long before that node had
 // its order; not the worker that was asked last.
 //
 // It named the one asked last: "its node is ending" was told of a node whose own order
 // came 5.66 s later.
-func TestSightOfLostRun(t *testing.T) {
+func TestLogsOwnerOfLostRun(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		f, _ := stopFleet(t, 443, time.Second)
@@ -79,9 +79,9 @@
 		lines := logOf(f)
 		defer f.Stop()
 		f.Start()
-		at := f.other("scans")
-		ended := make(chan []standin.Call, 1)
-		f.g.Go("call", func(context.Context) { ended <- f.atFront(at, line, 1) })
+		ingress := f.other("scans")
+		results := make(chan []standin.Call, 1)
+		f.g.Go("call", func(context.Context) { results <- f.atFront(ingress, line, 1) })
 		Wait(400 * time.Millisecond)
 		var owner *Node
 		for _, n := range f.Nodes {
@@ -94,23 +94,23 @@
 		}
 		f.g.Go("stop-owner", func(context.Context) { owner.Proxy.Stop() })
 		Wait(owner.Proxy.Settings.GracePeriod * 3 / 8)
-		at.Proxy.Stop()
-		<-ended
-		told := strings.Join(lines("unanswered"), "\n")
-		found := regexp.MustCompile(`by=owner why=its node is ending worker=` + owner.Worker.ID + ` owner=` + owner.Proxy.Settings.Node + ` .*stop_ms=\d+ owner_stop_ms=(\d+) sends=\d+ then=`).FindStringSubmatch(told)
-		if found == nil {
-			t.Fatalf("the log does not tell at which node the run was lost, and why: %q", told)
+		ingress.Proxy.Stop()
+		<-results
+		logged := strings.Join(lines("unanswered"), "\n")
+		match := regexp.MustCompile(`by=owner why=its node is ending worker=` + owner.Worker.ID + ` owner=` + owner.Proxy.Settings.Node + ` .*stop_ms=\d+ owner_stop_ms=(\d+) sends=\d+ then=`).FindStringSubmatch(logged)
+		if match == nil {
+			t.Fatalf("the log does not tell at which node the run was lost, and why: %q", logged)
 		}
-		if ms, _ := strconv.Atoi(found[1]); ms < 12000 || ms > 15000 { // of a grace of 15 s
+		if ms, _ := strconv.Atoi(match[1]); ms < 12000 || ms > 15000 { // of a grace of 15 s
 			t.Errorf("lost %d ms after that node's order", ms)
 		}
 	})
 }
 
-// TestSightOfChanges: for each acknowledged change of the configuration the leader's
+// TestLogsHoldersOfConfigVersions: for each acknowledged change of the configuration the leader's
 // log names the members that had it on their disks by then, and a store that starts
 // again tells what its disk held.
-func TestSightOfChanges(t *testing.T) {
+func TestLogsHoldersOfConfigVersions(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		f := NewFleet(t, small(), 442)
--- a/internal/sim/site_test.go
+++ b/internal/sim/site_test.go
@@ -19,43 +19,43 @@
 // machine is one machine with a node, the worker beside it and its callers.
 type machine struct {
 	*Node
-	name    string // for the witness: an address may come back
-	service string
-	addr    string
-	n       int
-	births  int // of its workers
-	w       *actors.Worker
-	c       *actors.Client
-	misses  atomic.Int64 // looks at its readiness that found it unready
-	busy    bool         // a trouble has it in hand
-	gone    atomic.Bool  // taken away for good
+	name         string // for the witness: an address may come back
+	service      string
+	addr         string
+	n            int
+	workerStarts int // of its workers
+	w            *actors.Worker
+	c            *actors.Client
+	failedChecks atomic.Int64 // looks at its readiness that found it unready
+	busy         bool         // a trouble has it in hand
+	gone         atomic.Bool  // taken away for good
 }
 
 // site is a whole deployment in one process under virtual time, in a tongue
 // other than the product's own.
 type site struct {
 	*Fleet
-	d        deployment
-	wit      *checker.Witness
-	rnd      *rand.Rand // of the day's player alone
-	op       *actors.Operator
-	apps     *actors.Apps
-	draft    *actors.Draft // the newest document
-	smu      sync.Mutex
-	machines []*machine
-	list     []string // control nodes as operators and applications know them
-	down     map[*Core]bool
-	dark     map[string]bool // hosts without power
-	held     map[*Core]bool  // core machines that a trouble has in hand
-	minority func()
-	traffic  atomic.Bool
-	press    atomic.Int64 // the load in percent
-	last     int          // of the machines' numbers
-	spare    int          // core machines that came later
-	extra    int          // paths that came later
-	added    []actors.Way // those that are there
-	said     []string
-	crowds   map[[2]string]float64 // area and kind, "" for all, to the load's factor
+	d            deployment
+	wit          *checker.Witness
+	rnd          *rand.Rand // of the day's player alone
+	op           *actors.Operator
+	apps         *actors.Apps
+	draft        *actors.Draft // the newest document
+	smu          sync.Mutex
+	machines     []*machine
+	controlHosts []string // control nodes as operators and applications know them
+	down         map[*Core]bool
+	dark         map[string]bool // hosts without power
+	held         map[*Core]bool  // core machines that a trouble has in hand
+	endMinority  func()
+	traffic      atomic.Bool
+	press        atomic.Int64 // the load in percent
+	lastMachine  int          // of the machines' numbers
+	spare        int          // core machines that came later
+	extra        int          // paths that came later
+	added        []actors.Way // those that are there
+	said         []string
+	crowds       map[[2]string]float64 // area and kind, "" for all, to the load's factor
 }
 
 func newSite(t testing.TB, d deployment, seed uint64) *site {
@@ -66,12 +66,12 @@
 	s := &site{Fleet: f, d: d, wit: checker.New(d.bounds), dark: map[string]bool{}, crowds: map[[2]string]float64{}, held: map[*Core]bool{}, rnd: rand.New(rand.NewPCG(seed, 21)), down: map[*Core]bool{}}
 	s.press.Store(100)
 	for _, c := range f.Cores {
-		s.list = append(s.list, c.Host)
+		s.controlHosts = append(s.controlHosts, c.Host)
 	}
 	f.Net.Place("10.0.9.7", "outside")
-	out := env.Env{Net: f.Net.Host("10.0.9.7"), Log: event.New("outside", nil), Wall: time.Now}
-	s.op = actors.NewOperator(out, s.control, s.wit, seed+1)
-	s.apps = actors.NewApps(out, s.control, s.wit, f.g, seed+2)
+	outside := env.Env{Net: f.Net.Host("10.0.9.7"), Log: event.New("outside", nil), Wall: time.Now}
+	s.op = actors.NewOperator(outside, s.control, s.wit, seed+1)
+	s.apps = actors.NewApps(outside, s.control, s.wit, f.g, seed+2)
 	s.draft = d.draft(1)
 	return s
 }
@@ -80,22 +80,22 @@
 func (s *site) control() []string {
 	s.smu.Lock()
 	defer s.smu.Unlock()
-	var out []string
-	for _, h := range s.list {
-		out = append(out, h+":7003")
+	var addresses []string
+	for _, h := range s.controlHosts {
+		addresses = append(addresses, h+":7003")
 	}
-	return out
+	return addresses
 }
 
 // seedHosts are what a starting process is told of.
 func (s *site) seedHosts(port int) []any {
 	s.smu.Lock()
 	defer s.smu.Unlock()
-	var out []any
-	for _, h := range s.list[:min(3, len(s.list))] {
-		out = append(out, fmt.Sprintf("%s:%d", h, port))
+	var addresses []any
+	for _, h := range s.controlHosts[:min(3, len(s.controlHosts))] {
+		addresses = append(addresses, fmt.Sprintf("%s:%d", h, port))
 	}
-	return out
+	return addresses
 }
 
 func (s *site) say(form string, args ...any) {
@@ -110,7 +110,7 @@
 		s.startCore(c, true)
 	}
 	for i := range s.d.nodes {
-		s.add(Areas[i%len(Areas)], s.d.services[s.d.of(i)], "")
+		s.add(Areas[i%len(Areas)], s.d.services[s.d.serviceOf(i)], "")
 	}
 	s.g.Go("first-document", func(ctx context.Context) { s.op.Send(ctx, s.draft, "", "") })
 	s.g.Every("readiness", time.Second, s.poll)
@@ -120,25 +120,25 @@
 // that the worker takes over, or "" for one of its own.
 func (s *site) add(area, service, addr string) *machine {
 	s.smu.Lock()
-	s.last++
-	n := s.last
+	s.lastMachine++
+	n := s.lastMachine
 	s.smu.Unlock()
-	h := fmt.Sprintf("10.0.1.%d", n)
+	workerHost := fmt.Sprintf("10.0.1.%d", n)
 	if addr != "" {
-		h = host(addr)
+		workerHost = host(addr)
 	}
 	if s.d.link > 0 {
-		s.Net.Thin(h, s.d.link)
+		s.Net.Thin(workerHost, s.d.link)
 	}
-	m := &machine{Node: &Node{Host: h, Area: area}, name: fmt.Sprint("m", n), service: service, addr: h + ":9000", n: n}
+	m := &machine{Node: &Node{Host: workerHost, Area: area}, name: fmt.Sprint("m", n), service: service, addr: workerHost + ":9000", n: n}
 	s.wit.Serves(m.name, service)
 	s.boot(m)
 	s.startWorker(m)
-	far := fmt.Sprintf("10.0.8.%d", n)
-	s.Net.Place(far, area)
-	s.Net.Lag(far, s.d.reach)
-	e := env.Env{Net: s.Net.Host(far), Log: event.New(far, nil), Wall: time.Now}
-	m.c = actors.NewClient(e, actors.Plain, h+":8000", m.name, fmt.Sprint("c", n, "-"), s.wit, s.g, s.seed(n))
+	callerHost := fmt.Sprintf("10.0.8.%d", n)
+	s.Net.Place(callerHost, area)
+	s.Net.Lag(callerHost, s.d.reach)
+	e := env.Env{Net: s.Net.Host(callerHost), Log: event.New(callerHost, nil), Wall: time.Now}
+	m.c = actors.NewClient(e, actors.Plain, workerHost+":8000", m.name, fmt.Sprint("c", n, "-"), s.wit, s.g, s.seed(n))
 	m.c.Out.Store(true)
 	for _, l := range append([]*actors.Line{s.later()}, s.d.lines...) {
 		if l.Rate > 0 {
@@ -178,51 +178,51 @@
 	m.starts++
 	s.wit.Lives(m.name)
 	s.wit.Touch.Begin(m.name, checker.Planned+"start")()
-	more := map[string]any{"seeds": s.seedHosts(7002), "traffic": m.Host + ":8000", "service": m.service, "worker_addr": m.addr, "beat_ms": num(1500),
+	settings := map[string]any{"seeds": s.seedHosts(7002), "traffic": m.Host + ":8000", "service": m.service, "worker_addr": m.addr, "beat_ms": num(1500),
 		"repeat_share": num(s.d.bounds.Share), "repeat_allowance": num(s.d.bounds.Allow)}
-	for k, v := range s.d.told() {
-		more[k] = v
+	for k, v := range s.d.settings() {
+		settings[k] = v
 	}
 	e := s.env("node-"+m.Host, m.Host, m.Area, &m.skew)
 	e.Dialect = actors.Plain
-	x := proxy.New(s.props("proxy", "node-"+m.Host, m.Area, m.Host, 7002, 7003, more), e)
-	if err := x.Start(); err != nil {
+	node := proxy.New(s.props("proxy", "node-"+m.Host, m.Area, m.Host, 7002, 7003, settings), e)
+	if err := node.Start(); err != nil {
 		s.T.Errorf("node at %s: %v", m.Host, err)
 		return
 	}
 	s.mu.Lock()
-	m.Proxy = x
+	m.Proxy = node
 	s.mu.Unlock()
 }
 
 func (s *site) startWorker(m *machine) {
-	m.births++
+	m.workerStarts++
 	n := m.n
-	id := checker.Worker{Name: fmt.Sprintf("w%d-%d", n, m.births), Service: m.service, Machine: m.name, Area: m.Area}
+	id := checker.Worker{Name: fmt.Sprintf("w%d-%d", n, m.workerStarts), Service: m.service, Machine: m.name, Area: m.Area}
 	e := env.Env{Net: s.Net.Host(m.Host), Log: event.New(id.Name, nil), Wall: time.Now}
-	ways := s.d.ways
+	behaviour := s.d.ways
 	// Workers of one service run at different speeds; of some, full ones reset.
-	ways.Speed = 0.8 + float64(n%5)*0.15
-	ways.Resets = s.d.resets[m.service]
-	w, err := actors.Start(e, actors.Plain, id, m.addr, m.Host+":8000", []string{m.Host + ":7003"}, ways, s.wit, s.seed(n)+3)
+	behaviour.Speed = 0.8 + float64(n%5)*0.15
+	behaviour.Resets = s.d.resets[m.service]
+	worker, err := actors.Start(e, actors.Plain, id, m.addr, m.Host+":8000", []string{m.Host + ":7003"}, behaviour, s.wit, s.seed(n)+3)
 	if err != nil {
 		s.T.Errorf("worker at %s: %v", m.Host, err)
 		return
 	}
-	m.w = w
+	m.w = worker
 }
 
 // all lists the machines that are there.
 func (s *site) all() []*machine {
 	s.smu.Lock()
 	defer s.smu.Unlock()
-	var out []*machine
+	var present []*machine
 	for _, m := range s.machines {
 		if !m.gone.Load() {
-			out = append(out, m)
+			present = append(present, m)
 		}
 	}
-	return out
+	return present
 }
 
 // close ends everything at once.
--- a/internal/sim/sitecore_test.go
+++ b/internal/sim/sitecore_test.go
@@ -19,14 +19,14 @@
 	e := s.env("store-"+c.Host, c.Host, c.Area, &c.skew)
 	e.FS = c.Disk
 	c.Disk.ice = s.Net.ice("store-" + c.Host)
-	more := map[string]any{"seeds": s.seedHosts(7001), "data": "x", "founding": first, "bear": num(float64(s.d.bear))}
-	reg := map[string]any{"seeds": s.seedHosts(7002), "stores": s.seedHosts(7001), "data": "x"}
-	for k, v := range s.d.told() {
-		more[k], reg[k] = v, v
+	storeSettings := map[string]any{"seeds": s.seedHosts(7001), "data": "x", "founding": first, "bear": num(float64(s.d.bear))}
+	registrySettings := map[string]any{"seeds": s.seedHosts(7002), "stores": s.seedHosts(7001), "data": "x"}
+	for k, v := range s.d.settings() {
+		storeSettings[k], registrySettings[k] = v, v
 	}
-	st, err := store.New(s.props("store", "store-"+c.Host, c.Area, c.Host, 7001, 7004, more), e)
+	newStore, err := store.New(s.props("store", "store-"+c.Host, c.Area, c.Host, 7001, 7004, storeSettings), e)
 	if err == nil {
-		err = st.Start()
+		err = newStore.Start()
 	}
 	if err != nil {
 		s.T.Errorf("store at %s: %v", c.Host, err)
@@ -34,34 +34,34 @@
 	}
 	e = s.env("core-"+c.Host, c.Host, c.Area, &c.skew)
 	e.Dialect, e.FS = actors.Plain, c.Disk
-	r := registry.New(s.props("registry", "core-"+c.Host, c.Area, c.Host, 7002, 7003, reg), e)
-	if err := r.Start(); err != nil {
+	newRegistry := registry.New(s.props("registry", "core-"+c.Host, c.Area, c.Host, 7002, 7003, registrySettings), e)
+	if err := newRegistry.Start(); err != nil {
 		s.T.Errorf("registry at %s: %v", c.Host, err)
 	}
 	s.mu.Lock()
-	c.Store, c.Registry = st, r
+	c.Store, c.Registry = newStore, newRegistry
 	s.mu.Unlock()
 	s.unsettled(c, false, "started "+c.Host)
 }
 
 // unsettled notes that something was done to the core, and whether a machine
 // of it is away since.
-func (s *site) unsettled(c *Core, away bool, what string) {
-	s.wit.Touch.Core(what)
+func (s *site) unsettled(c *Core, away bool, change string) {
+	s.wit.Touch.Core(change)
 	s.smu.Lock()
 	s.down[c] = away
-	n := 0
+	up := 0
 	for _, c := range s.Cores {
 		if !s.down[c] {
-			n++
+			up++
 		}
 	}
-	end := s.minority
-	if lost := 2*n <= len(s.Cores); lost && end == nil {
-		s.minority = s.wit.Touch.Minority()
-	} else if !lost && end != nil {
-		s.minority = nil
-		defer end()
+	endMinority := s.endMinority
+	if lost := 2*up <= len(s.Cores); lost && endMinority == nil {
+		s.endMinority = s.wit.Touch.Minority()
+	} else if !lost && endMinority != nil {
+		s.endMinority = nil
+		defer endMinority()
 	}
 	s.smu.Unlock()
 }
@@ -82,28 +82,28 @@
 
 // powered takes a host's power or gives it back: then what was connected to it
 // is reset.
-func (s *site) powered(h string, on bool) {
+func (s *site) powered(host string, on bool) {
 	s.smu.Lock()
-	was := s.dark[h]
-	s.dark[h] = !on
+	wasOff := s.dark[host]
+	s.dark[host] = !on
 	s.smu.Unlock()
-	if on && was {
-		s.Net.Kill(h)
+	if on && wasOff {
+		s.Net.Kill(host)
 	}
-	if on == was {
-		s.apart(h, !on)
+	if on == wasOff {
+		s.apart(host, !on)
 	}
 }
 
 // stopCore ends them in order.
 func (s *site) stopCore(c *Core) {
 	s.unsettled(c, true, "stopped "+c.Host)
-	over := make(chan struct{}, 2)
-	s.g.Go("stop-registry", func(context.Context) { c.Registry.Stop(); over <- struct{}{} })
-	s.g.Go("stop-store", func(context.Context) { c.Store.Stop(); over <- struct{}{} })
+	stopped := make(chan struct{}, 2)
+	s.g.Go("stop-registry", func(context.Context) { c.Registry.Stop(); stopped <- struct{}{} })
+	s.g.Go("stop-store", func(context.Context) { c.Store.Stop(); stopped <- struct{}{} })
 	for range 2 {
 		select {
-		case <-over:
+		case <-stopped:
 		case <-time.After(s.d.bounds.Grace):
 		}
 	}
@@ -112,20 +112,20 @@
 
 // replaceCore puts an empty machine at another address in a core machine's
 // place; lists of control nodes follow later.
-func (s *site) replaceCore(i int, fresh *Core) {
+func (s *site) replaceCore(i int, replacement *Core) {
 	old := s.cores()[i]
-	s.place(i, fresh)
+	s.place(i, replacement)
 	s.smu.Lock()
 	delete(s.down, old)
 	s.smu.Unlock()
-	s.startCore(fresh, false)
+	s.startCore(replacement, false)
 	s.g.Go("seed-lag", func(context.Context) {
 		Wait(3 * time.Second)
 		s.smu.Lock()
 		defer s.smu.Unlock()
-		for j, h := range s.list {
+		for j, h := range s.controlHosts {
 			if h == old.Host {
-				s.list[j] = fresh.Host
+				s.controlHosts[j] = replacement.Host
 			}
 		}
 	})
@@ -134,11 +134,11 @@
 // poll looks at every node's readiness, as the platform does once a second.
 func (s *site) poll(ctx context.Context) {
 	all := s.all()
-	in, of := map[string]int{}, map[string]int{}
+	routable, total := map[string]int{}, map[string]int{}
 	for _, m := range all {
-		of[m.Area]++
+		total[m.Area]++
 		if !m.c.Out.Load() {
-			in[m.Area]++
+			routable[m.Area]++
 		}
 	}
 	for _, m := range all {
@@ -146,12 +146,12 @@
 			code, _ := actors.Ask(ctx, s.Net.Host("10.0.9.9"), "GET", m.Host+":7003", "/puffin/ready", nil, 900*time.Millisecond)
 			s.wit.Looked(m.name, code == 200)
 			if code == 200 {
-				m.misses.Store(0)
+				m.failedChecks.Store(0)
 				m.c.Out.Store(false)
 				return
 			}
 			// Fewer than half in: those who are stay.
-			if m.misses.Add(1) >= 2 && 2*in[m.Area] > of[m.Area] {
+			if m.failedChecks.Add(1) >= 2 && 2*routable[m.Area] > total[m.Area] {
 				m.c.Out.Store(true)
 			}
 		})
--- a/internal/sim/sitectl_test.go
+++ b/internal/sim/sitectl_test.go
@@ -9,17 +9,17 @@
 	"time"
 )
 
-// told is a command of puffinctl, its exit code and a part of what it says.
-type told struct {
+// commandCheck is a command of puffinctl, its exit code and a part of what it says.
+type commandCheck struct {
 	args string
 	code int
 	want string
 }
 
-func (s *site) tells(at string, c told) {
-	code, out, say := s.ctl(at, strings.Fields(c.args)...)
-	if code != c.code || !strings.Contains(out+say, c.want) {
-		s.T.Errorf("puffinctl %s at %s: code %d, want %d with %q\n%s%s", c.args, at, code, c.code, c.want, out, say)
+func (s *site) checkCommand(at string, check commandCheck) {
+	code, stdout, stderr := s.ctl(at, strings.Fields(check.args)...)
+	if code != check.code || !strings.Contains(stdout+stderr, check.want) {
+		s.T.Errorf("puffinctl %s at %s: code %d, want %d with %q\n%s%s", check.args, at, code, check.code, check.want, stdout, stderr)
 	}
 }
 
@@ -34,36 +34,36 @@
 			{kind: "look", repeat: "safe", service: "top", rate: 100, work: 40, aim: 300, left: 1500, back: 200, method: "GET"},
 		}, 1)
 		s := newSite(t, d, 31)
-		bad := s.day(16*time.Second, func() {
+		violations := s.day(16*time.Second, func() {
 			Wait(2 * time.Second)
 			_, doc, _ := s.ctl(s.control()[0], "config", "get")
-			good := filepath.Join(dir, "good.json")
-			if err := os.WriteFile(good, []byte(doc), 0o600); err != nil {
+			goodFile := filepath.Join(dir, "good.json")
+			if err := os.WriteFile(goodFile, []byte(doc), 0o600); err != nil {
 				t.Fatal(err)
 			}
 			for _, at := range []string{s.control()[1], s.all()[0].Host + ":7003"} {
-				for _, c := range []told{
+				for _, c := range []commandCheck{
 					{"status", 0, "configuration version"}, {"nodes", 0, s.all()[3].Host}, {"workers", 0, "w4-1"}, {"services", 0, s.d.services[0]},
 					{"duties", 0, "writer"}, {"classes", 0, "rank"}, {"paths", 0, s.d.services[0]}, {"history", 0, "1"}, {"events --name duty-won", 0, "duty=writer"},
-					{"config get", 0, `"paths"`}, {"config check " + good, 0, "good"}, {"config diff " + good, 0, ""},
+					{"config get", 0, `"paths"`}, {"config check " + goodFile, 0, "good"}, {"config diff " + goodFile, 0, ""},
 					{"trials", 0, ""}, {"drain node-" + s.all()[5].Host, 0, "draining"}, {"drain node-" + s.all()[5].Host + " --undo", 0, "workers"},
 					{"key put a/b one", 0, `"rev"`}, {"key get a/b", 0, "one"}, {"key delete a/b", 0, `"rev"`}, {"number next n", 0, `"number"`},
 					{"lock acquire l --owner x", 0, `"fence"`}, {"lock release l --owner x", 0, "l"},
-					{"config apply " + good + " --based-on 0", 1, "current version"},
+					{"config apply " + goodFile + " --based-on 0", 1, "current version"},
 				} {
-					s.tells(at, c)
+					s.checkCommand(at, c)
 				}
 			}
 			// A rehearsal between two of the operator's documents.
-			for _, c := range []told{
+			for _, c := range []commandCheck{
 				{"propose p-look --based-on 0 --tries 3", 1, "current version"}, {"propose p-look --based-on 1 --tries 3", 0, "trial 1 began"},
 				{"trials", 0, "running"}, {"paths", 0, "10% in trial 1"}, {"trials abort 1 --who tester", 0, "aborted"}, {"trials show 1", 0, "aborted by tester"},
 			} {
-				s.tells(s.control()[2], c)
+				s.checkCommand(s.control()[2], c)
 			}
 		})
-		if len(bad) > 0 {
-			t.Errorf("broken: %v", bad)
+		if len(violations) > 0 {
+			t.Errorf("broken: %v", violations)
 		}
 	})
 }
--- a/internal/sim/sitelines_test.go
+++ b/internal/sim/sitelines_test.go
@@ -13,58 +13,58 @@
 
 // deployment is the shape of a site, with names that nobody knows beforehand.
 type deployment struct {
-	nodes    int
-	services []string
-	order    []int // service of each node
-	lines    []*actors.Line
-	prefixes map[string]string
-	ways     actors.Ways
-	resets   map[string]bool
-	far      time.Duration
-	reach    time.Duration // one way between clients and their node
-	repeat   map[string]string
-	to       map[string]string // line to service
-	rank     map[string]int
-	bounds   checker.Bounds
-	catchUp  time.Duration
-	cores    int
-	bear     int       // core machines that may be lost at once
-	link     int       // bytes a second out of a node's machine; 0: no bound
-	wide     int       // and out of a core machine
-	more     []trouble // that only this site knows
+	nodes        int
+	services     []string
+	serviceIndex []int // service of each node
+	lines        []*actors.Line
+	prefixes     map[string]string
+	ways         actors.Ways
+	resets       map[string]bool
+	far          time.Duration
+	reach        time.Duration // one way between clients and their node
+	repeat       map[string]string
+	to           map[string]string // line to service
+	rank         map[string]int
+	bounds       checker.Bounds
+	catchUp      time.Duration
+	cores        int
+	bear         int       // core machines that may be lost at once
+	link         int       // bytes a second out of a node's machine; 0: no bound
+	wide         int       // and out of a core machine
+	more         []trouble // that only this site knows
 }
 
 // num is a number of a settings file.
 func num(n float64) json.Number { return json.Number(strconv.FormatFloat(n, 'f', -1, 64)) }
 
-// told is what every process is told of the bounds.
-func (d deployment) told() map[string]any {
-	b, out := d.bounds, map[string]any{}
-	for k, v := range map[string]time.Duration{"change_ms": b.Change, "leave_ms": b.Leave, "window_ms": b.Window, "return_ms": b.Return, "history_ms": b.Hist,
-		"grace_ms": b.Grace, "touch_ms": b.Touch, "ack_ms": b.Ack, "back_ms": b.Back, "free_ms": b.Frees, "catch_up_ms": d.catchUp} {
-		out[k] = num(float64(v.Milliseconds()))
+// settings is what every process is told of the bounds.
+func (d deployment) settings() map[string]any {
+	bounds, settings := d.bounds, map[string]any{}
+	for k, v := range map[string]time.Duration{"change_ms": bounds.Change, "leave_ms": bounds.Leave, "window_ms": bounds.Window, "return_ms": bounds.Return, "history_ms": bounds.Hist,
+		"grace_ms": bounds.Grace, "touch_ms": bounds.Touch, "ack_ms": bounds.Ack, "back_ms": bounds.Back, "free_ms": bounds.Frees, "catch_up_ms": d.catchUp} {
+		settings[k] = num(float64(v.Milliseconds()))
 	}
-	return out
+	return settings
 }
 
 // drawn changes a deployment in all that a site may choose for itself.
 func (d deployment) drawn(seed uint64) deployment {
 	r := rand.New(rand.NewPCG(seed, 51))
-	span := func(least, most int) time.Duration { return ms(least + r.IntN(most-least+1)) }
+	between := func(least, most int) time.Duration { return ms(least + r.IntN(most-least+1)) }
 	b := &d.bounds
-	b.Change, b.Leave, b.Window, b.Hist = span(1200, 4000), span(1000, 3500), span(5000, 20000), span(15000, 30000)
-	b.Touch, b.Grace, b.Back = span(2000, 5000), 2*b.Leave+span(2000, 4000), span(200, 400)
+	b.Change, b.Leave, b.Window, b.Hist = between(1200, 4000), between(1000, 3500), between(5000, 20000), between(15000, 30000)
+	b.Touch, b.Grace, b.Back = between(2000, 5000), 2*b.Leave+between(2000, 4000), between(200, 400)
 	b.Share = 0.1 + 0.2*r.Float64()
 	// Bounds may cross: each is chosen for itself.
-	b.Return, d.catchUp = span(6000, 20000), span(3000, 8000)
+	b.Return, d.catchUp = between(6000, 20000), between(3000, 8000)
 	d.bear = 1 + r.IntN(2)
 	d.cores = 2*d.bear + 1 + r.IntN(2)
-	d.far, d.reach = span(0, 15), span(0, 6)
+	d.far, d.reach = between(0, 15), between(0, 6)
 	w := &d.ways
 	w.Drain, w.Queue, w.Hop = b.Leave, r.IntN(4), []float64{0, 0.02, 0.3, 1}[r.IntN(4)]
 	w.Idle = []time.Duration{0, time.Second, 2 * time.Second, 9 * time.Second}[r.IntN(4)]
 	w.Conns = d.ways.Slots * (2 + r.IntN(6))
-	w.Cold, w.ColdBy, w.Hello = span(0, 8000), 1+2*r.Float64(), span(0, 8)
+	w.Cold, w.ColdBy, w.Hello = between(0, 8000), 1+2*r.Float64(), between(0, 8)
 	for _, s := range d.services {
 		d.resets[s] = r.IntN(2) == 0
 	}
@@ -75,27 +75,27 @@
 func (d deployment) odd(seed uint64) deployment {
 	d = d.drawn(seed)
 	r := rand.New(rand.NewPCG(seed, 52))
-	span := func(least, most int) time.Duration { return ms(least + r.IntN(most-least+1)) }
+	between := func(least, most int) time.Duration { return ms(least + r.IntN(most-least+1)) }
 	b := &d.bounds
-	b.Change, b.Leave, b.Touch, d.catchUp = span(800, 6000), span(800, 6000), span(1500, 4000), span(2500, 8000)
-	b.Return, b.Ack, b.Stretch = span(6000, 15000), span(2500, 6000), span(2000, 8000)
-	b.Grace, b.Frees, b.Hist = b.Leave+span(2000, 5000), span(500, 3000), span(5000, 20000)
+	b.Change, b.Leave, b.Touch, d.catchUp = between(800, 6000), between(800, 6000), between(1500, 4000), between(2500, 8000)
+	b.Return, b.Ack, b.Stretch = between(6000, 15000), between(2500, 6000), between(2000, 8000)
+	b.Grace, b.Frees, b.Hist = b.Leave+between(2000, 5000), between(500, 3000), between(5000, 20000)
 	d.ways.Drain = b.Leave
 	return d
 }
 
-func (d deployment) of(i int) int { return d.order[i%len(d.order)] }
+func (d deployment) serviceOf(i int) int { return d.serviceIndex[i%len(d.serviceIndex)] }
 
-// namer draws names that are new in each day.
-type namer struct{ *rand.Rand }
+// wordGenerator draws names that are new in each day.
+type wordGenerator struct{ *rand.Rand }
 
-func (n namer) word() string {
+func (n wordGenerator) word() string {
 	const soft, hard = "aeiou", "bdfghjklmnprstvwz"
-	out := ""
+	word := ""
 	for range 2 {
-		out += string(hard[n.IntN(len(hard))]) + string(soft[n.IntN(len(soft))])
+		word += string(hard[n.IntN(len(hard))]) + string(soft[n.IntN(len(soft))])
 	}
-	return fmt.Sprintf("%s%d", out, n.IntN(1000))
+	return fmt.Sprintf("%s%d", word, n.IntN(1000))
 }
 
 type row struct {
@@ -109,40 +109,40 @@
 }
 
 func deploy(seed uint64, nodes, slots int, far, reach time.Duration, names []string, workers []int, rows []row, scale float64) deployment {
-	n := namer{rand.New(rand.NewPCG(seed, 31))}
+	n := wordGenerator{rand.New(rand.NewPCG(seed, 31))}
 	// What is allowed besides goes with the load, as its share does.
 	d := deployment{nodes: nodes, cores: 3, bear: 1, catchUp: 4 * time.Second, bounds: checker.Usual, far: far, reach: reach, prefixes: map[string]string{}, resets: map[string]bool{}, repeat: map[string]string{}, to: map[string]string{}, rank: map[string]int{},
 		ways: actors.Ways{Slots: slots, Queue: max(slots/3, 2), Conns: 10 * slots, Hello: 1500 * time.Microsecond, Idle: 5 * time.Second, Crowd: 1.4, Cold: 4 * time.Second, ColdBy: 1.8,
 			Hop: 0.01, Drain: 2 * time.Second, Fitness: "/" + n.word()}}
 	d.bounds.Allow = float64(int(60*scale + 0.9))
-	real := map[string]string{}
+	serviceNames := map[string]string{}
 	for i, name := range names {
-		real[name] = n.word()
-		d.services = append(d.services, real[name])
-		d.resets[real[name]] = i == 1
+		serviceNames[name] = n.word()
+		d.services = append(d.services, serviceNames[name])
+		d.resets[serviceNames[name]] = i == 1
 	}
 	// The workers of each service stand in all areas.
-	left := append([]int(nil), workers...)
-	for len(d.order) < nodes {
-		for i := range left {
-			if left[i] > 0 {
-				left[i]--
-				d.order = append(d.order, i)
+	remaining := append([]int(nil), workers...)
+	for len(d.serviceIndex) < nodes {
+		for i := range remaining {
+			if remaining[i] > 0 {
+				remaining[i]--
+				d.serviceIndex = append(d.serviceIndex, i)
 			}
 		}
 	}
 	hosts := []string{n.word() + ".example", n.word() + ".example"}
-	by := map[string]*actors.Line{}
+	byKind := map[string]*actors.Line{}
 	for i, r := range rows {
 		l := &actors.Line{Kind: r.kind, Host: hosts[i%2], Method: r.method, Prefix: "/" + n.word() + "/", Repeat: r.repeat == "safe" || r.repeat == "download", Rate: r.rate * scale,
 			Size: r.size, Back: r.back, Work: ms(r.work), Aim: ms(r.aim), Left: ms(r.left), Most: ms(r.left), Further: r.further}
-		by[r.kind] = l
+		byKind[r.kind] = l
 		d.lines = append(d.lines, l)
-		d.repeat[r.kind], d.to[r.kind], d.rank[r.kind] = r.repeat, real[r.service], r.rank
+		d.repeat[r.kind], d.to[r.kind], d.rank[r.kind] = r.repeat, serviceNames[r.service], r.rank
 	}
 	for _, r := range rows {
 		for k, share := range r.calls {
-			by[r.kind].Calls = append(by[r.kind].Calls, actors.Call{Line: by[k], Share: share})
+			byKind[r.kind].Calls = append(byKind[r.kind].Calls, actors.Call{Line: byKind[k], Share: share})
 		}
 	}
 	return d
--- a/internal/sim/stay_test.go
+++ b/internal/sim/stay_test.go
@@ -31,29 +31,29 @@
 }
 
 // ask sends a job with a header of its own.
-func (h *byHand) ask(more string) *http.Response {
+func (h *byHand) ask(header string) *http.Response {
 	h.t.Helper()
-	if _, err := fmt.Fprintf(h.c, "GET /pages/1 HTTP/1.1\r\nHost: h\r\n%s\r\n", more); err != nil {
+	if _, err := fmt.Fprintf(h.c, "GET /pages/1 HTTP/1.1\r\nHost: h\r\n%s\r\n", header); err != nil {
 		h.t.Fatal(err)
 	}
-	w, err := http.ReadResponse(h.r, nil)
+	response, err := http.ReadResponse(h.r, nil)
 	if err != nil {
 		h.t.Fatal(err)
 	}
-	_, _ = io.Copy(io.Discard, w.Body)
-	return w
+	_, _ = io.Copy(io.Discard, response.Body)
+	return response
 }
 
 // ends waits until the front ends the connection and tells how long it took.
 func (h *byHand) ends() time.Duration {
 	h.t.Helper()
-	from := time.Now()
-	_ = h.c.SetReadDeadline(from.Add(3 * time.Minute))
+	start := time.Now()
+	_ = h.c.SetReadDeadline(start.Add(3 * time.Minute))
 	if b, err := h.r.ReadByte(); err == nil {
 		rest, _ := h.r.ReadString(0)
 		h.t.Errorf("%q%s: nobody asked for it", b, rest)
 	}
-	return time.Since(from)
+	return time.Since(start)
 }
 
 func about(t *testing.T, what string, got, want time.Duration) {
@@ -63,10 +63,10 @@
 	}
 }
 
-// TestLimitsLive: the document's limits of callers' headers and connections
+// TestLimitsApplyAtOnce: the document's limits of callers' headers and connections
 // hold as soon as it does, on connections that stand already too; no job that
 // is being read or answered is cut by them.
-func TestLimitsLive(t *testing.T) {
+func TestLimitsApplyAtOnce(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		s := small()
@@ -84,13 +84,13 @@
 				version = v
 			}
 			f.Until(2*time.Second, "the document is in force", func() bool {
-				_, own := f.Get(n.Host+":7003", "/puffin/own")
-				return own["config_version"] == float64(version)
+				_, status := f.Get(n.Host+":7003", "/puffin/own")
+				return status["config_version"] == float64(version)
 			})
 		}
 		// Without limits the props' hold: a change, and thirty of them.
-		mute := f.hand(t, n)
-		about(t, "no header, nothing told", mute.ends(), 2*time.Second)
+		silent := f.hand(t, n)
+		about(t, "no header, nothing told", silent.ends(), 2*time.Second)
 		kept := f.hand(t, n)
 		if w := kept.ask(""); w.StatusCode != 200 || w.Header.Get("Keep-Alive") != "" {
 			t.Errorf("%d, told %q", w.StatusCode, w.Header.Get("Keep-Alive"))
--- a/internal/sim/stopwork_test.go
+++ b/internal/sim/stopwork_test.go
@@ -11,16 +11,16 @@
 )
 
 // atFront calls a line so many times at one node, all at once, and gives what came.
-func (f *Fleet) atFront(n *Node, l standin.Line, many int) (out []standin.Call) {
-	own := standin.NewCallers(f.env("own", "10.0.9.3", "outside", &n.skew), nil, f.Obs, 60*time.Second)
-	got := make(chan standin.Call, many)
-	for range many {
-		f.g.Go("ask", func(context.Context) { got <- own.At(n.Host+":8000", l) })
+func (f *Fleet) atFront(n *Node, l standin.Line, count int) (calls []standin.Call) {
+	callers := standin.NewCallers(f.env("own", "10.0.9.3", "outside", &n.skew), nil, f.Obs, 60*time.Second)
+	results := make(chan standin.Call, count)
+	for range count {
+		f.g.Go("ask", func(context.Context) { results <- callers.At(n.Host+":8000", l) })
 	}
-	for range many {
-		out = append(out, <-got)
+	for range count {
+		calls = append(calls, <-results)
 	}
-	return out
+	return calls
 }
 
 // other is a node whose worker is none of a service's.
@@ -33,10 +33,10 @@
 	return nil
 }
 
-// TestStopBeginsNothingLong: a node that was told to end takes a job that its worker
+// TestStopStartsNoLongRequest: a node that was told to end takes a job that its worker
 // can't end before the node goes. It isn't begun and then broken off at work: the
 // caller is told at once that it did not run, and when to come back.
-func TestStopBeginsNothingLong(t *testing.T) {
+func TestStopStartsNoLongRequest(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		s := small()
@@ -48,29 +48,29 @@
 		f.Start()
 		line := s.Lines[0]
 		line.Left = "60000"
-		at := f.other("pages")
+		ingress := f.other("pages")
 		// Its owner knows how long they run.
-		for _, c := range f.atFront(at, line, 3) {
+		for _, c := range f.atFront(ingress, line, 3) {
 			if c.Status != 200 {
 				t.Fatalf("before the order: %d %s", c.Status, c.Body)
 			}
 		}
-		over := make(chan struct{})
-		f.g.Go("stop", func(context.Context) { at.Proxy.Stop(); close(over) })
+		stopped := make(chan struct{})
+		f.g.Go("stop", func(context.Context) { ingress.Proxy.Stop(); close(stopped) })
 		Wait(500 * time.Millisecond)
-		for _, c := range f.atFront(at, line, 4) {
+		for _, c := range f.atFront(ingress, line, 4) {
 			if c.Status != 503 || c.Retry == "" || c.To.Sub(c.From) > time.Second {
 				t.Errorf("after the order: %d %s, retry %q, after %v", c.Status, c.Body, c.Retry, c.To.Sub(c.From))
 			}
 		}
-		<-over
+		<-stopped
 	})
 }
 
-// TestStopKeepsNoTime: at a node that was told to end, jobs that may be repeated run
+// TestStopReservesNoRetryTime: at a node that was told to end, jobs that may be repeated run
 // for more than half of their time. None is ended at work for a repeat that can't be
 // done any more: each has its worker's answer.
-func TestStopKeepsNoTime(t *testing.T) {
+func TestStopReservesNoRetryTime(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		s := small()
@@ -79,15 +79,15 @@
 		f := NewFleet(t, s, 432)
 		defer f.Stop()
 		f.Start()
-		at := f.other("pages")
+		ingress := f.other("pages")
 		// Others of the service, so that repeats are to be had.
-		look := standin.Line{Method: "GET", URI: "/lookups/7", Service: "pages", Safe: true, Left: "3000"}
+		lookup := standin.Line{Method: "GET", URI: "/lookups/7", Service: "pages", Safe: true, Left: "3000"}
 		for range 4 {
-			f.atFront(at, look, 8)
+			f.atFront(ingress, lookup, 8)
 		}
-		f.g.Go("stop", func(context.Context) { at.Proxy.Stop() })
+		f.g.Go("stop", func(context.Context) { ingress.Proxy.Stop() })
 		Wait(500 * time.Millisecond)
-		for _, c := range f.atFront(at, s.Lines[0], 8) {
+		for _, c := range f.atFront(ingress, s.Lines[0], 8) {
 			if c.Status != 200 {
 				t.Errorf("%d %s after %v", c.Status, c.Body, c.To.Sub(c.From))
 			}
--- a/internal/sim/storm_test.go
+++ b/internal/sim/storm_test.go
@@ -10,13 +10,13 @@
 	"puffincrank/internal/standin"
 )
 
-// TestStorms: all workers of the busiest service turn bad at once, so that
+// TestRetryStorms: all workers of the busiest service turn bad at once, so that
 // every job asks for repeats: they lose answers, refuse, or do the work and
 // answer busy without a word. Repeats stay within the bound, nothing runs
 // twice, and busy is told only of jobs that did not run.
-func TestStorms(t *testing.T) {
+func TestRetryStorms(t *testing.T) {
 	heavy(t)
-	for i, way := range []standin.Way{{Lose: 0.8}, {Busy: 0.9}, {Sulk: 0.5, Garble: 0.4}} {
+	for i, behaviour := range []standin.Way{{Lose: 0.8}, {Busy: 0.9}, {Sulk: 0.5, Garble: 0.4}} {
 		for _, s := range []Shape{Fumettoteca(0.25), Ingenzi(0.4)} {
 			t.Run(fmt.Sprint(s.Services[0], " ", i), func(t *testing.T) {
 				t.Parallel()
@@ -27,7 +27,7 @@
 					wait := f.Load(s.Lines, 20*time.Second)
 					Wait(6 * time.Second)
 					for _, n := range f.Nodes {
-						w := way
+						w := behaviour
 						w.Took = s.Took[n.Worker.Service]
 						n.Worker.Behave(w)
 					}
@@ -37,14 +37,14 @@
 					}
 					wait()
 					f.Judge()
-					repeats := 0.0
+					retries := 0.0
 					for _, n := range f.Nodes {
-						_, own := f.Get(n.Host+":7003", "/puffin/own")
-						repeats += own["repeats"].(float64)
+						_, status := f.Get(n.Host+":7003", "/puffin/own")
+						retries += status["repeats"].(float64)
 					}
-					t.Logf("%.0f repeats", repeats)
-					if repeats < 30 {
-						t.Errorf("only %.0f repeats: the bound was not pressed", repeats)
+					t.Logf("%.0f repeats", retries)
+					if retries < 30 {
+						t.Errorf("only %.0f repeats: the bound was not pressed", retries)
 					}
 				})
 			})
@@ -52,9 +52,9 @@
 	}
 }
 
-// TestLongStop: a proxy and a core machine are told to end while answers of
+// TestStopDuringLongResponses: a proxy and a core machine are told to end while answers of
 // several seconds are under way at them, as front and as owner: all come whole.
-func TestLongStop(t *testing.T) {
+func TestStopDuringLongResponses(t *testing.T) {
 	heavy(t)
 	synctest.Test(t, func(t *testing.T) {
 		s := Ingenzi(0.1)
@@ -85,9 +85,9 @@
 	})
 }
 
-// TestFrozenReader: a core machine that wrote is frozen whole and wakes with
+// TestPausedControlMachineServesNoStaleRead: a core machine that wrote is frozen whole and wakes with
 // reads in its sockets, after the others took a newer write.
-func TestFrozenReader(t *testing.T) {
+func TestPausedControlMachineServesNoStaleRead(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		f := NewFleet(t, small(), 421)
@@ -105,11 +105,11 @@
 				code, _ := f.Ask("PUT", f.Nodes[0].Host+":7003", "/puffin/keys/k?left_ms=1500", fmt.Sprintf(`{"value":"two%d"}`, round))
 				return code == 200
 			})
-			got := make(chan string, 40)
+			results := make(chan string, 40)
 			for range 40 {
 				go func() {
 					code, back := f.Get(c.Host+":7003", "/puffin/keys/k?left_ms=4000")
-					got <- fmt.Sprint(code, back["value"])
+					results <- fmt.Sprint(code, back["value"])
 				}()
 			}
 			Wait(50 * time.Millisecond)
@@ -119,7 +119,7 @@
 			f.Net.Freeze("store-"+c.Host, false)
 			seen := map[string]int{}
 			for range 40 {
-				seen[<-got]++
+				seen[<-results]++
 			}
 			t.Log(seen)
 			if seen["200one"] > 0 {
@@ -148,8 +148,8 @@
 		}
 		next, last, count := 1.0, 0.0, 0
 		for round := 0; round < 10 && next <= 700; round++ {
-			_, got := f.Get(f.Nodes[round%3].Host+":7003", fmt.Sprintf("/puffin/watch?prefix=w/&from=%.0f", next))
-			for _, c := range got["changes"].([]any) {
+			_, answer := f.Get(f.Nodes[round%3].Host+":7003", fmt.Sprintf("/puffin/watch?prefix=w/&from=%.0f", next))
+			for _, c := range answer["changes"].([]any) {
 				rev := c.(map[string]any)["rev"].(float64)
 				if rev <= last {
 					t.Errorf("revision %v after %v", rev, last)
@@ -157,7 +157,7 @@
 				last = rev
 				count++
 			}
-			next = got["next"].(float64)
+			next = answer["next"].(float64)
 		}
 		if count != 467 {
 			t.Errorf("the watch saw %d of 467 changes", count)
--- a/internal/sim/thaw_test.go
+++ b/internal/sim/thaw_test.go
@@ -13,10 +13,10 @@
 	"puffincrank/internal/transport"
 )
 
-// TestFrozenFront: a front is frozen while changes are acknowledged, and wakes
+// TestPausedIngress: a front is frozen while changes are acknowledged, and wakes
 // with callers' jobs and hand-overs unread: it acts on none of them by what it
 // held before.
-func TestFrozenFront(t *testing.T) {
+func TestPausedIngress(t *testing.T) {
 	heavy(t)
 	synctest.Test(t, func(t *testing.T) {
 		s := Fumettoteca(0.3)
@@ -42,13 +42,13 @@
 	})
 }
 
-// TestFrozenCore: the writer, a registry, the steward's and judge's processes
+// TestPausedControlPlane: the writer, a registry, the steward's and judge's processes
 // and whole core machines are frozen and wake, while callers and applications
 // go on; nothing is given twice or read old, and service is there meanwhile.
-func TestFrozenCore(t *testing.T) {
+func TestPausedControlPlane(t *testing.T) {
 	heavy(t)
-	for i, what := range []string{"store", "core", "both", "two registries"} {
-		t.Run(what, func(t *testing.T) {
+	for i, target := range []string{"store", "core", "both", "two registries"} {
+		t.Run(target, func(t *testing.T) {
 			t.Parallel()
 			synctest.Test(t, func(t *testing.T) {
 				s := Fumettoteca(0.15)
@@ -56,36 +56,36 @@
 				f := NewFleet(t, s, uint64(i)+350)
 				defer f.Stop()
 				f.Start()
-				k := f.keep()
+				acked := f.keep()
 				wait := f.Load(s.Lines, 36*time.Second)
 				apps := f.apps(36 * time.Second)
 				for round := range 4 {
 					Wait(1500 * time.Millisecond)
 					c := f.mark(f.Writer())
-					set := func(on bool) {
-						if what != "core" && what != "two registries" {
+					pause := func(on bool) {
+						if target != "core" && target != "two registries" {
 							f.Net.Freeze("store-"+c.Host, on)
 						}
-						if what != "store" {
+						if target != "store" {
 							f.Net.Freeze("core-"+c.Host, on)
 						}
-						if what == "two registries" {
+						if target == "two registries" {
 							f.Net.Freeze("core-"+f.Cores[round%3].Host, on)
 						}
 					}
-					set(true)
+					pause(true)
 					Wait(time.Duration(300+round*1200) * time.Millisecond)
-					if what == "store" || what == "both" {
+					if target == "store" || target == "both" {
 						f.serves(6 * time.Second)
 					}
-					set(false)
+					pause(false)
 					f.serves(6 * time.Second)
 				}
 				f.Until(10*time.Second, "all stores are ready", f.coreReady)
 				f.Until(10*time.Second, "all is whole", f.Whole)
 				wait()
 				apps()
-				f.still(k)
+				f.still(acked)
 				f.Judge()
 				if n := f.Obs.Counts(); n["done"] < n["calls"]*99/100 {
 					t.Errorf("jobs noticed a frozen core: %v", n)
@@ -95,22 +95,22 @@
 	}
 }
 
-// TestStepBack: a late word of an older version, by push, changes nothing.
-func TestStepBack(t *testing.T) {
+// TestStaleConfigPushIgnored: a late word of an older version, by push, changes nothing.
+func TestStaleConfigPushIgnored(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		f := NewFleet(t, small(), 360)
 		var mu sync.Mutex
-		high := map[string]string{}
+		highest := map[string]string{}
 		f.Log = func(e event.Entry) {
 			mu.Lock()
 			defer mu.Unlock()
 			// One digit each, so that texts compare as numbers.
 			if e.Number == event.ConfigApplied.Number {
-				if e.Text < high[e.Node] {
-					t.Errorf("%s took %s after %s", e.Node, e.Text, high[e.Node])
+				if e.Text < highest[e.Node] {
+					t.Errorf("%s took %s after %s", e.Node, e.Text, highest[e.Node])
 				}
-				high[e.Node] = e.Text
+				highest[e.Node] = e.Text
 			}
 		}
 		defer f.Stop()
@@ -123,27 +123,27 @@
 		}
 		Wait(time.Second)
 		g := task.New(t.Context())
-		late := transport.NewNode(transport.Hello{ClusterID: "puffin", Node: "late", Zone: "north", Role: "registry"}, f.env("late", "10.0.9.5", "north", &n.skew), g, 1<<20, 4, time.Second)
-		if _, err := transport.Call[struct{}](t.Context(), late, n.Host+":7002", "config.push", protocol.ConfigPush{Version: 2, Document: []byte(f.S.Doc)}); err != nil {
+		stale := transport.NewNode(transport.Hello{ClusterID: "puffin", Node: "late", Zone: "north", Role: "registry"}, f.env("late", "10.0.9.5", "north", &n.skew), g, 1<<20, 4, time.Second)
+		if _, err := transport.Call[struct{}](t.Context(), stale, n.Host+":7002", "config.push", protocol.ConfigPush{Version: 2, Document: []byte(f.S.Doc)}); err != nil {
 			t.Fatal(err)
 		}
 		for range 20 {
-			if _, own := f.Get(n.Host+":7003", "/puffin/own"); own["config_version"] != 3.0 {
-				t.Errorf("the node acts on version %v after 3", own["config_version"])
+			if _, status := f.Get(n.Host+":7003", "/puffin/own"); status["config_version"] != 3.0 {
+				t.Errorf("the node acts on version %v after 3", status["config_version"])
 			}
 			Wait(20 * time.Millisecond)
 		}
-		late.Close()
+		stale.Close()
 		g.Stop()
 	})
 }
 
-// TestHalfOpen: nodes are cut off one way only, and links delay by seconds:
+// TestOneWayPartitions: nodes are cut off one way only, and links delay by seconds:
 // the bounds on changes hold for whoever is in touch, and nothing runs twice.
-func TestHalfOpen(t *testing.T) {
+func TestOneWayPartitions(t *testing.T) {
 	heavy(t)
-	for i, what := range []string{"nobody hears it", "it hears nobody", "delay of seconds"} {
-		t.Run(what, func(t *testing.T) {
+	for i, failure := range []string{"nobody hears it", "it hears nobody", "delay of seconds"} {
+		t.Run(failure, func(t *testing.T) {
 			t.Parallel()
 			synctest.Test(t, func(t *testing.T) {
 				s := Ingenzi(0.3)
@@ -155,26 +155,26 @@
 				for round := range 3 {
 					n := f.Nodes[round]
 					from := time.Now()
-					set := func(on bool) {
+					disturb := func(on bool) {
 						for _, o := range append(f.hosts(), "10.0.9.8") {
 							switch {
-							case o == n.Host || what != "delay of seconds" && o == "10.0.9.8":
-							case what == "nobody hears it":
+							case o == n.Host || failure != "delay of seconds" && o == "10.0.9.8":
+							case failure == "nobody hears it":
 								f.Net.Cut(n.Host, o, on)
-							case what == "it hears nobody":
+							case failure == "it hears nobody":
 								f.Net.Cut(o, n.Host, on)
 							default:
 								f.Net.Lag(n.Host, map[bool]time.Duration{true: 1500 * time.Millisecond}[on])
 							}
 						}
 					}
-					set(true)
+					disturb(true)
 					Wait(time.Second)
 					if code, _ := f.Apply(f.Nodes[5].Host+":7003", uint64(round+1), s.Doc); code != 200 {
 						t.Errorf("apply answered %d", code)
 					}
 					Wait(4 * time.Second)
-					set(false)
+					disturb(false)
 					f.Until(10*time.Second, "all is whole", f.Whole)
 					Wait(time.Second)
 					f.Obs.Lost(n.Host+":8000", from, time.Now())
--- a/internal/sim/trial_test.go
+++ b/internal/sim/trial_test.go
@@ -36,10 +36,10 @@
 			t.Parallel()
 			synctest.Test(t, func(t *testing.T) {
 				s := WithAlt(c.shape)
-				one := s.Services[0]
-				alt := one + "2"
-				way := standin.Way{Took: time.Duration(float64(s.Took[one]) * c.slow), Fail: c.fail}
-				path := map[string]string{"pages": "read", "bookings": "search"}[one]
+				service := s.Services[0]
+				alt := service + "2"
+				behaviour := standin.Way{Took: time.Duration(float64(s.Took[service]) * c.slow), Fail: c.fail}
+				path := map[string]string{"pages": "read", "bookings": "search"}[service]
 				to := alt
 				if c.to == "nobody" {
 					to = "nobody"
@@ -51,7 +51,7 @@
 				f.Polled = true
 				for j, n := range f.Nodes {
 					if s.Serves(j) == alt {
-						n.Worker.Behave(way)
+						n.Worker.Behave(behaviour)
 					}
 				}
 				wait := f.Load(s.Lines, 30*time.Second)
@@ -66,11 +66,11 @@
 					t.Errorf("a second trial on the same path: %d %v", code, got)
 				}
 				Wait(2 * time.Second)
-				core := f.mark(f.Writer())
-				f.KillCore(core, true)
+				leaderMachine := f.mark(f.Writer())
+				f.KillCore(leaderMachine, true)
 				f.Nodes[3].Proxy.Stop()
 				f.StartProxy(f.Nodes[3])
-				f.BackCore(core)
+				f.BackCore(leaderMachine)
 				var state any
 				took := f.Until(25*time.Second, "the trial has ended", func() bool {
 					_, got := f.Get(at, "/puffin/trials/1")
@@ -83,7 +83,7 @@
 				if state != c.want {
 					t.Errorf("ended %v, want %s: %v", state, c.want, end)
 				}
-				if fig, _ := end["figures"].([]any); len(fig) != 1 {
+				if figures, _ := end["figures"].([]any); len(figures) != 1 {
 					t.Errorf("the figures that decided are not kept: %v", end["figures"])
 				}
 				_, conf := f.Get(at, "/puffin/config")
@@ -163,9 +163,9 @@
 		if code != 200 || got["trial"] != nil {
 			t.Errorf("an emergency: %d %v", code, got)
 		}
-		_, h := f.Get(at, "/puffin/history")
-		if !strings.Contains(fmt.Sprint(h), "emergency") {
-			t.Errorf("the history doesn't tell the emergency: %v", h)
+		_, history := f.Get(at, "/puffin/history")
+		if !strings.Contains(fmt.Sprint(history), "emergency") {
+			t.Errorf("the history doesn't tell the emergency: %v", history)
 		}
 		wait()
 		f.Judge()
--- a/internal/sim/waitstop_test.go
+++ b/internal/sim/waitstop_test.go
@@ -11,11 +11,11 @@
 	"puffincrank/internal/standin"
 )
 
-// TestStopWhileWaiting: a node is told to end while a job of its caller waits
+// TestStopWithQueuedRequest: a node is told to end while a job of its caller waits
 // for a slot elsewhere, longer than the node may take to end. No worker ever
 // had it, so the caller is told so before the node goes; its connection isn't
 // just cut. Whether the job came before the order or after it.
-func TestStopWhileWaiting(t *testing.T) {
+func TestStopWithQueuedRequest(t *testing.T) {
 	for _, after := range []time.Duration{-300 * time.Millisecond, 200 * time.Millisecond} {
 		t.Run(fmt.Sprint("job after ", after), func(t *testing.T) {
 			t.Parallel()
@@ -27,36 +27,36 @@
 				f := NewFleet(t, s, 430)
 				defer f.Stop()
 				f.Start()
-				own := standin.NewCallers(f.env("own", "10.0.9.3", "outside", &f.Nodes[0].skew), nil, f.Obs, 30*time.Second)
+				callers := standin.NewCallers(f.env("own", "10.0.9.3", "outside", &f.Nodes[0].skew), nil, f.Obs, 30*time.Second)
 				line := s.Lines[0]
 				line.Left = "30000"
-				got := make(chan standin.Call, 3)
-				ask := func(n *Node) { f.g.Go("ask", func(context.Context) { got <- own.At(n.Host+":8000", line) }) }
-				var at *Node
+				results := make(chan standin.Call, 3)
+				request := func(n *Node) { f.g.Go("ask", func(context.Context) { results <- callers.At(n.Host+":8000", line) }) }
+				var ingress *Node
 				for _, n := range f.Nodes {
 					if n.Worker.Service != "pages" {
-						at = n
+						ingress = n
 					}
 				}
 				// Its slot is taken, and one waits there already.
-				ask(f.Nodes[0])
+				request(f.Nodes[0])
 				Wait(500 * time.Millisecond)
 				stopped := make(chan time.Time, 1)
-				halt := func() {
-					f.g.Go("stop", func(context.Context) { at.Proxy.Stop(); stopped <- time.Now() })
+				stop := func() {
+					f.g.Go("stop", func(context.Context) { ingress.Proxy.Stop(); stopped <- time.Now() })
 				}
 				if after < 0 {
-					ask(at)
+					request(ingress)
 					Wait(-after)
-					halt()
+					stop()
 				} else {
-					halt()
+					stop()
 					Wait(after)
-					ask(at)
+					request(ingress)
 				}
 				from := time.Now()
-				c := <-got
-				if c.Front != at.Host+":8000" {
+				c := <-results
+				if c.Front != ingress.Host+":8000" {
 					t.Fatalf("the first job ended early: %+v", c)
 				}
 				t.Logf("%d %s after %v: %s", c.Status, c.Ran, c.To.Sub(from), c.Body)
--- a/internal/sim/withdraw_test.go
+++ b/internal/sim/withdraw_test.go
@@ -15,19 +15,19 @@
 	"puffincrank/internal/standin/checker"
 )
 
-// TestLateBeatAfterSignOff: a worker signs off, and a beat that it sent before
+// TestLateHeartbeatAfterSignOff: a worker signs off, and a beat that it sent before
 // comes only after the bound on leaving. The worker serves on, and gets nothing.
-func TestLateBeatAfterSignOff(t *testing.T) {
+func TestLateHeartbeatAfterSignOff(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		s := newSite(t, reader(1, 0.12), 1)
-		bad := s.day(10*time.Second, func() {
+		violations := s.day(10*time.Second, func() {
 			Wait(time.Second)
 			m := s.machines[0]
 			m.w.LeaveBy(context.Background(), actors.Manner{SignsOff: true, Late: 2100 * time.Millisecond, More: 3 * time.Second})
 		})
-		if len(bad) > 0 {
-			t.Errorf("broken: %v", bad)
+		if len(violations) > 0 {
+			t.Errorf("broken: %v", violations)
 		}
 		if s.wit.Risk()[checker.Drain] == 0 {
 			t.Error("the worker had no traffic before it left: the test shows nothing")
@@ -42,13 +42,13 @@
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		s := newSite(t, desks(1, 0.3), 1)
-		bad := s.day(10*time.Second, func() {
+		violations := s.day(10*time.Second, func() {
 			for _, m := range s.machines {
 				m.c.Quits(0.5)
 			}
 		})
-		if len(bad) > 0 {
-			t.Errorf("broken: %v", bad)
+		if len(violations) > 0 {
+			t.Errorf("broken: %v", violations)
 		}
 		if n := s.wit.Risk()[checker.Gone]; n < 20 {
 			t.Errorf("%d callers left while their runs were under way: the test shows nothing", n)
@@ -56,60 +56,60 @@
 	})
 }
 
-// TestLeaveOutlivesNode: a leave that was acknowledged holds when the node that
+// TestAcknowledgedLeaveSurvivesNode: a leave that was acknowledged holds when the node that
 // acknowledged it is killed right after, alone or with the whole mesh, and when a
 // beat of before comes only after its new start.
-func TestLeaveOutlivesNode(t *testing.T) {
+func TestAcknowledgedLeaveSurvivesNode(t *testing.T) {
 	t.Parallel()
 	for _, signsOff := range []bool{false, true} {
 		for _, all := range []bool{false, true} {
 			t.Run(fmt.Sprintf("signs off first %v, all killed %v", signsOff, all), func(t *testing.T) {
 				t.Parallel()
-				synctest.Test(t, func(t *testing.T) { playLeaveOutlives(t, signsOff, all) })
+				synctest.Test(t, func(t *testing.T) { runLeaveSurvivesKill(t, signsOff, all) })
 			})
 		}
 	}
 }
 
-func playLeaveOutlives(t *testing.T, signsOff, all bool) {
+func runLeaveSurvivesKill(t *testing.T, signsOff, killAll bool) {
 	s := newSite(t, reader(1, 0.12), 1)
 	a := act{s, rand.New(rand.NewPCG(1, 2)), &[]*Core{}}
 	var m *machine
-	bad := s.day(16*time.Second, func() {
+	violations := s.day(16*time.Second, func() {
 		Wait(time.Second)
 		m = s.machines[0]
-		over := make(chan struct{})
+		left := make(chan struct{})
 		s.g.Go("leave", func(context.Context) {
 			m.w.LeaveBy(context.Background(), actors.Manner{SignsOff: signsOff, Late: 1500 * time.Millisecond, More: 6 * time.Second})
-			close(over)
+			close(left)
 		})
 		for !m.w.Acknowledged() {
 			Wait(time.Millisecond)
 		}
-		a.killSome(m, all)
-		<-over
+		a.restartProcesses(m, killAll)
+		<-left
 	})
-	if len(bad) > 0 {
-		t.Errorf("broken: %v", bad)
+	if len(violations) > 0 {
+		t.Errorf("broken: %v", violations)
 	}
 	if s.wit.Risk()[checker.Drain] == 0 {
 		t.Error("the worker had no traffic before it left: the test shows nothing")
 	}
 }
 
-// killSome kills a machine's node, or all processes of the mesh, and starts them
+// restartProcesses kills a machine's node, or all processes of the mesh, and starts them
 // again half a second later.
-func (a act) killSome(m *machine, all bool) {
-	list := []*machine{m}
+func (a act) restartProcesses(m *machine, all bool) {
+	machines := []*machine{m}
 	if all {
-		list = a.all()
+		machines = a.all()
 		for _, c := range a.cores() {
 			a.killCore(c, false)
 		}
 	}
-	var ends []func()
-	for _, m := range list {
-		ends = append(ends, a.wit.Touch.Begin(m.name, "killed"))
+	var endings []func()
+	for _, m := range machines {
+		endings = append(endings, a.wit.Touch.Begin(m.name, "killed"))
 		a.KillNode(m.Node)
 	}
 	Wait(500 * time.Millisecond)
@@ -118,16 +118,16 @@
 			a.startCore(c, false)
 		}
 	}
-	for i, m := range list {
+	for i, m := range machines {
 		a.boot(m)
-		ends[i]()
+		endings[i]()
 	}
 }
 
-// TestLeaveUnheard: a leave that no control node can note, since none is reached or
+// TestLeaveWithoutControlPlane: a leave that no control node can note, since none is reached or
 // no disk takes it, is in force at once and isn't acknowledged; it is as soon as one
 // can.
-func TestLeaveUnheard(t *testing.T) {
+func TestLeaveWithoutControlPlane(t *testing.T) {
 	t.Parallel()
 	for name, trouble := range map[string]func(a act, m *machine, on bool){
 		"cut off": func(a act, m *machine, on bool) { a.cutOff(m, on) },
@@ -139,18 +139,18 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			synctest.Test(t, func(t *testing.T) { playUnheard(t, trouble) })
+			synctest.Test(t, func(t *testing.T) { runUnacknowledgedLeave(t, trouble) })
 		})
 	}
 }
 
-func playUnheard(t *testing.T, trouble func(a act, m *machine, on bool)) {
+func runUnacknowledgedLeave(t *testing.T, trouble func(a act, m *machine, on bool)) {
 	s := newSite(t, reader(1, 0.12), 1)
 	a := act{s, rand.New(rand.NewPCG(1, 2)), &[]*Core{}}
-	var drains atomic.Bool
+	var draining atomic.Bool
 	s.Log = func(e event.Entry) {
 		if e.Name == "worker-state" && strings.Contains(e.Text, "to=draining") {
-			drains.Store(true)
+			draining.Store(true)
 		}
 	}
 	s.day(12*time.Second, func() {
@@ -161,7 +161,7 @@
 		if m.w.Acknowledged() {
 			t.Error("acknowledged, though nobody else can know of it")
 		}
-		if !drains.Load() {
+		if !draining.Load() {
 			t.Error("not in force")
 		}
 		trouble(a, m, false)
--- a/internal/sim/withdrawals_test.go
+++ b/internal/sim/withdrawals_test.go
@@ -27,16 +27,16 @@
 			seed := *daySeed + uint64(100*i+n)
 			t.Run(fmt.Sprintf("%s, seed %d", x.name, seed), func(t *testing.T) {
 				t.Parallel()
-				synctest.Test(t, func(t *testing.T) { playWithdrawals(t, x, all, seed) })
+				synctest.Test(t, func(t *testing.T) { runWithdrawals(t, x, all, seed) })
 			})
 		}
 	}
 }
 
-// leads are when workers leave, against the begin of the trouble.
-var leads = []time.Duration{0, 1200 * time.Millisecond, 3500 * time.Millisecond}
+// leaveOffsets are when workers leave, against the begin of the trouble.
+var leaveOffsets = []time.Duration{0, 1200 * time.Millisecond, 3500 * time.Millisecond}
 
-func playWithdrawals(t *testing.T, first trouble, all []trouble, seed uint64) {
+func runWithdrawals(t *testing.T, first trouble, all []trouble, seed uint64) {
 	d := reader(seed, 0.12)
 	if seed%2 == 1 {
 		d = desks(seed, 0.12)
@@ -47,19 +47,19 @@
 	for second.core != none && first.core != none {
 		second = all[rnd.IntN(len(all))]
 	}
-	bad := s.day(20*time.Second, func() {
+	violations := s.day(20*time.Second, func() {
 		for _, m := range s.all() {
 			m.c.Quits(0.3)
 		}
 		begin := time.Now()
-		for _, lead := range leads {
-			s.g.Go("leave", func(context.Context) { s.leaveAt(begin.Add(lead)) })
+		for _, lead := range leaveOffsets {
+			s.g.Go("leave", func(context.Context) { s.workerLeavesAt(begin.Add(lead)) })
 		}
-		s.g.Go("first", func(context.Context) { s.troubleAt(begin.Add(time.Second), first, seed) })
-		s.g.Go("second", func(context.Context) { s.troubleAt(begin.Add(2*time.Second), second, seed+1) })
+		s.g.Go("first", func(context.Context) { s.runTroubleAt(begin.Add(time.Second), first, seed) })
+		s.g.Go("second", func(context.Context) { s.runTroubleAt(begin.Add(2*time.Second), second, seed+1) })
 	})
-	if len(bad) > 0 {
-		t.Errorf("broken by %s with %s: %v\n%s", first.name, second.name, bad, s.said)
+	if len(violations) > 0 {
+		t.Errorf("broken by %s with %s: %v\n%s", first.name, second.name, violations, s.said)
 	}
 	risk := s.wit.Risk()
 	t.Logf("%s with %s had to lose: %d at leaving workers, %d for callers that left", first.name, second.name, risk[checker.Drain], risk[checker.Gone])
@@ -68,9 +68,9 @@
 	}
 }
 
-// leaveAt has a worker leave at a time, in a manner of its own, and another take
+// workerLeavesAt has a worker leave at a time, in a manner of its own, and another take
 // its place.
-func (s *site) leaveAt(at time.Time) {
+func (s *site) workerLeavesAt(at time.Time) {
 	a := act{s, rand.New(rand.NewPCG(uint64(at.UnixNano()), 72)), &[]*Core{}}
 	Wait(time.Until(at))
 	m := a.take(a.enough)
@@ -83,8 +83,8 @@
 	a.startWorker(m)
 }
 
-// troubleAt plays a trouble at a time, with a source of chance of its own.
-func (s *site) troubleAt(at time.Time, x trouble, seed uint64) {
+// runTroubleAt plays a trouble at a time, with a source of chance of its own.
+func (s *site) runTroubleAt(at time.Time, x trouble, seed uint64) {
 	a := act{s, rand.New(rand.NewPCG(seed, 73)), &[]*Core{}}
 	Wait(time.Until(at))
 	x.do(a)
