--- a/internal/sim/refusal_test.go
+++ b/internal/sim/refusal_test.go
@@ -11,7 +11,7 @@
 	"puffincrank/internal/standin"
 )
 
-// processorTime is the processor time of this process so far.
+// processorTime returns the CPU time that this process has used so far.
 func processorTime(t *testing.T) time.Duration {
 	var usage syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
@@ -20,13 +20,13 @@
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// TestRefusalCost measures what a refusal costs of the processor against a job
-// that is served, both with all that callers, nodes and workers of the fleet do
-// for it: the refused one passes several owners and runs nowhere. Not parallel:
-// the time is the whole process's.
+// TestRefusalCost compares the CPU time of a refused request with that of a
+// served one. Both include the work of callers, nodes and workers: a refused
+// request is offered to several owners and runs nowhere. The test isn't
+// parallel, because the CPU time is measured for the whole process.
 func TestRefusalCost(t *testing.T) {
 	if testing.Short() {
-		t.Skip("in the run without the race detector")
+		t.Skip("runs only without the race detector")
 	}
 	measure := func(saturated bool) (each time.Duration, servedCodes map[int]int) {
 		synctest.Test(t, func(t *testing.T) {
@@ -62,10 +62,10 @@
 	refusedCost, refusedCodes := measure(true)
 	t.Logf("served %v each (%v), refused %v each (%v): %.2f of it", servedCost, servedCodes, refusedCost, refusedCodes, float64(refusedCost)/float64(servedCost))
 	if servedCodes[200] < 1450 || refusedCodes[503] < 1450 {
-		t.Fatalf("not what was to be measured: %v and %v", servedCodes, refusedCodes)
+		t.Fatalf("status counts don't match the measured cases: %v and %v", servedCodes, refusedCodes)
 	}
-	// Each of the three owners is asked, which is three hand-overs for none.
+	// A refused request is offered to each of the three owners: three attempts, no run.
 	if float64(refusedCost) > 3*float64(servedCost) {
-		t.Errorf("a refusal costs %.2f of a served job", float64(refusedCost)/float64(servedCost))
+		t.Errorf("a refusal costs %.2f times the CPU time of a served request", float64(refusedCost)/float64(servedCost))
 	}
 }
--- a/internal/sim/repeatsofothers_test.go
+++ b/internal/sim/repeatsofothers_test.go
@@ -11,12 +11,12 @@
 	"puffincrank/internal/standin"
 )
 
-// TestRetryBudgetOfOwnersUsed: a stop makes more repeats necessary than the front has left. The
-// nodes beside the workers that take them pay for the others, each from its own part, so
-// that the bound of the mesh holds: one for each node here.
+// TestRetryBudgetOfOwnersUsed: a graceful shutdown needs more retries than the ingress has
+// left in its budget. The owners that take the retries pay for the rest from their own
+// budgets, so that the limit of the whole cluster holds: one retry for each node here.
 //
-// Fronts in a stop gave requests up with "no repeats are left" while hardly any other
-// node had used its part.
+// The failure: an ingress that was shutting down gave requests up with "no repeats are
+// left" while hardly any other node had used its budget.
 func TestRetryBudgetOfOwnersUsed(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -44,7 +44,7 @@
 		Wait(8 * time.Second)
 		running := owner.Worker.Runs() - before
 		if running <= workers {
-			t.Fatalf("%d requests are at the slow worker: the test shows nothing", running)
+			t.Fatalf("only %d requests run at the slow worker, too few for the test", running)
 		}
 		f.g.Go("stop-owner", func(context.Context) { owner.Proxy.Stop() })
 		Wait(owner.Proxy.Settings.GracePeriod * 224 / 600)
@@ -55,9 +55,9 @@
 				lost++
 			}
 		}
-		// One repeat of the front, and one of each other worker's node.
+		// One retry is paid by the ingress and one by the node of each other worker.
 		if answered := running - lost; answered != workers {
-			t.Errorf("%d of %d requests were answered by a repeat, %d could be", answered, running, workers)
+			t.Errorf("%d of %d requests were answered by a retry, want %d", answered, running, workers)
 		}
 	})
 }
--- a/internal/sim/replace_test.go
+++ b/internal/sim/replace_test.go
@@ -10,8 +10,8 @@
 	"puffincrank/internal/event"
 )
 
-// fresh adds an empty machine at a new address, told of three of the machines
-// that the operator's list held a moment ago, the lost one first.
+// fresh adds an empty machine at a new address. Its seeds are up to three machines
+// of the operator's list before the loss, the lost one first.
 func (l *lab) fresh(lost *Core) *Core {
 	l.made++
 	c := l.add(fmt.Sprintf("10.0.3.%d", l.made), lost.Area)
@@ -25,7 +25,8 @@
 	return c
 }
 
-// membershipConverged tells whether every registry that runs knows exactly those that run.
+// membershipConverged reports whether every running registry lists exactly the
+// running registries as members.
 func (l *lab) membershipConverged() bool {
 	var want []string
 	for _, c := range l.Cores {
@@ -52,11 +53,12 @@
 	return true
 }
 
-// TestVoterReplaced: a voter is lost for good, with or without a word, and an empty
-// machine comes at a new address a second and a half later; or that one comes
-// first and the other leaves politely. It has the place well within
-// catch_up_ms of its start; then as many machines as the core is to bear lose
-// their disks, all others their power, and nothing acknowledged is lost.
+// TestVoterReplaced: a voter is lost for good, after a kill, a partition or a
+// graceful shutdown, and an empty machine starts at a new address 1.5 s later; or
+// the new machine starts first and the old one then shuts down gracefully. The new
+// machine becomes a voter well within catch_up_ms of its start. After that as many
+// machines as the control plane tolerates lose their disks and all others their
+// power, and no acknowledged write is lost.
 func TestVoterReplaced(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct{ cores, bear int }{{3, 1}, {5, 2}, {7, 1}} {
@@ -69,7 +71,7 @@
 						defer l.Stop()
 						l.up()
 						voters := 2*c.bear + 1
-						l.Until(4*time.Second, "all places are taken", func() bool { return len(l.places()) == voters })
+						l.Until(4*time.Second, "all memberships are filled", func() bool { return len(l.places()) == voters })
 						l.Stores["founding"] = false
 						Wait(2 * time.Second)
 						acked := l.marks(20)
@@ -98,12 +100,12 @@
 							l.BackCore(replacement)
 						}
 						start := time.Now()
-						l.Until(3500*time.Millisecond, "the lost one's place is taken", func() bool {
+						l.Until(3500*time.Millisecond, "the new machine replaces the lost voter", func() bool {
 							members := l.places()
 							return len(members) == voters && !members[lost.Host]
 						})
-						t.Logf("seed %d: place taken %v after the new one's start", seed, time.Since(start).Round(time.Millisecond))
-						l.Until(3*time.Second, "all registries meet", l.membershipConverged)
+						t.Logf("seed %d: voter replaced %v after the start of the new machine", seed, time.Since(start).Round(time.Millisecond))
+						l.Until(3*time.Second, "all registries list the same members", l.membershipConverged)
 						Wait(4*time.Second - time.Since(start))
 						ackedLater := l.marks(20)
 						var wiped []*Core
@@ -124,12 +126,12 @@
 								l.BackCore(c)
 							}
 						}
-						t.Logf("after the loss of %d disks and all power, writes go through in %v", len(wiped), l.next(10*time.Second).Round(time.Millisecond))
+						t.Logf("after the loss of %d disks and all power, the first write succeeded after %v", len(wiped), l.next(10*time.Second).Round(time.Millisecond))
 						for key, rev := range ackedLater {
 							acked[key] = max(rev, acked[key])
 						}
 						l.holds(acked)
-						l.Until(8*time.Second, "all places are taken again", func() bool { return len(l.places()) == voters })
+						l.Until(8*time.Second, "all memberships are filled again", func() bool { return len(l.places()) == voters })
 					})
 				}
 			})
@@ -139,8 +141,8 @@
 
 func bearOf(voters int) int { return (voters - 1) / 2 }
 
-// TestTwoVotersLost: of five voters two are lost at once, and two empty machines come
-// one after the other, the second while the first is joining.
+// TestTwoVotersLost: two of five voters are lost at once, and two empty machines
+// start one after the other, the second while the first is still joining.
 func TestTwoVotersLost(t *testing.T) {
 	t.Parallel()
 	for seed := range seeds(4) {
@@ -148,7 +150,7 @@
 			l := newLab(t, seed+620, 5, 2)
 			defer l.Stop()
 			l.up()
-			l.Until(4*time.Second, "all places are taken", func() bool { return len(l.places()) == 5 })
+			l.Until(4*time.Second, "all memberships are filled", func() bool { return len(l.places()) == 5 })
 			l.Stores["founding"] = false
 			Wait(time.Second)
 			acked := l.marks(20)
@@ -162,14 +164,14 @@
 			Wait(time.Duration(seed) * 300 * time.Millisecond)
 			secondNew := l.fresh(b)
 			l.BackCore(secondNew)
-			took := l.Until(5*time.Second, "both places are taken", func() bool {
+			took := l.Until(5*time.Second, "both lost voters are replaced", func() bool {
 				members := l.places()
 				return len(members) == 5 && members[firstNew.Host] && members[secondNew.Host]
 			})
-			t.Logf("both places are taken after %v", took.Round(time.Millisecond))
+			t.Logf("both lost voters were replaced after %v", took.Round(time.Millisecond))
 			l.holds(acked)
 			Wait(time.Second)
-			// Now two more may go.
+			// The control plane tolerates the loss of two more machines.
 			l.KillCore(firstNew, true)
 			for _, c := range l.Cores {
 				if c.Store != nil && c != secondNew {
@@ -183,8 +185,8 @@
 	}
 }
 
-// TestFlappingVoter: a voter that comes and goes, with a stand-by at hand, changes
-// places no more often than once in catch_up_ms.
+// TestFlappingVoter: a voter is cut off and comes back again and again while a
+// learner is available. The membership changes at most once per catch_up_ms.
 func TestFlappingVoter(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -203,9 +205,9 @@
 			Wait(1300 * time.Millisecond)
 		}
 		changes := l.count(event.Replaced) - before
-		t.Logf("%d changes of the members in %v", changes, time.Since(start))
+		t.Logf("%d membership changes in %v", changes, time.Since(start))
 		if changes > int(time.Since(start)/(4*time.Second)) || changes == 0 {
-			t.Errorf("%d changes of the members", changes)
+			t.Errorf("%d membership changes", changes)
 		}
 		l.next(3 * time.Second)
 		l.holds(acked)
--- a/internal/sim/risk_test.go
+++ b/internal/sim/risk_test.go
@@ -23,14 +23,14 @@
 	plannedStops = "planned stops"
 )
 
-// sight is what stood at a moment.
+// sight counts what a fault at a given moment could harm.
 type sight struct {
 	at                            time.Time
 	jobs, held, acks, left, calls int
 	repeats                       float64
 }
 
-// look counts what could be harmed just now.
+// look counts what a fault could harm now.
 func (p *plan) look() sight {
 	s := sight{at: time.Now(), held: p.apps.Held(), acks: p.f.Obs.Acks(), calls: p.apps.Count()}
 	p.mu.Lock()
@@ -48,7 +48,7 @@
 	return s
 }
 
-// risks counts, by fault and promise, how often there was something to lose.
+// risks counts, by fault and guarantee, how often a fault could have broken it.
 type risks map[string]map[string]int
 
 func (r risks) add(fault string, before, after sight, s *step) {
@@ -56,8 +56,9 @@
 		r[fault] = map[string]int{}
 	}
 	counts := r[fault]
-	// Jobs under way when the fault came may run twice, be told busy, come back
-	// as something else, or reach a stranger.
+	// A request in progress when the fault occurs may run twice, be answered busy
+	// after it ran, get a wrong or partial response, or reach another worker at a
+	// reused address.
 	for _, promise := range []string{"never runs twice", "busy means not run", "success is whole and one's own", "nothing to a stranger"} {
 		counts[promise] += before.jobs
 	}
@@ -77,7 +78,7 @@
 	}
 }
 
-// node tells that a fault harms nodes or workers.
+// node reports whether the fault affects nodes or workers.
 func (s *step) node() bool {
 	return !s.core && s.fault != changesRace
 }
--- a/internal/sim/room_test.go
+++ b/internal/sim/room_test.go
@@ -10,7 +10,7 @@
 	"puffincrank/internal/standin"
 )
 
-// one is a fleet with one service and three classes.
+// one describes a fleet with one service and three classes.
 func one() Shape {
 	return Shape{Nodes: 3, Slots: 12, Far: time.Millisecond, Services: []string{"s"}, Took: map[string]time.Duration{"s": 100 * time.Millisecond},
 		Doc: `{"services":[{"name":"s"}],"classes":[{"name":"a","share":50},{"name":"b","share":30},{"name":"c","share":20}],
@@ -18,13 +18,14 @@
 {"name":"pc","prefix":"/c","service":"s","class":"c","left_ms":600,"aim_ms":600}]}`}
 }
 
-// TestCapacitySharesOfClasses measures what share of the room each class has when it presses
-// alone, when two press and when all press; 36 slots of 100 ms do 360 a second.
+// TestCapacitySharesOfClasses measures which share of the capacity each class gets when
+// one class, two classes or all classes are overloaded. 36 slots at 100 ms per request
+// serve 360 requests a second.
 func TestCapacitySharesOfClasses(t *testing.T) {
 	heavy(t)
 	for _, c := range []struct {
 		loaded string
-		want   map[string][2]float64 // class to the bounds of its part of the runs
+		want   map[string][2]float64 // class to the bounds of its share of the runs
 	}{
 		{"a", map[string][2]float64{"a": {1, 1}}},
 		{"c", map[string][2]float64{"c": {1, 1}}},
@@ -57,9 +58,9 @@
 					}
 				}
 				utilization := total * s.Took["s"].Seconds() / (36 * 10)
-				t.Logf("pressing %s: room used %.2f, parts a %.2f b %.2f c %.2f", c.loaded, utilization, served["a"]/total, served["b"]/total, served["c"]/total)
+				t.Logf("overloaded %s: capacity used %.2f, shares a %.2f b %.2f c %.2f", c.loaded, utilization, served["a"]/total, served["b"]/total, served["c"]/total)
 				if utilization < 0.85 {
-					t.Errorf("only %.2f of the room was used under pressure", utilization)
+					t.Errorf("only %.2f of the capacity was used under overload", utilization)
 				}
 				for k, b := range c.want {
 					if p := served[k] / total; p < b[0] || p > b[1] {
@@ -71,10 +72,10 @@
 	}
 }
 
-// TestSlowWorker: a worker that turns slow gets less, and its share again
-// when it is well. With a tight aim a front would soon know it only as one that
-// misses it, and what it gets no jobs of it learns nothing of; where jobs may be
-// sent again some of them look, elsewhere doubts fade.
+// TestSlowWorker: a worker that becomes slow gets fewer requests, and its full share
+// again once it has recovered. With a tight target latency an ingress soon excludes
+// it and then gets no new measurements. Where requests may be retried, some of them
+// probe the worker; elsewhere the suspicion decays with time.
 func TestSlowWorker(t *testing.T) {
 	heavy(t)
 	for _, c := range []struct{ targetMS, retry string }{{"600", "never"}, {"150", "never"}, {"150", "safe"}} {
@@ -117,16 +118,16 @@
 	f.Nodes[0].Worker.Behave(standin.Way{Took: 100 * time.Millisecond})
 	Wait(15 * time.Second)
 	after := share(10 * time.Second)
-	t.Logf("part of the jobs: %.2f before, %.2f while slow, %.2f when well again", before, slow, after)
+	t.Logf("share of the requests: %.2f before, %.2f while slow, %.2f after recovery", before, slow, after)
 	if before < 0.25 || slow > 0.2 || after < 0.22 {
-		t.Error("fitness does not follow the worker")
+		t.Error("the share of the requests does not follow the worker's health")
 	}
 	wait()
 	f.Judge()
 }
 
-// TestChurn: over a long time of workers that come and go, tombstones stay
-// bounded, and a node that was cut off meanwhile raises no dead entry.
+// TestChurn: while workers come and go for five minutes, the number of tombstones
+// stays bounded, and a node that was partitioned meanwhile revives no removed entry.
 func TestChurn(t *testing.T) {
 	heavy(t)
 	synctest.Test(t, func(t *testing.T) {
@@ -141,7 +142,7 @@
 			f.KillWorker(n)
 			f.StartWorker(n, "s")
 			replaced++
-			// The third node is away for longer than a replica may merge after.
+			// The first node is cut off for longer than a replica may be and still merge.
 			if round == 60 {
 				f.Net.Isolate(f.Nodes[0].Host, true)
 			}
@@ -154,18 +155,18 @@
 			mostTombstones = max(mostTombstones, tombstones)
 		}
 		f.Until(20*time.Second, "all replicas are equal", f.equal)
-		f.Until(20*time.Second, "only the live are known", f.Whole)
+		f.Until(20*time.Second, "only live workers are known", f.Whole)
 		t.Logf("%d replacements in 5 minutes, at most %.0f tombstones", replaced, mostTombstones)
-		// Kept for six times the retire bound of 10 s: about 30 replacements,
-		// each with an entry for up, and one or two for leaving.
+		// Tombstones are kept for six times the retire bound of 10 s: about 30
+		// replacements, each with one entry for the start and one or two for the leave.
 		if mostTombstones > 130 {
 			t.Errorf("%.0f tombstones", mostTombstones)
 		}
 	})
 }
 
-// TestManyRoutes: growing to several hundred paths costs a push and a start
-// little more than the document's own bytes.
+// TestManyRoutes: with several hundred routes, a push of the configuration and the
+// start of a node cost little more than the bytes of the document.
 func TestManyRoutes(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -186,7 +187,7 @@
 			if code != 200 {
 				t.Fatalf("apply answered %d", code)
 			}
-			took := f.Until(2*time.Second, "all hold it", func() bool {
+			took := f.Until(2*time.Second, "all nodes have the new version", func() bool {
 				for _, n := range f.Nodes {
 					if _, status := f.Get(n.Host+":7003", "/puffin/own"); status["config_version"] != float64(v) {
 						return false
@@ -200,12 +201,12 @@
 		doc := withRoutes(600)
 		large, largeBytes := push(2, doc)
 		t.Logf("push of %d bytes: last node after %v and %d bytes in all; of %d bytes: %v and %d", len(withRoutes(1)), small, smallBytes, len(doc), large, largeBytes)
-		// Three stores, three registries and three proxies, once by push.
+		// The document goes to three stores, three registries and three proxies, once each by push.
 		if copies := float64(largeBytes-smallBytes) / float64(len(doc)); copies > 16 {
-			t.Errorf("a push sends the document %.1f times", copies)
+			t.Errorf("a push sends the document %.1f times, want at most 16", copies)
 		}
 		if large > 4*max(small, 50*time.Millisecond) {
-			t.Errorf("a push of 600 paths takes %v, of one %v", large, small)
+			t.Errorf("a push of 600 routes takes %v, of one route %v", large, small)
 		}
 		n := f.Nodes[1]
 		f.KillNode(n)
@@ -214,8 +215,8 @@
 	})
 }
 
-// TestNotReadyWithoutMajority: a node that starts while no majority can confirm the
-// configuration is not ready and takes no job, and one that runs goes on.
+// TestNotReadyWithoutMajority: a node that starts while no majority can confirm
+// the configuration is not ready and accepts no request; a running node goes on.
 func TestNotReadyWithoutMajority(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -234,12 +235,12 @@
 			t.Errorf("a starting node without a majority answers %d", code)
 		}
 		if code, _ := f.Get(n.Host+":8000", "/a"); code != 503 {
-			t.Errorf("it takes a job: %d", code)
+			t.Errorf("a starting node without a majority accepts a request: %d", code)
 		}
 		if code, _ := f.Get(f.Nodes[1].Host+":8000", "/a"); code != 200 {
 			t.Errorf("a running node without a majority answers %d", code)
 		}
 		f.BackCore(f.Cores[0])
-		f.Until(15*time.Second, "it is ready", n.Proxy.Ready)
+		f.Until(15*time.Second, "the node is ready", n.Proxy.Ready)
 	})
 }
--- a/internal/sim/same_test.go
+++ b/internal/sim/same_test.go
@@ -9,13 +9,14 @@
 	"puffincrank/internal/ctl"
 )
 
-// readCommands are the commands whose answers must not depend on the node asked.
-// Status, nodes, workers, classes and running trials show counts that move.
+// readCommands are the commands whose answers must not depend on the queried node.
+// Status, nodes, workers, classes and running trials are left out, since they show
+// counts that change all the time.
 var readCommands = []string{"config get", "history", "paths", "trials", "trials show 1", "lock list", "lock get l", "key list", "key get k", "number get n", "duties", "services"}
 
-// TestSameAnswerAtAllNodes: every read command at every node, in both shapes, while the
-// writer changes and a node is cut off from a part of the core: what is
-// answered is equal at all nodes, or refused honestly; nothing else.
+// TestSameAnswerAtAllNodes: every read command at every node, in both shapes, while
+// the leader changes and a node is cut off from part of the control plane. All nodes
+// that answer give the same answer; the others report that they are unavailable.
 func TestSameAnswerAtAllNodes(t *testing.T) {
 	heavy(t)
 	for i, s := range []Shape{WithAlt(Fumettoteca(0.1)), WithAlt(Ingenzi(0.1))} {
@@ -87,9 +88,9 @@
 				Wait(2500 * time.Millisecond)
 				round("the writer frozen")
 				f.Net.Freeze("store-"+f.marked.Host, false)
-				t.Logf("%d reads refused when calm, %d in all", refusedCalm, refused)
+				t.Logf("%d reads refused without a failure, %d in all", refusedCalm, refused)
 				if refusedCalm > 0 {
-					t.Error("reads were refused with all well")
+					t.Error("reads were refused although nothing had failed")
 				}
 			})
 		})
--- a/internal/sim/secondloss_test.go
+++ b/internal/sim/secondloss_test.go
@@ -11,8 +11,8 @@
 	"time"
 )
 
-// marking writes keys one after another through machines that run, until it is
-// stopped, and gives what was acknowledged.
+// marking writes keys one after another through the running machines. The returned
+// function stops it and returns the acknowledged keys with their revisions.
 func (l *lab) marking(name string) (stop func() map[string]uint64) {
 	ctx, cancel := context.WithCancel(l.g.Context())
 	acked := map[string]uint64{}
@@ -24,7 +24,7 @@
 			machines := l.cores()
 			at := machines[i%len(machines)]
 			key := fmt.Sprint(name, i)
-			// A registry that is killed meanwhile answers nothing.
+			// A registry that is killed meanwhile does not answer.
 			if rev := l.put(at, key, key); rev > 0 {
 				acked[key] = rev
 			}
@@ -38,8 +38,8 @@
 	}
 }
 
-// failAndRestart loses one machine for a while: by a kill, without power, or with its
-// disk.
+// failAndRestart takes one machine down for 300 ms by a kill, a loss of power or a
+// loss of power and disk, and starts it again.
 func (l *lab) failAndRestart(c *Core, failure string) {
 	if s, _ := l.runs(c); s == nil {
 		return
@@ -52,9 +52,9 @@
 	l.BackCore(c)
 }
 
-// replacements are the ways in which a member's place comes to be another's. Each
-// tells whether the member's disk is lost by it, and leaves its machine gone or
-// back.
+// replacements are the ways in which a membership passes to another machine. The
+// field disk says whether the member's disk is lost. Afterwards the machine is either
+// gone or running again.
 var replacements = []struct {
 	name string
 	disk bool
@@ -87,10 +87,10 @@
 	}},
 }
 
-// TestSecondLossDuringReplacement: while a member's place passes to another, at any moment, one
-// more machine is lost: by a kill or a loss of power where a disk is lost already,
-// and with its disk where none is. The service may rest; then it is back, and
-// nothing that was acknowledged is gone.
+// TestSecondLossDuringReplacement: while a membership passes to another
+// machine, a second machine is lost at a random moment: by a kill or a loss of power
+// where a disk is lost already, otherwise with its disk. The service may be
+// interrupted, but recovers, and no acknowledged write is lost.
 func TestSecondLossDuringReplacement(t *testing.T) {
 	t.Parallel()
 	for _, size := range []struct{ cores, bear int }{{3, 1}, {5, 2}} {
@@ -103,7 +103,7 @@
 						l := newLab(t, seed+900, size.cores, size.bear)
 						defer l.Stop()
 						l.up()
-						l.Until(4*time.Second, "all places are taken", func() bool { return len(l.places()) == size.cores })
+						l.Until(4*time.Second, "all memberships are filled", func() bool { return len(l.places()) == size.cores })
 						l.Stores["founding"] = false
 						Wait(time.Second)
 						leader := l.Writer()
@@ -117,7 +117,7 @@
 							defer close(done)
 							replacement.do(l, departing, delay)
 						})
-						// Anywhere on the way, most often in its first moments.
+						// The second loss comes at any moment of the replacement, most often early.
 						Wait(time.Duration(random.Float64() * random.Float64() * float64(3*time.Second)))
 						failure := []string{"killed", "power"}[random.IntN(2)]
 						if !replacement.disk {
@@ -129,11 +129,11 @@
 						Wait(time.Second)
 						acked := stop()
 						l.holds(acked)
-						t.Logf("seed %d: %s, the next write after %v, %d were acknowledged", seed, failure, took.Round(time.Millisecond), len(acked))
+						t.Logf("seed %d: %s, next write after %v, %d writes were acknowledged", seed, failure, took.Round(time.Millisecond), len(acked))
 						if len(acked) < 20 {
 							t.Errorf("only %d writes were acknowledged", len(acked))
 						}
-						l.Until(10*time.Second, "all places are taken again", func() bool { return len(l.places()) == size.cores && l.allMembersRunning() })
+						l.Until(10*time.Second, "all memberships are filled again", func() bool { return len(l.places()) == size.cores && l.allMembersRunning() })
 					})
 				}
 			})
@@ -141,7 +141,7 @@
 	}
 }
 
-// allMembersRunning tells whether every member's machine runs.
+// allMembersRunning reports whether the machine of every member runs.
 func (l *lab) allMembersRunning() bool {
 	missing := l.places()
 	for _, c := range l.cores() {
@@ -152,10 +152,10 @@
 	return len(missing) == 0
 }
 
-// TestLeaveWhileOneLags: a member leaves by a plan on a busy core while another
-// has applied nothing for a while, since its disk hangs. Its place is given only
-// when a majority of those who vote then holds all: right after, the leader's disk
-// may go and all power with it.
+// TestLeaveWhileOneLags: a member shuts down gracefully under load while another
+// member has applied nothing for a while, because its disk hangs. The membership is
+// transferred only when a majority of the new voters holds all log entries: right
+// afterwards the leader may lose its disk and all machines their power.
 func TestLeaveWhileOneLags(t *testing.T) {
 	t.Parallel()
 	for seed := range seeds(4) {
@@ -169,7 +169,7 @@
 				}
 			}()
 			l.up()
-			l.Until(4*time.Second, "all places are taken", func() bool { return len(l.places()) == 3 })
+			l.Until(4*time.Second, "all memberships are filled", func() bool { return len(l.places()) == 3 })
 			l.Stores["founding"] = false
 			leader := l.Writer()
 			var others []*Core
--- a/internal/sim/seeds_test.go
+++ b/internal/sim/seeds_test.go
@@ -7,17 +7,18 @@
 	"testing"
 )
 
-// heavy leaves a test out of the run under the race detector, in which it would
-// take minutes; the test command runs it without.
+// heavy skips a test in short mode, which is used with the race detector, where it
+// would take minutes, and marks it parallel. The test command runs it without the
+// race detector.
 func heavy(t *testing.T) {
 	t.Helper()
 	if testing.Short() {
-		t.Skip("in the run without the race detector")
+		t.Skip("runs only without the race detector")
 	}
 	t.Parallel()
 }
 
-// seeds gives the fixed seeds of CI, or as many as PUFFIN_SEEDS says.
+// seeds yields the seeds from 0 to count-1 that CI uses, or as many as PUFFIN_SEEDS says.
 func seeds(count uint64) iter.Seq[uint64] {
 	n := count
 	if s, err := strconv.ParseUint(os.Getenv("PUFFIN_SEEDS"), 10, 32); err == nil && s > 0 {
--- a/internal/sim/shortgrace_test.go
+++ b/internal/sim/shortgrace_test.go
@@ -12,9 +12,10 @@
 	"puffincrank/internal/standin"
 )
 
-// TestShortGracePeriod: a deployment whose grace is no longer than the time that
-// others have to see a worker leave. Every program ends in its grace, so that
-// none is killed while it holds calls, and a call that waits for longer is answered.
+// TestShortGracePeriod: a deployment whose grace period is hardly longer than the
+// time in which other nodes must notice that a worker left, or even shorter. Every
+// program ends within its grace period, so that none is killed with calls in progress,
+// and a call that waits for longer is answered.
 func TestShortGracePeriod(t *testing.T) {
 	for _, c := range []struct{ leave, grace int }{{2000, 6000}, {4000, 4000}, {3000, 1500}} {
 		t.Run(fmt.Sprint(c.leave, " ", c.grace), func(t *testing.T) {
@@ -29,7 +30,7 @@
 				if code, got := f.raw("PUT", at, "/puffin/app/keys/g1.k", `{"value":"v"}`); code != 200 {
 					t.Fatal(code, got)
 				}
-				// A call that waits for longer than any grace.
+				// A call that waits for longer than any grace period.
 				watched := make(chan int, 1)
 				f.g.Go("watch", func(context.Context) {
 					code, _ := f.raw("GET", at, "/puffin/app/watch/g1.?after=1&wait_ms=14000", "")
@@ -40,20 +41,21 @@
 					start := time.Now()
 					stop()
 					if took := time.Since(start); took > time.Duration(c.grace)*time.Millisecond {
-						t.Errorf("a %s ended after %v", name, took)
+						t.Errorf("the graceful shutdown of the %s took %v", name, took)
 					}
 				}
 				if code := <-watched; code == 0 {
-					t.Error("the call that waited was cut off without an answer")
+					t.Error("the waiting call was cut off without an answer")
 				}
 			})
 		})
 	}
 }
 
-// TestShortGracePeriodWhilePartitioned: a front that is stopped has jobs for longer than its
-// grace, and nobody hears its goodbyes, as in a cut. Its beat is long and its
-// grace short: it still ends by itself before it would be killed.
+// TestShortGracePeriodWhilePartitioned: an ingress that is stopped has requests that
+// run for longer than its grace period, and a partition keeps its leave messages from
+// all peers. With a long heartbeat interval and a short grace period it still ends by
+// itself before it would be killed.
 func TestShortGracePeriodWhilePartitioned(t *testing.T) {
 	for _, c := range []struct{ change, contact, grace int }{{2000, 3000, 6000}, {2000, 3000, 3500}, {6000, 5000, 3000}} {
 		t.Run(fmt.Sprint(c.change, " ", c.grace), func(t *testing.T) {
@@ -77,7 +79,7 @@
 				start := time.Now()
 				n.Proxy.Stop()
 				if took := time.Since(start); took > grace {
-					t.Errorf("ended after %v", took)
+					t.Errorf("the shutdown took %v", took)
 				}
 			})
 		})
--- a/internal/sim/sight_test.go
+++ b/internal/sim/sight_test.go
@@ -11,9 +11,9 @@
 	"puffincrank/internal/standin/actors"
 )
 
-// TestTrailOfSends: the logs and the trail of the nodes alone tell what an owner knew of
-// its worker when it sent a request there, by which of the worker's calls and in
-// which order, and when a caller's leaving was seen.
+// TestTrailOfSends: the event log and the trail of an owner show what it knew of
+// its worker when it sent a request there: the worker's state, the call of the worker
+// that set it, and the order of these steps. They also show when a caller left.
 func TestTrailOfSends(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -43,10 +43,10 @@
 		})
 		gone := "to=gone call="
 		if l := strings.Join(entries["worker-state"], "\n"); !strings.Contains(l, gone) || !strings.Contains(l, "step=") {
-			t.Errorf("no event tells by which call the worker went: %s", l)
+			t.Errorf("no event names the call by which the worker left: %s", l)
 		}
 		if len(entries["caller-left"]) == 0 || callersLeft == 0 {
-			t.Errorf("%d events and a count of %v of callers that left", len(entries["caller-left"]), callersLeft)
+			t.Errorf("%d caller-left events and a callers_left count of %v, want both above 0", len(entries["caller-left"]), callersLeft)
 		}
 		sent := 0
 		last := 0.0
@@ -63,11 +63,11 @@
 			sent++
 			since, known := step["since"].(float64)
 			if !known || since >= seq || step["state"] == "" || step["call"].(float64) <= 0 || step["request"] == "" {
-				t.Errorf("a send says only %v", step)
+				t.Errorf("the trail entry of an attempt is incomplete: %v", step)
 			}
 		}
 		if sent == 0 {
-			t.Errorf("no send to the worker in %d steps", len(steps))
+			t.Errorf("no attempt at the worker in %d steps of the trail", len(steps))
 		}
 	})
 }
--- a/internal/sim/sightstop_test.go
+++ b/internal/sim/sightstop_test.go
@@ -13,7 +13,7 @@
 	"puffincrank/internal/standin"
 )
 
-// logOf collects the events of a fleet by name.
+// logOf records the events of a fleet. The returned function gives those of one name.
 func logOf(f *Fleet) func(name string) []string {
 	entries := map[string][]string{}
 	f.Log = func(e event.Entry) {
@@ -28,9 +28,9 @@
 	}
 }
 
-// TestLogsRequestEndedByStop: a front is told to end while a worker is at work on a request of
-// its caller, for longer than the front can wait. Its log and its trail tell what
-// ended the request, how long after the order, and at which worker it was.
+// TestLogsRequestEndedByStop: an ingress gets its stop signal while a worker runs a
+// request of its caller for longer than the ingress can wait. The log shows what ended
+// the request, how long after the stop signal, and at which worker it ran.
 func TestLogsRequestEndedByStop(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -52,24 +52,24 @@
 		logged := strings.Join(lines("unanswered"), "\n")
 		match := regexp.MustCompile(`by=stop .*worker=\S+ owner=\S+ held_ms=\d+ stop_ms=(\d+)`).FindStringSubmatch(logged)
 		if match == nil {
-			t.Fatalf("the log does not tell what ended the request: %q", logged)
+			t.Fatalf("the log does not show what ended the request: %q", logged)
 		}
-		if ms, _ := strconv.Atoi(match[1]); ms < 1000 || ms > 15000 { // of a grace of 15 s
-			t.Errorf("ended %d ms after the order", ms)
+		if ms, _ := strconv.Atoi(match[1]); ms < 1000 || ms > 15000 { // of a grace period of 15 s
+			t.Errorf("the request ended %d ms after the stop signal, want 1000 to 15000", ms)
 		}
 		if len(lines("stopped")) == 0 || !strings.Contains(strings.Join(lines("stopped"), "\n"), "after_ms=") {
-			t.Error("the log does not tell how long the stop took")
+			t.Error("the log does not show how long the shutdown took")
 		}
 	})
 }
 
-// TestLogsOwnerOfLostRun: the node beside a worker is told to end while that is at work on
-// a request of another node, which is told to end as well. The log of the latter names
-// the worker and the node at which the run was lost, and how long before that node had
-// its order; not the worker that was asked last.
+// TestLogsOwnerOfLostRun: an owner gets its stop signal while its worker runs a
+// request of another node, the ingress, which gets its stop signal as well. The log of
+// the ingress names the worker and the owner where the run was lost, and how long ago
+// that owner got its stop signal; not the worker that was tried last.
 //
-// It named the one asked last: "its node is ending" was told of a node whose own order
-// came 5.66 s later.
+// The failure: the log named the worker tried last, so "its node is ending" was logged
+// for a node whose own stop signal came 5.66 s later.
 func TestLogsOwnerOfLostRun(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -90,7 +90,7 @@
 			}
 		}
 		if owner == nil {
-			t.Fatal("no worker has the request: the test shows nothing")
+			t.Fatal("no worker runs the request, which the test needs")
 		}
 		f.g.Go("stop-owner", func(context.Context) { owner.Proxy.Stop() })
 		Wait(owner.Proxy.Settings.GracePeriod * 3 / 8)
@@ -99,17 +99,17 @@
 		logged := strings.Join(lines("unanswered"), "\n")
 		match := regexp.MustCompile(`by=owner why=its node is ending worker=` + owner.Worker.ID + ` owner=` + owner.Proxy.Settings.Node + ` .*stop_ms=\d+ owner_stop_ms=(\d+) sends=\d+ then=`).FindStringSubmatch(logged)
 		if match == nil {
-			t.Fatalf("the log does not tell at which node the run was lost, and why: %q", logged)
+			t.Fatalf("the log does not show at which node the run was lost, and why: %q", logged)
 		}
-		if ms, _ := strconv.Atoi(match[1]); ms < 12000 || ms > 15000 { // of a grace of 15 s
-			t.Errorf("lost %d ms after that node's order", ms)
+		if ms, _ := strconv.Atoi(match[1]); ms < 12000 || ms > 15000 { // of a grace period of 15 s
+			t.Errorf("the run was lost %d ms after the stop signal of its owner, want 12000 to 15000", ms)
 		}
 	})
 }
 
-// TestLogsHoldersOfConfigVersions: for each acknowledged change of the configuration the leader's
-// log names the members that had it on their disks by then, and a store that starts
-// again tells what its disk held.
+// TestLogsHoldersOfConfigVersions: for each acknowledged change of the configuration
+// the leader's log names the members that had it on disk by then, and the log of a
+// store that restarts shows what its disk held.
 func TestLogsHoldersOfConfigVersions(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -129,7 +129,7 @@
 		for v := uint64(1); v <= last; v++ {
 			held := regexp.MustCompile(` version=` + strconv.FormatUint(v, 10) + ` ballot=\S+ held_by=\[(\S+ \S+[^]]*)\]`).FindString(chosen)
 			if held == "" {
-				t.Errorf("the log does not tell who held version %d: %s", v, chosen)
+				t.Errorf("the log does not show which members held version %d: %s", v, chosen)
 			}
 		}
 		for _, c := range f.Cores {
@@ -141,7 +141,7 @@
 		f.Until(15*time.Second, "all stores are ready", f.coreReady)
 		reopened := regexp.MustCompile(`replica=\w+ applied=\d+ digest=\w* version=(\d+) accepted=\d+ promised=`).FindAllStringSubmatch(strings.Join(lines("reopened"), "\n"), -1)
 		if len(reopened) < 2*len(f.Cores) {
-			t.Fatalf("%d of %d starts tell what the disk held", len(reopened), 2*len(f.Cores))
+			t.Fatalf("only %d of %d starts logged what the disk held", len(reopened), 2*len(f.Cores))
 		}
 		for _, m := range reopened[len(reopened)-len(f.Cores):] {
 			if v, _ := strconv.ParseUint(m[1], 10, 64); v+1 < last {
--- a/internal/sim/site_test.go
+++ b/internal/sim/site_test.go
@@ -16,46 +16,46 @@
 	"puffincrank/internal/standin/checker"
 )
 
-// machine is one machine with a node, the worker beside it and its callers.
+// machine is a machine with a node, the worker beside it and its callers.
 type machine struct {
 	*Node
-	name         string // for the witness: an address may come back
+	name         string // for the witness, since an address may be reused
 	service      string
 	addr         string
 	n            int
-	workerStarts int // of its workers
+	workerStarts int // starts of its workers
 	w            *actors.Worker
 	c            *actors.Client
-	failedChecks atomic.Int64 // looks at its readiness that found it unready
-	busy         bool         // a trouble has it in hand
-	gone         atomic.Bool  // taken away for good
+	failedChecks atomic.Int64 // consecutive readiness checks that found it not ready
+	busy         bool         // a trouble is acting on it
+	gone         atomic.Bool  // removed for good
 }
 
-// site is a whole deployment in one process under virtual time, in a tongue
-// other than the product's own.
+// site is a whole deployment in one process under virtual time, which speaks a
+// dialect other than the product's own.
 type site struct {
 	*Fleet
 	d            deployment
 	wit          *checker.Witness
-	rnd          *rand.Rand // of the day's player alone
+	rnd          *rand.Rand // used only by the goroutine that plays the day
 	op           *actors.Operator
 	apps         *actors.Apps
-	draft        *actors.Draft // the newest document
+	draft        *actors.Draft // the latest configuration document
 	smu          sync.Mutex
 	machines     []*machine
-	controlHosts []string // control nodes as operators and applications know them
+	controlHosts []string // control plane hosts as operators and applications know them
 	down         map[*Core]bool
 	dark         map[string]bool // hosts without power
-	held         map[*Core]bool  // core machines that a trouble has in hand
+	held         map[*Core]bool  // core machines that a trouble is acting on
 	endMinority  func()
 	traffic      atomic.Bool
-	press        atomic.Int64 // the load in percent
-	lastMachine  int          // of the machines' numbers
-	spare        int          // core machines that came later
-	extra        int          // paths that came later
-	added        []actors.Way // those that are there
+	press        atomic.Int64 // load in percent
+	lastMachine  int          // highest number of a machine
+	spare        int          // core machines added later
+	extra        int          // number of routes added later
+	added        []actors.Way // the added routes that exist now
 	said         []string
-	crowds       map[[2]string]float64 // area and kind, "" for all, to the load's factor
+	crowds       map[[2]string]float64 // zone and kind of request ("" for all) to the factor of the load
 }
 
 func newSite(t testing.TB, d deployment, seed uint64) *site {
@@ -76,7 +76,7 @@
 	return s
 }
 
-// control lists the outer addresses of the control nodes.
+// control lists the admin addresses of the control plane hosts.
 func (s *site) control() []string {
 	s.smu.Lock()
 	defer s.smu.Unlock()
@@ -87,7 +87,7 @@
 	return addresses
 }
 
-// seedHosts are what a starting process is told of.
+// seedHosts lists the seed addresses that a starting process is configured with.
 func (s *site) seedHosts(port int) []any {
 	s.smu.Lock()
 	defer s.smu.Unlock()
@@ -104,7 +104,7 @@
 	s.smu.Unlock()
 }
 
-// up brings the whole site up and has the first document taken.
+// up starts the whole site and has the first configuration document applied.
 func (s *site) up() {
 	for _, c := range s.Cores {
 		s.startCore(c, true)
@@ -116,8 +116,8 @@
 	s.g.Every("readiness", time.Second, s.poll)
 }
 
-// add brings a new machine up with a worker of a service; addr is an address
-// that the worker takes over, or "" for one of its own.
+// add starts a new machine with a worker of a service. The worker takes over the
+// address addr, or gets a new one if addr is "".
 func (s *site) add(area, service, addr string) *machine {
 	s.smu.Lock()
 	s.lastMachine++
@@ -158,7 +158,7 @@
 	return m
 }
 
-// later is the line of requests on paths that came later.
+// later describes the requests on routes that were added later.
 func (s *site) later() *actors.Line {
 	return &actors.Line{Kind: "later", Method: "GET", Repeat: true, Rate: 8, Back: 100, Work: 10 * time.Millisecond, Aim: 300 * time.Millisecond, Left: time.Second, Further: 1,
 		Pick: func(chance uint64) (string, string) {
@@ -173,7 +173,7 @@
 
 func (s *site) seed(n int) uint64 { return uint64(n)*1000 + 7 }
 
-// boot starts a machine's node; whatever trouble it was in ends with that.
+// boot starts the node of a machine.
 func (s *site) boot(m *machine) {
 	m.starts++
 	s.wit.Lives(m.name)
@@ -201,7 +201,7 @@
 	id := checker.Worker{Name: fmt.Sprintf("w%d-%d", n, m.workerStarts), Service: m.service, Machine: m.name, Area: m.Area}
 	e := env.Env{Net: s.Net.Host(m.Host), Log: event.New(id.Name, nil), Wall: time.Now}
 	behaviour := s.d.ways
-	// Workers of one service run at different speeds; of some, full ones reset.
+	// Speeds differ within a service; in some services a full worker resets connections.
 	behaviour.Speed = 0.8 + float64(n%5)*0.15
 	behaviour.Resets = s.d.resets[m.service]
 	worker, err := actors.Start(e, actors.Plain, id, m.addr, m.Host+":8000", []string{m.Host + ":7003"}, behaviour, s.wit, s.seed(n)+3)
@@ -212,7 +212,7 @@
 	m.w = worker
 }
 
-// all lists the machines that are there.
+// all lists the machines that were not removed.
 func (s *site) all() []*machine {
 	s.smu.Lock()
 	defer s.smu.Unlock()
@@ -225,7 +225,7 @@
 	return present
 }
 
-// close ends everything at once.
+// close kills everything at once.
 func (s *site) close() {
 	s.traffic.Store(false)
 	s.g.Cancel()
@@ -233,7 +233,7 @@
 		m.w.Kill()
 		s.KillNode(m.Node)
 	}
-	// Callers of a machine that is gone without a word still listen.
+	// Callers of a machine that was lost without notice still listen.
 	s.smu.Lock()
 	list := s.machines
 	s.smu.Unlock()
--- a/internal/sim/sitecore_test.go
+++ b/internal/sim/sitecore_test.go
@@ -9,8 +9,8 @@
 	"puffincrank/internal/store"
 )
 
-// startCore starts both programs of a core machine. Only at the first start of
-// all may they found a mesh.
+// startCore starts the store and the registry of a core machine. Only at the very
+// first start (first) may the store found a cluster.
 func (s *site) startCore(c *Core, first bool) {
 	s.powered(c.Host, true)
 	if s.d.wide > 0 {
@@ -44,8 +44,8 @@
 	s.unsettled(c, false, "started "+c.Host)
 }
 
-// unsettled notes that something was done to the core, and whether a machine
-// of it is away since.
+// unsettled records a disturbance of the control plane, and whether the machine is
+// down from now on.
 func (s *site) unsettled(c *Core, away bool, change string) {
 	s.wit.Touch.Core(change)
 	s.smu.Lock()
@@ -66,8 +66,9 @@
 	s.smu.Unlock()
 }
 
-// killCore ends both programs of a core machine at once. Without power it says
-// nothing more: whoever is connected to it hears no end.
+// killCore kills the store and the registry of a core machine. If power is true the
+// machine loses its power: it sends nothing more, so peers don't see their connections
+// close.
 func (s *site) killCore(c *Core, power bool) {
 	s.unsettled(c, true, "killed "+c.Host)
 	if !power {
@@ -80,8 +81,8 @@
 	c.Disk.Power()
 }
 
-// powered takes a host's power or gives it back: then what was connected to it
-// is reset.
+// powered switches the power of a host off or on. When it comes back, connections
+// to the host are reset.
 func (s *site) powered(host string, on bool) {
 	s.smu.Lock()
 	wasOff := s.dark[host]
@@ -95,7 +96,8 @@
 	}
 }
 
-// stopCore ends them in order.
+// stopCore shuts both programs of a core machine down gracefully and kills them after
+// the grace period.
 func (s *site) stopCore(c *Core) {
 	s.unsettled(c, true, "stopped "+c.Host)
 	stopped := make(chan struct{}, 2)
@@ -110,8 +112,8 @@
 	s.KillCore(c, false)
 }
 
-// replaceCore puts an empty machine at another address in a core machine's
-// place; lists of control nodes follow later.
+// replaceCore replaces a core machine by an empty one at another address. The lists
+// of control plane hosts are updated 3 s later.
 func (s *site) replaceCore(i int, replacement *Core) {
 	old := s.cores()[i]
 	s.place(i, replacement)
@@ -131,7 +133,8 @@
 	})
 }
 
-// poll looks at every node's readiness, as the platform does once a second.
+// poll checks the readiness of every node, as the platform does once a second, and
+// takes nodes out of routing after two failed checks in a row.
 func (s *site) poll(ctx context.Context) {
 	all := s.all()
 	routable, total := map[string]int{}, map[string]int{}
@@ -150,7 +153,7 @@
 				m.c.Out.Store(false)
 				return
 			}
-			// Fewer than half in: those who are stay.
+			// A node stays routable if no more than half of the zone's nodes are.
 			if m.failedChecks.Add(1) >= 2 && 2*routable[m.Area] > total[m.Area] {
 				m.c.Out.Store(true)
 			}
--- a/internal/sim/sitectl_test.go
+++ b/internal/sim/sitectl_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// commandCheck is a command of puffinctl, its exit code and a part of what it says.
+// commandCheck is a puffinctl command with its expected exit code and part of its output.
 type commandCheck struct {
 	args string
 	code int
@@ -23,9 +23,9 @@
 	}
 }
 
-// TestSiteCommands: puffinctl against a deployment in a tongue other than the
-// product's own, with documents by the operator's number and traffic on: every
-// command that operators have there, at a node and at a control node.
+// TestSiteCommands: every puffinctl command that operators use, at a node and at a
+// control plane host, against a deployment that speaks a dialect other than the
+// product's own. Documents carry the operator's numbers, and there is traffic.
 func TestSiteCommands(t *testing.T) {
 	t.Parallel()
 	dir := t.TempDir()
@@ -54,7 +54,7 @@
 					s.checkCommand(at, c)
 				}
 			}
-			// A rehearsal between two of the operator's documents.
+			// A trial between two documents of the operator.
 			for _, c := range []commandCheck{
 				{"propose p-look --based-on 0 --tries 3", 1, "current version"}, {"propose p-look --based-on 1 --tries 3", 0, "trial 1 began"},
 				{"trials", 0, "running"}, {"paths", 0, "10% in trial 1"}, {"trials abort 1 --who tester", 0, "aborted"}, {"trials show 1", 0, "aborted by tester"},
@@ -63,7 +63,7 @@
 			}
 		})
 		if len(violations) > 0 {
-			t.Errorf("broken: %v", violations)
+			t.Errorf("violated guarantees: %v", violations)
 		}
 	})
 }
--- a/internal/sim/sitelines_test.go
+++ b/internal/sim/sitelines_test.go
@@ -11,33 +11,33 @@
 	"puffincrank/internal/standin/checker"
 )
 
-// deployment is the shape of a site, with names that nobody knows beforehand.
+// deployment describes a site. Names of services, hosts and routes are random.
 type deployment struct {
 	nodes        int
 	services     []string
-	serviceIndex []int // service of each node
+	serviceIndex []int // index into services, by node
 	lines        []*actors.Line
 	prefixes     map[string]string
 	ways         actors.Ways
 	resets       map[string]bool
 	far          time.Duration
-	reach        time.Duration // one way between clients and their node
+	reach        time.Duration // one-way latency between clients and their node
 	repeat       map[string]string
 	to           map[string]string // line to service
 	rank         map[string]int
 	bounds       checker.Bounds
 	catchUp      time.Duration
 	cores        int
-	bear         int       // core machines that may be lost at once
-	link         int       // bytes a second out of a node's machine; 0: no bound
-	wide         int       // and out of a core machine
-	more         []trouble // that only this site knows
+	bear         int       // number of core machines that may be lost at once
+	link         int       // egress of a node's machine in bytes per second; 0 is unlimited
+	wide         int       // egress of a core machine in bytes per second
+	more         []trouble // troubles of this site alone
 }
 
-// num is a number of a settings file.
+// num converts a number to its form in a settings file.
 func num(n float64) json.Number { return json.Number(strconv.FormatFloat(n, 'f', -1, 64)) }
 
-// settings is what every process is told of the bounds.
+// settings returns the bounds as settings, which every process gets.
 func (d deployment) settings() map[string]any {
 	bounds, settings := d.bounds, map[string]any{}
 	for k, v := range map[string]time.Duration{"change_ms": bounds.Change, "leave_ms": bounds.Leave, "window_ms": bounds.Window, "return_ms": bounds.Return, "history_ms": bounds.Hist,
@@ -47,7 +47,7 @@
 	return settings
 }
 
-// drawn changes a deployment in all that a site may choose for itself.
+// drawn draws random values for everything that a site may choose for itself.
 func (d deployment) drawn(seed uint64) deployment {
 	r := rand.New(rand.NewPCG(seed, 51))
 	between := func(least, most int) time.Duration { return ms(least + r.IntN(most-least+1)) }
@@ -55,7 +55,7 @@
 	b.Change, b.Leave, b.Window, b.Hist = between(1200, 4000), between(1000, 3500), between(5000, 20000), between(15000, 30000)
 	b.Touch, b.Grace, b.Back = between(2000, 5000), 2*b.Leave+between(2000, 4000), between(200, 400)
 	b.Share = 0.1 + 0.2*r.Float64()
-	// Bounds may cross: each is chosen for itself.
+	// The two are drawn independently, so either may be the larger one.
 	b.Return, d.catchUp = between(6000, 20000), between(3000, 8000)
 	d.bear = 1 + r.IntN(2)
 	d.cores = 2*d.bear + 1 + r.IntN(2)
@@ -71,7 +71,7 @@
 	return d
 }
 
-// odd sets the bounds without a thought to each other, as a site may.
+// odd draws the bounds independently of each other, as a site may set them.
 func (d deployment) odd(seed uint64) deployment {
 	d = d.drawn(seed)
 	r := rand.New(rand.NewPCG(seed, 52))
@@ -86,7 +86,7 @@
 
 func (d deployment) serviceOf(i int) int { return d.serviceIndex[i%len(d.serviceIndex)] }
 
-// wordGenerator draws names that are new in each day.
+// wordGenerator draws random names, which differ from seed to seed.
 type wordGenerator struct{ *rand.Rand }
 
 func (n wordGenerator) word() string {
@@ -110,7 +110,7 @@
 
 func deploy(seed uint64, nodes, slots int, far, reach time.Duration, names []string, workers []int, rows []row, scale float64) deployment {
 	n := wordGenerator{rand.New(rand.NewPCG(seed, 31))}
-	// What is allowed besides goes with the load, as its share does.
+	// The retry allowance grows with the load, as the retry share does.
 	d := deployment{nodes: nodes, cores: 3, bear: 1, catchUp: 4 * time.Second, bounds: checker.Usual, far: far, reach: reach, prefixes: map[string]string{}, resets: map[string]bool{}, repeat: map[string]string{}, to: map[string]string{}, rank: map[string]int{},
 		ways: actors.Ways{Slots: slots, Queue: max(slots/3, 2), Conns: 10 * slots, Hello: 1500 * time.Microsecond, Idle: 5 * time.Second, Crowd: 1.4, Cold: 4 * time.Second, ColdBy: 1.8,
 			Hop: 0.01, Drain: 2 * time.Second, Fitness: "/" + n.word()}}
@@ -121,7 +121,7 @@
 		d.services = append(d.services, serviceNames[name])
 		d.resets[serviceNames[name]] = i == 1
 	}
-	// The workers of each service stand in all areas.
+	// Spreads the workers of each service over all zones.
 	remaining := append([]int(nil), workers...)
 	for len(d.serviceIndex) < nodes {
 		for i := range remaining {
@@ -150,7 +150,7 @@
 
 func ms(n int) time.Duration { return time.Duration(n) * time.Millisecond }
 
-// draft is the first document of the deployment.
+// draft is the first configuration document of the deployment.
 func (d deployment) draft(number uint64) *actors.Draft {
 	out := &actors.Draft{Number: number, Services: append([]string(nil), d.services...), Links: d.ways.Conns, Fitness: d.ways.Fitness}
 	for _, l := range d.lines {
@@ -159,7 +159,7 @@
 	return out
 }
 
-// reader is a deployment of short reads, lendings and uploads.
+// reader is a deployment with short reads, writes and uploads.
 func reader(seed uint64, scale float64) deployment {
 	return deploy(seed, 12, 2+int(seed/2%2), 900*time.Microsecond, 3*time.Millisecond, []string{"pages", "lending", "scans"}, []int{5, 4, 3}, []row{
 		{kind: "read", repeat: "safe", service: "pages", rate: 554, work: 60, aim: 200, left: 800, back: 3000, further: 1, rank: 1, method: "GET"},
@@ -171,7 +171,7 @@
 	}, scale)
 }
 
-// desks is a deployment of longer work and large answers.
+// desks is a deployment with longer runs and large responses.
 func desks(seed uint64, scale float64) deployment {
 	return deploy(seed, 14, 3+int(seed/2%2), 1400*time.Microsecond, time.Millisecond, []string{"search", "boarding", "manifests", "seats"}, []int{5, 3, 3, 3}, []row{
 		{kind: "find", repeat: "safe", service: "search", rate: 279, work: 160, aim: 500, left: 3000, back: 1500, further: 2, rank: 1, method: "GET", calls: map[string]float64{"cabin": 0.1}},
--- a/internal/sim/stay_test.go
+++ b/internal/sim/stay_test.go
@@ -14,7 +14,7 @@
 	"puffincrank/internal/standin"
 )
 
-// byHand is a connection to a front, written and read by hand.
+// byHand is a raw connection to an ingress, on which the test itself writes and reads HTTP.
 type byHand struct {
 	t *testing.T
 	c net.Conn
@@ -30,7 +30,7 @@
 	return &byHand{t, c, bufio.NewReader(c)}
 }
 
-// ask sends a job with a header of its own.
+// ask sends a request with additional header lines and returns the response.
 func (h *byHand) ask(header string) *http.Response {
 	h.t.Helper()
 	if _, err := fmt.Fprintf(h.c, "GET /pages/1 HTTP/1.1\r\nHost: h\r\n%s\r\n", header); err != nil {
@@ -44,14 +44,14 @@
 	return response
 }
 
-// ends waits until the front ends the connection and tells how long it took.
+// ends waits until the ingress closes the connection and returns how long that took.
 func (h *byHand) ends() time.Duration {
 	h.t.Helper()
 	start := time.Now()
 	_ = h.c.SetReadDeadline(start.Add(3 * time.Minute))
 	if b, err := h.r.ReadByte(); err == nil {
 		rest, _ := h.r.ReadString(0)
-		h.t.Errorf("%q%s: nobody asked for it", b, rest)
+		h.t.Errorf("unexpected data before the close: %q%s", b, rest)
 	}
 	return time.Since(start)
 }
@@ -63,9 +63,9 @@
 	}
 }
 
-// TestLimitsApplyAtOnce: the document's limits of callers' headers and connections
-// hold as soon as it does, on connections that stand already too; no job that
-// is being read or answered is cut by them.
+// TestLimitsApplyAtOnce: the limits of the configuration document on callers' headers
+// and connections apply as soon as the document does, also on existing connections. They
+// cut no request off that is being read or answered.
 func TestLimitsApplyAtOnce(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -79,32 +79,33 @@
 			t.Helper()
 			doc := strings.TrimSuffix(s.Doc, "}") + fmt.Sprintf(`,"limits":{"head_bytes":%d,"head_ms":%d,"idle_ms":%d}}`, head, headMS, idle)
 			if code, v := f.Apply(n.Host+":7003", version, doc); code != 200 {
-				t.Fatalf("the document was answered %d", code)
+				t.Fatalf("apply answered %d", code)
 			} else {
 				version = v
 			}
-			f.Until(2*time.Second, "the document is in force", func() bool {
+			f.Until(2*time.Second, "the configuration version is applied", func() bool {
 				_, status := f.Get(n.Host+":7003", "/puffin/own")
 				return status["config_version"] == float64(version)
 			})
 		}
-		// Without limits the props' hold: a change, and thirty of them.
+		// Without limits in the document those of the settings hold: change_ms for the header
+		// and thirty times as much for an idle connection.
 		silent := f.hand(t, n)
 		about(t, "no header, nothing told", silent.ends(), 2*time.Second)
 		kept := f.hand(t, n)
 		if w := kept.ask(""); w.StatusCode != 200 || w.Header.Get("Keep-Alive") != "" {
-			t.Errorf("%d, told %q", w.StatusCode, w.Header.Get("Keep-Alive"))
+			t.Errorf("status %d, Keep-Alive %q", w.StatusCode, w.Header.Get("Keep-Alive"))
 		}
 		idle := f.hand(t, n)
 		idle.ask("")
 
 		limits(500, 5000, 4000)
-		// A connection that stood before goes by them from its next job on.
+		// An existing connection uses the new limits from its next request on.
 		if w := kept.ask(""); w.StatusCode != 200 || w.Header.Get("Keep-Alive") != "timeout=3" {
-			t.Errorf("%d, told %q", w.StatusCode, w.Header.Get("Keep-Alive"))
+			t.Errorf("status %d, Keep-Alive %q", w.StatusCode, w.Header.Get("Keep-Alive"))
 		}
 		about(t, "idle", kept.ends(), 4*time.Second)
-		// One that was told nothing when it began to idle isn't cut short.
+		// A connection that got no Keep-Alive header before it became idle is not closed early.
 		if w := idle.ask(""); w.StatusCode != 200 {
 			t.Errorf("a connection that idled before: %d", w.StatusCode)
 		}
@@ -121,15 +122,15 @@
 			t.Errorf("a header within the bound: %d", w.StatusCode)
 		}
 
-		// A job that takes longer than all limits is answered, and so is one
-		// whose body comes slowly.
+		// A request that runs longer than all limits is answered, and so is one
+		// whose body arrives slowly.
 		limits(70000, 300, 300)
 		for _, m := range f.Nodes {
 			m.Worker.Behave(standin.Way{Took: 350 * time.Millisecond})
 		}
 		long := f.hand(t, n)
 		if w := long.ask("X-More: " + strings.Repeat("x", 66000) + "\r\n"); w.StatusCode != 200 {
-			t.Errorf("a long job: %d", w.StatusCode)
+			t.Errorf("a long request: %d", w.StatusCode)
 		}
 		about(t, "idle after it", long.ends(), 300*time.Millisecond)
 		body := f.hand(t, n)
--- a/internal/sim/steps_test.go
+++ b/internal/sim/steps_test.go
@@ -7,11 +7,11 @@
 	"puffincrank/internal/standin"
 )
 
-// step is one kind of fault that a plan draws from.
+// step is one kind of fault that a plan may draw.
 type step struct {
 	fault string
-	core  bool // it takes a machine of the core
-	back  bool // machines come back at its end
+	core  bool // it affects a core machine
+	back  bool // machines are restarted at its end
 	do    func(d draw)
 }
 
@@ -32,7 +32,7 @@
 		d.f.BackCore(c)
 		d.f.Until(15*time.Second, "the wiped store is back", d.f.coreReady)
 	}},
-	{coreKilled, true, true, func(d draw) { // replaced by an empty one at a new address
+	{coreKilled, true, true, func(d draw) { // replaced by an empty machine at a new address
 		d.new++
 		if d.new > 1 {
 			return
@@ -44,7 +44,7 @@
 		fresh := &Core{Host: fmt.Sprint("10.0.0.5", i), Area: old.Area, Disk: NewDisk()}
 		d.f.place(i, fresh)
 		d.f.BackCore(fresh)
-		d.f.Until(30*time.Second, "the new machine has the lost one's place", d.f.coreReady)
+		d.f.Until(30*time.Second, "the new machine replaces the lost one", d.f.coreReady)
 	}},
 	{coreCut, true, true, func(d draw) {
 		c := d.f.Cores[d.IntN(3)]
@@ -59,7 +59,7 @@
 		d.f.oneWay(c, false)
 		d.f.Net.Isolate(c.Host, false)
 	}},
-	{coreCut, true, true, func(d draw) { // a whole area
+	{coreCut, true, true, func(d draw) { // a whole zone
 		area := Areas[d.IntN(3)]
 		from := time.Now()
 		d.say("area %s cut off", area)
@@ -108,7 +108,7 @@
 		}
 		worker := d.IntN(2) == 0
 		long := d.ms(200, 2000)
-		// Now and then for so long that their entries are retired.
+		// One time in six it lasts so long that the entries of the nodes are retired.
 		if d.IntN(6) == 0 {
 			long = 13 * time.Second
 		}
@@ -206,7 +206,7 @@
 	}},
 	{changesRace, false, false, func(d draw) { d.change() }},
 	{changesRace, false, false, func(d draw) { d.propose() }},
-	{plannedStops, false, true, func(d draw) { // a node, then a worker
+	{plannedStops, false, true, func(d draw) { // a node
 		n := d.take()
 		defer d.free(n)
 		d.say("%s rolled politely", n.Host)
--- a/internal/sim/stopwork_test.go
+++ b/internal/sim/stopwork_test.go
@@ -10,7 +10,7 @@
 	"puffincrank/internal/standin"
 )
 
-// atFront calls a line so many times at one node, all at once, and gives what came.
+// atFront sends count concurrent requests to one node and returns their results.
 func (f *Fleet) atFront(n *Node, l standin.Line, count int) (calls []standin.Call) {
 	callers := standin.NewCallers(f.env("own", "10.0.9.3", "outside", &n.skew), nil, f.Obs, 60*time.Second)
 	results := make(chan standin.Call, count)
@@ -23,7 +23,7 @@
 	return calls
 }
 
-// other is a node whose worker is none of a service's.
+// other returns a node whose worker belongs to another service.
 func (f *Fleet) other(service string) *Node {
 	for _, n := range f.Nodes {
 		if n.Worker.Service != service {
@@ -33,14 +33,14 @@
 	return nil
 }
 
-// TestStopStartsNoLongRequest: a node that was told to end takes a job that its worker
-// can't end before the node goes. It isn't begun and then broken off at work: the
-// caller is told at once that it did not run, and when to come back.
+// TestStopStartsNoLongRequest: a node that is shutting down gets a request that would
+// run beyond the node's exit. The request is not started and then aborted: the caller
+// gets a 503 with Retry-After at once, so that it knows that the request did not run.
 func TestStopStartsNoLongRequest(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		s := small()
-		// Each run takes half to one and a half of it, and so longer than a grace.
+		// A run takes 0.5 to 1.5 times as long, which is longer than the grace period.
 		s.Took["pages"] = 32 * time.Second
 		s.Doc = strings.Replace(s.Doc, `"class":"reading","left_ms":1000`, `"class":"reading","left_ms":60000,"aim_ms":50000`, 1)
 		f := NewFleet(t, s, 431)
@@ -49,10 +49,10 @@
 		line := s.Lines[0]
 		line.Left = "60000"
 		ingress := f.other("pages")
-		// Its owner knows how long they run.
+		// From these its owner learns how long the runs take.
 		for _, c := range f.atFront(ingress, line, 3) {
 			if c.Status != 200 {
-				t.Fatalf("before the order: %d %s", c.Status, c.Body)
+				t.Fatalf("before the stop signal: %d %s", c.Status, c.Body)
 			}
 		}
 		stopped := make(chan struct{})
@@ -60,27 +60,27 @@
 		Wait(500 * time.Millisecond)
 		for _, c := range f.atFront(ingress, line, 4) {
 			if c.Status != 503 || c.Retry == "" || c.To.Sub(c.From) > time.Second {
-				t.Errorf("after the order: %d %s, retry %q, after %v", c.Status, c.Body, c.Retry, c.To.Sub(c.From))
+				t.Errorf("after the stop signal: %d %s, Retry-After %q, after %v", c.Status, c.Body, c.Retry, c.To.Sub(c.From))
 			}
 		}
 		<-stopped
 	})
 }
 
-// TestStopReservesNoRetryTime: at a node that was told to end, jobs that may be repeated run
-// for more than half of their time. None is ended at work for a repeat that can't be
-// done any more: each has its worker's answer.
+// TestStopReservesNoRetryTime: at a node that is shutting down, retryable requests run
+// for more than half of their timeout. None is aborted to leave time for a retry that
+// is no longer possible: each gets the response of its worker.
 func TestStopReservesNoRetryTime(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		s := small()
 		s.Nodes = 6
-		s.Took["pages"] = 600 * time.Millisecond // 300 to 900, of 1000
+		s.Took["pages"] = 600 * time.Millisecond // runs take 300 to 900 ms of a timeout of 1000 ms
 		f := NewFleet(t, s, 432)
 		defer f.Stop()
 		f.Start()
 		ingress := f.other("pages")
-		// Others of the service, so that repeats are to be had.
+		// Other requests of the service earn retry budget.
 		lookup := standin.Line{Method: "GET", URI: "/lookups/7", Service: "pages", Safe: true, Left: "3000"}
 		for range 4 {
 			f.atFront(ingress, lookup, 8)
--- a/internal/sim/storm_test.go
+++ b/internal/sim/storm_test.go
@@ -10,10 +10,10 @@
 	"puffincrank/internal/standin"
 )
 
-// TestRetryStorms: all workers of the busiest service turn bad at once, so that
-// every job asks for repeats: they lose answers, refuse, or do the work and
-// answer busy without a word. Repeats stay within the bound, nothing runs
-// twice, and busy is told only of jobs that did not run.
+// TestRetryStorms: all workers of a service fail at once, so that every request needs
+// retries: they lose responses, refuse, or do the work and then answer busy. Retries
+// stay within the budget, no request that must not be repeated runs twice, and callers
+// get a busy response only for requests that did not run.
 func TestRetryStorms(t *testing.T) {
 	heavy(t)
 	for i, behaviour := range []standin.Way{{Lose: 0.8}, {Busy: 0.9}, {Sulk: 0.5, Garble: 0.4}} {
@@ -42,9 +42,9 @@
 						_, status := f.Get(n.Host+":7003", "/puffin/own")
 						retries += status["repeats"].(float64)
 					}
-					t.Logf("%.0f repeats", retries)
+					t.Logf("%.0f retries", retries)
 					if retries < 30 {
-						t.Errorf("only %.0f repeats: the bound was not pressed", retries)
+						t.Errorf("only %.0f retries, too few to test the retry budget", retries)
 					}
 				})
 			})
@@ -52,8 +52,9 @@
 	}
 }
 
-// TestStopDuringLongResponses: a proxy and a core machine are told to end while answers of
-// several seconds are under way at them, as front and as owner: all come whole.
+// TestStopDuringLongResponses: proxies shut down gracefully while requests that
+// run for several seconds are in progress at them, as ingress and as owner. All
+// responses arrive complete.
 func TestStopDuringLongResponses(t *testing.T) {
 	heavy(t)
 	synctest.Test(t, func(t *testing.T) {
@@ -72,21 +73,22 @@
 		}
 		wait()
 		f.Judge()
-		// A nested call may lack the time that its parent's end leaves it; all
-		// else would be seen by callers.
+		// A nested call may fail because the remaining time of its parent is too
+		// short; any other failure would be visible to callers.
 		if n := f.Obs.Counts(); n["calls"] < 100 {
 			t.Errorf("too few calls: %v", n)
 		}
 		for _, c := range f.Obs.Calls() {
 			if c.Status == 503 || c.Status != 200 && !strings.HasPrefix(c.ID, "nested-") {
-				t.Errorf("a polite stop was seen by %s at %s, %v to %v: %d %s", c.ID, c.Front, c.From.Format("05.000"), c.To.Format("05.000"), c.Status, c.Body)
+				t.Errorf("a graceful shutdown was visible to request %s at %s, %v to %v: %d %s", c.ID, c.Front, c.From.Format("05.000"), c.To.Format("05.000"), c.Status, c.Body)
 			}
 		}
 	})
 }
 
-// TestPausedControlMachineServesNoStaleRead: a core machine that wrote is frozen whole and wakes with
-// reads in its sockets, after the others took a newer write.
+// TestPausedControlMachineServesNoStaleRead: the leader's machine is paused and
+// resumes with reads in its socket buffers, after the others acknowledged a newer
+// write. None of the reads returns the old value.
 func TestPausedControlMachineServesNoStaleRead(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -95,13 +97,13 @@
 		f.Start()
 		for round := range 6 {
 			c := f.mark(f.Writer())
-			f.Until(10*time.Second, "a first write goes through", func() bool {
+			f.Until(10*time.Second, "a first write is acknowledged", func() bool {
 				code, _ := f.Ask("PUT", c.Host+":7003", "/puffin/keys/k", `{"value":"one"}`)
 				return code == 200
 			})
 			f.Net.Freeze("store-"+c.Host, true)
 			f.Net.Freeze("core-"+c.Host, true)
-			f.Until(10*time.Second, "the others take a write", func() bool {
+			f.Until(10*time.Second, "the other machines acknowledge a write", func() bool {
 				code, _ := f.Ask("PUT", f.Nodes[0].Host+":7003", "/puffin/keys/k?left_ms=1500", fmt.Sprintf(`{"value":"two%d"}`, round))
 				return code == 200
 			})
@@ -113,7 +115,7 @@
 				}()
 			}
 			Wait(50 * time.Millisecond)
-			// The registry hands the reads over to a store that still stands still.
+			// The registry resumes first and forwards the reads to a store that is still paused.
 			f.Net.Freeze("core-"+c.Host, false)
 			Wait(100 * time.Millisecond)
 			f.Net.Freeze("store-"+c.Host, false)
@@ -123,7 +125,7 @@
 			}
 			t.Log(seen)
 			if seen["200one"] > 0 {
-				t.Errorf("%d reads are older than an acknowledged write", seen["200one"])
+				t.Errorf("%d reads returned a value older than an acknowledged write", seen["200one"])
 			}
 			f.Until(10*time.Second, "all stores are ready", f.coreReady)
 			Wait(2 * time.Second)
@@ -131,8 +133,8 @@
 	})
 }
 
-// TestLongWatch: a watch that is far behind gets every change once, in order,
-// in as many answers as it takes.
+// TestLongWatch: a watch that is far behind gets every change once and in order,
+// in as many responses as that takes.
 func TestLongWatch(t *testing.T) {
 	heavy(t)
 	synctest.Test(t, func(t *testing.T) {
@@ -141,7 +143,7 @@
 		f.Start()
 		at := f.Nodes[0].Host + ":7003"
 		for i := range 700 {
-			// Other keys lie between, so that revisions have gaps for the watch.
+			// Keys outside the prefix leave gaps in the revisions that the watch sees.
 			if code, _ := f.Ask("PUT", at, fmt.Sprintf("/puffin/keys/%s%d", []string{"w/", "other/", "w/"}[i%3], i%9), `{"value":"x"}`); code != 200 {
 				t.Fatalf("put answered %d", code)
 			}
--- a/internal/sim/thaw_test.go
+++ b/internal/sim/thaw_test.go
@@ -13,9 +13,9 @@
 	"puffincrank/internal/transport"
 )
 
-// TestPausedIngress: a front is frozen while changes are acknowledged, and wakes
-// with callers' jobs and hand-overs unread: it acts on none of them by what it
-// held before.
+// TestPausedIngress: an ingress is paused while configuration changes are acknowledged,
+// and resumes with unread requests of callers and peers. It handles none of them by
+// the configuration from before the pause.
 func TestPausedIngress(t *testing.T) {
 	heavy(t)
 	synctest.Test(t, func(t *testing.T) {
@@ -42,9 +42,10 @@
 	})
 }
 
-// TestPausedControlPlane: the writer, a registry, the steward's and judge's processes
-// and whole core machines are frozen and wake, while callers and applications
-// go on; nothing is given twice or read old, and service is there meanwhile.
+// TestPausedControlPlane: the leader's store, registries and whole core machines,
+// with the judge and the steward, are paused and resumed under load from callers and
+// applications. No lock or number is given twice, no read is stale, and the service
+// stays available.
 func TestPausedControlPlane(t *testing.T) {
 	heavy(t)
 	for i, target := range []string{"store", "core", "both", "two registries"} {
@@ -88,14 +89,15 @@
 				f.still(acked)
 				f.Judge()
 				if n := f.Obs.Counts(); n["done"] < n["calls"]*99/100 {
-					t.Errorf("jobs noticed a frozen core: %v", n)
+					t.Errorf("a paused control plane affected requests: %v", n)
 				}
 			})
 		})
 	}
 }
 
-// TestStaleConfigPushIgnored: a late word of an older version, by push, changes nothing.
+// TestStaleConfigPushIgnored: a delayed push of an older version
+// changes nothing.
 func TestStaleConfigPushIgnored(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -105,10 +107,10 @@
 		f.Log = func(e event.Entry) {
 			mu.Lock()
 			defer mu.Unlock()
-			// One digit each, so that texts compare as numbers.
+			// Versions have one digit here, so that texts compare like numbers.
 			if e.Number == event.ConfigApplied.Number {
 				if e.Text < highest[e.Node] {
-					t.Errorf("%s took %s after %s", e.Node, e.Text, highest[e.Node])
+					t.Errorf("%s applied %s after %s", e.Node, e.Text, highest[e.Node])
 				}
 				highest[e.Node] = e.Text
 			}
@@ -129,7 +131,7 @@
 		}
 		for range 20 {
 			if _, status := f.Get(n.Host+":7003", "/puffin/own"); status["config_version"] != 3.0 {
-				t.Errorf("the node acts on version %v after 3", status["config_version"])
+				t.Errorf("the node uses version %v after version 3", status["config_version"])
 			}
 			Wait(20 * time.Millisecond)
 		}
@@ -138,8 +140,9 @@
 	})
 }
 
-// TestOneWayPartitions: nodes are cut off one way only, and links delay by seconds:
-// the bounds on changes hold for whoever is in touch, and nothing runs twice.
+// TestOneWayPartitions: nodes are cut off in one direction only, or their links
+// delay by seconds. The bounds on configuration changes hold for every node that is
+// connected, and no request that must not be repeated runs twice.
 func TestOneWayPartitions(t *testing.T) {
 	heavy(t)
 	for i, failure := range []string{"nobody hears it", "it hears nobody", "delay of seconds"} {
@@ -184,7 +187,7 @@
 				n := f.Obs.Counts()
 				t.Log(fmt.Sprint(n))
 				if n["done"] < n["calls"]*8/10 {
-					t.Errorf("too few were done: %v", n)
+					t.Errorf("too few requests were completed: %v", n)
 				}
 			})
 		})
--- a/internal/sim/trial_test.go
+++ b/internal/sim/trial_test.go
@@ -12,9 +12,9 @@
 
 func rehearsal() Shape { return WithAlt(Fumettoteca(0.5)) }
 
-// TestTrials: a good, a failing, a slow and a refusing change each end as they
-// should, under load, while the judge's and the writer's machine is killed and
-// a proxy is rolled; no decision is lost or made twice.
+// TestTrials: under load, trials of a good, a failing, a slow and a refusing change
+// each end with the right decision, while the leader's machine is killed and a proxy is
+// restarted. No decision is lost or made twice.
 func TestTrials(t *testing.T) {
 	heavy(t)
 	page, book := Fumettoteca(0.5), Ingenzi(0.5)
@@ -63,7 +63,7 @@
 				}
 				f.Obs.Acked(2)
 				if code, got := f.Ask("POST", at, "/puffin/trials?based_on=2", change); code != 409 {
-					t.Errorf("a second trial on the same path: %d %v", code, got)
+					t.Errorf("a second trial on the same route: %d %v", code, got)
 				}
 				Wait(2 * time.Second)
 				leaderMachine := f.mark(f.Writer())
@@ -84,12 +84,12 @@
 					t.Errorf("ended %v, want %s: %v", state, c.want, end)
 				}
 				if figures, _ := end["figures"].([]any); len(figures) != 1 {
-					t.Errorf("the figures that decided are not kept: %v", end["figures"])
+					t.Errorf("the figures behind the decision are not kept: %v", end["figures"])
 				}
 				_, conf := f.Get(at, "/puffin/config")
 				doc := fmt.Sprint(conf["document"])
 				if conf["version"] != float64(3) || strings.Contains(doc, "trial") || strings.Contains(doc, "service:"+alt+" tries") != (c.want == "promoted") {
-					t.Errorf("after the trial version %v stands: %v", conf["version"], doc)
+					t.Errorf("after the trial the configuration is version %v: %v", conf["version"], doc)
 				}
 				wait()
 				f.Judge()
@@ -98,9 +98,9 @@
 	}
 }
 
-// TestProposals: bad proposals are refused with their reasons and change
-// nothing; of two at once one wins; a whole document is rehearsed; abort and
-// emergency do what they say.
+// TestProposals: invalid proposals are refused with a reason and change nothing; of
+// two concurrent proposals one wins; a whole document that moves a live route starts a
+// trial; abort ends a trial, and emergency applies a document without one.
 func TestProposals(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -124,7 +124,7 @@
 			}
 		}
 		if _, got := f.Get(at, "/puffin/config"); got["version"] != float64(1) {
-			t.Fatalf("a refused proposal moved the version to %v", got["version"])
+			t.Fatalf("a refused proposal changed the version to %v", got["version"])
 		}
 		codes := make(chan int, 2)
 		for i := range 2 {
@@ -136,12 +136,12 @@
 		if a, b := <-codes, <-codes; a+b != 200+409 {
 			t.Errorf("two proposals at once: %d and %d", a, b)
 		}
-		// Another path may be tried at the same time.
+		// A trial on another route may run at the same time.
 		if code, got := f.Ask("POST", at, "/puffin/trials?based_on=2", `{"path":"lend","left_ms":900}`); code != 200 {
-			t.Errorf("a trial on another path: %d %v", code, got)
+			t.Errorf("a trial on another route: %d %v", code, got)
 		}
 		if code, _ := f.Ask("PUT", at, "/puffin/config?based_on=3", s.Doc); code != 409 {
-			t.Errorf("a whole document over running trials: %d", code)
+			t.Errorf("a whole document while trials run: %d", code)
 		}
 		for id, want := range map[int]int{1: 200, 2: 200, 9: 404} {
 			if code, got := f.Ask("POST", at, fmt.Sprintf("/puffin/trials/%d/abort", id), `{}`); code != want {
@@ -157,7 +157,7 @@
 		moved := strings.Replace(s.Doc, `"prefix":"/pages","service":"pages"`, `"prefix":"/pages","service":"pages2"`, 1)
 		code, got := f.Ask("PUT", at, fmt.Sprintf("/puffin/config?based_on=%v", base), moved)
 		if code != 200 || got["trial"] == nil {
-			t.Errorf("a whole document that moves a live path: %d %v", code, got)
+			t.Errorf("a whole document that moves a live route: %d %v", code, got)
 		}
 		code, got = f.Ask("PUT", at, fmt.Sprintf("/puffin/config?based_on=%v&emergency=true", base+1), moved)
 		if code != 200 || got["trial"] != nil {
@@ -165,7 +165,7 @@
 		}
 		_, history := f.Get(at, "/puffin/history")
 		if !strings.Contains(fmt.Sprint(history), "emergency") {
-			t.Errorf("the history doesn't tell the emergency: %v", history)
+			t.Errorf("the history does not show the emergency change: %v", history)
 		}
 		wait()
 		f.Judge()
--- a/internal/sim/waitline_test.go
+++ b/internal/sim/waitline_test.go
@@ -10,10 +10,10 @@
 	"puffincrank/internal/standin"
 )
 
-// TestStopWithUnsentRequestBodies: a node is told to end while its callers' large bodies
-// wait for a thin link, each with more time than the node has. Every one is
-// answered before it goes: whole, or certain not to have run and with a time to
-// come back; none is cut off.
+// TestStopWithUnsentRequestBodies: a node shuts down while large request bodies of its
+// callers wait for a slow link, each with a timeout beyond the node's exit. Every
+// caller is answered before the node exits: with the full response, or with a 503 and
+// Retry-After for a request that did not run. No connection is cut off.
 func TestStopWithUnsentRequestBodies(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := thinShape(false)
@@ -31,15 +31,16 @@
 		ingress.Proxy.Stop()
 		counts := collectStatuses(t, results, jobs)
 		if counts[503] == 0 {
-			t.Errorf("nothing had to wait: %v", counts)
+			t.Errorf("no request had to wait for the link: %v", counts)
 		}
-		t.Logf("ended as %v", counts)
+		t.Logf("statuses: %v", counts)
 	})
 }
 
-// TestStopWithUnsentResponses: a node is told to end while large answers to its callers
-// wait for a thin link on their way to it. What was let in is there before it
-// goes; what would not be was never run, and is told when to come back.
+// TestStopWithUnsentResponses: a node shuts down while large responses to its callers
+// wait for a slow link to the node. An admitted request gets its full response before
+// the node exits; one whose response would come too late is never run and gets a 503
+// with Retry-After.
 func TestStopWithUnsentResponses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := thinShape(false)
@@ -48,7 +49,7 @@
 		defer f.Stop()
 		ingress, callers := f.Nodes[0], f.ownCallers()
 		line := standin.Line{Method: "GET", URI: "/files/7", Service: "scans", Safe: true, Want: size, Left: "30000"}
-		// The owners learn how large the answers are, and how fast they go.
+		// From these the owners learn the size of the responses and the speed of the link.
 		for range 6 {
 			callers.At(ingress.Host+":8000", line)
 		}
@@ -62,27 +63,27 @@
 		ingress.Proxy.Stop()
 		counts := collectStatuses(t, results, jobs)
 		if counts[503] == 0 || counts[200] == 0 {
-			t.Errorf("ended as %v", counts)
+			t.Errorf("statuses: %v", counts)
 		}
-		t.Logf("ended as %v", counts)
+		t.Logf("statuses: %v", counts)
 	})
 }
 
-// ownCallers are callers at the first node alone.
+// ownCallers returns callers that use the first node alone.
 func (f *Fleet) ownCallers() *standin.Callers {
 	f.Net.Place("10.0.9.3", "outside")
 	return standin.NewCallers(f.env("own", "10.0.9.3", "outside", &f.Nodes[0].skew), nil, f.Obs, 40*time.Second)
 }
 
-// collectStatuses waits for so many calls: each is done, or busy with a time to come
-// back. It counts them by their status.
+// collectStatuses waits for count calls and counts them by status. Each must
+// be answered 200, or 503 with Retry-After.
 func collectStatuses(t *testing.T, calls chan standin.Call, count int) map[int]int {
 	counts := map[int]int{}
 	for range count {
 		c := <-calls
 		counts[c.Status]++
 		if c.Status != 200 && (c.Status != 503 || c.Retry == "") {
-			t.Errorf("answered %d, retry %q: %s", c.Status, c.Retry, c.Body)
+			t.Errorf("answered %d, Retry-After %q: %s", c.Status, c.Retry, c.Body)
 		}
 	}
 	return counts
--- a/internal/sim/waitstop_test.go
+++ b/internal/sim/waitstop_test.go
@@ -11,10 +11,10 @@
 	"puffincrank/internal/standin"
 )
 
-// TestStopWithQueuedRequest: a node is told to end while a job of its caller waits
-// for a slot elsewhere, longer than the node may take to end. No worker ever
-// had it, so the caller is told so before the node goes; its connection isn't
-// just cut. Whether the job came before the order or after it.
+// TestStopWithQueuedRequest: a node shuts down while a request of its caller waits
+// for a slot at another node, for longer than the shutdown may take. No worker ever had
+// the request, so the caller gets a 503 with Retry-After before the node exits, and its
+// connection is not cut. This holds for requests before and after the stop signal.
 func TestStopWithQueuedRequest(t *testing.T) {
 	for _, after := range []time.Duration{-300 * time.Millisecond, 200 * time.Millisecond} {
 		t.Run(fmt.Sprint("job after ", after), func(t *testing.T) {
@@ -38,7 +38,7 @@
 						ingress = n
 					}
 				}
-				// Its slot is taken, and one waits there already.
+				// A first request takes the only slot of the worker.
 				request(f.Nodes[0])
 				Wait(500 * time.Millisecond)
 				stopped := make(chan time.Time, 1)
@@ -57,14 +57,14 @@
 				from := time.Now()
 				c := <-results
 				if c.Front != ingress.Host+":8000" {
-					t.Fatalf("the first job ended early: %+v", c)
+					t.Fatalf("the first request ended early: %+v", c)
 				}
 				t.Logf("%d %s after %v: %s", c.Status, c.Ran, c.To.Sub(from), c.Body)
 				if c.Status != 503 || c.Retry == "" {
-					t.Errorf("the waiting job was answered %d, retry %q", c.Status, c.Retry)
+					t.Errorf("the waiting request was answered %d, Retry-After %q", c.Status, c.Retry)
 				}
-				if took := (<-stopped).Sub(from); took > 14*time.Second { // of a grace of 15
-					t.Errorf("the node took %v to end", took)
+				if took := (<-stopped).Sub(from); took > 14*time.Second { // of a grace period of 15 s
+					t.Errorf("the shutdown took %v, want at most 14s", took)
 				}
 			})
 		})
--- a/internal/sim/withdraw_test.go
+++ b/internal/sim/withdraw_test.go
@@ -15,8 +15,8 @@
 	"puffincrank/internal/standin/checker"
 )
 
-// TestLateHeartbeatAfterSignOff: a worker signs off, and a beat that it sent before
-// comes only after the bound on leaving. The worker serves on, and gets nothing.
+// TestLateHeartbeatAfterSignOff: a worker signs off, and a heartbeat that it sent
+// before arrives only after leave_ms. The worker still runs, but gets no request.
 func TestLateHeartbeatAfterSignOff(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -27,17 +27,17 @@
 			m.w.LeaveBy(context.Background(), actors.Manner{SignsOff: true, Late: 2100 * time.Millisecond, More: 3 * time.Second})
 		})
 		if len(violations) > 0 {
-			t.Errorf("broken: %v", violations)
+			t.Errorf("violated guarantees: %v", violations)
 		}
 		if s.wit.Risk()[checker.Drain] == 0 {
-			t.Error("the worker had no traffic before it left: the test shows nothing")
+			t.Error("the worker had no traffic before it left, which the test needs")
 		}
 	})
 }
 
-// TestCallersLeave: half of the callers leave before their answers, at the front
-// beside the worker as at any other. No run that may be repeated goes on half a
-// second later, and nothing reaches a worker for them after that.
+// TestCallersLeave: half of the callers disconnect before they are answered, at the
+// ingress beside the worker and at others. Half a second later no retryable run of
+// theirs goes on, and no request of theirs reaches a worker any more.
 func TestCallersLeave(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -48,17 +48,17 @@
 			}
 		})
 		if len(violations) > 0 {
-			t.Errorf("broken: %v", violations)
+			t.Errorf("violated guarantees: %v", violations)
 		}
 		if n := s.wit.Risk()[checker.Gone]; n < 20 {
-			t.Errorf("%d callers left while their runs were under way: the test shows nothing", n)
+			t.Errorf("only %d callers left during their runs, too few for the test", n)
 		}
 	})
 }
 
-// TestAcknowledgedLeaveSurvivesNode: a leave that was acknowledged holds when the node that
-// acknowledged it is killed right after, alone or with the whole mesh, and when a
-// beat of before comes only after its new start.
+// TestAcknowledgedLeaveSurvivesNode: an acknowledged leave stays in force when the
+// node that acknowledged it is killed right afterwards, alone or with the whole
+// cluster, and when an older heartbeat arrives after the restart.
 func TestAcknowledgedLeaveSurvivesNode(t *testing.T) {
 	t.Parallel()
 	for _, signsOff := range []bool{false, true} {
@@ -90,15 +90,15 @@
 		<-left
 	})
 	if len(violations) > 0 {
-		t.Errorf("broken: %v", violations)
+		t.Errorf("violated guarantees: %v", violations)
 	}
 	if s.wit.Risk()[checker.Drain] == 0 {
-		t.Error("the worker had no traffic before it left: the test shows nothing")
+		t.Error("the worker had no traffic before it left, which the test needs")
 	}
 }
 
-// restartProcesses kills a machine's node, or all processes of the mesh, and starts them
-// again half a second later.
+// restartProcesses kills the node of a machine, or all processes of the cluster, and
+// starts them again half a second later.
 func (a act) restartProcesses(m *machine, all bool) {
 	machines := []*machine{m}
 	if all {
@@ -124,9 +124,9 @@
 	}
 }
 
-// TestLeaveWithoutControlPlane: a leave that no control node can note, since none is reached or
-// no disk takes it, is in force at once and isn't acknowledged; it is as soon as one
-// can.
+// TestLeaveWithoutControlPlane: a leave that the control plane can't record, because
+// no machine of it is reachable or all its disks are full, is in force at once, but is
+// acknowledged only once it is recorded.
 func TestLeaveWithoutControlPlane(t *testing.T) {
 	t.Parallel()
 	for name, trouble := range map[string]func(a act, m *machine, on bool){
@@ -159,15 +159,15 @@
 		s.g.Go("leave", func(context.Context) { m.w.LeaveBy(context.Background(), actors.Manner{More: 4 * time.Second}) })
 		Wait(1500 * time.Millisecond)
 		if m.w.Acknowledged() {
-			t.Error("acknowledged, though nobody else can know of it")
+			t.Error("the leave was acknowledged although the control plane could not record it")
 		}
 		if !draining.Load() {
-			t.Error("not in force")
+			t.Error("the worker is not draining")
 		}
 		trouble(a, m, false)
 		Wait(2 * time.Second)
 		if !m.w.Acknowledged() {
-			t.Error("still not acknowledged")
+			t.Error("the leave was not acknowledged after the failure ended")
 		}
 	})
 }
--- a/internal/sim/withdrawals_test.go
+++ b/internal/sim/withdrawals_test.go
@@ -14,10 +14,10 @@
 
 var withdrawalSeeds = flag.Int("withdrawals", 1, "how many seeds each trouble is played with in TestWithdrawals")
 
-// TestWithdrawals plays each trouble against all that says "no more": workers that
-// leave in every manner before, during and after it, and callers that leave all
-// along, while a second trouble overlaps the first. No rule may break; what reaches
-// a worker that left, and what goes on for a caller that left, is asked to be none.
+// TestWithdrawals plays each trouble while workers leave before, during and after it
+// and callers disconnect all the time. A second trouble overlaps the first. No guarantee
+// may be violated: in particular no request reaches a worker that left, and no retryable
+// run goes on for a caller that left.
 // By command: go test ./internal/sim -run 'TestWithdrawals$' -withdrawals 10 -seed 1
 func TestWithdrawals(t *testing.T) {
 	heavy(t)
@@ -33,7 +33,7 @@
 	}
 }
 
-// leaveOffsets are when workers leave, against the begin of the trouble.
+// leaveOffsets are the times at which workers leave. The first trouble begins at 1 s.
 var leaveOffsets = []time.Duration{0, 1200 * time.Millisecond, 3500 * time.Millisecond}
 
 func runWithdrawals(t *testing.T, first trouble, all []trouble, seed uint64) {
@@ -59,17 +59,17 @@
 		s.g.Go("second", func(context.Context) { s.runTroubleAt(begin.Add(2*time.Second), second, seed+1) })
 	})
 	if len(violations) > 0 {
-		t.Errorf("broken by %s with %s: %v\n%s", first.name, second.name, violations, s.said)
+		t.Errorf("guarantees violated by %s with %s: %v\n%s", first.name, second.name, violations, s.said)
 	}
 	risk := s.wit.Risk()
-	t.Logf("%s with %s had to lose: %d at leaving workers, %d for callers that left", first.name, second.name, risk[checker.Drain], risk[checker.Gone])
+	t.Logf("%s with %s: %d checks at leaving workers, %d for callers that left", first.name, second.name, risk[checker.Drain], risk[checker.Gone])
 	if risk[checker.Gone] == 0 {
-		t.Error("no caller left while a run of its was under way: the test shows nothing")
+		t.Error("no caller left during its run, which the test needs")
 	}
 }
 
-// workerLeavesAt has a worker leave at a time, in a manner of its own, and another take
-// its place.
+// workerLeavesAt makes a random worker leave at a given time and starts another one
+// in its place.
 func (s *site) workerLeavesAt(at time.Time) {
 	a := act{s, rand.New(rand.NewPCG(uint64(at.UnixNano()), 72)), &[]*Core{}}
 	Wait(time.Until(at))
@@ -83,7 +83,7 @@
 	a.startWorker(m)
 }
 
-// runTroubleAt plays a trouble at a time, with a source of chance of its own.
+// runTroubleAt runs a trouble at a given time, with a random source of its own.
 func (s *site) runTroubleAt(at time.Time, x trouble, seed uint64) {
 	a := act{s, rand.New(rand.NewPCG(seed, 73)), &[]*Core{}}
 	Wait(time.Until(at))
--- a/internal/sim/worker_test.go
+++ b/internal/sim/worker_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// TestWorkerKilled: jobs under way at a worker that dies are never run again
-// on a never path.
+// TestWorkerKilled: requests in progress at a worker that is killed are never
+// run again on a route whose retry rule is "never".
 func TestWorkerKilled(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -24,7 +24,7 @@
 		wait()
 		f.Judge()
 		if n := f.Obs.Counts(); n["unknown"] == 0 {
-			t.Errorf("no job was under way at a killed worker: the test shows nothing: %v", n)
+			t.Errorf("no request was in progress at a killed worker, which the test needs: %v", n)
 		}
 	})
 }
