--- a/internal/sim/replace_test.go
+++ b/internal/sim/replace_test.go
@@ -53,13 +53,13 @@
 	return true
 }
 
-// TestVoterReplaced: a voter is lost for good, after a kill, a partition or a
+// TestReplaced: a voter is lost for good, after a kill, a partition or a
 // graceful shutdown, and an empty machine starts at a new address 1.5 s later; or
 // the new machine starts first and the old one then shuts down gracefully. The new
 // machine becomes a voter well within catch_up_ms of its start. After that as many
 // machines as the control plane tolerates lose their disks and all others their
 // power, and no acknowledged write is lost.
-func TestVoterReplaced(t *testing.T) {
+func TestReplaced(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct{ cores, bear int }{{3, 1}, {5, 2}, {7, 1}} {
 		for manner, name := range []string{"killed", "dark", "left", "planned"} {
@@ -141,9 +141,9 @@
 
 func bearOf(voters int) int { return (voters - 1) / 2 }
 
-// TestTwoVotersLost: two of five voters are lost at once, and two empty machines
+// TestTwoLost: two of five voters are lost at once, and two empty machines
 // start one after the other, the second while the first is still joining.
-func TestTwoVotersLost(t *testing.T) {
+func TestTwoLost(t *testing.T) {
 	t.Parallel()
 	for seed := range seeds(4) {
 		synctest.Test(t, func(t *testing.T) {
@@ -185,9 +185,9 @@
 	}
 }
 
-// TestFlappingVoter: a voter is cut off and comes back again and again while a
+// TestFlapping: a voter is cut off and comes back again and again while a
 // learner is available. The membership changes at most once per catch_up_ms.
-func TestFlappingVoter(t *testing.T) {
+func TestFlapping(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		l := newLab(t, 630, 4, 1)
--- a/internal/sim/risk_test.go
+++ b/internal/sim/risk_test.go
@@ -37,12 +37,12 @@
 	s.left = p.left
 	p.mu.Unlock()
 	for _, n := range p.f.Nodes {
-		x, w := p.f.now(n)
-		if w != nil {
-			s.jobs += w.Under()
+		proxy, worker := p.f.now(n)
+		if worker != nil {
+			s.jobs += worker.Under()
 		}
-		if x != nil {
-			s.repeats += float64(x.RetriesRequested())
+		if proxy != nil {
+			s.repeats += float64(proxy.RetriesRequested())
 		}
 	}
 	return s
@@ -109,14 +109,14 @@
 		promises = append(promises, p)
 	}
 	sort.Strings(promises)
-	var b strings.Builder
-	fmt.Fprintf(&b, "| promise | %s |\n|%s\n", strings.Join(faults, " | "), strings.Repeat(" --- |", len(faults)+1))
+	var table strings.Builder
+	fmt.Fprintf(&table, "| promise | %s |\n|%s\n", strings.Join(faults, " | "), strings.Repeat(" --- |", len(faults)+1))
 	for _, p := range promises {
-		fmt.Fprintf(&b, "| %s |", p)
+		fmt.Fprintf(&table, "| %s |", p)
 		for _, f := range faults {
-			fmt.Fprintf(&b, " %d |", r[f][p])
+			fmt.Fprintf(&table, " %d |", r[f][p])
 		}
-		b.WriteString("\n")
+		table.WriteString("\n")
 	}
-	return b.String()
+	return table.String()
 }
--- a/internal/sim/room_test.go
+++ b/internal/sim/room_test.go
@@ -19,8 +19,7 @@
 }
 
 // TestCapacitySharesOfClasses measures which share of the capacity each class gets when
-// one class, two classes or all classes are overloaded. 36 slots at 100 ms per request
-// serve 360 requests a second.
+// one, two or all classes are overloaded. 36 slots of 100 ms serve 360 requests a second.
 func TestCapacitySharesOfClasses(t *testing.T) {
 	heavy(t)
 	for _, c := range []struct {
@@ -215,9 +214,9 @@
 	})
 }
 
-// TestNotReadyWithoutMajority: a node that starts while no majority can confirm
+// TestNotReadyAlone: a node that starts while no majority can confirm
 // the configuration is not ready and accepts no request; a running node goes on.
-func TestNotReadyWithoutMajority(t *testing.T) {
+func TestNotReadyAlone(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		s := one()
--- a/internal/sim/same_test.go
+++ b/internal/sim/same_test.go
@@ -14,10 +14,10 @@
 // counts that change all the time.
 var readCommands = []string{"config get", "history", "paths", "trials", "trials show 1", "lock list", "lock get l", "key list", "key get k", "number get n", "duties", "services"}
 
-// TestSameAnswerAtAllNodes: every read command at every node, in both shapes, while
+// TestSameAnswer: every read command at every node, in both shapes, while
 // the leader changes and a node is cut off from part of the control plane. All nodes
 // that answer give the same answer; the others report that they are unavailable.
-func TestSameAnswerAtAllNodes(t *testing.T) {
+func TestSameAnswer(t *testing.T) {
 	heavy(t)
 	for i, s := range []Shape{WithAlt(Fumettoteca(0.1)), WithAlt(Ingenzi(0.1))} {
 		t.Run(s.Services[0], func(t *testing.T) {
@@ -59,7 +59,7 @@
 							}
 						}
 						if answered < len(addresses)/2 {
-							t.Errorf("%s: %s was answered by %d of %d nodes", phase, cmd, answered, len(addresses))
+							t.Errorf("%s: %s was answered by only %d of %d nodes", phase, cmd, answered, len(addresses))
 						}
 					}
 				}
@@ -79,14 +79,14 @@
 						addresses = append(addresses, h+":7003")
 					}
 				}
-				round("a core machine away, a node cut off from two")
+				round("a control plane machine down, a node cut off from two")
 				f.BackCore(c)
 				f.Until(10*time.Second, "all stores are ready", f.coreReady)
 				f.Net.Isolate(n.Host, false)
 				Wait(2 * time.Second)
 				f.Net.Freeze("store-"+f.mark(f.Writer()).Host, true)
 				Wait(2500 * time.Millisecond)
-				round("the writer frozen")
+				round("the leader paused")
 				f.Net.Freeze("store-"+f.marked.Host, false)
 				t.Logf("%d reads refused without a failure, %d in all", refusedCalm, refused)
 				if refusedCalm > 0 {
--- a/internal/sim/secondloss_test.go
+++ b/internal/sim/secondloss_test.go
@@ -87,11 +87,11 @@
 	}},
 }
 
-// TestSecondLossDuringReplacement: while a membership passes to another
+// TestSecondLoss: while a membership passes to another
 // machine, a second machine is lost at a random moment: by a kill or a loss of power
 // where a disk is lost already, otherwise with its disk. The service may be
 // interrupted, but recovers, and no acknowledged write is lost.
-func TestSecondLossDuringReplacement(t *testing.T) {
+func TestSecondLoss(t *testing.T) {
 	t.Parallel()
 	for _, size := range []struct{ cores, bear int }{{3, 1}, {5, 2}} {
 		for _, replacement := range replacements {
--- a/internal/sim/site_test.go
+++ b/internal/sim/site_test.go
@@ -46,12 +46,12 @@
 	controlHosts []string // control plane hosts as operators and applications know them
 	down         map[*Core]bool
 	dark         map[string]bool // hosts without power
-	held         map[*Core]bool  // core machines that a trouble is acting on
+	held         map[*Core]bool  // control plane machines that a trouble is acting on
 	endMinority  func()
 	traffic      atomic.Bool
 	press        atomic.Int64 // load in percent
 	lastMachine  int          // highest number of a machine
-	spare        int          // core machines added later
+	spare        int          // number of control plane machines added later
 	extra        int          // number of routes added later
 	added        []actors.Way // the added routes that exist now
 	said         []string
@@ -136,9 +136,9 @@
 	s.startWorker(m)
 	callerHost := fmt.Sprintf("10.0.8.%d", n)
 	s.Net.Place(callerHost, area)
-	s.Net.Lag(callerHost, s.d.reach)
-	e := env.Env{Net: s.Net.Host(callerHost), Log: event.New(callerHost, nil), Wall: time.Now}
-	m.c = actors.NewClient(e, actors.Plain, workerHost+":8000", m.name, fmt.Sprint("c", n, "-"), s.wit, s.g, s.seed(n))
+	s.Net.Lag(callerHost, s.d.clientLatency)
+	callerEnv := env.Env{Net: s.Net.Host(callerHost), Log: event.New(callerHost, nil), Wall: time.Now}
+	m.c = actors.NewClient(callerEnv, actors.Plain, workerHost+":8000", m.name, fmt.Sprint("c", n, "-"), s.wit, s.g, s.seed(n))
 	m.c.Out.Store(true)
 	for _, l := range append([]*actors.Line{s.later()}, s.d.lines...) {
 		if l.Rate > 0 {
@@ -161,11 +161,11 @@
 // later describes the requests on routes that were added later.
 func (s *site) later() *actors.Line {
 	return &actors.Line{Kind: "later", Method: "GET", Repeat: true, Rate: 8, Back: 100, Work: 10 * time.Millisecond, Aim: 300 * time.Millisecond, Left: time.Second, Further: 1,
-		Pick: func(chance uint64) (string, string) {
+		Pick: func(random uint64) (string, string) {
 			s.smu.Lock()
 			defer s.smu.Unlock()
 			if n := uint64(len(s.added)); n > 0 {
-				return s.added[chance%n].Host, s.added[chance%n].Prefix
+				return s.added[random%n].Host, s.added[random%n].Prefix
 			}
 			return s.d.lines[0].Host, s.d.lines[0].Prefix
 		}}
@@ -173,7 +173,7 @@
 
 func (s *site) seed(n int) uint64 { return uint64(n)*1000 + 7 }
 
-// boot starts the node of a machine.
+// boot starts the node of a machine; the witness counts it as a new process.
 func (s *site) boot(m *machine) {
 	m.starts++
 	s.wit.Lives(m.name)
--- a/internal/sim/sitecore_test.go
+++ b/internal/sim/sitecore_test.go
@@ -9,7 +9,7 @@
 	"puffincrank/internal/store"
 )
 
-// startCore starts the store and the registry of a core machine. Only at the very
+// startCore starts the store and the registry of a control plane machine. Only at the very
 // first start (first) may the store found a cluster.
 func (s *site) startCore(c *Core, first bool) {
 	s.powered(c.Host, true)
@@ -66,7 +66,7 @@
 	s.smu.Unlock()
 }
 
-// killCore kills the store and the registry of a core machine. If power is true the
+// killCore kills the store and the registry of a control plane machine. If power is true the
 // machine loses its power: it sends nothing more, so peers don't see their connections
 // close.
 func (s *site) killCore(c *Core, power bool) {
@@ -96,7 +96,7 @@
 	}
 }
 
-// stopCore shuts both programs of a core machine down gracefully and kills them after
+// stopCore shuts both programs of a control plane machine down gracefully and kills them after
 // the grace period.
 func (s *site) stopCore(c *Core) {
 	s.unsettled(c, true, "stopped "+c.Host)
@@ -112,7 +112,7 @@
 	s.KillCore(c, false)
 }
 
-// replaceCore replaces a core machine by an empty one at another address. The lists
+// replaceCore replaces a control plane machine by an empty one at another address. The lists
 // of control plane hosts are updated 3 s later.
 func (s *site) replaceCore(i int, replacement *Core) {
 	old := s.cores()[i]
@@ -136,15 +136,15 @@
 // poll checks the readiness of every node, as the platform does once a second, and
 // takes nodes out of routing after two failed checks in a row.
 func (s *site) poll(ctx context.Context) {
-	all := s.all()
+	machines := s.all()
 	routable, total := map[string]int{}, map[string]int{}
-	for _, m := range all {
+	for _, m := range machines {
 		total[m.Area]++
 		if !m.c.Out.Load() {
 			routable[m.Area]++
 		}
 	}
-	for _, m := range all {
+	for _, m := range machines {
 		s.g.Go("look", func(ctx context.Context) {
 			code, _ := actors.Ask(ctx, s.Net.Host("10.0.9.9"), "GET", m.Host+":7003", "/puffin/ready", nil, 900*time.Millisecond)
 			s.wit.Looked(m.name, code == 200)
--- a/internal/sim/sitelines_test.go
+++ b/internal/sim/sitelines_test.go
@@ -13,25 +13,25 @@
 
 // deployment describes a site. Names of services, hosts and routes are random.
 type deployment struct {
-	nodes        int
-	services     []string
-	serviceIndex []int // index into services, by node
-	lines        []*actors.Line
-	prefixes     map[string]string
-	ways         actors.Ways
-	resets       map[string]bool
-	far          time.Duration
-	reach        time.Duration // one-way latency between clients and their node
-	repeat       map[string]string
-	to           map[string]string // line to service
-	rank         map[string]int
-	bounds       checker.Bounds
-	catchUp      time.Duration
-	cores        int
-	bear         int       // number of core machines that may be lost at once
-	link         int       // egress of a node's machine in bytes per second; 0 is unlimited
-	wide         int       // egress of a core machine in bytes per second
-	more         []trouble // troubles of this site alone
+	nodes         int
+	services      []string
+	serviceIndex  []int // index into services, by node
+	lines         []*actors.Line
+	prefixes      map[string]string
+	ways          actors.Ways
+	resets        map[string]bool
+	far           time.Duration
+	clientLatency time.Duration // one-way latency between clients and their node
+	retryRule     map[string]string
+	serviceByKind map[string]string // line to service
+	rank          map[string]int
+	bounds        checker.Bounds
+	catchUp       time.Duration
+	cores         int
+	bear          int       // number of control plane machines that may be lost at once
+	link          int       // egress of a node's machine in bytes per second; 0 is unlimited
+	wide          int       // egress of a control plane machine in bytes per second
+	more          []trouble // troubles of this site alone
 }
 
 // num converts a number to its form in a settings file.
@@ -59,7 +59,7 @@
 	b.Return, d.catchUp = between(6000, 20000), between(3000, 8000)
 	d.bear = 1 + r.IntN(2)
 	d.cores = 2*d.bear + 1 + r.IntN(2)
-	d.far, d.reach = between(0, 15), between(0, 6)
+	d.far, d.clientLatency = between(0, 15), between(0, 6)
 	w := &d.ways
 	w.Drain, w.Queue, w.Hop = b.Leave, r.IntN(4), []float64{0, 0.02, 0.3, 1}[r.IntN(4)]
 	w.Idle = []time.Duration{0, time.Second, 2 * time.Second, 9 * time.Second}[r.IntN(4)]
@@ -90,10 +90,10 @@
 type wordGenerator struct{ *rand.Rand }
 
 func (n wordGenerator) word() string {
-	const soft, hard = "aeiou", "bdfghjklmnprstvwz"
+	const vowels, consonants = "aeiou", "bdfghjklmnprstvwz"
 	word := ""
 	for range 2 {
-		word += string(hard[n.IntN(len(hard))]) + string(soft[n.IntN(len(soft))])
+		word += string(consonants[n.IntN(len(consonants))]) + string(vowels[n.IntN(len(vowels))])
 	}
 	return fmt.Sprintf("%s%d", word, n.IntN(1000))
 }
@@ -108,16 +108,16 @@
 	calls                 map[string]float64
 }
 
-func deploy(seed uint64, nodes, slots int, far, reach time.Duration, names []string, workers []int, rows []row, scale float64) deployment {
-	n := wordGenerator{rand.New(rand.NewPCG(seed, 31))}
+func deploy(seed uint64, nodes, slots int, far, clientLatency time.Duration, roles []string, workers []int, rows []row, scale float64) deployment {
+	words := wordGenerator{rand.New(rand.NewPCG(seed, 31))}
 	// The retry allowance grows with the load, as the retry share does.
-	d := deployment{nodes: nodes, cores: 3, bear: 1, catchUp: 4 * time.Second, bounds: checker.Usual, far: far, reach: reach, prefixes: map[string]string{}, resets: map[string]bool{}, repeat: map[string]string{}, to: map[string]string{}, rank: map[string]int{},
+	d := deployment{nodes: nodes, cores: 3, bear: 1, catchUp: 4 * time.Second, bounds: checker.Usual, far: far, clientLatency: clientLatency, prefixes: map[string]string{}, resets: map[string]bool{}, retryRule: map[string]string{}, serviceByKind: map[string]string{}, rank: map[string]int{},
 		ways: actors.Ways{Slots: slots, Queue: max(slots/3, 2), Conns: 10 * slots, Hello: 1500 * time.Microsecond, Idle: 5 * time.Second, Crowd: 1.4, Cold: 4 * time.Second, ColdBy: 1.8,
-			Hop: 0.01, Drain: 2 * time.Second, Fitness: "/" + n.word()}}
+			Hop: 0.01, Drain: 2 * time.Second, Fitness: "/" + words.word()}}
 	d.bounds.Allow = float64(int(60*scale + 0.9))
 	serviceNames := map[string]string{}
-	for i, name := range names {
-		serviceNames[name] = n.word()
+	for i, name := range roles {
+		serviceNames[name] = words.word()
 		d.services = append(d.services, serviceNames[name])
 		d.resets[serviceNames[name]] = i == 1
 	}
@@ -131,18 +131,18 @@
 			}
 		}
 	}
-	hosts := []string{n.word() + ".example", n.word() + ".example"}
+	hosts := []string{words.word() + ".example", words.word() + ".example"}
 	byKind := map[string]*actors.Line{}
-	for i, r := range rows {
-		l := &actors.Line{Kind: r.kind, Host: hosts[i%2], Method: r.method, Prefix: "/" + n.word() + "/", Repeat: r.repeat == "safe" || r.repeat == "download", Rate: r.rate * scale,
-			Size: r.size, Back: r.back, Work: ms(r.work), Aim: ms(r.aim), Left: ms(r.left), Most: ms(r.left), Further: r.further}
-		byKind[r.kind] = l
+	for i, row := range rows {
+		l := &actors.Line{Kind: row.kind, Host: hosts[i%2], Method: row.method, Prefix: "/" + words.word() + "/", Repeat: row.repeat == "safe" || row.repeat == "download", Rate: row.rate * scale,
+			Size: row.size, Back: row.back, Work: ms(row.work), Aim: ms(row.aim), Left: ms(row.left), Most: ms(row.left), Further: row.further}
+		byKind[row.kind] = l
 		d.lines = append(d.lines, l)
-		d.repeat[r.kind], d.to[r.kind], d.rank[r.kind] = r.repeat, serviceNames[r.service], r.rank
+		d.retryRule[row.kind], d.serviceByKind[row.kind], d.rank[row.kind] = row.repeat, serviceNames[row.service], row.rank
 	}
-	for _, r := range rows {
-		for k, share := range r.calls {
-			byKind[r.kind].Calls = append(byKind[r.kind].Calls, actors.Call{Line: byKind[k], Share: share})
+	for _, row := range rows {
+		for calledKind, share := range row.calls {
+			byKind[row.kind].Calls = append(byKind[row.kind].Calls, actors.Call{Line: byKind[calledKind], Share: share})
 		}
 	}
 	return d
@@ -152,11 +152,11 @@
 
 // draft is the first configuration document of the deployment.
 func (d deployment) draft(number uint64) *actors.Draft {
-	out := &actors.Draft{Number: number, Services: append([]string(nil), d.services...), Links: d.ways.Conns, Fitness: d.ways.Fitness}
+	document := &actors.Draft{Number: number, Services: append([]string(nil), d.services...), Links: d.ways.Conns, Fitness: d.ways.Fitness}
 	for _, l := range d.lines {
-		out.Ways = append(out.Ways, actors.Way{Name: "p-" + l.Kind, Host: l.Host, Prefix: l.Prefix, Repeat: d.repeat[l.Kind], Split: map[string]int{d.to[l.Kind]: 1}, Left: l.Most, Aim: l.Aim, Tries: 2 + len(l.Kind)%2, Rank: d.rank[l.Kind]})
+		document.Ways = append(document.Ways, actors.Way{Name: "p-" + l.Kind, Host: l.Host, Prefix: l.Prefix, Repeat: d.retryRule[l.Kind], Split: map[string]int{d.serviceByKind[l.Kind]: 1}, Left: l.Most, Aim: l.Aim, Tries: 2 + len(l.Kind)%2, Rank: d.rank[l.Kind]})
 	}
-	return out
+	return document
 }
 
 // reader is a deployment with short reads, writes and uploads.
--- a/internal/sim/stay_test.go
+++ b/internal/sim/stay_test.go
@@ -63,10 +63,10 @@
 	}
 }
 
-// TestLimitsApplyAtOnce: the limits of the configuration document on callers' headers
+// TestLimitsLive: the limits of the configuration document on callers' headers
 // and connections apply as soon as the document does, also on existing connections. They
 // cut no request off that is being read or answered.
-func TestLimitsApplyAtOnce(t *testing.T) {
+func TestLimitsLive(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		s := small()
@@ -91,7 +91,7 @@
 		// Without limits in the document those of the settings hold: change_ms for the header
 		// and thirty times as much for an idle connection.
 		silent := f.hand(t, n)
-		about(t, "no header, nothing told", silent.ends(), 2*time.Second)
+		about(t, "no header, default limits", silent.ends(), 2*time.Second)
 		kept := f.hand(t, n)
 		if w := kept.ask(""); w.StatusCode != 200 || w.Header.Get("Keep-Alive") != "" {
 			t.Errorf("status %d, Keep-Alive %q", w.StatusCode, w.Header.Get("Keep-Alive"))
--- a/internal/sim/steps_test.go
+++ b/internal/sim/steps_test.go
@@ -10,7 +10,7 @@
 // step is one kind of fault that a plan may draw.
 type step struct {
 	fault string
-	core  bool // it affects a core machine
+	core  bool // it affects a control plane machine
 	back  bool // machines are restarted at its end
 	do    func(d draw)
 }
@@ -62,7 +62,7 @@
 	{coreCut, true, true, func(d draw) { // a whole zone
 		area := Areas[d.IntN(3)]
 		from := time.Now()
-		d.say("area %s cut off", area)
+		d.say("zone %s cut off", area)
 		d.f.cutArea(area, true)
 		Wait(d.ms(500, 4000))
 		d.f.cutArea(area, false)
@@ -76,7 +76,7 @@
 	{coreFrozen, true, true, func(d draw) {
 		c := d.f.Cores[d.IntN(3)]
 		what := [][]string{{"store-"}, {"core-"}, {"store-", "core-"}}[d.IntN(3)]
-		d.say("%v of %s frozen", what, c.Host)
+		d.say("%v of %s paused", what, c.Host)
 		for _, w := range what {
 			d.f.Net.Freeze(w+c.Host, true)
 		}
@@ -136,7 +136,7 @@
 		defer d.free(n)
 		from := time.Now()
 		leaves := d.IntN(2) == 0
-		d.say("%s frozen, its worker leaves %v", n.Host, leaves)
+		d.say("%s paused, its worker leaves %v", n.Host, leaves)
 		d.f.Net.Freeze("node-"+n.Host, true)
 		if leaves {
 			d.leaves(n.Worker)
@@ -209,20 +209,20 @@
 	{plannedStops, false, true, func(d draw) { // a node
 		n := d.take()
 		defer d.free(n)
-		d.say("%s rolled politely", n.Host)
+		d.say("%s restarted gracefully", n.Host)
 		from := time.Now()
 		n.Proxy.Stop()
 		d.f.StartProxy(n)
-		d.f.Until(10*time.Second, "the rolled node is ready", n.Proxy.Ready)
+		d.f.Until(10*time.Second, "the restarted node is ready", n.Proxy.Ready)
 		d.f.Obs.Lost(n.Host+":8000", from, time.Now())
 	}},
 	{plannedStops, false, false, draw.shift},
 	{plannedStops, true, true, func(d draw) {
 		c := d.f.Cores[d.IntN(3)]
-		d.say("%s rolled politely", c.Host)
+		d.say("%s restarted gracefully", c.Host)
 		c.Registry.Stop()
 		c.Store.Stop()
 		d.f.BackCore(c)
-		d.f.Until(15*time.Second, "the rolled core machine is ready", func() bool { return c.Registry.Ready() && d.f.coreReady() })
+		d.f.Until(15*time.Second, "the restarted control plane machine is ready", func() bool { return c.Registry.Ready() && d.f.coreReady() })
 	}},
 }
--- a/internal/sim/storm_test.go
+++ b/internal/sim/storm_test.go
@@ -10,11 +10,11 @@
 	"puffincrank/internal/standin"
 )
 
-// TestRetryStorms: all workers of a service fail at once, so that every request needs
+// TestStorms: all workers of a service fail at once, so that every request needs
 // retries: they lose responses, refuse, or do the work and then answer busy. Retries
 // stay within the budget, no request that must not be repeated runs twice, and callers
 // get a busy response only for requests that did not run.
-func TestRetryStorms(t *testing.T) {
+func TestStorms(t *testing.T) {
 	heavy(t)
 	for i, behaviour := range []standin.Way{{Lose: 0.8}, {Busy: 0.9}, {Sulk: 0.5, Garble: 0.4}} {
 		for _, s := range []Shape{Fumettoteca(0.25), Ingenzi(0.4)} {
@@ -52,10 +52,10 @@
 	}
 }
 
-// TestStopDuringLongResponses: proxies shut down gracefully while requests that
+// TestLongStop: proxies shut down gracefully while requests that
 // run for several seconds are in progress at them, as ingress and as owner. All
 // responses arrive complete.
-func TestStopDuringLongResponses(t *testing.T) {
+func TestLongStop(t *testing.T) {
 	heavy(t)
 	synctest.Test(t, func(t *testing.T) {
 		s := Ingenzi(0.1)
--- a/internal/sim/thaw_test.go
+++ b/internal/sim/thaw_test.go
@@ -13,10 +13,10 @@
 	"puffincrank/internal/transport"
 )
 
-// TestPausedIngress: an ingress is paused while configuration changes are acknowledged,
+// TestFrozenFront: an ingress is paused while configuration changes are acknowledged,
 // and resumes with unread requests of callers and peers. It handles none of them by
 // the configuration from before the pause.
-func TestPausedIngress(t *testing.T) {
+func TestFrozenFront(t *testing.T) {
 	heavy(t)
 	synctest.Test(t, func(t *testing.T) {
 		s := Fumettoteca(0.3)
@@ -42,11 +42,11 @@
 	})
 }
 
-// TestPausedControlPlane: the leader's store, registries and whole core machines,
+// TestFrozenCore: the leader's store, registries and whole control plane machines,
 // with the judge and the steward, are paused and resumed under load from callers and
 // applications. No lock or number is given twice, no read is stale, and the service
 // stays available.
-func TestPausedControlPlane(t *testing.T) {
+func TestFrozenCore(t *testing.T) {
 	heavy(t)
 	for i, target := range []string{"store", "core", "both", "two registries"} {
 		t.Run(target, func(t *testing.T) {
@@ -83,7 +83,7 @@
 					f.serves(6 * time.Second)
 				}
 				f.Until(10*time.Second, "all stores are ready", f.coreReady)
-				f.Until(10*time.Second, "all is whole", f.Whole)
+				f.Until(10*time.Second, "all nodes are ready and know all workers", f.Whole)
 				wait()
 				apps()
 				f.still(acked)
@@ -96,8 +96,7 @@
 	}
 }
 
-// TestStaleConfigPushIgnored: a delayed push of an older version
-// changes nothing.
+// TestStaleConfigPushIgnored: a delayed push of an older version changes nothing.
 func TestStaleConfigPushIgnored(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -124,8 +123,8 @@
 			}
 		}
 		Wait(time.Second)
-		g := task.New(t.Context())
-		stale := transport.NewNode(transport.Hello{ClusterID: "puffin", Node: "late", Zone: "north", Role: "registry"}, f.env("late", "10.0.9.5", "north", &n.skew), g, 1<<20, 4, time.Second)
+		group := task.New(t.Context())
+		stale := transport.NewNode(transport.Hello{ClusterID: "puffin", Node: "late", Zone: "north", Role: "registry"}, f.env("late", "10.0.9.5", "north", &n.skew), group, 1<<20, 4, time.Second)
 		if _, err := transport.Call[struct{}](t.Context(), stale, n.Host+":7002", "config.push", protocol.ConfigPush{Version: 2, Document: []byte(f.S.Doc)}); err != nil {
 			t.Fatal(err)
 		}
@@ -136,14 +135,14 @@
 			Wait(20 * time.Millisecond)
 		}
 		stale.Close()
-		g.Stop()
+		group.Stop()
 	})
 }
 
-// TestOneWayPartitions: nodes are cut off in one direction only, or their links
+// TestHalfOpen: nodes are cut off in one direction only, or their links
 // delay by seconds. The bounds on configuration changes hold for every node that is
 // connected, and no request that must not be repeated runs twice.
-func TestOneWayPartitions(t *testing.T) {
+func TestHalfOpen(t *testing.T) {
 	heavy(t)
 	for i, failure := range []string{"nobody hears it", "it hears nobody", "delay of seconds"} {
 		t.Run(failure, func(t *testing.T) {
@@ -178,7 +177,7 @@
 					}
 					Wait(4 * time.Second)
 					disturb(false)
-					f.Until(10*time.Second, "all is whole", f.Whole)
+					f.Until(10*time.Second, "all nodes are ready and know all workers", f.Whole)
 					Wait(time.Second)
 					f.Obs.Lost(n.Host+":8000", from, time.Now())
 				}
--- a/internal/sim/waitstop_test.go
+++ b/internal/sim/waitstop_test.go
@@ -11,11 +11,11 @@
 	"puffincrank/internal/standin"
 )
 
-// TestStopWithQueuedRequest: a node shuts down while a request of its caller waits
+// TestStopWhileWaiting: a node shuts down while a request of its caller waits
 // for a slot at another node, for longer than the shutdown may take. No worker ever had
 // the request, so the caller gets a 503 with Retry-After before the node exits, and its
 // connection is not cut. This holds for requests before and after the stop signal.
-func TestStopWithQueuedRequest(t *testing.T) {
+func TestStopWhileWaiting(t *testing.T) {
 	for _, after := range []time.Duration{-300 * time.Millisecond, 200 * time.Millisecond} {
 		t.Run(fmt.Sprint("job after ", after), func(t *testing.T) {
 			t.Parallel()
--- a/internal/sim/withdraw_test.go
+++ b/internal/sim/withdraw_test.go
@@ -15,9 +15,9 @@
 	"puffincrank/internal/standin/checker"
 )
 
-// TestLateHeartbeatAfterSignOff: a worker signs off, and a heartbeat that it sent
+// TestLateBeatAfterSignOff: a worker signs off, and a heartbeat that it sent
 // before arrives only after leave_ms. The worker still runs, but gets no request.
-func TestLateHeartbeatAfterSignOff(t *testing.T) {
+func TestLateBeatAfterSignOff(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		s := newSite(t, reader(1, 0.12), 1)
@@ -56,10 +56,10 @@
 	})
 }
 
-// TestAcknowledgedLeaveSurvivesNode: an acknowledged leave stays in force when the
+// TestLeaveOutlivesNode: an acknowledged leave stays in force when the
 // node that acknowledged it is killed right afterwards, alone or with the whole
 // cluster, and when an older heartbeat arrives after the restart.
-func TestAcknowledgedLeaveSurvivesNode(t *testing.T) {
+func TestLeaveOutlivesNode(t *testing.T) {
 	t.Parallel()
 	for _, signsOff := range []bool{false, true} {
 		for _, all := range []bool{false, true} {
@@ -124,10 +124,10 @@
 	}
 }
 
-// TestLeaveWithoutControlPlane: a leave that the control plane can't record, because
+// TestLeaveUnheard: a leave that the control plane can't record, because
 // no machine of it is reachable or all its disks are full, is in force at once, but is
 // acknowledged only once it is recorded.
-func TestLeaveWithoutControlPlane(t *testing.T) {
+func TestLeaveUnheard(t *testing.T) {
 	t.Parallel()
 	for name, trouble := range map[string]func(a act, m *machine, on bool){
 		"cut off": func(a act, m *machine, on bool) { a.cutOff(m, on) },
--- a/internal/sim/withdrawals_test.go
+++ b/internal/sim/withdrawals_test.go
@@ -12,7 +12,7 @@
 	"puffincrank/internal/standin/checker"
 )
 
-var withdrawalSeeds = flag.Int("withdrawals", 1, "how many seeds each trouble is played with in TestWithdrawals")
+var seedsPerTrouble = flag.Int("withdrawals", 1, "how many seeds each trouble is played with in TestWithdrawals")
 
 // TestWithdrawals plays each trouble while workers leave before, during and after it
 // and callers disconnect all the time. A second trouble overlaps the first. No guarantee
@@ -22,12 +22,12 @@
 func TestWithdrawals(t *testing.T) {
 	heavy(t)
 	all := append(append(append([]trouble(nil), troubles...), coreTroubles...), docTroubles...)
-	for i, x := range all {
-		for n := range *withdrawalSeeds {
+	for i, disturbance := range all {
+		for n := range *seedsPerTrouble {
 			seed := *daySeed + uint64(100*i+n)
-			t.Run(fmt.Sprintf("%s, seed %d", x.name, seed), func(t *testing.T) {
+			t.Run(fmt.Sprintf("%s, seed %d", disturbance.name, seed), func(t *testing.T) {
 				t.Parallel()
-				synctest.Test(t, func(t *testing.T) { runWithdrawals(t, x, all, seed) })
+				synctest.Test(t, func(t *testing.T) { runWithdrawals(t, disturbance, all, seed) })
 			})
 		}
 	}
@@ -42,10 +42,10 @@
 		d = desks(seed, 0.12)
 	}
 	s := newSite(t, d, seed)
-	rnd := rand.New(rand.NewPCG(seed, 71))
-	second := all[rnd.IntN(len(all))]
+	random := rand.New(rand.NewPCG(seed, 71))
+	second := all[random.IntN(len(all))]
 	for second.core != none && first.core != none {
-		second = all[rnd.IntN(len(all))]
+		second = all[random.IntN(len(all))]
 	}
 	violations := s.day(20*time.Second, func() {
 		for _, m := range s.all() {
@@ -84,10 +84,10 @@
 }
 
 // runTroubleAt runs a trouble at a given time, with a random source of its own.
-func (s *site) runTroubleAt(at time.Time, x trouble, seed uint64) {
+func (s *site) runTroubleAt(at time.Time, disturbance trouble, seed uint64) {
 	a := act{s, rand.New(rand.NewPCG(seed, 73)), &[]*Core{}}
 	Wait(time.Until(at))
-	x.do(a)
+	disturbance.do(a)
 	s.smu.Lock()
 	defer s.smu.Unlock()
 	for _, c := range *a.core {
