--- a/internal/sim/shortgrace_test.go
+++ b/internal/sim/shortgrace_test.go
@@ -12,10 +12,10 @@
 	"puffincrank/internal/standin"
 )
 
-// TestShortGrace: a deployment whose grace period is hardly longer than the
-// time in which other nodes must notice that a worker left, or even shorter. Every
-// program ends within its grace period, so that none is killed with calls in progress,
-// and a call that waits for longer is answered.
+// TestShortGrace: grace periods that are longer than, equal to and shorter than
+// leave_ms, in which other nodes must notice that a worker left. Every program ends
+// within its grace period, so that none is killed with calls in progress, and a call
+// that waits for longer is answered.
 func TestShortGrace(t *testing.T) {
 	for _, c := range []struct{ leave, grace int }{{2000, 6000}, {4000, 4000}, {3000, 1500}} {
 		t.Run(fmt.Sprint(c.leave, " ", c.grace), func(t *testing.T) {
--- a/internal/sim/sitecore_test.go
+++ b/internal/sim/sitecore_test.go
@@ -66,9 +66,9 @@
 	s.smu.Unlock()
 }
 
-// killCore kills the store and the registry of a control plane machine. If power is true the
-// machine loses its power: it sends nothing more, so peers don't see their connections
-// close.
+// killCore kills the store and the registry of a control plane machine. If power is
+// true the machine loses its power: it sends nothing more, so peers don't see their
+// connections close.
 func (s *site) killCore(c *Core, power bool) {
 	s.unsettled(c, true, "killed "+c.Host)
 	if !power {
@@ -96,8 +96,8 @@
 	}
 }
 
-// stopCore shuts both programs of a control plane machine down gracefully and kills them after
-// the grace period.
+// stopCore shuts both programs of a control plane machine down gracefully and kills
+// what still runs after the grace period.
 func (s *site) stopCore(c *Core) {
 	s.unsettled(c, true, "stopped "+c.Host)
 	stopped := make(chan struct{}, 2)
@@ -112,8 +112,8 @@
 	s.KillCore(c, false)
 }
 
-// replaceCore replaces a control plane machine by an empty one at another address. The lists
-// of control plane hosts are updated 3 s later.
+// replaceCore replaces a control plane machine by an empty one at another address.
+// The lists of control plane hosts are updated 3 s later.
 func (s *site) replaceCore(i int, replacement *Core) {
 	old := s.cores()[i]
 	s.place(i, replacement)
--- a/internal/sim/storm_test.go
+++ b/internal/sim/storm_test.go
@@ -10,10 +10,10 @@
 	"puffincrank/internal/standin"
 )
 
-// TestStorms: all workers of a service fail at once, so that every request needs
-// retries: they lose responses, refuse, or do the work and then answer busy. Retries
-// stay within the budget, no request that must not be repeated runs twice, and callers
-// get a busy response only for requests that did not run.
+// TestStorms: all workers fail at once, so that most requests need retries: they lose
+// responses, refuse, or do the work and then answer busy. Retries stay within the
+// budget, no request that must not be repeated runs twice, and callers get a busy
+// response only for requests that did not run.
 func TestStorms(t *testing.T) {
 	heavy(t)
 	for i, behaviour := range []standin.Way{{Lose: 0.8}, {Busy: 0.9}, {Sulk: 0.5, Garble: 0.4}} {
--- a/internal/sim/trial_test.go
+++ b/internal/sim/trial_test.go
@@ -13,8 +13,8 @@
 func rehearsal() Shape { return WithAlt(Fumettoteca(0.5)) }
 
 // TestTrials: under load, trials of a good, a failing, a slow and a refusing change
-// each end with the right decision, while the leader's machine is killed and a proxy is
-// restarted. No decision is lost or made twice.
+// each end with the right decision, while the machine of the leader and the
+// judge is killed and a proxy is restarted. No decision is lost or made twice.
 func TestTrials(t *testing.T) {
 	heavy(t)
 	page, book := Fumettoteca(0.5), Ingenzi(0.5)
