--- a/internal/sim/refusal_test.go
+++ b/internal/sim/refusal_test.go
@@ -64,7 +64,7 @@
 	if servedCodes[200] < 1450 || refusedCodes[503] < 1450 {
 		t.Fatalf("status counts don't match the measured cases: %v and %v", servedCodes, refusedCodes)
 	}
-	// A refused request is offered to each of the three owners: three attempts, no run.
+	// A refused request is offered to each of the three owners, so it may cost three times as much.
 	if float64(refusedCost) > 3*float64(servedCost) {
 		t.Errorf("a refusal costs %.2f times the CPU time of a served request", float64(refusedCost)/float64(servedCost))
 	}
--- a/internal/sim/stopwork_test.go
+++ b/internal/sim/stopwork_test.go
@@ -34,8 +34,8 @@
 }
 
 // TestStopStartsNoLongRequest: a node that is shutting down gets a request that would
-// run beyond the node's exit. The request is not started and then aborted: the caller
-// gets a 503 with Retry-After at once, so that it knows that the request did not run.
+// run beyond the node's exit. The node refuses it instead of starting it and aborting
+// it later: the caller gets a 503 with Retry-After at once and knows that it did not run.
 func TestStopStartsNoLongRequest(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
--- a/internal/sim/withdrawals_test.go
+++ b/internal/sim/withdrawals_test.go
@@ -14,8 +14,8 @@
 
 var seedsPerTrouble = flag.Int("withdrawals", 1, "how many seeds each trouble is played with in TestWithdrawals")
 
-// TestWithdrawals plays each trouble while workers leave before, during and after it
-// and callers disconnect all the time. A second trouble overlaps the first. No guarantee
+// TestWithdrawals plays each trouble while workers leave before, during and after it,
+// in various manners, and callers disconnect all the time. A second trouble overlaps the first. No guarantee
 // may be violated: in particular no request reaches a worker that left, and no retryable
 // run goes on for a caller that left.
 // By command: go test ./internal/sim -run 'TestWithdrawals$' -withdrawals 10 -seed 1
@@ -68,8 +68,8 @@
 	}
 }
 
-// workerLeavesAt makes a random worker leave at a given time and starts another one
-// in its place.
+// workerLeavesAt makes a random worker leave at a given time, in a manner that the
+// worker chooses, and starts another one in its place.
 func (s *site) workerLeavesAt(at time.Time) {
 	a := act{s, rand.New(rand.NewPCG(uint64(at.UnixNano()), 72)), &[]*Core{}}
 	Wait(time.Until(at))
