--- a/internal/sim/withdrawals_test.go
+++ b/internal/sim/withdrawals_test.go
@@ -15,9 +15,9 @@
 var seedsPerTrouble = flag.Int("withdrawals", 1, "how many seeds each trouble is played with in TestWithdrawals")
 
 // TestWithdrawals plays each trouble while workers leave before, during and after it,
-// in various manners, and callers disconnect all the time. A second trouble overlaps the first. No guarantee
-// may be violated: in particular no request reaches a worker that left, and no retryable
-// run goes on for a caller that left.
+// in various manners, and callers disconnect all the time. A second trouble overlaps
+// the first. No guarantee may be violated: in particular no request reaches a worker
+// that left, and no retryable run goes on for a caller that left.
 // By command: go test ./internal/sim -run 'TestWithdrawals$' -withdrawals 10 -seed 1
 func TestWithdrawals(t *testing.T) {
 	heavy(t)
