--- a/internal/balancer/ill_test.go
+++ b/internal/balancer/ill_test.go
@@ -125,7 +125,7 @@
 		if w := fails(WorkerReport{}); w > 0.1 {
 			t.Errorf("8 failures in a row leave %.2f", w)
 		}
-		if w := fails(WorkerReport{Pace: 8, Fail: 1}); w < 0.9 {
+		if w := fails(WorkerReport{PaceEighths: 8, FailedPer64: 1}); w < 0.9 {
 			t.Errorf("its owner says that one in 64 fails: %.2f", w)
 		}
 		fails(WorkerReport{})
--- a/internal/balancer/own.go
+++ b/internal/balancer/own.go
@@ -23,10 +23,10 @@
 
 // WorkerReport is what an owner's receipt says of its worker, coarsely, to cost few
 // bytes: Pace in eighths, 0 when nothing is said; Fail in 64ths of its jobs.
-type WorkerReport struct{ Pace, Fail uint8 }
+type WorkerReport struct{ PaceEighths, FailedPer64 uint8 }
 
-func (w WorkerReport) pace() float64    { return float64(w.Pace) / 8 }
-func (w WorkerReport) failing() float64 { return float64(w.Fail) / 64 }
+func (w WorkerReport) pace() float64    { return float64(w.PaceEighths) / 8 }
+func (w WorkerReport) failing() float64 { return float64(w.FailedPer64) / 64 }
 
 // WorkerStats is an owner's measure of its worker, which sees all of its jobs.
 type WorkerStats struct {
@@ -148,7 +148,7 @@
 	if o.count < least {
 		return WorkerReport{}
 	}
-	return WorkerReport{Pace: uint8(min(max(math.Round(o.pace*8), 1), 64)), Fail: uint8(math.Round(o.fail * 64))}
+	return WorkerReport{PaceEighths: uint8(min(max(math.Round(o.pace*8), 1), 64)), FailedPer64: uint8(math.Round(o.fail * 64))}
 }
 
 // Suspicion is what all fronts should know of the worker: large changes only. The
--- a/internal/balancer/pick.go
+++ b/internal/balancer/pick.go
@@ -151,7 +151,7 @@
 			r.load += (float64(d.UsedSlots)/m.slots - r.load) / 32
 		}
 	}
-	if d.AboutWorker || d.Report.Pace > 0 {
+	if d.AboutWorker || d.Report.PaceEighths > 0 {
 		n.settle(m, now)
 	}
 	bad := 0.0
@@ -177,7 +177,7 @@
 		}
 		n.fails[d.Service] += (bad - n.fails[d.Service]) / 32
 	}
-	if d.Report.Pace > 0 {
+	if d.Report.PaceEighths > 0 {
 		// It saw all jobs there, this front some: its word goes first.
 		m.fail = d.Report.failing()
 		m.pace = d.Report.pace()
--- a/internal/controlclient/beat.go
+++ b/internal/controlclient/beat.go
@@ -29,7 +29,7 @@
 		// What can't be read is like steps that don't fit.
 		got.Document, _ = compression.Decompress(got.CompressedDocument)
 	}
-	if got.ConfigVersion > t.host.Version() && !t.ApplyConfig(got.ConfigVersion, got.Document, got.Steps) {
+	if got.ConfigVersion > t.host.Version() && !t.ApplyConfig(got.ConfigVersion, got.Document, got.Patches) {
 		// Steps that did not fit are asked for whole at once, a broken document
 		// is no reason to ask again.
 		if !ask.AcceptsPatch || got.Document != nil {
@@ -115,7 +115,7 @@
 	if at == "" {
 		return
 	}
-	ctx, end := context.WithTimeout(t.x.Group.Context(), t.x.Settings.FarewellTimeout())
+	ctx, end := context.WithTimeout(t.x.Group.Context(), t.x.Settings.GoodbyeTimeout())
 	defer end()
 	_, _ = transport.Call[protocol.HeartbeatResponse](ctx, t.x.Node, at, "session.beat", protocol.Heartbeat{Member: t.x.Self, Leaving: true})
 }
--- a/internal/controlclient/document.go
+++ b/internal/controlclient/document.go
@@ -14,7 +14,7 @@
 
 // ApplyConfig puts a newer configuration in force, that came whole or as steps from
 // the one held; false means that it can't.
-func (t *Client) ApplyConfig(version uint64, doc []byte, steps []patch.Step) bool {
+func (t *Client) ApplyConfig(version uint64, doc []byte, steps []patch.Patch) bool {
 	if t.host.Version() >= version {
 		return true
 	}
@@ -38,7 +38,7 @@
 // RegisterHandlers takes pushes of the configuration, and fellows' questions.
 func (t *Client) RegisterHandlers() {
 	push := func(_ context.Context, _ transport.Hello, in protocol.ConfigPush) (protocol.ConfigPushResponse, error) {
-		t.ApplyConfig(in.Version, in.Document, in.Steps)
+		t.ApplyConfig(in.Version, in.Document, in.Patches)
 		return protocol.ConfigPushResponse{Version: t.host.Version()}, nil
 	}
 	// Steps have a kind of their own, which earlier versions refuse by name.
@@ -55,7 +55,7 @@
 		return protocol.ConfigPush{}, nil
 	}
 	if steps, ok := t.held.Since(in.Version); ok && in.AcceptsPatch {
-		return protocol.ConfigPush{Version: version, Steps: steps}, nil
+		return protocol.ConfigPush{Version: version, Patches: steps}, nil
 	}
 	return protocol.ConfigPush{Version: version, Document: doc}, nil
 }
@@ -68,7 +68,7 @@
 		if err != nil || got.Version <= had {
 			return false
 		}
-		if t.ApplyConfig(got.Version, got.Document, got.Steps) {
+		if t.ApplyConfig(got.Version, got.Document, got.Patches) {
 			return true
 		}
 	}
@@ -85,7 +85,7 @@
 		if !ok {
 			break
 		}
-		got, err := transport.Call[protocol.ConfigPushResponse](ctx, n, to, "config.step", protocol.ConfigPush{Version: version, Steps: steps})
+		got, err := transport.Call[protocol.ConfigPushResponse](ctx, n, to, "config.step", protocol.ConfigPush{Version: version, Patches: steps})
 		if err != nil && !fault.Is(err, fault.Refused) {
 			return 0, err
 		}
--- a/internal/controlclient/list_test.go
+++ b/internal/controlclient/list_test.go
@@ -29,7 +29,7 @@
 		p := settings.Settings{ConfigBound: 2 * time.Second, RecoveryBound: 15 * time.Second, RetireAfter: 10 * time.Second}
 		road := &transport.LocalNet{Network: transport.NewLocalNetwork(func(string, string) time.Duration { return time.Millisecond })}
 		up := func(name string) *Client {
-			e := env.Env{Net: road, Log: event.New(name, nil), Wall: time.Now}
+			e := env.Env{Net: road, Log: event.New(name, nil), WallClock: time.Now}
 			w := transport.NewNode(transport.Hello{ClusterID: "m", Node: name, Zone: "x"}, e, g, 1<<20, 8, p.CallTimeout())
 			self := membership.Member{Node: name, Role: "proxy", Zone: "x", InternalAddr: name + ":1"}
 			rep := replica.New(self, w, g, e.Log, hlc.New(time.Now, time.Minute), p.HeartbeatInterval(), time.Hour, time.Hour)
@@ -47,7 +47,7 @@
 		}
 		newest, older := membership.NewList(all), membership.NewList(all[:590])
 		fellow, node := up("fellow"), up("node")
-		core := transport.NewNode(transport.Hello{ClusterID: "m", Node: "core", Zone: "x"}, env.Env{Net: road, Log: event.New("core", nil), Wall: time.Now}, g, 1<<20, 8, p.CallTimeout())
+		core := transport.NewNode(transport.Hello{ClusterID: "m", Node: "core", Zone: "x"}, env.Env{Net: road, Log: event.New("core", nil), WallClock: time.Now}, g, 1<<20, 8, p.CallTimeout())
 		transport.Handle(core, "session.members", func(context.Context, transport.Hello, protocol.MemberListRequest) (protocol.MemberListResponse, error) {
 			return protocol.MemberListResponse{Hash: newest.Hash(), Busy: true, Alternatives: []string{"fellow:1"}}, nil
 		})
--- a/internal/controlclient/touch_test.go
+++ b/internal/controlclient/touch_test.go
@@ -73,7 +73,7 @@
 	close(none)
 	up := func(h string) (*transport.Node, *replica.Replica, *event.Log) {
 		air.Place(h, "x")
-		e := env.Env{Net: air.Host(h), Log: event.New(h, nil), Wall: time.Now}
+		e := env.Env{Net: air.Host(h), Log: event.New(h, nil), WallClock: time.Now}
 		if h == "h1" {
 			e.Net = cold
 		}
--- a/internal/ctl/trials.go
+++ b/internal/ctl/trials.go
@@ -137,8 +137,8 @@
 	}
 	var rows [][]string
 	for _, f := range t.Figures {
-		rows = append(rows, []string{f.Route, f.Verdict, fmt.Sprint(f.Old.Jobs()), fmt.Sprint(f.New.Jobs()), fmt.Sprintf("%.2f%%", 100*f.FailOld), fmt.Sprintf("%.2f%%", 100*f.FailNew),
-			fmt.Sprintf("%.0f", f.SlowOld), fmt.Sprintf("%.0f", f.SlowNew), f.Reason})
+		rows = append(rows, []string{f.Route, f.Verdict, fmt.Sprint(f.Old.Total()), fmt.Sprint(f.New.Total()), fmt.Sprintf("%.2f%%", 100*f.FailureRateOld), fmt.Sprintf("%.2f%%", 100*f.FailureRateNew),
+			fmt.Sprintf("%.0f", f.LatencyOld), fmt.Sprintf("%.0f", f.LatencyNew), f.Reason})
 	}
 	m.table("PATH WORD JOBS_OLD JOBS_NEW FAIL_OLD FAIL_NEW MS_OLD MS_NEW WHY", rows)
 }
--- a/internal/disk/disk.go
+++ b/internal/disk/disk.go
@@ -94,7 +94,7 @@
 
 // IsFull tells that a write was refused for want of room.
 func IsFull(err error) bool {
-	return fault.Has(err, syscall.ENOSPC) || fault.Has(err, syscall.EDQUOT)
+	return fault.CausedBy(err, syscall.ENOSPC) || fault.CausedBy(err, syscall.EDQUOT)
 }
 
 // Load reads a kept file and checks it whole.
--- a/internal/env/env.go
+++ b/internal/env/env.go
@@ -23,9 +23,9 @@
 
 // Env is the outside of one process.
 type Env struct {
-	Net  Net
-	FS   disk.FS
-	Wall func() time.Time
+	Net       Net
+	FS        disk.FS
+	WallClock func() time.Time
 	// Pause waits for a time, or until the context ends; whoever was frozen
 	// wakes late from it.
 	Sleep func(ctx context.Context, d time.Duration)
@@ -55,5 +55,5 @@
 
 // Real is the machine's own network and clock; the folder is set by who has one.
 func Real(node string) Env {
-	return Env{Net: &real{}, Wall: time.Now, Sleep: task.Sleep, Log: event.New(node, os.Stderr)}
+	return Env{Net: &real{}, WallClock: time.Now, Sleep: task.Sleep, Log: event.New(node, os.Stderr)}
 }
--- a/internal/fault/fault.go
+++ b/internal/fault/fault.go
@@ -45,8 +45,8 @@
 	return false
 }
 
-// Has tells whether err was caused by target, however often it was wrapped.
-func Has(err, target error) bool {
+// CausedBy tells whether err was caused by target, however often it was wrapped.
+func CausedBy(err, target error) bool {
 	for err != nil {
 		if errors.Is(err, target) {
 			return true
--- a/internal/fsm/state.go
+++ b/internal/fsm/state.go
@@ -9,8 +9,8 @@
 	"github.com/qmuntal/stateless"
 )
 
-// Move is one allowed change: from a state, by a trigger, to a state.
-type Move struct{ From, By, To string }
+// Transition is one allowed change: from a state, by a trigger, to a state.
+type Transition struct{ From, Trigger, To string }
 
 // Machine is a set of states with a listener for each change.
 type Machine struct {
@@ -19,10 +19,10 @@
 }
 
 // New makes a machine; heed is told of each change that was made.
-func New(first string, heed func(from, by, to string), moves ...Move) *Machine {
+func New(first string, heed func(from, by, to string), moves ...Transition) *Machine {
 	m := stateless.NewStateMachineWithMode(first, stateless.FiringImmediate)
 	for _, v := range moves {
-		m.Configure(v.From).Permit(v.By, v.To)
+		m.Configure(v.From).Permit(v.Trigger, v.To)
 	}
 	if heed != nil {
 		m.OnTransitioned(func(_ context.Context, t stateless.Transition) {
--- a/internal/hlc/hlc.go
+++ b/internal/hlc/hlc.go
@@ -7,14 +7,14 @@
 	"time"
 )
 
-// Stamp orders events: the wall part in milliseconds, then a count.
-type Stamp struct {
+// Timestamp orders events: the wall part in milliseconds, then a count.
+type Timestamp struct {
 	Wall  int64  `msgpack:"w" json:"wall"`
 	Count uint32 `msgpack:"c" json:"count"`
 }
 
 // Less orders two stamps.
-func (s Stamp) Less(o Stamp) bool {
+func (s Timestamp) Less(o Timestamp) bool {
 	if s.Wall != o.Wall {
 		return s.Wall < o.Wall
 	}
@@ -25,7 +25,7 @@
 type Clock struct {
 	mu   sync.Mutex
 	wall func() time.Time
-	last Stamp
+	last Timestamp
 	far  time.Duration
 }
 
@@ -36,12 +36,12 @@
 }
 
 // Now gives a stamp above all that this clock gave or saw.
-func (c *Clock) Now() Stamp {
+func (c *Clock) Now() Timestamp {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	w := c.wall().UnixMilli()
 	if w > c.last.Wall {
-		c.last = Stamp{Wall: w}
+		c.last = Timestamp{Wall: w}
 	} else {
 		// The wall stood still or went back: the count goes on.
 		c.last.Count++
@@ -50,7 +50,7 @@
 }
 
 // Observe follows a stamp that came from another node.
-func (c *Clock) Observe(s Stamp) {
+func (c *Clock) Observe(s Timestamp) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if s.Wall-c.wall().UnixMilli() > c.far.Milliseconds() {
--- a/internal/hlc/hlc_test.go
+++ b/internal/hlc/hlc_test.go
@@ -17,7 +17,7 @@
 		for range rapid.IntRange(1, 50).Draw(t, "n") {
 			now = now.Add(time.Duration(rapid.Int64Range(-7200_000, 7200_000).Draw(t, "jump")) * time.Millisecond)
 			ahead := rapid.Int64Range(-100_000, 100_000).Draw(t, "seen")
-			seen := Stamp{Wall: now.UnixMilli() + ahead}
+			seen := Timestamp{Wall: now.UnixMilli() + ahead}
 			c.Observe(seen)
 			got := c.Now()
 			if !last.Less(got) {
@@ -34,7 +34,7 @@
 func TestFarStampIsNotFollowed(t *testing.T) {
 	now := time.UnixMilli(1_000_000)
 	c := New(func() time.Time { return now }, time.Minute)
-	c.Observe(Stamp{Wall: now.UnixMilli() + 3600_000})
+	c.Observe(Timestamp{Wall: now.UnixMilli() + 3600_000})
 	if got := c.Now(); got.Wall != now.UnixMilli() {
 		t.Fatalf("clock was dragged to %v", got)
 	}
--- a/internal/httpapi/outer.go
+++ b/internal/httpapi/outer.go
@@ -62,11 +62,11 @@
 
 // ErrorBody is the body of every answer that isn't a success.
 type ErrorBody struct {
-	Message string `json:"wrong"`
-	Version uint64 `json:"version,omitempty"`
-	Ran     string `json:"ran,omitempty"`
-	RetryMS int64  `json:"retry_ms,omitempty"`
-	Faults  any    `json:"faults,omitempty"`
+	Message  string `json:"wrong"`
+	Version  uint64 `json:"version,omitempty"`
+	Executed string `json:"ran,omitempty"`
+	RetryMS  int64  `json:"retry_ms,omitempty"`
+	Faults   any    `json:"faults,omitempty"`
 }
 
 // WriteBusy answers that nothing was done and never will be, and tells when to come
@@ -79,7 +79,7 @@
 		after = strconv.FormatFloat(float64(ms)/1000, 'f', 3, 64)
 	}
 	w.Header().Set("Retry-After", after)
-	WriteJSON(w, http.StatusServiceUnavailable, ErrorBody{Message: why, Ran: "no", RetryMS: ms})
+	WriteJSON(w, http.StatusServiceUnavailable, ErrorBody{Message: why, Executed: "no", RetryMS: ms})
 }
 
 // ReadBody reads a bounded body; the status tells what is wrong with it.
--- a/internal/judge/judge.go
+++ b/internal/judge/judge.go
@@ -12,13 +12,13 @@
 
 // Bounds are the configuration's bounds on a trial.
 type Bounds struct {
-	Jobs     uint64        // jobs of the new arm before a look
-	Least    time.Duration // time before a look
-	Most     time.Duration // time after which it is held back
-	Risk     float64       // chance of a wrong word, over all looks
-	Margin   float64       // failure rate above the old arm's that is put up with
-	Slow     float64       // ratio of latency that is put up with
-	Quantile float64
+	MinRequests        uint64        // jobs of the new arm before a look
+	MinAge             time.Duration // time before a look
+	MaxAge             time.Duration // time after which it is held back
+	Risk               float64       // chance of a wrong word, over all looks
+	MaxFailureIncrease float64       // failure rate above the old arm's that is put up with
+	MaxLatencyRatio    float64       // ratio of latency that is put up with
+	Quantile           float64
 }
 
 // looks is over how many looks the risk is split: each look at growing counts
@@ -45,48 +45,48 @@
 	}
 }
 
-// Jobs is how many the arm had.
-func (a *Arm) Jobs() uint64 { return a.Done + a.Failed }
+// Total is how many the arm had.
+func (a *Arm) Total() uint64 { return a.Done + a.Failed }
 
 // The words of a judgement.
 const (
-	Wait = "wait"
-	Good = "good"
-	Bad  = "bad"
+	Wait     = "wait"
+	Promote  = "good"
+	HoldBack = "bad"
 )
 
 // Facts are the figures that decided.
 type Facts struct {
-	Route    string  `json:"path"`
-	Verdict  string  `json:"word"`
-	Reason   string  `json:"why"`
-	Old      Arm     `json:"old"`
-	New      Arm     `json:"new"`
-	FailOld  float64 `json:"fail_rate_old"`
-	FailNew  float64 `json:"fail_rate_new"`
-	DiffLow  float64 `json:"fail_diff_low"`
-	DiffHigh float64 `json:"fail_diff_high"`
-	SlowOld  float64 `json:"latency_ms_old"`
-	SlowNew  float64 `json:"latency_ms_new"`
-	Ratio    float64 `json:"latency_ratio"`
-	AgeMS    int64   `json:"age_ms"`
+	Route          string  `json:"path"`
+	Verdict        string  `json:"word"`
+	Reason         string  `json:"why"`
+	Old            Arm     `json:"old"`
+	New            Arm     `json:"new"`
+	FailureRateOld float64 `json:"fail_rate_old"`
+	FailureRateNew float64 `json:"fail_rate_new"`
+	DiffLow        float64 `json:"fail_diff_low"`
+	DiffHigh       float64 `json:"fail_diff_high"`
+	LatencyOld     float64 `json:"latency_ms_old"`
+	LatencyNew     float64 `json:"latency_ms_new"`
+	Ratio          float64 `json:"latency_ratio"`
+	AgeMS          int64   `json:"age_ms"`
 }
 
 // Evaluate judges one path of a trial.
 func Evaluate(path string, old, now Arm, age time.Duration, b Bounds) Facts {
 	f := Facts{Route: path, Verdict: Wait, Old: old, New: now, AgeMS: age.Milliseconds()}
-	if old.Jobs() > 0 && now.Jobs() > 0 {
-		f.FailOld, f.FailNew = rate(old), rate(now)
+	if old.Total() > 0 && now.Total() > 0 {
+		f.FailureRateOld, f.FailureRateNew = rate(old), rate(now)
 		f.DiffLow, f.DiffHigh = interval(old, now, b.Risk/looks)
-		f.SlowOld, f.SlowNew = quantile(old.LatencyBins, b.Quantile), quantile(now.LatencyBins, b.Quantile)
-		if f.SlowOld > 0 {
-			f.Ratio = f.SlowNew / f.SlowOld
+		f.LatencyOld, f.LatencyNew = quantile(old.LatencyBins, b.Quantile), quantile(now.LatencyBins, b.Quantile)
+		if f.LatencyOld > 0 {
+			f.Ratio = f.LatencyNew / f.LatencyOld
 		}
 	}
-	if age < b.Least || now.Jobs() < b.Jobs || old.Jobs() < b.Jobs {
-		f.Reason = fmt.Sprintf("%d and %d jobs in %v are too few yet", old.Jobs(), now.Jobs(), age.Round(time.Second))
-		if age >= b.Most {
-			f.Verdict, f.Reason = Bad, fmt.Sprintf("too little traffic: %d and %d jobs in %v", old.Jobs(), now.Jobs(), age.Round(time.Second))
+	if age < b.MinAge || now.Total() < b.MinRequests || old.Total() < b.MinRequests {
+		f.Reason = fmt.Sprintf("%d and %d jobs in %v are too few yet", old.Total(), now.Total(), age.Round(time.Second))
+		if age >= b.MaxAge {
+			f.Verdict, f.Reason = HoldBack, fmt.Sprintf("too little traffic: %d and %d jobs in %v", old.Total(), now.Total(), age.Round(time.Second))
 		}
 		return f
 	}
@@ -94,28 +94,28 @@
 	lowNew, highNew := bounds(now.LatencyBins, b.Quantile, z)
 	lowOld, highOld := bounds(old.LatencyBins, b.Quantile, z)
 	switch {
-	case f.DiffLow > 0 && f.FailNew-f.FailOld > b.Margin:
-		f.Verdict, f.Reason = Bad, fmt.Sprintf("fails more: %.2f %% against %.2f %%", 100*f.FailNew, 100*f.FailOld)
-	case now.Done > 0 && lowNew > b.Slow*highOld:
-		f.Verdict, f.Reason = Bad, fmt.Sprintf("slower: quantile %.0f ms against %.0f ms", f.SlowNew, f.SlowOld)
-	case f.DiffHigh < b.Margin && now.Done > 0 && highNew <= b.Slow*max(lowOld, 1):
-		f.Verdict, f.Reason = Good, fmt.Sprintf("failure rate %.2f %% against %.2f %%, latency ratio %.2f", 100*f.FailNew, 100*f.FailOld, f.Ratio)
-	case age >= b.Most:
-		f.Verdict, f.Reason = Bad, "undecided by the end of the trial"
+	case f.DiffLow > 0 && f.FailureRateNew-f.FailureRateOld > b.MaxFailureIncrease:
+		f.Verdict, f.Reason = HoldBack, fmt.Sprintf("fails more: %.2f %% against %.2f %%", 100*f.FailureRateNew, 100*f.FailureRateOld)
+	case now.Done > 0 && lowNew > b.MaxLatencyRatio*highOld:
+		f.Verdict, f.Reason = HoldBack, fmt.Sprintf("slower: quantile %.0f ms against %.0f ms", f.LatencyNew, f.LatencyOld)
+	case f.DiffHigh < b.MaxFailureIncrease && now.Done > 0 && highNew <= b.MaxLatencyRatio*max(lowOld, 1):
+		f.Verdict, f.Reason = Promote, fmt.Sprintf("failure rate %.2f %% against %.2f %%, latency ratio %.2f", 100*f.FailureRateNew, 100*f.FailureRateOld, f.Ratio)
+	case age >= b.MaxAge:
+		f.Verdict, f.Reason = HoldBack, "undecided by the end of the trial"
 	default:
 		f.Reason = "the figures don't decide yet"
 	}
 	return f
 }
 
-func rate(a Arm) float64 { return float64(a.Failed) / float64(a.Jobs()) }
+func rate(a Arm) float64 { return float64(a.Failed) / float64(a.Total()) }
 
 // interval is the Agresti-Caffo interval for the difference of two failure
 // rates, new less old: it holds for the small counts of a slice, where the
 // plain normal test does not.
 func interval(old, now Arm, risk float64) (low, high float64) {
 	part := func(a Arm) (p, v float64) {
-		n := float64(a.Jobs()) + 2
+		n := float64(a.Total()) + 2
 		p = (float64(a.Failed) + 1) / n
 		return p, p * (1 - p) / n
 	}
--- a/internal/judge/judge_test.go
+++ b/internal/judge/judge_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-var usual = Bounds{Jobs: 100, Least: 5 * time.Second, Most: 120 * time.Second, Risk: 0.01, Margin: 0.02, Slow: 1.5, Quantile: 0.9}
+var usual = Bounds{MinRequests: 100, MinAge: 5 * time.Second, MaxAge: 120 * time.Second, Risk: 0.01, MaxFailureIncrease: 0.02, MaxLatencyRatio: 1.5, Quantile: 0.9}
 
 // arm is how the jobs of one arm of a made-up trial go.
 type arm struct {
@@ -70,7 +70,7 @@
 		wrong, took := 0, int64(0)
 		for range trials {
 			f := play(rnd, c.old, c.now, c.rate, usual)
-			if (f.Verdict == Good) != c.good {
+			if (f.Verdict == Promote) != c.good {
 				wrong++
 			}
 			took += f.AgeMS
@@ -87,7 +87,7 @@
 	old := Arm{Done: 900, LatencyBins: make([]uint64, 72)}
 	old.LatencyBins[20] = 900
 	now := Arm{Failed: 100, LatencyBins: make([]uint64, 72)}
-	if f := Evaluate("p", old, now, 6*time.Second, usual); f.Verdict != Bad {
+	if f := Evaluate("p", old, now, 6*time.Second, usual); f.Verdict != HoldBack {
 		t.Errorf("got %+v", f)
 	}
 }
--- a/internal/ormap/ormap.go
+++ b/internal/ormap/ormap.go
@@ -18,8 +18,8 @@
 // random incarnation of its start, so that a clock set back can't give a dot
 // a second time.
 type Dot struct {
-	Node  string    `msgpack:"n" json:"node"`
-	Stamp hlc.Stamp `msgpack:"a" json:"at"`
+	Node  string        `msgpack:"n" json:"node"`
+	Stamp hlc.Timestamp `msgpack:"a" json:"at"`
 }
 
 // Entry is one registration.
--- a/internal/ormap/ormap_test.go
+++ b/internal/ormap/ormap_test.go
@@ -33,7 +33,7 @@
 
 func (h *history) add(at int, service string) {
 	h.count++
-	d := Delta{Adds: []Entry{{Dot: Dot{Node: fmt.Sprint("n", at), Stamp: hlc.Stamp{Wall: h.count}}, Service: service}}}
+	d := Delta{Adds: []Entry{{Dot: Dot{Node: fmt.Sprint("n", at), Stamp: hlc.Timestamp{Wall: h.count}}, Service: service}}}
 	h.maps[at].Merge(d)
 	h.model[at][d.Adds[0].Dot] = true
 	h.logs[at] = append(h.logs[at], d)
@@ -126,7 +126,7 @@
 	delta := rapid.Custom(func(t *rapid.T) Delta {
 		var d Delta
 		for range rapid.IntRange(0, 6).Draw(t, "n") {
-			dot := Dot{Node: rapid.SampledFrom([]string{"x", "y"}).Draw(t, "node"), Stamp: hlc.Stamp{Wall: rapid.Int64Range(1, 5).Draw(t, "wall")}}
+			dot := Dot{Node: rapid.SampledFrom([]string{"x", "y"}).Draw(t, "node"), Stamp: hlc.Timestamp{Wall: rapid.Int64Range(1, 5).Draw(t, "wall")}}
 			if rapid.Bool().Draw(t, "dead") {
 				d.Tombstones = append(d.Tombstones, Tombstone{Dot: dot})
 			} else {
--- a/internal/ormap/pack.go
+++ b/internal/ormap/pack.go
@@ -29,7 +29,7 @@
 	}
 	last := int64(0)
 	// A stamp by its distance from the one before.
-	stamp := func(s hlc.Stamp) string {
+	stamp := func(s hlc.Timestamp) string {
 		by := s.Wall - last
 		last = s.Wall
 		text := strconv.FormatInt(by, 36)
@@ -66,7 +66,7 @@
 		by, count, _ := strings.Cut(cols[1][i], ".")
 		step, err := strconv.ParseInt(by, 36, 64)
 		last += step
-		at := hlc.Stamp{Wall: last}
+		at := hlc.Timestamp{Wall: last}
 		if err == nil && count != "" {
 			var n uint64
 			n, err = strconv.ParseUint(count, 36, 32)
--- a/internal/ormap/pack_test.go
+++ b/internal/ormap/pack_test.go
@@ -17,7 +17,7 @@
 	text := rapid.OneOf(rapid.String(), rapid.SampledFrom([]string{"", "a", "a#b", "\x01", "\x01a", "10.0.0.1:7"}))
 	rapid.Check(t, func(t *rapid.T) {
 		dot := func() Dot {
-			return Dot{text.Draw(t, "node"), hlc.Stamp{Wall: rapid.Int64Range(-1<<50, 1<<50).Draw(t, "wall"), Count: rapid.Uint32().Draw(t, "count")}}
+			return Dot{text.Draw(t, "node"), hlc.Timestamp{Wall: rapid.Int64Range(-1<<50, 1<<50).Draw(t, "wall"), Count: rapid.Uint32().Draw(t, "count")}}
 		}
 		var d Delta
 		for range rapid.IntRange(0, 5).Draw(t, "adds") {
@@ -45,7 +45,7 @@
 
 // TestPackBroken: what is no short form is refused.
 func TestPackBroken(t *testing.T) {
-	whole := Delta{Adds: []Entry{{Dot: Dot{"n#s", hlc.Stamp{Wall: 5}}}}}.Encode().Compact
+	whole := Delta{Adds: []Entry{{Dot: Dot{"n#s", hlc.Timestamp{Wall: 5}}}}}.Encode().Compact
 	for i := range whole {
 		if d, err := (Delta{Compact: whole[:i]}).Decode(); i > 0 && err == nil {
 			t.Errorf("cut at %d it gave %v", i, d)
@@ -59,7 +59,7 @@
 	var d Delta
 	for i := range n {
 		own := fmt.Sprintf("node-%05d", i)
-		d.Adds = append(d.Adds, Entry{Dot: Dot{fmt.Sprintf("%s#%012x", own, rand.Uint64()>>16), hlc.Stamp{Wall: 1786000000000 + rand.Int64N(86400000)}},
+		d.Adds = append(d.Adds, Entry{Dot: Dot{fmt.Sprintf("%s#%012x", own, rand.Uint64()>>16), hlc.Timestamp{Wall: 1786000000000 + rand.Int64N(86400000)}},
 			Service: fmt.Sprintf("service-%04d", i/5), Worker: own + "-w", Owner: own, InternalAddr: fmt.Sprintf("10.1.%d.%d:7002", i/200, i%200+1),
 			Zone: fmt.Sprintf("r%dz%d", i%8, i%3), Meta: map[string]string{"slots": "8", "state": "up", "addr": fmt.Sprintf("10.1.%d.%d:8000", i/200, i%200+1)}})
 	}
--- a/internal/patch/held.go
+++ b/internal/patch/held.go
@@ -8,7 +8,7 @@
 	most    int // steps kept, for those that lag
 	version uint64
 	doc     []byte
-	steps   []Step
+	steps   []Patch
 	size    int
 }
 
@@ -17,7 +17,7 @@
 
 // Set takes a newer document, and the steps that lead to it from the one held
 // if they are known.
-func (h *Document) Set(version uint64, doc []byte, steps []Step) {
+func (h *Document) Set(version uint64, doc []byte, steps []Patch) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if version <= h.version {
@@ -38,7 +38,7 @@
 	// More steps than make up half of the document are never sent.
 	for len(h.steps) > h.most || h.size > len(doc)/2 && len(h.steps) > 0 {
 		h.size -= h.steps[0].Size()
-		h.steps = append([]Step(nil), h.steps[1:]...)
+		h.steps = append([]Patch(nil), h.steps[1:]...)
 	}
 }
 
@@ -51,12 +51,12 @@
 
 // Since gives the steps that lead from a version to the one held; false when
 // they are not known, or not worth it.
-func (h *Document) Since(version uint64) ([]Step, bool) {
+func (h *Document) Since(version uint64) ([]Patch, bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for i, s := range h.steps {
 		if s.From == version {
-			return append([]Step(nil), h.steps[i:]...), true
+			return append([]Patch(nil), h.steps[i:]...), true
 		}
 	}
 	return nil, false
@@ -64,7 +64,7 @@
 
 // Build makes the document that steps lead to from the one held; steps that
 // went by already are passed over. False means that they do not fit.
-func (h *Document) Build(steps []Step) ([]byte, bool) {
+func (h *Document) Build(steps []Patch) ([]byte, bool) {
 	version, doc := h.Current()
 	for _, s := range steps {
 		if s.To <= version {
--- a/internal/patch/patch.go
+++ b/internal/patch/patch.go
@@ -17,8 +17,8 @@
 	New []byte `msgpack:"n,omitempty"`
 }
 
-// Step leads from one version to a later one.
-type Step struct {
+// Patch leads from one version to a later one.
+type Patch struct {
 	From   uint64 `msgpack:"f"`
 	To     uint64 `msgpack:"t"`
 	Base   []byte `msgpack:"b"` // the digest of the old document
@@ -34,7 +34,7 @@
 }
 
 // Size is about what a step takes to travel.
-func (s Step) Size() int {
+func (s Patch) Size() int {
 	n := 64
 	for _, o := range s.Ops {
 		n += 12 + len(o.New)
@@ -59,8 +59,8 @@
 }
 
 // Make works out the step between two documents.
-func Make(from, to uint64, old, now []byte) Step {
-	s := Step{From: from, To: to, Base: digest(old), Digest: digest(now)}
+func Make(from, to uint64, old, now []byte) Patch {
+	s := Patch{From: from, To: to, Base: digest(old), Digest: digest(now)}
 	// What is equal at both ends is most of it, and needs no search.
 	head := 0
 	for head < len(old) && head < len(now) && old[head] == now[head] {
@@ -85,7 +85,7 @@
 }
 
 // take adds a piece of the old document, to the last one if it goes on there.
-func (s *Step) take(at, long int) {
+func (s *Patch) take(at, long int) {
 	if long == 0 {
 		return
 	}
@@ -97,7 +97,7 @@
 }
 
 // row adds a row that stands at some places of the old document, or at none.
-func (s *Step) row(r []byte, at []int) {
+func (s *Patch) row(r []byte, at []int) {
 	n := len(s.Ops)
 	for _, a := range at {
 		// Where the last piece ended is best: it makes that one longer.
@@ -123,7 +123,7 @@
 
 // Apply makes the new document from the old one; an error means that the step
 // does not fit it.
-func (s Step) Apply(old []byte) ([]byte, error) {
+func (s Patch) Apply(old []byte) ([]byte, error) {
 	if !bytes.Equal(digest(old), s.Base) {
 		return nil, fault.New(fault.Stale, "a step from %d begins at another document", s.From)
 	}
--- a/internal/patch/patch_test.go
+++ b/internal/patch/patch_test.go
@@ -83,9 +83,9 @@
 	docs := map[uint64][]byte{}
 	for v := uint64(1); v <= 400; v++ {
 		docs[v] = long(600, int(v))
-		var steps []Step
+		var steps []Patch
 		if v > 1 {
-			steps = []Step{Make(v-1, v, docs[v-1], docs[v])}
+			steps = []Patch{Make(v-1, v, docs[v-1], docs[v])}
 		}
 		a.Set(v, docs[v], steps)
 	}
--- a/internal/paxos/add_test.go
+++ b/internal/paxos/add_test.go
@@ -74,7 +74,7 @@
 				d.Room(-1)
 			}
 			got := map[uint64]ballot.Number{}
-			for _, e := range a.After(low, 1000) {
+			for _, e := range a.EntriesAfter(low, 1000) {
 				got[e.Index] = e.Ballot
 			}
 			for s := low + 1; s <= top; s++ {
@@ -134,8 +134,8 @@
 	if err := d.Rename("v-0000000000000005", "v-0000000000000005.aside"); err != nil {
 		t.Fatal(err)
 	}
-	if a := open(t, d); a.Top() != 5 {
-		t.Errorf("the highest entry is %d of 5", a.Top())
+	if a := open(t, d); a.HighestIndex() != 5 {
+		t.Errorf("the highest entry is %d of 5", a.HighestIndex())
 	}
 }
 
@@ -160,8 +160,8 @@
 		}
 		d.PowerByNames(chance)
 		a = open(t, d)
-		if a.Top() != uint64(entries) || a.Identity().ID != "r1" || a.Promised().Round != 1 || a.DamagedUpTo() > 0 {
-			t.Errorf("seed %d: of %d entries the highest is %d, replica %q, promise %v, damaged up to %d", seed, entries, a.Top(), a.Identity().ID, a.Promised(), a.DamagedUpTo())
+		if a.HighestIndex() != uint64(entries) || a.Identity().ID != "r1" || a.Promised().Round != 1 || a.DamagedUpTo() > 0 {
+			t.Errorf("seed %d: of %d entries the highest is %d, replica %q, promise %v, damaged up to %d", seed, entries, a.HighestIndex(), a.Identity().ID, a.Promised(), a.DamagedUpTo())
 		}
 	}
 }
--- a/internal/paxos/chosen.go
+++ b/internal/paxos/chosen.go
@@ -34,7 +34,7 @@
 // ProvenChosen gives the entries above index that the stored files alone prove to be
 // chosen: all but the newest of an unbroken chain.
 func (a *Acceptor) ProvenChosen(index uint64, prev []byte) []Entry {
-	top := a.Top()
+	top := a.HighestIndex()
 	for t := top; t > index+1; t-- {
 		a.mu.Lock()
 		e := a.entries[t]
@@ -49,11 +49,11 @@
 	return nil
 }
 
-// Rename gives the replica a new identity: what it promised and accepted under
+// ReplaceIdentity gives the replica a new identity: what it promised and accepted under
 // the old one is forgotten, what is chosen up to an index is kept. The new identity
 // is durable before anything is forgotten, so a loss of power in between leaves
 // an identity that never voted with promises that bind it more than they need.
-func (a *Acceptor) Rename(id Identity, chosen uint64) error {
+func (a *Acceptor) ReplaceIdentity(id Identity, chosen uint64) error {
 	a.snapshotLock.Lock()
 	defer a.snapshotLock.Unlock()
 	if err := a.SetIdentity(id); err != nil {
--- a/internal/paxos/log.go
+++ b/internal/paxos/log.go
@@ -131,8 +131,8 @@
 	return a.writeEntries(kept)
 }
 
-// Top gives the highest accepted index.
-func (a *Acceptor) Top() uint64 {
+// HighestIndex gives the highest accepted index.
+func (a *Acceptor) HighestIndex() uint64 {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.top()
@@ -146,8 +146,8 @@
 	return top
 }
 
-// After gives the accepted entries above an index, in order, at most most.
-func (a *Acceptor) After(index uint64, most int) []Entry {
+// EntriesAfter gives the accepted entries above an index, in order, at most most.
+func (a *Acceptor) EntriesAfter(index uint64, most int) []Entry {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	var out []Entry
--- a/internal/paxos/paxos_test.go
+++ b/internal/paxos/paxos_test.go
@@ -50,8 +50,8 @@
 	_, _ = f.Write([]byte("half"))
 	d.Power()
 	a := open(t, d)
-	if a.Top() != 5 || a.Identity().ID != "r1" || a.Promised().Round != 1 {
-		t.Fatalf("after power loss: top %d, %v, %v", a.Top(), a.Identity(), a.Promised())
+	if a.HighestIndex() != 5 || a.Identity().ID != "r1" || a.Promised().Round != 1 {
+		t.Fatalf("after power loss: top %d, %v, %v", a.HighestIndex(), a.Identity(), a.Promised())
 	}
 	// All but the newest are proved chosen by the chain alone.
 	if got := a.ProvenChosen(0, []byte("zero")); len(got) != 4 {
@@ -102,7 +102,7 @@
 			if !d.Harm(name, torn) {
 				t.Fatalf("no file %s", name)
 			}
-			if a := open(t, d); a.Identity().ID != "" || a.LatestSnapshot() != nil || a.Top() != 0 {
+			if a := open(t, d); a.Identity().ID != "" || a.LatestSnapshot() != nil || a.HighestIndex() != 0 {
 				t.Errorf("%s damaged, torn %v: the old votes are still lent", name, torn)
 			}
 		}
@@ -129,7 +129,7 @@
 func TestFull(t *testing.T) {
 	d := sim.NewDisk()
 	a := row(t, d, 3)
-	if err := a.Reserve(10_000); err != nil {
+	if err := a.ReserveSpace(10_000); err != nil {
 		t.Fatal(err)
 	}
 	d.Room(20)
@@ -137,8 +137,8 @@
 	if err := a.Accept(e); err == nil {
 		t.Fatal("accepted on a full disk")
 	}
-	if a.Top() != 3 {
-		t.Fatalf("top %d after a refused write", a.Top())
+	if a.HighestIndex() != 3 {
+		t.Fatalf("top %d after a refused write", a.HighestIndex())
 	}
 	if err := a.SaveSnapshot(a.Identity().ID, paxos.Snapshot{Index: 3, Digest: []byte("x"), State: make([]byte, 5000)}, 0); err != nil {
 		t.Fatalf("no checkpoint on a full disk: %v", err)
--- a/internal/paxos/snapshot.go
+++ b/internal/paxos/snapshot.go
@@ -121,9 +121,9 @@
 // reserveName is the file that keeps room for a snapshot on a full disk.
 const reserveName = "r-reserve"
 
-// Reserve keeps room for a snapshot of so many bytes, so that a full disk can
+// ReserveSpace keeps room for a snapshot of so many bytes, so that a full disk can
 // be freed by one. It is written anew only when it is too small.
-func (a *Acceptor) Reserve(size int) error {
+func (a *Acceptor) ReserveSpace(size int) error {
 	a.snapshotLock.Lock()
 	defer a.snapshotLock.Unlock()
 	a.mu.Lock()
--- a/internal/protocol/session.go
+++ b/internal/protocol/session.go
@@ -45,7 +45,7 @@
 	IsDiff             bool                `msgpack:"f,omitempty"` // Come and Gone lead from the beat's list to Hash
 	Added              []membership.Member `msgpack:"w,omitempty"`
 	Removed            []string            `msgpack:"g,omitempty"`
-	Steps              []patch.Step        `msgpack:"s,omitempty"` // from the beat's Version to Version, in the place of Doc
+	Patches            []patch.Patch       `msgpack:"s,omitempty"` // from the beat's Version to Version, in the place of Doc
 	CompactDiff        []byte              `msgpack:"z,omitempty"` // Come and Gone in their short form
 	CompressedDocument []byte              `msgpack:"u,omitempty"` // the document compressed, in the place of Doc
 }
@@ -71,10 +71,10 @@
 // ConfigPush sends a new configuration over the session at once: as steps from an
 // earlier one to a fellow that is likely to hold that, or whole.
 type ConfigPush struct {
-	Version      uint64       `msgpack:"v"`
-	Document     []byte       `msgpack:"d"`
-	Steps        []patch.Step `msgpack:"s,omitempty"`
-	AcceptsPatch bool         `msgpack:"p,omitempty"` // of a question: steps are taken
+	Version      uint64        `msgpack:"v"`
+	Document     []byte        `msgpack:"d"`
+	Patches      []patch.Patch `msgpack:"s,omitempty"`
+	AcceptsPatch bool          `msgpack:"p,omitempty"` // of a question: steps are taken
 }
 
 // ConfigPushResponse tells which version the fellow holds after a push.
@@ -169,7 +169,7 @@
 	CallerService      string              `msgpack:"c2,omitempty"` // the service at which the job began
 	TargetMS           int64               `msgpack:"i,omitempty"`  // ms left of the aim
 	NoQueue            bool                `msgpack:"ru,omitempty"` // it goes elsewhere rather than wait for a slot
-	SentAgainByCaller  bool                `msgpack:"sn,omitempty"` // its caller came back with it
+	ResentByCaller     bool                `msgpack:"sn,omitempty"` // its caller came back with it
 	Retry              bool                `msgpack:"g,omitempty"`  // not the job's first send
 	NestedRetryShare   float64             `msgpack:"pt,omitempty"` // of a first send: how far it is the call of a repeated run, 0 to 1
 	Confidence         Confidence          `msgpack:"x,omitempty"`  // how sure the front was of Version, after the job was read
@@ -179,8 +179,8 @@
 	UsualRunMS         int64               `msgpack:"us,omitempty"` // ms that such requests run at a worker, as the front knows; 0: it does not
 	NeedsRetryBudget   bool                `msgpack:"up,omitempty"` // its front has no repeat left; the owner's part of the bound pays for it, or it is refused
 	AllowUnfinishedRun bool                `msgpack:"la,omitempty"` // another run of it is or will be lost: better one that may not end in time than none
-	AllowEndingNode    bool                `msgpack:"an,omitempty"` // of such a one: no other worker took it, so better one whose node ends than none
-	FrontWaitMS        int64               `msgpack:"re,omitempty"` // ms until the front, told to end, waits for answers no more; 0: it was not told to
+	AllowStoppingNode  bool                `msgpack:"an,omitempty"` // of such a one: no other worker took it, so better one whose node ends than none
+	IngressWaitMS      int64               `msgpack:"re,omitempty"` // ms until the front, told to end, waits for answers no more; 0: it was not told to
 }
 
 // RunEndNoticeKind is the kind of message by which the node beside a worker, told to end,
--- a/internal/proxy/answer.go
+++ b/internal/proxy/answer.go
@@ -12,8 +12,8 @@
 
 // wrong answers for a job that can't be taken as it came: it was not run.
 func (x *Proxy) wrong(w http.ResponseWriter, code int, why string) {
-	x.mark(w, responsedigest.RanHeader, "no")
-	httpapi.WriteJSON(w, code, httpapi.ErrorBody{Message: why, Ran: "no"})
+	x.mark(w, responsedigest.ExecutedHeader, "no")
+	httpapi.WriteJSON(w, code, httpapi.ErrorBody{Message: why, Executed: "no"})
 }
 
 // mark sets one of the mesh's own headers, where the tongue has them.
@@ -25,7 +25,7 @@
 
 // busyNow gives the busy answer: the job was not run and never will be.
 func (x *Proxy) busyNow(w http.ResponseWriter, why string, come time.Duration) {
-	x.mark(w, responsedigest.RanHeader, "no")
+	x.mark(w, responsedigest.ExecutedHeader, "no")
 	x.mark(w, responsedigest.ReasonHeader, why)
 	// The caller is told when to come back rather than held here.
 	httpapi.WriteBusy(w, "busy, try later: "+why, come, x.say.FractionalRetryAfter)
@@ -59,8 +59,8 @@
 		if j.lost.TimedOut {
 			code = http.StatusGatewayTimeout
 		}
-		x.mark(w, responsedigest.RanHeader, "unknown")
-		httpapi.WriteJSON(w, code, httpapi.ErrorBody{Message: "outcome unknown: " + j.lost.Reason, Ran: "unknown"})
+		x.mark(w, responsedigest.ExecutedHeader, "unknown")
+		httpapi.WriteJSON(w, code, httpapi.ErrorBody{Message: "outcome unknown: " + j.lost.Reason, Executed: "unknown"})
 	default:
 		x.busyNow(w, j.why, x.comeback(j))
 	}
--- a/internal/proxy/back_test.go
+++ b/internal/proxy/back_test.go
@@ -16,7 +16,7 @@
 func TestNeverBack(t *testing.T) {
 	p := settings.Settings{Node: "n", ClusterID: "m", Zone: "a", ConfigBound: 2 * time.Second, LeaveBound: 2 * time.Second, RetryWindow: 10 * time.Second, RecoveryBound: 15 * time.Second, RetireAfter: 10 * time.Second,
 		MaxFrameBytes: 1 << 20, MaxBodyBytes: 1 << 20, MaxRequests: 16, GracePeriod: time.Second, Seeds: []string{"10.0.0.1:1"}}
-	x := New(p, env.Env{Wall: time.Now, Sleep: task.Sleep, Log: event.New("n", io.Discard)})
+	x := New(p, env.Env{WallClock: time.Now, Sleep: task.Sleep, Log: event.New("n", io.Discard)})
 	doc := []byte(`{"services":[{"name":"s"}],"classes":[{"name":"c","share":100}],"paths":[{"name":"p","prefix":"/p","service":"s","class":"c"}]}`)
 	for _, v := range []uint64{3, 2, 3, 1} {
 		if !x.take(v, doc) || x.rules.Load().Version != 3 {
--- a/internal/proxy/beat.go
+++ b/internal/proxy/beat.go
@@ -9,7 +9,7 @@
 )
 
 // HeartbeatTable is the table of a worker's beat.
-var HeartbeatTable = schema.Table{Name: "beat", Rows: []schema.Field{
+var HeartbeatTable = schema.Table{Name: "beat", Fields: []schema.Field{
 	{Name: "service", Type: schema.Text, Required: true, Check: schema.IsName, Rule: "a name", Help: "the service it serves"},
 	{Name: "worker", Type: schema.Text, Required: true, Check: schema.IsName, Rule: "a name", Help: "its identity, a new one at each start"},
 	{Name: "addr", Type: schema.Addr, Required: true, Rule: "IP number and port", Help: "where it takes jobs"},
--- a/internal/proxy/deliver.go
+++ b/internal/proxy/deliver.go
@@ -86,7 +86,7 @@
 		return v.unknown(v.cut)
 	}
 	if err != nil {
-		v.stale = errors.Is(err, workerconn.ErrConnectionForgotten)
+		v.stale = errors.Is(err, workerconn.ErrStaleConnection)
 		return v.unknown("no whole answer from the worker: " + plain(err))
 	}
 	if int64(len(body)) > x.wide() {
--- a/internal/proxy/ending.go
+++ b/internal/proxy/ending.go
@@ -16,7 +16,7 @@
 func (x *Proxy) queueWaitBound() time.Duration {
 	most := x.Settings.GracePeriod * 6 / 10
 	if plan := x.stop.Load(); plan != nil {
-		most = min(most, plan.RemainingWait()-x.Settings.FarewellTimeout())
+		most = min(most, plan.RemainingWait()-x.Settings.GoodbyeTimeout())
 	}
 	return max(most, time.Millisecond)
 }
@@ -100,7 +100,7 @@
 
 // mayStillEnd tells that an attempt has some time, if less than such requests usually take,
 // before its front or this node goes.
-func (x *Proxy) mayStillEnd(v *visit) bool { return x.leftBeforeEnd(v) > x.Settings.FarewellTimeout() }
+func (x *Proxy) mayStillEnd(v *visit) bool { return x.leftBeforeEnd(v) > x.Settings.GoodbyeTimeout() }
 
 // leftBeforeEnd is how long a lost request's attempt has until its front or this node
 // goes; none at a node that ends as long as others may take it.
@@ -110,7 +110,7 @@
 		left = time.Until(v.last)
 	}
 	if plan := x.stop.Load(); plan != nil {
-		if !v.in.AllowEndingNode {
+		if !v.in.AllowStoppingNode {
 			return 0
 		}
 		left = min(left, plan.RemainingWait())
@@ -151,7 +151,7 @@
 		return -1 // a run of it is lost
 	case time.Duration(v.in.TargetMS)*time.Millisecond <= v.gate.need(v.in.Route, left/4)*2/3:
 		return 2 // it would be late, by what jobs of its path take here
-	case v.in.SentAgainByCaller:
+	case v.in.ResentByCaller:
 		return 1 // a part of its aim is lost
 	}
 	return 0
@@ -177,7 +177,7 @@
 // was told to end, and the request has lost the run that it had. Its caller can't come
 // back here, and workers whose slots are taken now may have one before this node goes.
 func (x *Proxy) persists(ctx context.Context, j *job) bool {
-	if j.lost == nil || j.hedged || !j.arm.Repeatable || j.back.Outcome == protocol.Done || j.came >= j.arm.Tries || x.stop.Load() == nil || x.isEnding() {
+	if j.lost == nil || j.hedged || !j.arm.Repeatable || j.back.Outcome == protocol.Done || j.came >= j.arm.MaxAttempts || x.stop.Load() == nil || x.isEnding() {
 		return false
 	}
 	if j.back.ConfigMismatch {
--- a/internal/proxy/gate.go
+++ b/internal/proxy/gate.go
@@ -40,18 +40,18 @@
 func newGate(worker, service, addr string, slots int, window time.Duration) *gate {
 	g := &gate{worker: worker, service: service, addr: addr, slots: slots, room: admission.New(), takes: map[string]time.Duration{}, bytes: map[string]int{}, own: balancer.NewWorkerStats(window)}
 	g.state = fsm.New("new", nil,
-		fsm.Move{From: "new", By: "up", To: "up"},
-		fsm.Move{From: "new", By: "drain", To: "draining"},
-		fsm.Move{From: "up", By: "drain", To: "draining"},
-		fsm.Move{From: "up", By: "miss", To: "down"},
-		fsm.Move{From: "draining", By: "up", To: "up"},
-		fsm.Move{From: "draining", By: "miss", To: "down"},
-		fsm.Move{From: "down", By: "up", To: "up"},
-		fsm.Move{From: "down", By: "drain", To: "draining"},
-		fsm.Move{From: "up", By: "gone", To: "gone"},
-		fsm.Move{From: "draining", By: "gone", To: "gone"},
-		fsm.Move{From: "down", By: "gone", To: "gone"},
-		fsm.Move{From: "new", By: "gone", To: "gone"})
+		fsm.Transition{From: "new", Trigger: "up", To: "up"},
+		fsm.Transition{From: "new", Trigger: "drain", To: "draining"},
+		fsm.Transition{From: "up", Trigger: "drain", To: "draining"},
+		fsm.Transition{From: "up", Trigger: "miss", To: "down"},
+		fsm.Transition{From: "draining", Trigger: "up", To: "up"},
+		fsm.Transition{From: "draining", Trigger: "miss", To: "down"},
+		fsm.Transition{From: "down", Trigger: "up", To: "up"},
+		fsm.Transition{From: "down", Trigger: "drain", To: "draining"},
+		fsm.Transition{From: "up", Trigger: "gone", To: "gone"},
+		fsm.Transition{From: "draining", Trigger: "gone", To: "gone"},
+		fsm.Transition{From: "down", Trigger: "gone", To: "gone"},
+		fsm.Transition{From: "new", Trigger: "gone", To: "gone"})
 	return g
 }
 
--- a/internal/proxy/hedge.go
+++ b/internal/proxy/hedge.go
@@ -50,7 +50,7 @@
 // beginAttempt notes an attempt; the context is that of the attempt. Nil where no second one
 // may follow: the request may not be repeated, or has no other worker or tries left.
 func (x *Proxy) beginAttempt(ctx context.Context, j *job, id string) (*attempt, context.Context) {
-	if !j.arm.Repeatable || j.came+1 >= j.arm.Tries || j.known <= len(j.tried) {
+	if !j.arm.Repeatable || j.came+1 >= j.arm.MaxAttempts || j.known <= len(j.tried) {
 		return nil, ctx
 	}
 	own, end := context.WithCancel(ctx)
--- a/internal/proxy/hedge_test.go
+++ b/internal/proxy/hedge_test.go
@@ -44,7 +44,7 @@
 	x := &Proxy{Settings: settings.Settings{GracePeriod: 6 * time.Second, ConfigBound: 2 * time.Second}}
 	x.attempts.by = map[string]*attempt{}
 	x.pick = balancer.New("a", time.Second, 10*time.Second, func(string, bool) {})
-	return x, &job{path: &rules.Route{Name: "p"}, arm: &rules.Arm{Repeatable: true, Tries: 2}, service: "s", tried: map[string]bool{"w": true}, sends: 1, known: 3, end: time.Now().Add(time.Second)}
+	return x, &job{path: &rules.Route{Name: "p"}, arm: &rules.Arm{Repeatable: true, MaxAttempts: 2}, service: "s", tried: map[string]bool{"w": true}, sends: 1, known: 3, end: time.Now().Add(time.Second)}
 }
 
 // ran has a worker run a job of the path in a time, as a front sees it.
--- a/internal/proxy/outer.go
+++ b/internal/proxy/outer.go
@@ -93,7 +93,7 @@
 		}
 		// A read may be asked again; a change that may have been done may not.
 		if !fault.Is(err, fault.Unsent) && !fault.Is(err, fault.Refused) && r.Method != http.MethodGet {
-			httpapi.WriteJSON(w, http.StatusGatewayTimeout, httpapi.ErrorBody{Message: "outcome unknown: the control node gave no receipt", Ran: "unknown"})
+			httpapi.WriteJSON(w, http.StatusGatewayTimeout, httpapi.ErrorBody{Message: "outcome unknown: the control node gave no receipt", Executed: "unknown"})
 			return
 		}
 	}
--- a/internal/proxy/owner.go
+++ b/internal/proxy/owner.go
@@ -53,8 +53,8 @@
 		defer stop()
 	}
 	// Counted from when it was handed over, as its time left is.
-	if in.FrontWaitMS > 0 {
-		v.last = v.end.Add(time.Duration(in.FrontWaitMS-in.TimeoutMS) * time.Millisecond)
+	if in.IngressWaitMS > 0 {
+		v.last = v.end.Add(time.Duration(in.IngressWaitMS-in.TimeoutMS) * time.Millisecond)
 	}
 	x.owned.Add(1)
 	defer x.owned.Add(-1)
@@ -88,7 +88,7 @@
 		used, wait, _ := v.gate.room.Load()
 		v.back.UsedSlots = used + wait
 		w := v.gate.own.Report()
-		v.back.PaceEighths, v.back.FailedPer64 = w.Pace, w.Fail
+		v.back.PaceEighths, v.back.FailedPer64 = w.PaceEighths, w.FailedPer64
 	}
 	return v.back
 }
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -104,7 +104,7 @@
 	x.self = membership.Member{Node: p.Node, Incarnation: x.boot, Role: "proxy", Zone: p.Zone, InternalAddr: p.InternalAddr, APIAddr: p.APIAddr, TrafficAddr: p.TrafficAddr}
 	x.n = transport.NewNode(transport.Hello{ClusterID: p.ClusterID, Node: p.Node, Zone: p.Zone, Role: "proxy"}, e, g, p.MaxFrameBytes, p.MaxRequests, p.CallTimeout())
 	x.n.MaxIdleLinks = p.MaxIdleLinks()
-	x.rep = replica.New(x.self, x.n, g, e.Log, hlc.New(e.Wall, 2*p.RecoveryBound), p.HeartbeatInterval(), p.RepairInterval(), p.TombstoneTTL())
+	x.rep = replica.New(x.self, x.n, g, e.Log, hlc.New(e.WallClock, 2*p.RecoveryBound), p.HeartbeatInterval(), p.RepairInterval(), p.TombstoneTTL())
 	x.pick = balancer.New(p.Zone, p.HeartbeatInterval(), p.RetryWindow, x.fitness)
 	x.again = retrybudget.New(p.RetryWindow)
 	x.kin = newKin()
@@ -120,11 +120,11 @@
 	x.touch = newTouch(x)
 	x.conns = workerconn.NewPool(e.Net, g, p.ConfigBound, int64(max(p.MaxBodyBytes, p.MaxFrameBytes/2))+64<<10, x.say.IdentifiesConns)
 	x.life = fsm.New("starting", nil,
-		fsm.Move{From: "starting", By: "filled", To: "ready"},
-		fsm.Move{From: "starting", By: "stop", To: "leaving"},
-		fsm.Move{From: "ready", By: "stop", To: "leaving"},
-		fsm.Move{From: "leaving", By: "shut", To: "shut"},
-		fsm.Move{From: "shut", By: "end", To: "ended"})
+		fsm.Transition{From: "starting", Trigger: "filled", To: "ready"},
+		fsm.Transition{From: "starting", Trigger: "stop", To: "leaving"},
+		fsm.Transition{From: "ready", Trigger: "stop", To: "leaving"},
+		fsm.Transition{From: "leaving", Trigger: "shut", To: "shut"},
+		fsm.Transition{From: "shut", Trigger: "end", To: "ended"})
 	x.rep.Subscribe(x.news)
 	return x
 }
--- a/internal/proxy/rush_test.go
+++ b/internal/proxy/rush_test.go
@@ -13,7 +13,7 @@
 // of one that named no time what was named before it.
 func TestRefusedLast(t *testing.T) {
 	x := &Proxy{}
-	j := &job{arm: &rules.Arm{Tries: 1}, end: time.Now().Add(time.Hour)}
+	j := &job{arm: &rules.Arm{MaxAttempts: 1}, end: time.Now().Add(time.Hour)}
 	for _, c := range []struct{ says, told int64 }{{4000, 4000}, {2500, 2500}, {0, 2500}, {3000, 3000}} {
 		j.back = protocol.AttemptResult{Outcome: protocol.Refused, Reason: "queue full", RetryAfterMS: c.says}
 		x.weigh(context.Background(), j)
--- a/internal/proxy/start.go
+++ b/internal/proxy/start.go
@@ -113,7 +113,7 @@
 		if old != nil && old.Version >= version {
 			return true
 		}
-		r, bad, err := rules.Next(old, version, doc)
+		r, bad, err := rules.Recompile(old, version, doc)
 		if err != nil || len(bad) > 0 {
 			x.e.Log.Emit(event.ConfigRefused, "version", version, "faults", len(bad))
 			return false
--- a/internal/proxy/steps.go
+++ b/internal/proxy/steps.go
@@ -131,8 +131,8 @@
 	h := protocol.AttemptRequest{RequestID: j.id, AttemptID: fmt.Sprintf("%s.%d", j.id, j.sends), Route: j.path.Name, Arm: j.arm.Name,
 		ConfigVersion: j.rules.Version, Service: j.service, Class: j.arm.Class, Worker: j.entry.Worker,
 		Host: j.req.Host, Method: j.req.Method, URI: j.req.URL.RequestURI(), Header: x.passed(j.req.Header), Body: j.body, TimeoutMS: left.Milliseconds(),
-		WorkerAttemptID: j.said, CallerService: x.set().Service, Retry: j.came > 0, NestedRetryShare: j.part, Confidence: j.word, MaxQueueMS: x.queueWaitBound().Milliseconds(), FrontWaitMS: x.waitLeft(), Repeatable: j.arm.Repeatable, UsualRunMS: x.usual(j.path.Name).Milliseconds(), AllowUnfinishedRun: j.hedged || j.lost != nil, AllowEndingNode: j.any, NeedsRetryBudget: j.unpaid,
-		TargetMS: time.Until(j.first.Add(j.arm.Target)).Milliseconds(), SentAgainByCaller: j.first.Before(j.from)}
+		WorkerAttemptID: j.said, CallerService: x.set().Service, Retry: j.came > 0, NestedRetryShare: j.part, Confidence: j.word, MaxQueueMS: x.queueWaitBound().Milliseconds(), IngressWaitMS: x.waitLeft(), Repeatable: j.arm.Repeatable, UsualRunMS: x.usual(j.path.Name).Milliseconds(), AllowUnfinishedRun: j.hedged || j.lost != nil, AllowStoppingNode: j.any, NeedsRetryBudget: j.unpaid,
+		TargetMS: time.Until(j.first.Add(j.arm.Target)).Milliseconds(), ResentByCaller: j.first.Before(j.from)}
 	if x.say.KeepsAttemptID {
 		h.URI = origin(j.req)
 	}
@@ -176,7 +176,7 @@
 	counts := j.back.Outcome != protocol.Refused && !transport.CanceledByCaller(ctx)
 	ok := j.back.Outcome == protocol.Done && j.back.Status < 500
 	x.pick.RecordOutcome(balancer.Outcome{Worker: j.entry.Worker, Service: j.service, Route: j.path.Name, UsedSlots: j.back.UsedSlots,
-		Report: balancer.WorkerReport{Pace: j.back.PaceEighths, Fail: j.back.FailedPer64}, RoundTrip: time.Since(from),
+		Report: balancer.WorkerReport{PaceEighths: j.back.PaceEighths, FailedPer64: j.back.FailedPer64}, RoundTrip: time.Since(from),
 		RunTime: time.Duration(j.back.RunMicros) * time.Microsecond, MissedTarget: time.Since(j.from) > j.arm.Target, OK: ok, AboutWorker: counts})
 	return next
 }
--- a/internal/proxy/stop.go
+++ b/internal/proxy/stop.go
@@ -17,7 +17,7 @@
 	if !x.life.Fire("stop") {
 		return
 	}
-	plan := shutdown.Begin(x.Settings.GracePeriod, x.Settings.FarewellTimeout())
+	plan := shutdown.Begin(x.Settings.GracePeriod, x.Settings.GoodbyeTimeout())
 	x.stop.Store(plan)
 	// Large answers that wait for a thin link on their way here go first now.
 	x.n.PrioritizeBulk()
@@ -44,7 +44,7 @@
 	x.answerRest(plan)
 	x.removeWorkers()
 	x.touch.Close()
-	x.n.CloseGracefully(x.Settings.FarewellTimeout())
+	x.n.CloseGracefully(x.Settings.GoodbyeTimeout())
 	x.life.Fire("end")
 	x.Kill()
 	x.e.Log.Emit(event.Stopped, "program", "proxy", "after_ms", plan.Elapsed().Milliseconds())
--- a/internal/proxy/touch.go
+++ b/internal/proxy/touch.go
@@ -53,7 +53,7 @@
 
 // buryOld buries what earlier starts of this node left in the registry.
 func (x *Proxy) buryOld() {
-	x.rep.RetireNode(x.Settings.Node, func(e ormap.Entry) bool { return e.Dot.Node != x.rep.Dot() })
+	x.rep.RetireNode(x.Settings.Node, func(e ormap.Entry) bool { return e.Dot.Node != x.rep.DotNode() })
 }
 
 func (h host) SessionRenewed() {
--- a/internal/proxy/weigh.go
+++ b/internal/proxy/weigh.go
@@ -18,7 +18,7 @@
 	}
 	// The path's tries are workers; an owner that had no room may be passed
 	// over besides, but not for ever.
-	more := j.came < j.arm.Tries && j.sends-j.rushes < j.arm.Tries+spare && ctx.Err() == nil && time.Now().Before(j.end) && !x.isEnding()
+	more := j.came < j.arm.MaxAttempts && j.sends-j.rushes < j.arm.MaxAttempts+spare && ctx.Err() == nil && time.Now().Before(j.end) && !x.isEnding()
 	switch j.back.Outcome {
 	case protocol.Done:
 		// A worker that failed by itself may be alone in that; its own word is
--- a/internal/proxy/worker.go
+++ b/internal/proxy/worker.go
@@ -13,14 +13,14 @@
 
 // WorkerTable is the table of a worker's own resource: its identity stands in the
 // path, and each call has a number that grows.
-var WorkerTable = schema.Table{Name: "worker", Rows: []schema.Field{
+var WorkerTable = schema.Table{Name: "worker", Fields: []schema.Field{
 	{Name: "service", Type: schema.Text, Required: true, Check: schema.IsName, Rule: "a name", Help: "the service it serves"},
 	{Name: "addr", Type: schema.Addr, Required: true, Rule: "IP number and port", Help: "where it takes jobs"},
 	{Name: "area", Type: schema.Text, Rule: "a name", Help: "where it stands"},
 	{Name: "version", Type: schema.Text, Rule: "a text", Help: "of its software"},
 	{Name: "slots", Type: schema.Count, Required: true, Check: schema.IntRange(1, 1024), Rule: "1 to 1024", Help: "jobs that it runs at once"},
 	{Name: "state", Type: schema.Text, Required: true, Check: schema.OneOf("up", "draining"), Rule: "up or draining", Help: "alive or leaving"},
-	{Name: "cold_ms", Type: schema.Share, Default: 0.0, Check: schema.FloatRange(0, 3600_000), Rule: "0 to 3600000", Help: "how much longer it is slow from its start"},
+	{Name: "cold_ms", Type: schema.Number, Default: 0.0, Check: schema.FloatRange(0, 3600_000), Rule: "0 to 3600000", Help: "how much longer it is slow from its start"},
 	{Name: "seq", Type: schema.Count, Default: int64(0), Check: schema.IntRange(0, 1<<62), Rule: "a number", Help: "grows with each call; a late one is known by it"},
 }}
 
@@ -51,7 +51,7 @@
 		return
 	}
 	x.takeCall(workerCall{worker: id, service: v.Text("service"), addr: v.Text("addr"), slots: int(v.Count("slots")), state: v.Text("state"),
-		cold: time.Duration(v.Share("cold_ms")) * time.Millisecond, number: v.Count("seq")})
+		cold: time.Duration(v.Number("cold_ms")) * time.Millisecond, number: v.Count("seq")})
 	x.acknowledge(w, r, id, v.Text("state"), struct{}{})
 }
 
--- a/internal/proxy/workercall.go
+++ b/internal/proxy/workercall.go
@@ -116,7 +116,7 @@
 		return
 	}
 	old := x.rep.Map().Live(func(e ormap.Entry) bool {
-		return e.Owner == x.Settings.Node && e.Dot.Node != x.rep.Dot() && e.Meta["addr"] == p.WorkerAddr && e.Service == p.Service
+		return e.Owner == x.Settings.Node && e.Dot.Node != x.rep.DotNode() && e.Meta["addr"] == p.WorkerAddr && e.Service == p.Service
 	})
 	if len(old) == 0 || len(x.allGates()) > 0 {
 		return
--- a/internal/proxy/workercall_test.go
+++ b/internal/proxy/workercall_test.go
@@ -18,7 +18,7 @@
 func lone() *Proxy {
 	p := settings.Settings{Node: "n", ClusterID: "m", Zone: "a", ConfigBound: 2 * time.Second, LeaveBound: 2 * time.Second, RetryWindow: 10 * time.Second, RecoveryBound: 15 * time.Second, RetireAfter: 10 * time.Second,
 		MaxFrameBytes: 1 << 20, MaxBodyBytes: 1 << 20, MaxRequests: 16, GracePeriod: time.Second, Seeds: []string{"10.0.0.1:1"}}
-	return New(p, env.Env{Wall: time.Now, Sleep: task.Sleep, Log: event.New("n", io.Discard)})
+	return New(p, env.Env{WallClock: time.Now, Sleep: task.Sleep, Log: event.New("n", io.Discard)})
 }
 
 func call(worker, state string, number int64) workerCall {
--- a/internal/registry/app.go
+++ b/internal/registry/app.go
@@ -113,7 +113,7 @@
 }
 
 // appTime is a time to live; a part of a millisecond counts as a whole one.
-func appTime(v schema.Values) int64 { return int64(math.Ceil(v.Share("ttl_ms"))) }
+func appTime(v schema.Values) int64 { return int64(math.Ceil(v.Number("ttl_ms"))) }
 
 func fenceBody(got statemachine.Result) map[string]any {
 	if got.Code == statemachine.OK && got.Lock != nil {
@@ -127,7 +127,7 @@
 // appTake takes a lock; its holder keeps the fence and gets more time.
 func (r *Registry) appTake(w http.ResponseWriter, req *http.Request) {
 	if c, ok := r.appRead(w, req, AcquireLockTable); ok {
-		cmd := &statemachine.AcquireLock{Name: c.name, Owner: c.v.Text("owner"), TTL: appTime(c.v), Same: true}
+		cmd := &statemachine.AcquireLock{Name: c.name, Owner: c.v.Text("owner"), TTL: appTime(c.v), KeepFence: true}
 		r.appChange(w, req, c, "lock.take", cmd, map[string]int{statemachine.Conflict: http.StatusConflict}, fenceBody)
 	}
 }
--- a/internal/registry/config.go
+++ b/internal/registry/config.go
@@ -56,7 +56,7 @@
 	if now {
 		why = "applied whole as an emergency"
 	}
-	got, err := r.stores.proposeOnce(ctx, "config.set", &statemachine.SetConfig{Base: base, Doc: raw, Who: operatorOf(req), Why: why, Now: now}, key)
+	got, err := r.stores.proposeOnce(ctx, "config.set", &statemachine.SetConfig{Base: base, Doc: raw, Who: operatorOf(req), Why: why, Emergency: now}, key)
 	if err != nil {
 		r.answerFailure(w, err)
 		return
@@ -88,7 +88,7 @@
 		answerWrong(w, "a path with traffic is rehearsed first, and its old arm needs what the document drops; keep that until the trial ends, or apply as an emergency", bad)
 		return true
 	}
-	r.begin(ctx, w, req, key, &statemachine.Propose{ID: old.Number + 1, Base: old.Version, Doc: doc, Routes: paths, Slice: c.Judge.Share("slice"), Who: operatorOf(req)})
+	r.begin(ctx, w, req, key, &statemachine.Propose{ID: old.Number + 1, Base: old.Version, Doc: doc, Routes: paths, Slice: c.JudgeLimits.Number("slice"), Who: operatorOf(req)})
 	return true
 }
 
--- a/internal/registry/coord.go
+++ b/internal/registry/coord.go
@@ -13,12 +13,12 @@
 
 // The tables of the coordination calls' bodies.
 var (
-	LockTable = schema.Table{Name: "lock", Rows: []schema.Field{
+	LockTable = schema.Table{Name: "lock", Fields: []schema.Field{
 		{Name: "owner", Type: schema.Text, Required: true, Check: schema.IsName, Rule: "a name", Help: "who takes it"},
-		{Name: "ttl_ms", Type: schema.Span, Default: int64(10000), Check: schema.IntRange(100, 600000), Rule: "100 to 600000", Help: "how long it stands without a renewal"},
+		{Name: "ttl_ms", Type: schema.Duration, Default: int64(10000), Check: schema.IntRange(100, 600000), Rule: "100 to 600000", Help: "how long it stands without a renewal"},
 		{Name: "fence", Type: schema.Count, Default: int64(0), Check: schema.IntRange(0, 1<<62), Rule: "a number", Help: "the fence got when it was taken; needed to renew"},
 	}}
-	KeyTable = schema.Table{Name: "key", Rows: []schema.Field{
+	KeyTable = schema.Table{Name: "key", Fields: []schema.Field{
 		{Name: "value", Type: schema.Text, Required: true, Check: checkValueSize, Rule: "64 KiB at the most", Help: "the value"},
 		{Name: "if_rev", Type: schema.Count, Check: schema.IntRange(0, 1<<62), Rule: "a revision; 0: must not be there", Help: "only when the key's revision is this"},
 	}}
--- a/internal/registry/fuzz_test.go
+++ b/internal/registry/fuzz_test.go
@@ -28,7 +28,7 @@
 			if len(bad) > 0 {
 				continue
 			}
-			for _, row := range tab.Rows {
+			for _, row := range tab.Fields {
 				got, is := v[row.Name]
 				if !is && row.Required {
 					t.Errorf("%s: %s is missing", tab.Name, row.Name)
--- a/internal/registry/judge.go
+++ b/internal/registry/judge.go
@@ -60,8 +60,8 @@
 // judgeBounds reads the judge's bounds from the configuration.
 func judgeBounds(v schema.Values) judge.Bounds {
 	ms := func(n string) time.Duration { return time.Duration(v.Count(n)) * time.Millisecond }
-	return judge.Bounds{Jobs: uint64(v.Count("least_jobs")), Least: ms("least_ms"), Most: ms("most_ms"),
-		Risk: v.Share("risk"), Margin: v.Share("fail_margin"), Slow: v.Share("slow_ratio"), Quantile: v.Share("quantile")}
+	return judge.Bounds{MinRequests: uint64(v.Count("least_jobs")), MinAge: ms("least_ms"), MaxAge: ms("most_ms"),
+		Risk: v.Number("risk"), MaxFailureIncrease: v.Number("fail_margin"), MaxLatencyRatio: v.Number("slow_ratio"), Quantile: v.Number("quantile")}
 }
 
 // weigh sums the reports up for one trial and judges each of its paths.
@@ -135,7 +135,7 @@
 	r.seenOf = now
 	r.mu.Unlock()
 	for _, t := range run {
-		r.decide(ctx, t, r.weigh(t, all, judgeBounds(rl.Judge)), num, rl)
+		r.decide(ctx, t, r.weigh(t, all, judgeBounds(rl.JudgeLimits)), num, rl)
 	}
 }
 
@@ -151,10 +151,10 @@
 // carries the judge's ballot and the version it is based on, so it is taken
 // once, whoever else tries.
 func (r *Registry) decide(ctx context.Context, t statemachine.Trial, facts []judge.Facts, num ballot.Number, rl *rules.Rules) {
-	word, why := judge.Good, "every path of the change is good"
+	word, why := judge.Promote, "every path of the change is good"
 	for _, f := range facts {
-		if f.Verdict == judge.Bad {
-			word, why = judge.Bad, f.Route+": "+f.Reason
+		if f.Verdict == judge.HoldBack {
+			word, why = judge.HoldBack, f.Route+": "+f.Reason
 			break
 		}
 		if f.Verdict == judge.Wait {
@@ -164,11 +164,11 @@
 	if word == judge.Wait {
 		return
 	}
-	if word == judge.Good && len(facts) == 1 {
+	if word == judge.Promote && len(facts) == 1 {
 		why = facts[0].Reason
 	}
 	state := statemachine.Promoted
-	if word == judge.Bad {
+	if word == judge.HoldBack {
 		state = statemachine.HeldBack
 	}
 	doc, err := rules.FinishTrial(rl.Doc, t.ID, state == statemachine.Promoted)
@@ -181,7 +181,7 @@
 	}
 	ctx, end := context.WithTimeout(ctx, r.Settings.ConfigBound)
 	defer end()
-	got, err := r.stores.propose(ctx, "trial.decide", &statemachine.Decide{ID: t.ID, Ballot: num, Base: rl.Version, Doc: doc, State: state, Why: why, Who: "judge", Facts: raw})
+	got, err := r.stores.propose(ctx, "trial.decide", &statemachine.Decide{ID: t.ID, Ballot: num, Base: rl.Version, Doc: doc, State: state, Why: why, Who: "judge", Statistics: raw})
 	if err != nil || got.Code != statemachine.OK {
 		// Looked at again at the next beat, on what then stands.
 		return
--- a/internal/registry/number.go
+++ b/internal/registry/number.go
@@ -35,18 +35,18 @@
 	if c == nil {
 		return
 	}
-	key := numberKey(c.Number, raw)
+	key := numberKey(c.DocumentNumber, raw)
 	ctx, end := r.withDeadline(req)
 	defer end()
 	got, known, err := r.knownNumber(ctx, key)
 	if err == nil && !known {
-		got, err = r.stores.proposeOnce(ctx, "config.number", &statemachine.SetNumberedConfig{Number: c.Number, Doc: raw, Who: operatorOf(req), Why: "applied whole by its number"}, key)
+		got, err = r.stores.proposeOnce(ctx, "config.number", &statemachine.SetNumberedConfig{Number: c.DocumentNumber, Doc: raw, Who: operatorOf(req), Why: "applied whole by its number"}, key)
 	}
 	if err != nil {
 		r.answerFailure(w, err)
 		return
 	}
-	if got.Code == statemachine.OK && got.Version == c.Number && !known && got.Message == "" {
+	if got.Code == statemachine.OK && got.Version == c.DocumentNumber && !known && got.Message == "" {
 		r.e.Log.Emit(event.ConfigAcknowledged, "version", got.Version, "who", operatorOf(req))
 	}
 	answerOrder(w, got, nil)
--- a/internal/registry/poll.go
+++ b/internal/registry/poll.go
@@ -59,7 +59,7 @@
 		// A lower version than ours can't be confirmed by a majority.
 		return got.Version == have
 	}
-	steps := got.Steps
+	steps := got.Patches
 	if got.Doc == nil {
 		doc, ok := r.held.Build(steps)
 		// Steps that do not fit are followed by the whole at the next poll.
@@ -68,10 +68,10 @@
 		}
 		got.Doc = doc
 	} else if _, old := r.held.Current(); have > 0 {
-		steps = []patch.Step{patch.Make(have, got.Version, old, got.Doc)}
+		steps = []patch.Patch{patch.Make(have, got.Version, old, got.Doc)}
 		r.whole = false
 	}
-	c, bad, err := rules.Next(old, got.Version, got.Doc)
+	c, bad, err := rules.Recompile(old, got.Version, got.Doc)
 	if err != nil || len(bad) > 0 {
 		r.e.Log.Emit(event.ConfigRefused, "version", got.Version, "faults", len(bad))
 		return false
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -100,19 +100,19 @@
 	r.roll.Set(p.Node, r.self)
 	r.n = transport.NewNode(transport.Hello{ClusterID: p.ClusterID, Node: p.Node, Zone: p.Zone, Role: "registry"}, e, g, p.MaxFrameBytes, p.MaxRequests, p.CallTimeout())
 	r.n.MaxIdleLinks = p.MaxIdleLinks()
-	r.rep = replica.New(r.self, r.n, g, e.Log, hlc.New(e.Wall, 2*p.RecoveryBound), p.HeartbeatInterval(), p.RepairInterval(), p.TombstoneTTL())
+	r.rep = replica.New(r.self, r.n, g, e.Log, hlc.New(e.WallClock, 2*p.RecoveryBound), p.HeartbeatInterval(), p.RepairInterval(), p.TombstoneTTL())
 	r.held = patch.NewDocument(memberChangesKept / 16)
 	r.rep.SetRefillPending(true)
 	r.stores = newStores(r.n, p.Stores, p.CallTimeout(), p.HeartbeatInterval()/4)
 	r.pulse = pausedetect.New(p.HeartbeatInterval(), p.UnnoticedPause(), nil)
 	r.life = fsm.New("starting", nil,
-		fsm.Move{From: "starting", By: "filled", To: "ready"},
-		fsm.Move{From: "ready", By: "lost", To: "lost"},
-		fsm.Move{From: "lost", By: "filled", To: "ready"},
-		fsm.Move{From: "starting", By: "stop", To: "leaving"},
-		fsm.Move{From: "lost", By: "stop", To: "leaving"},
-		fsm.Move{From: "ready", By: "stop", To: "leaving"},
-		fsm.Move{From: "leaving", By: "shut", To: "shut"})
+		fsm.Transition{From: "starting", Trigger: "filled", To: "ready"},
+		fsm.Transition{From: "ready", Trigger: "lost", To: "lost"},
+		fsm.Transition{From: "lost", Trigger: "filled", To: "ready"},
+		fsm.Transition{From: "starting", Trigger: "stop", To: "leaving"},
+		fsm.Transition{From: "lost", Trigger: "stop", To: "leaving"},
+		fsm.Transition{From: "ready", Trigger: "stop", To: "leaving"},
+		fsm.Transition{From: "leaving", Trigger: "shut", To: "shut"})
 	r.duties = []*roleElection{newRoleElection(r, "steward", r.retireNodes), newRoleElection(r, "judge", r.judge)}
 	r.rep.Subscribe(func(n replica.Event) {
 		k := map[string]event.Kind{"registered": event.Registered, "unregistered": event.Unregistered, "down": event.WorkerDown}[n.Kind]
@@ -207,7 +207,7 @@
 	// Outside callers learn from readiness, which the platform polls: they are
 	// served meanwhile, and calls under way get their answers.
 	// Whatever the bounds are, it has gone by itself before its grace is over.
-	plan := shutdown.Begin(r.Settings.GracePeriod, r.Settings.FarewellTimeout())
+	plan := shutdown.Begin(r.Settings.GracePeriod, r.Settings.GoodbyeTimeout())
 	task.Sleep(r.g.Context(), min(r.Settings.LeaveBound, r.Settings.GracePeriod/2))
 	r.life.Fire("shut")
 	for r.calls.Load() > 0 && plan.RemainingWait() > 0 {
@@ -218,7 +218,7 @@
 	for r.calls.Load() > 0 && time.Now().Before(plan.AnswerDeadline()) {
 		task.Sleep(r.g.Context(), r.Settings.HeartbeatInterval()/10)
 	}
-	r.n.CloseGracefully(r.Settings.FarewellTimeout())
+	r.n.CloseGracefully(r.Settings.GoodbyeTimeout())
 	r.Kill()
 	r.e.Log.Emit(event.Stopped, "program", "registry", "after_ms", plan.Elapsed().Milliseconds())
 }
--- a/internal/registry/requests.go
+++ b/internal/registry/requests.go
@@ -53,10 +53,10 @@
 // majority confirms that it is known, or that it is not.
 func (r *Registry) earlierAnswer(ctx context.Context, key *store.RequestKey) (got statemachine.Result, known bool, err error) {
 	got, err = r.stores.read(ctx, store.ReadRequest{Kind: "request", Name: key.ID})
-	if err != nil || got.Code != statemachine.OK || got.Earlier == nil {
+	if err != nil || got.Code != statemachine.OK || got.Recorded == nil {
 		return statemachine.Result{}, false, err
 	}
-	return got.Earlier.Repeat(key.Digest), true, nil
+	return got.Recorded.ResultForRetry(key.Digest), true, nil
 }
 
 // answerOrder answers an order that puts a version in force, or begins a trial.
--- a/internal/registry/routes.go
+++ b/internal/registry/routes.go
@@ -126,7 +126,7 @@
 		httpapi.WriteBusy(w, "no majority of the stores: nothing was done", r.Settings.Lease()*3/2)
 		return
 	}
-	httpapi.WriteJSON(w, http.StatusGatewayTimeout, httpapi.ErrorBody{Message: "outcome unknown: read back to find out; " + err.Error(), Ran: "unknown"})
+	httpapi.WriteJSON(w, http.StatusGatewayTimeout, httpapi.ErrorBody{Message: "outcome unknown: read back to find out; " + err.Error(), Executed: "unknown"})
 }
 
 func (r *Registry) getReady(w http.ResponseWriter, _ *http.Request) {
--- a/internal/registry/savedworkers_test.go
+++ b/internal/registry/savedworkers_test.go
@@ -24,7 +24,7 @@
 	}
 	p := settings.Settings{Node: "c", ClusterID: "m", Zone: "a", InternalAddr: "10.0.0.1:1", ConfigBound: 2 * time.Second, LeaveBound: 2 * time.Second, RetryWindow: 10 * time.Second,
 		RecoveryBound: 15 * time.Second, RetireAfter: 10 * time.Second, MaxFrameBytes: 1 << 20, MaxRequests: 16, Seeds: []string{"10.0.0.1:1"}}
-	r := New(p, env.Env{Wall: time.Now, Sleep: task.Sleep, Log: event.New("c", io.Discard), FS: fs})
+	r := New(p, env.Env{WallClock: time.Now, Sleep: task.Sleep, Log: event.New("c", io.Discard), FS: fs})
 	t.Cleanup(r.Kill)
 	return r
 }
--- a/internal/registry/sessions.go
+++ b/internal/registry/sessions.go
@@ -88,7 +88,7 @@
 	version, doc := r.held.Current()
 	out.ConfigVersion = version
 	if steps, ok := r.held.Since(in.ConfigVersion); ok && in.AcceptsPatch {
-		out.Steps = steps
+		out.Patches = steps
 	} else if in.AcceptsCompact {
 		// Shrunk once for all that ask for it.
 		if r.shrunk.version != version {
--- a/internal/registry/trials.go
+++ b/internal/registry/trials.go
@@ -21,15 +21,15 @@
 )
 
 // ProposalTable is the body of a proposal.
-var ProposalTable = schema.Table{Name: "propose", Rows: []schema.Field{
+var ProposalTable = schema.Table{Name: "propose", Fields: []schema.Field{
 	{Name: "path", Type: schema.Text, Required: true, Check: schema.IsName, Rule: "a path in force", Help: "the path to change"},
-	{Name: "slice", Type: schema.Share, Check: schema.FloatRange(0.1, 50), Rule: "0.1 to 50", Help: "percent of its jobs; the judge's slice when left out"},
+	{Name: "slice", Type: schema.Number, Check: schema.FloatRange(0.1, 50), Rule: "0.1 to 50", Help: "percent of its jobs; the judge's slice when left out"},
 	{Name: "service", Type: schema.Text, Check: schema.IsName, Rule: "one of services", Help: "the new service, in place of a split too"},
-	{Name: "split", Type: schema.Rows, Rule: "one weight over 0", Help: "the new split, in place of a service too"},
+	{Name: "split", Type: schema.Objects, Rule: "one weight over 0", Help: "the new split, in place of a service too"},
 	{Name: "class", Type: schema.Text, Check: schema.IsName, Rule: "one of classes", Help: "the new class"},
 	{Name: "rank", Type: schema.Count, Check: schema.IntRange(0, 1000), Rule: "0 to 1000", Help: "the new rank"},
-	{Name: "left_ms", Type: schema.Span, Check: schema.IntRange(1, 3600_000), Rule: "1 to 3600000", Help: "the new time left"},
-	{Name: "aim_ms", Type: schema.Span, Check: schema.IntRange(1, 3600_000), Rule: "1 to 3600000", Help: "the new aim"},
+	{Name: "left_ms", Type: schema.Duration, Check: schema.IntRange(1, 3600_000), Rule: "1 to 3600000", Help: "the new time left"},
+	{Name: "aim_ms", Type: schema.Duration, Check: schema.IntRange(1, 3600_000), Rule: "1 to 3600000", Help: "the new aim"},
 	{Name: "repeat", Type: schema.Text, Check: schema.OneOf("never", "safe", "upload", "download"), Rule: "never, safe, upload or download", Help: "the new word on repeats"},
 	{Name: "tries", Type: schema.Count, Check: schema.IntRange(1, 1000), Rule: "1 to 1000", Help: "the new sends at the most"},
 }}
@@ -101,7 +101,7 @@
 			}
 		}
 	}
-	slice := standing.Judge.Share("slice")
+	slice := standing.JudgeLimits.Number("slice")
 	if x, ok := v["slice"]; ok {
 		slice = x.(float64)
 	}
@@ -136,13 +136,13 @@
 	out := map[string]any{"trial": t}
 	if t.State != statemachine.Running {
 		var facts any
-		if json.Unmarshal(t.Facts, &facts) == nil {
+		if json.Unmarshal(t.Statistics, &facts) == nil {
 			out["figures"] = facts
 		}
 		return out
 	}
 	if rl, _, _ := rules.Compile(version, doc); rl != nil {
-		out["figures"] = r.weigh(t, r.reports(ctx), judgeBounds(rl.Judge))
+		out["figures"] = r.weigh(t, r.reports(ctx), judgeBounds(rl.JudgeLimits))
 	}
 	return out
 }
--- a/internal/replica/full_test.go
+++ b/internal/replica/full_test.go
@@ -22,7 +22,7 @@
 		const beat = 200 * time.Millisecond
 		g := task.New(context.Background())
 		defer g.Stop()
-		e := env.Env{Log: event.New("a", nil), Wall: time.Now}
+		e := env.Env{Log: event.New("a", nil), WallClock: time.Now}
 		w := transport.NewNode(transport.Hello{ClusterID: "m", Node: "a", Zone: "x"}, e, g, 1<<20, 4, beat)
 		r := New(membership.Member{Node: "a", InternalAddr: "h:1"}, w, g, e.Log, hlc.New(time.Now, time.Minute), beat, 3*time.Second, time.Minute)
 		ask := func() ormap.Delta {
--- a/internal/replica/lookup.go
+++ b/internal/replica/lookup.go
@@ -84,8 +84,8 @@
 // OwnRemoved tells whether an own entry was found removed by somebody else.
 func (r *Replica) OwnRemoved(d ormap.Dot) bool { return r.m.IsTombstoned(d) }
 
-// Dot is the node part of this node's dots.
-func (r *Replica) Dot() string { return r.dot }
+// DotNode is the node part of this node's dots.
+func (r *Replica) DotNode() string { return r.dot }
 
 // SetRefillPending tells whether a refill is to come: until then the replica is not
 // compared with any.
--- a/internal/replica/refill_test.go
+++ b/internal/replica/refill_test.go
@@ -30,7 +30,7 @@
 		if i%2 == 1 {
 			area = "y"
 		}
-		e := env.Env{Net: road, Log: event.New(h, nil), Wall: time.Now}
+		e := env.Env{Net: road, Log: event.New(h, nil), WallClock: time.Now}
 		w := transport.NewNode(transport.Hello{ClusterID: "m", Node: h, Zone: area, Role: role}, e, g, frame, 64, 5*tick)
 		r := New(membership.Member{Node: h, Incarnation: "s", Role: role, Zone: area, InternalAddr: h + ":1"}, w, g, e.Log, hlc.New(time.Now, time.Minute), tick, time.Hour, time.Minute)
 		if err := w.Listen(h + ":1"); err != nil {
@@ -143,7 +143,7 @@
 		defer g.Stop()
 		road := &transport.LocalNet{Network: transport.NewLocalNetwork(func(string, string) time.Duration { return time.Millisecond })}
 		node := func(h string) *transport.Node {
-			w := transport.NewNode(transport.Hello{ClusterID: "m", Node: h, Zone: "x"}, env.Env{Net: road, Log: event.New(h, nil), Wall: time.Now}, g, 1<<20, 8, 5*tick)
+			w := transport.NewNode(transport.Hello{ClusterID: "m", Node: h, Zone: "x"}, env.Env{Net: road, Log: event.New(h, nil), WallClock: time.Now}, g, 1<<20, 8, 5*tick)
 			if err := w.Listen(h + ":1"); err != nil {
 				t.Fatal(err)
 			}
--- a/internal/replica/replica_test.go
+++ b/internal/replica/replica_test.go
@@ -42,7 +42,7 @@
 		net.Place(h, areas[i])
 		f := membership.Member{Node: h, Incarnation: "s", Role: "proxy", Zone: areas[i], InternalAddr: h + ":1"}
 		all = append(all, f)
-		e := env.Env{Net: net.Host(h), Log: event.New(h, nil), Wall: time.Now}
+		e := env.Env{Net: net.Host(h), Log: event.New(h, nil), WallClock: time.Now}
 		w := transport.NewNode(transport.Hello{ClusterID: "m", Node: h, Zone: areas[i]}, e, g, 1<<20, 64, beat)
 		n := &node{w: w, rep: replica.New(f, w, g, e.Log, hlc.New(time.Now, time.Minute), beat, 3*time.Second, time.Minute)}
 		n.rep.Subscribe(func(x replica.Event) {
@@ -80,7 +80,7 @@
 		seen := map[ormap.Dot]bool{}
 		for start := range 4 {
 			f := membership.Member{Node: "a", Incarnation: fmt.Sprint(start), Role: "proxy", Zone: "x", InternalAddr: "h:1"}
-			e := env.Env{Net: sim.NewNet(1, 0, 0).Host("h"), Log: event.New("a", nil), Wall: time.Now}
+			e := env.Env{Net: sim.NewNet(1, 0, 0).Host("h"), Log: event.New("a", nil), WallClock: time.Now}
 			w := transport.NewNode(transport.Hello{ClusterID: "m", Node: "a", Zone: "x"}, e, g, 1<<20, 4, beat)
 			r := replica.New(f, w, g, e.Log, hlc.New(func() time.Time { return at }, time.Minute), beat, 3*time.Second, time.Minute)
 			for range 3 {
--- a/internal/responsedigest/seal.go
+++ b/internal/responsedigest/seal.go
@@ -15,7 +15,7 @@
 	WorkerHeader        = "Puffin-Worker"  // the worker's identity
 	TimeoutHeader       = "Puffin-Left"    // time left in milliseconds
 	DigestHeader        = "Puffin-Seal"    // the seal
-	RanHeader           = "Puffin-Ran"     // no, or unknown
+	ExecutedHeader      = "Puffin-Ran"     // no, or unknown
 	ReasonHeader        = "Puffin-Why"     // the reason in words
 	ConfigVersionHeader = "Puffin-Version" // the configuration that matched the job
 )
--- a/internal/rules/arm.go
+++ b/internal/rules/arm.go
@@ -9,18 +9,18 @@
 
 // Arm is where the jobs of a path go and by which terms.
 type Arm struct {
-	Service    string // empty with a split
-	Split      []WeightedService
-	sum        float64 // of the weights
-	Class      string
-	Rank       int           // 0 matters most
-	Timeout    time.Duration // time that a job starts with
-	Target     time.Duration // time in which an answer is of full use
-	Repeatable bool
-	Bulk       string // "upload", "download" or neither
-	Tries      int
-	Name       string // "old" or "new"
-	Steps      []Step
+	Service     string // empty with a split
+	Split       []WeightedService
+	sum         float64 // of the weights
+	Class       string
+	Rank        int           // 0 matters most
+	Timeout     time.Duration // time that a job starts with
+	Target      time.Duration // time in which an answer is of full use
+	Repeatable  bool
+	Bulk        string // "upload", "download" or neither
+	MaxAttempts int
+	Name        string // "old" or "new"
+	Steps       []Step
 }
 
 // WeightedService is one service's part of a path's jobs.
@@ -67,7 +67,7 @@
 var every = []Step{StepPick, StepDeliver, StepEvaluate, StepRespond}
 
 func (r *Rules) arm(at, name string, v schema.Values) (Arm, []schema.Problem) {
-	a := Arm{Name: name, Service: v.Text("service"), Class: v.Text("class"), Rank: int(v.Count("rank")), Tries: int(v.Count("tries")),
+	a := Arm{Name: name, Service: v.Text("service"), Class: v.Text("class"), Rank: int(v.Count("rank")), MaxAttempts: int(v.Count("tries")),
 		Timeout: time.Duration(v.Count("left_ms")) * time.Millisecond, Target: time.Duration(v.Count("aim_ms")) * time.Millisecond, Steps: every}
 	if a.Target == 0 {
 		a.Target = a.Timeout / 4
@@ -118,7 +118,7 @@
 		}
 		row, more := r.read(SplitTable, m, at)
 		bad = append(bad, more...)
-		p := WeightedService{row.Text("service"), row.Share("weight")}
+		p := WeightedService{row.Text("service"), row.Number("weight")}
 		if p.Service != "" && !r.Services[p.Service] {
 			bad = append(bad, schema.Problem{Place: at + ".service", Message: fmt.Sprintf("no service %q", p.Service)})
 		}
--- a/internal/rules/bench_test.go
+++ b/internal/rules/bench_test.go
@@ -39,7 +39,7 @@
 		b.Run(fmt.Sprint("row", n), func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
-				if r, bad, err := Next(old, 2, next); r == nil {
+				if r, bad, err := Recompile(old, 2, next); r == nil {
 					b.Fatal(bad, err)
 				}
 			}
--- a/internal/rules/edit_test.go
+++ b/internal/rules/edit_test.go
@@ -79,7 +79,7 @@
 func TestEdits(t *testing.T) {
 	var all []schema.Field
 	for _, tab := range Tables {
-		all = append(all, tab.Rows...)
+		all = append(all, tab.Fields...)
 	}
 	stood := 0
 	often(t, func(rt *rapid.T) {
@@ -90,7 +90,7 @@
 		}
 		for range rapid.IntRange(1, 3).Draw(rt, "edits") {
 			o := rapid.SampledFrom(objects(m, DocumentTable)).Draw(rt, "object")
-			at, s := o.at, rapid.SampledFrom(o.tab.Rows).Draw(rt, "setting")
+			at, s := o.at, rapid.SampledFrom(o.tab.Fields).Draw(rt, "setting")
 			// Now and then one that belongs elsewhere.
 			if rapid.IntRange(0, 9).Draw(rt, "odd") == 0 {
 				s = rapid.SampledFrom(all).Draw(rt, "other")
--- a/internal/rules/fields_test.go
+++ b/internal/rules/fields_test.go
@@ -26,8 +26,8 @@
 // TestFields: what a document says is what the rules hold.
 func TestFields(t *testing.T) {
 	r := must(t, wide)
-	if r.Number != 7 || r.MaxHeaderBytes != 16384 || r.MaxBodyBytes != 67108864 || r.HeaderTimeout != 3*time.Second || r.IdleTimeout != 15*time.Second {
-		t.Errorf("number and limits: %d %d %d %v %v", r.Number, r.MaxHeaderBytes, r.MaxBodyBytes, r.HeaderTimeout, r.IdleTimeout)
+	if r.DocumentNumber != 7 || r.MaxHeaderBytes != 16384 || r.MaxBodyBytes != 67108864 || r.HeaderTimeout != 3*time.Second || r.IdleTimeout != 15*time.Second {
+		t.Errorf("number and limits: %d %d %d %v %v", r.DocumentNumber, r.MaxHeaderBytes, r.MaxBodyBytes, r.HeaderTimeout, r.IdleTimeout)
 	}
 	if len(r.MaxConns) != 1 || r.MaxConns["a"] != 130 || len(r.HealthPaths) != 1 || r.HealthPaths["a"] != "/well" {
 		t.Errorf("services: %v %v", r.MaxConns, r.HealthPaths)
@@ -36,14 +36,14 @@
 	if p.Service != "" || len(p.Split) != 2 || p.Timeout != 3*time.Second || p.Target != 500*time.Millisecond || p.Rank != 2 || !p.Repeatable || p.Bulk != "download" || p.Class != "rank-2" {
 		t.Errorf("p: %+v", p)
 	}
-	if q.Service != "b" || q.Repeatable || q.Bulk != "upload" || q.Tries != 1000 || q.Target != 250*time.Millisecond || q.Class != "rank-0" {
+	if q.Service != "b" || q.Repeatable || q.Bulk != "upload" || q.MaxAttempts != 1000 || q.Target != 250*time.Millisecond || q.Class != "rank-0" {
 		t.Errorf("q: %+v", q)
 	}
 	if d.Timeout != time.Hour || r.LongestTimeout != time.Hour {
 		t.Errorf("r: %v, longest %v", d.Timeout, r.LongestTimeout)
 	}
 	old := must(t, good)
-	if old.Number != 0 || old.MaxHeaderBytes != 65536 || old.MaxBodyBytes != 0 || old.HeaderTimeout != 0 || old.IdleTimeout != 0 || len(old.MaxConns)+len(old.HealthPaths) != 0 {
+	if old.DocumentNumber != 0 || old.MaxHeaderBytes != 65536 || old.MaxBodyBytes != 0 || old.HeaderTimeout != 0 || old.IdleTimeout != 0 || len(old.MaxConns)+len(old.HealthPaths) != 0 {
 		t.Errorf("defaults: %+v", old)
 	}
 }
--- a/internal/rules/fuzz_test.go
+++ b/internal/rules/fuzz_test.go
@@ -174,7 +174,7 @@
 		if again == nil {
 			t.Fatalf("%s: compiled once, then %v %v", own, bad, err)
 		}
-		if !reflect.DeepEqual(again.Routes, r.Routes) || !reflect.DeepEqual(again.Shares, r.Shares) || again.Number != r.Number || !reflect.DeepEqual(again.Judge, r.Judge) {
+		if !reflect.DeepEqual(again.Routes, r.Routes) || !reflect.DeepEqual(again.Shares, r.Shares) || again.DocumentNumber != r.DocumentNumber || !reflect.DeepEqual(again.JudgeLimits, r.JudgeLimits) {
 			t.Fatalf("%s: compiled again it means something else", own)
 		}
 	}
@@ -190,7 +190,7 @@
 			if a == &p.New && p.Trial == 0 {
 				continue
 			}
-			if _, ok := r.Shares[a.Class]; !ok || a.Timeout <= 0 || a.Target <= 0 || a.Tries < 1 {
+			if _, ok := r.Shares[a.Class]; !ok || a.Timeout <= 0 || a.Target <= 0 || a.MaxAttempts < 1 {
 				t.Fatalf("%s: arm %+v", doc, a)
 			}
 			for i := range 8 {
--- a/internal/rules/next_test.go
+++ b/internal/rules/next_test.go
@@ -79,7 +79,7 @@
 			}
 			doc := d.text(rapid.SampledFrom([]string{"", "", "", " \n", "\n", "]"}).Draw(t, "gap"))
 			want, bad, err := Compile(uint64(v+2), doc)
-			got, bad2, err2 := Next(old, uint64(v+2), doc)
+			got, bad2, err2 := Recompile(old, uint64(v+2), doc)
 			if !reflect.DeepEqual(bad, bad2) || !reflect.DeepEqual(err, err2) {
 				t.Fatalf("%s: %v, %v compiled whole, else %v, %v", doc, bad, err, bad2, err2)
 			}
@@ -112,12 +112,12 @@
 	old, _, _ := Compile(1, []byte(doc))
 	whole := testing.AllocsPerRun(3, func() { _, _, _ = Compile(2, []byte(doc)) })
 	next := strings.Replace(doc, `"left_ms":3000`, `"left_ms":4000`, 1)
-	one := testing.AllocsPerRun(3, func() { _, _, _ = Next(old, 2, []byte(next)) })
+	one := testing.AllocsPerRun(3, func() { _, _, _ = Recompile(old, 2, []byte(next)) })
 	t.Logf("%.0f and %.0f allocations", whole, one)
 	if 10*one > whole {
 		t.Errorf("%.0f allocations for one row, %.0f for all", one, whole)
 	}
-	now, _, _ := Next(old, 2, []byte(next))
+	now, _, _ := Recompile(old, 2, []byte(next))
 	if now.Routes[0] == old.Routes[0] || now.Routes[1999] != old.Routes[1999] {
 		t.Error("not the changed row alone was read")
 	}
--- a/internal/rules/paths.go
+++ b/internal/rules/paths.go
@@ -11,7 +11,7 @@
 
 func (r *Rules) paths(top schema.Values) []schema.Problem {
 	_, numbered := top["version"]
-	r.strange = r.old != nil && (r.ranked != r.old.ranked || numbered != (r.old.Number > 0) || !r.ranked && !maps.Equal(r.Shares, r.old.Shares))
+	r.strange = r.old != nil && (r.ranked != r.old.ranked || numbered != (r.old.DocumentNumber > 0) || !r.ranked && !maps.Equal(r.Shares, r.old.Shares))
 	list, _ := top["paths"].([]any)
 	r.Routes = make([]*Route, 0, len(list))
 	return r.each(top, "paths", RouteTable, func(at string, v schema.Values) (any, []schema.Problem) {
@@ -21,7 +21,7 @@
 		if t, ok := v["trial"].(map[string]any); ok {
 			tv, more := r.read(TrialTable, t, at+".trial")
 			bad = append(bad, more...)
-			p.Trial, p.Slice = uint64(tv.Count("id")), tv.Share("slice")
+			p.Trial, p.Slice = uint64(tv.Count("id")), tv.Number("slice")
 			p.New, more = r.arm(at+".trial", "new", tv)
 			bad = append(bad, more...)
 		}
@@ -75,9 +75,9 @@
 	return old
 }
 
-// Next is Compile for one who holds an earlier document compiled: rows that
+// Recompile is Compile for one who holds an earlier document compiled: rows that
 // stand there as they stood are not read again. What comes out is the same.
-func Next(old *Rules, version uint64, doc []byte) (*Rules, []schema.Problem, error) {
+func Recompile(old *Rules, version uint64, doc []byte) (*Rules, []schema.Problem, error) {
 	if old == nil {
 		return Compile(version, doc)
 	}
--- a/internal/rules/rules.go
+++ b/internal/rules/rules.go
@@ -39,7 +39,7 @@
 // Rules is one compiled version.
 type Rules struct {
 	Version        uint64
-	Number         uint64 // the operator's own; 0 when the document has none
+	DocumentNumber uint64 // the operator's own; 0 when the document has none
 	Doc            []byte
 	Services       map[string]bool
 	MaxConns       map[string]int    // bound on a worker's connections by service, where one is told
@@ -56,7 +56,7 @@
 	MaxBodyBytes   int           // bound on a caller's body; 0: the prop's
 	HeaderTimeout  time.Duration // time to read a header; 0: by props
 	IdleTimeout    time.Duration // time before an idle connection is closed; 0: by props
-	Judge          schema.Values
+	JudgeLimits    schema.Values
 	LongestTimeout time.Duration
 	fill           func(schema.Table, schema.Values, map[string]any, string) []schema.Problem
 	short          map[int]time.Duration // by rank, the least aim of what isn't bulk
@@ -98,7 +98,7 @@
 	r.ranked = !classes
 	top, more := r.read(DocumentTable, in, "")
 	bad = append(bad, more...)
-	r.Number = uint64(top.Count("version"))
+	r.DocumentNumber = uint64(top.Count("version"))
 	bad = append(bad, r.services(top)...)
 	bad = append(bad, r.classes(top)...)
 	bad = append(bad, r.paths(top)...)
@@ -109,13 +109,13 @@
 	lim, _ := top["limits"].(map[string]any)
 	v, more := r.read(LimitsTable, lim, "limits")
 	bad = append(bad, more...)
-	r.RetryRatio, r.RetryAllowance, r.QueueRatio = v.Share("repeat_share"), v.Count("repeat_allowance"), v.Share("queue_share")
+	r.RetryRatio, r.RetryAllowance, r.QueueRatio = v.Number("repeat_share"), v.Count("repeat_allowance"), v.Number("queue_share")
 	r.MaxHeaderBytes, r.MaxBodyBytes = int(v.Count("head_bytes")), int(v.Count("body_bytes"))
 	r.HeaderTimeout, r.IdleTimeout = time.Duration(v.Count("head_ms"))*time.Millisecond, time.Duration(v.Count("idle_ms"))*time.Millisecond
 	jud, _ := top["judge"].(map[string]any)
-	r.Judge, more = r.read(JudgeTable, jud, "judge")
+	r.JudgeLimits, more = r.read(JudgeTable, jud, "judge")
 	bad = append(bad, more...)
-	if len(more) == 0 && r.Judge.Count("most_ms") <= r.Judge.Count("least_ms") {
+	if len(more) == 0 && r.JudgeLimits.Count("most_ms") <= r.JudgeLimits.Count("least_ms") {
 		bad = append(bad, schema.Problem{Place: "judge.most_ms", Message: "must be over least_ms"})
 	}
 	r.old, r.raw = nil, nil
@@ -138,10 +138,10 @@
 	}
 	var bad []schema.Problem
 	// A numbered document may empty the mesh; by hand that is a mistake.
-	if len(list) == 0 && r.Number == 0 {
+	if len(list) == 0 && r.DocumentNumber == 0 {
 		bad = append(bad, schema.Problem{Place: name, Message: "must have at least one"})
 	}
-	v := make(schema.Values, len(tab.Rows))
+	v := make(schema.Values, len(tab.Fields))
 	rows := make([]schema.ParsedRow, 0, len(list))
 	enter := func(i int, made any, at func() string) {
 		rows = append(rows, schema.ParsedRow{Raw: r.raw[name][i], Value: made})
@@ -211,10 +211,10 @@
 			whole = false
 		}
 		if n != "" {
-			r.Shares[n] = v.Share("share")
+			r.Shares[n] = v.Number("share")
 			r.Classes = append(r.Classes, n)
 		}
-		sum += v.Share("share")
+		sum += v.Number("share")
 		return nil, nil
 	}, func(any) []string { return nil })
 	delete(r.rows, "classes")
--- a/internal/rules/rules_test.go
+++ b/internal/rules/rules_test.go
@@ -83,7 +83,7 @@
 			t.Errorf("%s %s matched %q, want %q", c.method, c.url, got, c.want)
 		}
 	}
-	if a := r.RouteByName("p").Base; a.Timeout != time.Second || a.Repeatable || a.Tries != 3 {
+	if a := r.RouteByName("p").Base; a.Timeout != time.Second || a.Repeatable || a.MaxAttempts != 3 {
 		t.Errorf("defaults: %+v", a)
 	}
 }
--- a/internal/rules/trial.go
+++ b/internal/rules/trial.go
@@ -39,7 +39,7 @@
 			return left / 4
 		}
 	}
-	for _, s := range RouteTable.Rows {
+	for _, s := range RouteTable.Fields {
 		if s.Name == field {
 			return s.Default
 		}
@@ -203,7 +203,7 @@
 	for _, p := range was {
 		before[p["name"]] = p
 	}
-	slice := JudgeTable.Rows[0].Default
+	slice := JudgeTable.Fields[0].Default
 	if j, ok := m["judge"].(map[string]any); ok && j["slice"] != nil {
 		slice = j["slice"]
 	}
--- a/internal/schema/cast.go
+++ b/internal/schema/cast.go
@@ -17,7 +17,7 @@
 		if _, ok := raw.(string); ok {
 			return raw, nil
 		}
-	case Count, Span:
+	case Count, Duration:
 		if n, ok := raw.(json.Number); ok {
 			if i, err := n.Int64(); err == nil {
 				return i, nil
@@ -27,7 +27,7 @@
 			}
 		}
 		return nil, errors.New("must be a whole number")
-	case Share:
+	case Number:
 		if n, ok := raw.(json.Number); ok {
 			if f, err := n.Float64(); err == nil && !math.IsInf(f, 0) {
 				return f, nil
@@ -60,7 +60,7 @@
 			out = append(out, s)
 		}
 		return out, nil
-	case Rows:
+	case Objects:
 		if _, ok := raw.([]any); ok {
 			return raw, nil
 		}
@@ -145,7 +145,7 @@
 // FromFlag turns the text of a flag into the raw value of its type.
 func FromFlag(t Type, s string) any {
 	switch t {
-	case Count, Span, Share:
+	case Count, Duration, Number:
 		return json.Number(s)
 	case Flag:
 		return s == "true"
--- a/internal/schema/settings.go
+++ b/internal/schema/settings.go
@@ -14,15 +14,15 @@
 
 // The types of value.
 const (
-	Text  Type = "text"  // a string
-	Count Type = "count" // a whole number
-	Share Type = "share" // a number, fractions allowed
-	Span  Type = "span"  // a duration in milliseconds, a whole number
-	Flag  Type = "flag"  // true or false
-	Addr  Type = "addr"  // IP number and port
-	Addrs Type = "addrs" // a list of addr
-	Rows  Type = "rows"  // a list of objects
-	Row   Type = "row"   // one object
+	Text     Type = "text"  // a string
+	Count    Type = "count" // a whole number
+	Number   Type = "share" // a number, fractions allowed
+	Duration Type = "span"  // a duration in milliseconds, a whole number
+	Flag     Type = "flag"  // true or false
+	Addr     Type = "addr"  // IP number and port
+	Addrs    Type = "addrs" // a list of addr
+	Objects  Type = "rows"  // a list of objects
+	Row      Type = "row"   // one object
 )
 
 // Field is one row of a table.
@@ -38,8 +38,8 @@
 
 // Table is the rows of one kind of object.
 type Table struct {
-	Name string
-	Rows []Field
+	Name   string
+	Fields []Field
 }
 
 // Problem is one thing wrong, with its place.
@@ -57,8 +57,8 @@
 // Count gives a whole number.
 func (v Values) Count(n string) int64 { s, _ := v[n].(int64); return s }
 
-// Share gives a number.
-func (v Values) Share(n string) float64 { s, _ := v[n].(float64); return s }
+// Number gives a number.
+func (v Values) Number(n string) float64 { s, _ := v[n].(float64); return s }
 
 // Flag gives a truth value.
 func (v Values) Flag(n string) bool { s, _ := v[n].(bool); return s }
@@ -69,7 +69,7 @@
 // Read checks one object by the table; every fault is named, an unknown name
 // is one.
 func (t Table) Read(in map[string]any, place string) (Values, []Problem) {
-	out := make(Values, len(t.Rows))
+	out := make(Values, len(t.Fields))
 	return out, t.Fill(out, in, place)
 }
 
@@ -81,7 +81,7 @@
 		return bad
 	}
 	known := map[string]bool{}
-	for _, s := range t.Rows {
+	for _, s := range t.Fields {
 		known[s.Name] = true
 	}
 	var odd []string
@@ -99,7 +99,7 @@
 
 // ReadKnown checks what the table knows of an object and passes over the rest.
 func (t Table) ReadKnown(in map[string]any, place string) (Values, []Problem) {
-	out := make(Values, len(t.Rows))
+	out := make(Values, len(t.Fields))
 	return out, t.FillKnown(out, in, place)
 }
 
@@ -112,7 +112,7 @@
 // known reads the table's rows and counts those that the object has.
 func (t Table) known(out Values, in map[string]any, place string) (met int, bad []Problem) {
 	clear(out)
-	for _, s := range t.Rows {
+	for _, s := range t.Fields {
 		raw, ok := in[s.Name]
 		if !ok {
 			if s.Required {
@@ -147,7 +147,7 @@
 func (t Table) Doc() string {
 	var b strings.Builder
 	b.WriteString("| setting | type | default | check | meaning |\n| --- | --- | --- | --- | --- |\n")
-	for _, s := range t.Rows {
+	for _, s := range t.Fields {
 		def := "none"
 		if s.Required {
 			def = "required"
--- a/internal/settings/changed.go
+++ b/internal/settings/changed.go
@@ -19,7 +19,7 @@
 func Changed(program string, was, now Settings) []string {
 	a, b := was.names(), now.names()
 	var out []string
-	for _, s := range Tables[program].Rows {
+	for _, s := range Tables[program].Fields {
 		if !reflect.DeepEqual(a[s.Name], b[s.Name]) {
 			out = append(out, s.Name)
 		}
--- a/internal/settings/from.go
+++ b/internal/settings/from.go
@@ -12,7 +12,7 @@
 func FromValues(program string, in map[string]any) (Settings, []schema.Problem, error) {
 	tab := Tables[program]
 	known := map[string]any{}
-	for _, s := range tab.Rows {
+	for _, s := range tab.Fields {
 		// Text that was not given there is left to its default.
 		if v, ok := in[s.Name]; ok && v != "" {
 			known[s.Name] = v
--- a/internal/settings/parts.go
+++ b/internal/settings/parts.go
@@ -29,9 +29,9 @@
 // HeartbeatInterval is how often sessions, writers and duties are renewed.
 func (p Settings) HeartbeatInterval() time.Duration { return p.BaseInterval() / 10 }
 
-// FarewellTimeout is how long one goodbye may take at the end of a polite stop: a beat,
+// GoodbyeTimeout is how long one goodbye may take at the end of a polite stop: a beat,
 // and no more than what two of them leave of the grace.
-func (p Settings) FarewellTimeout() time.Duration {
+func (p Settings) GoodbyeTimeout() time.Duration {
 	return min(p.HeartbeatInterval(), p.GracePeriod/30)
 }
 
--- a/internal/settings/props.go
+++ b/internal/settings/props.go
@@ -60,7 +60,7 @@
 		MayFound: v.Flag("founding"), ToleratedMachines: int(v.Count("bear")), ToleratedZones: int(v.Count("bear_areas")), ToleratedRegions: int(v.Count("bear_regions")), Region: v.Text("region"), MemoryBytes: int(v.Count("memory_bytes")), FileLimit: int(v.Count("files")),
 		DiskBytes: int(v.Count("disk_bytes")), ConfiguredStateBytes: int(v.Count("state_bytes")),
 		Service: v.Text("service"), WorkerAddr: v.Text("worker_addr"), ReadyAddr: v.Text("ready"),
-		RetryRatio: v.Share("repeat_share"), RetryAllowance: int(v.Count("repeat_allowance"))}
+		RetryRatio: v.Number("repeat_share"), RetryAllowance: int(v.Count("repeat_allowance"))}
 	p.derive()
 	return p, p.parts()
 }
@@ -99,7 +99,7 @@
 // never differ in what they know.
 func flags(tab schema.Table, args []string) (string, map[string]any, error) {
 	fields := []reflect.StructField{{Name: "Props", Type: reflect.TypeOf(""), Tag: `arg:"--props" help:"settings file (JSON)"`}}
-	for _, s := range tab.Rows {
+	for _, s := range tab.Fields {
 		name := strings.ReplaceAll(s.Name, "_", "-")
 		tag := fmt.Sprintf(`arg:"--%s" help:%q`, name, s.Help)
 		fields = append(fields, reflect.StructField{Name: "X" + s.Name, Type: reflect.TypeOf((*string)(nil)), Tag: reflect.StructTag(tag)})
@@ -117,7 +117,7 @@
 		return "", nil, fault.Wrap(fault.Input, err, "flags")
 	}
 	over := map[string]any{}
-	for i, s := range tab.Rows {
+	for i, s := range tab.Fields {
 		if f, _ := dest.Elem().Field(i + 1).Interface().(*string); f != nil {
 			over[s.Name] = schema.FromFlag(s.Type, *f)
 		}
--- a/internal/settings/props_test.go
+++ b/internal/settings/props_test.go
@@ -139,7 +139,7 @@
 // TestChangedNames: every setting of every program is named when it changes.
 func TestChangedNames(t *testing.T) {
 	for program, tab := range Tables {
-		for _, s := range tab.Rows {
+		for _, s := range tab.Fields {
 			if _, ok := (Settings{}).names()[s.Name]; !ok {
 				t.Errorf("%s: a change of %s would not be named", program, s.Name)
 			}
--- a/internal/sim/fleet.go
+++ b/internal/sim/fleet.go
@@ -145,7 +145,7 @@
 	// A fresh start is never frozen, whatever became of the one before.
 	f.Net.Freeze(node, false)
 	return env.Env{Net: f.Net.Process(host, node), Log: log, Sleep: f.Net.ice(node).pause,
-		Wall: func() time.Time { return time.Now().Add(time.Duration(skew.Load())) }}
+		WallClock: func() time.Time { return time.Now().Add(time.Duration(skew.Load())) }}
 }
 
 // StartStore starts the store of a core machine on its disk.
--- a/internal/sim/site_test.go
+++ b/internal/sim/site_test.go
@@ -69,7 +69,7 @@
 		s.controlHosts = append(s.controlHosts, c.Host)
 	}
 	f.Net.Place("10.0.9.7", "outside")
-	outside := env.Env{Net: f.Net.Host("10.0.9.7"), Log: event.New("outside", nil), Wall: time.Now}
+	outside := env.Env{Net: f.Net.Host("10.0.9.7"), Log: event.New("outside", nil), WallClock: time.Now}
 	s.op = actors.NewOperator(outside, s.control, s.wit, seed+1)
 	s.apps = actors.NewApps(outside, s.control, s.wit, f.g, seed+2)
 	s.draft = d.draft(1)
@@ -137,7 +137,7 @@
 	callerHost := fmt.Sprintf("10.0.8.%d", n)
 	s.Net.Place(callerHost, area)
 	s.Net.Lag(callerHost, s.d.clientLatency)
-	callerEnv := env.Env{Net: s.Net.Host(callerHost), Log: event.New(callerHost, nil), Wall: time.Now}
+	callerEnv := env.Env{Net: s.Net.Host(callerHost), Log: event.New(callerHost, nil), WallClock: time.Now}
 	m.c = actors.NewClient(callerEnv, actors.Plain, workerHost+":8000", m.name, fmt.Sprint("c", n, "-"), s.wit, s.g, s.seed(n))
 	m.c.Out.Store(true)
 	for _, l := range append([]*actors.Line{s.later()}, s.d.lines...) {
@@ -199,7 +199,7 @@
 	m.workerStarts++
 	n := m.n
 	id := checker.Worker{Name: fmt.Sprintf("w%d-%d", n, m.workerStarts), Service: m.service, Machine: m.name, Area: m.Area}
-	e := env.Env{Net: s.Net.Host(m.Host), Log: event.New(id.Name, nil), Wall: time.Now}
+	e := env.Env{Net: s.Net.Host(m.Host), Log: event.New(id.Name, nil), WallClock: time.Now}
 	behaviour := s.d.ways
 	// Speeds differ within a service; in some services a full worker resets connections.
 	behaviour.Speed = 0.8 + float64(n%5)*0.15
--- a/internal/standin/actors/core_test.go
+++ b/internal/standin/actors/core_test.go
@@ -184,7 +184,7 @@
 	net.Place("h1", "x")
 	net.Place("h2", "x")
 	g, wit := task.New(context.Background()), checker.New(checker.Usual)
-	e := env.Env{Net: net.Host("h1"), Log: event.New("h1", nil), Wall: time.Now}
+	e := env.Env{Net: net.Host("h1"), Log: event.New("h1", nil), WallClock: time.Now}
 	c := &core{err: err, locks: map[string]*lease{}, nums: map[string]uint64{}, revs: map[string]uint64{}, keys: map[string][]cell{}}
 	if err := httpapi.Serve(g, e, "h1:1", c, time.Second); err != nil {
 		t.Fatal(err)
--- a/internal/standin/actors/leave_test.go
+++ b/internal/standin/actors/leave_test.go
@@ -26,7 +26,7 @@
 			d := newGround(t, usual, nil)
 			var said []string
 			if heard {
-				e := env.Env{Net: d.net.Host("10.0.0.1"), Log: event.New("h1", nil), Wall: time.Now}
+				e := env.Env{Net: d.net.Host("10.0.0.1"), Log: event.New("h1", nil), WallClock: time.Now}
 				_ = httpapi.Serve(d.g, e, "10.0.0.1:7003", http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 					raw, _ := io.ReadAll(r.Body)
 					said = append(said, fmt.Sprint(r.Method, r.URL.Path, bytes.Contains(raw, []byte(`"draining"`))))
@@ -54,7 +54,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		d := newGround(t, usual, nil)
 		var said []string
-		e := env.Env{Net: d.net.Host("10.0.0.1"), Log: event.New("h1", nil), Wall: time.Now}
+		e := env.Env{Net: d.net.Host("10.0.0.1"), Log: event.New("h1", nil), WallClock: time.Now}
 		_ = httpapi.Serve(d.g, e, "10.0.0.1:7003", http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
 			var beat struct {
 				State string
--- a/internal/standin/actors/play_test.go
+++ b/internal/standin/actors/play_test.go
@@ -38,7 +38,7 @@
 	d := &ground{t: t, net: sim.NewNet(1, time.Millisecond, time.Millisecond), g: task.New(context.Background()), wit: checker.New(checker.Usual), err: err}
 	d.net.Place("10.0.0.1", "x")
 	d.net.Place("10.0.0.2", "x")
-	e := env.Env{Net: d.net.Host("10.0.0.1"), Log: event.New("h1", nil), Wall: time.Now}
+	e := env.Env{Net: d.net.Host("10.0.0.1"), Log: event.New("h1", nil), WallClock: time.Now}
 	d.line = &actors.Line{Kind: "read", Host: "h.example", Method: "GET", Prefix: "/a/", Repeat: true, Rate: 50, Back: 300, Work: 20 * time.Millisecond, Left: 800 * time.Millisecond, Further: 1}
 	doc := &checker.Doc{Number: 1, Paths: []checker.Path{{Host: "h.example", Prefix: "/a/", Repeat: true, Services: map[string]int{"s": 1}}, {Host: "h.example", Prefix: "/b/", Services: map[string]int{"s": 1}}}}
 	d.wit.Offer(doc)
--- a/internal/standin/caller.go
+++ b/internal/standin/caller.go
@@ -115,7 +115,7 @@
 	r.Header.Set("X-Service", l.Service)
 	w, err := c.way.RoundTrip(r)
 	if err == nil {
-		out.Status, out.Ran = w.StatusCode, w.Header.Get(responsedigest.RanHeader)
+		out.Status, out.Ran = w.StatusCode, w.Header.Get(responsedigest.ExecutedHeader)
 		out.Version, _ = strconv.ParseUint(w.Header.Get(responsedigest.ConfigVersionHeader), 10, 64)
 		out.Retry = w.Header.Get("Retry-After")
 		body, err := io.ReadAll(w.Body)
--- a/internal/standin/coord_test.go
+++ b/internal/standin/coord_test.go
@@ -45,7 +45,7 @@
 		net.Place("h1", "x")
 		net.Place("h2", "x")
 		g := task.New(context.Background())
-		e := env.Env{Net: net.Host("h1"), Log: event.New("h1", nil), Wall: time.Now}
+		e := env.Env{Net: net.Host("h1"), Log: event.New("h1", nil), WallClock: time.Now}
 		if err := httpapi.Serve(g, e, "h1:1", &broken{}, time.Second); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -167,7 +167,7 @@
 		}
 	}
 	if rand.Float64() < way.Busy {
-		w.Header().Set(responsedigest.RanHeader, "no")
+		w.Header().Set(responsedigest.ExecutedHeader, "no")
 		k.send(w, attempt, http.StatusServiceUnavailable, []byte("busy"))
 		return
 	}
--- a/internal/statemachine/command.go
+++ b/internal/statemachine/command.go
@@ -11,21 +11,21 @@
 
 // Result is what a command or a read gives back.
 type Result struct {
-	Code     string       `msgpack:"c"` // ok, or why nothing changed
-	Message  string       `msgpack:"s,omitempty"`
-	Version  uint64       `msgpack:"v,omitempty"`
-	Revision uint64       `msgpack:"r,omitempty"`
-	Number   uint64       `msgpack:"n,omitempty"`
-	Key      *Key         `msgpack:"k,omitempty"`
-	Lock     *Lock        `msgpack:"l,omitempty"`
-	Doc      []byte       `msgpack:"d,omitempty"`
-	Names    []string     `msgpack:"a,omitempty"`
-	Changes  []Change     `msgpack:"h,omitempty"`
-	Configs  []Config     `msgpack:"g,omitempty"`
-	Steps    []patch.Step `msgpack:"p,omitempty"` // in the place of Doc, from the version that the asker has
-	Trials   []Trial      `msgpack:"t,omitempty"`
+	Code     string        `msgpack:"c"` // ok, or why nothing changed
+	Message  string        `msgpack:"s,omitempty"`
+	Version  uint64        `msgpack:"v,omitempty"`
+	Revision uint64        `msgpack:"r,omitempty"`
+	Number   uint64        `msgpack:"n,omitempty"`
+	Key      *Key          `msgpack:"k,omitempty"`
+	Lock     *Lock         `msgpack:"l,omitempty"`
+	Doc      []byte        `msgpack:"d,omitempty"`
+	Names    []string      `msgpack:"a,omitempty"`
+	Changes  []Change      `msgpack:"h,omitempty"`
+	Configs  []Config      `msgpack:"g,omitempty"`
+	Patches  []patch.Patch `msgpack:"p,omitempty"` // in the place of Doc, from the version that the asker has
+	Trials   []Trial       `msgpack:"t,omitempty"`
 	Locks    map[string]Lock
-	Earlier  *AnsweredRequest `msgpack:"q,omitempty"` // an answered request
+	Recorded *AnsweredRequest `msgpack:"q,omitempty"` // an answered request
 }
 
 // The codes of a result.
@@ -85,8 +85,8 @@
 	return Packed{kind, b}, fault.Wrap(fault.Input, err, "pack "+kind)
 }
 
-// Open reads a command back; an unknown kind is an error by name.
-func (p Packed) Open() (Command, error) {
+// Unpack reads a command back; an unknown kind is an error by name.
+func (p Packed) Unpack() (Command, error) {
 	make := commandKinds[p.Kind]
 	if make == nil {
 		return nil, fault.New(fault.Input, "command %q is not known here", p.Kind)
@@ -119,7 +119,7 @@
 	}
 	cmds := make([]Command, len(b))
 	for i, p := range b {
-		c, err := p.Open()
+		c, err := p.Unpack()
 		if err != nil {
 			return nil, nil, err
 		}
--- a/internal/statemachine/config.go
+++ b/internal/statemachine/config.go
@@ -8,11 +8,11 @@
 
 // SetConfig puts a whole new configuration in force.
 type SetConfig struct {
-	Base uint64 `msgpack:"b"`
-	Now  bool   `msgpack:"n"` // an emergency: running trials end with it
-	Doc  []byte `msgpack:"d"`
-	Who  string `msgpack:"w"`
-	Why  string `msgpack:"y"`
+	Base      uint64 `msgpack:"b"`
+	Emergency bool   `msgpack:"n"` // an emergency: running trials end with it
+	Doc       []byte `msgpack:"d"`
+	Who       string `msgpack:"w"`
+	Why       string `msgpack:"y"`
 }
 
 // Apply sets the configuration if its base is what stands. Running trials end
@@ -23,7 +23,7 @@
 		return Result{Code: Conflict, Version: now.Version, Message: fmt.Sprintf("based on version %d, but %d stands", c.Base, now.Version)}
 	}
 	for _, t := range s.Trials {
-		if t.State == Running && !c.Now {
+		if t.State == Running && !c.Emergency {
 			return Result{Code: Conflict, Version: now.Version, Message: fmt.Sprintf("trial %d runs: wait, abort it, or apply as an emergency", t.ID)}
 		}
 	}
@@ -72,28 +72,28 @@
 // Trial is a change of paths that is tried on a slice of the traffic. Its
 // paths stand beside the old ones in the configuration in force.
 type Trial struct {
-	ID     uint64   `msgpack:"i" json:"id"`
-	State  string   `msgpack:"s" json:"state"`
-	Routes []string `msgpack:"p" json:"paths"`
-	Slice  float64  `msgpack:"l" json:"slice"`
-	Begin  uint64   `msgpack:"b" json:"begin_version"`
-	End    uint64   `msgpack:"e" json:"end_version,omitempty"`
-	Who    string   `msgpack:"w" json:"who"`
-	Why    string   `msgpack:"y" json:"why,omitempty"`
-	Facts  []byte   `msgpack:"f" json:"-"`
-	Next   []byte   `msgpack:"n" json:"-"` // the document if it is promoted
+	ID          uint64   `msgpack:"i" json:"id"`
+	State       string   `msgpack:"s" json:"state"`
+	Routes      []string `msgpack:"p" json:"paths"`
+	Slice       float64  `msgpack:"l" json:"slice"`
+	Begin       uint64   `msgpack:"b" json:"begin_version"`
+	End         uint64   `msgpack:"e" json:"end_version,omitempty"`
+	Who         string   `msgpack:"w" json:"who"`
+	Why         string   `msgpack:"y" json:"why,omitempty"`
+	Statistics  []byte   `msgpack:"f" json:"-"`
+	PromotedDoc []byte   `msgpack:"n" json:"-"` // the document if it is promoted
 }
 
 // Propose begins a trial: Doc is the configuration with both arms in it, and
 // names the trial by ID.
 type Propose struct {
-	ID     uint64   `msgpack:"i"`
-	Base   uint64   `msgpack:"b"`
-	Doc    []byte   `msgpack:"d"`
-	Routes []string `msgpack:"p"`
-	Slice  float64  `msgpack:"l"`
-	Who    string   `msgpack:"w"`
-	Next   []byte   `msgpack:"n"`
+	ID          uint64   `msgpack:"i"`
+	Base        uint64   `msgpack:"b"`
+	Doc         []byte   `msgpack:"d"`
+	Routes      []string `msgpack:"p"`
+	Slice       float64  `msgpack:"l"`
+	Who         string   `msgpack:"w"`
+	PromotedDoc []byte   `msgpack:"n"`
 }
 
 // Apply begins the trial as a new version.
@@ -114,7 +114,7 @@
 	s.TrialsBegun++
 	got := s.setConfig(c.Doc, c.Who, fmt.Sprintf("trial %d proposed", s.TrialsBegun))
 	s.Trials = append(s.Trials, Trial{ID: s.TrialsBegun, State: Running, Routes: c.Routes, Slice: c.Slice,
-		Begin: got.Version, Who: c.Who, Next: c.Next})
+		Begin: got.Version, Who: c.Who, PromotedDoc: c.PromotedDoc})
 	if len(s.Trials) > maxConfigs {
 		s.Trials = append([]Trial(nil), s.Trials[len(s.Trials)-maxConfigs:]...)
 	}
@@ -134,14 +134,14 @@
 
 // Decide ends a trial by the judge's word: Doc is the configuration after it.
 type Decide struct {
-	ID     uint64        `msgpack:"i"`
-	Ballot ballot.Number `msgpack:"n"`
-	Base   uint64        `msgpack:"b"`
-	Doc    []byte        `msgpack:"d"`
-	State  string        `msgpack:"s"`
-	Why    string        `msgpack:"y"`
-	Who    string        `msgpack:"w"`
-	Facts  []byte        `msgpack:"f"`
+	ID         uint64        `msgpack:"i"`
+	Ballot     ballot.Number `msgpack:"n"`
+	Base       uint64        `msgpack:"b"`
+	Doc        []byte        `msgpack:"d"`
+	State      string        `msgpack:"s"`
+	Why        string        `msgpack:"y"`
+	Who        string        `msgpack:"w"`
+	Statistics []byte        `msgpack:"f"`
 }
 
 // Apply ends the trial once; a second decision finds it ended.
@@ -165,7 +165,7 @@
 			return Result{Code: Conflict, Version: now.Version, Message: "the trial has ended: " + t.State}
 		}
 		got := s.setConfig(c.Doc, c.Who, fmt.Sprintf("trial %d %s: %s", c.ID, c.State, c.Why))
-		t.State, t.Why, t.Facts, t.End = c.State, c.Why, c.Facts, got.Version
+		t.State, t.Why, t.Statistics, t.End = c.State, c.Why, c.Statistics, got.Version
 		return Result{Code: OK, Version: got.Version}
 	}
 	return Result{Code: NotFound, Message: "no such trial"}
--- a/internal/statemachine/groupkeys.go
+++ b/internal/statemachine/groupkeys.go
@@ -120,9 +120,9 @@
 	return Result{Code: OK}
 }
 
-// After gives the puts of a group above a revision and the group's revision.
+// PutsAfter gives the puts of a group above a revision and the group's revision.
 // False means that the history no longer reaches back so far.
-func (s *State) After(group string, after uint64) ([]Change, uint64, bool) {
+func (s *State) PutsAfter(group string, after uint64) ([]Change, uint64, bool) {
 	g := s.Groups[group]
 	if after+1 < g.Oldest {
 		return nil, g.Revision, false
--- a/internal/statemachine/groupkeys_test.go
+++ b/internal/statemachine/groupkeys_test.go
@@ -99,7 +99,7 @@
 						whole = whole && i >= trimmed
 					}
 				}
-				got, m, ok := s.After(g, after)
+				got, m, ok := s.PutsAfter(g, after)
 				if ok != whole || m != rev || ok && len(got) != len(want) {
 					t.Fatalf("%s after %d: %v %d %v, want %v", g, after, got, m, ok, want)
 				}
--- a/internal/statemachine/keys.go
+++ b/internal/statemachine/keys.go
@@ -70,12 +70,12 @@
 
 // AcquireLock takes or renews a lock.
 type AcquireLock struct {
-	Name  string `msgpack:"n"`
-	Owner string `msgpack:"o"`
-	TTL   int64  `msgpack:"t"`
-	Renew bool   `msgpack:"r"` // only renew, with Fence
-	Fence uint64 `msgpack:"f"`
-	Same  bool   `msgpack:"s,omitempty"` // the owner's own acquisition keeps its fence
+	Name      string `msgpack:"n"`
+	Owner     string `msgpack:"o"`
+	TTL       int64  `msgpack:"t"`
+	Renew     bool   `msgpack:"r"` // only renew, with Fence
+	Fence     uint64 `msgpack:"f"`
+	KeepFence bool   `msgpack:"s,omitempty"` // the owner's own acquisition keeps its fence
 }
 
 // Apply takes the lock if it is free or the owner's own.
@@ -122,15 +122,15 @@
 
 // ExpireLock ends a lock whose time to live the leader saw run out.
 type ExpireLock struct {
-	Name  string `msgpack:"n"`
-	Fence uint64 `msgpack:"f"`
-	Renew uint64 `msgpack:"r"`
+	Name     string `msgpack:"n"`
+	Fence    uint64 `msgpack:"f"`
+	Renewals uint64 `msgpack:"r"`
 }
 
 // Apply ends the lock unless it was renewed in between.
 func (c *ExpireLock) Apply(s *State) Result {
 	l, held := s.Locks[c.Name]
-	if !held || l.Fence != c.Fence || l.Renewals != c.Renew {
+	if !held || l.Fence != c.Fence || l.Renewals != c.Renewals {
 		return Result{Code: Conflict}
 	}
 	delete(s.Locks, c.Name)
--- a/internal/statemachine/keys_test.go
+++ b/internal/statemachine/keys_test.go
@@ -7,7 +7,7 @@
 func TestExpireAfterRenewal(t *testing.T) {
 	s := New("m", nil)
 	got := (&AcquireLock{Name: "l", Owner: "a", TTL: 1000}).Apply(s)
-	late := &ExpireLock{Name: "l", Fence: got.Lock.Fence, Renew: got.Lock.Renewals}
+	late := &ExpireLock{Name: "l", Fence: got.Lock.Fence, Renewals: got.Lock.Renewals}
 	if r := (&AcquireLock{Name: "l", Owner: "a", TTL: 1000, Renew: true, Fence: got.Lock.Fence}).Apply(s); r.Code != OK {
 		t.Fatal(r)
 	}
--- a/internal/statemachine/read.go
+++ b/internal/statemachine/read.go
@@ -24,7 +24,7 @@
 		}
 		return Result{Code: OK, Version: c.Version, Doc: c.Doc}
 	case "keys":
-		return Result{Code: OK, Revision: s.Revision, Names: s.Names(name)}
+		return Result{Code: OK, Revision: s.Revision, Names: s.KeyNames(name)}
 	case "lock":
 		l, ok := s.Locks[name]
 		if !ok {
@@ -48,7 +48,7 @@
 		if !ok {
 			return Result{Code: NotFound, Version: s.Config().Version, Message: "no such request is known"}
 		}
-		return Result{Code: OK, Version: s.Config().Version, Earlier: &a}
+		return Result{Code: OK, Version: s.Config().Version, Recorded: &a}
 	case "history":
 		var out []Config
 		for _, c := range s.Configs {
--- a/internal/statemachine/request.go
+++ b/internal/statemachine/request.go
@@ -25,20 +25,20 @@
 // content under that id later gets its answer. Other content under the same id
 // is turned away.
 type Request struct {
-	ID     string `msgpack:"i"`
-	Digest []byte `msgpack:"d"`
-	Number uint64 `msgpack:"n,omitempty"` // the operator's own number of a configuration
-	Cmd    Packed `msgpack:"c"`
+	ID      string `msgpack:"i"`
+	Digest  []byte `msgpack:"d"`
+	Number  uint64 `msgpack:"n,omitempty"` // the operator's own number of a configuration
+	Command Packed `msgpack:"c"`
 
 	inner Command // Cmd, opened
 }
 
 // open readies the command inside. A request in a request is refused.
 func (c *Request) open() error {
-	if c.Cmd.Kind == KindRequest {
+	if c.Command.Kind == KindRequest {
 		return fault.New(fault.Input, "a request can't hold another")
 	}
-	inner, err := c.Cmd.Open()
+	inner, err := c.Command.Unpack()
 	c.inner = inner
 	return err
 }
@@ -51,7 +51,7 @@
 // tried again when the reason has gone.
 func (c *Request) Apply(s *State) Result {
 	if old, ok := s.Answered(c.ID); ok {
-		return old.Repeat(c.Digest)
+		return old.ResultForRetry(c.Digest)
 	}
 	if c.Number > 0 && s.otherUnder(c.Number, c.Digest) {
 		return Result{Code: Reused, Version: s.Config().Version, Message: fmt.Sprintf("version %d stands with another content", c.Number)}
@@ -63,8 +63,8 @@
 	return got
 }
 
-// Repeat gives the first answer again to whoever sends the same content.
-func (a AnsweredRequest) Repeat(digest []byte) Result {
+// ResultForRetry gives the first answer again to whoever sends the same content.
+func (a AnsweredRequest) ResultForRetry(digest []byte) Result {
 	if bytes.Equal(a.Digest, digest) {
 		return a.Result
 	}
@@ -85,30 +85,30 @@
 	if !ok {
 		return AnsweredRequest{}, false
 	}
-	return s.Requests[at-s.Forgotten], true
+	return s.Requests[at-s.CompactedRequests], true
 }
 
 // remember adds an answered request, and forgets the oldest beyond the bound.
 func (s *State) remember(a AnsweredRequest) {
-	s.answers[a.ID] = s.Forgotten + uint64(len(s.Requests))
+	s.answers[a.ID] = s.CompactedRequests + uint64(len(s.Requests))
 	s.Requests = append(s.Requests, a)
 	if len(s.Requests) > MaxRequests {
-		s.forget(s.Forgotten + 1)
+		s.forget(s.CompactedRequests + 1)
 	}
 }
 
 // forget drops the answered requests before a place in the row of all.
 func (s *State) forget(to uint64) {
 	n := 0
-	for ; n < len(s.Requests) && s.Forgotten < to; n++ {
+	for ; n < len(s.Requests) && s.CompactedRequests < to; n++ {
 		delete(s.answers, s.Requests[n].ID)
-		s.Forgotten++
+		s.CompactedRequests++
 	}
 	s.Requests = append([]AnsweredRequest(nil), s.Requests[n:]...)
 }
 
 // TotalRequests counts the requests that were ever answered.
-func (s *State) TotalRequests() uint64 { return s.Forgotten + uint64(len(s.Requests)) }
+func (s *State) TotalRequests() uint64 { return s.CompactedRequests + uint64(len(s.Requests)) }
 
 // CompactRequests forgets the oldest answered requests. The leader proposes it
 // from its own count of time, so that Apply needs no clock.
--- a/internal/statemachine/request_test.go
+++ b/internal/statemachine/request_test.go
@@ -33,7 +33,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return &statemachine.Request{ID: statemachine.NumberRequestID(number), Digest: statemachine.DocumentDigest([]byte(doc)), Number: number, Cmd: p}
+	return &statemachine.Request{ID: statemachine.NumberRequestID(number), Digest: statemachine.DocumentDigest([]byte(doc)), Number: number, Command: p}
 }
 
 func reload(t *testing.T, s *statemachine.State) *statemachine.State {
@@ -101,7 +101,7 @@
 	s := statemachine.New("m", nil)
 	next := func(id, owner string) statemachine.Result {
 		p, _ := statemachine.Pack("lock.take", &statemachine.AcquireLock{Name: id, Owner: owner, TTL: 1000})
-		return take(t, s, statemachine.KindRequest, &statemachine.Request{ID: id, Digest: []byte(owner), Cmd: p})
+		return take(t, s, statemachine.KindRequest, &statemachine.Request{ID: id, Digest: []byte(owner), Command: p})
 	}
 	take(t, s, "lock.take", &statemachine.AcquireLock{Name: "held", Owner: "x", TTL: 1000})
 	if got := next("held", "y"); got.Code != statemachine.Conflict {
@@ -138,11 +138,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	outer, err := statemachine.Pack(statemachine.KindRequest, &statemachine.Request{ID: "x", Cmd: inner})
+	outer, err := statemachine.Pack(statemachine.KindRequest, &statemachine.Request{ID: "x", Command: inner})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := outer.Open(); err == nil {
+	if _, err := outer.Unpack(); err == nil {
 		t.Error("it was opened")
 	}
 }
--- a/internal/statemachine/state.go
+++ b/internal/statemachine/state.go
@@ -73,9 +73,9 @@
 	Puts           []Put                    `msgpack:"puts"`
 	CompactedPuts  uint64                   `msgpack:"trimmed"` // puts that are no longer kept
 
-	Requests  []AnsweredRequest `msgpack:"requests,omitempty"`  // operators' requests that were taken, the oldest first
-	Forgotten uint64            `msgpack:"forgotten,omitempty"` // answered requests that are no longer kept
-	Level     int               `msgpack:"level,omitempty"`     // of commands, that every member has known once
+	Requests          []AnsweredRequest `msgpack:"requests,omitempty"`  // operators' requests that were taken, the oldest first
+	CompactedRequests uint64            `msgpack:"forgotten,omitempty"` // answered requests that are no longer kept
+	Level             int               `msgpack:"level,omitempty"`     // of commands, that every member has known once
 
 	answers        map[string]uint64 // request id to its place in the row of all answered ones
 	size           int               // bytes of the puts that are kept
@@ -112,7 +112,7 @@
 		s.index(p)
 	}
 	for i, a := range s.Requests {
-		s.answers[a.ID] = s.Forgotten + uint64(i)
+		s.answers[a.ID] = s.CompactedRequests + uint64(i)
 	}
 	return s, nil
 }
@@ -180,9 +180,9 @@
 	s.Keys[name] = k
 }
 
-// Since gives the changes of a prefix from a revision on, at most most; false
+// ChangesFrom gives the changes of a prefix from a revision on, at most most; false
 // means that the history no longer reaches back so far.
-func (s *State) Since(prefix string, from uint64, most int) ([]Change, bool) {
+func (s *State) ChangesFrom(prefix string, from uint64, most int) ([]Change, bool) {
 	if from < s.OldestRevision {
 		return nil, false
 	}
@@ -199,8 +199,8 @@
 	return out, true
 }
 
-// Names lists the keys of a prefix in order.
-func (s *State) Names(prefix string) []string {
+// KeyNames lists the keys of a prefix in order.
+func (s *State) KeyNames(prefix string) []string {
 	var out []string
 	for k := range s.Keys {
 		if len(k) >= len(prefix) && k[:len(prefix)] == prefix {
--- a/internal/statemachine/step.go
+++ b/internal/statemachine/step.go
@@ -6,20 +6,20 @@
 	"puffincrank/internal/patch"
 )
 
-// LevelSteps is the level from which on a program knows StepConfig.
-const LevelSteps = 1
+// LevelPatches is the level from which on a program knows StepConfig.
+const LevelPatches = 1
 
 // PatchConfig puts in force what a step makes of the document that stands: the
 // same as a SetConfig or, with a number, a NumberConfig with the whole of it.
 // Versions are applied in order from a snapshot, which holds the whole, so
 // none is needed between them.
 type PatchConfig struct {
-	Step   patch.Step `msgpack:"s"`
-	Base   uint64     `msgpack:"b,omitempty"`
-	Number uint64     `msgpack:"n,omitempty"` // the operator's own; 0: the next one
-	Now    bool       `msgpack:"e,omitempty"`
-	Who    string     `msgpack:"w"`
-	Why    string     `msgpack:"y"`
+	Step   patch.Patch `msgpack:"s"`
+	Base   uint64      `msgpack:"b,omitempty"`
+	Number uint64      `msgpack:"n,omitempty"` // the operator's own; 0: the next one
+	Now    bool        `msgpack:"e,omitempty"`
+	Who    string      `msgpack:"w"`
+	Why    string      `msgpack:"y"`
 }
 
 // AsPatch gives the command that does the same as c from the configuration that
@@ -30,7 +30,7 @@
 	to := now.Version + 1
 	switch c := c.(type) {
 	case *SetConfig:
-		doc, out = c.Doc, PatchConfig{Base: c.Base, Now: c.Now, Who: c.Who, Why: c.Why}
+		doc, out = c.Doc, PatchConfig{Base: c.Base, Now: c.Emergency, Who: c.Who, Why: c.Why}
 	case *SetNumberedConfig:
 		doc, out = c.Doc, PatchConfig{Number: c.Number, Who: c.Who, Why: c.Why}
 		to = c.Number
@@ -60,5 +60,5 @@
 	if c.Number > 0 {
 		return (&SetNumberedConfig{Number: c.Number, Doc: doc, Who: c.Who, Why: c.Why}).Apply(s)
 	}
-	return (&SetConfig{Base: c.Base, Now: c.Now, Doc: doc, Who: c.Who, Why: c.Why}).Apply(s)
+	return (&SetConfig{Base: c.Base, Emergency: c.Now, Doc: doc, Who: c.Who, Why: c.Why}).Apply(s)
 }
--- a/internal/statemachine/step_test.go
+++ b/internal/statemachine/step_test.go
@@ -31,7 +31,7 @@
 				if err != nil || len(p.Body) > doc.Len()/2 {
 					t.Fatalf("%d bytes for %d: %v", len(p.Body), doc.Len(), err)
 				}
-				if same, err = p.Open(); err != nil {
+				if same, err = p.Unpack(); err != nil {
 					t.Fatal(err)
 				}
 				short++
--- a/internal/store/batch.go
+++ b/internal/store/batch.go
@@ -42,7 +42,7 @@
 		return
 	}
 	l, held := s.state.Locks[in.Name]
-	if !held || l.Owner != in.Owner || in.Same {
+	if !held || l.Owner != in.Owner || in.KeepFence {
 		return
 	}
 	// Nor does this take time away from what the owner may count on.
--- a/internal/store/campaign.go
+++ b/internal/store/campaign.go
@@ -95,7 +95,7 @@
 
 // prepare brings this store up to what its voters know, proposes again what
 // they accepted, and begins to write.
-func (s *Store) prepare(ctx context.Context, num ballot.Number, body string, votes []ballotVote, from []string) bool {
+func (s *Store) prepare(ctx context.Context, num ballot.Number, body string, votes []voteResponse, from []string) bool {
 	s.applying.Lock()
 	defer s.applying.Unlock()
 	ctx, end := context.WithTimeout(ctx, s.Settings.ConfigBound)
--- a/internal/store/campaign_test.go
+++ b/internal/store/campaign_test.go
@@ -48,7 +48,7 @@
 			}
 			p := settings.Settings{Node: "n", ClusterID: "m", ConfigBound: 2 * time.Second, RecoveryBound: 15 * time.Second, MaxFrameBytes: 1 << 20, MaxRequests: 8, InternalAddr: "me:1"}
 			out := &nobody{}
-			s, err := New(p, env.Env{Net: out, FS: dir, Wall: time.Now, Log: event.New("n", nil), Sleep: func(ctx context.Context, d time.Duration) {
+			s, err := New(p, env.Env{Net: out, FS: dir, WallClock: time.Now, Log: event.New("n", nil), Sleep: func(ctx context.Context, d time.Duration) {
 				select {
 				case <-time.After(d):
 				case <-ctx.Done():
--- a/internal/store/chosenlog.go
+++ b/internal/store/chosenlog.go
@@ -55,7 +55,7 @@
 		version = s.state.Config().Version
 	}
 	s.mu.Unlock()
-	s.e.Log.Emit(event.Reopened, "replica", s.acc.Identity().ID, "applied", slot, "digest", shortDigest(sum), "version", version, "accepted", s.acc.Top(), "promised", s.acc.Promised().String())
+	s.e.Log.Emit(event.Reopened, "replica", s.acc.Identity().ID, "applied", slot, "digest", shortDigest(sum), "version", version, "accepted", s.acc.HighestIndex(), "promised", s.acc.Promised().String())
 }
 
 func shortDigest(sum []byte) string { return hex.EncodeToString(sum[:min(len(sum), digestShown)]) }
--- a/internal/store/diskhealth.go
+++ b/internal/store/diskhealth.go
@@ -178,5 +178,5 @@
 		return
 	}
 	s.e.Log.Emit(event.SnapshotWritten, "slot", c.Index, "bytes", len(c.State))
-	_ = s.acc.Reserve(len(c.State)*2 + 64<<10)
+	_ = s.acc.ReserveSpace(len(c.State)*2 + 64<<10)
 }
--- a/internal/store/electorate.go
+++ b/internal/store/electorate.go
@@ -35,20 +35,20 @@
 
 // askVotes asks every member for its vote, this one among them; no counts those that
 // refused theirs.
-func (s *Store) askVotes(ctx context.Context, num ballot.Number, real bool) (yes []ballotVote, from []string, no int, ok bool) {
+func (s *Store) askVotes(ctx context.Context, num ballot.Number, real bool) (yes []voteResponse, from []string, no int, ok bool) {
 	ctx, end := context.WithTimeout(ctx, s.Settings.Lease()/2)
 	defer end()
 	who, need := s.memberAddresses()
 	s.mu.Lock()
-	ask := ballotAsk{Num: num, ID: s.acc.Identity().ID, Real: real, Slot: s.slot, Mesh: s.state.ClusterID, Addr: s.Settings.InternalAddr}
+	ask := voteRequest{Num: num, ID: s.acc.Identity().ID, Real: real, Slot: s.slot, Mesh: s.state.ClusterID, Addr: s.Settings.InternalAddr}
 	s.mu.Unlock()
 	out, best, newest := 0, "", ask.Slot
-	ballot.Poll(ctx, s.g, who, func(ctx context.Context, to string) (ballotVote, error) {
+	ballot.Poll(ctx, s.g, who, func(ctx context.Context, to string) (voteResponse, error) {
 		if to == s.Settings.InternalAddr {
 			return s.onBallot(ctx, transport.Hello{}, ask)
 		}
-		return transport.Call[ballotVote](ctx, s.n, to, "store.ballot", ask)
-	}, func(to string, v ballotVote, err error) bool {
+		return transport.Call[voteResponse](ctx, s.n, to, "store.ballot", ask)
+	}, func(to string, v voteResponse, err error) bool {
 		if err != nil {
 			return false
 		}
--- a/internal/store/fetch.go
+++ b/internal/store/fetch.go
@@ -83,13 +83,13 @@
 func (s *Store) fetchMissing(ctx context.Context, from string, to uint64) error {
 	for first := true; ; first = false {
 		s.mu.Lock()
-		ask := fetchAsk{After: s.slot, Prev: s.sum, Chunks: true}
+		ask := fetchRequest{After: s.slot, Prev: s.sum, Chunks: true}
 		none := s.state == nil
 		s.mu.Unlock()
 		if none {
 			ask.Prev = nil
 		}
-		got, err := transport.Call[fetchGot](ctx, s.n, from, "store.fetch", ask)
+		got, err := transport.Call[fetchResponse](ctx, s.n, from, "store.fetch", ask)
 		if err != nil {
 			return err
 		}
@@ -142,13 +142,13 @@
 
 // onFetch hands out what is applied here: entries while they are kept, a
 // snapshot otherwise.
-func (s *Store) onFetch(_ context.Context, _ transport.Hello, in fetchAsk) (fetchGot, error) {
+func (s *Store) onFetch(_ context.Context, _ transport.Hello, in fetchRequest) (fetchResponse, error) {
 	s.mu.Lock()
 	if s.state == nil {
 		s.mu.Unlock()
-		return fetchGot{}, fault.New(fault.Refused, "empty")
+		return fetchResponse{}, fault.New(fault.Refused, "empty")
 	}
-	got := fetchGot{Top: s.slot}
+	got := fetchResponse{Top: s.slot}
 	known := in.Prev != nil && in.After >= s.slot
 	if !known {
 		got.Entries = s.entriesAfter(in)
@@ -183,12 +183,12 @@
 
 // entriesAfter gives the applied entries that follow what the asker has, none if
 // they are not all kept, or the asker's newest is not ours. mu is held.
-func (s *Store) entriesAfter(in fetchAsk) (out []paxos.Entry) {
+func (s *Store) entriesAfter(in fetchRequest) (out []paxos.Entry) {
 	if in.Prev == nil || !s.acc.HoldsAfter(in.After) {
 		return nil
 	}
 	size := 0
-	for _, e := range s.acc.After(in.After, min(fetchEntries, int(s.slot-in.After))) {
+	for _, e := range s.acc.EntriesAfter(in.After, min(fetchEntries, int(s.slot-in.After))) {
 		size += len(e.Batch)
 		if e.Index > s.slot || len(out) > 0 && size > s.Settings.MaxFrameBytes/fetchFrameRate {
 			break
--- a/internal/store/founding.go
+++ b/internal/store/founding.go
@@ -17,11 +17,11 @@
 func (s *Store) empty() bool { return s.role.Is("empty") }
 
 // onFound tells a peer whether this store holds anything.
-func (s *Store) onFound(_ context.Context, _ transport.Hello, in foundAsk) (foundGot, error) {
+func (s *Store) onFound(_ context.Context, _ transport.Hello, in probeRequest) (probeResponse, error) {
 	s.noteSuccessor(in.ID, in.Addr)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	got := foundGot{Empty: s.state == nil, ID: s.acc.Identity().ID, Head: s.leaderAddress, Never: !s.Settings.MayFound, Area: s.Settings.Zone, Land: s.Settings.Region, Knows: statemachine.Level}
+	got := probeResponse{Empty: s.state == nil, ID: s.acc.Identity().ID, Head: s.leaderAddress, Never: !s.Settings.MayFound, Area: s.Settings.Zone, Land: s.Settings.Region, Knows: statemachine.Level}
 	if s.state != nil {
 		got.Mesh, got.Members, got.Slot = s.state.ClusterID, s.state.Members, s.slot
 	}
@@ -147,7 +147,7 @@
 // the least of those that may, in whatever order each has them, so that there
 // is never a second founding. The others learn it from its word or, later,
 // from each other.
-func (s *Store) found(ctx context.Context, all []foundGot, addrs []string) {
+func (s *Store) found(ctx context.Context, all []probeResponse, addrs []string) {
 	least := ""
 	in := genesis{Mesh: s.Settings.ClusterID + "/" + fresh(), Want: s.Settings.Voters(), Level: statemachine.Level}
 	for i, got := range all {
--- a/internal/store/join.go
+++ b/internal/store/join.go
@@ -76,7 +76,7 @@
 
 // source is a store that holds the cluster's state, and what it said of itself.
 type source struct {
-	foundGot
+	probeResponse
 	addr string
 }
 
@@ -85,18 +85,18 @@
 // has applied most, since only that may know of a place that this store was given
 // right before the leader was lost. It leaves half of the time for the refill, as
 // one that is cut off never answers.
-func (s *Store) askAround(ctx context.Context, who []string) (empty []foundGot, at []string, best source) {
+func (s *Store) askAround(ctx context.Context, who []string) (empty []probeResponse, at []string, best source) {
 	ctx, end := context.WithTimeout(ctx, s.Settings.CallTimeout())
 	defer end()
 	s.mu.Lock()
 	misled := s.misled
 	s.mu.Unlock()
-	ballot.Poll(ctx, s.g, who, func(ctx context.Context, to string) (foundGot, error) {
+	ballot.Poll(ctx, s.g, who, func(ctx context.Context, to string) (probeResponse, error) {
 		if to == s.Settings.InternalAddr {
-			return foundGot{Empty: true, ID: s.acc.Identity().ID, Never: !s.Settings.MayFound, Area: s.Settings.Zone, Land: s.Settings.Region, Knows: statemachine.Level}, nil
+			return probeResponse{Empty: true, ID: s.acc.Identity().ID, Never: !s.Settings.MayFound, Area: s.Settings.Zone, Land: s.Settings.Region, Knows: statemachine.Level}, nil
 		}
-		return transport.Call[foundGot](ctx, s.n, to, "store.found", foundAsk{s.acc.Identity().ID, s.Settings.InternalAddr})
-	}, func(to string, got foundGot, err error) bool {
+		return transport.Call[probeResponse](ctx, s.n, to, "store.found", probeRequest{s.acc.Identity().ID, s.Settings.InternalAddr})
+	}, func(to string, got probeResponse, err error) bool {
 		switch {
 		case err != nil:
 		case got.Empty:
@@ -146,9 +146,9 @@
 func (s *Store) reportToLeader(ctx context.Context, to string) bool {
 	for range 3 {
 		s.mu.Lock()
-		ask := joinAsk{ID: s.acc.Identity().ID, Addr: s.Settings.InternalAddr, Mesh: s.state.ClusterID, Slot: s.slot, Area: s.Settings.Zone, Land: s.Settings.Region, Knows: statemachine.Level}
+		ask := joinRequest{ID: s.acc.Identity().ID, Addr: s.Settings.InternalAddr, Mesh: s.state.ClusterID, Slot: s.slot, Area: s.Settings.Zone, Land: s.Settings.Region, Knows: statemachine.Level}
 		s.mu.Unlock()
-		got, err := transport.Call[joinGot](ctx, s.n, to, "store.join", ask)
+		got, err := transport.Call[joinResponse](ctx, s.n, to, "store.join", ask)
 		if err == nil && got.Slot == 0 && got.Has > ask.Slot && s.refill(ctx, to) == nil && s.votes() {
 			// It does not lead, but knows of a place that this one was given.
 			return true
@@ -186,7 +186,7 @@
 	chosen, clusterID := s.slot, s.state.ClusterID
 	s.mu.Unlock()
 	former, now := s.acc.Identity().ID, paxos.Identity{ID: fresh(), ClusterID: clusterID}
-	if err := s.writeDurably(func() error { return s.acc.Rename(now, chosen) }); err != nil {
+	if err := s.writeDurably(func() error { return s.acc.ReplaceIdentity(now, chosen) }); err != nil {
 		return err
 	}
 	s.e.Trace.Notify(trace.Renamed{Replica: now.ID, Former: former})
--- a/internal/store/join_test.go
+++ b/internal/store/join_test.go
@@ -19,7 +19,7 @@
 func peer(t *testing.T, road *transport.LocalNet, addr string, answers func(*transport.Node)) {
 	t.Helper()
 	g := task.New(context.Background())
-	n := transport.NewNode(transport.Hello{ClusterID: "m", Node: addr}, env.Env{Net: road, Wall: time.Now, Log: event.New(addr, nil)}, g, 1<<20, 8, time.Second)
+	n := transport.NewNode(transport.Hello{ClusterID: "m", Node: addr}, env.Env{Net: road, WallClock: time.Now, Log: event.New(addr, nil)}, g, 1<<20, 8, time.Second)
 	answers(n)
 	if err := n.Listen(addr); err != nil {
 		t.Fatal(err)
@@ -31,9 +31,9 @@
 }
 
 // says answers what a store holds, after a while.
-func says(got foundGot, after time.Duration) func(*transport.Node) {
+func says(got probeResponse, after time.Duration) func(*transport.Node) {
 	return func(n *transport.Node) {
-		transport.Handle(n, "store.found", func(ctx context.Context, _ transport.Hello, _ foundAsk) (foundGot, error) {
+		transport.Handle(n, "store.found", func(ctx context.Context, _ transport.Hello, _ probeRequest) (probeResponse, error) {
 			task.Sleep(ctx, after)
 			return got, ctx.Err()
 		})
@@ -45,21 +45,21 @@
 // from one that names a leader otherwise, unless that leader was not there the last
 // time.
 func TestNewestSource(t *testing.T) {
-	behind, newest := foundGot{Slot: 485}, foundGot{Slot: 490}
-	leads, never := foundGot{Slot: 480, Head: "c:1"}, time.Hour
+	behind, newest := probeResponse{Slot: 485}, probeResponse{Slot: 490}
+	leads, never := probeResponse{Slot: 480, Head: "c:1"}, time.Hour
 	for _, c := range []struct {
 		name    string
-		a, b, d foundGot
+		a, b, d probeResponse
 		late    time.Duration // of the first
 		misled  bool
 		want    string
 	}{
-		{"the nearest is behind", behind, newest, foundGot{Empty: true}, 0, false, "b:1"},
-		{"the nearest has most", newest, behind, foundGot{Empty: true}, 0, false, "a:1"},
-		{"one never answers", newest, behind, foundGot{Slot: 3}, never, false, "b:1"},
+		{"the nearest is behind", behind, newest, probeResponse{Empty: true}, 0, false, "b:1"},
+		{"the nearest has most", newest, behind, probeResponse{Empty: true}, 0, false, "a:1"},
+		{"one never answers", newest, behind, probeResponse{Slot: 3}, never, false, "b:1"},
 		{"one names a leader", newest, behind, leads, 0, false, "d:1"},
 		{"it names a leader that is gone", behind, newest, leads, 0, true, "b:1"},
-		{"all are empty", foundGot{Empty: true}, foundGot{Empty: true}, foundGot{Empty: true}, 0, false, ""},
+		{"all are empty", probeResponse{Empty: true}, probeResponse{Empty: true}, probeResponse{Empty: true}, 0, false, ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -92,7 +92,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		s, _ := bare(t)
 		defer s.Kill()
-		for _, ask := range []ballotAsk{{Addr: "old:1"}, {Addr: "new:1", Slot: 9}} {
+		for _, ask := range []voteRequest{{Addr: "old:1"}, {Addr: "new:1", Slot: 9}} {
 			vote, err := s.onBallot(t.Context(), transport.Hello{}, ask)
 			if err != nil || vote.Yes {
 				t.Fatalf("an empty store votes: %+v, %v", vote, err)
@@ -134,9 +134,11 @@
 		}
 		entry := firstEntry(t, "a", s.acc.Identity().ID)
 		peer(t, road, "b:1", func(n *transport.Node) {
-			transport.Handle(n, "store.join", func(context.Context, transport.Hello, joinAsk) (joinGot, error) { return joinGot{Has: 1}, nil })
-			transport.Handle(n, "store.fetch", func(context.Context, transport.Hello, fetchAsk) (fetchGot, error) {
-				return fetchGot{Top: 1, Entries: []paxos.Entry{entry}}, nil
+			transport.Handle(n, "store.join", func(context.Context, transport.Hello, joinRequest) (joinResponse, error) {
+				return joinResponse{Has: 1}, nil
+			})
+			transport.Handle(n, "store.fetch", func(context.Context, transport.Hello, fetchRequest) (fetchResponse, error) {
+				return fetchResponse{Top: 1, Entries: []paxos.Entry{entry}}, nil
 			})
 		})
 		if !s.reportToLeader(t.Context(), "b:1") || !s.votes() {
@@ -161,11 +163,11 @@
 				entry = firstEntry(t, "c", "d")
 			}
 			peer(t, road, "b:1", func(n *transport.Node) {
-				transport.Handle(n, "store.ballot", func(context.Context, transport.Hello, ballotAsk) (ballotVote, error) {
-					return ballotVote{ID: "b", Slot: 1}, nil
+				transport.Handle(n, "store.ballot", func(context.Context, transport.Hello, voteRequest) (voteResponse, error) {
+					return voteResponse{ID: "b", Slot: 1}, nil
 				})
-				transport.Handle(n, "store.fetch", func(context.Context, transport.Hello, fetchAsk) (fetchGot, error) {
-					return fetchGot{Top: 1, Entries: []paxos.Entry{entry}}, nil
+				transport.Handle(n, "store.fetch", func(context.Context, transport.Hello, fetchRequest) (fetchResponse, error) {
+					return fetchResponse{Top: 1, Entries: []paxos.Entry{entry}}, nil
 				})
 			})
 			if _, _, _, ok := s.askVotes(t.Context(), ballot.Number{}, false); ok {
@@ -188,22 +190,22 @@
 		s, road := alone(t)
 		defer s.Kill()
 		s.Settings.Seeds = []string{"me:1", "seed:1", "heard:1"}
-		var told beatAsk
+		var told heartbeatRequest
 		peer(t, road, "seed:1", func(n *transport.Node) {
-			transport.Handle(n, "store.beat", func(_ context.Context, _ transport.Hello, in beatAsk) (ack, error) {
+			transport.Handle(n, "store.beat", func(_ context.Context, _ transport.Hello, in heartbeatRequest) (ack, error) {
 				told = in
 				return ack{}, nil
 			})
 		})
 		peer(t, road, "heard:1", func(n *transport.Node) {
-			transport.Handle(n, "store.beat", func(context.Context, transport.Hello, beatAsk) (ack, error) {
+			transport.Handle(n, "store.beat", func(context.Context, transport.Hello, heartbeatRequest) (ack, error) {
 				t.Error("a learner that is heard of was told")
 				return ack{}, nil
 			})
 		})
 		term := s.newLeadership(ballot.Number{Round: 1, Candidate: s.acc.Identity().ID})
 		defer term.stop()
-		term.noteLearner(joinAsk{ID: "l", Addr: "heard:1"})
+		term.noteLearner(joinRequest{ID: "l", Addr: "heard:1"})
 		term.greetSeeds(t.Context())
 		<-time.After(time.Second)
 		if told.Addr != "me:1" || told.Mesh != "m" {
--- a/internal/store/leadership.go
+++ b/internal/store/leadership.go
@@ -78,7 +78,7 @@
 func (t *leadership) decide(ctx context.Context, raw []byte) ([]statemachine.Result, error) {
 	s := t.s
 	e := paxos.Entry{Index: s.slot + 1, Previous: s.sum, Batch: raw, Ballot: t.num}
-	ask := acceptAsk{Entry: e, Addr: s.Settings.InternalAddr, Slot: s.slot, Sum: s.sum, Mesh: s.state.ClusterID}
+	ask := acceptRequest{Entry: e, Addr: s.Settings.InternalAddr, Slot: s.slot, Sum: s.sum, Mesh: s.state.ClusterID}
 	who, need := s.memberAddresses()
 	got := map[string]bool{}
 	var acceptors []string
--- a/internal/store/leases.go
+++ b/internal/store/leases.go
@@ -78,7 +78,7 @@
 	if c, ok := s.leases[name]; !held || !ok || c.fence != l.Fence || !now.After(c.end) {
 		return nil
 	}
-	return &statemachine.ExpireLock{Name: name, Fence: l.Fence, Renew: l.Renewals}
+	return &statemachine.ExpireLock{Name: name, Fence: l.Fence, Renewals: l.Renewals}
 }
 
 // expireLocks proposes the end of locks that nobody asks for any more. Those that
--- a/internal/store/leave.go
+++ b/internal/store/leave.go
@@ -78,9 +78,9 @@
 	has := map[string]uint64{s.acc.Identity().ID: slot}
 	var after []statemachine.Member
 	for range 2 {
-		ballot.Poll(ctx, s.g, who, func(ctx context.Context, to string) (foundGot, error) {
-			return transport.Call[foundGot](ctx, s.n, to, "store.found", foundAsk{s.acc.Identity().ID, s.Settings.InternalAddr})
-		}, func(_ string, got foundGot, err error) bool {
+		ballot.Poll(ctx, s.g, who, func(ctx context.Context, to string) (probeResponse, error) {
+			return transport.Call[probeResponse](ctx, s.n, to, "store.found", probeRequest{s.acc.Identity().ID, s.Settings.InternalAddr})
+		}, func(_ string, got probeResponse, err error) bool {
 			if err == nil && got.Slot >= slot {
 				has[got.ID], after = got.Slot, got.Members
 			}
--- a/internal/store/membership.go
+++ b/internal/store/membership.go
@@ -29,7 +29,7 @@
 }
 
 // noteLearner notes a learner's word.
-func (t *leadership) noteLearner(in joinAsk) {
+func (t *leadership) noteLearner(in joinRequest) {
 	_, _, slot := t.s.members()
 	now := time.Now()
 	t.mu.Lock()
@@ -91,7 +91,7 @@
 
 // placeFor says what may become of a learner now: the member whose place it
 // takes, or a free place; say tells why neither.
-func (t *leadership) placeFor(in joinAsk, all []statemachine.Member, want int, slot uint64) (old string, free bool, say string) {
+func (t *leadership) placeFor(in joinRequest, all []statemachine.Member, want int, slot uint64) (old string, free bool, say string) {
 	if in.Knows < t.s.level() {
 		return "", false, "its program is too old for the commands in use"
 	}
@@ -135,9 +135,9 @@
 
 // onJoin hears a refilled learner, and lets the leader put it in a lost
 // member's place or in a free one.
-func (s *Store) onJoin(ctx context.Context, _ transport.Hello, in joinAsk) (joinGot, error) {
+func (s *Store) onJoin(ctx context.Context, _ transport.Hello, in joinRequest) (joinResponse, error) {
 	s.mu.Lock()
-	t, got := s.leadership, joinGot{Head: s.leaderAddress}
+	t, got := s.leadership, joinResponse{Head: s.leaderAddress}
 	if s.state != nil {
 		got.Has = s.slot
 	}
@@ -146,11 +146,11 @@
 		return got, nil
 	}
 	mesh := s.state.ClusterID
-	got = joinGot{Slot: s.slot, Done: s.isMember(in.ID)}
+	got = joinResponse{Slot: s.slot, Done: s.isMember(in.ID)}
 	s.mu.Unlock()
 	if in.Mesh != mesh {
 		s.e.Log.Emit(event.ForeignData, "joiner", in.Addr, "mesh", in.Mesh)
-		return joinGot{}, fault.New(fault.Refused, "joiner is of another mesh")
+		return joinResponse{}, fault.New(fault.Refused, "joiner is of another mesh")
 	}
 	if got.Done {
 		return got, nil
@@ -169,10 +169,10 @@
 	}
 	r, err := t.changeMembers(ctx, old, free, statemachine.Member{ID: in.ID, Addr: in.Addr, Zone: in.Area, Region: in.Land})
 	if err != nil {
-		return joinGot{}, err
+		return joinResponse{}, err
 	}
 	_, _, slot = s.members()
-	return joinGot{Done: r.Code == statemachine.OK, Say: r.Message, Slot: slot}, nil
+	return joinResponse{Done: r.Code == statemachine.OK, Say: r.Message, Slot: slot}, nil
 }
 
 // level is that of the commands in use.
--- a/internal/store/messages.go
+++ b/internal/store/messages.go
@@ -9,7 +9,7 @@
 
 // The messages between stores, and from registries to stores.
 
-type ballotAsk struct {
+type voteRequest struct {
 	Num  ballot.Number `msgpack:"n"`
 	ID   string        `msgpack:"i"`
 	Real bool          `msgpack:"r"` // false only asks whether the duty is vacant
@@ -18,7 +18,7 @@
 	Addr string        `msgpack:"a,omitempty"` // of the candidate
 }
 
-type ballotVote struct {
+type voteResponse struct {
 	Yes     bool          `msgpack:"y"`
 	ID      string        `msgpack:"i"`
 	Seen    ballot.Number `msgpack:"s"`
@@ -28,7 +28,7 @@
 	More    bool          `msgpack:"r,omitempty"` // entries were accepted beyond those
 }
 
-type acceptAsk struct {
+type acceptRequest struct {
 	Entry paxos.Entry `msgpack:"e"`
 	Addr  string      `msgpack:"a"`
 	Slot  uint64      `msgpack:"s"` // chosen up to here
@@ -36,7 +36,7 @@
 	Mesh  string      `msgpack:"m"`
 }
 
-type beatAsk struct {
+type heartbeatRequest struct {
 	Num  ballot.Number `msgpack:"n"`
 	Addr string        `msgpack:"a"`
 	Slot uint64        `msgpack:"s"`
@@ -55,26 +55,26 @@
 	Going bool          `msgpack:"g,omitempty"` // the sender ends soon, and its disk may go with it
 }
 
-type fetchAsk struct {
+type fetchRequest struct {
 	After uint64 `msgpack:"a"`
 	Prev  []byte `msgpack:"p"`
 	// Chunks tells that the asker can fetch a snapshot in chunks.
 	Chunks bool `msgpack:"k,omitempty"`
 }
 
-type fetchGot struct {
+type fetchResponse struct {
 	Entries []paxos.Entry   `msgpack:"e"`
 	Point   *paxos.Snapshot `msgpack:"c"` // a snapshot that fits a message
 	Head    *snapshotHead   `msgpack:"h,omitempty"`
 	Top     uint64          `msgpack:"t"`
 }
 
-type foundAsk struct {
+type probeRequest struct {
 	ID   string `msgpack:"i"`
 	Addr string `msgpack:"a"`
 }
 
-type foundGot struct {
+type probeResponse struct {
 	Empty   bool                  `msgpack:"e"`
 	ID      string                `msgpack:"i"`
 	Mesh    string                `msgpack:"m"`
@@ -94,7 +94,7 @@
 	Level   int                   `msgpack:"k,omitempty"` // of commands, that all members understand
 }
 
-type joinAsk struct {
+type joinRequest struct {
 	ID   string `msgpack:"i"`
 	Addr string `msgpack:"a"`
 	Mesh string `msgpack:"m"`
@@ -105,7 +105,7 @@
 	Knows int `msgpack:"k,omitempty"` // the level of commands that it understands
 }
 
-type joinGot struct {
+type joinResponse struct {
 	Head string `msgpack:"h"` // who writes, when it isn't the one asked
 	Say  string `msgpack:"s"`
 	Done bool   `msgpack:"d"`           // the asker is a member
@@ -127,7 +127,7 @@
 	Request *RequestKey `msgpack:"o,omitempty"`
 }
 
-type vacateAsk struct {
+type vacateRequest struct {
 	Num ballot.Number `msgpack:"n"`
 }
 
@@ -199,6 +199,6 @@
 // Messages lists every message of this package, for the check that a later
 // entry still speaks all that the last one did.
 func Messages() []any {
-	return []any{ballotAsk{}, ballotVote{}, acceptAsk{}, beatAsk{}, ack{}, fetchAsk{}, fetchGot{}, chunkAsk{}, chunkGot{}, foundAsk{}, foundGot{},
-		genesis{}, RemoveRequest{}, joinAsk{}, joinGot{}, vacateAsk{}, leaveAsk{}, ProposeRequest{}, LeaderResponse{}, ReadRequest{}, leftAsk{}, leftGot{}, RoleBallot{}, RoleVote{}, Status{}}
+	return []any{voteRequest{}, voteResponse{}, acceptRequest{}, heartbeatRequest{}, ack{}, fetchRequest{}, fetchResponse{}, chunkAsk{}, chunkGot{}, probeRequest{}, probeResponse{},
+		genesis{}, RemoveRequest{}, joinRequest{}, joinResponse{}, vacateRequest{}, leaveAsk{}, ProposeRequest{}, LeaderResponse{}, ReadRequest{}, leftAsk{}, leftGot{}, RoleBallot{}, RoleVote{}, Status{}}
 }
--- a/internal/store/proposals.go
+++ b/internal/store/proposals.go
@@ -40,7 +40,7 @@
 
 // proposeGuarded proposes a command of this store's own if its guard holds.
 func (t *leadership) proposeGuarded(ctx context.Context, p statemachine.Packed, once *RequestKey, guard func(context.Context) bool) (statemachine.Result, error) {
-	in, err := p.Open()
+	in, err := p.Unpack()
 	if err != nil {
 		return statemachine.Result{}, fault.Wrap(fault.Refused, err, "offer")
 	}
--- a/internal/store/puts.go
+++ b/internal/store/puts.go
@@ -25,7 +25,7 @@
 	defer end.Stop()
 	for last := false; ; {
 		s.mu.Lock()
-		got, rev, ok := s.state.After(in.Name, in.From)
+		got, rev, ok := s.state.PutsAfter(in.Name, in.From)
 		turn := s.applied
 		s.mu.Unlock()
 		g.Done = true
--- a/internal/store/requests.go
+++ b/internal/store/requests.go
@@ -24,7 +24,7 @@
 		if o.once == nil {
 			continue
 		}
-		p, err := statemachine.Pack(statemachine.KindRequest, &statemachine.Request{ID: o.once.ID, Digest: o.once.Digest, Number: o.once.Number, Cmd: o.cmd})
+		p, err := statemachine.Pack(statemachine.KindRequest, &statemachine.Request{ID: o.once.ID, Digest: o.once.Digest, Number: o.once.Number, Command: o.cmd})
 		if err == nil {
 			o.cmd = p
 		}
@@ -69,7 +69,7 @@
 	}
 	to := s.requestMarks[old-1].total
 	s.requestMarks = append([]requestMark(nil), s.requestMarks[old:]...)
-	if to <= s.state.Forgotten {
+	if to <= s.state.CompactedRequests {
 		return nil
 	}
 	return &statemachine.CompactRequests{To: to}
--- a/internal/store/seeds.go
+++ b/internal/store/seeds.go
@@ -8,11 +8,11 @@
 )
 
 // beatOfNow is the leader's beat.
-func (t *leadership) beatOfNow() beatAsk {
+func (t *leadership) beatOfNow() heartbeatRequest {
 	s := t.s
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return beatAsk{Num: t.num, Addr: s.Settings.InternalAddr, Slot: s.slot, Sum: s.sum, Mesh: s.state.ClusterID}
+	return heartbeatRequest{Num: t.num, Addr: s.Settings.InternalAddr, Slot: s.slot, Sum: s.sum, Mesh: s.state.ClusterID}
 }
 
 // greetSeeds tells the seeds without a place, those not heard of as learners, who
--- a/internal/store/serve.go
+++ b/internal/store/serve.go
@@ -27,7 +27,7 @@
 		return g, nil
 	}
 	// A command that can't be read must not reach the log.
-	cmd, err := in.Command.Open()
+	cmd, err := in.Command.Unpack()
 	if err != nil {
 		return g, fault.Wrap(fault.Refused, err, "offer")
 	}
@@ -105,7 +105,7 @@
 			s.mu.Unlock()
 			return LeaderResponse{}, fault.New(fault.Refused, "empty")
 		}
-		got, ok := s.state.Since(in.Name, in.From, 256)
+		got, ok := s.state.ChangesFrom(in.Name, in.From, 256)
 		turn, rev, oldest := s.applied, s.state.Revision, s.state.OldestRevision
 		s.mu.Unlock()
 		if !ok {
--- a/internal/store/shorten.go
+++ b/internal/store/shorten.go
@@ -31,7 +31,7 @@
 		case *statemachine.Propose, *statemachine.Decide:
 			return
 		case *statemachine.SetConfig, *statemachine.SetNumberedConfig:
-			if !t.versed(statemachine.LevelSteps) {
+			if !t.versed(statemachine.LevelPatches) {
 				return
 			}
 			t.s.mu.Lock()
--- a/internal/store/snapshot_test.go
+++ b/internal/store/snapshot_test.go
@@ -31,7 +31,7 @@
 	}
 	p := settings.Settings{Node: "n", ClusterID: "m", ConfigBound: 2 * time.Second, RecoveryBound: 15 * time.Second, MaxFrameBytes: 1 << 20, MaxRequests: 8, InternalAddr: "me:1", ConfiguredStateBytes: 1 << 20}
 	road := &transport.LocalNet{Network: transport.NewLocalNetwork(func(string, string) time.Duration { return time.Millisecond })}
-	s, err := New(p, env.Env{Net: road, FS: dir, Wall: time.Now, Log: event.New("n", nil), Sleep: task.Sleep})
+	s, err := New(p, env.Env{Net: road, FS: dir, WallClock: time.Now, Log: event.New("n", nil), Sleep: task.Sleep})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -135,8 +135,8 @@
 		mine := ballot.Number{Round: 2, Candidate: s.acc.Identity().ID}
 		s.voter = ballot.NewVoter(mine, s.Settings.LeaderTimeout(), s.promise)
 		s.role.Fire("stand")
-		vote := ballotVote{ID: mine.Candidate, Yes: true, Entries: told[:2], More: true}
-		if s.prepare(t.Context(), mine, s.memberSet(), []ballotVote{vote}, []string{"me:1"}) {
+		vote := voteResponse{ID: mine.Candidate, Yes: true, Entries: told[:2], More: true}
+		if s.prepare(t.Context(), mine, s.memberSet(), []voteResponse{vote}, []string{"me:1"}) {
 			t.Error("it leads by a vote that was cut")
 		}
 		if s.slot != 2 || s.leadership != nil || !s.campaignNow {
@@ -164,7 +164,7 @@
 		asked := 0
 		g := task.New(context.Background())
 		defer g.Stop()
-		n := transport.NewNode(transport.Hello{ClusterID: "m", Node: "sender"}, env.Env{Net: road, Wall: time.Now, Log: event.New("sender", nil)}, g, 1<<20, 8, time.Second)
+		n := transport.NewNode(transport.Hello{ClusterID: "m", Node: "sender"}, env.Env{Net: road, WallClock: time.Now, Log: event.New("sender", nil)}, g, 1<<20, 8, time.Second)
 		transport.Handle(n, "store.snapshot", func(_ context.Context, _ transport.Hello, in chunkAsk) (chunkGot, error) {
 			asked++
 			data := bytes.Clone(state[in.Offset:min(in.Offset+snapshotChunk, len(state))])
--- a/internal/store/split_test.go
+++ b/internal/store/split_test.go
@@ -27,7 +27,7 @@
 		}
 		p := settings.Settings{Node: "n", ClusterID: "m", ConfigBound: 2 * time.Second, RecoveryBound: 15 * time.Second, MaxFrameBytes: 1 << 20, MaxRequests: 8, InternalAddr: "me:1"}
 		road := &transport.LocalNet{Network: transport.NewLocalNetwork(func(string, string) time.Duration { return time.Millisecond })}
-		s, err := New(p, env.Env{Net: road, FS: dir, Wall: time.Now, Log: event.New("n", nil), Sleep: task.Sleep})
+		s, err := New(p, env.Env{Net: road, FS: dir, WallClock: time.Now, Log: event.New("n", nil), Sleep: task.Sleep})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -43,15 +43,15 @@
 		defer g.Stop()
 		for _, id := range []string{"b", "c", "d"} {
 			s.state.Members = append(s.state.Members, statemachine.Member{ID: id, Addr: id + ":1"})
-			n := transport.NewNode(transport.Hello{ClusterID: "m", Node: id}, env.Env{Net: road, Wall: time.Now, Log: event.New(id, nil)}, g, 1<<20, 8, time.Second)
-			transport.Handle(n, "store.ballot", func(_ context.Context, _ transport.Hello, in ballotAsk) (ballotVote, error) {
+			n := transport.NewNode(transport.Hello{ClusterID: "m", Node: id}, env.Env{Net: road, WallClock: time.Now, Log: event.New(id, nil)}, g, 1<<20, 8, time.Second)
+			transport.Handle(n, "store.ballot", func(_ context.Context, _ transport.Hello, in voteRequest) (voteResponse, error) {
 				if in.Real {
 					asked <- said{time.Now(), in.Num}
 				}
 				// One votes for it, the others have promised another.
-				return ballotVote{ID: id, Yes: !in.Real || id == "b", Seen: ballot.Number{Round: 8, Candidate: "z"}}, nil
+				return voteResponse{ID: id, Yes: !in.Real || id == "b", Seen: ballot.Number{Round: 8, Candidate: "z"}}, nil
 			})
-			transport.Handle(n, "store.vacate", func(_ context.Context, _ transport.Hello, in vacateAsk) (ack, error) {
+			transport.Handle(n, "store.vacate", func(_ context.Context, _ transport.Hello, in vacateRequest) (ack, error) {
 				left <- said{time.Now(), in.Num}
 				return ack{}, nil
 			})
--- a/internal/store/stepdown.go
+++ b/internal/store/stepdown.go
@@ -61,6 +61,6 @@
 		if to == s.Settings.InternalAddr {
 			return ack{}, nil
 		}
-		return transport.Call[ack](ctx, s.n, to, "store.vacate", vacateAsk{num})
+		return transport.Call[ack](ctx, s.n, to, "store.vacate", vacateRequest{num})
 	}, func(string, ack, error) bool { return false })
 }
--- a/internal/store/steps.go
+++ b/internal/store/steps.go
@@ -25,7 +25,7 @@
 		s.step = patch.Make(in.From, r.Version, old, r.Doc)
 	}
 	if s.step.Size() < len(r.Doc)/2 {
-		r.Doc, r.Steps = nil, []patch.Step{s.step}
+		r.Doc, r.Patches = nil, []patch.Patch{s.step}
 	}
 	return r
 }
--- a/internal/store/steps_test.go
+++ b/internal/store/steps_test.go
@@ -46,12 +46,12 @@
 		if c.q.From > uint64(c.at) {
 			continue
 		}
-		if got := len(r.Steps) > 0; got != c.step || got == (r.Doc != nil) {
+		if got := len(r.Patches) > 0; got != c.step || got == (r.Doc != nil) {
 			t.Errorf("%d: steps %v, whole %v", i, got, r.Doc != nil)
 		}
 		if c.step {
 			held.Set(1, docs[0], nil)
-			if got, ok := held.Build(r.Steps); !ok || !bytes.Equal(got, docs[1]) {
+			if got, ok := held.Build(r.Patches); !ok || !bytes.Equal(got, docs[1]) {
 				t.Errorf("%d: the steps do not lead there", i)
 			}
 		}
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -48,7 +48,7 @@
 	slot    uint64
 	sum     []byte
 	applied chan struct{} // closed at each applied entry
-	step    patch.Step    // the last that a poll was given
+	step    patch.Patch   // the last that a poll was given
 
 	// Leadership and membership.
 	num           ballot.Number        // our ballot while we stand or lead
@@ -108,14 +108,14 @@
 		e.Log.Emit(event.Damaged, "file", n)
 	}
 	s.role = fsm.New("empty", nil,
-		fsm.Move{From: "empty", By: "refilled", To: "spare"},
-		fsm.Move{From: "empty", By: "filled", To: "follow"},
-		fsm.Move{From: "spare", By: "filled", To: "follow"},
-		fsm.Move{From: "follow", By: "stand", To: "stand"},
-		fsm.Move{From: "stand", By: "lose", To: "follow"},
-		fsm.Move{From: "stand", By: "win", To: "write"},
-		fsm.Move{From: "write", By: "lose", To: "follow"},
-		fsm.Move{From: "follow", By: "outcast", To: "empty"})
+		fsm.Transition{From: "empty", Trigger: "refilled", To: "spare"},
+		fsm.Transition{From: "empty", Trigger: "filled", To: "follow"},
+		fsm.Transition{From: "spare", Trigger: "filled", To: "follow"},
+		fsm.Transition{From: "follow", Trigger: "stand", To: "stand"},
+		fsm.Transition{From: "stand", Trigger: "lose", To: "follow"},
+		fsm.Transition{From: "stand", Trigger: "win", To: "write"},
+		fsm.Transition{From: "write", Trigger: "lose", To: "follow"},
+		fsm.Transition{From: "follow", Trigger: "outcast", To: "empty"})
 	if err := s.open(); err != nil {
 		return nil, err
 	}
@@ -204,7 +204,7 @@
 	s.mu.Unlock()
 	s.leave()
 	s.transferLeadership("stopping")
-	s.n.CloseGracefully(s.Settings.FarewellTimeout())
+	s.n.CloseGracefully(s.Settings.GoodbyeTimeout())
 	s.Kill()
 	s.e.Log.Emit(event.Stopped, "program", "store")
 }
--- a/internal/store/tally.go
+++ b/internal/store/tally.go
@@ -9,7 +9,7 @@
 
 // toldUpTo gives the highest slot for which every vote names all that its voter
 // accepted.
-func toldUpTo(votes []ballotVote) uint64 {
+func toldUpTo(votes []voteResponse) uint64 {
 	least := uint64(math.MaxUint64)
 	for _, v := range votes {
 		if v.More && len(v.Entries) > 0 {
@@ -21,7 +21,7 @@
 
 // highest gives the entry of a slot that was accepted under the highest ballot,
 // nil when no voter accepted any.
-func highest(votes []ballotVote, slot uint64) (pick *paxos.Entry) {
+func highest(votes []voteResponse, slot uint64) (pick *paxos.Entry) {
 	for _, v := range votes {
 		for i := range v.Entries {
 			e := &v.Entries[i]
@@ -34,7 +34,7 @@
 }
 
 // tellElected tells whose votes a term was won with; learn is held.
-func (t *leadership) tellElected(votes []ballotVote) {
+func (t *leadership) tellElected(votes []voteResponse) {
 	s := t.s
 	if s.e.Trace == nil {
 		return
--- a/internal/store/vote.go
+++ b/internal/store/vote.go
@@ -48,9 +48,9 @@
 // replica may have forgotten what it accepted, and must not vote.
 func (s *Store) isMending() bool { return s.acc.DamagedUpTo() > s.slot }
 
-func (s *Store) onBallot(_ context.Context, _ transport.Hello, in ballotAsk) (ballotVote, error) {
+func (s *Store) onBallot(_ context.Context, _ transport.Hello, in voteRequest) (voteResponse, error) {
 	s.mu.Lock()
-	v := ballotVote{ID: s.acc.Identity().ID, Slot: s.slot}
+	v := voteResponse{ID: s.acc.Identity().ID, Slot: s.slot}
 	able := s.votes() && !s.isMending() && !s.diskHangs() && !s.isForeign(in.Mesh, in.ID)
 	// One that knows of more entries may be a member by one of them.
 	v.Out = able && !s.isMember(in.ID) && s.slot >= in.Slot
@@ -88,7 +88,7 @@
 	return v, nil
 }
 
-func (s *Store) onAccept(ctx context.Context, _ transport.Hello, in acceptAsk) (ack, error) {
+func (s *Store) onAccept(ctx context.Context, _ transport.Hello, in acceptRequest) (ack, error) {
 	s.mu.Lock()
 	a := ack{ID: s.acc.Identity().ID, Slot: s.slot, Ill: s.diskIll || s.diskHangs(), Knows: statemachine.Level, Going: s.leaving}
 	// While a write hangs, the next would only queue up behind it.
@@ -128,7 +128,7 @@
 // more tells that there is some beyond. What both sides have applied is left out.
 func (s *Store) acceptedAfter(slot uint64) (out []paxos.Entry, more bool) {
 	size := 0
-	for _, e := range s.acc.After(slot, voteEntries+1) {
+	for _, e := range s.acc.EntriesAfter(slot, voteEntries+1) {
 		size += len(e.Batch)
 		if len(out) == voteEntries || len(out) > 0 && size > s.Settings.MaxFrameBytes/voteFrameRate {
 			return out, true
@@ -155,7 +155,7 @@
 	s.mu.Unlock()
 }
 
-func (s *Store) onBeat(_ context.Context, _ transport.Hello, in beatAsk) (ack, error) {
+func (s *Store) onBeat(_ context.Context, _ transport.Hello, in heartbeatRequest) (ack, error) {
 	s.mu.Lock()
 	a := ack{ID: s.acc.Identity().ID, Slot: s.slot, Ill: s.diskIll || s.diskHangs(), Knows: statemachine.Level, Going: s.leaving}
 	able := s.votes() && !s.isForeign(in.Mesh, in.Addr)
@@ -179,7 +179,7 @@
 	return a, nil
 }
 
-func (s *Store) onVacate(_ context.Context, _ transport.Hello, in vacateAsk) (ack, error) {
+func (s *Store) onVacate(_ context.Context, _ transport.Hello, in vacateRequest) (ack, error) {
 	s.voter.Vacate(in.Num)
 	if s.votes() {
 		at := time.Now().Add(s.campaignDelay(in.Num))
--- a/internal/transport/wire_test.go
+++ b/internal/transport/wire_test.go
@@ -54,7 +54,7 @@
 		}
 	})
 	p.net.Place(h, "x")
-	return transport.NewNode(transport.Hello{ClusterID: m, Node: h, Zone: "x"}, env.Env{Net: p.net.Process(h, h), Log: log, Wall: time.Now, Sleep: p.net.Pause(h)}, p.g, 1<<20, 4, 500*time.Millisecond)
+	return transport.NewNode(transport.Hello{ClusterID: m, Node: h, Zone: "x"}, env.Env{Net: p.net.Process(h, h), Log: log, WallClock: time.Now, Sleep: p.net.Pause(h)}, p.g, 1<<20, 4, 500*time.Millisecond)
 }
 
 func newPair(t *testing.T, mesh string) *pair {
--- a/internal/workerconn/idlelimit.go
+++ b/internal/workerconn/idlelimit.go
@@ -8,9 +8,9 @@
 	"puffincrank/internal/fault"
 )
 
-// ErrConnectionForgotten says that the worker had forgotten the kept connection. Whether it saw
+// ErrStaleConnection says that the worker had forgotten the kept connection. Whether it saw
 // anything of the request isn't known.
-var ErrConnectionForgotten = fault.New(fault.Unknown, "the worker had forgotten the connection")
+var ErrStaleConnection = fault.New(fault.Unknown, "the worker had forgotten the connection")
 
 // How a limit on idle times is learned and given up, as parts and multiples of the
 // longest idle time.
@@ -46,7 +46,7 @@
 // failed gives the error of a round trip that began at a time.
 func (p *Pool) failed(c *Conn, err error, from time.Time) error {
 	if p.forgotten(c, err, time.Since(from)) {
-		return ErrConnectionForgotten
+		return ErrStaleConnection
 	}
 	return err
 }
