--- a/internal/sim/repeatsofothers_test.go
+++ b/internal/sim/repeatsofothers_test.go
@@ -11,12 +11,12 @@
 	"puffincrank/internal/standin"
 )
 
-// TestRepeatsOfOthers: a stop makes more repeats necessary than the front has left. The
-// nodes beside the workers that take them pay for the others, each from its own part, so
-// that the bound of the mesh holds: one for each node here.
+// TestRepeatsOfOthers: a graceful shutdown needs more retries than the ingress has
+// left in its budget. The owners that take the retries pay for the rest from their own
+// budgets, so that the limit of the whole cluster holds: one retry for each node here.
 //
-// Fronts in a stop gave requests up with "no repeats are left" while hardly any other
-// node had used its part.
+// The failure: an ingress that was shutting down gave requests up with "no repeats are
+// left" while hardly any other node had used its budget.
 func TestRepeatsOfOthers(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -32,32 +32,32 @@
 		f.Start()
 		line := s.Lines[0]
 		line.Left = "60000"
-		front, owner := f.other("pages"), f.ofService("pages")
+		ingress, owner := f.other("pages"), f.ofService("pages")
 		Wait(62 * time.Second)
 		for range 3 {
-			f.atFront(front, line, 8)
+			f.atFront(ingress, line, 8)
 		}
 		owner.Worker.Behave(standin.Way{Took: 80 * time.Second})
 		before := owner.Worker.Runs()
-		ended := make(chan []standin.Call, 1)
-		f.g.Go("call", func(context.Context) { ended <- f.atFront(front, line, 3*slowRequests) })
+		results := make(chan []standin.Call, 1)
+		f.g.Go("call", func(context.Context) { results <- f.atFront(ingress, line, 3*slowRequests) })
 		Wait(8 * time.Second)
-		many := owner.Worker.Runs() - before
-		if many <= workers {
-			t.Fatalf("%d requests are at the slow worker: the test shows nothing", many)
+		running := owner.Worker.Runs() - before
+		if running <= workers {
+			t.Fatalf("only %d requests run at the slow worker, too few for the test", running)
 		}
 		f.g.Go("stop-owner", func(context.Context) { owner.Proxy.Stop() })
 		Wait(owner.Proxy.Settings.GracePeriod * 224 / 600)
-		front.Proxy.Stop()
+		ingress.Proxy.Stop()
 		lost := 0
-		for _, c := range <-ended {
+		for _, c := range <-results {
 			if c.Status != 200 {
 				lost++
 			}
 		}
-		// One repeat of the front, and one of each other worker's node.
-		if answered := many - lost; answered != workers {
-			t.Errorf("%d of %d requests were answered by a repeat, %d could be", answered, many, workers)
+		// One retry is paid by the ingress and one by the node of each other worker.
+		if answered := running - lost; answered != workers {
+			t.Errorf("%d of %d requests were answered by a retry, want %d", answered, running, workers)
 		}
 	})
 }
--- a/internal/sim/risk_test.go
+++ b/internal/sim/risk_test.go
@@ -23,67 +23,68 @@
 	plannedStops = "planned stops"
 )
 
-// sight is what stood at a moment.
+// sight counts what a fault at a given moment could harm.
 type sight struct {
 	at                            time.Time
 	jobs, held, acks, left, calls int
 	repeats                       float64
 }
 
-// look counts what could be harmed just now.
+// look counts what a fault could harm now.
 func (p *plan) look() sight {
 	s := sight{at: time.Now(), held: p.apps.Held(), acks: p.f.Obs.Acks(), calls: p.apps.Count()}
 	p.mu.Lock()
 	s.left = p.left
 	p.mu.Unlock()
 	for _, n := range p.f.Nodes {
-		x, w := p.f.now(n)
-		if w != nil {
-			s.jobs += w.Under()
+		proxy, worker := p.f.now(n)
+		if worker != nil {
+			s.jobs += worker.Under()
 		}
-		if x != nil {
-			s.repeats += float64(x.RetriesRequested())
+		if proxy != nil {
+			s.repeats += float64(proxy.RetriesRequested())
 		}
 	}
 	return s
 }
 
-// risks counts, by fault and promise, how often there was something to lose.
+// risks counts, by fault and guarantee, how often a fault could have broken it.
 type risks map[string]map[string]int
 
-func (r risks) add(fault string, a, b sight, s *step) {
+func (r risks) add(fault string, before, after sight, s *step) {
 	if r[fault] == nil {
 		r[fault] = map[string]int{}
 	}
-	m := r[fault]
-	// Jobs under way when the fault came may run twice, be told busy, come back
-	// as something else, or reach a stranger.
-	for _, p := range []string{"never runs twice", "busy means not run", "success is whole and one's own", "nothing to a stranger"} {
-		m[p] += a.jobs
+	counts := r[fault]
+	// A request in progress when the fault occurs may run twice, be answered busy
+	// after it ran, get a wrong or partial response, or reach another worker at a
+	// reused address.
+	for _, promise := range []string{"never runs twice", "busy means not run", "success is whole and one's own", "nothing to a stranger"} {
+		counts[promise] += before.jobs
 	}
-	m["no new job 2 s after leaving"] += max(b.left-a.left, 0)
-	m["nobody in touch acts on an older version; none steps back"] += b.acks - a.acks
+	counts["no new job 2 s after leaving"] += max(after.left-before.left, 0)
+	counts["nobody in touch acts on an older version; none steps back"] += after.acks - before.acks
 	if s.core || fault == changesRace {
-		m["broken ones refused, acknowledged ones kept"] += a.acks
+		counts["broken ones refused, acknowledged ones kept"] += before.acks
 	}
-	m["repeats within the bound"] += int(max(b.repeats-a.repeats, 0))
-	m["locks, numbers, revisions"] += a.held + b.held
-	m["no old read; watches whole"] += b.calls - a.calls
+	counts["repeats within the bound"] += int(max(after.repeats-before.repeats, 0))
+	counts["locks, numbers, revisions"] += before.held + after.held
+	counts["no old read; watches whole"] += after.calls - before.calls
 	if fault == plannedStops {
-		m["planned stops cut nothing"] += a.jobs
+		counts["planned stops cut nothing"] += before.jobs
 	}
 	if s.back {
-		m["service back within 15 s"]++
+		counts["service back within 15 s"]++
 	}
 }
 
-// node tells that a fault harms nodes or workers.
+// node reports whether the fault affects nodes or workers.
 func (s *step) node() bool {
 	return !s.core && s.fault != changesRace
 }
 
-func (r risks) join(o risks) {
-	for f, m := range o {
+func (r risks) join(other risks) {
+	for f, m := range other {
 		if r[f] == nil {
 			r[f] = map[string]int{}
 		}
@@ -108,14 +109,14 @@
 		promises = append(promises, p)
 	}
 	sort.Strings(promises)
-	var b strings.Builder
-	fmt.Fprintf(&b, "| promise | %s |\n|%s\n", strings.Join(faults, " | "), strings.Repeat(" --- |", len(faults)+1))
+	var table strings.Builder
+	fmt.Fprintf(&table, "| promise | %s |\n|%s\n", strings.Join(faults, " | "), strings.Repeat(" --- |", len(faults)+1))
 	for _, p := range promises {
-		fmt.Fprintf(&b, "| %s |", p)
+		fmt.Fprintf(&table, "| %s |", p)
 		for _, f := range faults {
-			fmt.Fprintf(&b, " %d |", r[f][p])
+			fmt.Fprintf(&table, " %d |", r[f][p])
 		}
-		b.WriteString("\n")
+		table.WriteString("\n")
 	}
-	return b.String()
+	return table.String()
 }
--- a/internal/sim/sight_test.go
+++ b/internal/sim/sight_test.go
@@ -11,21 +11,21 @@
 	"puffincrank/internal/standin/actors"
 )
 
-// TestSight: the logs and the trail of the nodes alone tell what an owner knew of
-// its worker when it sent a request there, by which of the worker's calls and in
-// which order, and when a caller's leaving was seen.
-func TestSight(t *testing.T) {
+// TestTrailOfSends: the event log and the trail of an owner show what it knew of
+// its worker when it sent a request there: the worker's state, the call of the worker
+// that set it, and the order of these steps. They also show when a caller left.
+func TestTrailOfSends(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		s := newSite(t, reader(1, 0.12), 1)
-		log := map[string][]string{}
+		entries := map[string][]string{}
 		s.Log = func(e event.Entry) {
 			s.smu.Lock()
-			log[e.Name] = append(log[e.Name], e.Node+" "+e.Text)
+			entries[e.Name] = append(entries[e.Name], e.Node+" "+e.Text)
 			s.smu.Unlock()
 		}
 		var steps []any
-		quit := 0.0
+		callersLeft := 0.0
 		s.day(9*time.Second, func() {
 			for _, m := range s.machines {
 				m.c.Quits(0.5)
@@ -36,17 +36,17 @@
 			_, got := s.Get(m.Host+":7003", "/puffin/own/trail?of="+m.w.Name)
 			steps, _ = got["steps"].([]any)
 			for _, m := range s.machines {
-				_, own := s.Get(m.Host+":7003", "/puffin/own")
-				n, _ := own["callers_left"].(float64)
-				quit += n
+				_, status := s.Get(m.Host+":7003", "/puffin/own")
+				n, _ := status["callers_left"].(float64)
+				callersLeft += n
 			}
 		})
 		gone := "to=gone call="
-		if l := strings.Join(log["worker-state"], "\n"); !strings.Contains(l, gone) || !strings.Contains(l, "step=") {
-			t.Errorf("no event tells by which call the worker went: %s", l)
+		if l := strings.Join(entries["worker-state"], "\n"); !strings.Contains(l, gone) || !strings.Contains(l, "step=") {
+			t.Errorf("no event names the call by which the worker left: %s", l)
 		}
-		if len(log["caller-left"]) == 0 || quit == 0 {
-			t.Errorf("%d events and a count of %v of callers that left", len(log["caller-left"]), quit)
+		if len(entries["caller-left"]) == 0 || callersLeft == 0 {
+			t.Errorf("%d caller-left events and a callers_left count of %v, want both above 0", len(entries["caller-left"]), callersLeft)
 		}
 		sent := 0
 		last := 0.0
@@ -63,11 +63,11 @@
 			sent++
 			since, known := step["since"].(float64)
 			if !known || since >= seq || step["state"] == "" || step["call"].(float64) <= 0 || step["request"] == "" {
-				t.Errorf("a send says only %v", step)
+				t.Errorf("the trail entry of an attempt is incomplete: %v", step)
 			}
 		}
 		if sent == 0 {
-			t.Errorf("no send to the worker in %d steps", len(steps))
+			t.Errorf("no attempt at the worker in %d steps of the trail", len(steps))
 		}
 	})
 }
--- a/internal/sim/sitelines_test.go
+++ b/internal/sim/sitelines_test.go
@@ -11,91 +11,91 @@
 	"puffincrank/internal/standin/checker"
 )
 
-// deployment is the shape of a site, with names that nobody knows beforehand.
+// deployment describes a site. Names of services, hosts and routes are random.
 type deployment struct {
-	nodes    int
-	services []string
-	order    []int // service of each node
-	lines    []*actors.Line
-	prefixes map[string]string
-	ways     actors.Ways
-	resets   map[string]bool
-	far      time.Duration
-	reach    time.Duration // one way between clients and their node
-	repeat   map[string]string
-	to       map[string]string // line to service
-	rank     map[string]int
-	bounds   checker.Bounds
-	catchUp  time.Duration
-	cores    int
-	bear     int       // core machines that may be lost at once
-	link     int       // bytes a second out of a node's machine; 0: no bound
-	wide     int       // and out of a core machine
-	more     []trouble // that only this site knows
+	nodes         int
+	services      []string
+	serviceIndex  []int // index into services, by node
+	lines         []*actors.Line
+	prefixes      map[string]string
+	ways          actors.Ways
+	resets        map[string]bool
+	far           time.Duration
+	clientLatency time.Duration // one-way latency between clients and their node
+	retryRule     map[string]string
+	serviceByKind map[string]string // line to service
+	rank          map[string]int
+	bounds        checker.Bounds
+	catchUp       time.Duration
+	cores         int
+	bear          int       // number of control plane machines that may be lost at once
+	link          int       // egress of a node's machine in bytes per second; 0 is unlimited
+	wide          int       // egress of a control plane machine in bytes per second
+	more          []trouble // troubles of this site alone
 }
 
-// num is a number of a settings file.
+// num converts a number to its form in a settings file.
 func num(n float64) json.Number { return json.Number(strconv.FormatFloat(n, 'f', -1, 64)) }
 
-// told is what every process is told of the bounds.
-func (d deployment) told() map[string]any {
-	b, out := d.bounds, map[string]any{}
-	for k, v := range map[string]time.Duration{"change_ms": b.Change, "leave_ms": b.Leave, "window_ms": b.Window, "return_ms": b.Return, "history_ms": b.Hist,
-		"grace_ms": b.Grace, "touch_ms": b.Touch, "ack_ms": b.Ack, "back_ms": b.Back, "free_ms": b.Frees, "catch_up_ms": d.catchUp} {
-		out[k] = num(float64(v.Milliseconds()))
+// settings returns the bounds as settings, which every process gets.
+func (d deployment) settings() map[string]any {
+	bounds, settings := d.bounds, map[string]any{}
+	for k, v := range map[string]time.Duration{"change_ms": bounds.Change, "leave_ms": bounds.Leave, "window_ms": bounds.Window, "return_ms": bounds.Return, "history_ms": bounds.Hist,
+		"grace_ms": bounds.Grace, "touch_ms": bounds.Touch, "ack_ms": bounds.Ack, "back_ms": bounds.Back, "free_ms": bounds.Frees, "catch_up_ms": d.catchUp} {
+		settings[k] = num(float64(v.Milliseconds()))
 	}
-	return out
+	return settings
 }
 
-// drawn changes a deployment in all that a site may choose for itself.
+// drawn draws random values for everything that a site may choose for itself.
 func (d deployment) drawn(seed uint64) deployment {
 	r := rand.New(rand.NewPCG(seed, 51))
-	span := func(least, most int) time.Duration { return ms(least + r.IntN(most-least+1)) }
+	between := func(least, most int) time.Duration { return ms(least + r.IntN(most-least+1)) }
 	b := &d.bounds
-	b.Change, b.Leave, b.Window, b.Hist = span(1200, 4000), span(1000, 3500), span(5000, 20000), span(15000, 30000)
-	b.Touch, b.Grace, b.Back = span(2000, 5000), 2*b.Leave+span(2000, 4000), span(200, 400)
+	b.Change, b.Leave, b.Window, b.Hist = between(1200, 4000), between(1000, 3500), between(5000, 20000), between(15000, 30000)
+	b.Touch, b.Grace, b.Back = between(2000, 5000), 2*b.Leave+between(2000, 4000), between(200, 400)
 	b.Share = 0.1 + 0.2*r.Float64()
-	// Bounds may cross: each is chosen for itself.
-	b.Return, d.catchUp = span(6000, 20000), span(3000, 8000)
+	// The two are drawn independently, so either may be the larger one.
+	b.Return, d.catchUp = between(6000, 20000), between(3000, 8000)
 	d.bear = 1 + r.IntN(2)
 	d.cores = 2*d.bear + 1 + r.IntN(2)
-	d.far, d.reach = span(0, 15), span(0, 6)
+	d.far, d.clientLatency = between(0, 15), between(0, 6)
 	w := &d.ways
 	w.Drain, w.Queue, w.Hop = b.Leave, r.IntN(4), []float64{0, 0.02, 0.3, 1}[r.IntN(4)]
 	w.Idle = []time.Duration{0, time.Second, 2 * time.Second, 9 * time.Second}[r.IntN(4)]
 	w.Conns = d.ways.Slots * (2 + r.IntN(6))
-	w.Cold, w.ColdBy, w.Hello = span(0, 8000), 1+2*r.Float64(), span(0, 8)
+	w.Cold, w.ColdBy, w.Hello = between(0, 8000), 1+2*r.Float64(), between(0, 8)
 	for _, s := range d.services {
 		d.resets[s] = r.IntN(2) == 0
 	}
 	return d
 }
 
-// odd sets the bounds without a thought to each other, as a site may.
+// odd draws the bounds independently of each other, as a site may set them.
 func (d deployment) odd(seed uint64) deployment {
 	d = d.drawn(seed)
 	r := rand.New(rand.NewPCG(seed, 52))
-	span := func(least, most int) time.Duration { return ms(least + r.IntN(most-least+1)) }
+	between := func(least, most int) time.Duration { return ms(least + r.IntN(most-least+1)) }
 	b := &d.bounds
-	b.Change, b.Leave, b.Touch, d.catchUp = span(800, 6000), span(800, 6000), span(1500, 4000), span(2500, 8000)
-	b.Return, b.Ack, b.Stretch = span(6000, 15000), span(2500, 6000), span(2000, 8000)
-	b.Grace, b.Frees, b.Hist = b.Leave+span(2000, 5000), span(500, 3000), span(5000, 20000)
+	b.Change, b.Leave, b.Touch, d.catchUp = between(800, 6000), between(800, 6000), between(1500, 4000), between(2500, 8000)
+	b.Return, b.Ack, b.Stretch = between(6000, 15000), between(2500, 6000), between(2000, 8000)
+	b.Grace, b.Frees, b.Hist = b.Leave+between(2000, 5000), between(500, 3000), between(5000, 20000)
 	d.ways.Drain = b.Leave
 	return d
 }
 
-func (d deployment) of(i int) int { return d.order[i%len(d.order)] }
+func (d deployment) serviceOf(i int) int { return d.serviceIndex[i%len(d.serviceIndex)] }
 
-// namer draws names that are new in each day.
-type namer struct{ *rand.Rand }
+// wordGenerator draws random names, which differ from seed to seed.
+type wordGenerator struct{ *rand.Rand }
 
-func (n namer) word() string {
-	const soft, hard = "aeiou", "bdfghjklmnprstvwz"
-	out := ""
+func (n wordGenerator) word() string {
+	const vowels, consonants = "aeiou", "bdfghjklmnprstvwz"
+	word := ""
 	for range 2 {
-		out += string(hard[n.IntN(len(hard))]) + string(soft[n.IntN(len(soft))])
+		word += string(consonants[n.IntN(len(consonants))]) + string(vowels[n.IntN(len(vowels))])
 	}
-	return fmt.Sprintf("%s%d", out, n.IntN(1000))
+	return fmt.Sprintf("%s%d", word, n.IntN(1000))
 }
 
 type row struct {
@@ -108,41 +108,41 @@
 	calls                 map[string]float64
 }
 
-func deploy(seed uint64, nodes, slots int, far, reach time.Duration, names []string, workers []int, rows []row, scale float64) deployment {
-	n := namer{rand.New(rand.NewPCG(seed, 31))}
-	// What is allowed besides goes with the load, as its share does.
-	d := deployment{nodes: nodes, cores: 3, bear: 1, catchUp: 4 * time.Second, bounds: checker.Usual, far: far, reach: reach, prefixes: map[string]string{}, resets: map[string]bool{}, repeat: map[string]string{}, to: map[string]string{}, rank: map[string]int{},
+func deploy(seed uint64, nodes, slots int, far, clientLatency time.Duration, roles []string, workers []int, rows []row, scale float64) deployment {
+	words := wordGenerator{rand.New(rand.NewPCG(seed, 31))}
+	// The retry allowance grows with the load, as the retry share does.
+	d := deployment{nodes: nodes, cores: 3, bear: 1, catchUp: 4 * time.Second, bounds: checker.Usual, far: far, clientLatency: clientLatency, prefixes: map[string]string{}, resets: map[string]bool{}, retryRule: map[string]string{}, serviceByKind: map[string]string{}, rank: map[string]int{},
 		ways: actors.Ways{Slots: slots, Queue: max(slots/3, 2), Conns: 10 * slots, Hello: 1500 * time.Microsecond, Idle: 5 * time.Second, Crowd: 1.4, Cold: 4 * time.Second, ColdBy: 1.8,
-			Hop: 0.01, Drain: 2 * time.Second, Fitness: "/" + n.word()}}
+			Hop: 0.01, Drain: 2 * time.Second, Fitness: "/" + words.word()}}
 	d.bounds.Allow = float64(int(60*scale + 0.9))
-	real := map[string]string{}
-	for i, name := range names {
-		real[name] = n.word()
-		d.services = append(d.services, real[name])
-		d.resets[real[name]] = i == 1
+	serviceNames := map[string]string{}
+	for i, name := range roles {
+		serviceNames[name] = words.word()
+		d.services = append(d.services, serviceNames[name])
+		d.resets[serviceNames[name]] = i == 1
 	}
-	// The workers of each service stand in all areas.
-	left := append([]int(nil), workers...)
-	for len(d.order) < nodes {
-		for i := range left {
-			if left[i] > 0 {
-				left[i]--
-				d.order = append(d.order, i)
+	// Spreads the workers of each service over all zones.
+	remaining := append([]int(nil), workers...)
+	for len(d.serviceIndex) < nodes {
+		for i := range remaining {
+			if remaining[i] > 0 {
+				remaining[i]--
+				d.serviceIndex = append(d.serviceIndex, i)
 			}
 		}
 	}
-	hosts := []string{n.word() + ".example", n.word() + ".example"}
-	by := map[string]*actors.Line{}
-	for i, r := range rows {
-		l := &actors.Line{Kind: r.kind, Host: hosts[i%2], Method: r.method, Prefix: "/" + n.word() + "/", Repeat: r.repeat == "safe" || r.repeat == "download", Rate: r.rate * scale,
-			Size: r.size, Back: r.back, Work: ms(r.work), Aim: ms(r.aim), Left: ms(r.left), Most: ms(r.left), Further: r.further}
-		by[r.kind] = l
+	hosts := []string{words.word() + ".example", words.word() + ".example"}
+	byKind := map[string]*actors.Line{}
+	for i, row := range rows {
+		l := &actors.Line{Kind: row.kind, Host: hosts[i%2], Method: row.method, Prefix: "/" + words.word() + "/", Repeat: row.repeat == "safe" || row.repeat == "download", Rate: row.rate * scale,
+			Size: row.size, Back: row.back, Work: ms(row.work), Aim: ms(row.aim), Left: ms(row.left), Most: ms(row.left), Further: row.further}
+		byKind[row.kind] = l
 		d.lines = append(d.lines, l)
-		d.repeat[r.kind], d.to[r.kind], d.rank[r.kind] = r.repeat, real[r.service], r.rank
+		d.retryRule[row.kind], d.serviceByKind[row.kind], d.rank[row.kind] = row.repeat, serviceNames[row.service], row.rank
 	}
-	for _, r := range rows {
-		for k, share := range r.calls {
-			by[r.kind].Calls = append(by[r.kind].Calls, actors.Call{Line: by[k], Share: share})
+	for _, row := range rows {
+		for calledKind, share := range row.calls {
+			byKind[row.kind].Calls = append(byKind[row.kind].Calls, actors.Call{Line: byKind[calledKind], Share: share})
 		}
 	}
 	return d
@@ -150,16 +150,16 @@
 
 func ms(n int) time.Duration { return time.Duration(n) * time.Millisecond }
 
-// draft is the first document of the deployment.
+// draft is the first configuration document of the deployment.
 func (d deployment) draft(number uint64) *actors.Draft {
-	out := &actors.Draft{Number: number, Services: append([]string(nil), d.services...), Links: d.ways.Conns, Fitness: d.ways.Fitness}
+	document := &actors.Draft{Number: number, Services: append([]string(nil), d.services...), Links: d.ways.Conns, Fitness: d.ways.Fitness}
 	for _, l := range d.lines {
-		out.Ways = append(out.Ways, actors.Way{Name: "p-" + l.Kind, Host: l.Host, Prefix: l.Prefix, Repeat: d.repeat[l.Kind], Split: map[string]int{d.to[l.Kind]: 1}, Left: l.Most, Aim: l.Aim, Tries: 2 + len(l.Kind)%2, Rank: d.rank[l.Kind]})
+		document.Ways = append(document.Ways, actors.Way{Name: "p-" + l.Kind, Host: l.Host, Prefix: l.Prefix, Repeat: d.retryRule[l.Kind], Split: map[string]int{d.serviceByKind[l.Kind]: 1}, Left: l.Most, Aim: l.Aim, Tries: 2 + len(l.Kind)%2, Rank: d.rank[l.Kind]})
 	}
-	return out
+	return document
 }
 
-// reader is a deployment of short reads, lendings and uploads.
+// reader is a deployment with short reads, writes and uploads.
 func reader(seed uint64, scale float64) deployment {
 	return deploy(seed, 12, 2+int(seed/2%2), 900*time.Microsecond, 3*time.Millisecond, []string{"pages", "lending", "scans"}, []int{5, 4, 3}, []row{
 		{kind: "read", repeat: "safe", service: "pages", rate: 554, work: 60, aim: 200, left: 800, back: 3000, further: 1, rank: 1, method: "GET"},
@@ -171,7 +171,7 @@
 	}, scale)
 }
 
-// desks is a deployment of longer work and large answers.
+// desks is a deployment with longer runs and large responses.
 func desks(seed uint64, scale float64) deployment {
 	return deploy(seed, 14, 3+int(seed/2%2), 1400*time.Microsecond, time.Millisecond, []string{"search", "boarding", "manifests", "seats"}, []int{5, 3, 3, 3}, []row{
 		{kind: "find", repeat: "safe", service: "search", rate: 279, work: 160, aim: 500, left: 3000, back: 1500, further: 2, rank: 1, method: "GET", calls: map[string]float64{"cabin": 0.1}},
--- a/internal/sim/stopwork_test.go
+++ b/internal/sim/stopwork_test.go
@@ -10,20 +10,20 @@
 	"puffincrank/internal/standin"
 )
 
-// atFront calls a line so many times at one node, all at once, and gives what came.
-func (f *Fleet) atFront(n *Node, l standin.Line, many int) (out []standin.Call) {
-	own := standin.NewCallers(f.env("own", "10.0.9.3", "outside", &n.skew), nil, f.Obs, 60*time.Second)
-	got := make(chan standin.Call, many)
-	for range many {
-		f.g.Go("ask", func(context.Context) { got <- own.At(n.Host+":8000", l) })
+// atFront sends count concurrent requests to one node and returns their results.
+func (f *Fleet) atFront(n *Node, l standin.Line, count int) (calls []standin.Call) {
+	callers := standin.NewCallers(f.env("own", "10.0.9.3", "outside", &n.skew), nil, f.Obs, 60*time.Second)
+	results := make(chan standin.Call, count)
+	for range count {
+		f.g.Go("ask", func(context.Context) { results <- callers.At(n.Host+":8000", l) })
 	}
-	for range many {
-		out = append(out, <-got)
+	for range count {
+		calls = append(calls, <-results)
 	}
-	return out
+	return calls
 }
 
-// other is a node whose worker is none of a service's.
+// other returns a node whose worker belongs to another service.
 func (f *Fleet) other(service string) *Node {
 	for _, n := range f.Nodes {
 		if n.Worker.Service != service {
@@ -33,14 +33,14 @@
 	return nil
 }
 
-// TestStopBeginsNothingLong: a node that was told to end takes a job that its worker
-// can't end before the node goes. It isn't begun and then broken off at work: the
-// caller is told at once that it did not run, and when to come back.
-func TestStopBeginsNothingLong(t *testing.T) {
+// TestStopStartsNoLongRequest: a node that is shutting down gets a request that would
+// run beyond the node's exit. The node refuses it instead of starting it and aborting
+// it later: the caller gets a 503 with Retry-After at once and knows that it did not run.
+func TestStopStartsNoLongRequest(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		s := small()
-		// Each run takes half to one and a half of it, and so longer than a grace.
+		// A run takes 0.5 to 1.5 times as long, which is longer than the grace period.
 		s.Took["pages"] = 32 * time.Second
 		s.Doc = strings.Replace(s.Doc, `"class":"reading","left_ms":1000`, `"class":"reading","left_ms":60000,"aim_ms":50000`, 1)
 		f := NewFleet(t, s, 431)
@@ -48,46 +48,46 @@
 		f.Start()
 		line := s.Lines[0]
 		line.Left = "60000"
-		at := f.other("pages")
-		// Its owner knows how long they run.
-		for _, c := range f.atFront(at, line, 3) {
+		ingress := f.other("pages")
+		// From these its owner learns how long the runs take.
+		for _, c := range f.atFront(ingress, line, 3) {
 			if c.Status != 200 {
-				t.Fatalf("before the order: %d %s", c.Status, c.Body)
+				t.Fatalf("before the stop signal: %d %s", c.Status, c.Body)
 			}
 		}
-		over := make(chan struct{})
-		f.g.Go("stop", func(context.Context) { at.Proxy.Stop(); close(over) })
+		stopped := make(chan struct{})
+		f.g.Go("stop", func(context.Context) { ingress.Proxy.Stop(); close(stopped) })
 		Wait(500 * time.Millisecond)
-		for _, c := range f.atFront(at, line, 4) {
+		for _, c := range f.atFront(ingress, line, 4) {
 			if c.Status != 503 || c.Retry == "" || c.To.Sub(c.From) > time.Second {
-				t.Errorf("after the order: %d %s, retry %q, after %v", c.Status, c.Body, c.Retry, c.To.Sub(c.From))
+				t.Errorf("after the stop signal: %d %s, Retry-After %q, after %v", c.Status, c.Body, c.Retry, c.To.Sub(c.From))
 			}
 		}
-		<-over
+		<-stopped
 	})
 }
 
-// TestStopKeepsNoTime: at a node that was told to end, jobs that may be repeated run
-// for more than half of their time. None is ended at work for a repeat that can't be
-// done any more: each has its worker's answer.
-func TestStopKeepsNoTime(t *testing.T) {
+// TestStopReservesNoRetryTime: at a node that is shutting down, retryable requests run
+// for more than half of their timeout. None is aborted to leave time for a retry that
+// is no longer possible: each gets the response of its worker.
+func TestStopReservesNoRetryTime(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		s := small()
 		s.Nodes = 6
-		s.Took["pages"] = 600 * time.Millisecond // 300 to 900, of 1000
+		s.Took["pages"] = 600 * time.Millisecond // runs take 300 to 900 ms of a timeout of 1000 ms
 		f := NewFleet(t, s, 432)
 		defer f.Stop()
 		f.Start()
-		at := f.other("pages")
-		// Others of the service, so that repeats are to be had.
-		look := standin.Line{Method: "GET", URI: "/lookups/7", Service: "pages", Safe: true, Left: "3000"}
+		ingress := f.other("pages")
+		// Other requests of the service earn retry budget.
+		lookup := standin.Line{Method: "GET", URI: "/lookups/7", Service: "pages", Safe: true, Left: "3000"}
 		for range 4 {
-			f.atFront(at, look, 8)
+			f.atFront(ingress, lookup, 8)
 		}
-		f.g.Go("stop", func(context.Context) { at.Proxy.Stop() })
+		f.g.Go("stop", func(context.Context) { ingress.Proxy.Stop() })
 		Wait(500 * time.Millisecond)
-		for _, c := range f.atFront(at, s.Lines[0], 8) {
+		for _, c := range f.atFront(ingress, s.Lines[0], 8) {
 			if c.Status != 200 {
 				t.Errorf("%d %s after %v", c.Status, c.Body, c.To.Sub(c.From))
 			}
--- a/internal/sim/storm_test.go
+++ b/internal/sim/storm_test.go
@@ -10,13 +10,13 @@
 	"puffincrank/internal/standin"
 )
 
-// TestStorms: all workers of the busiest service turn bad at once, so that
-// every job asks for repeats: they lose answers, refuse, or do the work and
-// answer busy without a word. Repeats stay within the bound, nothing runs
-// twice, and busy is told only of jobs that did not run.
+// TestStorms: all workers fail at once, so that most requests need retries: they lose
+// responses, refuse, or do the work and then answer busy. Retries stay within the
+// budget, no request that must not be repeated runs twice, and callers get a busy
+// response only for requests that did not run.
 func TestStorms(t *testing.T) {
 	heavy(t)
-	for i, way := range []standin.Way{{Lose: 0.8}, {Busy: 0.9}, {Sulk: 0.5, Garble: 0.4}} {
+	for i, behaviour := range []standin.Way{{Lose: 0.8}, {Busy: 0.9}, {Sulk: 0.5, Garble: 0.4}} {
 		for _, s := range []Shape{Fumettoteca(0.25), Ingenzi(0.4)} {
 			t.Run(fmt.Sprint(s.Services[0], " ", i), func(t *testing.T) {
 				t.Parallel()
@@ -27,7 +27,7 @@
 					wait := f.Load(s.Lines, 20*time.Second)
 					Wait(6 * time.Second)
 					for _, n := range f.Nodes {
-						w := way
+						w := behaviour
 						w.Took = s.Took[n.Worker.Service]
 						n.Worker.Behave(w)
 					}
@@ -37,14 +37,14 @@
 					}
 					wait()
 					f.Judge()
-					repeats := 0.0
+					retries := 0.0
 					for _, n := range f.Nodes {
-						_, own := f.Get(n.Host+":7003", "/puffin/own")
-						repeats += own["repeats"].(float64)
+						_, status := f.Get(n.Host+":7003", "/puffin/own")
+						retries += status["repeats"].(float64)
 					}
-					t.Logf("%.0f repeats", repeats)
-					if repeats < 30 {
-						t.Errorf("only %.0f repeats: the bound was not pressed", repeats)
+					t.Logf("%.0f retries", retries)
+					if retries < 30 {
+						t.Errorf("only %.0f retries, too few to test the retry budget", retries)
 					}
 				})
 			})
@@ -52,8 +52,9 @@
 	}
 }
 
-// TestLongStop: a proxy and a core machine are told to end while answers of
-// several seconds are under way at them, as front and as owner: all come whole.
+// TestLongStop: proxies shut down gracefully while requests that
+// run for several seconds are in progress at them, as ingress and as owner. All
+// responses arrive complete.
 func TestLongStop(t *testing.T) {
 	heavy(t)
 	synctest.Test(t, func(t *testing.T) {
@@ -72,22 +73,23 @@
 		}
 		wait()
 		f.Judge()
-		// A nested call may lack the time that its parent's end leaves it; all
-		// else would be seen by callers.
+		// A nested call may fail because the remaining time of its parent is too
+		// short; any other failure would be visible to callers.
 		if n := f.Obs.Counts(); n["calls"] < 100 {
 			t.Errorf("too few calls: %v", n)
 		}
 		for _, c := range f.Obs.Calls() {
 			if c.Status == 503 || c.Status != 200 && !strings.HasPrefix(c.ID, "nested-") {
-				t.Errorf("a polite stop was seen by %s at %s, %v to %v: %d %s", c.ID, c.Front, c.From.Format("05.000"), c.To.Format("05.000"), c.Status, c.Body)
+				t.Errorf("a graceful shutdown was visible to request %s at %s, %v to %v: %d %s", c.ID, c.Front, c.From.Format("05.000"), c.To.Format("05.000"), c.Status, c.Body)
 			}
 		}
 	})
 }
 
-// TestFrozenReader: a core machine that wrote is frozen whole and wakes with
-// reads in its sockets, after the others took a newer write.
-func TestFrozenReader(t *testing.T) {
+// TestPausedControlMachineServesNoStaleRead: the leader's machine is paused and
+// resumes with reads in its socket buffers, after the others acknowledged a newer
+// write. None of the reads returns the old value.
+func TestPausedControlMachineServesNoStaleRead(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		f := NewFleet(t, small(), 421)
@@ -95,35 +97,35 @@
 		f.Start()
 		for round := range 6 {
 			c := f.mark(f.Writer())
-			f.Until(10*time.Second, "a first write goes through", func() bool {
+			f.Until(10*time.Second, "a first write is acknowledged", func() bool {
 				code, _ := f.Ask("PUT", c.Host+":7003", "/puffin/keys/k", `{"value":"one"}`)
 				return code == 200
 			})
 			f.Net.Freeze("store-"+c.Host, true)
 			f.Net.Freeze("core-"+c.Host, true)
-			f.Until(10*time.Second, "the others take a write", func() bool {
+			f.Until(10*time.Second, "the other machines acknowledge a write", func() bool {
 				code, _ := f.Ask("PUT", f.Nodes[0].Host+":7003", "/puffin/keys/k?left_ms=1500", fmt.Sprintf(`{"value":"two%d"}`, round))
 				return code == 200
 			})
-			got := make(chan string, 40)
+			results := make(chan string, 40)
 			for range 40 {
 				go func() {
 					code, back := f.Get(c.Host+":7003", "/puffin/keys/k?left_ms=4000")
-					got <- fmt.Sprint(code, back["value"])
+					results <- fmt.Sprint(code, back["value"])
 				}()
 			}
 			Wait(50 * time.Millisecond)
-			// The registry hands the reads over to a store that still stands still.
+			// The registry resumes first and forwards the reads to a store that is still paused.
 			f.Net.Freeze("core-"+c.Host, false)
 			Wait(100 * time.Millisecond)
 			f.Net.Freeze("store-"+c.Host, false)
 			seen := map[string]int{}
 			for range 40 {
-				seen[<-got]++
+				seen[<-results]++
 			}
 			t.Log(seen)
 			if seen["200one"] > 0 {
-				t.Errorf("%d reads are older than an acknowledged write", seen["200one"])
+				t.Errorf("%d reads returned a value older than an acknowledged write", seen["200one"])
 			}
 			f.Until(10*time.Second, "all stores are ready", f.coreReady)
 			Wait(2 * time.Second)
@@ -131,8 +133,8 @@
 	})
 }
 
-// TestLongWatch: a watch that is far behind gets every change once, in order,
-// in as many answers as it takes.
+// TestLongWatch: a watch that is far behind gets every change once and in order,
+// in as many responses as that takes.
 func TestLongWatch(t *testing.T) {
 	heavy(t)
 	synctest.Test(t, func(t *testing.T) {
@@ -141,15 +143,15 @@
 		f.Start()
 		at := f.Nodes[0].Host + ":7003"
 		for i := range 700 {
-			// Other keys lie between, so that revisions have gaps for the watch.
+			// Keys outside the prefix leave gaps in the revisions that the watch sees.
 			if code, _ := f.Ask("PUT", at, fmt.Sprintf("/puffin/keys/%s%d", []string{"w/", "other/", "w/"}[i%3], i%9), `{"value":"x"}`); code != 200 {
 				t.Fatalf("put answered %d", code)
 			}
 		}
 		next, last, count := 1.0, 0.0, 0
 		for round := 0; round < 10 && next <= 700; round++ {
-			_, got := f.Get(f.Nodes[round%3].Host+":7003", fmt.Sprintf("/puffin/watch?prefix=w/&from=%.0f", next))
-			for _, c := range got["changes"].([]any) {
+			_, answer := f.Get(f.Nodes[round%3].Host+":7003", fmt.Sprintf("/puffin/watch?prefix=w/&from=%.0f", next))
+			for _, c := range answer["changes"].([]any) {
 				rev := c.(map[string]any)["rev"].(float64)
 				if rev <= last {
 					t.Errorf("revision %v after %v", rev, last)
@@ -157,7 +159,7 @@
 				last = rev
 				count++
 			}
-			next = got["next"].(float64)
+			next = answer["next"].(float64)
 		}
 		if count != 467 {
 			t.Errorf("the watch saw %d of 467 changes", count)
--- a/internal/sim/waitstop_test.go
+++ b/internal/sim/waitstop_test.go
@@ -11,10 +11,10 @@
 	"puffincrank/internal/standin"
 )
 
-// TestStopWhileWaiting: a node is told to end while a job of its caller waits
-// for a slot elsewhere, longer than the node may take to end. No worker ever
-// had it, so the caller is told so before the node goes; its connection isn't
-// just cut. Whether the job came before the order or after it.
+// TestStopWhileWaiting: a node shuts down while a request of its caller waits
+// for a slot at another node, for longer than the shutdown may take. No worker ever had
+// the request, so the caller gets a 503 with Retry-After before the node exits, and its
+// connection is not cut. This holds for requests before and after the stop signal.
 func TestStopWhileWaiting(t *testing.T) {
 	for _, after := range []time.Duration{-300 * time.Millisecond, 200 * time.Millisecond} {
 		t.Run(fmt.Sprint("job after ", after), func(t *testing.T) {
@@ -27,44 +27,44 @@
 				f := NewFleet(t, s, 430)
 				defer f.Stop()
 				f.Start()
-				own := standin.NewCallers(f.env("own", "10.0.9.3", "outside", &f.Nodes[0].skew), nil, f.Obs, 30*time.Second)
+				callers := standin.NewCallers(f.env("own", "10.0.9.3", "outside", &f.Nodes[0].skew), nil, f.Obs, 30*time.Second)
 				line := s.Lines[0]
 				line.Left = "30000"
-				got := make(chan standin.Call, 3)
-				ask := func(n *Node) { f.g.Go("ask", func(context.Context) { got <- own.At(n.Host+":8000", line) }) }
-				var at *Node
+				results := make(chan standin.Call, 3)
+				request := func(n *Node) { f.g.Go("ask", func(context.Context) { results <- callers.At(n.Host+":8000", line) }) }
+				var ingress *Node
 				for _, n := range f.Nodes {
 					if n.Worker.Service != "pages" {
-						at = n
+						ingress = n
 					}
 				}
-				// Its slot is taken, and one waits there already.
-				ask(f.Nodes[0])
+				// A first request takes the only slot of the worker.
+				request(f.Nodes[0])
 				Wait(500 * time.Millisecond)
 				stopped := make(chan time.Time, 1)
-				halt := func() {
-					f.g.Go("stop", func(context.Context) { at.Proxy.Stop(); stopped <- time.Now() })
+				stop := func() {
+					f.g.Go("stop", func(context.Context) { ingress.Proxy.Stop(); stopped <- time.Now() })
 				}
 				if after < 0 {
-					ask(at)
+					request(ingress)
 					Wait(-after)
-					halt()
+					stop()
 				} else {
-					halt()
+					stop()
 					Wait(after)
-					ask(at)
+					request(ingress)
 				}
 				from := time.Now()
-				c := <-got
-				if c.Front != at.Host+":8000" {
-					t.Fatalf("the first job ended early: %+v", c)
+				c := <-results
+				if c.Front != ingress.Host+":8000" {
+					t.Fatalf("the first request ended early: %+v", c)
 				}
 				t.Logf("%d %s after %v: %s", c.Status, c.Ran, c.To.Sub(from), c.Body)
 				if c.Status != 503 || c.Retry == "" {
-					t.Errorf("the waiting job was answered %d, retry %q", c.Status, c.Retry)
+					t.Errorf("the waiting request was answered %d, Retry-After %q", c.Status, c.Retry)
 				}
-				if took := (<-stopped).Sub(from); took > 14*time.Second { // of a grace of 15
-					t.Errorf("the node took %v to end", took)
+				if took := (<-stopped).Sub(from); took > 14*time.Second { // of a grace period of 15 s
+					t.Errorf("the shutdown took %v, want at most 14s", took)
 				}
 			})
 		})
