--- a/cmd/mutants/main.go
+++ b/cmd/mutants/main.go
@@ -27,7 +27,7 @@
 func run() int {
 	var options args
 	arg.MustParse(&options)
-	list, err := mutant.Named(options.Name)
+	list, err := mutant.Select(options.Name)
 	if err != nil || options.Parallel < 1 || options.Parallel > 16 {
 		fmt.Fprintln(os.Stderr, "mutants:", err, "- see --list and --help")
 		return 2
@@ -51,7 +51,7 @@
 		tasks.Go("mutant", func(ctx context.Context) {
 			slots <- struct{}{}
 			defer func() { <-slots }()
-			results <- m.Try(ctx, options.Root, dir)
+			results <- m.Run(ctx, options.Root, dir)
 		})
 	}
 	missed := 0
@@ -61,7 +61,7 @@
 		caught := "yes"
 		if !result.Caught {
 			missed++
-			caught = "**no**: " + result.Say
+			caught = "**no**: " + result.Message
 		}
 		fmt.Printf("| %s | %s | %s | %s %s | %.0f |\n", result.Name, result.Promise, caught, result.Pkg, result.Test, result.Took.Round(time.Second).Seconds())
 	}
--- a/internal/controlclient/client_test.go
+++ b/internal/controlclient/client_test.go
@@ -72,7 +72,7 @@
 	hostResumed.Store(&running)
 	close(running)
 	newNode := func(host string) (*transport.Node, *replica.Replica, *event.Log) {
-		network.Place(host, "x")
+		network.SetZone(host, "x")
 		environment := env.Env{Net: network.Host(host), Log: event.New(host, nil), WallClock: time.Now}
 		if host == "h1" {
 			environment.Net = pausable
--- a/internal/fleetrun/cost_test.go
+++ b/internal/fleetrun/cost_test.go
@@ -86,7 +86,7 @@
 		start(proxyProcess, nil)
 		t.Cleanup(proxyProcess.Kill)
 		if i == 1 {
-			newWorker, err := standin.NewWorker(silentEnv("w"), "a", "w1", host+":7305", host+":7303", 64, standin.Way{}, nil)
+			newWorker, err := standin.NewWorker(silentEnv("w"), "a", "w1", host+":7305", host+":7303", 64, standin.WorkerBehavior{}, nil)
 			start(alreadyStarted{}, err)
 			t.Cleanup(newWorker.Kill)
 			worker = newWorker
--- a/internal/fleetrun/faults.go
+++ b/internal/fleetrun/faults.go
@@ -15,10 +15,10 @@
 
 // runTrial proposes to move the first route to the second service, whose workers get the
 // given behavior, and checks the outcome of the trial.
-func (r *Run) runTrial(wantState string, behavior standin.Way, meanwhile func()) {
+func (r *Run) runTrial(wantState string, behavior standin.WorkerBehavior, meanwhile func()) {
 	service := r.Shape.Services[0]
 	alternative := service + "2"
-	took := r.Shape.Took[alternative]
+	took := r.Shape.ServiceTimes[alternative]
 	if behavior.Took > 0 {
 		took *= behavior.Took
 	}
@@ -39,7 +39,7 @@
 	}
 	for _, n := range r.Nodes {
 		if n.Service == target {
-			n.Worker.Behave(behavior)
+			n.Worker.SetBehavior(behavior)
 		}
 	}
 	code, got := r.Get("POST", address, fmt.Sprintf("/puffin/trials?based_on=%v", baseVersion), fmt.Sprintf(`{"path":%q,"service":%q}`, routeName, target))
@@ -60,16 +60,16 @@
 		r.failures = append(r.failures, fmt.Sprintf("trial %v ended %v, want %s", id, trial["state"], wantState))
 	}
 	for _, n := range r.Nodes {
-		n.Worker.Behave(standin.Way{Took: r.Shape.Took[n.Service]})
+		n.Worker.SetBehavior(standin.WorkerBehavior{Took: r.Shape.ServiceTimes[n.Service]})
 	}
 }
 
 // setWorkerFaults changes the behavior of two workers. The zero value ends their faults.
-func (r *Run) setWorkerFaults(behavior standin.Way) {
+func (r *Run) setWorkerFaults(behavior standin.WorkerBehavior) {
 	for _, i := range []int{0, 4} {
 		n := r.Nodes[i]
-		behavior.Took = r.Shape.Took[n.Service]
-		n.Worker.Behave(behavior)
+		behavior.Took = r.Shape.ServiceTimes[n.Service]
+		n.Worker.SetBehavior(behavior)
 	}
 }
 
@@ -105,7 +105,7 @@
 	}
 	took, ok := r.WaitFor(15*time.Second, r.Converged)
 	for _, n := range nodes {
-		r.Observer.Lost(n.Host+":8000", begin, time.Now())
+		r.Observer.Disconnected(n.Host+":8000", begin, time.Now())
 	}
 	r.Log("  all whole %.2f s after they came back: %v", took.Seconds(), ok)
 }
@@ -137,14 +137,14 @@
 	baseVersion, _ := config["version"].(float64)
 	var requests sync.WaitGroup
 	codes := make([]int, 3)
-	for i, document := range []string{r.Shape.Doc, r.Shape.Doc, `{"services":[]}`} {
+	for i, document := range []string{r.Shape.Config, r.Shape.Config, `{"services":[]}`} {
 		requests.Add(1)
 		r.tasks.Go("race", func(context.Context) {
 			defer requests.Done()
 			code, got := r.Get("PUT", r.Nodes[i*3].Host+":7003", fmt.Sprintf("/puffin/config?emergency=true&who=operator-%d&based_on=%v", i, baseVersion), document)
 			codes[i] = code
 			if v, _ := got["version"].(float64); code == 200 {
-				r.Observer.Acked(uint64(v))
+				r.Observer.VersionAcked(uint64(v))
 			}
 		})
 	}
--- a/internal/fleetrun/plan.go
+++ b/internal/fleetrun/plan.go
@@ -38,11 +38,11 @@
 	// A good, a failing and a slow change, while a control plane process is killed and
 	// a proxy is restarted.
 	"trials": {
-		{0.08, "propose a good change; kill the writing store meanwhile", func(r *Run) { r.runTrial("promoted", standin.Way{}, func() { r.killLeader() }) }},
+		{0.08, "propose a good change; kill the writing store meanwhile", func(r *Run) { r.runTrial("promoted", standin.WorkerBehavior{}, func() { r.killLeader() }) }},
 		{0.38, "propose a failing change; roll a proxy meanwhile", func(r *Run) {
-			r.runTrial("held-back", standin.Way{Fail: 0.15}, func() { r.restartProxy(5, syscall.SIGTERM, 0) })
+			r.runTrial("held-back", standin.WorkerBehavior{Fail: 0.15}, func() { r.restartProxy(5, syscall.SIGTERM, 0) })
 		}},
-		{0.68, "propose a slow change", func(r *Run) { r.runTrial("held-back", standin.Way{Took: 4}, func() {}) }},
+		{0.68, "propose a slow change", func(r *Run) { r.runTrial("held-back", standin.WorkerBehavior{Took: 4}, func() {}) }},
 	},
 	// Every process is restarted from an earlier version to the current one, then some
 	// of them back. Needs --old.
@@ -55,8 +55,8 @@
 	},
 	// One fault after another, the last one shortly before the end.
 	"day": {
-		{0.04, "garbling and losing workers", func(r *Run) { r.setWorkerFaults(standin.Way{Garble: 0.3, Lose: 0.3}) }},
-		{0.12, "they are well again", func(r *Run) { r.setWorkerFaults(standin.Way{}) }},
+		{0.04, "garbling and losing workers", func(r *Run) { r.setWorkerFaults(standin.WorkerBehavior{Garble: 0.3, Lose: 0.3}) }},
+		{0.12, "they are well again", func(r *Run) { r.setWorkerFaults(standin.WorkerBehavior{}) }},
 		{0.16, "kill the writing store", func(r *Run) { r.killLeader() }},
 		{0.24, "freeze the writing store for 4 s", func(r *Run) { r.pauseLeader(4 * time.Second) }},
 		{0.32, "kill four nodes and their workers at once, back after 3 s", func(r *Run) { r.killNodes(4, 3*time.Second) }},
@@ -136,7 +136,7 @@
 		return code == 200
 	})
 	if signal != syscall.SIGTERM {
-		r.Observer.Lost(n.Host+":8000", begin, time.Now())
+		r.Observer.Disconnected(n.Host+":8000", begin, time.Now())
 	}
 	r.Log("  %s is ready %.2f s after its start: %v", n.Proxy.Name, took.Seconds(), ok)
 }
@@ -174,7 +174,7 @@
 func (r *Run) applyChange() {
 	_, got := r.Get("GET", r.Nodes[0].Host+":7003", "/puffin/config", "")
 	v, _ := got["version"].(float64)
-	r.Log("  version %d applied: %v", int(v)+1, r.Apply(r.Nodes[7%len(r.Nodes)].Host+":7003", uint64(v), r.Shape.Doc))
+	r.Log("  version %d applied: %v", int(v)+1, r.Apply(r.Nodes[7%len(r.Nodes)].Host+":7003", uint64(v), r.Shape.Config))
 }
 
 // switchVersion gracefully restarts some control plane machines and nodes with the current
--- a/internal/fleetrun/report.go
+++ b/internal/fleetrun/report.go
@@ -18,7 +18,7 @@
 	environment := env.Real("callers")
 	environment.Log = event.New("callers", nil)
 	callers := standin.NewCallers(environment, r.IngressAddrs(), r.Observer, 15*time.Second)
-	apps := standin.NewCoord(environment, r.APIAddrs(), r.Observer)
+	apps := standin.NewCoordinationCallers(environment, r.APIAddrs(), r.Observer)
 	// Like the platform, this polls readiness every second and excludes nodes that are not
 	// ready from new calls.
 	var unready sync.Map
@@ -56,13 +56,13 @@
 	return r.report(plan, took, apps, status, converged, stopFailures)
 }
 
-func (r *Run) report(plan string, took time.Duration, apps *standin.Coord, status map[string]any, converged bool, stopFailures []string) bool {
+func (r *Run) report(plan string, took time.Duration, apps *standin.CoordinationCallers, status map[string]any, converged bool, stopFailures []string) bool {
 	print := func(format string, args ...any) { fmt.Fprintf(r.out, format+"\n", args...) }
-	violations, notes := r.Observer.Verdict()
+	violations, notes := r.Observer.Violations()
 	passed := len(stopFailures) == 0 && converged && len(r.failures) == 0
 	print("\n## plan %s, %.0f s", plan, took.Seconds())
 	print("\n| what must never happen | seen |\n| --- | --- |")
-	for _, k := range append(append([]string(nil), standin.Kinds...), standin.CoordKinds...) {
+	for _, k := range append(append([]string(nil), standin.ViolationKinds...), standin.CoordinationViolations...) {
 		print("| %s | %d |", k, violations[k])
 		passed = passed && violations[k] == 0
 	}
@@ -83,7 +83,7 @@
 	busySeconds := 0.0
 	for _, s := range r.Shape.Services {
 		print("| %s | %.1f | %.1f | %.1f |", s, millis(r.Observer.Latency(s, 0.5)), millis(r.Observer.Latency(s, 0.9)), millis(r.Observer.Latency(s, 0.99)))
-		busySeconds += float64(r.Observer.Runs(s)) * r.Shape.Took[s].Seconds()
+		busySeconds += float64(r.Observer.Executions(s)) * r.Shape.ServiceTimes[s].Seconds()
 	}
 	sameZone, done, bytesBetweenZones := 0.0, 0.0, 0.0
 	for _, kind := range []string{"proxies", "registries"} {
@@ -115,13 +115,13 @@
 		print("processor time of all %s processes: %.2f s (%.2f ms for each job done)", k, cpu[k].Seconds(), millis(cpu[k])/float64(max(counts["done"], 1)))
 	}
 	var names []string
-	for k := range apps.Done {
+	for k := range apps.Outcomes {
 		names = append(names, k)
 	}
 	sort.Strings(names)
 	print("\n| coordination call and status | count |\n| --- | --- |")
 	for _, k := range names {
-		print("| %s | %d |", k, apps.Done[k])
+		print("| %s | %d |", k, apps.Outcomes[k])
 	}
 	if passed {
 		print("\nno violation")
--- a/internal/fleetrun/run.go
+++ b/internal/fleetrun/run.go
@@ -73,7 +73,7 @@
 		transport: &http.Transport{DisableKeepAlives: true}}
 	for i := range 3 {
 		host := fmt.Sprintf("%s.1.%d", addressPrefix, i+1)
-		r.ControlMachines = append(r.ControlMachines, &ControlMachine{Host: host, Zone: sim.Areas[i]})
+		r.ControlMachines = append(r.ControlMachines, &ControlMachine{Host: host, Zone: sim.Zones[i]})
 	}
 	for i, c := range r.ControlMachines {
 		var err error
@@ -89,7 +89,7 @@
 		}
 	}
 	for i := range shape.Nodes {
-		n := &Node{Host: fmt.Sprintf("%s.2.%d", addressPrefix, i+1), Zone: sim.Areas[i%3], Service: shape.Serves(i)}
+		n := &Node{Host: fmt.Sprintf("%s.2.%d", addressPrefix, i+1), Zone: sim.Zones[i%3], Service: shape.ServiceOf(i)}
 		var err error
 		n.Proxy, err = r.newProcess("proxy", fmt.Sprintf("node%d", i+1), n.Host, n.Zone, 7002, 7003,
 			map[string]any{"seeds": r.seeds(7002), "traffic": n.Host + ":8000"})
@@ -144,9 +144,9 @@
 	id := fmt.Sprintf("%s-%s-%d", n.Service, n.Proxy.Name, n.workerStarts)
 	e := env.Real(id)
 	e.Log = event.New(id, nil)
-	w, err := standin.NewWorker(e, n.Service, id, n.Host+":9000", n.Host+":7003", r.Shape.Slots, standin.Way{Took: r.Shape.Took[n.Service]}, r.Observer)
+	w, err := standin.NewWorker(e, n.Service, id, n.Host+":9000", n.Host+":7003", r.Shape.Slots, standin.WorkerBehavior{Took: r.Shape.ServiceTimes[n.Service]}, r.Observer)
 	if err == nil {
-		w.Nests(n.Host+":8000", r.Shape.Nested[n.Service])
+		w.NestCalls(n.Host+":8000", r.Shape.Nested[n.Service])
 	}
 	n.Worker = w
 	return err
--- a/internal/fleetrun/seeded.go
+++ b/internal/fleetrun/seeded.go
@@ -49,9 +49,9 @@
 	{"replace a worker at once", func(r *Run, rnd *rand.Rand) { r.replaceWorker(rnd.IntN(12), false) }},
 	{"replace a worker politely", func(r *Run, rnd *rand.Rand) { r.replaceWorker(rnd.IntN(12), true) }},
 	{"garbling and losing workers", func(r *Run, rnd *rand.Rand) {
-		r.setWorkerFaults(standin.Way{Garble: rnd.Float64() / 2, Lose: rnd.Float64() / 2})
+		r.setWorkerFaults(standin.WorkerBehavior{Garble: rnd.Float64() / 2, Lose: rnd.Float64() / 2})
 		sleep(2 * time.Second)
-		r.setWorkerFaults(standin.Way{})
+		r.setWorkerFaults(standin.WorkerBehavior{})
 	}},
 	{"two changes at once, and a broken one", func(r *Run, _ *rand.Rand) { r.changeConcurrently() }},
 }
@@ -97,7 +97,7 @@
 	sleep(duration)
 	n.Proxy.Signal(syscall.SIGCONT)
 	sleep(2500 * time.Millisecond)
-	r.Observer.Lost(n.Host+":8000", begin, time.Now())
+	r.Observer.Disconnected(n.Host+":8000", begin, time.Now())
 	n.Worker.Leave("gone")
 	n.Worker.Kill()
 	if err := r.StartWorker(n); err != nil {
--- a/internal/fleetrun/soak/deployment.go
+++ b/internal/fleetrun/soak/deployment.go
@@ -22,28 +22,28 @@
 // deploymentBounds returns the bounds of the known deployments, with an allowance of retries that
 // is proportional to the load.
 func deploymentBounds(machines int) checker.Bounds {
-	b := checker.Usual
-	b.Allow = max(12, 5*float64(machines))
+	b := checker.UsualBounds
+	b.RetryAllowance = max(12, 5*float64(machines))
 	return b
 }
 
 // requestLines returns the kinds of requests: short reads, long ones that are still running
 // when a caller leaves or a node is shut down, requests that may run only once, and uploads.
-func requestLines(machines int) []*actors.Line {
+func requestLines(machines int) []*actors.RequestKind {
 	scale := min(float64(machines)*ratePerMachine, maxRate) / ratePerMachine
-	check := &actors.Line{Kind: "check", Host: "soak.example", Method: "GET", Prefix: "/check/", Repeat: true, Work: 15 * time.Millisecond, Aim: 100 * time.Millisecond, Left: 500 * time.Millisecond, Most: 500 * time.Millisecond, Back: 80}
-	return []*actors.Line{
-		{Kind: "read", Host: "soak.example", Method: "GET", Prefix: "/read/", Repeat: true, Rate: 4.5 * scale, Work: 60 * time.Millisecond, Aim: 300 * time.Millisecond, Left: 1500 * time.Millisecond, Most: 1500 * time.Millisecond, Back: 2000, Further: 1},
-		{Kind: "long", Host: "soak.example", Method: "GET", Prefix: "/long/", Repeat: true, Rate: 0.5 * scale, Work: 900 * time.Millisecond, Aim: 2 * time.Second, Left: 6 * time.Second, Most: 6 * time.Second, Back: 1000, Further: 1,
-			Calls: []actors.Call{{Line: check, Share: 0.5}}},
-		{Kind: "lend", Host: "soak.example", Method: "POST", Prefix: "/lend/", Rate: 2 * scale, Work: 80 * time.Millisecond, Aim: 400 * time.Millisecond, Left: 2 * time.Second, Most: 2 * time.Second, Size: 200, Back: 200, Further: 1,
-			Calls: []actors.Call{{Line: check, Share: 0.2}}},
-		{Kind: "scan", Host: "soak.example", Method: "PUT", Prefix: "/scan/", Rate: 0.5 * scale, Work: 70 * time.Millisecond, Aim: 500 * time.Millisecond, Left: 3 * time.Second, Most: 3 * time.Second, Size: 30000, Back: 100, Further: 1},
+	check := &actors.RequestKind{Kind: "check", Host: "soak.example", Method: "GET", Prefix: "/check/", Retryable: true, WorkTime: 15 * time.Millisecond, TargetLatency: 100 * time.Millisecond, Timeout: 500 * time.Millisecond, RouteTimeout: 500 * time.Millisecond, AnswerSize: 80}
+	return []*actors.RequestKind{
+		{Kind: "read", Host: "soak.example", Method: "GET", Prefix: "/read/", Retryable: true, Rate: 4.5 * scale, WorkTime: 60 * time.Millisecond, TargetLatency: 300 * time.Millisecond, Timeout: 1500 * time.Millisecond, RouteTimeout: 1500 * time.Millisecond, AnswerSize: 2000, Retries: 1},
+		{Kind: "long", Host: "soak.example", Method: "GET", Prefix: "/long/", Retryable: true, Rate: 0.5 * scale, WorkTime: 900 * time.Millisecond, TargetLatency: 2 * time.Second, Timeout: 6 * time.Second, RouteTimeout: 6 * time.Second, AnswerSize: 1000, Retries: 1,
+			Calls: []actors.NestedCall{{Line: check, Share: 0.5}}},
+		{Kind: "lend", Host: "soak.example", Method: "POST", Prefix: "/lend/", Rate: 2 * scale, WorkTime: 80 * time.Millisecond, TargetLatency: 400 * time.Millisecond, Timeout: 2 * time.Second, RouteTimeout: 2 * time.Second, Size: 200, AnswerSize: 200, Retries: 1,
+			Calls: []actors.NestedCall{{Line: check, Share: 0.2}}},
+		{Kind: "scan", Host: "soak.example", Method: "PUT", Prefix: "/scan/", Rate: 0.5 * scale, WorkTime: 70 * time.Millisecond, TargetLatency: 500 * time.Millisecond, Timeout: 3 * time.Second, RouteTimeout: 3 * time.Second, Size: 30000, AnswerSize: 100, Retries: 1},
 		// These run for seconds, so that at a stop signal some runs end at any moment of
 		// the grace period and some would outlast it.
-		{Kind: "survey", Host: "soak.example", Method: "GET", Prefix: "/survey/", Repeat: true, Rate: 0.9 * scale, Work: 3500 * time.Millisecond, Aim: 8 * time.Second, Left: 12 * time.Second, Most: 12 * time.Second, Back: 1000, Further: 1},
-		{Kind: "plan", Host: "soak.example", Method: "POST", Prefix: "/plan/", Rate: 0.6 * scale, Work: 2800 * time.Millisecond, Aim: 8 * time.Second, Left: 15 * time.Second, Most: 15 * time.Second, Size: 300, Back: 300, Further: 1,
-			Calls: []actors.Call{{Line: check, Share: 0.5}}},
+		{Kind: "survey", Host: "soak.example", Method: "GET", Prefix: "/survey/", Retryable: true, Rate: 0.9 * scale, WorkTime: 3500 * time.Millisecond, TargetLatency: 8 * time.Second, Timeout: 12 * time.Second, RouteTimeout: 12 * time.Second, AnswerSize: 1000, Retries: 1},
+		{Kind: "plan", Host: "soak.example", Method: "POST", Prefix: "/plan/", Rate: 0.6 * scale, WorkTime: 2800 * time.Millisecond, TargetLatency: 8 * time.Second, Timeout: 15 * time.Second, RouteTimeout: 15 * time.Second, Size: 300, AnswerSize: 300, Retries: 1,
+			Calls: []actors.NestedCall{{Line: check, Share: 0.5}}},
 		check,
 	}
 }
@@ -55,20 +55,20 @@
 }{"read": {"pages", "safe", 1}, "long": {"pages", "safe", 2}, "lend": {"lending", "never", 0}, "scan": {"scans", "upload", 2}, "survey": {"pages", "safe", 2}, "plan": {"lending", "never", 1}, "check": {"scans", "safe", 1}}
 
 // initialDraft returns the first configuration document.
-func initialDraft(lines []*actors.Line) *actors.Draft {
-	draft := &actors.Draft{Number: 1, Links: workerBehavior.Conns, Fitness: workerBehavior.Fitness}
+func initialDraft(lines []*actors.RequestKind) *actors.Draft {
+	draft := &actors.Draft{Number: 1, MaxConns: workerBehavior.MaxConns, HealthPath: workerBehavior.HealthPath}
 	for _, service := range services {
 		draft.Services = append(draft.Services, service.name)
 	}
 	for _, line := range lines {
 		target := routeTargets[line.Kind]
-		draft.Ways = append(draft.Ways, actors.Way{Name: "p-" + line.Kind, Host: line.Host, Prefix: line.Prefix, Repeat: target.retryPolicy, Split: map[string]int{target.service: 1}, Left: line.Most, Aim: line.Aim, Tries: 2, Rank: target.rank})
+		draft.Routes = append(draft.Routes, actors.RouteDraft{Name: "p-" + line.Kind, Host: line.Host, Prefix: line.Prefix, RetryMode: target.retryPolicy, Split: map[string]int{target.service: 1}, Timeout: line.RouteTimeout, TargetLatency: line.TargetLatency, MaxAttempts: 2, Priority: target.rank})
 	}
 	return draft
 }
 
 // workerBehavior is how workers without faults behave.
-var workerBehavior = actors.Ways{Slots: 12, Queue: 4, Conns: 120, Hello: 1500 * time.Microsecond, Idle: 5 * time.Second, Speed: 1, Crowd: 1.4, Cold: 2 * time.Second, ColdBy: 1.5, Hop: 0.01, Drain: 2 * time.Second, Fitness: "/health"}
+var workerBehavior = actors.WorkerBehavior{Slots: 12, Queue: 4, MaxConns: 120, HandshakeTime: 1500 * time.Microsecond, IdleTimeout: 5 * time.Second, TimeFactor: 1, LoadFactor: 1.4, ColdStart: 2 * time.Second, ColdStartFactor: 1.5, CloseShare: 0.01, DrainTime: 2 * time.Second, HealthPath: "/health"}
 
 // serviceOf returns the service of the machine with index i.
 func serviceOf(i int) string {
--- a/internal/fleetrun/soak/disruptions.go
+++ b/internal/fleetrun/soak/disruptions.go
@@ -36,7 +36,7 @@
 	{"more load", false, (*fleet).raiseLoad},
 	{"the configuration changes", false, (*fleet).changeConfig},
 	{"two operators change the configuration", false, (*fleet).changeConfigConcurrently},
-	{"an older configuration comes again", false, func(f *fleet, _ *rand.Rand) { f.operator.Again(f.tasks.Context()) }},
+	{"an older configuration comes again", false, func(f *fleet, _ *rand.Rand) { f.operator.Resend(f.tasks.Context()) }},
 	{"a core machine is killed", true, (*fleet).killControlMachine},
 	{"a core machine is stopped", true, (*fleet).stopControlMachine},
 	{"a core process is frozen", true, (*fleet).pauseControlProcess},
@@ -59,7 +59,7 @@
 	{"a series of changes", false, (*fleet).changeConfigRepeatedly},
 	{"a series of changes", false, (*fleet).changeConfigRepeatedly},
 	{"two operators change the configuration", false, (*fleet).changeConfigConcurrently},
-	{"an older configuration comes again", false, func(f *fleet, _ *rand.Rand) { f.operator.Again(f.tasks.Context()) }},
+	{"an older configuration comes again", false, func(f *fleet, _ *rand.Rand) { f.operator.Resend(f.tasks.Context()) }},
 	{"more load", false, (*fleet).raiseLoad},
 }
 
@@ -76,7 +76,7 @@
 	f.logf("planned work is over")
 	f.runRandom(r, unplanned, f.options.Duration-plannedDuration, 150*time.Millisecond, 1200*time.Millisecond)
 	for _, m := range f.machines {
-		m.client.Quits(0.02)
+		m.client.SetEarlyLeaveShare(0.02)
 	}
 }
 
@@ -151,7 +151,7 @@
 	}
 	defer f.release(m)
 	if reason != "" {
-		defer f.witness.Touch.Begin(m.name, reason)()
+		defer f.witness.Faults.Begin(m.name, reason)()
 	}
 	action(m)
 }
@@ -172,23 +172,23 @@
 }
 
 func (f *fleet) workerMisbehaves(r *rand.Rand) {
-	faults := []actors.Ills{{Slow: 3 + 5*r.Float64()}, {Lose: 0.1 + 0.4*r.Float64()}, {Spoil: 0.1 + 0.4*r.Float64()}, {Fail: 0.3}, {Tear: 0.3}, {Hang: 0.1}, {Shed: 0.3}}
+	faults := []actors.Faults{{Slow: 3 + 5*r.Float64()}, {Lose: 0.1 + 0.4*r.Float64()}, {Spoil: 0.1 + 0.4*r.Float64()}, {Fail: 0.3}, {Tear: 0.3}, {Hang: 0.1}, {Shed: 0.3}}
 	f.withMachine(r, "", func(m *machine) {
 		w := m.currentWorker()
-		w.Fall(faults[r.IntN(len(faults))])
+		w.SetFaults(faults[r.IntN(len(faults))])
 		sleep(randomDuration(r, time.Second, 4*time.Second))
-		w.Fall(actors.Ills{})
+		w.SetFaults(actors.Faults{})
 	})
 }
 
 func (f *fleet) callersAbandonRequests(r *rand.Rand) {
 	share := 0.2 + 0.5*r.Float64()
 	for _, m := range f.machines {
-		m.client.Quits(share)
+		m.client.SetEarlyLeaveShare(share)
 	}
 	sleep(randomDuration(r, 2*time.Second, 4*time.Second))
 	for _, m := range f.machines {
-		m.client.Quits(0.02)
+		m.client.SetEarlyLeaveShare(0.02)
 	}
 }
 
--- a/internal/fleetrun/soak/fleet.go
+++ b/internal/fleetrun/soak/fleet.go
@@ -62,8 +62,8 @@
 type fleet struct {
 	options                Options
 	tasks                  *task.Group
-	witness                *checker.Witness
-	lines                  []*actors.Line
+	witness                *checker.Recorder
+	lines                  []*actors.RequestKind
 	operator               *actors.Operator
 	apps                   *actors.Apps
 	machines               []*machine
@@ -118,8 +118,8 @@
 func (f *fleet) newMachine(i int) *machine {
 	m := &machine{name: fmt.Sprint("m", i+1), number: i + 1, host: fmt.Sprintf("%s.%d.%d", f.options.AddressPrefix, 2+i/250, 1+i%250), zone: zones[i%len(zones)], service: serviceOf(i)}
 	m.proxy = f.newProcess("proxy", m.name)
-	m.client = actors.NewClient(silentEnv(m.name), actors.Plain, m.host+":8000", m.name, fmt.Sprint("c", m.number, "-"), f.witness, f.tasks, f.options.Seed*1000+uint64(i))
-	f.witness.Serves(m.name, m.service)
+	m.client = actors.NewClient(silentEnv(m.name), actors.PlainDialect, m.host+":8000", m.name, fmt.Sprint("c", m.number, "-"), f.witness, f.tasks, f.options.Seed*1000+uint64(i))
+	f.witness.SetCallerService(m.name, m.service)
 	return m
 }
 
--- a/internal/fleetrun/soak/process.go
+++ b/internal/fleetrun/soak/process.go
@@ -28,7 +28,7 @@
 	if build == nil {
 		return 0, false
 	}
-	site := lifecycle.Site{Settings: readSettings, File: func() string { return os.Getenv(settingsEnvVar) }, Dialect: actors.Plain}
+	site := lifecycle.Site{Settings: readSettings, File: func() string { return os.Getenv(settingsEnvVar) }, Dialect: actors.PlainDialect}
 	return lifecycle.Main(program, []string{"--site"}, site, build), true
 }
 
--- a/internal/fleetrun/soak/resources.go
+++ b/internal/fleetrun/soak/resources.go
@@ -101,7 +101,7 @@
 
 // fetchGoroutines requests the number of goroutines of a proxy.
 func fetchGoroutines(host string) int {
-	_, raw := actors.Ask(context.Background(), silentEnv("look").Net, http.MethodGet, host+":7003", "/puffin/own", nil, time.Second)
+	_, raw := actors.CallNode(context.Background(), silentEnv("look").Net, http.MethodGet, host+":7003", "/puffin/own", nil, time.Second)
 	var status struct {
 		Goroutines int `json:"goroutines"`
 	}
--- a/internal/fleetrun/soak/run.go
+++ b/internal/fleetrun/soak/run.go
@@ -65,7 +65,7 @@
 }
 
 func isReady(host string) bool {
-	code, _ := actors.Ask(context.Background(), silentEnv("ready").Net, http.MethodGet, host+":7003", "/puffin/ready", nil, time.Second)
+	code, _ := actors.CallNode(context.Background(), silentEnv("ready").Net, http.MethodGet, host+":7003", "/puffin/ready", nil, time.Second)
 	return code == http.StatusOK
 }
 
@@ -74,14 +74,14 @@
 func (f *fleet) pollReadiness(context.Context) {
 	excluded := 0
 	for _, m := range f.machines {
-		if m.client.Out.Load() {
+		if m.client.Paused.Load() {
 			excluded++
 		}
 	}
 	for _, m := range f.machines {
 		f.tasks.Go("poll-ready", func(context.Context) {
 			ready := isReady(m.host)
-			f.witness.Looked(m.name, ready)
+			f.witness.ReadinessProbed(m.name, ready)
 			m.mu.Lock()
 			m.failedChecks++
 			if ready {
@@ -89,7 +89,7 @@
 			}
 			failedChecks := m.failedChecks
 			m.mu.Unlock()
-			m.client.Out.Store(failedChecks >= 2 && 2*excluded < len(f.machines))
+			m.client.Paused.Store(failedChecks >= 2 && 2*excluded < len(f.machines))
 		})
 	}
 }
@@ -108,7 +108,7 @@
 		now := time.Now()
 		if gap := now.Sub(last); gap > stallCheckInterval+stallBound {
 			f.stalls.Add(1)
-			f.witness.Touch.Core(fmt.Sprintf("the soak itself stood still for %v", gap))
+			f.witness.Faults.Unsettle(fmt.Sprintf("the soak itself stood still for %v", gap))
 		}
 		last = now
 	}
@@ -146,22 +146,22 @@
 	if !waitFor(20*time.Second, f.allReady) {
 		f.reportViolation("not every node is ready after the last trouble")
 	}
-	sleep(f.witness.B.Touch + 3*time.Second)
+	sleep(f.witness.Bounds.Connect + 3*time.Second)
 	f.loadRunning.Store(false)
-	f.operator.Read(context.Background(), 5*time.Second, true)
+	f.operator.ReadBack(context.Background(), 5*time.Second, true)
 	f.apps.Finish(context.Background())
 	// Requests in flight end, and idle connections are closed.
 	waitFor(f.longestTimeout()+time.Second, func() bool { return f.requestsInFlight() == 0 })
 	for _, m := range f.machines {
 		m.client.Close()
 	}
-	sleep(workerBehavior.Idle + time.Second)
+	sleep(workerBehavior.IdleTimeout + time.Second)
 }
 
 // longestTimeout returns the longest time that a caller waits.
 func (f *fleet) longestTimeout() (out time.Duration) {
 	for _, l := range f.lines {
-		out = max(out, l.Left)
+		out = max(out, l.Timeout)
 	}
 	return out
 }
@@ -169,7 +169,7 @@
 // requestsInFlight counts the requests without a response.
 func (f *fleet) requestsInFlight() (n int) {
 	for _, m := range f.machines {
-		n += m.client.Under()
+		n += m.client.Pending()
 	}
 	return n
 }
@@ -177,8 +177,8 @@
 // report prints the results and returns whether there was no violation.
 func (f *fleet) report(before, after usageByProgram) bool {
 	print := func(format string, args ...any) { fmt.Fprintf(f.options.Out, format+"\n", args...) }
-	violations, notes := f.witness.Verdict()
-	atRisk := f.witness.Risk()
+	violations, notes := f.witness.Breaches()
+	atRisk := f.witness.Exposure()
 	print("\n## soak, seed %d, %d machines, %v", f.options.Seed, f.options.Machines, f.options.Duration)
 	print("\n| rule | broken | had to lose |\n| --- | --- | --- |")
 	for _, rule := range checker.Rules {
@@ -192,7 +192,7 @@
 	}
 	served, expected := f.witness.Served("", time.Time{}, time.Now())
 	print("\nserved %d of %d; this program itself was held up %d times", served, expected, f.stalls.Load())
-	tally := f.witness.Tally()
+	tally := f.witness.Outcomes()
 	var names []string
 	for n := range tally {
 		names = append(names, n)
--- a/internal/fleetrun/soak/soak_test.go
+++ b/internal/fleetrun/soak/soak_test.go
@@ -49,7 +49,7 @@
 	for i := range 12 {
 		servicesWithMachines[serviceOf(i)] = true
 	}
-	for _, route := range draft.Ways {
+	for _, route := range draft.Routes {
 		for service := range route.Split {
 			if !servicesWithMachines[service] {
 				t.Errorf("route %s leads to service %s, which no machine serves", route.Name, service)
--- a/internal/fleetrun/soak/start.go
+++ b/internal/fleetrun/soak/start.go
@@ -14,11 +14,11 @@
 // writeSettings writes the settings file of a process: the common bounds and its extra
 // settings. The file is replaced atomically.
 func (f *fleet) writeSettings(name, zone, host string, inner, outer int, extra map[string]any) error {
-	bounds := f.witness.B
+	bounds := f.witness.Bounds
 	values := map[string]any{"node": name, "area": zone, "inner": fmt.Sprintf("%s:%d", host, inner), "outer": fmt.Sprintf("%s:%d", host, outer),
-		"change_ms": bounds.Change.Milliseconds(), "leave_ms": bounds.Leave.Milliseconds(), "window_ms": bounds.Window.Milliseconds(), "return_ms": bounds.Return.Milliseconds(),
-		"history_ms": bounds.Hist.Milliseconds(), "grace_ms": bounds.Grace.Milliseconds(), "touch_ms": bounds.Touch.Milliseconds(), "ack_ms": bounds.Ack.Milliseconds(),
-		"back_ms": bounds.Back.Milliseconds(), "free_ms": bounds.Frees.Milliseconds(), "catch_up_ms": 4000}
+		"change_ms": bounds.DocumentChange.Milliseconds(), "leave_ms": bounds.Leave.Milliseconds(), "window_ms": bounds.RetryWindow.Milliseconds(), "return_ms": bounds.Recovery.Milliseconds(),
+		"history_ms": bounds.WatchHistory.Milliseconds(), "grace_ms": bounds.Grace.Milliseconds(), "touch_ms": bounds.Connect.Milliseconds(), "ack_ms": bounds.Ack.Milliseconds(),
+		"back_ms": bounds.StepBack.Milliseconds(), "free_ms": bounds.LockRelease.Milliseconds(), "catch_up_ms": 4000}
 	for k, v := range extra {
 		values[k] = v
 	}
@@ -36,13 +36,13 @@
 // writeProxySettings writes the settings file of a machine's proxy.
 func (f *fleet) writeProxySettings(m *machine) error {
 	return f.writeSettings(m.name, m.zone, m.host, 7002, 7003, map[string]any{"seeds": f.controlAddrs(7002), "traffic": m.host + ":8000", "service": m.service,
-		"worker_addr": m.host + ":9000", "beat_ms": 1500, "files": 1024, "repeat_share": f.witness.B.Share, "repeat_allowance": int(f.witness.B.Allow)})
+		"worker_addr": m.host + ":9000", "beat_ms": 1500, "files": 1024, "repeat_share": f.witness.Bounds.RetryShare, "repeat_allowance": int(f.witness.Bounds.RetryAllowance)})
 }
 
 // startProxy starts the proxy of a machine.
 func (f *fleet) startProxy(m *machine) {
-	f.witness.Lives(m.name)
-	f.witness.Touch.Begin(m.name, checker.Planned+"start")()
+	f.witness.Restarted(m.name)
+	f.witness.Faults.Begin(m.name, checker.Planned+"start")()
 	err := f.writeProxySettings(m)
 	if err == nil {
 		err = m.proxy.Start(f.tasks)
@@ -57,12 +57,12 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.workerStarts++
-	id := checker.Worker{Name: fmt.Sprintf("w%d-%d", m.number, m.workerStarts), Service: m.service, Machine: m.name, Area: m.zone}
+	id := checker.Worker{Name: fmt.Sprintf("w%d-%d", m.number, m.workerStarts), Service: m.service, Machine: m.name, Zone: m.zone}
 	behavior := workerBehavior
-	behavior.Speed = 0.8 + float64(m.number%5)*0.15
+	behavior.TimeFactor = 0.8 + float64(m.number%5)*0.15
 	var worker *actors.Worker
 	err := process.Bind(func() (err error) {
-		worker, err = actors.Start(silentEnv(id.Name), actors.Plain, id, m.host+":9000", m.host+":8000", []string{m.host + ":7003"}, behavior, f.witness, f.options.Seed*1000+uint64(m.number)+500)
+		worker, err = actors.StartWorker(silentEnv(id.Name), actors.PlainDialect, id, m.host+":9000", m.host+":8000", []string{m.host + ":7003"}, behavior, f.witness, f.options.Seed*1000+uint64(m.number)+500)
 		return err
 	})
 	if err != nil {
@@ -100,7 +100,7 @@
 // recordControlChange tells the witness that the control plane was disturbed, and whether a
 // machine of it is down from now on. The time without a majority is recorded as well.
 func (f *fleet) recordControlChange(machine *controlMachine, down bool, what string) {
-	f.witness.Touch.Core(what)
+	f.witness.Faults.Unsettle(what)
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	machine.down = down
@@ -112,7 +112,7 @@
 	}
 	majorityLost := 2*running <= len(f.controlMachines)
 	if majorityLost && f.endMinority == nil {
-		f.endMinority = f.witness.Touch.Minority()
+		f.endMinority = f.witness.Faults.NoMajority()
 	}
 	if !majorityLost && f.endMinority != nil {
 		f.endMinority()
--- a/internal/fleetrun/startstop.go
+++ b/internal/fleetrun/startstop.go
@@ -30,7 +30,7 @@
 			return err
 		}
 	}
-	if _, ok := r.WaitFor(20*time.Second, func() bool { return r.Apply(r.Nodes[0].Host+":7003", 0, r.Shape.Doc) || r.configVersion > 0 }); !ok {
+	if _, ok := r.WaitFor(20*time.Second, func() bool { return r.Apply(r.Nodes[0].Host+":7003", 0, r.Shape.Config) || r.configVersion > 0 }); !ok {
 		return fault.New(fault.Unknown, "the first configuration was not taken in time")
 	}
 	took, ok := r.WaitFor(20*time.Second, r.Converged)
@@ -46,7 +46,7 @@
 	code, got := r.Get("PUT", address, fmt.Sprintf("/puffin/config?based_on=%d&emergency=true", baseVersion), document)
 	v, _ := got["version"].(float64)
 	if code == 200 {
-		r.Observer.Acked(uint64(v))
+		r.Observer.VersionAcked(uint64(v))
 	}
 	if code == 200 || code == 409 {
 		r.configVersion = uint64(v)
--- a/internal/model/monitor.go
+++ b/internal/model/monitor.go
@@ -76,17 +76,17 @@
 		proposed: map[proposal]string{}, chosen: map[uint64]string{}, members: map[uint64][]string{}, readRounds: map[readRound]uint64{}, Steps: map[string]int{}}
 }
 
-// Faults describes the first 20 steps that the rules do not allow.
-func (m *Monitor) Faults() []string {
+// Violations describes the first 20 steps that the rules do not allow.
+func (m *Monitor) Violations() []string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return slices.Clone(m.violations)
 }
 
-// Adopt makes the monitor accept the state that replicas start with as chosen, until
+// TrustInitialState makes the monitor accept the state that replicas start with as chosen, until
 // the first election. It serves replicas whose files were written before the monitor
 // started.
-func (m *Monitor) Adopt() {
+func (m *Monitor) TrustInitialState() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.trustInitial = true
@@ -98,9 +98,9 @@
 	}
 }
 
-// Tell checks one step. The steps of a replica must arrive in the order in which the
+// Observe checks one step. The steps of a replica must arrive in the order in which the
 // replica took them.
-func (m *Monitor) Tell(s trace.Step) {
+func (m *Monitor) Observe(s trace.Step) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.Steps[strings.TrimPrefix(fmt.Sprintf("%T", s), "trace.")]++
--- a/internal/model/monitor_test.go
+++ b/internal/model/monitor_test.go
@@ -74,9 +74,9 @@
 	} {
 		m := NewMonitor()
 		for _, s := range c.steps {
-			m.Tell(s)
+			m.Observe(s)
 		}
-		got := strings.Join(m.Faults(), "; ")
+		got := strings.Join(m.Violations(), "; ")
 		if c.violation == "" && got != "" || !strings.Contains(got, c.violation) {
 			t.Errorf("%s: %q, want %q", c.name, got, c.violation)
 		}
--- a/internal/mutant/mutant.go
+++ b/internal/mutant/mutant.go
@@ -45,8 +45,8 @@
 	RecoveryTime        = "service back within 15 s"
 )
 
-// Promises lists all guarantees in the order of the requirements.
-var Promises = []string{AtMostOnce, BusyMeansNotRun, CompleteResponse, CallerAuthorization, NoRequestAfterLeave, AbandonedRequests, MonotonicVersion, DurableUpdates, BoundedRetries, GracefulShutdown, MonotonicNumbers, LinearizableReads, PriorityOrder, RecoveryTime}
+// Guarantees lists all guarantees in the order of the requirements.
+var Guarantees = []string{AtMostOnce, BusyMeansNotRun, CompleteResponse, CallerAuthorization, NoRequestAfterLeave, AbandonedRequests, MonotonicVersion, DurableUpdates, BoundedRetries, GracefulShutdown, MonotonicNumbers, LinearizableReads, PriorityOrder, RecoveryTime}
 
 // Overlay writes the mutated file and the JSON file for go build -overlay that
 // substitutes it in the tree at root, both into dir, and returns the JSON file's name.
@@ -93,18 +93,18 @@
 // Result is the outcome of one mutant's test run.
 type Result struct {
 	Mutant
-	Caught bool
-	Took   time.Duration
-	Say    string // the failure message of the test, or the error that prevented the run
+	Caught  bool
+	Took    time.Duration
+	Message string // the failure message of the test, or the error that prevented the run
 }
 
-// Try runs the test that must detect the mutant. That the same test passes without
+// Run runs the test that must detect the mutant. That the same test passes without
 // the mutant is shown by the ordinary test run.
-func (m Mutant) Try(ctx context.Context, root, dir string) Result {
+func (m Mutant) Run(ctx context.Context, root, dir string) Result {
 	start := time.Now()
 	result := Result{Mutant: m}
 	if err := m.Builds(ctx, root, dir); err != nil {
-		result.Say = err.Error()
+		result.Message = err.Error()
 		return result
 	}
 	cmd := exec.CommandContext(ctx, "go", "test", "-count=1", "-timeout", "90s", "-overlay", filepath.Join(dir, m.Name+".json"), "-run", m.Test, "./internal/"+m.Pkg)
@@ -114,7 +114,7 @@
 	// A run that failed to build or to finish proves nothing. A failed test does,
 	// whether by an assertion or by waiting too long for a state.
 	result.Caught = err != nil && strings.Contains(string(out), "--- FAIL")
-	result.Say = failureLine(string(out))
+	result.Message = failureLine(string(out))
 	return result
 }
 
@@ -130,9 +130,9 @@
 	return fmt.Sprintf("%.150s", strings.TrimSpace(out))
 }
 
-// Named returns the mutants whose name or guarantee is among names, or all if names is
+// Select returns the mutants whose name or guarantee is among names, or all if names is
 // empty. An unknown name is an error.
-func Named(names []string) ([]Mutant, error) {
+func Select(names []string) ([]Mutant, error) {
 	if len(names) == 0 {
 		return All, nil
 	}
--- a/internal/mutant/mutant_test.go
+++ b/internal/mutant/mutant_test.go
@@ -22,7 +22,7 @@
 		names[m.Name] = true
 		count[m.Promise]++
 	}
-	for _, p := range Promises {
+	for _, p := range Guarantees {
 		if count[p] < 2 {
 			t.Errorf("%q has %d mutants", p, count[p])
 		}
@@ -49,12 +49,12 @@
 // TestSomeCaught: a few mutants are tried for real; the rest by command.
 func TestSomeCaught(t *testing.T) {
 	for _, name := range []string{"read-without-round", "step-back", "renewal-not-seen", "part-of-others"} {
-		list, err := Named([]string{name})
+		list, err := Select([]string{name})
 		if err != nil {
 			t.Fatal(err)
 		}
-		if r := list[0].Try(t.Context(), root, t.TempDir()); !r.Caught {
-			t.Errorf("%s was not caught: %s", name, r.Say)
+		if r := list[0].Run(t.Context(), root, t.TempDir()); !r.Caught {
+			t.Errorf("%s was not caught: %s", name, r.Message)
 		}
 	}
 }
@@ -62,11 +62,11 @@
 // TestForeignNames: one that doesn't exist, or no longer applies, is refused
 // by name.
 func TestForeignNames(t *testing.T) {
-	if _, err := Named([]string{"step-back", "no-such"}); err == nil || !strings.Contains(err.Error(), "no-such") {
+	if _, err := Select([]string{"step-back", "no-such"}); err == nil || !strings.Contains(err.Error(), "no-such") {
 		t.Errorf("an unknown name: %v", err)
 	}
 	m := Mutant{Name: "old", File: "internal/responsedigest/digest.go", Old: "text that went away", New: "x", Pkg: "responsedigest", Test: "."}
-	if r := m.Try(t.Context(), root, t.TempDir()); r.Caught || !strings.Contains(r.Say, "stands 0 times") {
+	if r := m.Run(t.Context(), root, t.TempDir()); r.Caught || !strings.Contains(r.Message, "stands 0 times") {
 		t.Errorf("one that no longer applies: %+v", r)
 	}
 }
--- a/internal/paxos/durability_test.go
+++ b/internal/paxos/durability_test.go
@@ -60,7 +60,7 @@
 				}
 			case 5:
 				if rapid.Bool().Draw(t, "power") {
-					simDisk.Power()
+					simDisk.LosePower()
 				}
 				if acceptor, err = paxos.Open(simDisk); err != nil {
 					t.Fatal(err)
@@ -68,11 +68,11 @@
 			case 6:
 				// A write that fails on a full disk is not acknowledged, and may leave
 				// the entry or not.
-				simDisk.Room(5)
+				simDisk.LimitFreeBytes(5)
 				if acceptor.Accept(entry(highest+1)) == nil {
 					t.Fatal("accepted on a full disk")
 				}
-				simDisk.Room(-1)
+				simDisk.LimitFreeBytes(-1)
 			}
 			stored := map[uint64]ballot.Number{}
 			for _, e := range acceptor.EntriesAfter(compacted, 1000) {
@@ -113,7 +113,7 @@
 	if err := disk.Save(simDisk, "v-4", []byte("over")); err != nil {
 		t.Fatal(err)
 	}
-	simDisk.Harm("v-3", true)
+	simDisk.Corrupt("v-3", true)
 	_ = simDisk.Rename("v-3", "v-3.aside")
 	_ = simDisk.Rename("v-4", "v-1.aside")
 	if err := disk.AdoptUnrenamed(simDisk, "v-"); err != nil {
@@ -160,7 +160,7 @@
 				t.Fatal(err)
 			}
 		}
-		simDisk.PowerByNames(random)
+		simDisk.LosePowerByName(random)
 		acceptor = openAcceptor(t, simDisk)
 		if acceptor.HighestIndex() != uint64(entries) || acceptor.Identity().ID != "r1" || acceptor.Promised().Round != 1 || acceptor.DamagedUpTo() > 0 {
 			t.Errorf("seed %d: of %d entries the highest is %d, replica %q, promise %v, damaged up to %d", seed, entries, acceptor.HighestIndex(), acceptor.Identity().ID, acceptor.Promised(), acceptor.DamagedUpTo())
--- a/internal/paxos/paxos_test.go
+++ b/internal/paxos/paxos_test.go
@@ -49,7 +49,7 @@
 	acceptorWithEntries(t, simDisk, 5)
 	file, _ := simDisk.Create("v-0000000000000006.aside")
 	_, _ = file.Write([]byte("half"))
-	simDisk.Power()
+	simDisk.LosePower()
 	acceptor := openAcceptor(t, simDisk)
 	if acceptor.HighestIndex() != 5 || acceptor.Identity().ID != "r1" || acceptor.Promised().Round != 1 {
 		t.Fatalf("after power loss: top %d, %v, %v", acceptor.HighestIndex(), acceptor.Identity(), acceptor.Promised())
@@ -68,14 +68,14 @@
 	_, _ = file.Write([]byte("x"))
 	_ = file.Sync()
 	_ = simDisk.Rename("a", "b")
-	simDisk.Power()
+	simDisk.LosePower()
 	if _, err := simDisk.Read("b"); err == nil {
 		t.Fatal("the simulated disk keeps a rename whose folder was not synced: a missing sync would not be detected")
 	}
 	if err := disk.Save(simDisk, "b", []byte("x")); err != nil {
 		t.Fatal(err)
 	}
-	simDisk.Power()
+	simDisk.LosePower()
 	if got, err := disk.Load(simDisk, "b"); err != nil || string(got) != "x" {
 		t.Fatalf("saved file after power loss: %q %v", got, err)
 	}
@@ -89,7 +89,7 @@
 	for _, torn := range []bool{false, true} {
 		simDisk := sim.NewDisk()
 		acceptorWithEntries(t, simDisk, 5)
-		if !simDisk.Harm("v-0000000000000003", torn) {
+		if !simDisk.Corrupt("v-0000000000000003", torn) {
 			t.Fatal("no such file")
 		}
 		acceptor := openAcceptor(t, simDisk)
@@ -102,7 +102,7 @@
 		for _, name := range []string{"p-0000000000000001", "i-identity", "c-0000000000000000"} {
 			simDisk := sim.NewDisk()
 			acceptorWithEntries(t, simDisk, 5)
-			if !simDisk.Harm(name, torn) {
+			if !simDisk.Corrupt(name, torn) {
 				t.Fatalf("no file %s", name)
 			}
 			if acceptor := openAcceptor(t, simDisk); acceptor.Identity().ID != "" || acceptor.LatestSnapshot() != nil || acceptor.HighestIndex() != 0 {
@@ -136,7 +136,7 @@
 	if err := acceptor.ReserveSpace(10_000); err != nil {
 		t.Fatal(err)
 	}
-	simDisk.Room(20)
+	simDisk.LimitFreeBytes(20)
 	entry := paxos.Entry{Index: 4, Previous: []byte("p"), Batch: make([]byte, 100), Ballot: ballot.Number{Round: 1, Candidate: "w"}}
 	if err := acceptor.Accept(entry); err == nil {
 		t.Fatal("accepted on a full disk")
@@ -184,7 +184,7 @@
 					promised = number
 				}
 			case 2:
-				simDisk.Power()
+				simDisk.LosePower()
 				if acceptor, err = paxos.Open(simDisk); err != nil {
 					t.Fatal(err)
 				}
--- a/internal/proxy/fuzz_test.go
+++ b/internal/proxy/fuzz_test.go
@@ -65,7 +65,7 @@
 		if len(body) > 4096 || w.StatusCode < 200 || w.ContentLength >= 0 && int64(len(body)) != w.ContentLength && len(body) > 0 {
 			t.Errorf("status %d, body of %d bytes, Content-Length %d", w.StatusCode, len(body), w.ContentLength)
 		}
-		for _, dialectUsed := range []dialect.Dialect{dialect.Default, actors.Plain} {
+		for _, dialectUsed := range []dialect.Dialect{dialect.Default, actors.PlainDialect} {
 			x := &Proxy{dialect: dialectUsed}
 			attempt := &ownerAttempt{req: protocol.AttemptRequest{AttemptID: "a.1", Worker: "w"}, result: protocol.AttemptResult{Status: w.StatusCode, Header: w.Header, Body: body}}
 			accepted := x.invalidReason(attempt, x.reportsNotRun(&attempt.result)) == ""
--- a/internal/replica/replica_test.go
+++ b/internal/replica/replica_test.go
@@ -39,7 +39,7 @@
 	var members []membership.Member
 	var nodes []*node
 	for i, host := range hosts {
-		net.Place(host, zones[i])
+		net.SetZone(host, zones[i])
 		member := membership.Member{Node: host, Incarnation: "s", Role: "proxy", Zone: zones[i], InternalAddr: host + ":1"}
 		members = append(members, member)
 		e := env.Env{Net: net.Host(host), Log: event.New(host, nil), WallClock: time.Now}
--- a/internal/repocheck/promises_test.go
+++ b/internal/repocheck/promises_test.go
@@ -41,7 +41,7 @@
 			mutantsByPromise[cells[0]] = cells[1]
 		}
 	}
-	for _, p := range mutant.Promises {
+	for _, p := range mutant.Guarantees {
 		if len(rowByPromise[p]) != 12 {
 			t.Errorf("promise %q has no complete row", p)
 		}
--- a/internal/sim/app_test.go
+++ b/internal/sim/app_test.go
@@ -11,16 +11,16 @@
 	"time"
 )
 
-// raw sends one request from outside the fleet and returns the status and the body as text.
+// requestRaw sends one request from outside the fleet and returns the status and the body as text.
 // The status is 0 if there was no response.
-func (f *Fleet) raw(method, address, uri, body string) (int, string) {
+func (f *Fleet) requestRaw(method, address, uri, body string) (int, string) {
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, method, "http://"+address+uri, strings.NewReader(body))
 	if err != nil {
 		f.T.Fatal(err)
 	}
-	response, err := f.way.RoundTrip(request)
+	response, err := f.client.RoundTrip(request)
 	if err != nil {
 		return 0, err.Error()
 	}
@@ -37,10 +37,10 @@
 func TestAppCalls(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
-		f := NewFleet(t, small(), 500)
+		f := NewFleet(t, smallShape(), 500)
 		defer f.Stop()
 		f.Start()
-		for i, address := range []string{f.Cores[0].Host + ":7003", f.Nodes[0].Host + ":7003"} {
+		for i, address := range []string{f.ControlMachines[0].Host + ":7003", f.Nodes[0].Host + ":7003"} {
 			suffix := fmt.Sprint(i)
 			for _, c := range []struct{ method, uri, body, want string }{
 				{"POST", "/locks/l" + suffix, `{"owner":"a","ttl_ms":3000}`, fmt.Sprintf(`200 {"fence":%d}`, i+1)},
@@ -72,7 +72,7 @@
 				{"GET", "/watch/g" + suffix + ".?after=x", ``, `422 `}, {"GET", "/watch/alone" + suffix + "?after=0", ``, `200 {"changes":[],"rev":1}`},
 			} {
 				start := time.Now()
-				code, got := f.raw(c.method, address, "/puffin/app"+c.uri, c.body)
+				code, got := f.requestRaw(c.method, address, "/puffin/app"+c.uri, c.body)
 				got = fmt.Sprint(code, " ", got)
 				if got != c.want && !(strings.HasSuffix(c.want, " ") && strings.HasPrefix(got, c.want)) {
 					t.Errorf("%s %s %.60s at %s: %.200s, want %s", c.method, c.uri, c.body, address, got, c.want)
@@ -92,19 +92,19 @@
 func TestAppWatch(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
-		f := NewFleet(t, small(), 501)
+		f := NewFleet(t, smallShape(), 501)
 		defer f.Stop()
 		f.Start()
-		address := f.Cores[1].Host + ":7003"
+		address := f.ControlMachines[1].Host + ":7003"
 		put := func(value string) {
-			if code, got := f.raw("PUT", address, "/puffin/app/keys/w.k", `{"value":"`+value+`"}`); code != 200 {
+			if code, got := f.requestRaw("PUT", address, "/puffin/app/keys/w.k", `{"value":"`+value+`"}`); code != 200 {
 				t.Fatal(code, got)
 			}
 		}
 		put("one")
 		notified := make(chan time.Time)
 		go func() {
-			code, got := f.raw("GET", f.Cores[2].Host+":7003", "/puffin/app/watch/w.?after=1&wait_ms=5000", "")
+			code, got := f.requestRaw("GET", f.ControlMachines[2].Host+":7003", "/puffin/app/watch/w.?after=1&wait_ms=5000", "")
 			if code != 200 || !strings.Contains(got, `"two"`) {
 				t.Error(code, got)
 			}
@@ -119,25 +119,25 @@
 		put("three")
 		start = time.Now()
 		Wait(6 * time.Second)
-		f.KillCore(f.mark(f.Writer()), true)
-		f.serves(10 * time.Second)
-		f.BackCore(f.marked)
+		f.KillControlMachine(f.markFaulted(f.Leader()), true)
+		f.untilWritable(10 * time.Second)
+		f.RestartControlMachine(f.faulted)
 		Wait(2 * time.Second)
-		for _, c := range f.Cores {
-			f.KillCore(c, true)
+		for _, c := range f.ControlMachines {
+			f.KillControlMachine(c, true)
 		}
-		for _, c := range f.Cores {
-			f.BackCore(c)
+		for _, c := range f.ControlMachines {
+			f.RestartControlMachine(c)
 		}
-		f.serves(15 * time.Second)
+		f.untilWritable(15 * time.Second)
 		// Histories are trimmed on writes only.
 		for i := 0; time.Since(start) < 20*time.Second; i++ {
-			f.raw("PUT", address, "/puffin/app/keys/other.k", fmt.Sprintf(`{"value":"%d"}`, i))
+			f.requestRaw("PUT", address, "/puffin/app/keys/other.k", fmt.Sprintf(`{"value":"%d"}`, i))
 			Wait(min(time.Second, 20*time.Second-time.Since(start)))
 		}
 		put("four")
 		for i := 2; i <= 3; i++ {
-			if code, got := f.raw("GET", address, fmt.Sprintf("/puffin/app/watch/w.?after=%d", i), ""); code != 200 || strings.Count(got, "name") != 4-i {
+			if code, got := f.requestRaw("GET", address, fmt.Sprintf("/puffin/app/watch/w.?after=%d", i), ""); code != 200 || strings.Count(got, "name") != 4-i {
 				t.Errorf("watch after revision %d: %d %s", i, code, got)
 			}
 		}
@@ -145,7 +145,7 @@
 			Wait(500 * time.Millisecond)
 			put(fmt.Sprint("more", i))
 		}
-		if code, got := f.raw("GET", address, "/puffin/app/watch/w.?after=2", ""); code != 410 {
+		if code, got := f.requestRaw("GET", address, "/puffin/app/watch/w.?after=2", ""); code != 410 {
 			t.Errorf("a watch from a revision 45 s ago: %d %.80s", code, got)
 		}
 	})
--- a/internal/sim/appday_test.go
+++ b/internal/sim/appday_test.go
@@ -20,38 +20,38 @@
 	do   func(f *Fleet, rnd *rand.Rand, duration time.Duration)
 }{
 	{"control node frozen", func(f *Fleet, rnd *rand.Rand, duration time.Duration) {
-		c := f.Cores[rnd.IntN(3)]
-		f.Net.Freeze("core-"+c.Host, true)
+		c := f.ControlMachines[rnd.IntN(3)]
+		f.Net.PauseProcess("core-"+c.Host, true)
 		Wait(duration)
-		f.Net.Freeze("core-"+c.Host, false)
+		f.Net.PauseProcess("core-"+c.Host, false)
 	}},
 	{"writer frozen", func(f *Fleet, _ *rand.Rand, duration time.Duration) {
-		if c := f.Writer(); c != nil {
-			f.Net.Freeze("store-"+c.Host, true)
+		if c := f.Leader(); c != nil {
+			f.Net.PauseProcess("store-"+c.Host, true)
 			Wait(duration)
-			f.Net.Freeze("store-"+c.Host, false)
+			f.Net.PauseProcess("store-"+c.Host, false)
 		}
 	}},
 	{"machine frozen", func(f *Fleet, rnd *rand.Rand, duration time.Duration) {
-		c := f.Cores[rnd.IntN(3)]
+		c := f.ControlMachines[rnd.IntN(3)]
 		for _, p := range []string{"core-", "store-"} {
-			f.Net.Freeze(p+c.Host, true)
+			f.Net.PauseProcess(p+c.Host, true)
 		}
 		Wait(duration)
 		for _, p := range []string{"core-", "store-"} {
-			f.Net.Freeze(p+c.Host, false)
+			f.Net.PauseProcess(p+c.Host, false)
 		}
 	}},
 	{"core links cut", func(f *Fleet, rnd *rand.Rand, duration time.Duration) {
-		a, b := f.Cores[rnd.IntN(3)].Host, f.Cores[rnd.IntN(3)].Host
+		a, b := f.ControlMachines[rnd.IntN(3)].Host, f.ControlMachines[rnd.IntN(3)].Host
 		f.Net.Cut(a, b, true)
 		Wait(duration)
 		f.Net.Cut(a, b, false)
 	}},
 	{"core machine cut off", func(f *Fleet, rnd *rand.Rand, duration time.Duration) {
-		c := f.Cores[rnd.IntN(3)]
+		c := f.ControlMachines[rnd.IntN(3)]
 		each := func(on bool) {
-			for _, o := range f.Cores {
+			for _, o := range f.ControlMachines {
 				if o != c {
 					f.Net.Cut(c.Host, o.Host, on)
 					f.Net.Cut(o.Host, c.Host, on)
@@ -63,34 +63,34 @@
 		each(false)
 	}},
 	{"writer killed", func(f *Fleet, _ *rand.Rand, duration time.Duration) {
-		if c := f.Writer(); c != nil {
-			f.KillCore(c, true)
+		if c := f.Leader(); c != nil {
+			f.KillControlMachine(c, true)
 			Wait(duration)
-			f.BackCore(c)
+			f.RestartControlMachine(c)
 		}
 	}},
 	{"all lose power", func(f *Fleet, _ *rand.Rand, duration time.Duration) {
-		for _, c := range f.Cores {
-			f.KillCore(c, true)
+		for _, c := range f.ControlMachines {
+			f.KillControlMachine(c, true)
 		}
 		Wait(duration / 2)
-		for _, c := range f.Cores {
-			f.BackCore(c)
+		for _, c := range f.ControlMachines {
+			f.RestartControlMachine(c)
 		}
 	}},
 	{"a disk lost", func(f *Fleet, rnd *rand.Rand, duration time.Duration) {
-		c := f.Cores[rnd.IntN(3)]
-		f.KillCore(c, true)
+		c := f.ControlMachines[rnd.IntN(3)]
+		f.KillControlMachine(c, true)
 		c.Disk.Wipe()
 		Wait(duration / 2)
-		f.BackCore(c)
-		f.Until(15*time.Second, "the machine with the wiped disk is ready", f.coreReady)
+		f.RestartControlMachine(c)
+		f.Until(15*time.Second, "the machine with the wiped disk is ready", f.controlPlaneReady)
 	}},
 	{"writer's disk slow", func(f *Fleet, _ *rand.Rand, duration time.Duration) {
-		if c := f.Writer(); c != nil {
-			c.Disk.Slow(duration / 5)
+		if c := f.Leader(); c != nil {
+			c.Disk.SetSyncDelay(duration / 5)
 			Wait(duration)
-			c.Disk.Slow(0)
+			c.Disk.SetSyncDelay(0)
 		}
 	}},
 }
@@ -98,12 +98,12 @@
 // appDay runs applications against the control plane during a series of faults, and checks
 // the invariants only by what the applications saw on their sockets.
 func (f *Fleet) appDay(seed uint64, faults int, onlyFault string) (map[string]int, time.Duration) {
-	f.Net.Place("10.0.9.7", "outside")
-	invariants := checker.New(checker.Usual)
+	f.Net.SetZone("10.0.9.7", "outside")
+	invariants := checker.New(checker.UsualBounds)
 	environment := f.env("apps", "10.0.9.7", "outside", new(atomic.Int64))
 	apps := actors.NewApps(environment, func() []string {
 		var addresses []string
-		for _, c := range f.Cores {
+		for _, c := range f.ControlMachines {
 			addresses = append(addresses, c.Host+":7003")
 		}
 		return append(addresses, f.Nodes[0].Host+":7003")
@@ -124,10 +124,10 @@
 	Wait(3 * time.Second)
 	cancel()
 	<-finished
-	f.serves(15 * time.Second)
+	f.untilWritable(15 * time.Second)
 	apps.Finish(context.Background())
 	Wait(4 * time.Second)
-	violations, notes := invariants.Verdict()
+	violations, notes := invariants.Breaches()
 	for _, n := range notes {
 		f.T.Log(n)
 	}
@@ -148,7 +148,7 @@
 			t.Run(fmt.Sprint(fault.name, " ", seed), func(t *testing.T) {
 				t.Parallel()
 				synctest.Test(t, func(t *testing.T) {
-					f := NewFleet(t, small(), seed+uint64(i)*1000+600)
+					f := NewFleet(t, smallShape(), seed+uint64(i)*1000+600)
 					defer f.Stop()
 					f.Start()
 					done, longest := f.appDay(seed*31+uint64(i), 5, fault.name)
--- a/internal/sim/bad_test.go
+++ b/internal/sim/bad_test.go
@@ -17,7 +17,7 @@
 func TestBadCalls(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
-		shape := small()
+		shape := smallShape()
 		f := NewFleet(t, shape, 44)
 		defer f.Stop()
 		f.Start()
@@ -27,7 +27,7 @@
 			if timeout != "" {
 				request.Header.Set("Puffin-Left", timeout)
 			}
-			response, err := f.way.RoundTrip(request)
+			response, err := f.client.RoundTrip(request)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -56,7 +56,7 @@
 			{`{"service":"pages","worker":"w","addr":"10.0.1.1:1","slots":0,"state":"up"}`, 422}, {`{"service":"pages","worker":"w","addr":"10.0.1.1:1","slots":1,"state":"well"}`, 422},
 			{`{"service":"pages","worker":"w","addr":"10.0.1.1:1","slots":1,"state":"up","more":1}`, 422},
 		} {
-			if got, _ := f.Ask("POST", node.Host+":7003", "/puffin/beat", c.body); got != c.want {
+			if got, _ := f.Request("POST", node.Host+":7003", "/puffin/beat", c.body); got != c.want {
 				t.Errorf("heartbeat %s: %d, want %d", c.body, got, c.want)
 			}
 		}
@@ -65,20 +65,20 @@
 		}
 		// The same invalid configurations are rejected through any node, and nothing
 		// changes.
-		for _, host := range []string{f.Cores[2].Host, node.Host} {
-			if code, _ := f.Ask("PUT", host+":7003", "/puffin/config?based_on=1", `{"services":[]}`); code != 422 {
+		for _, host := range []string{f.ControlMachines[2].Host, node.Host} {
+			if code, _ := f.Request("PUT", host+":7003", "/puffin/config?based_on=1", `{"services":[]}`); code != 422 {
 				t.Errorf("an invalid configuration: %d", code)
 			}
-			if code, _ := f.Ask("PUT", host+":7003", "/puffin/config?based_on=1", `{`); code != 400 {
+			if code, _ := f.Request("PUT", host+":7003", "/puffin/config?based_on=1", `{`); code != 400 {
 				t.Errorf("malformed JSON: %d", code)
 			}
-			if code, got := f.Ask("PUT", host+":7003", "/puffin/config?based_on=0&who=another", shape.Doc); code != 409 || got["version"] != float64(1) {
+			if code, got := f.Request("PUT", host+":7003", "/puffin/config?based_on=0&who=another", shape.Config); code != 409 || got["version"] != float64(1) {
 				t.Errorf("an outdated base version: %d %v", code, got)
 			}
-			if code, _ := f.Ask("PUT", host+":7003", "/puffin/config?based_on=1", shape.Doc+strings.Repeat(" ", rules.MaxDocumentBytes)); code != 413 {
+			if code, _ := f.Request("PUT", host+":7003", "/puffin/config?based_on=1", shape.Config+strings.Repeat(" ", rules.MaxDocumentBytes)); code != 413 {
 				t.Errorf("a configuration over the size limit: %d", code)
 			}
-			if code, _ := f.Ask("PUT", host+":7003", "/puffin/config", shape.Doc); code != 422 {
+			if code, _ := f.Request("PUT", host+":7003", "/puffin/config", shape.Config); code != 422 {
 				t.Errorf("no base version: %d", code)
 			}
 			if _, got := f.Get(host+":7003", "/puffin/config"); got["version"] != float64(1) {
@@ -111,7 +111,7 @@
 				go func() {
 					// Two operators, because the same change sent twice by one operator
 					// counts as one request.
-					code, answer := f.Ask("PUT", host+":7003", fmt.Sprintf("/puffin/config?based_on=%d&who=operator-%d", version, i), shape.Doc)
+					code, answer := f.Request("PUT", host+":7003", fmt.Sprintf("/puffin/config?based_on=%d&who=operator-%d", version, i), shape.Config)
 					v, _ := answer["version"].(float64)
 					outcomes <- outcome{code, uint64(v)}
 				}()
@@ -134,7 +134,7 @@
 		}
 		t.Logf("the last node had a version at most %v after its acknowledgement", longest)
 		wait()
-		f.Judge()
+		f.CheckInvariants()
 	})
 }
 
@@ -143,31 +143,31 @@
 func TestNested(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
-		shape := small()
+		shape := smallShape()
 		f := NewFleet(t, shape, 46)
 		defer f.Stop()
 		f.Start()
 		codes := make(chan int, 10)
 		for i, n := range f.Nodes {
-			if shape.Serves(i) == "lending" {
-				n.Worker.CallsTo(func(timeout string) {
+			if shape.ServiceOf(i) == "lending" {
+				n.Worker.SetNestedCalls(func(timeout string) {
 					request, _ := http.NewRequest("GET", "http://"+n.Host+":8000/pages/1", nil)
 					request.Header.Set("Puffin-Left", timeout)
-					response, err := f.way.RoundTrip(request)
+					response, err := f.client.RoundTrip(request)
 					if err == nil {
 						codes <- response.StatusCode
 						_ = response.Body.Close()
 					}
 				})
 			}
-			if shape.Serves(i) == "pages" {
-				n.Worker.Behave(standin.Way{Took: 600 * time.Millisecond})
+			if shape.ServiceOf(i) == "pages" {
+				n.Worker.SetBehavior(standin.WorkerBehavior{Took: 600 * time.Millisecond})
 			}
 		}
-		request, _ := http.NewRequest("POST", "http://"+f.Fronts()[0]+"/loans", nil)
+		request, _ := http.NewRequest("POST", "http://"+f.Ingresses()[0]+"/loans", nil)
 		request.Header.Set("Puffin-Left", "250")
 		start := time.Now()
-		response, err := f.way.RoundTrip(request)
+		response, err := f.client.RoundTrip(request)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/sim/badinput_test.go
+++ b/internal/sim/badinput_test.go
@@ -13,7 +13,7 @@
 func TestBadInput(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
-		shape := small()
+		shape := smallShape()
 		f := NewFleet(t, shape, 47)
 		defer f.Stop()
 		f.Start()
@@ -38,7 +38,7 @@
 			{"PUT", "/workers/w9", heartbeat(`"seq":7`, `"seq":"7"`), "422", "seq"}, {"PUT", "/workers/w9", heartbeat(`"cold_ms":0`, `"cold_ms":-1`), "422", "cold_ms"},
 			{"PUT", "/workers/w9", heartbeat(`"slots":4,"state":"up"`, `"slots":4.5`), "422", "slots state"},
 		}
-		for _, address := range []string{nodeAddress, f.Cores[1].Host + ":7003"} {
+		for _, address := range []string{nodeAddress, f.ControlMachines[1].Host + ":7003"} {
 			calls := append([]call(nil), workerCalls...)
 			if address != nodeAddress {
 				calls = nil
@@ -56,7 +56,7 @@
 				{"PUT", "/config?by=number", `{"version":9,"services":[{"name":"a"},{"name":"a"}],"paths":[{"name":"p","prefix":"x","service":"b"}]}`, "422", "services[1].name paths[0].prefix paths[0].service"},
 			}...)
 			for _, c := range calls {
-				code, got := f.Ask(c.method, address, "/puffin"+c.uri, c.body)
+				code, got := f.Request(c.method, address, "/puffin"+c.uri, c.body)
 				if fmt.Sprint(code) != c.want {
 					t.Errorf("%s %s %.60s: %d %v, want %s", c.method, c.uri, c.body, code, got, c.want)
 				}
@@ -75,13 +75,13 @@
 			{"GET", "/keys/g.k", "", "404 "}, {"GET", "/watch/g.", "", `200 {"changes":[],"rev":0}`},
 			{"POST", "/locks/l", `{"owner":"z","ttl_ms":900}`, `200 {"fence":1}`}, {"POST", "/numbers/n", "", `200 {"value":1}`},
 		} {
-			if code, got := f.raw(c.method, nodeAddress, "/puffin/app"+c.uri, c.body); !strings.HasPrefix(fmt.Sprint(code, " ", got), c.want) {
+			if code, got := f.requestRaw(c.method, nodeAddress, "/puffin/app"+c.uri, c.body); !strings.HasPrefix(fmt.Sprint(code, " ", got), c.want) {
 				t.Errorf("after the invalid calls: %s %s: %d %s, want %s", c.method, c.uri, code, got, c.want)
 			}
 		}
 		// An outdated heartbeat changes nothing, a newer one does.
 		for _, c := range []struct{ body, slots string }{{heartbeat("7", "7"), "4"}, {heartbeat(`"slots":4,"state":"up","cold_ms":0,"seq":7`, `"slots":6,"state":"up","seq":6`), "4"}, {heartbeat(`"slots":4,"state":"up","cold_ms":0,"seq":7`, `"slots":5,"state":"up","seq":8`), "5"}} {
-			code, _ := f.Ask("PUT", nodeAddress, "/puffin/workers/w9", c.body)
+			code, _ := f.Request("PUT", nodeAddress, "/puffin/workers/w9", c.body)
 			_, own := f.Get(nodeAddress, "/puffin/own")
 			if !strings.Contains(fmt.Sprint(own["workers"]), "slots:"+c.slots) || code != 200 {
 				t.Errorf("%s: %d, %v", c.body, code, own["workers"])
--- a/internal/sim/bandwidth.go
+++ b/internal/sim/bandwidth.go
@@ -19,8 +19,8 @@
 	bytesSent      int
 }
 
-// Thin limits the bandwidth of all traffic out of a host.
-func (n *Net) Thin(hostName string, bytesPerSecond int) {
+// LimitHost limits the bandwidth of all traffic out of a host.
+func (n *Net) LimitHost(hostName string, bytesPerSecond int) {
 	n.mu.Lock()
 	n.thinLinks[hostName] = &thinLink{bytesPerSecond: bytesPerSecond}
 	n.mu.Unlock()
@@ -45,7 +45,7 @@
 	if link := n.thinLinks[from]; link != nil && from != to {
 		return link
 	}
-	if fromZone, toZone := n.areas[from], n.areas[to]; fromZone != toZone {
+	if fromZone, toZone := n.zones[from], n.zones[to]; fromZone != toZone {
 		return n.thinLinks[fromZone+">"+toZone]
 	}
 	return nil
--- a/internal/sim/bootstrap_test.go
+++ b/internal/sim/bootstrap_test.go
@@ -21,10 +21,10 @@
 		}
 		defer fleet.Stop()
 		fleet.Start()
-		waitForLoad := fleet.Load(fleet.S.Lines, 10*time.Second)
+		waitForLoad := fleet.Load(fleet.Shape.Lines, 10*time.Second)
 		waitForLoad()
-		fleet.Judge()
-		counts := fleet.Obs.Counts()
+		fleet.CheckInvariants()
+		counts := fleet.Observer.Counts()
 		if counts["done"] < counts["calls"]*99/100 || counts["calls"] < 1000 {
 			t.Errorf("too few requests succeeded: %v", counts)
 		}
--- a/internal/sim/boundaries_test.go
+++ b/internal/sim/boundaries_test.go
@@ -29,16 +29,16 @@
 }
 
 func runBoundaries(t *testing.T, reading, silent bool) {
-	shape := small()
+	shape := smallShape()
 	plan := &breakPlan{}
 	f := NewFleet(t, shape, 970)
 	f.WorkerNet = func(broken env.Net) env.Net { return &breakingNet{broken, plan} }
 	defer f.Stop()
 	f.Start()
 	const offsets, step = 600, 60 * time.Millisecond
-	waitForCalls := f.Load([]standin.Line{
+	waitForCalls := f.Load([]standin.CallKind{
 		{Method: "POST", URI: "/loans/new", Service: "lending", Rate: 60, Size: 120},
-		{Method: "GET", URI: "/pages/7", Service: "pages", Safe: true, Rate: 60},
+		{Method: "GET", URI: "/pages/7", Service: "pages", Retryable: true, Rate: 60},
 		{Method: "POST", URI: "/scans/up", Service: "scans", Rate: 30, Size: 900},
 	}, offsets*step)
 	f.g.Go("breaks", func(ctx context.Context) {
@@ -51,5 +51,5 @@
 	if broken := plan.count(); broken < offsets*2/3 {
 		t.Errorf("only %d of %d connections were broken", broken, offsets)
 	}
-	f.Judge()
+	f.CheckInvariants()
 }
--- a/internal/sim/busy_test.go
+++ b/internal/sim/busy_test.go
@@ -15,34 +15,34 @@
 // rejected must be answered long before its timeout, and its Retry-After must follow from
 // how fast the queue drains instead of being constant.
 func TestRejectionsComeEarly(t *testing.T) {
-	heavy(t)
+	skipUnderRace(t)
 	synctest.Test(t, func(t *testing.T) {
-		shape := one()
+		shape := singleServiceShape()
 		// A request takes a slot for more than a second, so the queue drains slowly.
-		shape.Took = map[string]time.Duration{"s": 1500 * time.Millisecond}
+		shape.ServiceTimes = map[string]time.Duration{"s": 1500 * time.Millisecond}
 		// A long target latency: a short one would limit the queue long before its length
 		// does.
-		shape.Doc = strings.ReplaceAll(shape.Doc, `"left_ms":600,"aim_ms":600`, `"left_ms":9000,"aim_ms":9000`)
+		shape.Config = strings.ReplaceAll(shape.Config, `"left_ms":600,"aim_ms":600`, `"left_ms":9000,"aim_ms":9000`)
 		f := NewFleet(t, shape, 380)
 		defer f.Stop()
 		f.Start()
-		f.Load([]standin.Line{{Method: "GET", URI: "/a", Service: "s", Rate: 30}, {Method: "POST", URI: "/b", Service: "s", Rate: 20}}, 30*time.Second)()
-		f.Judge()
+		f.Load([]standin.CallKind{{Method: "GET", URI: "/a", Service: "s", Rate: 30}, {Method: "POST", URI: "/b", Service: "s", Rate: 20}}, 30*time.Second)()
+		f.CheckInvariants()
 		var heldFor []time.Duration
 		retryAfter := map[int]int{}
-		for _, c := range f.Obs.Calls() {
+		for _, c := range f.Observer.Calls() {
 			if c.Status != 503 {
 				continue
 			}
 			heldFor = append(heldFor, c.To.Sub(c.From))
-			seconds, err := strconv.Atoi(c.Retry)
+			seconds, err := strconv.Atoi(c.RetryAfter)
 			if err != nil || seconds < 1 || seconds > 15 {
-				t.Fatalf("Retry-After %q", c.Retry)
+				t.Fatalf("Retry-After %q", c.RetryAfter)
 			}
 			retryAfter[seconds]++
 		}
 		if len(heldFor) < 100 {
-			t.Fatalf("only %d requests were rejected: %v", len(heldFor), f.Obs.Counts())
+			t.Fatalf("only %d requests were rejected: %v", len(heldFor), f.Observer.Counts())
 		}
 		sort.Slice(heldFor, func(i, j int) bool { return heldFor[i] < heldFor[j] })
 		quantile := func(q float64) float64 { return heldFor[int(float64(len(heldFor)-1)*q)].Seconds() / 9 }
@@ -64,16 +64,16 @@
 func TestCutOffAnswersSayWhenToRetry(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
-		shape := one()
+		shape := singleServiceShape()
 		f := NewFleet(t, shape, 381)
 		defer f.Stop()
 		f.Start()
 		node := f.Nodes[0]
-		f.KillCore(f.Cores[0], false)
-		f.KillCore(f.Cores[1], false)
+		f.KillControlMachine(f.ControlMachines[0], false)
+		f.KillControlMachine(f.ControlMachines[1], false)
 		Wait(4 * time.Second)
-		for _, address := range []string{node.Host + ":7003", f.Cores[2].Host + ":7003"} {
-			code, got := f.Ask("PUT", address, "/puffin/keys/x?left_ms=1000", `{"value":"x"}`)
+		for _, address := range []string{node.Host + ":7003", f.ControlMachines[2].Host + ":7003"} {
+			code, got := f.Request("PUT", address, "/puffin/keys/x?left_ms=1000", `{"value":"x"}`)
 			if ms, _ := got["retry_ms"].(float64); code != 503 || ms < 500 || ms > 15000 {
 				t.Errorf("%s without a majority: %d %v", address, code, got)
 			}
@@ -86,7 +86,7 @@
 		f.KillWorker(node)
 		Wait(2 * time.Second)
 		start := time.Now()
-		code, got := f.Ask("GET", node.Host+":8000", "/a", "")
+		code, got := f.Request("GET", node.Host+":8000", "/a", "")
 		if ms, _ := got["retry_ms"].(float64); code != 503 || ms < 200 || time.Since(start) > 600*time.Millisecond {
 			t.Errorf("without a reachable worker: %d %v after %v", code, got, time.Since(start))
 		}
@@ -97,20 +97,20 @@
 // slot wait for slots of other services. Nothing deadlocks: every call ends within its
 // timeout, and all slots are free afterwards.
 func TestNestedCallsAtFullCapacity(t *testing.T) {
-	heavy(t)
+	skipUnderRace(t)
 	for i, shape := range []Shape{Fumettoteca(1.2), Ingenzi(1.4)} {
 		t.Run(shape.Services[0], func(t *testing.T) {
 			t.Parallel()
 			synctest.Test(t, func(t *testing.T) {
 				shape.Nodes = 8
 				// The services of the nested calls are the bottleneck.
-				shape.Took["pages"], shape.Took["manifests"] = 150*time.Millisecond, 900*time.Millisecond
+				shape.ServiceTimes["pages"], shape.ServiceTimes["manifests"] = 150*time.Millisecond, 900*time.Millisecond
 				f := NewFleet(t, shape, uint64(i)+382)
 				defer f.Stop()
 				f.Start()
 				f.Load(shape.Lines, 10*time.Second)()
 				Wait(time.Second)
-				f.Judge()
+				f.CheckInvariants()
 				for _, n := range f.Nodes {
 					_, own := f.Get(n.Host+":7003", "/puffin/own")
 					for _, worker := range own["workers"].([]any) {
@@ -120,7 +120,7 @@
 					}
 				}
 				longest, nested, busy := time.Duration(0), 0, 0
-				for _, c := range f.Obs.Calls() {
+				for _, c := range f.Observer.Calls() {
 					longest = max(longest, c.To.Sub(c.From))
 					if strings.HasPrefix(c.ID, "nested-") {
 						nested++
--- a/internal/sim/bytes_test.go
+++ b/internal/sim/bytes_test.go
@@ -32,7 +32,7 @@
 	for _, n := range f.Nodes {
 		add(n.Proxy.BytesSent())
 	}
-	for _, c := range f.Cores {
+	for _, c := range f.ControlMachines {
 		add(c.Store.BytesSent())
 		add(c.Registry.BytesSent())
 	}
@@ -49,11 +49,11 @@
 		f.Start()
 		Wait(3 * time.Second)
 		before := f.crossZoneBytes()
-		waitForApps := f.apps(8 * time.Second)
-		f.Load(f.S.Lines, 8*time.Second)()
+		waitForApps := f.runCoordination(8 * time.Second)
+		f.Load(f.Shape.Lines, 8*time.Second)()
 		waitForApps()
-		f.Judge()
-		requests := float64(f.Obs.Counts()["done"])
+		f.CheckInvariants()
+		requests := float64(f.Observer.Counts()["done"])
 		var names []string
 		after := f.crossZoneBytes()
 		for purpose := range after {
--- a/internal/sim/callerhistory_test.go
+++ b/internal/sim/callerhistory_test.go
@@ -30,8 +30,8 @@
 	from, to time.Time
 }
 
-// asks makes random calls of all kinds to one machine until the context ends.
-func (l *lab) asks(ctx context.Context, seen *history, machine *Core, rnd *rand.Rand, next func() uint64) {
+// callRandomly makes random calls of all kinds to one machine until the context ends.
+func (l *coreFleet) callRandomly(ctx context.Context, seen *history, machine *ControlMachine, rnd *rand.Rand, next func() uint64) {
 	for i := 0; ctx.Err() == nil; i++ {
 		Wait(time.Duration(30+rnd.IntN(100)) * time.Millisecond)
 		name := fmt.Sprintf("%s-%d", machine.Host, i)
@@ -52,7 +52,7 @@
 	}
 }
 
-func (h *history) record(machine *Core, certain bool, add func()) {
+func (h *history) record(machine *ControlMachine, certain bool, add func()) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if certain {
@@ -61,12 +61,12 @@
 	add()
 }
 
-func (l *lab) callKey(seen *history, machine *Core, value string, write bool) {
+func (l *coreFleet) callKey(seen *history, machine *ControlMachine, value string, write bool) {
 	op := standin.Op{Key: "k", Write: write, Value: value, From: time.Now()}
 	var code int
 	var got map[string]any
 	if write {
-		code, _ = l.Ask("PUT", machine.Host+":7003", "/puffin/keys/k?left_ms=800", fmt.Sprintf(`{"value":%q}`, value))
+		code, _ = l.Request("PUT", machine.Host+":7003", "/puffin/keys/k?left_ms=800", fmt.Sprintf(`{"value":%q}`, value))
 	} else {
 		code, got = l.Get(machine.Host+":7003", "/puffin/keys/k?left_ms=800")
 		op.Value, _ = got["value"].(string)
@@ -78,9 +78,9 @@
 	seen.record(machine, !op.Unknown, func() { seen.keys = append(seen.keys, op) })
 }
 
-func (l *lab) callNumber(seen *history, machine *Core) {
+func (l *coreFleet) callNumber(seen *history, machine *ControlMachine) {
 	call := standin.HistoryCall{From: time.Now()}
-	code, got := l.Ask("POST", machine.Host+":7003", "/puffin/numbers/n/next?left_ms=800", "{}")
+	code, got := l.Request("POST", machine.Host+":7003", "/puffin/numbers/n/next?left_ms=800", "{}")
 	call.To = time.Now()
 	number, _ := got["number"].(float64)
 	if code != 200 {
@@ -92,30 +92,30 @@
 
 // numberedDoc returns the shape's configuration with a version number. The name of its
 // first route identifies the content.
-func (l *lab) numberedDoc(number uint64, content string) string {
-	doc := strings.Replace(l.S.Doc, "{", fmt.Sprintf(`{"version":%d,`, number), 1)
+func (l *coreFleet) numberedDoc(number uint64, content string) string {
+	doc := strings.Replace(l.Shape.Config, "{", fmt.Sprintf(`{"version":%d,`, number), 1)
 	return strings.Replace(doc, `"name":"read"`, fmt.Sprintf(`"name":%q`, content), 1)
 }
 
-func (l *lab) callOrder(seen *history, machine *Core, number uint64, content string) {
-	call := standin.HistoryCall{In: standin.Order{Number: number, Content: content}, From: time.Now()}
-	code, _ := l.Ask("PUT", machine.Host+":7003", "/puffin/config?by=number&left_ms=800", l.numberedDoc(number, content))
+func (l *coreFleet) callOrder(seen *history, machine *ControlMachine, number uint64, content string) {
+	call := standin.HistoryCall{In: standin.ConfigCall{Number: number, Content: content}, From: time.Now()}
+	code, _ := l.Request("PUT", machine.Host+":7003", "/puffin/config?by=number&left_ms=800", l.numberedDoc(number, content))
 	call.To = time.Now()
 	if code == 503 {
 		return
 	}
-	call.Out, call.Unknown = standin.OrderAnswer{Refused: code == 409}, code != 200 && code != 409
+	call.Out, call.Unknown = standin.ConfigAnswer{Refused: code == 409}, code != 200 && code != 409
 	seen.record(machine, !call.Unknown, func() { seen.orders = append(seen.orders, call) })
 }
 
-func (l *lab) callConfig(seen *history, machine *Core) {
-	call := standin.HistoryCall{In: standin.Order{}, From: time.Now()}
+func (l *coreFleet) callConfig(seen *history, machine *ControlMachine) {
+	call := standin.HistoryCall{In: standin.ConfigCall{}, From: time.Now()}
 	code, got := l.Get(machine.Host+":7003", "/puffin/config?as=sent&left_ms=800")
 	call.To = time.Now()
 	if code != 200 && code != 404 {
 		return
 	}
-	answer := standin.OrderAnswer{}
+	answer := standin.ConfigAnswer{}
 	if code == 200 {
 		version, _ := got["version"].(float64)
 		answer.Number = uint64(version)
@@ -127,10 +127,10 @@
 	seen.record(machine, true, func() { seen.orders = append(seen.orders, call) })
 }
 
-func (l *lab) callLock(seen *history, machine *Core, owner string) {
+func (l *coreFleet) callLock(seen *history, machine *ControlMachine, owner string) {
 	const ttl = 700 * time.Millisecond
 	from := time.Now()
-	code, got := l.Ask("POST", machine.Host+":7003", "/puffin/locks/x/acquire?left_ms=800", fmt.Sprintf(`{"owner":%q,"ttl_ms":%d}`, owner, ttl.Milliseconds()))
+	code, got := l.Request("POST", machine.Host+":7003", "/puffin/locks/x/acquire?left_ms=800", fmt.Sprintf(`{"owner":%q,"ttl_ms":%d}`, owner, ttl.Milliseconds()))
 	if code != 200 {
 		seen.record(machine, code == 409, func() {})
 		return
@@ -140,17 +140,17 @@
 	seen.record(machine, true, func() { seen.holds = append(seen.holds, hold) })
 }
 
-// judge checks that the history is linearizable and that locks and fencing tokens were
+// check checks that the history is linearizable and that locks and fencing tokens were
 // exclusive.
-func (h *history) judge(t *testing.T) {
+func (h *history) check(t *testing.T) {
 	t.Helper()
-	if !standin.Linear(h.keys) {
+	if !standin.LinearizableKey(h.keys) {
 		t.Errorf("the history of a key is not linearizable")
 	}
-	if !standin.Explained(standin.NumberModel, h.numbers) {
+	if !standin.Linearizable(standin.NumberModel, h.numbers) {
 		t.Errorf("the history of a number is not linearizable")
 	}
-	if !standin.Explained(standin.OrderModel, h.orders) {
+	if !standin.Linearizable(standin.ConfigModel, h.orders) {
 		t.Errorf("the history of the configuration is not linearizable")
 	}
 	for i, a := range h.holds {
--- a/internal/sim/callerlimits_test.go
+++ b/internal/sim/callerlimits_test.go
@@ -19,7 +19,7 @@
 func TestBodyMemoryBound(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
-		shape := small()
+		shape := smallShape()
 		fleet := NewFleet(t, shape, 49)
 		defer fleet.Stop()
 		fleet.Start()
@@ -28,8 +28,8 @@
 			settings := node.Proxy.Settings
 			settings.MemoryBytes = memory
 			node.Proxy.Reload(settings)
-			if shape.Serves(i) == "scans" {
-				node.Worker.Behave(standin.Way{Took: 300 * time.Millisecond})
+			if shape.ServiceOf(i) == "scans" {
+				node.Worker.SetBehavior(standin.WorkerBehavior{Took: 300 * time.Millisecond})
 			}
 		}
 		node := fleet.Nodes[0]
@@ -42,7 +42,7 @@
 			if chunked {
 				request.ContentLength = -1
 			}
-			response, err := fleet.way.RoundTrip(request)
+			response, err := fleet.client.RoundTrip(request)
 			if err != nil {
 				return 0, err.Error(), time.Since(start)
 			}
@@ -98,7 +98,7 @@
 func TestCallerConnectionBound(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
-		shape := small()
+		shape := smallShape()
 		fleet := NewFleet(t, shape, 50)
 		defer fleet.Stop()
 		fleet.Start()
@@ -106,26 +106,26 @@
 		settings := node.Proxy.Settings
 		settings.FileLimit = 40
 		node.Proxy.Reload(settings)
-		var connections []*byHand
+		var connections []*rawConnection
 		for range 20 {
-			connection := fleet.hand(t, node)
-			if response := connection.ask(""); response.StatusCode != 200 || response.Close {
+			connection := fleet.dialByHand(t, node)
+			if response := connection.request(""); response.StatusCode != 200 || response.Close {
 				t.Errorf("below the bound: status %d, closed %v", response.StatusCode, response.Close)
 			}
 			connections = append(connections, connection)
 		}
 		for range 10 {
-			connections = append(connections, fleet.hand(t, node))
+			connections = append(connections, fleet.dialByHand(t, node))
 		}
-		about(t, "connection above the bound", fleet.hand(t, node).ends(), 5*time.Millisecond)
-		if response := connections[25].ask(""); response.StatusCode != 200 || !response.Close {
+		assertDuration(t, "connection above the bound", fleet.dialByHand(t, node).waitClosed(), 5*time.Millisecond)
+		if response := connections[25].request(""); response.StatusCode != 200 || !response.Close {
 			t.Errorf("near the bound: status %d, closed %v", response.StatusCode, response.Close)
 		}
 		for _, connection := range connections {
 			_ = connection.c.Close()
 		}
 		Wait(time.Second)
-		if response := fleet.hand(t, node).ask(""); response.StatusCode != 200 || response.Close {
+		if response := fleet.dialByHand(t, node).request(""); response.StatusCode != 200 || response.Close {
 			t.Errorf("below the bound again: status %d, closed %v", response.StatusCode, response.Close)
 		}
 		if _, status := fleet.Get(node.Host+":7003", "/puffin/own"); status["connections_of_callers"] != 1.0 {
--- a/internal/sim/capacity_test.go
+++ b/internal/sim/capacity_test.go
@@ -27,10 +27,10 @@
 					defer f.Stop()
 					f.Start()
 					f.Load(shape.Lines, 12*time.Second)()
-					counts := f.Obs.Counts()
+					counts := f.Observer.Counts()
 					failed = float64(counts["busy"]+counts["unknown"]) / float64(counts["calls"])
 					for _, service := range shape.Services {
-						used += float64(f.Obs.Runs(service)) * shape.Took[service].Seconds() / (float64(nodes*shape.Slots) * 12)
+						used += float64(f.Observer.Executions(service)) * shape.ServiceTimes[service].Seconds() / (float64(nodes*shape.Slots) * 12)
 					}
 				})
 				t.Logf("%d workers, %.1f times the rate: %.4f busy or unknown, slot utilization %.2f", nodes, scale, failed, used)
--- a/internal/sim/configlogsize_test.go
+++ b/internal/sim/configlogsize_test.go
@@ -26,8 +26,8 @@
 }
 
 // acceptBytes sums the bytes that stores sent each other in accept and ballot messages.
-func (l *lab) acceptBytes() (n int64) {
-	for _, c := range l.Cores {
+func (l *coreFleet) acceptBytes() (n int64) {
+	for _, c := range l.ControlMachines {
 		if c.Store == nil {
 			continue
 		}
@@ -49,15 +49,15 @@
 	var bytesPerChange []float64
 	for _, routes := range []int{100, 200, 400, 800} {
 		synctest.Test(t, func(t *testing.T) {
-			l := newLab(t, 840, 3, 1)
+			l := newCoreFleet(t, 840, 3, 1)
 			defer l.Stop()
-			l.from = time.Now()
-			l.up()
+			l.start = time.Now()
+			l.startAll()
 			version := uint64(0)
 			change := func() {
 				doc := documentWithRoutes(routes, int(version))
 				l.Until(5*time.Second, "a change is acknowledged", func() bool {
-					code, v := l.Apply(l.Cores[1].Host+":7003", version, doc)
+					code, v := l.Apply(l.ControlMachines[1].Host+":7003", version, doc)
 					if code == 200 {
 						version = v
 					}
@@ -71,26 +71,26 @@
 				change()
 			}
 			bytesPerChange = append(bytesPerChange, float64(l.acceptBytes()-sentBefore)/20)
-			l.Stores["founding"] = false
-			leader := l.mark(l.Writer())
-			l.KillCore(leader, true)
+			l.StoreSettings["founding"] = false
+			leader := l.markFaulted(l.Leader())
+			l.KillControlMachine(leader, true)
 			leader.Disk.Wipe()
-			l.BackCore(leader)
+			l.RestartControlMachine(leader)
 			change()
 			l.Until(4*time.Second, "all stores are ready", func() bool { return l.settled(3) })
 			change()
-			for _, c := range l.Cores {
-				l.KillCore(c, true)
+			for _, c := range l.ControlMachines {
+				l.KillControlMachine(c, true)
 			}
-			for _, c := range l.Cores {
-				l.BackCore(c)
+			for _, c := range l.ControlMachines {
+				l.RestartControlMachine(c)
 			}
 			change()
 			var want any
 			if err := json.Unmarshal([]byte(documentWithRoutes(routes, int(version)-1)), &want); err != nil {
 				t.Fatal(err)
 			}
-			code, got := l.Get(l.Cores[0].Host+":7003", "/puffin/config")
+			code, got := l.Get(l.ControlMachines[0].Host+":7003", "/puffin/config")
 			if code != 200 || got["version"] != float64(version) || !reflect.DeepEqual(got["document"], want) {
 				t.Errorf("%d routes: %d, version %v, not the document that was sent as %d", routes, code, got["version"], version)
 			}
--- a/internal/sim/congest_test.go
+++ b/internal/sim/congest_test.go
@@ -21,9 +21,9 @@
 	if oneLane {
 		upload, download, lowRank = `"repeat":"never"`, `"repeat":"safe"`, `"rank":0`
 	}
-	return Shape{Nodes: 12, Slots: 12, Far: 3 * time.Millisecond, Services: []string{"pages", "lending", "scans"},
-		Took: map[string]time.Duration{"pages": 40 * time.Millisecond, "lending": 60 * time.Millisecond, "scans": 60 * time.Millisecond},
-		Doc: `{"services":[{"name":"pages"},{"name":"lending"},{"name":"scans"}],
+	return Shape{Nodes: 12, Slots: 12, CrossZoneDelay: 3 * time.Millisecond, Services: []string{"pages", "lending", "scans"},
+		ServiceTimes: map[string]time.Duration{"pages": 40 * time.Millisecond, "lending": 60 * time.Millisecond, "scans": 60 * time.Millisecond},
+		Config: `{"services":[{"name":"pages"},{"name":"lending"},{"name":"scans"}],
 "paths":[{"name":"read","method":"GET","prefix":"/pages","service":"pages","left_ms":3000,"aim_ms":1000,"repeat":"safe"},
 {"name":"lend","method":"POST","prefix":"/loans","service":"lending","left_ms":4000,"aim_ms":1200,` + lowRank + `},
 {"name":"scan","method":"POST","prefix":"/scans","service":"scans","left_ms":6000,"aim_ms":3000,` + upload + `},
@@ -33,16 +33,16 @@
 // thinFleet starts a fleet in two zones. Workers of scans run in one of them only, so that
 // bulk has to cross the link.
 func thinFleet(t *testing.T, oneLane bool, limit func(*Fleet)) *Fleet {
-	return thinFleetOf(t, thinShape(oneLane), limit)
+	return thinFleetOfShape(t, thinShape(oneLane), limit)
 }
 
-func thinFleetOf(t *testing.T, shape Shape, limit func(*Fleet)) *Fleet {
+func thinFleetOfShape(t *testing.T, shape Shape, limit func(*Fleet)) *Fleet {
 	f := NewFleet(t, shape, 1)
 	for i, n := range f.Nodes {
-		n.Area = Areas[i%2]
+		n.Zone = Zones[i%2]
 	}
-	for i, c := range f.Cores {
-		c.Area = Areas[i%2]
+	for i, c := range f.ControlMachines {
+		c.Zone = Zones[i%2]
 	}
 	f.Start()
 	for i, n := range f.Nodes {
@@ -57,7 +57,7 @@
 		}
 	}
 	Wait(3 * time.Second)
-	f.Until(15*time.Second, "all proxies know all workers", f.Whole)
+	f.Until(15*time.Second, "all proxies know all workers", f.Converged)
 	if limit != nil {
 		limit(f)
 	}
@@ -67,51 +67,51 @@
 // narrow limits the bandwidth between the two zones in each direction.
 func narrow(rate int) func(*Fleet) {
 	return func(f *Fleet) {
-		f.Net.Narrow(Areas[0], Areas[1], rate)
-		f.Net.Narrow(Areas[1], Areas[0], rate)
+		f.Net.Narrow(Zones[0], Zones[1], rate)
+		f.Net.Narrow(Zones[1], Zones[0], rate)
 	}
 }
 
-var urgentLines = []standin.Line{
-	{Method: "GET", URI: "/pages/7", Service: "pages", Safe: true, Rate: 120},
+var urgentLines = []standin.CallKind{
+	{Method: "GET", URI: "/pages/7", Service: "pages", Retryable: true, Rate: 120},
 	{Method: "POST", URI: "/loans", Service: "lending", Rate: 80, Size: 200}}
 
 // bulkLines returns bulk calls at twice the link's bandwidth in each direction. Only
 // callers at ingresses of the other zone load the link.
-func bulkLines(rate int) []standin.Line {
-	return []standin.Line{
-		{Method: "POST", URI: "/scans", Service: "scans", Rate: 2 * float64(rate) / size, Size: size, Want: 1},
-		{Method: "GET", URI: "/files/7", Service: "scans", Safe: true, Rate: 2 * float64(rate) / size, Want: size}}
+func bulkLines(rate int) []standin.CallKind {
+	return []standin.CallKind{
+		{Method: "POST", URI: "/scans", Service: "scans", Rate: 2 * float64(rate) / bulkBodyBytes, Size: bulkBodyBytes, AnswerSize: 1},
+		{Method: "GET", URI: "/files/7", Service: "scans", Retryable: true, Rate: 2 * float64(rate) / bulkBodyBytes, AnswerSize: bulkBodyBytes}}
 }
 
-const size = 60_000 // bytes of a bulk body
+const bulkBodyBytes = 60_000 // bytes of a bulk body
 
 // isWhole reports whether a bulk call got its own response, byte for byte, which also
 // confirms that its own body arrived whole.
 func isWhole(c standin.Call) bool {
-	sent, want := size, 1
+	sent, want := bulkBodyBytes, 1
 	if c.Safe {
-		sent, want = 0, size
+		sent, want = 0, bulkBodyBytes
 	}
 	_, got, _ := strings.Cut(c.Body, "|"+c.ID+"|")
-	return got == fmt.Sprint(sent)+string(standin.Whole(c.ID, standin.Pattern(c.ID, sent), want))
+	return got == fmt.Sprint(sent)+string(standin.LongAnswer(c.ID, standin.UniqueBody(c.ID, sent), want))
 }
 
 // loadWithBulk runs urgent calls at all ingresses and bulk calls at those of the first
 // zone.
-func (f *Fleet) loadWithBulk(bulk []standin.Line, duration time.Duration) {
+func (f *Fleet) loadWithBulk(bulk []standin.CallKind, duration time.Duration) {
 	var ingresses []string
 	for _, n := range f.Nodes {
-		if n.Area == Areas[0] {
+		if n.Zone == Zones[0] {
 			ingresses = append(ingresses, n.Host+":8000")
 		}
 	}
-	f.Net.Place("10.0.9.9", "outside")
+	f.Net.SetZone("10.0.9.9", "outside")
 	bulkDone := make(chan struct{})
 	go func() {
 		defer close(bulkDone)
 		if len(bulk) > 0 {
-			c := standin.NewCallers(f.env("bulk", "10.0.9.9", "outside", &f.Nodes[0].skew), ingresses, f.Obs, 15*time.Second)
+			c := standin.NewCallers(f.env("bulk", "10.0.9.9", "outside", &f.Nodes[0].skew), ingresses, f.Observer, 15*time.Second)
 			c.Name = "bulk-"
 			c.Run(bulk, duration)
 		}
@@ -125,7 +125,7 @@
 func (f *Fleet) outcomes(bulk bool, quantile float64) (map[string]int, time.Duration) {
 	counts := map[string]int{}
 	var durations []time.Duration
-	for _, c := range f.Obs.Calls() {
+	for _, c := range f.Observer.Calls() {
 		if strings.HasPrefix(c.ID, "bulk-") != bulk {
 			continue
 		}
@@ -138,7 +138,7 @@
 			}
 		case c.Status == 503 && c.Ran == "no":
 			counts["refused"]++
-			if c.Retry == "" {
+			if c.RetryAfter == "" {
 				counts["no Retry-After"]++
 			}
 		default:
@@ -160,7 +160,7 @@
 	linkUse      float64 // fraction of the link's bandwidth used, in the direction that used less
 }
 
-func runCongested(t *testing.T, oneLane bool, bulk []standin.Line, limit, meanwhile func(*Fleet)) (out congestionResult) {
+func runCongested(t *testing.T, oneLane bool, bulk []standin.CallKind, limit, meanwhile func(*Fleet)) (out congestionResult) {
 	synctest.Test(t, func(t *testing.T) {
 		f := thinFleet(t, oneLane, limit)
 		defer f.Stop()
@@ -180,9 +180,9 @@
 		var p50 time.Duration
 		out.bulk, p50 = f.outcomes(true, 0.5)
 		t.Logf("%.2f of the link used; urgent %v, p99 %v; bulk %v, p50 %v", out.linkUse, out.urgent, out.p99, out.bulk, p50)
-		counts := f.Obs.Counts()
+		counts := f.Observer.Counts()
 		out.extraRuns = counts["runs"] - counts["done"] - counts["unknown"]
-		f.Judge()
+		f.CheckInvariants()
 	})
 	return out
 }
--- a/internal/sim/congestcut_test.go
+++ b/internal/sim/congestcut_test.go
@@ -32,9 +32,9 @@
 		t.Run(duration.String(), func(t *testing.T) {
 			got := runCongested(t, false, bulkLines(linkRate), narrow(linkRate), func(f *Fleet) {
 				Wait(10 * time.Second)
-				f.cutArea(Areas[1], true)
+				f.cutZone(Zones[1], true)
 				Wait(duration)
-				f.cutArea(Areas[1], false)
+				f.cutZone(Zones[1], false)
 			})
 			if got.bulk["done"] < 250 || got.bulk["incomplete response"]+got.bulk["no Retry-After"] > 0 {
 				t.Errorf("outcomes of bulk %v", got.bulk)
--- a/internal/sim/controlplanefleet_test.go
+++ b/internal/sim/controlplanefleet_test.go
@@ -11,33 +11,33 @@
 	"puffincrank/internal/event"
 )
 
-// tight holds the time bounds that the control plane must meet in its tests.
-var tight = map[string]any{"change_ms": json.Number("2000"), "return_ms": json.Number("15000"), "catch_up_ms": json.Number("4000"),
+// tightBounds holds the time bounds that the control plane must meet in its tests.
+var tightBounds = map[string]any{"change_ms": json.Number("2000"), "return_ms": json.Number("15000"), "catch_up_ms": json.Number("4000"),
 	"grace_ms": json.Number("6000"), "touch_ms": json.Number("3000"), "ack_ms": json.Number("4000")}
 
-// lab is a fleet of control-plane machines only, which records its events.
-type lab struct {
+// coreFleet is a fleet of control-plane machines only, which records its events.
+type coreFleet struct {
 	*Fleet
-	mu     sync.Mutex
-	events []event.Entry
-	faults []string
-	from   time.Time
-	made   int
-	seed   uint64
+	mu           sync.Mutex
+	events       []event.Entry
+	faults       []string
+	start        time.Time
+	replacements int
+	seed         uint64
 }
 
-// newLab lays out control-plane machines whose seeds are the first three of them
+// newCoreFleet lays out control-plane machines whose seeds are the first three of them
 // and that must tolerate the given number of losses; a disk sync takes 2 ms.
-func newLab(t *testing.T, seed uint64, cores, tolerated int) *lab {
+func newCoreFleet(t *testing.T, seed uint64, cores, tolerated int) *coreFleet {
 	shape := Fumettoteca(0.1)
 	shape.Nodes = 0
-	fleet := &lab{Fleet: NewFleet(t, shape, seed)}
-	fleet.Told, fleet.Stores = tight, map[string]any{"bear": json.Number(fmt.Sprint(tolerated))}
-	fleet.Cores, fleet.seedAt = nil, nil
+	fleet := &coreFleet{Fleet: NewFleet(t, shape, seed)}
+	fleet.Settings, fleet.StoreSettings = tightBounds, map[string]any{"bear": json.Number(fmt.Sprint(tolerated))}
+	fleet.ControlMachines, fleet.seedHosts = nil, nil
 	for i := range cores {
-		fleet.add(fmt.Sprintf("10.0.0.%d", i+1), Areas[i%3])
+		fleet.addCore(fmt.Sprintf("10.0.0.%d", i+1), Zones[i%3])
 		if i < 3 {
-			fleet.seedAt = append(fleet.seedAt, fleet.Cores[i].Host)
+			fleet.seedHosts = append(fleet.seedHosts, fleet.ControlMachines[i].Host)
 		}
 	}
 	fleet.Log = func(entry event.Entry) {
@@ -48,28 +48,28 @@
 	return fleet
 }
 
-func (l *lab) add(host, area string) *Core {
-	core := &Core{Host: host, Area: area, Disk: NewDisk()}
-	core.Disk.Slow(2 * time.Millisecond)
+func (l *coreFleet) addCore(host, area string) *ControlMachine {
+	core := &ControlMachine{Host: host, Zone: area, Disk: NewDisk()}
+	core.Disk.SetSyncDelay(2 * time.Millisecond)
 	l.Fleet.mu.Lock()
-	l.Cores = append(l.Cores, core)
+	l.ControlMachines = append(l.ControlMachines, core)
 	l.Fleet.mu.Unlock()
 	return core
 }
 
-// tell logs the events of the last period, to explain a failure.
-func (l *lab) tell(t *testing.T, period time.Duration) {
+// logEvents logs the events of the last period, to explain a failure.
+func (l *coreFleet) logEvents(t *testing.T, period time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, e := range l.events {
 		if time.Since(e.Time) < period {
-			t.Log(e.Time.Sub(l.from).Round(time.Millisecond), e.Name, e.Node, e.Text)
+			t.Log(e.Time.Sub(l.start).Round(time.Millisecond), e.Name, e.Node, e.Text)
 		}
 	}
 }
 
-// count returns how many events of a kind were recorded.
-func (l *lab) count(kind event.Kind) (total int) {
+// countEvents returns how many events of a kind were recorded.
+func (l *coreFleet) countEvents(kind event.Kind) (total int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, e := range l.events {
@@ -80,18 +80,18 @@
 	return total
 }
 
-// up starts all machines at once and waits for a leader.
-func (l *lab) up() time.Duration {
-	for _, c := range l.Cores {
-		l.BackCore(c)
+// startAll starts all machines at once and waits for a leader.
+func (l *coreFleet) startAll() time.Duration {
+	for _, c := range l.ControlMachines {
+		l.RestartControlMachine(c)
 	}
-	return l.Until(15*time.Second, "a store leads", func() bool { return l.Writer() != nil })
+	return l.Until(15*time.Second, "a store leads", func() bool { return l.Leader() != nil })
 }
 
-// put writes a key through the registry of a control-plane machine. It returns the
+// putKey writes a key through the registry of a control-plane machine. It returns the
 // revision, or 0 if the write was not acknowledged.
-func (l *lab) put(core *Core, key, value string) uint64 {
-	code, answer := l.Ask("PUT", core.Host+":7003", "/puffin/keys/"+key+"?left_ms=1000", fmt.Sprintf(`{"value":%q}`, value))
+func (l *coreFleet) putKey(core *ControlMachine, key, value string) uint64 {
+	code, answer := l.Request("PUT", core.Host+":7003", "/puffin/keys/"+key+"?left_ms=1000", fmt.Sprintf(`{"value":%q}`, value))
 	revision, _ := answer["rev"].(float64)
 	if code != 200 {
 		return 0
@@ -99,9 +99,9 @@
 	return uint64(revision)
 }
 
-// next measures the time until any running machine acknowledges a write that
+// timeToWrite measures the time until any running machine acknowledges a write that
 // began after the call. Every 10 ms it starts a write at each machine.
-func (l *lab) next(bound time.Duration) time.Duration {
+func (l *coreFleet) timeToWrite(bound time.Duration) time.Duration {
 	start := time.Now()
 	done := make(chan time.Duration, 1<<12)
 	ctx, cancel := context.WithTimeout(context.Background(), bound)
@@ -109,14 +109,14 @@
 	var pending sync.WaitGroup
 	took := time.Duration(0)
 	for i := 0; took == 0; i++ {
-		for _, c := range l.Cores {
+		for _, c := range l.ControlMachines {
 			if c.Registry == nil {
 				continue
 			}
 			pending.Add(1)
 			l.g.Go("next", func(context.Context) {
 				defer pending.Done()
-				if l.put(c, fmt.Sprint("next", i), "v") > 0 {
+				if l.putKey(c, fmt.Sprint("next", i), "v") > 0 {
 					done <- time.Since(start)
 				}
 			})
@@ -134,10 +134,10 @@
 	return took
 }
 
-// places returns the addresses of the voting stores, as the leader reports them.
-func (l *lab) places() map[string]bool {
+// members returns the addresses of the voting stores, as the leader reports them.
+func (l *coreFleet) members() map[string]bool {
 	members := map[string]bool{}
-	leader := l.Writer()
+	leader := l.Leader()
 	if leader == nil {
 		return members
 	}
@@ -145,22 +145,22 @@
 	list, _ := answer["members"].([]any)
 	for _, m := range list {
 		row, _ := m.(map[string]any)
-		members[host(fmt.Sprint(row["addr"]))] = true
+		members[hostOf(fmt.Sprint(row["addr"]))] = true
 	}
 	return members
 }
 
-// marks writes keys through all machines and returns the acknowledged ones with
+// writeKeys writes keys through all machines and returns the acknowledged ones with
 // their revisions.
-func (l *lab) marks(total int) map[string]uint64 {
+func (l *coreFleet) writeKeys(total int) map[string]uint64 {
 	acknowledged := map[string]uint64{}
 	for i := range total {
-		core := l.Cores[i%len(l.Cores)]
+		core := l.ControlMachines[i%len(l.ControlMachines)]
 		if core.Registry == nil {
 			continue
 		}
 		key := fmt.Sprint("mark", i)
-		if revision := l.put(core, key, key); revision > 0 {
+		if revision := l.putKey(core, key, key); revision > 0 {
 			acknowledged[key] = revision
 		}
 	}
@@ -170,12 +170,12 @@
 	return acknowledged
 }
 
-// holds fails the test if an acknowledged write can't be read back.
-func (l *lab) holds(acknowledged map[string]uint64) {
+// checkKeys fails the test if an acknowledged write can't be read back.
+func (l *coreFleet) checkKeys(acknowledged map[string]uint64) {
 	l.T.Helper()
 	for key, rev := range acknowledged {
 		found, answers := false, []string(nil)
-		for _, c := range l.Cores {
+		for _, c := range l.ControlMachines {
 			if c.Registry == nil || found {
 				continue
 			}
@@ -194,12 +194,12 @@
 
 // settled reports whether exactly the wanted number of stores vote, all voters run
 // and all stores are ready.
-func (l *lab) settled(want int) bool {
-	members, running := l.places(), 0
-	for _, c := range l.cores() {
+func (l *coreFleet) settled(want int) bool {
+	members, running := l.members(), 0
+	for _, c := range l.controlMachines() {
 		if c.Store != nil && members[c.Host] {
 			running++
 		}
 	}
-	return running == want && len(members) == want && l.coreReady()
+	return running == want && len(members) == want && l.controlPlaneReady()
 }
--- a/internal/sim/corearea_test.go
+++ b/internal/sim/corearea_test.go
@@ -31,23 +31,23 @@
 
 func (g layout) voters() int { return 2*max(g.machineLosses, g.zoneLosses, g.regionLosses) + 1 }
 
-func (g layout) lab(t *testing.T, seed uint64) *lab {
+func (g layout) lab(t *testing.T, seed uint64) *coreFleet {
 	places := strings.Fields(g.machines)
-	l := newLab(t, seed, len(places), g.machineLosses)
-	l.Stores["bear_areas"], l.Stores["bear_regions"] = json.Number(fmt.Sprint(g.zoneLosses)), json.Number(fmt.Sprint(g.regionLosses))
-	for i, c := range l.Cores {
-		c.Region, c.Area, _ = strings.Cut(places[i], "/")
+	l := newCoreFleet(t, seed, len(places), g.machineLosses)
+	l.StoreSettings["bear_areas"], l.StoreSettings["bear_regions"] = json.Number(fmt.Sprint(g.zoneLosses)), json.Number(fmt.Sprint(g.regionLosses))
+	for i, c := range l.ControlMachines {
+		c.Region, c.Zone, _ = strings.Cut(places[i], "/")
 	}
 	return l
 }
 
 // lossDomains returns the groups of machines that may be lost at once: those of each zone
 // or region.
-func (l *lab) lossDomains(placed layout) map[string][]*Core {
-	domains := map[string][]*Core{}
-	for _, c := range l.Cores {
+func (l *coreFleet) lossDomains(placed layout) map[string][]*ControlMachine {
+	domains := map[string][]*ControlMachine{}
+	for _, c := range l.ControlMachines {
 		if placed.zoneLosses > 0 {
-			domains["area "+c.Area] = append(domains["area "+c.Area], c)
+			domains["area "+c.Zone] = append(domains["area "+c.Zone], c)
 		}
 		if placed.regionLosses > 0 {
 			domains["region "+c.Region] = append(domains["region "+c.Region], c)
@@ -58,8 +58,8 @@
 
 // tolerates reports whether every machine that should vote does, and the loss of any domain
 // leaves a majority.
-func (l *lab) tolerates(placed layout) bool {
-	voters := l.places()
+func (l *coreFleet) tolerates(placed layout) bool {
+	voters := l.members()
 	for _, machines := range l.lossDomains(placed) {
 		lost := 0
 		for _, c := range machines {
@@ -80,7 +80,7 @@
 // all other machines lose power. Writes continue, or succeed once machines are back, and no
 // acknowledged write is lost.
 func TestCoreBearsAreas(t *testing.T) {
-	heavy(t)
+	skipUnderRace(t)
 	for i, placed := range layouts {
 		t.Run(placed.name, func(t *testing.T) {
 			t.Parallel()
@@ -88,11 +88,11 @@
 				synctest.Test(t, func(t *testing.T) {
 					l := placed.lab(t, uint64(i)+880)
 					defer l.Stop()
-					l.up()
-					elapsed := l.Until(8*time.Second, "the control plane tolerates the losses that it must", func() bool { return l.tolerates(placed) && l.coreReady() })
+					l.startAll()
+					elapsed := l.Until(8*time.Second, "the control plane tolerates the losses that it must", func() bool { return l.tolerates(placed) && l.controlPlaneReady() })
 					Wait(4 * time.Second)
-					added := placed.voters() - min(3, len(l.Cores))
-					if changes := l.count(event.Replaced); changes < added || changes > added+placed.extraChanges {
+					added := placed.voters() - min(3, len(l.ControlMachines))
+					if changes := l.countEvents(event.Replaced); changes < added || changes > added+placed.extraChanges {
 						t.Errorf("the membership changed %d times", changes)
 					}
 					t.Logf("fault-tolerant %v after the first leader was elected", elapsed.Round(10*time.Millisecond))
@@ -105,15 +105,15 @@
 	}
 }
 
-func (l *lab) loseDomain(t *testing.T, placed layout, name, failure string, lost []*Core) {
-	expected := l.marks(20)
+func (l *coreFleet) loseDomain(t *testing.T, placed layout, name, failure string, lost []*ControlMachine) {
+	expected := l.writeKeys(20)
 	stopped := lost
 	if strings.Contains(failure, "others") {
-		stopped = l.Cores
+		stopped = l.ControlMachines
 	}
-	l.Stores["founding"] = false
+	l.StoreSettings["founding"] = false
 	for _, c := range stopped {
-		l.KillCore(c, true)
+		l.KillControlMachine(c, true)
 	}
 	if failure != "power" {
 		for _, c := range lost {
@@ -121,18 +121,18 @@
 		}
 	}
 	if len(stopped) == len(lost) {
-		if elapsed := l.next(4 * time.Second); elapsed > 1500*time.Millisecond {
+		if elapsed := l.timeToWrite(4 * time.Second); elapsed > 1500*time.Millisecond {
 			t.Errorf("%s lost its %s: the next write succeeded after %v", name, failure, elapsed)
 		}
-		l.holds(expected)
+		l.checkKeys(expected)
 	}
 	Wait(time.Second)
 	for _, c := range stopped {
-		l.BackCore(c)
+		l.RestartControlMachine(c)
 	}
-	l.next(8 * time.Second)
-	l.holds(expected)
-	l.Until(12*time.Second, name+" is back after the loss of its "+failure, func() bool { return l.tolerates(placed) && l.coreReady() })
+	l.timeToWrite(8 * time.Second)
+	l.checkKeys(expected)
+	l.Until(12*time.Second, name+" is back after the loss of its "+failure, func() bool { return l.tolerates(placed) && l.controlPlaneReady() })
 }
 
 // TestTooFewZonesReported checks that a control plane in too few zones to tolerate the loss
@@ -143,8 +143,8 @@
 		placed := layout{"two areas", "a/x a/x a/x a/y a/y", 1, 1, 0, 0}
 		l := placed.lab(t, 899)
 		defer l.Stop()
-		l.up()
-		l.Until(8*time.Second, "three machines vote", func() bool { return len(l.places()) == 3 })
-		l.Until(20*time.Second, "the missing fault tolerance is reported", func() bool { return l.count(event.TooFewStores) > 0 })
+		l.startAll()
+		l.Until(8*time.Second, "three machines vote", func() bool { return len(l.members()) == 3 })
+		l.Until(20*time.Second, "the missing fault tolerance is reported", func() bool { return l.countEvents(event.TooFewStores) > 0 })
 	})
 }
--- a/internal/sim/coredisk_test.go
+++ b/internal/sim/coredisk_test.go
@@ -12,29 +12,29 @@
 	name     string
 	do, undo func(d *Disk)
 }{
-	{"hangs", func(d *Disk) { d.Hang("", true) }, func(d *Disk) { d.Hang("", false) }},
-	{"hangs at a checkpoint", func(d *Disk) { d.Hang("c-", true) }, func(d *Disk) { d.Hang("", false) }},
-	{"slow", func(d *Disk) { d.Slow(700 * time.Millisecond) }, func(d *Disk) { d.Slow(2 * time.Millisecond) }},
-	{"full", func(d *Disk) { d.Room(10) }, func(d *Disk) { d.Room(-1) }},
-	{"refuses", func(d *Disk) { d.Deny(true) }, func(d *Disk) { d.Deny(false) }},
+	{"hangs", func(d *Disk) { d.HangSyncs("", true) }, func(d *Disk) { d.HangSyncs("", false) }},
+	{"hangs at a checkpoint", func(d *Disk) { d.HangSyncs("c-", true) }, func(d *Disk) { d.HangSyncs("", false) }},
+	{"slow", func(d *Disk) { d.SetSyncDelay(700 * time.Millisecond) }, func(d *Disk) { d.SetSyncDelay(2 * time.Millisecond) }},
+	{"full", func(d *Disk) { d.LimitFreeBytes(10) }, func(d *Disk) { d.LimitFreeBytes(-1) }},
+	{"refuses", func(d *Disk) { d.FailWrites(true) }, func(d *Disk) { d.FailWrites(false) }},
 }
 
 // writeGaps writes continuously for a duration, and returns the longest time between two
 // acknowledgements and the number of writes.
-func (l *lab) writeGaps(duration time.Duration) (longest time.Duration, writes int) {
+func (l *coreFleet) writeGaps(duration time.Duration) (longest time.Duration, writes int) {
 	for start := time.Now(); time.Since(start) < duration; writes++ {
-		longest = max(longest, l.next(5*time.Second))
+		longest = max(longest, l.timeToWrite(5*time.Second))
 	}
 	return longest, writes
 }
 
 // pickFailing picks the leader, if withLeader is set, and followers.
-func (l *lab) pickFailing(count int, withLeader bool) (picked []*Core) {
-	leader := l.mark(l.Writer())
+func (l *coreFleet) pickFailing(count int, withLeader bool) (picked []*ControlMachine) {
+	leader := l.markFaulted(l.Leader())
 	if withLeader {
 		picked = append(picked, leader)
 	}
-	for _, c := range l.Cores {
+	for _, c := range l.ControlMachines {
 		if c != leader && len(picked) < count {
 			picked = append(picked, c)
 		}
@@ -49,7 +49,7 @@
 // its disk. A power loss everywhere at the end shows that nothing was acknowledged before
 // it was synced.
 func TestDiskFaults(t *testing.T) {
-	heavy(t)
+	skipUnderRace(t)
 	for i, fault := range diskFaults {
 		for _, setup := range []struct {
 			machines, failing int
@@ -58,15 +58,15 @@
 			t.Run(fmt.Sprintf("%s, %d of %d, writer %v", fault.name, setup.failing, setup.machines, setup.withLeader), func(t *testing.T) {
 				t.Parallel()
 				synctest.Test(t, func(t *testing.T) {
-					l := newLab(t, uint64(700+i), setup.machines, setup.machines/2)
+					l := newCoreFleet(t, uint64(700+i), setup.machines, setup.machines/2)
 					defer l.Stop()
-					l.from = time.Now()
-					l.up()
-					l.Stores["founding"] = false
+					l.start = time.Now()
+					l.startAll()
+					l.StoreSettings["founding"] = false
 					l.Until(4*time.Second, "all machines are members", func() bool { return l.settled(setup.machines) })
 					// Several hundred log entries, so that a snapshot is due during the
 					// fault.
-					expected := l.marks(20)
+					expected := l.writeKeys(20)
 					l.writeGaps(2 * time.Second)
 					failing := l.pickFailing(setup.failing, setup.withLeader)
 					for _, machine := range failing {
@@ -80,24 +80,24 @@
 					}
 					if longest > bound {
 						t.Errorf("no write succeeded for %v", longest)
-						l.tell(t, 9*time.Second)
+						l.logEvents(t, 9*time.Second)
 					}
-					for key, rev := range l.marks(20) {
+					for key, rev := range l.writeKeys(20) {
 						expected[key] = rev
 					}
 					for _, machine := range failing {
 						fault.undo(machine.Disk)
 					}
 					l.Until(6*time.Second, "all stores have recovered", func() bool { return l.settled(setup.machines) })
-					l.next(2 * time.Second)
-					for _, machine := range l.Cores {
-						l.KillCore(machine, true)
+					l.timeToWrite(2 * time.Second)
+					for _, machine := range l.ControlMachines {
+						l.KillControlMachine(machine, true)
 					}
-					for _, machine := range l.Cores {
-						l.BackCore(machine)
+					for _, machine := range l.ControlMachines {
+						l.RestartControlMachine(machine)
 					}
-					l.next(10 * time.Second)
-					l.holds(expected)
+					l.timeToWrite(10 * time.Second)
+					l.checkKeys(expected)
 				})
 			})
 		}
@@ -107,21 +107,21 @@
 // TestFullDiskFreed checks that a disk that stays full is freed by a snapshot, for which
 // space was reserved. The store recovers without help.
 func TestFullDiskFreed(t *testing.T) {
-	heavy(t)
+	skipUnderRace(t)
 	synctest.Test(t, func(t *testing.T) {
-		l := newLab(t, 720, 3, 1)
+		l := newCoreFleet(t, 720, 3, 1)
 		defer l.Stop()
-		l.from = time.Now()
-		l.up()
+		l.start = time.Now()
+		l.startAll()
 		l.writeGaps(8 * time.Second)
-		leader := l.mark(l.Writer())
-		leader.Disk.Room(10)
+		leader := l.markFaulted(l.Leader())
+		leader.Disk.LimitFreeBytes(10)
 		longest, _ := l.writeGaps(3 * time.Second)
-		l.Until(8*time.Second, "the store with the full disk has recovered", func() bool { return l.coreReady() && len(l.places()) == 3 })
+		l.Until(8*time.Second, "the store with the full disk has recovered", func() bool { return l.controlPlaneReady() && len(l.members()) == 3 })
 		t.Logf("the longest gap %v", longest.Round(time.Millisecond))
 		if code, got := l.Get(leader.Host+":7004", "/puffin/ready"); code != 200 || got["disk_ill"] == true {
 			t.Errorf("the store with the full disk reports %v", got)
-			l.tell(t, 12*time.Second)
+			l.logEvents(t, 12*time.Second)
 		}
 	})
 }
--- a/internal/sim/corefive_test.go
+++ b/internal/sim/corefive_test.go
@@ -13,20 +13,20 @@
 
 // startFive starts a control plane of five voters that tolerates two losses, and returns it
 // with acknowledged writes.
-func startFive(t *testing.T, seed uint64) (*lab, map[string]uint64) {
-	l := newLab(t, seed, 5, 2)
-	l.from = time.Now()
-	l.up()
+func startFive(t *testing.T, seed uint64) (*coreFleet, map[string]uint64) {
+	l := newCoreFleet(t, seed, 5, 2)
+	l.start = time.Now()
+	l.startAll()
 	l.Until(4*time.Second, "all machines are members", func() bool { return l.settled(5) })
-	l.Stores["founding"] = false
+	l.StoreSettings["founding"] = false
 	Wait(time.Second)
-	return l, l.marks(25)
+	return l, l.writeKeys(25)
 }
 
 // pickTwo draws two voters, with the leader among them for even seeds.
-func (l *lab) pickTwo(rnd *rand.Rand, seed uint64) (picked []*Core) {
-	leader := l.mark(l.Writer())
-	all := slices.Clone(l.Cores)
+func (l *coreFleet) pickTwo(rnd *rand.Rand, seed uint64) (picked []*ControlMachine) {
+	leader := l.markFaulted(l.Leader())
+	all := slices.Clone(l.ControlMachines)
 	rnd.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
 	if seed%2 == 0 {
 		picked = append(picked, leader)
@@ -44,54 +44,56 @@
 var fiveFaults = []struct {
 	name  string
 	bound time.Duration // on the time until the next write
-	do    func(l *lab, rnd *rand.Rand, seed uint64, expected map[string]uint64)
+	do    func(l *coreFleet, rnd *rand.Rand, seed uint64, expected map[string]uint64)
 }{
-	{"two lost while an empty one joins", 2500 * time.Millisecond, func(l *lab, rnd *rand.Rand, seed uint64, _ map[string]uint64) {
+	{"two lost while an empty one joins", 2500 * time.Millisecond, func(l *coreFleet, rnd *rand.Rand, seed uint64, _ map[string]uint64) {
 		two := l.pickTwo(rnd, seed)
-		l.KillCore(two[0], true)
+		l.KillControlMachine(two[0], true)
 		Wait(time.Duration(rnd.IntN(1500)) * time.Millisecond)
-		l.BackCore(l.fresh(two[0]))
+		l.RestartControlMachine(l.addReplacement(two[0]))
 		// At a random point of the new machine's way from empty to voter.
 		Wait(time.Duration(rnd.IntN(1200)) * time.Millisecond)
-		l.KillCore(two[1], true)
-		l.BackCore(l.fresh(two[1]))
+		l.KillControlMachine(two[1], true)
+		l.RestartControlMachine(l.addReplacement(two[1]))
 	}},
-	{"both replaced at new addresses", 2 * time.Second, func(l *lab, rnd *rand.Rand, seed uint64, _ map[string]uint64) {
+	{"both replaced at new addresses", 2 * time.Second, func(l *coreFleet, rnd *rand.Rand, seed uint64, _ map[string]uint64) {
 		for _, c := range l.pickTwo(rnd, seed) {
 			l.Net.Isolate(c.Host, true)
-			l.KillCore(c, true)
-			l.BackCore(l.fresh(c))
+			l.KillControlMachine(c, true)
+			l.RestartControlMachine(l.addReplacement(c))
 		}
 	}},
-	{"two wiped, all others without power", 2500 * time.Millisecond, func(l *lab, rnd *rand.Rand, seed uint64, expected map[string]uint64) {
+	{"two wiped, all others without power", 2500 * time.Millisecond, func(l *coreFleet, rnd *rand.Rand, seed uint64, expected map[string]uint64) {
 		two := l.pickTwo(rnd, seed)
 		// Acknowledged just before, at a machine whose disk is lost.
-		if rev := l.put(two[0], "last", "last"); rev > 0 {
+		if rev := l.putKey(two[0], "last", "last"); rev > 0 {
 			expected["last"] = rev
 		}
-		for _, c := range l.Cores {
-			l.KillCore(c, true)
+		for _, c := range l.ControlMachines {
+			l.KillControlMachine(c, true)
 			if slices.Contains(two, c) {
 				c.Disk.Wipe()
 			}
 		}
 		Wait(time.Duration(rnd.IntN(700)) * time.Millisecond)
-		rnd.Shuffle(5, func(i, j int) { l.Cores[i], l.Cores[j] = l.Cores[j], l.Cores[i] })
-		for _, c := range l.Cores {
-			l.BackCore(c)
+		rnd.Shuffle(5, func(i, j int) {
+			l.ControlMachines[i], l.ControlMachines[j] = l.ControlMachines[j], l.ControlMachines[i]
+		})
+		for _, c := range l.ControlMachines {
+			l.RestartControlMachine(c)
 			Wait(time.Duration(rnd.IntN(100)) * time.Millisecond)
 		}
 	}},
-	{"all killed, back within a second", 500 * time.Millisecond, func(l *lab, rnd *rand.Rand, _ uint64, expected map[string]uint64) {
-		if rev := l.put(l.Cores[rnd.IntN(5)], "last", "last"); rev > 0 {
+	{"all killed, back within a second", 500 * time.Millisecond, func(l *coreFleet, rnd *rand.Rand, _ uint64, expected map[string]uint64) {
+		if rev := l.putKey(l.ControlMachines[rnd.IntN(5)], "last", "last"); rev > 0 {
 			expected["last"] = rev
 		}
-		for _, c := range l.Cores {
-			l.KillCore(c, false)
+		for _, c := range l.ControlMachines {
+			l.KillControlMachine(c, false)
 		}
 		Wait(time.Duration(200+rnd.IntN(800)) * time.Millisecond)
-		for _, c := range l.Cores {
-			l.BackCore(c)
+		for _, c := range l.ControlMachines {
+			l.RestartControlMachine(c)
 		}
 	}},
 }
@@ -100,7 +102,7 @@
 // Writes continue within a bound, numbers only rise, no acknowledged write is lost, and
 // five machines vote again shortly after catch_up_ms.
 func TestFiveVotersTolerateTwoLosses(t *testing.T) {
-	heavy(t)
+	skipUnderRace(t)
 	for i, fault := range fiveFaults {
 		t.Run(fault.name, func(t *testing.T) {
 			t.Parallel()
@@ -110,14 +112,14 @@
 					defer l.Stop()
 					defer func() {
 						if t.Failed() {
-							t.Log(seed, l.places())
-							l.tell(t, 12*time.Second)
+							t.Log(seed, l.members())
+							l.logEvents(t, 12*time.Second)
 						}
 					}()
 					rnd := rand.New(rand.NewPCG(seed, uint64(i)))
-					stopCounting := l.counts(rand.New(rand.NewPCG(seed, 8)))
+					stopCounting := l.takeNumbers(rand.New(rand.NewPCG(seed, 8)))
 					fault.do(l, rnd, seed, expected)
-					elapsed := l.next(8 * time.Second)
+					elapsed := l.timeToWrite(8 * time.Second)
 					restored := l.Until(6*time.Second, "five machines vote again", func() bool { return l.settled(5) })
 					t.Logf("seed %d: the next write after %v, five machines vote %v later", seed, elapsed.Round(time.Millisecond), restored.Round(time.Millisecond))
 					if elapsed > fault.bound {
@@ -125,7 +127,7 @@
 					}
 					Wait(time.Second)
 					stopCounting()
-					l.holds(expected)
+					l.checkKeys(expected)
 				})
 			}
 		})
@@ -133,9 +135,9 @@
 }
 
 // partition cuts a minority off from the other machines, or joins them again.
-func (l *lab) partition(minority []*Core, on bool) {
+func (l *coreFleet) partition(minority []*ControlMachine, on bool) {
 	for _, a := range minority {
-		for _, b := range l.Cores {
+		for _, b := range l.ControlMachines {
 			if !slices.Contains(minority, b) {
 				l.Net.Cut(a.Host, b.Host, on)
 				l.Net.Cut(b.Host, a.Host, on)
@@ -149,7 +151,7 @@
 // nothing and returns no stale values. No write that either side refused ever becomes
 // visible.
 func TestFiveVotersPartitioned(t *testing.T) {
-	heavy(t)
+	skipUnderRace(t)
 	for seed := range seeds(6) {
 		synctest.Test(t, func(t *testing.T) {
 			l, expected := startFive(t, 820+seed)
@@ -162,12 +164,12 @@
 			var pending sync.WaitGroup
 			refused, minorityAnswers, majorityAnswers := map[string]bool{}, 0, 0
 			for i := range 150 {
-				for j, c := range l.Cores {
+				for j, c := range l.ControlMachines {
 					pending.Add(1)
 					l.g.Go("cut-put", func(context.Context) {
 						defer pending.Done()
 						key := fmt.Sprintf("cut%d-%d", j, i)
-						code, got := l.Ask("PUT", c.Host+":7003", "/puffin/keys/"+key+"?left_ms=900", fmt.Sprintf(`{"value":%q}`, key))
+						code, got := l.Request("PUT", c.Host+":7003", "/puffin/keys/"+key+"?left_ms=900", fmt.Sprintf(`{"value":%q}`, key))
 						oldStatus, _ := l.Get(c.Host+":7003", "/puffin/keys/mark1?left_ms=900")
 						mu.Lock()
 						defer mu.Unlock()
@@ -187,18 +189,18 @@
 			}
 			pending.Wait()
 			l.partition(minority, false)
-			elapsed := l.next(4 * time.Second)
+			elapsed := l.timeToWrite(4 * time.Second)
 			t.Logf("seed %d: the majority answered %d, the minority %d, %d were refused; the next write %v after the partition", seed, majorityAnswers, minorityAnswers, len(refused), elapsed.Round(time.Millisecond))
 			if minorityAnswers > 0 || majorityAnswers < 440 || len(refused) < 100 {
 				t.Errorf("the minority answered %d, the majority %d of 450, %d were refused", minorityAnswers, majorityAnswers, len(refused))
 			}
 			l.Until(4*time.Second, "all stores are ready", func() bool { return l.settled(5) })
 			for key := range refused {
-				if code, got := l.Get(l.Cores[0].Host+":7003", "/puffin/keys/"+key); code != 404 {
+				if code, got := l.Get(l.ControlMachines[0].Host+":7003", "/puffin/keys/"+key); code != 404 {
 					t.Errorf("%s was refused, but is visible: %d %v", key, code, got)
 				}
 			}
-			l.holds(expected)
+			l.checkKeys(expected)
 		})
 	}
 }
--- a/internal/sim/coregone_test.go
+++ b/internal/sim/coregone_test.go
@@ -12,18 +12,18 @@
 // their processes. If wiped is set, as many disks are lost as the control plane tolerates,
 // the leader's among them.
 func (f *Fleet) stopControlPlane(powerLost, wiped bool) {
-	leader := f.mark(f.Writer())
-	lost := []*Core{leader}
-	for _, c := range f.Cores {
-		if c != leader && len(lost) < len(f.Cores)/2 {
+	leader := f.markFaulted(f.Leader())
+	lost := []*ControlMachine{leader}
+	for _, c := range f.ControlMachines {
+		if c != leader && len(lost) < len(f.ControlMachines)/2 {
 			lost = append(lost, c)
 		}
 	}
-	for _, c := range f.Cores {
+	for _, c := range f.ControlMachines {
 		if powerLost {
 			f.Net.Isolate(c.Host, true)
 		}
-		f.KillCore(c, powerLost)
+		f.KillControlMachine(c, powerLost)
 	}
 	for _, c := range lost {
 		if wiped {
@@ -35,12 +35,12 @@
 // restartControlPlane restarts all machines and returns the time until a store is the
 // leader.
 func (f *Fleet) restartControlPlane() time.Duration {
-	for _, c := range f.Cores {
+	for _, c := range f.ControlMachines {
 		f.Net.Isolate(c.Host, false)
-		f.BackCore(c)
+		f.RestartControlMachine(c)
 	}
 	start := time.Now()
-	for f.Writer() == nil && time.Since(start) < 15*time.Second {
+	for f.Leader() == nil && time.Since(start) < 15*time.Second {
 		Wait(5 * time.Millisecond)
 	}
 	return time.Since(start)
@@ -50,7 +50,7 @@
 // number of calls, and how many were not answered with 200.
 func (f *Fleet) slowest(from, to time.Time) (longest map[string]time.Duration, all, failed int) {
 	longest = map[string]time.Duration{}
-	for _, c := range f.Obs.Calls() {
+	for _, c := range f.Observer.Calls() {
 		if c.From.Before(from) || c.From.After(to) {
 			continue
 		}
@@ -88,37 +88,37 @@
 					shape := Fumettoteca(0.2)
 					shape.Nodes = 6
 					f := NewFleet(t, shape, 740+seed*10+uint64(i))
-					f.Told = tight
-					for i := len(f.Cores); i < c.machines; i++ {
-						f.Cores = append(f.Cores, &Core{Host: fmt.Sprint("10.0.0.", 50+i), Area: Areas[i%3], Disk: NewDisk()})
-						f.Stores = map[string]any{"bear": json.Number(fmt.Sprint(c.machines / 2))}
+					f.Settings = tightBounds
+					for i := len(f.ControlMachines); i < c.machines; i++ {
+						f.ControlMachines = append(f.ControlMachines, &ControlMachine{Host: fmt.Sprint("10.0.0.", 50+i), Zone: Zones[i%3], Disk: NewDisk()})
+						f.StoreSettings = map[string]any{"bear": json.Number(fmt.Sprint(c.machines / 2))}
 					}
 					defer f.Stop()
 					f.Start()
-					expected := f.keep()
+					expected := f.recordState()
 					waitForLoad := f.Load(shape.Lines, 6*time.Second+c.downtime)
 					Wait(3 * time.Second)
-					code, version := f.Apply(f.Cores[1].Host+":7003", 1, shape.Doc)
+					code, version := f.Apply(f.ControlMachines[1].Host+":7003", 1, shape.Config)
 					if code != 200 {
 						t.Fatalf("the change was answered %d", code)
 					}
 					expected.version = float64(version)
 					before, _, _ := f.slowest(time.Now().Add(-2*time.Second), time.Now())
-					if f.Stores == nil {
-						f.Stores = map[string]any{}
+					if f.StoreSettings == nil {
+						f.StoreSettings = map[string]any{}
 					}
-					f.Stores["founding"] = false
+					f.StoreSettings["founding"] = false
 					lostAt := time.Now()
 					f.stopControlPlane(c.powerLost, c.wiped)
 					Wait(c.downtime)
 					elapsed := f.restartControlPlane()
 					backAt := time.Now()
-					f.Until(5*time.Second, "all proxies are ready and know all workers again", f.Whole)
+					f.Until(5*time.Second, "all proxies are ready and know all workers again", f.Converged)
 					t.Logf("seed %d: a leader %v after the restart, all proxies ready %v later", seed, elapsed.Round(time.Millisecond), time.Since(backAt).Round(time.Millisecond))
 					if elapsed > 400*time.Millisecond {
 						t.Errorf("no leader for %v after the restart", elapsed)
 					}
-					f.still(expected)
+					f.checkState(expected)
 					waitForLoad()
 					during, all, failed := f.slowest(lostAt, backAt)
 					t.Logf("%d requests during the outage, %d without 200; slowest %v, before %v", all, failed, during, before)
@@ -139,7 +139,7 @@
 							t.Errorf("%s has version %v, but %v was acknowledged", n.Host, got, expected.version)
 						}
 					}
-					f.Judge()
+					f.CheckInvariants()
 				})
 			}
 		})
--- a/internal/sim/cuts.go
+++ b/internal/sim/cuts.go
@@ -24,18 +24,18 @@
 func (n *Net) Isolate(hostName string, on bool) {
 	n.mu.Lock()
 	var others []string
-	for other := range n.areas {
+	for other := range n.zones {
 		if other != hostName {
 			others = append(others, other)
 		}
 	}
 	n.mu.Unlock()
-	n.Part(hostName, others, on)
+	n.Partition(hostName, others, on)
 }
 
-// Part blocks or unblocks traffic between a host and several others, in both directions.
+// Partition blocks or unblocks traffic between a host and several others, in both directions.
 // All directions change together, because each change wakes every blocked reader.
-func (n *Net) Part(hostName string, others []string, on bool) {
+func (n *Net) Partition(hostName string, others []string, on bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, other := range others {
--- a/internal/sim/dayconfigfaults_test.go
+++ b/internal/sim/dayconfigfaults_test.go
@@ -8,22 +8,22 @@
 	"puffincrank/internal/standin/actors"
 )
 
-// next returns the draft of the next configuration; numbers rise in random steps.
-func (a act) next() *actors.Draft {
-	a.smu.Lock()
-	defer a.smu.Unlock()
+// nextDraft returns the draft of the next configuration; numbers rise in random steps.
+func (a faultRun) nextDraft() *actors.Draft {
+	a.siteMu.Lock()
+	defer a.siteMu.Unlock()
 	draft := a.draft.Copy()
 	draft.Number += 1 + uint64(a.IntN(5))
 	a.draft = draft
 	return draft
 }
 
-// alter changes one random thing in a draft: the services of a route, its timeout, or
+// changeDraft changes one random thing in a draft: the services of a route, its timeout, or
 // the list of routes.
-func (a act) alter(draft *actors.Draft) {
-	original := a.d.draft(0)
-	route := &draft.Ways[a.IntN(len(original.Ways))]
-	one, two := a.d.services[a.IntN(len(a.d.services))], a.d.services[a.IntN(len(a.d.services))]
+func (a faultRun) changeDraft(draft *actors.Draft) {
+	original := a.deployment.draft(0)
+	route := &draft.Routes[a.IntN(len(original.Routes))]
+	one, two := a.deployment.services[a.IntN(len(a.deployment.services))], a.deployment.services[a.IntN(len(a.deployment.services))]
 	switch a.IntN(5) {
 	case 0:
 		route.Split = map[string]int{one: 1}
@@ -32,38 +32,38 @@
 			route.Split = map[string]int{one: 90, two: 10}
 		}
 	case 2:
-		route.Left = route.Left * time.Duration(60+a.IntN(80)) / 100
+		route.Timeout = route.Timeout * time.Duration(60+a.IntN(80)) / 100
 	case 3:
-		a.grow(draft, 1+a.IntN(2))
+		a.addRoutes(draft, 1+a.IntN(2))
 	default:
 		// Restore the original routes and remove the last added one.
-		copy(draft.Ways, original.Ways)
-		if count := len(draft.Ways); count > len(original.Ways) {
-			a.removeRoute(draft.Ways[count-1])
-			draft.Ways = draft.Ways[:count-1]
+		copy(draft.Routes, original.Routes)
+		if count := len(draft.Routes); count > len(original.Routes) {
+			a.removeRoute(draft.Routes[count-1])
+			draft.Routes = draft.Routes[:count-1]
 		}
 	}
 }
 
-// grow adds new routes to a draft.
-func (a act) grow(draft *actors.Draft, count int) {
+// addRoutes adds new routes to a draft.
+func (a faultRun) addRoutes(draft *actors.Draft, count int) {
 	for range count {
-		a.smu.Lock()
-		a.extra++
-		route := actors.Way{Name: fmt.Sprint("x", a.extra), Host: draft.Ways[0].Host, Prefix: fmt.Sprintf("/x%d-%d/", a.extra, a.IntN(1000)), Repeat: "safe",
-			Split: map[string]int{a.d.services[a.IntN(len(a.d.services))]: 1}, Left: time.Second, Aim: 300 * time.Millisecond, Tries: 2, Rank: 2}
-		a.added = append(a.added, route)
-		a.smu.Unlock()
-		draft.Ways = append(draft.Ways, route)
+		a.siteMu.Lock()
+		a.extraRoutes++
+		route := actors.RouteDraft{Name: fmt.Sprint("x", a.extraRoutes), Host: draft.Routes[0].Host, Prefix: fmt.Sprintf("/x%d-%d/", a.extraRoutes, a.IntN(1000)), RetryMode: "safe",
+			Split: map[string]int{a.deployment.services[a.IntN(len(a.deployment.services))]: 1}, Timeout: time.Second, TargetLatency: 300 * time.Millisecond, MaxAttempts: 2, Priority: 2}
+		a.addedRoutes = append(a.addedRoutes, route)
+		a.siteMu.Unlock()
+		draft.Routes = append(draft.Routes, route)
 	}
 }
 
-func (a act) removeRoute(route actors.Way) {
-	a.smu.Lock()
-	defer a.smu.Unlock()
-	for i, o := range a.added {
+func (a faultRun) removeRoute(route actors.RouteDraft) {
+	a.siteMu.Lock()
+	defer a.siteMu.Unlock()
+	for i, o := range a.addedRoutes {
 		if o.Prefix == route.Prefix {
-			a.added = append(a.added[:i], a.added[i+1:]...)
+			a.addedRoutes = append(a.addedRoutes[:i], a.addedRoutes[i+1:]...)
 			return
 		}
 	}
@@ -71,28 +71,28 @@
 
 // probe sends requests for the given routes and for a path that never had a route
 // to a few machines that serve clients.
-func (a act) probe(routes ...actors.Way) {
-	routes = append(routes, actors.Way{Host: a.draft.Ways[0].Host, Prefix: fmt.Sprintf("/never%d/", a.IntN(1000))})
+func (a faultRun) probe(routes ...actors.RouteDraft) {
+	routes = append(routes, actors.RouteDraft{Host: a.draft.Routes[0].Host, Prefix: fmt.Sprintf("/never%d/", a.IntN(1000))})
 	for range 4 {
 		m := a.all()[a.IntN(len(a.all()))]
-		if m.c.Out.Load() {
+		if m.client.Paused.Load() {
 			continue
 		}
 		for _, w := range routes {
-			line := &actors.Line{Kind: "probe", Host: w.Host, Method: "GET", Prefix: w.Prefix, Repeat: true, Back: 50, Work: ms(10), Left: time.Second}
-			a.g.Go("probe", func(ctx context.Context) { m.c.Probe(ctx, line) })
+			line := &actors.RequestKind{Kind: "probe", Host: w.Host, Method: "GET", Prefix: w.Prefix, Retryable: true, AnswerSize: 50, WorkTime: ms(10), Timeout: time.Second}
+			a.g.Go("probe", func(ctx context.Context) { m.client.Probe(ctx, line) })
 		}
 		Wait(a.ms(50, 700))
 	}
 }
 
 // addedRoutes lists the routes of a draft that an older one lacks.
-func addedRoutes(draft, old *actors.Draft) (added []actors.Way) {
+func addedRoutes(draft, old *actors.Draft) (added []actors.RouteDraft) {
 	known := map[string]bool{}
-	for _, w := range old.Ways {
+	for _, w := range old.Routes {
 		known[w.Prefix] = true
 	}
-	for _, w := range draft.Ways {
+	for _, w := range draft.Routes {
 		if !known[w.Prefix] {
 			added = append(added, w)
 		}
@@ -100,25 +100,25 @@
 	return added
 }
 
-var docTroubles = []trouble{
-	{"change", none, func(a act) {
+var configFaults = []dayFault{
+	{"change", noCore, func(a faultRun) {
 		for range 1 + a.IntN(3) {
 			old := a.draft
-			draft := a.next()
-			a.alter(draft)
+			draft := a.nextDraft()
+			a.changeDraft(draft)
 			accepted := a.op.Send(a.g.Context(), draft, "", "")
 			a.say("configuration %d sent, accepted %v", draft.Number, accepted)
 			a.probe(append(addedRoutes(draft, old), addedRoutes(old, draft)...)...)
 			Wait(a.ms(200, 2500))
 		}
 	}},
-	{"race", none, func(a act) {
-		first, second := a.next(), a.next()
+	{"race", noCore, func(a faultRun) {
+		first, second := a.nextDraft(), a.nextDraft()
 		if a.IntN(2) == 0 {
 			second.Number = first.Number
 		}
-		a.alter(first)
-		a.alter(second)
+		a.changeDraft(first)
+		a.changeDraft(second)
 		a.say("configurations %d and %d sent at once", first.Number, second.Number)
 		done := make(chan struct{}, 2)
 		for _, draft := range []*actors.Draft{first, second} {
@@ -128,26 +128,26 @@
 		<-done
 		a.probe()
 	}},
-	{"broken", none, func(a act) {
+	{"broken", noCore, func(a faultRun) {
 		for range 1 + a.IntN(3) {
-			breakage := actors.Breaks[a.IntN(len(actors.Breaks))]
-			draft := a.next()
-			a.alter(draft)
+			breakage := actors.InvalidDocuments[a.IntN(len(actors.InvalidDocuments))]
+			draft := a.nextDraft()
+			a.changeDraft(draft)
 			a.say("configuration %d is invalid: %s", draft.Number, breakage.Name)
 			a.op.Send(a.g.Context(), draft, breakage.Of(draft), breakage.Name)
 			a.probe()
 		}
 	}},
-	{"again", none, func(a act) {
+	{"again", noCore, func(a faultRun) {
 		a.say("an older configuration is sent again")
-		a.op.Again(a.g.Context())
+		a.op.Resend(a.g.Context())
 	}},
-	{"read", none, func(a act) { a.op.Read(a.g.Context(), 3*time.Second, false) }},
-	{"big", none, func(a act) {
-		draft := a.next()
-		a.grow(draft, 30)
+	{"read", noCore, func(a faultRun) { a.op.ReadBack(a.g.Context(), 3*time.Second, false) }},
+	{"big", noCore, func(a faultRun) {
+		draft := a.nextDraft()
+		a.addRoutes(draft, 30)
 		accepted := a.op.Send(a.g.Context(), draft, "", "")
 		a.say("configuration %d with 30 more routes sent, accepted %v", draft.Number, accepted)
-		a.probe(addedRoutes(draft, a.site.d.draft(0))[:3]...)
+		a.probe(addedRoutes(draft, a.site.deployment.draft(0))[:3]...)
 	}},
 }
--- a/internal/sim/delayeddelivery_test.go
+++ b/internal/sim/delayeddelivery_test.go
@@ -19,12 +19,12 @@
 func TestDelayedDelivery(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
-		f := NewFleet(t, small(), 390)
+		f := NewFleet(t, smallShape(), 390)
 		defer f.Stop()
 		f.Start()
 		n := f.Nodes[0]
-		line := f.S.Lines[0]
-		for _, l := range f.S.Lines {
+		line := f.Shape.Lines[0]
+		for _, l := range f.Shape.Lines {
 			if l.Service == n.Worker.Service {
 				line = l
 			}
@@ -33,7 +33,7 @@
 		// The idle limit of an hour keeps its links open for the whole test.
 		ingress := transport.NewNode(transport.Hello{ClusterID: "puffin", Node: "held", Zone: "north", Role: "proxy"}, f.env("held", "10.0.9.5", "north", &n.skew), tasks, 1<<20, 4, time.Hour)
 		class := ""
-		for _, p := range Read(f.S.Doc)["paths"].([]any) {
+		for _, p := range ParseConfig(f.Shape.Config)["paths"].([]any) {
 			if p := p.(map[string]any); p["service"] == line.Service {
 				class, _ = p["class"].(string)
 			}
--- a/internal/sim/disk.go
+++ b/internal/sim/disk.go
@@ -16,13 +16,13 @@
 // Disk is an in-memory directory that distinguishes synced bytes from unsynced ones.
 type Disk struct {
 	mu          sync.Mutex
-	now         map[string]*node // the contents that the process sees
-	safe        map[string]*node // the directory as of its last sync
+	files       map[string]*node // the contents that the process sees
+	durable     map[string]*node // the directory as of its last sync
 	syncDelay   time.Duration
 	freeBytes   int // bytes that can still be written if limited is set
 	limited     bool
 	Syncs       int
-	ice         *pauseGate // of the process that uses the disk
+	pauseGate   *pauseGate // of the process that uses the disk
 	syncGate    *pauseGate // holds back the syncs of files whose names begin with heldPrefix
 	heldPrefix  string     // prefix of the names of files whose syncs can hang
 	failing     bool
@@ -30,13 +30,13 @@
 }
 
 type node struct {
-	data  []byte
-	saved []byte
+	data   []byte
+	synced []byte
 }
 
 // NewDisk returns an empty disk.
 func NewDisk() *Disk {
-	return &Disk{ice: &pauseGate{}, syncGate: &pauseGate{}, now: map[string]*node{}, safe: map[string]*node{}}
+	return &Disk{pauseGate: &pauseGate{}, syncGate: &pauseGate{}, files: map[string]*node{}, durable: map[string]*node{}}
 }
 
 // errNoSpace is the kernel's error for a full disk.
@@ -44,31 +44,31 @@
 
 var errIO = errors.New("input/output error")
 
-// Slow sets the duration of each sync.
-func (d *Disk) Slow(delay time.Duration) {
+// SetSyncDelay sets the duration of each sync.
+func (d *Disk) SetSyncDelay(delay time.Duration) {
 	d.mu.Lock()
 	d.syncDelay = delay
 	d.mu.Unlock()
 }
 
-// Hang blocks or unblocks the syncs of files whose names begin with prefix; an empty prefix
+// HangSyncs blocks or unblocks the syncs of files whose names begin with prefix; an empty prefix
 // matches all files.
-func (d *Disk) Hang(prefix string, on bool) {
+func (d *Disk) HangSyncs(prefix string, on bool) {
 	d.mu.Lock()
 	d.heldPrefix = prefix
 	d.mu.Unlock()
 	d.syncGate.setPaused(on)
 }
 
-// Deny makes every write and sync fail, or succeed again.
-func (d *Disk) Deny(on bool) {
+// FailWrites makes every write and sync fail, or succeed again.
+func (d *Disk) FailWrites(on bool) {
 	d.mu.Lock()
 	d.failing = on
 	d.mu.Unlock()
 }
 
-// Room limits the bytes that can still be written; a negative number removes the limit.
-func (d *Disk) Room(bytes int) {
+// LimitFreeBytes limits the bytes that can still be written; a negative number removes the limit.
+func (d *Disk) LimitFreeBytes(bytes int) {
 	d.mu.Lock()
 	d.limited, d.freeBytes = bytes >= 0, bytes
 	d.mu.Unlock()
@@ -77,17 +77,17 @@
 // Wipe deletes all files, synced or not.
 func (d *Disk) Wipe() {
 	d.mu.Lock()
-	d.now, d.safe = map[string]*node{}, map[string]*node{}
+	d.files, d.durable = map[string]*node{}, map[string]*node{}
 	d.mu.Unlock()
 }
 
-// Harm corrupts a file: it truncates it to half its size if truncate is set, and otherwise
+// Corrupt corrupts a file: it truncates it to half its size if truncate is set, and otherwise
 // flips a bit of its last byte. It reports whether the file existed with at least two
 // bytes.
-func (d *Disk) Harm(name string, truncate bool) bool {
+func (d *Disk) Corrupt(name string, truncate bool) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	damaged := d.now[name]
+	damaged := d.files[name]
 	if damaged == nil || len(damaged.data) < 2 {
 		return false
 	}
@@ -97,7 +97,7 @@
 	} else {
 		data[len(data)-1] ^= 0x40
 	}
-	damaged.data, damaged.saved = data, data
+	damaged.data, damaged.synced = data, data
 	return true
 }
 
@@ -135,7 +135,7 @@
 	if held {
 		d.syncGate.waitWhilePaused()
 	}
-	d.ice.waitWhilePaused()
+	d.pauseGate.waitWhilePaused()
 }
 
 func (f *file) Sync() error {
@@ -145,7 +145,7 @@
 	if f.disk.failing {
 		return errIO
 	}
-	f.node.saved = append([]byte{}, f.node.data...)
+	f.node.synced = append([]byte{}, f.node.data...)
 	f.disk.Syncs++
 	return nil
 }
@@ -154,11 +154,11 @@
 
 // Create opens a new file, replacing an earlier one of that name.
 func (d *Disk) Create(name string) (disk.File, error) {
-	d.ice.waitWhilePaused()
+	d.pauseGate.waitWhilePaused()
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	n := &node{}
-	d.now[name] = n
+	d.files[name] = n
 	return &file{d, n, name}, nil
 }
 
@@ -167,12 +167,12 @@
 func (d *Disk) Rename(from, to string) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	n := d.now[from]
+	n := d.files[from]
 	if n == nil {
 		return fs.ErrNotExist
 	}
-	delete(d.now, from)
-	d.now[to] = n
+	delete(d.files, from)
+	d.files[to] = n
 	return nil
 }
 
@@ -180,12 +180,12 @@
 func (d *Disk) Remove(name string) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	n := d.now[name]
+	n := d.files[name]
 	if n == nil {
 		return fs.ErrNotExist
 	}
 	d.freeBytes += len(n.data)
-	delete(d.now, name)
+	delete(d.files, name)
 	return nil
 }
 
@@ -198,7 +198,7 @@
 		return errIO
 	}
 	d.Syncs++
-	d.safe = maps.Clone(d.now)
+	d.durable = maps.Clone(d.files)
 	return nil
 }
 
@@ -206,7 +206,7 @@
 func (d *Disk) Read(name string) ([]byte, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	n := d.now[name]
+	n := d.files[name]
 	if n == nil {
 		return nil, fs.ErrNotExist
 	}
@@ -218,7 +218,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	var names []string
-	for name := range d.now {
+	for name := range d.files {
 		names = append(names, name)
 	}
 	sort.Strings(names)
--- a/internal/sim/faults.go
+++ b/internal/sim/faults.go
@@ -9,14 +9,14 @@
 	"puffincrank/internal/standin"
 )
 
-// KillCore kills both processes of a control-plane machine at once. With losePower its disk
+// KillControlMachine kills both processes of a control-plane machine at once. With losePower its disk
 // also loses the unsynced bytes.
-func (f *Fleet) KillCore(c *Core, losePower bool) {
+func (f *Fleet) KillControlMachine(c *ControlMachine, losePower bool) {
 	f.Net.Kill(c.Host)
-	c.Disk.Hang("", false)
-	f.Net.Freeze("store-"+c.Host, false)
-	f.Net.Freeze("core-"+c.Host, false)
-	store, registry := f.runs(c)
+	c.Disk.HangSyncs("", false)
+	f.Net.PauseProcess("store-"+c.Host, false)
+	f.Net.PauseProcess("core-"+c.Host, false)
+	store, registry := f.controlProcessesOf(c)
 	if store != nil {
 		store.Kill()
 	}
@@ -27,20 +27,20 @@
 	c.Store, c.Registry = nil, nil
 	f.mu.Unlock()
 	if losePower {
-		c.Disk.Power()
+		c.Disk.LosePower()
 	}
 }
 
-// BackCore restarts both processes of a control-plane machine.
-func (f *Fleet) BackCore(c *Core) {
+// RestartControlMachine restarts both processes of a control-plane machine.
+func (f *Fleet) RestartControlMachine(c *ControlMachine) {
 	f.StartStore(c)
 	f.StartRegistry(c)
 }
 
 // KillNode kills a node's proxy at once; its worker keeps running.
 func (f *Fleet) KillNode(n *Node) {
-	f.Net.Freeze("node-"+n.Host, false)
-	proxy, _ := f.now(n)
+	f.Net.PauseProcess("node-"+n.Host, false)
+	proxy, _ := f.processesOf(n)
 	if proxy != nil {
 		proxy.Kill()
 	}
@@ -51,7 +51,7 @@
 
 // KillWorker kills a node's worker at once.
 func (f *Fleet) KillWorker(n *Node) {
-	_, worker := f.now(n)
+	_, worker := f.processesOf(n)
 	if worker != nil {
 		worker.Kill()
 	}
@@ -60,10 +60,10 @@
 	f.mu.Unlock()
 }
 
-// Writer returns the control-plane machine whose store is the leader, or nil if none
+// Leader returns the control-plane machine whose store is the leader, or nil if none
 // reports that role.
-func (f *Fleet) Writer() *Core {
-	for _, c := range f.Cores {
+func (f *Fleet) Leader() *ControlMachine {
+	for _, c := range f.ControlMachines {
 		if c.Store == nil {
 			continue
 		}
@@ -77,7 +77,7 @@
 // hosts lists the hosts of all machines in the fleet.
 func (f *Fleet) hosts() []string {
 	var hosts []string
-	for _, c := range f.cores() {
+	for _, c := range f.controlMachines() {
 		hosts = append(hosts, c.Host)
 	}
 	for _, n := range f.Nodes {
@@ -86,15 +86,15 @@
 	return hosts
 }
 
-// cutArea blocks or unblocks all traffic between the machines of a zone and those of the
+// cutZone blocks or unblocks all traffic between the machines of a zone and those of the
 // other zones.
-func (f *Fleet) cutArea(zone string, on bool) {
+func (f *Fleet) cutZone(zone string, on bool) {
 	zoneOf := map[string]string{}
-	for _, c := range f.Cores {
-		zoneOf[c.Host] = c.Area
+	for _, c := range f.ControlMachines {
+		zoneOf[c.Host] = c.Zone
 	}
 	for _, n := range f.Nodes {
-		zoneOf[n.Host] = n.Area
+		zoneOf[n.Host] = n.Zone
 	}
 	for a, zoneA := range zoneOf {
 		for b, zoneB := range zoneOf {
@@ -110,13 +110,13 @@
 func (n *Node) Skew(offset time.Duration) { n.skew.Store(int64(offset)) }
 
 // Skew shifts the wall clock of a control-plane machine.
-func (c *Core) Skew(offset time.Duration) { c.skew.Store(int64(offset)) }
+func (c *ControlMachine) Skew(offset time.Duration) { c.skew.Store(int64(offset)) }
 
 // Load runs callers in the background. The returned function waits for their end.
-func (f *Fleet) Load(lines []standin.Line, duration time.Duration) func() {
-	f.Net.Place("10.0.9.8", "outside")
-	callers := standin.NewCallers(f.env("callers", "10.0.9.8", "outside", new(atomic.Int64)), f.Fronts(), f.Obs, 15*time.Second)
-	if f.Polled {
+func (f *Fleet) Load(lines []standin.CallKind, duration time.Duration) func() {
+	f.Net.SetZone("10.0.9.8", "outside")
+	callers := standin.NewCallers(f.env("callers", "10.0.9.8", "outside", new(atomic.Int64)), f.Ingresses(), f.Observer, 15*time.Second)
+	if f.PollReadiness {
 		callers.Skip = f.poll()
 	}
 	done := make(chan struct{})
@@ -139,7 +139,7 @@
 				unready.Store(n.Host+":7003", code != 200)
 			})
 		}
-		for _, c := range f.Cores {
+		for _, c := range f.ControlMachines {
 			f.g.Go("poll-ready", func(context.Context) {
 				code, _ := f.Get(c.Host+":7003", "/puffin/ready")
 				unready.Store(c.Host+":7003", code != 200)
@@ -154,7 +154,7 @@
 
 // checkModelSteps fails the test for each step of a store that the model does not allow.
 func (f *Fleet) checkModelSteps() {
-	for _, violation := range f.Steps.Faults() {
+	for _, violation := range f.Steps.Violations() {
 		f.T.Errorf("a store took a step that the model does not allow: %s", violation)
 	}
 }
@@ -165,21 +165,21 @@
 		f.KillWorker(n)
 		f.KillNode(n)
 	}
-	for _, c := range f.Cores {
-		f.KillCore(c, false)
+	for _, c := range f.ControlMachines {
+		f.KillControlMachine(c, false)
 	}
 	f.checkModelSteps()
-	f.way.CloseIdleConnections()
+	f.client.CloseIdleConnections()
 	f.g.Stop()
 	// net/http lingers for half a second on connections that it closes early.
 	Wait(time.Second)
 }
 
-// Judge fails the test if the observer counted a violation of an invariant, and logs the
+// CheckInvariants fails the test if the observer counted a violation of an invariant, and logs the
 // outcomes of the calls.
-func (f *Fleet) Judge() {
+func (f *Fleet) CheckInvariants() {
 	f.T.Helper()
-	violations, notes := f.Obs.Verdict()
+	violations, notes := f.Observer.Violations()
 	for rule, n := range violations {
 		if n > 0 {
 			f.T.Errorf("%d × %s", n, rule)
@@ -188,8 +188,8 @@
 	for _, n := range notes {
 		f.T.Log(n)
 	}
-	f.T.Logf("calls: %v", f.Obs.Counts())
-	for reason, n := range f.Obs.Reasons() {
+	f.T.Logf("calls: %v", f.Observer.Counts())
+	for reason, n := range f.Observer.Reasons() {
 		f.T.Logf("%5d × %s", n, reason)
 	}
 }
--- a/internal/sim/fewlinks_test.go
+++ b/internal/sim/fewlinks_test.go
@@ -18,10 +18,10 @@
 	for _, files := range []int{40, 0} {
 		synctest.Test(t, func(t *testing.T) {
 			fleet := NewFleet(t, Fumettoteca(0.02), 3)
-			fleet.Told = map[string]any{"files": json.Number(fmt.Sprint(files))}
+			fleet.Settings = map[string]any{"files": json.Number(fmt.Sprint(files))}
 			defer fleet.Stop()
 			fleet.Start()
-			waitForLoad := fleet.Load(fleet.S.Lines, 30*time.Second)
+			waitForLoad := fleet.Load(fleet.Shape.Lines, 30*time.Second)
 			for range 150 {
 				Wait(200 * time.Millisecond)
 				for _, node := range fleet.Nodes {
@@ -29,11 +29,11 @@
 				}
 			}
 			waitForLoad()
-			fleet.Judge()
-			if counts := fleet.Obs.Counts(); counts["done"] != counts["calls"] || counts["calls"] < 400 {
+			fleet.CheckInvariants()
+			if counts := fleet.Observer.Counts(); counts["done"] != counts["calls"] || counts["calls"] < 400 {
 				t.Errorf("not all requests succeeded: %v", counts)
 			}
-			if !fleet.Whole() {
+			if !fleet.Converged() {
 				t.Error("not every node knows every worker")
 			}
 		})
--- a/internal/sim/fleetpartition_test.go
+++ b/internal/sim/fleetpartition_test.go
@@ -14,16 +14,16 @@
 // fleetPartitions lists the ways in which one control-plane machine is cut off.
 var fleetPartitions = []struct {
 	name string
-	do   func(f *Fleet, c *Core, others []string, on bool)
+	do   func(f *Fleet, c *ControlMachine, others []string, on bool)
 }{
-	{"from everybody", func(f *Fleet, c *Core, _ []string, on bool) { f.Net.Isolate(c.Host, on) }},
-	{"from the core, not from nodes", func(f *Fleet, c *Core, others []string, on bool) { f.Net.Part(c.Host, others, on) }},
-	{"on its way out to the core", func(f *Fleet, c *Core, others []string, on bool) {
+	{"from everybody", func(f *Fleet, c *ControlMachine, _ []string, on bool) { f.Net.Isolate(c.Host, on) }},
+	{"from the core, not from nodes", func(f *Fleet, c *ControlMachine, others []string, on bool) { f.Net.Partition(c.Host, others, on) }},
+	{"on its way out to the core", func(f *Fleet, c *ControlMachine, others []string, on bool) {
 		for _, o := range others {
 			f.Net.Cut(c.Host, o, on)
 		}
 	}},
-	{"on its way in from the core", func(f *Fleet, c *Core, others []string, on bool) {
+	{"on its way in from the core", func(f *Fleet, c *ControlMachine, others []string, on bool) {
 		for _, o := range others {
 			f.Net.Cut(o, c.Host, on)
 		}
@@ -36,7 +36,7 @@
 // confirmed before it, no node may act on an older one beyond the bound, no call may
 // reach the worker that left, and callers must be served.
 func TestCutFleet(t *testing.T) {
-	heavy(t)
+	skipUnderRace(t)
 	shapes := []Shape{Fumettoteca(0.08), Ingenzi(0.12)}
 	for i, cut := range fleetPartitions {
 		for _, cores := range []int{3, 5} {
@@ -58,26 +58,26 @@
 // of which vote.
 func fleetOfCores(t *testing.T, shape Shape, seed uint64, cores int) *Fleet {
 	fleet := NewFleet(t, shape, seed)
-	fleet.Stores = map[string]any{"bear": json.Number(fmt.Sprint((cores - 1) / 2))}
-	for i := len(fleet.Cores); i < cores; i++ {
-		fleet.Cores = append(fleet.Cores, &Core{Host: fmt.Sprintf("10.0.0.%d", i+1), Area: Areas[i%3], Disk: NewDisk()})
-		fleet.seedAt = append(fleet.seedAt, fleet.Cores[i].Host)
+	fleet.StoreSettings = map[string]any{"bear": json.Number(fmt.Sprint((cores - 1) / 2))}
+	for i := len(fleet.ControlMachines); i < cores; i++ {
+		fleet.ControlMachines = append(fleet.ControlMachines, &ControlMachine{Host: fmt.Sprintf("10.0.0.%d", i+1), Zone: Zones[i%3], Disk: NewDisk()})
+		fleet.seedHosts = append(fleet.seedHosts, fleet.ControlMachines[i].Host)
 	}
 	return fleet
 }
 
-func runFleetPartition(fleet *Fleet, cutLeader bool, seed uint64, cut func(*Fleet, *Core, []string, bool)) {
+func runFleetPartition(fleet *Fleet, cutLeader bool, seed uint64, cut func(*Fleet, *ControlMachine, []string, bool)) {
 	fleet.Start()
 	clients := &operators{fleet: fleet, rnd: rand.New(rand.NewPCG(seed, 11)), confirmed: 1, version: 1}
-	target := fleet.Writer()
-	for _, c := range fleet.Cores {
+	target := fleet.Leader()
+	for _, c := range fleet.ControlMachines {
 		if !cutLeader && c != target {
 			target = c
 			break
 		}
 	}
 	var others []string
-	for _, c := range fleet.Cores {
+	for _, c := range fleet.ControlMachines {
 		if c != target {
 			others = append(others, c.Host)
 		}
@@ -89,21 +89,21 @@
 	for range 4 {
 		pending.Go(func() { clients.readConfig(ctx) })
 	}
-	waitForLoad := fleet.Load(fleet.S.Lines, 29*time.Second)
+	waitForLoad := fleet.Load(fleet.Shape.Lines, 29*time.Second)
 	Wait(2 * time.Second)
 	cut(fleet, target, others, true)
 	Wait(6 * time.Second)
 	fleet.Nodes[1].Worker.Leave("gone")
 	Wait(4 * time.Second)
 	fleet.KillWorker(fleet.Nodes[1])
-	fleet.StartWorker(fleet.Nodes[1], fleet.S.Serves(1))
+	fleet.StartWorker(fleet.Nodes[1], fleet.Shape.ServiceOf(1))
 	Wait(10 * time.Second)
 	cut(fleet, target, others, false)
 	Wait(5 * time.Second)
 	cancel()
 	pending.Wait()
 	waitForLoad()
-	fleet.Judge()
+	fleet.CheckInvariants()
 	clients.check(target)
 }
 
@@ -125,7 +125,7 @@
 
 // addresses lists the addresses that answer operators.
 func (o *operators) addresses() (list []string) {
-	for _, c := range o.fleet.Cores {
+	for _, c := range o.fleet.ControlMachines {
 		list = append(list, c.Host+":7003")
 	}
 	for _, n := range o.fleet.Nodes {
@@ -148,10 +148,10 @@
 		Wait(300 * time.Millisecond)
 		for ctx.Err() == nil {
 			address := o.anyAddress()
-			if host(address) != o.cutHost {
+			if hostOf(address) != o.cutHost {
 				o.attempts++
 			}
-			code, answer := o.fleet.Ask("PUT", address, fmt.Sprintf("/puffin/config?based_on=%d&who=operator-%d&left_ms=900", o.version, i), o.fleet.S.Doc)
+			code, answer := o.fleet.Request("PUT", address, fmt.Sprintf("/puffin/config?based_on=%d&who=operator-%d&left_ms=900", o.version, i), o.fleet.Shape.Config)
 			if code == 200 {
 				version, _ := answer["version"].(float64)
 				o.confirm(uint64(version))
@@ -168,7 +168,7 @@
 func (o *operators) confirm(version uint64) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.fleet.Obs.Acked(version)
+	o.fleet.Observer.VersionAcked(version)
 	if version != o.version+1 {
 		o.fleet.T.Errorf("version %d was confirmed after %d", version, o.version)
 	}
@@ -201,7 +201,7 @@
 }
 
 // check checks what the operators observed while a machine was cut off.
-func (o *operators) check(cut *Core) {
+func (o *operators) check(cut *ControlMachine) {
 	t := o.fleet.T
 	for _, s := range o.staleReads {
 		t.Errorf("stale configuration read: %s", s)
@@ -212,11 +212,11 @@
 		t.Errorf("only %d changes were confirmed in %d attempts at connected machines", o.confirmedCount, o.attempts)
 	}
 	for _, address := range o.addresses() {
-		if o.answered[address] < 10 && host(address) != cut.Host {
+		if o.answered[address] < 10 && hostOf(address) != cut.Host {
 			t.Errorf("%s answered only %d reads", address, o.answered[address])
 		}
 	}
-	counts := o.fleet.Obs.Counts()
+	counts := o.fleet.Observer.Counts()
 	if counts["done"]*100 < counts["calls"]*99 {
 		t.Errorf("only %d of %d calls succeeded", counts["done"], counts["calls"])
 	}
--- a/internal/sim/growcore_test.go
+++ b/internal/sim/growcore_test.go
@@ -19,17 +19,17 @@
 		t.Run(fmt.Sprintf("%d to bear %d", c.cores, c.tolerated), func(t *testing.T) {
 			t.Parallel()
 			synctest.Test(t, func(t *testing.T) {
-				l := newLab(t, uint64(i)+540, c.cores, c.tolerated)
+				l := newCoreFleet(t, uint64(i)+540, c.cores, c.tolerated)
 				defer l.Stop()
-				l.up()
-				took := l.Until(4*time.Second, "all voters have joined", func() bool { return len(l.places()) == c.voters })
+				l.startAll()
+				took := l.Until(4*time.Second, "all voters have joined", func() bool { return len(l.members()) == c.voters })
 				t.Logf("%d voters %v after the first leader was elected", c.voters, took.Round(time.Millisecond))
-				l.next(2 * time.Second)
+				l.timeToWrite(2 * time.Second)
 				Wait(6 * time.Second)
-				if n := len(l.places()); n != c.voters || !l.coreReady() {
-					t.Errorf("%d voters, all stores ready: %v", n, l.coreReady())
+				if n := len(l.members()); n != c.voters || !l.controlPlaneReady() {
+					t.Errorf("%d voters, all stores ready: %v", n, l.controlPlaneReady())
 				}
-				if warned := l.count(event.TooFewStores) > 0; warned != (c.voters != 2*c.tolerated+1) {
+				if warned := l.countEvents(event.TooFewStores) > 0; warned != (c.voters != 2*c.tolerated+1) {
 					t.Errorf("warning about too few stores: %v", warned)
 				}
 			})
@@ -47,27 +47,27 @@
 			t.Parallel()
 			for seed := range seeds(3) {
 				synctest.Test(t, func(t *testing.T) {
-					l := newLab(t, seed+560, 2*tolerated+1, tolerated)
+					l := newCoreFleet(t, seed+560, 2*tolerated+1, tolerated)
 					defer l.Stop()
-					l.up()
-					l.Until(4*time.Second, "all voters have joined", func() bool { return len(l.places()) == 2*tolerated+1 })
+					l.startAll()
+					l.Until(4*time.Second, "all voters have joined", func() bool { return len(l.members()) == 2*tolerated+1 })
 					Wait(time.Second)
-					written := l.marks(40)
-					l.Stores["founding"] = false
-					lost := l.Cores[int(seed)%3:]
-					for _, c := range l.Cores {
-						l.KillCore(c, true)
+					written := l.writeKeys(40)
+					l.StoreSettings["founding"] = false
+					lost := l.ControlMachines[int(seed)%3:]
+					for _, c := range l.ControlMachines {
+						l.KillControlMachine(c, true)
 					}
 					for _, c := range lost[:tolerated] {
 						c.Disk.Wipe()
 					}
 					Wait(500 * time.Millisecond)
-					for _, c := range l.Cores {
-						l.BackCore(c)
+					for _, c := range l.ControlMachines {
+						l.RestartControlMachine(c)
 					}
-					t.Logf("writes go through %v after the machines are back", l.next(10*time.Second).Round(time.Millisecond))
-					l.holds(written)
-					l.Until(6*time.Second, "the wiped machines are members again", func() bool { return len(l.places()) == 2*tolerated+1 && l.coreReady() })
+					t.Logf("writes go through %v after the machines are back", l.timeToWrite(10*time.Second).Round(time.Millisecond))
+					l.checkKeys(written)
+					l.Until(6*time.Second, "the wiped machines are members again", func() bool { return len(l.members()) == 2*tolerated+1 && l.controlPlaneReady() })
 				})
 			}
 		})
--- a/internal/sim/grown_test.go
+++ b/internal/sim/grown_test.go
@@ -23,7 +23,7 @@
 // bodies, and workers that fail in further ways. To run more seeds:
 //
 //	go test ./internal/sim -run 'TestGrownDays$' -days 50 -seed 1
-func TestGrownDays(t *testing.T) { playDays(t, fixedGrownSeeds, checker.Rules, grownSite) }
+func TestGrownDays(t *testing.T) { runDays(t, fixedGrownSeeds, checker.Rules, grownSite) }
 
 // grownSite returns the grown deployment of a seed.
 func grownSite(seed uint64) deployment {
@@ -31,7 +31,7 @@
 	// Small sites are drawn more often, since they are simulated faster.
 	fixedNodes, searchNodes := 12+r.IntN(3), 12+int(78*r.Float64()*r.Float64())
 	nodes := fixedNodes
-	if *days > 0 {
+	if *dayCount > 0 {
 		nodes = searchNodes
 	}
 	if *dayNodes > 0 {
@@ -45,9 +45,9 @@
 	if seed%2 == 1 {
 		d = grownDeskSite(seed, nodes, slots)
 	}
-	d.link, d.wide = linkRate, 10_750_000
-	d.cores, d.bear, d.catchUp, d.more = 5, 2, 6*time.Second, grownTroubles
-	d.ways.Hello, d.ways.Idle, d.ways.Cold, d.ways.ColdBy = 45*time.Millisecond, 2500*time.Millisecond, 3*time.Second, 2
+	d.nodeBandwidth, d.coreBandwidth = linkRate, 10_750_000
+	d.cores, d.tolerated, d.catchUp, d.extraTroubles = 5, 2, 6*time.Second, grownTroubles
+	d.ways.HandshakeTime, d.ways.IdleTimeout, d.ways.ColdStart, d.ways.ColdStartFactor = 45*time.Millisecond, 2500*time.Millisecond, 3*time.Second, 2
 	d.ways.Queue = 4 * slots
 	return d
 }
@@ -73,7 +73,7 @@
 // deployment's own ratio of load to capacity.
 func grownReaderSite(seed uint64, nodes, slots int) deployment {
 	scale := loadScale(nodes*slots, 77*12)
-	d := deploy(seed, nodes, slots, 500*time.Microsecond, 3*time.Millisecond, []string{"pages", "lending", "scans"}, splitNodes(nodes, 39, 29, 9), []row{
+	d := deploy(seed, nodes, slots, 500*time.Microsecond, 3*time.Millisecond, []string{"pages", "lending", "scans"}, splitNodes(nodes, 39, 29, 9), []routeRow{
 		{kind: "read", repeat: "safe", service: "pages", rate: 964, work: 270, aim: 1000, left: 3000, back: 5000, further: 1, rank: 2, method: "GET", calls: map[string]float64{"check": 0.7}},
 		{kind: "lend", repeat: "never", service: "lending", rate: 413, work: 350, aim: 1200, left: 4000, size: 1200, back: 1500, further: 1, rank: 1, method: "POST", calls: map[string]float64{"lookup": 0.7}},
 		{kind: "scan", repeat: "upload", service: "scans", rate: 89.5, work: 320, aim: 1200, left: 5000, size: 60000, back: 1500, further: 1, rank: 1, method: "POST"},
@@ -88,7 +88,7 @@
 // bodies.
 func grownDeskSite(seed uint64, nodes, slots int) deployment {
 	scale := loadScale(nodes*slots, 88*18)
-	d := deploy(seed, nodes, slots, 1400*time.Microsecond, time.Millisecond, []string{"search", "boarding", "manifests", "seats"}, splitNodes(nodes, 36, 25, 7, 20), []row{
+	d := deploy(seed, nodes, slots, 1400*time.Microsecond, time.Millisecond, []string{"search", "boarding", "manifests", "seats"}, splitNodes(nodes, 36, 25, 7, 20), []routeRow{
 		{kind: "find", repeat: "safe", service: "search", rate: 1083, work: 330, aim: 1200, left: 6000, back: 3000, further: 2, rank: 1, method: "GET", calls: map[string]float64{"cabin": 0.2}},
 		{kind: "board", repeat: "never", service: "boarding", rate: 426, work: 430, aim: 1200, left: 8000, size: 800, back: 800, further: 2, method: "POST", calls: map[string]float64{"form": 0.3}},
 		{kind: "manifest", repeat: "download", service: "manifests", rate: 145, work: 260, aim: 1000, left: 6000, back: 90000, further: 2, rank: 2, method: "GET", calls: map[string]float64{"fare": 0.2}},
@@ -102,23 +102,23 @@
 
 // allowRetries sets the number of retries allowed besides their share of the requests.
 func (d deployment) allowRetries(n float64) deployment {
-	d.bounds.Allow = float64(int(n + 0.9))
+	d.bounds.RetryAllowance = float64(int(n + 0.9))
 	return d
 }
 
 // TestQuietGrownDay: at a grown site without any fault no rule is broken, and at least
 // 97% of the requests are served.
 func TestQuietGrownDay(t *testing.T) {
-	heavy(t)
+	skipUnderRace(t)
 	for seed := range seeds(1) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
 			synctest.Test(t, func(t *testing.T) {
 				s := newSite(t, grownSite(seed), seed)
-				if violations := s.day(20*time.Second, func() {}); len(violations) > 0 {
+				if violations := s.runDay(20*time.Second, func() {}); len(violations) > 0 {
 					t.Errorf("rules broken: %v", violations)
 				}
-				if served, expected := s.wit.Served("", time.Time{}, time.Now()); expected < 300 || served < expected*97/100 {
+				if served, expected := s.witness.Served("", time.Time{}, time.Now()); expected < 300 || served < expected*97/100 {
 					t.Errorf("%d of %d served", served, expected)
 				}
 			})
@@ -130,5 +130,5 @@
 // slots. The load is reduced by more than the slots are, since random peaks weigh more
 // at small sites.
 func loadScale(slots, fullSlots int) float64 {
-	return *dayRate / 0.12 * 0.62 * float64(slots) / float64(fullSlots)
+	return *rateShare / 0.12 * 0.62 * float64(slots) / float64(fullSlots)
 }
--- a/internal/sim/grownincident_test.go
+++ b/internal/sim/grownincident_test.go
@@ -13,28 +13,28 @@
 func incidentSite(nodes int) deployment {
 	d := grownSite(2)
 	site := grownReaderSite(2, nodes, 4)
-	site.link, site.wide, site.cores, site.bear, site.catchUp = d.link, d.wide, d.cores, d.bear, d.catchUp
-	site.ways.Hello, site.ways.Idle, site.ways.Cold, site.ways.ColdBy, site.ways.Queue = d.ways.Hello, d.ways.Idle, d.ways.Cold, d.ways.ColdBy, 16
+	site.nodeBandwidth, site.coreBandwidth, site.cores, site.tolerated, site.catchUp = d.nodeBandwidth, d.coreBandwidth, d.cores, d.tolerated, d.catchUp
+	site.ways.HandshakeTime, site.ways.IdleTimeout, site.ways.ColdStart, site.ways.ColdStartFactor, site.ways.Queue = d.ways.HandshakeTime, d.ways.IdleTimeout, d.ways.ColdStart, d.ways.ColdStartFactor, 16
 	return site
 }
 
 // incident replays the faults of a recorded day and checks every rule. servedFraction
 // returns the fraction of the requests of a kind ("" for all) begun since a time that
 // were served.
-func incident(t *testing.T, d deployment, scenario func(a act, servedFraction func(kind string, since time.Time) float64)) {
+func incident(t *testing.T, d deployment, scenario func(a faultRun, servedFraction func(kind string, since time.Time) float64)) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSite(t, d, 2)
-		violations := s.day(16*time.Second, func() {
-			scenario(act{s, rand.New(rand.NewPCG(2, 43)), &[]*Core{}}, func(kind string, since time.Time) float64 {
+		violations := s.runDay(16*time.Second, func() {
+			scenario(faultRun{s, rand.New(rand.NewPCG(2, 43)), &[]*ControlMachine{}}, func(kind string, since time.Time) float64 {
 				// Requests of the last two seconds may not have been answered yet.
-				served, expected := s.wit.Served(kind, since, time.Now().Add(-2*time.Second))
+				served, expected := s.witness.Served(kind, since, time.Now().Add(-2*time.Second))
 				return float64(served) / float64(max(expected, 1))
 			})
 		})
 		if len(violations) > 0 {
 			t.Errorf("rules broken: %v", violations)
 		}
-		t.Log(s.said)
+		t.Log(s.actionLog)
 	})
 }
 
@@ -43,21 +43,21 @@
 // them, lose their disks as well. Nodes and workers keep running. The version is kept,
 // all nodes soon report ready with it, and at least 95% of the requests are served.
 func TestIncidentCoreGone(t *testing.T) {
-	heavy(t)
-	incident(t, incidentSite(14), func(a act, servedFraction func(string, time.Time) float64) {
+	skipUnderRace(t)
+	incident(t, incidentSite(14), func(a faultRun, servedFraction func(string, time.Time) float64) {
 		Wait(4 * time.Second)
-		draft := a.next()
-		a.grow(draft, 1)
+		draft := a.nextDraft()
+		a.addRoutes(draft, 1)
 		start := time.Now()
 		if !a.op.Send(a.g.Context(), draft, "", "") {
 			t.Error("the document was refused")
 		}
-		leader := a.Writer()
-		other := a.cores()[0]
+		leader := a.Leader()
+		other := a.controlMachines()[0]
 		if other == leader {
-			other = a.cores()[1]
+			other = a.controlMachines()[1]
 		}
-		for _, c := range a.cores() {
+		for _, c := range a.controlMachines() {
 			a.killCore(c, true)
 			if c == leader || c == other {
 				c.Disk.Wipe()
@@ -65,11 +65,11 @@
 		}
 		a.say("all control-plane machines lost power; the disks of %s and %s are wiped", leader.Host, other.Host)
 		Wait(1400 * time.Millisecond)
-		for _, c := range a.cores() {
+		for _, c := range a.controlMachines() {
 			a.startCore(c, false)
 		}
-		elapsed := a.Until(a.d.bounds.Return, "all control-plane machines are back", a.coreReady)
-		a.Until(a.d.bounds.Change, "all nodes are ready", a.allReady)
+		elapsed := a.Until(a.deployment.bounds.Recovery, "all control-plane machines are back", a.controlPlaneReady)
+		a.Until(a.deployment.bounds.DocumentChange, "all nodes are ready", a.allReady)
 		Wait(4 * time.Second)
 		t.Logf("back after %v; %.3f of the requests begun since were served", elapsed, servedFraction("", start))
 		if served := servedFraction("", start); served < 0.95 {
@@ -81,7 +81,7 @@
 // allReady reports whether every running node is ready.
 func (s *site) allReady() bool {
 	for _, m := range s.all() {
-		if x, _ := s.now(m.Node); x == nil || !x.Ready() {
+		if x, _ := s.processesOf(m.Node); x == nil || !x.Ready() {
 			return false
 		}
 	}
@@ -92,25 +92,25 @@
 // Once they are back, a document is acknowledged and every machine loses power; they
 // return one after the other within half a second.
 func TestIncidentAllGone(t *testing.T) {
-	heavy(t)
+	skipUnderRace(t)
 	// Workers that slow down when saturated keep such a site saturated after its
 	// return; docs/incidents/grown.md has the figures.
 	d := incidentSite(14)
-	d.ways.Crowd = 1
-	incident(t, d, func(a act, servedFraction func(string, time.Time) float64) {
+	d.ways.LoadFactor = 1
+	incident(t, d, func(a faultRun, servedFraction func(string, time.Time) float64) {
 		Wait(3 * time.Second)
 		powerCycle := func(machines []*machine, outage time.Duration) {
 			var endTouch []func()
 			for _, m := range machines {
-				endTouch = append(endTouch, a.wit.Touch.Begin(m.name, "without power"))
-				a.powered(m.Host, false)
-				m.w.Kill()
+				endTouch = append(endTouch, a.witness.Faults.Begin(m.name, "without power"))
+				a.setPower(m.Host, false)
+				m.worker.Kill()
 				a.KillNode(m.Node)
 			}
 			Wait(outage)
 			for i, m := range machines {
-				a.powered(m.Host, true)
-				a.boot(m)
+				a.setPower(m.Host, true)
+				a.startNode(m)
 				endTouch[i]()
 				a.startWorker(m)
 				Wait(500 * time.Millisecond / time.Duration(len(machines)))
@@ -118,24 +118,24 @@
 		}
 		powerCycle(a.all()[:7], 1600*time.Millisecond)
 		Wait(4 * time.Second)
-		draft := a.next()
-		a.grow(draft, 1)
+		draft := a.nextDraft()
+		a.addRoutes(draft, 1)
 		if !a.op.Send(a.g.Context(), draft, "", "") {
 			t.Error("the document was refused")
 		}
-		a.wit.Closing()
-		for _, c := range a.cores() {
+		a.witness.FinalFaultStarted()
+		for _, c := range a.controlMachines() {
 			a.killCore(c, true)
 		}
 		a.g.Go("core-back", func(context.Context) {
 			Wait(1550 * time.Millisecond)
-			for _, c := range a.cores() {
+			for _, c := range a.controlMachines() {
 				a.startCore(c, false)
 			}
 		})
 		powerCycle(a.all(), 1550*time.Millisecond)
-		a.wit.Back()
-		elapsed := a.Until(a.d.bounds.Return, "all nodes are ready", a.allReady)
+		a.witness.FinalFaultEnded()
+		elapsed := a.Until(a.deployment.bounds.Recovery, "all nodes are ready", a.allReady)
 		Wait(8 * time.Second)
 		start := time.Now()
 		Wait(6 * time.Second)
@@ -151,29 +151,29 @@
 // restarted, and a third is decommissioned. Requests that use only the other services
 // are served all the while.
 func TestIncidentFewOfAService(t *testing.T) {
-	heavy(t)
-	incident(t, incidentSite(22), func(a act, servedFraction func(string, time.Time) float64) {
-		smallest := a.d.services[2]
+	skipUnderRace(t)
+	incident(t, incidentSite(22), func(a faultRun, servedFraction func(string, time.Time) float64) {
+		smallest := a.deployment.services[2]
 		inSmallest := func(m *machine) bool { return m.service == smallest }
 		start := time.Now()
 		Wait(2 * time.Second)
-		m := a.take(inSmallest)
+		m := a.takeMachine(inSmallest)
 		a.say("node of %s stopped and started", m.name)
-		endTouch := a.wit.Touch.Begin(m.name, "planned roll")
+		endTouch := a.witness.Faults.Begin(m.name, "planned roll")
 		a.stopNode(m)
 		Wait(500 * time.Millisecond)
-		a.boot(m)
+		a.startNode(m)
 		endTouch()
-		a.free(m)
+		a.releaseMachine(m)
 		Wait(2 * time.Second)
-		m = a.take(inSmallest)
+		m = a.takeMachine(inSmallest)
 		a.say("%s loses power", m.name)
-		a.out(m)
-		a.free(m)
+		a.powerCycle(m)
+		a.releaseMachine(m)
 		Wait(2 * time.Second)
-		m = a.take(inSmallest)
+		m = a.takeMachine(inSmallest)
 		a.say("%s is drained and decommissioned", m.name)
-		m.w.Leave(a.g.Context())
+		m.worker.Leave(a.g.Context())
 		a.retire(m)
 		Wait(8 * time.Second)
 		reads, all := servedFraction("read", start), servedFraction("", start)
--- a/internal/sim/history_test.go
+++ b/internal/sim/history_test.go
@@ -14,12 +14,12 @@
 func TestHistory(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
-		f := NewFleet(t, small(), 140)
+		f := NewFleet(t, smallShape(), 140)
 		defer f.Stop()
 		f.Start()
 		addr := f.Nodes[0].Host + ":7003"
 		put := func() uint64 {
-			code, got := f.Ask("PUT", addr, "/puffin/keys/h", `{"value":"x"}`)
+			code, got := f.Request("PUT", addr, "/puffin/keys/h", `{"value":"x"}`)
 			if code != 200 {
 				t.Fatalf("put answered %d", code)
 			}
@@ -28,20 +28,20 @@
 		firstRev := put()
 		start := time.Now()
 		Wait(5 * time.Second)
-		f.KillCore(f.mark(f.Writer()), true)
-		f.serves(10 * time.Second)
-		f.BackCore(f.marked)
+		f.KillControlMachine(f.markFaulted(f.Leader()), true)
+		f.untilWritable(10 * time.Second)
+		f.RestartControlMachine(f.faulted)
 		Wait(3 * time.Second)
-		for _, c := range f.Cores {
-			f.KillCore(c, true)
+		for _, c := range f.ControlMachines {
+			f.KillControlMachine(c, true)
 		}
-		for _, c := range f.Cores {
-			f.BackCore(c)
+		for _, c := range f.ControlMachines {
+			f.RestartControlMachine(c)
 		}
-		f.serves(15 * time.Second)
+		f.untilWritable(15 * time.Second)
 		// History is trimmed only when something is written.
 		for time.Since(start) < 20*time.Second {
-			f.Ask("PUT", addr, "/puffin/keys/other", `{"value":"x"}`)
+			f.Request("PUT", addr, "/puffin/keys/other", `{"value":"x"}`)
 			Wait(min(time.Second, 20*time.Second-time.Since(start)))
 		}
 		code, got := f.Get(addr, fmt.Sprintf("/puffin/watch?prefix=h&from=%d", firstRev))
@@ -69,7 +69,7 @@
 		}
 
 		acquire := func(owner string) int {
-			code, _ := f.Ask("POST", addr, "/puffin/locks/l/acquire", `{"owner":"`+owner+`","ttl_ms":3000}`)
+			code, _ := f.Request("POST", addr, "/puffin/locks/l/acquire", `{"owner":"`+owner+`","ttl_ms":3000}`)
 			return code
 		}
 		if code := acquire("a"); code != 200 {
@@ -79,9 +79,9 @@
 		if code := acquire("b"); code != 409 {
 			t.Errorf("acquired by another before the time to live ran out: %d", code)
 		}
-		f.KillCore(f.mark(f.Writer()), true)
-		f.serves(10 * time.Second)
-		f.BackCore(f.marked)
+		f.KillControlMachine(f.markFaulted(f.Leader()), true)
+		f.untilWritable(10 * time.Second)
+		f.RestartControlMachine(f.faulted)
 		f.Until(2*time.Second, "the lock is free again", func() bool { return acquire("c") == 200 })
 	})
 }
@@ -94,12 +94,12 @@
 func TestLockTime(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
-		f := NewFleet(t, small(), 141)
+		f := NewFleet(t, smallShape(), 141)
 		defer f.Stop()
 		f.Start()
 		addr := f.Nodes[0].Host + ":7003"
 		acquire := func(owner string) int {
-			code, _ := f.raw("POST", addr, "/puffin/app/locks/l", `{"owner":"`+owner+`","ttl_ms":9000}`)
+			code, _ := f.requestRaw("POST", addr, "/puffin/app/locks/l", `{"owner":"`+owner+`","ttl_ms":9000}`)
 			return code
 		}
 		for round, changes := range [][]int{{}, {0}, {0, 1}, {0, 1, 2}} {
@@ -108,21 +108,21 @@
 			f.Until(5*time.Second, "the lock is acquired", func() bool { start = time.Now(); return acquire(owner) == 200 })
 			for i := range changes {
 				Wait(2 * time.Second)
-				c := f.mark(f.Writer())
+				c := f.markFaulted(f.Leader())
 				if i == 2 {
 					// The third leader loses power together with the two that have just
 					// returned.
-					for _, c := range f.Cores {
-						f.KillCore(c, true)
+					for _, c := range f.ControlMachines {
+						f.KillControlMachine(c, true)
 					}
-					for _, c := range f.Cores {
-						f.BackCore(c)
+					for _, c := range f.ControlMachines {
+						f.RestartControlMachine(c)
 					}
 					start = time.Now()
 				} else {
-					f.KillCore(c, true)
-					f.serves(10 * time.Second)
-					f.BackCore(c)
+					f.KillControlMachine(c, true)
+					f.untilWritable(10 * time.Second)
+					f.RestartControlMachine(c)
 				}
 			}
 			f.Until(15*time.Second, "another client gets the lock", func() bool { return acquire("b") == 200 })
@@ -131,13 +131,13 @@
 			if took < 9*time.Second || took > 9*time.Second+150*time.Millisecond {
 				t.Errorf("after %d changes of leader: lock free after %v", len(changes), took)
 			}
-			if code, _ := f.raw("PUT", addr, "/puffin/app/locks/l", `{"owner":"`+owner+`","fence":1,"ttl_ms":9000}`); code != 409 {
+			if code, _ := f.requestRaw("PUT", addr, "/puffin/app/locks/l", `{"owner":"`+owner+`","fence":1,"ttl_ms":9000}`); code != 409 {
 				t.Errorf("the former holder can renew: %d", code)
 			}
-			if f.raw("DELETE", addr, "/puffin/app/locks/l", fmt.Sprintf(`{"owner":"b","fence":%d}`, f.fence("l"))); acquire("c") != 200 {
+			if f.requestRaw("DELETE", addr, "/puffin/app/locks/l", fmt.Sprintf(`{"owner":"b","fence":%d}`, f.fence("l"))); acquire("c") != 200 {
 				t.Error("the lock was not released")
 			}
-			f.raw("DELETE", addr, "/puffin/app/locks/l", fmt.Sprintf(`{"owner":"c","fence":%d}`, f.fence("l")))
+			f.requestRaw("DELETE", addr, "/puffin/app/locks/l", fmt.Sprintf(`{"owner":"c","fence":%d}`, f.fence("l")))
 		}
 	})
 }
--- a/internal/sim/idleconnections_test.go
+++ b/internal/sim/idleconnections_test.go
@@ -14,28 +14,28 @@
 // from the first few losses: at most 1 in 200 requests that must not be retried may be
 // lost, and no rule may be violated, also after the workers keep connections again.
 func TestIdleConnectionsForgotten(t *testing.T) {
-	heavy(t)
+	skipUnderRace(t)
 	synctest.Test(t, func(t *testing.T) {
-		layout := deploy(12, 12, 12, time.Millisecond, time.Millisecond, []string{"top"}, []int{12}, []row{
+		layout := deploy(12, 12, 12, time.Millisecond, time.Millisecond, []string{"top"}, []int{12}, []routeRow{
 			{kind: "buy", repeat: "never", service: "top", rate: 360, work: 100, aim: 600, left: 2000, back: 200, method: "POST"},
 		}, 1)
 		testSite := newSite(t, layout, 12)
 		served, owed := 0, 0
 		var start time.Time
-		violations := testSite.day(40*time.Second, func() {
+		violations := testSite.runDay(40*time.Second, func() {
 			Wait(10 * time.Second)
 			start = time.Now()
 			for _, m := range testSite.all() {
-				if m.n%2 == 0 {
-					m.w.Fall(actors.Ills{Forget: 190 * time.Millisecond})
+				if m.number%2 == 0 {
+					m.worker.SetFaults(actors.Faults{Forget: 190 * time.Millisecond})
 				}
 			}
 			Wait(8 * time.Second)
 			for _, m := range testSite.all() {
-				m.w.Fall(actors.Ills{})
+				m.worker.SetFaults(actors.Faults{})
 			}
 		})
-		served, owed = testSite.wit.Served("buy", start, start.Add(8*time.Second))
+		served, owed = testSite.witness.Served("buy", start, start.Add(8*time.Second))
 		t.Logf("%d of %d requests served while half of the workers forget idle connections", served, owed)
 		if len(violations) > 0 || violations[checker.Budget] > 0 {
 			t.Errorf("violated rules: %v", violations)
--- a/internal/sim/largestate_test.go
+++ b/internal/sim/largestate_test.go
@@ -16,15 +16,15 @@
 
 // fillState writes keys of 60 KiB each until the state holds about the given number of
 // bytes, and returns the acknowledged revisions by key.
-func (l *lab) fillState(bytes int) map[string]uint64 {
+func (l *coreFleet) fillState(bytes int) map[string]uint64 {
 	const size = 60 << 10
 	value := strings.Repeat("x", size)
 	revisions := map[string]uint64{}
 	for i := range bytes / size {
 		key := fmt.Sprint("large", i)
-		core := l.Cores[i%3]
+		core := l.ControlMachines[i%3]
 		for range 10 {
-			if rev := l.put(core, key, key+value[len(key):]); rev > 0 {
+			if rev := l.putKey(core, key, key+value[len(key):]); rev > 0 {
 				revisions[key] = rev
 				break
 			}
@@ -39,7 +39,7 @@
 
 // keepWriting writes a small key at every interval until stop is called, which returns
 // the number of acknowledged writes and the longest time one took.
-func (l *lab) keepWriting(interval time.Duration) (stop func() (acknowledged int, slowest time.Duration)) {
+func (l *coreFleet) keepWriting(interval time.Duration) (stop func() (acknowledged int, slowest time.Duration)) {
 	ctx, cancel := context.WithCancel(context.Background())
 	var running sync.WaitGroup
 	var mu sync.Mutex
@@ -49,16 +49,16 @@
 		defer running.Done()
 		for i := 0; ctx.Err() == nil; i++ {
 			Wait(interval)
-			cores := l.cores()
+			cores := l.controlMachines()
 			core := cores[i%len(cores)]
-			if _, registry := l.runs(core); registry == nil {
+			if _, registry := l.controlProcessesOf(core); registry == nil {
 				continue
 			}
 			running.Add(1)
 			go func() {
 				defer running.Done()
 				start := time.Now()
-				if l.put(core, fmt.Sprint("small", i%100), "v") > 0 {
+				if l.putKey(core, fmt.Sprint("small", i%100), "v") > 0 {
 					mu.Lock()
 					count++
 					slowest = max(slowest, time.Since(start))
@@ -75,7 +75,7 @@
 }
 
 // checkLargeKeys fails the test if a large key lacks its acknowledged revision.
-func (l *lab) checkLargeKeys(core *Core, revisions map[string]uint64) {
+func (l *coreFleet) checkLargeKeys(core *ControlMachine, revisions map[string]uint64) {
 	l.T.Helper()
 	for key, rev := range revisions {
 		code, got := l.Get(core.Host+":7003", "/puffin/keys/"+key+"?left_ms=3000")
@@ -88,12 +88,12 @@
 
 // isMember reports whether a machine's store is a voting member whose applied log index
 // is at most lag entries behind the leader's.
-func (l *lab) isMember(c, leader *Core, lag float64) bool {
+func (l *coreFleet) isMember(c, leader *ControlMachine, lag float64) bool {
 	_, ready := l.Get(c.Host+":7004", "/puffin/ready")
 	_, leaderReady := l.Get(leader.Host+":7004", "/puffin/ready")
 	applied, _ := ready["version_slot"].(float64)
 	leaderApplied, _ := leaderReady["version_slot"].(float64)
-	return ready["role"] == "follow" && l.places()[c.Host] && applied > 0 && applied+lag >= leaderApplied
+	return ready["role"] == "follow" && l.members()[c.Host] && applied > 0 && applied+lag >= leaderApplied
 }
 
 // TestLargeStateRefilled: a member that lost its disk fetches a state larger than any
@@ -118,35 +118,35 @@
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			synctest.Test(t, func(t *testing.T) {
-				l := newLab(t, 870, c.cores, (c.cores-1)/2)
-				l.Stores["state_bytes"] = json.Number(fmt.Sprint(64 << 20))
+				l := newCoreFleet(t, 870, c.cores, (c.cores-1)/2)
+				l.StoreSettings["state_bytes"] = json.Number(fmt.Sprint(64 << 20))
 				defer l.Stop()
-				l.up()
-				l.Until(4*time.Second, "all voters have joined", func() bool { return len(l.places()) == c.cores })
-				l.Stores["founding"] = false
+				l.startAll()
+				l.Until(4*time.Second, "all voters have joined", func() bool { return len(l.members()) == c.cores })
+				l.StoreSettings["founding"] = false
 				written := l.fillState(c.mib << 20)
-				for _, core := range l.Cores {
+				for _, core := range l.ControlMachines {
 					if c.rate > 0 {
-						l.Net.Thin(core.Host, c.rate)
+						l.Net.LimitHost(core.Host, c.rate)
 					}
 				}
-				leader := l.Writer()
-				lost := l.Cores[slices.IndexFunc(l.Cores, func(c *Core) bool { return c != leader })]
+				leader := l.Leader()
+				lost := l.ControlMachines[slices.IndexFunc(l.ControlMachines, func(c *ControlMachine) bool { return c != leader })]
 				stop := l.keepWriting(5 * time.Millisecond)
 				Wait(time.Second)
-				l.KillCore(lost, true)
+				l.KillControlMachine(lost, true)
 				lost.Disk.Wipe()
 				Wait(300 * time.Millisecond)
 				start := time.Now()
-				l.BackCore(lost)
+				l.RestartControlMachine(lost)
 				if c.kill {
 					Wait(60 * time.Millisecond)
-					l.KillCore(leader, true)
+					l.KillControlMachine(leader, true)
 					Wait(500 * time.Millisecond)
-					l.BackCore(leader)
+					l.RestartControlMachine(leader)
 				}
 				l.Until(c.within, "the wiped store is a member again and up to date", func() bool {
-					current := l.Writer()
+					current := l.Leader()
 					return current != nil && l.isMember(lost, current, 64)
 				})
 				took := time.Since(start)
@@ -155,14 +155,14 @@
 				if n < 50 {
 					t.Errorf("only %d writes went through meanwhile", n)
 				}
-				for _, core := range l.Cores {
-					if core != lost && core.Store != nil && bearOf(c.cores) == 1 {
-						l.KillCore(core, true)
+				for _, core := range l.ControlMachines {
+					if core != lost && core.Store != nil && faultTolerance(c.cores) == 1 {
+						l.KillControlMachine(core, true)
 						core.Disk.Wipe()
 						break
 					}
 				}
-				l.next(8 * time.Second)
+				l.timeToWrite(8 * time.Second)
 				l.checkLargeKeys(lost, written)
 			})
 		})
@@ -176,20 +176,20 @@
 func TestStateBounded(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
-		l := newLab(t, 880, 3, 1)
-		l.Stores["state_bytes"] = json.Number(fmt.Sprint(1 << 20))
+		l := newCoreFleet(t, 880, 3, 1)
+		l.StoreSettings["state_bytes"] = json.Number(fmt.Sprint(1 << 20))
 		defer l.Stop()
-		l.up()
+		l.startAll()
 		value := strings.Repeat("y", 60<<10)
 		accepted, refused := 0, 0
 		for i := range 30 {
-			code, got := l.Ask("PUT", l.Cores[i%3].Host+":7003", fmt.Sprintf("/puffin/keys/k%d?left_ms=1000", i), fmt.Sprintf(`{"value":%q}`, value))
+			code, got := l.Request("PUT", l.ControlMachines[i%3].Host+":7003", fmt.Sprintf("/puffin/keys/k%d?left_ms=1000", i), fmt.Sprintf(`{"value":%q}`, value))
 			switch {
 			case code == 200 && refused == 0:
 				accepted++
 			case code == 503:
 				refused++
-				if warned := l.count(event.StateLarge); warned == 0 {
+				if warned := l.countEvents(event.StateLarge); warned == 0 {
 					t.Error("refused without a warning before")
 				}
 			default:
@@ -199,17 +199,17 @@
 		if accepted < 5 || refused < 5 {
 			t.Fatalf("%d were accepted and %d refused", accepted, refused)
 		}
-		addr := l.Cores[0].Host + ":7003"
-		if code, _ := l.Ask("DELETE", addr, "/puffin/keys/k0", ""); code != 200 {
+		addr := l.ControlMachines[0].Host + ":7003"
+		if code, _ := l.Request("DELETE", addr, "/puffin/keys/k0", ""); code != 200 {
 			t.Errorf("a delete: %d", code)
 		}
 		if code, _ := l.Get(addr, "/puffin/keys/k1"); code != 200 {
 			t.Errorf("a read: %d", code)
 		}
 		for i := range 3 {
-			l.Ask("DELETE", addr, fmt.Sprintf("/puffin/keys/k%d", i+1), "")
+			l.Request("DELETE", addr, fmt.Sprintf("/puffin/keys/k%d", i+1), "")
 		}
 		// History expires after its retention time, which frees space.
-		l.Until(60*time.Second, "writes are accepted again", func() bool { return l.put(l.Cores[0], "small", "v") > 0 })
+		l.Until(60*time.Second, "writes are accepted again", func() bool { return l.putKey(l.ControlMachines[0], "small", "v") > 0 })
 	})
 }
--- a/internal/sim/leaderloss_test.go
+++ b/internal/sim/leaderloss_test.go
@@ -11,16 +11,16 @@
 // leaderLosses lists the ways in which a leader fails at once.
 var leaderLosses = []struct {
 	name string
-	do   func(l *lab, c *Core)
+	do   func(l *coreFleet, c *ControlMachine)
 }{
-	{"killed", func(l *lab, c *Core) { l.KillCore(c, false) }},
-	{"dark", func(l *lab, c *Core) { l.Net.Isolate(c.Host, true); l.KillCore(c, true) }},
-	{"frozen", func(l *lab, c *Core) {
-		l.Net.Freeze("store-"+c.Host, true)
-		l.Net.Freeze("core-"+c.Host, true)
+	{"killed", func(l *coreFleet, c *ControlMachine) { l.KillControlMachine(c, false) }},
+	{"dark", func(l *coreFleet, c *ControlMachine) { l.Net.Isolate(c.Host, true); l.KillControlMachine(c, true) }},
+	{"frozen", func(l *coreFleet, c *ControlMachine) {
+		l.Net.PauseProcess("store-"+c.Host, true)
+		l.Net.PauseProcess("core-"+c.Host, true)
 		c.Registry = nil
 	}},
-	{"cut", func(l *lab, c *Core) { l.Net.Isolate(c.Host, true); c.Registry = nil }},
+	{"cut", func(l *coreFleet, c *ControlMachine) { l.Net.Isolate(c.Host, true); c.Registry = nil }},
 }
 
 // TestLeaderLost checks that after the leader is killed, loses power, is paused or is
@@ -34,17 +34,17 @@
 			var times []time.Duration
 			for seed := range seeds(6) {
 				synctest.Test(t, func(t *testing.T) {
-					fleet := newLab(t, seed+500, 3, 1)
+					fleet := newCoreFleet(t, seed+500, 3, 1)
 					defer fleet.Stop()
-					fleet.up()
-					fleet.next(10 * time.Second)
+					fleet.startAll()
+					fleet.timeToWrite(10 * time.Second)
 					Wait(2*time.Second + time.Duration(rand.Int64N(int64(300*time.Millisecond))))
-					leader := fleet.mark(fleet.Writer())
+					leader := fleet.markFaulted(fleet.Leader())
 					registry := leader.Registry
 					c.do(fleet, leader)
-					times = append(times, fleet.next(5*time.Second))
-					fleet.Net.Freeze("store-"+leader.Host, false)
-					fleet.Net.Freeze("core-"+leader.Host, false)
+					times = append(times, fleet.timeToWrite(5*time.Second))
+					fleet.Net.PauseProcess("store-"+leader.Host, false)
+					fleet.Net.PauseProcess("core-"+leader.Host, false)
 					if leader.Store != nil {
 						leader.Registry = registry
 					}
--- a/internal/sim/leaderpartition_test.go
+++ b/internal/sim/leaderpartition_test.go
@@ -18,19 +18,19 @@
 func TestCutLeader(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
-		fleet := NewFleet(t, small(), 90)
+		fleet := NewFleet(t, smallShape(), 90)
 		defer fleet.Stop()
 		fleet.Start()
-		oldLeader := fleet.mark(fleet.Writer())
+		oldLeader := fleet.markFaulted(fleet.Leader())
 		var ops []standin.Op
 		call := func(address, value string) int {
 			op := standin.Op{Key: "k", From: time.Now(), Write: value != "", Value: value}
 			var code int
 			if op.Write {
-				code, _ = fleet.Ask("PUT", address+":7003", "/puffin/keys/k?left_ms=4000", `{"value":"`+value+`"}`)
+				code, _ = fleet.Request("PUT", address+":7003", "/puffin/keys/k?left_ms=4000", `{"value":"`+value+`"}`)
 			} else {
 				var answer map[string]any
-				code, answer = fleet.Ask("GET", address+":7003", "/puffin/keys/k?left_ms=300", "")
+				code, answer = fleet.Request("GET", address+":7003", "/puffin/keys/k?left_ms=300", "")
 				op.Value, _ = answer["value"].(string)
 			}
 			op.To, op.Unknown = time.Now(), code != 200
@@ -40,7 +40,7 @@
 			return code
 		}
 		call(fleet.Nodes[0].Host, "one")
-		for _, c := range fleet.Cores {
+		for _, c := range fleet.ControlMachines {
 			fleet.Net.Cut(oldLeader.Host, c.Host, c != oldLeader)
 			fleet.Net.Cut(c.Host, oldLeader.Host, c != oldLeader)
 		}
@@ -61,7 +61,7 @@
 		writeCode, writeEnd := make(chan int, 1), time.Time{}
 		fleet.g.Go("write", func(context.Context) {
 			Wait(2500 * time.Millisecond)
-			code, _ := fleet.Ask("PUT", fleet.Nodes[1].Host+":7003", "/puffin/keys/k?left_ms=4000", `{"value":"two"}`)
+			code, _ := fleet.Request("PUT", fleet.Nodes[1].Host+":7003", "/puffin/keys/k?left_ms=4000", `{"value":"two"}`)
 			writeEnd = time.Now()
 			writeCode <- code
 		})
@@ -78,7 +78,7 @@
 		if code != 200 || ops[len(ops)-2].Value != "two" {
 			t.Fatalf("the others did not accept the write: status %d, then read %q", code, ops[len(ops)-2].Value)
 		}
-		if !standin.Linear(ops) {
+		if !standin.LinearizableKey(ops) {
 			t.Errorf("stale read at the old leader: %+v", ops[len(ops)-1])
 		}
 		t.Logf("the old leader answered %d reads", answered)
--- a/internal/sim/leaveunderload_test.go
+++ b/internal/sim/leaveunderload_test.go
@@ -19,21 +19,21 @@
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
 			synctest.Test(t, func(t *testing.T) {
-				l := newLab(t, seed+640, 3, 1)
+				l := newCoreFleet(t, seed+640, 3, 1)
 				defer l.Stop()
-				l.up()
-				l.Until(4*time.Second, "all voters have joined", func() bool { return len(l.places()) == 3 })
-				l.Stores["founding"] = false
-				leader := l.Writer()
-				leaving := l.Cores[slices.IndexFunc(l.Cores, func(c *Core) bool { return (c == leader) == (seed%4 == 0) })]
-				replacement := l.fresh(leaving)
-				l.BackCore(replacement)
+				l.startAll()
+				l.Until(4*time.Second, "all voters have joined", func() bool { return len(l.members()) == 3 })
+				l.StoreSettings["founding"] = false
+				leader := l.Leader()
+				leaving := l.ControlMachines[slices.IndexFunc(l.ControlMachines, func(c *ControlMachine) bool { return (c == leader) == (seed%4 == 0) })]
+				replacement := l.addReplacement(leaving)
+				l.RestartControlMachine(replacement)
 				done := make(chan struct{})
 				l.g.Go("busy", func(context.Context) {
 					defer close(done)
 					for i := range 1000 {
-						core := l.Cores[i%3]
-						l.g.Go("put", func(context.Context) { l.put(core, fmt.Sprint("busy", i), "v") })
+						core := l.ControlMachines[i%3]
+						l.g.Go("put", func(context.Context) { l.putKey(core, fmt.Sprint("busy", i), "v") })
 						Wait(4 * time.Millisecond)
 					}
 				})
@@ -41,7 +41,7 @@
 				start := time.Now()
 				l.g.Go("leave", func(context.Context) { leaving.Store.Stop() })
 				l.Until(3*time.Second, "the candidate is a member", func() bool {
-					members := l.places()
+					members := l.members()
 					return members[replacement.Host] && !members[leaving.Host]
 				})
 				took := time.Since(start)
@@ -51,7 +51,7 @@
 				}
 				<-done
 				leaving.Registry.Stop()
-				l.KillCore(leaving, true)
+				l.KillControlMachine(leaving, true)
 			})
 		})
 	}
--- a/internal/sim/linear_test.go
+++ b/internal/sim/linear_test.go
@@ -26,13 +26,13 @@
 			for n := 0; time.Now().Before(end); n++ {
 				addr := f.Nodes[rnd.IntN(len(f.Nodes))].Host + ":7003"
 				if rnd.IntN(3) == 0 {
-					addr = f.Cores[rnd.IntN(3)].Host + ":7003"
+					addr = f.ControlMachines[rnd.IntN(3)].Host + ":7003"
 				}
 				op := standin.Op{Key: key, From: time.Now()}
 				uri := "/puffin/keys/" + key + "?left_ms=1500"
 				if rnd.IntN(2) == 0 {
 					op.Write, op.Value = true, fmt.Sprintf("%d-%d", i, n)
-					code, _ := f.Ask("PUT", addr, uri, fmt.Sprintf(`{"value":%q}`, op.Value))
+					code, _ := f.Request("PUT", addr, uri, fmt.Sprintf(`{"value":%q}`, op.Value))
 					op.Unknown = code != 200
 					// A definite refusal had no effect, so it is left out of the
 					// history.
@@ -40,7 +40,7 @@
 						continue
 					}
 				} else {
-					code, got := f.Ask("GET", addr, uri, "")
+					code, got := f.Request("GET", addr, uri, "")
 					op.Unknown = code != 200 && code != 404
 					op.Value, _ = got["value"].(string)
 				}
@@ -67,7 +67,7 @@
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
 			synctest.Test(t, func(t *testing.T) {
-				f := NewFleet(t, small(), seed+100)
+				f := NewFleet(t, smallShape(), seed+100)
 				defer f.Stop()
 				f.Start()
 				rnd := rand.New(rand.NewPCG(seed, 99))
@@ -76,24 +76,24 @@
 					defer close(done)
 					for range 4 {
 						Wait(time.Duration(1+rnd.IntN(2)) * time.Second)
-						c := f.Cores[rnd.IntN(3)]
+						c := f.ControlMachines[rnd.IntN(3)]
 						switch rnd.IntN(4) {
 						case 0:
-							f.KillCore(c, true)
+							f.KillControlMachine(c, true)
 							Wait(time.Second)
-							f.BackCore(c)
+							f.RestartControlMachine(c)
 						case 1:
 							f.Net.Isolate(c.Host, true)
 							Wait(2500 * time.Millisecond)
 							f.Net.Isolate(c.Host, false)
 						case 2:
-							f.oneWay(c, true)
+							f.cutOutbound(c, true)
 							Wait(2500 * time.Millisecond)
-							f.oneWay(c, false)
+							f.cutOutbound(c, false)
 						case 3:
-							c.Disk.Slow(600 * time.Millisecond)
+							c.Disk.SetSyncDelay(600 * time.Millisecond)
 							Wait(2 * time.Second)
-							c.Disk.Slow(0)
+							c.Disk.SetSyncDelay(0)
 						}
 					}
 				}()
@@ -105,7 +105,7 @@
 						known++
 					}
 				}
-				if !standin.Linear(ops) {
+				if !standin.LinearizableKey(ops) {
 					t.Errorf("seed %d: the history of %d calls is not linearizable", seed, len(ops))
 				}
 				if known < 60 {
--- a/internal/sim/locks_test.go
+++ b/internal/sim/locks_test.go
@@ -35,7 +35,7 @@
 				lock := fmt.Sprint("l", rnd.IntN(2))
 				ask := func(op string, ttl time.Duration, fence float64) (int, float64) {
 					addr := f.Nodes[rnd.IntN(len(f.Nodes))].Host + ":7003"
-					code, got := f.Ask("POST", addr, "/puffin/locks/"+lock+"/"+op+"?left_ms=2500",
+					code, got := f.Request("POST", addr, "/puffin/locks/"+lock+"/"+op+"?left_ms=2500",
 						fmt.Sprintf(`{"owner":%q,"ttl_ms":%d,"fence":%.0f}`, client, ttl.Milliseconds(), fence))
 					n, _ := got["fence"].(float64)
 					return code, n
@@ -95,7 +95,7 @@
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
 			synctest.Test(t, func(t *testing.T) {
-				f := NewFleet(t, small(), seed+330)
+				f := NewFleet(t, smallShape(), seed+330)
 				defer f.Stop()
 				f.Start()
 				rnd := rand.New(rand.NewPCG(seed, 31))
@@ -103,20 +103,20 @@
 				go func() { done <- f.runLockClients(6, seed, 40*time.Second) }()
 				for range 7 {
 					Wait(time.Duration(1000+rnd.IntN(2500)) * time.Millisecond)
-					c := f.Writer()
+					c := f.Leader()
 					if c == nil {
 						continue
 					}
 					outage := time.Duration(500+rnd.IntN(2500)) * time.Millisecond
 					switch rnd.IntN(4) {
 					case 0:
-						f.Net.Freeze("store-"+c.Host, true)
+						f.Net.PauseProcess("store-"+c.Host, true)
 						Wait(outage)
-						f.Net.Freeze("store-"+c.Host, false)
+						f.Net.PauseProcess("store-"+c.Host, false)
 					case 1:
-						f.KillCore(c, true)
+						f.KillControlMachine(c, true)
 						Wait(outage)
-						f.BackCore(c)
+						f.RestartControlMachine(c)
 					case 2:
 						f.Net.Isolate(c.Host, true)
 						Wait(outage)
@@ -155,12 +155,12 @@
 func TestLateRelease(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
-		f := NewFleet(t, small(), 331)
+		f := NewFleet(t, smallShape(), 331)
 		defer f.Stop()
 		f.Start()
 		a, b := f.Nodes[0], f.Nodes[1]
 		acquire := func(owner string) (int, float64) {
-			code, got := f.Ask("POST", a.Host+":7003", "/puffin/locks/l/acquire", `{"owner":"`+owner+`","ttl_ms":20000}`)
+			code, got := f.Request("POST", a.Host+":7003", "/puffin/locks/l/acquire", `{"owner":"`+owner+`","ttl_ms":20000}`)
 			n, _ := got["fence"].(float64)
 			return code, n
 		}
@@ -168,23 +168,23 @@
 		if code != 200 {
 			t.Fatal(code)
 		}
-		for _, c := range f.Cores {
+		for _, c := range f.ControlMachines {
 			f.Net.Cut(b.Host, c.Host, true)
 		}
-		go f.Ask("POST", b.Host+":7003", "/puffin/locks/l/release?left_ms=9000", fmt.Sprintf(`{"owner":"x","fence":%.0f}`, firstFence))
+		go f.Request("POST", b.Host+":7003", "/puffin/locks/l/release?left_ms=9000", fmt.Sprintf(`{"owner":"x","fence":%.0f}`, firstFence))
 		Wait(300 * time.Millisecond)
 		code, secondFence := acquire("x")
 		if code != 200 || secondFence <= firstFence {
 			t.Fatalf("acquired again: %d, fence %.0f after %.0f", code, secondFence, firstFence)
 		}
-		for _, c := range f.Cores {
+		for _, c := range f.ControlMachines {
 			f.Net.Cut(b.Host, c.Host, false)
 		}
 		Wait(time.Second)
 		if code, _ := acquire("y"); code != 409 {
 			t.Errorf("a late release freed the lock for another: %d", code)
 		}
-		if code, got := f.Ask("POST", a.Host+":7003", "/puffin/locks/l/renew", fmt.Sprintf(`{"owner":"x","fence":%.0f}`, secondFence)); code != 200 {
+		if code, got := f.Request("POST", a.Host+":7003", "/puffin/locks/l/renew", fmt.Sprintf(`{"owner":"x","fence":%.0f}`, secondFence)); code != 200 {
 			t.Errorf("the owner can't renew: %d %v", code, got)
 		}
 	})
--- a/internal/sim/longrequeststop_test.go
+++ b/internal/sim/longrequeststop_test.go
@@ -18,14 +18,14 @@
 // longRequestSite is a deployment whose workers run each request for seconds, so that a
 // stop signal meets requests at any moment of their runs and of the grace period.
 func longRequestSite(seed uint64) deployment {
-	d := deploy(seed, 12, 8, 900*time.Microsecond, time.Millisecond, []string{"search", "plans", "notes"}, []int{5, 4, 3}, []row{
+	d := deploy(seed, 12, 8, 900*time.Microsecond, time.Millisecond, []string{"search", "plans", "notes"}, []int{5, 4, 3}, []routeRow{
 		{kind: "find", repeat: "safe", service: "search", rate: 6, work: 1800, aim: 6000, left: 12000, back: 1500, further: 2, rank: 1, method: "GET", calls: map[string]float64{"note": 0.3}},
 		{kind: "plan", repeat: "never", service: "plans", rate: 3, work: 4200, aim: 12000, left: 25000, size: 300, back: 300, further: 1, method: "POST", calls: map[string]float64{"note": 0.5}},
 		{kind: "seats", repeat: "safe", service: "plans", rate: 2, work: 4500, aim: 12000, left: 25000, back: 3000, further: 2, rank: 2, method: "GET"},
 		{kind: "scan", repeat: "upload", service: "notes", rate: 2, work: 2500, aim: 8000, left: 14000, size: 20000, back: 100, further: 1, rank: 2, method: "PUT"},
 		{kind: "note", repeat: "safe", service: "notes", work: 200, aim: 600, left: 1500, back: 100, rank: 1, method: "GET"},
 	}, 1)
-	d.bounds.Allow = 60
+	d.bounds.RetryAllowance = 60
 	return d
 }
 
@@ -43,7 +43,7 @@
 func TestStopsUnderLongWork(t *testing.T) {
 	t.Parallel()
 	for n := range *longStopSeeds {
-		seed := *daySeed + uint64(n)
+		seed := *firstSeed + uint64(n)
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
 			synctest.Test(t, func(t *testing.T) { playLongStops(t, seed) })
@@ -53,18 +53,18 @@
 
 func playLongStops(t *testing.T, seed uint64) {
 	s := newSite(t, longRequestSite(seed), seed)
-	logLines := logOf(s.Fleet)
-	violations := s.day(40*time.Second, func() {
+	logLines := collectEvents(s.Fleet)
+	violations := s.runDay(40*time.Second, func() {
 		Wait(3 * time.Second)
 		end := time.Now().Add(30 * time.Second)
 		for lane := range uint64(3) {
-			a := act{s, rand.New(rand.NewPCG(seed, 300+lane)), &[]*Core{}}
+			a := faultRun{s, rand.New(rand.NewPCG(seed, 300+lane)), &[]*ControlMachine{}}
 			s.g.Go("stops", func(context.Context) { a.stopNodesUntil(end) })
 		}
-		a := act{s, rand.New(rand.NewPCG(seed, 310)), &[]*Core{}}
+		a := faultRun{s, rand.New(rand.NewPCG(seed, 310)), &[]*ControlMachine{}}
 		for time.Now().Before(end) {
-			draft := a.next()
-			a.alter(draft)
+			draft := a.nextDraft()
+			a.changeDraft(draft)
 			a.op.Send(s.g.Context(), draft, "", "")
 			Wait(a.ms(100, 600))
 		}
@@ -73,35 +73,35 @@
 	if len(violations) > 0 {
 		t.Errorf("rules broken: %v; requests without their worker's answer: %s", violations, strings.Join(logLines("unanswered"), "\n"))
 	}
-	if risk := s.wit.Risk()[checker.Lost]; risk < 50 {
+	if risk := s.witness.Exposure()[checker.Lost]; risk < 50 {
 		t.Errorf("only %d requests ended while their ingress was stopping: the test shows nothing", risk)
 	}
-	if served, expected := s.wit.Served("", time.Time{}, time.Now()); served < expected*8/10 {
+	if served, expected := s.witness.Served("", time.Time{}, time.Now()); served < expected*8/10 {
 		t.Errorf("%d of %d served", served, expected)
 	}
 }
 
 // stopNodesUntil stops and restarts one node after the other until end. A third of the
 // nodes reload their settings shortly before the stop.
-func (a act) stopNodesUntil(end time.Time) {
+func (a faultRun) stopNodesUntil(end time.Time) {
 	for time.Now().Before(end) {
-		m := a.take(a.enough)
+		m := a.takeMachine(a.spareable)
 		if m == nil {
 			Wait(a.ms(50, 300))
 			continue
 		}
-		endTouch := a.wit.Touch.Begin(m.name, checker.Planned+"stop")
+		endTouch := a.witness.Faults.Begin(m.name, checker.Planned+"stop")
 		if a.IntN(3) == 0 {
-			a.wit.Hup(m.name)
-			proxy, _ := a.now(m.Node)
+			a.witness.ReloadSignaled(m.name)
+			proxy, _ := a.processesOf(m.Node)
 			proxy.Reload(proxy.Settings)
 			Wait(a.ms(1, 800))
 		}
 		a.stopNode(m)
 		Wait(a.ms(50, 400))
-		a.boot(m)
+		a.startNode(m)
 		endTouch()
-		a.free(m)
+		a.releaseMachine(m)
 		Wait(a.ms(50, 1500))
 	}
 }
