--- a/internal/sim/manychanges_test.go
+++ b/internal/sim/manychanges_test.go
@@ -13,41 +13,41 @@
 // do is called and ends when the returned function is.
 var absences = []struct {
 	name string
-	do   func(l *lab, c *Core) (back func())
+	do   func(l *coreFleet, c *ControlMachine) (back func())
 }{
-	{"away", func(l *lab, c *Core) func() {
-		l.KillCore(c, true)
-		return func() { l.BackCore(c) }
+	{"away", func(l *coreFleet, c *ControlMachine) func() {
+		l.KillControlMachine(c, true)
+		return func() { l.RestartControlMachine(c) }
 	}},
-	{"cut off", func(l *lab, c *Core) func() {
+	{"cut off", func(l *coreFleet, c *ControlMachine) func() {
 		l.Net.Isolate(c.Host, true)
 		return func() { l.Net.Isolate(c.Host, false) }
 	}},
-	{"frozen", func(l *lab, c *Core) func() {
-		l.Net.Freeze("store-"+c.Host, true)
-		l.Net.Freeze("core-"+c.Host, true)
+	{"frozen", func(l *coreFleet, c *ControlMachine) func() {
+		l.Net.PauseProcess("store-"+c.Host, true)
+		l.Net.PauseProcess("core-"+c.Host, true)
 		return func() {
-			l.Net.Freeze("store-"+c.Host, false)
-			l.Net.Freeze("core-"+c.Host, false)
+			l.Net.PauseProcess("store-"+c.Host, false)
+			l.Net.PauseProcess("core-"+c.Host, false)
 		}
 	}},
-	{"on a slow disk", func(l *lab, c *Core) func() {
-		c.Disk.Slow(400 * time.Millisecond)
-		return func() { c.Disk.Slow(2 * time.Millisecond) }
+	{"on a slow disk", func(l *coreFleet, c *ControlMachine) func() {
+		c.Disk.SetSyncDelay(400 * time.Millisecond)
+		return func() { c.Disk.SetSyncDelay(2 * time.Millisecond) }
 	}},
-	{"on a full disk", func(l *lab, c *Core) func() {
-		c.Disk.Room(0)
-		return func() { c.Disk.Room(-1) }
+	{"on a full disk", func(l *coreFleet, c *ControlMachine) func() {
+		c.Disk.LimitFreeBytes(0)
+		return func() { c.Disk.LimitFreeBytes(-1) }
 	}},
-	{"on a disk that hangs", func(l *lab, c *Core) func() {
-		c.Disk.Hang("", true)
-		return func() { c.Disk.Hang("", false) }
+	{"on a disk that hangs", func(l *coreFleet, c *ControlMachine) func() {
+		c.Disk.HangSyncs("", true)
+		return func() { c.Disk.HangSyncs("", false) }
 	}},
-	{"emptied", func(l *lab, c *Core) func() {
-		l.KillCore(c, true)
+	{"emptied", func(l *coreFleet, c *ControlMachine) func() {
+		l.KillControlMachine(c, true)
 		c.Disk.Wipe()
 		Wait(500 * time.Millisecond)
-		l.BackCore(c)
+		l.RestartControlMachine(c)
 		// Its refill goes on during the changes.
 		return func() {}
 	}},
@@ -55,16 +55,16 @@
 
 // applyChanges puts the given number of configurations in force, one after another, and
 // returns the number of the last one that was confirmed.
-func (l *lab) applyChanges(count int, first uint64) uint64 {
-	last, cores := first, l.cores()
+func (l *coreFleet) applyChanges(count int, first uint64) uint64 {
+	last, cores := first, l.controlMachines()
 	for i := range count {
 		number := first + uint64(i) + 1
 		for attempt := range 30 {
 			c := cores[(i+attempt)%len(cores)]
-			if _, registry := l.runs(c); registry == nil {
+			if _, registry := l.controlProcessesOf(c); registry == nil {
 				continue
 			}
-			code, _ := l.Ask("PUT", c.Host+":7003", "/puffin/config?by=number&left_ms=600", l.numberedDoc(number, fmt.Sprint("p", number)))
+			code, _ := l.Request("PUT", c.Host+":7003", "/puffin/config?by=number&left_ms=600", l.numberedDoc(number, fmt.Sprint("p", number)))
 			if code == 200 {
 				last = number
 				break
@@ -93,15 +93,15 @@
 	}
 }
 
-func catchUpAfterAbsence(t *testing.T, begin func(*lab, *Core) func(), count int) {
-	l := newLab(t, 960, 3, 1)
+func catchUpAfterAbsence(t *testing.T, begin func(*coreFleet, *ControlMachine) func(), count int) {
+	l := newCoreFleet(t, 960, 3, 1)
 	defer l.Stop()
-	l.up()
-	l.Until(4*time.Second, "all voters have joined", func() bool { return l.settled(3) && l.Writer() != nil })
-	l.Stores["founding"] = false
+	l.startAll()
+	l.Until(4*time.Second, "all voters have joined", func() bool { return l.settled(3) && l.Leader() != nil })
+	l.StoreSettings["founding"] = false
 	first := l.applyChanges(3, 0)
-	leader := l.Writer()
-	member := l.Cores[slices.IndexFunc(l.Cores, func(c *Core) bool { return c != leader })]
+	leader := l.Leader()
+	member := l.ControlMachines[slices.IndexFunc(l.ControlMachines, func(c *ControlMachine) bool { return c != leader })]
 	restore := begin(l, member)
 	last := l.applyChanges(count, first)
 	if last < uint64(count) {
@@ -121,7 +121,7 @@
 		done <- newest
 	})
 	l.Until(8*time.Second, "the member has caught up", func() bool {
-		current := l.Writer()
+		current := l.Leader()
 		return current != nil && (current == member || l.isMember(member, current, 10))
 	})
 	took := time.Since(start)
@@ -131,8 +131,8 @@
 		t.Errorf("caught up after %v", took)
 	}
 	// The member may already lead; otherwise the leader is killed.
-	if leader = l.Writer(); leader != nil && leader != member {
-		l.KillCore(leader, true)
+	if leader = l.Leader(); leader != nil && leader != member {
+		l.KillControlMachine(leader, true)
 	}
 	addr := member.Host + ":7003"
 	var got map[string]any
--- a/internal/sim/net.go
+++ b/internal/sim/net.go
@@ -17,7 +17,7 @@
 	mu             sync.Mutex
 	listeners      map[string]*listener
 	conns          map[*pipe]bool
-	areas          map[string]string       // zone of each host
+	zones          map[string]string       // zone of each host
 	cuts           map[[2]string]time.Time // time at which each direction was cut
 	linksChanged   chan struct{}
 	extraDelay     map[string]time.Duration // extra delay of all bytes from and to a host
@@ -32,16 +32,16 @@
 
 // NewNet creates a network with the given delays within and between zones.
 func NewNet(seed uint64, nearDelay, farDelay time.Duration) *Net {
-	return &Net{extraDelay: map[string]time.Duration{}, pauseGates: map[string]*pauseGate{}, thinLinks: map[string]*thinLink{}, listeners: map[string]*listener{}, conns: map[*pipe]bool{}, areas: map[string]string{},
+	return &Net{extraDelay: map[string]time.Duration{}, pauseGates: map[string]*pauseGate{}, thinLinks: map[string]*thinLink{}, listeners: map[string]*listener{}, conns: map[*pipe]bool{}, zones: map[string]string{},
 		cuts: map[[2]string]time.Time{}, linksChanged: make(chan struct{}), rnd: rand.New(rand.NewPCG(seed, 7)), nearDelay: nearDelay, farDelay: farDelay}
 }
 
-func host(address string) string { return address[:strings.LastIndexByte(address, ':')] }
+func hostOf(address string) string { return address[:strings.LastIndexByte(address, ':')] }
 
-// Place puts a host into a zone.
-func (n *Net) Place(hostName, zone string) {
+// SetZone puts a host into a zone.
+func (n *Net) SetZone(hostName, zone string) {
 	n.mu.Lock()
-	n.areas[hostName] = zone
+	n.zones[hostName] = zone
 	n.mu.Unlock()
 }
 
@@ -58,14 +58,14 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	d := n.nearDelay
-	if n.areas[from] != n.areas[to] {
+	if n.zones[from] != n.zones[to] {
 		d = n.farDelay
 	}
 	return d + n.extraDelay[from] + n.extraDelay[to] + time.Duration(n.rnd.Int64N(int64(d)/4+1))
 }
 
-// Lag delays all bytes from and to a host.
-func (n *Net) Lag(hostName string, d time.Duration) {
+// SetExtraDelay delays all bytes from and to a host.
+func (n *Net) SetExtraDelay(hostName string, d time.Duration) {
 	n.mu.Lock()
 	n.extraDelay[hostName] = d
 	n.mu.Unlock()
@@ -73,7 +73,7 @@
 
 func (n *Net) countBytes(from, to string, size int) {
 	n.mu.Lock()
-	if n.areas[from] != n.areas[to] {
+	if n.zones[from] != n.zones[to] {
 		n.CrossZoneBytes += int64(size)
 	} else if from != to {
 		n.SameZoneBytes += int64(size)
@@ -89,7 +89,7 @@
 func (n *Net) Process(hostName, process string) *Host {
 	gate := &pauseGate{}
 	if process != "" {
-		gate = n.ice(process)
+		gate = n.pauseGate(process)
 	}
 	return &Host{net: n, name: hostName, pauseGate: gate}
 }
@@ -147,7 +147,7 @@
 // Dial connects to a port. If either direction is cut, it blocks until the cut ends or the
 // context does.
 func (h *Host) Dial(ctx context.Context, address string) (net.Conn, error) {
-	to := host(address)
+	to := hostOf(address)
 	for {
 		h.pauseGate.waitWhilePaused()
 		changed := h.net.nextLinkChange()
@@ -202,7 +202,7 @@
 		}
 	}
 	for address, accepting := range n.listeners {
-		if host(address) == hostName {
+		if hostOf(address) == hostName {
 			listeners = append(listeners, accepting)
 		}
 	}
--- a/internal/sim/node_test.go
+++ b/internal/sim/node_test.go
@@ -10,9 +10,9 @@
 	"puffincrank/internal/standin"
 )
 
-// equal reports whether the replicas of all running nodes have the same digest.
-func (f *Fleet) equal() bool {
-	code, got := f.Get(f.Cores[1].Host+":7003", "/puffin/status")
+// replicasEqual reports whether the replicas of all running nodes have the same digest.
+func (f *Fleet) replicasEqual() bool {
+	code, got := f.Get(f.ControlMachines[1].Host+":7003", "/puffin/status")
 	if code != 200 {
 		return false
 	}
@@ -44,7 +44,7 @@
 		// both directions.
 		f.Nodes[0].Skew(-5 * time.Hour)
 		f.Nodes[1].Skew(7 * time.Hour)
-		f.Cores[0].Skew(3 * time.Hour)
+		f.ControlMachines[0].Skew(3 * time.Hour)
 		Wait(time.Second)
 		// Half of the nodes are killed at once, together with their workers.
 		for _, n := range f.Nodes[:6] {
@@ -58,10 +58,10 @@
 		t.Logf("entries of 6 dead nodes retired in %v", took.Round(time.Millisecond))
 		for i, n := range f.Nodes[:6] {
 			f.StartProxy(n)
-			f.StartWorker(n, s.Serves(i))
-			f.Obs.Lost(n.Host+":8000", start, time.Now().Add(2*time.Second))
+			f.StartWorker(n, s.ServiceOf(i))
+			f.Observer.Disconnected(n.Host+":8000", start, time.Now().Add(2*time.Second))
 		}
-		t.Logf("all nodes know all workers %v after the restart", f.Until(15*time.Second, "all nodes know all workers", f.Whole).Round(time.Millisecond))
+		t.Logf("all nodes know all workers %v after the restart", f.Until(15*time.Second, "all nodes know all workers", f.Converged).Round(time.Millisecond))
 		// One node is cut off for longer than the time after which entries are retired,
 		// and then reconnected.
 		n := f.Nodes[8]
@@ -73,12 +73,12 @@
 		})
 		Wait(5 * time.Second)
 		f.Net.Isolate(n.Host, false)
-		took = f.Until(15*time.Second, "it is registered again everywhere", f.Whole)
-		f.Obs.Lost(n.Host+":8000", cutAt, time.Now())
+		took = f.Until(15*time.Second, "it is registered again everywhere", f.Converged)
+		f.Observer.Disconnected(n.Host+":8000", cutAt, time.Now())
 		t.Logf("the cut-off node's worker is known everywhere again after %v", took.Round(time.Millisecond))
-		t.Logf("replicas equal %v later", f.Until(15*time.Second, "all replicas are equal", f.equal).Round(time.Millisecond))
+		t.Logf("replicas equal %v later", f.Until(15*time.Second, "all replicas are equal", f.replicasEqual).Round(time.Millisecond))
 		wait()
-		f.Judge()
+		f.CheckInvariants()
 	})
 }
 
@@ -100,11 +100,11 @@
 			n.Worker.Leave("gone")
 			f.KillWorker(n)
 			// Another service's worker takes over the address.
-			f.StartWorker(n, s.Serves(i+1))
+			f.StartWorker(n, s.ServiceOf(i+1))
 		}
 		wait()
-		f.Judge()
-		if n := f.Obs.Counts(); n["done"] != n["calls"] {
+		f.CheckInvariants()
+		if n := f.Observer.Counts(); n["done"] != n["calls"] {
 			t.Errorf("planned replacements were seen by callers: %v", n)
 		}
 	})
@@ -125,9 +125,9 @@
 		}
 		defer f.Stop()
 		f.Start()
-		f.Polled = true
+		f.PollReadiness = true
 		wait := f.Load(s.Lines, 50*time.Second)
-		apps := f.apps(50 * time.Second)
+		apps := f.runCoordination(50 * time.Second)
 		for _, n := range f.Nodes {
 			Wait(1200 * time.Millisecond)
 			start := time.Now()
@@ -138,25 +138,25 @@
 			f.StartProxy(n)
 			f.Until(5*time.Second, "the rolled node is ready", func() bool { return n.Proxy.Ready() })
 		}
-		for _, c := range f.Cores {
+		for _, c := range f.ControlMachines {
 			c.Registry.Stop()
 			c.Store.Stop()
-			f.BackCore(c)
-			f.Until(10*time.Second, "the rolled control-plane machine is ready", func() bool { return c.Registry.Ready() && f.coreReady() })
+			f.RestartControlMachine(c)
+			f.Until(10*time.Second, "the rolled control-plane machine is ready", func() bool { return c.Registry.Ready() && f.controlPlaneReady() })
 		}
 		wait()
-		f.Judge()
+		f.CheckInvariants()
 		coord := apps()
-		for _, l := range coord.Lost {
+		for _, l := range coord.UnknownOutcomes {
 			t.Log(l)
 		}
-		for outcome, n := range coord.Done {
+		for outcome, n := range coord.Outcomes {
 			// 404 and 409 are regular answers; any other status but 200 is an error.
 			if !strings.HasSuffix(outcome, " 200") && !strings.HasSuffix(outcome, " 404") && !strings.HasSuffix(outcome, " 409") {
 				t.Errorf("a planned roll was seen by applications: %d × %s", n, outcome)
 			}
 		}
-		if n := f.Obs.Counts(); n["done"] != n["calls"] || n["calls"] < 1000 {
+		if n := f.Observer.Counts(); n["done"] != n["calls"] || n["calls"] < 1000 {
 			t.Errorf("a planned roll was seen by callers: %v", n)
 		}
 	})
@@ -174,17 +174,17 @@
 		f.Start()
 		wait := f.Load(s.Lines, 20*time.Second)
 		Wait(2 * time.Second)
-		f.Nodes[0].Worker.Behave(standin.Way{Took: 20 * time.Millisecond, Garble: 0.5})
-		f.Nodes[4].Worker.Behave(standin.Way{Took: 20 * time.Millisecond, Lose: 0.5})
-		f.Nodes[2].Worker.Behave(standin.Way{Took: 20 * time.Millisecond, Busy: 0.5})
-		f.Nodes[3].Worker.Behave(standin.Way{Took: 400 * time.Millisecond})
+		f.Nodes[0].Worker.SetBehavior(standin.WorkerBehavior{Took: 20 * time.Millisecond, Garble: 0.5})
+		f.Nodes[4].Worker.SetBehavior(standin.WorkerBehavior{Took: 20 * time.Millisecond, Lose: 0.5})
+		f.Nodes[2].Worker.SetBehavior(standin.WorkerBehavior{Took: 20 * time.Millisecond, Busy: 0.5})
+		f.Nodes[3].Worker.SetBehavior(standin.WorkerBehavior{Took: 400 * time.Millisecond})
 		Wait(10 * time.Second)
 		for i, n := range f.Nodes {
-			n.Worker.Behave(standin.Way{Took: s.Took[s.Serves(i)]})
+			n.Worker.SetBehavior(standin.WorkerBehavior{Took: s.ServiceTimes[s.ServiceOf(i)]})
 		}
 		wait()
-		f.Judge()
-		if n := f.Obs.Counts(); n["unknown"] == 0 || n["done"] < n["calls"]*9/10 {
+		f.CheckInvariants()
+		if n := f.Observer.Counts(); n["unknown"] == 0 || n["done"] < n["calls"]*9/10 {
 			t.Errorf("bad workers did too little or too much harm: %v", n)
 		}
 	})
--- a/internal/sim/number_test.go
+++ b/internal/sim/number_test.go
@@ -21,13 +21,13 @@
 func TestNumbers(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
-		f := NewFleet(t, small(), 510)
+		f := NewFleet(t, smallShape(), 510)
 		defer f.Stop()
 		f.Start()
-		doc := f.S.Doc
-		addrs := []string{f.Cores[0].Host + ":7003", f.Nodes[1].Host + ":7003", f.Cores[2].Host + ":7003"}
+		doc := f.Shape.Config
+		addrs := []string{f.ControlMachines[0].Host + ":7003", f.Nodes[1].Host + ":7003", f.ControlMachines[2].Host + ":7003"}
 		put := func(i int, doc string) (int, string) {
-			return f.raw("PUT", addrs[i], "/puffin/config?by=number", doc)
+			return f.requestRaw("PUT", addrs[i], "/puffin/config?by=number", doc)
 		}
 		document7 := "  " + withVersion(doc, 7) + "\n "
 		for _, c := range []struct {
@@ -49,7 +49,7 @@
 			t.Error(got)
 		}
 		for i := range addrs {
-			if code, got := f.raw("GET", addrs[i], "/puffin/config?as=sent", ""); code != 200 || got != strings.TrimSpace(document7) {
+			if code, got := f.requestRaw("GET", addrs[i], "/puffin/config?as=sent", ""); code != 200 || got != strings.TrimSpace(document7) {
 				t.Errorf("%d, sent %d bytes, read back %d", code, len(document7), len(got))
 			}
 		}
@@ -81,14 +81,14 @@
 			}
 			wait.Wait()
 		}
-		for i, c := range f.Cores {
-			f.KillCore(c, i != 1)
+		for i, c := range f.ControlMachines {
+			f.KillControlMachine(c, i != 1)
 		}
-		for _, c := range f.Cores {
-			f.BackCore(c)
+		for _, c := range f.ControlMachines {
+			f.RestartControlMachine(c)
 		}
-		f.serves(15 * time.Second)
-		code, got := f.raw("GET", addrs[2], "/puffin/config?as=sent", "")
+		f.untilWritable(15 * time.Second)
+		code, got := f.requestRaw("GET", addrs[2], "/puffin/config?as=sent", "")
 		if code != 200 || got != withVersion(doc, 58) {
 			t.Errorf("after all were killed: %d %.40s", code, got)
 		}
@@ -100,18 +100,18 @@
 func TestReadBeforeFirstDocument(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
-		f := NewFleet(t, small(), 511)
+		f := NewFleet(t, smallShape(), 511)
 		defer f.Stop()
-		for _, c := range f.Cores {
+		for _, c := range f.ControlMachines {
 			f.StartStore(c)
 			f.StartRegistry(c)
 		}
-		addr := f.Cores[0].Host + ":7003"
+		addr := f.ControlMachines[0].Host + ":7003"
 		f.Until(15*time.Second, "there is a leader", func() bool {
-			code, _ := f.raw("GET", addr, "/puffin/config?as=sent", "")
+			code, _ := f.requestRaw("GET", addr, "/puffin/config?as=sent", "")
 			return code == 404
 		})
-		if code, got := f.raw("PUT", addr, "/puffin/config?by=number", withVersion(f.S.Doc, 41)); code != 200 || got != `{"version":41}` {
+		if code, got := f.requestRaw("PUT", addr, "/puffin/config?by=number", withVersion(f.Shape.Config, 41)); code != 200 || got != `{"version":41}` {
 			t.Error(code, got)
 		}
 	})
--- a/internal/sim/numberrace_test.go
+++ b/internal/sim/numberrace_test.go
@@ -22,14 +22,14 @@
 
 // content returns one of the documents that are sent under the number.
 func (r *numberRace) content(i int) string {
-	doc := strings.Replace(r.f.S.Doc, "{", fmt.Sprintf(`{"version":%d,`, r.number), 1)
+	doc := strings.Replace(r.f.Shape.Config, "{", fmt.Sprintf(`{"version":%d,`, r.number), 1)
 	return strings.Replace(doc, `"left_ms":1000`, fmt.Sprintf(`"left_ms":%d`, 1000+i), 1)
 }
 
 // sendUntilCertain sends a document to random nodes until its outcome is certain.
 func (r *numberRace) sendUntilCertain(i int, hosts []string) (codes []int) {
 	for range 12 {
-		code, _ := r.f.Ask("PUT", hosts[r.rnd.IntN(len(hosts))]+":7003", "/puffin/config?by=number&left_ms=1500", r.content(i))
+		code, _ := r.f.Request("PUT", hosts[r.rnd.IntN(len(hosts))]+":7003", "/puffin/config?by=number&left_ms=1500", r.content(i))
 		codes = append(codes, code)
 		if code == 200 || code == 409 {
 			return codes
@@ -51,14 +51,14 @@
 			synctest.Test(t, func(t *testing.T) {
 				s := Fumettoteca(0.1)
 				f := NewFleet(t, s, seed+860)
-				f.Told = tight
+				f.Settings = tightBounds
 				defer f.Stop()
 				f.Start()
 				var hosts []string
 				for _, n := range f.Nodes {
 					hosts = append(hosts, n.Host)
 				}
-				for _, c := range f.Cores {
+				for _, c := range f.ControlMachines {
 					hosts = append(hosts, c.Host)
 				}
 				number := uint64(10)
@@ -109,7 +109,7 @@
 		if confirmed[i] {
 			want = 200
 		}
-		code, _ := f.Ask("PUT", hosts[r.rnd.IntN(len(hosts))]+":7003", "/puffin/config?by=number", r.content(i))
+		code, _ := f.Request("PUT", hosts[r.rnd.IntN(len(hosts))]+":7003", "/puffin/config?by=number", r.content(i))
 		if code != want {
 			t.Errorf("seed %d, number %d: content %d sent again: %d, want %d", seed, number, i, code, want)
 		}
@@ -121,26 +121,26 @@
 
 // injectRaceFault disturbs the control plane in the middle of a race.
 func (f *Fleet) injectRaceFault(kind int) {
-	leader := f.Writer()
+	leader := f.Leader()
 	if leader == nil {
 		return
 	}
 	switch kind {
 	case 1:
-		f.KillCore(leader, true)
+		f.KillControlMachine(leader, true)
 		Wait(time.Second)
-		f.BackCore(leader)
+		f.RestartControlMachine(leader)
 	case 2:
-		f.Net.Freeze("store-"+leader.Host, true)
+		f.Net.PauseProcess("store-"+leader.Host, true)
 		Wait(3 * time.Second)
-		f.Net.Freeze("store-"+leader.Host, false)
+		f.Net.PauseProcess("store-"+leader.Host, false)
 	case 3:
-		for _, c := range f.Cores {
-			f.KillCore(c, true)
+		for _, c := range f.ControlMachines {
+			f.KillControlMachine(c, true)
 		}
 		Wait(200 * time.Millisecond)
-		for _, c := range f.Cores {
-			f.BackCore(c)
+		for _, c := range f.ControlMachines {
+			f.RestartControlMachine(c)
 		}
 	}
 }
--- a/internal/sim/ownersuspicion_test.go
+++ b/internal/sim/ownersuspicion_test.go
@@ -15,11 +15,11 @@
 // owner sees them all, so all nodes must avoid the worker within a second on the
 // owner's report, and return when it is healthy.
 func TestOwnerSuspicionSpreads(t *testing.T) {
-	heavy(t)
+	skipUnderRace(t)
 	synctest.Test(t, func(t *testing.T) {
-		shape := one()
+		shape := singleServiceShape()
 		shape.Nodes = 36
-		shape.Doc = strings.ReplaceAll(shape.Doc, `"aim_ms":600`, `"aim_ms":600,"repeat":"safe"`)
+		shape.Config = strings.ReplaceAll(shape.Config, `"aim_ms":600`, `"aim_ms":600,"repeat":"safe"`)
 		fleet := NewFleet(t, shape, 112)
 		defer fleet.Stop()
 		messages := make(chan string, 64)
@@ -32,7 +32,7 @@
 			}
 		}
 		fleet.Start()
-		waitForLoad := fleet.Load([]standin.Line{{Method: "GET", URI: "/a", Service: "s", Rate: 500, Safe: true}}, 30*time.Second)
+		waitForLoad := fleet.Load([]standin.CallKind{{Method: "GET", URI: "/a", Service: "s", Rate: 500, Retryable: true}}, 30*time.Second)
 		Wait(5 * time.Second)
 		faulty := fleet.Nodes[0].Worker
 		shareOfRuns := func(duration time.Duration) float64 {
@@ -49,10 +49,10 @@
 			return float64(faultyRuns) / float64(allRuns) * float64(len(fleet.Nodes))
 		}
 		before := shareOfRuns(4 * time.Second)
-		faulty.Behave(standin.Way{Took: 5 * time.Millisecond, Fail: 0.5})
+		faulty.SetBehavior(standin.WorkerBehavior{Took: 5 * time.Millisecond, Fail: 0.5})
 		Wait(time.Second)
 		during := shareOfRuns(5 * time.Second)
-		faulty.Behave(standin.Way{Took: 100 * time.Millisecond})
+		faulty.SetBehavior(standin.WorkerBehavior{Took: 100 * time.Millisecond})
 		Wait(7 * time.Second)
 		after := shareOfRuns(6 * time.Second)
 		t.Logf("share of an even load: %.2f before, %.2f from 1 s after it began to fail, %.2f from 7 s after it recovered", before, during, after)
@@ -63,6 +63,6 @@
 			t.Error("the other nodes don't follow the owner's health report")
 		}
 		waitForLoad()
-		fleet.Judge()
+		fleet.CheckInvariants()
 	})
 }
--- a/internal/sim/partitionhistory_test.go
+++ b/internal/sim/partitionhistory_test.go
@@ -14,21 +14,21 @@
 // is cut off; the same function with on false heals the partition.
 var corePartitions = []struct {
 	name string
-	do   func(l *lab, c *Core, others []string, on bool)
+	do   func(l *coreFleet, c *ControlMachine, others []string, on bool)
 }{
-	{"from the core", func(l *lab, c *Core, others []string, on bool) { l.Net.Part(c.Host, others, on) }},
-	{"from everybody", func(l *lab, c *Core, _ []string, on bool) { l.Net.Isolate(c.Host, on) }},
-	{"on its way out", func(l *lab, c *Core, others []string, on bool) {
+	{"from the core", func(l *coreFleet, c *ControlMachine, others []string, on bool) { l.Net.Partition(c.Host, others, on) }},
+	{"from everybody", func(l *coreFleet, c *ControlMachine, _ []string, on bool) { l.Net.Isolate(c.Host, on) }},
+	{"on its way out", func(l *coreFleet, c *ControlMachine, others []string, on bool) {
 		for _, o := range others {
 			l.Net.Cut(c.Host, o, on)
 		}
 	}},
-	{"on its way in", func(l *lab, c *Core, others []string, on bool) {
+	{"on its way in", func(l *coreFleet, c *ControlMachine, others []string, on bool) {
 		for _, o := range others {
 			l.Net.Cut(o, c.Host, on)
 		}
 	}},
-	{"by resets", func(l *lab, c *Core, _ []string, on bool) {
+	{"by resets", func(l *coreFleet, c *ControlMachine, _ []string, on bool) {
 		for range 20 {
 			if on {
 				l.Net.Reset(c.Host, 1)
@@ -36,11 +36,11 @@
 			}
 		}
 	}},
-	{"with half of the core", func(l *lab, c *Core, others []string, on bool) {
+	{"with half of the core", func(l *coreFleet, c *ControlMachine, others []string, on bool) {
 		half := append([]string{c.Host}, others[:len(others)/2-1+len(others)%2]...)
 		for _, a := range half {
 			for _, b := range others[len(half)-1:] {
-				l.Net.Part(a, []string{b}, on)
+				l.Net.Partition(a, []string{b}, on)
 			}
 		}
 	}},
@@ -64,7 +64,7 @@
 					calls := &history{answered: map[string]int{}}
 					target := ""
 					synctest.Test(t, func(t *testing.T) { target = runPartition(t, calls, cores, uint64(i), cutLeader, cut.do) })
-					calls.judge(t)
+					calls.check(t)
 					for address, n := range calls.answered {
 						if address != target && n < 20 {
 							t.Errorf("machine %s answered only %d calls", address, n)
@@ -78,20 +78,20 @@
 }
 
 // runPartition injects the partition and returns the host that was cut off.
-func runPartition(t *testing.T, calls *history, cores int, seed uint64, cutLeader bool, cut func(*lab, *Core, []string, bool)) string {
-	fleet := newLab(t, 940+seed, cores, (cores-1)/2)
+func runPartition(t *testing.T, calls *history, cores int, seed uint64, cutLeader bool, cut func(*coreFleet, *ControlMachine, []string, bool)) string {
+	fleet := newCoreFleet(t, 940+seed, cores, (cores-1)/2)
 	defer fleet.Stop()
-	fleet.up()
-	fleet.Until(4*time.Second, "all memberships are filled", func() bool { return fleet.settled(cores) && fleet.Writer() != nil })
-	leader := fleet.Writer()
+	fleet.startAll()
+	fleet.Until(4*time.Second, "all memberships are filled", func() bool { return fleet.settled(cores) && fleet.Leader() != nil })
+	leader := fleet.Leader()
 	target := leader
 	var others []string
-	for _, c := range fleet.Cores {
+	for _, c := range fleet.ControlMachines {
 		if !cutLeader && c != leader && target == leader {
 			target = c
 		}
 	}
-	for _, c := range fleet.Cores {
+	for _, c := range fleet.ControlMachines {
 		if c != target {
 			others = append(others, c.Host)
 		}
@@ -109,11 +109,11 @@
 		}
 		return number
 	}
-	for i, c := range fleet.Cores {
+	for i, c := range fleet.ControlMachines {
 		pending.Add(1)
 		fleet.g.Go("asks", func(context.Context) {
 			defer pending.Done()
-			fleet.asks(ctx, calls, c, rand.New(rand.NewPCG(seed, uint64(i))), next)
+			fleet.callRandomly(ctx, calls, c, rand.New(rand.NewPCG(seed, uint64(i))), next)
 		})
 	}
 	Wait(2 * time.Second)
--- a/internal/sim/pause.go
+++ b/internal/sim/pause.go
@@ -72,9 +72,9 @@
 	}
 }
 
-// ice returns the gate of a process by name. Starting a process reopens its gate, so that a
+// pauseGate returns the gate of a process by name. Starting a process reopens its gate, so that a
 // process killed while paused does not block its successor.
-func (n *Net) ice(process string) *pauseGate {
+func (n *Net) pauseGate(process string) *pauseGate {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.pauseGates[process] == nil {
@@ -83,10 +83,10 @@
 	return n.pauseGates[process]
 }
 
-// Freeze pauses or resumes a process. An empty name has no effect.
-func (n *Net) Freeze(process string, on bool) { n.ice(process).setPaused(on) }
+// PauseProcess pauses or resumes a process. An empty name has no effect.
+func (n *Net) PauseProcess(process string, on bool) { n.pauseGate(process).setPaused(on) }
 
-// Pause returns the sleep function of a process.
-func (n *Net) Pause(process string) func(context.Context, time.Duration) {
-	return n.ice(process).sleep
+// Sleeper returns the sleep function of a process.
+func (n *Net) Sleeper(process string) func(context.Context, time.Duration) {
+	return n.pauseGate(process).sleep
 }
--- a/internal/sim/pausedowner_test.go
+++ b/internal/sim/pausedowner_test.go
@@ -14,7 +14,7 @@
 // in an order that differs by round, and must not deliver requests to the worker that
 // left.
 func TestFrozenOwner(t *testing.T) {
-	heavy(t)
+	skipUnderRace(t)
 	for round := range 3 {
 		t.Run(fmt.Sprint("round ", round), func(t *testing.T) {
 			t.Parallel()
@@ -29,38 +29,38 @@
 				for i := range 3 {
 					node := fleet.Nodes[i]
 					start := time.Now()
-					fleet.Net.Freeze("node-"+node.Host, true)
+					fleet.Net.PauseProcess("node-"+node.Host, true)
 					Wait(time.Duration(50+100*round) * time.Millisecond)
 					// The message arrives in the socket of a paused process.
 					go node.Worker.Leave("draining")
 					Wait(2200 * time.Millisecond)
-					fleet.aim(node, 20)
+					fleet.sendRequests(node, 20)
 					before := node.Worker.Ran()
-					fleet.Net.Freeze("node-"+node.Host, false)
+					fleet.Net.PauseProcess("node-"+node.Host, false)
 					Wait(700 * time.Millisecond)
 					t.Logf("%d requests reached the worker after the owner resumed", node.Worker.Ran()-before)
-					fleet.Obs.Lost(node.Host+":8000", start, time.Now())
+					fleet.Observer.Disconnected(node.Host+":8000", start, time.Now())
 				}
 				waitForLoad()
-				fleet.Judge()
+				fleet.CheckInvariants()
 			})
 		})
 	}
 }
 
-// aim sends requests to a node as the ingress, so that a paused node resumes with
+// sendRequests sends requests to a node as the ingress, so that a paused node resumes with
 // them unread.
-func (f *Fleet) aim(node *Node, count int) {
-	line := f.S.Lines[0]
-	for _, l := range f.S.Lines {
+func (f *Fleet) sendRequests(node *Node, count int) {
+	line := f.Shape.Lines[0]
+	for _, l := range f.Shape.Lines {
 		if l.Service == node.Worker.Service {
 			line = l
 		}
 	}
-	callers := standin.NewCallers(f.env("aim", "10.0.9.6", "outside", &node.skew), []string{node.Host + ":8000"}, f.Obs, 15*time.Second)
+	callers := standin.NewCallers(f.env("aim", "10.0.9.6", "outside", &node.skew), []string{node.Host + ":8000"}, f.Observer, 15*time.Second)
 	callers.Name = "aim-" + node.Host + "-"
 	for range count {
-		go callers.At(node.Host+":8000", line)
+		go callers.CallAt(node.Host+":8000", line)
 	}
 	Wait(5 * time.Millisecond)
 }
@@ -69,7 +69,7 @@
 // that doesn't check which service a request is for, while all nodes still hold the old
 // registration and old connections. No request for the old service may reach it.
 func TestPassedAddress(t *testing.T) {
-	heavy(t)
+	skipUnderRace(t)
 	synctest.Test(t, func(t *testing.T) {
 		shape := Fumettoteca(0.5)
 		fleet := NewFleet(t, shape, 310)
@@ -83,13 +83,13 @@
 			// trusts the old worker's registration.
 			fleet.Net.Cut(node.Host+"w", node.Host, true)
 			fleet.KillWorker(node)
-			fleet.StartStranger(node, shape.Serves(i+1))
+			fleet.StartUncheckedWorker(node, shape.ServiceOf(i+1))
 			Wait(300 * time.Millisecond)
 			fleet.Net.Cut(node.Host+"w", node.Host, false)
 		}
 		waitForLoad()
-		fleet.Judge()
-		if counts := fleet.Obs.Counts(); counts["done"] < counts["calls"]*9/10 || counts["calls"] < 2000 {
+		fleet.CheckInvariants()
+		if counts := fleet.Observer.Counts(); counts["done"] < counts["calls"]*9/10 || counts["calls"] < 2000 {
 			t.Errorf("too few requests succeeded: %v", counts)
 		}
 	})
--- a/internal/sim/pipe.go
+++ b/internal/sim/pipe.go
@@ -196,8 +196,8 @@
 	p.net.forget(p)
 }
 
-// Sum returns the bytes sent so far, between zones or within them.
-func (n *Net) Sum(crossZone bool) int64 {
+// BytesSent returns the bytes sent so far, between zones or within them.
+func (n *Net) BytesSent(crossZone bool) int64 {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if crossZone {
--- a/internal/sim/plan_test.go
+++ b/internal/sim/plan_test.go
@@ -16,24 +16,24 @@
 // plan is a seeded sequence of faults under load. At most one control-plane machine is
 // faulty at a time, and some faults overlap with a second one.
 type plan struct {
-	f      *Fleet
-	apps   *standin.Coord
-	mu     sync.Mutex
-	busy   map[*Node]bool // nodes that a fault is using
-	events []string
-	risk   risks
-	left   int // workers that announced their leave
-	new    int // control-plane machines that were replaced
+	f        *Fleet
+	apps     *standin.CoordinationCallers
+	mu       sync.Mutex
+	inUse    map[*Node]bool // nodes that a fault is using
+	events   []string
+	risk     risks
+	departed int // workers that announced their leave
+	replaced int // control-plane machines that were replaced
 }
 
 // draw is the random source of a single fault, so that two faults can overlap.
 type draw struct {
 	*plan
 	*rand.Rand
-	at *int // requests in progress at the nodes that the fault picked, when it picked them
+	active *int // requests in progress at the nodes that the fault picked, when it picked them
 }
 
-func (p *plan) say(format string, args ...any) {
+func (p *plan) record(format string, args ...any) {
 	p.mu.Lock()
 	p.events = append(p.events, time.Now().Format("05.000 ")+fmt.Sprintf(format, args...))
 	p.mu.Unlock()
@@ -44,19 +44,19 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for {
-		if n := d.f.Nodes[d.IntN(len(d.f.Nodes))]; !d.busy[n] {
-			d.busy[n] = true
-			if x, w := d.f.now(n); x != nil && w != nil {
-				*d.at += w.Under() + int(x.ActiveRequests())
+		if n := d.f.Nodes[d.IntN(len(d.f.Nodes))]; !d.inUse[n] {
+			d.inUse[n] = true
+			if x, w := d.f.processesOf(n); x != nil && w != nil {
+				*d.active += w.Executing() + int(x.ActiveRequests())
 			}
 			return n
 		}
 	}
 }
 
-func (d draw) free(n *Node) {
+func (d draw) release(n *Node) {
 	d.mu.Lock()
-	delete(d.busy, n)
+	delete(d.inUse, n)
 	d.mu.Unlock()
 }
 
@@ -65,7 +65,7 @@
 }
 
 // service draws the service of a new worker from those that callers request.
-func (d draw) service() string { return d.f.S.Services[d.IntN(len(d.f.S.Services))] }
+func (d draw) service() string { return d.f.Shape.Services[d.IntN(len(d.f.Shape.Services))] }
 
 // fewSlots is a deployment whose workers have only four slots, so that request classes
 // borrow from each other even at a low rate, on all nodes.
@@ -82,19 +82,19 @@
 func (p *plan) run(t *testing.T, seed uint64, duration time.Duration) {
 	f := p.f
 	rnd := rand.New(rand.NewPCG(seed, 5))
-	wait := f.Load(f.S.Lines, duration)
-	var stopApps func() *standin.Coord
-	p.apps, stopApps = f.appsNow(duration)
+	wait := f.Load(f.Shape.Lines, duration)
+	var stopApps func() *standin.CoordinationCallers
+	p.apps, stopApps = f.startCoordination(duration)
 	start := time.Now()
-	playStep := func(s *step, seed uint64) {
+	playStep := func(s *faultStep, seed uint64) {
 		d := draw{p, rand.New(rand.NewPCG(seed, 6)), new(int)}
-		before := p.look()
+		before := p.countExposure()
 		s.do(d)
-		after := p.look()
+		after := p.countExposure()
 		// Where the fault picked a node, only the requests in progress there were at
 		// risk.
-		if *d.at > 0 || s.node() {
-			before.jobs = *d.at
+		if *d.active > 0 || s.affectsNodes() {
+			before.requests = *d.active
 		}
 		p.mu.Lock()
 		p.risk.add(s.fault, before, after, s)
@@ -103,7 +103,7 @@
 	// Meanwhile operators change the configuration and workers come and go, so that
 	// every fault coincides with both.
 	ordinary := make(chan struct{}, 2)
-	for i, act := range []func(draw){func(d draw) { d.change() }, draw.shift} {
+	for i, act := range []func(draw){func(d draw) { d.raceConfigChanges() }, draw.rollWorker} {
 		f.g.Go("ordinary", func(context.Context) {
 			d := draw{p, rand.New(rand.NewPCG(seed, uint64(7+i))), new(int)}
 			for time.Since(start) < duration-18*time.Second {
@@ -115,7 +115,7 @@
 	}
 	for time.Since(start) < duration-18*time.Second {
 		Wait(time.Duration(200+rnd.IntN(1200)) * time.Millisecond)
-		s := &steps[rnd.IntN(len(steps))]
+		s := &faultSteps[rnd.IntN(len(faultSteps))]
 		first, second := rnd.Uint64(), rnd.Uint64()
 		if rnd.IntN(3) > 0 {
 			playStep(s, first)
@@ -123,10 +123,10 @@
 		}
 		// A second fault overlaps with the first; at most one of them hits the control
 		// plane.
-		var compatible []*step
-		for i := range steps {
-			if !s.core || !steps[i].core {
-				compatible = append(compatible, &steps[i])
+		var compatible []*faultStep
+		for i := range faultSteps {
+			if !s.affectsControlPlane || !faultSteps[i].affectsControlPlane {
+				compatible = append(compatible, &faultSteps[i])
 			}
 		}
 		other := compatible[rnd.IntN(len(compatible))]
@@ -141,12 +141,12 @@
 	}
 	<-ordinary
 	<-ordinary
-	f.Until(15*time.Second, "all stores are ready", f.coreReady)
-	f.Until(15*time.Second, "all nodes know all workers", f.Whole)
-	f.Until(15*time.Second, "all replicas are equal", f.equal)
+	f.Until(15*time.Second, "all stores are ready", f.controlPlaneReady)
+	f.Until(15*time.Second, "all nodes know all workers", f.Converged)
+	f.Until(15*time.Second, "all replicas are equal", f.replicasEqual)
 	wait()
 	stopApps()
-	f.Judge()
+	f.CheckInvariants()
 }
 
 // TestPlans runs seeded plans of faults in the shapes of both deployments. No guarantee
@@ -156,7 +156,7 @@
 //
 //	PUFFIN_SEEDS=100 go test ./internal/sim -run Plans -v
 func TestPlans(t *testing.T) {
-	heavy(t)
+	skipUnderRace(t)
 	var mu sync.Mutex
 	riskByShape := [2]risks{{}, {}}
 	played := 0
@@ -168,7 +168,7 @@
 					f := NewFleet(t, fewSlots(seed), seed+200)
 					defer f.Stop()
 					f.Start()
-					p := &plan{f: f, busy: map[*Node]bool{}, risk: risks{}}
+					p := &plan{f: f, inUse: map[*Node]bool{}, risk: risks{}}
 					defer func() {
 						if t.Failed() {
 							t.Logf("seed %d:\n%s", seed, strings.Join(p.events, "\n"))
--- a/internal/sim/puffinctl_test.go
+++ b/internal/sim/puffinctl_test.go
@@ -18,9 +18,9 @@
 	"puffincrank/internal/httpapi"
 )
 
-// ctl runs puffinctl against the fleet. It returns the exit code, standard output
+// runCtl runs puffinctl against the fleet. It returns the exit code, standard output
 // and standard error.
-func (f *Fleet) ctl(address string, args ...string) (int, string, string) {
+func (f *Fleet) runCtl(address string, args ...string) (int, string, string) {
 	var stdout, stderr bytes.Buffer
 	dial := func(ctx context.Context, _, target string) (net.Conn, error) {
 		return f.Net.Host("10.0.9.9").Dial(ctx, target)
@@ -48,9 +48,9 @@
 		defer fleet.Stop()
 		fleet.Start()
 		Wait(3 * time.Second)
-		validFile := writeFile("good.json", strings.Replace(shape.Doc, `"left_ms":800`, `"left_ms":700`, 1))
-		invalidFile := writeFile("bad.json", strings.Replace(shape.Doc, `"share":50`, `"share":49`, 1))
-		first, second := fleet.Nodes[0].Host+":7003", fleet.Cores[2].Host+":7003"
+		validFile := writeFile("good.json", strings.Replace(shape.Config, `"left_ms":800`, `"left_ms":700`, 1))
+		invalidFile := writeFile("bad.json", strings.Replace(shape.Config, `"share":50`, `"share":49`, 1))
+		first, second := fleet.Nodes[0].Host+":7003", fleet.ControlMachines[2].Host+":7003"
 		for _, c := range []struct {
 			args string
 			code int
@@ -71,7 +71,7 @@
 			{"drain node-10.0.1.2", 0, "draining"}, {"drain nobody", 1, "no such node"}, {"drain node-10.0.1.2 --undo", 0, "workers"},
 			{"--version", 0, "wire 1 to 2, files 1"}, {"nonsense", 2, "--help"}, {"key fly", 2, "knows"}, {"--help", 0, "Exit codes"},
 		} {
-			code, stdout, stderr := fleet.ctl(first, strings.Fields(c.args)...)
+			code, stdout, stderr := fleet.runCtl(first, strings.Fields(c.args)...)
 			if code != c.code || !strings.Contains(stdout+stderr, c.want) {
 				t.Errorf("puffinctl %s: code %d, want %d with %q\n%s%s", c.args, code, c.code, c.want, stdout, stderr)
 			}
@@ -79,21 +79,21 @@
 		// Any node gives the same answer.
 		Wait(3 * time.Second)
 		for _, cmd := range []string{"config get", "services", "history", "paths", "trials", "duties"} {
-			_, fromFirst, _ := fleet.ctl(first, append([]string{"--json"}, strings.Fields(cmd)...)...)
-			_, fromSecond, _ := fleet.ctl(second, append([]string{"--json"}, strings.Fields(cmd)...)...)
+			_, fromFirst, _ := fleet.runCtl(first, append([]string{"--json"}, strings.Fields(cmd)...)...)
+			_, fromSecond, _ := fleet.runCtl(second, append([]string{"--json"}, strings.Fields(cmd)...)...)
 			if cmd == "duties" {
-				_, fromFirst, _ = fleet.ctl(first, cmd)
-				_, fromSecond, _ = fleet.ctl(second, cmd)
+				_, fromFirst, _ = fleet.runCtl(first, cmd)
+				_, fromSecond, _ = fleet.runCtl(second, cmd)
 			}
 			if fromFirst != fromSecond || len(fromFirst) < 20 {
 				t.Errorf("%s differs between nodes:\n%s\n%s", cmd, fromFirst, fromSecond)
 			}
 		}
 		// An unreachable node is named, and the next address is tried.
-		if code, _, stderr := fleet.ctl("10.0.1.77:7003,"+second, "status"); code != ctl.ExitOK || !strings.Contains(stderr, "10.0.1.77:7003 can't be reached") {
+		if code, _, stderr := fleet.runCtl("10.0.1.77:7003,"+second, "status"); code != ctl.ExitOK || !strings.Contains(stderr, "10.0.1.77:7003 can't be reached") {
 			t.Errorf("with an unreachable node first: code %d %s", code, stderr)
 		}
-		if code, _, _ := fleet.ctl("10.0.1.77:7003", "status"); code != ctl.ExitUnreachable {
+		if code, _, _ := fleet.runCtl("10.0.1.77:7003", "status"); code != ctl.ExitUnreachable {
 			t.Errorf("with no reachable node: code %d", code)
 		}
 		// When a node accepts a change and drops the connection, the outcome is
@@ -106,22 +106,22 @@
 		}), time.Second); err != nil {
 			t.Fatal(err)
 		}
-		if code, _, stderr := fleet.ctl("10.0.1.99:7003,"+first, "number", "next", "n"); code != ctl.ExitUnknown || received != 1 || !strings.Contains(stderr, "outcome unknown") {
+		if code, _, stderr := fleet.runCtl("10.0.1.99:7003,"+first, "number", "next", "n"); code != ctl.ExitUnknown || received != 1 || !strings.Contains(stderr, "outcome unknown") {
 			t.Errorf("connection dropped: code %d %s after %d requests", code, stderr, received)
 		}
-		if _, stdout, _ := fleet.ctl(first, "number", "get", "n"); !strings.Contains(stdout, `"number":1`) {
+		if _, stdout, _ := fleet.runCtl(first, "number", "get", "n"); !strings.Contains(stdout, `"number":1`) {
 			t.Errorf("the change was sent twice: %s", stdout)
 		}
 		// Without a majority the change is refused and not applied.
-		fleet.KillCore(fleet.Cores[0], true)
-		fleet.KillCore(fleet.Cores[1], true)
+		fleet.KillControlMachine(fleet.ControlMachines[0], true)
+		fleet.KillControlMachine(fleet.ControlMachines[1], true)
 		Wait(3 * time.Second)
-		if code, stdout, stderr := fleet.ctl(first, "number", "next", "n"); code != ctl.ExitUnavailable || !strings.Contains(stderr, "come back in") {
+		if code, stdout, stderr := fleet.runCtl(first, "number", "next", "n"); code != ctl.ExitUnavailable || !strings.Contains(stderr, "come back in") {
 			t.Errorf("without a majority: code %d %s %s", code, stdout, stderr)
 		}
-		fleet.BackCore(fleet.Cores[0])
-		fleet.serves(15 * time.Second)
-		if _, stdout, _ := fleet.ctl(first, "number", "get", "n"); !strings.Contains(stdout, `"number":1`) {
+		fleet.RestartControlMachine(fleet.ControlMachines[0])
+		fleet.untilWritable(15 * time.Second)
+		if _, stdout, _ := fleet.runCtl(first, "number", "get", "n"); !strings.Contains(stdout, `"number":1`) {
 			t.Errorf("the refused change was applied: %s", fmt.Sprint(stdout))
 		}
 	})
--- a/internal/sim/queuewait_test.go
+++ b/internal/sim/queuewait_test.go
@@ -19,18 +19,18 @@
 		t.Run(map[bool]string{false: "all full", true: "one free"}[oneFree], func(t *testing.T) {
 			t.Parallel()
 			synctest.Test(t, func(t *testing.T) {
-				s := one()
-				s.Took["s"] = 40 * time.Second
-				s.Doc = strings.Replace(s.Doc, `"left_ms":600,"aim_ms":600`, `"left_ms":9000,"aim_ms":9000`, 1)
-				s.Doc = strings.ReplaceAll(s.Doc, `"left_ms":600,"aim_ms":600`, `"left_ms":60000,"aim_ms":60000`)
+				s := singleServiceShape()
+				s.ServiceTimes["s"] = 40 * time.Second
+				s.Config = strings.Replace(s.Config, `"left_ms":600,"aim_ms":600`, `"left_ms":9000,"aim_ms":9000`, 1)
+				s.Config = strings.ReplaceAll(s.Config, `"left_ms":600,"aim_ms":600`, `"left_ms":60000,"aim_ms":60000`)
 				f := NewFleet(t, s, 383)
 				defer f.Stop()
 				f.Start()
-				callers := standin.NewCallers(f.env("own", "10.0.9.3", "outside", &f.Nodes[0].skew), nil, f.Obs, time.Minute)
+				callers := standin.NewCallers(f.env("own", "10.0.9.3", "outside", &f.Nodes[0].skew), nil, f.Observer, time.Minute)
 				results := make(chan standin.Call, 3+3*s.Slots)
 				request := func(n *Node, uri, timeout string) {
 					f.g.Go("ask", func(context.Context) {
-						results <- callers.At(n.Host+":8000", standin.Line{Method: "GET", URI: uri, Service: "s", Left: timeout})
+						results <- callers.CallAt(n.Host+":8000", standin.CallKind{Method: "GET", URI: uri, Service: "s", Timeout: timeout})
 					})
 				}
 				// All slots are taken by requests that run for longer than the others
@@ -48,7 +48,7 @@
 					if n.Worker.Ran() != s.Slots {
 						t.Fatalf("%s has %d requests", n.Worker.ID, n.Worker.Ran())
 					}
-					n.Worker.Behave(standin.Way{Took: 50 * time.Millisecond})
+					n.Worker.SetBehavior(standin.WorkerBehavior{Took: 50 * time.Millisecond})
 				}
 				// No request has ended yet, so the nodes have no estimate of run times.
 				sentAt := time.Now()
@@ -67,7 +67,7 @@
 					switch {
 					case oneFree && c.Status != 200:
 						t.Error("a slot was free elsewhere")
-					case !oneFree && (c.Status != 503 || c.Ran != "no" || c.Retry == ""):
+					case !oneFree && (c.Status != 503 || c.Ran != "no" || c.RetryAfter == ""):
 						t.Error("no slot was free at all")
 					}
 					if waited < 0.3 || waited > 0.52 {
--- a/internal/sim/rawhttp_test.go
+++ b/internal/sim/rawhttp_test.go
@@ -49,14 +49,14 @@
 func TestRawBytes(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
-		s := small()
+		s := smallShape()
 		// Without nested calls the workers' runs are exactly those that the bytes
 		// requested.
 		s.Nested = nil
 		f := NewFleet(t, s, 46)
 		defer f.Stop()
 		f.Start()
-		f.Net.Place("10.0.9.9", "outside")
+		f.Net.SetZone("10.0.9.9", "outside")
 		inner := "GET /pages/inner HTTP/1.1\r\nHost: a\r\n\r\n"
 		post := "POST /loans HTTP/1.1\r\nHost: a\r\n"
 		for _, c := range []struct {
--- a/internal/sim/refusal_test.go
+++ b/internal/sim/refusal_test.go
@@ -30,21 +30,21 @@
 	}
 	measure := func(saturated bool) (each time.Duration, servedCodes map[int]int) {
 		synctest.Test(t, func(t *testing.T) {
-			s := one()
+			s := singleServiceShape()
 			s.Slots = 2
-			s.Took["s"] = time.Millisecond
-			s.Doc = strings.ReplaceAll(s.Doc, `"left_ms":600,"aim_ms":600`, `"left_ms":60000,"aim_ms":600`)
+			s.ServiceTimes["s"] = time.Millisecond
+			s.Config = strings.ReplaceAll(s.Config, `"left_ms":600,"aim_ms":600`, `"left_ms":60000,"aim_ms":600`)
 			f := NewFleet(t, s, 440)
 			defer f.Stop()
 			f.Start()
-			callers := standin.NewCallers(f.env("own", "10.0.9.3", "outside", &f.Nodes[0].skew), nil, f.Obs, time.Minute)
-			line := standin.Line{Method: "GET", URI: "/a", Service: "s"}
+			callers := standin.NewCallers(f.env("own", "10.0.9.3", "outside", &f.Nodes[0].skew), nil, f.Observer, time.Minute)
+			line := standin.CallKind{Method: "GET", URI: "/a", Service: "s"}
 			if saturated {
 				for _, n := range f.Nodes {
-					n.Worker.Behave(standin.Way{Took: 55 * time.Second})
+					n.Worker.SetBehavior(standin.WorkerBehavior{Took: 55 * time.Second})
 				}
 				for range 12 {
-					f.g.Go("fill", func(context.Context) { callers.At(f.Nodes[0].Host+":8000", line) })
+					f.g.Go("fill", func(context.Context) { callers.CallAt(f.Nodes[0].Host+":8000", line) })
 				}
 				Wait(2 * time.Second)
 			}
@@ -52,7 +52,7 @@
 			servedCodes = map[int]int{}
 			start := processorTime(t)
 			for range n {
-				servedCodes[callers.At(f.Nodes[0].Host+":8000", line).Status]++
+				servedCodes[callers.CallAt(f.Nodes[0].Host+":8000", line).Status]++
 			}
 			each = (processorTime(t) - start) / n
 		})
--- a/internal/sim/removedmember_test.go
+++ b/internal/sim/removedmember_test.go
@@ -13,36 +13,36 @@
 func TestRemovedMemberReturns(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
-		l := newLab(t, 850, 3, 1)
+		l := newCoreFleet(t, 850, 3, 1)
 		defer l.Stop()
-		l.from = time.Now()
-		l.up()
-		l.Stores["founding"] = false
+		l.start = time.Now()
+		l.startAll()
+		l.StoreSettings["founding"] = false
 		Wait(2 * time.Second)
-		written := l.marks(10)
-		removed := l.Cores[0]
-		for _, old := range []*Core{l.Cores[1], l.Cores[2]} {
-			l.KillCore(old, true)
+		written := l.writeKeys(10)
+		removed := l.ControlMachines[0]
+		for _, old := range []*ControlMachine{l.ControlMachines[1], l.ControlMachines[2]} {
+			l.KillControlMachine(old, true)
 			l.Net.Isolate(old.Host, true)
-			replacement := l.fresh(old)
-			l.BackCore(replacement)
-			l.Until(4*time.Second, "the replacement is a member", func() bool { in := l.places(); return len(in) == 3 && in[replacement.Host] })
+			replacement := l.addReplacement(old)
+			l.RestartControlMachine(replacement)
+			l.Until(4*time.Second, "the replacement is a member", func() bool { in := l.members(); return len(in) == 3 && in[replacement.Host] })
 			Wait(time.Second)
 		}
 		// The last original member is cut off, and a candidate replaces it.
 		l.Net.Isolate(removed.Host, true)
-		spare := l.fresh(removed)
-		l.BackCore(spare)
-		l.Until(6*time.Second, "the last original member is replaced", func() bool { in := l.places(); return len(in) == 3 && in[spare.Host] && !in[removed.Host] })
+		spare := l.addReplacement(removed)
+		l.RestartControlMachine(spare)
+		l.Until(6*time.Second, "the last original member is replaced", func() bool { in := l.members(); return len(in) == 3 && in[spare.Host] && !in[removed.Host] })
 		Wait(2 * time.Second)
-		l.KillCore(removed, false)
+		l.KillControlMachine(removed, false)
 		l.Net.Isolate(removed.Host, false)
-		l.BackCore(removed)
+		l.RestartControlMachine(removed)
 		took := l.Until(4*time.Second, "the removed member is ready as a candidate", func() bool {
 			code, got := l.Get(removed.Host+":7004", "/puffin/ready")
 			return code == 200 && got["role"] == "spare"
 		})
 		t.Logf("a candidate %v after its start", took.Round(time.Millisecond))
-		l.holds(written)
+		l.checkKeys(written)
 	})
 }
--- a/internal/sim/repeatsofothers_test.go
+++ b/internal/sim/repeatsofothers_test.go
@@ -21,26 +21,26 @@
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		const nodes, workers = 12, 4
-		s := small()
+		s := smallShape()
 		s.Nodes = nodes
-		s.Took["pages"] = 4500 * time.Millisecond
-		s.Doc = strings.Replace(s.Doc, `"class":"reading","left_ms":1000`, `"class":"reading","left_ms":60000,"aim_ms":50000`, 1)
-		s.Doc = strings.Replace(s.Doc, `{"services"`, `{"limits":{"repeat_share":0,"repeat_allowance":12},"services"`, 1)
+		s.ServiceTimes["pages"] = 4500 * time.Millisecond
+		s.Config = strings.Replace(s.Config, `"class":"reading","left_ms":1000`, `"class":"reading","left_ms":60000,"aim_ms":50000`, 1)
+		s.Config = strings.Replace(s.Config, `{"services"`, `{"limits":{"repeat_share":0,"repeat_allowance":12},"services"`, 1)
 		f := NewFleet(t, s, 466)
-		f.Told = map[string]any{"window_ms": json.Number("60000")}
+		f.Settings = map[string]any{"window_ms": json.Number("60000")}
 		defer f.Stop()
 		f.Start()
 		line := s.Lines[0]
-		line.Left = "60000"
-		ingress, owner := f.other("pages"), f.ofService("pages")
+		line.Timeout = "60000"
+		ingress, owner := f.nodeNotServing("pages"), f.nodeServing("pages")
 		Wait(62 * time.Second)
 		for range 3 {
-			f.atFront(ingress, line, 8)
+			f.callAtIngress(ingress, line, 8)
 		}
-		owner.Worker.Behave(standin.Way{Took: 80 * time.Second})
+		owner.Worker.SetBehavior(standin.WorkerBehavior{Took: 80 * time.Second})
 		before := owner.Worker.Runs()
 		results := make(chan []standin.Call, 1)
-		f.g.Go("call", func(context.Context) { results <- f.atFront(ingress, line, 3*slowRequests) })
+		f.g.Go("call", func(context.Context) { results <- f.callAtIngress(ingress, line, 3*slowRequests) })
 		Wait(8 * time.Second)
 		running := owner.Worker.Runs() - before
 		if running <= workers {
--- a/internal/sim/replace_test.go
+++ b/internal/sim/replace_test.go
@@ -10,15 +10,15 @@
 	"puffincrank/internal/event"
 )
 
-// fresh adds an empty machine at a new address. Its seeds are up to three machines
+// addReplacement adds an empty machine at a new address. Its seeds are up to three machines
 // of the operator's list before the loss, the lost one first.
-func (l *lab) fresh(lost *Core) *Core {
-	l.made++
-	c := l.add(fmt.Sprintf("10.0.3.%d", l.made), lost.Area)
+func (l *coreFleet) addReplacement(lost *ControlMachine) *ControlMachine {
+	l.replacements++
+	c := l.addCore(fmt.Sprintf("10.0.3.%d", l.replacements), lost.Zone)
 	c.Seeds = []string{lost.Host}
-	running := l.cores()
+	running := l.controlMachines()
 	for _, o := range running {
-		if s, _ := l.runs(o); o != lost && o != c && s != nil && len(c.Seeds) < min(3, len(running)-1) {
+		if s, _ := l.controlProcessesOf(o); o != lost && o != c && s != nil && len(c.Seeds) < min(3, len(running)-1) {
 			c.Seeds = append(c.Seeds, o.Host)
 		}
 	}
@@ -27,15 +27,15 @@
 
 // membershipConverged reports whether every running registry lists exactly the
 // running registries as members.
-func (l *lab) membershipConverged() bool {
+func (l *coreFleet) membershipConverged() bool {
 	var want []string
-	for _, c := range l.Cores {
+	for _, c := range l.ControlMachines {
 		if c.Registry != nil {
 			want = append(want, "core-"+c.Host)
 		}
 	}
 	slices.Sort(want)
-	for _, c := range l.Cores {
+	for _, c := range l.ControlMachines {
 		if c.Registry == nil {
 			continue
 		}
@@ -67,16 +67,16 @@
 				t.Parallel()
 				for seed := range seeds(2) {
 					synctest.Test(t, func(t *testing.T) {
-						l := newLab(t, seed+580+uint64(manner), c.cores, c.bear)
+						l := newCoreFleet(t, seed+580+uint64(manner), c.cores, c.bear)
 						defer l.Stop()
-						l.up()
+						l.startAll()
 						voters := 2*c.bear + 1
-						l.Until(4*time.Second, "all memberships are filled", func() bool { return len(l.places()) == voters })
-						l.Stores["founding"] = false
+						l.Until(4*time.Second, "all memberships are filled", func() bool { return len(l.members()) == voters })
+						l.StoreSettings["founding"] = false
 						Wait(2 * time.Second)
-						acked := l.marks(20)
-						leader := l.Writer()
-						lost := l.Cores[slices.IndexFunc(l.Cores, func(c *Core) bool { return (c == leader) == (seed == 0) && l.places()[c.Host] })]
+						acked := l.writeKeys(20)
+						leader := l.Leader()
+						lost := l.ControlMachines[slices.IndexFunc(l.ControlMachines, func(c *ControlMachine) bool { return (c == leader) == (seed == 0) && l.members()[c.Host] })]
 						remove := func() {
 							switch name {
 							case "dark":
@@ -85,53 +85,53 @@
 								lost.Registry.Stop()
 								lost.Store.Stop()
 							}
-							l.KillCore(lost, true)
+							l.KillControlMachine(lost, true)
 						}
-						var replacement *Core
+						var replacement *ControlMachine
 						if name == "planned" {
-							replacement = l.fresh(lost)
-							l.BackCore(replacement)
+							replacement = l.addReplacement(lost)
+							l.RestartControlMachine(replacement)
 							Wait(2 * time.Second)
 							remove()
 						} else {
 							remove()
 							Wait(1500 * time.Millisecond)
-							replacement = l.fresh(lost)
-							l.BackCore(replacement)
+							replacement = l.addReplacement(lost)
+							l.RestartControlMachine(replacement)
 						}
 						start := time.Now()
 						l.Until(3500*time.Millisecond, "the new machine replaces the lost voter", func() bool {
-							members := l.places()
+							members := l.members()
 							return len(members) == voters && !members[lost.Host]
 						})
 						t.Logf("seed %d: voter replaced %v after the start of the new machine", seed, time.Since(start).Round(time.Millisecond))
 						l.Until(3*time.Second, "all registries list the same members", l.membershipConverged)
 						Wait(4*time.Second - time.Since(start))
-						ackedLater := l.marks(20)
-						var wiped []*Core
-						members := l.places()
-						for _, c := range l.Cores {
+						ackedLater := l.writeKeys(20)
+						var wiped []*ControlMachine
+						members := l.members()
+						for _, c := range l.ControlMachines {
 							if c.Store == nil {
 								continue
 							}
-							l.KillCore(c, true)
-							if members[c.Host] && c != replacement && len(wiped) < bearOf(voters) {
+							l.KillControlMachine(c, true)
+							if members[c.Host] && c != replacement && len(wiped) < faultTolerance(voters) {
 								wiped = append(wiped, c)
 								c.Disk.Wipe()
 							}
 						}
 						Wait(300 * time.Millisecond)
-						for _, c := range l.Cores {
+						for _, c := range l.ControlMachines {
 							if c != lost {
-								l.BackCore(c)
+								l.RestartControlMachine(c)
 							}
 						}
-						t.Logf("after the loss of %d disks and all power, the first write succeeded after %v", len(wiped), l.next(10*time.Second).Round(time.Millisecond))
+						t.Logf("after the loss of %d disks and all power, the first write succeeded after %v", len(wiped), l.timeToWrite(10*time.Second).Round(time.Millisecond))
 						for key, rev := range ackedLater {
 							acked[key] = max(rev, acked[key])
 						}
-						l.holds(acked)
-						l.Until(8*time.Second, "all memberships are filled again", func() bool { return len(l.places()) == voters })
+						l.checkKeys(acked)
+						l.Until(8*time.Second, "all memberships are filled again", func() bool { return len(l.members()) == voters })
 					})
 				}
 			})
@@ -139,7 +139,7 @@
 	}
 }
 
-func bearOf(voters int) int { return (voters - 1) / 2 }
+func faultTolerance(voters int) int { return (voters - 1) / 2 }
 
 // TestTwoLost: two of five voters are lost at once, and two empty machines
 // start one after the other, the second while the first is still joining.
@@ -147,40 +147,40 @@
 	t.Parallel()
 	for seed := range seeds(4) {
 		synctest.Test(t, func(t *testing.T) {
-			l := newLab(t, seed+620, 5, 2)
+			l := newCoreFleet(t, seed+620, 5, 2)
 			defer l.Stop()
-			l.up()
-			l.Until(4*time.Second, "all memberships are filled", func() bool { return len(l.places()) == 5 })
-			l.Stores["founding"] = false
+			l.startAll()
+			l.Until(4*time.Second, "all memberships are filled", func() bool { return len(l.members()) == 5 })
+			l.StoreSettings["founding"] = false
 			Wait(time.Second)
-			acked := l.marks(20)
-			a, b := l.Cores[seed%5], l.Cores[(seed+2)%5]
-			l.KillCore(a, true)
-			l.KillCore(b, true)
-			l.next(2 * time.Second)
+			acked := l.writeKeys(20)
+			a, b := l.ControlMachines[seed%5], l.ControlMachines[(seed+2)%5]
+			l.KillControlMachine(a, true)
+			l.KillControlMachine(b, true)
+			l.timeToWrite(2 * time.Second)
 			Wait(time.Duration(seed) * 400 * time.Millisecond)
-			firstNew := l.fresh(a)
-			l.BackCore(firstNew)
+			firstNew := l.addReplacement(a)
+			l.RestartControlMachine(firstNew)
 			Wait(time.Duration(seed) * 300 * time.Millisecond)
-			secondNew := l.fresh(b)
-			l.BackCore(secondNew)
+			secondNew := l.addReplacement(b)
+			l.RestartControlMachine(secondNew)
 			took := l.Until(5*time.Second, "both lost voters are replaced", func() bool {
-				members := l.places()
+				members := l.members()
 				return len(members) == 5 && members[firstNew.Host] && members[secondNew.Host]
 			})
 			t.Logf("both lost voters were replaced after %v", took.Round(time.Millisecond))
-			l.holds(acked)
+			l.checkKeys(acked)
 			Wait(time.Second)
 			// The control plane tolerates the loss of two more machines.
-			l.KillCore(firstNew, true)
-			for _, c := range l.Cores {
+			l.KillControlMachine(firstNew, true)
+			for _, c := range l.ControlMachines {
 				if c.Store != nil && c != secondNew {
-					l.KillCore(c, true)
+					l.KillControlMachine(c, true)
 					break
 				}
 			}
-			l.next(3 * time.Second)
-			l.holds(acked)
+			l.timeToWrite(3 * time.Second)
+			l.checkKeys(acked)
 		})
 	}
 }
@@ -190,26 +190,26 @@
 func TestFlapping(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
-		l := newLab(t, 630, 4, 1)
+		l := newCoreFleet(t, 630, 4, 1)
 		defer l.Stop()
-		l.up()
+		l.startAll()
 		Wait(3 * time.Second)
-		acked := l.marks(20)
-		before := l.count(event.Replaced)
+		acked := l.writeKeys(20)
+		before := l.countEvents(event.Replaced)
 		start := time.Now()
-		voter := l.Cores[slices.IndexFunc(l.Cores, func(voter *Core) bool { return l.places()[voter.Host] && voter != l.Writer() })]
+		voter := l.ControlMachines[slices.IndexFunc(l.ControlMachines, func(voter *ControlMachine) bool { return l.members()[voter.Host] && voter != l.Leader() })]
 		for range 12 {
 			l.Net.Isolate(voter.Host, true)
 			Wait(1700 * time.Millisecond)
 			l.Net.Isolate(voter.Host, false)
 			Wait(1300 * time.Millisecond)
 		}
-		changes := l.count(event.Replaced) - before
+		changes := l.countEvents(event.Replaced) - before
 		t.Logf("%d membership changes in %v", changes, time.Since(start))
 		if changes > int(time.Since(start)/(4*time.Second)) || changes == 0 {
 			t.Errorf("%d membership changes", changes)
 		}
-		l.next(3 * time.Second)
-		l.holds(acked)
+		l.timeToWrite(3 * time.Second)
+		l.checkKeys(acked)
 	})
 }
--- a/internal/sim/retryafter_test.go
+++ b/internal/sim/retryafter_test.go
@@ -22,11 +22,11 @@
 // requests meet it. When the queue was ordered only by the end of each request's wait, 0.53
 // of them did.
 func TestRetryAfterRejection(t *testing.T) {
-	heavy(t)
+	skipUnderRace(t)
 	synctest.Test(t, func(t *testing.T) {
 		const target, timeout, duration, warmUp = 300 * time.Millisecond, 2400 * time.Millisecond, 10 * time.Second, 2 * time.Second
-		shape := one()
-		shape.Doc = `{"services":[{"name":"s"}],"classes":[{"name":"a","share":100}],"paths":[{"name":"pa","prefix":"/a","service":"s","class":"a","left_ms":2400,"aim_ms":300}]}`
+		shape := singleServiceShape()
+		shape.Config = `{"services":[{"name":"s"}],"classes":[{"name":"a","share":100}],"paths":[{"name":"pa","prefix":"/a","service":"s","class":"a","left_ms":2400,"aim_ms":300}]}`
 		f := NewFleet(t, shape, 118)
 		defer f.Stop()
 		f.Start()
@@ -36,7 +36,7 @@
 		attempt := func(host string, deadline time.Time) (int, time.Duration) {
 			request, _ := http.NewRequest("GET", "http://"+host+":8000/a", nil)
 			request.Header.Set(dialect.Default.Timeout, strconv.FormatInt(time.Until(deadline).Milliseconds(), 10))
-			response, err := f.way.RoundTrip(request)
+			response, err := f.client.RoundTrip(request)
 			if err != nil {
 				return 0, 0
 			}
--- a/internal/sim/risk_test.go
+++ b/internal/sim/risk_test.go
@@ -23,26 +23,26 @@
 	plannedStops = "planned stops"
 )
 
-// sight counts what a fault at a given moment could harm.
-type sight struct {
-	at                            time.Time
-	jobs, held, acks, left, calls int
-	repeats                       float64
+// exposure counts what a fault at a given moment could harm.
+type exposure struct {
+	at                                         time.Time
+	requests, locks, acknowledged, left, calls int
+	retries                                    float64
 }
 
-// look counts what a fault could harm now.
-func (p *plan) look() sight {
-	s := sight{at: time.Now(), held: p.apps.Held(), acks: p.f.Obs.Acks(), calls: p.apps.Count()}
+// countExposure counts what a fault could harm now.
+func (p *plan) countExposure() exposure {
+	s := exposure{at: time.Now(), locks: p.apps.HeldLocks(), acknowledged: p.f.Observer.AckedVersions(), calls: p.apps.Succeeded()}
 	p.mu.Lock()
-	s.left = p.left
+	s.left = p.departed
 	p.mu.Unlock()
 	for _, n := range p.f.Nodes {
-		proxy, worker := p.f.now(n)
+		proxy, worker := p.f.processesOf(n)
 		if worker != nil {
-			s.jobs += worker.Under()
+			s.requests += worker.Executing()
 		}
 		if proxy != nil {
-			s.repeats += float64(proxy.RetriesRequested())
+			s.retries += float64(proxy.RetriesRequested())
 		}
 	}
 	return s
@@ -51,7 +51,7 @@
 // risks counts, by fault and guarantee, how often a fault could have broken it.
 type risks map[string]map[string]int
 
-func (r risks) add(fault string, before, after sight, s *step) {
+func (r risks) add(fault string, before, after exposure, s *faultStep) {
 	if r[fault] == nil {
 		r[fault] = map[string]int{}
 	}
@@ -60,27 +60,27 @@
 	// after it ran, get a wrong or partial response, or reach another worker at a
 	// reused address.
 	for _, promise := range []string{"never runs twice", "busy means not run", "success is whole and one's own", "nothing to a stranger"} {
-		counts[promise] += before.jobs
+		counts[promise] += before.requests
 	}
 	counts["no new job 2 s after leaving"] += max(after.left-before.left, 0)
-	counts["nobody in touch acts on an older version; none steps back"] += after.acks - before.acks
-	if s.core || fault == changesRace {
-		counts["broken ones refused, acknowledged ones kept"] += before.acks
+	counts["nobody in touch acts on an older version; none steps back"] += after.acknowledged - before.acknowledged
+	if s.affectsControlPlane || fault == changesRace {
+		counts["broken ones refused, acknowledged ones kept"] += before.acknowledged
 	}
-	counts["repeats within the bound"] += int(max(after.repeats-before.repeats, 0))
-	counts["locks, numbers, revisions"] += before.held + after.held
+	counts["repeats within the bound"] += int(max(after.retries-before.retries, 0))
+	counts["locks, numbers, revisions"] += before.locks + after.locks
 	counts["no old read; watches whole"] += after.calls - before.calls
 	if fault == plannedStops {
-		counts["planned stops cut nothing"] += before.jobs
+		counts["planned stops cut nothing"] += before.requests
 	}
-	if s.back {
+	if s.restarts {
 		counts["service back within 15 s"]++
 	}
 }
 
-// node reports whether the fault affects nodes or workers.
-func (s *step) node() bool {
-	return !s.core && s.fault != changesRace
+// affectsNodes reports whether the fault affects nodes or workers.
+func (s *faultStep) affectsNodes() bool {
+	return !s.affectsControlPlane && s.fault != changesRace
 }
 
 func (r risks) join(other risks) {
--- a/internal/sim/room_test.go
+++ b/internal/sim/room_test.go
@@ -10,10 +10,10 @@
 	"puffincrank/internal/standin"
 )
 
-// one describes a fleet with one service and three classes.
-func one() Shape {
-	return Shape{Nodes: 3, Slots: 12, Far: time.Millisecond, Services: []string{"s"}, Took: map[string]time.Duration{"s": 100 * time.Millisecond},
-		Doc: `{"services":[{"name":"s"}],"classes":[{"name":"a","share":50},{"name":"b","share":30},{"name":"c","share":20}],
+// singleServiceShape describes a fleet with one service and three classes.
+func singleServiceShape() Shape {
+	return Shape{Nodes: 3, Slots: 12, CrossZoneDelay: time.Millisecond, Services: []string{"s"}, ServiceTimes: map[string]time.Duration{"s": 100 * time.Millisecond},
+		Config: `{"services":[{"name":"s"}],"classes":[{"name":"a","share":50},{"name":"b","share":30},{"name":"c","share":20}],
 "paths":[{"name":"pa","prefix":"/a","service":"s","class":"a","left_ms":600,"aim_ms":600},{"name":"pb","prefix":"/b","service":"s","class":"b","left_ms":600,"aim_ms":600},
 {"name":"pc","prefix":"/c","service":"s","class":"c","left_ms":600,"aim_ms":600}]}`}
 }
@@ -21,7 +21,7 @@
 // TestCapacitySharesOfClasses measures which share of the capacity each class gets when
 // one, two or all classes are overloaded. 36 slots of 100 ms serve 360 requests a second.
 func TestCapacitySharesOfClasses(t *testing.T) {
-	heavy(t)
+	skipUnderRace(t)
 	for _, c := range []struct {
 		loaded string
 		want   map[string][2]float64 // class to the bounds of its share of the runs
@@ -34,16 +34,16 @@
 		t.Run(c.loaded, func(t *testing.T) {
 			t.Parallel()
 			synctest.Test(t, func(t *testing.T) {
-				s := one()
+				s := singleServiceShape()
 				f := NewFleet(t, s, 110)
 				defer f.Stop()
 				f.Start()
-				var lines []standin.Line
+				var lines []standin.CallKind
 				for _, k := range c.loaded {
-					lines = append(lines, standin.Line{Method: "GET", URI: "/" + string(k), Service: "s", Rate: 600})
+					lines = append(lines, standin.CallKind{Method: "GET", URI: "/" + string(k), Service: "s", Rate: 600})
 				}
 				f.Load(lines, 10*time.Second)()
-				f.Judge()
+				f.CheckInvariants()
 				served, total := map[string]float64{}, 0.0
 				for _, n := range f.Nodes {
 					_, status := f.Get(n.Host+":7003", "/puffin/own")
@@ -56,7 +56,7 @@
 						}
 					}
 				}
-				utilization := total * s.Took["s"].Seconds() / (36 * 10)
+				utilization := total * s.ServiceTimes["s"].Seconds() / (36 * 10)
 				t.Logf("overloaded %s: capacity used %.2f, shares a %.2f b %.2f c %.2f", c.loaded, utilization, served["a"]/total, served["b"]/total, served["c"]/total)
 				if utilization < 0.85 {
 					t.Errorf("only %.2f of the capacity was used under overload", utilization)
@@ -76,7 +76,7 @@
 // it and then gets no new measurements. Where requests may be retried, some of them
 // probe the worker; elsewhere the suspicion decays with time.
 func TestSlowWorker(t *testing.T) {
-	heavy(t)
+	skipUnderRace(t)
 	for _, c := range []struct{ targetMS, retry string }{{"600", "never"}, {"150", "never"}, {"150", "safe"}} {
 		t.Run(c.targetMS+c.retry, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) { slowWorker(t, c.targetMS, c.retry) })
@@ -85,12 +85,12 @@
 }
 
 func slowWorker(t *testing.T, targetMS, retry string) {
-	s := one()
-	s.Doc = strings.ReplaceAll(s.Doc, `"aim_ms":600`, `"aim_ms":`+targetMS+`,"repeat":"`+retry+`"`)
+	s := singleServiceShape()
+	s.Config = strings.ReplaceAll(s.Config, `"aim_ms":600`, `"aim_ms":`+targetMS+`,"repeat":"`+retry+`"`)
 	f := NewFleet(t, s, 111)
 	defer f.Stop()
 	f.Start()
-	wait := f.Load([]standin.Line{{Method: "GET", URI: "/a", Service: "s", Rate: 120, Safe: retry == "safe"}}, 60*time.Second)
+	wait := f.Load([]standin.CallKind{{Method: "GET", URI: "/a", Service: "s", Rate: 120, Retryable: retry == "safe"}}, 60*time.Second)
 	share := func(duration time.Duration) float64 {
 		first, total := 0.0, 0.0
 		count := func(sign float64) {
@@ -111,10 +111,10 @@
 		return first / total
 	}
 	before := share(10 * time.Second)
-	f.Nodes[0].Worker.Behave(standin.Way{Took: 450 * time.Millisecond})
+	f.Nodes[0].Worker.SetBehavior(standin.WorkerBehavior{Took: 450 * time.Millisecond})
 	Wait(5 * time.Second)
 	slow := share(10 * time.Second)
-	f.Nodes[0].Worker.Behave(standin.Way{Took: 100 * time.Millisecond})
+	f.Nodes[0].Worker.SetBehavior(standin.WorkerBehavior{Took: 100 * time.Millisecond})
 	Wait(15 * time.Second)
 	after := share(10 * time.Second)
 	t.Logf("share of the requests: %.2f before, %.2f while slow, %.2f after recovery", before, slow, after)
@@ -122,15 +122,15 @@
 		t.Error("the share of the requests does not follow the worker's health")
 	}
 	wait()
-	f.Judge()
+	f.CheckInvariants()
 }
 
 // TestChurn: while workers come and go for five minutes, the number of tombstones
 // stays bounded, and a node that was partitioned meanwhile revives no removed entry.
 func TestChurn(t *testing.T) {
-	heavy(t)
+	skipUnderRace(t)
 	synctest.Test(t, func(t *testing.T) {
-		s := one()
+		s := singleServiceShape()
 		f := NewFleet(t, s, 112)
 		defer f.Stop()
 		f.Start()
@@ -153,8 +153,8 @@
 			tombstones, _ := status["tombstones"].(float64)
 			mostTombstones = max(mostTombstones, tombstones)
 		}
-		f.Until(20*time.Second, "all replicas are equal", f.equal)
-		f.Until(20*time.Second, "only live workers are known", f.Whole)
+		f.Until(20*time.Second, "all replicas are equal", f.replicasEqual)
+		f.Until(20*time.Second, "only live workers are known", f.Converged)
 		t.Logf("%d replacements in 5 minutes, at most %.0f tombstones", replaced, mostTombstones)
 		// Tombstones are kept for six times the retire bound of 10 s: about 30
 		// replacements, each with one entry for the start and one or two for the leave.
@@ -169,7 +169,7 @@
 func TestManyRoutes(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
-		s := one()
+		s := singleServiceShape()
 		f := NewFleet(t, s, 113)
 		defer f.Stop()
 		f.Start()
@@ -178,10 +178,10 @@
 			for i := range n {
 				more = append(more, fmt.Sprintf(`{"name":"x%d","prefix":"/x%d","service":"s","class":"a"}`, i, i))
 			}
-			return strings.Replace(s.Doc, `"paths":[`, `"paths":[`+strings.Join(more, ",")+",", 1)
+			return strings.Replace(s.Config, `"paths":[`, `"paths":[`+strings.Join(more, ",")+",", 1)
 		}
 		push := func(base uint64, doc string) (time.Duration, int64) {
-			sentBefore, receivedBefore := f.Net.Sum(false), f.Net.Sum(true)
+			sentBefore, receivedBefore := f.Net.BytesSent(false), f.Net.BytesSent(true)
 			code, v := f.Apply(f.Nodes[0].Host+":7003", base, doc)
 			if code != 200 {
 				t.Fatalf("apply answered %d", code)
@@ -194,7 +194,7 @@
 				}
 				return true
 			})
-			return took, f.Net.Sum(false) + f.Net.Sum(true) - sentBefore - receivedBefore
+			return took, f.Net.BytesSent(false) + f.Net.BytesSent(true) - sentBefore - receivedBefore
 		}
 		small, smallBytes := push(1, withRoutes(1))
 		doc := withRoutes(600)
@@ -219,12 +219,12 @@
 func TestNotReadyAlone(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
-		s := one()
+		s := singleServiceShape()
 		f := NewFleet(t, s, 114)
 		defer f.Stop()
 		f.Start()
-		f.KillCore(f.Cores[0], false)
-		f.KillCore(f.Cores[1], false)
+		f.KillControlMachine(f.ControlMachines[0], false)
+		f.KillControlMachine(f.ControlMachines[1], false)
 		Wait(3 * time.Second)
 		n := f.Nodes[0]
 		f.KillNode(n)
@@ -239,7 +239,7 @@
 		if code, _ := f.Get(f.Nodes[1].Host+":8000", "/a"); code != 200 {
 			t.Errorf("a running node without a majority answers %d", code)
 		}
-		f.BackCore(f.Cores[0])
+		f.RestartControlMachine(f.ControlMachines[0])
 		f.Until(15*time.Second, "the node is ready", n.Proxy.Ready)
 	})
 }
--- a/internal/sim/routegrowth_test.go
+++ b/internal/sim/routegrowth_test.go
@@ -10,13 +10,13 @@
 	"time"
 )
 
-// grown returns the configuration of a shape with the given number of extra routes.
-func grown(shape Shape, count int) string {
+// withRoutes returns the configuration of a shape with the given number of extra routes.
+func withRoutes(shape Shape, count int) string {
 	var routes []string
 	for i := range count {
 		routes = append(routes, fmt.Sprintf(`{"name":"x%d","prefix":"/grown/x%d","service":%q,"class":%q}`, i, i, shape.Services[0], "agents"))
 	}
-	return strings.Replace(shape.Doc, `"paths":[`, `"paths":[`+strings.Join(append(routes, ""), ","), 1)
+	return strings.Replace(shape.Config, `"paths":[`, `"paths":[`+strings.Join(append(routes, ""), ","), 1)
 }
 
 // TestGrowth grows the routes of the Ingenzi shape to three hundred by many changes
@@ -24,7 +24,7 @@
 // Each race must have one winner, no refused change may have an effect, no caller may
 // see an error, and every route must work at every ingress.
 func TestGrowth(t *testing.T) {
-	heavy(t)
+	skipUnderRace(t)
 	synctest.Test(t, func(t *testing.T) {
 		shape := Ingenzi(0.12)
 		fleet := NewFleet(t, shape, 400)
@@ -37,7 +37,7 @@
 		for routes < 300 {
 			Wait(time.Duration(300+rnd.IntN(900)) * time.Millisecond)
 			target := routes + 10 + rnd.IntN(20)
-			doc := grown(shape, target)
+			doc := withRoutes(shape, target)
 			codes := make(chan int, 4)
 			send := func(who string, base uint64, doc string) {
 				address := anyAddress()
@@ -51,7 +51,7 @@
 			}
 			send("one", version, doc)
 			send("another", version, doc)
-			send("late", version-1, grown(shape, target+1))
+			send("late", version-1, withRoutes(shape, target+1))
 			send("one", version, strings.Replace(doc, `"service":"seats"`, `"service":"sits"`, 1))
 			answers := map[int]int{}
 			for range 4 {
@@ -70,8 +70,8 @@
 			}
 		}
 		waitForLoad()
-		fleet.Judge()
-		if counts := fleet.Obs.Counts(); counts["done"] != counts["calls"] || version < 10 {
+		fleet.CheckInvariants()
+		if counts := fleet.Observer.Counts(); counts["done"] != counts["calls"] || version < 10 {
 			t.Errorf("not all requests succeeded or too few changes: %v, %d changes", counts, version)
 		}
 		t.Logf("%d routes added in %d changes", routes, version-1)
@@ -81,7 +81,7 @@
 // TestGrowthCost checks that the time of a configuration push, its bytes and the start
 // time of a node grow no faster than the document, at 10, 100 and 1000 extra routes.
 func TestGrowthCost(t *testing.T) {
-	heavy(t)
+	skipUnderRace(t)
 	synctest.Test(t, func(t *testing.T) {
 		shape := Ingenzi(0.1)
 		fleet := NewFleet(t, shape, 401)
@@ -90,8 +90,8 @@
 		var took, start []time.Duration
 		var bytes []float64
 		for i, n := range []int{10, 100, 1000} {
-			doc := grown(shape, n)
-			before := fleet.Net.Sum(true) + fleet.Net.Sum(false)
+			doc := withRoutes(shape, n)
+			before := fleet.Net.BytesSent(true) + fleet.Net.BytesSent(false)
 			code, version := fleet.Apply(fleet.Nodes[0].Host+":7003", uint64(i+1), doc)
 			if code != 200 {
 				t.Fatalf("applying %d routes was answered with %d", n, code)
@@ -104,7 +104,7 @@
 				}
 				return true
 			}))
-			bytes = append(bytes, float64(fleet.Net.Sum(true)+fleet.Net.Sum(false)-before)/float64(len(doc)))
+			bytes = append(bytes, float64(fleet.Net.BytesSent(true)+fleet.Net.BytesSent(false)-before)/float64(len(doc)))
 			restarted := fleet.Nodes[2]
 			fleet.KillNode(restarted)
 			fleet.StartProxy(restarted)
--- a/internal/sim/same_test.go
+++ b/internal/sim/same_test.go
@@ -18,7 +18,7 @@
 // the leader changes and a node is cut off from part of the control plane. All nodes
 // that answer give the same answer; the others report that they are unavailable.
 func TestSameAnswer(t *testing.T) {
-	heavy(t)
+	skipUnderRace(t)
 	for i, s := range []Shape{WithAlt(Fumettoteca(0.1)), WithAlt(Ingenzi(0.1))} {
 		t.Run(s.Services[0], func(t *testing.T) {
 			t.Parallel()
@@ -28,9 +28,9 @@
 				f.Start()
 				at := f.Nodes[0].Host + ":7003"
 				for _, c := range []string{"lock acquire l --owner x --ttl-ms 600000", "key put k v", "number next n",
-					"propose " + pathOf(s) + " --based-on 1 --service " + s.Services[0] + "2",
+					"propose " + firstRouteName(s) + " --based-on 1 --service " + s.Services[0] + "2",
 					"trials abort 1"} {
-					if code, out, stderr := f.ctl(at, strings.Fields(c)...); code != ctl.ExitOK {
+					if code, out, stderr := f.runCtl(at, strings.Fields(c)...); code != ctl.ExitOK {
 						t.Fatalf("%s: %d %s%s", c, code, out, stderr)
 					}
 				}
@@ -45,7 +45,7 @@
 						first, firstAt := "", ""
 						answered := 0
 						for _, at := range addresses {
-							code, out, stderr := f.ctl(at, strings.Fields("--wait 3s "+cmd)...)
+							code, out, stderr := f.runCtl(at, strings.Fields("--wait 3s "+cmd)...)
 							if code == ctl.ExitUnreachable || code == ctl.ExitUnavailable {
 								refused++
 								continue
@@ -65,13 +65,13 @@
 				}
 				round("calm")
 				refusedCalm := refused
-				c := f.mark(f.Writer())
+				c := f.markFaulted(f.Leader())
 				n := f.Nodes[1]
-				for _, o := range f.Cores[:2] {
+				for _, o := range f.ControlMachines[:2] {
 					f.Net.Cut(n.Host, o.Host, true)
 					f.Net.Cut(o.Host, n.Host, true)
 				}
-				f.KillCore(c, true)
+				f.KillControlMachine(c, true)
 				Wait(3 * time.Second)
 				addresses = addresses[:0]
 				for _, h := range f.hosts() {
@@ -80,14 +80,14 @@
 					}
 				}
 				round("a control plane machine down, a node cut off from two")
-				f.BackCore(c)
-				f.Until(10*time.Second, "all stores are ready", f.coreReady)
+				f.RestartControlMachine(c)
+				f.Until(10*time.Second, "all stores are ready", f.controlPlaneReady)
 				f.Net.Isolate(n.Host, false)
 				Wait(2 * time.Second)
-				f.Net.Freeze("store-"+f.mark(f.Writer()).Host, true)
+				f.Net.PauseProcess("store-"+f.markFaulted(f.Leader()).Host, true)
 				Wait(2500 * time.Millisecond)
 				round("the leader paused")
-				f.Net.Freeze("store-"+f.marked.Host, false)
+				f.Net.PauseProcess("store-"+f.faulted.Host, false)
 				t.Logf("%d reads refused without a failure, %d in all", refusedCalm, refused)
 				if refusedCalm > 0 {
 					t.Error("reads were refused although nothing had failed")
@@ -97,7 +97,7 @@
 	}
 }
 
-func pathOf(s Shape) string {
-	list := Read(s.Doc)["paths"].([]any)
+func firstRouteName(s Shape) string {
+	list := ParseConfig(s.Config)["paths"].([]any)
 	return list[0].(map[string]any)["name"].(string)
 }
--- a/internal/sim/secondloss_test.go
+++ b/internal/sim/secondloss_test.go
@@ -11,9 +11,9 @@
 	"time"
 )
 
-// marking writes keys one after another through the running machines. The returned
+// writeContinuously writes keys one after another through the running machines. The returned
 // function stops it and returns the acknowledged keys with their revisions.
-func (l *lab) marking(name string) (stop func() map[string]uint64) {
+func (l *coreFleet) writeContinuously(name string) (stop func() map[string]uint64) {
 	ctx, cancel := context.WithCancel(l.g.Context())
 	acked := map[string]uint64{}
 	var wait sync.WaitGroup
@@ -21,11 +21,11 @@
 	l.g.Go("marking", func(context.Context) {
 		defer wait.Done()
 		for i := 0; ctx.Err() == nil; i++ {
-			machines := l.cores()
+			machines := l.controlMachines()
 			at := machines[i%len(machines)]
 			key := fmt.Sprint(name, i)
 			// A registry that is killed meanwhile does not answer.
-			if rev := l.put(at, key, key); rev > 0 {
+			if rev := l.putKey(at, key, key); rev > 0 {
 				acked[key] = rev
 			}
 			Wait(3 * time.Millisecond)
@@ -40,16 +40,16 @@
 
 // failAndRestart takes one machine down for 300 ms by a kill, a loss of power or a
 // loss of power and disk, and starts it again.
-func (l *lab) failAndRestart(c *Core, failure string) {
-	if s, _ := l.runs(c); s == nil {
+func (l *coreFleet) failAndRestart(c *ControlMachine, failure string) {
+	if s, _ := l.controlProcessesOf(c); s == nil {
 		return
 	}
-	l.KillCore(c, failure != "killed")
+	l.KillControlMachine(c, failure != "killed")
 	if failure == "wiped" {
 		c.Disk.Wipe()
 	}
 	Wait(300 * time.Millisecond)
-	l.BackCore(c)
+	l.RestartControlMachine(c)
 }
 
 // replacements are the ways in which a membership passes to another machine. The
@@ -58,32 +58,32 @@
 var replacements = []struct {
 	name string
 	disk bool
-	do   func(l *lab, c *Core, later time.Duration)
+	do   func(l *coreFleet, c *ControlMachine, later time.Duration)
 }{
-	{"repaired at its address", true, func(l *lab, c *Core, later time.Duration) {
-		l.KillCore(c, true)
+	{"repaired at its address", true, func(l *coreFleet, c *ControlMachine, later time.Duration) {
+		l.KillControlMachine(c, true)
 		c.Disk.Wipe()
 		Wait(later)
-		l.BackCore(c)
+		l.RestartControlMachine(c)
 	}},
-	{"replaced after its loss", true, func(l *lab, c *Core, later time.Duration) {
-		l.KillCore(c, true)
+	{"replaced after its loss", true, func(l *coreFleet, c *ControlMachine, later time.Duration) {
+		l.KillControlMachine(c, true)
 		Wait(later)
-		l.BackCore(l.fresh(c))
+		l.RestartControlMachine(l.addReplacement(c))
 	}},
-	{"replaced by a plan", false, func(l *lab, c *Core, later time.Duration) {
-		l.BackCore(l.fresh(c))
+	{"replaced by a plan", false, func(l *coreFleet, c *ControlMachine, later time.Duration) {
+		l.RestartControlMachine(l.addReplacement(c))
 		Wait(2*time.Second + later)
 		c.Store.Stop()
 		c.Registry.Stop()
-		l.KillCore(c, true)
+		l.KillControlMachine(c, true)
 	}},
-	{"gone by a plan before its successor comes", true, func(l *lab, c *Core, later time.Duration) {
+	{"gone by a plan before its successor comes", true, func(l *coreFleet, c *ControlMachine, later time.Duration) {
 		c.Store.Stop()
 		c.Registry.Stop()
-		l.KillCore(c, true)
+		l.KillControlMachine(c, true)
 		Wait(later)
-		l.BackCore(l.fresh(c))
+		l.RestartControlMachine(l.addReplacement(c))
 	}},
 }
 
@@ -100,16 +100,16 @@
 				for seed := range seeds(6) {
 					synctest.Test(t, func(t *testing.T) {
 						random := rand.New(rand.NewPCG(seed, uint64(size.cores)))
-						l := newLab(t, seed+900, size.cores, size.bear)
+						l := newCoreFleet(t, seed+900, size.cores, size.bear)
 						defer l.Stop()
-						l.up()
-						l.Until(4*time.Second, "all memberships are filled", func() bool { return len(l.places()) == size.cores })
-						l.Stores["founding"] = false
+						l.startAll()
+						l.Until(4*time.Second, "all memberships are filled", func() bool { return len(l.members()) == size.cores })
+						l.StoreSettings["founding"] = false
 						Wait(time.Second)
-						leader := l.Writer()
-						departing := l.Cores[slices.IndexFunc(l.Cores, func(c *Core) bool { return (c == leader) == (seed%3 == 0) })]
-						others := slices.DeleteFunc(slices.Clone(l.Cores), func(c *Core) bool { return c == departing })
-						stop := l.marking("m")
+						leader := l.Leader()
+						departing := l.ControlMachines[slices.IndexFunc(l.ControlMachines, func(c *ControlMachine) bool { return (c == leader) == (seed%3 == 0) })]
+						others := slices.DeleteFunc(slices.Clone(l.ControlMachines), func(c *ControlMachine) bool { return c == departing })
+						stop := l.writeContinuously("m")
 						Wait(200 * time.Millisecond)
 						done := make(chan struct{})
 						delay := time.Duration(random.IntN(700)) * time.Millisecond
@@ -125,15 +125,15 @@
 						}
 						l.failAndRestart(others[random.IntN(len(others))], failure)
 						<-done
-						took := l.next(15 * time.Second)
+						took := l.timeToWrite(15 * time.Second)
 						Wait(time.Second)
 						acked := stop()
-						l.holds(acked)
+						l.checkKeys(acked)
 						t.Logf("seed %d: %s, next write after %v, %d writes were acknowledged", seed, failure, took.Round(time.Millisecond), len(acked))
 						if len(acked) < 20 {
 							t.Errorf("only %d writes were acknowledged", len(acked))
 						}
-						l.Until(10*time.Second, "all memberships are filled again", func() bool { return len(l.places()) == size.cores && l.allMembersRunning() })
+						l.Until(10*time.Second, "all memberships are filled again", func() bool { return len(l.members()) == size.cores && l.allMembersRunning() })
 					})
 				}
 			})
@@ -142,9 +142,9 @@
 }
 
 // allMembersRunning reports whether the machine of every member runs.
-func (l *lab) allMembersRunning() bool {
-	missing := l.places()
-	for _, c := range l.cores() {
+func (l *coreFleet) allMembersRunning() bool {
+	missing := l.members()
+	for _, c := range l.controlMachines() {
 		if c.Store != nil {
 			delete(missing, c.Host)
 		}
@@ -160,46 +160,46 @@
 	t.Parallel()
 	for seed := range seeds(4) {
 		synctest.Test(t, func(t *testing.T) {
-			l := newLab(t, seed+930, 3, 1)
+			l := newCoreFleet(t, seed+930, 3, 1)
 			defer l.Stop()
-			l.from = time.Now()
+			l.start = time.Now()
 			defer func() {
 				if t.Failed() {
-					l.tell(t, time.Hour)
+					l.logEvents(t, time.Hour)
 				}
 			}()
-			l.up()
-			l.Until(4*time.Second, "all memberships are filled", func() bool { return len(l.places()) == 3 })
-			l.Stores["founding"] = false
-			leader := l.Writer()
-			var others []*Core
-			for _, c := range l.Cores {
+			l.startAll()
+			l.Until(4*time.Second, "all memberships are filled", func() bool { return len(l.members()) == 3 })
+			l.StoreSettings["founding"] = false
+			leader := l.Leader()
+			var others []*ControlMachine
+			for _, c := range l.ControlMachines {
 				if c != leader {
 					others = append(others, c)
 				}
 			}
 			lagging, leaving := others[0], others[1]
-			replacement := l.fresh(leaving)
-			l.BackCore(replacement)
-			stop := l.marking("m")
+			replacement := l.addReplacement(leaving)
+			l.RestartControlMachine(replacement)
+			stop := l.writeContinuously("m")
 			Wait(2500 * time.Millisecond)
-			lagging.Disk.Hang("v-", true)
+			lagging.Disk.HangSyncs("v-", true)
 			Wait(time.Duration(300+100*seed) * time.Millisecond)
 			leaving.Store.Stop()
 			leaving.Registry.Stop()
-			l.KillCore(leaving, true)
-			lagging.Disk.Hang("", false)
-			l.KillCore(leader, true)
+			l.KillControlMachine(leaving, true)
+			lagging.Disk.HangSyncs("", false)
+			l.KillControlMachine(leader, true)
 			leader.Disk.Wipe()
-			l.KillCore(lagging, true)
-			l.KillCore(replacement, true)
+			l.KillControlMachine(lagging, true)
+			l.KillControlMachine(replacement, true)
 			Wait(300 * time.Millisecond)
-			for _, c := range []*Core{leader, lagging, replacement} {
-				l.BackCore(c)
+			for _, c := range []*ControlMachine{leader, lagging, replacement} {
+				l.RestartControlMachine(c)
 			}
-			l.next(15 * time.Second)
+			l.timeToWrite(15 * time.Second)
 			acked := stop()
-			l.holds(acked)
+			l.checkKeys(acked)
 			t.Logf("seed %d: %d writes were acknowledged", seed, len(acked))
 		})
 	}
--- a/internal/sim/seeds_test.go
+++ b/internal/sim/seeds_test.go
@@ -7,10 +7,10 @@
 	"testing"
 )
 
-// heavy skips a test in short mode, which is used with the race detector, where it
+// skipUnderRace skips a test in short mode, which is used with the race detector, where it
 // would take minutes, and marks it parallel. The test command runs it without the
 // race detector.
-func heavy(t *testing.T) {
+func skipUnderRace(t *testing.T) {
 	t.Helper()
 	if testing.Short() {
 		t.Skip("runs only without the race detector")
--- a/internal/sim/settings_test.go
+++ b/internal/sim/settings_test.go
@@ -32,14 +32,14 @@
 			}
 		}
 		wait()
-		f.Judge()
+		f.CheckInvariants()
 		node := f.Nodes[0]
 		if node.Proxy.Settings.ConfigBound != 2*time.Second {
 			t.Errorf("change_ms, from which heartbeat intervals follow, changed to %v", node.Proxy.Settings.ConfigBound)
 		}
 		for size, want := range map[int]int{16 << 10: 200, 64 << 10: 413} {
 			request, _ := http.NewRequest("POST", "http://"+node.Host+":8000/scans/1", strings.NewReader(strings.Repeat("x", size)))
-			response, err := f.way.RoundTrip(request)
+			response, err := f.client.RoundTrip(request)
 			if err != nil || response.StatusCode != want {
 				t.Errorf("a body of %d bytes: %v %v, want %d", size, response, err, want)
 			}
@@ -47,7 +47,7 @@
 				_ = response.Body.Close()
 			}
 		}
-		if done := f.Obs.Counts()["done"]; done < 2000 {
+		if done := f.Observer.Counts()["done"]; done < 2000 {
 			t.Errorf("only %d requests were served meanwhile", done)
 		}
 	})
--- a/internal/sim/shortgrace_test.go
+++ b/internal/sim/shortgrace_test.go
@@ -23,21 +23,21 @@
 			synctest.Test(t, func(t *testing.T) {
 				s := Fumettoteca(0.1)
 				f := NewFleet(t, s, 75)
-				f.Told = map[string]any{"leave_ms": json.Number(fmt.Sprint(c.leave)), "grace_ms": json.Number(fmt.Sprint(c.grace))}
+				f.Settings = map[string]any{"leave_ms": json.Number(fmt.Sprint(c.leave)), "grace_ms": json.Number(fmt.Sprint(c.grace))}
 				defer f.Stop()
 				f.Start()
-				at := f.Cores[0].Host + ":7003"
-				if code, got := f.raw("PUT", at, "/puffin/app/keys/g1.k", `{"value":"v"}`); code != 200 {
+				at := f.ControlMachines[0].Host + ":7003"
+				if code, got := f.requestRaw("PUT", at, "/puffin/app/keys/g1.k", `{"value":"v"}`); code != 200 {
 					t.Fatal(code, got)
 				}
 				// A call that waits for longer than any grace period.
 				watched := make(chan int, 1)
 				f.g.Go("watch", func(context.Context) {
-					code, _ := f.raw("GET", at, "/puffin/app/watch/g1.?after=1&wait_ms=14000", "")
+					code, _ := f.requestRaw("GET", at, "/puffin/app/watch/g1.?after=1&wait_ms=14000", "")
 					watched <- code
 				})
 				Wait(100 * time.Millisecond)
-				for name, stop := range map[string]func(){"proxy": f.Nodes[0].Proxy.Stop, "registry": f.Cores[0].Registry.Stop, "store": f.Cores[1].Store.Stop} {
+				for name, stop := range map[string]func(){"proxy": f.Nodes[0].Proxy.Stop, "registry": f.ControlMachines[0].Registry.Stop, "store": f.ControlMachines[1].Store.Stop} {
 					start := time.Now()
 					stop()
 					if took := time.Since(start); took > time.Duration(c.grace)*time.Millisecond {
@@ -62,16 +62,16 @@
 			t.Parallel()
 			synctest.Test(t, func(t *testing.T) {
 				s := Fumettoteca(0.1)
-				s.Took["scans"] = 40 * time.Second
-				s.Doc = strings.ReplaceAll(s.Doc, `"left_ms":1000`, `"left_ms":60000`)
+				s.ServiceTimes["scans"] = 40 * time.Second
+				s.Config = strings.ReplaceAll(s.Config, `"left_ms":1000`, `"left_ms":60000`)
 				f := NewFleet(t, s, 76)
-				f.Told = map[string]any{"change_ms": json.Number(fmt.Sprint(c.change)), "touch_ms": json.Number(fmt.Sprint(c.contact)), "grace_ms": json.Number(fmt.Sprint(c.grace)), "catch_up_ms": json.Number("10000")}
+				f.Settings = map[string]any{"change_ms": json.Number(fmt.Sprint(c.change)), "touch_ms": json.Number(fmt.Sprint(c.contact)), "grace_ms": json.Number(fmt.Sprint(c.grace)), "catch_up_ms": json.Number("10000")}
 				defer f.Stop()
 				f.Start()
 				n := f.Nodes[0]
-				callers := standin.NewCallers(f.env("own", n.Host, n.Area, &n.skew), []string{n.Host + ":8000"}, nil, 50*time.Second)
+				callers := standin.NewCallers(f.env("own", n.Host, n.Zone, &n.skew), []string{n.Host + ":8000"}, nil, 50*time.Second)
 				for range 5 {
-					f.g.Go("call", func(context.Context) { callers.At(n.Host+":8000", s.Lines[2]) })
+					f.g.Go("call", func(context.Context) { callers.CallAt(n.Host+":8000", s.Lines[2]) })
 				}
 				Wait(500 * time.Millisecond)
 				grace := time.Duration(c.grace) * time.Millisecond
--- a/internal/sim/shutdownanswers_test.go
+++ b/internal/sim/shutdownanswers_test.go
@@ -18,16 +18,16 @@
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		s := Fumettoteca(0.1)
-		s.Took["scans"] = 40 * time.Second
-		s.Doc = strings.ReplaceAll(s.Doc, `"left_ms":1000`, `"left_ms":60000`)
+		s.ServiceTimes["scans"] = 40 * time.Second
+		s.Config = strings.ReplaceAll(s.Config, `"left_ms":1000`, `"left_ms":60000`)
 		f := NewFleet(t, s, 73)
 		defer f.Stop()
 		f.Start()
 		node := f.Nodes[0]
-		callers := standin.NewCallers(f.env("own", node.Host, node.Area, &node.skew), []string{node.Host + ":8000"}, nil, 50*time.Second)
+		callers := standin.NewCallers(f.env("own", node.Host, node.Zone, &node.skew), []string{node.Host + ":8000"}, nil, 50*time.Second)
 		results := make(chan standin.Call, 20)
 		for range cap(results) {
-			f.g.Go("call", func(context.Context) { results <- callers.At(node.Host+":8000", s.Lines[2]) })
+			f.g.Go("call", func(context.Context) { results <- callers.CallAt(node.Host+":8000", s.Lines[2]) })
 		}
 		Wait(500 * time.Millisecond)
 		node.Proxy.Stop()
--- a/internal/sim/shutdownhedge_test.go
+++ b/internal/sim/shutdownhedge_test.go
@@ -23,15 +23,15 @@
 		defer f.Stop()
 		f.allowManyRetries()
 		f.Start()
-		ingress, owner := f.other("pages"), f.ofService("pages")
+		ingress, owner := f.nodeNotServing("pages"), f.nodeServing("pages")
 		Wait(30 * time.Second)
 		for range 3 {
-			f.atFront(ingress, line, 8)
+			f.callAtIngress(ingress, line, 8)
 		}
-		owner.Worker.Behave(standin.Way{Took: 10 * time.Second})
-		line.Left = "13000"
+		owner.Worker.SetBehavior(standin.WorkerBehavior{Took: 10 * time.Second})
+		line.Timeout = "13000"
 		results := make(chan []standin.Call, 1)
-		f.g.Go("call", func(context.Context) { results <- f.atFront(ingress, line, requests) })
+		f.g.Go("call", func(context.Context) { results <- f.callAtIngress(ingress, line, requests) })
 		Wait(100 * time.Millisecond)
 		for _, n := range f.Nodes {
 			if n != owner && n.Worker.Service == "pages" {
@@ -65,18 +65,18 @@
 		defer f.Stop()
 		f.allowManyRetries()
 		f.Start()
-		ingress, owner := f.other("pages"), f.ofService("pages")
+		ingress, owner := f.nodeNotServing("pages"), f.nodeServing("pages")
 		Wait(12 * time.Second)
 		for range 3 {
-			f.atFront(ingress, line, 8)
+			f.callAtIngress(ingress, line, 8)
 		}
-		owner.Worker.Behave(standin.Way{Took: 8 * time.Second})
+		owner.Worker.SetBehavior(standin.WorkerBehavior{Took: 8 * time.Second})
 		results := make(chan []standin.Call, 1)
-		f.g.Go("call", func(context.Context) { results <- f.atFront(ingress, line, slowRequests) })
+		f.g.Go("call", func(context.Context) { results <- f.callAtIngress(ingress, line, slowRequests) })
 		Wait(1600 * time.Millisecond)
 		for _, n := range f.Nodes {
 			if n != owner && n.Worker.Service == "pages" {
-				n.Worker.Behave(standin.Way{Took: time.Second, Fail: 1})
+				n.Worker.SetBehavior(standin.WorkerBehavior{Took: time.Second, Fail: 1})
 			}
 		}
 		ingress.Proxy.Stop()
--- a/internal/sim/shutdownrequests_test.go
+++ b/internal/sim/shutdownrequests_test.go
@@ -10,8 +10,8 @@
 	"puffincrank/internal/standin"
 )
 
-// ofService returns a node whose worker belongs to a service, or nil.
-func (f *Fleet) ofService(service string) *Node {
+// nodeServing returns a node whose worker belongs to a service, or nil.
+func (f *Fleet) nodeServing(service string) *Node {
 	for _, n := range f.Nodes {
 		if n.Worker.Service == service {
 			return n
@@ -22,15 +22,15 @@
 
 // stopFleet returns a fleet with a service whose requests take the given time, with a
 // timeout long enough for them, and another whose requests outlast any shutdown.
-func stopFleet(t *testing.T, seed uint64, requestTime time.Duration) (*Fleet, standin.Line) {
-	s := small()
+func stopFleet(t *testing.T, seed uint64, requestTime time.Duration) (*Fleet, standin.CallKind) {
+	s := smallShape()
 	s.Nodes = 6
-	s.Took["pages"], s.Took["scans"] = requestTime, 40*time.Second
-	s.Doc = strings.Replace(s.Doc, `"class":"upload","left_ms":1000`, `"class":"upload","left_ms":60000,"aim_ms":50000`, 1)
-	s.Doc = strings.Replace(s.Doc, `"class":"reading","left_ms":1000`, `"class":"reading","left_ms":60000,"aim_ms":50000`, 1)
+	s.ServiceTimes["pages"], s.ServiceTimes["scans"] = requestTime, 40*time.Second
+	s.Config = strings.Replace(s.Config, `"class":"upload","left_ms":1000`, `"class":"upload","left_ms":60000,"aim_ms":50000`, 1)
+	s.Config = strings.Replace(s.Config, `"class":"reading","left_ms":1000`, `"class":"reading","left_ms":60000,"aim_ms":50000`, 1)
 	f := NewFleet(t, s, seed)
 	line := s.Lines[0]
-	line.Left = "60000"
+	line.Timeout = "60000"
 	return f, line
 }
 
@@ -55,9 +55,9 @@
 		f, line := stopFleet(t, 451, 40*time.Second)
 		defer f.Stop()
 		f.Start()
-		node := f.ofService("pages")
+		node := f.nodeServing("pages")
 		results := make(chan []standin.Call, 1)
-		f.g.Go("call", func(context.Context) { results <- f.atFront(node, line, 12) })
+		f.g.Go("call", func(context.Context) { results <- f.callAtIngress(node, line, 12) })
 		Wait(400 * time.Millisecond)
 		if node.Worker.Ran() == 0 {
 			t.Fatal("the node's own worker has no request: the test shows nothing")
@@ -105,23 +105,23 @@
 				f, line := stopFleet(t, 452, 300*time.Millisecond)
 				defer f.Stop()
 				f.Start()
-				node := f.ofService("scans")
-				f.atFront(node, line, 3)
+				node := f.nodeServing("scans")
+				f.callAtIngress(node, line, 3)
 				// These requests keep the node from ending earlier.
-				long := small().Lines[2]
-				long.Left = "60000"
-				f.g.Go("held", func(context.Context) { f.atFront(node, long, 8) })
+				long := smallShape().Lines[2]
+				long.Timeout = "60000"
+				f.g.Go("held", func(context.Context) { f.callAtIngress(node, long, 8) })
 				Wait(100 * time.Millisecond)
 				stopped := make(chan struct{})
 				f.g.Go("stop", func(context.Context) { node.Proxy.Stop(); close(stopped) })
 				Wait(time.Duration(c.fraction * float64(node.Proxy.Settings.GracePeriod)))
-				line.Left = c.left
-				got := f.atFront(node, line, 1)[0]
+				line.Timeout = c.left
+				got := f.callAtIngress(node, line, 1)[0]
 				if c.taken != (got.Status == 200) {
 					t.Errorf("%d %s", got.Status, got.Body)
 				}
-				if !c.taken && (got.Status != 503 || got.Retry == "" || got.To.Sub(got.From) > 200*time.Millisecond) {
-					t.Errorf("%d, retry %q, after %v", got.Status, got.Retry, got.To.Sub(got.From))
+				if !c.taken && (got.Status != 503 || got.RetryAfter == "" || got.To.Sub(got.From) > 200*time.Millisecond) {
+					t.Errorf("%d, retry %q, after %v", got.Status, got.RetryAfter, got.To.Sub(got.From))
 				}
 				<-stopped
 			})
@@ -141,18 +141,18 @@
 		f, line := stopFleet(t, 453, 12*time.Second) // run times of 6 to 18 s with a grace period of 15 s
 		defer f.Stop()
 		f.Start()
-		stopping := f.ofService("pages")
-		ingress := f.other("pages")
-		f.atFront(ingress, line, 24)
+		stopping := f.nodeServing("pages")
+		ingress := f.nodeNotServing("pages")
+		f.callAtIngress(ingress, line, 24)
 		// These requests keep the node waiting in its shutdown.
 		results := make(chan []standin.Call, 1)
-		f.g.Go("before", func(context.Context) { results <- f.atFront(ingress, line, 6) })
+		f.g.Go("before", func(context.Context) { results <- f.callAtIngress(ingress, line, 6) })
 		Wait(time.Second)
 		stopped := make(chan struct{})
 		f.g.Go("stop", func(context.Context) { stopping.Proxy.Stop(); close(stopped) })
 		Wait(200 * time.Millisecond)
 		before := stopping.Worker.Ran()
-		for _, c := range f.atFront(ingress, line, 12) {
+		for _, c := range f.callAtIngress(ingress, line, 12) {
 			if c.Status != 200 && c.Status != 503 {
 				t.Errorf("%d %s after %v", c.Status, c.Body, c.To.Sub(c.From))
 			}
@@ -177,17 +177,17 @@
 		f, line := stopFleet(t, 454, 20*time.Second)
 		defer f.Stop()
 		f.Start()
-		stopping := f.ofService("pages")
-		ingress := f.other("pages")
+		stopping := f.nodeServing("pages")
+		ingress := f.nodeNotServing("pages")
 		// These requests keep the node waiting in its shutdown.
 		results := make(chan []standin.Call, 1)
-		f.g.Go("before", func(context.Context) { results <- f.atFront(ingress, line, 8) })
+		f.g.Go("before", func(context.Context) { results <- f.callAtIngress(ingress, line, 8) })
 		Wait(time.Second)
 		stopped := make(chan struct{})
 		f.g.Go("stop", func(context.Context) { stopping.Proxy.Stop(); close(stopped) })
 		Wait(200 * time.Millisecond)
 		before := stopping.Worker.Ran()
-		f.atFront(ingress, line, 12)
+		f.callAtIngress(ingress, line, 12)
 		if n := stopping.Worker.Ran() - before; n > 0 {
 			t.Errorf("%d runs were begun for peers", n)
 		}
--- a/internal/sim/shutdownretry_test.go
+++ b/internal/sim/shutdownretry_test.go
@@ -16,7 +16,7 @@
 	*Fleet
 	ingress *Node // where the requests came in
 	owner   *Node // beside the slow worker
-	line    standin.Line
+	line    standin.CallKind
 	results chan []standin.Call
 	atSlow  int
 }
@@ -27,7 +27,7 @@
 
 // allowManyRetries gives each node a retry allowance that no test exhausts.
 func (f *Fleet) allowManyRetries() {
-	f.S.Doc = strings.Replace(f.S.Doc, `{"services"`, `{"limits":{"repeat_allowance":300},"services"`, 1)
+	f.Shape.Config = strings.Replace(f.Shape.Config, `{"services"`, `{"limits":{"repeat_allowance":300},"services"`, 1)
 }
 
 // startSlowRun sends requests that may be retried and returns once some are still
@@ -39,17 +39,17 @@
 	f, line := stopFleet(t, seed, usualTime)
 	f.allowManyRetries()
 	f.Start()
-	r := &slowRun{Fleet: f, ingress: f.other("pages"), owner: f.ofService("pages"), line: line, results: make(chan []standin.Call, 1)}
-	r.line.Left = timeout
+	r := &slowRun{Fleet: f, ingress: f.nodeNotServing("pages"), owner: f.nodeServing("pages"), line: line, results: make(chan []standin.Call, 1)}
+	r.line.Timeout = timeout
 	// A node can use its share of the retries only when a window has passed since its
 	// start.
 	Wait(12 * time.Second)
 	for range 3 {
-		f.atFront(r.ingress, line, 8)
+		f.callAtIngress(r.ingress, line, 8)
 	}
-	r.owner.Worker.Behave(standin.Way{Took: 80 * time.Second})
+	r.owner.Worker.SetBehavior(standin.WorkerBehavior{Took: 80 * time.Second})
 	before := r.owner.Worker.Runs()
-	f.g.Go("call", func(context.Context) { r.results <- f.atFront(r.ingress, r.line, slowRequests) })
+	f.g.Go("call", func(context.Context) { r.results <- f.callAtIngress(r.ingress, r.line, slowRequests) })
 	Wait(usualTime*3/2 + time.Second)
 	if r.atSlow = r.owner.Worker.Runs() - before; r.atSlow == 0 || r.atSlow == slowRequests {
 		t.Fatalf("%d of %d requests are at the slow worker: the test shows nothing", r.atSlow, slowRequests)
@@ -147,23 +147,23 @@
 		// Such requests take 4 to 12 s.
 		f, line := stopFleet(t, 463, 8*time.Second)
 		defer f.Stop()
-		f.S.Slots = 2 * requests
+		f.Shape.Slots = 2 * requests
 		f.allowManyRetries()
 		f.Start()
-		ingress := f.other("pages")
+		ingress := f.nodeNotServing("pages")
 		Wait(12 * time.Second)
 		// The nodes' estimates of run times are smoothed over many requests.
 		for range 8 {
-			f.atFront(ingress, line, 16)
+			f.callAtIngress(ingress, line, 16)
 		}
 		results := make(chan []standin.Call, 1)
-		f.g.Go("call", func(context.Context) { results <- f.atFront(ingress, line, requests) })
+		f.g.Go("call", func(context.Context) { results <- f.callAtIngress(ingress, line, requests) })
 		Wait(500 * time.Millisecond)
 		start := time.Now()
 		f.g.Go("stop", func(context.Context) { ingress.Proxy.Stop() })
 		// That leaves 10 s in which the ingress waits for retries.
 		Wait(3 * time.Second)
-		owner := f.ofService("pages")
+		owner := f.nodeServing("pages")
 		for _, n := range f.Nodes {
 			if n.Worker.Service == "pages" && n.Proxy.ActiveAttempts() > owner.Proxy.ActiveAttempts() {
 				owner = n
--- a/internal/sim/sight_test.go
+++ b/internal/sim/sight_test.go
@@ -17,23 +17,23 @@
 func TestTrailOfSends(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
-		s := newSite(t, reader(1, 0.12), 1)
+		s := newSite(t, readerDeployment(1, 0.12), 1)
 		entries := map[string][]string{}
 		s.Log = func(e event.Entry) {
-			s.smu.Lock()
+			s.siteMu.Lock()
 			entries[e.Name] = append(entries[e.Name], e.Node+" "+e.Text)
-			s.smu.Unlock()
+			s.siteMu.Unlock()
 		}
 		var steps []any
 		callersLeft := 0.0
-		s.day(9*time.Second, func() {
+		s.runDay(9*time.Second, func() {
 			for _, m := range s.machines {
-				m.c.Quits(0.5)
+				m.client.SetEarlyLeaveShare(0.5)
 			}
 			Wait(2 * time.Second)
 			m := s.machines[0]
-			m.w.LeaveBy(context.Background(), actors.Manner{SignsOff: true, Late: time.Second})
-			_, got := s.Get(m.Host+":7003", "/puffin/own/trail?of="+m.w.Name)
+			m.worker.LeaveBy(context.Background(), actors.LeaveStyle{DeregistersFirst: true, HeartbeatDelay: time.Second})
+			_, got := s.Get(m.Host+":7003", "/puffin/own/trail?of="+m.worker.Name)
 			steps, _ = got["steps"].([]any)
 			for _, m := range s.machines {
 				_, status := s.Get(m.Host+":7003", "/puffin/own")
--- a/internal/sim/sightstop_test.go
+++ b/internal/sim/sightstop_test.go
@@ -13,8 +13,8 @@
 	"puffincrank/internal/standin"
 )
 
-// logOf records the events of a fleet. The returned function gives those of one name.
-func logOf(f *Fleet) func(name string) []string {
+// collectEvents records the events of a fleet. The returned function gives those of one name.
+func collectEvents(f *Fleet) func(name string) []string {
 	entries := map[string][]string{}
 	f.Log = func(e event.Entry) {
 		f.mu.Lock()
@@ -34,18 +34,18 @@
 func TestLogsRequestEndedByStop(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
-		s := small()
-		s.Took["pages"] = 60 * time.Second
-		s.Doc = strings.Replace(s.Doc, `"class":"reading","left_ms":1000`, `"class":"reading","left_ms":60000,"aim_ms":50000`, 1)
+		s := smallShape()
+		s.ServiceTimes["pages"] = 60 * time.Second
+		s.Config = strings.Replace(s.Config, `"class":"reading","left_ms":1000`, `"class":"reading","left_ms":60000,"aim_ms":50000`, 1)
 		f := NewFleet(t, s, 441)
-		lines := logOf(f)
+		lines := collectEvents(f)
 		defer f.Stop()
 		f.Start()
-		ingress := f.other("pages")
+		ingress := f.nodeNotServing("pages")
 		line := s.Lines[0]
-		line.Left = "60000"
+		line.Timeout = "60000"
 		results := make(chan []standin.Call, 1)
-		f.g.Go("call", func(context.Context) { results <- f.atFront(ingress, line, 1) })
+		f.g.Go("call", func(context.Context) { results <- f.callAtIngress(ingress, line, 1) })
 		Wait(300 * time.Millisecond)
 		ingress.Proxy.Stop()
 		<-results
@@ -74,14 +74,14 @@
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		f, _ := stopFleet(t, 443, time.Second)
-		line := small().Lines[2]
-		line.Left = "60000"
-		lines := logOf(f)
+		line := smallShape().Lines[2]
+		line.Timeout = "60000"
+		lines := collectEvents(f)
 		defer f.Stop()
 		f.Start()
-		ingress := f.other("scans")
+		ingress := f.nodeNotServing("scans")
 		results := make(chan []standin.Call, 1)
-		f.g.Go("call", func(context.Context) { results <- f.atFront(ingress, line, 1) })
+		f.g.Go("call", func(context.Context) { results <- f.callAtIngress(ingress, line, 1) })
 		Wait(400 * time.Millisecond)
 		var owner *Node
 		for _, n := range f.Nodes {
@@ -113,13 +113,13 @@
 func TestLogsHoldersOfConfigVersions(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
-		f := NewFleet(t, small(), 442)
-		lines := logOf(f)
+		f := NewFleet(t, smallShape(), 442)
+		lines := collectEvents(f)
 		defer f.Stop()
 		f.Start()
 		var last uint64
 		for i := range 5 {
-			code, v := f.Apply(f.Nodes[0].Host+":7003", uint64(i+1), small().Doc)
+			code, v := f.Apply(f.Nodes[0].Host+":7003", uint64(i+1), smallShape().Config)
 			if code != 200 {
 				t.Fatalf("apply answered %d", code)
 			}
@@ -132,18 +132,18 @@
 				t.Errorf("the log does not show which members held version %d: %s", v, chosen)
 			}
 		}
-		for _, c := range f.Cores {
-			f.KillCore(c, true)
+		for _, c := range f.ControlMachines {
+			f.KillControlMachine(c, true)
 		}
-		for _, c := range f.Cores {
-			f.BackCore(c)
+		for _, c := range f.ControlMachines {
+			f.RestartControlMachine(c)
 		}
-		f.Until(15*time.Second, "all stores are ready", f.coreReady)
+		f.Until(15*time.Second, "all stores are ready", f.controlPlaneReady)
 		reopened := regexp.MustCompile(`replica=\w+ applied=\d+ digest=\w* version=(\d+) accepted=\d+ promised=`).FindAllStringSubmatch(strings.Join(lines("reopened"), "\n"), -1)
-		if len(reopened) < 2*len(f.Cores) {
-			t.Fatalf("only %d of %d starts logged what the disk held", len(reopened), 2*len(f.Cores))
+		if len(reopened) < 2*len(f.ControlMachines) {
+			t.Fatalf("only %d of %d starts logged what the disk held", len(reopened), 2*len(f.ControlMachines))
 		}
-		for _, m := range reopened[len(reopened)-len(f.Cores):] {
+		for _, m := range reopened[len(reopened)-len(f.ControlMachines):] {
 			if v, _ := strconv.ParseUint(m[1], 10, 64); v+1 < last {
 				t.Errorf("a disk held version %d of %d", v, last)
 			}
--- a/internal/sim/sitectl_test.go
+++ b/internal/sim/sitectl_test.go
@@ -17,7 +17,7 @@
 }
 
 func (s *site) checkCommand(at string, check commandCheck) {
-	code, stdout, stderr := s.ctl(at, strings.Fields(check.args)...)
+	code, stdout, stderr := s.runCtl(at, strings.Fields(check.args)...)
 	if code != check.code || !strings.Contains(stdout+stderr, check.want) {
 		s.T.Errorf("puffinctl %s at %s: code %d, want %d with %q\n%s%s", check.args, at, code, check.code, check.want, stdout, stderr)
 	}
@@ -30,21 +30,21 @@
 	t.Parallel()
 	dir := t.TempDir()
 	synctest.Test(t, func(t *testing.T) {
-		d := deploy(9, 9, 12, time.Millisecond, time.Millisecond, []string{"top"}, []int{9}, []row{
+		d := deploy(9, 9, 12, time.Millisecond, time.Millisecond, []string{"top"}, []int{9}, []routeRow{
 			{kind: "look", repeat: "safe", service: "top", rate: 100, work: 40, aim: 300, left: 1500, back: 200, method: "GET"},
 		}, 1)
 		s := newSite(t, d, 31)
-		violations := s.day(16*time.Second, func() {
+		violations := s.runDay(16*time.Second, func() {
 			Wait(2 * time.Second)
-			_, doc, _ := s.ctl(s.control()[0], "config", "get")
+			_, doc, _ := s.runCtl(s.control()[0], "config", "get")
 			goodFile := filepath.Join(dir, "good.json")
 			if err := os.WriteFile(goodFile, []byte(doc), 0o600); err != nil {
 				t.Fatal(err)
 			}
 			for _, at := range []string{s.control()[1], s.all()[0].Host + ":7003"} {
 				for _, c := range []commandCheck{
-					{"status", 0, "configuration version"}, {"nodes", 0, s.all()[3].Host}, {"workers", 0, "w4-1"}, {"services", 0, s.d.services[0]},
-					{"duties", 0, "writer"}, {"classes", 0, "rank"}, {"paths", 0, s.d.services[0]}, {"history", 0, "1"}, {"events --name duty-won", 0, "duty=writer"},
+					{"status", 0, "configuration version"}, {"nodes", 0, s.all()[3].Host}, {"workers", 0, "w4-1"}, {"services", 0, s.deployment.services[0]},
+					{"duties", 0, "writer"}, {"classes", 0, "rank"}, {"paths", 0, s.deployment.services[0]}, {"history", 0, "1"}, {"events --name duty-won", 0, "duty=writer"},
 					{"config get", 0, `"paths"`}, {"config check " + goodFile, 0, "good"}, {"config diff " + goodFile, 0, ""},
 					{"trials", 0, ""}, {"drain node-" + s.all()[5].Host, 0, "draining"}, {"drain node-" + s.all()[5].Host + " --undo", 0, "workers"},
 					{"key put a/b one", 0, `"rev"`}, {"key get a/b", 0, "one"}, {"key delete a/b", 0, `"rev"`}, {"number next n", 0, `"number"`},
--- a/internal/sim/slownode_test.go
+++ b/internal/sim/slownode_test.go
@@ -37,28 +37,28 @@
 				f.Start()
 				waitForLoad := f.Load(shape.Lines, 14*time.Second)
 				// The node has many callers of its own, so that bytes arrive all the time.
-				ownCallers := standin.NewCallers(f.env("own", node.Host, node.Area, &node.skew), []string{node.Host + ":8000"}, f.Obs, 15*time.Second)
+				ownCallers := standin.NewCallers(f.env("own", node.Host, node.Zone, &node.skew), []string{node.Host + ":8000"}, f.Observer, 15*time.Second)
 				f.g.Go("own", func(context.Context) {
 					for i := range 2000 {
-						go ownCallers.At(node.Host+":8000", shape.Lines[i%2])
+						go ownCallers.CallAt(node.Host+":8000", shape.Lines[i%2])
 						Wait(5 * time.Millisecond)
 					}
 				})
 				Wait(2 * time.Second)
 				start := time.Now()
-				f.Net.Lag(node.Host, lag)
+				f.Net.SetExtraDelay(node.Host, lag)
 				// The node's session expires before the change, so that the change is not
 				// pushed to it.
 				Wait(3 * time.Second)
-				doc := strings.Replace(shape.Doc, `"/credits","service":"scans"`, `"/extra","service":"pages"`, 1)
-				if code, _ := f.Ask("PUT", f.Cores[0].Host+":7003", "/puffin/config?based_on=1&emergency=true&left_ms=2500", doc); code != 200 {
+				doc := strings.Replace(shape.Config, `"/credits","service":"scans"`, `"/extra","service":"pages"`, 1)
+				if code, _ := f.Request("PUT", f.ControlMachines[0].Host+":7003", "/puffin/config?based_on=1&emergency=true&left_ms=2500", doc); code != 200 {
 					t.Fatalf("the change was answered %d", code)
 				}
 				Wait(2 * time.Second)
 				answers := map[string]map[int]int{"/extra/1": {}, "/credits/1": {}, "/loans/1": {}}
 				for range 12 {
 					for uri, codes := range answers {
-						code, _ := f.Ask("POST", node.Host+":8000", uri, "x")
+						code, _ := f.Request("POST", node.Host+":8000", uri, "x")
 						codes[code]++
 					}
 					Wait(100 * time.Millisecond)
@@ -70,13 +70,13 @@
 				if answers["/credits/1"][200] > 0 {
 					t.Errorf("requests of a removed route run after the bound: %v", answers["/credits/1"])
 				}
-				f.Net.Lag(node.Host, 0)
+				f.Net.SetExtraDelay(node.Host, 0)
 				f.Until(5*time.Second, "the node has a confirmed configuration again", func() bool {
-					code, _ := f.Ask("POST", node.Host+":8000", "/extra/1", "x")
+					code, _ := f.Request("POST", node.Host+":8000", "/extra/1", "x")
 					return code == 200
 				})
 				waitForLoad()
-				f.Obs.Lost(node.Host+":8000", start, time.Now())
+				f.Observer.Disconnected(node.Host+":8000", start, time.Now())
 			})
 		})
 	}
@@ -100,7 +100,7 @@
 				if name == "from all" {
 					f.Net.Isolate(node.Host, true)
 				} else {
-					for _, c := range f.Cores {
+					for _, c := range f.ControlMachines {
 						f.Net.Cut(node.Host, c.Host, true)
 						f.Net.Cut(c.Host, node.Host, true)
 					}
@@ -110,12 +110,12 @@
 				if node.Worker.Service != line.Service {
 					t.Fatalf("the node's worker is of service %s", node.Worker.Service)
 				}
-				ownCallers := standin.NewCallers(f.env("own", node.Host, node.Area, &node.skew), []string{node.Host + ":8000"}, f.Obs, 15*time.Second)
+				ownCallers := standin.NewCallers(f.env("own", node.Host, node.Zone, &node.skew), []string{node.Host + ":8000"}, f.Observer, 15*time.Second)
 				var lastFailure time.Duration
 				done, refused := 0, 0
 				for time.Since(start) < 5*time.Second {
 					elapsed := time.Since(start)
-					if c := ownCallers.At(node.Host+":8000", line); c.Status == 200 {
+					if c := ownCallers.CallAt(node.Host+":8000", line); c.Status == 200 {
 						done++
 					} else {
 						refused++
@@ -129,7 +129,7 @@
 				}
 				f.Net.Isolate(node.Host, false)
 				waitForLoad()
-				f.Obs.Lost(node.Host+":8000", start, time.Now())
+				f.Observer.Disconnected(node.Host+":8000", start, time.Now())
 			})
 		})
 	}
--- a/internal/sim/start.go
+++ b/internal/sim/start.go
@@ -14,16 +14,16 @@
 
 // Start starts all processes and applies the first configuration.
 func (f *Fleet) Start() {
-	for _, c := range f.Cores {
+	for _, c := range f.ControlMachines {
 		f.StartStore(c)
 		f.StartRegistry(c)
 	}
 	for i, n := range f.Nodes {
 		f.StartProxy(n)
-		f.StartWorker(n, f.S.Serves(i))
+		f.StartWorker(n, f.Shape.ServiceOf(i))
 	}
 	f.Until(15*time.Second, "the first configuration is accepted", func() bool {
-		code, version, answer := f.apply("", f.Fronts()[0], 0, f.S.Doc)
+		code, version, answer := f.apply("", f.Ingresses()[0], 0, f.Shape.Config)
 		if code == 422 {
 			// No later attempt would be accepted, so report the reason.
 			f.T.Fatalf("the first configuration was refused: %v", answer)
@@ -32,11 +32,11 @@
 		// already applied.
 		return code == 200 || code == 409 && version == 1
 	})
-	f.knew = f.Until(15*time.Second, "all proxies are ready and know all workers", f.Whole)
+	f.convergedAfter = f.Until(15*time.Second, "all proxies are ready and know all workers", f.Converged)
 }
 
-// Whole reports whether every running proxy is ready and knows every worker.
-func (f *Fleet) Whole() bool {
+// Converged reports whether every running proxy is ready and knows every worker.
+func (f *Fleet) Converged() bool {
 	for _, n := range f.Nodes {
 		if n.Proxy == nil {
 			continue
@@ -62,8 +62,8 @@
 	return count
 }
 
-// Fronts lists the traffic addresses of all nodes.
-func (f *Fleet) Fronts() []string {
+// Ingresses lists the traffic addresses of all nodes.
+func (f *Fleet) Ingresses() []string {
 	var addresses []string
 	for _, n := range f.Nodes {
 		addresses = append(addresses, n.Host+":8000")
@@ -90,16 +90,16 @@
 	<-timer.C
 }
 
-// Ask sends one request from outside the fleet and returns the status and the decoded JSON
+// Request sends one request from outside the fleet and returns the status and the decoded JSON
 // body. The status is 0 if there was no response.
-func (f *Fleet) Ask(method, address, uri, body string) (int, map[string]any) {
+func (f *Fleet) Request(method, address, uri, body string) (int, map[string]any) {
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, method, "http://"+address+uri, strings.NewReader(body))
 	if err != nil {
 		f.T.Fatal(err)
 	}
-	response, err := f.way.RoundTrip(request)
+	response, err := f.client.RoundTrip(request)
 	if err != nil {
 		return 0, nil
 	}
@@ -114,7 +114,9 @@
 }
 
 // Get sends a GET request as Ask does.
-func (f *Fleet) Get(address, uri string) (int, map[string]any) { return f.Ask("GET", address, uri, "") }
+func (f *Fleet) Get(address, uri string) (int, map[string]any) {
+	return f.Request("GET", address, uri, "")
+}
 
 // Apply sends a configuration to the node with this traffic or outer address.
 func (f *Fleet) Apply(address string, base uint64, doc string) (int, uint64) {
@@ -129,16 +131,16 @@
 }
 
 func (f *Fleet) apply(operator, address string, base uint64, doc string) (int, uint64, map[string]any) {
-	code, answer := f.Ask("PUT", host(address)+":7003", fmt.Sprintf("/puffin/config?based_on=%d&who=%s", base, operator), doc)
+	code, answer := f.Request("PUT", hostOf(address)+":7003", fmt.Sprintf("/puffin/config?based_on=%d&who=%s", base, operator), doc)
 	version, _ := answer["version"].(float64)
 	if code == 200 {
-		f.Obs.Acked(uint64(version))
+		f.Observer.VersionAcked(uint64(version))
 	}
 	return code, uint64(version), answer
 }
 
-// Read parses a configuration document.
-func Read(doc string) map[string]any {
+// ParseConfig parses a configuration document.
+func ParseConfig(doc string) map[string]any {
 	parsed, _, _ := schema.Parse([]byte(doc))
 	return parsed
 }
--- a/internal/sim/startup_test.go
+++ b/internal/sim/startup_test.go
@@ -19,28 +19,28 @@
 			var times []time.Duration
 			for seed := range seeds(6) {
 				synctest.Test(t, func(t *testing.T) {
-					fleet := newLab(t, seed+520, 3, 1)
+					fleet := newCoreFleet(t, seed+520, 3, 1)
 					defer fleet.Stop()
-					for j, c := range fleet.Cores {
+					for j, c := range fleet.ControlMachines {
 						if j == (i+int(seed))%3 && late > 0 {
 							continue
 						}
-						fleet.BackCore(c)
+						fleet.RestartControlMachine(c)
 					}
 					if late > 0 {
 						Wait(late)
-						fleet.BackCore(fleet.Cores[(i+int(seed))%3])
+						fleet.RestartControlMachine(fleet.ControlMachines[(i+int(seed))%3])
 					}
 					start := time.Now()
 					fleet.Until(10*time.Second, "all registries are ready", func() bool {
-						for _, c := range fleet.Cores {
+						for _, c := range fleet.ControlMachines {
 							if code, _ := fleet.Get(c.Host+":7003", "/puffin/ready"); code != 200 {
 								return false
 							}
 						}
 						return true
 					})
-					if code, _ := fleet.Ask("PUT", fleet.Cores[0].Host+":7003", "/puffin/config?based_on=0", fleet.S.Doc); code != 200 {
+					if code, _ := fleet.Request("PUT", fleet.ControlMachines[0].Host+":7003", "/puffin/config?based_on=0", fleet.Shape.Config); code != 200 {
 						t.Errorf("the first configuration was answered with %d", code)
 					}
 					times = append(times, time.Since(start))
@@ -62,11 +62,11 @@
 	t.Parallel()
 	for seed := range seeds(20) {
 		synctest.Test(t, func(t *testing.T) {
-			fleet := NewFleet(t, small(), seed+900)
+			fleet := NewFleet(t, smallShape(), seed+900)
 			defer fleet.Stop()
 			fleet.Start()
-			if fleet.knew > time.Second {
-				t.Errorf("seed %d: all nodes knew all workers only after %v", seed, fleet.knew)
+			if fleet.convergedAfter > time.Second {
+				t.Errorf("seed %d: all nodes knew all workers only after %v", seed, fleet.convergedAfter)
 			}
 		})
 	}
--- a/internal/sim/steps_test.go
+++ b/internal/sim/steps_test.go
@@ -7,103 +7,103 @@
 	"puffincrank/internal/standin"
 )
 
-// step is one kind of fault that a plan may draw.
-type step struct {
-	fault string
-	core  bool // it affects a control plane machine
-	back  bool // machines are restarted at its end
-	do    func(d draw)
+// faultStep is one kind of fault that a plan may draw.
+type faultStep struct {
+	fault               string
+	affectsControlPlane bool // it affects a control plane machine
+	restarts            bool // machines are restarted at its end
+	do                  func(d draw)
 }
 
-var steps = []step{
+var faultSteps = []faultStep{
 	{coreKilled, true, true, func(d draw) {
-		c := d.f.Cores[d.IntN(3)]
-		d.say("power lost at %s", c.Host)
-		d.f.KillCore(c, true)
+		c := d.f.ControlMachines[d.IntN(3)]
+		d.record("power lost at %s", c.Host)
+		d.f.KillControlMachine(c, true)
 		Wait(d.ms(500, 2500))
-		d.f.BackCore(c)
-		d.f.Until(15*time.Second, "the store is back", d.f.coreReady)
+		d.f.RestartControlMachine(c)
+		d.f.Until(15*time.Second, "the store is back", d.f.controlPlaneReady)
 	}},
 	{coreKilled, true, true, func(d draw) {
-		c := d.f.Cores[d.IntN(3)]
-		d.say("disk of %s wiped", c.Host)
-		d.f.KillCore(c, true)
+		c := d.f.ControlMachines[d.IntN(3)]
+		d.record("disk of %s wiped", c.Host)
+		d.f.KillControlMachine(c, true)
 		c.Disk.Wipe()
-		d.f.BackCore(c)
-		d.f.Until(15*time.Second, "the wiped store is back", d.f.coreReady)
+		d.f.RestartControlMachine(c)
+		d.f.Until(15*time.Second, "the wiped store is back", d.f.controlPlaneReady)
 	}},
 	{coreKilled, true, true, func(d draw) { // replaced by an empty machine at a new address
-		d.new++
-		if d.new > 1 {
+		d.replaced++
+		if d.replaced > 1 {
 			return
 		}
 		i := d.IntN(3)
-		old := d.f.Cores[i]
-		d.say("%s lost for good", old.Host)
-		d.f.KillCore(old, true)
-		fresh := &Core{Host: fmt.Sprint("10.0.0.5", i), Area: old.Area, Disk: NewDisk()}
-		d.f.place(i, fresh)
-		d.f.BackCore(fresh)
-		d.f.Until(30*time.Second, "the new machine replaces the lost one", d.f.coreReady)
+		old := d.f.ControlMachines[i]
+		d.record("%s lost for good", old.Host)
+		d.f.KillControlMachine(old, true)
+		fresh := &ControlMachine{Host: fmt.Sprint("10.0.0.5", i), Zone: old.Zone, Disk: NewDisk()}
+		d.f.replaceControlMachine(i, fresh)
+		d.f.RestartControlMachine(fresh)
+		d.f.Until(30*time.Second, "the new machine replaces the lost one", d.f.controlPlaneReady)
 	}},
 	{coreCut, true, true, func(d draw) {
-		c := d.f.Cores[d.IntN(3)]
+		c := d.f.ControlMachines[d.IntN(3)]
 		one := d.IntN(2) == 0
-		d.say("%s cut off, one way %v", c.Host, one)
+		d.record("%s cut off, one way %v", c.Host, one)
 		if one {
-			d.f.oneWay(c, true)
+			d.f.cutOutbound(c, true)
 		} else {
 			d.f.Net.Isolate(c.Host, true)
 		}
 		Wait(d.ms(1000, 3000))
-		d.f.oneWay(c, false)
+		d.f.cutOutbound(c, false)
 		d.f.Net.Isolate(c.Host, false)
 	}},
 	{coreCut, true, true, func(d draw) { // a whole zone
-		area := Areas[d.IntN(3)]
+		area := Zones[d.IntN(3)]
 		from := time.Now()
-		d.say("zone %s cut off", area)
-		d.f.cutArea(area, true)
+		d.record("zone %s cut off", area)
+		d.f.cutZone(area, true)
 		Wait(d.ms(500, 4000))
-		d.f.cutArea(area, false)
+		d.f.cutZone(area, false)
 		Wait(1500 * time.Millisecond)
 		for _, n := range d.f.Nodes {
-			if n.Area == area {
-				d.f.Obs.Lost(n.Host+":8000", from, time.Now())
+			if n.Zone == area {
+				d.f.Observer.Disconnected(n.Host+":8000", from, time.Now())
 			}
 		}
 	}},
 	{coreFrozen, true, true, func(d draw) {
-		c := d.f.Cores[d.IntN(3)]
+		c := d.f.ControlMachines[d.IntN(3)]
 		what := [][]string{{"store-"}, {"core-"}, {"store-", "core-"}}[d.IntN(3)]
-		d.say("%v of %s paused", what, c.Host)
+		d.record("%v of %s paused", what, c.Host)
 		for _, w := range what {
-			d.f.Net.Freeze(w+c.Host, true)
+			d.f.Net.PauseProcess(w+c.Host, true)
 		}
 		Wait(d.ms(300, 4000))
 		for _, w := range what {
-			d.f.Net.Freeze(w+c.Host, false)
+			d.f.Net.PauseProcess(w+c.Host, false)
 		}
 	}},
 	{diskBad, true, false, func(d draw) {
-		c := d.f.Cores[d.IntN(3)]
+		c := d.f.ControlMachines[d.IntN(3)]
 		if d.IntN(2) == 0 {
-			d.say("disk of %s slow", c.Host)
-			c.Disk.Slow(d.ms(300, 600))
+			d.record("disk of %s slow", c.Host)
+			c.Disk.SetSyncDelay(d.ms(300, 600))
 		} else {
-			d.say("disk of %s full", c.Host)
-			c.Disk.Room(d.IntN(2000))
+			d.record("disk of %s full", c.Host)
+			c.Disk.LimitFreeBytes(d.IntN(2000))
 		}
 		Wait(d.ms(1000, 3000))
-		c.Disk.Slow(0)
-		c.Disk.Room(-1)
+		c.Disk.SetSyncDelay(0)
+		c.Disk.LimitFreeBytes(-1)
 	}},
 	{nodeKilled, false, true, func(d draw) {
 		var list []*Node
 		from := time.Now()
 		for range 1 + d.IntN(3) {
 			n := d.take()
-			defer d.free(n)
+			defer d.release(n)
 			list = append(list, n)
 		}
 		worker := d.IntN(2) == 0
@@ -112,7 +112,7 @@
 		if d.IntN(6) == 0 {
 			long = 13 * time.Second
 		}
-		d.say("%d nodes killed for %v from %s on, workers %v", len(list), long, list[0].Host, worker)
+		d.record("%d nodes killed for %v from %s on, workers %v", len(list), long, list[0].Host, worker)
 		for _, n := range list {
 			if worker {
 				d.f.KillWorker(n)
@@ -128,33 +128,33 @@
 		}
 		for _, n := range list {
 			d.f.Until(12*time.Second, "the node is ready", n.Proxy.Ready)
-			d.f.Obs.Lost(n.Host+":8000", from, time.Now())
+			d.f.Observer.Disconnected(n.Host+":8000", from, time.Now())
 		}
 	}},
 	{nodeFrozen, false, true, func(d draw) {
 		n := d.take()
-		defer d.free(n)
+		defer d.release(n)
 		from := time.Now()
 		leaves := d.IntN(2) == 0
-		d.say("%s paused, its worker leaves %v", n.Host, leaves)
-		d.f.Net.Freeze("node-"+n.Host, true)
+		d.record("%s paused, its worker leaves %v", n.Host, leaves)
+		d.f.Net.PauseProcess("node-"+n.Host, true)
 		if leaves {
-			d.leaves(n.Worker)
+			d.announceLeave(n.Worker)
 		}
 		Wait(d.ms(300, 4000))
-		d.f.Net.Freeze("node-"+n.Host, false)
+		d.f.Net.PauseProcess("node-"+n.Host, false)
 		Wait(time.Second)
-		d.f.Obs.Lost(n.Host+":8000", from, time.Now())
+		d.f.Observer.Disconnected(n.Host+":8000", from, time.Now())
 		if leaves {
-			d.renew(n)
+			d.replaceWorker(n)
 		}
 	}},
 	{nodeCut, false, true, func(d draw) {
 		n := d.take()
-		defer d.free(n)
+		defer d.release(n)
 		from := time.Now()
 		how := d.IntN(4)
-		d.say("%s cut off, way %d", n.Host, how)
+		d.record("%s cut off, way %d", n.Host, how)
 		for _, o := range d.f.hosts() {
 			if o != n.Host && how != 3 {
 				d.f.Net.Cut(n.Host, o, how != 1)
@@ -162,21 +162,21 @@
 			}
 		}
 		if how == 3 {
-			d.f.Net.Lag(n.Host, d.ms(200, 1500))
+			d.f.Net.SetExtraDelay(n.Host, d.ms(200, 1500))
 		}
 		Wait(d.ms(500, 4000))
-		d.f.Net.Lag(n.Host, 0)
+		d.f.Net.SetExtraDelay(n.Host, 0)
 		d.f.Net.Isolate(n.Host, false)
 		Wait(1500 * time.Millisecond)
-		d.f.Obs.Lost(n.Host+":8000", from, time.Now())
+		d.f.Observer.Disconnected(n.Host+":8000", from, time.Now())
 	}},
 	{workerDies, false, false, func(d draw) {
 		n := d.take()
-		defer d.free(n)
-		d.say("worker at %s replaced", n.Host)
+		defer d.release(n)
+		d.record("worker at %s replaced", n.Host)
 		d.f.KillWorker(n)
 		if d.IntN(2) == 0 {
-			d.f.StartStranger(n, d.service())
+			d.f.StartUncheckedWorker(n, d.service())
 		} else {
 			d.f.StartWorker(n, d.service())
 		}
@@ -184,45 +184,45 @@
 	}},
 	{workerBad, false, false, func(d draw) {
 		n := d.take()
-		defer d.free(n)
-		took := d.f.S.Took[n.Worker.Service]
-		w := standin.Way{Took: took, Garble: d.Float64() / 2, Lose: d.Float64() / 2, Busy: d.Float64() / 2, Sulk: d.Float64() / 4}
+		defer d.release(n)
+		took := d.f.Shape.ServiceTimes[n.Worker.Service]
+		w := standin.WorkerBehavior{Took: took, Garble: d.Float64() / 2, Lose: d.Float64() / 2, Busy: d.Float64() / 2, Sulk: d.Float64() / 4}
 		if d.IntN(3) == 0 {
-			w = standin.Way{Took: 5 * took}
+			w = standin.WorkerBehavior{Took: 5 * took}
 		}
-		d.say("worker at %s behaves %+v", n.Host, w)
-		n.Worker.Behave(w)
+		d.record("worker at %s behaves %+v", n.Host, w)
+		n.Worker.SetBehavior(w)
 		Wait(2 * time.Second)
-		n.Worker.Behave(standin.Way{Took: took})
+		n.Worker.SetBehavior(standin.WorkerBehavior{Took: took})
 	}},
 	{clocksJump, false, false, func(d draw) {
 		n := d.take()
-		defer d.free(n)
+		defer d.release(n)
 		by := time.Duration(d.IntN(20)-10) * time.Hour
-		d.say("clocks jump by %v", by)
+		d.record("clocks jump by %v", by)
 		n.Skew(by)
-		d.f.cores()[d.IntN(3)].Skew(-by)
+		d.f.controlMachines()[d.IntN(3)].Skew(-by)
 		Wait(d.ms(300, 1500))
 	}},
-	{changesRace, false, false, func(d draw) { d.change() }},
-	{changesRace, false, false, func(d draw) { d.propose() }},
+	{changesRace, false, false, func(d draw) { d.raceConfigChanges() }},
+	{changesRace, false, false, func(d draw) { d.proposeTrial() }},
 	{plannedStops, false, true, func(d draw) { // a node
 		n := d.take()
-		defer d.free(n)
-		d.say("%s restarted gracefully", n.Host)
+		defer d.release(n)
+		d.record("%s restarted gracefully", n.Host)
 		from := time.Now()
 		n.Proxy.Stop()
 		d.f.StartProxy(n)
 		d.f.Until(10*time.Second, "the restarted node is ready", n.Proxy.Ready)
-		d.f.Obs.Lost(n.Host+":8000", from, time.Now())
+		d.f.Observer.Disconnected(n.Host+":8000", from, time.Now())
 	}},
-	{plannedStops, false, false, draw.shift},
+	{plannedStops, false, false, draw.rollWorker},
 	{plannedStops, true, true, func(d draw) {
-		c := d.f.Cores[d.IntN(3)]
-		d.say("%s restarted gracefully", c.Host)
+		c := d.f.ControlMachines[d.IntN(3)]
+		d.record("%s restarted gracefully", c.Host)
 		c.Registry.Stop()
 		c.Store.Stop()
-		d.f.BackCore(c)
-		d.f.Until(15*time.Second, "the restarted control plane machine is ready", func() bool { return c.Registry.Ready() && d.f.coreReady() })
+		d.f.RestartControlMachine(c)
+		d.f.Until(15*time.Second, "the restarted control plane machine is ready", func() bool { return c.Registry.Ready() && d.f.controlPlaneReady() })
 	}},
 }
--- a/internal/sim/stopwork_test.go
+++ b/internal/sim/stopwork_test.go
@@ -10,12 +10,12 @@
 	"puffincrank/internal/standin"
 )
 
-// atFront sends count concurrent requests to one node and returns their results.
-func (f *Fleet) atFront(n *Node, l standin.Line, count int) (calls []standin.Call) {
-	callers := standin.NewCallers(f.env("own", "10.0.9.3", "outside", &n.skew), nil, f.Obs, 60*time.Second)
+// callAtIngress sends count concurrent requests to one node and returns their results.
+func (f *Fleet) callAtIngress(n *Node, l standin.CallKind, count int) (calls []standin.Call) {
+	callers := standin.NewCallers(f.env("own", "10.0.9.3", "outside", &n.skew), nil, f.Observer, 60*time.Second)
 	results := make(chan standin.Call, count)
 	for range count {
-		f.g.Go("ask", func(context.Context) { results <- callers.At(n.Host+":8000", l) })
+		f.g.Go("ask", func(context.Context) { results <- callers.CallAt(n.Host+":8000", l) })
 	}
 	for range count {
 		calls = append(calls, <-results)
@@ -23,8 +23,8 @@
 	return calls
 }
 
-// other returns a node whose worker belongs to another service.
-func (f *Fleet) other(service string) *Node {
+// nodeNotServing returns a node whose worker belongs to another service.
+func (f *Fleet) nodeNotServing(service string) *Node {
 	for _, n := range f.Nodes {
 		if n.Worker.Service != service {
 			return n
@@ -39,18 +39,18 @@
 func TestStopStartsNoLongRequest(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
-		s := small()
+		s := smallShape()
 		// A run takes 0.5 to 1.5 times as long, which is longer than the grace period.
-		s.Took["pages"] = 32 * time.Second
-		s.Doc = strings.Replace(s.Doc, `"class":"reading","left_ms":1000`, `"class":"reading","left_ms":60000,"aim_ms":50000`, 1)
+		s.ServiceTimes["pages"] = 32 * time.Second
+		s.Config = strings.Replace(s.Config, `"class":"reading","left_ms":1000`, `"class":"reading","left_ms":60000,"aim_ms":50000`, 1)
 		f := NewFleet(t, s, 431)
 		defer f.Stop()
 		f.Start()
 		line := s.Lines[0]
-		line.Left = "60000"
-		ingress := f.other("pages")
+		line.Timeout = "60000"
+		ingress := f.nodeNotServing("pages")
 		// From these its owner learns how long the runs take.
-		for _, c := range f.atFront(ingress, line, 3) {
+		for _, c := range f.callAtIngress(ingress, line, 3) {
 			if c.Status != 200 {
 				t.Fatalf("before the stop signal: %d %s", c.Status, c.Body)
 			}
@@ -58,9 +58,9 @@
 		stopped := make(chan struct{})
 		f.g.Go("stop", func(context.Context) { ingress.Proxy.Stop(); close(stopped) })
 		Wait(500 * time.Millisecond)
-		for _, c := range f.atFront(ingress, line, 4) {
-			if c.Status != 503 || c.Retry == "" || c.To.Sub(c.From) > time.Second {
-				t.Errorf("after the stop signal: %d %s, Retry-After %q, after %v", c.Status, c.Body, c.Retry, c.To.Sub(c.From))
+		for _, c := range f.callAtIngress(ingress, line, 4) {
+			if c.Status != 503 || c.RetryAfter == "" || c.To.Sub(c.From) > time.Second {
+				t.Errorf("after the stop signal: %d %s, Retry-After %q, after %v", c.Status, c.Body, c.RetryAfter, c.To.Sub(c.From))
 			}
 		}
 		<-stopped
@@ -73,21 +73,21 @@
 func TestStopReservesNoRetryTime(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
-		s := small()
+		s := smallShape()
 		s.Nodes = 6
-		s.Took["pages"] = 600 * time.Millisecond // runs take 300 to 900 ms of a timeout of 1000 ms
+		s.ServiceTimes["pages"] = 600 * time.Millisecond // runs take 300 to 900 ms of a timeout of 1000 ms
 		f := NewFleet(t, s, 432)
 		defer f.Stop()
 		f.Start()
-		ingress := f.other("pages")
+		ingress := f.nodeNotServing("pages")
 		// Other requests of the service earn retry budget.
-		lookup := standin.Line{Method: "GET", URI: "/lookups/7", Service: "pages", Safe: true, Left: "3000"}
+		lookup := standin.CallKind{Method: "GET", URI: "/lookups/7", Service: "pages", Retryable: true, Timeout: "3000"}
 		for range 4 {
-			f.atFront(ingress, lookup, 8)
+			f.callAtIngress(ingress, lookup, 8)
 		}
 		f.g.Go("stop", func(context.Context) { ingress.Proxy.Stop() })
 		Wait(500 * time.Millisecond)
-		for _, c := range f.atFront(ingress, s.Lines[0], 8) {
+		for _, c := range f.callAtIngress(ingress, s.Lines[0], 8) {
 			if c.Status != 200 {
 				t.Errorf("%d %s after %v", c.Status, c.Body, c.To.Sub(c.From))
 			}
--- a/internal/sim/storedfiles_test.go
+++ b/internal/sim/storedfiles_test.go
@@ -29,22 +29,22 @@
 	const name = "testdata/files-v0.1.0.json"
 	if *writeStoredFiles {
 		synctest.Test(t, func(t *testing.T) {
-			fleet := NewFleet(t, small(), 95)
+			fleet := NewFleet(t, smallShape(), 95)
 			fleet.Start()
-			before := fleet.keep()
+			before := fleet.recordState()
 			// Enough log entries for a snapshot and some entries after it.
 			for i := range 300 {
-				fleet.Ask("PUT", fleet.Cores[0].Host+":7003", fmt.Sprintf("/puffin/keys/row%d", i%5), `{"value":"x"}`)
+				fleet.Request("PUT", fleet.ControlMachines[0].Host+":7003", fmt.Sprintf("/puffin/keys/row%d", i%5), `{"value":"x"}`)
 			}
 			Wait(time.Second)
 			fleet.Stop()
 			var written storedFiles
-			written.Kept.Rev, written.Kept.Num, written.Kept.Fence, written.Kept.Version = before.rev, before.num, before.fence, before.version
-			for _, c := range fleet.Cores {
+			written.Kept.Rev, written.Kept.Num, written.Kept.Fence, written.Kept.Version = before.rev, before.number, before.fence, before.version
+			for _, c := range fleet.ControlMachines {
 				files := map[string][]byte{}
-				for n, content := range c.Disk.safe {
+				for n, content := range c.Disk.durable {
 					if n[0] != 'r' {
-						files[n] = content.saved
+						files[n] = content.synced
 					}
 				}
 				written.Disks = append(written.Disks, files)
@@ -70,23 +70,23 @@
 		t.Fatal(err)
 	}
 	synctest.Test(t, func(t *testing.T) {
-		fleet := NewFleet(t, small(), 96)
+		fleet := NewFleet(t, smallShape(), 96)
 		defer fleet.Stop()
-		fleet.Steps.Adopt()
-		for i, c := range fleet.Cores {
+		fleet.Steps.TrustInitialState()
+		for i, c := range fleet.ControlMachines {
 			for n, b := range stored.Disks[i] {
-				content := &node{data: b, saved: b}
-				c.Disk.now[n], c.Disk.safe[n] = content, content
+				content := &node{data: b, synced: b}
+				c.Disk.files[n], c.Disk.durable[n] = content, content
 			}
 			fleet.StartStore(c)
 			fleet.StartRegistry(c)
 		}
 		for i, n := range fleet.Nodes {
 			fleet.StartProxy(n)
-			fleet.StartWorker(n, fleet.S.Serves(i))
+			fleet.StartWorker(n, fleet.Shape.ServiceOf(i))
 		}
-		fleet.serves(15 * time.Second)
-		fleet.Until(15*time.Second, "every node knows every worker", fleet.Whole)
-		fleet.still(kept{stored.Kept.Rev, stored.Kept.Num, stored.Kept.Fence, stored.Kept.Version})
+		fleet.untilWritable(15 * time.Second)
+		fleet.Until(15*time.Second, "every node knows every worker", fleet.Converged)
+		fleet.checkState(acknowledgedState{stored.Kept.Rev, stored.Kept.Num, stored.Kept.Fence, stored.Kept.Version})
 	})
 }
--- a/internal/sim/storemembership_test.go
+++ b/internal/sim/storemembership_test.go
@@ -14,11 +14,11 @@
 func TestForeignData(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
-		other := NewFleet(t, small(), 130)
+		other := NewFleet(t, smallShape(), 130)
 		other.Start()
-		other.keep()
+		other.recordState()
 		other.Stop()
-		fleet := NewFleet(t, small(), 131)
+		fleet := NewFleet(t, smallShape(), 131)
 		defer fleet.Stop()
 		var reported atomic.Int64
 		fleet.Log = func(entry event.Entry) {
@@ -27,13 +27,13 @@
 			}
 		}
 		fleet.Start()
-		before := fleet.keep()
-		core := fleet.mark(fleet.Writer())
-		fleet.KillCore(core, true)
-		core.Disk, core.Steps = other.Cores[0].Disk, other.Steps
+		before := fleet.recordState()
+		core := fleet.markFaulted(fleet.Leader())
+		fleet.KillControlMachine(core, true)
+		core.Disk, core.Steps = other.ControlMachines[0].Disk, other.Steps
 		identityBefore, _ := core.Disk.Read("i-identity")
-		fleet.BackCore(core)
-		fleet.serves(5 * time.Second)
+		fleet.RestartControlMachine(core)
+		fleet.untilWritable(5 * time.Second)
 		Wait(8 * time.Second)
 		if code, answer := fleet.Get(core.Host+":7004", "/puffin/ready"); code != 503 {
 			t.Errorf("the store with foreign data is ready: %v", answer)
@@ -44,7 +44,7 @@
 		if reported.Load() == 0 {
 			t.Error("no event reports the foreign data")
 		}
-		fleet.still(before)
+		fleet.checkState(before)
 	})
 }
 
@@ -54,7 +54,7 @@
 func TestRemoval(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
-		fleet := NewFleet(t, small(), 132)
+		fleet := NewFleet(t, smallShape(), 132)
 		defer fleet.Stop()
 		var reported atomic.Int64
 		fleet.Log = func(entry event.Entry) {
@@ -63,17 +63,17 @@
 			}
 		}
 		fleet.Start()
-		before := fleet.keep()
-		leader := fleet.Writer()
-		var running, dead *Core
-		for _, c := range fleet.Cores {
+		before := fleet.recordState()
+		leader := fleet.Leader()
+		var running, dead *ControlMachine
+		for _, c := range fleet.ControlMachines {
 			if c != leader && running == nil {
 				running = c
 			} else if c != leader {
 				dead = c
 			}
 		}
-		memberID := func(c *Core) string {
+		memberID := func(c *ControlMachine) string {
 			_, answer := fleet.Get(c.Host+":7004", "/puffin/ready")
 			for _, m := range answer["members"].([]any) {
 				if member := m.(map[string]any); member["addr"] == c.Host+":7001" {
@@ -85,27 +85,27 @@
 		}
 		address := fleet.Nodes[0].Host + ":7003"
 		runningID, deadID := memberID(running), memberID(dead)
-		fleet.KillCore(dead, false)
+		fleet.KillControlMachine(dead, false)
 		Wait(2 * time.Second)
-		if code, answer := fleet.Ask("DELETE", address, "/puffin/stores/"+runningID, ""); code != 409 || reported.Load() == 0 {
+		if code, answer := fleet.Request("DELETE", address, "/puffin/stores/"+runningID, ""); code != 409 || reported.Load() == 0 {
 			t.Errorf("removal that leaves no majority: status %d %v, %d events", code, answer, reported.Load())
 		}
-		if code, _ := fleet.Ask("DELETE", address, "/puffin/stores/nobody", ""); code != 404 {
+		if code, _ := fleet.Request("DELETE", address, "/puffin/stores/nobody", ""); code != 404 {
 			t.Errorf("removal of an unknown store: status %d", code)
 		}
 		// Removing the dead store is safe.
-		if code, answer := fleet.Ask("DELETE", address, "/puffin/stores/"+deadID, ""); code != 200 {
+		if code, answer := fleet.Request("DELETE", address, "/puffin/stores/"+deadID, ""); code != 200 {
 			t.Errorf("safe removal: status %d %v", code, answer)
 		}
-		fleet.serves(5 * time.Second)
-		if code, answer := fleet.Ask("DELETE", address, "/puffin/stores/"+runningID, ""); code != 409 {
+		fleet.untilWritable(5 * time.Second)
+		if code, answer := fleet.Request("DELETE", address, "/puffin/stores/"+runningID, ""); code != 409 {
 			t.Errorf("second removal: status %d %v", code, answer)
 		}
-		fleet.still(before)
+		fleet.checkState(before)
 		// An empty machine takes the free membership.
 		dead.Disk.Wipe()
-		fleet.BackCore(dead)
-		fleet.Until(15*time.Second, "three stores are ready", fleet.coreReady)
-		fleet.serves(5 * time.Second)
+		fleet.RestartControlMachine(dead)
+		fleet.Until(15*time.Second, "three stores are ready", fleet.controlPlaneReady)
+		fleet.untilWritable(5 * time.Second)
 	})
 }
--- a/internal/sim/storm_test.go
+++ b/internal/sim/storm_test.go
@@ -15,8 +15,8 @@
 // budget, no request that must not be repeated runs twice, and callers get a busy
 // response only for requests that did not run.
 func TestStorms(t *testing.T) {
-	heavy(t)
-	for i, behaviour := range []standin.Way{{Lose: 0.8}, {Busy: 0.9}, {Sulk: 0.5, Garble: 0.4}} {
+	skipUnderRace(t)
+	for i, behaviour := range []standin.WorkerBehavior{{Lose: 0.8}, {Busy: 0.9}, {Sulk: 0.5, Garble: 0.4}} {
 		for _, s := range []Shape{Fumettoteca(0.25), Ingenzi(0.4)} {
 			t.Run(fmt.Sprint(s.Services[0], " ", i), func(t *testing.T) {
 				t.Parallel()
@@ -28,15 +28,15 @@
 					Wait(6 * time.Second)
 					for _, n := range f.Nodes {
 						w := behaviour
-						w.Took = s.Took[n.Worker.Service]
-						n.Worker.Behave(w)
+						w.Took = s.ServiceTimes[n.Worker.Service]
+						n.Worker.SetBehavior(w)
 					}
 					Wait(8 * time.Second)
 					for _, n := range f.Nodes {
-						n.Worker.Behave(standin.Way{Took: s.Took[n.Worker.Service]})
+						n.Worker.SetBehavior(standin.WorkerBehavior{Took: s.ServiceTimes[n.Worker.Service]})
 					}
 					wait()
-					f.Judge()
+					f.CheckInvariants()
 					retries := 0.0
 					for _, n := range f.Nodes {
 						_, status := f.Get(n.Host+":7003", "/puffin/own")
@@ -56,15 +56,15 @@
 // run for several seconds are in progress at them, as ingress and as owner. All
 // responses arrive complete.
 func TestLongStop(t *testing.T) {
-	heavy(t)
+	skipUnderRace(t)
 	synctest.Test(t, func(t *testing.T) {
 		s := Ingenzi(0.1)
-		s.Took["seats"] = 4 * time.Second
+		s.ServiceTimes["seats"] = 4 * time.Second
 		f := NewFleet(t, s, 420)
 		defer f.Stop()
 		f.Start()
-		f.Polled = true
-		wait := f.Load([]standin.Line{s.Lines[3]}, 20*time.Second)
+		f.PollReadiness = true
+		wait := f.Load([]standin.CallKind{s.Lines[3]}, 20*time.Second)
 		for i := range 4 {
 			Wait(4 * time.Second)
 			n := f.Nodes[i*3]
@@ -72,15 +72,15 @@
 			f.StartProxy(n)
 		}
 		wait()
-		f.Judge()
+		f.CheckInvariants()
 		// A nested call may fail because the remaining time of its parent is too
 		// short; any other failure would be visible to callers.
-		if n := f.Obs.Counts(); n["calls"] < 100 {
+		if n := f.Observer.Counts(); n["calls"] < 100 {
 			t.Errorf("too few calls: %v", n)
 		}
-		for _, c := range f.Obs.Calls() {
+		for _, c := range f.Observer.Calls() {
 			if c.Status == 503 || c.Status != 200 && !strings.HasPrefix(c.ID, "nested-") {
-				t.Errorf("a graceful shutdown was visible to request %s at %s, %v to %v: %d %s", c.ID, c.Front, c.From.Format("05.000"), c.To.Format("05.000"), c.Status, c.Body)
+				t.Errorf("a graceful shutdown was visible to request %s at %s, %v to %v: %d %s", c.ID, c.Ingress, c.From.Format("05.000"), c.To.Format("05.000"), c.Status, c.Body)
 			}
 		}
 	})
@@ -92,19 +92,19 @@
 func TestPausedControlMachineServesNoStaleRead(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
-		f := NewFleet(t, small(), 421)
+		f := NewFleet(t, smallShape(), 421)
 		defer f.Stop()
 		f.Start()
 		for round := range 6 {
-			c := f.mark(f.Writer())
+			c := f.markFaulted(f.Leader())
 			f.Until(10*time.Second, "a first write is acknowledged", func() bool {
-				code, _ := f.Ask("PUT", c.Host+":7003", "/puffin/keys/k", `{"value":"one"}`)
+				code, _ := f.Request("PUT", c.Host+":7003", "/puffin/keys/k", `{"value":"one"}`)
 				return code == 200
 			})
-			f.Net.Freeze("store-"+c.Host, true)
-			f.Net.Freeze("core-"+c.Host, true)
+			f.Net.PauseProcess("store-"+c.Host, true)
+			f.Net.PauseProcess("core-"+c.Host, true)
 			f.Until(10*time.Second, "the other machines acknowledge a write", func() bool {
-				code, _ := f.Ask("PUT", f.Nodes[0].Host+":7003", "/puffin/keys/k?left_ms=1500", fmt.Sprintf(`{"value":"two%d"}`, round))
+				code, _ := f.Request("PUT", f.Nodes[0].Host+":7003", "/puffin/keys/k?left_ms=1500", fmt.Sprintf(`{"value":"two%d"}`, round))
 				return code == 200
 			})
 			results := make(chan string, 40)
@@ -116,9 +116,9 @@
 			}
 			Wait(50 * time.Millisecond)
 			// The registry resumes first and forwards the reads to a store that is still paused.
-			f.Net.Freeze("core-"+c.Host, false)
+			f.Net.PauseProcess("core-"+c.Host, false)
 			Wait(100 * time.Millisecond)
-			f.Net.Freeze("store-"+c.Host, false)
+			f.Net.PauseProcess("store-"+c.Host, false)
 			seen := map[string]int{}
 			for range 40 {
 				seen[<-results]++
@@ -127,7 +127,7 @@
 			if seen["200one"] > 0 {
 				t.Errorf("%d reads returned a value older than an acknowledged write", seen["200one"])
 			}
-			f.Until(10*time.Second, "all stores are ready", f.coreReady)
+			f.Until(10*time.Second, "all stores are ready", f.controlPlaneReady)
 			Wait(2 * time.Second)
 		}
 	})
@@ -136,15 +136,15 @@
 // TestLongWatch: a watch that is far behind gets every change once and in order,
 // in as many responses as that takes.
 func TestLongWatch(t *testing.T) {
-	heavy(t)
+	skipUnderRace(t)
 	synctest.Test(t, func(t *testing.T) {
-		f := NewFleet(t, small(), 422)
+		f := NewFleet(t, smallShape(), 422)
 		defer f.Stop()
 		f.Start()
 		at := f.Nodes[0].Host + ":7003"
 		for i := range 700 {
 			// Keys outside the prefix leave gaps in the revisions that the watch sees.
-			if code, _ := f.Ask("PUT", at, fmt.Sprintf("/puffin/keys/%s%d", []string{"w/", "other/", "w/"}[i%3], i%9), `{"value":"x"}`); code != 200 {
+			if code, _ := f.Request("PUT", at, fmt.Sprintf("/puffin/keys/%s%d", []string{"w/", "other/", "w/"}[i%3], i%9), `{"value":"x"}`); code != 200 {
 				t.Fatalf("put answered %d", code)
 			}
 		}
--- a/internal/sim/thaw_test.go
+++ b/internal/sim/thaw_test.go
@@ -17,7 +17,7 @@
 // and resumes with unread requests of callers and peers. It handles none of them by
 // the configuration from before the pause.
 func TestFrozenFront(t *testing.T) {
-	heavy(t)
+	skipUnderRace(t)
 	synctest.Test(t, func(t *testing.T) {
 		s := Fumettoteca(0.3)
 		s.Nodes = 6
@@ -27,18 +27,18 @@
 		wait := f.Load(s.Lines, 22*time.Second)
 		for i := range 4 {
 			n := f.Nodes[i]
-			f.Net.Freeze("node-"+n.Host, true)
+			f.Net.PauseProcess("node-"+n.Host, true)
 			Wait(200 * time.Millisecond)
-			if code, _ := f.Apply(f.Nodes[5].Host+":7003", uint64(i+1), s.Doc); code != 200 {
+			if code, _ := f.Apply(f.Nodes[5].Host+":7003", uint64(i+1), s.Config); code != 200 {
 				t.Fatalf("apply answered %d", code)
 			}
 			Wait(2300 * time.Millisecond)
-			f.aim(n, 20)
-			f.Net.Freeze("node-"+n.Host, false)
+			f.sendRequests(n, 20)
+			f.Net.PauseProcess("node-"+n.Host, false)
 			Wait(2 * time.Second)
 		}
 		wait()
-		f.Judge()
+		f.CheckInvariants()
 	})
 }
 
@@ -47,7 +47,7 @@
 // applications. No lock or number is given twice, no read is stale, and the service
 // stays available.
 func TestFrozenCore(t *testing.T) {
-	heavy(t)
+	skipUnderRace(t)
 	for i, target := range []string{"store", "core", "both", "two registries"} {
 		t.Run(target, func(t *testing.T) {
 			t.Parallel()
@@ -57,38 +57,38 @@
 				f := NewFleet(t, s, uint64(i)+350)
 				defer f.Stop()
 				f.Start()
-				acked := f.keep()
+				acked := f.recordState()
 				wait := f.Load(s.Lines, 36*time.Second)
-				apps := f.apps(36 * time.Second)
+				apps := f.runCoordination(36 * time.Second)
 				for round := range 4 {
 					Wait(1500 * time.Millisecond)
-					c := f.mark(f.Writer())
+					c := f.markFaulted(f.Leader())
 					pause := func(on bool) {
 						if target != "core" && target != "two registries" {
-							f.Net.Freeze("store-"+c.Host, on)
+							f.Net.PauseProcess("store-"+c.Host, on)
 						}
 						if target != "store" {
-							f.Net.Freeze("core-"+c.Host, on)
+							f.Net.PauseProcess("core-"+c.Host, on)
 						}
 						if target == "two registries" {
-							f.Net.Freeze("core-"+f.Cores[round%3].Host, on)
+							f.Net.PauseProcess("core-"+f.ControlMachines[round%3].Host, on)
 						}
 					}
 					pause(true)
 					Wait(time.Duration(300+round*1200) * time.Millisecond)
 					if target == "store" || target == "both" {
-						f.serves(6 * time.Second)
+						f.untilWritable(6 * time.Second)
 					}
 					pause(false)
-					f.serves(6 * time.Second)
+					f.untilWritable(6 * time.Second)
 				}
-				f.Until(10*time.Second, "all stores are ready", f.coreReady)
-				f.Until(10*time.Second, "all nodes are ready and know all workers", f.Whole)
+				f.Until(10*time.Second, "all stores are ready", f.controlPlaneReady)
+				f.Until(10*time.Second, "all nodes are ready and know all workers", f.Converged)
 				wait()
 				apps()
-				f.still(acked)
-				f.Judge()
-				if n := f.Obs.Counts(); n["done"] < n["calls"]*99/100 {
+				f.checkState(acked)
+				f.CheckInvariants()
+				if n := f.Observer.Counts(); n["done"] < n["calls"]*99/100 {
 					t.Errorf("a paused control plane affected requests: %v", n)
 				}
 			})
@@ -100,7 +100,7 @@
 func TestStaleConfigPushIgnored(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
-		f := NewFleet(t, small(), 360)
+		f := NewFleet(t, smallShape(), 360)
 		var mu sync.Mutex
 		highest := map[string]string{}
 		f.Log = func(e event.Entry) {
@@ -118,14 +118,14 @@
 		f.Start()
 		n := f.Nodes[0]
 		for v := range 2 {
-			if code, _ := f.Apply(n.Host+":7003", uint64(v+1), f.S.Doc); code != 200 {
+			if code, _ := f.Apply(n.Host+":7003", uint64(v+1), f.Shape.Config); code != 200 {
 				t.Fatalf("apply answered %d", code)
 			}
 		}
 		Wait(time.Second)
 		group := task.New(t.Context())
 		stale := transport.NewNode(transport.Hello{ClusterID: "puffin", Node: "late", Zone: "north", Role: "registry"}, f.env("late", "10.0.9.5", "north", &n.skew), group, 1<<20, 4, time.Second)
-		if _, err := transport.Call[struct{}](t.Context(), stale, n.Host+":7002", "config.push", protocol.ConfigPush{Version: 2, Document: []byte(f.S.Doc)}); err != nil {
+		if _, err := transport.Call[struct{}](t.Context(), stale, n.Host+":7002", "config.push", protocol.ConfigPush{Version: 2, Document: []byte(f.Shape.Config)}); err != nil {
 			t.Fatal(err)
 		}
 		for range 20 {
@@ -143,7 +143,7 @@
 // delay by seconds. The bounds on configuration changes hold for every node that is
 // connected, and no request that must not be repeated runs twice.
 func TestHalfOpen(t *testing.T) {
-	heavy(t)
+	skipUnderRace(t)
 	for i, failure := range []string{"nobody hears it", "it hears nobody", "delay of seconds"} {
 		t.Run(failure, func(t *testing.T) {
 			t.Parallel()
@@ -166,24 +166,24 @@
 							case failure == "it hears nobody":
 								f.Net.Cut(o, n.Host, on)
 							default:
-								f.Net.Lag(n.Host, map[bool]time.Duration{true: 1500 * time.Millisecond}[on])
+								f.Net.SetExtraDelay(n.Host, map[bool]time.Duration{true: 1500 * time.Millisecond}[on])
 							}
 						}
 					}
 					disturb(true)
 					Wait(time.Second)
-					if code, _ := f.Apply(f.Nodes[5].Host+":7003", uint64(round+1), s.Doc); code != 200 {
+					if code, _ := f.Apply(f.Nodes[5].Host+":7003", uint64(round+1), s.Config); code != 200 {
 						t.Errorf("apply answered %d", code)
 					}
 					Wait(4 * time.Second)
 					disturb(false)
-					f.Until(10*time.Second, "all nodes are ready and know all workers", f.Whole)
+					f.Until(10*time.Second, "all nodes are ready and know all workers", f.Converged)
 					Wait(time.Second)
-					f.Obs.Lost(n.Host+":8000", from, time.Now())
+					f.Observer.Disconnected(n.Host+":8000", from, time.Now())
 				}
 				wait()
-				f.Judge()
-				n := f.Obs.Counts()
+				f.CheckInvariants()
+				n := f.Observer.Counts()
 				t.Log(fmt.Sprint(n))
 				if n["done"] < n["calls"]*8/10 {
 					t.Errorf("too few requests were completed: %v", n)
--- a/internal/sim/totalpowerloss_test.go
+++ b/internal/sim/totalpowerloss_test.go
@@ -13,48 +13,48 @@
 // again; that many fewer disks may be lost in the power loss.
 var faultsBefore = []struct {
 	name string
-	do   func(l *lab, rnd *rand.Rand) (lost int)
+	do   func(l *coreFleet, rnd *rand.Rand) (lost int)
 }{
-	{"nothing", func(*lab, *rand.Rand) int { return 0 }},
-	{"the leader was killed", func(l *lab, rnd *rand.Rand) int {
-		if w := l.Writer(); w != nil {
-			l.KillCore(w, false)
+	{"nothing", func(*coreFleet, *rand.Rand) int { return 0 }},
+	{"the leader was killed", func(l *coreFleet, rnd *rand.Rand) int {
+		if w := l.Leader(); w != nil {
+			l.KillControlMachine(w, false)
 			Wait(time.Duration(rnd.IntN(400)) * time.Millisecond)
-			l.BackCore(w)
+			l.RestartControlMachine(w)
 			Wait(time.Duration(rnd.IntN(200)) * time.Millisecond)
 		}
 		return 0
 	}},
-	{"a member left", func(l *lab, rnd *rand.Rand) int {
+	{"a member left", func(l *coreFleet, rnd *rand.Rand) int {
 		c := l.anyMember(rnd)
 		c.Registry.Stop()
 		c.Store.Stop()
-		l.KillCore(c, true)
+		l.KillControlMachine(c, true)
 		Wait(time.Duration(rnd.IntN(600)) * time.Millisecond)
-		l.BackCore(c)
+		l.RestartControlMachine(c)
 		return 0
 	}},
-	{"a disk was lost", func(l *lab, rnd *rand.Rand) int {
+	{"a disk was lost", func(l *coreFleet, rnd *rand.Rand) int {
 		c := l.anyMember(rnd)
-		l.KillCore(c, true)
+		l.KillControlMachine(c, true)
 		c.Disk.Wipe()
 		Wait(200 * time.Millisecond)
-		l.BackCore(c)
+		l.RestartControlMachine(c)
 		Wait(time.Duration(rnd.IntN(1500)) * time.Millisecond)
 		return 1
 	}},
-	{"a lost machine was replaced", func(l *lab, rnd *rand.Rand) int {
+	{"a lost machine was replaced", func(l *coreFleet, rnd *rand.Rand) int {
 		lost := l.anyMember(rnd)
-		l.KillCore(lost, true)
+		l.KillControlMachine(lost, true)
 		lost.Disk.Wipe()
 		Wait(time.Second)
-		want := len(l.places())
-		fresh := l.fresh(lost)
-		l.BackCore(fresh)
+		want := len(l.members())
+		fresh := l.addReplacement(lost)
+		l.RestartControlMachine(fresh)
 		// The replacement counts once a leader elected by the new members is
 		// ready.
 		l.Until(6*time.Second, "its membership is filled", func() bool {
-			at := l.places()
+			at := l.members()
 			return len(at) == want && !at[lost.Host] && l.settled(want)
 		})
 		l.removeCore(lost)
@@ -63,11 +63,11 @@
 }
 
 // anyMember returns a random running machine that votes.
-func (l *lab) anyMember(rnd *rand.Rand) *Core {
-	members := l.places()
-	cores := l.cores()
+func (l *coreFleet) anyMember(rnd *rand.Rand) *ControlMachine {
+	members := l.members()
+	cores := l.controlMachines()
 	for _, i := range rnd.Perm(len(cores)) {
-		if running, _ := l.runs(cores[i]); running != nil && members[cores[i].Host] {
+		if running, _ := l.controlProcessesOf(cores[i]); running != nil && members[cores[i].Host] {
 			return cores[i]
 		}
 	}
@@ -76,16 +76,16 @@
 }
 
 // removeCore removes a permanently lost machine from the fleet.
-func (l *lab) removeCore(lost *Core) {
+func (l *coreFleet) removeCore(lost *ControlMachine) {
 	l.Fleet.mu.Lock()
 	defer l.Fleet.mu.Unlock()
-	var remaining []*Core
-	for _, c := range l.Cores {
+	var remaining []*ControlMachine
+	for _, c := range l.ControlMachines {
 		if c != lost {
 			remaining = append(remaining, c)
 		}
 	}
-	l.Cores = remaining
+	l.ControlMachines = remaining
 }
 
 // TestTotalPowerLoss cuts the power of every control-plane machine at one moment during
@@ -106,13 +106,13 @@
 				t.Parallel()
 				for seed := range seeds(seedCount) {
 					synctest.Test(t, func(t *testing.T) {
-						fleet := newLab(t, 1000+10*seed+uint64(i), c.cores, c.bear)
+						fleet := newCoreFleet(t, 1000+10*seed+uint64(i), c.cores, c.bear)
 						defer fleet.Stop()
 						rnd := rand.New(rand.NewPCG(seed, uint64(i)))
 						fleet.seed = seed
-						fleet.up()
-						fleet.Until(6*time.Second, "all memberships are filled", func() bool { return len(fleet.places()) == 2*c.bear+1 })
-						fleet.Stores["founding"] = false
+						fleet.startAll()
+						fleet.Until(6*time.Second, "all memberships are filled", func() bool { return len(fleet.members()) == 2*c.bear+1 })
+						fleet.StoreSettings["founding"] = false
 						for day := range 2 {
 							fleet.losePower(rnd, fmt.Sprint("day", day, "-"), c.bear, trouble.do)
 						}
@@ -125,14 +125,14 @@
 
 // losePower injects a fault, cuts the power of all machines during writes, starts them
 // again and checks that every acknowledged write is readable.
-func (l *lab) losePower(rnd *rand.Rand, prefix string, tolerated int, faultBefore func(*lab, *rand.Rand) int) {
-	stopWriting := l.marking(prefix)
+func (l *coreFleet) losePower(rnd *rand.Rand, prefix string, tolerated int, faultBefore func(*coreFleet, *rand.Rand) int) {
+	stopWriting := l.writeContinuously(prefix)
 	Wait(time.Duration(500+rnd.IntN(500)) * time.Millisecond)
 	lost := faultBefore(l, rnd)
-	cores := l.cores()
+	cores := l.controlMachines()
 	rnd.Shuffle(len(cores), func(i, j int) { cores[i], cores[j] = cores[j], cores[i] })
 	for _, c := range cores {
-		l.KillCore(c, true)
+		l.KillControlMachine(c, true)
 	}
 	acked := stopWriting()
 	if len(acked) < 25 {
@@ -148,26 +148,26 @@
 	for i, c := range cores {
 		Wait(time.Duration(rnd.IntN(500)) * time.Millisecond)
 		if !away || i >= len(wiped) {
-			l.BackCore(c)
+			l.RestartControlMachine(c)
 		}
 	}
-	l.untilOrDescribe("a store leads", func() bool { return l.Writer() != nil })
+	l.untilOrDescribe("a store leads", func() bool { return l.Leader() != nil })
 	if away {
-		l.holds(acked)
+		l.checkKeys(acked)
 		for _, c := range wiped {
 			l.Net.Isolate(c.Host, false)
-			l.BackCore(c)
+			l.RestartControlMachine(c)
 		}
 	}
 	l.untilOrDescribe("all memberships are filled", func() bool { return l.settled(2*tolerated + 1) })
-	l.holds(acked)
+	l.checkKeys(acked)
 	// Replication must be complete by now for the next power loss.
 	Wait(4 * time.Second)
 }
 
 // untilOrDescribe waits up to 15 s for a condition and logs the state of the stores
 // shortly before it times out.
-func (l *lab) untilOrDescribe(what string, condition func() bool) {
+func (l *coreFleet) untilOrDescribe(what string, condition func() bool) {
 	l.T.Helper()
 	start := time.Now()
 	l.Until(15*time.Second, what, func() bool {
@@ -182,8 +182,8 @@
 }
 
 // logStatus logs the status that each store reports.
-func (l *lab) logStatus() {
-	for _, c := range l.cores() {
+func (l *coreFleet) logStatus() {
+	for _, c := range l.controlMachines() {
 		_, answer := l.Get(c.Host+":7004", "/puffin/ready")
 		l.T.Log(l.seed, c.Host, answer["role"], answer["version_slot"], answer["ballot"], answer["why"], answer["members"])
 	}
--- a/internal/sim/waitline_test.go
+++ b/internal/sim/waitline_test.go
@@ -17,15 +17,15 @@
 func TestStopWithUnsentRequestBodies(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := thinShape(false)
-		s.Doc = strings.Replace(s.Doc, `"left_ms":6000,"aim_ms":3000,"repeat":"upload"`, `"left_ms":30000,"aim_ms":24000,"repeat":"upload"`, 1)
-		f := thinFleetOf(t, s, narrow(megabit/8))
+		s.Config = strings.Replace(s.Config, `"left_ms":6000,"aim_ms":3000,"repeat":"upload"`, `"left_ms":30000,"aim_ms":24000,"repeat":"upload"`, 1)
+		f := thinFleetOfShape(t, s, narrow(megabit/8))
 		defer f.Stop()
 		ingress, callers := f.Nodes[0], f.ownCallers()
-		line := standin.Line{Method: "POST", URI: "/scans", Service: "scans", Size: size, Want: 1, Left: "30000"}
+		line := standin.CallKind{Method: "POST", URI: "/scans", Service: "scans", Size: bulkBodyBytes, AnswerSize: 1, Timeout: "30000"}
 		const jobs = 6
 		results := make(chan standin.Call, jobs)
 		for range jobs {
-			f.g.Go("ask", func(context.Context) { results <- callers.At(ingress.Host+":8000", line) })
+			f.g.Go("ask", func(context.Context) { results <- callers.CallAt(ingress.Host+":8000", line) })
 		}
 		Wait(300 * time.Millisecond)
 		ingress.Proxy.Stop()
@@ -44,19 +44,19 @@
 func TestStopWithUnsentResponses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := thinShape(false)
-		s.Doc = strings.Replace(s.Doc, `"left_ms":6000,"aim_ms":3000,"repeat":"download"`, `"left_ms":30000,"aim_ms":24000,"repeat":"download"`, 1)
-		f := thinFleetOf(t, s, narrow(megabit/4))
+		s.Config = strings.Replace(s.Config, `"left_ms":6000,"aim_ms":3000,"repeat":"download"`, `"left_ms":30000,"aim_ms":24000,"repeat":"download"`, 1)
+		f := thinFleetOfShape(t, s, narrow(megabit/4))
 		defer f.Stop()
 		ingress, callers := f.Nodes[0], f.ownCallers()
-		line := standin.Line{Method: "GET", URI: "/files/7", Service: "scans", Safe: true, Want: size, Left: "30000"}
+		line := standin.CallKind{Method: "GET", URI: "/files/7", Service: "scans", Retryable: true, AnswerSize: bulkBodyBytes, Timeout: "30000"}
 		// From these the owners learn the size of the responses and the speed of the link.
 		for range 6 {
-			callers.At(ingress.Host+":8000", line)
+			callers.CallAt(ingress.Host+":8000", line)
 		}
 		const jobs = 16
 		results := make(chan standin.Call, jobs)
 		for range jobs {
-			f.g.Go("ask", func(context.Context) { results <- callers.At(ingress.Host+":8000", line) })
+			f.g.Go("ask", func(context.Context) { results <- callers.CallAt(ingress.Host+":8000", line) })
 			Wait(100 * time.Millisecond)
 		}
 		Wait(300 * time.Millisecond)
@@ -71,8 +71,8 @@
 
 // ownCallers returns callers that use the first node alone.
 func (f *Fleet) ownCallers() *standin.Callers {
-	f.Net.Place("10.0.9.3", "outside")
-	return standin.NewCallers(f.env("own", "10.0.9.3", "outside", &f.Nodes[0].skew), nil, f.Obs, 40*time.Second)
+	f.Net.SetZone("10.0.9.3", "outside")
+	return standin.NewCallers(f.env("own", "10.0.9.3", "outside", &f.Nodes[0].skew), nil, f.Observer, 40*time.Second)
 }
 
 // collectStatuses waits for count calls and counts them by status. Each must
@@ -82,8 +82,8 @@
 	for range count {
 		c := <-calls
 		counts[c.Status]++
-		if c.Status != 200 && (c.Status != 503 || c.Retry == "") {
-			t.Errorf("answered %d, Retry-After %q: %s", c.Status, c.Retry, c.Body)
+		if c.Status != 200 && (c.Status != 503 || c.RetryAfter == "") {
+			t.Errorf("answered %d, Retry-After %q: %s", c.Status, c.RetryAfter, c.Body)
 		}
 	}
 	return counts
--- a/internal/sim/waitstop_test.go
+++ b/internal/sim/waitstop_test.go
@@ -20,18 +20,20 @@
 		t.Run(fmt.Sprint("job after ", after), func(t *testing.T) {
 			t.Parallel()
 			synctest.Test(t, func(t *testing.T) {
-				s := small()
+				s := smallShape()
 				s.Slots = 1
-				s.Took["pages"] = 20 * time.Second
-				s.Doc = strings.Replace(s.Doc, `"class":"reading","left_ms":1000`, `"class":"reading","left_ms":30000,"aim_ms":24000`, 1)
+				s.ServiceTimes["pages"] = 20 * time.Second
+				s.Config = strings.Replace(s.Config, `"class":"reading","left_ms":1000`, `"class":"reading","left_ms":30000,"aim_ms":24000`, 1)
 				f := NewFleet(t, s, 430)
 				defer f.Stop()
 				f.Start()
-				callers := standin.NewCallers(f.env("own", "10.0.9.3", "outside", &f.Nodes[0].skew), nil, f.Obs, 30*time.Second)
+				callers := standin.NewCallers(f.env("own", "10.0.9.3", "outside", &f.Nodes[0].skew), nil, f.Observer, 30*time.Second)
 				line := s.Lines[0]
-				line.Left = "30000"
+				line.Timeout = "30000"
 				results := make(chan standin.Call, 3)
-				request := func(n *Node) { f.g.Go("ask", func(context.Context) { results <- callers.At(n.Host+":8000", line) }) }
+				request := func(n *Node) {
+					f.g.Go("ask", func(context.Context) { results <- callers.CallAt(n.Host+":8000", line) })
+				}
 				var ingress *Node
 				for _, n := range f.Nodes {
 					if n.Worker.Service != "pages" {
@@ -56,12 +58,12 @@
 				}
 				from := time.Now()
 				c := <-results
-				if c.Front != ingress.Host+":8000" {
+				if c.Ingress != ingress.Host+":8000" {
 					t.Fatalf("the first request ended early: %+v", c)
 				}
 				t.Logf("%d %s after %v: %s", c.Status, c.Ran, c.To.Sub(from), c.Body)
-				if c.Status != 503 || c.Retry == "" {
-					t.Errorf("the waiting request was answered %d, Retry-After %q", c.Status, c.Retry)
+				if c.Status != 503 || c.RetryAfter == "" {
+					t.Errorf("the waiting request was answered %d, Retry-After %q", c.Status, c.RetryAfter)
 				}
 				if took := (<-stopped).Sub(from); took > 14*time.Second { // of a grace period of 15 s
 					t.Errorf("the shutdown took %v, want at most 14s", took)
--- a/internal/sim/withdraw_test.go
+++ b/internal/sim/withdraw_test.go
@@ -20,16 +20,16 @@
 func TestLateBeatAfterSignOff(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
-		s := newSite(t, reader(1, 0.12), 1)
-		violations := s.day(10*time.Second, func() {
+		s := newSite(t, readerDeployment(1, 0.12), 1)
+		violations := s.runDay(10*time.Second, func() {
 			Wait(time.Second)
 			m := s.machines[0]
-			m.w.LeaveBy(context.Background(), actors.Manner{SignsOff: true, Late: 2100 * time.Millisecond, More: 3 * time.Second})
+			m.worker.LeaveBy(context.Background(), actors.LeaveStyle{DeregistersFirst: true, HeartbeatDelay: 2100 * time.Millisecond, ExtraServingTime: 3 * time.Second})
 		})
 		if len(violations) > 0 {
 			t.Errorf("violated guarantees: %v", violations)
 		}
-		if s.wit.Risk()[checker.Drain] == 0 {
+		if s.witness.Exposure()[checker.Drain] == 0 {
 			t.Error("the worker had no traffic before it left, which the test needs")
 		}
 	})
@@ -41,16 +41,16 @@
 func TestCallersLeave(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
-		s := newSite(t, desks(1, 0.3), 1)
-		violations := s.day(10*time.Second, func() {
+		s := newSite(t, bookingDeployment(1, 0.3), 1)
+		violations := s.runDay(10*time.Second, func() {
 			for _, m := range s.machines {
-				m.c.Quits(0.5)
+				m.client.SetEarlyLeaveShare(0.5)
 			}
 		})
 		if len(violations) > 0 {
 			t.Errorf("violated guarantees: %v", violations)
 		}
-		if n := s.wit.Risk()[checker.Gone]; n < 20 {
+		if n := s.witness.Exposure()[checker.Gone]; n < 20 {
 			t.Errorf("only %d callers left during their runs, too few for the test", n)
 		}
 	})
@@ -72,18 +72,18 @@
 }
 
 func runLeaveSurvivesKill(t *testing.T, signsOff, killAll bool) {
-	s := newSite(t, reader(1, 0.12), 1)
-	a := act{s, rand.New(rand.NewPCG(1, 2)), &[]*Core{}}
+	s := newSite(t, readerDeployment(1, 0.12), 1)
+	a := faultRun{s, rand.New(rand.NewPCG(1, 2)), &[]*ControlMachine{}}
 	var m *machine
-	violations := s.day(16*time.Second, func() {
+	violations := s.runDay(16*time.Second, func() {
 		Wait(time.Second)
 		m = s.machines[0]
 		left := make(chan struct{})
 		s.g.Go("leave", func(context.Context) {
-			m.w.LeaveBy(context.Background(), actors.Manner{SignsOff: signsOff, Late: 1500 * time.Millisecond, More: 6 * time.Second})
+			m.worker.LeaveBy(context.Background(), actors.LeaveStyle{DeregistersFirst: signsOff, HeartbeatDelay: 1500 * time.Millisecond, ExtraServingTime: 6 * time.Second})
 			close(left)
 		})
-		for !m.w.Acknowledged() {
+		for !m.worker.Acknowledged() {
 			Wait(time.Millisecond)
 		}
 		a.restartProcesses(m, killAll)
@@ -92,34 +92,34 @@
 	if len(violations) > 0 {
 		t.Errorf("violated guarantees: %v", violations)
 	}
-	if s.wit.Risk()[checker.Drain] == 0 {
+	if s.witness.Exposure()[checker.Drain] == 0 {
 		t.Error("the worker had no traffic before it left, which the test needs")
 	}
 }
 
 // restartProcesses kills the node of a machine, or all processes of the cluster, and
 // starts them again half a second later.
-func (a act) restartProcesses(m *machine, all bool) {
+func (a faultRun) restartProcesses(m *machine, all bool) {
 	machines := []*machine{m}
 	if all {
 		machines = a.all()
-		for _, c := range a.cores() {
+		for _, c := range a.controlMachines() {
 			a.killCore(c, false)
 		}
 	}
 	var endings []func()
 	for _, m := range machines {
-		endings = append(endings, a.wit.Touch.Begin(m.name, "killed"))
+		endings = append(endings, a.witness.Faults.Begin(m.name, "killed"))
 		a.KillNode(m.Node)
 	}
 	Wait(500 * time.Millisecond)
 	if all {
-		for _, c := range a.cores() {
+		for _, c := range a.controlMachines() {
 			a.startCore(c, false)
 		}
 	}
 	for i, m := range machines {
-		a.boot(m)
+		a.startNode(m)
 		endings[i]()
 	}
 }
@@ -129,11 +129,11 @@
 // acknowledged only once it is recorded.
 func TestLeaveUnheard(t *testing.T) {
 	t.Parallel()
-	for name, trouble := range map[string]func(a act, m *machine, on bool){
-		"cut off": func(a act, m *machine, on bool) { a.cutOff(m, on) },
-		"full disks": func(a act, _ *machine, on bool) {
-			for _, c := range a.cores() {
-				c.Disk.Room(map[bool]int{true: 0, false: -1}[on])
+	for name, trouble := range map[string]func(a faultRun, m *machine, on bool){
+		"cut off": func(a faultRun, m *machine, on bool) { a.cutOff(m, on) },
+		"full disks": func(a faultRun, _ *machine, on bool) {
+			for _, c := range a.controlMachines() {
+				c.Disk.LimitFreeBytes(map[bool]int{true: 0, false: -1}[on])
 			}
 		},
 	} {
@@ -144,21 +144,23 @@
 	}
 }
 
-func runUnacknowledgedLeave(t *testing.T, trouble func(a act, m *machine, on bool)) {
-	s := newSite(t, reader(1, 0.12), 1)
-	a := act{s, rand.New(rand.NewPCG(1, 2)), &[]*Core{}}
+func runUnacknowledgedLeave(t *testing.T, trouble func(a faultRun, m *machine, on bool)) {
+	s := newSite(t, readerDeployment(1, 0.12), 1)
+	a := faultRun{s, rand.New(rand.NewPCG(1, 2)), &[]*ControlMachine{}}
 	var draining atomic.Bool
 	s.Log = func(e event.Entry) {
 		if e.Name == "worker-state" && strings.Contains(e.Text, "to=draining") {
 			draining.Store(true)
 		}
 	}
-	s.day(12*time.Second, func() {
+	s.runDay(12*time.Second, func() {
 		m := s.machines[0]
 		trouble(a, m, true)
-		s.g.Go("leave", func(context.Context) { m.w.LeaveBy(context.Background(), actors.Manner{More: 4 * time.Second}) })
+		s.g.Go("leave", func(context.Context) {
+			m.worker.LeaveBy(context.Background(), actors.LeaveStyle{ExtraServingTime: 4 * time.Second})
+		})
 		Wait(1500 * time.Millisecond)
-		if m.w.Acknowledged() {
+		if m.worker.Acknowledged() {
 			t.Error("the leave was acknowledged although the control plane could not record it")
 		}
 		if !draining.Load() {
@@ -166,7 +168,7 @@
 		}
 		trouble(a, m, false)
 		Wait(2 * time.Second)
-		if !m.w.Acknowledged() {
+		if !m.worker.Acknowledged() {
 			t.Error("the leave was not acknowledged after the failure ended")
 		}
 	})
--- a/internal/sim/withdrawals_test.go
+++ b/internal/sim/withdrawals_test.go
@@ -20,11 +20,11 @@
 // that left, and no retryable run goes on for a caller that left.
 // By command: go test ./internal/sim -run 'TestWithdrawals$' -withdrawals 10 -seed 1
 func TestWithdrawals(t *testing.T) {
-	heavy(t)
-	all := append(append(append([]trouble(nil), troubles...), coreTroubles...), docTroubles...)
+	skipUnderRace(t)
+	all := append(append(append([]dayFault(nil), generalFaults...), controlPlaneTroubles...), configFaults...)
 	for i, disturbance := range all {
 		for n := range *seedsPerTrouble {
-			seed := *daySeed + uint64(100*i+n)
+			seed := *firstSeed + uint64(100*i+n)
 			t.Run(fmt.Sprintf("%s, seed %d", disturbance.name, seed), func(t *testing.T) {
 				t.Parallel()
 				synctest.Test(t, func(t *testing.T) { runWithdrawals(t, disturbance, all, seed) })
@@ -36,20 +36,20 @@
 // leaveOffsets are the times at which workers leave. The first trouble begins at 1 s.
 var leaveOffsets = []time.Duration{0, 1200 * time.Millisecond, 3500 * time.Millisecond}
 
-func runWithdrawals(t *testing.T, first trouble, all []trouble, seed uint64) {
-	d := reader(seed, 0.12)
+func runWithdrawals(t *testing.T, first dayFault, all []dayFault, seed uint64) {
+	d := readerDeployment(seed, 0.12)
 	if seed%2 == 1 {
-		d = desks(seed, 0.12)
+		d = bookingDeployment(seed, 0.12)
 	}
 	s := newSite(t, d, seed)
 	random := rand.New(rand.NewPCG(seed, 71))
 	second := all[random.IntN(len(all))]
-	for second.core != none && first.core != none {
+	for second.core != noCore && first.core != noCore {
 		second = all[random.IntN(len(all))]
 	}
-	violations := s.day(20*time.Second, func() {
+	violations := s.runDay(20*time.Second, func() {
 		for _, m := range s.all() {
-			m.c.Quits(0.3)
+			m.client.SetEarlyLeaveShare(0.3)
 		}
 		begin := time.Now()
 		for _, lead := range leaveOffsets {
@@ -59,9 +59,9 @@
 		s.g.Go("second", func(context.Context) { s.runTroubleAt(begin.Add(2*time.Second), second, seed+1) })
 	})
 	if len(violations) > 0 {
-		t.Errorf("guarantees violated by %s with %s: %v\n%s", first.name, second.name, violations, s.said)
+		t.Errorf("guarantees violated by %s with %s: %v\n%s", first.name, second.name, violations, s.actionLog)
 	}
-	risk := s.wit.Risk()
+	risk := s.witness.Exposure()
 	t.Logf("%s with %s: %d checks at leaving workers, %d for callers that left", first.name, second.name, risk[checker.Drain], risk[checker.Gone])
 	if risk[checker.Gone] == 0 {
 		t.Error("no caller left during its run, which the test needs")
@@ -71,26 +71,26 @@
 // workerLeavesAt makes a random worker leave at a given time, in a manner that the
 // worker chooses, and starts another one in its place.
 func (s *site) workerLeavesAt(at time.Time) {
-	a := act{s, rand.New(rand.NewPCG(uint64(at.UnixNano()), 72)), &[]*Core{}}
+	a := faultRun{s, rand.New(rand.NewPCG(uint64(at.UnixNano()), 72)), &[]*ControlMachine{}}
 	Wait(time.Until(at))
-	m := a.take(a.enough)
+	m := a.takeMachine(a.spareable)
 	if m == nil {
 		return
 	}
-	defer a.free(m)
+	defer a.releaseMachine(m)
 	a.say("worker of %s leaves", m.name)
-	m.w.Leave(context.Background())
+	m.worker.Leave(context.Background())
 	a.startWorker(m)
 }
 
 // runTroubleAt runs a trouble at a given time, with a random source of its own.
-func (s *site) runTroubleAt(at time.Time, disturbance trouble, seed uint64) {
-	a := act{s, rand.New(rand.NewPCG(seed, 73)), &[]*Core{}}
+func (s *site) runTroubleAt(at time.Time, disturbance dayFault, seed uint64) {
+	a := faultRun{s, rand.New(rand.NewPCG(seed, 73)), &[]*ControlMachine{}}
 	Wait(time.Until(at))
 	disturbance.do(a)
-	s.smu.Lock()
-	defer s.smu.Unlock()
-	for _, c := range *a.core {
-		delete(s.held, c)
+	s.siteMu.Lock()
+	defer s.siteMu.Unlock()
+	for _, c := range *a.heldCores {
+		delete(s.inTrouble, c)
 	}
 }
--- a/internal/sim/worker_test.go
+++ b/internal/sim/worker_test.go
@@ -14,16 +14,16 @@
 		f := NewFleet(t, Fumettoteca(0.5), 2)
 		defer f.Stop()
 		f.Start()
-		wait := f.Load(f.S.Lines, 8*time.Second)
+		wait := f.Load(f.Shape.Lines, 8*time.Second)
 		for i := range 6 {
 			Wait(time.Second)
 			f.KillWorker(f.Nodes[i])
 			Wait(200 * time.Millisecond)
-			f.StartWorker(f.Nodes[i], f.S.Serves(i))
+			f.StartWorker(f.Nodes[i], f.Shape.ServiceOf(i))
 		}
 		wait()
-		f.Judge()
-		if n := f.Obs.Counts(); n["unknown"] == 0 {
+		f.CheckInvariants()
+		if n := f.Observer.Counts(); n["unknown"] == 0 {
 			t.Errorf("no request was in progress at a killed worker, which the test needs: %v", n)
 		}
 	})
--- a/internal/standin/actors/answer.go
+++ b/internal/standin/actors/answer.go
@@ -15,7 +15,7 @@
 // stays open after it. extra holds further names and values of headers.
 func (r *workerRequest) responseHead(code int, extra ...string) (string, bool) {
 	worker := r.worker
-	closing := worker.leaving() || r.request.Close || worker.random.fraction() < worker.Behavior.Hop
+	closing := worker.leaving() || r.request.Close || worker.random.fraction() < worker.Behavior.CloseShare
 	var builder strings.Builder
 	fmt.Fprintf(&builder, "HTTP/1.1 %d %s\r\n", code, http.StatusText(code))
 	if r.attemptID != "" {
@@ -26,8 +26,8 @@
 	}
 	if closing {
 		builder.WriteString("Connection: close\r\n")
-	} else if worker.Behavior.Idle > 0 {
-		fmt.Fprintf(&builder, "Keep-Alive: timeout=%d\r\n", int(worker.Behavior.Idle/time.Second))
+	} else if worker.Behavior.IdleTimeout > 0 {
+		fmt.Fprintf(&builder, "Keep-Alive: timeout=%d\r\n", int(worker.Behavior.IdleTimeout/time.Second))
 	}
 	return builder.String(), !closing
 }
--- a/internal/standin/actors/apps.go
+++ b/internal/standin/actors/apps.go
@@ -16,7 +16,7 @@
 // Apps simulates applications that use locks, numbers, keys and watches.
 type Apps struct {
 	Env          env.Env
-	Recorder     *checker.Witness
+	Recorder     *checker.Recorder
 	Tasks        *task.Group
 	Nodes        func() []string // addresses of the nodes that take calls
 	Callers      int
@@ -34,7 +34,7 @@
 }
 
 // NewApps creates the callers. They run until the task group or the context of Run ends.
-func NewApps(environment env.Env, nodes func() []string, recorder *checker.Witness, tasks *task.Group, seed uint64) *Apps {
+func NewApps(environment env.Env, nodes func() []string, recorder *checker.Recorder, tasks *task.Group, seed uint64) *Apps {
 	return &Apps{Env: environment, Recorder: recorder, Tasks: tasks, Nodes: nodes, Callers: 7, Rate: 40, Locks: 12, Numbers: 4, KeyGroups: 3, KeysPerGroup: 8, random: newLockedRand(seed),
 		revisions: map[string]uint64{}, watchedTo: map[string]uint64{}, outcomes: map[string]int{}}
 }
@@ -73,7 +73,7 @@
 		lastNode = node
 		attempt := op
 		attempt.Start, attempt.Node = time.Now(), hostOf(node)
-		code, answer := Ask(ctx, a.Env.Net, method, node, "/puffin/app/"+uri, raw, time.Second+wait)
+		code, answer := CallNode(ctx, a.Env.Net, method, node, "/puffin/app/"+uri, raw, time.Second+wait)
 		attempt.End, attempt.Status = time.Now(), code
 		a.readAnswer(&attempt, answer)
 		a.Recorder.RecordCall(&attempt)
--- a/internal/standin/actors/callers_test.go
+++ b/internal/standin/actors/callers_test.go
@@ -182,9 +182,9 @@
 // required number of calls, since one that is reached only on average would sometimes be missed.
 func runCallers(t *testing.T, promise string, rules []string) {
 	net := sim.NewNet(1, time.Millisecond, time.Millisecond)
-	net.Place("h1", "x")
-	net.Place("h2", "x")
-	tasks, recorder := task.New(context.Background()), checker.New(checker.Usual)
+	net.SetZone("h1", "x")
+	net.SetZone("h2", "x")
+	tasks, recorder := task.New(context.Background()), checker.New(checker.UsualBounds)
 	environment := env.Env{Net: net.Host("h1"), Log: event.New("h1", nil), WallClock: time.Now}
 	node := &node{broken: promise, locks: map[string]*lease{}, numbers: map[string]uint64{}, revisions: map[string]uint64{}, keys: map[string][]cell{}}
 	if err := httpapi.Serve(tasks, environment, "h1:1", node, time.Second); err != nil {
@@ -195,13 +195,13 @@
 	apps, operator := actors.NewApps(environment, nodes, recorder, tasks, 1), actors.NewOperator(environment, nodes, recorder, 2)
 	apps.Locks, apps.Rate, apps.Callers = 9, 150, 21
 	ctx, cancel := context.WithTimeout(context.Background(), 12*time.Second)
-	draft := &actors.Draft{Number: 1, Services: []string{"s", "u"}, Ways: []actors.Way{{Name: "p", Host: "h.example", Prefix: "/a/", Repeat: "safe", Split: map[string]int{"s": 1}, Left: time.Second, Tries: 2}}}
+	draft := &actors.Draft{Number: 1, Services: []string{"s", "u"}, Routes: []actors.RouteDraft{{Name: "p", Host: "h.example", Prefix: "/a/", RetryMode: "safe", Split: map[string]int{"s": 1}, Timeout: time.Second, MaxAttempts: 2}}}
 	for n := range uint64(3) {
 		draft = draft.Copy()
 		draft.Number = n + 1
 		operator.Send(ctx, draft, "", "")
 	}
-	operator.Send(ctx, draft, actors.Breaks[0].Of(draft), actors.Breaks[0].Name)
+	operator.Send(ctx, draft, actors.InvalidDocuments[0].Of(draft), actors.InvalidDocuments[0].Name)
 	if node.broken == "broken" {
 		node.document = node.firstDocument
 	}
@@ -209,11 +209,11 @@
 	cancel()
 	apps.Finish(context.Background())
 	for range 3 {
-		operator.Read(context.Background(), time.Second, true)
+		operator.ReadBack(context.Background(), time.Second, true)
 	}
 	tasks.Stop()
 	<-time.After(4 * time.Second)
-	breaches, notes := recorder.Verdict()
+	breaches, notes := recorder.Breaches()
 	want := map[string]bool{}
 	for _, r := range rules {
 		want[r] = true
@@ -232,8 +232,8 @@
 // TestBreaksProduceInvalidDocuments checks that each invalid document differs from the valid one,
 // and that only the one that is cut short is not JSON.
 func TestBreaksProduceInvalidDocuments(t *testing.T) {
-	draft := &actors.Draft{Number: 1, Services: []string{"s", "u"}, Ways: []actors.Way{{Name: "p", Host: "h.example", Prefix: "/a/", Repeat: "safe", Split: map[string]int{"s": 1}, Left: time.Second, Tries: 2}}}
-	for _, testCase := range actors.Breaks {
+	draft := &actors.Draft{Number: 1, Services: []string{"s", "u"}, Routes: []actors.RouteDraft{{Name: "p", Host: "h.example", Prefix: "/a/", RetryMode: "safe", Split: map[string]int{"s": 1}, Timeout: time.Second, MaxAttempts: 2}}}
+	for _, testCase := range actors.InvalidDocuments {
 		invalid := testCase.Of(draft)
 		if invalid == draft.JSON() || (testCase.Name != "cut short") != json.Valid([]byte(invalid)) {
 			t.Errorf("%s: %s", testCase.Name, invalid)
--- a/internal/standin/actors/client.go
+++ b/internal/standin/actors/client.go
@@ -19,12 +19,12 @@
 	Dialect             dialect.Dialect
 	IngressAddr         string // the node's traffic address
 	Machine             string // the machine's name in the records
-	Recorder            *checker.Witness
+	Recorder            *checker.Recorder
 	Tasks               *task.Group
 	ReuseShare          float64      // part of the requests sent on reused connections
 	ImpatientShare      float64      // part of the requests that are retried at once and twice more, whatever Retry-After says
 	earlyLeavesPerMille atomic.Int64 // how many of a thousand requests are abandoned early
-	Out                 atomic.Bool  // while set, no requests are started
+	Paused              atomic.Bool  // while set, no requests are started
 	closed              atomic.Bool  // the client's machine is gone
 	random              *lockedRand
 	name                string
@@ -36,21 +36,21 @@
 }
 
 // NewClient creates the callers of a node.
-func NewClient(environment env.Env, dialect dialect.Dialect, ingressAddr, machine, name string, recorder *checker.Witness, tasks *task.Group, seed uint64) *Client {
+func NewClient(environment env.Env, dialect dialect.Dialect, ingressAddr, machine, name string, recorder *checker.Recorder, tasks *task.Group, seed uint64) *Client {
 	client := &Client{Env: environment, Dialect: dialect, IngressAddr: ingressAddr, Machine: machine, Recorder: recorder, Tasks: tasks, ReuseShare: 0.6, ImpatientShare: 0.1, random: newLockedRand(seed), name: name}
-	client.Quits(defaultEarlyLeaveShare)
+	client.SetEarlyLeaveShare(defaultEarlyLeaveShare)
 	return client
 }
 
 // defaultEarlyLeaveShare is the part of the requests whose callers leave early.
 const defaultEarlyLeaveShare = 0.02
 
-// Quits sets the part of the requests whose callers leave before the answer.
-func (c *Client) Quits(part float64) { c.earlyLeavesPerMille.Store(int64(part * 1000)) }
+// SetEarlyLeaveShare sets the part of the requests whose callers leave before the answer.
+func (c *Client) SetEarlyLeaveShare(part float64) { c.earlyLeavesPerMille.Store(int64(part * 1000)) }
 
 // Load sends requests of one kind at the given rate until the context ends. It starts none
 // while the client is paused or more than 2000 requests are pending.
-func (c *Client) Load(ctx context.Context, line *Line, rate func() float64) {
+func (c *Client) Load(ctx context.Context, line *RequestKind, rate func() float64) {
 	for ctx.Err() == nil {
 		perSecond := rate()
 		if perSecond <= 0 {
@@ -58,13 +58,13 @@
 			continue
 		}
 		task.Sleep(ctx, c.random.interval(perSecond))
-		if ctx.Err() != nil || c.Out.Load() || c.pending.Load() > 2000 {
+		if ctx.Err() != nil || c.Paused.Load() || c.pending.Load() > 2000 {
 			continue
 		}
 		c.pending.Add(1)
 		if !c.Tasks.Go("job", func(ctx context.Context) {
 			defer c.pending.Add(-1)
-			c.Request(ctx, line, line.Left, nil)
+			c.Request(ctx, line, line.Timeout, nil)
 		}) {
 			c.pending.Add(-1)
 		}
@@ -74,22 +74,22 @@
 // earlyLeaveDelay draws how long a caller that leaves early waits. Every second one waits less
 // than half of the target latency, so that its request is likely being executed. The others
 // wait between 10 % and 60 % of the timeout.
-func (c *Client) earlyLeaveDelay(line *Line, timeout time.Duration) time.Duration {
-	if line.Aim > 0 && c.random.intN(2) == 0 {
-		return time.Millisecond + time.Duration(c.random.uint64()%uint64(line.Aim/2))
+func (c *Client) earlyLeaveDelay(line *RequestKind, timeout time.Duration) time.Duration {
+	if line.TargetLatency > 0 && c.random.intN(2) == 0 {
+		return time.Millisecond + time.Duration(c.random.uint64()%uint64(line.TargetLatency/2))
 	}
 	return timeout/10 + time.Duration(c.random.uint64()%uint64(timeout/2))
 }
 
-// Under returns the number of pending requests.
-func (c *Client) Under() int { return int(c.pending.Load()) }
+// Pending returns the number of pending requests.
+func (c *Client) Pending() int { return int(c.pending.Load()) }
 
 // Request makes a request, with retries as far as they are allowed, and reports whether it was
 // served. parent is the execution that makes a nested request, otherwise nil.
-func (c *Client) Request(ctx context.Context, line *Line, timeout time.Duration, parent *checker.Arrival) bool {
+func (c *Client) Request(ctx context.Context, line *RequestKind, timeout time.Duration, parent *checker.Arrival) bool {
 	name := fmt.Sprint(c.name, c.sequence.Add(1))
 	deadline := time.Now().Add(timeout)
-	retries := line.Further
+	retries := line.Retries
 	impatient := parent == nil && c.random.fraction() < c.ImpatientShare
 	if impatient {
 		retries += 2
@@ -111,7 +111,7 @@
 		if answer.Status/100 == 2 && answer.Complete {
 			return true
 		}
-		if !mayRetry(line.Repeat, answer) {
+		if !mayRetry(line.Retryable, answer) {
 			return false
 		}
 		wait := c.random.around(40 * time.Millisecond)
@@ -140,14 +140,14 @@
 }
 
 // newAttempt creates an attempt with its own ID.
-func (c *Client) newAttempt(line *Line, name string, try int, timeout time.Duration) *checker.Attempt {
+func (c *Client) newAttempt(line *RequestKind, name string, try int, timeout time.Duration) *checker.Attempt {
 	host, prefix := line.Host, line.Prefix
-	if line.Pick != nil {
-		host, prefix = line.Pick(c.random.uint64())
+	if line.DrawTarget != nil {
+		host, prefix = line.DrawTarget(c.random.uint64())
 	}
 	attempt := &checker.Attempt{ID: fmt.Sprintf("%s.%d", name, try), Request: name, Kind: line.Kind, Ingress: c.Machine, Host: host, Method: line.Method,
-		URI: fmt.Sprintf("%s%x?k=%d", prefix, c.random.intN(1<<16), try), Retryable: line.Repeat, Timeout: timeout, WorkTime: line.Work, Start: time.Now()}
-	plan := ExecutionPlan{AnswerSize: line.Back/2 + c.random.intN(line.Back+1)}
+		URI: fmt.Sprintf("%s%x?k=%d", prefix, c.random.intN(1<<16), try), Retryable: line.Retryable, Timeout: timeout, WorkTime: line.WorkTime, Start: time.Now()}
+	plan := ExecutionPlan{AnswerSize: line.AnswerSize/2 + c.random.intN(line.AnswerSize+1)}
 	for _, o := range line.Calls {
 		if c.random.fraction() < o.Share {
 			plan.Calls = append(plan.Calls, o.Line)
@@ -158,14 +158,14 @@
 }
 
 // Probe sends one request without retries, to see which document is in force at this node.
-func (c *Client) Probe(ctx context.Context, line *Line) checker.Answer {
-	attempt := c.newAttempt(line, fmt.Sprint(c.name, "p", c.sequence.Add(1)), 0, line.Left)
+func (c *Client) Probe(ctx context.Context, line *RequestKind) checker.Answer {
+	attempt := c.newAttempt(line, fmt.Sprint(c.name, "p", c.sequence.Add(1)), 0, line.Timeout)
 	attempt.Probe = true
 	return c.attempt(ctx, attempt, line, false)
 }
 
 // attempt sends one attempt and returns its answer.
-func (c *Client) attempt(ctx context.Context, attempt *checker.Attempt, line *Line, reuse bool) checker.Answer {
+func (c *Client) attempt(ctx context.Context, attempt *checker.Attempt, line *RequestKind, reuse bool) checker.Answer {
 	body := c.makeBody(line, attempt)
 	attempt.Body = checker.BodyOf(body)
 	c.Recorder.AttemptStarted(attempt)
@@ -220,7 +220,7 @@
 
 // makeBody creates the body of a request. Some contain the text of an HTTP request, which must
 // not be taken for one.
-func (c *Client) makeBody(line *Line, attempt *checker.Attempt) []byte {
+func (c *Client) makeBody(line *RequestKind, attempt *checker.Attempt) []byte {
 	if line.Size <= 0 {
 		return nil
 	}
--- a/internal/standin/actors/closedclient_test.go
+++ b/internal/standin/actors/closedclient_test.go
@@ -19,13 +19,13 @@
 				w.WriteHeader(http.StatusServiceUnavailable)
 				return true
 			})
-			bed.tasks.Go("job", func(ctx context.Context) { bed.client.Request(ctx, bed.line, bed.line.Left, nil) })
+			bed.tasks.Go("job", func(ctx context.Context) { bed.client.Request(ctx, bed.line, bed.line.Timeout, nil) })
 			<-time.After(100 * time.Millisecond)
 			if closed {
 				bed.client.Close()
 			}
 			<-time.After(2 * time.Second)
-			if attempts, want := bed.recorder.Tally()["tries"], map[bool]int{false: 2, true: 1}[closed]; attempts != want {
+			if attempts, want := bed.recorder.Outcomes()["tries"], map[bool]int{false: 2, true: 1}[closed]; attempts != want {
 				t.Errorf("client closed: %v, got %d attempts", closed, attempts)
 			}
 			bed.client.Close()
--- a/internal/standin/actors/draft.go
+++ b/internal/standin/actors/draft.go
@@ -9,34 +9,34 @@
 	"puffincrank/internal/standin/checker"
 )
 
-// Way is one route of a draft.
-type Way struct {
-	Name, Host, Prefix string
-	Repeat             string // never, safe, upload or download
-	Split              map[string]int
-	Left, Aim          time.Duration
-	Tries, Rank        int
+// RouteDraft is one route of a draft.
+type RouteDraft struct {
+	Name, Host, Prefix     string
+	RetryMode              string // never, safe, upload or download
+	Split                  map[string]int
+	Timeout, TargetLatency time.Duration
+	MaxAttempts, Priority  int
 }
 
 // Draft is an operator's configuration document before it is sent.
 type Draft struct {
-	Number   uint64
-	Services []string
-	Ways     []Way
-	Links    int
-	Fitness  string
+	Number     uint64
+	Services   []string
+	Routes     []RouteDraft
+	MaxConns   int
+	HealthPath string
 }
 
 // Copy returns a copy with its own routes.
 func (d *Draft) Copy() *Draft {
 	copied := *d
-	copied.Ways = append([]Way(nil), d.Ways...)
-	for i := range copied.Ways {
+	copied.Routes = append([]RouteDraft(nil), d.Routes...)
+	for i := range copied.Routes {
 		split := map[string]int{}
-		for s, n := range copied.Ways[i].Split {
+		for s, n := range copied.Routes[i].Split {
 			split[s] = n
 		}
-		copied.Ways[i].Split = split
+		copied.Routes[i].Split = split
 	}
 	return &copied
 }
@@ -45,10 +45,10 @@
 func (d *Draft) JSON() string {
 	services, routes := []map[string]any{}, []map[string]any{}
 	for _, s := range d.Services {
-		services = append(services, map[string]any{"name": s, "fitness": d.Fitness, "links": d.Links, "proto": "h1", "tls": false})
+		services = append(services, map[string]any{"name": s, "fitness": d.HealthPath, "links": d.MaxConns, "proto": "h1", "tls": false})
 	}
-	for _, w := range d.Ways {
-		route := map[string]any{"name": w.Name, "host": w.Host, "prefix": w.Prefix, "repeat": w.Repeat, "left_ms": w.Left.Milliseconds(), "aim_ms": w.Aim.Milliseconds(), "tries": w.Tries, "rank": w.Rank}
+	for _, w := range d.Routes {
+		route := map[string]any{"name": w.Name, "host": w.Host, "prefix": w.Prefix, "repeat": w.RetryMode, "left_ms": w.Timeout.Milliseconds(), "aim_ms": w.TargetLatency.Milliseconds(), "tries": w.MaxAttempts, "rank": w.Priority}
 		if len(w.Split) == 1 {
 			for s := range w.Split {
 				route["service"] = s
@@ -72,26 +72,26 @@
 // Document returns the draft in the form that the checker records.
 func (d *Draft) Document() *checker.Document {
 	document := &checker.Document{Number: d.Number, Raw: d.JSON()}
-	for _, w := range d.Ways {
-		document.Routes = append(document.Routes, checker.RouteSpec{Name: w.Name, Host: w.Host, Prefix: w.Prefix, Retryable: w.Repeat == "safe" || w.Repeat == "download", Weights: w.Split, Timeout: w.Left, MaxAttempts: w.Tries})
+	for _, w := range d.Routes {
+		document.Routes = append(document.Routes, checker.RouteSpec{Name: w.Name, Host: w.Host, Prefix: w.Prefix, Retryable: w.RetryMode == "safe" || w.RetryMode == "download", Weights: w.Split, Timeout: w.Timeout, MaxAttempts: w.MaxAttempts})
 	}
 	return document
 }
 
-// Breaks lists the kinds of invalid documents. Of returns an invalid variant of a draft.
-var Breaks = []struct {
+// InvalidDocuments lists the kinds of invalid documents. Of returns an invalid variant of a draft.
+var InvalidDocuments = []struct {
 	Name string
 	Of   func(d *Draft) string
 }{
 	{"cut short", func(d *Draft) string { s := d.JSON(); return s[:len(s)*2/3] }},
 	{"unknown service", func(d *Draft) string {
 		c := d.Copy()
-		c.Ways[0].Split = map[string]int{"nobody-knows": 1}
+		c.Routes[0].Split = map[string]int{"nobody-knows": 1}
 		return c.JSON()
 	}},
 	{"unknown service in a split", func(d *Draft) string {
 		c := d.Copy()
-		c.Ways[0].Split = map[string]int{c.Services[0]: 2, "nobody-knows": 1}
+		c.Routes[0].Split = map[string]int{c.Services[0]: 2, "nobody-knows": 1}
 		c.Services = append(append([]string(nil), c.Services...), "nobody-knows")
 		raw := c.JSON()
 		// Remove the service from the list of services, so that only the split names it.
@@ -105,18 +105,18 @@
 		end := strings.Index(tail, `],"version"`)
 		return head + `"services":` + string(short) + tail[end+1:]
 	}},
-	{"zero tries", func(d *Draft) string { c := d.Copy(); c.Ways[0].Tries = 0; return c.JSON() }},
+	{"zero tries", func(d *Draft) string { c := d.Copy(); c.Routes[0].MaxAttempts = 0; return c.JSON() }},
 	{"weight below zero", func(d *Draft) string {
 		c := d.Copy()
-		c.Ways[0].Split = map[string]int{c.Services[0]: 3, c.Services[1]: -1}
+		c.Routes[0].Split = map[string]int{c.Services[0]: 3, c.Services[1]: -1}
 		return c.JSON()
 	}},
-	{"empty host", func(d *Draft) string { c := d.Copy(); c.Ways[0].Host = ""; return c.JSON() }},
+	{"empty host", func(d *Draft) string { c := d.Copy(); c.Routes[0].Host = ""; return c.JSON() }},
 	{"one place twice", func(d *Draft) string {
 		c := d.Copy()
-		w := c.Ways[0]
+		w := c.Routes[0]
 		w.Name += "-again"
-		c.Ways = append(c.Ways, w)
+		c.Routes = append(c.Routes, w)
 		return c.JSON()
 	}},
 }
