--- a/internal/standin/actors/heartbeat.go
+++ b/internal/standin/actors/heartbeat.go
@@ -63,8 +63,8 @@
 	w.seq++
 	seq, state, addr := w.seq, w.state, w.HeartbeatAddrs[w.heartbeatIndex%len(w.HeartbeatAddrs)]
 	w.mu.Unlock()
-	cold := max(w.Behavior.Cold-time.Since(w.startedAt), 0)
-	return addr, state, map[string]any{"service": w.Service, "addr": w.ListenAddr, "area": w.Area, "version": "v1", "slots": w.Behavior.Slots, "state": state,
+	cold := max(w.Behavior.ColdStart-time.Since(w.startedAt), 0)
+	return addr, state, map[string]any{"service": w.Service, "addr": w.ListenAddr, "area": w.Zone, "version": "v1", "slots": w.Behavior.Slots, "state": state,
 		"cold_ms": cold.Milliseconds(), "seq": seq}
 }
 
@@ -82,14 +82,14 @@
 
 func (w *Worker) callNode(ctx context.Context, method, addr string, body any) (int, []byte) {
 	raw, _ := json.Marshal(body)
-	return Ask(ctx, w.env.Net, method, addr, "/puffin/workers/"+w.Name, raw, time.Second)
+	return CallNode(ctx, w.env.Net, method, addr, "/puffin/workers/"+w.Name, raw, time.Second)
 }
 
-// Manner describes how a worker leaves.
-type Manner struct {
-	SignsOff bool          // it deregisters at once instead of reporting "draining", and goes on serving for the same time
-	Late     time.Duration // an earlier heartbeat arrives this long after the leave notice; 0: none does
-	More     time.Duration // how much longer than required it goes on serving
+// LeaveStyle describes how a worker leaves.
+type LeaveStyle struct {
+	DeregistersFirst bool          // it deregisters at once instead of reporting "draining", and goes on serving for the same time
+	HeartbeatDelay   time.Duration // an earlier heartbeat arrives this long after the leave notice; 0: none does
+	ExtraServingTime time.Duration // how much longer than required it goes on serving
 }
 
 // maxHeartbeatDelay is the longest delay of a late heartbeat, and the additional time that
@@ -98,14 +98,14 @@
 
 // drawManner draws how a worker leaves: one in three deregisters first, one in two has a
 // delayed heartbeat on its way, and one in three goes on serving for maxHeartbeatDelay.
-func (w *Worker) drawManner() Manner {
-	var manner Manner
-	manner.SignsOff = w.random.intN(3) == 0
+func (w *Worker) drawManner() LeaveStyle {
+	var manner LeaveStyle
+	manner.DeregistersFirst = w.random.intN(3) == 0
 	if w.random.intN(2) == 0 {
-		manner.Late = time.Duration(1+w.random.intN(int(maxHeartbeatDelay/time.Millisecond))) * time.Millisecond
+		manner.HeartbeatDelay = time.Duration(1+w.random.intN(int(maxHeartbeatDelay/time.Millisecond))) * time.Millisecond
 	}
 	if w.random.intN(3) == 0 {
-		manner.More = maxHeartbeatDelay
+		manner.ExtraServingTime = maxHeartbeatDelay
 	}
 	return manner
 }
@@ -116,21 +116,21 @@
 // LeaveBy shuts the worker down gracefully: it reports that it leaves, goes on serving for its
 // drain time after the acknowledgement, deregisters and ends. Without an acknowledgement it
 // gives up after 6 s and ends nevertheless.
-func (w *Worker) LeaveBy(ctx context.Context, manner Manner) {
-	if manner.Late > 0 {
-		w.sendDelayedHeartbeat(manner.Late)
+func (w *Worker) LeaveBy(ctx context.Context, manner LeaveStyle) {
+	if manner.HeartbeatDelay > 0 {
+		w.sendDelayedHeartbeat(manner.HeartbeatDelay)
 	}
 	method := http.MethodPut
 	w.mu.Lock()
 	w.state = "draining"
-	if manner.SignsOff {
+	if manner.DeregistersFirst {
 		w.state, method = "leaving", http.MethodDelete
 	}
 	w.mu.Unlock()
 	w.recorder.LeaveSent(w.Worker)
 	for start := time.Now(); time.Since(start) < 6*time.Second; {
 		if w.reportState(ctx, method) {
-			sleep(ctx, w.Behavior.Drain+manner.More+time.Duration(200+w.random.intN(300))*time.Millisecond)
+			sleep(ctx, w.Behavior.DrainTime+manner.ExtraServingTime+time.Duration(200+w.random.intN(300))*time.Millisecond)
 			break
 		}
 		sleep(ctx, 300*time.Millisecond)
@@ -153,9 +153,9 @@
 	return acknowledged
 }
 
-// Ask makes one call on a new connection. The returned status is 0 if no complete answer
+// CallNode makes one call on a new connection. The returned status is 0 if no complete answer
 // arrived in time.
-func Ask(ctx context.Context, network dialer, method, addr, uri string, body []byte, timeout time.Duration) (int, []byte) {
+func CallNode(ctx context.Context, network dialer, method, addr, uri string, body []byte, timeout time.Duration) (int, []byte) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, method, "http://"+addr+uri, bytes.NewReader(body))
--- a/internal/standin/actors/ingress_test.go
+++ b/internal/standin/actors/ingress_test.go
@@ -26,30 +26,30 @@
 	t        *testing.T
 	net      *sim.Net
 	tasks    *task.Group
-	recorder *checker.Witness
+	recorder *checker.Recorder
 	worker   *actors.Worker
 	client   *actors.Client
-	line     *actors.Line
+	line     *actors.RequestKind
 	// misbehave handles a request in a faulty way. If it is nil or returns false, the ingress
 	// forwards the request once.
 	misbehave func(w http.ResponseWriter, r *http.Request, body []byte, send func() (*http.Response, []byte, error)) bool
 }
 
-func newTestbed(t *testing.T, behavior actors.Ways, misbehave func(http.ResponseWriter, *http.Request, []byte, func() (*http.Response, []byte, error)) bool) *testbed {
-	bed := &testbed{t: t, net: sim.NewNet(1, time.Millisecond, time.Millisecond), tasks: task.New(context.Background()), recorder: checker.New(checker.Usual), misbehave: misbehave}
-	bed.net.Place("10.0.0.1", "x")
-	bed.net.Place("10.0.0.2", "x")
+func newTestbed(t *testing.T, behavior actors.WorkerBehavior, misbehave func(http.ResponseWriter, *http.Request, []byte, func() (*http.Response, []byte, error)) bool) *testbed {
+	bed := &testbed{t: t, net: sim.NewNet(1, time.Millisecond, time.Millisecond), tasks: task.New(context.Background()), recorder: checker.New(checker.UsualBounds), misbehave: misbehave}
+	bed.net.SetZone("10.0.0.1", "x")
+	bed.net.SetZone("10.0.0.2", "x")
 	environment := env.Env{Net: bed.net.Host("10.0.0.1"), Log: event.New("h1", nil), WallClock: time.Now}
-	bed.line = &actors.Line{Kind: "read", Host: "h.example", Method: "GET", Prefix: "/a/", Repeat: true, Rate: 50, Back: 300, Work: 20 * time.Millisecond, Left: 800 * time.Millisecond, Further: 1}
+	bed.line = &actors.RequestKind{Kind: "read", Host: "h.example", Method: "GET", Prefix: "/a/", Retryable: true, Rate: 50, AnswerSize: 300, WorkTime: 20 * time.Millisecond, Timeout: 800 * time.Millisecond, Retries: 1}
 	document := &checker.Document{Number: 1, Routes: []checker.RouteSpec{{Host: "h.example", Prefix: "/a/", Retryable: true, Weights: map[string]int{"s": 1}}, {Host: "h.example", Prefix: "/b/", Weights: map[string]int{"s": 1}}}}
 	bed.recorder.DocumentSent(document)
 	bed.recorder.DocumentAcked(document, "c1")
 	if err := httpapi.Serve(bed.tasks, environment, "10.0.0.1:8000", http.HandlerFunc(bed.serveIngress), time.Second); err != nil {
 		t.Fatal(err)
 	}
-	bed.worker, _ = actors.Start(environment, actors.Plain, checker.Worker{Name: "w1", Service: "s", Machine: "10.0.0.1"}, "10.0.0.1:9000", "10.0.0.1:8000", []string{"10.0.0.1:7003"}, behavior, bed.recorder, 1)
+	bed.worker, _ = actors.StartWorker(environment, actors.PlainDialect, checker.Worker{Name: "w1", Service: "s", Machine: "10.0.0.1"}, "10.0.0.1:9000", "10.0.0.1:8000", []string{"10.0.0.1:7003"}, behavior, bed.recorder, 1)
 	environment.Net = bed.net.Host("10.0.0.2")
-	bed.client = actors.NewClient(environment, actors.Plain, "10.0.0.1:8000", "10.0.0.1", "c", bed.recorder, bed.tasks, 2)
+	bed.client = actors.NewClient(environment, actors.PlainDialect, "10.0.0.1:8000", "10.0.0.1", "c", bed.recorder, bed.tasks, 2)
 	return bed
 }
 
@@ -63,8 +63,8 @@
 		forwarded, _ := http.NewRequestWithContext(r.Context(), r.Method, "http://10.0.0.1:9000"+r.RequestURI, bytes.NewReader(body))
 		forwarded.Header = r.Header.Clone()
 		forwarded.Header.Del("Connection")
-		forwarded.Header.Set(actors.Plain.CallerService, "s")
-		forwarded.Header.Set(actors.Plain.ExpectedWorker, "w1")
+		forwarded.Header.Set(actors.PlainDialect.CallerService, "s")
+		forwarded.Header.Set(actors.PlainDialect.ExpectedWorker, "w1")
 		transport := &http.Transport{DisableKeepAlives: true, DialContext: func(ctx context.Context, _, target string) (net.Conn, error) {
 			return b.net.Host("10.0.0.1").Dial(ctx, target)
 		}}
@@ -89,7 +89,7 @@
 		w.WriteHeader(http.StatusBadGateway)
 		return
 	}
-	for _, name := range []string{actors.Plain.AttemptID, actors.Plain.ResponseDigest, actors.Plain.NotExecuted} {
+	for _, name := range []string{actors.PlainDialect.AttemptID, actors.PlainDialect.ResponseDigest, actors.PlainDialect.NotExecuted} {
 		if value := response.Header.Get(name); value != "" {
 			w.Header().Set(name, value)
 		}
@@ -100,7 +100,7 @@
 }
 
 // runLoad runs the load for the given duration and returns the breaches.
-func (b *testbed) runLoad(duration time.Duration, lines ...*actors.Line) map[string]int {
+func (b *testbed) runLoad(duration time.Duration, lines ...*actors.RequestKind) map[string]int {
 	ctx, cancel := context.WithTimeout(context.Background(), duration)
 	defer cancel()
 	for _, line := range append(lines, b.line) {
@@ -112,15 +112,15 @@
 	b.worker.Kill()
 	b.tasks.Stop()
 	<-time.After(time.Second)
-	breaches, notes := b.recorder.Verdict()
+	breaches, notes := b.recorder.Breaches()
 	for _, n := range notes {
 		b.t.Log(n)
 	}
-	b.t.Log(b.recorder.Tally())
+	b.t.Log(b.recorder.Outcomes())
 	return breaches
 }
 
-var usualBehavior = actors.Ways{Slots: 8, Queue: 4, Conns: 60, Hello: 1500 * time.Microsecond, Idle: 4 * time.Second, Speed: 1, Crowd: 1.5, Cold: 3 * time.Second, ColdBy: 2, Hop: 0.02, Drain: 2 * time.Second, Fitness: "/health"}
+var usualBehavior = actors.WorkerBehavior{Slots: 8, Queue: 4, MaxConns: 60, HandshakeTime: 1500 * time.Microsecond, IdleTimeout: 4 * time.Second, TimeFactor: 1, LoadFactor: 1.5, ColdStart: 3 * time.Second, ColdStartFactor: 2, CloseShare: 0.02, DrainTime: 2 * time.Second, HealthPath: "/health"}
 
 // TestCorrectIngressBreaksNoRule checks that an ingress that forwards each request once breaks
 // no rule, with request bodies, retries, nested requests, and a worker that is at capacity,
@@ -129,15 +129,15 @@
 	for _, resets := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
 			behavior := usualBehavior
-			behavior.Resets = resets
+			behavior.ResetsWhenFull = resets
 			bed := newTestbed(t, behavior, nil)
-			put := &actors.Line{Kind: "put", Host: "h.example", Method: "POST", Prefix: "/b/", Rate: 20, Size: 20000, Back: 40000, Work: 60 * time.Millisecond, Left: time.Second, Further: 2}
-			bed.line.Calls = []actors.Call{{Line: put, Share: 0.1}}
-			bed.worker.Fall(actors.Ills{Lose: 0.02, Spoil: 0.05, Fail: 0.01})
+			put := &actors.RequestKind{Kind: "put", Host: "h.example", Method: "POST", Prefix: "/b/", Rate: 20, Size: 20000, AnswerSize: 40000, WorkTime: 60 * time.Millisecond, Timeout: time.Second, Retries: 2}
+			bed.line.Calls = []actors.NestedCall{{Line: put, Share: 0.1}}
+			bed.worker.SetFaults(actors.Faults{Lose: 0.02, Spoil: 0.05, Fail: 0.01})
 			if breaches := bed.runLoad(15*time.Second, put); len(breaches) > 0 {
 				t.Errorf("unexpected breaches: %v", breaches)
 			}
-			outcomes := bed.recorder.Tally()
+			outcomes := bed.recorder.Outcomes()
 			if outcomes["tries"] < 800 || outcomes["200"] < outcomes["tries"]/2 || outcomes["declined"] == 0 && !resets {
 				t.Errorf("too little load: %v", outcomes)
 			}
@@ -188,7 +188,7 @@
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			bed := newTestbed(t, usualBehavior, c.misbehave)
-			bed.line.Repeat = false
+			bed.line.Retryable = false
 			bed.line.Prefix = "/b/"
 			if breaches := bed.runLoad(2 * time.Second); breaches[c.rule] == 0 {
 				t.Errorf("breach of %s was not detected", c.rule)
--- a/internal/standin/actors/leave_test.go
+++ b/internal/standin/actors/leave_test.go
@@ -35,7 +35,7 @@
 			}
 			<-time.After(2 * time.Second)
 			start := time.Now()
-			bed.worker.LeaveBy(context.Background(), actors.Manner{})
+			bed.worker.LeaveBy(context.Background(), actors.LeaveStyle{})
 			took := time.Since(start)
 			bed.tasks.Stop()
 			<-time.After(time.Second)
@@ -67,7 +67,7 @@
 		<-time.After(2 * time.Second)
 		reports = nil
 		start := time.Now()
-		bed.worker.LeaveBy(context.Background(), actors.Manner{SignsOff: true, Late: time.Second, More: time.Second})
+		bed.worker.LeaveBy(context.Background(), actors.LeaveStyle{DeregistersFirst: true, HeartbeatDelay: time.Second, ExtraServingTime: time.Second})
 		if took := time.Since(start); took < 3*time.Second || took > 4*time.Second {
 			t.Errorf("left in %v", took)
 		}
--- a/internal/standin/actors/operator.go
+++ b/internal/standin/actors/operator.go
@@ -15,7 +15,7 @@
 // Operator sends complete configuration documents by number and reads them back.
 type Operator struct {
 	Env         env.Env
-	Recorder    *checker.Witness
+	Recorder    *checker.Recorder
 	Nodes       func() []string // addresses of the nodes that the operator knows
 	SendTimeout time.Duration   // how long a document is sent again without a conclusive answer
 	random      *lockedRand
@@ -24,7 +24,7 @@
 }
 
 // NewOperator creates an operator who knows the given nodes.
-func NewOperator(environment env.Env, nodes func() []string, recorder *checker.Witness, seed uint64) *Operator {
+func NewOperator(environment env.Env, nodes func() []string, recorder *checker.Recorder, seed uint64) *Operator {
 	return &Operator{Env: environment, Recorder: recorder, Nodes: nodes, SendTimeout: 30 * time.Second, random: newLockedRand(seed)}
 }
 
@@ -57,8 +57,8 @@
 	return ok
 }
 
-// Again sends a random earlier document a second time, unchanged.
-func (o *Operator) Again(ctx context.Context) {
+// Resend sends a random earlier document a second time, unchanged.
+func (o *Operator) Resend(ctx context.Context) {
 	o.mu.Lock()
 	var earlier *checker.Document
 	if count := len(o.sent); count > 1 {
@@ -75,7 +75,7 @@
 	timeout := time.Second + time.Duration(len(document.Raw)/1000)*time.Millisecond
 	for start := time.Now(); time.Since(start) < o.SendTimeout && ctx.Err() == nil; {
 		node = o.pickNode(node)
-		code, _ := Ask(ctx, o.Env.Net, http.MethodPut, node, "/puffin/config?by=number", []byte(document.Raw), timeout)
+		code, _ := CallNode(ctx, o.Env.Net, http.MethodPut, node, "/puffin/config?by=number", []byte(document.Raw), timeout)
 		switch {
 		case code == 200:
 			o.Recorder.DocumentAcked(document, hostOf(node))
@@ -103,13 +103,13 @@
 	})
 }
 
-// Read reads the newest document back, and tries other nodes until the timeout.
-func (o *Operator) Read(ctx context.Context, timeout time.Duration, final bool) {
+// ReadBack reads the newest document back, and tries other nodes until the timeout.
+func (o *Operator) ReadBack(ctx context.Context, timeout time.Duration, final bool) {
 	start := time.Now()
 	for node := ""; ; {
 		node = o.pickNode(node)
 		sentAt := time.Now()
-		code, raw := Ask(ctx, o.Env.Net, http.MethodGet, node, "/puffin/config?as=sent", nil, time.Second)
+		code, raw := CallNode(ctx, o.Env.Net, http.MethodGet, node, "/puffin/config?as=sent", nil, time.Second)
 		if code == 200 {
 			o.Recorder.RecordConfigRead(o.compareRead(sentAt, string(raw), final))
 			return
--- a/internal/standin/actors/plain.go
+++ b/internal/standin/actors/plain.go
@@ -12,29 +12,29 @@
 	"puffincrank/internal/dialect"
 )
 
-// Plain is a dialect with invented header names that works like that of a deployment: the
+// PlainDialect is a dialect with invented header names that works like that of a deployment: the
 // response digest is opaque, new connections are not identified, and attempts keep the IDs
 // that callers give them.
-var Plain = dialect.Dialect{Name: "plain", AttemptID: "Plain-Id", Timeout: "Plain-Left", ExpectedWorker: "Plain-For", WorkerID: "Plain-Who",
+var PlainDialect = dialect.Dialect{Name: "plain", AttemptID: "Plain-Id", Timeout: "Plain-Left", ExpectedWorker: "Plain-For", WorkerID: "Plain-Who",
 	ResponseDigest: "Plain-Stamp", NotExecuted: "Plain-Not-Run", CallerService: "Plain-From", KeepsAttemptID: true, FractionalRetryAfter: true}
 
-// Line is one kind of request that clients make. The mean values are those around which the
+// RequestKind is one kind of request that clients make. The mean values are those around which the
 // actual ones are drawn.
-type Line struct {
-	Kind, Host, Method, Prefix string
-	Repeat                     bool
-	Rate                       float64       // requests per second, over all clients
-	Size, Back                 int           // mean number of bytes of the body and of the answer
-	Work, Aim, Left            time.Duration // mean time at the worker, target latency, the client's timeout
-	Most                       time.Duration // the timeout of the route
-	Further                    int           // retries
-	Calls                      []Call
-	Pick                       func(chance uint64) (host, prefix string) // draws the target; nil: Host and Prefix
+type RequestKind struct {
+	Kind, Host, Method, Prefix       string
+	Retryable                        bool
+	Rate                             float64       // requests per second, over all clients
+	Size, AnswerSize                 int           // mean number of bytes of the body and of the answer
+	WorkTime, TargetLatency, Timeout time.Duration // mean time at the worker, target latency, the client's timeout
+	RouteTimeout                     time.Duration // the timeout of the route
+	Retries                          int           // retries
+	Calls                            []NestedCall
+	DrawTarget                       func(chance uint64) (host, prefix string) // draws the target; nil: Host and Prefix
 }
 
-// Call is a nested request that a worker makes while it executes another one.
-type Call struct {
-	Line  *Line
+// NestedCall is a nested request that a worker makes while it executes another one.
+type NestedCall struct {
+	Line  *RequestKind
 	Share float64 // the part of the executions that make it
 }
 
@@ -42,7 +42,7 @@
 // with the request.
 type ExecutionPlan struct {
 	AnswerSize int
-	Calls      []*Line
+	Calls      []*RequestKind
 }
 
 // lockedRand is a source of random numbers that is safe for concurrent use.
--- a/internal/standin/actors/worker.go
+++ b/internal/standin/actors/worker.go
@@ -15,24 +15,24 @@
 	"puffincrank/internal/task"
 )
 
-// Ways describes how a worker behaves.
-type Ways struct {
-	Slots, Queue int
-	Conns        int           // connections accepted at once, further ones are reset; 0: no limit
-	Hello        time.Duration // how long the handshake of a new connection occupies a slot
-	Idle         time.Duration // idle time after which a connection is closed; 0: never
-	Resets       bool          // resets the connection instead of answering 503 when the queue is full
-	Speed        float64       // factor on the mean work time
-	Crowd        float64       // factor on the work time when all slots are in use
-	Cold         time.Duration // how long the cold start lasts
-	ColdBy       float64       // factor on the work time during the cold start
-	Hop          float64       // part of the answers after which the connection is closed
-	Drain        time.Duration // how long it goes on serving after its leave was acknowledged
-	Fitness      string        // URL path of the health check
+// WorkerBehavior describes how a worker behaves.
+type WorkerBehavior struct {
+	Slots, Queue    int
+	MaxConns        int           // connections accepted at once, further ones are reset; 0: no limit
+	HandshakeTime   time.Duration // how long the handshake of a new connection occupies a slot
+	IdleTimeout     time.Duration // idle time after which a connection is closed; 0: never
+	ResetsWhenFull  bool          // resets the connection instead of answering 503 when the queue is full
+	TimeFactor      float64       // factor on the mean work time
+	LoadFactor      float64       // factor on the work time when all slots are in use
+	ColdStart       time.Duration // how long the cold start lasts
+	ColdStartFactor float64       // factor on the work time during the cold start
+	CloseShare      float64       // part of the answers after which the connection is closed
+	DrainTime       time.Duration // how long it goes on serving after its leave was acknowledged
+	HealthPath      string        // URL path of the health check
 }
 
-// Ills are the current faults of a worker.
-type Ills struct {
+// Faults are the current faults of a worker.
+type Faults struct {
 	Slow  float64 // factor on the work time
 	Lose  float64 // part of the requests whose answer is lost after the execution
 	Spoil float64 // part of the answers corrupted in a random way
@@ -54,16 +54,16 @@
 	ListenAddr     string
 	IngressAddr    string // address of the node beside it, for its nested requests
 	HeartbeatAddrs []string
-	Behavior       Ways
+	Behavior       WorkerBehavior
 	dialect        dialect.Dialect
 	env            env.Env
 	tasks          *task.Group
-	recorder       *checker.Witness
+	recorder       *checker.Recorder
 	random         *lockedRand
 	slots          *slotPool
 	startedAt      time.Time
 	mu             sync.Mutex
-	faults         Ills
+	faults         Faults
 	state          string // up, draining, leaving (it deregistered first) or over
 	seq            int64
 	conns          map[net.Conn]bool
@@ -73,9 +73,9 @@
 	client         *Client // for nested requests through the node beside it
 }
 
-// Start starts a worker. Heartbeats go to the first of the given addresses, and to the next
+// StartWorker starts a worker. Heartbeats go to the first of the given addresses, and to the next
 // one after a second without an answer.
-func Start(environment env.Env, dialect dialect.Dialect, identity checker.Worker, addr, ingressAddr string, heartbeatAddrs []string, behavior Ways, recorder *checker.Witness, seed uint64) (*Worker, error) {
+func StartWorker(environment env.Env, dialect dialect.Dialect, identity checker.Worker, addr, ingressAddr string, heartbeatAddrs []string, behavior WorkerBehavior, recorder *checker.Recorder, seed uint64) (*Worker, error) {
 	worker := &Worker{Worker: &identity, ListenAddr: addr, IngressAddr: ingressAddr, HeartbeatAddrs: heartbeatAddrs, Behavior: behavior, dialect: dialect, env: environment, tasks: task.New(context.Background()), recorder: recorder, random: newLockedRand(seed),
 		slots: &slotPool{slots: behavior.Slots, queue: behavior.Queue}, startedAt: time.Now(), state: "up", conns: map[net.Conn]bool{}, Ended: make(chan struct{})}
 	worker.client = &Client{Env: environment, Dialect: dialect, IngressAddr: ingressAddr, Machine: identity.Machine, Recorder: recorder, Tasks: worker.tasks, ReuseShare: 0.7, random: worker.random, name: "n-" + identity.Name + "-"}
@@ -89,8 +89,8 @@
 	return worker, nil
 }
 
-// Fall sets the worker's current faults; the zero value makes it healthy again.
-func (w *Worker) Fall(faults Ills) {
+// SetFaults sets the worker's current faults; the zero value makes it healthy again.
+func (w *Worker) SetFaults(faults Faults) {
 	w.mu.Lock()
 	w.faults = faults
 	w.mu.Unlock()
@@ -129,11 +129,11 @@
 func (w *Worker) leaving() bool { return w.inState("draining") || w.inState("leaving") }
 
 // faultsFor returns the faults that affect the caller on the connection.
-func (w *Worker) faultsFor(conn net.Conn) Ills {
+func (w *Worker) faultsFor(conn net.Conn) Faults {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.faults.Only != nil && !w.faults.Only(remoteHost(conn.RemoteAddr())) {
-		return Ills{}
+		return Faults{}
 	}
 	return w.faults
 }
@@ -147,11 +147,11 @@
 		_, waiting := w.slots.load()
 		w.mu.Lock()
 		// Accept only three quarters of the connections while the queue is more than half full.
-		limit := w.Behavior.Conns
+		limit := w.Behavior.MaxConns
 		if waiting > w.Behavior.Queue/2 {
 			limit = limit * 3 / 4
 		}
-		ok := (w.Behavior.Conns == 0 || len(w.conns) < limit) && w.state != "over"
+		ok := (w.Behavior.MaxConns == 0 || len(w.conns) < limit) && w.state != "over"
 		if ok {
 			w.conns[conn] = true
 		}
@@ -170,16 +170,16 @@
 		delete(w.conns, conn)
 		w.mu.Unlock()
 	}()
-	if w.Behavior.Hello > 0 {
+	if w.Behavior.HandshakeTime > 0 {
 		w.slots.acquireForced()
-		task.Sleep(ctx, w.Behavior.Hello)
+		task.Sleep(ctx, w.Behavior.HandshakeTime)
 		w.slots.release()
 	}
 	reader := bufio.NewReader(conn)
 	surplus := ""
 	for ctx.Err() == nil {
-		if w.Behavior.Idle > 0 {
-			_ = conn.SetReadDeadline(time.Now().Add(w.Behavior.Idle))
+		if w.Behavior.IdleTimeout > 0 {
+			_ = conn.SetReadDeadline(time.Now().Add(w.Behavior.IdleTimeout))
 		}
 		if _, err := reader.Peek(1); err != nil {
 			return
@@ -207,7 +207,7 @@
 			return
 		}
 		idleSince := time.Now()
-		if !received.awaitNext(w.Behavior.Idle) {
+		if !received.awaitNext(w.Behavior.IdleTimeout) {
 			return
 		}
 		if forgetAfter := w.faultsFor(conn).Forget; forgetAfter > 0 && time.Since(idleSince) > forgetAfter {
--- a/internal/standin/actors/workerrequest.go
+++ b/internal/standin/actors/workerrequest.go
@@ -70,7 +70,7 @@
 		timeout = time.Duration(milliseconds * float64(time.Millisecond))
 		r.deadline = time.Now().Add(timeout)
 	}
-	if r.request.Method == http.MethodGet && r.request.URL.Path == worker.Behavior.Fitness && r.attemptID == "" {
+	if r.request.Method == http.MethodGet && r.request.URL.Path == worker.Behavior.HealthPath && r.attemptID == "" {
 		return r.answerHealth()
 	}
 	r.arrival = &checker.Arrival{Worker: worker.Worker, Method: r.request.Method, URI: r.request.RequestURI, CallerService: header.Get(worker.dialect.CallerService), ExpectedWorker: header.Get(worker.dialect.ExpectedWorker), Body: checker.BodyOf(r.body), Timeout: timeout}
@@ -96,7 +96,7 @@
 	}
 	switch worker.slots.acquire(r.deadline, r.callerLeft) {
 	case queueFull:
-		if worker.Behavior.Resets {
+		if worker.Behavior.ResetsWhenFull {
 			reset(r.conn)
 			return false
 		}
@@ -119,7 +119,7 @@
 // execute executes the request and answers it.
 func (r *workerRequest) execute(ctx context.Context) bool {
 	worker := r.worker
-	workTime, calls := 60*time.Millisecond, []*Line(nil)
+	workTime, calls := 60*time.Millisecond, []*RequestKind(nil)
 	size := 200
 	if attempt := r.arrival.Attempt; attempt != nil {
 		workTime = attempt.WorkTime
@@ -195,14 +195,14 @@
 // current faults.
 func (w *Worker) scaledTime(conn net.Conn, base time.Duration) time.Duration {
 	factor := 1.0
-	if w.Behavior.Speed > 0 {
-		factor = w.Behavior.Speed
+	if w.Behavior.TimeFactor > 0 {
+		factor = w.Behavior.TimeFactor
 	}
-	if w.Behavior.ColdBy > 1 && time.Since(w.startedAt) < w.Behavior.Cold {
-		factor *= w.Behavior.ColdBy
+	if w.Behavior.ColdStartFactor > 1 && time.Since(w.startedAt) < w.Behavior.ColdStart {
+		factor *= w.Behavior.ColdStartFactor
 	}
-	if inUse, _ := w.slots.load(); w.Behavior.Crowd > 1 && w.Behavior.Slots > 0 && inUse > w.Behavior.Slots*3/4 {
-		factor *= 1 + (w.Behavior.Crowd-1)*float64(inUse-w.Behavior.Slots*3/4)/float64(max(w.Behavior.Slots/4, 1))
+	if inUse, _ := w.slots.load(); w.Behavior.LoadFactor > 1 && w.Behavior.Slots > 0 && inUse > w.Behavior.Slots*3/4 {
+		factor *= 1 + (w.Behavior.LoadFactor-1)*float64(inUse-w.Behavior.Slots*3/4)/float64(max(w.Behavior.Slots/4, 1))
 	}
 	if faults := w.faultsFor(conn); faults.Slow > 1 {
 		factor *= faults.Slow
@@ -212,8 +212,8 @@
 
 // nestedCall makes a nested request through the node beside the worker, within the deadline of
 // the outer request. It reports whether it was served.
-func (w *Worker) nestedCall(ctx context.Context, line *Line, outer *workerRequest) bool {
-	timeout := min(time.Until(outer.deadline), line.Left)
+func (w *Worker) nestedCall(ctx context.Context, line *RequestKind, outer *workerRequest) bool {
+	timeout := min(time.Until(outer.deadline), line.Timeout)
 	ok := false
 	done := make(chan struct{})
 	ctx, cancel := context.WithCancel(ctx)
--- a/internal/standin/caller.go
+++ b/internal/standin/caller.go
@@ -17,14 +17,14 @@
 	"puffincrank/internal/task"
 )
 
-// Line is one kind of call that callers make. A safe call may be executed more than once.
-type Line struct {
+// CallKind is one kind of call that callers make. A safe call may be executed more than once.
+type CallKind struct {
 	Method, URI, Service string
-	Safe                 bool
+	Retryable            bool
 	Rate                 float64 // calls per second, over all callers
 	Size                 int     // bytes of the request body
-	Want                 int     // bytes of the answer in addition to its fixed part
-	Left                 string  // remaining time in ms, for a nested call
+	AnswerSize           int     // bytes of the answer in addition to its fixed part
+	Timeout              string  // remaining time in ms, for a nested call
 }
 
 // Callers send a steady mix of calls to all ingresses: an open-loop load with a bound on the
@@ -50,7 +50,7 @@
 }
 
 // Run makes calls for the given duration and returns when all of them have ended.
-func (c *Callers) Run(lines []Line, duration time.Duration) {
+func (c *Callers) Run(lines []CallKind, duration time.Duration) {
 	runCtx, cancel := context.WithTimeout(c.tasks.Context(), duration)
 	defer cancel()
 	for _, line := range lines {
@@ -84,18 +84,18 @@
 }
 
 // CallAny makes one call to a random ingress.
-func (c *Callers) CallAny(line Line) Call {
+func (c *Callers) CallAny(line CallKind) Call {
 	ingress := c.ingresses[rand.IntN(len(c.ingresses))]
 	for attempt := 0; attempt < 20 && c.Skip != nil && c.Skip(ingress); attempt++ {
 		ingress = c.ingresses[rand.IntN(len(c.ingresses))]
 	}
-	return c.At(ingress, line)
+	return c.CallAt(ingress, line)
 }
 
-// At makes one call to the given ingress.
-func (c *Callers) At(ingress string, line Line) Call {
+// CallAt makes one call to the given ingress.
+func (c *Callers) CallAt(ingress string, line CallKind) Call {
 	id := fmt.Sprint(c.Name, c.sequence.Add(1))
-	call := Call{ID: id, Front: ingress, Service: line.Service, Safe: line.Safe, From: time.Now()}
+	call := Call{ID: id, Ingress: ingress, Service: line.Service, Safe: line.Retryable, From: time.Now()}
 	ctx, cancel := context.WithTimeout(c.tasks.Context(), c.Timeout)
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, line.Method, "http://"+ingress+line.URI, nil)
@@ -103,14 +103,14 @@
 		return call
 	}
 	if line.Size > 0 {
-		request.Body = io.NopCloser(bytes.NewReader(Pattern(id, line.Size)))
+		request.Body = io.NopCloser(bytes.NewReader(UniqueBody(id, line.Size)))
 		request.ContentLength = int64(line.Size)
 	}
-	if line.Left != "" {
-		request.Header.Set(responsedigest.TimeoutHeader, line.Left)
+	if line.Timeout != "" {
+		request.Header.Set(responsedigest.TimeoutHeader, line.Timeout)
 	}
-	if line.Want > 0 {
-		request.Header.Set("X-Want", strconv.Itoa(line.Want))
+	if line.AnswerSize > 0 {
+		request.Header.Set("X-Want", strconv.Itoa(line.AnswerSize))
 	}
 	request.Header.Set("X-Call", id)
 	request.Header.Set("X-Service", line.Service)
@@ -118,7 +118,7 @@
 	if err == nil {
 		call.Status, call.Ran = response.StatusCode, response.Header.Get(responsedigest.ExecutedHeader)
 		call.Version, _ = strconv.ParseUint(response.Header.Get(responsedigest.ConfigVersionHeader), 10, 64)
-		call.Retry = response.Header.Get("Retry-After")
+		call.RetryAfter = response.Header.Get("Retry-After")
 		body, err := io.ReadAll(response.Body)
 		_ = response.Body.Close()
 		call.Body, call.Cut = string(body), err != nil
--- a/internal/standin/checker/answers.go
+++ b/internal/standin/checker/answers.go
@@ -28,7 +28,7 @@
 
 // checkAnswers compares every answer with what the workers sent (MIXED), and checks that
 // no request that was reported as not executed was executed (REFUSED).
-func (w *Witness) checkAnswers() {
+func (w *Recorder) checkAnswers() {
 	byDigest := map[string]*Arrival{}
 	for _, arrival := range w.arrivals {
 		if arrival.Digest != "" {
@@ -85,7 +85,7 @@
 
 // checkExecutions compares every execution with what the client sent (UNASKED), and checks
 // the number of executions (TWICE) and the service that executed it (ROUTE).
-func (w *Witness) checkExecutions() {
+func (w *Recorder) checkExecutions() {
 	for _, arrival := range w.arrivals {
 		if !arrival.Executed() {
 			continue
@@ -117,7 +117,7 @@
 // checkDenied counts valid requests that the mesh itself answered with 3xx or 4xx (DENIED).
 // On disconnected machines only 401, 403 and 404 count, and only for requests that every
 // document of the test run allows.
-func (w *Witness) checkDenied() {
+func (w *Recorder) checkDenied() {
 	count, disconnected := 0, 0
 	var denied []*Attempt
 	for _, attempt := range w.attemptOrder {
@@ -126,7 +126,7 @@
 			continue
 		}
 		switch {
-		case w.Touch.connected(attempt.Ingress, attempt.Start, attempt.End):
+		case w.Faults.connected(attempt.Ingress, attempt.Start, attempt.End):
 			if !w.allowedNow(attempt) {
 				continue
 			}
@@ -146,7 +146,7 @@
 }
 
 // allowedByAll reports whether every document of the test run has a route for the attempt.
-func (w *Witness) allowedByAll(attempt *Attempt) bool {
+func (w *Recorder) allowedByAll(attempt *Attempt) bool {
 	total := 0
 	for _, document := range w.documents {
 		if document.Defect == "" && document.Match(attempt.Host, attempt.URI) == nil {
@@ -158,8 +158,8 @@
 }
 
 // allowedNow reports whether all documents that may be in force have a route for the attempt.
-func (w *Witness) allowedNow(attempt *Attempt) bool {
-	lowest := w.newestAcked(attempt.Start.Add(-w.B.Change))
+func (w *Recorder) allowedNow(attempt *Attempt) bool {
+	lowest := w.newestAcked(attempt.Start.Add(-w.Bounds.DocumentChange))
 	inForce := 0
 	for _, document := range w.documents {
 		if document.mayBeInForce(attempt.End) && document.Number >= lowest {
@@ -172,9 +172,9 @@
 	return inForce > 0
 }
 
-// Verdict runs all checks. It returns the number of breaches of each rule and a note for
+// Breaches runs all checks. It returns the number of breaches of each rule and a note for
 // each of the first eight breaches of a rule.
-func (w *Witness) Verdict() (map[string]int, []string) {
+func (w *Recorder) Breaches() (map[string]int, []string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, check := range []func(){w.checkAnswers, w.checkExecutions, w.checkDenied, w.checkDrains, w.checkReadiness, w.checkCallersGone, w.checkPlannedWork, w.checkReusedConns, w.checkLateAnswers, w.checkHandedTimeouts, w.checkStaleDocuments, w.checkStepsBack, w.checkConfigReads, w.checkAddedRoutes, w.checkSplits,
@@ -184,8 +184,8 @@
 	return w.breaches, w.notes
 }
 
-// Tally counts the attempts by their outcome, for the report.
-func (w *Witness) Tally() map[string]int {
+// Outcomes counts the attempts by their outcome, for the report.
+func (w *Recorder) Outcomes() map[string]int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	counts := map[string]int{"tries": len(w.attemptOrder)}
@@ -216,7 +216,7 @@
 // Served counts the client requests that began in [from, to): those that had to be served
 // and those that were. An empty kind stands for all kinds. A request whose client left
 // early need not be served and counts only if it was.
-func (w *Witness) Served(kind string, from, to time.Time) (served, owed int) {
+func (w *Recorder) Served(kind string, from, to time.Time) (served, owed int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.countServed(func(attempt *Attempt) bool {
@@ -224,7 +224,7 @@
 	})
 }
 
-func (w *Witness) countServed(match func(*Attempt) bool) (served, owed int) {
+func (w *Recorder) countServed(match func(*Attempt) bool) (served, owed int) {
 	done := map[string]bool{}
 	for _, attempt := range w.attemptOrder {
 		if attempt.Probe || attempt.Parent != nil || !match(attempt) {
--- a/internal/standin/checker/attemptlimit.go
+++ b/internal/standin/checker/attemptlimit.go
@@ -6,11 +6,11 @@
 
 // checkAttemptLimits checks that no attempt is executed by more workers than its route allows
 // (BUDGET).
-func (w *Witness) checkAttemptLimits() {
+func (w *Recorder) checkAttemptLimits() {
 	count := 0
 	var example *Attempt
 	for _, attempt := range w.attemptOrder {
-		if maximum := w.maxAttempts(attempt); maximum > 0 && attempt.workersReached() > maximum {
+		if maximum := w.attemptLimit(attempt); maximum > 0 && attempt.workersReached() > maximum {
 			count++
 			example = attempt
 		}
@@ -31,10 +31,10 @@
 	return len(workers)
 }
 
-// maxAttempts returns the largest number of workers that any document that may have been in
+// attemptLimit returns the largest number of workers that any document that may have been in
 // force allows for the attempt's route, or 0 if one of them sets no limit.
-func (w *Witness) maxAttempts(attempt *Attempt) (maximum int) {
-	lowest := w.newestAcked(attempt.Start.Add(-w.B.Change - w.B.Stretch))
+func (w *Recorder) attemptLimit(attempt *Attempt) (maximum int) {
+	lowest := w.newestAcked(attempt.Start.Add(-w.Bounds.DocumentChange - w.Bounds.UnsettledExtension))
 	for _, document := range w.documents {
 		if route := document.Match(attempt.Host, attempt.URI); route != nil && document.Number >= lowest && document.mayBeInForce(attempt.End) {
 			if route.MaxAttempts == 0 {
--- a/internal/standin/checker/attemptlimit_test.go
+++ b/internal/standin/checker/attemptlimit_test.go
@@ -25,7 +25,7 @@
 	}
 	denied := func(attempts, status int) func(r *run) {
 		return func(r *run) {
-			r.Touch.Begin("m1", "frozen")
+			r.Faults.Begin("m1", "frozen")
 			wait(time.Second)
 			for range attempts {
 				r.fail(r.try(), status)
--- a/internal/standin/checker/breaches_test.go
+++ b/internal/standin/checker/breaches_test.go
@@ -11,7 +11,7 @@
 // a worker each: w1 of service s on m1, w2 of service u on m2. The first document sends all
 // requests for h.example/a/ to service s.
 type run struct {
-	*Witness
+	*Recorder
 	w1, w2   *Worker
 	sequence int
 }
@@ -27,7 +27,7 @@
 }
 
 func newRun() *run {
-	created := &run{Witness: New(Usual), w1: &Worker{Name: "k", Service: "s", Machine: "m1"}, w2: &Worker{Name: "l", Service: "u", Machine: "m2"}}
+	created := &run{Recorder: New(UsualBounds), w1: &Worker{Name: "k", Service: "s", Machine: "m1"}, w2: &Worker{Name: "l", Service: "u", Machine: "m2"}}
 	created.WorkerStarted(created.w1)
 	created.WorkerStarted(created.w2)
 	created.apply(1, "s")
@@ -106,7 +106,7 @@
 				r.serve()
 				testCase.act(r)
 				wait(time.Second)
-				breaches, notes := r.Verdict()
+				breaches, notes := r.Breaches()
 				for rule, n := range breaches {
 					if rule != testCase.rule {
 						t.Errorf("unexpected breaches: %d of %s: %v", n, rule, notes)
@@ -124,7 +124,7 @@
 // close to them is not counted as a breach. Every rule must have a scenario that breaks it.
 func TestBreaches(t *testing.T) {
 	caught := map[string]bool{}
-	for _, cases := range [][]scenarioCase{answerScenarios(), documentScenarios(), leavingScenarios(), ownerEndingScenarios(), readinessScenarios(), attemptAndDenialScenarios(), splitScenarios(), reusedConnScenarios(), timeoutScenarios(), callerGoneScenarios(), coordinationScenarios(), budgetScenarios()} {
+	for _, cases := range [][]scenarioCase{answerScenarios(), documentScenarios(), leavingScenarios(), ownerEndingScenarios(), readinessScenarios(), attemptAndDenialScenarios(), splitScenarios(), reusedConnScenarios(), lateAnswerScenarios(), callerGoneScenarios(), coordinationScenarios(), budgetScenarios()} {
 		runScenarios(t, cases)
 		for _, testCase := range cases {
 			caught[testCase.rule] = true
@@ -227,7 +227,7 @@
 			}
 		}},
 		{"requests denied on a disconnected machine", "", func(r *run) {
-			end := r.Touch.Begin("m1", "cut")
+			end := r.Faults.Begin("m1", "cut")
 			for range 9 {
 				r.fail(r.try(), 400)
 			}
--- a/internal/standin/checker/budget.go
+++ b/internal/standin/checker/budget.go
@@ -8,7 +8,7 @@
 // checkRetryBudget checks the retries to every service over a sliding window (BUDGET). A
 // nested request counts as a retry at its own service if the execution that made it was a
 // retry.
-func (w *Witness) checkRetryBudget() {
+func (w *Recorder) checkRetryBudget() {
 	retries, requests := map[string][]time.Time{}, map[string][]time.Time{}
 	for _, arrival := range w.arrivals {
 		if arrival.Retry {
@@ -34,7 +34,7 @@
 
 // expectedService returns the service that an attempt without arrivals most likely would
 // have gone to: the one with the highest weight in the newest document that may be in force.
-func (w *Witness) expectedService(attempt *Attempt) (name string) {
+func (w *Recorder) expectedService(attempt *Attempt) (name string) {
 	var newest *Document
 	for _, document := range w.documents {
 		if document.mayBeInForce(attempt.Start) && (newest == nil || document.Number > newest.Number) {
@@ -67,15 +67,15 @@
 
 // slideWindow checks every window of one service. The allowance is derived from the largest
 // number of requests in the window itself, half a window earlier or a whole window earlier.
-func (w *Witness) slideWindow(service string, retries, requests []time.Time) {
+func (w *Recorder) slideWindow(service string, retries, requests []time.Time) {
 	check := func(from time.Time) {
-		to, half := from.Add(w.B.Window), w.B.Window/2
+		to, half := from.Add(w.Bounds.RetryWindow), w.Bounds.RetryWindow/2
 		retriesInWindow := countBetween(retries, from, to)
 		mostRequests := 0
 		for _, offset := range []time.Duration{0, half, 2 * half} {
 			mostRequests = max(mostRequests, countBetween(requests, from.Add(-offset), to.Add(-offset)))
 		}
-		allowed := w.B.Share*float64(mostRequests) + w.B.Allow
+		allowed := w.Bounds.RetryShare*float64(mostRequests) + w.Bounds.RetryAllowance
 		if part := float64(retriesInWindow) / allowed; part > w.fullestWindow {
 			w.fullestWindow, w.fullestService = part, service
 		}
@@ -85,14 +85,14 @@
 	}
 	for _, t := range retries {
 		// Check each window that ends with a retry and each that begins with one.
-		check(t.Add(-w.B.Window))
+		check(t.Add(-w.Bounds.RetryWindow))
 		check(t.Add(-1))
 	}
 }
 
-// Most returns the highest ratio of retries to allowed retries over all windows, and its
+// FullestRetryWindow returns the highest ratio of retries to allowed retries over all windows, and its
 // service. It is known only after all checks have run.
-func (w *Witness) Most() (part float64, service string) {
+func (w *Recorder) FullestRetryWindow() (part float64, service string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.fullestWindow, w.fullestService
@@ -100,7 +100,7 @@
 
 // checkAcks checks that without unplanned disturbances every valid document and nearly every
 // worker's leave notice is acknowledged within the bound (ACKS).
-func (w *Witness) checkAcks() {
+func (w *Recorder) checkAcks() {
 	now := time.Now()
 	for _, document := range w.documents {
 		end := document.AckedAt
@@ -110,10 +110,10 @@
 		if end.IsZero() {
 			end = now
 		}
-		bound := w.B.Ack + time.Duration(len(document.Routes))*3*time.Millisecond
+		bound := w.Bounds.Ack + time.Duration(len(document.Routes))*3*time.Millisecond
 		// The bound must fit into one calm period, which may begin after a disturbance.
-		for _, from := range w.Touch.calmStarts(document.FirstSentAt, end) {
-			if to := from.Add(bound); document.Defect == "" && end.After(to) && w.Touch.controlPlaneSettled(from, to) && w.Touch.calm(from, to) {
+		for _, from := range w.Faults.calmStarts(document.FirstSentAt, end) {
+			if to := from.Add(bound); document.Defect == "" && end.After(to) && w.Faults.controlPlaneSettled(from, to) && w.Faults.calm(from, to) {
 				w.recordBreach(Acks, "document %d, sent %s, had no acknowledgement until %s, calm from %s", document.Number, clockTime(document.FirstSentAt), clockTime(end), clockTime(from))
 				break
 			}
@@ -125,7 +125,7 @@
 			continue
 		}
 		leaving++
-		if (worker.LeaveAckedAt.IsZero() && now.Sub(worker.LeaveSentAt) > w.B.Ack || worker.LeaveAckedAt.Sub(worker.LeaveSentAt) > w.B.Ack) && w.Touch.calm(worker.LeaveSentAt, worker.LeaveSentAt.Add(w.B.Ack)) {
+		if (worker.LeaveAckedAt.IsZero() && now.Sub(worker.LeaveSentAt) > w.Bounds.Ack || worker.LeaveAckedAt.Sub(worker.LeaveSentAt) > w.Bounds.Ack) && w.Faults.calm(worker.LeaveSentAt, worker.LeaveSentAt.Add(w.Bounds.Ack)) {
 			overdue++
 		}
 	}
--- a/internal/standin/checker/callergone.go
+++ b/internal/standin/checker/callergone.go
@@ -11,17 +11,17 @@
 
 // checkCallersGone checks that later than callerGoneBound after a caller left, its request
 // reaches no worker, and no worker goes on executing it if it may be retried (GONE).
-func (w *Witness) checkCallersGone() {
+func (w *Recorder) checkCallersGone() {
 	for _, attempt := range w.attemptOrder {
 		if !attempt.callerLeft() {
 			continue
 		}
 		end := attempt.End.Add(callerGoneBound)
-		if !w.Touch.connected(attempt.Ingress, attempt.Start, end) {
+		if !w.Faults.connected(attempt.Ingress, attempt.Start, end) {
 			continue
 		}
 		for _, arrival := range attempt.Arrivals {
-			if !w.Touch.connected(arrival.Worker.Machine, attempt.Start, end) {
+			if !w.Faults.connected(arrival.Worker.Machine, attempt.Start, end) {
 				continue
 			}
 			switch {
--- a/internal/standin/checker/callergone_test.go
+++ b/internal/standin/checker/callergone_test.go
@@ -46,7 +46,7 @@
 		{"execution continues, but must not be retried", "", func(r *run) { atWork(r, false); wait(time.Second) }},
 		{"execution ends in time", "", func(r *run) { _, v := atWork(r, true); wait(400 * time.Millisecond); v.End = time.Now() }},
 		{"execution ends late", Gone, func(r *run) { _, v := atWork(r, true); wait(600 * time.Millisecond); v.End = time.Now() }},
-		{"execution continues on a disconnected machine", "", func(r *run) { r.Touch.Begin("m1", "frozen"); atWork(r, true); wait(time.Second) }},
+		{"execution continues on a disconnected machine", "", func(r *run) { r.Faults.Begin("m1", "frozen"); atWork(r, true); wait(time.Second) }},
 		{"the request reaches a worker late", Gone, func(r *run) {
 			t := startAttempt(r, false)
 			leave(r, t)
--- a/internal/standin/checker/coordination.go
+++ b/internal/standin/checker/coordination.go
@@ -57,7 +57,7 @@
 }
 
 // RecordCall records a call that has ended.
-func (w *Witness) RecordCall(op *Op) {
+func (w *Recorder) RecordCall(op *Op) {
 	w.mu.Lock()
 	if op.FirstSentAt.IsZero() {
 		op.FirstSentAt = op.Start
@@ -67,14 +67,14 @@
 }
 
 // RecordHold records a hold. Its end may change later, see Update.
-func (w *Witness) RecordHold(hold *LockHold) {
+func (w *Recorder) RecordHold(hold *LockHold) {
 	w.mu.Lock()
 	w.holds = append(w.holds, hold)
 	w.mu.Unlock()
 }
 
 // callsBy groups the matching calls by the given name.
-func (w *Witness) callsBy(match func(*Op) bool, name func(*Op) string) map[string][]*Op {
+func (w *Recorder) callsBy(match func(*Op) bool, name func(*Op) string) map[string][]*Op {
 	ops := map[string][]*Op{}
 	for _, op := range w.calls {
 		if match(op) {
@@ -88,7 +88,7 @@
 
 // checkLocks checks that no lock has two holders at once, and that fences rise with every
 // new holder (ONE).
-func (w *Witness) checkLocks() {
+func (w *Recorder) checkLocks() {
 	held := map[string][]*LockHold{}
 	for _, hold := range w.holds {
 		held[hold.Name] = append(held[hold.Name], hold)
@@ -120,7 +120,7 @@
 
 // checkRising records a breach for every number that is not above a number given out before
 // its call was sent, for those pairs of calls that mustRise selects.
-func (w *Witness) checkRising(rule, series string, ops []*Op, mustRise func(earlier, later *Op) bool) {
+func (w *Recorder) checkRising(rule, series string, ops []*Op, mustRise func(earlier, later *Op) bool) {
 	ends := append([]*Op(nil), ops...)
 	sort.Slice(ends, func(i, j int) bool { return ends[i].End.Before(ends[j].End) })
 	begins := append([]*Op(nil), ops...)
@@ -147,7 +147,7 @@
 
 // checkNumbers checks that numbers, and the revisions of a group of keys, are given out once
 // and rise, and that conditional puts apply only to the revision they name (ORDER).
-func (w *Witness) checkNumbers() {
+func (w *Recorder) checkNumbers() {
 	for name, ops := range w.callsBy(func(op *Op) bool { return op.Kind == Number && op.Status == 200 }, callName) {
 		given := map[uint64]bool{}
 		for _, op := range ops {
--- a/internal/standin/checker/coordination_test.go
+++ b/internal/standin/checker/coordination_test.go
@@ -60,7 +60,7 @@
 		{"an acknowledged key is absent", Stale, func(r *run) { r.put("g.a", "x", 200, 5); r.op(Op{Kind: Get, Name: "g.a"}, 404, 0) }},
 		{"an acknowledged key is absent after the final fault", Lost, func(r *run) {
 			r.put("g.a", "x", 200, 5)
-			r.Closing()
+			r.FinalFaultStarted()
 			wait(1)
 			r.op(Op{Kind: Get, Name: "g.a"}, 404, 0)
 		}},
@@ -128,7 +128,7 @@
 		return func(r *run) {
 			r.documents[0].Routes = append(r.documents[0].Routes, RouteSpec{Host: "h.example", Prefix: "/b/", Weights: map[string]int{"u": 1}})
 			// Only the window of the nested requests' service matters here.
-			r.B.Allow = allowance
+			r.Bounds.RetryAllowance = allowance
 			act(r)
 		}
 	}
@@ -138,14 +138,14 @@
 		{"nested requests of first executions", "", withRoute(nested(false), 60)},
 		{"nested requests of retried executions", Budget, withRoute(nested(true), 70)},
 		{"not back after the final fault", Recover, func(r *run) {
-			r.Closing()
+			r.FinalFaultStarted()
 			wait(time.Second)
-			r.Back()
+			r.FinalFaultEnded()
 			wait(16 * time.Second)
 			for range 5 {
 				r.fail(r.try(), 503)
 			}
 		}},
-		{"back", "", func(r *run) { r.Closing(); r.Back(); wait(16 * time.Second); r.serve() }},
+		{"back", "", func(r *run) { r.FinalFaultStarted(); r.FinalFaultEnded(); wait(16 * time.Second); r.serve() }},
 	}
 }
--- a/internal/standin/checker/disturbances.go
+++ b/internal/standin/checker/disturbances.go
@@ -63,12 +63,12 @@
 	}
 }
 
-// Core records an instant that unsettles the control plane.
-func (d *Disturbances) Core(kind string) { d.CoreWhile(kind)() }
+// Unsettle records an instant that unsettles the control plane.
+func (d *Disturbances) Unsettle(kind string) { d.UnsettleWhile(kind)() }
 
-// CoreWhile records the start of a period in which the control plane is unsettled. The
+// UnsettleWhile records the start of a period in which the control plane is unsettled. The
 // returned function ends it.
-func (d *Disturbances) CoreWhile(kind string) func() {
+func (d *Disturbances) UnsettleWhile(kind string) func() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	disturbance := &Disturbance{From: time.Now(), Kind: kind}
@@ -77,9 +77,9 @@
 	return d.endFunc(disturbance)
 }
 
-// Minority records the start of a period in which no undisturbed majority of the control
+// NoMajority records the start of a period in which no undisturbed majority of the control
 // plane is connected. The returned function ends it.
-func (d *Disturbances) Minority() func() {
+func (d *Disturbances) NoMajority() func() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	disturbance := &Disturbance{From: time.Now(), Kind: "no majority"}
--- a/internal/standin/checker/documents.go
+++ b/internal/standin/checker/documents.go
@@ -57,7 +57,7 @@
 }
 
 // DocumentSent records a document right before it is first sent.
-func (w *Witness) DocumentSent(document *Document) {
+func (w *Recorder) DocumentSent(document *Document) {
 	w.mu.Lock()
 	document.FirstSentAt = time.Now()
 	w.documents = append(w.documents, document)
@@ -65,7 +65,7 @@
 }
 
 // DocumentAcked records that a node acknowledged a document.
-func (w *Witness) DocumentAcked(document *Document, node string) {
+func (w *Recorder) DocumentAcked(document *Document, node string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if document.Defect != "" {
@@ -86,14 +86,14 @@
 }
 
 // RecordConfigRead records what an operator read.
-func (w *Witness) RecordConfigRead(read ConfigRead) {
+func (w *Recorder) RecordConfigRead(read ConfigRead) {
 	w.mu.Lock()
 	w.configReads = append(w.configReads, read)
 	w.mu.Unlock()
 }
 
 // newestAcked returns the highest document number acknowledged before the given time.
-func (w *Witness) newestAcked(at time.Time) (number uint64) {
+func (w *Recorder) newestAcked(at time.Time) (number uint64) {
 	for _, document := range w.documents {
 		if document.Defect == "" && !document.AckedAt.IsZero() && document.AckedAt.Before(at) {
 			number = max(number, document.Number)
@@ -104,7 +104,7 @@
 
 // everAllowed reports whether any document that was sent allows the service to execute the
 // attempt.
-func (w *Witness) everAllowed(attempt *Attempt, service string) bool {
+func (w *Recorder) everAllowed(attempt *Attempt, service string) bool {
 	for _, document := range w.documents {
 		if document.allows(attempt, service) {
 			return true
@@ -123,7 +123,7 @@
 }
 
 // outcomes lists every execution and every 404 of the mesh, in the order of the attempts.
-func (w *Witness) outcomes() (outcomes []outcome) {
+func (w *Recorder) outcomes() (outcomes []outcome) {
 	for _, attempt := range w.attemptOrder {
 		for _, arrival := range attempt.Arrivals {
 			if arrival.Executed() {
@@ -139,7 +139,7 @@
 
 // allowingDocuments returns the lowest and the highest number of the documents that allow an
 // outcome and may have been in force at its time.
-func (w *Witness) allowingDocuments(outcome outcome) (lowest, highest uint64, ok bool) {
+func (w *Recorder) allowingDocuments(outcome outcome) (lowest, highest uint64, ok bool) {
 	for _, document := range w.documents {
 		if document.mayBeInForce(outcome.at) && document.allows(outcome.attempt, outcome.service) {
 			if !ok || document.Number < lowest {
@@ -154,7 +154,7 @@
 // checkStaleDocuments checks that no connected machine acts on a document older than one that
 // was acknowledged longer ago than the bound, and that nobody acts on an invalid or rejected
 // document (CONFIG). While the control plane is unsettled the bound is longer.
-func (w *Witness) checkStaleDocuments() {
+func (w *Recorder) checkStaleDocuments() {
 	for _, outcome := range w.outcomes() {
 		_, highest, ok := w.allowingDocuments(outcome)
 		if !ok {
@@ -170,12 +170,12 @@
 		test := func(condition func(string, time.Time, time.Time) bool) bool {
 			return condition(outcome.attempt.Ingress, outcome.attempt.Start, outcome.at) && condition(outcome.machine, outcome.attempt.Start, outcome.at)
 		}
-		bound := w.B.Change
-		if !test(w.Touch.connected) {
-			if !test(w.Touch.undisturbed) {
+		bound := w.Bounds.DocumentChange
+		if !test(w.Faults.connected) {
+			if !test(w.Faults.undisturbed) {
 				continue
 			}
-			bound += w.B.Stretch
+			bound += w.Bounds.UnsettledExtension
 		}
 		if newestAcked := w.newestAcked(outcome.attempt.Start.Add(-bound)); newestAcked > highest || !ok && newestAcked > 0 {
 			w.recordBreach(Config, "%s (%s%s) at %s, sent %s, was handled (%s) as number %d allows, %d was acknowledged before",
@@ -186,7 +186,7 @@
 
 // checkStepsBack checks that a machine that acted on a document does not act on an older one
 // until its processes restart (CONFIG).
-func (w *Witness) checkStepsBack() {
+func (w *Recorder) checkStepsBack() {
 	type incarnationKey struct {
 		machine string
 		number  int
@@ -214,8 +214,8 @@
 			if !ok {
 				continue
 			}
-			slack := w.B.Back
-			if w.Touch.slowed(key.machine, outcome.attempt.Start.Add(-w.B.Touch), outcome.at) {
+			slack := w.Bounds.StepBack
+			if w.Faults.slowed(key.machine, outcome.attempt.Start.Add(-w.Bounds.Connect), outcome.at) {
 				slack *= 8
 			}
 			for _, seen := range executed {
--- a/internal/standin/checker/documents_test.go
+++ b/internal/standin/checker/documents_test.go
@@ -12,17 +12,17 @@
 	return []scenarioCase{
 		{"an outdated document after the bound", Config, func(r *run) { r.apply(2, "u"); wait(2100 * time.Millisecond); execOld(r) }},
 		{"an outdated document within the bound", "", func(r *run) { r.apply(2, "u"); wait(1900 * time.Millisecond); execOld(r) }},
-		{"an outdated document while the control plane is unsettled", "", func(r *run) { r.apply(2, "u"); wait(5 * time.Second); r.Touch.Core("kill"); execOld(r) }},
+		{"an outdated document while the control plane is unsettled", "", func(r *run) { r.apply(2, "u"); wait(5 * time.Second); r.Faults.Unsettle("kill"); execOld(r) }},
 		{"an outdated document after the extended bound", Config, func(r *run) {
 			r.apply(2, "u")
 			wait(8 * time.Second)
-			r.Touch.Core("kill")
+			r.Faults.Unsettle("kill")
 			execOld(r)
 		}},
-		{"an outdated document without a majority", "", func(r *run) { r.apply(2, "u"); defer r.Touch.Minority()(); wait(9 * time.Second); execOld(r) }},
+		{"an outdated document without a majority", "", func(r *run) { r.apply(2, "u"); defer r.Faults.NoMajority()(); wait(9 * time.Second); execOld(r) }},
 		{"an outdated document on a disconnected machine", "", func(r *run) {
 			r.apply(2, "u")
-			end := r.Touch.Begin("m1", "cut")
+			end := r.Faults.Begin("m1", "cut")
 			wait(9 * time.Second)
 			end()
 			wait(2 * time.Second)
@@ -51,7 +51,7 @@
 		}},
 		{"a step back within the slack", "", func(r *run) { r.apply(2, "u"); r.exec(r.try(), r.w2); wait(200 * time.Millisecond); execOld(r) }},
 		{"a step back on a slowed machine", "", func(r *run) {
-			defer r.Touch.Begin("m1", Slowed)()
+			defer r.Faults.Begin("m1", Slowed)()
 			r.apply(2, "u")
 			r.exec(r.try(), r.w2)
 			wait(time.Second)
@@ -60,7 +60,7 @@
 		{"a step back after a restart", "", func(r *run) {
 			r.apply(2, "u")
 			r.exec(r.try(), r.w2)
-			r.Lives("m1")
+			r.Restarted("m1")
 			wait(300 * time.Millisecond)
 			execOld(r)
 		}},
@@ -83,7 +83,7 @@
 		{"no document is read back", Config, func(r *run) { r.RecordConfigRead(ConfigRead{SentAt: time.Now(), Final: true}) }},
 		{"an outdated document is read back after the final fault", Lost, func(r *run) {
 			r.apply(2, "s")
-			r.Closing()
+			r.FinalFaultStarted()
 			wait(1)
 			r.RecordConfigRead(ConfigRead{SentAt: time.Now(), Number: 1, Unchanged: true, Answered: true})
 		}},
@@ -92,7 +92,7 @@
 		}},
 		{"a document is not acknowledged", Acks, func(r *run) { r.offer(2, "s"); wait(5 * time.Second) }},
 		{"a document is not acknowledged during a disturbance", "", func(r *run) {
-			defer r.Touch.Begin("m2", "cut")()
+			defer r.Faults.Begin("m2", "cut")()
 			r.offer(2, "s")
 			wait(9 * time.Second)
 			r.documents[1].EndedAt = time.Now()
@@ -100,7 +100,7 @@
 		{"a document is not acknowledged after a disturbance", Acks, func(r *run) {
 			r.offer(2, "s")
 			wait(time.Second)
-			r.Touch.Core("kill")
+			r.Faults.Unsettle("kill")
 			wait(9 * time.Second)
 		}},
 		{"routes that were added later are not served", Config, func(r *run) {
--- a/internal/standin/checker/keys.go
+++ b/internal/standin/checker/keys.go
@@ -18,7 +18,7 @@
 	rejected    bool // every send was rejected
 }
 
-func (w *Witness) putHistories() map[string]*putHistory {
+func (w *Recorder) putHistories() map[string]*putHistory {
 	histories := map[string]*putHistory{}
 	for _, op := range w.calls {
 		if op.Kind != Put {
@@ -53,7 +53,7 @@
 // checkKeys checks that reads are no older than acknowledged puts (STALE), that every value
 // was put under its key and has one revision (MIXED), and that rejected puts had no effect
 // (REFUSED).
-func (w *Witness) checkKeys() {
+func (w *Recorder) checkKeys() {
 	histories := w.putHistories()
 	var observed []observedValue
 	for _, op := range w.calls {
@@ -109,7 +109,7 @@
 	w.checkStaleReads(histories)
 }
 
-func (w *Witness) checkStaleReads(histories map[string]*putHistory) {
+func (w *Recorder) checkStaleReads(histories map[string]*putHistory) {
 	acked := map[string][]*putHistory{}
 	for _, history := range histories {
 		if history.revision > 0 {
@@ -149,7 +149,7 @@
 
 // checkWatches checks that the revisions of a watch rise and that it skips no acknowledged put
 // (ORDER), and that a revision that was returned recently can be watched from (LOST).
-func (w *Witness) checkWatches() {
+func (w *Recorder) checkWatches() {
 	type ackedPut struct {
 		revision uint64
 		key      string
@@ -169,7 +169,7 @@
 			givenAt[op.Name] = map[uint64]time.Time{}
 		}
 		if op.Status == 410 {
-			if at, ok := givenAt[op.Name][op.After]; ok && op.Start.Sub(at) < w.B.Hist {
+			if at, ok := givenAt[op.Name][op.After]; ok && op.Start.Sub(at) < w.Bounds.WatchHistory {
 				w.recordBreach(Lost, "a watch of %s after %d got 410, %v after that revision was returned", op.Name, op.After, op.Start.Sub(at))
 			}
 			continue
@@ -202,7 +202,7 @@
 
 // checkFinalCalls checks that each call made at the end of the test run gets a definite answer
 // in time (LOST).
-func (w *Witness) checkFinalCalls() {
+func (w *Recorder) checkFinalCalls() {
 	answered := map[string]bool{}
 	for _, op := range w.calls {
 		if op.Final {
--- a/internal/standin/checker/leaving.go
+++ b/internal/standin/checker/leaving.go
@@ -15,19 +15,21 @@
 	reload      bool
 }
 
-// Term records that a machine was told to shut down gracefully. A second signal within the
+// StopSignaled records that a machine was told to shut down gracefully. A second signal within the
 // grace period does not extend it.
-func (w *Witness) Term(machine string) { w.addSignal(signal{machine: machine}) }
+func (w *Recorder) StopSignaled(machine string) { w.addSignal(signal{machine: machine}) }
 
-// Hup records that a machine was told to reload its settings.
-func (w *Witness) Hup(machine string) { w.addSignal(signal{machine: machine, reload: true}) }
+// ReloadSignaled records that a machine was told to reload its settings.
+func (w *Recorder) ReloadSignaled(machine string) {
+	w.addSignal(signal{machine: machine, reload: true})
+}
 
-func (w *Witness) addSignal(added signal) {
+func (w *Recorder) addSignal(added signal) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	added.sentAt, added.incarnation = time.Now(), w.incarnations[added.machine]
 	for _, other := range w.signals {
-		if !added.reload && !other.reload && other.machine == added.machine && other.incarnation == added.incarnation && added.sentAt.Before(other.sentAt.Add(w.B.Grace)) {
+		if !added.reload && !other.reload && other.machine == added.machine && other.incarnation == added.incarnation && added.sentAt.Before(other.sentAt.Add(w.Bounds.Grace)) {
 			return
 		}
 	}
@@ -35,7 +37,7 @@
 }
 
 // LeaveSent records that a worker first reported that it is leaving.
-func (w *Witness) LeaveSent(worker *Worker) {
+func (w *Recorder) LeaveSent(worker *Worker) {
 	w.mu.Lock()
 	if worker.LeaveSentAt.IsZero() {
 		worker.LeaveSentAt = time.Now()
@@ -44,7 +46,7 @@
 }
 
 // LeaveAcked records which node first acknowledged a worker's leave.
-func (w *Witness) LeaveAcked(worker *Worker, node string) {
+func (w *Recorder) LeaveAcked(worker *Worker, node string) {
 	w.mu.Lock()
 	if worker.LeaveAckedAt.IsZero() {
 		worker.LeaveAckedAt, worker.LeaveAckedBy = time.Now(), node
@@ -55,13 +57,13 @@
 // checkDrains checks that connected machines send nothing to a worker later than the bound
 // after its leave was acknowledged, whether the acknowledging node was connected or not
 // (DRAIN).
-func (w *Witness) checkDrains() {
+func (w *Recorder) checkDrains() {
 	for _, arrival := range w.arrivals {
 		worker := arrival.Worker
-		if worker.LeaveAckedAt.IsZero() || arrival.Attempt == nil || arrival.DeclinedStatus == 421 || !arrival.ArrivedAt.After(worker.LeaveAckedAt.Add(w.B.Leave)) {
+		if worker.LeaveAckedAt.IsZero() || arrival.Attempt == nil || arrival.DeclinedStatus == 421 || !arrival.ArrivedAt.After(worker.LeaveAckedAt.Add(w.Bounds.Leave)) {
 			continue
 		}
-		if w.Touch.connected(arrival.Attempt.Ingress, arrival.Attempt.Start, arrival.ArrivedAt) && w.Touch.connected(worker.Machine, arrival.Attempt.Start, arrival.ArrivedAt) {
+		if w.Faults.connected(arrival.Attempt.Ingress, arrival.Attempt.Start, arrival.ArrivedAt) && w.Faults.connected(worker.Machine, arrival.Attempt.Start, arrival.ArrivedAt) {
 			w.recordBreach(Drain, "%s reached %s %v after its leave was acknowledged by %s", arrival.Attempt.ID, worker.Name, arrival.ArrivedAt.Sub(worker.LeaveAckedAt), worker.LeaveAckedBy)
 		}
 	}
@@ -71,7 +73,7 @@
 // process had read the whole request, and neither a worker's failure nor the deadline
 // explains it. delay is the time from the last byte of the request to the end, forwarded
 // whether the request reached a worker.
-func (w *Witness) cutOff(attempt *Attempt) (delay time.Duration, forwarded, isCut bool) {
+func (w *Recorder) cutOff(attempt *Attempt) (delay time.Duration, forwarded, isCut bool) {
 	answer := attempt.Answer
 	if answer.ClientClosed || !answer.RequestRead || attempt.SentAt.IsZero() || attempt.End.IsZero() || (answer.Status != 0 && answer.Complete) {
 		return 0, false, false
@@ -90,12 +92,12 @@
 // answerDeadline is the earliest time at which the mesh may end an attempt by itself. It
 // follows from the timeout that the client sent, and from the shortest timeout of the route
 // in the documents that may have been in force.
-func (w *Witness) answerDeadline(attempt *Attempt) time.Time {
+func (w *Recorder) answerDeadline(attempt *Attempt) time.Time {
 	timeout := attempt.Timeout
 	if attempt.SentTimeout > 0 {
 		timeout = min(timeout, attempt.SentTimeout)
 	}
-	lowest := w.newestAcked(attempt.Start.Add(-w.B.Change - w.B.Stretch))
+	lowest := w.newestAcked(attempt.Start.Add(-w.Bounds.DocumentChange - w.Bounds.UnsettledExtension))
 	for _, document := range w.documents {
 		if route := document.Match(attempt.Host, attempt.URI); route != nil && document.Number >= lowest && document.mayBeInForce(attempt.End) && route.Timeout > 0 {
 			timeout = min(timeout, route.Timeout)
@@ -105,15 +107,15 @@
 }
 
 // signalsDuring lists the signals to its ingress that were in effect when the attempt ended.
-func (w *Witness) signalsDuring(attempt *Attempt) (signals []signal) {
+func (w *Recorder) signalsDuring(attempt *Attempt) (signals []signal) {
 	for _, signal := range w.signals {
 		if signal.machine != attempt.Ingress {
 			continue
 		}
-		if signal.reload && attempt.Start.Before(signal.sentAt.Add(w.B.Change)) && attempt.End.After(signal.sentAt) {
+		if signal.reload && attempt.Start.Before(signal.sentAt.Add(w.Bounds.DocumentChange)) && attempt.End.After(signal.sentAt) {
 			signals = append(signals, signal)
 		}
-		if !signal.reload && attempt.End.After(signal.sentAt) && attempt.End.Before(signal.sentAt.Add(w.B.Grace+time.Second)) {
+		if !signal.reload && attempt.End.After(signal.sentAt) && attempt.End.Before(signal.sentAt.Add(w.Bounds.Grace+time.Second)) {
 			signals = append(signals, signal)
 		}
 	}
@@ -122,12 +124,12 @@
 
 // checkPlannedWork checks that planned work (shutdowns, reloads, changes of the document) cuts
 // no request off (LOST).
-func (w *Witness) checkPlannedWork() {
+func (w *Recorder) checkPlannedWork() {
 	duringChange, otherwise := map[string][]*Attempt{}, map[string]int{}
 	for _, attempt := range w.attemptOrder {
 		delay, forwarded, isCut := w.cutOff(attempt)
-		isCut = isCut && (forwarded || delay > w.B.UnforwardedCut)
-		undisturbed := w.Touch.calm(attempt.Start.Add(-w.B.Touch), attempt.End)
+		isCut = isCut && (forwarded || delay > w.Bounds.UnforwardedCut)
+		undisturbed := w.Faults.calm(attempt.Start.Add(-w.Bounds.Connect), attempt.End)
 		signals := w.signalsDuring(attempt)
 		if len(signals) > 0 && undisturbed {
 			for _, signal := range signals {
@@ -153,7 +155,7 @@
 
 // checkUnderSignal checks an attempt that ended while a signal to its ingress was in effect.
 // isCut says that its connection ended without an answer.
-func (w *Witness) checkUnderSignal(attempt *Attempt, signal signal, isCut, forwarded bool, delay time.Duration) {
+func (w *Recorder) checkUnderSignal(attempt *Attempt, signal signal, isCut, forwarded bool, delay time.Duration) {
 	if !signal.reload && w.excused(attempt, signal) {
 		return
 	}
@@ -172,8 +174,8 @@
 // excused reports whether a graceful shutdown could not wait for the attempt: its worker was
 // still executing it in the last sixth of the grace period, and it was sent early enough. An
 // attempt that ended before the last sixth is never excused.
-func (w *Witness) excused(attempt *Attempt, signal signal) bool {
-	lastSixth := signal.sentAt.Add(w.B.Grace * 5 / 6)
+func (w *Recorder) excused(attempt *Attempt, signal signal) bool {
+	lastSixth := signal.sentAt.Add(w.Bounds.Grace * 5 / 6)
 	if attempt.Start.After(signal.sentAt.Add(excusedSendPeriod)) || attempt.End.Before(lastSixth) {
 		return false
 	}
@@ -190,7 +192,7 @@
 // grace period or up to a second after it. No other node reaches the worker, so the execution
 // ends with its owner; the users' own test runs count no breach for this. A retryable
 // attempt is never excused this way, since another worker could have executed it.
-func (w *Witness) excusedByOwner(attempt *Attempt, arrival *Arrival) bool {
+func (w *Recorder) excusedByOwner(attempt *Attempt, arrival *Arrival) bool {
 	if attempt.Retryable || arrival.Worker.Machine == attempt.Ingress {
 		return false
 	}
@@ -198,7 +200,7 @@
 		if signal.reload || signal.machine != arrival.Worker.Machine || attempt.Start.After(signal.sentAt.Add(excusedSendPeriod)) {
 			continue
 		}
-		lastSixth, end := signal.sentAt.Add(w.B.Grace*5/6), signal.sentAt.Add(w.B.Grace+time.Second)
+		lastSixth, end := signal.sentAt.Add(w.Bounds.Grace*5/6), signal.sentAt.Add(w.Bounds.Grace+time.Second)
 		if !attempt.End.Before(lastSixth) && !attempt.End.After(end) && (arrival.End.IsZero() || !arrival.End.Before(lastSixth)) {
 			return true
 		}
@@ -228,13 +230,13 @@
 }
 
 // endedDuringChange reports whether the attempt ended while a document was being distributed.
-func (w *Witness) endedDuringChange(attempt *Attempt) bool {
+func (w *Recorder) endedDuringChange(attempt *Attempt) bool {
 	for _, document := range w.documents {
 		end := document.AckedAt
 		if end.IsZero() {
 			end = document.EndedAt
 		}
-		if document.Defect == "" && !document.FirstSentAt.After(attempt.End) && (end.IsZero() || attempt.End.Before(end.Add(w.B.Change+time.Second))) {
+		if document.Defect == "" && !document.FirstSentAt.After(attempt.End) && (end.IsZero() || attempt.End.Before(end.Add(w.Bounds.DocumentChange+time.Second))) {
 			return true
 		}
 	}
--- a/internal/standin/checker/leaving_test.go
+++ b/internal/standin/checker/leaving_test.go
@@ -18,7 +18,7 @@
 		return func(r *run) {
 			t := r.try()
 			change(r, t)
-			r.Term("m1")
+			r.StopSignaled("m1")
 			wait(after)
 			r.cut(t)
 		}
@@ -29,7 +29,7 @@
 		return scenarioCase{name, rule, func(r *run) {
 			t := r.try()
 			executeLong(r, t)
-			r.Term("m1")
+			r.StopSignaled("m1")
 			wait(after)
 			r.fail(t, 504)
 		}}
@@ -38,7 +38,7 @@
 	// answers it in the last sixth of the grace period.
 	meshAnswerSentAt := func(name, rule string, after time.Duration) scenarioCase {
 		return scenarioCase{name, rule, func(r *run) {
-			r.Term("m1")
+			r.StopSignaled("m1")
 			wait(after)
 			t := r.try()
 			executeLong(r, t)
@@ -48,18 +48,18 @@
 	}
 	return []scenarioCase{
 		{"sent to a worker after the leave bound", Drain, func(r *run) { sentAfterLeave(r, "m1") }},
-		{"sent after the leave bound, control plane unsettled", "", func(r *run) { r.Touch.Core("kill"); sentAfterLeave(r, "m1") }},
-		{"sent after the leave bound, acknowledged by a disconnected node", Drain, func(r *run) { r.Touch.Begin("m2", "killed")(); sentAfterLeave(r, "m2") }},
+		{"sent after the leave bound, control plane unsettled", "", func(r *run) { r.Faults.Unsettle("kill"); sentAfterLeave(r, "m1") }},
+		{"sent after the leave bound, acknowledged by a disconnected node", Drain, func(r *run) { r.Faults.Begin("m2", "killed")(); sentAfterLeave(r, "m2") }},
 		{"sent within the leave bound", "", func(r *run) { r.LeaveSent(r.w1); r.LeaveAcked(r.w1, "m1"); wait(time.Second); r.serve() }},
 		{"cut off during execution", Lost, cutAt(10*time.Millisecond, execute)},
 		{"cut off unforwarded, late", Lost, cutAt(300*time.Millisecond, func(*run, *Attempt) {})},
 		{"cut off unforwarded, soon", "", cutAt(100*time.Millisecond, func(*run, *Attempt) {})},
 		{"cut off by the worker", "", cutAt(10*time.Millisecond, func(r *run, t *Attempt) { execute(r, t); t.Arrivals[0].WorkerFailed = true })},
 		{"cut off at the deadline", "", cutAt(2*time.Second, execute)},
-		{"cut off during a disturbance", "", cutAt(10*time.Millisecond, func(r *run, t *Attempt) { execute(r, t); r.Touch.Core("kill") })},
+		{"cut off during a disturbance", "", cutAt(10*time.Millisecond, func(r *run, t *Attempt) { execute(r, t); r.Faults.Unsettle("kill") })},
 		{"a mesh answer during execution", Lost, func(r *run) {
 			t := r.try()
-			r.Term("m1")
+			r.StopSignaled("m1")
 			v := r.exec(t, r.w1)
 			v.End = time.Time{}
 			r.fail(t, 502)
@@ -82,7 +82,7 @@
 		{"a mesh answer after an execution that was cut off", Lost, func(r *run) {
 			t := r.try()
 			executeLong(r, t)
-			r.Term("m1")
+			r.StopSignaled("m1")
 			wait(100 * time.Millisecond)
 			v := t.Arrivals[0]
 			v.Status, v.Digest, v.End = 0, "", time.Now()
@@ -93,34 +93,34 @@
 			t := r.try()
 			t.Retryable = true
 			executeLong(r, t)
-			r.Term("m1")
+			r.StopSignaled("m1")
 			wait(100 * time.Millisecond)
 			v := t.Arrivals[0]
 			v.Status, v.Digest, v.End = 0, "", time.Now()
 			r.fail(t, 503)
 		}},
 		{"a mesh answer after a reload and a stop signal", Lost, func(r *run) {
-			r.Hup("m1")
+			r.ReloadSignaled("m1")
 			t := r.try()
 			executeLong(r, t)
-			r.Term("m1")
+			r.StopSignaled("m1")
 			wait(time.Second)
 			r.fail(t, 504)
 		}},
 		{"a second stop signal, still executing in the last sixth of the first grace period", "", func(r *run) {
 			t := r.try()
 			executeLong(r, t)
-			r.Term("m1")
+			r.StopSignaled("m1")
 			wait(time.Second)
-			r.Term("m1")
+			r.StopSignaled("m1")
 			wait(4100 * time.Millisecond)
 			r.fail(t, 504)
 		}},
 		{"stop signals before and after a restart", Lost, func(r *run) {
-			r.Term("m1")
+			r.StopSignaled("m1")
 			wait(time.Second)
-			r.Lives("m1")
-			r.Term("m1")
+			r.Restarted("m1")
+			r.StopSignaled("m1")
 			t := r.try()
 			executeLong(r, t)
 			wait(4500 * time.Millisecond)
@@ -129,7 +129,7 @@
 		{"a mesh answer before the timeout that the client sent", Lost, func(r *run) {
 			t := r.try()
 			t.Timeout, t.SentTimeout = 1000500*time.Microsecond, time.Second
-			r.Term("m1")
+			r.StopSignaled("m1")
 			v := r.exec(t, r.w1)
 			v.End = time.Time{}
 			wait(988 * time.Millisecond)
@@ -138,7 +138,7 @@
 		{"a mesh answer at the timeout that the client sent", "", func(r *run) {
 			t := r.try()
 			t.Timeout, t.SentTimeout = 1000500*time.Microsecond, time.Second
-			r.Term("m1")
+			r.StopSignaled("m1")
 			v := r.exec(t, r.w1)
 			v.End = time.Time{}
 			wait(989 * time.Millisecond)
@@ -151,7 +151,7 @@
 			r.fail(t, 502)
 		}},
 		{"cut off around a change of the document", Lost, func(r *run) { r.apply(2, "s"); t := r.try(); execute(r, t); r.cut(t) }},
-		{"cut off around a reload", Lost, func(r *run) { r.Hup("m1"); t := r.try(); execute(r, t); r.cut(t) }},
+		{"cut off around a reload", Lost, func(r *run) { r.ReloadSignaled("m1"); t := r.try(); execute(r, t); r.cut(t) }},
 		{"leave notices without acknowledgement", Acks, func(r *run) {
 			for i := range 3 {
 				worker := &Worker{Name: fmt.Sprint("w", i), Service: "s", Machine: "m1"}
--- a/internal/standin/checker/ownerstop_test.go
+++ b/internal/standin/checker/ownerstop_test.go
@@ -11,9 +11,9 @@
 			r.apply(2, "s", "u")
 			r.setTimeouts(10 * time.Second)
 			attempt.Timeout = 10 * time.Second
-			r.Term("m2")
+			r.StopSignaled("m2")
 			wait(2 * time.Second)
-			r.Term("m1")
+			r.StopSignaled("m1")
 			arrival := r.exec(attempt, r.w2)
 			arrival.End = time.Time{}
 			wait(3100 * time.Millisecond)
@@ -24,9 +24,9 @@
 			r.apply(2, "s", "u")
 			r.setTimeouts(10 * time.Second)
 			attempt.Timeout = 10 * time.Second
-			r.Term("m2")
+			r.StopSignaled("m2")
 			wait(2 * time.Second)
-			r.Term("m1")
+			r.StopSignaled("m1")
 			arrival := r.exec(attempt, r.w2)
 			arrival.End = time.Time{}
 			wait(2900 * time.Millisecond)
@@ -38,9 +38,9 @@
 			r.apply(2, "s", "u")
 			r.setTimeouts(10 * time.Second)
 			attempt.Timeout = 10 * time.Second
-			r.Term("m2")
+			r.StopSignaled("m2")
 			wait(2 * time.Second)
-			r.Term("m1")
+			r.StopSignaled("m1")
 			arrival := r.exec(attempt, r.w2)
 			arrival.End = time.Time{}
 			wait(3100 * time.Millisecond)
@@ -52,12 +52,12 @@
 			r.apply(2, "s", "u")
 			r.setTimeouts(20 * time.Second)
 			attempt.Timeout = 20 * time.Second
-			r.Term("m2")
+			r.StopSignaled("m2")
 			arrival := r.exec(attempt, r.w2)
 			wait(5200 * time.Millisecond)
 			arrival.Status, arrival.Digest, arrival.End = 0, "", time.Now()
 			wait(time.Second)
-			r.Term("m1")
+			r.StopSignaled("m1")
 			wait(2 * time.Second)
 			r.fail(attempt, 502)
 		}},
@@ -66,11 +66,11 @@
 			r.apply(2, "s", "u")
 			r.setTimeouts(20 * time.Second)
 			attempt.Timeout = 20 * time.Second
-			r.Term("m2")
+			r.StopSignaled("m2")
 			arrival := r.exec(attempt, r.w2)
 			wait(5200 * time.Millisecond)
 			arrival.Status, arrival.Digest, arrival.End = 0, "", time.Now()
-			r.Term("m1")
+			r.StopSignaled("m1")
 			wait(2 * time.Second)
 			r.fail(attempt, 502)
 		}},
@@ -79,15 +79,15 @@
 			r.setTimeouts(20 * time.Second)
 			attempt := r.try()
 			attempt.Timeout, attempt.Retryable = 20*time.Second, true
-			r.Term("m2")
+			r.StopSignaled("m2")
 			r.exec(attempt, r.w2)
 			wait(5100 * time.Millisecond)
 			first := attempt.Arrivals[0]
 			first.Status, first.Digest, first.End = 0, "", time.Now()
-			r.Lives("m2")
-			r.Term("m2")
+			r.Restarted("m2")
+			r.StopSignaled("m2")
 			wait(time.Second)
-			r.Term("m1")
+			r.StopSignaled("m1")
 			arrival := r.exec(attempt, r.w2)
 			arrival.End = time.Time{}
 			wait(4200 * time.Millisecond)
@@ -98,9 +98,9 @@
 			r.apply(2, "s", "u")
 			r.setTimeouts(10 * time.Second)
 			attempt.Timeout = 10 * time.Second
-			r.Term("m2")
+			r.StopSignaled("m2")
 			wait(2 * time.Second)
-			r.Term("m1")
+			r.StopSignaled("m1")
 			arrival := r.exec(attempt, r.w2)
 			arrival.End = time.Time{}
 			wait(3100 * time.Millisecond)
@@ -109,11 +109,11 @@
 		{"a mesh answer as the owner stops, sent late in its grace period", Lost, func(r *run) {
 			r.apply(2, "s", "u")
 			r.setTimeouts(10 * time.Second)
-			r.Term("m2")
+			r.StopSignaled("m2")
 			wait(3100 * time.Millisecond)
 			attempt := r.try()
 			attempt.Timeout = 10 * time.Second
-			r.Term("m1")
+			r.StopSignaled("m1")
 			arrival := r.exec(attempt, r.w2)
 			arrival.End = time.Time{}
 			wait(2 * time.Second)
--- a/internal/standin/checker/readback.go
+++ b/internal/standin/checker/readback.go
@@ -5,7 +5,7 @@
 // checkConfigReads checks that a document that is read back equals the one that was sent under
 // its number and is no older than the newest acknowledged one (CONFIG, or LOST after the
 // final fault).
-func (w *Witness) checkConfigReads() {
+func (w *Recorder) checkConfigReads() {
 	for _, read := range w.configReads {
 		if !read.Answered {
 			if read.Final {
@@ -32,7 +32,7 @@
 }
 
 // validDocumentExists reports whether a valid document was sent under the number.
-func (w *Witness) validDocumentExists(number uint64) bool {
+func (w *Recorder) validDocumentExists(number uint64) bool {
 	for _, document := range w.documents {
 		if document.Number == number && document.Defect == "" {
 			return true
@@ -43,7 +43,7 @@
 
 // checkAddedRoutes checks that routes that were added later are served at least a quarter as
 // well as those of the first document (CONFIG). It needs 20 such routes and requests.
-func (w *Witness) checkAddedRoutes() {
+func (w *Recorder) checkAddedRoutes() {
 	if len(w.documents) == 0 {
 		return
 	}
@@ -60,7 +60,7 @@
 		return
 	}
 	calm := func(attempt *Attempt) bool {
-		return w.Touch.connected(attempt.Ingress, attempt.Start, attempt.End) && w.allowedNow(attempt)
+		return w.Faults.connected(attempt.Ingress, attempt.Start, attempt.End) && w.allowedNow(attempt)
 	}
 	servedFirst, owedFirst := w.countServed(func(attempt *Attempt) bool { return first.Match(attempt.Host, attempt.URI) != nil && calm(attempt) })
 	servedLater, owedLater := w.countServed(func(attempt *Attempt) bool { return first.Match(attempt.Host, attempt.URI) == nil && calm(attempt) })
@@ -69,15 +69,15 @@
 	}
 }
 
-// Closing records the beginning of the final fault of the test run.
-func (w *Witness) Closing() {
+// FinalFaultStarted records the beginning of the final fault of the test run.
+func (w *Recorder) FinalFaultStarted() {
 	w.mu.Lock()
 	w.finalFault[0] = time.Now()
 	w.mu.Unlock()
 }
 
-// Back records that the machines are back after the final fault.
-func (w *Witness) Back() {
+// FinalFaultEnded records that the machines are back after the final fault.
+func (w *Recorder) FinalFaultEnded() {
 	w.mu.Lock()
 	w.finalFault[1] = time.Now()
 	w.mu.Unlock()
@@ -86,12 +86,12 @@
 // checkRecovery checks that service resumes after the final fault: if at least a quarter of the
 // requests was served before it, a quarter of those sent later than the bound after the
 // machines' return must be served (RECOVER).
-func (w *Witness) checkRecovery() {
+func (w *Recorder) checkRecovery() {
 	if w.finalFault[1].IsZero() {
 		return
 	}
 	servedBefore, owedBefore := w.countServed(func(attempt *Attempt) bool { return attempt.Start.Before(w.finalFault[0]) })
-	servedAfter, owedAfter := w.countServed(func(attempt *Attempt) bool { return attempt.Start.After(w.finalFault[1].Add(w.B.Return)) })
+	servedAfter, owedAfter := w.countServed(func(attempt *Attempt) bool { return attempt.Start.After(w.finalFault[1].Add(w.Bounds.Recovery)) })
 	if owedBefore > 0 && 4*servedBefore >= owedBefore && owedAfter > 0 && 4*servedAfter < owedAfter {
 		w.recordBreach(Recover, "%d of %d served after the return, %d of %d before the fault", servedAfter, owedAfter, servedBefore, owedBefore)
 	}
--- a/internal/standin/checker/readiness.go
+++ b/internal/standin/checker/readiness.go
@@ -18,15 +18,15 @@
 	ready bool
 }
 
-// Looked records the result of a readiness probe of a machine's node by the platform.
-func (w *Witness) Looked(machine string, ready bool) {
+// ReadinessProbed records the result of a readiness probe of a machine's node by the platform.
+func (w *Recorder) ReadinessProbed(machine string, ready bool) {
 	w.mu.Lock()
 	w.readinessProbes[machine] = append(w.readinessProbes[machine], readinessProbe{time.Now(), ready})
 	w.mu.Unlock()
 }
 
 // countedReady reports whether the platform counted a machine as ready at the given time.
-func (w *Witness) countedReady(machine string, at time.Time) bool {
+func (w *Recorder) countedReady(machine string, at time.Time) bool {
 	failures := 0
 	for _, probe := range w.readinessProbes[machine] {
 		if probe.at.After(at) {
@@ -41,7 +41,7 @@
 }
 
 // restartedBetween reports whether a machine's processes restarted in (from, to].
-func (w *Witness) restartedBetween(machine string, from, to time.Time) bool {
+func (w *Recorder) restartedBetween(machine string, from, to time.Time) bool {
 	for _, at := range w.restarts[machine] {
 		if at.After(from) && !at.After(to) {
 			return true
@@ -51,12 +51,12 @@
 }
 
 // checkReadiness checks that nodes soon stop counting as ready after a stop signal (DRAIN).
-func (w *Witness) checkReadiness() {
+func (w *Recorder) checkReadiness() {
 	wereReady, stillReady := 0, 0
 	example := ""
 	for _, signal := range w.signals {
 		until := signal.sentAt.Add(unreadyBound)
-		if signal.reload || len(w.readinessProbes[signal.machine]) == 0 || !w.countedReady(signal.machine, signal.sentAt) || !w.Touch.calm(signal.sentAt.Add(-w.B.Touch), until) {
+		if signal.reload || len(w.readinessProbes[signal.machine]) == 0 || !w.countedReady(signal.machine, signal.sentAt) || !w.Faults.calm(signal.sentAt.Add(-w.Bounds.Connect), until) {
 			continue
 		}
 		wereReady++
--- a/internal/standin/checker/readiness_test.go
+++ b/internal/standin/checker/readiness_test.go
@@ -14,13 +14,13 @@
 		{"over a quarter still ready after the stop signal", Drain, func(r *run) { r.stillReady(7, 2) }},
 		{"restarted after the stop signal", "", func(r *run) {
 			for i := range 3 {
-				r.Looked(fmt.Sprint("n", i), true)
-				r.Term(fmt.Sprint("n", i))
+				r.ReadinessProbed(fmt.Sprint("n", i), true)
+				r.StopSignaled(fmt.Sprint("n", i))
 			}
 			wait(2 * time.Second)
 			for i := range 3 {
-				r.Lives(fmt.Sprint("n", i))
-				r.Looked(fmt.Sprint("n", i), true)
+				r.Restarted(fmt.Sprint("n", i))
+				r.ReadinessProbed(fmt.Sprint("n", i), true)
 			}
 			wait(3 * time.Second)
 		}},
@@ -30,13 +30,13 @@
 // stillReady sends a stop signal to count nodes, of which the first ready ones stay ready.
 func (r *run) stillReady(count, ready int) {
 	for i := range count {
-		r.Looked(fmt.Sprint("n", i), true)
-		r.Term(fmt.Sprint("n", i))
+		r.ReadinessProbed(fmt.Sprint("n", i), true)
+		r.StopSignaled(fmt.Sprint("n", i))
 	}
 	for range 5 {
 		wait(time.Second)
 		for i := range count {
-			r.Looked(fmt.Sprint("n", i), i < ready)
+			r.ReadinessProbed(fmt.Sprint("n", i), i < ready)
 		}
 	}
 }
--- a/internal/standin/checker/reusedconns.go
+++ b/internal/standin/checker/reusedconns.go
@@ -6,11 +6,11 @@
 
 // checkReusedConns checks that connected machines do not close reused connections without
 // answering a request that they forwarded to a worker that did not fail (LOST).
-func (w *Witness) checkReusedConns() {
+func (w *Recorder) checkReusedConns() {
 	count := 0
 	var example *Attempt
 	for _, attempt := range w.attemptOrder {
-		if _, forwarded, isCut := w.cutOff(attempt); attempt.ReusedConn && isCut && forwarded && w.Touch.connected(attempt.Ingress, attempt.Start, attempt.End) {
+		if _, forwarded, isCut := w.cutOff(attempt); attempt.ReusedConn && isCut && forwarded && w.Faults.connected(attempt.Ingress, attempt.Start, attempt.End) {
 			count++
 			example = attempt
 		}
--- a/internal/standin/checker/risk.go
+++ b/internal/standin/checker/risk.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// Risk counts how often each rule could have been broken during the test run. A run in which a
+// Exposure counts how often each rule could have been broken during the test run. A run in which a
 // rule could not be broken proves nothing about it.
-func (w *Witness) Risk() map[string]int {
+func (w *Recorder) Exposure() map[string]int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	counts := map[string]int{}
@@ -28,7 +28,7 @@
 		// go on reaching it after the bound if the mesh ignored the notice. Those before
 		// the notice count too: how many come after it depends on the speed of the mesh,
 		// and there may be none.
-		if worker := arrival.Worker; !worker.LeaveSentAt.IsZero() && arrival.ArrivedAt.After(worker.LeaveSentAt.Add(-w.B.Leave)) {
+		if worker := arrival.Worker; !worker.LeaveSentAt.IsZero() && arrival.ArrivedAt.After(worker.LeaveSentAt.Add(-w.Bounds.Leave)) {
 			counts[Drain]++
 		}
 	}
@@ -43,7 +43,7 @@
 	}
 	for _, attempt := range w.attemptOrder {
 		for _, at := range ackedAt {
-			if attempt.Start.After(at.Add(w.B.Change)) && attempt.Start.Before(at.Add(2*w.B.Change)) {
+			if attempt.Start.After(at.Add(w.Bounds.DocumentChange)) && attempt.Start.Before(at.Add(2*w.Bounds.DocumentChange)) {
 				counts[Config]++
 				break
 			}
@@ -57,7 +57,7 @@
 		if attempt.Answer.Status == 404 {
 			counts[Denied]++
 		}
-		if !w.finalFault[1].IsZero() && attempt.Start.After(w.finalFault[1].Add(w.B.Return)) {
+		if !w.finalFault[1].IsZero() && attempt.Start.After(w.finalFault[1].Add(w.Bounds.Recovery)) {
 			counts[Recover]++
 		}
 	}
--- a/internal/standin/checker/risk_test.go
+++ b/internal/standin/checker/risk_test.go
@@ -17,8 +17,8 @@
 	}{
 		{"busy until it leaves", time.Second, false, 1},
 		{"busy beyond its leave notice", time.Second, true, 2},
-		{"idle before it leaves", Usual.Leave + time.Second, false, 0},
-		{"idle, and one request after its leave notice", Usual.Leave + time.Second, true, 1},
+		{"idle before it leaves", UsualBounds.Leave + time.Second, false, 0},
+		{"idle, and one request after its leave notice", UsualBounds.Leave + time.Second, true, 1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -32,7 +32,7 @@
 					wait(100 * time.Millisecond)
 					testRun.exec(testRun.try(), testRun.w1)
 				}
-				if got := testRun.Risk()[Drain]; got != c.want {
+				if got := testRun.Exposure()[Drain]; got != c.want {
 					t.Errorf("at risk %d times, want %d", got, c.want)
 				}
 			})
--- a/internal/standin/checker/splits.go
+++ b/internal/standin/checker/splits.go
@@ -14,7 +14,7 @@
 
 // checkSplits checks that the services of a weighted split get their shares of the requests
 // while only one document can be in force (CONFIG).
-func (w *Witness) checkSplits() {
+func (w *Recorder) checkSplits() {
 	for _, document := range w.documents {
 		from, to, ok := w.soleDocumentPeriod(document)
 		if !ok {
@@ -30,11 +30,11 @@
 
 // soleDocumentPeriod returns the period in which only the given document can be in force. ok
 // is false if there is none.
-func (w *Witness) soleDocumentPeriod(document *Document) (from, to time.Time, ok bool) {
+func (w *Recorder) soleDocumentPeriod(document *Document) (from, to time.Time, ok bool) {
 	if document.Defect != "" || document.AckedAt.IsZero() || w.newestAcked(document.AckedAt) > document.Number {
 		return from, to, false
 	}
-	from, to = document.AckedAt.Add(w.B.Change), time.Now()
+	from, to = document.AckedAt.Add(w.Bounds.DocumentChange), time.Now()
 	for _, other := range w.documents {
 		if other.Number > document.Number && other.Defect == "" && other.FirstSentAt.Before(to) {
 			to = other.FirstSentAt
@@ -45,10 +45,10 @@
 
 // checkSplit checks one route by the requests sent in [from, to). If one of them reached no
 // worker, one of the services may be rejecting requests; the shares are not judged then.
-func (w *Witness) checkSplit(document *Document, route *RouteSpec, from, to time.Time) {
+func (w *Recorder) checkSplit(document *Document, route *RouteSpec, from, to time.Time) {
 	counts, total, weights := map[string]int{}, 0, 0
 	for _, attempt := range w.attemptOrder {
-		if attempt.Start.Before(from) || !attempt.Start.Before(to) || document.Match(attempt.Host, attempt.URI) != route || !w.Touch.connected(attempt.Ingress, attempt.Start, attempt.End) {
+		if attempt.Start.Before(from) || !attempt.Start.Before(to) || document.Match(attempt.Host, attempt.URI) != route || !w.Faults.connected(attempt.Ingress, attempt.Start, attempt.End) {
 			continue
 		}
 		if len(attempt.Arrivals) == 0 {
--- a/internal/standin/checker/splits_test.go
+++ b/internal/standin/checker/splits_test.go
@@ -35,7 +35,7 @@
 			return r.w1
 		})},
 		{"one service gets all requests on a disconnected machine", "", func(r *run) {
-			r.Touch.Begin("m1", "frozen")
+			r.Faults.Begin("m1", "frozen")
 			halves(200, always)(r)
 		}},
 	}
--- a/internal/standin/checker/timeouts_test.go
+++ b/internal/standin/checker/timeouts_test.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// timeoutScenarios exceeds the timeout of the route, or the timeout passed to workers, by more
+// lateAnswerScenarios exceeds the timeout of the route, or the timeout passed to workers, by more
 // than allowed; the cases without a rule stay just within them.
-func timeoutScenarios() []scenarioCase {
+func lateAnswerScenarios() []scenarioCase {
 	answeredAfter := func(count int, after time.Duration) func(r *run) {
 		return func(r *run) {
 			for range count {
--- a/internal/standin/checker/witness.go
+++ b/internal/standin/checker/witness.go
@@ -33,16 +33,16 @@
 
 // Bounds are the limits that the rules check.
 type Bounds struct {
-	Touch, Leave, Grace, UnforwardedCut time.Duration // until a machine counts as connected; a worker's leave; a graceful shutdown; an unforwarded request cut off by planned work
-	Change, Back, Stretch               time.Duration // a document taking effect; a step back to an older one; extension while the control plane is unsettled
-	Ack, Window, Return, Hist, Frees    time.Duration // an acknowledgement; window of the retry budget; recovery after the final fault; history for watches; release of an expired lock
-	Share, Allow                        float64       // allowed retries: as a part of the requests, and in addition
+	Connect, Leave, Grace, UnforwardedCut                 time.Duration // until a machine counts as connected; a worker's leave; a graceful shutdown; an unforwarded request cut off by planned work
+	DocumentChange, StepBack, UnsettledExtension          time.Duration // a document taking effect; a step back to an older one; extension while the control plane is unsettled
+	Ack, RetryWindow, Recovery, WatchHistory, LockRelease time.Duration // an acknowledgement; window of the retry budget; recovery after the final fault; history for watches; release of an expired lock
+	RetryShare, RetryAllowance                            float64       // allowed retries: as a part of the requests, and in addition
 }
 
-// Usual are the bounds that the known deployments have.
-var Usual = Bounds{Touch: 3 * time.Second, Leave: 2 * time.Second, Grace: 6 * time.Second, UnforwardedCut: 200 * time.Millisecond,
-	Change: 2 * time.Second, Back: 250 * time.Millisecond, Stretch: 5 * time.Second, Ack: 4 * time.Second, Window: 10 * time.Second,
-	Return: 15 * time.Second, Hist: 20 * time.Second, Frees: 1500 * time.Millisecond, Share: 0.2, Allow: 60}
+// UsualBounds are the bounds that the known deployments have.
+var UsualBounds = Bounds{Connect: 3 * time.Second, Leave: 2 * time.Second, Grace: 6 * time.Second, UnforwardedCut: 200 * time.Millisecond,
+	DocumentChange: 2 * time.Second, StepBack: 250 * time.Millisecond, UnsettledExtension: 5 * time.Second, Ack: 4 * time.Second, RetryWindow: 10 * time.Second,
+	Recovery: 15 * time.Second, WatchHistory: 20 * time.Second, LockRelease: 1500 * time.Millisecond, RetryShare: 0.2, RetryAllowance: 60}
 
 // Answer is what came back to a client on its socket.
 type Answer struct {
@@ -103,16 +103,16 @@
 
 // Worker is one incarnation of a worker.
 type Worker struct {
-	Name, Service, Machine, Area string
+	Name, Service, Machine, Zone string
 	LeaveSentAt                  time.Time // when it first reported that it leaves
 	LeaveAckedAt                 time.Time // when that was first acknowledged
 	LeaveAckedBy                 string    // the machine that acknowledged it
 }
 
-// Witness records one test run. mu guards its unexported fields; records change through Update.
-type Witness struct {
+// Recorder records one test run. mu guards its unexported fields; records change through Update.
+type Recorder struct {
 	mu              sync.Mutex
-	B               Bounds
+	Bounds          Bounds
 	attempts        map[string]*Attempt
 	attemptOrder    []*Attempt
 	arrivals        []*Arrival
@@ -121,7 +121,7 @@
 	notes           []string
 	breaches        map[string]int
 	noted           map[string]bool
-	Touch           *Disturbances
+	Faults          *Disturbances
 	documents       []*Document
 	configReads     []ConfigRead
 	calls           []*Op
@@ -136,19 +136,19 @@
 }
 
 // New returns a recorder for a test run that begins now.
-func New(bounds Bounds) *Witness {
-	return &Witness{B: bounds, attempts: map[string]*Attempt{}, serviceOf: map[string]string{}, breaches: map[string]int{}, noted: map[string]bool{},
-		Touch: newDisturbances(bounds.Touch), incarnations: map[string]int{}, restarts: map[string][]time.Time{}, readinessProbes: map[string][]readinessProbe{}}
+func New(bounds Bounds) *Recorder {
+	return &Recorder{Bounds: bounds, attempts: map[string]*Attempt{}, serviceOf: map[string]string{}, breaches: map[string]int{}, noted: map[string]bool{},
+		Faults: newDisturbances(bounds.Connect), incarnations: map[string]int{}, restarts: map[string][]time.Time{}, readinessProbes: map[string][]readinessProbe{}}
 }
 
 // RecordBreach counts one breach. A breach with the same text is counted once.
-func (w *Witness) RecordBreach(rule, format string, args ...any) {
+func (w *Recorder) RecordBreach(rule, format string, args ...any) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.recordBreach(rule, format, args...)
 }
 
-func (w *Witness) recordBreach(rule, format string, args ...any) {
+func (w *Recorder) recordBreach(rule, format string, args ...any) {
 	note := rule + ": " + fmt.Sprintf(format, args...)
 	if w.noted[note] {
 		return
@@ -161,7 +161,7 @@
 }
 
 // AttemptStarted records an attempt before its first byte is sent.
-func (w *Witness) AttemptStarted(attempt *Attempt) {
+func (w *Recorder) AttemptStarted(attempt *Attempt) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	attempt.Incarnation = w.incarnations[attempt.Ingress]
@@ -170,49 +170,49 @@
 }
 
 // FindAttempt returns the attempt with the given ID, or nil.
-func (w *Witness) FindAttempt(id string) *Attempt {
+func (w *Recorder) FindAttempt(id string) *Attempt {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.attempts[id]
 }
 
 // AttemptSent records that the last byte of an attempt was sent.
-func (w *Witness) AttemptSent(attempt *Attempt) {
+func (w *Recorder) AttemptSent(attempt *Attempt) {
 	w.mu.Lock()
 	attempt.SentAt = time.Now()
 	w.mu.Unlock()
 }
 
 // AttemptEnded records the outcome of an attempt.
-func (w *Witness) AttemptEnded(attempt *Attempt, answer Answer) {
+func (w *Recorder) AttemptEnded(attempt *Attempt, answer Answer) {
 	w.mu.Lock()
 	attempt.Answer, attempt.End = answer, time.Now()
 	w.mu.Unlock()
 }
 
 // UnexpectedBytes records a breach: bytes arrived on a connection without a pending request.
-func (w *Witness) UnexpectedBytes(ingress, content string) {
+func (w *Recorder) UnexpectedBytes(ingress, content string) {
 	w.RecordBreach(Mixed, "%s: bytes on a connection without a pending request: %.60q at %s", ingress, content, clockTime(time.Now()))
 }
 
 // WorkerStarted records a new incarnation of a worker.
-func (w *Witness) WorkerStarted(worker *Worker) {
+func (w *Recorder) WorkerStarted(worker *Worker) {
 	w.mu.Lock()
 	w.workers = append(w.workers, worker)
 	w.serviceOf[worker.Machine] = worker.Service
 	w.mu.Unlock()
 }
 
-// Serves records the service of a machine's worker. The machine's node keeps it as its caller
+// SetCallerService records the service of a machine's worker. The machine's node keeps it as its caller
 // service after the worker is gone.
-func (w *Witness) Serves(machine, service string) {
+func (w *Recorder) SetCallerService(machine, service string) {
 	w.mu.Lock()
 	w.serviceOf[machine] = service
 	w.mu.Unlock()
 }
 
 // RecordArrival records an arrival at a worker.
-func (w *Witness) RecordArrival(arrival *Arrival, attemptID string) {
+func (w *Recorder) RecordArrival(arrival *Arrival, attemptID string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	arrival.ArrivedAt = time.Now()
@@ -225,14 +225,14 @@
 }
 
 // Update runs a function that changes recorded data, with the lock held.
-func (w *Witness) Update(update func()) {
+func (w *Recorder) Update(update func()) {
 	w.mu.Lock()
 	update()
 	w.mu.Unlock()
 }
 
-// Lives records that a machine's processes restarted.
-func (w *Witness) Lives(machine string) {
+// Restarted records that a machine's processes restarted.
+func (w *Recorder) Restarted(machine string) {
 	w.mu.Lock()
 	w.incarnations[machine]++
 	w.restarts[machine] = append(w.restarts[machine], time.Now())
--- a/internal/standin/configstate.go
+++ b/internal/standin/configstate.go
@@ -16,7 +16,7 @@
 }
 
 // accept records the content of a number. The highest number is in force.
-func (s configState) accept(order Order) configState {
+func (s configState) accept(order ConfigCall) configState {
 	s.contents += fmt.Sprintf("%d %s\n", order.Number, order.Content)
 	if order.Number > s.current.Number {
 		s.current = order
--- a/internal/standin/coordination.go
+++ b/internal/standin/coordination.go
@@ -24,25 +24,25 @@
 	WatchGap   = "a watch missed or repeated a change"
 )
 
-// CoordKinds lists these violations.
-var CoordKinds = []string{TwoHolders, NotRising, StaleRead, WatchGap}
+// CoordinationViolations lists these violations.
+var CoordinationViolations = []string{TwoHolders, NotRising, StaleRead, WatchGap}
 
-// Coord simulates callers of locks, numbers, keys and watches. mu guards the maps and Lost.
-type Coord struct {
-	tasks          *task.Group
-	observer       *Observer
-	nodes          []string // outer addresses of the nodes
-	transport      *http.Transport
-	timeout        time.Duration
-	mu             sync.Mutex
-	held           map[string]lockHold
-	highest        map[string]uint64          // name to the highest number given; fences under "fence/" and the lock
-	given          map[string]map[uint64]bool // name to all numbers given
-	ackedRevisions map[string]uint64          // key to the highest acknowledged revision
-	ackedChanges   map[uint64]bool            // acknowledged revisions
-	Done           map[string]int             // kind and status of a call to their number
-	Lost           []string                   // calls with an unknown outcome, and why
-	Skip           func(node string) bool     // if set, tells which nodes get no calls for now
+// CoordinationCallers simulates callers of locks, numbers, keys and watches. mu guards the maps and Lost.
+type CoordinationCallers struct {
+	tasks           *task.Group
+	observer        *Observer
+	nodes           []string // outer addresses of the nodes
+	transport       *http.Transport
+	timeout         time.Duration
+	mu              sync.Mutex
+	held            map[string]lockHold
+	highest         map[string]uint64          // name to the highest number given; fences under "fence/" and the lock
+	given           map[string]map[uint64]bool // name to all numbers given
+	ackedRevisions  map[string]uint64          // key to the highest acknowledged revision
+	ackedChanges    map[uint64]bool            // acknowledged revisions
+	Outcomes        map[string]int             // kind and status of a call to their number
+	UnknownOutcomes []string                   // calls with an unknown outcome, and why
+	Skip            func(node string) bool     // if set, tells which nodes get no calls for now
 }
 
 type lockHold struct {
@@ -51,10 +51,10 @@
 	until time.Time
 }
 
-// NewCoord creates callers of the given nodes.
-func NewCoord(environment env.Env, nodes []string, observer *Observer) *Coord {
-	coord := &Coord{tasks: task.New(context.Background()), observer: observer, nodes: nodes, timeout: 4 * time.Second, held: map[string]lockHold{}, highest: map[string]uint64{},
-		given: map[string]map[uint64]bool{}, ackedRevisions: map[string]uint64{}, ackedChanges: map[uint64]bool{}, Done: map[string]int{}}
+// NewCoordinationCallers creates callers of the given nodes.
+func NewCoordinationCallers(environment env.Env, nodes []string, observer *Observer) *CoordinationCallers {
+	coord := &CoordinationCallers{tasks: task.New(context.Background()), observer: observer, nodes: nodes, timeout: 4 * time.Second, held: map[string]lockHold{}, highest: map[string]uint64{},
+		given: map[string]map[uint64]bool{}, ackedRevisions: map[string]uint64{}, ackedChanges: map[uint64]bool{}, Outcomes: map[string]int{}}
 	coord.transport = &http.Transport{DisableKeepAlives: true, DialContext: func(ctx context.Context, _, addr string) (net.Conn, error) { return environment.Net.Dial(ctx, addr) }}
 	return coord
 }
@@ -73,7 +73,7 @@
 	} `json:"changes"`
 }
 
-func (c *Coord) request(method, uri string, body any) coordResponse {
+func (c *CoordinationCallers) request(method, uri string, body any) coordResponse {
 	var answer coordResponse
 	ctx, cancel := context.WithTimeout(c.tasks.Context(), c.timeout)
 	defer cancel()
@@ -99,20 +99,20 @@
 			_ = json.Unmarshal(raw, &answer)
 			if answer.status == http.StatusGatewayTimeout {
 				c.mu.Lock()
-				c.Lost = append(c.Lost, fmt.Sprintf("%s %s at %s until %s: %s", method, uri, node, time.Now().Format("05.000"), raw))
+				c.UnknownOutcomes = append(c.UnknownOutcomes, fmt.Sprintf("%s %s at %s until %s: %s", method, uri, node, time.Now().Format("05.000"), raw))
 				c.mu.Unlock()
 			}
 		}
 	}
 	c.mu.Lock()
-	c.Done[fmt.Sprintf("%s %d", strings.SplitN(uri[8:], "/", 2)[0], answer.status)]++
+	c.Outcomes[fmt.Sprintf("%s %d", strings.SplitN(uri[8:], "/", 2)[0], answer.status)]++
 	c.mu.Unlock()
 	return answer
 }
 
 // Run makes calls for the given duration. rate is the number of calls per second of all
 // callers together.
-func (c *Coord) Run(callers int, rate float64, duration time.Duration) {
+func (c *CoordinationCallers) Run(callers int, rate float64, duration time.Duration) {
 	runCtx, cancel := context.WithTimeout(c.tasks.Context(), duration)
 	defer cancel()
 	var running sync.WaitGroup
@@ -151,7 +151,7 @@
 	c.tasks.Stop()
 }
 
-func (c *Coord) lock(owner, name string) {
+func (c *CoordinationCallers) lock(owner, name string) {
 	start := time.Now()
 	ttl := 2 * time.Second
 	response := c.request("POST", "/puffin/locks/"+name+"/acquire", map[string]any{"owner": owner, "ttl_ms": ttl.Milliseconds()})
@@ -191,7 +191,7 @@
 	c.request("POST", "/puffin/locks/"+name+"/release", map[string]any{"owner": owner, "fence": response.Fence})
 }
 
-func (c *Coord) number(name string) {
+func (c *CoordinationCallers) number(name string) {
 	c.mu.Lock()
 	lowest := c.highest[name]
 	c.mu.Unlock()
@@ -212,7 +212,7 @@
 	c.highest[name] = max(c.highest[name], response.Number)
 }
 
-func (c *Coord) put(name string) {
+func (c *CoordinationCallers) put(name string) {
 	response := c.request("PUT", "/puffin/keys/"+name, map[string]any{"value": fmt.Sprint(rand.Int64())})
 	if response.status != 200 {
 		return
@@ -226,7 +226,7 @@
 	c.mu.Unlock()
 }
 
-func (c *Coord) get(name string) {
+func (c *CoordinationCallers) get(name string) {
 	c.mu.Lock()
 	lowest := c.ackedRevisions[name]
 	c.mu.Unlock()
--- a/internal/standin/coordination_test.go
+++ b/internal/standin/coordination_test.go
@@ -42,8 +42,8 @@
 func TestCoordDetectsBrokenPromises(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		net := sim.NewNet(1, time.Millisecond, time.Millisecond)
-		net.Place("h1", "x")
-		net.Place("h2", "x")
+		net.SetZone("h1", "x")
+		net.SetZone("h2", "x")
 		tasks := task.New(context.Background())
 		environment := env.Env{Net: net.Host("h1"), Log: event.New("h1", nil), WallClock: time.Now}
 		if err := httpapi.Serve(tasks, environment, "h1:1", &brokenNode{}, time.Second); err != nil {
@@ -51,11 +51,11 @@
 		}
 		observer := standin.NewObserver()
 		environment.Net = net.Host("h2")
-		coord := standin.NewCoord(environment, []string{"h1:1"}, observer)
+		coord := standin.NewCoordinationCallers(environment, []string{"h1:1"}, observer)
 		coord.Run(6, 60, 5*time.Second)
 		tasks.Stop()
-		violations, _ := observer.Verdict()
-		for _, k := range standin.CoordKinds {
+		violations, _ := observer.Violations()
+		for _, k := range standin.CoordinationViolations {
 			if violations[k] == 0 {
 				t.Errorf("violation was not detected: %s", k)
 			}
--- a/internal/standin/linear.go
+++ b/internal/standin/linear.go
@@ -21,9 +21,9 @@
 	Unknown         bool
 }
 
-// Linear reports whether the history of one key is linearizable: each call can have taken
+// LinearizableKey reports whether the history of one key is linearizable: each call can have taken
 // effect at one instant between its start and its end.
-func Linear(ops []Op) bool {
+func LinearizableKey(ops []Op) bool {
 	var calls []HistoryCall
 	for _, op := range ops {
 		// A read without an answer proves nothing.
@@ -31,7 +31,7 @@
 			calls = append(calls, HistoryCall{In: op, From: op.From, To: op.To, Unknown: op.Unknown})
 		}
 	}
-	return Explained(keyModel, calls)
+	return Linearizable(keyModel, calls)
 }
 
 // HistoryCall is one call of a history, on any kind of object.
@@ -41,9 +41,9 @@
 	Unknown  bool // it is not known whether and when it took effect
 }
 
-// Explained reports whether a history is linearizable by a model. A call with an unknown outcome
+// Linearizable reports whether a history is linearizable by a model. A call with an unknown outcome
 // has no end: it may take effect after all others, which is equivalent to never.
-func Explained(model porcupine.Model, calls []HistoryCall) bool {
+func Linearizable(model porcupine.Model, calls []HistoryCall) bool {
 	var ops []porcupine.Operation
 	for i, c := range calls {
 		operation := porcupine.Operation{ClientId: i, Input: c, Call: c.From.UnixNano(), Output: c.Out, Return: c.To.UnixNano()}
@@ -94,15 +94,15 @@
 	},
 }
 
-// Order is an operator's configuration with its number, or a read of the one in force.
-type Order struct {
+// ConfigCall is an operator's configuration with its number, or a read of the one in force.
+type ConfigCall struct {
 	Number  uint64 // 0 for a read
 	Content string
 }
 
-// OrderAnswer is the answer to an Order: an acknowledgement, a rejection, or the result of a
+// ConfigAnswer is the answer to an Order: an acknowledgement, a rejection, or the result of a
 // read.
-type OrderAnswer struct {
+type ConfigAnswer struct {
 	Refused bool
 	Number  uint64
 	Content string
@@ -111,19 +111,19 @@
 // configState holds the configuration in force, and the content that was accepted with each
 // number, in the order of acceptance.
 type configState struct {
-	current  Order
+	current  ConfigCall
 	contents string // one line for each accepted number
 }
 
-// OrderModel models the operator's configuration. The highest number is in force. A number has
+// ConfigModel models the operator's configuration. The highest number is in force. A number has
 // the same content forever: other content is rejected, and the same content is acknowledged
 // each time it is sent.
-var OrderModel = porcupine.Model{
+var ConfigModel = porcupine.Model{
 	Init: func() any { return configState{} },
 	Step: func(state, input, output any) (bool, any) {
 		s, call := state.(configState), input.(HistoryCall)
-		in, _ := call.In.(Order)
-		out, _ := output.(OrderAnswer)
+		in, _ := call.In.(ConfigCall)
+		out, _ := output.(ConfigAnswer)
 		if in.Number == 0 {
 			return out.Number == s.current.Number && out.Content == s.current.Content, s
 		}
--- a/internal/standin/linear_test.go
+++ b/internal/standin/linear_test.go
@@ -30,7 +30,7 @@
 		{[]Op{write("a", 0, 1), {Write: true, Conditional: true, Expected: "a", Value: "b", From: at(2), To: at(3)}, {Write: true, Conditional: true, Expected: "a", Value: "c", From: at(4), To: at(5)}}, false},
 		{[]Op{write("a", 0, 1), {Write: true, Conditional: true, Expected: "a", Value: "b", From: at(2), To: at(3)}, {Write: true, Conditional: true, Expected: "a", Value: "c", ConditionFailed: true, From: at(4), To: at(5)}, read("b", 6, 7)}, true},
 	} {
-		if got := Linear(c.ops); got != c.want {
+		if got := LinearizableKey(c.ops); got != c.want {
 			t.Errorf("history %d: %v, want %v", i, got, c.want)
 		}
 	}
@@ -52,12 +52,12 @@
 				ops = append(ops, Op{Value: value, From: at(now - halfWidth), To: at(now + halfWidth)})
 			}
 		}
-		if !Linear(ops) {
+		if !LinearizableKey(ops) {
 			t.Fatal("a linearizable history was rejected")
 		}
 		if value != "" {
 			ops = append(ops, Op{Value: previous, From: at(now + 20), To: at(now + 21)})
-			if Linear(ops) {
+			if LinearizableKey(ops) {
 				t.Fatal("a stale read was not detected")
 			}
 		}
--- a/internal/standin/models_test.go
+++ b/internal/standin/models_test.go
@@ -6,13 +6,13 @@
 // one, two operators get different contents acknowledged under one number.
 func TestOrderModel(t *testing.T) {
 	order := func(number uint64, content string, refused bool, from, to int) HistoryCall {
-		return HistoryCall{In: Order{number, content}, Out: OrderAnswer{Refused: refused}, From: at(from), To: at(to)}
+		return HistoryCall{In: ConfigCall{number, content}, Out: ConfigAnswer{Refused: refused}, From: at(from), To: at(to)}
 	}
 	uncertain := func(number uint64, content string, from int) HistoryCall {
-		return HistoryCall{In: Order{number, content}, Out: OrderAnswer{}, From: at(from), To: at(from + 1), Unknown: true}
+		return HistoryCall{In: ConfigCall{number, content}, Out: ConfigAnswer{}, From: at(from), To: at(from + 1), Unknown: true}
 	}
 	read := func(number uint64, content string, from, to int) HistoryCall {
-		return HistoryCall{In: Order{}, Out: OrderAnswer{Number: number, Content: content}, From: at(from), To: at(to)}
+		return HistoryCall{In: ConfigCall{}, Out: ConfigAnswer{Number: number, Content: content}, From: at(from), To: at(to)}
 	}
 	for i, c := range []struct {
 		calls []HistoryCall
@@ -28,7 +28,7 @@
 		{[]HistoryCall{uncertain(1, "x", 0), order(1, "y", false, 5, 6), read(1, "x", 7, 8)}, false},
 		{[]HistoryCall{order(5, "x", false, 0, 1), order(3, "y", false, 2, 3), order(3, "z", true, 4, 5), read(5, "x", 6, 7)}, true},
 	} {
-		if got := Explained(OrderModel, c.calls); got != c.want {
+		if got := Linearizable(ConfigModel, c.calls); got != c.want {
 			t.Errorf("history %d: %v, want %v", i, got, c.want)
 		}
 	}
@@ -48,7 +48,7 @@
 		{[]HistoryCall{next(1, 0, 1), next(1, 2, 3)}, false},
 		{[]HistoryCall{next(4, 0, 1), next(2, 2, 3)}, false},
 	} {
-		if got := Explained(NumberModel, c.calls); got != c.want {
+		if got := Linearizable(NumberModel, c.calls); got != c.want {
 			t.Errorf("history %d: %v, want %v", i, got, c.want)
 		}
 	}
--- a/internal/standin/observer.go
+++ b/internal/standin/observer.go
@@ -21,18 +21,18 @@
 
 // Call is one call as its caller saw it.
 type Call struct {
-	ID      string // the ID that the caller gave it
-	Front   string
-	Service string
-	Safe    bool
-	From    time.Time
-	To      time.Time
-	Status  int    // 0 if there was no answer
-	Ran     string // the header that says whether the request was executed
-	Version uint64
-	Body    string
-	Retry   string // the Retry-After header
-	Cut     bool   // the answer was cut off after its headers
+	ID         string // the ID that the caller gave it
+	Ingress    string
+	Service    string
+	Safe       bool
+	From       time.Time
+	To         time.Time
+	Status     int    // 0 if there was no answer
+	Ran        string // the header that says whether the request was executed
+	Version    uint64
+	Body       string
+	RetryAfter string // the Retry-After header
+	Cut        bool   // the answer was cut off after its headers
 }
 
 // Observer records every execution and every answer, and counts violations of the guarantees.
@@ -74,8 +74,8 @@
 	CutOff           = "an answer in progress was cut off by a graceful shutdown"
 )
 
-// Kinds lists these violations.
-var Kinds = []string{Twice, RanThoughBusy, NotWorkersAnswer, Misdelivered, SentAfterLeave, StaleVersion, VersionStepBack, TooManyRetries, CutOff}
+// ViolationKinds lists these violations.
+var ViolationKinds = []string{Twice, RanThoughBusy, NotWorkersAnswer, Misdelivered, SentAfterLeave, StaleVersion, VersionStepBack, TooManyRetries, CutOff}
 
 func (o *Observer) recordViolation(kind, format string, args ...any) {
 	o.violations[kind]++
@@ -112,22 +112,22 @@
 	o.executions[callID] = append(o.executions[callID], execution{now, worker.ID})
 }
 
-// Acked records that a version was acknowledged.
-func (o *Observer) Acked(version uint64) {
+// VersionAcked records that a version was acknowledged.
+func (o *Observer) VersionAcked(version uint64) {
 	o.mu.Lock()
 	o.ackedVersions = append(o.ackedVersions, ackedVersion{time.Now(), version})
 	o.mu.Unlock()
 }
 
-// Acks returns the number of acknowledged versions.
-func (o *Observer) Acks() int {
+// AckedVersions returns the number of acknowledged versions.
+func (o *Observer) AckedVersions() int {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return len(o.ackedVersions)
 }
 
-// Lost records that an ingress was disconnected for a period.
-func (o *Observer) Lost(ingress string, from, to time.Time) {
+// Disconnected records that an ingress was disconnected for a period.
+func (o *Observer) Disconnected(ingress string, from, to time.Time) {
 	o.mu.Lock()
 	o.disconnected[ingress] = append(o.disconnected[ingress], period{from, to})
 	o.mu.Unlock()
--- a/internal/standin/observer_test.go
+++ b/internal/standin/observer_test.go
@@ -12,7 +12,7 @@
 func TestObserverDetectsFaults(t *testing.T) {
 	now := time.Now
 	served := func(observer *Observer, id string, version uint64) Call {
-		return Call{ID: id, Front: "f", Service: "s", From: now(), To: now(), Status: 200, Version: version, Body: "s|w|job|" + id + "|0"}
+		return Call{ID: id, Ingress: "f", Service: "s", From: now(), To: now(), Status: 200, Version: version, Body: "s|w|job|" + id + "|0"}
 	}
 	worker := &Worker{Service: "s", ID: "w"}
 	for _, c := range []struct {
@@ -45,7 +45,7 @@
 		{Misdelivered, func(observer *Observer) { observer.recordExecution("j", "a", worker, "other", time.Time{}) }},
 		{SentAfterLeave, func(observer *Observer) { observer.recordExecution("j", "a", worker, "s", now().Add(-3*time.Second)) }},
 		{StaleVersion, func(observer *Observer) {
-			observer.Acked(2)
+			observer.VersionAcked(2)
 			<-time.After(3 * time.Second)
 			observer.recordExecution("j", "a", worker, "s", time.Time{})
 			observer.RecordCall(served(observer, "a", 1))
@@ -73,7 +73,7 @@
 		synctest.Test(t, func(t *testing.T) {
 			observer := NewObserver()
 			c.act(observer)
-			violations, _ := observer.Verdict()
+			violations, _ := observer.Violations()
 			if c.kind == "" && len(violations) > 0 {
 				t.Errorf("violations in a correct run: %v", violations)
 			}
--- a/internal/standin/verdict.go
+++ b/internal/standin/verdict.go
@@ -8,9 +8,9 @@
 	"time"
 )
 
-// Verdict checks all records and returns the number of violations of each kind, with notes on
+// Violations checks all records and returns the number of violations of each kind, with notes on
 // the first ones.
-func (o *Observer) Verdict() (map[string]int, []string) {
+func (o *Observer) Violations() (map[string]int, []string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	byIngress := map[string][]Call{}
@@ -23,13 +23,13 @@
 			o.recordViolation(RanThoughBusy, "%s was executed at %s", c.ID, o.executions[c.ID][0].worker)
 		}
 		if c.Cut {
-			o.recordViolation(CutOff, "%s at %s", c.ID, c.Front)
+			o.recordViolation(CutOff, "%s at %s", c.ID, c.Ingress)
 		}
 		if c.Status == 200 && !o.isWorkersAnswer(c) {
 			o.recordViolation(NotWorkersAnswer, "%s got %q", c.ID, c.Body)
 		}
 		o.checkVersionAge(c)
-		byIngress[c.Front] = append(byIngress[c.Front], c)
+		byIngress[c.Ingress] = append(byIngress[c.Ingress], c)
 	}
 	for ingress, calls := range byIngress {
 		o.checkVersionOrder(ingress, calls)
@@ -59,14 +59,14 @@
 	if call.Version == 0 {
 		return
 	}
-	for _, s := range o.disconnected[call.Front] {
+	for _, s := range o.disconnected[call.Ingress] {
 		if call.From.After(s.from) && call.From.Before(s.to) {
 			return
 		}
 	}
 	for _, a := range o.ackedVersions {
 		if a.version > call.Version && call.From.Sub(a.at) > o.ConfigBound {
-			o.recordViolation(StaleVersion, "%s at %s used version %d, %v after version %d was acknowledged", call.ID, call.Front, call.Version, call.From.Sub(a.at), a.version)
+			o.recordViolation(StaleVersion, "%s at %s used version %d, %v after version %d was acknowledged", call.ID, call.Ingress, call.Version, call.From.Sub(a.at), a.version)
 			return
 		}
 	}
@@ -157,8 +157,8 @@
 	return durations[min(int(float64(len(durations))*quantile), len(durations)-1)]
 }
 
-// Runs returns the number of executions by a service.
-func (o *Observer) Runs(service string) int {
+// Executions returns the number of executions by a service.
+func (o *Observer) Executions(service string) int {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return len(o.firstArrivals[service]) + len(o.retryArrivals[service])
--- a/internal/standin/watch.go
+++ b/internal/standin/watch.go
@@ -9,7 +9,7 @@
 
 // watch watches all keys, and checks that every acknowledged change up to the last revision that
 // it reached was seen once and in order.
-func (c *Coord) watch(runCtx context.Context) {
+func (c *CoordinationCallers) watch(runCtx context.Context) {
 	from, lastRevision := uint64(1), uint64(0)
 	seen := map[uint64]bool{}
 	starting := true
@@ -60,19 +60,19 @@
 	return lowest
 }
 
-// Held returns the number of locks currently held.
-func (c *Coord) Held() int {
+// HeldLocks returns the number of locks currently held.
+func (c *CoordinationCallers) HeldLocks() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.held)
 }
 
-// Count returns the number of calls that were answered with 200.
-func (c *Coord) Count() int {
+// Succeeded returns the number of calls that were answered with 200.
+func (c *CoordinationCallers) Succeeded() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	count := 0
-	for outcome, k := range c.Done {
+	for outcome, k := range c.Outcomes {
 		if strings.HasSuffix(outcome, " 200") {
 			count += k
 		}
--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -21,8 +21,8 @@
 	"puffincrank/internal/task"
 )
 
-// Way describes how a worker behaves. The parts are those of the requests, drawn at random.
-type Way struct {
+// WorkerBehavior describes how a worker behaves. The parts are those of the requests, drawn at random.
+type WorkerBehavior struct {
 	Took   time.Duration // mean time to execute a request
 	Lose   float64       // part executed, but whose answer is lost
 	Garble float64       // part whose answer is corrupted
@@ -42,7 +42,7 @@
 	observer                    *Observer
 	transport                   http.RoundTripper
 	mu                          sync.Mutex
-	behavior                    Way
+	behavior                    WorkerBehavior
 	state                       string
 	leftAt                      time.Time // when it first reported that it is leaving
 	executing, peak, executions int
@@ -50,7 +50,7 @@
 }
 
 // NewWorker starts a worker. observer may be nil if violations are not counted.
-func NewWorker(environment env.Env, service, id, addr, proxyAddr string, slots int, behavior Way, observer *Observer) (*Worker, error) {
+func NewWorker(environment env.Env, service, id, addr, proxyAddr string, slots int, behavior WorkerBehavior, observer *Observer) (*Worker, error) {
 	worker := &Worker{Service: service, ID: id, Addr: addr, Slots: slots, proxyAddr: proxyAddr, env: environment, tasks: task.New(context.Background()), observer: observer, behavior: behavior, state: "up"}
 	worker.transport = &http.Transport{DisableKeepAlives: true, DialContext: func(ctx context.Context, _, addr string) (net.Conn, error) { return environment.Net.Dial(ctx, addr) }}
 	if err := httpapi.Serve(worker.tasks, environment, addr, http.HandlerFunc(worker.serve), time.Second); err != nil {
@@ -98,8 +98,8 @@
 	return wait
 }
 
-// Behave changes how the worker behaves.
-func (worker *Worker) Behave(behavior Way) {
+// SetBehavior changes how the worker behaves.
+func (worker *Worker) SetBehavior(behavior WorkerBehavior) {
 	worker.mu.Lock()
 	worker.behavior = behavior
 	worker.mu.Unlock()
@@ -116,26 +116,26 @@
 	worker.sendHeartbeat(worker.tasks.Context())
 }
 
-// CallsTo sets a function that is called during each request, with the remaining time in ms.
-func (worker *Worker) CallsTo(call func(left string)) {
+// SetNestedCalls sets a function that is called during each request, with the remaining time in ms.
+func (worker *Worker) SetNestedCalls(call func(left string)) {
 	worker.mu.Lock()
 	worker.nestedCalls = call
 	worker.mu.Unlock()
 }
 
-// Nests makes the worker's requests make nested calls through the given ingress. The rate of a
+// NestCalls makes the worker's requests make nested calls through the given ingress. The rate of a
 // kind of call is the part of the requests that make it.
-func (worker *Worker) Nests(ingress string, lines []Line) {
+func (worker *Worker) NestCalls(ingress string, lines []CallKind) {
 	if len(lines) == 0 {
 		return
 	}
 	callers := NewCallers(worker.env, []string{ingress}, worker.observer, 15*time.Second)
 	callers.Name = "nested-" + worker.ID + "-"
-	worker.CallsTo(func(left string) {
+	worker.SetNestedCalls(func(left string) {
 		for _, line := range lines {
 			if rand.Float64() < line.Rate {
-				line.Left = left
-				callers.At(ingress, line)
+				line.Timeout = left
+				callers.CallAt(ingress, line)
 			}
 		}
 	})
@@ -212,7 +212,7 @@
 	}
 	answer := []byte(fmt.Sprintf("%s|%s|%s|%s|%d", worker.Service, worker.ID, requestID, r.Header.Get("X-Call"), len(body)))
 	if want, _ := strconv.Atoi(r.Header.Get("X-Want")); want > 0 {
-		answer = append(answer, Whole(r.Header.Get("X-Call"), body, want)...)
+		answer = append(answer, LongAnswer(r.Header.Get("X-Call"), body, want)...)
 	}
 	if rand.Float64() < behavior.Garble {
 		w.Header().Set(responsedigest.AttemptIDHeader, attemptID)
--- a/internal/standin/workercounts.go
+++ b/internal/standin/workercounts.go
@@ -1,7 +1,7 @@
 package standin
 
-// Under returns the number of requests being executed.
-func (worker *Worker) Under() int {
+// Executing returns the number of requests being executed.
+func (worker *Worker) Executing() int {
 	worker.mu.Lock()
 	defer worker.mu.Unlock()
 	return worker.executing
--- a/internal/transport/bulk_test.go
+++ b/internal/transport/bulk_test.go
@@ -27,8 +27,8 @@
 			if pair.client.Self.MaxVersion = 1; oldSide == "b" {
 				pair.client.Self.MaxVersion, pair.server.Self.MaxVersion = 2, 1
 			}
-			pair.net.Thin("h1", megabit)
-			pair.net.Thin("h2", megabit)
+			pair.net.LimitHost("h1", megabit)
+			pair.net.LimitHost("h2", megabit)
 			for i := range 3 {
 				got, err := callBulk(pair, "ping", ping{N: i, Body: make([]byte, 200_000)}, time.Minute)
 				if err != nil || len(got.Body) != 200_000 {
@@ -46,7 +46,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		pair := newNodePair(t, "m")
 		defer pair.stop()
-		pair.net.Thin("h1", megabit)
+		pair.net.LimitHost("h1", megabit)
 		if _, err := callBulk(pair, "swap", ping{Body: make([]byte, 100_000)}, 9*time.Second); err != nil {
 			t.Fatal(err)
 		}
@@ -93,7 +93,7 @@
 			executed++
 			return ping{Body: make([]byte, message.N)}, nil
 		})
-		pair.net.Thin("h2", megabit)
+		pair.net.LimitHost("h2", megabit)
 		if _, err := callBulk(pair, "file", ping{N: 100_000}, 9*time.Second); err != nil {
 			t.Fatal(err)
 		}
@@ -149,9 +149,9 @@
 		for i := range peers {
 			send(i+3, warmUp)
 		}
-		pair.net.Thin("h1", 4*megabit)
-		pair.net.Freeze("h3", true)
-		pair.net.Freeze("h4", true)
+		pair.net.LimitHost("h1", 4*megabit)
+		pair.net.PauseProcess("h3", true)
+		pair.net.PauseProcess("h4", true)
 		stalled, others := make(chan error, 2), make(chan error, 3)
 		go send(3, stalled)
 		go send(4, stalled)
@@ -168,8 +168,8 @@
 		if elapsed := time.Since(start); elapsed > 5*time.Second {
 			t.Errorf("the other links took %v", elapsed)
 		}
-		pair.net.Freeze("h3", false)
-		pair.net.Freeze("h4", false)
+		pair.net.PauseProcess("h3", false)
+		pair.net.PauseProcess("h4", false)
 		<-stalled
 		<-stalled
 	})
--- a/internal/transport/expired_test.go
+++ b/internal/transport/expired_test.go
@@ -28,7 +28,7 @@
 func TestDelayedCallDeadline(t *testing.T) {
 	for name, setFault := range map[string]func(*nodePair, bool){
 		"cut":    func(pair *nodePair, active bool) { pair.net.Cut("h1", "h2", active) },
-		"frozen": func(pair *nodePair, active bool) { pair.net.Freeze("h2", active) },
+		"frozen": func(pair *nodePair, active bool) { pair.net.PauseProcess("h2", active) },
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			pair := newNodePair(t, "m")
@@ -78,7 +78,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		pair := newNodePair(t, "m")
 		defer pair.stop()
-		pair.net.Lag("h2", 200*time.Millisecond)
+		pair.net.SetExtraDelay("h2", 200*time.Millisecond)
 		peer := dialRaw(t, pair, 1)
 		<-time.After(5 * time.Second)
 		for i, c := range []struct {
--- a/internal/transport/largecontrol_test.go
+++ b/internal/transport/largecontrol_test.go
@@ -17,7 +17,7 @@
 		pair := newNodePair(t, "m")
 		defer pair.stop()
 		_, _ = call(pair, "swap", ping{}, time.Second)
-		pair.net.Thin("h1", megabit)
+		pair.net.LimitHost("h1", megabit)
 		done := make(chan error, 1)
 		go func() {
 			_, err := call(pair, "swap", ping{Body: make([]byte, 600_000)}, time.Minute)
--- a/internal/transport/priority_test.go
+++ b/internal/transport/priority_test.go
@@ -52,7 +52,7 @@
 					}
 				}
 			}
-			pair.net.Thin("h1", 4*megabit)
+			pair.net.LimitHost("h1", 4*megabit)
 			start := time.Now()
 			finished := make(chan int, peerCount)
 			for i := range peerCount {
--- a/internal/transport/senddeadline_test.go
+++ b/internal/transport/senddeadline_test.go
@@ -24,7 +24,7 @@
 			<-time.After(3 * time.Second)
 			return ping{N: message.N}, nil
 		})
-		pair.net.Thin("h1", megabit)
+		pair.net.LimitHost("h1", megabit)
 		send := func(size int, limit time.Duration) (time.Duration, error) {
 			ctx, cancel := context.WithTimeout(transport.WithLane(context.Background(), transport.LaneBulk), time.Minute)
 			defer cancel()
--- a/internal/transport/thinlink_test.go
+++ b/internal/transport/thinlink_test.go
@@ -28,8 +28,8 @@
 	synctest.Test(t, func(t *testing.T) {
 		pair := newNodePair(t, "m")
 		defer pair.stop()
-		pair.net.Thin("h1", megabit)
-		pair.net.Thin("h2", megabit)
+		pair.net.LimitHost("h1", megabit)
+		pair.net.LimitHost("h2", megabit)
 		const size = 800_000
 		start := time.Now()
 		done := make(chan time.Duration, 2)
@@ -74,7 +74,7 @@
 		pair := newNodePair(t, "m")
 		defer pair.stop()
 		_, _ = call(pair, "ping", ping{}, time.Second)
-		pair.net.Thin("h1", megabit)
+		pair.net.LimitHost("h1", megabit)
 		finished := make(chan int, 99)
 		call := func(lane, size int) {
 			go func() {
@@ -109,7 +109,7 @@
 		defer pair.stop()
 		_, _ = call(pair, "ping", ping{}, time.Second)
 		before := pair.handled.Load()
-		pair.net.Thin("h1", megabit)
+		pair.net.LimitHost("h1", megabit)
 		const calls = 30
 		results := make(chan error, calls)
 		for i := range calls {
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -54,8 +54,8 @@
 			p.mu.Unlock()
 		}
 	})
-	p.net.Place(host, "x")
-	return transport.NewNode(transport.Hello{ClusterID: clusterID, Node: host, Zone: "x"}, env.Env{Net: p.net.Process(host, host), Log: log, WallClock: time.Now, Sleep: p.net.Pause(host)}, p.tasks, 1<<20, 4, 500*time.Millisecond)
+	p.net.SetZone(host, "x")
+	return transport.NewNode(transport.Hello{ClusterID: clusterID, Node: host, Zone: "x"}, env.Env{Net: p.net.Process(host, host), Log: log, WallClock: time.Now, Sleep: p.net.Sleeper(host)}, p.tasks, 1<<20, 4, 500*time.Millisecond)
 }
 
 // newNodePair returns a pair whose server handles calls of the kinds ping, swap and hang.
--- a/internal/transport/unreachable_test.go
+++ b/internal/transport/unreachable_test.go
@@ -94,9 +94,9 @@
 		if pings < 20 || pings > 41 {
 			t.Errorf("%d pings in 20 silence timeouts", pings)
 		}
-		before := pair.net.Sum(false)
+		before := pair.net.BytesSent(false)
 		<-time.After(time.Hour)
-		if sent := pair.net.Sum(false) - before; sent != 0 {
+		if sent := pair.net.BytesSent(false) - before; sent != 0 {
 			t.Errorf("%d bytes on an idle link", sent)
 		}
 	})
@@ -120,9 +120,9 @@
 				result <- err
 			}()
 			<-time.After(delay)
-			pair.net.Freeze("h1", true)
+			pair.net.PauseProcess("h1", true)
 			<-time.After(10 * silenceTimeout)
-			pair.net.Freeze("h1", false)
+			pair.net.PauseProcess("h1", false)
 			if err := <-result; err != nil {
 				t.Errorf("paused after %v: %v", delay, err)
 			}
@@ -138,7 +138,7 @@
 		defer pair.stop()
 		_, _ = call(pair, "ping", ping{}, time.Second)
 		before := pair.handled.Load()
-		pair.net.Freeze("h1", true)
+		pair.net.PauseProcess("h1", true)
 		results := make(chan error, 3)
 		for i := range 3 {
 			go func() {
@@ -154,7 +154,7 @@
 			}
 		}
 		// The first call is stuck in its write, together with the process.
-		pair.net.Freeze("h1", false)
+		pair.net.PauseProcess("h1", false)
 		if err := <-results; err != nil && !fault.Is(err, fault.Unknown) {
 			t.Errorf("the call that was being written: %v", err)
 		}
