--- a/internal/controlclient/client.go
+++ b/internal/controlclient/client.go
@@ -64,7 +64,7 @@
 	disconnected          bool
 	slow                  bool // the newest round found no connected control node and no partition: answers are late
 	stateChanged          chan struct{}
-	beatNow               chan struct{}
+	heartbeatNow          chan struct{}
 	membersHash           uint64 // hash of the member list, as the control node computed it
 	members               *membership.List
 	lastRenewed           time.Time // when the session was last renewed
@@ -77,7 +77,7 @@
 // New returns a client; Run maintains its session.
 func New(deps Dependencies, host Host) *Client {
 	deps.Replica.SetRefillPending(true)
-	return &Client{deps: deps, host: host, controlNodes: deps.Settings.Seeds, seeds: deps.Settings.Seeds, members: &membership.List{}, document: patch.NewDocument(stepsKept), stateChanged: make(chan struct{}), beatNow: make(chan struct{}, 1)}
+	return &Client{deps: deps, host: host, controlNodes: deps.Settings.Seeds, seeds: deps.Settings.Seeds, members: &membership.List{}, document: patch.NewDocument(stepsKept), stateChanged: make(chan struct{}), heartbeatNow: make(chan struct{}, 1)}
 }
 
 func (c *Client) signalChange() {
@@ -95,7 +95,7 @@
 			timer.Stop()
 			return
 		case <-timer.C:
-		case <-c.beatNow:
+		case <-c.heartbeatNow:
 			timer.Stop()
 		}
 		c.renewSession(ctx)
@@ -118,7 +118,7 @@
 // HeartbeatNow triggers the next heartbeat at once.
 func (c *Client) HeartbeatNow() {
 	select {
-	case c.beatNow <- struct{}{}:
+	case c.heartbeatNow <- struct{}{}:
 	default:
 	}
 }
--- a/internal/fleetrun/soak/disruptions.go
+++ b/internal/fleetrun/soak/disruptions.go
@@ -143,7 +143,7 @@
 }
 
 // withMachine runs an action on a machine that no other disruption uses. With a reason, the
-// witness counts the machine as disconnected meanwhile.
+// recorder counts the machine as disconnected meanwhile.
 func (f *fleet) withMachine(r *rand.Rand, reason string, action func(m *machine)) {
 	m := f.acquireMachine(r)
 	if m == nil {
@@ -151,7 +151,7 @@
 	}
 	defer f.release(m)
 	if reason != "" {
-		defer f.witness.Faults.Begin(m.name, reason)()
+		defer f.recorder.Faults.Begin(m.name, reason)()
 	}
 	action(m)
 }
--- a/internal/fleetrun/soak/fleet.go
+++ b/internal/fleetrun/soak/fleet.go
@@ -62,7 +62,7 @@
 type fleet struct {
 	options                Options
 	tasks                  *task.Group
-	witness                *checker.Recorder
+	recorder               *checker.Recorder
 	lines                  []*actors.RequestKind
 	operator               *actors.Operator
 	apps                   *actors.Apps
@@ -75,7 +75,7 @@
 	loadPercent            atomic.Int64 // the load in percent of the configured rates
 	stalls                 atomic.Int64
 	began                  time.Time
-	violations             []string // violations that are not among the witness's counts
+	violations             []string // violations that are not among the recorder's counts
 	endMinority            func()   // ends the record of a lost majority; nil while there is a majority
 }
 
@@ -85,14 +85,14 @@
 const controlMachineCount = 3
 
 func newFleet(options Options) *fleet {
-	f := &fleet{options: options, tasks: task.New(context.Background()), witness: checker.New(deploymentBounds(options.Machines)), lines: requestLines(options.Machines), began: time.Now()}
+	f := &fleet{options: options, tasks: task.New(context.Background()), recorder: checker.New(deploymentBounds(options.Machines)), lines: requestLines(options.Machines), began: time.Now()}
 	f.loadPercent.Store(100)
 	for range controlMachineCount {
 		f.controlMachines = append(f.controlMachines, f.newControlMachine(zones[len(f.controlMachines)%len(zones)]))
 	}
 	environment := silentEnv("outside")
-	f.operator = actors.NewOperator(environment, f.controlAPIAddrs, f.witness, options.Seed+1)
-	f.apps = actors.NewApps(environment, f.controlAPIAddrs, f.witness, f.tasks, options.Seed+2)
+	f.operator = actors.NewOperator(environment, f.controlAPIAddrs, f.recorder, options.Seed+1)
+	f.apps = actors.NewApps(environment, f.controlAPIAddrs, f.recorder, f.tasks, options.Seed+2)
 	f.draft = initialDraft(f.lines)
 	for i := range options.Machines {
 		f.machines = append(f.machines, f.newMachine(i))
@@ -118,8 +118,8 @@
 func (f *fleet) newMachine(i int) *machine {
 	m := &machine{name: fmt.Sprint("m", i+1), number: i + 1, host: fmt.Sprintf("%s.%d.%d", f.options.AddressPrefix, 2+i/250, 1+i%250), zone: zones[i%len(zones)], service: serviceOf(i)}
 	m.proxy = f.newProcess("proxy", m.name)
-	m.client = actors.NewClient(silentEnv(m.name), actors.PlainDialect, m.host+":8000", m.name, fmt.Sprint("c", m.number, "-"), f.witness, f.tasks, f.options.Seed*1000+uint64(i))
-	f.witness.SetCallerService(m.name, m.service)
+	m.client = actors.NewClient(silentEnv(m.name), actors.PlainDialect, m.host+":8000", m.name, fmt.Sprint("c", m.number, "-"), f.recorder, f.tasks, f.options.Seed*1000+uint64(i))
+	f.recorder.SetCallerService(m.name, m.service)
 	return m
 }
 
--- a/internal/fleetrun/soak/proxydisruptions.go
+++ b/internal/fleetrun/soak/proxydisruptions.go
@@ -12,7 +12,7 @@
 
 // restartProxy shuts down a proxy gracefully and starts it again.
 func (f *fleet) restartProxy(m *machine, r *rand.Rand) {
-	f.witness.StopSignaled(m.name)
+	f.recorder.StopSignaled(m.name)
 	f.stopGracefully(m.proxy)
 	sleep(randomDuration(r, time.Millisecond, 400*time.Millisecond))
 	f.startProxy(m)
@@ -129,7 +129,7 @@
 	if err := f.writeProxySettings(m); err != nil {
 		f.reportViolation("settings of %s: %v", m.name, err)
 	}
-	f.witness.ReloadSignaled(m.name)
+	f.recorder.ReloadSignaled(m.name)
 	m.proxy.Signal(syscall.SIGHUP)
 }
 
@@ -139,7 +139,7 @@
 	f.withMachine(r, "barrage", func(m *machine) {
 		f.reloadSettings(m)
 		m.proxy.Signal(syscall.SIGSTOP)
-		f.witness.StopSignaled(m.name)
+		f.recorder.StopSignaled(m.name)
 		m.proxy.Signal(syscall.SIGTERM)
 		sleep(randomDuration(r, time.Millisecond, 800*time.Millisecond))
 		m.proxy.Signal(syscall.SIGCONT)
--- a/internal/fleetrun/soak/run.go
+++ b/internal/fleetrun/soak/run.go
@@ -81,7 +81,7 @@
 	for _, m := range f.machines {
 		f.tasks.Go("poll-ready", func(context.Context) {
 			ready := isReady(m.host)
-			f.witness.ReadinessProbed(m.name, ready)
+			f.recorder.ReadinessProbed(m.name, ready)
 			m.mu.Lock()
 			m.failedChecks++
 			if ready {
@@ -96,7 +96,7 @@
 
 const (
 	stallCheckInterval = 20 * time.Millisecond
-	// stallBound is a delay of this process's own ticks beyond which the witness's times are
+	// stallBound is a delay of this process's own ticks beyond which the recorder's times are
 	// meaningless, since its callers and workers were delayed as well.
 	stallBound = 150 * time.Millisecond
 )
@@ -108,7 +108,7 @@
 		now := time.Now()
 		if gap := now.Sub(last); gap > stallCheckInterval+stallBound {
 			f.stalls.Add(1)
-			f.witness.Faults.Unsettle(fmt.Sprintf("the soak itself stood still for %v", gap))
+			f.recorder.Faults.Unsettle(fmt.Sprintf("the soak itself stood still for %v", gap))
 		}
 		last = now
 	}
@@ -146,7 +146,7 @@
 	if !waitFor(20*time.Second, f.allReady) {
 		f.reportViolation("not every node is ready after the last trouble")
 	}
-	sleep(f.witness.Bounds.Connect + 3*time.Second)
+	sleep(f.recorder.Bounds.Connect + 3*time.Second)
 	f.loadRunning.Store(false)
 	f.operator.ReadBack(context.Background(), 5*time.Second, true)
 	f.apps.Finish(context.Background())
@@ -177,8 +177,8 @@
 // report prints the results and returns whether there was no violation.
 func (f *fleet) report(before, after usageByProgram) bool {
 	print := func(format string, args ...any) { fmt.Fprintf(f.options.Out, format+"\n", args...) }
-	violations, notes := f.witness.Breaches()
-	atRisk := f.witness.Exposure()
+	violations, notes := f.recorder.Breaches()
+	atRisk := f.recorder.Exposure()
 	print("\n## soak, seed %d, %d machines, %v", f.options.Seed, f.options.Machines, f.options.Duration)
 	print("\n| rule | broken | had to lose |\n| --- | --- | --- |")
 	for _, rule := range checker.Rules {
@@ -190,9 +190,9 @@
 	for _, w := range f.violations {
 		print("WRONG: %s", w)
 	}
-	served, expected := f.witness.Served("", time.Time{}, time.Now())
+	served, expected := f.recorder.Served("", time.Time{}, time.Now())
 	print("\nserved %d of %d; this program itself was held up %d times", served, expected, f.stalls.Load())
-	tally := f.witness.Outcomes()
+	tally := f.recorder.Outcomes()
 	var names []string
 	for n := range tally {
 		names = append(names, n)
--- a/internal/fleetrun/soak/start.go
+++ b/internal/fleetrun/soak/start.go
@@ -14,7 +14,7 @@
 // writeSettings writes the settings file of a process: the common bounds and its extra
 // settings. The file is replaced atomically.
 func (f *fleet) writeSettings(name, zone, host string, inner, outer int, extra map[string]any) error {
-	bounds := f.witness.Bounds
+	bounds := f.recorder.Bounds
 	values := map[string]any{"node": name, "area": zone, "inner": fmt.Sprintf("%s:%d", host, inner), "outer": fmt.Sprintf("%s:%d", host, outer),
 		"change_ms": bounds.DocumentChange.Milliseconds(), "leave_ms": bounds.Leave.Milliseconds(), "window_ms": bounds.RetryWindow.Milliseconds(), "return_ms": bounds.Recovery.Milliseconds(),
 		"history_ms": bounds.WatchHistory.Milliseconds(), "grace_ms": bounds.Grace.Milliseconds(), "touch_ms": bounds.Connect.Milliseconds(), "ack_ms": bounds.Ack.Milliseconds(),
@@ -36,13 +36,13 @@
 // writeProxySettings writes the settings file of a machine's proxy.
 func (f *fleet) writeProxySettings(m *machine) error {
 	return f.writeSettings(m.name, m.zone, m.host, 7002, 7003, map[string]any{"seeds": f.controlAddrs(7002), "traffic": m.host + ":8000", "service": m.service,
-		"worker_addr": m.host + ":9000", "beat_ms": 1500, "files": 1024, "repeat_share": f.witness.Bounds.RetryShare, "repeat_allowance": int(f.witness.Bounds.RetryAllowance)})
+		"worker_addr": m.host + ":9000", "beat_ms": 1500, "files": 1024, "repeat_share": f.recorder.Bounds.RetryShare, "repeat_allowance": int(f.recorder.Bounds.RetryAllowance)})
 }
 
 // startProxy starts the proxy of a machine.
 func (f *fleet) startProxy(m *machine) {
-	f.witness.Restarted(m.name)
-	f.witness.Faults.Begin(m.name, checker.Planned+"start")()
+	f.recorder.Restarted(m.name)
+	f.recorder.Faults.Begin(m.name, checker.Planned+"start")()
 	err := f.writeProxySettings(m)
 	if err == nil {
 		err = m.proxy.Start(f.tasks)
@@ -62,7 +62,7 @@
 	behavior.TimeFactor = 0.8 + float64(m.number%5)*0.15
 	var worker *actors.Worker
 	err := process.Bind(func() (err error) {
-		worker, err = actors.StartWorker(silentEnv(id.Name), actors.PlainDialect, id, m.host+":9000", m.host+":8000", []string{m.host + ":7003"}, behavior, f.witness, f.options.Seed*1000+uint64(m.number)+500)
+		worker, err = actors.StartWorker(silentEnv(id.Name), actors.PlainDialect, id, m.host+":9000", m.host+":8000", []string{m.host + ":7003"}, behavior, f.recorder, f.options.Seed*1000+uint64(m.number)+500)
 		return err
 	})
 	if err != nil {
@@ -97,10 +97,10 @@
 	f.recordControlChange(machine, false, "started "+machine.name)
 }
 
-// recordControlChange tells the witness that the control plane was disturbed, and whether a
+// recordControlChange tells the recorder that the control plane was disturbed, and whether a
 // machine of it is down from now on. The time without a majority is recorded as well.
 func (f *fleet) recordControlChange(machine *controlMachine, down bool, what string) {
-	f.witness.Faults.Unsettle(what)
+	f.recorder.Faults.Unsettle(what)
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	machine.down = down
@@ -112,7 +112,7 @@
 	}
 	majorityLost := 2*running <= len(f.controlMachines)
 	if majorityLost && f.endMinority == nil {
-		f.endMinority = f.witness.Faults.NoMajority()
+		f.endMinority = f.recorder.Faults.NoMajority()
 	}
 	if !majorityLost && f.endMinority != nil {
 		f.endMinority()
--- a/internal/fleetrun/soak/stop.go
+++ b/internal/fleetrun/soak/stop.go
@@ -44,12 +44,12 @@
 // does not yet catch signals is ended by the signal itself; that is allowed, since its
 // ports are not open and no request can have reached it.
 func (f *fleet) stopGracefully(p *process.Process) {
-	code, took := p.Stop(syscall.SIGTERM, f.witness.Bounds.Grace+time.Second)
+	code, took := p.Stop(syscall.SIGTERM, f.recorder.Bounds.Grace+time.Second)
 	if code == endedBySignal && !p.HasLogged(startedEvent) {
 		f.logf("%s was told to end before it had begun", p.Name)
 		return
 	}
-	if code != 0 || took > f.witness.Bounds.Grace {
+	if code != 0 || took > f.recorder.Bounds.Grace {
 		f.reportViolation("%s was told to end and ended with %d after %v", p.Name, code, took.Round(time.Millisecond))
 	}
 }
--- a/internal/mutant/list.go
+++ b/internal/mutant/list.go
@@ -24,12 +24,12 @@
 	{"nobody-asked", CallerAuthorization, "internal/workerconn/open.go", "	if err == nil && workerID != conn.worker {", "	if err == nil && workerID == \"\" {", "sim", "TestPassedAddress"},
 	{"any-service", CallerAuthorization, "internal/replica/index.go", "	return r.index[service]", "	var all []ormap.Entry\n	for _, l := range r.index {\n		all = append(all, l...)\n	}\n	return all", "replica", "TestIndex"},
 
-	{"gate-not-asked", NoRequestAfterLeave, "internal/proxy/localworker.go", "	if !local.lastUp.After(pauseEnd) || time.Since(local.lastUp) > x.Settings.WorkerTimeout() {", "	if local.lastUp.IsZero() && pauseEnd.IsZero() {", "sim", "TestFrozenOwner"},
+	{"gate-not-asked", NoRequestAfterLeave, "internal/proxy/localworker.go", "	if !local.lastUp.After(pauseEnd) || time.Since(local.lastUp) > x.Settings.WorkerTimeout() {", "	if local.lastUp.IsZero() && pauseEnd.IsZero() {", "sim", "TestPausedOwner"},
 	{"draining-ignored", NoRequestAfterLeave, "internal/proxy/heartbeat.go", "	case \"draining\":\n		x.drainWorker(local)", "	case \"draining\":\n		x.recordContact(local, true)", "sim", "TestDrain"},
 
-	{"sign-off-forgotten", NoRequestAfterLeave, "internal/proxy/workercall.go", "	if call.state != stateGone && (outdated || x.hasDeparted(call.worker)) {", "	if call.state != stateGone && outdated {", "sim", "TestLateBeatAfterSignOff"},
+	{"sign-off-forgotten", NoRequestAfterLeave, "internal/proxy/workercall.go", "	if call.state != stateGone && (outdated || x.hasDeparted(call.worker)) {", "	if call.state != stateGone && outdated {", "sim", "TestLateHeartbeatAfterSignOff"},
 	{"departure-untold", NoRequestAfterLeave, "internal/replica/replica.go", "	d := r.entries.DepartureDelta(worker, reason, func(e ormap.Entry) bool { return e.Owner == r.self.Node })", "	d := r.entries.RemovalDelta(reason, func(e ormap.Entry) bool { return e.Worker == worker && e.Owner == r.self.Node })", "sim", "TestLeaveOutlivesNode"},
-	{"leave-not-kept", NoRequestAfterLeave, "internal/proxy/acknowledge.go", "	if state != stateUp && !x.leaveRecorded(r.Context(), worker, state) {", "	if !x.leaveRecorded(r.Context(), worker, state) && state == stateUp {", "sim", "TestLeaveUnheard"},
+	{"leave-not-kept", NoRequestAfterLeave, "internal/proxy/acknowledge.go", "	if state != stateUp && !x.leaveRecorded(r.Context(), worker, state) {", "	if !x.leaveRecorded(r.Context(), worker, state) && state == stateUp {", "sim", "TestLeaveWithoutAnswer"},
 	{"older-call-taken", NoRequestAfterLeave, "internal/proxy/workercall.go", "	outdated := call.number != 0 && call.number <= newest.number", "	outdated := call.number != 0 && call.number == newest.number", "proxy", "TestOutOfOrderCalls"},
 
 	{"run-goes-on", AbandonedRequests, "internal/proxy/callerleft.go", "		if !nodeEnding && !attempt.req.Repeatable {", "		if !nodeEnding {", "sim", "TestCallersLeave"},
@@ -37,16 +37,16 @@
 	{"begun-for-nobody", AbandonedRequests, "internal/proxy/owner.go", "	if transport.CanceledByCaller(ctx) {\n		return attempt.refuse", "	if transport.CanceledByCaller(ctx) && attempt.slotHeld && !attempt.slotHeld {\n		return attempt.refuse", "proxy", "TestNotStartedWithoutCaller"},
 	{"lost-front-awaited", AbandonedRequests, "internal/transport/link.go", "		l.cancelInbound()\n", "", "transport", "TestCallsCanceledWithLink"},
 
-	{"front-not-confirmed", MonotonicVersion, "internal/controlclient/probe.go", "	if confidence := c.Confidence(); confidence != protocol.Unconfirmed {\n		return confidence\n	}\n	ctx, cancel", "	return protocol.Confirmed\n	ctx, cancel", "sim", "TestFrozenFront"},
+	{"front-not-confirmed", MonotonicVersion, "internal/controlclient/probe.go", "	if confidence := c.Confidence(); confidence != protocol.Unconfirmed {\n		return confidence\n	}\n	ctx, cancel", "	return protocol.Confirmed\n	ctx, cancel", "sim", "TestPausedIngress"},
 	{"step-back", MonotonicVersion, "internal/proxy/start.go", "		if current != nil && current.Version >= version {", "		if current != nil && current.Version == version {", "proxy", "TestConfigNeverReverts"},
-	{"late-is-cut", MonotonicVersion, "internal/controlclient/probe.go", "	return \"\", c.classifyOutage(startedAt, disconnectedNodes, <-pinged || linkFast), startedAt", "	return \"\", max(protocol.Disconnected, protocol.Confidence(-disconnectedNodes)), startedAt", "sim", "TestChokedLine"},
+	{"late-is-cut", MonotonicVersion, "internal/controlclient/probe.go", "	return \"\", c.classifyOutage(startedAt, disconnectedNodes, <-pinged || linkFast), startedAt", "	return \"\", max(protocol.Disconnected, protocol.Confidence(-disconnectedNodes)), startedAt", "sim", "TestCongestedNodeIsNotPartitioned"},
 	{"confirmed-too-long", MonotonicVersion, "internal/settings/derived.go", "p.BaseInterval() * 8 / 10 }", "p.BaseInterval() * 13 / 10 }", "settings", "TestConfirmationTTL"},
 	{"older-rules-run", MonotonicVersion, "internal/proxy/owner.go", "	if attempt.req.Confidence == protocol.Disconnected || attempt.req.Confidence == protocol.Unconfirmed {\n", "	if attempt.req.Confidence > protocol.Unconfirmed {\n", "proxy", "TestOlderConfiguration"},
 	{"frozen-round", MonotonicVersion, "internal/controlclient/probe.go", "c.disconnected && c.lastDisconnectedRound.After(pauseEnd) &&", "c.disconnected && (pauseEnd.IsZero() || !pauseEnd.IsZero()) &&", "controlclient", "TestPauseDuringProbeRound"},
 
 	{"repeats-not-asked", BoundedRetries, "internal/proxy/steps.go", "	paid := req.reached == 0 || x.retryBudget.Allow(req.service)\n", "	paid := req.reached == 0 || x.retryBudget.Allow(req.service) || req.attempts <= 5\n", "sim", "TestStorms"},
-	{"repeat-not-paid", BoundedRetries, "internal/proxy/callrates.go", "	if attempt.req.NeedsRetryBudget && !x.retryBudget.Allow(attempt.req.Service) {", "	if attempt.req.NeedsRetryBudget && attempt.req.Worker == \"\" {", "sim", "TestRepeatsOfOthers"},
-	{"never-borrows", BoundedRetries, "internal/proxy/steps.go", "req.needsRetryBudget = !paid && req.mayBorrowRetry;", "req.needsRetryBudget = !paid && req.mayBorrowRetry && req.attempts < 0;", "sim", "TestRepeatsOfOthers"},
+	{"repeat-not-paid", BoundedRetries, "internal/proxy/callrates.go", "	if attempt.req.NeedsRetryBudget && !x.retryBudget.Allow(attempt.req.Service) {", "	if attempt.req.NeedsRetryBudget && attempt.req.Worker == \"\" {", "sim", "TestRetriesOfOthers"},
+	{"never-borrows", BoundedRetries, "internal/proxy/steps.go", "req.needsRetryBudget = !paid && req.mayBorrowRetry;", "req.needsRetryBudget = !paid && req.mayBorrowRetry && req.attempts < 0;", "sim", "TestRetriesOfOthers"},
 	{"missed-still-counts", BoundedRetries, "internal/retrybudget/budget.go", "	b.countsFor(service, now).first.add(now, retryShare-1)\n", "	b.countsFor(service, now).first.add(now, 0)\n", "retrybudget", "TestUndeliveredAttempts"},
 	{"part-of-others", BoundedRetries, "internal/retrybudget/budget.go", "		allowanceShare = b.allowance / float64(b.proxies)", "		allowanceShare = b.allowance", "retrybudget", "."},
 	{"repeat-not-counted", BoundedRetries, "internal/retrybudget/budget.go", "	counts.retries.add(now, 1)\n", "	counts.first.add(now, 1)\n", "retrybudget", "."},
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -86,7 +86,7 @@
 	workers           map[string]*localWorker // by worker ID
 	seenAttempts      map[string]time.Time
 	counts            requestCounts
-	armTallies        map[armKey]*armTally
+	armTallies        map[armKey]*armCounts
 	routeLastUsed     map[string]time.Time // route to the time of its newest request
 	drainedByOperator bool                 // set when an operator drains this node
 }
@@ -96,7 +96,7 @@
 // New prepares a proxy; Start makes it serve.
 func New(conf settings.Settings, environ env.Env) *Proxy {
 	group := task.New(context.Background()).SetSleep(environ.Sleep)
-	x := &Proxy{Settings: conf, env: environ, group: group, readyCh: make(chan struct{}), workers: map[string]*localWorker{}, seenAttempts: map[string]time.Time{}, armTallies: map[armKey]*armTally{}, routeLastUsed: map[string]time.Time{}, lastCalls: map[string]lastCall{}, departures: map[string]time.Time{}, recordedLeaves: map[string]string{}, incarnation: newIncarnation(), startedAt: time.Now(), dialect: environ.Dialect}
+	x := &Proxy{Settings: conf, env: environ, group: group, readyCh: make(chan struct{}), workers: map[string]*localWorker{}, seenAttempts: map[string]time.Time{}, armTallies: map[armKey]*armCounts{}, routeLastUsed: map[string]time.Time{}, lastCalls: map[string]lastCall{}, departures: map[string]time.Time{}, recordedLeaves: map[string]string{}, incarnation: newIncarnation(), startedAt: time.Now(), dialect: environ.Dialect}
 	x.cutoff = shutdown.NewCutoff(group.Context())
 	x.ingressAttempts.byID, x.remoteRuns.byID = map[string]*ingressAttempt{}, map[string]context.Context{}
 	if x.dialect.Name == "" {
--- a/internal/proxy/trialcounts.go
+++ b/internal/proxy/trialcounts.go
@@ -14,7 +14,7 @@
 	arm   string
 }
 
-type armTally struct {
+type armCounts struct {
 	counts protocol.ArmCounts
 	since  time.Time
 }
@@ -44,7 +44,7 @@
 	key := armKey{req.route.Trial, req.route.Name, req.arm.Name}
 	tally := x.armTallies[key]
 	if tally == nil {
-		tally = newArmTally(key)
+		tally = newArmCounts(key)
 		x.armTallies[key] = tally
 	}
 	switch {
@@ -60,8 +60,8 @@
 	}
 }
 
-func newArmTally(key armKey) *armTally {
-	return &armTally{counts: protocol.ArmCounts{Trial: key.trial, Route: key.route, Arm: key.arm, LatencyBins: make([]uint64, LatencyBins)}, since: time.Now()}
+func newArmCounts(key armKey) *armCounts {
+	return &armCounts{counts: protocol.ArmCounts{Trial: key.trial, Route: key.route, Arm: key.arm, LatencyBins: make([]uint64, LatencyBins)}, since: time.Now()}
 }
 
 // activeRoutes lists the routes that had requests within the window.
@@ -95,7 +95,7 @@
 			// The age counts from when this ingress learned of the trial, with or without
 			// requests, so that a trial without traffic has an age too.
 			if key := (armKey{route.Trial, route.Name, "new"}); x.armTallies[key] == nil {
-				x.armTallies[key] = newArmTally(key)
+				x.armTallies[key] = newArmCounts(key)
 			}
 		}
 	}
--- a/internal/sim/calls_test.go
+++ b/internal/sim/calls_test.go
@@ -36,7 +36,7 @@
 				}
 			}
 		})
-		used, scope := running.witness.FullestRetryWindow()
+		used, scope := running.recorder.FullestRetryWindow()
 		t.Logf("retries used at most %.2f of the budget (%s), %d requested by the proxies of the first service", used, scope, requested)
 		if violations[checker.Budget] > 0 || used > 1 {
 			t.Errorf("violated invariants: %v", violations)
--- a/internal/sim/corearea_test.go
+++ b/internal/sim/corearea_test.go
@@ -74,12 +74,12 @@
 	return len(voters) == placed.voters()
 }
 
-// TestCoreBearsAreas checks that, wherever the control plane was founded, its voters move
+// TestControlPlaneToleratesZoneLoss checks that, wherever the control plane was founded, its voters move
 // until the loss of any zone or region leaves a majority, with no more membership changes
 // than needed. Then each domain is lost: by power, with its disks, and with its disks while
 // all other machines lose power. Writes continue, or succeed once machines are back, and no
 // acknowledged write is lost.
-func TestCoreBearsAreas(t *testing.T) {
+func TestControlPlaneToleratesZoneLoss(t *testing.T) {
 	skipUnderRace(t)
 	for i, placed := range layouts {
 		t.Run(placed.name, func(t *testing.T) {
--- a/internal/sim/coregone_test.go
+++ b/internal/sim/coregone_test.go
@@ -63,11 +63,11 @@
 	return longest, all, failed
 }
 
-// TestCoreGone stops the whole control plane at once, right after it acknowledged a change,
+// TestWholeControlPlaneLost stops the whole control plane at once, right after it acknowledged a change,
 // and restarts it, with or without the loss of the leader's disk, while all proxies keep
 // running. Requests are not affected, a leader is elected shortly after the restart, all
 // nodes read back what was acknowledged, and no proxy restarts.
-func TestCoreGone(t *testing.T) {
+func TestWholeControlPlaneLost(t *testing.T) {
 	t.Parallel()
 	for i, c := range []struct {
 		name             string
--- a/internal/sim/day_test.go
+++ b/internal/sim/day_test.go
@@ -28,11 +28,11 @@
 	// Let requests in flight end.
 	Wait(s.deployment.longestTimeout())
 	s.close()
-	violations, notes := s.witness.Breaches()
+	violations, notes := s.recorder.Breaches()
 	for _, n := range notes {
 		s.T.Log(n)
 	}
-	s.T.Log(s.witness.Outcomes())
+	s.T.Log(s.recorder.Outcomes())
 	done, worst := s.apps.Done()
 	s.T.Log(done, worst)
 	return violations
@@ -57,7 +57,7 @@
 				if violations := testSite.runDay(20*time.Second, func() {}); len(violations) > 0 {
 					t.Errorf("violated rules: %v", violations)
 				}
-				if served, owed := testSite.witness.Served("", time.Time{}, time.Now()); owed < 500 || served < owed*97/100 {
+				if served, owed := testSite.recorder.Served("", time.Time{}, time.Now()); owed < 500 || served < owed*97/100 {
 					t.Errorf("%d of %d requests were served", served, owed)
 				}
 			})
--- a/internal/sim/daycontrolplanefaults_test.go
+++ b/internal/sim/daycontrolplanefaults_test.go
@@ -148,12 +148,12 @@
 				}
 			}
 		}
-		end := a.witness.Faults.NoMajority()
+		end := a.recorder.Faults.NoMajority()
 		setCut(true)
 		Wait(duration)
 		setCut(false)
 		end()
-		a.witness.Faults.Unsettle("joined")
+		a.recorder.Faults.Unsettle("joined")
 		Wait(4 * time.Second)
 	}},
 	{"core roll", allCores, func(a faultRun) {
@@ -168,18 +168,18 @@
 		c := a.anyCore()
 		jump := time.Duration(a.IntN(20001)-10000) * time.Millisecond
 		a.say("wall clock of core host %s jumps by %v", c.Host, jump)
-		a.witness.Faults.Unsettle("clock")
+		a.recorder.Faults.Unsettle("clock")
 		c.Skew(jump)
 		Wait(a.ms(2000, 4000))
 		c.Skew(0)
-		a.witness.Faults.Unsettle("clock")
+		a.recorder.Faults.Unsettle("clock")
 		Wait(4 * time.Second)
 	}},
 	{"disk slow", oneCore, func(a faultRun) {
 		c := a.anyCore()
 		syncTime := a.ms(50, 1500)
 		a.say("disk syncs of core host %s take %v", c.Host, syncTime)
-		end := a.witness.Faults.UnsettleWhile("disk of " + c.Host)
+		end := a.recorder.Faults.UnsettleWhile("disk of " + c.Host)
 		c.Disk.SetSyncDelay(syncTime)
 		Wait(a.ms(2000, 4000))
 		c.Disk.SetSyncDelay(0)
@@ -189,7 +189,7 @@
 	{"disk full", oneCore, func(a faultRun) {
 		c := a.anyCore()
 		a.say("disk of core host %s is full", c.Host)
-		end := a.witness.Faults.UnsettleWhile("disk of " + c.Host)
+		end := a.recorder.Faults.UnsettleWhile("disk of " + c.Host)
 		c.Disk.LimitFreeBytes(0)
 		Wait(a.ms(2000, 4000))
 		c.Disk.LimitFreeBytes(-1)
--- a/internal/sim/dayfaultrun_test.go
+++ b/internal/sim/dayfaultrun_test.go
@@ -81,7 +81,7 @@
 // retire takes a machine away for good after its worker has ended: its node is asked
 // to shut down and killed after the grace period.
 func (a faultRun) retire(m *machine) {
-	defer a.witness.Faults.Begin(m.name, checker.Planned+"end")()
+	defer a.recorder.Faults.Begin(m.name, checker.Planned+"end")()
 	a.stopNode(m)
 	m.removed.Store(true)
 	m.client.Paused.Store(true)
@@ -96,7 +96,7 @@
 	if process == nil {
 		return
 	}
-	a.witness.StopSignaled(m.name)
+	a.recorder.StopSignaled(m.name)
 	stopped := make(chan struct{})
 	a.g.Go("stop-node", func(context.Context) { process.Stop(); close(stopped) })
 	select {
@@ -110,7 +110,7 @@
 // killAndRestart kills a node without warning, so that its requests in flight are
 // lost, and starts it again.
 func (a faultRun) killAndRestart(m *machine) {
-	endRecord := a.witness.Faults.Begin(m.name, "killed")
+	endRecord := a.recorder.Faults.Begin(m.name, "killed")
 	a.KillNode(m.Node)
 	Wait(a.ms(200, 800))
 	a.startNode(m)
@@ -120,7 +120,7 @@
 // powerCycle cuts the power of a machine, which ends its node and its worker, and restores
 // it.
 func (a faultRun) powerCycle(m *machine) {
-	endRecord := a.witness.Faults.Begin(m.name, "without power")
+	endRecord := a.recorder.Faults.Begin(m.name, "without power")
 	a.setPower(m.Host, false)
 	m.worker.Kill()
 	a.KillNode(m.Node)
--- a/internal/sim/dayfaults_test.go
+++ b/internal/sim/dayfaults_test.go
@@ -140,7 +140,7 @@
 			return
 		}
 		defer a.releaseMachine(m)
-		defer a.witness.Faults.Begin(m.name, "frozen")()
+		defer a.recorder.Faults.Begin(m.name, "frozen")()
 		duration := a.ms(500, 5000)
 		a.say("node of %s paused for %v", m.name, duration)
 		a.Net.PauseProcess("node-"+m.Host, true)
@@ -153,7 +153,7 @@
 			return
 		}
 		defer a.releaseMachine(m)
-		defer a.witness.Faults.Begin(m.name, "cut")()
+		defer a.recorder.Faults.Begin(m.name, "cut")()
 		duration := a.ms(1000, 6000)
 		a.say("%s cut off for %v", m.name, duration)
 		a.cutOff(m, true)
@@ -166,7 +166,7 @@
 			return
 		}
 		defer a.releaseMachine(m)
-		defer a.witness.Faults.Begin(m.name, checker.Slowed)()
+		defer a.recorder.Faults.Begin(m.name, checker.Slowed)()
 		delay := a.ms(10, 300)
 		a.say("network delay of %s rises by %v", m.name, delay)
 		a.Net.SetExtraDelay(m.Host, delay)
@@ -181,11 +181,11 @@
 		defer a.releaseMachine(m)
 		jump := time.Duration(a.IntN(20001)-10000) * time.Millisecond
 		a.say("wall clock of %s jumps by %v", m.name, jump)
-		a.witness.Faults.Begin(m.name, "clock")()
+		a.recorder.Faults.Begin(m.name, "clock")()
 		m.Skew(jump)
 		Wait(a.ms(2000, 6000))
 		m.Skew(0)
-		a.witness.Faults.Begin(m.name, "clock")()
+		a.recorder.Faults.Begin(m.name, "clock")()
 	}},
 	{"node roll", noCore, func(a faultRun) {
 		for range 2 + a.IntN(3) {
@@ -194,7 +194,7 @@
 				return
 			}
 			a.say("node of %s restarted gracefully", m.name)
-			end := a.witness.Faults.Begin(m.name, checker.Planned+"roll")
+			end := a.recorder.Faults.Begin(m.name, checker.Planned+"roll")
 			a.stopNode(m)
 			Wait(a.ms(100, 400))
 			a.startNode(m)
--- a/internal/sim/days_test.go
+++ b/internal/sim/days_test.go
@@ -105,8 +105,8 @@
 	if len(violations) > 0 {
 		t.Errorf("violated rules: %v", violations)
 	}
-	served, owed := testSite.witness.Served("", time.Time{}, time.Now())
-	share, service := testSite.witness.FullestRetryWindow()
+	served, owed := testSite.recorder.Served("", time.Time{}, time.Now())
+	share, service := testSite.recorder.FullestRetryWindow()
 	t.Logf("seed %d: %d of %d requests served, retries used at most %.2f of their budget (%s)", seed, served, owed, share, service)
 	if owed == 0 || served < owed/2 {
 		t.Errorf("only %d of %d requests were served", served, owed)
@@ -114,7 +114,7 @@
 	if t.Failed() || testing.Verbose() {
 		t.Log("\n" + strings.Join(testSite.actionLog, "\n"))
 	}
-	riskCounts := testSite.witness.Exposure()
+	riskCounts := testSite.recorder.Exposure()
 	t.Logf("seed %d exercised: %v", seed, riskCounts)
 	return riskCounts
 }
@@ -193,14 +193,14 @@
 	// control-plane machine loses its disk; 3: only one such machine loses power and its disk.
 	kind := run.IntN(4)
 	s.say("closing fault %d after configuration %d", kind, draft.Number)
-	s.witness.FinalFaultStarted()
+	s.recorder.FinalFaultStarted()
 	endRecords := []func(){}
 	lost := run.IntN(len(s.controlMachines()))
 	if kind == 3 {
 		s.killCore(s.controlMachines()[lost], true)
 		s.controlMachines()[lost].Disk.Wipe()
 		s.startCore(s.controlMachines()[lost], false)
-		s.witness.FinalFaultEnded()
+		s.recorder.FinalFaultEnded()
 		Wait(22 * time.Second)
 		return
 	}
@@ -211,7 +211,7 @@
 		}
 	}
 	for _, m := range s.all() {
-		endRecords = append(endRecords, s.witness.Faults.Begin(m.name, "closing fault"))
+		endRecords = append(endRecords, s.recorder.Faults.Begin(m.name, "closing fault"))
 		s.KillNode(m.Node)
 	}
 	Wait(run.ms(300, 1000))
@@ -222,6 +222,6 @@
 		s.startNode(m)
 		endRecords[i]()
 	}
-	s.witness.FinalFaultEnded()
+	s.recorder.FinalFaultEnded()
 	Wait(22 * time.Second)
 }
--- a/internal/sim/delayedrelease_test.go
+++ b/internal/sim/delayedrelease_test.go
@@ -7,11 +7,11 @@
 	"time"
 )
 
-// TestLateApp: a client releases its lock through one node, gets no answer within its
+// TestDelayedReleaseKeepsLock: a client releases its lock through one node, gets no answer within its
 // timeout, and acquires the same lock through another node, which leaves the fencing
 // token unchanged. Then the fault that delayed the release ends. The lock must stay
 // with the client.
-func TestLateApp(t *testing.T) {
+func TestDelayedReleaseKeepsLock(t *testing.T) {
 	t.Parallel()
 	pause := func(process string) func(*Fleet, bool) {
 		return func(f *Fleet, on bool) { f.Net.PauseProcess(process, on) }
--- a/internal/sim/grown_test.go
+++ b/internal/sim/grown_test.go
@@ -118,7 +118,7 @@
 				if violations := s.runDay(20*time.Second, func() {}); len(violations) > 0 {
 					t.Errorf("rules broken: %v", violations)
 				}
-				if served, expected := s.witness.Served("", time.Time{}, time.Now()); expected < 300 || served < expected*97/100 {
+				if served, expected := s.recorder.Served("", time.Time{}, time.Now()); expected < 300 || served < expected*97/100 {
 					t.Errorf("%d of %d served", served, expected)
 				}
 			})
--- a/internal/sim/grownfaults_test.go
+++ b/internal/sim/grownfaults_test.go
@@ -122,7 +122,7 @@
 				continue
 			}
 			a.say("%s is lost for good", m.name)
-			a.witness.Faults.Begin(m.name, "lost")
+			a.recorder.Faults.Begin(m.name, "lost")
 			a.setPower(m.Host, false)
 			m.worker.Kill()
 			a.KillNode(m.Node)
@@ -134,13 +134,13 @@
 		fraction := 0.3 + 0.5*a.Float64()
 		var hosts []string
 		for _, m := range a.takeShare(0.1 + 0.2*a.Float64()) {
-			defer a.witness.Faults.Begin(m.name, "reset")()
+			defer a.recorder.Faults.Begin(m.name, "reset")()
 			defer a.releaseMachine(m)
 			hosts = append(hosts, m.Host)
 		}
 		if a.IntN(3) == 0 {
 			hosts = append(hosts, a.controlMachines()[a.IntN(len(a.controlMachines()))].Host)
-			a.witness.Faults.Unsettle("reset")
+			a.recorder.Faults.Unsettle("reset")
 		}
 		a.say("%.2f of the connections of %v are reset", fraction, hosts)
 		for _, h := range hosts {
--- a/internal/sim/grownincident_test.go
+++ b/internal/sim/grownincident_test.go
@@ -27,7 +27,7 @@
 		violations := s.runDay(16*time.Second, func() {
 			scenario(faultRun{s, rand.New(rand.NewPCG(2, 43)), &[]*ControlMachine{}}, func(kind string, since time.Time) float64 {
 				// Requests of the last two seconds may not have been answered yet.
-				served, expected := s.witness.Served(kind, since, time.Now().Add(-2*time.Second))
+				served, expected := s.recorder.Served(kind, since, time.Now().Add(-2*time.Second))
 				return float64(served) / float64(max(expected, 1))
 			})
 		})
@@ -102,7 +102,7 @@
 		powerCycle := func(machines []*machine, outage time.Duration) {
 			var endTouch []func()
 			for _, m := range machines {
-				endTouch = append(endTouch, a.witness.Faults.Begin(m.name, "without power"))
+				endTouch = append(endTouch, a.recorder.Faults.Begin(m.name, "without power"))
 				a.setPower(m.Host, false)
 				m.worker.Kill()
 				a.KillNode(m.Node)
@@ -123,7 +123,7 @@
 		if !a.op.Send(a.g.Context(), draft, "", "") {
 			t.Error("the document was refused")
 		}
-		a.witness.FinalFaultStarted()
+		a.recorder.FinalFaultStarted()
 		for _, c := range a.controlMachines() {
 			a.killCore(c, true)
 		}
@@ -134,7 +134,7 @@
 			}
 		})
 		powerCycle(a.all(), 1550*time.Millisecond)
-		a.witness.FinalFaultEnded()
+		a.recorder.FinalFaultEnded()
 		elapsed := a.Until(a.deployment.bounds.Recovery, "all nodes are ready", a.allReady)
 		Wait(8 * time.Second)
 		start := time.Now()
@@ -159,7 +159,7 @@
 		Wait(2 * time.Second)
 		m := a.takeMachine(inSmallest)
 		a.say("node of %s stopped and started", m.name)
-		endTouch := a.witness.Faults.Begin(m.name, "planned roll")
+		endTouch := a.recorder.Faults.Begin(m.name, "planned roll")
 		a.stopNode(m)
 		Wait(500 * time.Millisecond)
 		a.startNode(m)
--- a/internal/sim/idleconnections_test.go
+++ b/internal/sim/idleconnections_test.go
@@ -35,7 +35,7 @@
 				m.worker.SetFaults(actors.Faults{})
 			}
 		})
-		served, owed = testSite.witness.Served("buy", start, start.Add(8*time.Second))
+		served, owed = testSite.recorder.Served("buy", start, start.Add(8*time.Second))
 		t.Logf("%d of %d requests served while half of the workers forget idle connections", served, owed)
 		if len(violations) > 0 || violations[checker.Budget] > 0 {
 			t.Errorf("violated rules: %v", violations)
--- a/internal/sim/leaveunderload_test.go
+++ b/internal/sim/leaveunderload_test.go
@@ -9,11 +9,11 @@
 	"time"
 )
 
-// TestLeftBusy: a voter leaves gracefully while an up-to-date candidate waits and the
+// TestLeaveUnderLoad: a voter leaves gracefully while an up-to-date candidate waits and the
 // control plane writes as fast as it can. However many log entries come between two
 // reports of the candidate, it becomes a member within 500 ms: until then the control
 // plane tolerates one loss less.
-func TestLeftBusy(t *testing.T) {
+func TestLeaveUnderLoad(t *testing.T) {
 	t.Parallel()
 	for seed := range seeds(8) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
--- a/internal/sim/longrequeststop_test.go
+++ b/internal/sim/longrequeststop_test.go
@@ -73,10 +73,10 @@
 	if len(violations) > 0 {
 		t.Errorf("rules broken: %v; requests without their worker's answer: %s", violations, strings.Join(logLines("unanswered"), "\n"))
 	}
-	if risk := s.witness.Exposure()[checker.Lost]; risk < 50 {
+	if risk := s.recorder.Exposure()[checker.Lost]; risk < 50 {
 		t.Errorf("only %d requests ended while their ingress was stopping: the test shows nothing", risk)
 	}
-	if served, expected := s.witness.Served("", time.Time{}, time.Now()); served < expected*8/10 {
+	if served, expected := s.recorder.Served("", time.Time{}, time.Now()); served < expected*8/10 {
 		t.Errorf("%d of %d served", served, expected)
 	}
 }
@@ -90,9 +90,9 @@
 			Wait(a.ms(50, 300))
 			continue
 		}
-		endTouch := a.witness.Faults.Begin(m.name, checker.Planned+"stop")
+		endTouch := a.recorder.Faults.Begin(m.name, checker.Planned+"stop")
 		if a.IntN(3) == 0 {
-			a.witness.ReloadSignaled(m.name)
+			a.recorder.ReloadSignaled(m.name)
 			proxy, _ := a.processesOf(m.Node)
 			proxy.Reload(proxy.Settings)
 			Wait(a.ms(1, 800))
--- a/internal/sim/pausedowner_test.go
+++ b/internal/sim/pausedowner_test.go
@@ -9,11 +9,11 @@
 	"puffincrank/internal/standin"
 )
 
-// TestFrozenOwner pauses the process of an owner while its worker announces that it is
+// TestPausedOwner pauses the process of an owner while its worker announces that it is
 // leaving. The owner resumes with both requests and that message unread in its sockets,
 // in an order that differs by round, and must not deliver requests to the worker that
 // left.
-func TestFrozenOwner(t *testing.T) {
+func TestPausedOwner(t *testing.T) {
 	skipUnderRace(t)
 	for round := range 3 {
 		t.Run(fmt.Sprint("round ", round), func(t *testing.T) {
--- a/internal/sim/repeatsofothers_test.go
+++ b/internal/sim/repeatsofothers_test.go
@@ -11,13 +11,13 @@
 	"puffincrank/internal/standin"
 )
 
-// TestRepeatsOfOthers: a graceful shutdown needs more retries than the ingress has
+// TestRetriesOfOthers: a graceful shutdown needs more retries than the ingress has
 // left in its budget. The owners that take the retries pay for the rest from their own
 // budgets, so that the limit of the whole cluster holds: one retry for each node here.
 //
 // The failure: an ingress that was shutting down gave requests up with "no repeats are
 // left" while hardly any other node had used its budget.
-func TestRepeatsOfOthers(t *testing.T) {
+func TestRetriesOfOthers(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		const nodes, workers = 12, 4
--- a/internal/sim/site_test.go
+++ b/internal/sim/site_test.go
@@ -19,7 +19,7 @@
 // machine is a machine with a node, the worker beside it and its callers.
 type machine struct {
 	*Node
-	name         string // for the witness, since an address may be reused
+	name         string // for the recorder, since an address may be reused
 	service      string
 	addr         string
 	number       int
@@ -36,7 +36,7 @@
 type site struct {
 	*Fleet
 	deployment    deployment
-	witness       *checker.Recorder
+	recorder      *checker.Recorder
 	random        *rand.Rand // used only by the goroutine that plays the day
 	op            *actors.Operator
 	apps          *actors.Apps
@@ -63,15 +63,15 @@
 	for i := len(f.ControlMachines); i < d.cores; i++ {
 		f.ControlMachines = append(f.ControlMachines, &ControlMachine{Host: fmt.Sprintf("10.0.0.%d", i+1), Zone: Zones[i%len(Zones)], Disk: NewDisk()})
 	}
-	s := &site{Fleet: f, deployment: d, witness: checker.New(d.bounds), powerless: map[string]bool{}, loadFactors: map[[2]string]float64{}, inTrouble: map[*ControlMachine]bool{}, random: rand.New(rand.NewPCG(seed, 21)), down: map[*ControlMachine]bool{}}
+	s := &site{Fleet: f, deployment: d, recorder: checker.New(d.bounds), powerless: map[string]bool{}, loadFactors: map[[2]string]float64{}, inTrouble: map[*ControlMachine]bool{}, random: rand.New(rand.NewPCG(seed, 21)), down: map[*ControlMachine]bool{}}
 	s.loadPercent.Store(100)
 	for _, c := range f.ControlMachines {
 		s.controlHosts = append(s.controlHosts, c.Host)
 	}
 	f.Net.SetZone("10.0.9.7", "outside")
 	outside := env.Env{Net: f.Net.Host("10.0.9.7"), Log: event.New("outside", nil), WallClock: time.Now}
-	s.op = actors.NewOperator(outside, s.control, s.witness, seed+1)
-	s.apps = actors.NewApps(outside, s.control, s.witness, f.g, seed+2)
+	s.op = actors.NewOperator(outside, s.control, s.recorder, seed+1)
+	s.apps = actors.NewApps(outside, s.control, s.recorder, f.g, seed+2)
 	s.draft = d.draft(1)
 	return s
 }
@@ -131,14 +131,14 @@
 		s.Net.LimitHost(workerHost, s.deployment.nodeBandwidth)
 	}
 	m := &machine{Node: &Node{Host: workerHost, Zone: area}, name: fmt.Sprint("m", n), service: service, addr: workerHost + ":9000", number: n}
-	s.witness.SetCallerService(m.name, service)
+	s.recorder.SetCallerService(m.name, service)
 	s.startNode(m)
 	s.startWorker(m)
 	callerHost := fmt.Sprintf("10.0.8.%d", n)
 	s.Net.SetZone(callerHost, area)
 	s.Net.SetExtraDelay(callerHost, s.deployment.clientLatency)
 	callerEnv := env.Env{Net: s.Net.Host(callerHost), Log: event.New(callerHost, nil), WallClock: time.Now}
-	m.client = actors.NewClient(callerEnv, actors.PlainDialect, workerHost+":8000", m.name, fmt.Sprint("c", n, "-"), s.witness, s.g, s.seed(n))
+	m.client = actors.NewClient(callerEnv, actors.PlainDialect, workerHost+":8000", m.name, fmt.Sprint("c", n, "-"), s.recorder, s.g, s.seed(n))
 	m.client.Paused.Store(true)
 	for _, l := range append([]*actors.RequestKind{s.later()}, s.deployment.lines...) {
 		if l.Rate > 0 {
@@ -173,11 +173,11 @@
 
 func (s *site) seed(n int) uint64 { return uint64(n)*1000 + 7 }
 
-// startNode starts the node of a machine; the witness counts it as a new process.
+// startNode starts the node of a machine; the recorder counts it as a new process.
 func (s *site) startNode(m *machine) {
 	m.starts++
-	s.witness.Restarted(m.name)
-	s.witness.Faults.Begin(m.name, checker.Planned+"start")()
+	s.recorder.Restarted(m.name)
+	s.recorder.Faults.Begin(m.name, checker.Planned+"start")()
 	settings := map[string]any{"seeds": s.seedHosts(7002), "traffic": m.Host + ":8000", "service": m.service, "worker_addr": m.addr, "beat_ms": num(1500),
 		"repeat_share": num(s.deployment.bounds.RetryShare), "repeat_allowance": num(s.deployment.bounds.RetryAllowance)}
 	for k, v := range s.deployment.settings() {
@@ -204,7 +204,7 @@
 	// Speeds differ within a service; in some services a full worker resets connections.
 	behaviour.TimeFactor = 0.8 + float64(n%5)*0.15
 	behaviour.ResetsWhenFull = s.deployment.resets[m.service]
-	worker, err := actors.StartWorker(e, actors.PlainDialect, id, m.addr, m.Host+":8000", []string{m.Host + ":7003"}, behaviour, s.witness, s.seed(n)+3)
+	worker, err := actors.StartWorker(e, actors.PlainDialect, id, m.addr, m.Host+":8000", []string{m.Host + ":7003"}, behaviour, s.recorder, s.seed(n)+3)
 	if err != nil {
 		s.T.Errorf("worker at %s: %v", m.Host, err)
 		return
--- a/internal/sim/sitecore_test.go
+++ b/internal/sim/sitecore_test.go
@@ -47,7 +47,7 @@
 // recordCoreChange records a disturbance of the control plane, and whether the machine is
 // down from now on.
 func (s *site) recordCoreChange(c *ControlMachine, away bool, change string) {
-	s.witness.Faults.Unsettle(change)
+	s.recorder.Faults.Unsettle(change)
 	s.siteMu.Lock()
 	s.down[c] = away
 	up := 0
@@ -58,7 +58,7 @@
 	}
 	endMinority := s.endMinority
 	if lost := 2*up <= len(s.ControlMachines); lost && endMinority == nil {
-		s.endMinority = s.witness.Faults.NoMajority()
+		s.endMinority = s.recorder.Faults.NoMajority()
 	} else if !lost && endMinority != nil {
 		s.endMinority = nil
 		defer endMinority()
@@ -147,7 +147,7 @@
 	for _, m := range machines {
 		s.g.Go("look", func(ctx context.Context) {
 			code, _ := actors.CallNode(ctx, s.Net.Host("10.0.9.9"), "GET", m.Host+":7003", "/puffin/ready", nil, 900*time.Millisecond)
-			s.witness.ReadinessProbed(m.name, code == 200)
+			s.recorder.ReadinessProbed(m.name, code == 200)
 			if code == 200 {
 				m.failedChecks.Store(0)
 				m.client.Paused.Store(false)
--- a/internal/sim/slownode_test.go
+++ b/internal/sim/slownode_test.go
@@ -11,13 +11,13 @@
 	"puffincrank/internal/standin"
 )
 
-// TestChokedLine guards against treating a congested node as a partitioned one. Everything
+// TestCongestedNodeIsNotPartitioned guards against treating a congested node as a partitioned one. Everything
 // that the node sends and receives arrives, but later than its peer timeout, as on a
 // deployment whose uploads filled an owner's thin link. The node is not cut off, so an
 // acknowledged change binds it: after the bound it must not answer that a new route is
 // unknown, nor run requests of a removed one. It continues to serve requests that are
 // admitted by owners with a confirmed configuration.
-func TestChokedLine(t *testing.T) {
+func TestCongestedNodeIsNotPartitioned(t *testing.T) {
 	for _, lag := range []time.Duration{320 * time.Millisecond, 450 * time.Millisecond} {
 		t.Run(lag.String(), func(t *testing.T) {
 			t.Parallel()
--- a/internal/sim/thaw_test.go
+++ b/internal/sim/thaw_test.go
@@ -13,10 +13,10 @@
 	"puffincrank/internal/transport"
 )
 
-// TestFrozenFront: an ingress is paused while configuration changes are acknowledged,
+// TestPausedIngress: an ingress is paused while configuration changes are acknowledged,
 // and resumes with unread requests of callers and peers. It handles none of them by
 // the configuration from before the pause.
-func TestFrozenFront(t *testing.T) {
+func TestPausedIngress(t *testing.T) {
 	skipUnderRace(t)
 	synctest.Test(t, func(t *testing.T) {
 		s := Fumettoteca(0.3)
@@ -42,11 +42,11 @@
 	})
 }
 
-// TestFrozenCore: the leader's store, registries and whole control plane machines,
+// TestPausedControlMachine: the leader's store, registries and whole control plane machines,
 // with the judge and the steward, are paused and resumed under load from callers and
 // applications. No lock or number is given twice, no read is stale, and the service
 // stays available.
-func TestFrozenCore(t *testing.T) {
+func TestPausedControlMachine(t *testing.T) {
 	skipUnderRace(t)
 	for i, target := range []string{"store", "core", "both", "two registries"} {
 		t.Run(target, func(t *testing.T) {
--- a/internal/sim/withdraw_test.go
+++ b/internal/sim/withdraw_test.go
@@ -15,9 +15,9 @@
 	"puffincrank/internal/standin/checker"
 )
 
-// TestLateBeatAfterSignOff: a worker signs off, and a heartbeat that it sent
+// TestLateHeartbeatAfterSignOff: a worker signs off, and a heartbeat that it sent
 // before arrives only after leave_ms. The worker still runs, but gets no request.
-func TestLateBeatAfterSignOff(t *testing.T) {
+func TestLateHeartbeatAfterSignOff(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		s := newSite(t, readerDeployment(1, 0.12), 1)
@@ -29,7 +29,7 @@
 		if len(violations) > 0 {
 			t.Errorf("violated guarantees: %v", violations)
 		}
-		if s.witness.Exposure()[checker.Drain] == 0 {
+		if s.recorder.Exposure()[checker.Drain] == 0 {
 			t.Error("the worker had no traffic before it left, which the test needs")
 		}
 	})
@@ -50,7 +50,7 @@
 		if len(violations) > 0 {
 			t.Errorf("violated guarantees: %v", violations)
 		}
-		if n := s.witness.Exposure()[checker.Gone]; n < 20 {
+		if n := s.recorder.Exposure()[checker.Gone]; n < 20 {
 			t.Errorf("only %d callers left during their runs, too few for the test", n)
 		}
 	})
@@ -92,7 +92,7 @@
 	if len(violations) > 0 {
 		t.Errorf("violated guarantees: %v", violations)
 	}
-	if s.witness.Exposure()[checker.Drain] == 0 {
+	if s.recorder.Exposure()[checker.Drain] == 0 {
 		t.Error("the worker had no traffic before it left, which the test needs")
 	}
 }
@@ -109,7 +109,7 @@
 	}
 	var endings []func()
 	for _, m := range machines {
-		endings = append(endings, a.witness.Faults.Begin(m.name, "killed"))
+		endings = append(endings, a.recorder.Faults.Begin(m.name, "killed"))
 		a.KillNode(m.Node)
 	}
 	Wait(500 * time.Millisecond)
@@ -124,10 +124,10 @@
 	}
 }
 
-// TestLeaveUnheard: a leave that the control plane can't record, because
+// TestLeaveWithoutAnswer: a leave that the control plane can't record, because
 // no machine of it is reachable or all its disks are full, is in force at once, but is
 // acknowledged only once it is recorded.
-func TestLeaveUnheard(t *testing.T) {
+func TestLeaveWithoutAnswer(t *testing.T) {
 	t.Parallel()
 	for name, trouble := range map[string]func(a faultRun, m *machine, on bool){
 		"cut off": func(a faultRun, m *machine, on bool) { a.cutOff(m, on) },
--- a/internal/sim/withdrawals_test.go
+++ b/internal/sim/withdrawals_test.go
@@ -61,7 +61,7 @@
 	if len(violations) > 0 {
 		t.Errorf("guarantees violated by %s with %s: %v\n%s", first.name, second.name, violations, s.actionLog)
 	}
-	risk := s.witness.Exposure()
+	risk := s.recorder.Exposure()
 	t.Logf("%s with %s: %d checks at leaving workers, %d for callers that left", first.name, second.name, risk[checker.Drain], risk[checker.Gone])
 	if risk[checker.Gone] == 0 {
 		t.Error("no caller left during its run, which the test needs")
--- a/internal/sim/workerskept_test.go
+++ b/internal/sim/workerskept_test.go
@@ -20,13 +20,13 @@
 		var restarted time.Time
 		violations := s.runDay(24*time.Second, func() {
 			Wait(10 * time.Second)
-			s.witness.FinalFaultStarted()
+			s.recorder.FinalFaultStarted()
 			for _, c := range s.controlMachines() {
 				s.killCore(c, false)
 			}
 			endTouch := []func(){}
 			for _, m := range s.all() {
-				endTouch = append(endTouch, s.witness.Faults.Begin(m.name, "killed with all others"))
+				endTouch = append(endTouch, s.recorder.Faults.Begin(m.name, "killed with all others"))
 				s.KillNode(m.Node)
 			}
 			Wait(500 * time.Millisecond)
@@ -38,14 +38,14 @@
 			for _, c := range s.controlMachines() {
 				s.startCore(c, false)
 			}
-			s.witness.FinalFaultEnded()
+			s.recorder.FinalFaultEnded()
 		})
 		if len(violations) > 0 {
 			t.Errorf("rules broken: %v", violations)
 		}
 		for i := range 4 {
 			start := restarted.Add(time.Duration(i) * 250 * time.Millisecond)
-			served, expected := s.witness.Served("", start, start.Add(250*time.Millisecond))
+			served, expected := s.recorder.Served("", start, start.Add(250*time.Millisecond))
 			t.Logf("%d of %d served of the requests sent from %v on", served, expected, start.Sub(restarted))
 			if expected == 0 || served*100 < expected*95 {
 				t.Errorf("%d of %d served of the requests sent from %v after the restart on", served, expected, start.Sub(restarted))
