--- a/cmd/proxy/main.go
+++ b/cmd/proxy/main.go
@@ -5,15 +5,15 @@
 	"os"
 
 	"puffincrank/internal/env"
-	"puffincrank/internal/props"
+	"puffincrank/internal/lifecycle"
 	"puffincrank/internal/proxy"
-	"puffincrank/internal/run"
+	"puffincrank/internal/settings"
 
 	"puffincrank/platform"
 )
 
 func main() {
-	os.Exit(run.Main("proxy", os.Args[1:], run.Site{Settings: platform.Settings, File: platform.File, Tongue: platform.Tongue}, func(p0 props.Props, e env.Env) (run.Program, error) {
+	os.Exit(lifecycle.Main("proxy", os.Args[1:], lifecycle.Site{Settings: platform.Settings, File: platform.File, Tongue: platform.Tongue}, func(p0 settings.Props, e env.Env) (lifecycle.Program, error) {
 		p := proxy.New(p0, e)
 		return p, nil
 	}))
--- a/cmd/store/main.go
+++ b/cmd/store/main.go
@@ -5,15 +5,15 @@
 	"os"
 
 	"puffincrank/internal/env"
-	"puffincrank/internal/props"
-	"puffincrank/internal/run"
+	"puffincrank/internal/lifecycle"
+	"puffincrank/internal/settings"
 	"puffincrank/internal/store"
 
 	"puffincrank/platform"
 )
 
 func main() {
-	os.Exit(run.Main("store", os.Args[1:], run.Site{Settings: platform.Settings, File: platform.File, Tongue: platform.Tongue}, func(p0 props.Props, e env.Env) (run.Program, error) {
+	os.Exit(lifecycle.Main("store", os.Args[1:], lifecycle.Site{Settings: platform.Settings, File: platform.File, Tongue: platform.Tongue}, func(p0 settings.Props, e env.Env) (lifecycle.Program, error) {
 		p, err := store.New(p0, e)
 		if err != nil {
 			return nil, err
--- a/internal/class/floors.go
+++ b/internal/admission/floors.go
@@ -1,4 +1,4 @@
-package class
+package admission
 
 import (
 	"math"
--- a/internal/class/room.go
+++ b/internal/admission/room.go
@@ -1,7 +1,7 @@
-// Package class admits jobs to one worker's slots. A class below its share
+// Package admission admits jobs to one worker's slots. A class below its share
 // always gets the next free slot; an idle share is lent to whoever waits; a
 // lent slot comes back when its job ends, never by cutting it.
-package class
+package admission
 
 import (
 	"context"
--- a/internal/class/use.go
+++ b/internal/admission/use.go
@@ -1,4 +1,4 @@
-package class
+package admission
 
 // Use is what one class has of a worker.
 type Use struct {
--- a/internal/nominate/back_test.go
+++ b/internal/balancer/back_test.go
@@ -1,4 +1,4 @@
-package nominate
+package balancer
 
 import (
 	"testing"
--- a/internal/nominate/nominate.go
+++ b/internal/balancer/nominate.go
@@ -1,8 +1,8 @@
-// Package nominate picks the worker of a job: the one that costs least, by the
+// Package balancer picks the worker of a job: the one that costs least, by the
 // time that jobs of its path are expected to take there against the job's aim,
 // by how many missed it lately, by load and by fitness. Workers of the own area
 // are given an advance, since bytes between areas are dear.
-package nominate
+package balancer
 
 import (
 	"math"
--- a/internal/nominate/roster.go
+++ b/internal/balancer/roster.go
@@ -1,4 +1,4 @@
-package nominate
+package balancer
 
 import (
 	"math/rand/v2"
--- a/internal/squeeze/squeeze.go
+++ b/internal/compression/squeeze.go
@@ -1,6 +1,6 @@
-// Package squeeze packs tables of texts: column after column, since what stands
+// Package compression packs tables of texts: column after column, since what stands
 // below each other is alike, and then compressed.
-package squeeze
+package compression
 
 import (
 	"bytes"
--- a/internal/squeeze/squeeze_test.go
+++ b/internal/compression/squeeze_test.go
@@ -1,4 +1,4 @@
-package squeeze
+package compression
 
 import (
 	"bytes"
--- a/internal/touch/beat.go
+++ b/internal/controlclient/beat.go
@@ -1,33 +1,33 @@
-package touch
+package controlclient
 
 import (
 	"context"
 	"time"
 
-	"puffincrank/internal/member"
-	"puffincrank/internal/session"
-	"puffincrank/internal/squeeze"
-	"puffincrank/internal/wire"
+	"puffincrank/internal/compression"
+	"puffincrank/internal/membership"
+	"puffincrank/internal/protocol"
+	"puffincrank/internal/transport"
 )
 
 // beat sends one beat and takes in the receipt. Beats come one after the other,
 // so the list whose hash is kept is the one that is passed on last.
 func (t *Touch) beat(ctx context.Context, to string) bool {
 	t.mu.Lock()
-	ask := session.Beat{Fellow: t.x.Self, Hash: t.hash, Diff: true, Core: member.Names(t.core), Patch: !t.whole, Short: true}
+	ask := protocol.Beat{Fellow: t.x.Self, Hash: t.hash, Diff: true, Core: membership.Names(t.core), Patch: !t.whole, Short: true}
 	t.mu.Unlock()
 	ask.Version = t.host.Version()
 	t.host.Report(&ask)
 	one, end := context.WithTimeout(ctx, t.leash())
 	defer end()
 	from := time.Now()
-	got, err := wire.Ask[session.Receipt](one, t.x.N, to, "session.beat", ask)
+	got, err := transport.Ask[protocol.Receipt](one, t.x.N, to, "session.beat", ask)
 	if err != nil || !got.In {
 		return false
 	}
 	if len(got.Shrunk) > 0 {
 		// What can't be read is like steps that don't fit.
-		got.Doc, _ = squeeze.Grow(got.Shrunk)
+		got.Doc, _ = compression.Grow(got.Shrunk)
 	}
 	if got.Version > t.host.Version() && !t.Take(got.Version, got.Doc, got.Steps) {
 		// Steps that did not fit are asked for whole at once, a broken document
@@ -78,18 +78,18 @@
 // members takes in what a receipt says of the list of members. When the
 // control node knew nothing of the list held here, what differs is asked for
 // by parts; the rest of that waits for the next beat when time runs out.
-func (t *Touch) members(ctx context.Context, to string, was uint64, got *session.Receipt) {
+func (t *Touch) members(ctx context.Context, to string, was uint64, got *protocol.Receipt) {
 	t.mu.Lock()
 	b, now := t.book, t.hash
 	t.mu.Unlock()
 	if len(got.Short) > 0 {
 		// What can't be opened is no difference: the parts are asked for.
-		d, err := member.OpenDiff(got.Short)
+		d, err := membership.OpenDiff(got.Short)
 		got.Diff, got.Come, got.Gone = got.Diff && err == nil, d.Come, d.Gone
 	}
 	switch {
 	case got.Members != nil:
-		b = member.NewBook(got.Members)
+		b = membership.NewBook(got.Members)
 	case got.Diff && now == was:
 		if b = b.With(got.Come, got.Gone); b.Hash() != got.Hash {
 			// Not what the control node holds: asked for by parts next time.
@@ -117,5 +117,5 @@
 	}
 	ctx, end := context.WithTimeout(t.x.G.Context(), t.x.P.Parting())
 	defer end()
-	_, _ = wire.Ask[session.Receipt](ctx, t.x.N, at, "session.beat", session.Beat{Fellow: t.x.Self, Bye: true})
+	_, _ = transport.Ask[protocol.Receipt](ctx, t.x.N, at, "session.beat", protocol.Beat{Fellow: t.x.Self, Bye: true})
 }
--- a/internal/touch/document.go
+++ b/internal/controlclient/document.go
@@ -1,12 +1,12 @@
-package touch
+package controlclient
 
 import (
 	"context"
 
 	"puffincrank/internal/fault"
 	"puffincrank/internal/patch"
-	"puffincrank/internal/session"
-	"puffincrank/internal/wire"
+	"puffincrank/internal/protocol"
+	"puffincrank/internal/transport"
 )
 
 // spare is how many steps a node keeps for fellows that lag.
@@ -37,34 +37,34 @@
 
 // Listen takes pushes of the configuration, and fellows' questions.
 func (t *Touch) Listen() {
-	push := func(_ context.Context, _ wire.Hello, in session.Push) (session.PushBack, error) {
+	push := func(_ context.Context, _ transport.Hello, in protocol.Push) (protocol.PushBack, error) {
 		t.Take(in.Version, in.Doc, in.Steps)
-		return session.PushBack{Have: t.host.Version()}, nil
+		return protocol.PushBack{Have: t.host.Version()}, nil
 	}
 	// Steps have a kind of their own, which earlier versions refuse by name.
-	wire.On(t.x.N, "config.push", push)
-	wire.On(t.x.N, "config.step", push)
-	wire.On(t.x.N, "config.give", t.give)
-	wire.On(t.x.N, "session.members", t.list)
+	transport.On(t.x.N, "config.push", push)
+	transport.On(t.x.N, "config.step", push)
+	transport.On(t.x.N, "config.give", t.give)
+	transport.On(t.x.N, "session.members", t.list)
 }
 
 // give hands a fellow the configuration held here, if it is newer than its own.
-func (t *Touch) give(_ context.Context, _ wire.Hello, in session.Push) (session.Push, error) {
+func (t *Touch) give(_ context.Context, _ transport.Hello, in protocol.Push) (protocol.Push, error) {
 	version, doc := t.held.Now()
 	if version <= in.Version {
-		return session.Push{}, nil
+		return protocol.Push{}, nil
 	}
 	if steps, ok := t.held.Since(in.Version); ok && in.Patch {
-		return session.Push{Version: version, Steps: steps}, nil
+		return protocol.Push{Version: version, Steps: steps}, nil
 	}
-	return session.Push{Version: version, Doc: doc}, nil
+	return protocol.Push{Version: version, Doc: doc}, nil
 }
 
 // Learn takes the configuration that a fellow holds, if it is newer.
 func (t *Touch) Learn(ctx context.Context, at string) bool {
 	for _, steps := range []bool{true, false} {
 		had := t.host.Version()
-		got, err := wire.Ask[session.Push](ctx, t.x.N, at, "config.give", session.Push{Version: had, Patch: steps})
+		got, err := transport.Ask[protocol.Push](ctx, t.x.N, at, "config.give", protocol.Push{Version: had, Patch: steps})
 		if err != nil || got.Version <= had {
 			return false
 		}
@@ -78,14 +78,14 @@
 // Push gives a fellow that likely holds a version what is held: steps if there
 // are some from there, the whole otherwise. It gives back what the fellow holds
 // then, 0 when it didn't say.
-func Push(ctx context.Context, n *wire.Node, to string, held *patch.Held, have uint64) (uint64, error) {
+func Push(ctx context.Context, n *transport.Node, to string, held *patch.Held, have uint64) (uint64, error) {
 	version, doc := held.Now()
 	for range 2 {
 		steps, ok := held.Since(have)
 		if !ok {
 			break
 		}
-		got, err := wire.Ask[session.PushBack](ctx, n, to, "config.step", session.Push{Version: version, Steps: steps})
+		got, err := transport.Ask[protocol.PushBack](ctx, n, to, "config.step", protocol.Push{Version: version, Steps: steps})
 		if err != nil && !fault.Is(err, fault.Refused) {
 			return 0, err
 		}
@@ -98,6 +98,6 @@
 		}
 		have = got.Have
 	}
-	got, err := wire.Ask[session.PushBack](ctx, n, to, "config.push", session.Push{Version: version, Doc: doc})
+	got, err := transport.Ask[protocol.PushBack](ctx, n, to, "config.push", protocol.Push{Version: version, Doc: doc})
 	return got.Have, err
 }
--- a/internal/touch/fill.go
+++ b/internal/controlclient/fill.go
@@ -1,4 +1,4 @@
-package touch
+package controlclient
 
 import (
 	"context"
--- a/internal/touch/list.go
+++ b/internal/controlclient/list.go
@@ -1,4 +1,4 @@
-package touch
+package controlclient
 
 import (
 	"context"
@@ -6,9 +6,9 @@
 	"time"
 
 	"puffincrank/internal/fault"
-	"puffincrank/internal/member"
-	"puffincrank/internal/session"
-	"puffincrank/internal/wire"
+	"puffincrank/internal/membership"
+	"puffincrank/internal/protocol"
+	"puffincrank/internal/transport"
 )
 
 // page is how many members one message brings at the most, few how many are not
@@ -20,7 +20,7 @@
 
 // parts mends a list part by part until it is the control node's, or that of a
 // fellow when the control node has handed out all that it may.
-func (t *Touch) parts(ctx context.Context, to string, b *member.Book, want uint64, fronts int) *member.Book {
+func (t *Touch) parts(ctx context.Context, to string, b *membership.Book, want uint64, fronts int) *membership.Book {
 	b, got, _ := t.mend(ctx, to, b, fronts, func(uint64) bool { return true })
 	if !got.Busy {
 		return b
@@ -50,15 +50,15 @@
 
 // mend asks one for the parts that differ, if its list will do; the last word
 // tells whether all came.
-func (t *Touch) mend(ctx context.Context, at string, b *member.Book, fronts int, will func(hash uint64) bool) (*member.Book, session.ListBack, bool) {
-	n := max(b.Parts(), member.Parts(fronts))
+func (t *Touch) mend(ctx context.Context, at string, b *membership.Book, fronts int, will func(hash uint64) bool) (*membership.Book, protocol.ListBack, bool) {
+	n := max(b.Parts(), membership.Parts(fronts))
 	for {
-		got, err := wire.Ask[session.ListBack](ctx, t.x.N, at, "session.members", session.ListAsk{Digests: b.Digests(n), Short: true})
+		got, err := transport.Ask[protocol.ListBack](ctx, t.x.N, at, "session.members", protocol.ListAsk{Digests: b.Digests(n), Short: true})
 		if err != nil || len(got.Parts) == 0 || !will(got.Hash) {
 			return b, got, false
 		}
 		if len(got.Short) > 0 {
-			d, err := member.OpenDiff(got.Short)
+			d, err := membership.OpenDiff(got.Short)
 			if err != nil {
 				return b, got, false
 			}
@@ -71,12 +71,12 @@
 }
 
 // list gives fellows the parts of the list held here that differ from theirs.
-func (t *Touch) list(_ context.Context, from wire.Hello, in session.ListAsk) (session.ListBack, error) {
+func (t *Touch) list(_ context.Context, from transport.Hello, in protocol.ListAsk) (protocol.ListBack, error) {
 	t.mu.Lock()
 	b, since := t.book, t.since
 	t.mu.Unlock()
 	if since.IsZero() || time.Since(since) > t.x.P.Session() || !t.x.Rep.Room() {
-		return session.ListBack{Busy: true, Try: t.x.Rep.Given(from.Area, "")}, nil
+		return protocol.ListBack{Busy: true, Try: t.x.Rep.Given(from.Area, "")}, nil
 	}
 	out, err := Differ(b, in)
 	t.x.Rep.Spend(Cost(out))
@@ -84,14 +84,14 @@
 }
 
 // Differ answers who asks for the parts of a list that differ from its own.
-func Differ(b *member.Book, in session.ListAsk) (session.ListBack, error) {
+func Differ(b *membership.Book, in protocol.ListAsk) (protocol.ListBack, error) {
 	if len(in.Digests) == 0 || len(in.Digests) > 1<<12 {
-		return session.ListBack{}, fault.New(fault.Input, "%d digests", len(in.Digests))
+		return protocol.ListBack{}, fault.New(fault.Input, "%d digests", len(in.Digests))
 	}
-	out := session.ListBack{Hash: b.Hash()}
+	out := protocol.ListBack{Hash: b.Hash()}
 	out.Parts, out.List, out.More = b.Differ(in.Digests, page)
 	if in.Short && len(out.List) > few {
-		out.Short, out.List = member.Diff{Come: out.List}.Pack(), nil
+		out.Short, out.List = membership.Diff{Come: out.List}.Pack(), nil
 	}
 	return out, nil
 }
@@ -100,4 +100,4 @@
 const whole = 125
 
 // Cost is about how many bytes an answer has.
-func Cost(out session.ListBack) int { return len(out.Short) + whole*len(out.List) }
+func Cost(out protocol.ListBack) int { return len(out.Short) + whole*len(out.List) }
--- a/internal/touch/round.go
+++ b/internal/controlclient/round.go
@@ -1,4 +1,4 @@
-package touch
+package controlclient
 
 import (
 	"context"
@@ -6,8 +6,8 @@
 
 	"puffincrank/internal/ballot"
 	"puffincrank/internal/event"
-	"puffincrank/internal/session"
-	"puffincrank/internal/wire"
+	"puffincrank/internal/protocol"
+	"puffincrank/internal/transport"
 )
 
 // rings is how many fellows are pinged to learn whether the own line is quick.
@@ -43,12 +43,12 @@
 	// Control nodes that were gone and came back in the middle of a round answer
 	// late by that alone, and so does everything in a round that a freeze fell
 	// into: one that begins now tells.
-	if word != session.Sure && (was2 && word == session.Unsure || t.x.Woke().After(began)) {
+	if word != protocol.Sure && (was2 && word == protocol.Unsure || t.x.Woke().After(began)) {
 		found, word, began = t.round(ctx, core)
 	}
 	t.mu.Lock()
 	t.at = found
-	t.lost, t.slow = word == session.Lost, word == session.Unsure || word == session.Sure && t.slow
+	t.lost, t.slow = word == protocol.Lost, word == protocol.Unsure || word == protocol.Sure && t.slow
 	if t.lost {
 		t.out = began
 		t.core = union(t.seeds, t.core)
@@ -61,9 +61,9 @@
 		if was2 {
 			t.x.Log.Emit(event.InTouch, "with", found)
 		}
-	case word == session.Lost && !was2:
+	case word == protocol.Lost && !was2:
 		t.x.Log.Emit(event.OutOfTouch, "asked", len(core))
-	case word == session.Unsure && !slow:
+	case word == protocol.Unsure && !slow:
 		t.x.Log.Emit(event.Unsure, "asked", len(core))
 	}
 }
@@ -72,7 +72,7 @@
 // whether any is in touch. The first that is gets the beat, so that the others
 // hold no seat, send no list and fill no replica. When none answers that it is,
 // the word is Lost only on evidence of a cut.
-func (t *Touch) round(ctx context.Context, core []string) (string, session.Word, time.Time) {
+func (t *Touch) round(ctx context.Context, core []string) (string, protocol.Word, time.Time) {
 	found, outs, quick, began := "", 0, false, time.Now()
 	round, end := context.WithTimeout(ctx, t.leash())
 	defer end()
@@ -88,7 +88,7 @@
 	}) {
 		rung <- false
 	}
-	ballot.Poll(round, t.x.G, core, t.look, func(who string, got session.Receipt, err error) bool {
+	ballot.Poll(round, t.x.G, core, t.look, func(who string, got protocol.Receipt, err error) bool {
 		switch {
 		case err != nil:
 		case !got.In:
@@ -100,7 +100,7 @@
 		return found != ""
 	})
 	if found != "" {
-		return found, session.Sure, began
+		return found, protocol.Sure, began
 	}
 	return "", t.verdict(began, outs, <-rung || quick), began
 }
@@ -110,25 +110,25 @@
 // too. What is sent to the control nodes and to fellows waits in the same line,
 // so a fellow that answers in time, or a control node that says it is out of
 // touch, shows that the silence of the others is theirs.
-func (t *Touch) verdict(began time.Time, outs int, quick bool) session.Word {
+func (t *Touch) verdict(began time.Time, outs int, quick bool) protocol.Word {
 	if t.x.N.HeardFrom("registry", began) > outs {
 		// One is heard that gave no answer: it isn't cut off, only late.
-		return session.Unsure
+		return protocol.Unsure
 	}
 	// A full line may also be still for a while before it brings what waits.
 	if !quick && t.x.N.HeardFrom("", time.Now().Add(-t.x.P.Change)) > 0 {
-		return session.Unsure
+		return protocol.Unsure
 	}
-	return session.Lost
+	return protocol.Lost
 }
 
 // look asks a control node whether it is in touch. Its answer counts for as long
 // as it can be of use, also when the round is over.
-func (t *Touch) look(_ context.Context, to string) (session.Receipt, error) {
+func (t *Touch) look(_ context.Context, to string) (protocol.Receipt, error) {
 	ctx, end := context.WithTimeout(t.x.G.Context(), t.x.P.Fresh())
 	defer end()
 	from := time.Now()
-	got, err := wire.Ask[session.Receipt](ctx, t.x.N, to, "session.beat", session.Beat{Fellow: t.x.Self, Version: t.host.Version(), Look: true})
+	got, err := transport.Ask[protocol.Receipt](ctx, t.x.N, to, "session.beat", protocol.Beat{Fellow: t.x.Self, Version: t.host.Version(), Look: true})
 	// Control nodes of before give no age with it.
 	if err == nil && got.In && got.Age > 0 && got.Version <= t.host.Version() {
 		t.sees(from, got.Age)
@@ -146,26 +146,26 @@
 }
 
 // Word tells how sure the node is of the configuration that it holds.
-func (t *Touch) Word() session.Word {
+func (t *Touch) Word() protocol.Word {
 	woke := t.x.Woke()
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if time.Since(t.sure) <= t.x.P.Fresh() {
-		return session.Sure
+		return protocol.Sure
 	}
 	// A round that a freeze fell into says nothing: its answers may wait unread.
 	if t.lost && t.out.After(woke) && time.Since(t.out) <= t.x.P.Fresh() {
-		return session.Lost
+		return protocol.Lost
 	}
-	return session.Unsure
+	return protocol.Unsure
 }
 
 // Confirm waits until the node may act by itself. A node that was frozen comes
 // here before it takes or hands over another job. The wait is bounded by a round
 // over all control nodes and by half of the time left. Where answers are known
 // to come late there is no use in waiting: others may know better.
-func (t *Touch) Confirm(ctx context.Context, end time.Time) session.Word {
-	if w := t.Word(); w != session.Unsure {
+func (t *Touch) Confirm(ctx context.Context, end time.Time) protocol.Word {
+	if w := t.Word(); w != protocol.Unsure {
 		return w
 	}
 	ctx, over := context.WithTimeout(ctx, min(2*t.x.P.Patience()+t.x.P.Beat(), time.Until(end)/2))
@@ -174,12 +174,12 @@
 		t.mu.Lock()
 		turn, slow := t.turn, t.slow
 		t.mu.Unlock()
-		if w := t.Word(); w != session.Unsure {
+		if w := t.Word(); w != protocol.Unsure {
 			return w
 		}
 		t.Kick()
 		if slow {
-			return session.Unsure
+			return protocol.Unsure
 		}
 		select {
 		case <-turn:
--- a/internal/touch/touch.go
+++ b/internal/controlclient/touch.go
@@ -1,6 +1,6 @@
-// Package touch is a node's session with one control node: the beats, what
+// Package controlclient is a node's session with one control node: the beats, what
 // their receipts bring, and whether the node may act on what it holds.
-package touch
+package controlclient
 
 import (
 	"context"
@@ -8,13 +8,13 @@
 	"time"
 
 	"puffincrank/internal/event"
-	"puffincrank/internal/member"
+	"puffincrank/internal/membership"
 	"puffincrank/internal/patch"
-	"puffincrank/internal/props"
+	"puffincrank/internal/protocol"
 	"puffincrank/internal/replica"
-	"puffincrank/internal/session"
+	"puffincrank/internal/settings"
 	"puffincrank/internal/task"
-	"puffincrank/internal/wire"
+	"puffincrank/internal/transport"
 )
 
 // Host is the node that the session is held for.
@@ -25,9 +25,9 @@
 	// kept; false means that it can't.
 	Take(version uint64, doc []byte) ([]byte, bool)
 	// Report adds to a beat what the node counted.
-	Report(*session.Beat)
+	Report(*protocol.Beat)
 	// Members hears of each new list of members.
-	Members(all *member.Book)
+	Members(all *membership.Book)
 	// Fronts hears how many fronts the mesh has.
 	Fronts(n int)
 	// Filled is called when the replica was refilled.
@@ -38,15 +38,15 @@
 
 // Parts is what the session is built on.
 type Parts struct {
-	P    props.Props
+	P    settings.Props
 	Log  *event.Log
 	G    *task.Group
-	N    *wire.Node
+	N    *transport.Node
 	Rep  *replica.Replica
-	Self member.Fellow
+	Self membership.Fellow
 	Woke func() time.Time // the end of the newest freeze
 	// Same gives a list as other nodes of this process hold it, if any do.
-	Same func(*member.Book) *member.Book
+	Same func(*membership.Book) *membership.Book
 }
 
 // Touch is the session with one control node.
@@ -64,7 +64,7 @@
 	turn  chan struct{}
 	kick  chan struct{}
 	hash  uint64 // of the list of members, as the control node names it
-	book  *member.Book
+	book  *membership.Book
 	since time.Time // when the session last stood
 	due   time.Time // when the control node is to be asked for a refill again
 	tips  []string  // fellows that it filled meanwhile
@@ -75,7 +75,7 @@
 // New readies a session; Run holds it.
 func New(x Parts, host Host) *Touch {
 	x.Rep.Await(true)
-	return &Touch{x: x, host: host, core: x.P.Seeds, seeds: x.P.Seeds, book: &member.Book{}, held: patch.NewHeld(spare), turn: make(chan struct{}), kick: make(chan struct{}, 1)}
+	return &Touch{x: x, host: host, core: x.P.Seeds, seeds: x.P.Seeds, book: &membership.Book{}, held: patch.NewHeld(spare), turn: make(chan struct{}), kick: make(chan struct{}, 1)}
 }
 
 func (t *Touch) stir() {
--- a/internal/tongue/tongue.go
+++ b/internal/dialect/tongue.go
@@ -1,7 +1,7 @@
-// Package tongue is how the mesh speaks towards callers and workers: the names
+// Package dialect is how the mesh speaks towards callers and workers: the names
 // of the headers and the few manners in which tongues differ. The product's
 // own tongue is the default; a deployment may bring another one.
-package tongue
+package dialect
 
 import "strings"
 
--- a/internal/env/env.go
+++ b/internal/env/env.go
@@ -8,10 +8,10 @@
 	"os"
 	"time"
 
+	"puffincrank/internal/dialect"
 	"puffincrank/internal/disk"
 	"puffincrank/internal/event"
 	"puffincrank/internal/task"
-	"puffincrank/internal/tongue"
 	"puffincrank/internal/trace"
 )
 
@@ -31,7 +31,7 @@
 	Pause func(ctx context.Context, d time.Duration)
 	Log   *event.Log
 	// Say is the tongue towards callers and workers; unset, the product's own.
-	Say tongue.Tongue
+	Say dialect.Tongue
 	// Look looks whether the settings have changed; it is cheap, and called by
 	// beats that there are anyhow. Unset, nothing is looked at.
 	Look func()
--- a/internal/fleetrun/soak/member.go
+++ b/internal/fleetrun/soak/member.go
@@ -5,10 +5,10 @@
 	"os"
 
 	"puffincrank/internal/env"
-	"puffincrank/internal/props"
+	"puffincrank/internal/lifecycle"
 	"puffincrank/internal/proxy"
 	"puffincrank/internal/registry"
-	"puffincrank/internal/run"
+	"puffincrank/internal/settings"
 	"puffincrank/internal/stand/play"
 	"puffincrank/internal/store"
 )
@@ -20,16 +20,16 @@
 // settings file to its exit code, in the tongue of the stand-ins. False means that
 // there is no such program.
 func Member(program string) (code int, ok bool) {
-	build := map[string]func(props.Props, env.Env) (run.Program, error){
-		"proxy":    func(p props.Props, e env.Env) (run.Program, error) { return proxy.New(p, e), nil },
-		"registry": func(p props.Props, e env.Env) (run.Program, error) { return registry.New(p, e), nil },
-		"store":    func(p props.Props, e env.Env) (run.Program, error) { return store.New(p, e) },
+	build := map[string]func(settings.Props, env.Env) (lifecycle.Program, error){
+		"proxy":    func(p settings.Props, e env.Env) (lifecycle.Program, error) { return proxy.New(p, e), nil },
+		"registry": func(p settings.Props, e env.Env) (lifecycle.Program, error) { return registry.New(p, e), nil },
+		"store":    func(p settings.Props, e env.Env) (lifecycle.Program, error) { return store.New(p, e) },
 	}[program]
 	if build == nil {
 		return 0, false
 	}
-	site := run.Site{Settings: readSettings, File: func() string { return os.Getenv(settingsVariable) }, Tongue: play.Plain}
-	return run.Main(program, []string{"--site"}, site, build), true
+	site := lifecycle.Site{Settings: readSettings, File: func() string { return os.Getenv(settingsVariable) }, Tongue: play.Plain}
+	return lifecycle.Main(program, []string{"--site"}, site, build), true
 }
 
 func readSettings(string) (map[string]any, error) {
--- a/internal/state/state.go
+++ b/internal/fsm/state.go
@@ -1,6 +1,6 @@
-// Package state wraps the state machines of the project: explicit states and
+// Package fsm wraps the state machines of the project: explicit states and
 // one function, Fire, for every change of state.
-package state
+package fsm
 
 import (
 	"context"
--- a/internal/outer/frame_test.go
+++ b/internal/httpapi/frame_test.go
@@ -1,4 +1,4 @@
-package outer
+package httpapi
 
 import (
 	"strings"
--- a/internal/outer/outer.go
+++ b/internal/httpapi/outer.go
@@ -1,6 +1,6 @@
-// Package outer is the HTTP side that all programs share: serving a port and
+// Package httpapi is the HTTP side that all programs share: serving a port and
 // writing JSON.
-package outer
+package httpapi
 
 import (
 	"context"
@@ -13,10 +13,10 @@
 	"strconv"
 	"time"
 
+	"puffincrank/internal/dialect"
 	"puffincrank/internal/env"
 	"puffincrank/internal/fault"
 	"puffincrank/internal/task"
-	"puffincrank/internal/tongue"
 )
 
 // Serve runs a handler on a port until the group ends.
@@ -43,7 +43,7 @@
 
 // Called gives a handler the tongue's calls as our own. Never for jobs, whose
 // paths are not ours to read.
-func Called(say tongue.Tongue, h http.Handler) http.Handler {
+func Called(say dialect.Tongue, h http.Handler) http.Handler {
 	if len(say.Calls) == 0 {
 		return h
 	}
--- a/internal/judge/judge.go
+++ b/internal/judge/judge.go
@@ -7,7 +7,7 @@
 	"math"
 	"time"
 
-	"puffincrank/internal/session"
+	"puffincrank/internal/protocol"
 )
 
 // Bounds are the configuration's bounds on a trial.
@@ -34,7 +34,7 @@
 
 // Add takes a front's tally in. A refusal is a failure here: a change that
 // sends jobs where nobody takes them must not pass.
-func (a *Arm) Add(t session.Tally) {
+func (a *Arm) Add(t protocol.Tally) {
 	a.Done += t.Done
 	a.Failed += t.Failed + t.Unknown + t.Refused
 	for len(a.Times) < len(t.Times) {
--- a/internal/run/again.go
+++ b/internal/lifecycle/again.go
@@ -1,4 +1,4 @@
-package run
+package lifecycle
 
 import (
 	"os"
@@ -9,24 +9,24 @@
 	"time"
 
 	"puffincrank/internal/event"
-	"puffincrank/internal/props"
+	"puffincrank/internal/schema"
 	"puffincrank/internal/settings"
 )
 
 // Again is a program that takes up changed settings while it runs; it names
 // those that it takes. All others hold for the life of the process.
-type Again interface{ Again(props.Props) []string }
+type Again interface{ Again(settings.Props) []string }
 
 // watch reads the settings again: at a signal, and when their file has changed
 // without one. It has no beat of its own; the program's beats call look.
 type watch struct {
 	name string
 	file string // "" where there is none
-	load func() (props.Props, []settings.Fault, error)
+	load func() (settings.Props, []schema.Fault, error)
 	log  *event.Log
 	mu   sync.Mutex
 	prog Again
-	now  props.Props
+	now  settings.Props
 	seen os.FileInfo // what the file looked like when it was last read
 	next time.Time   // the next look, a change after the last
 	bad  string      // what was wrong at the last reading
@@ -86,7 +86,7 @@
 		return
 	}
 	w.seen, w.bad = i, ""
-	all := props.Changed(w.name, w.now, p)
+	all := settings.Changed(w.name, w.now, p)
 	if len(all) == 0 {
 		return
 	}
@@ -114,7 +114,7 @@
 
 // remember sets the collector's limit. A part is kept back for what it does not
 // count: stacks, the C library and bytes that wait unread.
-func remember(p props.Props) {
+func remember(p settings.Props) {
 	if p.Memory > 0 {
 		debug.SetMemoryLimit(int64(p.Memory) * 3 / 4)
 	}
@@ -123,4 +123,4 @@
 // fixed is a program that takes none.
 type fixed struct{}
 
-func (fixed) Again(props.Props) []string { return nil }
+func (fixed) Again(settings.Props) []string { return nil }
--- a/internal/run/run.go
+++ b/internal/lifecycle/run.go
@@ -1,6 +1,6 @@
-// Package run is the life of a program around its parts: props, signals and
+// Package lifecycle is the life of a program around its parts: props, signals and
 // the polite stop.
-package run
+package lifecycle
 
 import (
 	"context"
@@ -17,13 +17,13 @@
 
 	"github.com/alexflint/go-arg"
 
+	"puffincrank/internal/dialect"
 	"puffincrank/internal/disk"
 	"puffincrank/internal/env"
 	"puffincrank/internal/event"
-	"puffincrank/internal/props"
+	"puffincrank/internal/schema"
 	"puffincrank/internal/settings"
 	"puffincrank/internal/task"
-	"puffincrank/internal/tongue"
 	"puffincrank/internal/version"
 )
 
@@ -38,25 +38,25 @@
 type Site struct {
 	Settings func(program string) (map[string]any, error)
 	File     func() string // where they stand
-	Tongue   tongue.Tongue
+	Tongue   dialect.Tongue
 }
 
 // load reads the props: from the site with the flag --site, or from our own
 // file and flags.
-func load(name string, args []string, site Site) (props.Props, []settings.Fault, error) {
+func load(name string, args []string, site Site) (settings.Props, []schema.Fault, error) {
 	if len(args) == 1 && args[0] == "--site" && site.Settings != nil {
 		in, err := site.Settings(name)
 		if err != nil {
-			return props.Props{}, nil, err
+			return settings.Props{}, nil, err
 		}
-		return props.From(name, in)
+		return settings.From(name, in)
 	}
-	return props.Load(name, args)
+	return settings.Load(name, args)
 }
 
 // Main runs a program until it is told to end; the result is the exit code:
 // 0 after a polite stop, 2 for bad props, 1 for a start that failed.
-func Main(name string, args []string, site Site, build func(props.Props, env.Env) (Program, error)) int {
+func Main(name string, args []string, site Site, build func(settings.Props, env.Env) (Program, error)) int {
 	if len(args) == 1 && args[0] == "--version" {
 		fmt.Println(version.Line(name))
 		return 0
@@ -67,7 +67,7 @@
 	ends, again := make(chan os.Signal, 1), make(chan os.Signal, 1)
 	signal.Notify(ends, syscall.SIGTERM, syscall.SIGINT)
 	signal.Notify(again, syscall.SIGHUP)
-	w := &watch{name: name, load: func() (props.Props, []settings.Fault, error) { return load(name, args, site) }, file: props.File(name, args)}
+	w := &watch{name: name, load: func() (settings.Props, []schema.Fault, error) { return load(name, args, site) }, file: settings.File(name, args)}
 	if len(args) == 1 && args[0] == "--site" && site.File != nil {
 		w.file = site.File()
 	}
--- a/internal/member/book.go
+++ b/internal/membership/book.go
@@ -1,4 +1,4 @@
-package member
+package membership
 
 import (
 	"sort"
--- a/internal/member/log.go
+++ b/internal/membership/log.go
@@ -1,4 +1,4 @@
-package member
+package membership
 
 // Diff is what changed between two states of a list.
 type Diff struct {
--- a/internal/member/member.go
+++ b/internal/membership/member.go
@@ -1,6 +1,6 @@
-// Package member is the list of the mesh's nodes as the control nodes' sessions
+// Package membership is the list of the mesh's nodes as the control nodes' sessions
 // tell it, and the gossip overlay that every node works out from that list.
-package member
+package membership
 
 import (
 	"hash/fnv"
--- a/internal/member/pack.go
+++ b/internal/membership/pack.go
@@ -1,10 +1,10 @@
-package member
+package membership
 
 import (
 	"strings"
 
+	"puffincrank/internal/compression"
 	"puffincrank/internal/fault"
-	"puffincrank/internal/squeeze"
 )
 
 // wide is the columns of packed members: the fields of a fellow in the order of
@@ -35,12 +35,12 @@
 	for _, n := range d.Gone {
 		put("-", n, "", "", "", "", "", "")
 	}
-	return squeeze.Pack(cols)
+	return compression.Pack(cols)
 }
 
 // OpenDiff reads the short form; the error is of the kind fault.Input.
 func OpenDiff(b []byte) (Diff, error) {
-	cols, err := squeeze.Open(b, wide)
+	cols, err := compression.Open(b, wide)
 	if err != nil {
 		return Diff{}, err
 	}
--- a/internal/member/roll.go
+++ b/internal/membership/roll.go
@@ -1,4 +1,4 @@
-package member
+package membership
 
 // claim is one source's word on a node.
 type claim struct {
--- a/internal/pulse/pulse.go
+++ b/internal/pausedetect/pulse.go
@@ -1,7 +1,7 @@
-// Package pulse tells a process that it was frozen: its own ticks on the
+// Package pausedetect tells a process that it was frozen: its own ticks on the
 // monotonic clock have a gap. Whoever acts on what it heard before asks here
 // first, since the tick itself may be late to notice.
-package pulse
+package pausedetect
 
 import (
 	"context"
--- a/internal/session/session.go
+++ b/internal/protocol/session.go
@@ -1,26 +1,26 @@
-// Package session is what proxies and control nodes say to each other: beats,
+// Package protocol is what proxies and control nodes say to each other: beats,
 // pushes of the configuration, and the control nodes' word on their sessions.
-package session
+package protocol
 
 import (
-	"puffincrank/internal/member"
+	"puffincrank/internal/membership"
 	"puffincrank/internal/patch"
 	"puffincrank/internal/statemachine"
 )
 
 // Beat renews a proxy's session with one control node.
 type Beat struct {
-	Fellow  member.Fellow `msgpack:"f"`
-	Version uint64        `msgpack:"v"` // the configuration it holds
-	Hash    uint64        `msgpack:"h"` // the list of members it holds
-	Bye     bool          `msgpack:"b"`
-	Tallies []Tally       `msgpack:"t,omitempty"`
-	Live    []string      `msgpack:"l,omitempty"` // paths that had jobs lately
-	Diff    bool          `msgpack:"d,omitempty"` // it takes what differs
-	Core    uint64        `msgpack:"c,omitempty"` // the hash of the control nodes that it knows
-	Look    bool          `msgpack:"k,omitempty"` // asks only whether the control node is in touch
-	Patch   bool          `msgpack:"p,omitempty"` // it takes a document as the steps from the one it holds
-	Short   bool          `msgpack:"z,omitempty"` // it takes members in their short form, and a document compressed
+	Fellow  membership.Fellow `msgpack:"f"`
+	Version uint64            `msgpack:"v"` // the configuration it holds
+	Hash    uint64            `msgpack:"h"` // the list of members it holds
+	Bye     bool              `msgpack:"b"`
+	Tallies []Tally           `msgpack:"t,omitempty"`
+	Live    []string          `msgpack:"l,omitempty"` // paths that had jobs lately
+	Diff    bool              `msgpack:"d,omitempty"` // it takes what differs
+	Core    uint64            `msgpack:"c,omitempty"` // the hash of the control nodes that it knows
+	Look    bool              `msgpack:"k,omitempty"` // asks only whether the control node is in touch
+	Patch   bool              `msgpack:"p,omitempty"` // it takes a document as the steps from the one it holds
+	Short   bool              `msgpack:"z,omitempty"` // it takes members in their short form, and a document compressed
 }
 
 // Report is one front's tallies as its control node holds them.
@@ -34,20 +34,20 @@
 // Receipt answers a beat. Without In the control node is out of touch with
 // the stores and the proxy must try another.
 type Receipt struct {
-	In      bool            `msgpack:"i"`
-	Age     int64           `msgpack:"a"` // ms since a majority confirmed Version
-	Version uint64          `msgpack:"v"`
-	Doc     []byte          `msgpack:"d,omitempty"`
-	Hash    uint64          `msgpack:"h"`
-	Members []member.Fellow `msgpack:"m,omitempty"`
-	Core    []string        `msgpack:"c"`           // inner addresses of the control nodes now, if they differ
-	Count   int             `msgpack:"n"`           // fronts in the mesh
-	Diff    bool            `msgpack:"f,omitempty"` // Come and Gone lead from the beat's list to Hash
-	Come    []member.Fellow `msgpack:"w,omitempty"`
-	Gone    []string        `msgpack:"g,omitempty"`
-	Steps   []patch.Step    `msgpack:"s,omitempty"` // from the beat's Version to Version, in the place of Doc
-	Short   []byte          `msgpack:"z,omitempty"` // Come and Gone in their short form
-	Shrunk  []byte          `msgpack:"u,omitempty"` // the document compressed, in the place of Doc
+	In      bool                `msgpack:"i"`
+	Age     int64               `msgpack:"a"` // ms since a majority confirmed Version
+	Version uint64              `msgpack:"v"`
+	Doc     []byte              `msgpack:"d,omitempty"`
+	Hash    uint64              `msgpack:"h"`
+	Members []membership.Fellow `msgpack:"m,omitempty"`
+	Core    []string            `msgpack:"c"`           // inner addresses of the control nodes now, if they differ
+	Count   int                 `msgpack:"n"`           // fronts in the mesh
+	Diff    bool                `msgpack:"f,omitempty"` // Come and Gone lead from the beat's list to Hash
+	Come    []membership.Fellow `msgpack:"w,omitempty"`
+	Gone    []string            `msgpack:"g,omitempty"`
+	Steps   []patch.Step        `msgpack:"s,omitempty"` // from the beat's Version to Version, in the place of Doc
+	Short   []byte              `msgpack:"z,omitempty"` // Come and Gone in their short form
+	Shrunk  []byte              `msgpack:"u,omitempty"` // the document compressed, in the place of Doc
 }
 
 // ListAsk asks for the parts of the list of members that differ from the
@@ -59,13 +59,13 @@
 
 // ListBack brings some of the parts that differ, and says whether others do.
 type ListBack struct {
-	Hash  uint64          `msgpack:"h"`
-	Parts []int           `msgpack:"p"`
-	List  []member.Fellow `msgpack:"l"`
-	More  bool            `msgpack:"m"`
-	Short []byte          `msgpack:"z,omitempty"` // List in its short form
-	Busy  bool            `msgpack:"b,omitempty"` // more was asked for than is handed out in a beat
-	Try   []string        `msgpack:"t,omitempty"` // of a busy one: who was given it lately
+	Hash  uint64              `msgpack:"h"`
+	Parts []int               `msgpack:"p"`
+	List  []membership.Fellow `msgpack:"l"`
+	More  bool                `msgpack:"m"`
+	Short []byte              `msgpack:"z,omitempty"` // List in its short form
+	Busy  bool                `msgpack:"b,omitempty"` // more was asked for than is handed out in a beat
+	Try   []string            `msgpack:"t,omitempty"` // of a busy one: who was given it lately
 }
 
 // Push sends a new configuration over the session at once: as steps from an
@@ -84,14 +84,14 @@
 
 // Share is a control node's word on its sessions to the others.
 type Share struct {
-	From member.Fellow         `msgpack:"f"`
+	From membership.Fellow     `msgpack:"f"`
 	Hash uint64                `msgpack:"h"`
-	List []member.Fellow       `msgpack:"l,omitempty"`
+	List []membership.Fellow   `msgpack:"l,omitempty"`
 	Full bool                  `msgpack:"u"`
 	Core []statemachine.Member `msgpack:"c,omitempty"`
 	Diff bool                  `msgpack:"d,omitempty"` // Come and Gone lead from the list with hash Base to Hash
 	Base uint64                `msgpack:"b,omitempty"`
-	Come []member.Fellow       `msgpack:"w,omitempty"`
+	Come []membership.Fellow   `msgpack:"w,omitempty"`
 	Gone []string              `msgpack:"g,omitempty"`
 	Met  uint64                `msgpack:"m,omitempty"` // names the control nodes that From hears
 	Pack []byte                `msgpack:"z,omitempty"` // List, or Come and Gone, in their short form
@@ -100,12 +100,12 @@
 // ShareBack asks for more when the hash is not known: for what differs from
 // the list that is held, or for the whole.
 type ShareBack struct {
-	Need bool          `msgpack:"n"`
-	Me   member.Fellow `msgpack:"m"`
-	Diff bool          `msgpack:"d,omitempty"` // it takes what differs
-	Have uint64        `msgpack:"h,omitempty"`
-	Near []string      `msgpack:"r,omitempty"` // control nodes heard here, when the asker hears others
-	Pack bool          `msgpack:"z,omitempty"` // it takes members in their short form
+	Need bool              `msgpack:"n"`
+	Me   membership.Fellow `msgpack:"m"`
+	Diff bool              `msgpack:"d,omitempty"` // it takes what differs
+	Have uint64            `msgpack:"h,omitempty"`
+	Near []string          `msgpack:"r,omitempty"` // control nodes heard here, when the asker hears others
+	Pack bool              `msgpack:"z,omitempty"` // it takes members in their short form
 }
 
 // Outer is an outside call that a proxy hands over.
--- a/internal/proxy/acknowledge.go
+++ b/internal/proxy/acknowledge.go
@@ -6,10 +6,10 @@
 	"time"
 
 	"puffincrank/internal/fault"
+	"puffincrank/internal/httpapi"
 	"puffincrank/internal/ormap"
-	"puffincrank/internal/outer"
-	"puffincrank/internal/session"
-	"puffincrank/internal/wire"
+	"puffincrank/internal/protocol"
+	"puffincrank/internal/transport"
 )
 
 const (
@@ -26,10 +26,10 @@
 // node has it too.
 func (x *Proxy) acknowledge(w http.ResponseWriter, r *http.Request, worker, state string, body any) {
 	if state != saysUp && !x.leaveKept(r.Context(), worker, state) {
-		outer.Busy(w, "no control node has noted the leave yet", x.P.Beat(), x.say.Fine)
+		httpapi.Busy(w, "no control node has noted the leave yet", x.P.Beat(), x.say.Fine)
 		return
 	}
-	outer.JSON(w, http.StatusOK, body)
+	httpapi.JSON(w, http.StatusOK, body)
 }
 
 // leaveKept tells whether a control node has noted what a worker said of its leave,
@@ -78,10 +78,10 @@
 
 // tellOne hands it to one control node.
 func (x *Proxy) tellOne(ctx context.Context, at string, word ormap.Delta) bool {
-	_, err := wire.Ask[struct{}](ctx, x.n, at, session.WorkerLeaves, word)
+	_, err := transport.Ask[struct{}](ctx, x.n, at, protocol.WorkerLeaves, word)
 	if fault.Is(err, fault.Refused) {
 		// One of an earlier version notes it, though not on its disk.
-		_, err = wire.Ask[struct{}](ctx, x.n, at, "replica.mend", word)
+		_, err = transport.Ask[struct{}](ctx, x.n, at, "replica.mend", word)
 	}
 	return err == nil
 }
--- a/internal/proxy/again.go
+++ b/internal/proxy/again.go
@@ -1,11 +1,11 @@
 package proxy
 
-import "puffincrank/internal/props"
+import "puffincrank/internal/settings"
 
 // set gives the settings that may change while this process runs, as they were
 // last read. Bounds aren't among them: beats, leases and what others were told
 // follow from those, and P holds them for life.
-func (x *Proxy) set() *props.Props {
+func (x *Proxy) set() *settings.Props {
 	if p := x.reset.Load(); p != nil {
 		return p
 	}
@@ -16,7 +16,7 @@
 // nodes to turn to when none of those known answers, the worker beside this
 // node, the bound on repeats and those on what is under way. Nothing that is
 // under way is touched.
-func (x *Proxy) Again(p props.Props) []string {
+func (x *Proxy) Again(p settings.Props) []string {
 	x.reset.Store(&p)
 	x.touch.Seeds(p.Seeds)
 	x.load.bound(&p)
@@ -29,4 +29,4 @@
 
 // callers is how many connections of callers there may be: three quarters of
 // what this process may open. The rest is for fellows, the worker and files.
-func callers(p *props.Props) int { return p.Files * 3 / 4 }
+func callers(p *settings.Props) int { return p.Files * 3 / 4 }
--- a/internal/proxy/answer.go
+++ b/internal/proxy/answer.go
@@ -5,15 +5,15 @@
 	"strconv"
 	"time"
 
-	"puffincrank/internal/outer"
-	"puffincrank/internal/seal"
-	"puffincrank/internal/session"
+	"puffincrank/internal/httpapi"
+	"puffincrank/internal/protocol"
+	"puffincrank/internal/responsedigest"
 )
 
 // wrong answers for a job that can't be taken as it came: it was not run.
 func (x *Proxy) wrong(w http.ResponseWriter, code int, why string) {
-	x.mark(w, seal.Ran, "no")
-	outer.JSON(w, code, outer.Wrong{Wrong: why, Ran: "no"})
+	x.mark(w, responsedigest.Ran, "no")
+	httpapi.JSON(w, code, httpapi.Wrong{Wrong: why, Ran: "no"})
 }
 
 // mark sets one of the mesh's own headers, where the tongue has them.
@@ -25,30 +25,30 @@
 
 // busyNow gives the busy answer: the job was not run and never will be.
 func (x *Proxy) busyNow(w http.ResponseWriter, why string, come time.Duration) {
-	x.mark(w, seal.Ran, "no")
-	x.mark(w, seal.Why, why)
+	x.mark(w, responsedigest.Ran, "no")
+	x.mark(w, responsedigest.Why, why)
 	// The caller is told when to come back rather than held here.
-	outer.Busy(w, "busy, try later: "+why, come, x.say.Fine)
+	httpapi.Busy(w, "busy, try later: "+why, come, x.say.Fine)
 }
 
 // receipt answers the caller.
 func (x *Proxy) receipt(w http.ResponseWriter, j *job) {
-	if j.back.Kind != session.Done && j.spare != nil {
+	if j.back.Kind != protocol.Done && j.spare != nil {
 		j.back = *j.spare
 	}
 	x.score(j)
-	if !j.due.IsZero() && (j.back.Kind != session.Done || j.back.Status >= http.StatusInternalServerError) {
+	if !j.due.IsZero() && (j.back.Kind != protocol.Done || j.back.Status >= http.StatusInternalServerError) {
 		x.knows.note(j.path.Name, j.first, j.due)
 	}
 	if v := j.rules; v != nil {
-		x.mark(w, seal.Version, strconv.FormatUint(v.Version, 10))
+		x.mark(w, responsedigest.Version, strconv.FormatUint(v.Version, 10))
 	}
 	switch {
-	case j.back.Kind == session.Done:
+	case j.back.Kind == protocol.Done:
 		for k, v := range x.passed(j.back.Head) {
 			w.Header()[k] = v
 		}
-		x.mark(w, seal.Worker, j.back.Worker)
+		x.mark(w, responsedigest.Worker, j.back.Worker)
 		w.Header().Set("Content-Length", strconv.Itoa(len(j.back.Body)))
 		w.WriteHeader(j.back.Status)
 		if j.req.Method != http.MethodHead {
@@ -59,8 +59,8 @@
 		if j.lost.Late {
 			code = http.StatusGatewayTimeout
 		}
-		x.mark(w, seal.Ran, "unknown")
-		outer.JSON(w, code, outer.Wrong{Wrong: "outcome unknown: " + j.lost.Why, Ran: "unknown"})
+		x.mark(w, responsedigest.Ran, "unknown")
+		httpapi.JSON(w, code, httpapi.Wrong{Wrong: "outcome unknown: " + j.lost.Why, Ran: "unknown"})
 	default:
 		x.busyNow(w, j.why, x.comeback(j))
 	}
@@ -74,7 +74,7 @@
 	c.Jobs++
 	c.Sends += int64(j.sends)
 	switch {
-	case j.back.Kind == session.Done:
+	case j.back.Kind == protocol.Done:
 		c.Done++
 		if j.entry.Area == x.P.Area {
 			c.Near++
--- a/internal/proxy/beat.go
+++ b/internal/proxy/beat.go
@@ -4,36 +4,36 @@
 	"net/http"
 
 	"puffincrank/internal/event"
-	"puffincrank/internal/outer"
-	"puffincrank/internal/settings"
+	"puffincrank/internal/httpapi"
+	"puffincrank/internal/schema"
 )
 
 // Beats is the table of a worker's beat.
-var Beats = settings.Table{Name: "beat", Rows: []settings.Setting{
-	{Name: "service", Type: settings.Text, Must: true, Check: settings.Word, Rule: "a name", Help: "the service it serves"},
-	{Name: "worker", Type: settings.Text, Must: true, Check: settings.Word, Rule: "a name", Help: "its identity, a new one at each start"},
-	{Name: "addr", Type: settings.Addr, Must: true, Rule: "IP number and port", Help: "where it takes jobs"},
-	{Name: "slots", Type: settings.Count, Must: true, Check: settings.In(1, 1024), Rule: "1 to 1024", Help: "jobs that it runs at once"},
-	{Name: "state", Type: settings.Text, Must: true, Check: settings.OneOf("up", "draining", "gone"), Rule: "up, draining or gone", Help: "alive, leaving or signed off"},
+var Beats = schema.Table{Name: "beat", Rows: []schema.Setting{
+	{Name: "service", Type: schema.Text, Must: true, Check: schema.Word, Rule: "a name", Help: "the service it serves"},
+	{Name: "worker", Type: schema.Text, Must: true, Check: schema.Word, Rule: "a name", Help: "its identity, a new one at each start"},
+	{Name: "addr", Type: schema.Addr, Must: true, Rule: "IP number and port", Help: "where it takes jobs"},
+	{Name: "slots", Type: schema.Count, Must: true, Check: schema.In(1, 1024), Rule: "1 to 1024", Help: "jobs that it runs at once"},
+	{Name: "state", Type: schema.Text, Must: true, Check: schema.OneOf("up", "draining", "gone"), Rule: "up, draining or gone", Help: "alive, leaving or signed off"},
 }}
 
 // onBeat takes a worker's beat: the whole registration each time, so that a
 // restarted proxy is filled by the next one.
 func (x *Proxy) onBeat(w http.ResponseWriter, r *http.Request) {
-	raw, code := outer.Body(w, r, 4096)
+	raw, code := httpapi.Body(w, r, 4096)
 	if code != 0 {
-		outer.JSON(w, code, outer.Wrong{Wrong: "the beat can't be read"})
+		httpapi.JSON(w, code, httpapi.Wrong{Wrong: "the beat can't be read"})
 		return
 	}
-	in, bad, err := settings.Parse(raw)
+	in, bad, err := schema.Parse(raw)
 	if err != nil {
-		outer.JSON(w, http.StatusBadRequest, outer.Wrong{Wrong: "not JSON: " + err.Error()})
+		httpapi.JSON(w, http.StatusBadRequest, httpapi.Wrong{Wrong: "not JSON: " + err.Error()})
 		return
 	}
 	v, more := Beats.Read(in, "")
 	if bad = append(bad, more...); len(bad) > 0 {
 		x.e.Log.Emit(event.BeatBad, "faults", len(bad), "first", bad[0].Place)
-		outer.JSON(w, http.StatusUnprocessableEntity, outer.Wrong{Wrong: "the beat is wrong", Faults: bad})
+		httpapi.JSON(w, http.StatusUnprocessableEntity, httpapi.Wrong{Wrong: "the beat is wrong", Faults: bad})
 		return
 	}
 	x.takeCall(workerCall{worker: v.Text("worker"), service: v.Text("service"), addr: v.Text("addr"), slots: int(v.Count("slots")), state: v.Text("state")})
--- a/internal/proxy/callerleft.go
+++ b/internal/proxy/callerleft.go
@@ -5,8 +5,8 @@
 	"sync"
 
 	"puffincrank/internal/event"
-	"puffincrank/internal/grace"
-	"puffincrank/internal/wire"
+	"puffincrank/internal/shutdown"
+	"puffincrank/internal/transport"
 	"puffincrank/internal/workerconn"
 )
 
@@ -40,8 +40,8 @@
 	stop := context.AfterFunc(ctx, func() {
 		mu.Lock()
 		defer mu.Unlock()
-		ending := grace.IsLate(ctx)
-		if over || !ending && !wire.Abandoned(ctx) {
+		ending := shutdown.IsLate(ctx)
+		if over || !ending && !transport.Abandoned(ctx) {
 			return
 		}
 		x.step(v, stepCancelled, "")
--- a/internal/proxy/calls.go
+++ b/internal/proxy/calls.go
@@ -3,7 +3,7 @@
 import (
 	"sync"
 
-	"puffincrank/internal/session"
+	"puffincrank/internal/protocol"
 )
 
 // calls measures what runs of the own worker call in turn: for each path, how
@@ -169,7 +169,7 @@
 // ended gives back what a run held.
 func (x *Proxy) ended(v *visit) {
 	if v.runs {
-		x.calls.end(v.in.Path, v.part, v.back.Kind != session.Refused)
+		x.calls.end(v.in.Path, v.part, v.back.Kind != protocol.Refused)
 		x.again.Free(v.calls)
 	}
 }
--- a/internal/proxy/deliver.go
+++ b/internal/proxy/deliver.go
@@ -11,7 +11,7 @@
 	"strings"
 	"time"
 
-	"puffincrank/internal/session"
+	"puffincrank/internal/protocol"
 	"puffincrank/internal/workerconn"
 )
 
@@ -96,7 +96,7 @@
 		// It ended with its connection: nothing says that it is whole.
 		return v.unknown("the answer has no end of its own")
 	}
-	v.back = session.Back{Status: w.StatusCode, Head: w.Header, Body: body, Came: true}
+	v.back = protocol.Back{Status: w.StatusCode, Head: w.Header, Body: body, Came: true}
 	return true
 }
 
--- a/internal/proxy/ending.go
+++ b/internal/proxy/ending.go
@@ -4,7 +4,7 @@
 	"context"
 	"time"
 
-	"puffincrank/internal/session"
+	"puffincrank/internal/protocol"
 	"puffincrank/internal/task"
 )
 
@@ -32,7 +32,7 @@
 // is left each time, one that is given up would be held for seven eighths of its
 // time. What has waited that long takes a slot that is free, or none; but not one that
 // has lost a run, and can't be told that it did not run.
-func (j *job) boundRequeue(h *session.Hand) {
+func (j *job) boundRequeue(h *protocol.Hand) {
 	if j.waited == 0 || h.Last {
 		return
 	}
@@ -177,7 +177,7 @@
 // was told to end, and the request has lost the run that it had. Its caller can't come
 // back here, and workers whose slots are taken now may have one before this node goes.
 func (x *Proxy) persists(ctx context.Context, j *job) bool {
-	if j.lost == nil || j.hedged || !j.arm.Safe || j.back.Kind == session.Done || j.came >= j.arm.Tries || x.stop.Load() == nil || x.isEnding() {
+	if j.lost == nil || j.hedged || !j.arm.Safe || j.back.Kind == protocol.Done || j.came >= j.arm.Tries || x.stop.Load() == nil || x.isEnding() {
 		return false
 	}
 	if j.back.Rules {
--- a/internal/proxy/fit.go
+++ b/internal/proxy/fit.go
@@ -5,9 +5,9 @@
 	"strconv"
 	"time"
 
-	"puffincrank/internal/class"
+	"puffincrank/internal/admission"
 	"puffincrank/internal/event"
-	"puffincrank/internal/session"
+	"puffincrank/internal/protocol"
 )
 
 // dead is how many failed jobs it is worth that the worker takes no connection.
@@ -28,9 +28,9 @@
 		return
 	case v.mute:
 		own.Failed(dead)
-	case b.Kind == session.Done && b.Status < 500:
+	case b.Kind == protocol.Done && b.Status < 500:
 		own.Ran(path, ms, usual)
-	case b.Kind == session.Unknown && b.Late, b.Kind == session.Done && b.Status == http.StatusGatewayTimeout:
+	case b.Kind == protocol.Unknown && b.Late, b.Kind == protocol.Done && b.Status == http.StatusGatewayTimeout:
 		// One that came with too little time says nothing of the worker.
 		if usual > 0 && ms > 2*usual {
 			own.Failed(1)
@@ -116,8 +116,8 @@
 }
 
 // uses gives the classes' use of each worker for the status.
-func (x *Proxy) uses() map[string]map[string]class.Use {
-	out := map[string]map[string]class.Use{}
+func (x *Proxy) uses() map[string]map[string]admission.Use {
+	out := map[string]map[string]admission.Use{}
 	for _, g := range x.allGates() {
 		out[g.worker] = g.room.Uses()
 	}
--- a/internal/proxy/front.go
+++ b/internal/proxy/front.go
@@ -6,18 +6,18 @@
 	"strconv"
 	"time"
 
+	"puffincrank/internal/httpapi"
 	"puffincrank/internal/ormap"
-	"puffincrank/internal/outer"
+	"puffincrank/internal/protocol"
 	"puffincrank/internal/rules"
-	"puffincrank/internal/session"
 )
 
 // job is one call on its way through the front. It pins the rules that it was
 // matched by.
 type job struct {
 	id      string
-	said    string       // the id by which the caller and the worker know it
-	word    session.Word // how sure this node was of its rules, after the job was read
+	said    string        // the id by which the caller and the worker know it
+	word    protocol.Word // how sure this node was of its rules, after the job was read
 	rules   *rules.Rules
 	path    *rules.Path
 	arm     *rules.Arm
@@ -41,13 +41,13 @@
 	took    int64         // bytes that it holds here
 	part    float64       // how far it is the call of a repeated run
 	entry   ormap.Entry
-	back    session.Back
-	lost    *lostAttempt  // the first attempt that may have run and has no answer
-	hedged  bool          // a copy, sent beside an attempt that goes on
-	any     bool          // no worker took its repeat: one whose node ends may have it
-	borrows bool          // a stop makes its repeat necessary: an owner may pay for it
-	unpaid  bool          // this front had no repeat left for the attempt under way
-	spare   *session.Back // a worker's own failure, given if nothing better comes
+	back    protocol.Back
+	lost    *lostAttempt   // the first attempt that may have run and has no answer
+	hedged  bool           // a copy, sent beside an attempt that goes on
+	any     bool           // no worker took its repeat: one whose node ends may have it
+	borrows bool           // a stop makes its repeat necessary: an owner may pay for it
+	unpaid  bool           // this front had no repeat left for the attempt under way
+	spare   *protocol.Back // a worker's own failure, given if nothing better comes
 	why     string
 	come    time.Duration // when the caller may come back, as the last refusal had it
 }
@@ -63,12 +63,12 @@
 		w.Header().Set("Keep-Alive", *told)
 	}
 	// What others may take for two requests is none here.
-	switch outer.FramingOf(r.Context()) {
-	case outer.Twofold, outer.BareFeed:
+	switch httpapi.FramingOf(r.Context()) {
+	case httpapi.Twofold, httpapi.BareFeed:
 		w.Header().Set("Connection", "close")
 		x.wrong(w, http.StatusBadRequest, "the header frames the request in two ways")
 		return
-	case outer.Unseen:
+	case httpapi.Unseen:
 		if len(r.TransferEncoding) > 0 {
 			w.Header().Set("Connection", "close")
 		}
@@ -106,7 +106,7 @@
 	// owner has to be sure of what it holds, and says when it differs. That there
 	// is no path only a node that is sure may say.
 	if code, why := x.match(j); code != 0 {
-		if j.word == session.Unsure {
+		if j.word == protocol.Unsure {
 			x.busyNow(w, "this node can't confirm its configuration", x.P.Change)
 			return
 		}
--- a/internal/proxy/gate.go
+++ b/internal/proxy/gate.go
@@ -5,12 +5,12 @@
 	"sync"
 	"time"
 
-	"puffincrank/internal/class"
+	"puffincrank/internal/admission"
+	"puffincrank/internal/balancer"
 	"puffincrank/internal/event"
-	"puffincrank/internal/nominate"
+	"puffincrank/internal/fsm"
 	"puffincrank/internal/ormap"
 	"puffincrank/internal/rules"
-	"puffincrank/internal/state"
 	"puffincrank/internal/task"
 )
 
@@ -20,8 +20,8 @@
 	service string
 	addr    string
 	slots   int
-	room    *class.Room
-	state   *state.Machine // up, draining, down, gone
+	room    *admission.Room
+	state   *fsm.Machine // up, draining, down, gone
 	mu      sync.Mutex
 	heard   time.Time
 	word    time.Time // the newest 'up' that is certain to be no older than it looks
@@ -32,26 +32,26 @@
 	bytes   map[string]int           // by path, how long its answers are, smoothed
 	leaves  time.Time                // when it said that it is leaving
 	began   uint64                   // the step of the trail at which its state began
-	own     *nominate.Own
+	own     *balancer.Own
 	tell    sync.Mutex // one word to the registry at a time; taken before mu
 	told    int        // the doubts that the registry has
 }
 
 func newGate(worker, service, addr string, slots int, window time.Duration) *gate {
-	g := &gate{worker: worker, service: service, addr: addr, slots: slots, room: class.New(), takes: map[string]time.Duration{}, bytes: map[string]int{}, own: nominate.NewOwn(window)}
-	g.state = state.New("new", nil,
-		state.Move{From: "new", By: "up", To: "up"},
-		state.Move{From: "new", By: "drain", To: "draining"},
-		state.Move{From: "up", By: "drain", To: "draining"},
-		state.Move{From: "up", By: "miss", To: "down"},
-		state.Move{From: "draining", By: "up", To: "up"},
-		state.Move{From: "draining", By: "miss", To: "down"},
-		state.Move{From: "down", By: "up", To: "up"},
-		state.Move{From: "down", By: "drain", To: "draining"},
-		state.Move{From: "up", By: "gone", To: "gone"},
-		state.Move{From: "draining", By: "gone", To: "gone"},
-		state.Move{From: "down", By: "gone", To: "gone"},
-		state.Move{From: "new", By: "gone", To: "gone"})
+	g := &gate{worker: worker, service: service, addr: addr, slots: slots, room: admission.New(), takes: map[string]time.Duration{}, bytes: map[string]int{}, own: balancer.NewOwn(window)}
+	g.state = fsm.New("new", nil,
+		fsm.Move{From: "new", By: "up", To: "up"},
+		fsm.Move{From: "new", By: "drain", To: "draining"},
+		fsm.Move{From: "up", By: "drain", To: "draining"},
+		fsm.Move{From: "up", By: "miss", To: "down"},
+		fsm.Move{From: "draining", By: "up", To: "up"},
+		fsm.Move{From: "draining", By: "miss", To: "down"},
+		fsm.Move{From: "down", By: "up", To: "up"},
+		fsm.Move{From: "down", By: "drain", To: "draining"},
+		fsm.Move{From: "up", By: "gone", To: "gone"},
+		fsm.Move{From: "draining", By: "gone", To: "gone"},
+		fsm.Move{From: "down", By: "gone", To: "gone"},
+		fsm.Move{From: "new", By: "gone", To: "gone"})
 	return g
 }
 
--- a/internal/proxy/lane.go
+++ b/internal/proxy/lane.go
@@ -5,24 +5,24 @@
 	"time"
 
 	"puffincrank/internal/ormap"
+	"puffincrank/internal/protocol"
 	"puffincrank/internal/rules"
-	"puffincrank/internal/session"
-	"puffincrank/internal/wire"
+	"puffincrank/internal/transport"
 )
 
 // The rules have as many lanes as the links have for jobs.
-var _ = [1]struct{}{}[wire.Bulk-wire.Jobs+1-rules.Lanes]
+var _ = [1]struct{}{}[transport.Bulk-transport.Jobs+1-rules.Lanes]
 
 // lane is the lane that a job goes by on links: its arm's, or the most urgent of
 // the jobs that it may be a call of. A small call of a bulk job goes after all
 // that is urgent and before the bulk itself: as long as it waits, a slot does.
 func (x *Proxy) lane(j *job) int {
-	own := wire.Jobs + j.rules.Lane(j.arm)
+	own := transport.Jobs + j.rules.Lane(j.arm)
 	if j.arm.Bulk != "" {
 		return own
 	}
 	if l, ok := x.kin.serves(j.path.Name); ok {
-		return min(l, wire.Bulk-1)
+		return min(l, transport.Bulk-1)
 	}
 	return own
 }
@@ -38,9 +38,9 @@
 
 // thin is the outcome of an attempt for which the link had no room: nothing was
 // sent, and the owner is none the worse for it.
-func (x *Proxy) thin(come time.Duration) session.Back {
+func (x *Proxy) thin(come time.Duration) protocol.Back {
 	x.slim.Add(1)
-	return session.Back{Kind: session.Refused, Why: "the link to the owner is full", Come: max(come, x.P.Beat()).Milliseconds(), Used: -1}
+	return protocol.Back{Kind: protocol.Refused, Why: "the link to the owner is full", Come: max(come, x.P.Beat()).Milliseconds(), Used: -1}
 }
 
 // book keeps room on the link back for the answer of a bulk job, by what others
@@ -49,7 +49,7 @@
 func (x *Proxy) book(ctx context.Context, v *visit) bool {
 	left := time.Until(v.end)
 	need := v.gate.need(v.in.Path, left/4)
-	if wire.LaneOf(ctx) == wire.Bulk && left < need+x.P.Patience()/4 {
+	if transport.LaneOf(ctx) == transport.Bulk && left < need+x.P.Patience()/4 {
 		// It took its time to come here; begun now, its receipt might come too
 		// late, and nobody would know that it ran.
 		return v.refuse("no time left to run it in")
@@ -61,7 +61,7 @@
 		defer end()
 		ctx = short
 	}
-	free, come, ok := wire.Book(ctx, v.gate.gives(v.in.Path), need)
+	free, come, ok := transport.Book(ctx, v.gate.gives(v.in.Path), need)
 	if !ok {
 		x.slim.Add(1)
 		return v.later("the link back to the front is full", max(come, x.P.Beat()))
@@ -82,7 +82,7 @@
 
 // begin notes the lane of a job that has its slot now.
 func (x *Proxy) begin(ctx context.Context) int {
-	lane := wire.LaneOf(ctx)
+	lane := transport.LaneOf(ctx)
 	x.kin.begin(lane)
 	return lane
 }
--- a/internal/proxy/load.go
+++ b/internal/proxy/load.go
@@ -7,10 +7,10 @@
 	"sync"
 	"time"
 
-	"puffincrank/internal/outer"
-	"puffincrank/internal/props"
-	"puffincrank/internal/session"
-	"puffincrank/internal/wire"
+	"puffincrank/internal/httpapi"
+	"puffincrank/internal/protocol"
+	"puffincrank/internal/settings"
+	"puffincrank/internal/transport"
 )
 
 // load counts the bytes of jobs and answers that are under way here, as a front
@@ -32,17 +32,17 @@
 // left for the tables, the links and what the collector has not yet swept.
 // Where the memory isn't told, eight bodies of the largest kind that a frame
 // can carry have room.
-func roomOf(p *props.Props) int64 {
+func roomOf(p *settings.Props) int64 {
 	if p.Memory > 0 {
 		return int64(p.Memory) / 8
 	}
 	return 4 * int64(p.Frame)
 }
 
-func newLoad(p *props.Props) *load { return &load{most: roomOf(p), sizes: map[string]int64{}} }
+func newLoad(p *settings.Props) *load { return &load{most: roomOf(p), sizes: map[string]int64{}} }
 
 // bound changes the bound; what is under way stays.
-func (l *load) bound(p *props.Props) {
+func (l *load) bound(p *settings.Props) {
 	l.mu.Lock()
 	l.most = roomOf(p)
 	l.mu.Unlock()
@@ -165,12 +165,12 @@
 		if !x.load.take(n) {
 			return nil, 0, http.StatusServiceUnavailable
 		}
-		b, code = outer.Body(w, r, most)
+		b, code = httpapi.Body(w, r, most)
 		return b, n, code
 	}
 	p := &part{ReadCloser: r.Body, l: x.load}
 	r.Body = p
-	b, code = outer.Body(w, r, most)
+	b, code = httpapi.Body(w, r, most)
 	if p.full {
 		code = http.StatusServiceUnavailable
 	}
@@ -178,12 +178,12 @@
 }
 
 // onHand takes an attempt that comes over a link.
-func (x *Proxy) onHand(ctx context.Context, _ wire.Hello, in session.Hand) (session.Back, error) {
+func (x *Proxy) onHand(ctx context.Context, _ transport.Hello, in protocol.Hand) (protocol.Back, error) {
 	// What an own job holds is counted by the front. One that came over a link
 	// is here already, but must not wait and run while there is no room.
 	from, n := time.Now(), int64(len(in.Body))+x.load.expects(in.Path)
 	if !x.load.take(n) {
-		return session.Back{Kind: session.Refused, Why: noRoom, Come: x.load.come(x.P.Beat()).Milliseconds(), Used: -1}, nil
+		return protocol.Back{Kind: protocol.Refused, Why: noRoom, Come: x.load.come(x.P.Beat()).Milliseconds(), Used: -1}, nil
 	}
 	ctx, over := x.late.Bind(ctx)
 	defer over()
@@ -192,7 +192,7 @@
 		x.load.force(more)
 		n += more
 	}
-	if b.Kind == session.Done {
+	if b.Kind == protocol.Done {
 		x.load.answered(in.Path, len(b.Body))
 	}
 	x.load.free(n, from)
--- a/internal/proxy/outer.go
+++ b/internal/proxy/outer.go
@@ -9,12 +9,12 @@
 
 	"github.com/go-chi/chi/v5"
 
-	"puffincrank/internal/class"
+	"puffincrank/internal/admission"
 	"puffincrank/internal/event"
 	"puffincrank/internal/fault"
-	"puffincrank/internal/outer"
-	"puffincrank/internal/session"
-	"puffincrank/internal/wire"
+	"puffincrank/internal/httpapi"
+	"puffincrank/internal/protocol"
+	"puffincrank/internal/transport"
 )
 
 // outerRoutes is the port of operators, the platform and the own worker.
@@ -24,7 +24,7 @@
 	r.Post("/puffin/beat", x.onBeat)
 	r.Put("/puffin/workers/{id}", x.onWorker)
 	r.Delete("/puffin/workers/{id}", x.onLeave)
-	r.Get("/puffin/own", func(w http.ResponseWriter, _ *http.Request) { outer.JSON(w, http.StatusOK, x.status()) })
+	r.Get("/puffin/own", func(w http.ResponseWriter, _ *http.Request) { httpapi.JSON(w, http.StatusOK, x.status()) })
 	r.Get("/puffin/own/trail", x.onTrail)
 	// All else is the core's to answer, so that every node gives the same.
 	r.NotFound(x.handOut)
@@ -41,7 +41,7 @@
 	if r := x.rules.Load(); r != nil {
 		version = r.Version
 	}
-	outer.JSON(w, code, map[string]any{"ready": x.Ready(), "state": x.life.Now(), "config_version": version})
+	httpapi.JSON(w, code, map[string]any{"ready": x.Ready(), "state": x.life.Now(), "config_version": version})
 }
 
 // handOut hands an outside call over to the control node of the session, and
@@ -55,12 +55,12 @@
 	by := time.Now().Add(x.P.Late() / 2)
 	app := r.Method != http.MethodGet && strings.HasPrefix(r.URL.Path, "/puffin/app/")
 	if app && time.Since(x.pulse.Woke()) < x.P.Beat() {
-		outer.Busy(w, "frozen until just now; nothing was done", x.P.Beat())
+		httpapi.Busy(w, "frozen until just now; nothing was done", x.P.Beat())
 		return
 	}
-	body, code := outer.Body(w, r, int64(x.P.Frame)/2)
+	body, code := httpapi.Body(w, r, int64(x.P.Frame)/2)
 	if code != 0 {
-		outer.JSON(w, code, outer.Wrong{Wrong: "the body can't be read or is over the bound"})
+		httpapi.JSON(w, code, httpapi.Wrong{Wrong: "the body can't be read or is over the bound"})
 		return
 	}
 	// The core's own bound and a little more: a change that is held up on its
@@ -73,7 +73,7 @@
 	defer over()
 	ctx, end := context.WithTimeout(bound, long)
 	defer end()
-	in := session.Outer{Method: r.Method, URI: r.URL.RequestURI(), Body: body}
+	in := protocol.Outer{Method: r.Method, URI: r.URL.RequestURI(), Body: body}
 	if end, ok := ctx.Deadline(); ok && app {
 		in.Rest = end.Sub(by).Milliseconds() + 1
 	}
@@ -81,7 +81,7 @@
 		if app && !time.Now().Before(by) {
 			break
 		}
-		got, err := wire.Ask[session.OuterBack](ctx, x.n, to, "outer.call", in)
+		got, err := transport.Ask[protocol.OuterBack](ctx, x.n, to, "outer.call", in)
 		if err == nil {
 			w.Header().Set("Content-Type", "application/json")
 			if got.Come != "" {
@@ -93,42 +93,42 @@
 		}
 		// A read may be asked again; a change that may have been done may not.
 		if !fault.Is(err, fault.Unsent) && !fault.Is(err, fault.Refused) && r.Method != http.MethodGet {
-			outer.JSON(w, http.StatusGatewayTimeout, outer.Wrong{Wrong: "outcome unknown: the control node gave no receipt", Ran: "unknown"})
+			httpapi.JSON(w, http.StatusGatewayTimeout, httpapi.Wrong{Wrong: "outcome unknown: the control node gave no receipt", Ran: "unknown"})
 			return
 		}
 	}
-	outer.Busy(w, "no control node can be reached; nothing was done", x.P.Change)
+	httpapi.Busy(w, "no control node can be reached; nothing was done", x.P.Change)
 }
 
 // Status is what a proxy says of itself.
 type Status struct {
-	Node     string                          `msgpack:"node" json:"node"`
-	Area     string                          `msgpack:"area" json:"area"`
-	State    string                          `msgpack:"state" json:"state"`
-	Version  uint64                          `msgpack:"version" json:"config_version"`
-	Session  string                          `msgpack:"session" json:"session"`
-	SureMS   int64                           `msgpack:"sure" json:"confirmed_ms_ago"`
-	Entries  int                             `msgpack:"entries" json:"entries"`
-	Dead     int                             `msgpack:"dead" json:"tombstones"`
-	Digest   uint64                          `msgpack:"digest" json:"digest"`
-	Count    counts                          `msgpack:"count" json:"jobs"`
-	Repeats  int64                           `msgpack:"repeats" json:"repeats"`
-	Classes  map[string]map[string]class.Use `msgpack:"classes" json:"classes"`
-	Fitness  map[string]float64              `msgpack:"fitness" json:"fitness"`
-	Workers  []WorkerStatus                  `msgpack:"workers" json:"workers"`
-	Events   []event.Entry                   `msgpack:"events" json:"-"`
-	Traffic  string                          `msgpack:"traffic" json:"traffic"`
-	Eager    int                             `msgpack:"eager" json:"eager_links"`
-	Lazy     int                             `msgpack:"lazy" json:"lazy_links"`
-	SentAway int64                           `msgpack:"away" json:"bytes_sent_to_other_areas"`
-	Callers  int64                           `msgpack:"callers,omitempty" json:"connections_of_callers"`
-	Bytes    int64                           `msgpack:"bytes,omitempty" json:"bytes_under_way"`
-	Peak     int64                           `msgpack:"peak,omitempty" json:"bytes_under_way_peak"`
-	Room     int64                           `msgpack:"room,omitempty" json:"bytes_under_way_bound"`
-	Slim     int64                           `msgpack:"slim,omitempty" json:"refused_for_thin_links"`
-	Quit     int64                           `msgpack:"quit,omitempty" json:"callers_left"`
-	Hedges   int64                           `msgpack:"hedges,omitempty" json:"hedged"`
-	Routines int                             `msgpack:"routines,omitempty" json:"goroutines"`
+	Node     string                              `msgpack:"node" json:"node"`
+	Area     string                              `msgpack:"area" json:"area"`
+	State    string                              `msgpack:"state" json:"state"`
+	Version  uint64                              `msgpack:"version" json:"config_version"`
+	Session  string                              `msgpack:"session" json:"session"`
+	SureMS   int64                               `msgpack:"sure" json:"confirmed_ms_ago"`
+	Entries  int                                 `msgpack:"entries" json:"entries"`
+	Dead     int                                 `msgpack:"dead" json:"tombstones"`
+	Digest   uint64                              `msgpack:"digest" json:"digest"`
+	Count    counts                              `msgpack:"count" json:"jobs"`
+	Repeats  int64                               `msgpack:"repeats" json:"repeats"`
+	Classes  map[string]map[string]admission.Use `msgpack:"classes" json:"classes"`
+	Fitness  map[string]float64                  `msgpack:"fitness" json:"fitness"`
+	Workers  []WorkerStatus                      `msgpack:"workers" json:"workers"`
+	Events   []event.Entry                       `msgpack:"events" json:"-"`
+	Traffic  string                              `msgpack:"traffic" json:"traffic"`
+	Eager    int                                 `msgpack:"eager" json:"eager_links"`
+	Lazy     int                                 `msgpack:"lazy" json:"lazy_links"`
+	SentAway int64                               `msgpack:"away" json:"bytes_sent_to_other_areas"`
+	Callers  int64                               `msgpack:"callers,omitempty" json:"connections_of_callers"`
+	Bytes    int64                               `msgpack:"bytes,omitempty" json:"bytes_under_way"`
+	Peak     int64                               `msgpack:"peak,omitempty" json:"bytes_under_way_peak"`
+	Room     int64                               `msgpack:"room,omitempty" json:"bytes_under_way_bound"`
+	Slim     int64                               `msgpack:"slim,omitempty" json:"refused_for_thin_links"`
+	Quit     int64                               `msgpack:"quit,omitempty" json:"callers_left"`
+	Hedges   int64                               `msgpack:"hedges,omitempty" json:"hedged"`
+	Routines int                                 `msgpack:"routines,omitempty" json:"goroutines"`
 }
 
 // WorkerStatus is one worker as its owner sees it.
@@ -179,7 +179,7 @@
 	return s
 }
 
-func (x *Proxy) onStatus(_ context.Context, _ wire.Hello, in StatusAsk) (Status, error) {
+func (x *Proxy) onStatus(_ context.Context, _ transport.Hello, in StatusAsk) (Status, error) {
 	s := x.status()
 	if in.Events {
 		s.Events = x.e.Log.Since(in.Since)
@@ -200,7 +200,7 @@
 
 // onDrain drains the workers of this node until it is undone; the next beat
 // of a worker brings it back.
-func (x *Proxy) onDrain(_ context.Context, _ wire.Hello, in DrainAsk) (Status, error) {
+func (x *Proxy) onDrain(_ context.Context, _ transport.Hello, in DrainAsk) (Status, error) {
 	x.mu.Lock()
 	x.hold = in.On
 	x.mu.Unlock()
@@ -224,4 +224,4 @@
 
 // Sizes gives the bytes that this process sent to others, by kind of message;
 // receipts count with what they answer.
-func (x *Proxy) Sizes() map[wire.Flow]wire.Sum { return x.n.Sizes() }
+func (x *Proxy) Sizes() map[transport.Flow]transport.Sum { return x.n.Sizes() }
--- a/internal/proxy/owner.go
+++ b/internal/proxy/owner.go
@@ -4,33 +4,33 @@
 	"context"
 	"time"
 
-	"puffincrank/internal/class"
+	"puffincrank/internal/admission"
+	"puffincrank/internal/balancer"
 	"puffincrank/internal/event"
-	"puffincrank/internal/grace"
-	"puffincrank/internal/nominate"
-	"puffincrank/internal/session"
-	"puffincrank/internal/wire"
+	"puffincrank/internal/protocol"
+	"puffincrank/internal/shutdown"
+	"puffincrank/internal/transport"
 )
 
 // visit is one attempt on its way through the owner.
 type visit struct {
-	in    session.Hand
+	in    protocol.Hand
 	end   time.Time
 	last  time.Time // when its front waits for answers no more; zero if it wasn't told to end
 	gate  *gate
-	back  session.Back
+	back  protocol.Back
 	from  time.Time
 	held  bool               // a slot is taken
 	runs  bool               // it was begun at the worker
 	part  float64            // how far the run is a repeat
 	calls map[string]float64 // held for the calls of a repeat
-	run   *nominate.Run
+	run   *balancer.Run
 	mute  bool   // the worker took no connection
 	stale bool   // it had forgotten a kept connection
 	cut   string // why its run was ended from here; "" if it was not
 	lane  int    // that it came by
 	free  func() // gives back what was booked for its answer
-	ask   class.Ask
+	ask   admission.Ask
 	holds uint64 // the version held here, where it isn't the job's
 }
 
@@ -41,7 +41,7 @@
 
 // own runs one attempt as the owner. All doubts about whether the job may run
 // are settled here, where the worker is, so that no two nodes can disagree.
-func (x *Proxy) own(ctx context.Context, in session.Hand) session.Back {
+func (x *Proxy) own(ctx context.Context, in protocol.Hand) protocol.Back {
 	v := &visit{in: in, end: time.Now().Add(time.Duration(in.Left) * time.Millisecond)}
 	// What came over a link has its time as a bound already, less what it spent
 	// on the way; of an own job a part may be kept for a repeat.
@@ -63,13 +63,13 @@
 			break
 		}
 	}
-	if v.back.Kind == session.Refused && !v.back.Came {
+	if v.back.Kind == protocol.Refused && !v.back.Came {
 		x.step(v, stepRefused, v.back.Why)
 	}
-	if v.back.Kind == session.Unknown {
+	if v.back.Kind == protocol.Unknown {
 		x.step(v, stepUnknown, v.back.Why)
 	}
-	if plan := x.stop.Load(); plan != nil && v.back.Kind != session.Done {
+	if plan := x.stop.Load(); plan != nil && v.back.Kind != protocol.Done {
 		v.back.Stopped = max(plan.Since().Milliseconds(), 1)
 	}
 	v.back.Used, v.back.Inner = -1, v.ask.Inner
@@ -77,7 +77,7 @@
 		x.ended(v)
 		x.unbook(v)
 		if v.held {
-			if v.back.Kind == session.Done {
+			if v.back.Kind == protocol.Done {
 				took := time.Since(v.from)
 				v.gate.ran(in.Path, took, len(v.back.Body))
 				v.back.Ran = took.Microseconds()
@@ -97,18 +97,18 @@
 
 // later refuses with a word on when there may be room.
 func (v *visit) later(why string, come time.Duration) bool {
-	v.back = session.Back{Kind: session.Refused, Why: why, Come: come.Milliseconds()}
+	v.back = protocol.Back{Kind: protocol.Refused, Why: why, Come: come.Milliseconds()}
 	return false
 }
 
 // differ refuses a job whose front holds another configuration.
 func (v *visit) differ(why string) bool {
-	v.back = session.Back{Kind: session.Refused, Why: why, Rules: true, Version: v.holds}
+	v.back = protocol.Back{Kind: protocol.Refused, Why: why, Rules: true, Version: v.holds}
 	return false
 }
 
 func (v *visit) unknown(why string) bool {
-	v.back = session.Back{Kind: session.Unknown, Why: why, Late: !time.Now().Before(v.end), Came: v.back.Came}
+	v.back = protocol.Back{Kind: protocol.Unknown, Why: why, Late: !time.Now().Before(v.end), Came: v.back.Came}
 	return false
 }
 
@@ -130,10 +130,10 @@
 // may run by that version whenever it does. A front that was not needs an owner
 // that is; when both are out of touch, both act by what they have.
 func (x *Proxy) sure(ctx context.Context, v *visit) bool {
-	if v.in.Word == session.Sure {
+	if v.in.Word == protocol.Sure {
 		return true
 	}
-	if w := x.confirm(ctx, v.end); w == session.Sure || w == session.Lost && v.in.Word != session.Unsure {
+	if w := x.confirm(ctx, v.end); w == protocol.Sure || w == protocol.Lost && v.in.Word != protocol.Unsure {
 		return true
 	}
 	return v.refuse("owner can't confirm its configuration")
@@ -156,7 +156,7 @@
 		x.touch.Kick()
 		return v.differ("owner's configuration is older than the job's")
 	}
-	if v.in.Word == session.Lost || v.in.Word == session.Unsure {
+	if v.in.Word == protocol.Lost || v.in.Word == protocol.Unsure {
 		return v.differ("a newer configuration is known than the job's front was sure of")
 	}
 	p := r.Match(v.in.Host, v.in.Method, urlPath(v.in.URI))
@@ -182,10 +182,10 @@
 // timely looks whether somebody still waits for the attempt, and whether it has
 // time left to be delivered in.
 func (x *Proxy) timely(ctx context.Context, v *visit) bool {
-	if wire.Abandoned(ctx) {
+	if transport.Abandoned(ctx) {
 		return v.refuse(whyLeft)
 	}
-	if grace.IsLate(ctx) {
+	if shutdown.IsLate(ctx) {
 		return v.refuse(whyEnding)
 	}
 	return time.Now().Before(v.end) || v.refuse("no time left before delivery")
@@ -210,13 +210,13 @@
 	if !x.endsInTime(v) {
 		return false
 	}
-	v.ask = class.Ask{Class: v.in.Class, Wait: x.queueWait(v), Inner: x.kin.inner(v.in.Path), Rank: v.rank()}
+	v.ask = admission.Ask{Class: v.in.Class, Wait: x.queueWait(v), Inner: x.kin.inner(v.in.Path), Rank: v.rank()}
 	if v.in.Rush {
 		v.ask.Wait = 0
 	}
-	if why := v.gate.room.Enter(ctx, v.ask); why != class.In {
+	if why := v.gate.room.Enter(ctx, v.ask); why != admission.In {
 		v.later(why, v.gate.room.Drain(v.in.Class))
-		v.back.Pass = v.in.Rush && (why == class.Full || why == class.Late)
+		v.back.Pass = v.in.Rush && (why == admission.Full || why == admission.Late)
 		return false
 	}
 	v.held, v.from, v.lane = true, time.Now(), x.begin(ctx)
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -11,39 +11,39 @@
 	"sync/atomic"
 	"time"
 
+	"puffincrank/internal/balancer"
+	"puffincrank/internal/controlclient"
+	"puffincrank/internal/dialect"
 	"puffincrank/internal/env"
 	"puffincrank/internal/event"
-	"puffincrank/internal/grace"
+	"puffincrank/internal/fsm"
 	"puffincrank/internal/hlc"
-	"puffincrank/internal/member"
-	"puffincrank/internal/nominate"
-	"puffincrank/internal/outer"
-	"puffincrank/internal/props"
-	"puffincrank/internal/pulse"
-	"puffincrank/internal/repeats"
+	"puffincrank/internal/httpapi"
+	"puffincrank/internal/membership"
+	"puffincrank/internal/pausedetect"
 	"puffincrank/internal/replica"
+	"puffincrank/internal/retrybudget"
 	"puffincrank/internal/rules"
-	"puffincrank/internal/state"
+	"puffincrank/internal/settings"
+	"puffincrank/internal/shutdown"
 	"puffincrank/internal/task"
-	"puffincrank/internal/tongue"
-	"puffincrank/internal/touch"
-	"puffincrank/internal/wire"
+	"puffincrank/internal/transport"
 	"puffincrank/internal/workerconn"
 )
 
 // Proxy is one process. Lock order: mu before a gate's own lock.
 type Proxy struct {
-	P           props.Props
+	P           settings.Props
 	e           env.Env
 	g           *task.Group
-	n           *wire.Node
-	self        member.Fellow
-	life        *state.Machine
+	n           *transport.Node
+	self        membership.Fellow
+	life        *fsm.Machine
 	well        chan struct{} // closed when it became ready
-	touch       *touch.Touch
+	touch       *controlclient.Touch
 	rep         *replica.Replica
-	pick        *nominate.Nominator
-	again       *repeats.Budget
+	pick        *balancer.Nominator
+	again       *retrybudget.Budget
 	kin         *kin
 	calls       *calls
 	knows       *recall
@@ -55,24 +55,24 @@
 	stopLines   stopLines        // of those, since this node was told to end
 	fitnessNews *newsRate        // of what the mesh is told of its workers' fitness
 	conns       *workerconn.Pool // to the own workers
-	pulse       *pulse.Pulse
-	say         tongue.Tongue
+	pulse       *pausedetect.Pulse
+	say         dialect.Tongue
 	door        *http.Server           // where callers come in
-	stay        outer.Stay             // how long callers' connections may
+	stay        httpapi.Stay           // how long callers' connections may
 	told        atomic.Pointer[string] // what callers are told of that
 	rules       atomic.Pointer[rules.Rules]
-	reset       atomic.Pointer[props.Props] // settings read again since the start
-	busy        atomic.Int64                // jobs under way as a front
-	owned       atomic.Int64                // attempts under way as an owner
+	reset       atomic.Pointer[settings.Props] // settings read again since the start
+	busy        atomic.Int64                   // jobs under way as a front
+	owned       atomic.Int64                   // attempts under way as an owner
 	seq         atomic.Uint64
-	slim        atomic.Int64                   // attempts refused for want of room on a link
-	quit        atomic.Int64                   // callers that left before their answers
-	hedges      atomic.Int64                   // second attempts begun beside first ones
-	left        atomic.Bool                    // this node's workers are being left for good
-	stop        atomic.Pointer[grace.Schedule] // of the stop, once it was told to end
+	slim        atomic.Int64                      // attempts refused for want of room on a link
+	quit        atomic.Int64                      // callers that left before their answers
+	hedges      atomic.Int64                      // second attempts begun beside first ones
+	left        atomic.Bool                       // this node's workers are being left for good
+	stop        atomic.Pointer[shutdown.Schedule] // of the stop, once it was told to end
 	boot        string
 	born        time.Time
-	late        *grace.Late
+	late        *shutdown.Late
 	attempts    attempts   // of this front, that may be hedged
 	remote      remoteRuns // at the own worker, of other fronts
 
@@ -93,20 +93,20 @@
 type counts struct{ Jobs, Done, Refused, Unknown, Sends, Near int64 }
 
 // New readies a proxy.
-func New(p props.Props, e env.Env) *Proxy {
+func New(p settings.Props, e env.Env) *Proxy {
 	g := task.New(context.Background()).Pace(e.Pause)
 	x := &Proxy{P: p, e: e, g: g, well: make(chan struct{}), gates: map[string]*gate{}, met: map[string]time.Time{}, tally: map[armKey]*armTally{}, live: map[string]time.Time{}, lastCalls: map[string]lastCall{}, departures: map[string]time.Time{}, kept: map[string]string{}, boot: fresh(), born: time.Now(), say: e.Say}
-	x.late = grace.NewLate(g.Context())
+	x.late = shutdown.NewLate(g.Context())
 	x.attempts.by, x.remote.by = map[string]*attempt{}, map[string]context.Context{}
 	if x.say.Name == "" {
-		x.say = tongue.Own
+		x.say = dialect.Own
 	}
-	x.self = member.Fellow{Node: p.Node, Start: x.boot, Role: "proxy", Area: p.Area, Inner: p.Inner, Outer: p.Outer, Traffic: p.Traffic}
-	x.n = wire.NewNode(wire.Hello{Mesh: p.Mesh, Node: p.Node, Area: p.Area, Role: "proxy"}, e, g, p.Frame, p.Jobs, p.Patience())
+	x.self = membership.Fellow{Node: p.Node, Start: x.boot, Role: "proxy", Area: p.Area, Inner: p.Inner, Outer: p.Outer, Traffic: p.Traffic}
+	x.n = transport.NewNode(transport.Hello{Mesh: p.Mesh, Node: p.Node, Area: p.Area, Role: "proxy"}, e, g, p.Frame, p.Jobs, p.Patience())
 	x.n.Bound = p.Links()
 	x.rep = replica.New(x.self, x.n, g, e.Log, hlc.New(e.Wall, 2*p.Return), p.Beat(), p.Repair(), p.Bury())
-	x.pick = nominate.New(p.Area, p.Beat(), p.Window, x.fitness)
-	x.again = repeats.New(p.Window)
+	x.pick = balancer.New(p.Area, p.Beat(), p.Window, x.fitness)
+	x.again = retrybudget.New(p.Window)
 	x.kin = newKin()
 	x.calls = newCalls()
 	x.knows = newRecall(p.Beat() / 32)
@@ -116,15 +116,15 @@
 	x.stay.Bound(callers(&p))
 	x.limits(nil)
 	x.fitnessNews = newNewsRate(time.Now())
-	x.pulse = pulse.New(p.Beat()/4, p.Gap(), func(gap time.Duration) { e.Log.Emit(event.Froze, "ms", gap.Milliseconds()) })
+	x.pulse = pausedetect.New(p.Beat()/4, p.Gap(), func(gap time.Duration) { e.Log.Emit(event.Froze, "ms", gap.Milliseconds()) })
 	x.touch = newTouch(x)
 	x.conns = workerconn.NewPool(e.Net, g, p.Change, int64(max(p.Body, p.Frame/2))+64<<10, x.say.Asks)
-	x.life = state.New("starting", nil,
-		state.Move{From: "starting", By: "filled", To: "ready"},
-		state.Move{From: "starting", By: "stop", To: "leaving"},
-		state.Move{From: "ready", By: "stop", To: "leaving"},
-		state.Move{From: "leaving", By: "shut", To: "shut"},
-		state.Move{From: "shut", By: "end", To: "ended"})
+	x.life = fsm.New("starting", nil,
+		fsm.Move{From: "starting", By: "filled", To: "ready"},
+		fsm.Move{From: "starting", By: "stop", To: "leaving"},
+		fsm.Move{From: "ready", By: "stop", To: "leaving"},
+		fsm.Move{From: "leaving", By: "shut", To: "shut"},
+		fsm.Move{From: "shut", By: "end", To: "ended"})
 	x.rep.Subscribe(x.news)
 	return x
 }
--- a/internal/proxy/rematch.go
+++ b/internal/proxy/rematch.go
@@ -3,8 +3,8 @@
 import (
 	"context"
 
+	"puffincrank/internal/controlclient"
 	"puffincrank/internal/task"
-	"puffincrank/internal/touch"
 )
 
 // rematch brings front and owner to one configuration after an owner refused a
@@ -42,7 +42,7 @@
 func (x *Proxy) teach(ctx context.Context, j *job) bool {
 	ctx, end := context.WithTimeout(ctx, x.P.Patience())
 	defer end()
-	_, err := touch.Push(ctx, x.n, j.entry.Inner, x.touch.Held(), j.rules.Version-1)
+	_, err := controlclient.Push(ctx, x.n, j.entry.Inner, x.touch.Held(), j.rules.Version-1)
 	return err == nil
 }
 
--- a/internal/proxy/runends.go
+++ b/internal/proxy/runends.go
@@ -5,9 +5,9 @@
 	"sync"
 	"time"
 
-	"puffincrank/internal/grace"
-	"puffincrank/internal/session"
-	"puffincrank/internal/wire"
+	"puffincrank/internal/protocol"
+	"puffincrank/internal/shutdown"
+	"puffincrank/internal/transport"
 )
 
 // remoteRuns are the attempts of other fronts under way at the own worker that may be
@@ -19,7 +19,7 @@
 }
 
 // noteRemote notes an attempt of another front until the result is called.
-func (x *Proxy) noteRemote(ctx context.Context, in *session.Hand) (over func()) {
+func (x *Proxy) noteRemote(ctx context.Context, in *protocol.Hand) (over func()) {
 	if !in.Safe {
 		return func() {}
 	}
@@ -37,7 +37,7 @@
 }
 
 // notifyEnds tells the fronts of all attempts under way that this node ends.
-func (x *Proxy) notifyEnds(plan *grace.Schedule) {
+func (x *Proxy) notifyEnds(plan *shutdown.Schedule) {
 	x.remote.mu.Lock()
 	defer x.remote.mu.Unlock()
 	for attempt, ctx := range x.remote.by {
@@ -46,12 +46,12 @@
 }
 
 // notifyEnd tells one front. A loss is no fault: it hears of the end when it comes.
-func notifyEnd(ctx context.Context, attempt string, plan *grace.Schedule) {
-	_ = wire.Notify(ctx, session.RunEndsKind, session.RunEnds{Attempt: attempt, Left: max(plan.WaitsFor().Milliseconds(), 0)})
+func notifyEnd(ctx context.Context, attempt string, plan *shutdown.Schedule) {
+	_ = transport.Notify(ctx, protocol.RunEndsKind, protocol.RunEnds{Attempt: attempt, Left: max(plan.WaitsFor().Milliseconds(), 0)})
 }
 
 // onRunEnds takes in that the node beside a worker ends the run of an attempt.
-func (x *Proxy) onRunEnds(_ context.Context, _ wire.Hello, in session.RunEnds) (struct{}, error) {
+func (x *Proxy) onRunEnds(_ context.Context, _ transport.Hello, in protocol.RunEnds) (struct{}, error) {
 	x.attempts.mu.Lock()
 	a := x.attempts.by[in.Attempt]
 	x.attempts.mu.Unlock()
--- a/internal/proxy/start.go
+++ b/internal/proxy/start.go
@@ -9,34 +9,34 @@
 	"github.com/go-chi/chi/v5"
 
 	"puffincrank/internal/event"
-	"puffincrank/internal/outer"
+	"puffincrank/internal/httpapi"
+	"puffincrank/internal/protocol"
 	"puffincrank/internal/rules"
-	"puffincrank/internal/session"
-	"puffincrank/internal/wire"
+	"puffincrank/internal/transport"
 )
 
 // Start opens the ports and the session.
 func (x *Proxy) Start() error {
-	wire.On(x.n, "job.hand", x.onHand)
-	wire.Abandonable(x.n, "job.hand")
-	wire.On(x.n, session.RunEndsKind, x.onRunEnds)
+	transport.On(x.n, "job.hand", x.onHand)
+	transport.Abandonable(x.n, "job.hand")
+	transport.On(x.n, protocol.RunEndsKind, x.onRunEnds)
 	x.touch.Listen()
-	wire.On(x.n, "node.status", x.onStatus)
-	wire.On(x.n, "node.drain", x.onDrain)
+	transport.On(x.n, "node.status", x.onStatus)
+	transport.On(x.n, "node.drain", x.onDrain)
 	if err := x.n.Listen(x.P.Inner); err != nil {
 		return err
 	}
-	if err := outer.Serve(x.g, x.e, x.P.Outer, outer.Called(x.e.Say, x.outerRoutes()), x.P.Change); err != nil {
+	if err := httpapi.Serve(x.g, x.e, x.P.Outer, httpapi.Called(x.e.Say, x.outerRoutes()), x.P.Change); err != nil {
 		return err
 	}
 	if x.P.Ready != "" {
 		m := chi.NewRouter()
 		m.Get("/puffin/ready", x.onReady)
-		if err := outer.Serve(x.g, x.e, x.P.Ready, m, x.P.Change); err != nil {
+		if err := httpapi.Serve(x.g, x.e, x.P.Ready, m, x.P.Change); err != nil {
 			return err
 		}
 	}
-	srv, err := outer.Callers(x.g, x.e, x.P.Traffic, http.HandlerFunc(x.front), x.P.Change, x.P.Frame/16, &x.stay)
+	srv, err := httpapi.Callers(x.g, x.e, x.P.Traffic, http.HandlerFunc(x.front), x.P.Change, x.P.Frame/16, &x.stay)
 	if err != nil {
 		return err
 	}
--- a/internal/proxy/steps.go
+++ b/internal/proxy/steps.go
@@ -5,16 +5,16 @@
 	"fmt"
 	"time"
 
+	"puffincrank/internal/balancer"
 	"puffincrank/internal/event"
 	"puffincrank/internal/fault"
-	"puffincrank/internal/grace"
-	"puffincrank/internal/nominate"
 	"puffincrank/internal/ormap"
+	"puffincrank/internal/protocol"
 	"puffincrank/internal/replica"
+	"puffincrank/internal/responsedigest"
 	"puffincrank/internal/rules"
-	"puffincrank/internal/seal"
-	"puffincrank/internal/session"
-	"puffincrank/internal/wire"
+	"puffincrank/internal/shutdown"
+	"puffincrank/internal/transport"
 )
 
 // verb is what a step says: go on with the next, go back to the nomination,
@@ -66,10 +66,10 @@
 			return stop
 		}
 		all := x.rep.Lookup(j.service)
-		e, ok := x.pick.Pick(all, nominate.Want{Path: j.path.Name, Aim: time.Until(j.first.Add(j.arm.Aim)), Bulk: j.arm.Bulk != "", Safe: j.arm.Safe, Wait: x.wait(j), Tried: j.tried})
+		e, ok := x.pick.Pick(all, balancer.Want{Path: j.path.Name, Aim: time.Until(j.first.Add(j.arm.Aim)), Bulk: j.arm.Bulk != "", Safe: j.arm.Safe, Wait: x.wait(j), Tried: j.tried})
 		// The own worker's door is seen from here: shut, it costs no send.
 		if ok && x.shutHere(e) {
-			x.pick.Done(nominate.End{Worker: e.Worker, Used: -1})
+			x.pick.Done(balancer.End{Worker: e.Worker, Used: -1})
 			j.tried[e.Worker] = true
 			continue
 		}
@@ -102,7 +102,7 @@
 	// owner refused by itself cost no worker anything.
 	paid := j.came == 0 || x.again.Again(j.service)
 	if j.unpaid = !paid && j.borrows; !paid && !j.unpaid {
-		x.pick.Done(nominate.End{Worker: j.entry.Worker, Used: -1})
+		x.pick.Done(balancer.End{Worker: j.entry.Worker, Used: -1})
 		j.why += "; no repeats are left"
 		// Whoever comes back needs what the last refusal lacked; when that one
 		// named no time, what lacks is a repeat.
@@ -128,7 +128,7 @@
 	j.sends++
 	j.tried[j.entry.Worker] = true
 	left := time.Until(j.end)
-	h := session.Hand{Job: j.id, Attempt: fmt.Sprintf("%s.%d", j.id, j.sends), Path: j.path.Name, Arm: j.arm.Name,
+	h := protocol.Hand{Job: j.id, Attempt: fmt.Sprintf("%s.%d", j.id, j.sends), Path: j.path.Name, Arm: j.arm.Name,
 		Version: j.rules.Version, Service: j.service, Class: j.arm.Class, Worker: j.entry.Worker,
 		Host: j.req.Host, Method: j.req.Method, URI: j.req.URL.RequestURI(), Head: x.passed(j.req.Header), Body: j.body, Left: left.Milliseconds(),
 		Said: j.said, Caller: x.set().Service, Again: j.came > 0, Part: j.part, Word: j.word, Wait: x.queueWaitBound().Milliseconds(), Rest: x.waitLeft(), Safe: j.arm.Safe, Usual: x.usual(j.path.Name).Milliseconds(), Last: j.hedged || j.lost != nil, Any: j.any, Unpaid: j.unpaid,
@@ -137,14 +137,14 @@
 		h.URI = origin(j.req)
 	}
 	if h.Left <= 0 {
-		j.back = session.Back{Kind: session.Refused, Why: "no time left", Used: -1}
-		x.pick.Done(nominate.End{Worker: j.entry.Worker, Used: -1})
+		j.back = protocol.Back{Kind: protocol.Refused, Why: "no time left", Used: -1}
+		x.pick.Done(balancer.End{Worker: j.entry.Worker, Used: -1})
 		return next
 	}
 	h.Rush = x.rushes(j)
 	j.boundRequeue(&h)
 	from := time.Now()
-	a, ctx := x.beginAttempt(wire.Lane(ctx, x.lane(j)), j, h.Attempt)
+	a, ctx := x.beginAttempt(transport.Lane(ctx, x.lane(j)), j, h.Attempt)
 	back := x.send(ctx, j, h)
 	if a != nil {
 		// From here on the request is changed by nobody else.
@@ -153,16 +153,16 @@
 		defer a.settle()
 	}
 	j.back = back
-	if j.back.Kind == session.Done {
+	if j.back.Kind == protocol.Done {
 		x.kin.told(j.path.Name, j.back.Inner)
 	}
-	if j.back.Came || j.back.Kind == session.Unknown {
+	if j.back.Came || j.back.Kind == protocol.Unknown {
 		j.came++
 	} else {
 		j.waited += time.Since(from)
 	}
 	// An answer larger than was expected is there all the same.
-	if n := len(j.back.Body); j.back.Kind == session.Done {
+	if n := len(j.back.Body); j.back.Kind == protocol.Done {
 		if more := int64(n) - x.load.expects(j.path.Name); more > 0 {
 			x.load.force(more)
 			j.took += more
@@ -173,16 +173,16 @@
 		x.calls.marks(j.path.Name)
 	}
 	// Only what the worker itself did speaks of its fitness.
-	counts := j.back.Kind != session.Refused && !wire.Abandoned(ctx)
-	ok := j.back.Kind == session.Done && j.back.Status < 500
-	x.pick.Done(nominate.End{Worker: j.entry.Worker, Service: j.service, Path: j.path.Name, Used: j.back.Used,
-		Word: nominate.Word{Pace: j.back.Pace, Fail: j.back.Fail}, Took: time.Since(from),
+	counts := j.back.Kind != protocol.Refused && !transport.Abandoned(ctx)
+	ok := j.back.Kind == protocol.Done && j.back.Status < 500
+	x.pick.Done(balancer.End{Worker: j.entry.Worker, Service: j.service, Path: j.path.Name, Used: j.back.Used,
+		Word: balancer.Word{Pace: j.back.Pace, Fail: j.back.Fail}, Took: time.Since(from),
 		Ran: time.Duration(j.back.Ran) * time.Microsecond, Late: time.Since(j.from) > j.arm.Aim, OK: ok, Counts: counts})
 	return next
 }
 
 // send has an attempt run, here or at another node.
-func (x *Proxy) send(ctx context.Context, j *job, h session.Hand) session.Back {
+func (x *Proxy) send(ctx context.Context, j *job, h protocol.Hand) protocol.Back {
 	if j.entry.Owner == x.P.Node {
 		return x.own(ctx, h)
 	}
@@ -193,33 +193,33 @@
 const noReceipt = "no receipt from the owner"
 
 // away hands the attempt over to another node and checks what comes back.
-func (x *Proxy) away(ctx context.Context, j *job, h session.Hand) session.Back {
+func (x *Proxy) away(ctx context.Context, j *job, h protocol.Hand) protocol.Back {
 	// A large body waits for the link no longer than for a slot.
 	if j.arm.Bulk != "" {
-		ctx = wire.Due(ctx, time.Now().Add(x.queueWaitBound()))
+		ctx = transport.Due(ctx, time.Now().Add(x.queueWaitBound()))
 	}
-	b, err := wire.Ask[session.Back](ctx, x.n, j.entry.Inner, "job.hand", h)
-	come, full := wire.Full(err)
+	b, err := transport.Ask[protocol.Back](ctx, x.n, j.entry.Inner, "job.hand", h)
+	come, full := transport.Full(err)
 	switch {
 	case err == nil:
 	case full:
 		return x.thin(come)
-	case wire.Abandoned(ctx):
+	case transport.Abandoned(ctx):
 		// It says nothing of the owner that nobody waited for it.
-		return session.Back{Kind: session.Unknown, Why: "the caller has left", Used: -1}
+		return protocol.Back{Kind: protocol.Unknown, Why: "the caller has left", Used: -1}
 	case fault.Is(err, fault.Unsent), fault.Is(err, fault.Refused):
 		x.pick.Shun(j.entry.Owner, x.P.Change/2)
-		return session.Back{Kind: session.Refused, Why: "owner can't be reached", Come: (x.P.Change / 2).Milliseconds(), Used: -1}
-	case grace.IsLate(ctx):
-		return session.Back{Kind: session.Unknown, Why: whyEnding, Used: -1}
+		return protocol.Back{Kind: protocol.Refused, Why: "owner can't be reached", Come: (x.P.Change / 2).Milliseconds(), Used: -1}
+	case shutdown.IsLate(ctx):
+		return protocol.Back{Kind: protocol.Unknown, Why: whyEnding, Used: -1}
 	default:
 		x.pick.Shun(j.entry.Owner, x.P.Change/2)
-		return session.Back{Kind: session.Unknown, Why: noReceipt, Late: ctx.Err() != nil, Used: -1}
+		return protocol.Back{Kind: protocol.Unknown, Why: noReceipt, Late: ctx.Err() != nil, Used: -1}
 	}
 	// The answer is checked again here: it must be for this very attempt.
-	if b.Kind == session.Done && (b.Worker != h.Worker || x.say.Digest && b.Seal != seal.Of(h.Attempt, h.Worker, b.Status, b.Body)) {
+	if b.Kind == protocol.Done && (b.Worker != h.Worker || x.say.Digest && b.Seal != responsedigest.Of(h.Attempt, h.Worker, b.Status, b.Body)) {
 		x.e.Log.Emit(event.Garbled, "worker", h.Worker, "attempt", h.Attempt, "owner", j.entry.Owner)
-		return session.Back{Kind: session.Unknown, Why: "the answer's seal is broken", Used: b.Used}
+		return protocol.Back{Kind: protocol.Unknown, Why: "the answer's seal is broken", Used: b.Used}
 	}
 	return b
 }
--- a/internal/proxy/stop.go
+++ b/internal/proxy/stop.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"puffincrank/internal/event"
-	"puffincrank/internal/grace"
+	"puffincrank/internal/shutdown"
 	"puffincrank/internal/task"
 )
 
@@ -17,7 +17,7 @@
 	if !x.life.Fire("stop") {
 		return
 	}
-	plan := grace.Begin(x.P.Grace, x.P.Parting())
+	plan := shutdown.Begin(x.P.Grace, x.P.Parting())
 	x.stop.Store(plan)
 	// Large answers that wait for a thin link on their way here go first now.
 	x.n.Haste()
@@ -54,7 +54,7 @@
 // outcome is unknown, or that it did not run, rather than that its connection just
 // ends, and so is each front whose attempt is at the own worker. Answers count as
 // given once they are written.
-func (x *Proxy) answerRest(plan *grace.Schedule) {
+func (x *Proxy) answerRest(plan *shutdown.Schedule) {
 	x.late.Over()
 	ctx, end := context.WithDeadline(x.g.Context(), plan.AnswerUntil())
 	defer end()
--- a/internal/proxy/tally.go
+++ b/internal/proxy/tally.go
@@ -5,7 +5,7 @@
 	"sort"
 	"time"
 
-	"puffincrank/internal/session"
+	"puffincrank/internal/protocol"
 )
 
 type armKey struct {
@@ -15,7 +15,7 @@
 }
 
 type armTally struct {
-	t    session.Tally
+	t    protocol.Tally
 	from time.Time
 }
 
@@ -48,10 +48,10 @@
 		x.tally[k] = a
 	}
 	switch {
-	case j.back.Kind == session.Done && j.back.Status < 500:
+	case j.back.Kind == protocol.Done && j.back.Status < 500:
 		a.t.Done++
 		a.t.Times[Bin(time.Since(j.from))]++
-	case j.back.Kind == session.Done:
+	case j.back.Kind == protocol.Done:
 		a.t.Failed++
 	case j.lost != nil:
 		a.t.Unknown++
@@ -61,7 +61,7 @@
 }
 
 func newTally(k armKey) *armTally {
-	return &armTally{t: session.Tally{Trial: k.trial, Path: k.path, Arm: k.arm, Times: make([]uint64, Bins)}, from: time.Now()}
+	return &armTally{t: protocol.Tally{Trial: k.trial, Path: k.path, Arm: k.arm, Times: make([]uint64, Bins)}, from: time.Now()}
 }
 
 // lively lists the paths that had jobs within the window.
@@ -82,7 +82,7 @@
 
 // tallies gives the counts of the trials that still run; those of ended ones
 // are dropped.
-func (x *Proxy) tallies() []session.Tally {
+func (x *Proxy) tallies() []protocol.Tally {
 	r := x.rules.Load()
 	live := map[uint64]bool{}
 	x.mu.Lock()
@@ -100,7 +100,7 @@
 			}
 		}
 	}
-	var out []session.Tally
+	var out []protocol.Tally
 	for k, a := range x.tally {
 		if !live[k.trial] {
 			delete(x.tally, k)
--- a/internal/proxy/touch.go
+++ b/internal/proxy/touch.go
@@ -4,18 +4,18 @@
 	"context"
 	"time"
 
+	"puffincrank/internal/controlclient"
 	"puffincrank/internal/event"
-	"puffincrank/internal/member"
+	"puffincrank/internal/membership"
 	"puffincrank/internal/ormap"
-	"puffincrank/internal/session"
-	"puffincrank/internal/touch"
+	"puffincrank/internal/protocol"
 )
 
 // host is the proxy as its session sees it.
 type host struct{ x *Proxy }
 
-func newTouch(x *Proxy) *touch.Touch {
-	return touch.New(touch.Parts{P: x.P, Log: x.e.Log, G: x.g, N: x.n, Rep: x.rep, Self: x.self, Woke: x.pulse.Woke}, host{x})
+func newTouch(x *Proxy) *controlclient.Touch {
+	return controlclient.New(controlclient.Parts{P: x.P, Log: x.e.Log, G: x.g, N: x.n, Rep: x.rep, Self: x.self, Woke: x.pulse.Woke}, host{x})
 }
 
 func (h host) Version() uint64 {
@@ -27,9 +27,9 @@
 
 func (h host) Take(version uint64, doc []byte) ([]byte, bool) { return doc, h.x.take(version, doc) }
 
-func (h host) Report(b *session.Beat) { b.Tallies, b.Live = h.x.tallies(), h.x.lively() }
+func (h host) Report(b *protocol.Beat) { b.Tallies, b.Live = h.x.tallies(), h.x.lively() }
 
-func (h host) Members(all *member.Book) {
+func (h host) Members(all *membership.Book) {
 	own := h.x.P.Node
 	h.x.pick.Here(func(node string) bool { return node == own || all.Has(node) })
 }
@@ -62,6 +62,6 @@
 
 // confirm waits until the node may act on what it holds, and tells how sure it
 // is of that.
-func (x *Proxy) confirm(ctx context.Context, end time.Time) session.Word {
+func (x *Proxy) confirm(ctx context.Context, end time.Time) protocol.Word {
 	return x.touch.Confirm(ctx, end)
 }
--- a/internal/proxy/trail.go
+++ b/internal/proxy/trail.go
@@ -5,7 +5,7 @@
 	"sync"
 	"time"
 
-	"puffincrank/internal/outer"
+	"puffincrank/internal/httpapi"
 )
 
 // What a step of the trail says of a request.
@@ -107,5 +107,5 @@
 // onTrail tells the newest decisions about requests, of one request or worker
 // where the query names it ("of").
 func (x *Proxy) onTrail(w http.ResponseWriter, r *http.Request) {
-	outer.JSON(w, http.StatusOK, map[string][]Step{"steps": x.trail.of(r.URL.Query().Get("of"))})
+	httpapi.JSON(w, http.StatusOK, map[string][]Step{"steps": x.trail.of(r.URL.Query().Get("of"))})
 }
--- a/internal/proxy/unanswered.go
+++ b/internal/proxy/unanswered.go
@@ -6,10 +6,10 @@
 	"time"
 
 	"puffincrank/internal/event"
-	"puffincrank/internal/grace"
 	"puffincrank/internal/ormap"
-	"puffincrank/internal/session"
-	"puffincrank/internal/wire"
+	"puffincrank/internal/protocol"
+	"puffincrank/internal/shutdown"
+	"puffincrank/internal/transport"
 )
 
 // What ended a request that may have run and did not get its worker's answer.
@@ -27,7 +27,7 @@
 // lostAttempt is an attempt that may have run and has no answer, with the entry of
 // the worker that it was sent to.
 type lostAttempt struct {
-	session.Back
+	protocol.Back
 	entry ormap.Entry
 }
 
@@ -47,7 +47,7 @@
 // count of the others; after the order to end each one, up to a bound. The trail has
 // all of them.
 func (x *Proxy) noteUnanswered(ctx context.Context, j *job) {
-	if j.back.Kind == session.Done || j.lost == nil {
+	if j.back.Kind == protocol.Done || j.lost == nil {
 		return
 	}
 	by := x.endedBy(ctx, j)
@@ -69,9 +69,9 @@
 // endedBy tells what ended the last attempt of a request.
 func (x *Proxy) endedBy(ctx context.Context, j *job) string {
 	switch {
-	case wire.Abandoned(ctx):
+	case transport.Abandoned(ctx):
 		return endedByCaller
-	case grace.IsLate(ctx):
+	case shutdown.IsLate(ctx):
 		return endedByStop
 	case !time.Now().Before(j.end):
 		if j.due.IsZero() || j.end.Before(j.due) {
--- a/internal/proxy/unseal.go
+++ b/internal/proxy/unseal.go
@@ -5,11 +5,11 @@
 	"net/http"
 
 	"puffincrank/internal/event"
-	"puffincrank/internal/seal"
-	"puffincrank/internal/session"
+	"puffincrank/internal/protocol"
+	"puffincrank/internal/responsedigest"
 )
 
-func headOf(b *session.Back, name string) string {
+func headOf(b *protocol.Back, name string) string {
 	if l := b.Head[http.CanonicalHeaderKey(name)]; len(l) > 0 {
 		return l[0]
 	}
@@ -17,7 +17,7 @@
 }
 
 // notRun tells whether the worker says that it left the job unrun.
-func (x *Proxy) notRun(b *session.Back) bool {
+func (x *Proxy) notRun(b *protocol.Back) bool {
 	said := headOf(b, x.say.NotRun)
 	if said == "" || x.say.NotRunIs != "" && said != x.say.NotRunIs {
 		// With a seal that can be checked, the status alone says it.
@@ -35,7 +35,7 @@
 func (x *Proxy) broken(v *visit, notRun bool) string {
 	b := &v.back
 	if x.say.Digest {
-		if headOf(b, x.say.Attempt) != v.in.Attempt || headOf(b, x.say.Named) != v.in.Worker || headOf(b, x.say.Mark) != seal.Of(v.in.Attempt, v.in.Worker, b.Status, b.Body) {
+		if headOf(b, x.say.Attempt) != v.in.Attempt || headOf(b, x.say.Named) != v.in.Worker || headOf(b, x.say.Mark) != responsedigest.Of(v.in.Attempt, v.in.Worker, b.Status, b.Body) {
 			return "the answer's seal is broken"
 		}
 		return ""
@@ -75,13 +75,13 @@
 		if b.Status == http.StatusMisdirectedRequest && !x.say.Asks {
 			x.stranger(v.gate)
 		}
-		v.later("the worker refused: "+head(seal.Why), v.gate.room.Drain(v.in.Class))
+		v.later("the worker refused: "+head(responsedigest.Why), v.gate.room.Drain(v.in.Class))
 		v.back.Came = true
 		return false
 	case b.Status == 503 || b.Status == 429:
 		// The worker's own busy doesn't promise that the job never ran.
 		return v.unknown("the worker answered busy without a word on whether the job ran")
 	}
-	b.Kind, b.Seal, b.Worker = session.Done, head(x.say.Mark), v.in.Worker
+	b.Kind, b.Seal, b.Worker = protocol.Done, head(x.say.Mark), v.in.Worker
 	return false
 }
--- a/internal/proxy/weigh.go
+++ b/internal/proxy/weigh.go
@@ -4,7 +4,7 @@
 	"context"
 	"time"
 
-	"puffincrank/internal/session"
+	"puffincrank/internal/protocol"
 )
 
 // spare is how many owners without room are passed over, beyond a path's tries.
@@ -13,14 +13,14 @@
 // weigh decides what follows an attempt.
 func (x *Proxy) weigh(ctx context.Context, j *job) verb {
 	// What came to no worker is no traffic there, and allows no repeats.
-	if j.fresh && !j.back.Came && j.back.Kind != session.Done {
+	if j.fresh && !j.back.Came && j.back.Kind != protocol.Done {
 		x.again.Missed(j.service, j.part)
 	}
 	// The path's tries are workers; an owner that had no room may be passed
 	// over besides, but not for ever.
 	more := j.came < j.arm.Tries && j.sends-j.rushes < j.arm.Tries+spare && ctx.Err() == nil && time.Now().Before(j.end) && !x.isEnding()
 	switch j.back.Kind {
-	case session.Done:
+	case protocol.Done:
 		// A worker that failed by itself may be alone in that; its own word is
 		// kept for the case that no other does better.
 		if j.back.Status >= 500 && j.arm.Safe && more && x.again.Ample(j.service) {
@@ -29,7 +29,7 @@
 			return back
 		}
 		return next
-	case session.Refused:
+	case protocol.Refused:
 		if j.rushing && j.back.Pass {
 			return j.rushed()
 		}
--- a/internal/proxy/worker.go
+++ b/internal/proxy/worker.go
@@ -7,47 +7,47 @@
 	"github.com/go-chi/chi/v5"
 
 	"puffincrank/internal/event"
-	"puffincrank/internal/outer"
-	"puffincrank/internal/settings"
+	"puffincrank/internal/httpapi"
+	"puffincrank/internal/schema"
 )
 
 // Workers is the table of a worker's own resource: its identity stands in the
 // path, and each call has a number that grows.
-var Workers = settings.Table{Name: "worker", Rows: []settings.Setting{
-	{Name: "service", Type: settings.Text, Must: true, Check: settings.Word, Rule: "a name", Help: "the service it serves"},
-	{Name: "addr", Type: settings.Addr, Must: true, Rule: "IP number and port", Help: "where it takes jobs"},
-	{Name: "area", Type: settings.Text, Rule: "a name", Help: "where it stands"},
-	{Name: "version", Type: settings.Text, Rule: "a text", Help: "of its software"},
-	{Name: "slots", Type: settings.Count, Must: true, Check: settings.In(1, 1024), Rule: "1 to 1024", Help: "jobs that it runs at once"},
-	{Name: "state", Type: settings.Text, Must: true, Check: settings.OneOf("up", "draining"), Rule: "up or draining", Help: "alive or leaving"},
-	{Name: "cold_ms", Type: settings.Share, Def: 0.0, Check: settings.Within(0, 3600_000), Rule: "0 to 3600000", Help: "how much longer it is slow from its start"},
-	{Name: "seq", Type: settings.Count, Def: int64(0), Check: settings.In(0, 1<<62), Rule: "a number", Help: "grows with each call; a late one is known by it"},
+var Workers = schema.Table{Name: "worker", Rows: []schema.Setting{
+	{Name: "service", Type: schema.Text, Must: true, Check: schema.Word, Rule: "a name", Help: "the service it serves"},
+	{Name: "addr", Type: schema.Addr, Must: true, Rule: "IP number and port", Help: "where it takes jobs"},
+	{Name: "area", Type: schema.Text, Rule: "a name", Help: "where it stands"},
+	{Name: "version", Type: schema.Text, Rule: "a text", Help: "of its software"},
+	{Name: "slots", Type: schema.Count, Must: true, Check: schema.In(1, 1024), Rule: "1 to 1024", Help: "jobs that it runs at once"},
+	{Name: "state", Type: schema.Text, Must: true, Check: schema.OneOf("up", "draining"), Rule: "up or draining", Help: "alive or leaving"},
+	{Name: "cold_ms", Type: schema.Share, Def: 0.0, Check: schema.Within(0, 3600_000), Rule: "0 to 3600000", Help: "how much longer it is slow from its start"},
+	{Name: "seq", Type: schema.Count, Def: int64(0), Check: schema.In(0, 1<<62), Rule: "a number", Help: "grows with each call; a late one is known by it"},
 }}
 
 // onWorker takes a worker's word on itself.
 func (x *Proxy) onWorker(w http.ResponseWriter, r *http.Request) {
-	raw, code := outer.Body(w, r, 4096)
+	raw, code := httpapi.Body(w, r, 4096)
 	if code != 0 {
-		outer.JSON(w, code, outer.Wrong{Wrong: "the beat can't be read"})
+		httpapi.JSON(w, code, httpapi.Wrong{Wrong: "the beat can't be read"})
 		return
 	}
-	in, _, err := settings.Parse(raw)
+	in, _, err := schema.Parse(raw)
 	if err != nil {
-		outer.JSON(w, http.StatusBadRequest, outer.Wrong{Wrong: "not JSON: " + err.Error()})
+		httpapi.JSON(w, http.StatusBadRequest, httpapi.Wrong{Wrong: "not JSON: " + err.Error()})
 		return
 	}
 	v, bad := Workers.ReadKnown(in, "")
 	id := chi.URLParam(r, "id")
-	if settings.Word(id) != nil {
-		bad = append(bad, settings.Fault{Place: "id", Wrong: "must be a name"})
+	if schema.Word(id) != nil {
+		bad = append(bad, schema.Fault{Place: "id", Wrong: "must be a name"})
 	}
 	// Only the worker of this machine is spoken for here.
 	if at := x.set().Worker; at != "" && len(bad) == 0 && v.Text("addr") != at {
-		bad = append(bad, settings.Fault{Place: "addr", Wrong: "is not the worker beside this node"})
+		bad = append(bad, schema.Fault{Place: "addr", Wrong: "is not the worker beside this node"})
 	}
 	if len(bad) > 0 {
 		x.e.Log.Emit(event.BeatBad, "faults", len(bad), "first", bad[0].Place)
-		outer.JSON(w, http.StatusUnprocessableEntity, outer.Wrong{Wrong: "the beat is wrong", Faults: bad})
+		httpapi.JSON(w, http.StatusUnprocessableEntity, httpapi.Wrong{Wrong: "the beat is wrong", Faults: bad})
 		return
 	}
 	x.takeCall(workerCall{worker: id, service: v.Text("service"), addr: v.Text("addr"), slots: int(v.Count("slots")), state: v.Text("state"),
--- a/internal/proxy/workercall.go
+++ b/internal/proxy/workercall.go
@@ -4,8 +4,8 @@
 	"strconv"
 	"time"
 
+	"puffincrank/internal/balancer"
 	"puffincrank/internal/event"
-	"puffincrank/internal/nominate"
 	"puffincrank/internal/ormap"
 )
 
@@ -133,7 +133,7 @@
 		}
 	}
 	number, _ := strconv.ParseInt(last.Meta["call"], 10, 64)
-	x.applyCall(workerCall{worker: last.Worker, service: last.Service, addr: last.Meta["addr"], slots: nominate.Slots(last), state: last.Meta["state"], number: number})
+	x.applyCall(workerCall{worker: last.Worker, service: last.Service, addr: last.Meta["addr"], slots: balancer.Slots(last), state: last.Meta["state"], number: number})
 	if g := x.gateOf(last.Worker); g != nil && g.state.Is("draining") {
 		// How long it has been leaving isn't known, so nothing more goes in.
 		g.mu.Lock()
--- a/internal/registry/abort.go
+++ b/internal/registry/abort.go
@@ -7,7 +7,7 @@
 	"github.com/go-chi/chi/v5"
 
 	"puffincrank/internal/event"
-	"puffincrank/internal/outer"
+	"puffincrank/internal/httpapi"
 	"puffincrank/internal/rules"
 	"puffincrank/internal/statemachine"
 )
@@ -16,7 +16,7 @@
 func (r *Registry) abort(w http.ResponseWriter, req *http.Request) {
 	id, err := strconv.ParseUint(chi.URLParam(req, "id"), 10, 64)
 	if err != nil {
-		outer.JSON(w, http.StatusNotFound, outer.Wrong{Wrong: "no such trial"})
+		httpapi.JSON(w, http.StatusNotFound, httpapi.Wrong{Wrong: "no such trial"})
 		return
 	}
 	key := requestKey(w, req, "abort", []byte(operatorOf(req)), []byte(chi.URLParam(req, "id")))
--- a/internal/registry/app.go
+++ b/internal/registry/app.go
@@ -10,8 +10,8 @@
 
 	"github.com/go-chi/chi/v5"
 
-	"puffincrank/internal/outer"
-	"puffincrank/internal/settings"
+	"puffincrank/internal/httpapi"
+	"puffincrank/internal/schema"
 	"puffincrank/internal/statemachine"
 	"puffincrank/internal/store"
 )
@@ -34,13 +34,13 @@
 // appCall is one application's call as it was read.
 type appCall struct {
 	name string
-	v    settings.Values
+	v    schema.Values
 	by   time.Time // when it may last be proposed
 }
 
 // appRead reads the name and the body of a call. Fields that this program
 // doesn't know are passed over; an empty body counts as an empty object.
-func (r *Registry) appRead(w http.ResponseWriter, req *http.Request, tab settings.Table) (c appCall, ok bool) {
+func (r *Registry) appRead(w http.ResponseWriter, req *http.Request, tab schema.Table) (c appCall, ok bool) {
 	c.by = time.Now().Add(r.P.Late())
 	if by, is := req.Context().Value(byKey{}).(time.Time); is && by.Before(c.by) {
 		c.by = by
@@ -55,17 +55,17 @@
 		// Whatever body it has says nothing.
 		return c, true
 	}
-	raw, code := outer.Body(w, req, 256<<10)
+	raw, code := httpapi.Body(w, req, 256<<10)
 	if code != 0 {
-		outer.JSON(w, code, outer.Wrong{Wrong: "the body is over the bound or can't be read"})
+		httpapi.JSON(w, code, httpapi.Wrong{Wrong: "the body is over the bound or can't be read"})
 		return c, false
 	}
 	if len(raw) == 0 {
 		raw = []byte("{}")
 	}
-	in, bad, err := settings.Parse(raw)
+	in, bad, err := schema.Parse(raw)
 	if err != nil {
-		outer.JSON(w, http.StatusBadRequest, outer.Wrong{Wrong: "not JSON: " + err.Error()})
+		httpapi.JSON(w, http.StatusBadRequest, httpapi.Wrong{Wrong: "not JSON: " + err.Error()})
 		return c, false
 	}
 	v, more := tab.ReadKnown(in, "")
@@ -83,7 +83,7 @@
 	// What is read right after a freeze may be as old as the freeze: its sender
 	// has turned elsewhere, and what it did there must not be undone.
 	if time.Since(r.pulse.Woke()) < r.P.Beat() {
-		outer.Busy(w, "frozen until just now; nothing was done", r.P.Beat())
+		httpapi.Busy(w, "frozen until just now; nothing was done", r.P.Beat())
 		return
 	}
 	ctx, end := r.withDeadline(req)
@@ -98,7 +98,7 @@
 		return
 	}
 	if got.Code == statemachine.Full {
-		outer.Busy(w, "nothing was done: "+got.Message, r.P.Change)
+		httpapi.Busy(w, "nothing was done: "+got.Message, r.P.Change)
 		return
 	}
 	code := codes[got.Code]
@@ -109,11 +109,11 @@
 	if code != http.StatusOK && got.Message != "" {
 		out["wrong"] = got.Message
 	}
-	outer.JSON(w, code, out)
+	httpapi.JSON(w, code, out)
 }
 
 // appTime is a time to live; a part of a millisecond counts as a whole one.
-func appTime(v settings.Values) int64 { return int64(math.Ceil(v.Share("ttl_ms"))) }
+func appTime(v schema.Values) int64 { return int64(math.Ceil(v.Share("ttl_ms"))) }
 
 func fenceBody(got statemachine.Result) map[string]any {
 	if got.Code == statemachine.OK && got.Lock != nil {
--- a/internal/registry/apptable.go
+++ b/internal/registry/apptable.go
@@ -3,20 +3,20 @@
 import (
 	"regexp"
 
-	"puffincrank/internal/settings"
+	"puffincrank/internal/schema"
 )
 
 // The tables of the bodies of applications' calls.
 var (
-	TabTake = settings.Table{Name: "app lock, POST", Rows: []settings.Setting{appOwner, appSpan}}
-	TabHold = settings.Table{Name: "app lock, PUT", Rows: []settings.Setting{appOwner, appSpan, appFence}}
-	TabFree = settings.Table{Name: "app lock, DELETE", Rows: []settings.Setting{appOwner, appFence}}
-	TabNext = settings.Table{Name: "app number, POST"}
-	TabCell = settings.Table{Name: "app key, PUT", Rows: TabKey.Rows}
-
-	appOwner = settings.Setting{Name: "owner", Type: settings.Text, Must: true, Check: appName, Rule: "a name", Help: "who holds it"}
-	appSpan  = settings.Setting{Name: "ttl_ms", Type: settings.Share, Must: true, Check: settings.Within(0.001, 86400000), Rule: "over 0, to 86400000", Help: "how long it stands without a renewal"}
-	appFence = settings.Setting{Name: "fence", Type: settings.Count, Must: true, Check: settings.In(1, 1<<62), Rule: "a number", Help: "the fence got when it was taken"}
+	TabTake = schema.Table{Name: "app lock, POST", Rows: []schema.Setting{appOwner, appSpan}}
+	TabHold = schema.Table{Name: "app lock, PUT", Rows: []schema.Setting{appOwner, appSpan, appFence}}
+	TabFree = schema.Table{Name: "app lock, DELETE", Rows: []schema.Setting{appOwner, appFence}}
+	TabNext = schema.Table{Name: "app number, POST"}
+	TabCell = schema.Table{Name: "app key, PUT", Rows: TabKey.Rows}
+
+	appOwner = schema.Setting{Name: "owner", Type: schema.Text, Must: true, Check: appName, Rule: "a name", Help: "who holds it"}
+	appSpan  = schema.Setting{Name: "ttl_ms", Type: schema.Share, Must: true, Check: schema.Within(0.001, 86400000), Rule: "over 0, to 86400000", Help: "how long it stands without a renewal"}
+	appFence = schema.Setting{Name: "fence", Type: schema.Count, Must: true, Check: schema.In(1, 1<<62), Rule: "a number", Help: "the fence got when it was taken"}
 )
 
 var appWord = regexp.MustCompile(`^[A-Za-z0-9._:-]{1,128}$`)
--- a/internal/registry/config.go
+++ b/internal/registry/config.go
@@ -7,9 +7,9 @@
 	"strconv"
 
 	"puffincrank/internal/event"
-	"puffincrank/internal/outer"
+	"puffincrank/internal/httpapi"
 	"puffincrank/internal/rules"
-	"puffincrank/internal/settings"
+	"puffincrank/internal/schema"
 	"puffincrank/internal/statemachine"
 	"puffincrank/internal/store"
 )
@@ -75,7 +75,7 @@
 func (r *Registry) checkChange(ctx context.Context, w http.ResponseWriter, req *http.Request, key *store.RequestKey, old statemachine.Result, raw []byte) bool {
 	for _, t := range old.Trials {
 		if t.State == statemachine.Running {
-			outer.JSON(w, http.StatusConflict, outer.Wrong{Wrong: fmt.Sprintf("trial %d runs: wait, abort it, or apply as an emergency", t.ID), Version: old.Version})
+			httpapi.JSON(w, http.StatusConflict, httpapi.Wrong{Wrong: fmt.Sprintf("trial %d runs: wait, abort it, or apply as an emergency", t.ID), Version: old.Version})
 			return true
 		}
 	}
@@ -116,9 +116,9 @@
 	for _, c := range got.Configs {
 		line := row{Config: c}
 		if from > 0 {
-			line.Doc, _, _ = settings.Parse(c.Doc)
+			line.Doc, _, _ = schema.Parse(c.Doc)
 		}
 		rows = append(rows, line)
 	}
-	outer.JSON(w, http.StatusOK, map[string]any{"version": got.Version, "history": rows})
+	httpapi.JSON(w, http.StatusOK, map[string]any{"version": got.Version, "history": rows})
 }
--- a/internal/registry/coord.go
+++ b/internal/registry/coord.go
@@ -5,22 +5,22 @@
 
 	"github.com/go-chi/chi/v5"
 
-	"puffincrank/internal/outer"
-	"puffincrank/internal/settings"
+	"puffincrank/internal/httpapi"
+	"puffincrank/internal/schema"
 	"puffincrank/internal/statemachine"
 	"puffincrank/internal/store"
 )
 
 // The tables of the coordination calls' bodies.
 var (
-	TabLock = settings.Table{Name: "lock", Rows: []settings.Setting{
-		{Name: "owner", Type: settings.Text, Must: true, Check: settings.Word, Rule: "a name", Help: "who takes it"},
-		{Name: "ttl_ms", Type: settings.Span, Def: int64(10000), Check: settings.In(100, 600000), Rule: "100 to 600000", Help: "how long it stands without a renewal"},
-		{Name: "fence", Type: settings.Count, Def: int64(0), Check: settings.In(0, 1<<62), Rule: "a number", Help: "the fence got when it was taken; needed to renew"},
+	TabLock = schema.Table{Name: "lock", Rows: []schema.Setting{
+		{Name: "owner", Type: schema.Text, Must: true, Check: schema.Word, Rule: "a name", Help: "who takes it"},
+		{Name: "ttl_ms", Type: schema.Span, Def: int64(10000), Check: schema.In(100, 600000), Rule: "100 to 600000", Help: "how long it stands without a renewal"},
+		{Name: "fence", Type: schema.Count, Def: int64(0), Check: schema.In(0, 1<<62), Rule: "a number", Help: "the fence got when it was taken; needed to renew"},
 	}}
-	TabKey = settings.Table{Name: "key", Rows: []settings.Setting{
-		{Name: "value", Type: settings.Text, Must: true, Check: checkValueSize, Rule: "64 KiB at the most", Help: "the value"},
-		{Name: "if_rev", Type: settings.Count, Check: settings.In(0, 1<<62), Rule: "a revision; 0: must not be there", Help: "only when the key's revision is this"},
+	TabKey = schema.Table{Name: "key", Rows: []schema.Setting{
+		{Name: "value", Type: schema.Text, Must: true, Check: checkValueSize, Rule: "64 KiB at the most", Help: "the value"},
+		{Name: "if_rev", Type: schema.Count, Check: schema.In(0, 1<<62), Rule: "a revision; 0: must not be there", Help: "only when the key's revision is this"},
 	}}
 )
 
@@ -36,20 +36,20 @@
 }
 
 // readFields reads a small JSON body by a table.
-func readFields(w http.ResponseWriter, req *http.Request, tab settings.Table) (settings.Values, bool) {
-	raw, code := outer.Body(w, req, 256<<10)
+func readFields(w http.ResponseWriter, req *http.Request, tab schema.Table) (schema.Values, bool) {
+	raw, code := httpapi.Body(w, req, 256<<10)
 	if code != 0 {
-		outer.JSON(w, code, outer.Wrong{Wrong: "the body is over the bound or can't be read"})
+		httpapi.JSON(w, code, httpapi.Wrong{Wrong: "the body is over the bound or can't be read"})
 		return nil, false
 	}
-	in, bad, err := settings.Parse(raw)
+	in, bad, err := schema.Parse(raw)
 	if err != nil {
-		outer.JSON(w, http.StatusBadRequest, outer.Wrong{Wrong: "not JSON: " + err.Error()})
+		httpapi.JSON(w, http.StatusBadRequest, httpapi.Wrong{Wrong: "not JSON: " + err.Error()})
 		return nil, false
 	}
 	v, more := tab.Read(in, "")
 	if bad = append(bad, more...); len(bad) > 0 {
-		outer.JSON(w, http.StatusUnprocessableEntity, outer.Wrong{Wrong: "the body is wrong", Faults: bad})
+		httpapi.JSON(w, http.StatusUnprocessableEntity, httpapi.Wrong{Wrong: "the body is wrong", Faults: bad})
 		return nil, false
 	}
 	return v, true
@@ -64,7 +64,7 @@
 	if got.Message != "" {
 		body["wrong"] = got.Message
 	}
-	outer.JSON(w, code, body)
+	httpapi.JSON(w, code, body)
 }
 
 // change offers a command and answers with what body makes of the receipt.
@@ -116,8 +116,8 @@
 
 func (r *Registry) postLock(w http.ResponseWriter, req *http.Request) {
 	name, op := chi.URLParam(req, "name"), chi.URLParam(req, "op")
-	if settings.Word(name) != nil {
-		outer.JSON(w, http.StatusUnprocessableEntity, outer.Wrong{Wrong: "the lock's name is wrong"})
+	if schema.Word(name) != nil {
+		httpapi.JSON(w, http.StatusUnprocessableEntity, httpapi.Wrong{Wrong: "the lock's name is wrong"})
 		return
 	}
 	v, ok := readFields(w, req, TabLock)
@@ -133,7 +133,7 @@
 	case "release":
 		r.change(w, req, "lock.free", &statemachine.ReleaseLock{Name: name, Owner: owner, Fence: fence}, lockBody(name))
 	default:
-		outer.JSON(w, http.StatusNotFound, outer.Wrong{Wrong: "a lock knows acquire, renew and release"})
+		httpapi.JSON(w, http.StatusNotFound, httpapi.Wrong{Wrong: "a lock knows acquire, renew and release"})
 	}
 }
 
@@ -150,8 +150,8 @@
 
 func (r *Registry) nextNumber(w http.ResponseWriter, req *http.Request) {
 	name := chi.URLParam(req, "name")
-	if settings.Word(name) != nil {
-		outer.JSON(w, http.StatusUnprocessableEntity, outer.Wrong{Wrong: "the number's name is wrong"})
+	if schema.Word(name) != nil {
+		httpapi.JSON(w, http.StatusUnprocessableEntity, httpapi.Wrong{Wrong: "the number's name is wrong"})
 		return
 	}
 	r.change(w, req, "number.next", &statemachine.NextNumber{Name: name}, numberBody(name))
--- a/internal/registry/election.go
+++ b/internal/registry/election.go
@@ -11,7 +11,7 @@
 	"puffincrank/internal/ormap"
 	"puffincrank/internal/statemachine"
 	"puffincrank/internal/store"
-	"puffincrank/internal/wire"
+	"puffincrank/internal/transport"
 )
 
 // roleElection is one that a single control node does, won by a round of ballots with
@@ -103,7 +103,7 @@
 	}
 	yes := 0
 	ballot.Poll(ctx, d.r.g, all, func(ctx context.Context, to string) (store.DutyVote, error) {
-		return wire.Ask[store.DutyVote](ctx, d.r.n, to, "store.duty", store.DutyAsk{Duty: d.name, Num: num, Op: op})
+		return transport.Ask[store.DutyVote](ctx, d.r.n, to, "store.duty", store.DutyAsk{Duty: d.name, Num: num, Op: op})
 	}, func(_ string, v store.DutyVote, err error) bool {
 		if err == nil && v.Yes {
 			yes++
--- a/internal/registry/judge.go
+++ b/internal/registry/judge.go
@@ -9,33 +9,33 @@
 	"puffincrank/internal/ballot"
 	"puffincrank/internal/event"
 	"puffincrank/internal/judge"
+	"puffincrank/internal/protocol"
 	"puffincrank/internal/rules"
-	"puffincrank/internal/session"
-	"puffincrank/internal/settings"
+	"puffincrank/internal/schema"
 	"puffincrank/internal/statemachine"
-	"puffincrank/internal/wire"
+	"puffincrank/internal/transport"
 )
 
 // reportKey names one start of one front: its counters begin anew with each.
 type reportKey struct{ node, start string }
 
-func (r *Registry) onReports(context.Context, wire.Hello, struct{}) ([]session.Report, error) {
+func (r *Registry) onReports(context.Context, transport.Hello, struct{}) ([]protocol.Report, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	var out []session.Report
+	var out []protocol.Report
 	for _, s := range r.own {
-		out = append(out, session.Report{Node: s.f.Node, Start: s.f.Start, Tallies: s.tallies, Live: s.live})
+		out = append(out, protocol.Report{Node: s.f.Node, Start: s.f.Start, Tallies: s.tallies, Live: s.live})
 	}
 	return out, nil
 }
 
 // reports gathers what all fronts counted, from all control nodes.
-func (r *Registry) reports(ctx context.Context) []session.Report {
+func (r *Registry) reports(ctx context.Context) []protocol.Report {
 	ctx, end := context.WithTimeout(ctx, r.P.Patience())
 	defer end()
 	var mu sync.Mutex
 	var wait sync.WaitGroup
-	out, _ := r.onReports(ctx, wire.Hello{}, struct{}{})
+	out, _ := r.onReports(ctx, transport.Hello{}, struct{}{})
 	for _, a := range r.core() {
 		if a == r.P.Inner {
 			continue
@@ -43,7 +43,7 @@
 		wait.Add(1)
 		if !r.g.Go("ask-reports", func(context.Context) {
 			defer wait.Done()
-			got, err := wire.Ask[[]session.Report](ctx, r.n, a, "registry.reports", struct{}{})
+			got, err := transport.Ask[[]protocol.Report](ctx, r.n, a, "registry.reports", struct{}{})
 			if err == nil {
 				mu.Lock()
 				out = append(out, got...)
@@ -58,14 +58,14 @@
 }
 
 // judgeBounds reads the judge's bounds from the configuration.
-func judgeBounds(v settings.Values) judge.Bounds {
+func judgeBounds(v schema.Values) judge.Bounds {
 	ms := func(n string) time.Duration { return time.Duration(v.Count(n)) * time.Millisecond }
 	return judge.Bounds{Jobs: uint64(v.Count("least_jobs")), Least: ms("least_ms"), Most: ms("most_ms"),
 		Risk: v.Share("risk"), Margin: v.Share("fail_margin"), Slow: v.Share("slow_ratio"), Quantile: v.Share("quantile")}
 }
 
 // weigh sums the reports up for one trial and judges each of its paths.
-func (r *Registry) weigh(t statemachine.Trial, all []session.Report, b judge.Bounds) []judge.Facts {
+func (r *Registry) weigh(t statemachine.Trial, all []protocol.Report, b judge.Bounds) []judge.Facts {
 	var out []judge.Facts
 	for _, path := range t.Paths {
 		var old, now judge.Arm
@@ -102,7 +102,7 @@
 	}
 	// Without a trial nothing needs to be remembered of fronts that are gone.
 	if len(run) == 0 {
-		r.seenOf = map[reportKey]session.Report{}
+		r.seenOf = map[reportKey]protocol.Report{}
 	}
 	due := len(run) > 0 && time.Since(r.looked) >= r.P.Change/2
 	if due {
@@ -112,7 +112,7 @@
 	if !due || rl == nil {
 		return
 	}
-	now := map[reportKey]session.Report{}
+	now := map[reportKey]protocol.Report{}
 	r.mu.Lock()
 	// A front that died keeps what it counted: its start never counts again.
 	for _, rep := range r.seenOf {
@@ -127,7 +127,7 @@
 			now[k] = rep
 		}
 	}
-	var all []session.Report
+	var all []protocol.Report
 	for _, rep := range now {
 		all = append(all, rep)
 	}
@@ -139,7 +139,7 @@
 	}
 }
 
-func requestsOf(r session.Report) uint64 {
+func requestsOf(r protocol.Report) uint64 {
 	n := uint64(0)
 	for _, t := range r.Tallies {
 		n += t.Done + t.Failed + t.Unknown + t.Refused + 1
--- a/internal/registry/leaves.go
+++ b/internal/registry/leaves.go
@@ -5,14 +5,14 @@
 
 	"puffincrank/internal/fault"
 	"puffincrank/internal/ormap"
-	"puffincrank/internal/wire"
+	"puffincrank/internal/transport"
 )
 
 // onWorkerLeaves notes what a node says of a worker that leaves, on the disk as
 // well: the node acknowledges the leave by this, and it has to hold when all
 // processes are gone. An error of the kind fault.Disk means that it is not on the
 // disk; it is in force all the same.
-func (r *Registry) onWorkerLeaves(_ context.Context, _ wire.Hello, word ormap.Delta) (struct{}, error) {
+func (r *Registry) onWorkerLeaves(_ context.Context, _ transport.Hello, word ormap.Delta) (struct{}, error) {
 	r.rep.Accept(word)
 	if !r.saveWorkers() {
 		return struct{}{}, fault.New(fault.Disk, "the leave is not on this disk")
--- a/internal/registry/near.go
+++ b/internal/registry/near.go
@@ -6,7 +6,7 @@
 	"strings"
 	"time"
 
-	"puffincrank/internal/member"
+	"puffincrank/internal/membership"
 )
 
 // near gives the control nodes heard here, this one first, and a name for the
@@ -40,7 +40,7 @@
 func (r *Registry) tell() ([]string, uint64) {
 	if r.list.at.IsZero() || time.Since(r.list.at) > r.P.Beat()/8 {
 		r.list.core = r.coreLocked()
-		r.list.name, r.list.at = member.Names(r.list.core), time.Now()
+		r.list.name, r.list.at = membership.Names(r.list.core), time.Now()
 	}
 	return r.list.core, r.list.name
 }
--- a/internal/registry/number.go
+++ b/internal/registry/number.go
@@ -6,8 +6,8 @@
 	"net/http"
 
 	"puffincrank/internal/event"
-	"puffincrank/internal/outer"
-	"puffincrank/internal/settings"
+	"puffincrank/internal/httpapi"
+	"puffincrank/internal/schema"
 	"puffincrank/internal/statemachine"
 	"puffincrank/internal/store"
 )
@@ -26,10 +26,10 @@
 	var head struct {
 		Version *json.Number `json:"version"`
 	}
-	var bad []settings.Fault
+	var bad []schema.Fault
 	// What can't be read here is named below, by the tables.
 	if json.Unmarshal(raw, &head) == nil && head.Version == nil {
-		bad = append(bad, settings.Fault{Place: "version", Wrong: "missing"})
+		bad = append(bad, schema.Fault{Place: "version", Wrong: "missing"})
 	}
 	c := r.checkDoc(w, raw, bad)
 	if c == nil {
@@ -71,7 +71,7 @@
 		return
 	}
 	if got.Code != statemachine.OK {
-		outer.JSON(w, http.StatusNotFound, outer.Wrong{Wrong: got.Message})
+		httpapi.JSON(w, http.StatusNotFound, httpapi.Wrong{Wrong: got.Message})
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -15,36 +15,36 @@
 
 	"puffincrank/internal/env"
 	"puffincrank/internal/event"
-	"puffincrank/internal/grace"
+	"puffincrank/internal/fsm"
 	"puffincrank/internal/hlc"
-	"puffincrank/internal/member"
-	"puffincrank/internal/outer"
+	"puffincrank/internal/httpapi"
+	"puffincrank/internal/membership"
 	"puffincrank/internal/patch"
-	"puffincrank/internal/props"
-	"puffincrank/internal/pulse"
+	"puffincrank/internal/pausedetect"
+	"puffincrank/internal/protocol"
 	"puffincrank/internal/replica"
 	"puffincrank/internal/rules"
-	"puffincrank/internal/session"
-	"puffincrank/internal/state"
+	"puffincrank/internal/settings"
+	"puffincrank/internal/shutdown"
 	"puffincrank/internal/statemachine"
 	"puffincrank/internal/task"
-	"puffincrank/internal/wire"
+	"puffincrank/internal/transport"
 )
 
 // Registry is one process. Lock order: mu before the replica's locks.
 type Registry struct {
-	P      props.Props
+	P      settings.Props
 	e      env.Env
 	g      *task.Group
-	n      *wire.Node
-	self   member.Fellow
-	life   *state.Machine
+	n      *transport.Node
+	self   membership.Fellow
+	life   *fsm.Machine
 	rep    *replica.Replica
 	stores *stores
 	routes http.Handler
-	calls  atomic.Int64 // outside calls under way
-	late   *grace.Late  // ends them when a stop can wait no longer
-	pulse  *pulse.Pulse
+	calls  atomic.Int64   // outside calls under way
+	late   *shutdown.Late // ends them when a stop can wait no longer
+	pulse  *pausedetect.Pulse
 	duties []*roleElection
 
 	mu     sync.Mutex
@@ -65,8 +65,8 @@
 		from map[uint64][]byte // differences to the list of now, packed
 	}
 	known   map[string]time.Time // control node, by its inner address, to when a peer named it
-	roll    *member.Roll         // the members, by all sessions
-	mine    *member.Roll         // those of the sessions here
+	roll    *membership.Roll     // the members, by all sessions
+	mine    *membership.Roll     // those of the sessions here
 	told    uint64               // the hash of mine that the other control nodes were told last
 	linked  uint64               // the hash of roll that the replica's links follow
 	linking bool                 // they are about to
@@ -80,39 +80,39 @@
 	whole  bool // the next document must come whole: the poll\'s own
 	trials []statemachine.Trial
 	tries  uint64
-	looked time.Time                    // judge: the last look
-	seenOf map[reportKey]session.Report // judge: the newest report of each front's start
-	away   map[string]time.Time         // steward: since when a node has no session
+	looked time.Time                     // judge: the last look
+	seenOf map[reportKey]protocol.Report // judge: the newest report of each front's start
+	away   map[string]time.Time          // steward: since when a node has no session
 	filled time.Time
 	saving task.Lock // one save of the workers at a time
 	keptAs uint64    // the replica's digest when it was last kept on the disk
 }
 
 // New readies a registry.
-func New(p props.Props, e env.Env) *Registry {
+func New(p settings.Props, e env.Env) *Registry {
 	g := task.New(context.Background()).Pace(e.Pause)
-	r := &Registry{P: p, e: e, g: g, saving: task.NewLock(), own: map[string]*nodeSession{}, others: map[string]*shared{}, known: map[string]time.Time{}, away: map[string]time.Time{}, seenOf: map[reportKey]session.Report{}}
+	r := &Registry{P: p, e: e, g: g, saving: task.NewLock(), own: map[string]*nodeSession{}, others: map[string]*shared{}, known: map[string]time.Time{}, away: map[string]time.Time{}, seenOf: map[reportKey]protocol.Report{}}
 	var b [6]byte
 	_, _ = rand.Read(b[:])
-	r.self = member.Fellow{Node: p.Node, Start: hex.EncodeToString(b[:]), Role: "registry", Area: p.Area, Inner: p.Inner, Outer: p.Outer}
-	r.late = grace.NewLate(g.Context())
-	r.roll, r.mine = member.NewRoll(p.Node, memberChangesKept), member.NewRoll(p.Node, memberChangesKept)
+	r.self = membership.Fellow{Node: p.Node, Start: hex.EncodeToString(b[:]), Role: "registry", Area: p.Area, Inner: p.Inner, Outer: p.Outer}
+	r.late = shutdown.NewLate(g.Context())
+	r.roll, r.mine = membership.NewRoll(p.Node, memberChangesKept), membership.NewRoll(p.Node, memberChangesKept)
 	r.roll.Set(p.Node, r.self)
-	r.n = wire.NewNode(wire.Hello{Mesh: p.Mesh, Node: p.Node, Area: p.Area, Role: "registry"}, e, g, p.Frame, p.Jobs, p.Patience())
+	r.n = transport.NewNode(transport.Hello{Mesh: p.Mesh, Node: p.Node, Area: p.Area, Role: "registry"}, e, g, p.Frame, p.Jobs, p.Patience())
 	r.n.Bound = p.Links()
 	r.rep = replica.New(r.self, r.n, g, e.Log, hlc.New(e.Wall, 2*p.Return), p.Beat(), p.Repair(), p.Bury())
 	r.held = patch.NewHeld(memberChangesKept / 16)
 	r.rep.Await(true)
 	r.stores = newStores(r.n, p.Stores, p.Patience(), p.Beat()/4)
-	r.pulse = pulse.New(p.Beat(), p.Doze(), nil)
-	r.life = state.New("starting", nil,
-		state.Move{From: "starting", By: "filled", To: "ready"},
-		state.Move{From: "ready", By: "lost", To: "lost"},
-		state.Move{From: "lost", By: "filled", To: "ready"},
-		state.Move{From: "starting", By: "stop", To: "leaving"},
-		state.Move{From: "lost", By: "stop", To: "leaving"},
-		state.Move{From: "ready", By: "stop", To: "leaving"},
-		state.Move{From: "leaving", By: "shut", To: "shut"})
+	r.pulse = pausedetect.New(p.Beat(), p.Doze(), nil)
+	r.life = fsm.New("starting", nil,
+		fsm.Move{From: "starting", By: "filled", To: "ready"},
+		fsm.Move{From: "ready", By: "lost", To: "lost"},
+		fsm.Move{From: "lost", By: "filled", To: "ready"},
+		fsm.Move{From: "starting", By: "stop", To: "leaving"},
+		fsm.Move{From: "lost", By: "stop", To: "leaving"},
+		fsm.Move{From: "ready", By: "stop", To: "leaving"},
+		fsm.Move{From: "leaving", By: "shut", To: "shut"})
 	r.duties = []*roleElection{newRoleElection(r, "steward", r.retireNodes), newRoleElection(r, "judge", r.judge)}
 	r.rep.Subscribe(func(n replica.News) {
 		k := map[string]event.Kind{"registered": event.Registered, "unregistered": event.Unregistered, "down": event.Down}[n.Kind]
@@ -123,18 +123,18 @@
 
 // Start opens the ports and begins the rounds.
 func (r *Registry) Start() error {
-	wire.On(r.n, "session.beat", r.onBeat)
-	wire.On(r.n, "session.share", r.onShare)
-	wire.On(r.n, "session.members", r.onMembers)
-	wire.On(r.n, "outer.call", r.onOuter)
-	wire.On(r.n, session.WorkerLeaves, r.onWorkerLeaves)
-	wire.On(r.n, "registry.status", r.onStatus)
-	wire.On(r.n, "registry.reports", r.onReports)
+	transport.On(r.n, "session.beat", r.onBeat)
+	transport.On(r.n, "session.share", r.onShare)
+	transport.On(r.n, "session.members", r.onMembers)
+	transport.On(r.n, "outer.call", r.onOuter)
+	transport.On(r.n, protocol.WorkerLeaves, r.onWorkerLeaves)
+	transport.On(r.n, "registry.status", r.onStatus)
+	transport.On(r.n, "registry.reports", r.onReports)
 	r.routes = r.outerRoutes()
 	if err := r.n.Listen(r.P.Inner); err != nil {
 		return err
 	}
-	if err := outer.Serve(r.g, r.e, r.P.Outer, outer.Called(r.e.Say, r.routes), r.P.Change); err != nil {
+	if err := httpapi.Serve(r.g, r.e, r.P.Outer, httpapi.Called(r.e.Say, r.routes), r.P.Change); err != nil {
 		return err
 	}
 	r.e.Log.Emit(event.Started, "program", "registry", "outer", r.P.Outer)
@@ -207,7 +207,7 @@
 	// Outside callers learn from readiness, which the platform polls: they are
 	// served meanwhile, and calls under way get their answers.
 	// Whatever the bounds are, it has gone by itself before its grace is over.
-	plan := grace.Begin(r.P.Grace, r.P.Parting())
+	plan := shutdown.Begin(r.P.Grace, r.P.Parting())
 	task.Pause(r.g.Context(), min(r.P.Leave, r.P.Grace/2))
 	r.life.Fire("shut")
 	for r.calls.Load() > 0 && plan.WaitsFor() > 0 {
--- a/internal/registry/requests.go
+++ b/internal/registry/requests.go
@@ -7,8 +7,8 @@
 	"fmt"
 	"net/http"
 
-	"puffincrank/internal/outer"
-	"puffincrank/internal/settings"
+	"puffincrank/internal/httpapi"
+	"puffincrank/internal/schema"
 	"puffincrank/internal/statemachine"
 	"puffincrank/internal/store"
 )
@@ -25,7 +25,7 @@
 	if id == "" {
 		return &store.RequestKey{ID: kind + "/" + hex.EncodeToString(digest[:16]), Digest: digest}
 	}
-	if err := settings.Word(id); err != nil {
+	if err := schema.Word(id); err != nil {
 		answerWrong(w, requestIDParameter+" "+err.Error(), nil)
 		return nil
 	}
@@ -63,11 +63,11 @@
 func answerOrder(w http.ResponseWriter, got statemachine.Result, paths []string) {
 	switch {
 	case got.Code != statemachine.OK:
-		outer.JSON(w, http.StatusConflict, outer.Wrong{Wrong: got.Message, Version: got.Version})
+		httpapi.JSON(w, http.StatusConflict, httpapi.Wrong{Wrong: got.Message, Version: got.Version})
 	case got.Number > 0:
-		outer.JSON(w, http.StatusOK, map[string]any{"version": got.Version, "trial": got.Number, "paths": paths})
+		httpapi.JSON(w, http.StatusOK, map[string]any{"version": got.Version, "trial": got.Number, "paths": paths})
 	default:
-		outer.JSON(w, http.StatusOK, map[string]any{"version": got.Version})
+		httpapi.JSON(w, http.StatusOK, map[string]any{"version": got.Version})
 	}
 }
 
--- a/internal/registry/routes.go
+++ b/internal/registry/routes.go
@@ -12,12 +12,12 @@
 
 	"puffincrank/internal/event"
 	"puffincrank/internal/fault"
-	"puffincrank/internal/outer"
+	"puffincrank/internal/httpapi"
+	"puffincrank/internal/protocol"
 	"puffincrank/internal/rules"
-	"puffincrank/internal/session"
-	"puffincrank/internal/settings"
+	"puffincrank/internal/schema"
 	"puffincrank/internal/store"
-	"puffincrank/internal/wire"
+	"puffincrank/internal/transport"
 )
 
 // outerRoutes are the outside calls, for this program and for the store.
@@ -50,10 +50,10 @@
 	m.Get("/puffin/watch", r.watch)
 	r.appRoutes(m)
 	m.NotFound(func(w http.ResponseWriter, _ *http.Request) {
-		outer.JSON(w, http.StatusNotFound, outer.Wrong{Wrong: "no such call"})
+		httpapi.JSON(w, http.StatusNotFound, httpapi.Wrong{Wrong: "no such call"})
 	})
 	m.MethodNotAllowed(func(w http.ResponseWriter, _ *http.Request) {
-		outer.JSON(w, http.StatusMethodNotAllowed, outer.Wrong{Wrong: "the call has another method"})
+		httpapi.JSON(w, http.StatusMethodNotAllowed, httpapi.Wrong{Wrong: "the call has another method"})
 	})
 	return m
 }
@@ -65,7 +65,7 @@
 		r.calls.Add(1)
 		defer r.calls.Add(-1)
 		if r.life.Is("shut") && req.URL.Path != "/puffin/ready" {
-			outer.Busy(w, "this node is leaving; nothing was done", r.P.Leave)
+			httpapi.Busy(w, "this node is leaving; nothing was done", r.P.Leave)
 			return
 		}
 		ctx, over := r.late.Bind(req.Context())
@@ -93,20 +93,20 @@
 }
 
 // onOuter answers an outside call that a proxy handed over.
-func (r *Registry) onOuter(ctx context.Context, _ wire.Hello, in session.Outer) (session.OuterBack, error) {
+func (r *Registry) onOuter(ctx context.Context, _ transport.Hello, in protocol.Outer) (protocol.OuterBack, error) {
 	if r.life.Is("leaving", "shut") {
-		return session.OuterBack{}, fault.New(fault.Refused, "leaving")
+		return protocol.OuterBack{}, fault.New(fault.Refused, "leaving")
 	}
 	if end, ok := ctx.Deadline(); ok && in.Rest > 0 {
 		ctx = context.WithValue(ctx, byKey{}, end.Add(-time.Duration(in.Rest)*time.Millisecond))
 	}
 	req, err := http.NewRequestWithContext(ctx, in.Method, in.URI, bytes.NewReader(in.Body))
 	if err != nil {
-		return session.OuterBack{}, fault.Wrap(fault.Refused, err, "outside call")
+		return protocol.OuterBack{}, fault.Wrap(fault.Refused, err, "outside call")
 	}
 	t := &recordedAnswer{head: http.Header{}}
 	r.routes.ServeHTTP(t, req)
-	return session.OuterBack{Status: t.code, Body: t.buf.Bytes(), Come: t.head.Get("Retry-After")}, nil
+	return protocol.OuterBack{Status: t.code, Body: t.buf.Bytes(), Come: t.head.Get("Retry-After")}, nil
 }
 
 // withDeadline bounds an outside call.
@@ -123,10 +123,10 @@
 func (r *Registry) answerFailure(w http.ResponseWriter, err error) {
 	if fault.Is(err, fault.Refused) && !fault.Is(err, fault.Unknown) {
 		// A vacant role is won again after a lease and up to half of one.
-		outer.Busy(w, "no majority of the stores: nothing was done", r.P.Lease()*3/2)
+		httpapi.Busy(w, "no majority of the stores: nothing was done", r.P.Lease()*3/2)
 		return
 	}
-	outer.JSON(w, http.StatusGatewayTimeout, outer.Wrong{Wrong: "outcome unknown: read back to find out; " + err.Error(), Ran: "unknown"})
+	httpapi.JSON(w, http.StatusGatewayTimeout, httpapi.Wrong{Wrong: "outcome unknown: read back to find out; " + err.Error(), Ran: "unknown"})
 }
 
 func (r *Registry) getReady(w http.ResponseWriter, _ *http.Request) {
@@ -135,7 +135,7 @@
 	if !ready {
 		code = http.StatusServiceUnavailable
 	}
-	outer.JSON(w, code, map[string]any{"ready": ready, "state": r.life.Now(), "in_touch": r.inTouch()})
+	httpapi.JSON(w, code, map[string]any{"ready": ready, "state": r.life.Now(), "in_touch": r.inTouch()})
 }
 
 func (r *Registry) getConfig(w http.ResponseWriter, req *http.Request) {
@@ -152,11 +152,11 @@
 	}
 	out := map[string]any{"version": got.Version}
 	if len(got.Doc) > 0 {
-		if doc, _, err := settings.Parse(got.Doc); err == nil {
+		if doc, _, err := schema.Parse(got.Doc); err == nil {
 			out["document"] = doc
 		}
 	}
-	outer.JSON(w, http.StatusOK, out)
+	httpapi.JSON(w, http.StatusOK, out)
 }
 
 // readDoc reads a document from a body and finds its faults.
@@ -169,32 +169,32 @@
 }
 
 func (r *Registry) docBody(w http.ResponseWriter, req *http.Request) ([]byte, bool) {
-	raw, code := outer.Body(w, req, rules.Most)
+	raw, code := httpapi.Body(w, req, rules.Most)
 	if code != 0 {
-		outer.JSON(w, code, outer.Wrong{Wrong: fmt.Sprintf("the document is over %d bytes or can't be read", rules.Most)})
+		httpapi.JSON(w, code, httpapi.Wrong{Wrong: fmt.Sprintf("the document is over %d bytes or can't be read", rules.Most)})
 	}
 	return raw, code == 0
 }
 
 // checkDoc finds a document's faults, besides those that are known already.
 // Paths that carry a trial are the mesh's own to write.
-func (r *Registry) checkDoc(w http.ResponseWriter, raw []byte, known []settings.Fault) *rules.Rules {
+func (r *Registry) checkDoc(w http.ResponseWriter, raw []byte, known []schema.Fault) *rules.Rules {
 	c, bad, err := rules.Compile(0, raw)
 	if err != nil {
 		r.e.Log.Emit(event.ConfigBad, "why", err.Error())
-		outer.JSON(w, http.StatusBadRequest, outer.Wrong{Wrong: "not a JSON document: " + err.Error()})
+		httpapi.JSON(w, http.StatusBadRequest, httpapi.Wrong{Wrong: "not a JSON document: " + err.Error()})
 		return nil
 	}
 	if c != nil {
 		for i, p := range c.Paths {
 			if p.Trial != 0 {
-				bad = append(bad, settings.Fault{Place: fmt.Sprintf("paths[%d].trial", i), Wrong: "trials are begun by propose"})
+				bad = append(bad, schema.Fault{Place: fmt.Sprintf("paths[%d].trial", i), Wrong: "trials are begun by propose"})
 			}
 		}
 	}
 	if bad = append(known, bad...); len(bad) > 0 {
 		r.e.Log.Emit(event.ConfigBad, "faults", len(bad), "first", bad[0].Place)
-		outer.JSON(w, http.StatusUnprocessableEntity, outer.Wrong{Wrong: fmt.Sprintf("the document has %d faults", len(bad)), Faults: bad})
+		httpapi.JSON(w, http.StatusUnprocessableEntity, httpapi.Wrong{Wrong: fmt.Sprintf("the document has %d faults", len(bad)), Faults: bad})
 		return nil
 	}
 	return c
@@ -202,6 +202,6 @@
 
 func (r *Registry) checkConfig(w http.ResponseWriter, req *http.Request) {
 	if _, c := r.readDoc(w, req); c != nil {
-		outer.JSON(w, http.StatusOK, map[string]any{"good": true, "paths": len(c.Paths)})
+		httpapi.JSON(w, http.StatusOK, map[string]any{"good": true, "paths": len(c.Paths)})
 	}
 }
--- a/internal/registry/savedworkers.go
+++ b/internal/registry/savedworkers.go
@@ -5,7 +5,7 @@
 
 	"puffincrank/internal/disk"
 	"puffincrank/internal/ormap"
-	"puffincrank/internal/wire"
+	"puffincrank/internal/transport"
 )
 
 // workersFile holds the registrations on this machine's disk. Nodes have none: when
@@ -56,7 +56,7 @@
 	}
 	raw, err := disk.Load(r.e.FS, workersFile)
 	var was savedWorkers
-	if err != nil || wire.Unpack(raw, &was) != nil || was.Mesh != r.P.Mesh {
+	if err != nil || transport.Unpack(raw, &was) != nil || was.Mesh != r.P.Mesh {
 		return
 	}
 	all, err := was.All.Open()
--- a/internal/registry/sessions.go
+++ b/internal/registry/sessions.go
@@ -4,13 +4,13 @@
 	"context"
 	"time"
 
+	"puffincrank/internal/compression"
+	"puffincrank/internal/controlclient"
 	"puffincrank/internal/event"
-	"puffincrank/internal/member"
+	"puffincrank/internal/membership"
 	"puffincrank/internal/ormap"
-	"puffincrank/internal/session"
-	"puffincrank/internal/squeeze"
-	"puffincrank/internal/touch"
-	"puffincrank/internal/wire"
+	"puffincrank/internal/protocol"
+	"puffincrank/internal/transport"
 )
 
 // memberChangesKept is how many changes of the list of members are kept, for those who
@@ -26,27 +26,27 @@
 
 // nodeSession is one proxy's session here.
 type nodeSession struct {
-	f       member.Fellow
+	f       membership.Fellow
 	heard   time.Time
 	version uint64
-	tallies []session.Tally
+	tallies []protocol.Tally
 	live    []string
 }
 
 // onBeat renews a session. A control node that is out of touch with the
 // stores, or leaving, says so, and the proxy tries another.
-func (r *Registry) onBeat(_ context.Context, _ wire.Hello, in session.Beat) (session.Receipt, error) {
+func (r *Registry) onBeat(_ context.Context, _ transport.Hello, in protocol.Beat) (protocol.Receipt, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	defer r.relink()
 	if in.Bye {
 		r.endSession(in.Fellow.Node)
-		return session.Receipt{}, nil
+		return protocol.Receipt{}, nil
 	}
 	if r.rules == nil && r.sure.IsZero() || time.Since(r.sure) > r.P.Fresh() || r.life.Is("starting", "leaving", "shut", "lost") {
-		return session.Receipt{}, nil
+		return protocol.Receipt{}, nil
 	}
-	out := session.Receipt{In: true, Age: time.Since(r.sure).Milliseconds() + 1}
+	out := protocol.Receipt{In: true, Age: time.Since(r.sure).Milliseconds() + 1}
 	// Who only looks for a control node in touch takes no session.
 	if in.Look {
 		if r.rules != nil {
@@ -84,7 +84,7 @@
 
 // addMissing gives a beat the steps to the newest configuration from the one that its
 // node holds, or else the whole.
-func (r *Registry) addMissing(out *session.Receipt, in session.Beat) {
+func (r *Registry) addMissing(out *protocol.Receipt, in protocol.Beat) {
 	version, doc := r.held.Now()
 	out.Version = version
 	if steps, ok := r.held.Since(in.Version); ok && in.Patch {
@@ -92,7 +92,7 @@
 	} else if in.Short {
 		// Shrunk once for all that ask for it.
 		if r.shrunk.version != version {
-			r.shrunk.version, r.shrunk.doc = version, squeeze.Shrink(doc)
+			r.shrunk.version, r.shrunk.doc = version, compression.Shrink(doc)
 		}
 		out.Shrunk = r.shrunk.doc
 	} else {
@@ -102,7 +102,7 @@
 
 // addMembersDiff tells a beat what differs from the list that its node holds. Nothing
 // at all means that this hash isn't known here: the node then asks by parts.
-func (r *Registry) addMembersDiff(out *session.Receipt, in session.Beat) {
+func (r *Registry) addMembersDiff(out *protocol.Receipt, in protocol.Beat) {
 	if !in.Diff {
 		out.Members = r.roll.Book().List()
 		return
@@ -123,7 +123,7 @@
 
 // packed is what differs since a hash, packed once for all that hold it: a whole
 // region that comes back is news to every session at the same time. mu is held.
-func (r *Registry) packed(from uint64, d member.Diff) []byte {
+func (r *Registry) packed(from uint64, d membership.Diff) []byte {
 	if r.packs.to != r.roll.Hash() {
 		r.packs.to, r.packs.from = r.roll.Hash(), map[uint64][]byte{}
 	}
@@ -135,7 +135,7 @@
 
 // onMembers gives the parts of the list that differ, some at a time. Beyond what
 // it hands out in a beat it names those who have them.
-func (r *Registry) onMembers(_ context.Context, from wire.Hello, in session.ListAsk) (session.ListBack, error) {
+func (r *Registry) onMembers(_ context.Context, from transport.Hello, in protocol.ListAsk) (protocol.ListBack, error) {
 	r.mu.Lock()
 	b, at := r.roll.Book(), ""
 	if s := r.own[from.Node]; s != nil {
@@ -143,10 +143,10 @@
 	}
 	r.mu.Unlock()
 	if !r.rep.Room() {
-		return session.ListBack{Hash: b.Hash(), Busy: true, Try: r.rep.Given(from.Area, at)}, nil
+		return protocol.ListBack{Hash: b.Hash(), Busy: true, Try: r.rep.Given(from.Area, at)}, nil
 	}
-	out, err := touch.Differ(b, in)
-	r.rep.Spend(touch.Cost(out))
+	out, err := controlclient.Differ(b, in)
+	r.rep.Spend(controlclient.Cost(out))
 	if err == nil && !out.More {
 		r.rep.Gave(at, from.Area)
 	}
@@ -202,7 +202,7 @@
 }
 
 // buryOld removes what earlier starts of a node left: one name, one process.
-func (r *Registry) buryOld(f member.Fellow) {
+func (r *Registry) buryOld(f membership.Fellow) {
 	r.g.Go("bury-old", func(ctx context.Context) {
 		// The new start buries them itself, after it has looked at what its
 		// worker was; this is for one that does not get so far.
@@ -231,7 +231,7 @@
 			ctx, end := context.WithTimeout(ctx, r.P.Session())
 			defer end()
 			// One that misses this gets it with its next beat.
-			have, err := touch.Push(ctx, r.n, o.at, r.held, o.have)
+			have, err := controlclient.Push(ctx, r.n, o.at, r.held, o.have)
 			if err != nil {
 				return
 			}
--- a/internal/registry/shares.go
+++ b/internal/registry/shares.go
@@ -4,9 +4,9 @@
 	"context"
 	"time"
 
-	"puffincrank/internal/member"
-	"puffincrank/internal/session"
-	"puffincrank/internal/wire"
+	"puffincrank/internal/membership"
+	"puffincrank/internal/protocol"
+	"puffincrank/internal/transport"
 )
 
 // seldom is how many beats pass between two words without news; two in a row
@@ -15,7 +15,7 @@
 
 // shared is another control node's word on its sessions.
 type shared struct {
-	f     member.Fellow
+	f     membership.Fellow
 	hash  uint64 // of the list as last heard, 0 for none
 	heard time.Time
 	// What it said counts; it does not after a session's time without a word.
@@ -54,7 +54,7 @@
 		}
 	}
 	r.owe = false
-	in := session.Share{From: r.self, Hash: r.mine.Hash()}
+	in := protocol.Share{From: r.self, Hash: r.mine.Hash()}
 	if d, ok := r.mine.Since(r.told); ok && r.told != in.Hash && len(d.Come)+len(d.Gone) <= membersPerPage {
 		in.Diff, in.Base, in.Come, in.Gone = true, r.told, d.Come, d.Gone
 	}
@@ -72,13 +72,13 @@
 			ctx, end := context.WithTimeout(ctx, r.P.Patience())
 			defer end()
 			began := time.Now()
-			got, err := wire.Ask[session.ShareBack](ctx, r.n, a, "session.share", in)
+			got, err := transport.Ask[protocol.ShareBack](ctx, r.n, a, "session.share", in)
 			r.recordAnswer(a, began, err == nil)
 			if err == nil {
 				r.meet(got.Near)
 			}
 			if err == nil && got.Need {
-				_, _ = wire.Ask[session.ShareBack](ctx, r.n, a, "session.share", r.more(got))
+				_, _ = transport.Ask[protocol.ShareBack](ctx, r.n, a, "session.share", r.more(got))
 			}
 		})
 	}
@@ -86,27 +86,27 @@
 
 // more gives a control node what it lacks: what differs from the list that it
 // holds, if that is known here, or else the whole.
-func (r *Registry) more(got session.ShareBack) session.Share {
+func (r *Registry) more(got protocol.ShareBack) protocol.Share {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	out := session.Share{From: r.self, Hash: r.mine.Hash()}
+	out := protocol.Share{From: r.self, Hash: r.mine.Hash()}
 	if d, ok := r.mine.Since(got.Have); ok && got.Diff && got.Have != 0 {
 		out.Diff, out.Base, out.Come, out.Gone = true, got.Have, d.Come, d.Gone
 	} else {
 		out.Full, out.List = true, r.mine.Book().List()
 	}
 	if got.Pack && len(out.List)+len(out.Come)+len(out.Gone) > plainDiff {
-		out.Pack = member.Diff{Come: append(out.Come, out.List...), Gone: out.Gone}.Pack()
+		out.Pack = membership.Diff{Come: append(out.Come, out.List...), Gone: out.Gone}.Pack()
 		out.List, out.Come, out.Gone = nil, nil, nil
 	}
 	return out
 }
 
-func (r *Registry) onShare(_ context.Context, _ wire.Hello, in session.Share) (session.ShareBack, error) {
+func (r *Registry) onShare(_ context.Context, _ transport.Hello, in protocol.Share) (protocol.ShareBack, error) {
 	if len(in.Pack) > 0 {
-		d, err := member.OpenDiff(in.Pack)
+		d, err := membership.OpenDiff(in.Pack)
 		if err != nil {
-			return session.ShareBack{}, err
+			return protocol.ShareBack{}, err
 		}
 		if in.Full {
 			in.List = d.Come
@@ -141,7 +141,7 @@
 	}
 	r.relink()
 	// What is known is kept until more comes.
-	back := session.ShareBack{Need: in.Hash != o.hash, Me: r.self, Diff: true, Have: o.hash, Pack: true}
+	back := protocol.ShareBack{Need: in.Hash != o.hash, Me: r.self, Diff: true, Have: o.hash, Pack: true}
 	if near, met := r.near(); met != in.Met {
 		back.Near = near
 	}
