--- a/internal/repocheck/capacity_test.go
+++ b/internal/repocheck/capacity_test.go
@@ -17,7 +17,8 @@
 	sweep = regexp.MustCompile(`^fleetbench (?:sweep|run) \S+, journal ([0-9]{8}T[0-9]{6}-[0-9a-f]{8})$`)
 )
 
-// former tells what is wrong with a program that the tree had at a commit.
+// former checks a command of a program at an earlier commit. It returns what is wrong, or
+// an empty text.
 func former(line, commit string) string {
 	m := runs.FindStringSubmatch(line)
 	if m == nil {
@@ -31,8 +32,8 @@
 	return ""
 }
 
-// tool tells what is wrong with a command that a page names: its program, its
-// flags or its benchmark must be in the tree.
+// tool checks a command that a page names: its program, flags or benchmark must exist in
+// the tree. It returns what is wrong, or an empty text.
 func tool(line string) string {
 	if m := sweep.FindStringSubmatch(line); m != nil {
 		if _, err := os.Stat(filepath.Join(root, "journal", m[1]+".json")); err != nil {
@@ -65,9 +66,9 @@
 	return "neither a program nor a benchmark of this tree"
 }
 
-// sourced gives what is wrong with the tables of a page, and how many rows it
-// looked at: each row's last cell, under the head `source`, names the commands
-// that measured it by their letters, or says that it is reckoned.
+// sourced checks the tables of a page and returns the problems and the number of rows. The
+// last cell of each row, in the column `source`, must name by their letters the commands
+// that measured its figures, or say that they are calculated ("reckoned").
 func sourced(page string) (bad []string, rows int) {
 	known := map[string]bool{}
 	lines := strings.Split(page, "\n")
@@ -118,8 +119,8 @@
 	return bad, rows
 }
 
-// TestCapacity: each row of the page of sizes says what measured it, with tools
-// that the tree has, or that it is only reckoned.
+// TestCapacity checks that each row of the capacity page names the command that measured it,
+// which must exist in the tree, or is marked as calculated.
 func TestCapacity(t *testing.T) {
 	raw, err := os.ReadFile(filepath.Join(root, "docs/CAPACITY.md"))
 	if err != nil {
@@ -134,7 +135,7 @@
 	}
 }
 
-// TestSourced: each fault of a page is found.
+// TestSourced checks that each kind of problem of a page is found.
 func TestSourced(t *testing.T) {
 	const run = "A: `go run ./cmd/fleet --plan kills`\n\n"
 	const top = "| what | source |\n| --- | --- |\n"
--- a/internal/repocheck/wire_test.go
+++ b/internal/repocheck/wire_test.go
@@ -21,11 +21,11 @@
 	"puffincrank/internal/transport"
 )
 
-// version names the fields of the wire and the files as they stand now. It
-// moves with each tag; the lists of earlier tags stay.
+// version is the release whose list of wire and file fields is written by -update. It
+// changes with each release; the lists of earlier releases are kept.
 const version = "v0.1.0"
 
-// fields lists the names and kinds by which a type travels or is stored.
+// fields adds the encoded names and the types of a type's fields, recursively.
 func fields(into map[string]bool, t reflect.Type) {
 	for t.Kind() == reflect.Pointer || t.Kind() == reflect.Slice || t.Kind() == reflect.Map {
 		t = t.Elem()
@@ -51,8 +51,8 @@
 	}
 }
 
-// renamed gives the names of now of types whose Go names have changed since a
-// version was recorded. A type's name doesn't travel.
+// renamed maps the recorded Go names of types to their present names. Names of types are
+// not encoded.
 var renamed = map[string]string{
 	"Checkpoint":   "Snapshot",
 	"Receipt":      "Result",
@@ -68,12 +68,12 @@
 	"WantStores":   "SetVoterCount",
 }
 
-// formerNames finds the names of types in a recorded line that may have changed:
-// those of two packages, one of which has another name now, and those of commands.
+// formerNames matches type names of a recorded line that may have changed: those of two
+// packages, one of which was renamed, and those of commands.
 var formerNames = regexp.MustCompile(`(\bledger\.|\bpaxos\.|^command [a-z.]+ )(\w+)`)
 
-// currentTypes gives the present qualified names of types that were recorded under
-// another package or name.
+// currentTypes maps qualified type names that were recorded under another package or name
+// to the present ones.
 var currentTypes = map[string]string{
 	"class.Use":         "admission.ClassUsage",
 	"member.Fellow":     "membership.Member",
@@ -100,10 +100,10 @@
 	"wire.Hello":        "transport.Hello",
 }
 
-// qualifiedType finds the types that a recorded line names with their packages.
+// qualifiedType matches the package-qualified type names of a recorded line.
 var qualifiedType = regexp.MustCompile(`\b[a-z]+\.[A-Z]\w*`)
 
-// ofNow is a recorded line with the names of now.
+// ofNow returns a recorded line with the present type names.
 func ofNow(line string) string {
 	line = formerNames.ReplaceAllStringFunc(line, func(found string) string {
 		part := formerNames.FindStringSubmatch(found)
@@ -121,9 +121,9 @@
 	})
 }
 
-// TestFields: every field that an earlier version sent or stored is still
-// there under its name and type, so that both can be mixed in a roll, both
-// ways. New fields are passed over by the old.
+// TestFields checks that every field that an earlier version sent or stored still exists with
+// its name and type, so that versions can be mixed during a rolling upgrade or downgrade. Old
+// versions ignore new fields.
 func TestFields(t *testing.T) {
 	now := map[string]bool{}
 	all := append(store.Messages(), transport.Hello{}, protocol.Heartbeat{}, protocol.HeartbeatResponse{}, protocol.ConfigPush{}, protocol.ConfigPushResponse{}, protocol.MemberListRequest{}, protocol.MemberListResponse{}, protocol.SessionReport{}, protocol.SessionReportResponse{}, protocol.ForwardedCall{},
@@ -146,7 +146,7 @@
 			lines = append(lines, l)
 		}
 		sort.Strings(lines)
-		// Two files, so that none is over the house's length.
+		// Two files, so that neither exceeds the limit of 250 lines.
 		half := len(lines) / 2
 		_ = os.MkdirAll("testdata", 0o755)
 		for name, part := range map[string][]string{file: lines[:half], strings.TrimSuffix(file, ".txt") + "-2.txt": lines[half:]} {
